--- a/embertray/durable/snapshot.py
+++ b/embertray/durable/snapshot.py
@@ -1,8 +1,9 @@
 """What a controller keeps: the list, when each entry was last confirmed, and who lately went.
 
-Not kept: tables (proxies hold them), learnt capacity and health (learnt anew within seconds, and wrong after a
-replacement), withdrawals (removals are ordered anew from the list). docs/design/start.md gives the reasons.
+Not kept: tables (proxies hold them), learnt capacity and health (learnt anew within seconds, and wrong after
+a replacement), withdrawals (removals are ordered anew from the list). docs/design/start.md gives the reasons.
 """
+
 import time
 from pathlib import Path
 
@@ -12,12 +13,15 @@
 from .store import Store
 
 # -- constants: value, unit, reason
-EVERY = 10**9           # ns between two snapshots at the least: a deploy changes the list many times a second
-CONFIRM = 15 * 10**9    # ns after which a list that stands is written anew, so that its age is known to that
+EVERY = 10**9  # ns between two snapshots at the least: a deploy changes the list many times a second
+CONFIRM = 15 * 10**9  # ns after which a list that stands is written anew, so that its age is known to that
 
 
 class KeptEntry(msgspec.Struct, array_like=True, frozen=True):
-    """`started` by the inventory's clock; `confirmed` by our wall clock: when the inventory last stood for it."""
+    """`started` by the inventory's clock; `confirmed` by our wall clock: when the inventory last stood for
+    it.
+    """
+
     backend: Name
     zone: Name
     state: str
@@ -27,14 +31,17 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True):
-    """`clock`: the inventory's when it last spoke; `wall`, `boot`, `mono`: ours then (ns; boot id of the system)."""
+    """`clock`: the inventory's when it last spoke; `wall`, `boot`, `mono`: ours then (ns; boot id of the
+    system).
+    """
+
     epoch: int
     clock: int
     wall: int
     boot: str
     mono: int
     entries: list[KeptEntry]
-    gone: list[KeptEntry] = []          # told gone lately: an older list must not bring them back
+    gone: list[KeptEntry] = []  # told gone lately: an older list must not bring them back
 
 
 class BadBody(ValueError):
--- a/embertray/durable/store.py
+++ b/embertray/durable/store.py
@@ -1,22 +1,25 @@
-"""A folder of numbered snapshots: each is written aside, flushed, renamed, and the folder flushed; the newest good one counts.
+"""A folder of numbered snapshots: each is written aside, flushed, renamed, and the folder flushed; the newest
+good one counts.
 
-A file is `EMBERTRY`, a format number, the length and the xxhash of what follows, then that, compressed by zstandard. What is
-cut, flipped or of a newer format is passed over with its reason, and the next older is taken. Nothing is ever written
-over. docs/design/start.md compares this with a log, sqlite and lmdb.
+A file is `EMBERTRY`, a format number, the length and the xxhash of what follows, then that, compressed by
+zstandard. What is cut, flipped or of a newer format is passed over with its reason, and the next older is
+taken. Nothing is ever written over. docs/design/start.md compares this with a log, sqlite and lmdb.
 """
+
 import fcntl
 import os
 import struct
+from contextlib import suppress
 from pathlib import Path
 
 import xxhash
 import zstandard
 
 MAGIC, FORMAT = b"EMBERTRY", 1
-HEAD = struct.Struct(">8sHQQ")      # magic, format, length, xxh64 of the body
-MOST = 256 << 20                    # bytes a body may unpack to: a length that a flipped bit made is not believed
-GENERATIONS = 3                     # good files kept: the newest, and two to fall back on
-LEVEL = 3                           # of zstandard: its default
+HEAD = struct.Struct(">8sHQQ")  # magic, format, length, xxh64 of the body
+MOST = 256 << 20  # bytes a body may unpack to: a length that a flipped bit made is not believed
+GENERATIONS = 3  # good files kept: the newest, and two to fall back on
+LEVEL = 3  # of zstandard: its default
 
 
 class Locked(RuntimeError):
@@ -35,7 +38,7 @@
 
     def write(self, file, data):
         while data:
-            data = data[os.write(file, data):]
+            data = data[os.write(file, data) :]
 
     def flush(self, file):
         os.fsync(file)
@@ -67,7 +70,7 @@
     if len(data) < HEAD.size:
         raise BadSnapshot(f"it has {len(data)} bytes, fewer than its head")
     magic, form, length, digest = HEAD.unpack_from(data)
-    packed = data[HEAD.size:]
+    packed = data[HEAD.size :]
     if magic != MAGIC:
         raise BadSnapshot("it does not begin as a snapshot does")
     if form != FORMAT:
@@ -83,7 +86,9 @@
 
 
 class Store:
-    """One folder. `lock` first (raises Locked); `save` raises OSError and leaves what was; `load` never raises."""
+    """One folder. `lock` first (raises Locked); `save` raises OSError and leaves what was; `load` never
+    raises.
+    """
 
     def __init__(self, folder, disk=None):
         self.folder, self.disk, self.owner = Path(folder), disk or Disk(), None
@@ -98,7 +103,9 @@
             who = os.pread(self.owner, 64, 0).decode("ascii", "replace").strip() or "unknown"
             os.close(self.owner)
             self.owner = None
-            raise Locked(f"{self.folder} is in use by process {who}: two controllers can't share a state folder") from None
+            raise Locked(
+                f"{self.folder} is in use by process {who}: two controllers can't share a state folder"
+            ) from None
         os.ftruncate(self.owner, 0)
         os.pwrite(self.owner, f"{os.getpid()}\n".encode(), 0)
 
@@ -118,7 +125,9 @@
         return self.folder / f"list-{number:012d}.snap"
 
     def save(self, body):
-        """The body becomes the newest snapshot. After a crash at any point the newest good one is the old or the new."""
+        """The body becomes the newest snapshot. After a crash at any point the newest good one is the old or
+        the new.
+        """
         numbers, disk = self.numbers(), self.disk
         number = (numbers[-1] if numbers else 0) + 1
         aside = self.folder / "next.tmp"
@@ -130,15 +139,15 @@
             disk.close(file)
         disk.rename(aside, self.path(number))
         disk.flush_folder(self.folder)
-        for old in numbers[:max(0, len(numbers) + 1 - GENERATIONS)]:
-            try:
+        for old in numbers[: max(0, len(numbers) + 1 - GENERATIONS)]:
+            with suppress(OSError):  # one file too many does no harm
                 disk.remove(self.path(old))
-            except OSError:
-                pass                    # one file too many does no harm
         return number
 
     def load(self, read=lambda body: body):
-        """(the newest body that can be read, [(file name, why it was passed over)]). `read` may raise ValueError."""
+        """(the newest body that can be read, [(file name, why it was passed over)]). `read` may raise
+        ValueError.
+        """
         passed = []
         for number in reversed(self.numbers()):
             path = self.path(number)
--- a/embertray/emulator/__init__.py
+++ b/embertray/emulator/__init__.py
@@ -1,1 +1,3 @@
-"""Whole fleets as flows: proxies whose reqs are counts, so that hours of a fleet take minutes. Grows with its issue."""
+"""Whole fleets as flows: proxies whose reqs are counts, so that hours of a fleet take minutes. Grows with its
+issue.
+"""
--- a/embertray/emulator/churn.py
+++ b/embertray/emulator/churn.py
@@ -1,9 +1,11 @@
-"""Hours of churn through the true daemon: proxies and backends leave for good, others come, each under a new name.
+"""Hours of churn through the true daemon: proxies and backends leave for good, others come, each under a new
+name.
 
-Each minute the accounts are read (usual sizes). At the end each purpose must be flat: its mean over the last quarter
-within 5 percent of its mean over the first quarter after warm-up (purposes under 64 KiB: within 8 KiB). One that fell by
-more is said to have fallen, which is no leak.
+Each minute the accounts are read (usual sizes). At the end each purpose must be flat: its mean over the last
+quarter within 5 percent of its mean over the first quarter after warm-up (purposes under 64 KiB: within 8
+KiB). One that fell by more is said to have fallen, which is no leak.
 """
+
 import gc
 import json
 import subprocess
@@ -36,14 +38,15 @@
 @dataclass
 class Plan:
     """Hours are of the run's own clock. `leaves`: proxies a minute; `replaced`: backends a minute."""
+
     backends: int = 92
     proxies: int = 157
     reqs: float = 920.0
     hours: float = 1.0
     leaves: float = 30.0
     replaced: float = 4.0
-    warm_up: float = 0.25           # of the run
-    strangers: int = 0              # report lines a minute that name backends no list ever had
+    warm_up: float = 0.25  # of the run
+    strangers: int = 0  # report lines a minute that name backends no list ever had
     site: str = "pushed"
     facts: dict = field(default_factory=dict)
 
@@ -67,17 +70,29 @@
         site = load(SITES / "samples" / f"{plan.site}.xml")
         self.inventory = StandinInventory(self.net, Agenda(self.clock))
         address = await group.start(self.inventory.run, "127.0.0.1:0")
-        facts = {"proxies": plan.proxies, "backends": plan.backends, "channel_rate": 20000.0, "pending_max": 20000.0,
-                 "reports_rate": 1000.0, **plan.facts}
+        facts = {
+            "proxies": plan.proxies,
+            "backends": plan.backends,
+            "channel_rate": 20000.0,
+            "pending_max": 20000.0,
+            "reports_rate": 1000.0,
+            **plan.facts,
+        }
         self.site = site.at(inventory=address, **facts)
         return await where(self)
 
     async def play(self, group, address, look):
         plan, site, rng = self.plan, self.site, self.rng
-        self.fleet = fleet = FlowFleet(self.net, self.clock, address, self.streams.of("reqs"), self.inventory,
-                                       [k.door for k in site.kinds])
+        self.fleet = fleet = FlowFleet(
+            self.net,
+            self.clock,
+            address,
+            self.streams.of("reqs"),
+            self.inventory,
+            [k.door for k in site.kinds],
+        )
         fleet.group = group
-        each = plan.reqs / plan.backends / 0.6          # the fleet is 60 percent full
+        each = plan.reqs / plan.backends / 0.6  # the fleet is 60 percent full
         for n in range(plan.backends):
             fleet.add_backend(site.zones[n % len(site.zones)], each * (0.7 + 0.6 * rng.random()))
         rate = plan.reqs / plan.proxies
@@ -88,8 +103,11 @@
         for second in range(end):
             await self.clock.sleep_until(began + second * S)
             await fleet.tick()
-            due = [int((second + 1) * each_minute / 60) - int(second * each_minute / 60)    # evenly: chance in how many
-                   for each_minute in (plan.leaves, plan.replaced)]                       # are about would hide a leak
+            due = [
+                int((second + 1) * each_minute / 60)
+                - int(second * each_minute / 60)  # evenly: chance in how many
+                for each_minute in (plan.leaves, plan.replaced)
+            ]  # are about would hide a leak
             for _ in range(due[0]):
                 px = fleet.proxies.pop(list(fleet.proxies)[int(rng.integers(len(fleet.proxies)))])
                 px.leave()
@@ -111,31 +129,49 @@
         await self.clock.sleep_until(self.clock.now() + 4 * S)
         self.inventory.list(be.name, be.zone, "gone", be.started)
         fleet.backends.pop(be.name, None)
-        fleet.add_backend(be.zone, each * (0.7 + 0.6 * self.rng.random()), self.clock.now(), site.cold_from,
-                          site.warm_after)
+        fleet.add_backend(
+            be.zone, each * (0.7 + 0.6 * self.rng.random()), self.clock.now(), site.cold_from, site.warm_after
+        )
 
 
 def virtual(plan, seed=1, core=None):
     """Plays a Plan in virtual time; the Churn with its rows."""
+
     async def main():
         net, clock = MemoryNet(), VirtualClock()
         churn = Churn(plan, net, clock, seed)
         async with anyio.create_task_group() as group:
+
             async def where(churn):
-                service = Service(churn.site, churn.site.controllers[0], clock, net, KeptInMemory(clock), seed,
-                                  churn.streams.of("cuts").random, quiet(), core or Instance)
+                service = Service(
+                    churn.site,
+                    churn.site.controllers[0],
+                    clock,
+                    net,
+                    KeptInMemory(clock),
+                    seed,
+                    churn.streams.of("cuts").random,
+                    quiet(),
+                    core or Instance,
+                )
                 churn.service = service
                 listen, _ = await group.start(service.run)
                 return listen
+
             address = await churn.prepare(group, where)
 
             async def look():
                 gc.collect()
                 return churn.service.memory()
+
             await churn.play(group, address, look)
-            churn.left = {"backends ever": churn.fleet.numbers["be"], "proxies ever": churn.fleet.numbers["px"]}
+            churn.left = {
+                "backends ever": churn.fleet.numbers["be"],
+                "proxies ever": churn.fleet.numbers["px"],
+            }
             group.cancel_scope.cancel()
         return churn
+
     return run_virtual(main)
 
 
@@ -147,39 +183,59 @@
         churn = Churn(plan, TcpNet(), LoopClock(), seed)
         with tempfile.TemporaryDirectory() as folder:
             async with anyio.create_task_group() as group:
+
                 async def where(churn):
-                    path = describe(folder, churn.site.inventory, rate=20000, waiting=20000, reports=1000,
-                                    proxies=plan.proxies, backends=plan.backends)
-                    churn.program = subprocess.Popen([sys.executable, "-m", "embertray", "--log-format", "json", "serve",
-                                                      str(path)], stderr=subprocess.PIPE, text=True)
+                    path = describe(
+                        folder,
+                        churn.site.inventory,
+                        rate=20000,
+                        waiting=20000,
+                        reports=1000,
+                        proxies=plan.proxies,
+                        backends=plan.backends,
+                    )
+                    churn.program = subprocess.Popen(
+                        [sys.executable, "-m", "embertray", "--log-format", "json", "serve", str(path)],
+                        stderr=subprocess.PIPE,
+                        text=True,
+                    )
                     while True:
                         row = json.loads(await anyio.to_thread.run_sync(churn.program.stderr.readline))
                         if row["event"] == "listening":
                             churn.admin = row["admin"]
                             group.start_soon(anyio.to_thread.run_sync, churn.program.stderr.read)
                             return row["listen"]
+
                 address = await churn.prepare(group, where)
 
                 async def look():
                     return json.loads((await ask(churn.net, churn.admin, "GET", "/memory"))[1])
+
                 try:
                     await churn.play(group, address, look)
                 finally:
                     churn.program.terminate()
                     churn.program.wait()
-                churn.left = {"backends ever": churn.fleet.numbers["be"], "proxies ever": churn.fleet.numbers["px"]}
+                churn.left = {
+                    "backends ever": churn.fleet.numbers["be"],
+                    "proxies ever": churn.fleet.numbers["px"],
+                }
                 group.cancel_scope.cancel()
         return churn
+
     return anyio.run(main)
 
 
 def drift(rows, warm_up):
-    """{purpose: (mean of the first quarter after warm-up, of the last quarter, flat | fell | GREW)}; also `resident`."""
-    rows = rows[int(len(rows) * warm_up):]
+    """{purpose: (mean of the first quarter after warm-up, of the last quarter, flat | fell | GREW)}; also
+    `resident`.
+    """
+    rows = rows[int(len(rows) * warm_up) :]
     quarter = max(1, len(rows) // 4)
 
     def means(values):
         return sum(values[:quarter]) / quarter, sum(values[-quarter:]) / quarter
+
     found = {}
     names = [account["purpose"] for account in rows[0]["purposes"]]
     for n, name in enumerate(names):
@@ -198,12 +254,22 @@
 def report(churn, file=sys.stdout):
     """A table in Markdown; True when nothing grew."""
     found = drift(churn.rows, churn.plan.warm_up)
-    print("| purpose | KiB, first quarter | KiB, last quarter | change | verdict |\n" + "| --- " * 5 + "|", file=file)
+    print(
+        "| purpose | KiB, first quarter | KiB, last quarter | change | verdict |\n" + "| --- " * 5 + "|",
+        file=file,
+    )
     for name, (first, last, flat) in found.items():
-        print(f"| {name} | {first / 1024:.1f} | {last / 1024:.1f} | {last / first - 1 if first else 0:+.1%} | "
-              f"{flat} |", file=file)
-    print("\n" + ", ".join(f"{name} {n}" for name, n in churn.left.items())
-          + f"; reqs {churn.fleet.reqs}, errored {churn.fleet.errored}, without a line {churn.fleet.nowhere}", file=file)
+        print(
+            f"| {name} | {first / 1024:.1f} | {last / 1024:.1f} | {last / first - 1 if first else 0:+.1%} | "
+            f"{flat} |",
+            file=file,
+        )
+    print(
+        "\n"
+        + ", ".join(f"{name} {n}" for name, n in churn.left.items())
+        + f"; reqs {churn.fleet.reqs}, errored {churn.fleet.errored}, without a line {churn.fleet.nowhere}",
+        file=file,
+    )
     return all(verdict != "GREW" for _, _, verdict in found.values())
 
 
--- a/embertray/emulator/clients.py
+++ b/embertray/emulator/clients.py
@@ -1,4 +1,5 @@
 """The clients of a proxy without streams."""
+
 from ..standin.messages import Req
 
 
@@ -6,7 +7,14 @@
     """model.Clients of one proxy."""
 
     def __init__(self, town, model, source, px, rng, until):
-        self.town, self.model, self.source, self.px, self.rng, self.until = town, model, source, px, rng, until
+        self.town, self.model, self.source, self.px, self.rng, self.until = (
+            town,
+            model,
+            source,
+            px,
+            rng,
+            until,
+        )
 
     def plan(self):
         when, kind, work = self.source.next(self.town.engine.time, self.rng, self.until)
--- a/embertray/emulator/company.py
+++ b/embertray/emulator/company.py
@@ -1,7 +1,10 @@
-"""A day's wounds on the members of a cluster under virtual time: the same words, the same claims as true processes are held against.
+"""A day's wounds on the members of a cluster under virtual time: the same words, the same claims as true
+processes are held against.
 
-Only what strikes controllers and links is played (kill, stall, restart, slow-start, and the links' words): there is no fleet here.
+Only what strikes controllers and links is played (kill, stall, restart, slow-start, and the links' words):
+there is no fleet here.
 """
+
 import random
 
 from ..cluster.link.link import EXCHANGE_WITHIN
@@ -18,8 +21,8 @@
 
 MS, S = 10**6, 10**9
 WORDS = {"kill", "stall", "restart", "slow-start", *LINKS} - {"reset"}
-START = S // 2              # ns that a process takes to come up
-SETTLE = 4 * S              # ns after the day's end, as days have it
+START = S // 2  # ns that a process takes to come up
+SETTLE = 4 * S  # ns after the day's end, as days have it
 
 
 class WebLinks(Links):
@@ -46,7 +49,7 @@
         self.day, self.seed, self.makes, self.look_every = day, seed, (exchange, book), look
         names = [f"c{n + 1}" for n in range(members or int(day.fleet["controllers"]))]
         period = span(day.fleet["period"])
-        self.links = Web(names, seed, ("list", "px"))     # nothing passes on the latter two here
+        self.links = Web(names, seed, ("list", "px"))  # nothing passes on the latter two here
         self.ring = Ring(seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period), make)
         self.ring.links = WebLinks(random.Random(f"{seed} links"), self.links)
         self.engine, self.sharers, self.chance, self.proxies = self.ring.engine, {}, Streams(seed), []
@@ -59,7 +62,7 @@
 
     def strike(self, targets, things):
         order = self.chance.of("strike", len(things)).permutation(len(things))
-        return [things[k] for t in targets for k in order[:max(1, round(t * len(things)))]]
+        return [things[k] for t in targets for k in order[: max(1, round(t * len(things)))]]
 
     # ---- what troubles do to members
 
@@ -68,7 +71,9 @@
             self.sharers[name] = None
             await self.engine.sleep_until(self.engine.time + START + still)
             process = self.ring.up(name, [other for other in self.links.members if other != name])
-            self.sharers[name] = Sharer(process, lambda: self.sharers, self.ring.links, self.seed, *self.makes)
+            self.sharers[name] = Sharer(
+                process, lambda: self.sharers, self.ring.links, self.seed, *self.makes
+            )
             self.claims.on_up(self.engine.time, name)
 
     async def all_up(self, names, still=0):
@@ -108,7 +113,13 @@
             if sharer is not None and not sharer.process.stopped:
                 core = sharer.process.core
                 ages = {known.owner: known.age for known in sharer.book.freshest(now, "facts")}
-                self.claims.look(now, name, {m.name: words[m.state] for m in core.members.values()}, ages, core.cut_off(now))
+                self.claims.look(
+                    now,
+                    name,
+                    {m.name: words[m.state] for m in core.members.values()},
+                    ages,
+                    core.cut_off(now),
+                )
         self.engine.at(now + self.look_every, self.look)
 
     def play(self):
@@ -122,5 +133,11 @@
 
     def bytes(self):
         """Bytes a second that a member sent: (probes, state)."""
-        span_s, living = (self.engine.time - self.zero) / S, [s for s in self.sharers.values() if s is not None]
-        return (sum(self.ring.bytes.values()) / span_s / len(self.links.members), sum(s.bytes for s in living) / span_s / max(1, len(living)))
+        span_s, living = (
+            (self.engine.time - self.zero) / S,
+            [s for s in self.sharers.values() if s is not None],
+        )
+        return (
+            sum(self.ring.bytes.values()) / span_s / len(self.links.members),
+            sum(s.bytes for s in living) / span_s / max(1, len(living)),
+        )
--- a/embertray/emulator/controller.py
+++ b/embertray/emulator/controller.py
@@ -1,4 +1,5 @@
 """A controller without streams: the daemon's desk, its pump and the list's client as planned calls."""
+
 from ..channel.outlet import PROBE_WITHIN
 from ..core import Desk
 from ..durable.snapshot import CONFIRM, EVERY
@@ -12,9 +13,17 @@
         self.town, self.name, self.kept, now = town, name, kept, town.engine.time
         chance = town.chance.of("cuts", name, life).random
         snapshot, _ = kept.load()
-        self.desk = Desk(town.site, me, town.seed * 1000 + life, now, chance, snapshot, kept.times(), *town.make)
+        self.desk = Desk(
+            town.site, me, town.seed * 1000 + life, now, chance, snapshot, kept.times(), *town.make
+        )
         self.follow, self.line, self.streams = Follow(name, chance), None, {}
-        self.alive, self.frozen, self.waiting, self.planned, self.ran = True, False, [], None, now - town.site.tick
+        self.alive, self.frozen, self.waiting, self.planned, self.ran = (
+            True,
+            False,
+            [],
+            None,
+            now - town.site.tick,
+        )
         self.save_at, self.saved = None, now - EVERY
         self.poke()
         self.plan_save(now + CONFIRM)
@@ -122,7 +131,7 @@
         self.line = None
         self.town.inventory.followers.pop(self, None)
         wait = self.follow.broke()
-        if self.town.site.ask:                      # the module decides when to ask again
+        if self.town.site.ask:  # the module decides when to ask again
             self.desk.hand_on(self.town.engine.time, "failed", [])
             self.poke()
         else:
--- a/embertray/emulator/detectors.py
+++ b/embertray/emulator/detectors.py
@@ -1,23 +1,30 @@
-"""Detectors to compare with: plain heartbeats, and phi accrual, both from each member to each other. Who is there is told at the start."""
+"""Detectors to compare with: plain heartbeats, and phi accrual, both from each member to each other. Who is
+there is told at the start.
+"""
+
 from collections import Counter, deque
 from math import erfc, log10, sqrt
 
-from ..cluster.membership.statements import Change
 from ..cluster.membership.member import ALIVE, DEAD, Member, Statement
 from ..cluster.membership.messages import VERSION, Ping
+from ..cluster.membership.statements import Change
 
-KEPT = 100          # gaps between heartbeats that phi goes by
-SPREAD = 0.1        # of the period: least deviation, against a certainty that chance alone gives
+KEPT = 100  # gaps between heartbeats that phi goes by
+SPREAD = 0.1  # of the period: least deviation, against a certainty that chance alone gives
 
 
 class Heartbeats:
-    """Dead after `limit` periods without a heartbeat. The interface of Membership, as far as a Ring needs it."""
+    """Dead after `limit` periods without a heartbeat. The interface of Membership, as far as a Ring needs
+    it.
+    """
 
     limit = 5.0
 
     def __init__(self, cluster, name, address, wall, now, chance, seeds, pace):
         self.cluster, self.pace, self.me = cluster, pace, Statement(name, address, wall, 0, ALIVE)
-        self.members = {other: Member(Statement(other, other, 0, 0, ALIVE), now) for other in seeds if other != name}
+        self.members = {
+            other: Member(Statement(other, other, 0, 0, ALIVE), now) for other in seeds if other != name
+        }
         self.gaps = {other: deque(maxlen=KEPT) for other in self.members}
         self.beat_at, self.look_at = now + chance.randrange(pace.period), now + pace.period
         self.changes, self.refused, self.ended, self.number = [], Counter(), "", 0
@@ -34,7 +41,10 @@
         if now >= self.beat_at:
             self.beat_at += self.pace.period
             self.number += 1
-            out = [(m.address, Ping(self.cluster, VERSION, self.me, 0, self.number, [])) for m in self.members.values()]
+            out = [
+                (m.address, Ping(self.cluster, VERSION, self.me, 0, self.number, []))
+                for m in self.members.values()
+            ]
         if now >= self.look_at:
             self.look_at = now + self.pace.period // 5
             for member in self.here:
@@ -59,7 +69,9 @@
 
 
 class Phi(Heartbeats):
-    """Dead when, by the gaps seen so far, a heartbeat so late has a chance under 10^-threshold (Hayashibara's phi)."""
+    """Dead when, by the gaps seen so far, a heartbeat so late has a chance under 10^-threshold (Hayashibara's
+    phi).
+    """
 
     threshold = 8.0
 
--- a/embertray/emulator/engine.py
+++ b/embertray/emulator/engine.py
@@ -1,12 +1,14 @@
-"""A lean event loop: a heap of times, first planned first done; time-outs of equal spans wait in line, outside the heap.
+"""A lean event loop: a heap of times, first planned first done; time-outs of equal spans wait in line,
+outside the heap.
 
 Processes are coroutines that await `sleep_until`: the days' troubles run in it as they run in an event loop.
 """
+
 import heapq
 from collections import deque
 
 S = 10**9
-SPANS = 64              # spans that have a line of their own; what has a rarer one goes to the heap
+SPANS = 64  # spans that have a line of their own; what has a rarer one goes to the heap
 
 
 class Stuck(RuntimeError):
@@ -34,8 +36,8 @@
 
 
 class Engine:
-    """Things happen in the order of their times, and those of one time in the order of their planning. Raises Stuck after
-    too many events at one instant."""
+    """Things happen in the order of their times, and those of one time in the order of their planning. Raises
+    Stuck after too many events at one instant."""
 
     MOST_AT_ONCE = 1_000_000
 
@@ -54,8 +56,8 @@
         return timer
 
     def after(self, span, what, *args):
-        """As `at`, for spans that come again and again: those of one span fall due in the order of their planning, so
-        only the first of them needs a place in the heap."""
+        """As `at`, for spans that come again and again: those of one span fall due in the order of their
+        planning, so only the first of them needs a place in the heap."""
         line = self.lines.get(span)
         if line is None:
             if len(self.lines) >= SPANS:
@@ -75,7 +77,7 @@
             when, _, timer, line = heapq.heappop(heap)
             if line is not None:
                 line.popleft()
-                while line and line[0].what is None:        # cancelled: never in the heap
+                while line and line[0].what is None:  # cancelled: never in the heap
                     line.popleft()
                 if line:
                     heapq.heappush(heap, (line[0].when, line[0].count, line[0], line))
--- a/embertray/emulator/flows.py
+++ b/embertray/emulator/flows.py
@@ -1,20 +1,22 @@
 """Proxies and backends as flows: a second's reqs of a proxy are one draw, and a req is no object.
 
-The proxies are real peers of the controller: they dial, hold tables, answer marks and send sums. What they met is drawn
-each report cycle: reqs by Poisson, their spread over lines by the weights; the backends are model.Backend, by `pour`.
+The proxies are real peers of the controller: they dial, hold tables, answer marks and send sums. What they
+met is drawn each report cycle: reqs by Poisson, their spread over lines by the weights; the backends are
+model.Backend, by `pour`.
 """
+
 import anyio
 
 from ..model.backend import Backend, Shape
 from ..net.conn import Conn
+from ..standin.parts import BROKEN
 from ..stream.holding import Holding
 from ..stream.messages import Answer, Came, Met, Orders, Sums
 from ..stream.session import ProxyEnd, Refused
-from ..standin.parts import BROKEN
 
 S = 10**9
-CORES = 2               # of a backend
-PATIENCE = 2 * S        # ns until a req is given up
+CORES = 2  # of a backend
+PATIENCE = 2 * S  # ns until a req is given up
 
 
 class FlowProxy:
@@ -38,7 +40,10 @@
 
     async def stay(self):
         self.end, wait = ProxyEnd(self.name, self.zone, self.rate, True), 0
-        async with await self.fleet.net.dial(self.fleet.address) as stream, anyio.create_task_group() as group:
+        async with (
+            await self.fleet.net.dial(self.fleet.address) as stream,
+            anyio.create_task_group() as group,
+        ):
             conn = Conn(stream)
             conn.put(self.end.start())
             group.start_soon(conn.write)
@@ -61,7 +66,7 @@
         return wait
 
     def leave(self):
-        self.scope.cancel()         # before it has started, too
+        self.scope.cancel()  # before it has started, too
 
 
 class FlowFleet:
@@ -95,7 +100,9 @@
         return px
 
     async def tick(self):
-        """One cycle: every proxy's reqs are drawn, every backend is settled, every joined proxy sends its sums."""
+        """One cycle: every proxy's reqs are drawn, every backend is settled, every joined proxy sends its
+        sums.
+        """
         now, drawn, came = self.clock.now(), [], {}
         for px in self.proxies.values():
             count = int(self.rng.poisson(px.rate * self.cycle / S))
@@ -107,12 +114,14 @@
                 continue
             names, total = list(picks), sum(picks.values())
             spread = self.rng.multinomial(count, [w / total for w in picks.values()])
-            tries = {name: int(n) for name, n in zip(names, spread) if n}
+            tries = {name: int(n) for name, n in zip(names, spread, strict=False) if n}
             for name, n in tries.items():
                 came[name] = came.get(name, 0) + n
             drawn.append((px, count, tries))
-        met_at = {name: be.pour(now, self.cycle, came.get(name, 0), self.work, PATIENCE)
-                  for name, be in self.backends.items()}
+        met_at = {
+            name: be.pour(now, self.cycle, came.get(name, 0), self.work, PATIENCE)
+            for name, be in self.backends.items()
+        }
         loads = {name: be.report(now) for name, be in self.backends.items()}
         for px, count, tries in drawn:
             met, lost = [], 0
@@ -125,5 +134,5 @@
             if px.conn is not None:
                 share = [count // len(self.kinds)] * len(self.kinds)
                 share[0] += count - sum(share)
-                came = [Came(kind, part, 0) for kind, part in zip(self.kinds, share)]
+                came = [Came(kind, part, 0) for kind, part in zip(self.kinds, share, strict=False)]
                 px.conn.put(px.end.pack(Sums(self.cycle, met, came)))
--- a/embertray/emulator/fluid.py
+++ b/embertray/emulator/fluid.py
@@ -1,10 +1,12 @@
-"""The same day as flows: reqs are masses that are poured by the tables each STEP, so a run costs by proxies x backends
-and not by reqs. Controllers, tables, channel and list are those of town.py; backends are model.Backend, by `pour`.
+"""The same day as flows: reqs are masses that are poured by the tables each STEP, so a run costs by proxies x
+backends and not by reqs. Controllers, tables, channel and list are those of town.py; backends are
+model.Backend, by `pour`.
 
-What is approximated: a req's second try goes to the average backend, not to another; a wait's spread is exponential;
-a client gives up on the mean, so time-outs are all or nothing for a kind and backend in a step. Picks in rounds and of
-two go by weight. docs/measured/emulator.md says how far that is from req by req.
+What is approximated: a req's second try goes to the average backend, not to another; a wait's spread is
+exponential; a client gives up on the mean, so time-outs are all or nothing for a kind and backend in a step.
+Picks in rounds and of two go by weight. docs/measured/emulator.md says how far that is from req by req.
 """
+
 from collections import deque
 
 import numpy as np
@@ -16,7 +18,7 @@
 from .proxy import TownProxy
 from .town import Town
 
-STEP = S // 20          # ns; a quarter of the shortest beat that the module knows
+STEP = S // 20  # ns; a quarter of the shortest beat that the module knows
 
 
 class FluidProxy(TownProxy):
@@ -50,7 +52,9 @@
 
 
 class FluidTown(Town):
-    """`tries`, `errored` and `took_sum` (ns) are proxies x backends since each proxy's last sums; `came`: proxies x kinds."""
+    """`tries`, `errored` and `took_sum` (ns) are proxies x backends since each proxy's last sums; `came`:
+    proxies x kinds.
+    """
 
     proxy = FluidProxy
 
@@ -72,7 +76,7 @@
         self.rng = self.chance.of("flows")
         self.rates = [self.rate(n, self.day.rate * share) for n, share in enumerate(shares)]
         self.seconds, self.times = {}, histogram()
-        self.outcome = {kind: [0.0, 0.0, 0.0, 0.0] for kind, _, _ in self.mixed}     # asked, done, late, lost
+        self.outcome = {kind: [0.0, 0.0, 0.0, 0.0] for kind, _, _ in self.mixed}  # asked, done, late, lost
         for n, px in enumerate(self.proxies):
             px.place = n
 
@@ -80,14 +84,16 @@
 
     def grow(self):
         """Columns for backends that are new."""
-        new = [be.model.name for be in self.backends[len(self.names):]]
+        new = [be.model.name for be in self.backends[len(self.names) :]]
         if new:
             self.places.update((name, len(self.names) + k) for k, name in enumerate(new))
             self.names += new
             more = np.zeros((self.count, len(new)))
             self.left_over = np.vstack([self.left_over, np.zeros((len(new), len(self.mixed)))])
             self.weights, self.tries, self.errored, self.took_sum, self.small = (
-                np.hstack([book, more]) for book in (self.weights, self.tries, self.errored, self.took_sum, self.small))
+                np.hstack([book, more])
+                for book in (self.weights, self.tries, self.errored, self.took_sum, self.small)
+            )
 
     def read(self):
         """Rows of proxies whose tables have changed."""
@@ -112,20 +118,29 @@
         self.since[place] = self.engine.time
 
     def sums(self, place):
-        """Whole numbers, drawn so that their means are the masses: as many as Poisson arrivals would have been."""
+        """Whole numbers, drawn so that their means are the masses: as many as Poisson arrivals would have
+        been.
+        """
         met, tries, errored, took = [], self.tries[place], self.errored[place], self.took_sum[place]
         cols = np.flatnonzero(tries > 1e-9)
-        for col, n in zip(cols.tolist(), self.rng.poisson(tries[cols]).tolist()):
+        for col, n in zip(cols.tolist(), self.rng.poisson(tries[cols]).tolist(), strict=False):
             if n:
-                bad = int(self.rng.binomial(n, min(1.0, errored[col] / tries[col]))) if errored[col] > 0 else 0
+                bad = (
+                    int(self.rng.binomial(n, min(1.0, errored[col] / tries[col]))) if errored[col] > 0 else 0
+                )
                 model = self.backends[col].model
                 load = model.report(self.engine.time) if model.state == "up" else {}
                 mean = took[col] / max(1e-9, tries[col] - errored[col])
                 met.append(Met(self.names[col], n, bad, int(mean * (n - bad)), load))
         came = []
         for k, (kind, _, _) in enumerate(self.mixed):
-            first, further, lost = self.rng.poisson([max(0.0, self.came[place, k] - self.further[place, k]),
-                                                     self.further[place, k], self.lost[place, k]]).tolist()
+            first, further, lost = self.rng.poisson(
+                [
+                    max(0.0, self.came[place, k] - self.further[place, k]),
+                    self.further[place, k],
+                    self.lost[place, k],
+                ]
+            ).tolist()
             came.append(Came(kind.door, first + further, lost, further))
         length = int(self.engine.time - self.since[place])
         self.forget(place)
@@ -166,12 +181,12 @@
         part = np.where((bare | still)[:, None], 0.0, part)
         let_in = mass * part
         denied = mass - let_in
-        by_backend = self.weights.T @ let_in                       # backends x kinds
+        by_backend = self.weights.T @ let_in  # backends x kinds
         bad, took, late = self.meet(now, by_backend)
-        proxies_bad = self.weights @ bad                            # proxies x kinds: part of what was let in
-        sided = self.sided()                                        # proxies x backends where all errs, or None
+        proxies_bad = self.weights @ bad  # proxies x kinds: part of what was let in
+        sided = self.sided()  # proxies x backends where all errs, or None
         for k, (kind, _, _) in enumerate(self.mixed):
-            each = self.weights * let_in[:, k:k + 1]
+            each = self.weights * let_in[:, k : k + 1]
             self.tries += each
             if sided is not None:
                 proxies_bad[:, k] += (self.weights * sided * (1 - bad[:, k])).sum(axis=1)
@@ -180,7 +195,7 @@
             self.took_sum += each * ((1 - bad[:, k]) * took[:, k])
             failed = let_in[:, k] * proxies_bad[:, k]
             again = np.where(self.again[:, k] >= 2, failed * np.minimum(1.0, self.again[:, k] - 1), 0.0)
-            if attempt == 1 and again.any():        # the proxy's own further try
+            if attempt == 1 and again.any():  # the proxy's own further try
                 failed = failed - again * (1 - proxies_bad[:, k])
                 good_again = (again * (1 - proxies_bad[:, k])).sum()
             else:
@@ -197,7 +212,13 @@
             if attempt > self.retries:
                 gone, back = gone + back.sum(), 0.0 * back
             counts[3] += gone
-            self.note(now, kind, mass[:, k].sum() if attempt == 1 else 0.0, on_time.sum() + good_again, max(0.0, after.sum()))
+            self.note(
+                now,
+                kind,
+                mass[:, k].sum() if attempt == 1 else 0.0,
+                on_time.sum() + good_again,
+                max(0.0, after.sum()),
+            )
             for col in np.flatnonzero(by_backend[:, k] > 0):
                 self.left_over[col, k] += by_backend[col, k] * (1 - bad[col, k])
                 if whole := int(self.left_over[col, k]):
@@ -250,7 +271,9 @@
         return bad, took, late
 
     def watch(self, now, col, be, masses, work):
-        """What goes to a backend that is cold, draining or gone is told to the rules, once it makes a whole req."""
+        """What goes to a backend that is cold, draining or gone is told to the rules, once it makes a whole
+        req.
+        """
         if not self.watched:
             return
         model = be.model
@@ -267,18 +290,26 @@
             self.small[place, col] -= mass
             if not px.still:
                 self.numbers += 1
-                self.eyes.sent(now, px.name, model.name, Req(self.numbers, self.mixed[0][0].door, int(mass * work), S, 1, px.name),
-                               (self.numbers, 1))
+                self.eyes.sent(
+                    now,
+                    px.name,
+                    model.name,
+                    Req(self.numbers, self.mixed[0][0].door, int(mass * work), S, 1, px.name),
+                    (self.numbers, 1),
+                )
 
     def outcomes(self):
         return {kind: tuple(counts) for kind, counts in self.outcome.items()}
 
-
     def took(self):
         """By each step's mean at each backend."""
         return self.times
 
     def line(self):
         """By when reqs met a backend: a second's further tries count in the second of the try."""
-        return [round(min(1.0, got / asked), 4) if asked else None for asked, got in (
-            self.seconds.get(n, (0.0, 0.0)) for n in range(max(self.seconds, default=-1) + 1))]
+        return [
+            round(min(1.0, got / asked), 4) if asked else None
+            for asked, got in (
+                self.seconds.get(n, (0.0, 0.0)) for n in range(max(self.seconds, default=-1) + 1)
+            )
+        ]
--- a/embertray/emulator/gossip.py
+++ b/embertray/emulator/gossip.py
@@ -1,14 +1,16 @@
-"""Members of a cluster under virtual time: the cores that processes run, with links that drop, delay, repeat and break, one way or
-both, and members that are stopped, killed and started again. Messages travel as bytes."""
+"""Members of a cluster under virtual time: the cores that processes run, with links that drop, delay, repeat
+and break, one way or both, and members that are stopped, killed and started again. Messages travel as
+bytes."""
+
 import random
 from collections import Counter
 
 from ..cluster.membership import Membership, Pace
 from ..cluster.membership.messages import Unreadable, decode, encode
-from .engine import S, Engine
+from .engine import Engine, S
 
 MS = 10**6
-START = 100_000 * S         # clocks may be hours off
+START = 100_000 * S  # clocks may be hours off
 
 
 class Links:
@@ -16,7 +18,11 @@
 
     def __init__(self, chance, loss=0.0, delay=(1 * MS, 5 * MS), again=0.0, spoil=0.0):
         self.chance, self.loss, self.delay, self.again, self.spoil = chance, loss, delay, again, spoil
-        self.broken, self.sides, self.lag = set(), {}, {}   # (from, to) that carry nothing; address -> side; address -> ns later
+        self.broken, self.sides, self.lag = (
+            set(),
+            {},
+            {},
+        )  # (from, to) that carry nothing; address -> side; address -> ns later
 
     def carries(self, a, b):
         return (a, b) not in self.broken and self.sides.get(a, 0) == self.sides.get(b, 0)
@@ -28,7 +34,7 @@
         for _ in range(2 if self.chance.random() < self.again else 1):
             if self.chance.random() < self.spoil:
                 cut = self.chance.randrange(len(data))
-                data = data[:cut] + bytes([data[cut] ^ 0x55]) + data[cut + 1:] if cut % 2 else data[:cut]
+                data = data[:cut] + bytes([data[cut] ^ 0x55]) + data[cut + 1 :] if cut % 2 else data[:cut]
             yield self.chance.randint(*self.delay) + self.lag.get(b, 0), data
 
     def split(self, *groups):
@@ -42,11 +48,23 @@
     """One life of a member: its core, and the time when it is to be called next."""
 
     def __init__(self, ring, core):
-        self.ring, self.core, self.stopped, self.alive, self.waiting, self.planned = ring, core, False, True, [], None
+        self.ring, self.core, self.stopped, self.alive, self.waiting, self.planned = (
+            ring,
+            core,
+            False,
+            True,
+            [],
+            None,
+        )
 
     def plan(self):
         when = max(self.core.next_at(), self.ring.engine.time)
-        if self.alive and not self.stopped and not self.core.ended and (self.planned is None or when < self.planned):
+        if (
+            self.alive
+            and not self.stopped
+            and not self.core.ended
+            and (self.planned is None or when < self.planned)
+        ):
             self.planned = when
             self.ring.engine.at(when, self.due, when)
 
@@ -95,7 +113,16 @@
         """Starts a life; `clock`: how far its wall clock is off, ns."""
         self.lives += 1
         now, address = self.engine.time, address or name
-        core = self.make(cluster, name, address, now + clock, now, random.Random(f"{self.seed} {self.lives}"), list(seeds), self.pace)
+        core = self.make(
+            cluster,
+            name,
+            address,
+            now + clock,
+            now,
+            random.Random(f"{self.seed} {self.lives}"),
+            list(seeds),
+            self.pace,
+        )
         self.at[address] = process = Process(self, core)
         process.plan()
         return process
--- a/embertray/emulator/hall.py
+++ b/embertray/emulator/hall.py
@@ -1,4 +1,5 @@
 """The controllers of a day by name."""
+
 from ..days.starts import Starts
 from ..durable.snapshot import KeptInMemory
 from ..standin.aged import age_in_memory
@@ -15,7 +16,8 @@
         class Wall:
             now = staticmethod(lambda: clock.town.engine.time)
             wall = staticmethod(lambda: clock.town.engine.time)
-        for me in town.site.controllers[:int(town.day.fleet["controllers"])]:
+
+        for me in town.site.controllers[: int(town.day.fleet["controllers"])]:
             self.at[me.name], self.kept[me.name] = me, KeptInMemory(Wall)
 
     async def up(self, name):
--- a/embertray/emulator/inventory.py
+++ b/embertray/emulator/inventory.py
@@ -1,4 +1,5 @@
 """The inventory without streams: news and answers are planned calls."""
+
 from ..inventory.messages import Failed, Watch
 from ..model.inventory import Inventory
 
--- a/embertray/emulator/limits.py
+++ b/embertray/emulator/limits.py
@@ -1,14 +1,15 @@
-"""Members that hold limits together, and their proxies, under virtual time: the true cores, a web's ways, clocks that run apart. At every
-change what all proxies may let in is held against the limit."""
+"""Members that hold limits together, and their proxies, under virtual time: the true cores, a web's ways,
+clocks that run apart. At every change what all proxies may let in is held against the limit."""
+
 import random
 
 from ..fleet.limits import Limits, Pace
 from ..model.web import Web
-from .engine import S, Engine
+from .engine import Engine, S
 
 MS = 10**6
-PUSH = 100 * MS             # ns from a member's order to its effect at a proxy
-REDIAL = (S // 2, 2 * S)    # ns until a proxy whose stream broke has joined another
+PUSH = 100 * MS  # ns from a member's order to its effect at a proxy
+REDIAL = (S // 2, 2 * S)  # ns until a proxy whose stream broke has joined another
 
 
 class Clock:
@@ -26,9 +27,19 @@
         self.hall, self.name, self.alive, self.stopped, self.later = hall, name, True, False, []
         chance = hall.chance
         hall.lives += 1
-        self.clock = Clock(hall.engine, 1 + hall.drift * chance.uniform(-1, 1), chance.randrange(1, 10**6) * S)
-        self.core = hall.make(name, hall.names, {"l": hall.total}, self.clock.now(), random.Random(f"{hall.seed} {name} {hall.lives}"),
-                              hall.pace, first, hall.lives << 32)
+        self.clock = Clock(
+            hall.engine, 1 + hall.drift * chance.uniform(-1, 1), chance.randrange(1, 10**6) * S
+        )
+        self.core = hall.make(
+            name,
+            hall.names,
+            {"l": hall.total},
+            self.clock.now(),
+            random.Random(f"{hall.seed} {name} {hall.lives}"),
+            hall.pace,
+            first,
+            hall.lives << 32,
+        )
         hall.engine.at(hall.engine.time, self.tick)
 
     def tick(self):
@@ -36,7 +47,9 @@
             return
         if not self.stopped:
             now = self.clock.now()
-            self.core.holder.wants["l"] = sum(self.hall.wants[px] for px, home in self.hall.home.items() if home is self)
+            self.core.holder.wants["l"] = sum(
+                self.hall.wants[px] for px, home in self.hall.home.items() if home is self
+            )
             self.hall.send(self, self.core.advance(now))
             self.order()
         self.hall.engine.after(100 * MS, self.tick)
@@ -51,7 +64,7 @@
         self.order()
 
     def order(self):
-        for limit, px, units in self.core.holder.orders(self.clock.now()):
+        for _limit, px, units in self.core.holder.orders(self.clock.now()):
             self.hall.engine.after(PUSH, self.hall.told, self, px, units)
 
     def do(self, what, *args):
@@ -71,13 +84,31 @@
 
 
 class Hall:
-    """`total`: units. `over`: the most that all proxies together were allowed beyond it; `used`: share of it, by look."""
-
-    def __init__(self, seed, members, proxies, total=10_000, drift=0.01, pace=Pace(), make=Limits, skew=1.0):
-        self.engine, self.seed, self.chance, self.pace, self.drift = Engine(S), seed, random.Random(f"limits {seed}"), pace, drift
+    """`total`: units. `over`: the most that all proxies together were allowed beyond it; `used`: share of it,
+    by look.
+    """
+
+    def __init__(self, seed, members, proxies, total=10_000, drift=0.01, pace=Pace(), make=Limits, skew=1.0):  # noqa: B008
+        self.engine, self.seed, self.chance, self.pace, self.drift = (
+            Engine(S),
+            seed,
+            random.Random(f"limits {seed}"),
+            pace,
+            drift,
+        )
         self.names, self.total, self.make, self.lives = [f"c{n + 1}" for n in range(members)], total, make, 0
-        self.web, self.home, self.parts, self.over, self.over_at, self.used, self.sent = Web(self.names, seed), {}, {}, 0, 0, [], 0
-        heavy = [n % members == 0 for n in range(proxies)]      # those of the first member want `skew` times as much
+        self.web, self.home, self.parts, self.over, self.over_at, self.used, self.sent = (
+            Web(self.names, seed),
+            {},
+            {},
+            0,
+            0,
+            [],
+            0,
+        )
+        heavy = [
+            n % members == 0 for n in range(proxies)
+        ]  # those of the first member want `skew` times as much
         each = total / sum(skew if big else 1.0 for big in heavy)
         self.wants = {f"p{n + 1}": int(each * (skew if big else 1.0)) for n, big in enumerate(heavy)}
         self.members = {name: Member(self, name, True) for name in self.names}
@@ -92,7 +123,9 @@
         self.sent += len(out)
         for to, message in out:
             for late in self.web.way(member.name, to).copies():
-                self.engine.after(self.chance.randint(1, 5) * MS + late, self.deliver, member.name, to, message)
+                self.engine.after(
+                    self.chance.randint(1, 5) * MS + late, self.deliver, member.name, to, message
+                )
 
     def deliver(self, sender, to, message):
         self.members[to].arrive(sender, message)
@@ -113,7 +146,9 @@
         self.engine.after(self.chance.randint(*REDIAL), self.join, px, self.chance.choice(self.names))
 
     def told(self, member, px, part):
-        if self.home[px] is member and member.alive:       # its stream still stands: it acts on it, though the sender stands still now
+        if (
+            self.home[px] is member and member.alive
+        ):  # its stream still stands: it acts on it, though the sender stands still now
             self.parts[px] = part
             if sum(self.parts.values()) - self.total > self.over:
                 self.over, self.over_at = sum(self.parts.values()) - self.total, self.engine.time
--- a/embertray/emulator/play.py
+++ b/embertray/emulator/play.py
@@ -1,4 +1,5 @@
 """Plays a day without streams, req by req or as flows."""
+
 import time
 
 from ..days.result import judge
@@ -7,7 +8,9 @@
 
 
 def play(day, seed=1, fidelity="reqs", core=None, trust=None, on_stage=None, watched=True, progress=None):
-    """Plays a Day and gives its Result, as days.player.play does. `fidelity`: reqs, each an object, or flows."""
+    """Plays a Day and gives its Result, as days.player.play does. `fidelity`: reqs, each an object, or
+    flows.
+    """
     began = time.monotonic()
     town = {"reqs": Town, "flows": FluidTown}[fidelity](day, seed, core, trust, watched)
     if on_stage:
--- a/embertray/emulator/proxy.py
+++ b/embertray/emulator/proxy.py
@@ -1,4 +1,5 @@
 """A proxy without streams: what it is told, reports, sends and hears are planned calls."""
+
 from ..model.proxy import Proxy, StandsStill
 from ..standin.messages import Req
 from ..standin.proxy import REDIAL
@@ -94,7 +95,7 @@
         self.town.engine.at(self.last_due, self.apply, self.session, orders)
 
     def apply(self, session, orders):
-        if session is not self.session:         # the stream broke while it was under way
+        if session is not self.session:  # the stream broke while it was under way
             return
         if self.still:
             self.held_back.append((self.apply, session, orders))
@@ -139,9 +140,20 @@
         under.timer = engine.after(under.within, self.timed_out, under, under.attempt)
         req, be = under.req, self.town.by_name[under.backend]
         if self.town.watched:
-            self.town.eyes.sent(engine.time, self.name, under.backend, Req(
-                under.attempt, req.kind, req.work, max(1, under.until - engine.time), len(under.tried), self.name),
-                (req.ident, req.attempt))
+            self.town.eyes.sent(
+                engine.time,
+                self.name,
+                under.backend,
+                Req(
+                    under.attempt,
+                    req.kind,
+                    req.work,
+                    max(1, under.until - engine.time),
+                    len(under.tried),
+                    self.name,
+                ),
+                (req.ident, req.attempt),
+            )
         if under.backend in self.bad:
             self.ended(under, under.attempt, "refused", {})
             return
--- a/embertray/emulator/queues.py
+++ b/embertray/emulator/queues.py
@@ -1,18 +1,22 @@
 """Queues by themselves, to hold the backend's model and the engine to theory; and two engines to compare.
 
-`wait_of` runs reqs through model.backend.Backend with an event loop of its own; theory: Erlang's C, Pollaczek-Khinchine,
-and the fluid limit of the shortest of two queues. Times in the model are whole ns; a mean service here is 1e9 ns.
+`wait_of` runs reqs through model.backend.Backend with an event loop of its own; theory: Erlang's C,
+Pollaczek-Khinchine, and the fluid limit of the shortest of two queues. Times in the model are whole ns; a
+mean service here is 1e9 ns.
 """
+
 import math
 
 import numpy as np
 
 from ..model.backend import Backend, Shape
-from .engine import S, Engine
+from .engine import Engine, S
 
 
 class Farm:
-    """Backends behind one picker. `pick(backends)` chooses; waits are from arrival to the start of service."""
+    """Backends behind one picker. `pick(backends)` chooses; waits are from arrival to the start of
+    service.
+    """
 
     def __init__(self, engine, servers, cores, pick, work, rng, sharing=False):
         self.engine, self.pick, self.work, self.rng = engine, pick, work, rng
@@ -46,13 +50,14 @@
 
 
 def wait_of(servers, cores, load, reqs, rng, service="exp", choices=1, sharing=False):
-    """Waits (s, a numpy array) of `reqs` reqs that come by Poisson at `load` of what all can do. service: exp | fixed.
-    With `sharing` a wait is what a req took beyond its work."""
+    """Waits (s, a numpy array) of `reqs` reqs that come by Poisson at `load` of what all can do. service: exp
+    | fixed. With `sharing` a wait is what a req took beyond its work."""
     engine = Engine()
 
     def pick(backends):
         drawn = rng.integers(0, len(backends), choices)
         return min((backends[int(n)] for n in drawn), key=lambda be: len(be.queue) + len(be.busy))
+
     work = (lambda: rng.exponential(S)) if service == "exp" else (lambda: S)
     farm = Farm(engine, servers, cores, pick, work, rng, sharing)
     at = 0
@@ -60,7 +65,7 @@
         at += int(rng.exponential(S / (load * servers * cores)))
         engine.at(at, farm.arrive, ident)
     engine.run()
-    return np.array(farm.waits[reqs // 10:]) / S        # the first tenth warms up
+    return np.array(farm.waits[reqs // 10 :]) / S  # the first tenth warms up
 
 
 def batch_interval(values, batches=20, sure=3.0):
@@ -83,10 +88,14 @@
 
 
 def shared(cores, load):
-    """Mean of what M/G/c with processor sharing takes beyond the work, for any service (insensitive); as Erlang's C."""
+    """Mean of what M/G/c with processor sharing takes beyond the work, for any service (insensitive); as
+    Erlang's C.
+    """
     return erlang_c(cores, load)
 
 
 def two_choices(load, choices=2):
-    """Mean time in system of many queues with the shortest of d drawn, at the fluid limit, less one service."""
+    """Mean time in system of many queues with the shortest of d drawn, at the fluid limit, less one
+    service.
+    """
     return sum(load ** ((choices**n - choices) / (choices - 1)) for n in range(1, 40)) - 1
--- a/embertray/emulator/shared.py
+++ b/embertray/emulator/shared.py
@@ -1,21 +1,28 @@
-"""What members tell each other under virtual time: the true books and exchanges, over streams that links hold back, silence or end."""
+"""What members tell each other under virtual time: the true books and exchanges, over streams that links hold
+back, silence or end.
+"""
+
 import random
 
 from ..cluster.link.link import EXCHANGE_WITHIN, FACTS_EVERY, pack
 from ..cluster.state import Book, Exchange
 
 MS = 10**6
-LOOK = 20 * MS              # ns between two looks at a silent way, as the rig's streams take
+LOOK = 20 * MS  # ns between two looks at a silent way, as the rig's streams take
 
 
 class Sharer:
-    """Beside one gossip.Process: its book, its facts told anew each second, one exchange at a time. `others()`: address -> Sharer."""
+    """Beside one gossip.Process: its book, its facts told anew each second, one exchange at a time.
+    `others()`: address -> Sharer.
+    """
 
     def __init__(self, process, others, links, seed, make=Exchange, book=Book):
         self.process, self.others, self.links, self.engine = process, others, links, process.ring.engine
         core, now = process.core, process.ring.engine.time
         self.book = book(core.me.name, core.me.life)
-        self.exchange = make(self.book, random.Random(f"{seed} {core.me.name} {core.me.life}"), now, core.pace.period)
+        self.exchange = make(
+            self.book, random.Random(f"{seed} {core.me.name} {core.me.life}"), now, core.pace.period
+        )
         self.facts_at, self.turn, self.bytes, self.failed, self.made = now, 0, 0, 0, 0
         self.engine.at(now, self.tick)
 
@@ -45,7 +52,9 @@
         self.engine.at(now + EXCHANGE_WITHIN, self.give_up, self.turn)
         turn, address = self.turn, here[name]
         # a call and its answer, the offer, what each lacks
-        self.hop(turn, address, True, lambda: self.hop(turn, address, False, lambda: self.offer(turn, address)))
+        self.hop(
+            turn, address, True, lambda: self.hop(turn, address, False, lambda: self.offer(turn, address))
+        )
 
     def give_up(self, turn):
         if turn == self.turn and self.runs:
@@ -57,7 +66,9 @@
         self.engine.at(self.engine.time + self.process.core.pace.period // 20, self.tick)
 
     def hop(self, turn, address, there, then):
-        """One message of the stream; it waits on a silent way, or for one that stands still, until the exchange is given up."""
+        """One message of the stream; it waits on a silent way, or for one that stands still, until the
+        exchange is given up.
+        """
         if turn != self.turn or not self.runs:
             return
         a, b = (self.process.core.me.address, address) if there else (address, self.process.core.me.address)
@@ -89,6 +100,7 @@
         def answered():
             tell = to.say(to.exchange.on_offer(self.engine.time, offer))
             self.hop(turn, address, False, lambda: self.told(turn, address, to, tell))
+
         self.hop(turn, address, True, answered)
 
     def told(self, turn, address, to, tell):
--- a/embertray/emulator/town.py
+++ b/embertray/emulator/town.py
@@ -1,8 +1,11 @@
-"""A day without streams: the daemon's desk and core, proxies, clients and backends as models round one event heap.
+"""A day without streams: the daemon's desk and core, proxies, clients and backends as models round one event
+heap.
 
-The same day's text, the same troubles, the same models as on sockets; a message is a planned call, not bytes. What needs
-true streams (half a message, strangers' noise) is refused. Controllers are core.Desk, with `choice/` inside.
+The same day's text, the same troubles, the same models as on sockets; a message is a planned call, not bytes.
+What needs true streams (half a message, strangers' noise) is refused. Controllers are core.Desk, with
+`choice/` inside.
 """
+
 from ..core import Instance
 from ..days.ground import SETTLE, START_AFTER, Ground
 from ..days.notation import BadDay
@@ -14,12 +17,12 @@
 from ..trust import Trust
 from .backend import TownBackend
 from .clients import TownClients
-from .engine import S, Engine
+from .engine import Engine, S
 from .hall import Hall
 from .inventory import TownInventory
 from .proxy import TownProxy
 
-START = 1000 * S            # what started "long ago" lies before it
+START = 1000 * S  # what started "long ago" lies before it
 STREAMS_ONLY = ("half-message", "twice", "garbage")
 
 
@@ -38,15 +41,21 @@
     def __init__(self, day, seed, core=None, trust=None, watched=True):
         for trouble in day.troubles:
             if trouble.name in STREAMS_ONLY:
-                raise BadDay(f"{day.name}:{trouble.line}: '{trouble.name}' needs true streams: play it on sockets or in memory")
+                raise BadDay(
+                    f"{day.name}:{trouble.line}: '{trouble.name}' needs true streams: play it on "
+                    "sockets or in memory"
+                )
         if day.linked:
-            raise BadDay(f"{day.name}:{day.linked.line}: '{day.linked.name}' strikes links between processes: play it with --processes")
+            raise BadDay(
+                f"{day.name}:{day.linked.line}: '{day.linked.name}' strikes links between "
+                "processes: play it with --processes"
+            )
         super().__init__(day, seed)
         self.seed, self.make, self.watched = seed, (core or Instance, trust or Trust), watched
         self.engine = self.clock = self.agenda = Engine(START)
         self.eyes = Observer() if watched else Unseen()
         self.by_name, self.cross, self.numbers = {}, span(day.fleet["cross"]), 0
-        self.ladder = []                # (ns, controller, degrade.Change)
+        self.ladder = []  # (ns, controller, degrade.Change)
         self.inventory = TownInventory(self, span(day.fleet["answers"]))
         self.held = Hall(self)
 
@@ -55,7 +64,9 @@
         return self.cross if here != there else 0
 
     async def add(self, number, zone, speed, cold, listed=True):
-        model = Backend(f"127.{number // 65025 + 1}.{number // 255 % 255}.{number % 255 + 1}:80", zone, self.shape(speed))
+        model = Backend(
+            f"127.{number // 65025 + 1}.{number // 255 % 255}.{number % 255 + 1}:80", zone, self.shape(speed)
+        )
         be = TownBackend(self, model, self.chance.of("failing", number).random)
         self.models[model.name], self.by_name[model.name] = model, be
         self.backends.append(be)
@@ -87,7 +98,15 @@
         spread = span(day.fleet["spread"])
         for n in range(self.count):
             rng, zone = self.chance.of("proxy", n), self.site.zones[n % len(self.site.zones)]
-            px = self.proxy(self, f"p{n + 1}", zone, day.rate * shares[n], rng, self.standing(rng, zone, ready), self.way(n))
+            px = self.proxy(
+                self,
+                f"p{n + 1}",
+                zone,
+                day.rate * shares[n],
+                rng,
+                self.standing(rng, zone, ready),
+                self.way(n),
+            )
             px.home = n % len(self.held.at)
             self.proxies.append(px)
             engine.at(self.zero + spread * n // max(1, self.count), px.start)
@@ -105,8 +124,14 @@
         mix, retries = self.mix(), int(self.day.load["retries"])
         for n, px in enumerate(self.proxies):
             rng = self.chance.of("clients", n)
-            TownClients(self, Clients(n + 1, mix, rng, retries), self.source(n, self.day.rate * shares[n]), px, rng,
-                        until).plan()
+            TownClients(
+                self,
+                Clients(n + 1, mix, rng, retries),
+                self.source(n, self.day.rate * shares[n]),
+                px,
+                rng,
+                until,
+            ).plan()
 
     def play(self, progress=None):
         """The day, from its start to some seconds after the last req."""
--- a/embertray/fleet/limits/__init__.py
+++ b/embertray/fleet/limits/__init__.py
@@ -1,4 +1,7 @@
-"""Limits that hold for the whole fleet: shares under terms, one keeper at a time by a majority's lease (docs/design/limits.md)."""
+"""Limits that hold for the whole fleet: shares under terms, one keeper at a time by a majority's lease
+(docs/design/limits.md).
+"""
+
 from .core import Limits
 from .pace import Pace
 
--- a/embertray/fleet/limits/core.py
+++ b/embertray/fleet/limits/core.py
@@ -1,4 +1,7 @@
-"""One member's limits: acceptor, proposer, keeper's ledger while it keeps, and holder. Hand in the time and what came; nothing here waits."""
+"""One member's limits: acceptor, proposer, keeper's ledger while it keeps, and holder. Hand in the time and
+what came; nothing here waits.
+"""
+
 from .holder import Holder
 from .lease import Acceptor, Proposer
 from .ledger import Ledger
@@ -8,8 +11,9 @@
 
 
 class Limits:
-    """`names`: all members that the site names, this one too. `totals`: limit -> units. `chance`: a seeded random.Random; `life`: as in
-    the cluster, later in each life; `first`: no member has run before. `advance` and `receive` give [(to, message)]; read `holder`."""
+    """`names`: all members that the site names, this one too. `totals`: limit -> units. `chance`: a seeded
+    random.Random; `life`: as in the cluster, later in each life; `first`: no member has run before. `advance`
+    and `receive` give [(to, message)]; read `holder`."""
 
     def __init__(self, me, names, totals, now, chance, pace=Pace(), first=False, life=0):
         self.me, self.names, self.pace, self.chance = me, sorted(names), pace, chance
@@ -17,9 +21,19 @@
         self.pools = {limit: total - floors[limit] * len(self.names) for limit, total in totals.items()}
         self.acceptor = Acceptor(pace, now, first)
         self.proposer = Proposer(me, self.names.index(me), len(self.names), pace)
-        self.holder, self.ledger, self.tenure, self.keeper, self.seen = Holder(me, floors, pace, life), None, 0, None, 0
-        self.memory, self.ask_at, self.try_at = Memory(me, len(self.names), first), now + chance.randrange(pace.period), now + chance.randrange(pace.period)
-        self.keeper_at = now                # when a keeper was last heard of
+        self.holder, self.ledger, self.tenure, self.keeper, self.seen = (
+            Holder(me, floors, pace, life),
+            None,
+            0,
+            None,
+            0,
+        )
+        self.memory, self.ask_at, self.try_at = (
+            Memory(me, len(self.names), first),
+            now + chance.randrange(pace.period),
+            now + chance.randrange(pace.period),
+        )
+        self.keeper_at = now  # when a keeper was last heard of
 
     def next_at(self):
         return min(self.ask_at, self.try_at)
@@ -33,7 +47,7 @@
     def advance(self, now):
         out = []
         if self.ledger is not None and not self.keeps(now):
-            self.ledger = None                  # our lease has ended: nothing more is lent
+            self.ledger = None  # our lease has ended: nothing more is lent
         if now >= self.try_at:
             self.try_at = now + self.pace.period
             # who keeps renews; another tries once nobody was heard of for long, each after a time of chance
@@ -59,8 +73,11 @@
         out = []
         if isinstance(message, (Prepare, Propose)):
             self.seen = max(self.seen, message.ballot)
-            answer = (self.acceptor.on_prepare(now, message) if isinstance(message, Prepare)
-                      else self.acceptor.on_propose(now, message, sender))
+            answer = (
+                self.acceptor.on_prepare(now, message)
+                if isinstance(message, Prepare)
+                else self.acceptor.on_propose(now, message, sender)
+            )
             if answer is not None:
                 out += self.receive(now, self.me, answer) if sender == self.me else [(sender, answer)]
         elif isinstance(message, Promise):
@@ -82,14 +99,16 @@
     def kept(self, now):
         if self.ledger is None or self.tenure != self.proposer.tenure:
             self.tenure, self.keeper = self.proposer.tenure, self.me
-            self.ledger = Ledger(self.names, self.pools, self.holder.floors, self.pace, now, self.memory.told())
+            self.ledger = Ledger(
+                self.names, self.pools, self.holder.floors, self.pace, now, self.memory.told()
+            )
         self.keeper_at = now
 
     def asked(self, now, sender, ask):
         """All hear all asks. Grants of a former keeper are not taken any more once we know of a later one."""
         if sender != self.me:
             if not self.memory.put(sender, ask):
-                return []                   # repeated, or overtaken by a later one
+                return []  # repeated, or overtaken by a later one
             self.holder.hears(sender, ask)
             self.seen, self.proposer.known = max(self.seen, ask.ballot), max(self.proposer.known, ask.ballot)
             if ask.keeping and ask.ballot >= self.tenure:
--- a/embertray/fleet/limits/holder.py
+++ b/embertray/fleet/limits/holder.py
@@ -1,22 +1,28 @@
-"""What one member may let its proxies use: its floor, and a loan while its term runs. Whatever its proxies may act on, told or still on its
-way, here or gone, comes to no more; nobody is told more than that leaves room for, so some are lowered before others rise."""
+"""What one member may let its proxies use: its floor, and a loan while its term runs. Whatever its proxies
+may act on, told or still on its way, here or gone, comes to no more; nobody is told more than that leaves
+room for, so some are lowered before others rise."""
+
 from .messages import Ask
 
-WAITS = 2               # asks that one who came waits for its whole part; then it takes what there is
-KEPT = 16               # asks whose grants are still taken: past any term
+WAITS = 2  # asks that one who came waits for its whole part; then it takes what there is
+KEPT = 16  # asks whose grants are still taken: past any term
 
 
 class Holder:
-    """`floors`: limit -> units. The controller says who came (`joined`), who left (`left`), what a proxy acts on (`acts`), and sends what
-    `orders` gives."""
+    """`floors`: limit -> units. The controller says who came (`joined`), who left (`left`), what a proxy acts
+    on (`acts`), and sends what `orders` gives."""
 
     def __init__(self, me, floors, pace, life=0):
         self.me, self.floors, self.pace, self.life, self.seq, self.applied = me, floors, pace, life, life, 0
         self.loan, self.until, self.asks, self.listed = dict.fromkeys(floors, 0), 0, {}, {}
         self.wants, self.heard = dict.fromkeys(floors, 0), {}
-        self.here, self.acted, self.away = {}, set(), {}        # here: proxy -> our last ask when it came; away: the ask that first said so, or None
-        self.may = {limit: {} for limit in floors}              # proxy -> most units that it may act on by our word
-        self.sent = {limit: {} for limit in floors}             # proxy -> units last sent
+        self.here, self.acted, self.away = (
+            {},
+            set(),
+            {},
+        )  # here: proxy -> our last ask when it came; away: the ask that first said so, or None
+        self.may = {limit: {} for limit in floors}  # proxy -> most units that it may act on by our word
+        self.sent = {limit: {} for limit in floors}  # proxy -> units last sent
 
     # ---- what the controller says
 
@@ -28,7 +34,9 @@
             sent.pop(px, None)
 
     def left(self, px):
-        """Its stream broke. It goes on with what it was told, and stays on our account until another has it."""
+        """Its stream broke. It goes on with what it was told, and stays on our account until another has
+        it.
+        """
         self.here.pop(px, None)
         self.acted.discard(px)
         if any(may.get(px) for may in self.may.values()):
@@ -55,7 +63,9 @@
                 self.may[limit][px] = units
 
     def orders(self, now):
-        """[(limit, proxy, units)] to be sent now: lower ones at any time, higher ones while the term runs and as far as there is room."""
+        """[(limit, proxy, units)] to be sent now: lower ones at any time, higher ones while the term runs and
+        as far as there is room.
+        """
         found = []
         for limit, may in self.may.items():
             if not self.listed:
@@ -65,11 +75,17 @@
             for px in sorted(self.here.keys() & self.listed.keys()):
                 old, units = may.get(px, 0), part
                 if px not in self.acted and self.seq - self.here[px] >= WAITS:
-                    units = min(part, old + max(0, room))   # if need be nothing: its former member's units are free once it acts on ours
-                if units == self.sent[limit].get(px) or units > old and (now >= self.until or units - old > room):
+                    units = min(
+                        part, old + max(0, room)
+                    )  # if need be nothing: its former member's units are free once it acts on ours
+                if (
+                    units == self.sent[limit].get(px)
+                    or units > old
+                    and (now >= self.until or units - old > room)
+                ):
                     continue
                 if px not in self.acted and now >= self.until:
-                    continue                                # it keeps what another told it
+                    continue  # it keeps what another told it
                 room -= max(0, units - old)
                 may[px], self.sent[limit][px] = max(old, units), units
                 found.append((limit, px, units))
@@ -82,10 +98,23 @@
         for px, since in self.away.items():
             if since is None:
                 self.away[px] = self.seq
-        parts = {limit: {px: may.get(px, 0) for px in self.here.keys() | self.away.keys()} for limit, may in self.may.items()}
+        parts = {
+            limit: {px: may.get(px, 0) for px in self.here.keys() | self.away.keys()}
+            for limit, may in self.may.items()
+        }
         self.asks = {seq: row for seq, row in self.asks.items() if seq > self.seq - KEPT}
         self.asks[self.seq] = now, tenure, dict.fromkeys(sorted(self.here.keys() | self.away.keys()))
-        return Ask(self.life, self.seq, tenure, keeping, self.applied, dict(self.wants), parts, frozenset(self.acted), dict(self.heard))
+        return Ask(
+            self.life,
+            self.seq,
+            tenure,
+            keeping,
+            self.applied,
+            dict(self.wants),
+            parts,
+            frozenset(self.acted),
+            dict(self.heard),
+        )
 
     def hears(self, name, ask):
         """Another's ask: who has come to it that left us, if it knew then that it had left."""
@@ -95,9 +124,22 @@
                 self.drop(px)
 
     def granted(self, now, grant, tenure):
-        """True if it is taken: of an ask of ours to this keeper, later than what is in force, and its term still runs."""
+        """True if it is taken: of an ask of ours to this keeper, later than what is in force, and its term
+        still runs.
+        """
         row = self.asks.get(grant.seq)
-        if row is None or grant.seq <= self.applied or grant.ballot != tenure or row[1] != tenure or now >= row[0] + self.pace.term:
+        if (
+            row is None
+            or grant.seq <= self.applied
+            or grant.ballot != tenure
+            or row[1] != tenure
+            or now >= row[0] + self.pace.term
+        ):
             return False
-        self.applied, self.until, self.loan, self.listed = grant.seq, row[0] + self.pace.term, dict(grant.amounts), row[2]
+        self.applied, self.until, self.loan, self.listed = (
+            grant.seq,
+            row[0] + self.pace.term,
+            dict(grant.amounts),
+            row[2],
+        )
         return True
--- a/embertray/fleet/limits/memory.py
+++ b/embertray/fleet/limits/memory.py
@@ -1,10 +1,14 @@
-"""The last ask of each life of each member, for whoever keeps next: proxies act on what a dead life told them."""
+"""The last ask of each life of each member, for whoever keeps next: proxies act on what a dead life told
+them.
+"""
 
-LIVES = 4           # of a member that are remembered: its proxies have joined others long before it started so often
+LIVES = 4  # of a member that are remembered: its proxies have joined others long before it started so often
 
 
 class Memory:
-    """`whole`: whether this process may keep: it runs since the site began, or a majority has told it what they remember."""
+    """`whole`: whether this process may keep: it runs since the site began, or a majority has told it what
+    they remember.
+    """
 
     def __init__(self, me, count, first):
         self.me, self.count, self.asks, self.voices = me, count, {}, set()
--- a/embertray/fleet/limits/messages.py
+++ b/embertray/fleet/limits/messages.py
@@ -1,4 +1,5 @@
 """What members tell each other of limits. Ballots are whole numbers, each of one proposer."""
+
 import msgspec
 
 
@@ -12,6 +13,7 @@
 
 class Promise(Message, tag="promise"):
     """`owner`: whose lease the acceptor has accepted and not seen end; "" if none."""
+
     ballot: int
     owner: str
 
@@ -25,10 +27,12 @@
 
 
 class Ask(Message, tag="ask"):
-    """To all. `life`: the sender's; `seq` rises over its lives, too. `ballot`: the keeper that is asked, as far as known; `keeping`: the
-    sender holds that lease itself. `applied`: the grant that is in force (its ask's number). `wants`: limit -> units wanted. `parts`:
-    limit -> proxy -> most units that it may act on by our word, of those here and those that left; `acted`: those here that act on
-    our word. `heard`: member -> its last ask known here."""
+    """To all. `life`: the sender's; `seq` rises over its lives, too. `ballot`: the keeper that is asked, as
+    far as known; `keeping`: the sender holds that lease itself. `applied`: the grant that is in force (its
+    ask's number). `wants`: limit -> units wanted. `parts`: limit -> proxy -> most units that it may act on by
+    our word, of those here and those that left; `acted`: those here that act on our word. `heard`: member ->
+    its last ask known here."""
+
     life: int
     seq: int
     ballot: int
@@ -42,6 +46,7 @@
 
 class Grant(Message, tag="grant"):
     """Of ask `seq`: units lent of each limit, for the term from when it was asked."""
+
     seq: int
     ballot: int
     amounts: dict[str, int]
@@ -53,4 +58,5 @@
 
 class Recalled(Message, tag="recalled"):
     """member -> its last ask of each life that is still remembered."""
+
     asks: dict[str, list[Ask]]
--- a/embertray/fleet/limits/pace.py
+++ b/embertray/fleet/limits/pace.py
@@ -1,4 +1,5 @@
 """Times of the limits, in one place: value, unit, reason."""
+
 from dataclasses import dataclass
 
 S = 10**9
@@ -7,10 +8,13 @@
 @dataclass(frozen=True)
 class Pace:
     """Times are ns by a member's own clock."""
-    period: int = 1 * S         # between two asks: what follows demand, against messages
-    term: int = 5 * S           # that a loan may be raised on, and that the keeper's lease lasts: four lost messages in a row
-    drift: float = 0.01         # clocks run so much too fast or too slow at the most
-    floor: float = 0.05         # of a limit, divided evenly and never moved: what each one may use whatever breaks
+
+    period: int = 1 * S  # between two asks: what follows demand, against messages
+    term: int = (
+        5 * S
+    )  # that a loan may be raised on, and that the keeper's lease lasts: four lost messages in a row
+    drift: float = 0.01  # clocks run so much too fast or too slow at the most
+    floor: float = 0.05  # of a limit, divided evenly and never moved: what each one may use whatever breaks
 
     @property
     def outer(self):
--- a/embertray/interface.py
+++ b/embertray/interface.py
@@ -3,6 +3,7 @@
 Times are whole nanoseconds. Things the module points at (backends, proxies, zones, tables, marks) are
 objects; whoever feeds the module keeps the ids and gives the same object for the same thing each time.
 """
+
 from dataclasses import dataclass, field
 
 
@@ -37,36 +38,38 @@
 @dataclass(eq=False)
 class ReqKind:
     """One request kind: what a req earns, by when, and whether it may run again."""
+
     response_target: int
     client_timeout: int
     credit: float = 1.0
-    again: str = "replayable"            # replayable | uniqued | non-replayable
-    group: str = "all"                   # for uniqued: who throws repeats away: all | zone | cell
+    again: str = "replayable"  # replayable | uniqued | non-replayable
+    group: str = "all"  # for uniqued: who throws repeats away: all | zone | cell
     door: object = None
 
 
 @dataclass(eq=False)
 class Deployment:
     """What an instance is told at its start."""
+
     kinds: list
     zones: list
     home: Zone = None
     controllers: int = 1
     proxies: int = 0
-    ask: bool = False                    # the list answers only when asked
-    ask_within: int = 0                  # deemed told after this long without a subscription (ask only)
+    ask: bool = False  # the list answers only when asked
+    ask_within: int = 0  # deemed told after this long without a subscription (ask only)
     may_probe: bool = False
-    throttle: str = "none"               # share | rate | none
-    pick: str = "weighted"               # weighted | round | two
-    retry_base: int = 0                  # the way of trying again where no level says one
+    throttle: str = "none"  # share | rate | none
+    pick: str = "weighted"  # weighted | round | two
+    retry_base: int = 0  # the way of trying again where no level says one
     slices: int = 0
     bare_limit: int = 0
-    pending_max: float = 0.0             # lines that may wait in the channel
-    channel_rate: float = 0.0            # lines a second
-    head: float = 0.0                    # lines a message costs beyond its own
+    pending_max: float = 0.0  # lines that may wait in the channel
+    channel_rate: float = 0.0  # lines a second
+    head: float = 0.0  # lines a message costs beyond its own
     way_mean: int = 0
     way_max: int = 0
-    messages_max: int = 0                # messages to one proxy within messages_window; 0: no limit
+    messages_max: int = 0  # messages to one proxy within messages_window; 0: no limit
     messages_window: int = 0
     report_cycle: int = 0
     cold_from: float = 1.0
@@ -74,25 +77,27 @@
     fall_multiple: float = 0.0
     fall_after: int = 0
     drain_grace: int = 0
-    cross_fee: float = 0.0               # points for a req that crosses zones
-    drops_bind: bool = True              # a backend the list drops counts as gone for the drain rule
+    cross_fee: float = 0.0  # points for a req that crosses zones
+    drops_bind: bool = True  # a backend the list drops counts as gone for the drain rule
 
 
 # ---- what happens
 
+
 @dataclass(eq=False)
 class Entry:
     """One backend as the list has it."""
+
     backend: Backend
     zone: Zone
-    state: str = "ready"                 # ready | draining | gone
-    started: int = 0                     # when it last started; 0: long ago
+    state: str = "ready"  # ready | draining | gone
+    started: int = 0  # when it last started; 0: long ago
     nominal: float = 1.0
 
 
 @dataclass(eq=False)
 class ListNews:
-    how: str                             # changes | whole | cached | failed
+    how: str  # changes | whole | cached | failed
     entries: list = field(default_factory=list)
 
 
@@ -113,8 +118,8 @@
 class Joined:
     proxy: Proxy
     zone: Zone
-    rate: float = 0.0                    # reqs a second that it usually gets
-    fresh: bool = False                  # holds its standing table only
+    rate: float = 0.0  # reqs a second that it usually gets
+    fresh: bool = False  # holds its standing table only
 
 
 @dataclass(eq=False)
@@ -125,11 +130,12 @@
 @dataclass(eq=False)
 class Heard:
     """What the proxies of a zone met at a backend."""
+
     backend: Backend
     zone: Zone
     tries: int
     errored: int = 0
-    latency: int = 0                     # mean of those done; 0 if none
+    latency: int = 0  # mean of those done; 0 if none
     span: int = 0
     load: dict = field(default_factory=dict)
 
@@ -137,6 +143,7 @@
 @dataclass(eq=False)
 class Arrivals:
     """Reqs of a kind that reached a proxy, repeats and denied ones included."""
+
     proxy: Proxy
     kind: ReqKind
     reqs: int
@@ -181,11 +188,12 @@
 
 # ---- what is ordered
 
+
 @dataclass(eq=False)
 class SetLine:
     table: Table
     backend: Backend
-    weight: float                        # 0 removes the line
+    weight: float  # 0 removes the line
 
 
 @dataclass(eq=False)
@@ -203,9 +211,9 @@
 @dataclass(eq=False)
 class SetLevel:
     table: Table
-    kinds: list                          # empty: all kinds
-    level: float                         # a share, or reqs a second at each proxy
-    retry: int                           # 0 none, 1 after proof it never ran, 2 once, 3 twice after any failure
+    kinds: list  # empty: all kinds
+    level: float  # a share, or reqs a second at each proxy
+    retry: int  # 0 none, 1 after proof it never ran, 2 once, 3 twice after any failure
 
 
 @dataclass(eq=False)
--- a/embertray/inventory/__init__.py
+++ b/embertray/inventory/__init__.py
@@ -1,1 +1,3 @@
-"""The list of backends: its messages, the client that follows it, and the last list that outlives a process."""
+"""The list of backends: its messages, the client that follows it, and the last list that outlives a
+process.
+"""
--- a/embertray/inventory/follow.py
+++ b/embertray/inventory/follow.py
@@ -2,13 +2,17 @@
 
 An answer that does not fit on the epoch held is not applied: half a list is never taken for a whole one.
 """
+
 from .messages import Failed, Get, News, Watch
 
 S = 10**9
 # -- constants: value, unit, reason
-FIRST, MOST = S // 2, 8 * S     # ns; delay before dialling again, first and longest: the list is one service for all
-SPREAD = 2 * S                  # ns; over which controllers that have a list spread their first call after a start
-CALL = 5 * S                    # ns; a call without an answer for so long has failed
+FIRST, MOST = (
+    S // 2,
+    8 * S,
+)  # ns; delay before dialling again, first and longest: the list is one service for all
+SPREAD = 2 * S  # ns; over which controllers that have a list spread their first call after a start
+CALL = 5 * S  # ns; a call without an answer for so long has failed
 
 
 class Follow:
@@ -19,8 +23,8 @@
         self.epoch, self.fails, self.waits_since, self.held = 0, 0, None, {}
 
     def first(self, have):
-        """ns before the first dial: at once without a list; else spread, so that many that start together do not
-        call together."""
+        """ns before the first dial: at once without a list; else spread, so that many that start together do
+        not call together."""
         return int(SPREAD * self.chance()) if have else 0
 
     def dialled(self, now):
@@ -45,7 +49,9 @@
         return self.waits_since is not None and now - self.waits_since > CALL
 
     def heard(self, message):
-        """('changes' | 'whole' | 'failed' | 'gap', entries). After a gap the whole list is to be asked for."""
+        """('changes' | 'whole' | 'failed' | 'gap', entries). After a gap the whole list is to be asked
+        for.
+        """
         if isinstance(message, Failed):
             self.fails += 1
             self.waits_since = None
--- a/embertray/inventory/messages.py
+++ b/embertray/inventory/messages.py
@@ -1,4 +1,7 @@
-"""The messages between a controller and the inventory: same frames as the proxies' protocol, msgpack arrays."""
+"""The messages between a controller and the inventory: same frames as the proxies' protocol, msgpack
+arrays.
+"""
+
 from typing import Annotated, Literal
 
 import msgspec
@@ -9,9 +12,10 @@
 
 class Watch(Message, tag="watch"):
     """From now on changes are wanted; those after `since` first. since 0: the whole list."""
+
     since: Count = 0
     on: bool = True
-    sender: Annotated[str, Meta(max_length=128)] = ""      # who asks, for the inventory's own records
+    sender: Annotated[str, Meta(max_length=128)] = ""  # who asks, for the inventory's own records
 
 
 class Get(Message, tag="get"):
@@ -20,6 +24,7 @@
 
 class Listed(Message):
     """One backend. `started` by the inventory's clock, ns; 0: long ago."""
+
     backend: Name
     zone: Name
     state: Literal["ready", "draining", "gone"] = "ready"
@@ -29,14 +34,16 @@
 
 class News(Message, tag="news"):
     """Changes on top of epoch `since`, or the whole list (since = 0)."""
+
     epoch: Count
     since: Count
-    clock: Time                         # the inventory's clock when it sent this
+    clock: Time  # the inventory's clock when it sent this
     entries: list[Listed]
 
 
 class Failed(Message, tag="failed"):
     """The call could not be answered: ask again later."""
+
     text: Annotated[str, Meta(max_length=512)] = ""
 
 
--- a/embertray/lab/experiment.py
+++ b/embertray/lab/experiment.py
@@ -1,4 +1,5 @@
 """Reads an experiment (XML checked against lab.xsd) and tells its runs: levels by arms by seeds."""
+
 import itertools
 import string
 from dataclasses import dataclass
@@ -19,7 +20,8 @@
 @dataclass(frozen=True)
 class Run:
     """One run. `key` names it in a results file."""
-    levels: tuple           # ((factor, level), ...)
+
+    levels: tuple  # ((factor, level), ...)
     arm: str
     policy: str
     facts: str
@@ -34,17 +36,19 @@
 class Experiment:
     name: str
     about: str
-    text: str               # of the whole file, kept with the results
+    text: str  # of the whole file, kept with the results
     day: str
-    factors: tuple          # ((name, (level, ...)), ...)
-    arms: tuple             # ((name, policy, facts), ...)
+    factors: tuple  # ((name, (level, ...)), ...)
+    arms: tuple  # ((name, policy, facts), ...)
     seeds: tuple
-    seconds: int            # of wall time that a run may take
-    way: str = "virtual"    # how days are played: virtual | emulated | flows
+    seconds: int  # of wall time that a run may take
+    way: str = "virtual"  # how days are played: virtual | emulated | flows
 
     def runs(self):
         """All runs; the same seed in every arm, so that arms meet the same reqs and troubles."""
-        for levels in itertools.product(*(tuple((name, level) for level in found) for name, found in self.factors)):
+        for levels in itertools.product(
+            *(tuple((name, level) for level in found) for name, found in self.factors)
+        ):
             for seed in self.seeds:
                 for arm, policy, facts in self.arms:
                     yield Run(levels, arm, policy, facts, seed)
@@ -71,8 +75,10 @@
     try:
         text = found.read_text()
     except OSError as wrong:
-        raise BadExperiment(f"{path}: {wrong.strerror}; there are "
-                            f"{', '.join(sorted(p.stem for p in (HERE / 'experiments').glob('*.xml')))}") from None
+        raise BadExperiment(
+            f"{path}: {wrong.strerror}; there are "
+            f"{', '.join(sorted(p.stem for p in (HERE / 'experiments').glob('*.xml')))}"
+        ) from None
     return read(text, str(found))
 
 
@@ -88,10 +94,16 @@
     first, last = int(seeds.get("from", "1")), int(seeds.get("to"))
     day = "\n".join(row.strip() for row in root.findtext("day").strip().split("\n"))
     found = Experiment(
-        root.get("name"), (root.findtext("about") or "").strip(), text, day,
+        root.get("name"),
+        (root.findtext("about") or "").strip(),
+        text,
+        day,
         tuple((f.get("name"), tuple(level.text.strip() for level in f)) for f in root.iterfind("factor")),
         tuple((a.get("name"), a.get("policy"), a.get("facts", "")) for a in root.iterfind("arm")),
-        tuple(range(first, last + 1)), int(root.get("seconds", "120")), root.get("way", "virtual"))
+        tuple(range(first, last + 1)),
+        int(root.get("seconds", "120")),
+        root.get("way", "virtual"),
+    )
     try:
         for run in found.runs():
             if run.seed == first:
--- a/embertray/lab/one.py
+++ b/embertray/lab/one.py
@@ -1,4 +1,7 @@
-"""`python -m embertray.lab.one`: one run, described as JSON on standard input; its result as JSON on standard output."""
+"""`python -m embertray.lab.one`: one run, described as JSON on standard input; its result as JSON on standard
+output.
+"""
+
 import json
 import sys
 
@@ -16,7 +19,9 @@
         policies.Oracle.truth = staticmethod(lambda: stages[0].models if stages else {})
     if told.way == "virtual":
         return player.play(day, seed=run.seed, core=core, on_stage=stages.append)
-    return play_emulated(day, run.seed, "flows" if told.way == "flows" else "reqs", core, on_stage=stages.append)
+    return play_emulated(
+        day, run.seed, "flows" if told.way == "flows" else "reqs", core, on_stage=stages.append
+    )
 
 
 def main():
--- a/embertray/lab/policies.py
+++ b/embertray/lab/policies.py
@@ -1,8 +1,10 @@
 """Baselines to compare the module with; none of them is on the product's path.
 
-Each stands in the place of the decision module inside core.Instance, so that doors, channel and protocol are the same.
-They follow the list and order tables, and guard no rule: no ledger, no pace for cold ones, no levels.
+Each stands in the place of the decision module inside core.Instance, so that doors, channel and protocol are
+the same. They follow the list and order tables, and guard no rule: no ledger, no pace for cold ones, no
+levels.
 """
+
 import numpy as np
 
 from .. import interface as i
@@ -10,8 +12,8 @@
 
 S = 10**9
 BEAT = S // 4
-SUBSET = 5              # backends a proxy in the random subset
-LOAD_EVERY = 2 * S      # ns between moves by told load
+SUBSET = 5  # backends a proxy in the random subset
+LOAD_EVERY = 2 * S  # ns between moves by told load
 
 
 class Baseline:
@@ -54,7 +56,11 @@
         return orders
 
     def update(self, key):
-        table, told, want = self.tables.setdefault(key, i.Table()), self.told.setdefault(key, {}), self.want(key)
+        table, told, want = (
+            self.tables.setdefault(key, i.Table()),
+            self.told.setdefault(key, {}),
+            self.want(key),
+        )
         orders = [i.SetLine(table, be, w) for be, w in want.items() if abs(told.get(be, 0) - w) > 0.1 * w]
         orders += [i.SetLine(table, be, 0) for be in told if be not in want]
         if orders:
@@ -103,20 +109,35 @@
 
 
 class Oracle(Baseline):
-    """Sees the truth of every backend at once: what it can do now, whether it answers. An upper mark, no policy."""
+    """Sees the truth of every backend at once: what it can do now, whether it answers. An upper mark, no
+    policy.
+    """
 
-    truth = staticmethod(dict)          # name -> model.backend.Backend; whoever plays sets it
+    truth = staticmethod(dict)  # name -> model.backend.Backend; whoever plays sets it
 
     def want(self, key):
         found, models = {}, self.truth()
         for be in self.ready:
             model = models.get(be.door)
-            if model and model.state == "up" and not model.ills.hang and model.ills.fails < 0.5 and not model.ills.kinds:
+            if (
+                model
+                and model.state == "up"
+                and not model.ills.hang
+                and model.ills.fails < 0.5
+                and not model.ills.kinds
+            ):
                 found[be] = model.capacity(self.now)
         return found or dict.fromkeys(self.ready, 1.0)
 
 
-POLICIES = {"module": None, "even": Baseline, "zone": ZoneLocal, "subset": Subset, "least-load": LeastLoad, "oracle": Oracle}
+POLICIES = {
+    "module": None,
+    "even": Baseline,
+    "zone": ZoneLocal,
+    "subset": Subset,
+    "least-load": LeastLoad,
+    "oracle": Oracle,
+}
 
 
 def core(name):
@@ -132,4 +153,5 @@
 
         def shelves(self):
             return {}
+
     return Core
--- a/embertray/lab/run.py
+++ b/embertray/lab/run.py
@@ -1,4 +1,7 @@
-"""Runs an experiment: each run a process of its own, so that one that dies or hangs is a row with its error."""
+"""Runs an experiment: each run a process of its own, so that one that dies or hangs is a row with its
+error.
+"""
+
 import json
 import subprocess
 import sys
@@ -11,8 +14,12 @@
     """The checkout's commit, with + if it has changes; "" outside one."""
     root = Path(__file__).resolve().parents[2]
     try:
-        head = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=root, capture_output=True, text=True, check=True)
-        dirty = subprocess.run(["git", "status", "--porcelain", "--", "embertray"], cwd=root, capture_output=True, text=True)
+        head = subprocess.run(
+            ["git", "rev-parse", "--short", "HEAD"], cwd=root, capture_output=True, text=True, check=True
+        )
+        dirty = subprocess.run(
+            ["git", "status", "--porcelain", "--", "embertray"], cwd=root, capture_output=True, text=True
+        )
         return head.stdout.strip() + ("+" if dirty.stdout.strip() else "")
     except (OSError, subprocess.CalledProcessError):
         return ""
@@ -23,8 +30,14 @@
     began = time.monotonic()
     job = json.dumps({"text": experiment.text, "key": run.key})
     try:
-        done = subprocess.run([sys.executable, "-m", "embertray.lab.one"], input=job, text=True, capture_output=True,
-                              timeout=experiment.seconds, cwd=Path(__file__).resolve().parents[2])
+        done = subprocess.run(
+            [sys.executable, "-m", "embertray.lab.one"],
+            input=job,
+            text=True,
+            capture_output=True,
+            timeout=experiment.seconds,
+            cwd=Path(__file__).resolve().parents[2],
+        )
     except subprocess.TimeoutExpired:
         return None, f"hung: not done within {experiment.seconds} s", time.monotonic() - began
     wall = time.monotonic() - began
@@ -35,7 +48,9 @@
 
 
 def run(experiment, results, jobs, tell=lambda done, total: None):
-    """Plays what is missing in the results. How many processes there are changes nothing in the rows but wall times."""
+    """Plays what is missing in the results. How many processes there are changes nothing in the rows but wall
+    times.
+    """
     have = results.done()
     todo = [found for found in experiment.runs() if found.key not in have]
     total, done = len(todo) + len(have), len(have)
--- a/embertray/measure/accounting.py
+++ b/embertray/measure/accounting.py
@@ -1,5 +1,6 @@
-"""`python -m embertray.measure.accounting`: CPU of the same churn with and without accounts, in turn in one run; and how
-far the accounts are from tracemalloc and from the process's size."""
+"""`python -m embertray.measure.accounting`: CPU of the same churn with and without accounts, in turn in one
+run; and how far the accounts are from tracemalloc and from the process's size."""
+
 import gc
 import resource
 import subprocess
@@ -34,10 +35,12 @@
     if len(sys.argv) > 1:
         churn.virtual(churn.Plan(hours=0.02), 1, {"with": None, "without": NoAccounts}[sys.argv[1]])
         return
-    print("CPU of 72 s of churn (92 backends, 157 proxies, 920 reqs/s), virtual, with the whole emulator in it:")
+    print(
+        "CPU of 72 s of churn (92 backends, 157 proxies, 920 reqs/s), virtual, with the whole emulator in it:"
+    )
     print("| with accounts s | without s | ratio |\n| --- | --- | --- |")
     ratios = []
-    for n in range(6):      # in turn, now one first, now the other
+    for n in range(6):  # in turn, now one first, now the other
         found = {way: cpu(way) for way in (("with", "without") if n % 2 else ("without", "with"))}
         ratios.append(found["with"] / found["without"])
         print(f"| {found['with']:.2f} | {found['without']:.2f} | {ratios[-1]:.3f} |", flush=True)
@@ -51,13 +54,17 @@
             return look(*args)
         finally:
             spent[0] += time.thread_time() - began
+
     Accounts.look = timed
     before = time.process_time()
     churn.virtual(churn.Plan(hours=0.02), 1)
     total = time.process_time() - before
     Accounts.look = look
-    print(f"within one run: {spent[0]:.3f} s of {total:.2f} s CPU go into the accounts: {spent[0] / total:.2%}; "
-          f"{spent[0] / 72 * 1000:.2f} ms a second of the fleet's time\n")
+    print(
+        f"within one run: {spent[0]:.3f} s of {total:.2f} s CPU go into the accounts: "
+        f"{spent[0] / total:.2%}; "
+        f"{spent[0] / 72 * 1000:.2f} ms a second of the fleet's time\n"
+    )
     found = {}
 
     class Traced(Instance):
@@ -73,16 +80,22 @@
                 gc.collect()
                 found["held"] = tracemalloc.get_traced_memory()[0] - found["start"]
                 found["accounted"] = {p: a.bytes for p, a in self.accounts.by.items()}
-                only = tracemalloc.take_snapshot().filter_traces([
-                    tracemalloc.Filter(True, f"*/embertray/{name}") for name in (
-                        "choice/*", "core/*", "door/*", "channel/*", "reports/*", "interface.py")])
+                only = tracemalloc.take_snapshot().filter_traces(
+                    [
+                        tracemalloc.Filter(True, f"*/embertray/{name}")
+                        for name in ("choice/*", "core/*", "door/*", "channel/*", "reports/*", "interface.py")
+                    ]
+                )
                 found["ours"] = sum(stat.size for stat in only.statistics("filename"))
+
     tracemalloc.start()
     churn.virtual(churn.Plan(hours=0.02), 1, Traced)
     ours = sum(size for purpose, size in found["accounted"].items() if purpose not in ("streams",))
-    print("After 60 s: accounts (without streams) "
-          f"{ours / 1024:.0f} KiB; tracemalloc, allocated in choice, core, door, channel, reports, interface "
-          f"{found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}")
+    print(
+        "After 60 s: accounts (without streams) "
+        f"{ours / 1024:.0f} KiB; tracemalloc, allocated in choice, core, door, channel, reports, interface "
+        f"{found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}"
+    )
 
 
 if __name__ == "__main__":
--- a/embertray/measure/charts.py
+++ b/embertray/measure/charts.py
@@ -1,7 +1,10 @@
-"""`python -m embertray.measure.charts OUT.png CHURN.jsonl [TITLE]`: each purpose's usual size over a churn's minutes.
+"""`python -m embertray.measure.charts OUT.png CHURN.jsonl [TITLE]`: each purpose's usual size over a churn's
+minutes.
 
-With a file that ends in .md, the table of embertray.measure.start: credit by the share replaced, for each way.
+With a file that ends in .md, the table of embertray.measure.start: credit by the share replaced, for each
+way.
 """
+
 import json
 import sys
 
@@ -12,7 +15,8 @@
 
 
 def churn(out, source, title):
-    rows = [json.loads(row) for row in open(source)]
+    with open(source) as lines:
+        rows = [json.loads(row) for row in lines]
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 3.6), gridspec_kw={"width_ratios": (3, 1)})
     minutes = [row["minute"] for row in rows]
     for n, account in enumerate(rows[0]["purposes"]):
@@ -28,14 +32,21 @@
 
 def start(out, source):
     """From the report's table: lists an hour old, as the tables and behind them."""
-    rows = [[cell.strip() for cell in row.strip("| \n").split("|")] for row in open(source) if row.startswith("| ")]
+    with open(source) as lines:
+        rows = [
+            [cell.strip() for cell in row.strip("| \n").split("|")] for row in lines if row.startswith("| ")
+        ]
     rows = [row for row in rows if len(row) == 8 and row[1] == "60min"]
     figure, axes = pyplot.subplots(1, 2, figsize=(9, 3.4), sharey=True)
-    for axis, kind in zip(axes, ("as the tables", "behind the tables")):
+    for axis, kind in zip(axes, ("as the tables", "behind the tables"), strict=False):
         mine = [row for row in rows if row[0] == kind]
         for n, way in enumerate(("by age", "in full", "waits")):
-            axis.plot([float(row[2].rstrip("%")) for row in mine], [float(row[3].split("/")[n]) for row in mine],
-                      marker="o", label=way)
+            axis.plot(
+                [float(row[2].rstrip("%")) for row in mine],
+                [float(row[3].split("/")[n]) for row in mine],
+                marker="o",
+                label=way,
+            )
         axis.set(xlabel="replaced, percent", title=f"list an hour old, {kind}", ylim=(0, 1.02))
     axes[0].set(ylabel="credit")
     axes[0].legend()
--- a/embertray/measure/claims.py
+++ b/embertray/measure/claims.py
@@ -1,5 +1,7 @@
-"""`python -m embertray.measure.claims`: days of wounds drawn by seed on members in virtual time, each look held against what the cluster claims;
-then one split into halves that heals, and one death, at sizes up to 256. Prints Markdown tables; --chart writes one."""
+"""`python -m embertray.measure.claims`: days of wounds drawn by seed on members in virtual time, each look
+held against what the cluster claims; then one split into halves that heals, and one death, at sizes up to
+256. Prints Markdown tables; --chart writes one."""
+
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
@@ -10,7 +12,7 @@
 from ..emulator.drawn import wounds
 
 S = 10**9
-CALM, CUT = 20, 40          # s before the split, and that it lasts at the least
+CALM, CUT = 20, 40  # s before the split, and that it lasts at the least
 
 
 def drawn(seed, members):
@@ -27,10 +29,15 @@
         return {name: set(names[:half] if name in names[:half] else names[half:]) for name in names}
 
     def until(self, wanted, most):
-        """s until `wanted(name, those that it takes to be there)` holds at all; None if it does not within `most` s."""
+        """s until `wanted(name, those that it takes to be there)` holds at all; None if it does not within
+        `most` s.
+        """
         began = self.engine.time
         while self.engine.time < began + most * S:
-            if all(wanted(name, {name} | {m.name for m in sharer.process.core.here}) for name, sharer in self.sharers.items()):
+            if all(
+                wanted(name, {name} | {m.name for m in sharer.process.core.here})
+                for name, sharer in self.sharers.items()
+            ):
                 return (self.engine.time - began) / S
             self.engine.run(self.engine.time + S // 10)
         return None
@@ -38,14 +45,20 @@
     def told(self):
         """Greatest age that anybody holds of anybody, s; None while something is not held."""
         now, count = self.engine.time, len(self.sharers)
-        rows = [[known.age for known in sharer.book.freshest(now, "facts")] for sharer in self.sharers.values()]
+        rows = [
+            [known.age for known in sharer.book.freshest(now, "facts")] for sharer in self.sharers.values()
+        ]
         return max(map(max, rows)) / S if all(len(ages) == count for ages in rows) else None
 
 
 def moments(members, loss, seed):
-    """(members, loss, s until a split is seen by all, s until all are whole again, s until one's death is seen by all, greatest age
-    before any wound, its bound, bytes/s of probes and of state before any wound)"""
-    company = Moments(notation.read(f"fleet controllers={members} cluster=yes period=1s\nload 1/s for 1s"), seed, look=10_000 * S)
+    """(members, loss, s until a split is seen by all, s until all are whole again, s until one's death is
+    seen by all, greatest age before any wound, its bound, bytes/s of probes and of state before any wound)"""
+    company = Moments(
+        notation.read(f"fleet controllers={members} cluster=yes period=1s\nload 1/s for 1s"),
+        seed,
+        look=10_000 * S,
+    )
     names = list(company.links.members)
     company.engine.start(company.all_up(names))
     company.engine.run(company.zero)
@@ -53,9 +66,19 @@
     company.links.each(now=company.engine.time, drop=loss)
     company.engine.run(company.engine.time + max(CALM, 2 * members + 5) * S)
     bound, age = (2 * (members - 1) + 2 + 1), company.told()
-    began, before = company.engine.time, (sum(company.ring.bytes.values()), sum(s.bytes for s in company.sharers.values()))
+    began, before = (
+        company.engine.time,
+        (sum(company.ring.bytes.values()), sum(s.bytes for s in company.sharers.values())),
+    )
     company.engine.run(began + CALM * S)
-    rates = [(now - was) / CALM / members for now, was in zip((sum(company.ring.bytes.values()), sum(s.bytes for s in company.sharers.values())), before)]
+    rates = [
+        (now - was) / CALM / members
+        for now, was in zip(
+            (sum(company.ring.bytes.values()), sum(s.bytes for s in company.sharers.values())),
+            before,
+            strict=False,
+        )
+    ]
     side = company.split(names)
     seen = company.until(lambda name, here: here == side[name], 400)
     company.links.straight(company.engine.time, company.links.pairs(), ("open",))
@@ -78,18 +101,30 @@
 def main(count, members, loss, workers, chart):
     sizes, shares = [int(n) for n in members.split(",")], [float(p) for p in loss.split(",")]
     with ProcessPoolExecutor(workers) as pool:
-        cases = sorted(((n, p) for n in sizes for p in shares), reverse=True)           # the longest first
+        cases = sorted(((n, p) for n in sizes for p in shares), reverse=True)  # the longest first
         later = {case: pool.submit(moments, *case, 1) for case in cases}
         found = list(pool.map(drawn, range(count), [3 + seed % 6 for seed in range(count)]))
         click.echo("| claim | asked for | broken |\n| --- | --- | --- |")
         for name in found[0][0]:
-            click.echo(f"| {name} | {sum(held[name] for held, _, _ in found):,} | {sum(broken[name] for _, broken, _ in found)} |")
-        click.echo(f"\n{count} days of 3 to 8 members, greatest age of its bound {max(worst for *_, worst in found):.2f}\n")
-        click.echo("| members | lost | split seen by all, s | whole again, s | death seen by all, s | greatest age, s | bound, s | bytes/s: probes | state |")
+            click.echo(
+                f"| {name} | {sum(held[name] for held, _, _ in found):,} | "
+                f"{sum(broken[name] for _, broken, _ in found)} |"
+            )
+        click.echo(
+            f"\n{count} days of 3 to 8 members, greatest age of its bound "
+            f"{max(worst for *_, worst in found):.2f}\n"
+        )
+        click.echo(
+            "| members | lost | split seen by all, s | whole again, s | death seen by all, s | "
+            "greatest age, s | bound, s | bytes/s: probes | state |"
+        )
         click.echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
         rows = [later[case].result() for case in sorted(cases)]
         for n, p, seen, whole, death, age, bound, probes, state in rows:
-            click.echo(f"| {n} | {p:.0%} | {shown(seen)} | {shown(whole)} | {shown(death)} | {shown(age)} | {bound} | {probes:.0f} | {state:.0f} |")
+            click.echo(
+                f"| {n} | {p:.0%} | {shown(seen)} | {shown(whole)} | {shown(death)} | {shown(age)} "
+                f"| {bound} | {probes:.0f} | {state:.0f} |"
+            )
             sys.stdout.flush()
     if chart:
         draw(rows, chart)
@@ -97,16 +132,33 @@
 
 def draw(rows, path):
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, axes = pyplot.subplots(1, 2, figsize=(9, 3.4))
     for share in sorted({row[1] for row in rows}):
         mine = [row for row in rows if row[1] == share]
-        for column, words, style in ((2, "split seen", "-"), (3, "whole again", "--"), (4, "death seen", ":")):
-            axes[0].plot([row[0] for row in mine], [row[column] for row in mine], style, marker=".", label=f"{words}, {share:.0%} lost")
-        axes[1].plot([row[0] for row in mine], [row[5] for row in mine], marker=".", label=f"greatest age, {share:.0%} lost")
+        for column, words, style in (
+            (2, "split seen", "-"),
+            (3, "whole again", "--"),
+            (4, "death seen", ":"),
+        ):
+            axes[0].plot(
+                [row[0] for row in mine],
+                [row[column] for row in mine],
+                style,
+                marker=".",
+                label=f"{words}, {share:.0%} lost",
+            )
+        axes[1].plot(
+            [row[0] for row in mine],
+            [row[5] for row in mine],
+            marker=".",
+            label=f"greatest age, {share:.0%} lost",
+        )
     axes[1].plot([row[0] for row in rows], [row[6] for row in rows], "k--", label="bound")
-    for axis, words in zip(axes, ("until all agree, s", "age of what is told, s")):
+    for axis, words in zip(axes, ("until all agree, s", "age of what is told, s"), strict=False):
         axis.set(xscale="log", yscale="log", xlabel="members", ylabel=words)
         axis.legend(fontsize=7)
     figure.tight_layout()
--- a/embertray/measure/cluster.py
+++ b/embertray/measure/cluster.py
@@ -1,5 +1,7 @@
-"""`python -m embertray.measure.cluster`: the detector against plain heartbeats and phi accrual under virtual time: time until every
-living member takes a killed one for dead, false deaths, bytes; a row for each size and loss. Prints a Markdown table."""
+"""`python -m embertray.measure.cluster`: the detector against plain heartbeats and phi accrual under virtual
+time: time until every living member takes a killed one for dead, false deaths, bytes; a row for each size and
+loss. Prints a Markdown table."""
+
 import random
 import sys
 
@@ -7,7 +9,7 @@
 
 from ..cluster.membership import DEAD, Membership
 from ..emulator.detectors import Heartbeats, Phi
-from ..emulator.gossip import S, Ring
+from ..emulator.gossip import Ring, S
 
 MAKES = {"swim": Membership, "heartbeats": Heartbeats, "phi": Phi}
 
@@ -24,14 +26,18 @@
 
 def false_deaths(ring, but=()):
     """Members taken for dead wrongly, each once, whoever said so."""
-    return len({change.name for _, _, change in ring.notes if change.state == DEAD and change.name not in but})
+    return len(
+        {change.name for _, _, change in ring.notes if change.state == DEAD and change.name not in but}
+    )
 
 
 def one(how, members, loss, seed, calm, kills, pause=0):
-    """One ring: `calm` seconds with loss (and one member stopped for `pause` ns each 20 s), then kills, one after the other."""
+    """One ring: `calm` seconds with loss (and one member stopped for `pause` ns each 20 s), then kills, one
+    after the other.
+    """
     ring, chance = start(how, members, seed), random.Random(seed)
     ring.links.loss, before, began = loss, sum(ring.bytes.values()), ring.engine.time
-    for second in range(0, calm, 20):
+    for _second in range(0, calm, 20):
         if pause:
             who = ring.at[f"m{chance.randrange(members)}"]
             who.stop()
@@ -53,19 +59,30 @@
 @click.option("--calm", default=120, show_default=True, help="Seconds before the kills.")
 @click.option("--members", default="3,8,32,128", show_default=True)
 @click.option("--loss", default="0,0.1,0.3", show_default=True)
-@click.option("--pause", default=0.0, show_default=True, help="One member stands still so many seconds, each 20 s.")
+@click.option(
+    "--pause", default=0.0, show_default=True, help="One member stands still so many seconds, each 20 s."
+)
 def main(seeds, calm, members, loss, pause):
-    click.echo("| members | lost | detector | dead at all: p50 | p99 | max, s | false deaths an hour of a member | bytes/s a member |")
+    click.echo(
+        "| members | lost | detector | dead at all: p50 | p99 | max, s | false deaths an hour of a "
+        "member | bytes/s a member |"
+    )
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for count in map(int, members.split(",")):
         for share in map(float, loss.split(",")):
             for how in MAKES:
-                runs = [one(how, count, share, seed, calm, 1 if count < 8 else 3, int(pause * S)) for seed in range(seeds)]
+                runs = [
+                    one(how, count, share, seed, calm, 1 if count < 8 else 3, int(pause * S))
+                    for seed in range(seeds)
+                ]
                 took = sorted(second for found, _, _ in runs for second in found)
                 wrong = sum(bad for _, bad, _ in runs) / (seeds * calm * count) * 3600
                 rate = sum(rate for _, _, rate in runs) / seeds
                 p50, p99 = took[len(took) // 2], took[min(len(took) - 1, int(0.99 * len(took)))]
-                click.echo(f"| {count} | {share:.0%} | {how} | {p50:.1f} | {p99:.1f} | {took[-1]:.1f} | {wrong:.2f} | {rate:.0f} |")
+                click.echo(
+                    f"| {count} | {share:.0%} | {how} | {p50:.1f} | {p99:.1f} | {took[-1]:.1f} | "
+                    f"{wrong:.2f} | {rate:.0f} |"
+                )
                 sys.stdout.flush()
 
 
--- a/embertray/measure/clustered.py
+++ b/embertray/measure/clustered.py
@@ -1,30 +1,58 @@
-"""`python -m embertray.measure.clustered DAY..`: days through true processes with the rig's links, without and with the cluster that the day asks
-for: credit, rules and claims, and what a process uses. Prints a Markdown table, a row a day and way; figures are means over the seeds."""
+"""`python -m embertray.measure.clustered DAY..`: days through true processes with the rig's links, without
+and with the cluster that the day asks for: credit, rules and claims, and what a process uses. Prints a
+Markdown table, a row a day and way; figures are means over the seeds."""
+
+import json
+import subprocess
 import sys
 from concurrent.futures import ThreadPoolExecutor
 from statistics import mean
-import json
-import subprocess
 
 import click
 
 
 def played(day, seed, alone):
     """The JSON of one play, by the program itself."""
-    done = subprocess.run([sys.executable, "-m", "embertray", "play", day, "--processes", "--json", "--seed", str(seed), *["--alone"] * alone],
-                          capture_output=True, text=True)
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "embertray",
+            "play",
+            day,
+            "--processes",
+            "--json",
+            "--seed",
+            str(seed),
+            *["--alone"] * alone,
+        ],
+        capture_output=True,
+        text=True,
+    )
     if done.returncode == 2 or not done.stdout:
         raise click.ClickException(f"{day}, seed {seed}: {done.stderr.strip()[-400:]}")
     return json.loads(done.stdout)
 
 
 def row(day, alone, found):
-    broken = sorted({name for one in found for part in ("rules", "claims") for name, verdict in one.get(part, {}).items() if verdict == "broken"})
+    broken = sorted(
+        {
+            name
+            for one in found
+            for part in ("rules", "claims")
+            for name, verdict in one.get(part, {}).items()
+            if verdict == "broken"
+        }
+    )
     used = [use for one in found for use in one["used"].values()]
-    return (f"| {day} | {'alone' if alone else 'cluster'} | {len(found)} | {mean(one['credit'] for one in found):.3f} | "
-            f"{min(one['credit'] for one in found):.3f} | {', '.join(broken) or 'none'} | "
-            f"{max((one.get('age_of_bound', 0.0) for one in found)):.2f} | {mean(use['cpu'] for use in used) * 1000:.0f} | "
-            f"{mean(use['rss'] for use in used) / 2**20:.1f} | {mean(use['sent'] for use in used):.0f} |")
+    return (
+        f"| {day} | {'alone' if alone else 'cluster'} | {len(found)} | "
+        f"{mean(one['credit'] for one in found):.3f} | "
+        f"{min(one['credit'] for one in found):.3f} | {', '.join(broken) or 'none'} | "
+        f"{max(one.get('age_of_bound', 0.0) for one in found):.2f} | "
+        f"{mean(use['cpu'] for use in used) * 1000:.0f} | "
+        f"{mean(use['rss'] for use in used) / 2**20:.1f} | {mean(use['sent'] for use in used):.0f} |"
+    )
 
 
 @click.command()
@@ -32,10 +60,17 @@
 @click.option("--seeds", default=3, show_default=True)
 @click.option("--beside", default=2, show_default=True, help="Plays at once; each takes about a core.")
 def main(days, seeds, beside):
-    click.echo("| day | way | plays | credit, mean | least | broken | greatest age of its bound | CPU, ms/s a process | MiB a process | cluster bytes/s a process |")
+    click.echo(
+        "| day | way | plays | credit, mean | least | broken | greatest age of its bound | CPU, "
+        "ms/s a process | MiB a process | cluster bytes/s a process |"
+    )
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     with ThreadPoolExecutor(beside) as pool:
-        plays = {(day, alone): [pool.submit(played, day, seed + 1, alone) for seed in range(seeds)] for day in days for alone in (True, False)}
+        plays = {
+            (day, alone): [pool.submit(played, day, seed + 1, alone) for seed in range(seeds)]
+            for day in days
+            for alone in (True, False)
+        }
         for (day, alone), found in plays.items():
             click.echo(row(day, alone, [one.result() for one in found]))
 
--- a/embertray/measure/emulated.py
+++ b/embertray/measure/emulated.py
@@ -1,5 +1,6 @@
-"""`python -m embertray.measure.emulated`: what the emulator costs by the fleet's size, both fidelities, each run a process
-of its own (its peak memory is then its own). Prints a Markdown table."""
+"""`python -m embertray.measure.emulated`: what the emulator costs by the fleet's size, both fidelities, each
+run a process of its own (its peak memory is then its own). Prints a Markdown table."""
+
 import json
 import resource
 import subprocess
@@ -11,25 +12,41 @@
 
 S = 10**9
 SIZES = ((25, 40), (90, 150), (300, 500), (1000, 5000))
-EACH = 10               # reqs a second for each backend: a third of what it can do
+EACH = 10  # reqs a second for each backend: a third of what it can do
 
 
 def text(backends, proxies, seconds, controllers=1):
-    return (f"site pushed proxies={proxies} backends={backends} channel_rate=20000 pending_max=40000 reports_rate=2000\n"
-            f"fleet backends={backends} proxies={proxies} controllers={controllers} speed=0.8..1.3\n"
-            f"load {backends * EACH}/s for {seconds}s\nat 3s deploy 10% batch={max(1, backends // 40)} drain=4s by 1s\n")
+    return (
+        f"site pushed proxies={proxies} backends={backends} channel_rate=20000 pending_max=40000 "
+        "reports_rate=2000\n"
+        f"fleet backends={backends} proxies={proxies} controllers={controllers} speed=0.8..1.3\n"
+        f"load {backends * EACH}/s for {seconds}s\nat 3s deploy 10% batch={max(1, backends // 40)} "
+        "drain=4s by 1s\n"
+    )
 
 
 def one(backends, proxies, fidelity, seconds):
     stages = []
     began = time.monotonic()
-    result = play(notation.read(text(backends, proxies, seconds), "size.day"), 1, fidelity, on_stage=stages.append,
-                       watched=False)
+    result = play(
+        notation.read(text(backends, proxies, seconds), "size.day"),
+        1,
+        fidelity,
+        on_stage=stages.append,
+        watched=False,
+    )
     wall = time.monotonic() - began
     engine = stages[0].engine
     steps = sum(con.desk.instance.steps for con in stages[0].held.running.values())
-    return {"events": engine.done, "wall": wall, "virtual": (engine.time - stages[0].zero) / S, "reqs": result.reqs,
-            "credit": result.credit, "steps": steps, "MiB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024}
+    return {
+        "events": engine.done,
+        "wall": wall,
+        "virtual": (engine.time - stages[0].zero) / S,
+        "reqs": result.reqs,
+        "credit": result.credit,
+        "steps": steps,
+        "MiB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
+    }
 
 
 def main():
@@ -42,14 +59,29 @@
     for backends, proxies in SIZES:
         for fidelity in ("reqs", "flows"):
             seconds = 20 if backends < 1000 else 8
-            done = subprocess.run([sys.executable, "-m", "embertray.measure.emulated", str(backends), str(proxies), fidelity,
-                                   str(seconds)], capture_output=True, text=True)
+            done = subprocess.run(
+                [
+                    sys.executable,
+                    "-m",
+                    "embertray.measure.emulated",
+                    str(backends),
+                    str(proxies),
+                    fidelity,
+                    str(seconds),
+                ],
+                capture_output=True,
+                text=True,
+            )
             if done.returncode:
                 print(f"| {backends}x{proxies} | {fidelity} | died: {done.stderr.strip().splitlines()[-1]} |")
                 continue
             got = json.loads(done.stdout)
-            print(f"| {backends}x{proxies} | {fidelity} | {backends * EACH} | {got['events'] / got['wall']:,.0f} | "
-                  f"{got['virtual'] / got['wall']:.2f} | {got['MiB']:.0f} | {got['credit']:.3f} |", flush=True)
+            print(
+                f"| {backends}x{proxies} | {fidelity} | {backends * EACH} | "
+                f"{got['events'] / got['wall']:,.0f} | "
+                f"{got['virtual'] / got['wall']:.2f} | {got['MiB']:.0f} | {got['credit']:.3f} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/embertray/measure/explore.py
+++ b/embertray/measure/explore.py
@@ -1,4 +1,5 @@
 """Every state that a small machine of true cores can come to, breadth first."""
+
 from collections import deque
 
 
@@ -11,7 +12,9 @@
 
 
 def clone(thing, fresh=("here", "acted", "away", "asks", "listed", "loan", "wants", "heard", "voices")):
-    """A copy of a core whose containers hold what never changes; those named in `fresh` are copied, dicts of dicts two deep."""
+    """A copy of a core whose containers hold what never changes; those named in `fresh` are copied, dicts of
+    dicts two deep.
+    """
     copy = object.__new__(type(thing))
     for name, value in thing.__dict__.items():
         if name in fresh:
@@ -23,8 +26,8 @@
 
 
 def explore(start, most):
-    """`start`: an object with `moves()` -> [(text, function name, *args)], `copy()`, `wrong()` -> text or "", `key()` -> hashable. Gives
-    (states, whether all were looked at). Raises Found."""
+    """`start`: an object with `moves()` -> [(text, function name, *args)], `copy()`, `wrong()` -> text or "",
+    `key()` -> hashable. Gives (states, whether all were looked at). Raises Found."""
     seen, queue = {start.key()}, deque([(start, None, "")])
     while queue:
         node = queue.popleft()
--- a/embertray/measure/fleet.py
+++ b/embertray/measure/fleet.py
@@ -1,4 +1,7 @@
-"""A fleet of bare proxy streams on loopback, to load one controller: they join, answer marks and send sums."""
+"""A fleet of bare proxy streams on loopback, to load one controller: they join, answer marks and send
+sums.
+"""
+
 import json
 import os
 import subprocess
@@ -26,7 +29,13 @@
     """One proxy's stream. `saw(name, now, orders, bytes)` for each message."""
 
     def __init__(self, name, zone, saw):
-        self.name, self.saw, self.end, self.stream, self.bound = name, saw, ProxyEnd(name, zone, 10.0, True), None, anyio.Event()
+        self.name, self.saw, self.end, self.stream, self.bound = (
+            name,
+            saw,
+            ProxyEnd(name, zone, 10.0, True),
+            None,
+            anyio.Event(),
+        )
 
     async def run(self, address):
         self.stream = await TcpNet().dial(address)
@@ -52,8 +61,8 @@
 
 @asynccontextmanager
 async def controller(backends, proxies, saw, **changes):
-    """(inventory, names of backends, Bare proxies all bound, process id, result): a controller of its own process under
-    so many streams. `result` is filled after the end: CPU by part, peak memory."""
+    """(inventory, names of backends, Bare proxies all bound, process id, result): a controller of its own
+    process under so many streams. `result` is filled after the end: CPU by part, peak memory."""
     with tempfile.TemporaryDirectory() as folder:
         async with anyio.create_task_group() as group:
             inventory = StandinInventory(TcpNet(), Agenda(LoopClock()))
@@ -62,9 +71,18 @@
             zones = ("north", "south", "west")
             for n, name in enumerate(names):
                 inventory.list(name, zones[n % 3])
-            program = subprocess.Popen([sys.executable, "-m", "embertray.measure.timed",
-                                        str(describe(folder, inventory.address, **changes)), "c1"],
-                                       stdout=subprocess.PIPE, text=True, env=os.environ)
+            program = subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "embertray.measure.timed",
+                    str(describe(folder, inventory.address, **changes)),
+                    "c1",
+                ],
+                stdout=subprocess.PIPE,
+                text=True,
+                env=os.environ,
+            )
             result = {}
             try:
                 row = await anyio.to_thread.run_sync(program.stdout.readline)
--- a/embertray/measure/limits.py
+++ b/embertray/measure/limits.py
@@ -1,5 +1,7 @@
-"""`python -m embertray.measure.limits`: limits of the whole fleet under virtual time: over and use under wounds drawn by seed; use against skew
-and members; what a split leaves usable, by its length. Prints Markdown tables."""
+"""`python -m embertray.measure.limits`: limits of the whole fleet under virtual time: over and use under
+wounds drawn by seed; use against skew and members; what a split leaves usable, by its length. Prints Markdown
+tables."""
+
 from concurrent.futures import ProcessPoolExecutor
 
 import click
@@ -24,7 +26,9 @@
 
 
 def split(case):
-    """One of five members (or two) cut off for so many s: used at its end, of what was used before; over; s until all is used again."""
+    """One of five members (or two) cut off for so many s: used at its end, of what was used before; over; s
+    until all is used again.
+    """
     cut, lasts = case
     hall = Hall(5, 5, 20).run(30 * S)
     before = hall.used[-1]
@@ -33,7 +37,7 @@
     hall.run(lasts * S)
     during = hall.used[-1]
     hall.web.straight(hall.engine.time, pairs, ("open",))
-    for second in range(120):
+    for second in range(120):  # noqa: B007 (used after the loop)
         if hall.used[-1] >= 0.98 * before:
             break
         hall.run(S)
@@ -46,7 +50,7 @@
     for name in hall.names[:case]:
         hall.kill(name)
     least = 1.0
-    for second in range(120):
+    for second in range(120):  # noqa: B007 (used after the loop)
         hall.run(S)
         least = min(least, hall.used[-1])
         if second > 2 and hall.used[-1] >= 0.93:
@@ -61,17 +65,33 @@
     with ProcessPoolExecutor(workers) as pool:
         found = list(pool.map(wounded, range(plays), chunksize=10))
         used = sorted(share for _, share in found)
-        click.echo(f"{plays} plays of 3 to 7 members and ten wounds each: over in {sum(over > 0 for over, _ in found)}, most "
-                   f"{max(0, *(over for over, _ in found))} of 10,000 units; used a minute after the last wound: least {used[0]:.3f}, p50 {used[len(used) // 2]:.3f}\n")
+        click.echo(
+            f"{plays} plays of 3 to 7 members and ten wounds each: over in "
+            f"{sum(over > 0 for over, _ in found)}, most "
+            f"{max(0, *(over for over, _ in found))} of 10,000 units; used a minute after the last "
+            f"wound: least {used[0]:.3f}, p50 {used[len(used) // 2]:.3f}\n"
+        )
         click.echo("| members | skew | used | over | messages/s a member |\n| --- | --- | --- | --- | --- |")
-        for members, skew, share, over, sent in pool.map(calm, [(n, skew) for n in (2, 5, 12, 32) for skew in (1.0, 20.0)]):
+        for members, skew, share, over, sent in pool.map(
+            calm, [(n, skew) for n in (2, 5, 12, 32) for skew in (1.0, 20.0)]
+        ):
             click.echo(f"| {members} | {skew:.0f} | {share:.3f} | {over} | {sent:.1f} |")
-        click.echo("\n| cut off of 5 | for, s | used before | at its end | over | whole again, s |\n| --- | --- | --- | --- | --- | --- |")
-        for cut, lasts, before, during, over, second in pool.map(split, [(cut, lasts) for cut in (1, 2) for lasts in (2, 6, 20, 60)]):
+        click.echo(
+            "\n| cut off of 5 | for, s | used before | at its end | over | whole again, s |\n| --- "
+            "| --- | --- | --- | --- | --- |"
+        )
+        for cut, lasts, before, during, over, second in pool.map(
+            split, [(cut, lasts) for cut in (1, 2) for lasts in (2, 6, 20, 60)]
+        ):
             click.echo(f"| {cut} | {lasts} | {before:.3f} | {during:.3f} | {over} | {second} |")
-        click.echo("\n| killed of 5 | least used | used 0.93 again after, s | used then | over |\n| --- | --- | --- | --- | --- |")
+        click.echo(
+            "\n| killed of 5 | least used | used 0.93 again after, s | used then | over |\n| --- | "
+            "--- | --- | --- | --- |"
+        )
         for count, least, second, share, over in pool.map(killed, (1, 2, 3)):
-            click.echo(f"| {count} | {least:.3f} | {'-' if second is None else second} | {share:.3f} | {over} |")
+            click.echo(
+                f"| {count} | {least:.3f} | {'-' if second is None else second} | {share:.3f} | {over} |"
+            )
 
 
 if __name__ == "__main__":
--- a/embertray/measure/models/__main__.py
+++ b/embertray/measure/models/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m embertray.measure.models`: prints how many states of each model were looked at, and what was found."""
+"""`python -m embertray.measure.models`: prints how many states of each model were looked at, and what was
+found.
+"""
+
 import time
 
 import click
@@ -16,7 +19,10 @@
             states, whole = explore(model, most)
         except Found as found:
             raise click.ClickException(str(found)) from None
-        click.echo(f"{type(model).__name__}: {states:,} states, {'all' if whole else 'not all'} looked at, none wrong, {time.monotonic() - began:.0f} s")
+        click.echo(
+            f"{type(model).__name__}: {states:,} states, {'all' if whole else 'not all'} looked "
+            f"at, none wrong, {time.monotonic() - began:.0f} s"
+        )
 
 
 if __name__ == "__main__":
--- a/embertray/measure/models/keeper.py
+++ b/embertray/measure/models/keeper.py
@@ -1,4 +1,5 @@
 """Who keeps, in every order of events."""
+
 from ...fleet.limits.lease import Acceptor, Proposer
 from ...fleet.limits.messages import Accepted, Prepare, Promise, Propose
 from ..explore import clone
@@ -6,13 +7,21 @@
 
 
 class KeeperModel:
-    """Three acceptors, two that try to keep. A message stays on its way and may arrive again and again, or never. One clock may stand
-    still for one tick (it is slow within the drift), one member may crash and forget all. Property: never two that hold the lease."""
+    """Three acceptors, two that try to keep. A message stays on its way and may arrive again and again, or
+    never. One clock may stand still for one tick (it is slow within the drift), one member may crash and
+    forget all. Property: never two that hold the lease."""
 
     names = ("a", "b", "c")
 
     def __init__(self, rounds=2, ticks=5, crashes=1, acceptor=Acceptor, pace=Ticks):
-        self.rounds, self.ticks, self.crashes, self.lags, self.make, self.pace = rounds, ticks, crashes, 1, acceptor, pace
+        self.rounds, self.ticks, self.crashes, self.lags, self.make, self.pace = (
+            rounds,
+            ticks,
+            crashes,
+            1,
+            acceptor,
+            pace,
+        )
         self.clock = dict.fromkeys(self.names, 10)
         self.acceptors = {name: acceptor(pace, 10, True) for name in self.names}
         self.proposers = {name: Proposer(name, n, 3, pace) for n, name in enumerate(self.names[:2])}
@@ -26,9 +35,19 @@
         return other
 
     def key(self):
-        return (tuple((a.promised, a.owner, a.until, a.silent_until) for a in self.acceptors.values()),
-                tuple((p.round, p.trying, frozenset(p.voices), p.proposed, p.began, p.tenure, p.mine) for p in self.proposers.values()),
-                tuple(self.clock.values()), self.rounds, self.ticks, self.crashes, self.lags, frozenset(self.network))
+        return (
+            tuple((a.promised, a.owner, a.until, a.silent_until) for a in self.acceptors.values()),
+            tuple(
+                (p.round, p.trying, frozenset(p.voices), p.proposed, p.began, p.tenure, p.mine)
+                for p in self.proposers.values()
+            ),
+            tuple(self.clock.values()),
+            self.rounds,
+            self.ticks,
+            self.crashes,
+            self.lags,
+            frozenset(self.network),
+        )
 
     def moves(self):
         found = [("tick", "tick", None)] if self.ticks else []
@@ -38,7 +57,9 @@
             found += [(f"{name} tries", "tries", name) for name in self.proposers]
         if self.crashes:
             found += [(f"{name} crashes", "crash", name) for name in self.names]
-        return found + [(f"{one[0]}>{one[1]} {one[2]}", "deliver", one) for one in sorted(self.network, key=repr)]
+        return found + [
+            (f"{one[0]}>{one[1]} {one[2]}", "deliver", one) for one in sorted(self.network, key=repr)
+        ]
 
     def tick(self, slow):
         self.ticks, self.lags = self.ticks - 1, self.lags - (slow is not None)
@@ -66,19 +87,29 @@
 
     def deliver(self, one):
         self.receive(*one)
-        self.network = {(sender, to, message) for sender, to, message in self.network if self.matters(to, message)}
+        self.network = {
+            (sender, to, message) for sender, to, message in self.network if self.matters(to, message)
+        }
 
     def matters(self, to, message):
-        """Whether it can still do anything: others are dropped, which changes nothing and halves the states."""
+        """Whether it can still do anything: others are dropped, which changes nothing and halves the
+        states.
+        """
         if isinstance(message, (Prepare, Propose)):
             return message.ballot >= self.acceptors[to].promised
-        return message.ballot == self.proposers[to].trying and self.proposers[to].proposed == isinstance(message, Accepted)
+        return message.ballot == self.proposers[to].trying and self.proposers[to].proposed == isinstance(
+            message, Accepted
+        )
 
     def receive(self, sender, to, message):
         now = self.clock[to]
         if isinstance(message, (Prepare, Propose)):
             acceptor = self.acceptors[to]
-            answer = acceptor.on_prepare(now, message) if isinstance(message, Prepare) else acceptor.on_propose(now, message, sender)
+            answer = (
+                acceptor.on_prepare(now, message)
+                if isinstance(message, Prepare)
+                else acceptor.on_propose(now, message, sender)
+            )
             if answer is not None:
                 if sender == to:
                     self.receive(to, to, answer)
--- a/embertray/measure/models/loans.py
+++ b/embertray/measure/models/loans.py
@@ -1,4 +1,5 @@
 """What is lent, in every order of events."""
+
 from ...fleet.limits.holder import Holder
 from ...fleet.limits.ledger import Ledger
 from ...fleet.limits.messages import Ask, Grant
@@ -7,12 +8,25 @@
 
 
 class LoansModel:
-    """One keeper, members x and y with a proxy each, a limit of two units, no floors. Asks and grants are lost, repeated, delayed; x may stand
-    still and wake, or crash and start anew; its proxy may move to y. Property: the proxies never act on more than two units together."""
+    """One keeper, members x and y with a proxy each, a limit of two units, no floors. Asks and grants are
+    lost, repeated, delayed; x may stand still and wake, or crash and start anew; its proxy may move to y.
+    Property: the proxies never act on more than two units together."""
 
     def __init__(self, asks=2, ticks=4, breaks=1, moves=1, holder=Holder, ledger=Ledger, pace=Ticks):
-        self.pace, self.make, self.now, self.asks, self.ticks = pace, holder, 10, {"x": asks, "y": asks}, ticks
-        self.breaks, self.moving, self.still, self.lives, self.learns = breaks, moves, False, {"x": 1, "y": 1}, []
+        self.pace, self.make, self.now, self.asks, self.ticks = (
+            pace,
+            holder,
+            10,
+            {"x": asks, "y": asks},
+            ticks,
+        )
+        self.breaks, self.moving, self.still, self.lives, self.learns = (
+            breaks,
+            moves,
+            False,
+            {"x": 1, "y": 1},
+            [],
+        )
         self.ledger = ledger(["x", "y"], {"l": 2}, {"l": 0}, pace, 10)
         self.holders = {name: holder(name, {"l": 0}, pace, 1 << 8) for name in "xy"}
         self.home, self.parts, self.network = {"p": "x", "q": "y"}, {"p": 0, "q": 0}, []
@@ -29,16 +43,48 @@
         other.ledger.lines = {}
         for name, line in self.ledger.lines.items():
             mine = other.ledger.lines[name] = type(line)()
-            mine.ask, mine.at, mine.grants, mine.ghosts = line.ask, line.at, line.grants.copy(), line.ghosts.copy()
+            mine.ask, mine.at, mine.grants, mine.ghosts = (
+                line.ask,
+                line.at,
+                line.grants.copy(),
+                line.ghosts.copy(),
+            )
         return other
 
     def key(self):
-        lines = tuple((row.ask and (row.ask.life, row.ask.seq), row.at, repr(row.grants), tuple((g[0].seq, g[2]) for g in row.ghosts))
-                      for row in self.ledger.lines.values())
-        holders = tuple((h.seq, h.applied, h.until, repr((h.loan, h.may, h.sent, h.here, sorted(h.acted), h.away, h.heard, list(h.listed))))
-                        for h in self.holders.values())
-        return (self.now, tuple(self.asks.values()), self.ticks, self.breaks, self.moving, self.still, repr(self.learns), tuple(self.lives.values()),
-                tuple(self.home.values()), tuple(self.parts.values()), frozenset(text for *_, text in self.network), lines, holders)
+        lines = tuple(
+            (
+                row.ask and (row.ask.life, row.ask.seq),
+                row.at,
+                repr(row.grants),
+                tuple((g[0].seq, g[2]) for g in row.ghosts),
+            )
+            for row in self.ledger.lines.values()
+        )
+        holders = tuple(
+            (
+                h.seq,
+                h.applied,
+                h.until,
+                repr((h.loan, h.may, h.sent, h.here, sorted(h.acted), h.away, h.heard, list(h.listed))),
+            )
+            for h in self.holders.values()
+        )
+        return (
+            self.now,
+            tuple(self.asks.values()),
+            self.ticks,
+            self.breaks,
+            self.moving,
+            self.still,
+            repr(self.learns),
+            tuple(self.lives.values()),
+            tuple(self.home.values()),
+            tuple(self.parts.values()),
+            frozenset(text for *_, text in self.network),
+            lines,
+            holders,
+        )
 
     def moves(self):
         found = [("tick", "tick")] if self.ticks else []
@@ -54,7 +100,7 @@
             if to in ("keeper", *awake):
                 found.append((f"{sender}>{to} {type(message).__name__} {message.seq & 255}", "deliver", n))
         for name in awake:
-            for limit, px, units in self.holders[name].orders(self.now):
+            for _limit, px, units in self.holders[name].orders(self.now):
                 found.append((f"{name} tells {px} {units}", "push", name))
                 break
         return found
--- a/embertray/measure/models/ticks.py
+++ b/embertray/measure/models/ticks.py
@@ -3,4 +3,5 @@
 
 class Ticks:
     """A pace in whole ticks."""
+
     term, outer, period = 2, 3, 1
--- a/embertray/measure/news.py
+++ b/embertray/measure/news.py
@@ -1,5 +1,6 @@
-"""`python -m embertray.measure.news [PROXIES ...]`: from the inventory's news of a drain to each proxy's socket, over
-loopback, beside a bare loop that writes the same bytes to as many sockets in the same run."""
+"""`python -m embertray.measure.news [PROXIES ...]`: from the inventory's news of a drain to each proxy's
+socket, over loopback, beside a bare loop that writes the same bytes to as many sockets in the same run."""
+
 import subprocess
 import sys
 import time
@@ -35,8 +36,12 @@
 
 
 async def bare(count, size):
-    program = subprocess.Popen([sys.executable, "-c", BARE, str(count), str(size)], text=True,
-                               stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+    program = subprocess.Popen(
+        [sys.executable, "-c", BARE, str(count), str(size)],
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+    )
     port = int(await anyio.to_thread.run_sync(program.stdout.readline))
     took = []
 
@@ -48,6 +53,7 @@
                     took.append(time.monotonic_ns() - int.from_bytes(data[:8], "big"))
             except anyio.EndOfStream:
                 pass
+
     async with anyio.create_task_group() as group:
         for _ in range(count):
             group.start_soon(peer)
@@ -62,6 +68,7 @@
         if gone and any(getattr(do, "weight", 1) == 0 and do.backend == gone for do in orders.do):
             seen.append(now - told)
             sizes.append(size)
+
     async with controller(BACKENDS, proxies, saw) as (inventory, names, _, _, result):
         for n in range(ROUNDS):
             gone, told, wanted = names[n], time.monotonic_ns(), len(seen) + proxies
@@ -71,11 +78,15 @@
                     await anyio.sleep(0.05)
             await anyio.sleep(0.6)
     loop = await bare(proxies, max(16, part(sizes, 0.5)))
-    print(f"| {proxies} | {len(seen)} of {ROUNDS * proxies} | {ms(seen, 0.5)} | {ms(seen, 0.99)} | {ms(seen, 1)} | "
-          f"{ms(loop, 0.5)} | {ms(loop, 0.99)} | {ms(loop, 1)} | {part(seen, 1) / part(loop, 1):.1f} | "
-          f"{result['bound_s']:.2f} | {(result['joined_kib'] - result['idle_kib']) / proxies:.1f} | "
-          f"{result['module']:.2f} / {result['codec']:.2f} / {result['cpu'] - result['module'] - result['codec']:.2f} |",
-          flush=True)
+    print(
+        f"| {proxies} | {len(seen)} of {ROUNDS * proxies} | {ms(seen, 0.5)} | {ms(seen, 0.99)} | "
+        f"{ms(seen, 1)} | "
+        f"{ms(loop, 0.5)} | {ms(loop, 0.99)} | {ms(loop, 1)} | {part(seen, 1) / part(loop, 1):.1f} | "
+        f"{result['bound_s']:.2f} | {(result['joined_kib'] - result['idle_kib']) / proxies:.1f} | "
+        f"{result['module']:.2f} / {result['codec']:.2f} / "
+        f"{result['cpu'] - result['module'] - result['codec']:.2f} |",
+        flush=True,
+    )
 
 
 def ms(values, share):
@@ -83,7 +94,10 @@
 
 
 if __name__ == "__main__":
-    print("| proxies | told | p50 ms | p99 ms | max ms | bare p50 | bare p99 | bare max | max / bare max | all bound s | "
-          "KiB a proxy | CPU s: module / codec / transport |\n" + "| --- " * 12 + "|")
+    print(
+        "| proxies | told | p50 ms | p99 ms | max ms | bare p50 | bare p99 | bare max | max / bare "
+        "max | all bound s | "
+        "KiB a proxy | CPU s: module / codec / transport |\n" + "| --- " * 12 + "|"
+    )
     for size in map(int, sys.argv[1:] or ["150", "1000"]):
         anyio.run(measure, size, backend_options={"use_uvloop": True})
--- a/embertray/measure/pauses.py
+++ b/embertray/measure/pauses.py
@@ -1,16 +1,26 @@
-"""`python -m embertray.measure.pauses`: the garbage collector's longest pause at 1,000 proxies, three ways of setting it."""
+"""`python -m embertray.measure.pauses`: the garbage collector's longest pause at 1,000 proxies, three ways of
+setting it.
+"""
+
 import gc
 import time
 
 from ..core import Instance
 from ..emulator import churn
 
-WAYS = {"as Python sets it": None, "gc.freeze once all have joined": "freeze",
-        "thresholds 50,000/20/100": (50_000, 20, 100)}
+WAYS = {
+    "as Python sets it": None,
+    "gc.freeze once all have joined": "freeze",
+    "thresholds 50,000/20/100": (50_000, 20, 100),
+}
 
 
 def main():
-    print("| way | collections | longest pause ms | of the oldest generation | total ms a virtual minute |\n" + "| --- " * 5 + "|")
+    print(
+        "| way | collections | longest pause ms | of the oldest generation | total ms a virtual minute |\n"
+        + "| --- " * 5
+        + "|"
+    )
     for name, way in WAYS.items():
         pauses, began = [], [0.0]
 
@@ -33,13 +43,17 @@
                         gc.set_threshold(*way)
                     gc.callbacks.append(watch)
                 return super().advance(now)
+
         churn.virtual(churn.Plan(proxies=1000, hours=45 / 3600), 1, Set)
         gc.callbacks.remove(watch)
         gc.unfreeze()
         gc.set_threshold(700, 10, 10)
         oldest = [p for p, g in pauses if g == 2]
-        print(f"| {name} | {len(pauses)} | {max(p for p, _ in pauses) * 1000:.1f} | {len(oldest)} | "
-              f"{sum(p for p, _ in pauses) * 2000:.0f} |", flush=True)
+        print(
+            f"| {name} | {len(pauses)} | {max(p for p, _ in pauses) * 1000:.1f} | {len(oldest)} | "
+            f"{sum(p for p, _ in pauses) * 2000:.0f} |",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/embertray/measure/recorded.py
+++ b/embertray/measure/recorded.py
@@ -1,7 +1,9 @@
-"""Streams of events as modules were given them, to be played again: a change that must decide nothing else gives the
-same orders, byte for byte. `python -m embertray.measure.recorded record DAY --out FILE` plays a day without streams,
-`... crowd --out FILE` a fleet of hundreds that all joins at once, `... orders FILE` prints all orders, `... check FILE`
-their digest beside the recorded one. A file: zstandard of JSON rows, one for each step."""
+"""Streams of events as modules were given them, to be played again: a change that must decide nothing else
+gives the same orders, byte for byte. `python -m embertray.measure.recorded record DAY --out FILE` plays a day
+without streams, `... crowd --out FILE` a fleet of hundreds that all joins at once, `... orders FILE` prints
+all orders, `... check FILE` their digest beside the recorded one. A file: zstandard of JSON rows, one for
+each step."""
+
 import dataclasses
 import hashlib
 import sys
@@ -34,8 +36,9 @@
                 self.things[name, n] = thing
             return {"at": self.numbers[thing]}
         if dataclasses.is_dataclass(thing):
-            return {"of": type(thing).__name__} | {field.name: self.row(getattr(thing, field.name))
-                                                   for field in dataclasses.fields(thing)}
+            return {"of": type(thing).__name__} | {
+                field.name: self.row(getattr(thing, field.name)) for field in dataclasses.fields(thing)
+            }
         if isinstance(thing, (list, tuple)):
             return [self.row(one) for one in thing]
         return thing
@@ -56,7 +59,10 @@
 
     def start(self, seed, site, now):
         """A start's row; request kinds stand there whole, later by number."""
-        kinds = [[kind.response_target, kind.client_timeout, kind.credit, kind.again, kind.group] for kind in site.kinds]
+        kinds = [
+            [kind.response_target, kind.client_timeout, kind.credit, kind.again, kind.group]
+            for kind in site.kinds
+        ]
         return {"seed": seed, "now": now, "kinds": kinds, "site": self.row(site)}
 
     def begin(self, row):
@@ -81,8 +87,9 @@
         def recorded(now, events):
             rows.append([now, names.row(events)])
             orders = step(now, events)
-            names.row(orders)               # numbers its tables and marks
+            names.row(orders)  # numbers its tables and marks
             return orders
+
         module.step = recorded
         return module
 
@@ -101,23 +108,26 @@
 
 
 def crowd(made, backends=100, proxies=400):
-    """All proxies come at once in the middle of a replacement, with sums of what they meet; then 30 s of it."""
+    """All proxies come at once in the middle of a replacement, with sums of what they meet; then 30 s of
+    it.
+    """
     from ..standin.fleet import Fleet
+
     fleet = Fleet(made, backends, proxies)
     fleet.run(11 * S)
     kinds = fleet.site.kinds
     for second in range(30):
         if second < 4:
-            fleet.join(fleet.pxs[second::4], lambda px: fleet.bes[px.door % 5 * 20:][:20])
+            fleet.join(fleet.pxs[second::4], lambda px: fleet.bes[px.door % 5 * 20 :][:20])
         if second in (3, 5, 7):
-            fleet.list("changes", fleet.bes[second * 10 - 30:][:20], "draining")
+            fleet.list("changes", fleet.bes[second * 10 - 30 :][:20], "draining")
             new = [i.Backend(f"be-{1000 + second * 20 + k}") for k in range(20)]
             fleet.list("changes", new, "ready", fleet.now)
-        for n, be in enumerate(fleet.bes[second % 2::2]):
+        for n, be in enumerate(fleet.bes[second % 2 :: 2]):
             bad = 9 if n % 11 == 0 and second > 12 else 0
             slow = (250 + 40 * (n % 7) + (600 if 15 < second < 24 else 0)) * MS
             fleet.todo.append(i.Heard(be, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5}))
-        for px in fleet.pxs[second % 4::4]:
+        for px in fleet.pxs[second % 4 :: 4]:
             fleet.todo.append(i.Arrivals(px, kinds[px.door % 2], 2 + px.door % 3, 0, 2 * S))
         fleet.run(fleet.now + S)
 
@@ -125,6 +135,7 @@
 def day(name, made, seed=1):
     from ..days import notation
     from ..emulator.play import play
+
     with mock.patch("embertray.drive.drive.Controller", made):
         play(notation.load(name), seed, "reqs")
 
@@ -176,7 +187,9 @@
         for stream in load(file)["streams"]:
             found = digest(stream["rows"])
             same = same and found == stream["digest"]
-            click.echo(f"{file}: {len(stream['rows'])} steps: {'same' if found == stream['digest'] else 'OTHER'}")
+            click.echo(
+                f"{file}: {len(stream['rows'])} steps: {'same' if found == stream['digest'] else 'OTHER'}"
+            )
     sys.exit(0 if same else 1)
 
 
--- a/embertray/measure/snapshots.py
+++ b/embertray/measure/snapshots.py
@@ -1,4 +1,7 @@
-"""`python -m embertray.measure.snapshots [FOLDER]`: cost of a snapshot's write and read by the number of backends."""
+"""`python -m embertray.measure.snapshots [FOLDER]`: cost of a snapshot's write and read by the number of
+backends.
+"""
+
 import sys
 import tempfile
 import time
@@ -12,10 +15,23 @@
 
 def main():
     rng = np.random.default_rng(1)
-    print("| backends | bytes | as msgpack | write p50 ms | p99 ms | without fsync p50 ms | read p50 ms |\n" + "| --- " * 7 + "|")
+    print(
+        "| backends | bytes | as msgpack | write p50 ms | p99 ms | without fsync p50 ms | read p50 ms |\n"
+        + "| --- " * 7
+        + "|"
+    )
     for count in (92, 1000, 10_000):
-        entries = [KeptEntry(f"127.{rng.integers(256)}.{rng.integers(256)}.{rng.integers(1, 255)}:{rng.integers(1024, 65536)}",
-                             f"zone-{n % 3}", "ready", int(rng.integers(2**40)), 1_764_000_000_000_000_000) for n in range(count)]
+        entries = [
+            KeptEntry(
+                f"127.{rng.integers(256)}.{rng.integers(256)}.{rng.integers(1, 255)}"
+                f":{rng.integers(1024, 65536)}",
+                f"zone-{n % 3}",
+                "ready",
+                int(rng.integers(2**40)),
+                1_764_000_000_000_000_000,
+            )
+            for n in range(count)
+        ]
         snapshot = Snapshot(7, 5, 1_764_000_000_000_000_000, "boot", 1, entries)
         with tempfile.TemporaryDirectory(dir=sys.argv[1] if len(sys.argv) > 1 else None) as folder:
             kept = Kept(folder)
@@ -32,8 +48,12 @@
                 kept.load()
                 reads.append(time.perf_counter() - began)
             size = kept.store.path(kept.store.numbers()[-1]).stat().st_size
-        print(f"| {count} | {size} | {len(msgspec.msgpack.encode(snapshot))} | {part(writes, 0.5) * 1000:.2f} | "
-              f"{part(writes, 0.99) * 1000:.2f} | {part(quick, 0.5) * 1000:.2f} | {part(reads, 0.5) * 1000:.2f} |")
+        print(
+            f"| {count} | {size} | {len(msgspec.msgpack.encode(snapshot))} | "
+            f"{part(writes, 0.5) * 1000:.2f} | "
+            f"{part(writes, 0.99) * 1000:.2f} | {part(quick, 0.5) * 1000:.2f} | "
+            f"{part(reads, 0.5) * 1000:.2f} |"
+        )
 
 
 if __name__ == "__main__":
--- a/embertray/measure/steady.py
+++ b/embertray/measure/steady.py
@@ -1,4 +1,7 @@
-"""`python -m embertray.measure.steady [BACKENDSxPROXIES ...]`: CPU a second of one controller with reports flowing."""
+"""`python -m embertray.measure.steady [BACKENDSxPROXIES ...]`: CPU a second of one controller with reports
+flowing.
+"""
+
 import sys
 
 import anyio
@@ -16,19 +19,26 @@
             until = anyio.current_time() + 1
             for k, px in enumerate(fleet):
                 await px.sums(names, ["view", "post"])
-                if k % 20 == 19:            # spread over the second as clocks do
+                if k % 20 == 19:  # spread over the second as clocks do
                     await anyio.sleep(max(0.0, until - anyio.current_time()) * 20 / (len(fleet) - k + 20))
             await anyio.sleep(max(0.0, until - anyio.current_time()))
             if n >= 3:
                 used.append(cpu(pid) - before)
         memory = kib(pid)
     total = result["cpu"]
-    print(f"| {backends} x {proxies} | {part(used, 0.5) * 1000:.0f} | {max(used) * 1000:.0f} | "
-          f"{result['module'] / total:.0%} / {result['codec'] / total:.0%} / "
-          f"{1 - (result['module'] + result['codec']) / total:.0%} | {memory / 1024:.0f} |", flush=True)
+    print(
+        f"| {backends} x {proxies} | {part(used, 0.5) * 1000:.0f} | {max(used) * 1000:.0f} | "
+        f"{result['module'] / total:.0%} / {result['codec'] / total:.0%} / "
+        f"{1 - (result['module'] + result['codec']) / total:.0%} | {memory / 1024:.0f} |",
+        flush=True,
+    )
 
 
 if __name__ == "__main__":
-    print("| backends x proxies | CPU ms a second, median | most | module / codec / rest | MiB |\n" + "| --- " * 5 + "|")
+    print(
+        "| backends x proxies | CPU ms a second, median | most | module / codec / rest | MiB |\n"
+        + "| --- " * 5
+        + "|"
+    )
     for size in sys.argv[1:] or ["25x40", "90x150", "300x500"]:
         anyio.run(measure, *map(int, size.split("x")), backend_options={"use_uvloop": True})
--- a/embertray/measure/timed.py
+++ b/embertray/measure/timed.py
@@ -1,5 +1,6 @@
-"""`python -m embertray.measure.timed SITE.xml CONTROLLER`: serves as `embertray serve` does, and at its end prints how
-much CPU went into the module, the codec and the rest, as one JSON line on standard output."""
+"""`python -m embertray.measure.timed SITE.xml CONTROLLER`: serves as `embertray serve` does, and at its end
+prints how much CPU went into the module, the codec and the rest, as one JSON line on standard output."""
+
 import json
 import resource
 import signal
@@ -30,11 +31,14 @@
                 return what(*args)
             finally:
                 self.by[part] += time.perf_counter() - began
+
         return timed
 
 
 async def run(site, name):
-    service = Service(site, site.controller(name), LoopClock(), TcpNet(), KeptInMemory(), 1, lambda: 0.5, quiet())
+    service = Service(
+        site, site.controller(name), LoopClock(), TcpNet(), KeptInMemory(), 1, lambda: 0.5, quiet()
+    )
 
     class Status:
         @staticmethod
@@ -45,6 +49,7 @@
         with anyio.open_signal_receiver(signal.SIGTERM) as signals:
             async for _ in signals:
                 service.stop()
+
     async with anyio.create_task_group() as group:
         group.start_soon(stop)
         await service.run(task_status=Status)
@@ -58,7 +63,9 @@
     ControllerEnd.receive = spent.timing("codec", ControllerEnd.receive)
     anyio.run(run, site, sys.argv[2], backend_options={"use_uvloop": True})
     used = resource.getrusage(resource.RUSAGE_SELF)
-    print(json.dumps({**spent.by, "cpu": used.ru_utime + used.ru_stime, "peak_kib": used.ru_maxrss}), flush=True)
+    print(
+        json.dumps({**spent.by, "cpu": used.ru_utime + used.ru_stime, "peak_kib": used.ru_maxrss}), flush=True
+    )
 
 
 if __name__ == "__main__":
--- a/embertray/measure/wounds.py
+++ b/embertray/measure/wounds.py
@@ -1,6 +1,8 @@
-"""`python -m embertray.measure.wounds`: true processes on loopback with the rig's links between them; kills, stops and splits, one after the
-other. Times in periods (the table) from the wound until every process says what holds, and from its end until all are alive at all again;
-the greatest age of what is told, against the bound, looked at after each. Prints a Markdown table."""
+"""`python -m embertray.measure.wounds`: true processes on loopback with the rig's links between them; kills,
+stops and splits, one after the other. Times in periods (the table) from the wound until every process says
+what holds, and from its end until all are alive at all again; the greatest age of what is told, against the
+bound, looked at after each. Prints a Markdown table."""
+
 import tempfile
 import time
 
@@ -26,11 +28,14 @@
 
 def split(site, n):
     half = len(site.names) // 2
-    order = site.names[n % len(site.names):] + site.names[:n % len(site.names)]
+    order = site.names[n % len(site.names) :] + site.names[: n % len(site.names)]
     one, other = order[:half], order[half:]
     site.ways.split(one, other)
-    yield lambda: all(site.states(name) == {m: "alive" if (m in one) == (name in one) else "dead" for m in site.names if m != name}
-                      for name in site.names)
+    yield lambda: all(
+        site.states(name)
+        == {m: "alive" if (m in one) == (name in one) else "dead" for m in site.names if m != name}
+        for name in site.names
+    )
     site.ways.heal()
 
 
@@ -54,9 +59,18 @@
 @click.command()
 @click.option("--members", default=4, show_default=True)
 @click.option("--times", default=50, show_default=True)
-@click.option("--wound", "only", type=click.Choice(["kill", "stop", "split"]), multiple=True, default=["kill", "stop", "split"])
+@click.option(
+    "--wound",
+    "only",
+    type=click.Choice(["kill", "stop", "split"]),
+    multiple=True,
+    default=["kill", "stop", "split"],
+)
 def main(members, times, only):
-    click.echo("| wound | times | seen by all: p50 | p99 | max | whole again: p50 | p99 | max | greatest age of the bound |")
+    click.echo(
+        "| wound | times | seen by all: p50 | p99 | max | whole again: p50 | p99 | max | greatest "
+        "age of the bound |"
+    )
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for name in only:
         with tempfile.TemporaryDirectory() as folder:
@@ -67,8 +81,13 @@
                     await group.start(site.ways.run)
                     for one in site.names:
                         site.up(one)
-                    found.append(await anyio.to_thread.run_sync(play, site, {"kill": kill, "stop": stop, "split": split}[name], times))
+                    found.append(
+                        await anyio.to_thread.run_sync(
+                            play, site, {"kill": kill, "stop": stop, "split": split}[name], times
+                        )
+                    )
                     group.cancel_scope.cancel()
+
             try:
                 anyio.run(run)
             finally:
@@ -78,7 +97,12 @@
         def at(part, column):
             ranked = sorted(row[column] for row in rows)
             return f"{ranked[min(len(ranked) - 1, int(part * len(ranked)))] * 1000 / PERIOD:.1f}"
-        click.echo(f"| {name} | {len(rows)} | " + " | ".join(at(p, c) for c in (0, 1) for p in (0.5, 0.99, 1.0)) + f" | {worst:.2f} |")
+
+        click.echo(
+            f"| {name} | {len(rows)} | "
+            + " | ".join(at(p, c) for c in (0, 1) for p in (0.5, 0.99, 1.0))
+            + f" | {worst:.2f} |"
+        )
 
 
 if __name__ == "__main__":
--- a/embertray/memory/accounts.py
+++ b/embertray/memory/accounts.py
@@ -1,8 +1,10 @@
-"""The accounts: for each purpose what it holds, its peak, its cap, what was done at the cap and how often; no I/O.
+"""The accounts: for each purpose what it holds, its peak, its cap, what was done at the cap and how often; no
+I/O.
 
-Each `look` counts entries (cheap) and weighs the shelves of one purpose in turn (an exact walk over a sample), so that
-bytes an entry takes are never older than one round over the purposes.
+Each `look` counts entries (cheap) and weighs the shelves of one purpose in turn (an exact walk over a
+sample), so that bytes an entry takes are never older than one round over the purposes.
 """
+
 from dataclasses import dataclass, field
 
 from .caps import ACTIONS, JITTER, LEAVE, NOTICE, QUIET, WAIT, Verdict
@@ -10,9 +12,9 @@
 
 S = 10**9
 # -- constants: value, unit, reason
-LOOK = S                # ns between looks: nothing here grows by a cap's tenth in a second
-FULL = 16 * S           # ns in which every purpose is weighed once
-USUAL = 60              # looks that the usual size is a mean over, the newest the heaviest: what waits comes and goes
+LOOK = S  # ns between looks: nothing here grows by a cap's tenth in a second
+FULL = 16 * S  # ns in which every purpose is weighed once
+USUAL = 60  # looks that the usual size is a mean over, the newest the heaviest: what waits comes and goes
 
 
 @dataclass
@@ -23,11 +25,11 @@
     bytes: int = 0
     peak: int = 0
     usual: float = 0.0
-    acts: int = 0                       # looks at which the cap acted
-    done: int = 0                       # what was done then: lines dropped, joins turned away, streams cut, ...
+    acts: int = 0  # looks at which the cap acted
+    done: int = 0  # what was done then: lines dropped, joins turned away, streams cut, ...
     acting: bool = False
     near: bool = False
-    each: dict = field(default_factory=dict)        # shelf -> bytes an entry
+    each: dict = field(default_factory=dict)  # shelf -> bytes an entry
 
     @property
     def action(self):
@@ -54,8 +56,8 @@
         self.chance, self.next_look, self.turn, self.notices = chance, 0, 0, []
 
     def look(self, now, shelves):
-        """`shelves()`: purpose -> list of Shelf. Verdicts of the purposes whose caps act now; `notices` gets a line
-        for each that passes NOTICE of its cap, reaches it, or is below again."""
+        """`shelves()`: purpose -> list of Shelf. Verdicts of the purposes whose caps act now; `notices` gets
+        a line for each that passes NOTICE of its cap, reaches it, or is below again."""
         if now < self.next_look:
             return []
         self.next_look, found, verdicts = now + LOOK, shelves(), []
@@ -93,8 +95,8 @@
         return any(self.by[purpose].acting for purpose in purposes)
 
     def turn_away(self):
-        """ns that a proxy is asked to stay away, or None when joins are taken. By chance, so that those turned away
-        together do not come back together."""
+        """ns that a proxy is asked to stay away, or None when joins are taken. By chance, so that those
+        turned away together do not come back together."""
         for purpose in ("streams", "names"):
             if self.by[purpose].acting:
                 self.by[purpose].done += 1
@@ -103,5 +105,18 @@
 
     def table(self):
         """Rows for people and metrics."""
-        return [{"purpose": a.purpose, "entries": a.entries, "bytes": a.bytes, "usual": int(a.usual), "peak": a.peak, "cap": a.cap,
-                 "action": a.action, "acting": a.acting, "acts": a.acts, "done": a.done} for a in self.by.values()]
+        return [
+            {
+                "purpose": a.purpose,
+                "entries": a.entries,
+                "bytes": a.bytes,
+                "usual": int(a.usual),
+                "peak": a.peak,
+                "cap": a.cap,
+                "action": a.action,
+                "acting": a.acting,
+                "acts": a.acts,
+                "done": a.done,
+            }
+            for a in self.by.values()
+        ]
--- a/embertray/memory/caps.py
+++ b/embertray/memory/caps.py
@@ -1,43 +1,57 @@
 """What each purpose may take, and what is done at its cap; decisions, no I/O.
 
-A cap follows from the fleet's size as the site names it, times HEADROOM, so that a fleet of twice that size is served
-without any action. Each action keeps the five rules: removals always pass, no line that is there is taken away.
+A cap follows from the fleet's size as the site names it, times HEADROOM, so that a fleet of twice that size
+is served without any action. Each action keeps the five rules: removals always pass, no line that is there is
+taken away.
 
 | purpose | at the cap | why this |
 | --- | --- | --- |
-| tables, list | who is remembered as gone is forgotten, new backends wait; the list is asked for whole again when there is room | what is there serves on; what is gone leaves |
-| reports | the oldest waiting lines are dropped and counted | the newest tell more; counts of dropped lines are shown |
-| channel | the proxy with the most lines waiting is cut | the others get theirs; it is bound anew when it is back |
-| streams, names | joins are turned away, with a time to come back | who is there is served |
-| probes | probes are skipped | they are extra: sums tell the same, later |
-| cluster (where the site has one) | what others tell anew is left out, what is held is renewed | it comes again with the next exchange once there is room |
+| tables, list | who is remembered as gone is forgotten, new backends wait; the list is asked for whole again
+when there is room | what is there serves on; what is gone leaves | | reports | the oldest waiting lines are
+dropped and counted | the newest tell more; counts of dropped lines are shown | | channel | the proxy with the
+most lines waiting is cut | the others get theirs; it is bound anew when it is back | | streams, names | joins
+are turned away, with a time to come back | who is there is served | | probes | probes are skipped | they are
+extra: sums tell the same, later | | cluster (where the site has one) | what others tell anew is left out,
+what is held is renewed | it comes again with the next exchange once there is room |
 """
+
 from collections import namedtuple
 
 S, KIB, MIB = 10**9, 1024, 1024 * 1024
 # -- constants: value, unit, reason
-HEADROOM = 4            # x the named fleet: twice its size, and twice that for bursts
-LEAST = 1 * MIB         # bytes; a small fleet's caps are not worth acting on below
-A_PROXY = 24 * KIB      # bytes; a stream with its transport, queues and session, measured: 22 KiB
-A_NAME = 6 * KIB        # bytes; a proxy or backend as the module keeps it, without samples
-A_SAMPLE, SAMPLES = 300, 64     # bytes of one report as kept, and how many the module keeps of each
-A_LINE = 400            # bytes of a line in tables: as ordered, as wanted and as told
-A_WAITING = 200         # bytes of a line that waits in the channel, its share of the message included
-A_LISTED = 1 * KIB      # bytes of a list's entry: as held, its starts and its handle
-A_MEMBER = 4 * KIB      # bytes; a member with its statement, digests, probes and refusals that are counted by address
-PROBES = 256            # probes under way at most
-LEAVE = 0.9             # of the cap: an action ends below, so that it does not flap
-NOTICE, QUIET = 0.8, 0.7    # of the cap: said once above, and again only after it was below
-WAIT, JITTER = 5 * S, 10 * S    # ns; a turned away proxy comes back after so long, spread by chance: no storm
-
-COLLECT = (50_000, 20, 100)     # allocations and rounds of Python's collector: as Python sets it (700, 10, 10) it took 7
-#                         percent of the CPU and stood still for 163 ms at 1,000 proxies; so, 0.2 percent and 45 ms
-#                         (docs/measured/memory.md). What we make is freed by counts; cycles are few
-
-ACTIONS = {"tables": "hold", "list": "hold", "reports": "drop", "channel": "cut", "streams": "turn away",
-           "names": "turn away", "probes": "skip", "cluster": "leave out"}
-
-Verdict = namedtuple("Verdict", "purpose action excess")      # excess: bytes over what ends the action
+HEADROOM = 4  # x the named fleet: twice its size, and twice that for bursts
+LEAST = 1 * MIB  # bytes; a small fleet's caps are not worth acting on below
+A_PROXY = 24 * KIB  # bytes; a stream with its transport, queues and session, measured: 22 KiB
+A_NAME = 6 * KIB  # bytes; a proxy or backend as the module keeps it, without samples
+A_SAMPLE, SAMPLES = 300, 64  # bytes of one report as kept, and how many the module keeps of each
+A_LINE = 400  # bytes of a line in tables: as ordered, as wanted and as told
+A_WAITING = 200  # bytes of a line that waits in the channel, its share of the message included
+A_LISTED = 1 * KIB  # bytes of a list's entry: as held, its starts and its handle
+A_MEMBER = (
+    4 * KIB
+)  # bytes; a member with its statement, digests, probes and refusals that are counted by address
+PROBES = 256  # probes under way at most
+LEAVE = 0.9  # of the cap: an action ends below, so that it does not flap
+NOTICE, QUIET = 0.8, 0.7  # of the cap: said once above, and again only after it was below
+WAIT, JITTER = 5 * S, 10 * S  # ns; a turned away proxy comes back after so long, spread by chance: no storm
+
+# allocations and rounds of Python's collector: as Python sets it (700, 10, 10) it took 7 percent of the CPU
+# and stood still for 163 ms at 1,000 proxies; so, 0.2 percent and 45 ms (docs/measured/memory.md). What we
+# make is freed by counts; cycles are few
+COLLECT = (50_000, 20, 100)
+
+ACTIONS = {
+    "tables": "hold",
+    "list": "hold",
+    "reports": "drop",
+    "channel": "cut",
+    "streams": "turn away",
+    "names": "turn away",
+    "probes": "skip",
+    "cluster": "leave out",
+}
+
+Verdict = namedtuple("Verdict", "purpose action excess")  # excess: bytes over what ends the action
 
 
 def defaults(site):
@@ -45,9 +59,15 @@
     proxies, backends = max(16, site.proxies), max(16, site.backends)
     zones, kinds = len(site.zones), len(site.kinds)
     reports = (backends * (1 + zones) + proxies * kinds) * SAMPLES * A_SAMPLE
-    caps = {"tables": zones * backends * A_LINE + proxies * KIB, "list": backends * A_LISTED, "reports": reports,
-            "channel": int(site.pending_max * A_WAITING) + proxies * KIB, "streams": proxies * A_PROXY,
-            "names": (proxies + backends) * A_NAME, "probes": PROBES * KIB}
-    if site.cluster:        # twice the state: its cap counts bytes told, this one what holds them, too
+    caps = {
+        "tables": zones * backends * A_LINE + proxies * KIB,
+        "list": backends * A_LISTED,
+        "reports": reports,
+        "channel": int(site.pending_max * A_WAITING) + proxies * KIB,
+        "streams": proxies * A_PROXY,
+        "names": (proxies + backends) * A_NAME,
+        "probes": PROBES * KIB,
+    }
+    if site.cluster:  # twice the state: its cap counts bytes told, this one what holds them, too
         caps["cluster"] = (2 * site.cluster.state + len(site.controllers) * A_MEMBER) // HEADROOM
     return {purpose: max(LEAST, HEADROOM * size) for purpose, size in caps.items()}
--- a/embertray/memory/sizes.py
+++ b/embertray/memory/sizes.py
@@ -1,18 +1,20 @@
 """How many bytes things take: an exact walk over a sample of each shelf, times how many stand on it.
 
-sys.getsizeof of an object and of all that it alone leads to. A walk stops at what belongs to another shelf (types
-named in `stop`, attributes named in `skip`) and counts an object once. docs/design/memory.md compares other ways.
+sys.getsizeof of an object and of all that it alone leads to. A walk stops at what belongs to another shelf
+(types named in `stop`, attributes named in `skip`) and counts an object once. docs/design/memory.md compares
+other ways.
 """
+
 import sys
 from types import BuiltinFunctionType, FunctionType, MethodType, ModuleType
 
-SAMPLE = 48         # entries walked on a shelf: the mean of so many is within a few percent; more costs CPU
+SAMPLE = 48  # entries walked on a shelf: the mean of so many is within a few percent; more costs CPU
 NEVER = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType)
 
 
 class Shelf:
-    """What stands in one place: `count` entries, and how to get at them. `box`: the containers themselves, whose own
-    size (a dict's table) is charged whole."""
+    """What stands in one place: `count` entries, and how to get at them. `box`: the containers themselves,
+    whose own size (a dict's table) is charged whole."""
 
     __slots__ = ("name", "count", "entries", "box", "stop", "skip")
 
@@ -26,7 +28,7 @@
     seen, total, todo = set() if seen is None else seen, 0, [root]
     while todo:
         thing = todo.pop()
-        if id(thing) in seen or thing is None or isinstance(thing, bool) or isinstance(thing, stop):
+        if id(thing) in seen or thing is None or isinstance(thing, (bool, stop)):
             continue
         seen.add(id(thing))
         total += sys.getsizeof(thing)
@@ -46,7 +48,8 @@
                     if name not in skip and hasattr(thing, name) and name not in ("__dict__", "__weakref__"):
                         todo.append(getattr(thing, name))
             todo += getattr(thing, "__struct_fields__", ()) and [
-                getattr(thing, name) for name in thing.__struct_fields__ if name not in skip]
+                getattr(thing, name) for name in thing.__struct_fields__ if name not in skip
+            ]
     return total
 
 
--- a/embertray/model/backend.py
+++ b/embertray/model/backend.py
@@ -1,44 +1,53 @@
 """A backend: cores, a queue, a cold start, a cap on connections and its ways to fail; time in, verdicts out.
 
-Reqs wait in one queue and take a core each, or share all cores (`sharing`); one that starts cold works at a part of its
-speed that rises evenly, one that thrashes loses speed with what waits. Beyond the queue it answers `full` unseen; that
-is proof that the req never ran. `pour` is the same machine for a flow of reqs, `Pour` tells its verdict.
+Reqs wait in one queue and take a core each, or share all cores (`sharing`); one that starts cold works at a
+part of its speed that rises evenly, one that thrashes loses speed with what waits. Beyond the queue it
+answers `full` unseen; that is proof that the req never ran. `pour` is the same machine for a flow of reqs,
+`Pour` tells its verdict.
 """
+
 import heapq
 from collections import deque
 from dataclasses import dataclass, field
 
 S = 10**9
-SMOOTH = S              # ns over which a flow's load is averaged for its waits: some ten times its steps
+SMOOTH = S  # ns over which a flow's load is averaged for its waits: some ten times its steps
 
 
 @dataclass
 class Shape:
-    """What a machine is: `speed` is work done a second by a core; `queue` reqs may wait; `cap` connections."""
+    """What a machine is: `speed` is work done a second by a core; `queue` reqs may wait; `cap`
+    connections.
+    """
+
     cores: int = 2
     speed: float = 1.0
     queue: int = 24
     cap: int = 300
     cold_from: float = 0.2
     warm_after: int = 12 * S
-    connect_work: int = 2 * 10**6       # ns of work that a new connection costs
-    sharing: bool = False               # processor sharing: nothing waits, all run at once, slower
-    thrash: float = 0.0                 # part of its speed lost for each queue's length that waits
+    connect_work: int = 2 * 10**6  # ns of work that a new connection costs
+    sharing: bool = False  # processor sharing: nothing waits, all run at once, slower
+    thrash: float = 0.0  # part of its speed lost for each queue's length that waits
 
 
 @dataclass
 class Ills:
     """What is wrong with it now."""
-    slow: float = 1.0                   # x slower
-    hang: bool = False                  # takes work, answers nothing
-    fails: float = 0.0                  # share of reqs answered with an error at once
-    kinds: set = field(default_factory=set)     # request kinds that fail
-    lies: float = 1.0                   # x on its load reports
+
+    slow: float = 1.0  # x slower
+    hang: bool = False  # takes work, answers nothing
+    fails: float = 0.0  # share of reqs answered with an error at once
+    kinds: set = field(default_factory=set)  # request kinds that fail
+    lies: float = 1.0  # x on its load reports
 
 
 @dataclass
 class Pour:
-    """Of a flow in one span: parts done, answered `full`, and cut off by their time-outs; ns until the done were."""
+    """Of a flow in one span: parts done, answered `full`, and cut off by their time-outs; ns until the done
+    were.
+    """
+
     done: float
     full: float
     late: float
@@ -46,14 +55,16 @@
 
 
 class Backend:
-    """One process of it; `start` begins a new one. States: up, dead, silent (takes nothing, answers nothing)."""
+    """One process of it; `start` begins a new one. States: up, dead, silent (takes nothing, answers
+    nothing).
+    """
 
     def __init__(self, name, zone, shape):
         self.name, self.zone, self.shape, self.ills = name, zone, shape, Ills()
         self.state, self.started, self.count = "dead", 0, 0
-        self.queue, self.busy, self.conns = deque(), [], 0      # busy: a heap of (end, count, began, ident); with
-        self.served, self.served_at = 0.0, 0                    # sharing the end is in ns of core that each has had
-        self.waits = self.rho = 0.0                             # as a flow: ns of work that waits, how full it is
+        self.queue, self.busy, self.conns = deque(), [], 0  # busy: a heap of (end, count, began, ident); with
+        self.served, self.served_at = 0.0, 0  # sharing the end is in ns of core that each has had
+        self.waits = self.rho = 0.0  # as a flow: ns of work that waits, how full it is
         self.worked, self.looked, self.done, self.load = 0, 0, 0, {}
 
     def start(self, now, cold):
@@ -75,7 +86,9 @@
     def warmth(self, now):
         if not self.started or now - self.started >= self.shape.warm_after:
             return 1.0
-        return self.shape.cold_from + (1 - self.shape.cold_from) * (now - self.started) / self.shape.warm_after
+        return (
+            self.shape.cold_from + (1 - self.shape.cold_from) * (now - self.started) / self.shape.warm_after
+        )
 
     def capacity(self, now):
         """ns of work a ns that it can do now."""
@@ -100,8 +113,8 @@
         self.conns = max(0, self.conns - 1)
 
     def offer(self, now, ident, kind, work, until, draw=1.0):
-        """A req: 'full' or 'error' at once, or None: it waits or runs and `advance` gives its end. `until`: not
-        begun past this time; `draw`: a number from 0 to 1 by which a failing backend errs."""
+        """A req: 'full' or 'error' at once, or None: it waits or runs and `advance` gives its end. `until`:
+        not begun past this time; `draw`: a number from 0 to 1 by which a failing backend errs."""
         if kind in self.ills.kinds or draw < self.ills.fails:
             return "error"
         if self.shape.sharing:
@@ -180,8 +193,9 @@
     # ---- as a flow
 
     def pour(self, now, span, reqs, work, within):
-        """`reqs` come evenly in `span` ns, each of `work` ns, each given up after `within` ns. Their wait is what stood
-        before them, and that of M/M/c by Sakasegawa's approximation (1977) for as far as there is room."""
+        """`reqs` come evenly in `span` ns, each of `work` ns, each given up after `within` ns. Their wait is
+        what stood before them, and that of M/M/c by Sakasegawa's approximation (1977) for as far as there is
+        room."""
         if self.state != "up" or self.ills.hang:
             self.waits = 0.0
             return Pour(0.0, 0.0, 1.0, 0)
@@ -197,23 +211,28 @@
             self.waits = room
         self.rho += (came * work / (able * span) - self.rho) * min(1.0, span / SMOOTH)
         rho = min(0.98, self.rho)
-        wait = (before + self.waits) / 2 / able + service * rho ** ((2 * (cores + 1)) ** 0.5 - 1) / (cores * (1 - rho))
+        wait = (before + self.waits) / 2 / able + service * rho ** ((2 * (cores + 1)) ** 0.5 - 1) / (
+            cores * (1 - rho)
+        )
         late = 0.0
-        if wait > within:                   # given up before they begin: they wait in vain, and free the queue
+        if wait > within:  # given up before they begin: they wait in vain, and free the queue
             late = 1 - full
             self.waits = min(self.waits, within * able)
         taken = came * (1 - full)
         self.worked += int(min(taken * work, able * span) / max(1e-9, able / cores))
         self.done += taken
-        kept = (1 - self.ills.fails)
+        kept = 1 - self.ills.fails
         return Pour(kept * (1 - full - late), kept * full, kept * late, int(wait + service))
 
     def report(self, now):
         """Its load as it says: refreshed every half second, so late and averaged."""
         if now - self.looked >= S // 2:
             span = now - self.looked
-            running = 0 if self.shape.sharing else sum(
-                now - max(began, self.looked) for _, _, began, _ in self.busy if now > began)
+            running = (
+                0
+                if self.shape.sharing
+                else sum(now - max(began, self.looked) for _, _, began, _ in self.busy if now > began)
+            )
             busy = min(1.0, (self.worked + running) / (span * self.shape.cores))
             self.load = {"busy": round(busy * self.ills.lies, 4), "rate": round(self.done * S / span, 3)}
             self.looked, self.worked, self.done = now, 0, 0
--- a/embertray/model/chance.py
+++ b/embertray/model/chance.py
@@ -1,4 +1,5 @@
 """Random numbers: one seeded generator a purpose, so that changing one trouble does not redraw the others."""
+
 import zlib
 
 import numpy as np
--- a/embertray/model/client.py
+++ b/embertray/model/client.py
@@ -1,4 +1,7 @@
-"""The clients of one proxy without their sockets: what they ask, how long they wait, whether they ask again."""
+"""The clients of one proxy without their sockets: what they ask, how long they wait, whether they ask
+again.
+"""
+
 S = 10**9
 
 
@@ -12,7 +15,9 @@
 
 
 class Clients:
-    """`mix`: [(ReqKind, share, mean work ns)]. `retries` further tries, each about `wait` ns after the one before."""
+    """`mix`: [(ReqKind, share, mean work ns)]. `retries` further tries, each about `wait` ns after the one
+    before.
+    """
 
     def __init__(self, number, mix, rng, retries=1, wait=S // 5):
         self.number, self.mix, self.rng, self.retries, self.wait = number, mix, rng, retries, wait
@@ -22,11 +27,13 @@
     def draw(self, now):
         """A new req of a kind and work drawn from the mix."""
         draw = self.rng.random()
-        for kind, share, mean in self.mix:
+        for kind, share, mean in self.mix:  # noqa: B007 (used after the loop)
             draw -= share
             if draw < 0:
                 break
-        return self.ask(now, kind, int(mean * self.rng.gamma(4.0, 0.25)))       # mean 1, half as wide as it is high
+        return self.ask(
+            now, kind, int(mean * self.rng.gamma(4.0, 0.25))
+        )  # mean 1, half as wide as it is high
 
     def ask(self, now, kind, work):
         self.count += 1
@@ -44,9 +51,9 @@
         return left if ask.tries > self.retries else max(1, left // 2)
 
     def heard(self, now, ident, tries, how, stay=0):
-        """A try's end: done, denied (with the ns to `stay` away), error or timeout. None if that try is over; else (ask, verdict, ns): 'done' and
-        'late' with what it took, 'again' with the wait before the next try, 'lost'. Only what may run twice is sent
-        again, and what was denied: that never ran."""
+        """A try's end: done, denied (with the ns to `stay` away), error or timeout. None if that try is over;
+        else (ask, verdict, ns): 'done' and 'late' with what it took, 'again' with the wait before the next
+        try, 'lost'. Only what may run twice is sent again, and what was denied: that never ran."""
         ask = self.open.get(ident)
         if ask is None or ask.tries != tries:
             return None
--- a/embertray/model/inventory.py
+++ b/embertray/model/inventory.py
@@ -1,4 +1,5 @@
 """An inventory without its sockets: what is listed, since when, and what a call is answered. Times in ns."""
+
 from ..inventory.messages import Get, Listed, News
 
 
--- a/embertray/model/load.py
+++ b/embertray/model/load.py
@@ -1,14 +1,16 @@
 """Where reqs come from: each source tells when the next one comes. Times in ns, rates a second.
 
-`next(now, rng, until)` gives (when, kind, work): the first req after `now`; kind and work None where the clients' mix draws
-them; `when` None when none comes before `until`. Profiles (wave, flash, Bursts) are factors on a rate by time. A recorded
-source replays what a log tells: whoever reads HAR files or access logs gives it (when, kind, work) rows.
+`next(now, rng, until)` gives (when, kind, work): the first req after `now`; kind and work None where the
+clients' mix draws them; `when` None when none comes before `until`. Profiles (wave, flash, Bursts) are
+factors on a rate by time. A recorded source replays what a log tells: whoever reads HAR files or access logs
+gives it (when, kind, work) rows.
 """
+
 import math
 
 S = 10**9
 # -- constants: value, unit, reason
-LOOK = S // 10          # ns after which a source looks at its rate again
+LOOK = S // 10  # ns after which a source looks at its rate again
 
 
 def before(when, until):
@@ -16,7 +18,9 @@
 
 
 class Poisson:
-    """At `rate(now)`, which may change slowly: the gap is drawn at the rate that holds when the last one came."""
+    """At `rate(now)`, which may change slowly: the gap is drawn at the rate that holds when the last one
+    came.
+    """
 
     def __init__(self, rate):
         self.rate = rate
@@ -31,8 +35,8 @@
 
 
 class Varying:
-    """As Poisson, for a rate that changes within a gap: a gap longer than LOOK is drawn anew from there on, which changes
-    nothing at a steady rate (a Poisson process has no memory)."""
+    """As Poisson, for a rate that changes within a gap: a gap longer than LOOK is drawn anew from there on,
+    which changes nothing at a steady rate (a Poisson process has no memory)."""
 
     def __init__(self, rate):
         self.rate = rate
@@ -70,7 +74,10 @@
 
 
 def flash(times, at, up, hold, down):
-    """A flash crowd: from 1 to `times` within `up` ns from `at` on, held, and falling by halves each `down` ns."""
+    """A flash crowd: from 1 to `times` within `up` ns from `at` on, held, and falling by halves each `down`
+    ns.
+    """
+
     def factor(now):
         if now < at:
             return 1.0
@@ -79,12 +86,13 @@
         if now < at + up + hold:
             return times
         return 1 + (times - 1) * 0.5 ** ((now - at - up - hold) / down)
+
     return factor
 
 
 class Bursts:
-    """A Markov chain of two states, calm and burst, that last so long on average (ns): in a burst `times` the calm rate.
-    The mean factor is 1. With a Poisson source this is an MMPP. Ask it in the order of time."""
+    """A Markov chain of two states, calm and burst, that last so long on average (ns): in a burst `times` the
+    calm rate. The mean factor is 1. With a Poisson source this is an MMPP. Ask it in the order of time."""
 
     def __init__(self, times, calm_lasts, burst_lasts, rng, zero=0):
         calm = (calm_lasts + burst_lasts) / (calm_lasts + times * burst_lasts)
