--- a/embertray/model/proxy.py
+++ b/embertray/model/proxy.py
@@ -1,9 +1,11 @@
-"""A plain proxy without its sockets: it does what its tables say, and nothing else. Time and events in, verdicts out.
+"""A plain proxy without its sockets: it does what its tables say, and nothing else. Time and events in,
+verdicts out.
 
-It picks a line by weight, tries again only as its levels say, and counts what it met for its sums. It judges no backend,
-except that it may eject one for a while after a run of its own failures, where the site says so. The stand-in carries
-its verdicts over sockets, the emulator through an event heap.
+It picks a line by weight, tries again only as its levels say, and counts what it met for its sums. It judges
+no backend, except that it may eject one for a while after a run of its own failures, where the site says so.
+The stand-in carries its verdicts over sockets, the emulator through an event heap.
 """
+
 from bisect import bisect
 from itertools import accumulate
 
@@ -13,11 +15,13 @@
 from ..stream.messages import Came, Met, Sums
 
 S = 10**9
-EJECT = 3 * S               # ns that an ejected backend is left alone
+EJECT = 3 * S  # ns that an ejected backend is left alone
 
 
 class StandsStill:
-    """What comes to a process that is stopped waits, as (what, *args) in `held_back`; orders before reqs when it goes on."""
+    """What comes to a process that is stopped waits, as (what, *args) in `held_back`; orders before reqs when
+    it goes on.
+    """
 
     still = False
 
@@ -34,7 +38,20 @@
 class Underway:
     """A req at the proxy: where it is now, and what was tried. `back` is free for whoever brought it."""
 
-    __slots__ = ("req", "back", "at", "until", "tried", "backend", "sent", "timer", "attempt", "again", "left", "within")
+    __slots__ = (
+        "req",
+        "back",
+        "at",
+        "until",
+        "tried",
+        "backend",
+        "sent",
+        "timer",
+        "attempt",
+        "again",
+        "left",
+        "within",
+    )
 
     def __init__(self, req, back, at, again):
         self.req, self.back, self.at, self.until = req, back, at, at + req.within
@@ -62,7 +79,7 @@
         self.kinds = {kind.door: kind for kind in site.kinds}
         self.heard, self.came, self.buckets, self.since, self.serial = {}, {}, {}, 0, 0
         self.out, self.fails, self.ejected, self.current = {}, {}, {}, {}
-        self.book = None                # names, weights, their sums: made anew after each change
+        self.book = None  # names, weights, their sums: made anew after each change
 
     # ---- orders
 
@@ -77,7 +94,7 @@
     def forget_book(self):
         if self.book:
             names, _, _, current, _ = self.book
-            self.current.update(zip(names, current.tolist()))
+            self.current.update(zip(names, current.tolist(), strict=False))
             self.book = None
 
     def read_book(self):
@@ -85,13 +102,22 @@
             lines = self.holding.picks()
             names, weights = list(lines), list(lines.values())
             weighed = np.array(weights, float)
-            if self.site.picks == "round":          # a round begins anywhere: else proxies of one table go in step, and
-                for name, weight, draw in zip(names, weights, self.rng.random(len(names)).tolist()):    # reach its
-                    if name not in self.current:                                                # heaviest all together
+            if (
+                self.site.picks == "round"
+            ):  # a round begins anywhere: else proxies of one table go in step, and
+                for name, weight, draw in zip(
+                    names, weights, self.rng.random(len(names)).tolist(), strict=False
+                ):  # reach its
+                    if name not in self.current:  # heaviest all together
                         self.current[name] = weight * draw
                 self.current = {name: self.current[name] for name in names}
-            self.book = (names, weighed, list(accumulate(weights)),
-                         np.array([self.current.get(name, 0.0) for name in names]), sum(weights))
+            self.book = (
+                names,
+                weighed,
+                list(accumulate(weights)),
+                np.array([self.current.get(name, 0.0) for name in names]),
+                sum(weights),
+            )
         return self.book
 
     # ---- reqs
@@ -112,7 +138,7 @@
         if self.site.levels == "share":
             return level >= 1 or self.rng.random() < level
         tokens, at = self.buckets.get(kind, (1.0, now))
-        most = max(1.0, level / 4)              # a quarter second's worth may come at once
+        most = max(1.0, level / 4)  # a quarter second's worth may come at once
         tokens = min(most, tokens + level * (now - at) / S)
         self.buckets[kind] = (tokens - 1 if tokens >= 1 else tokens), now
         return tokens >= 1
@@ -144,26 +170,28 @@
         return min(drawn, key=lambda name: self.out.get(name, 0))
 
     def attempt(self, now, under):
-        """The next try: 'denied' or 'error' if there is none, else None and it is under way to `under.backend`, for
-        `under.within` ns at most."""
+        """The next try: 'denied' or 'error' if there is none, else None and it is under way to
+        `under.backend`, for `under.within` ns at most."""
         name = self.pick(now, under.tried)
         if name is None or now >= under.until:
             how = "denied" if name is None and not under.tried else "error"
             self.lost(under, how)
             return how
         self.serial += 1
-        under.attempt = self.serial             # of this proxy's tries, so that late answers find no other
+        under.attempt = self.serial  # of this proxy's tries, so that late answers find no other
         under.backend, under.sent = name, now
         under.tried.append(name)
         self.out[name] = self.out.get(name, 0) + 1
         under.within = under.until - now
         if under.again >= 2 and under.left:
-            under.within = min(under.within, int(self.site.per_try * self.kinds[under.req.kind].response_target))
+            under.within = min(
+                under.within, int(self.site.per_try * self.kinds[under.req.kind].response_target)
+            )
         return None
 
     def ended(self, now, under, attempt, how, load):
-        """A try ended: done, full, error, broken, timeout or refused (never sent). None if it is over already; else
-        'done', 'error', or 'again': one more try is to be made."""
+        """A try ended: done, full, error, broken, timeout or refused (never sent). None if it is over
+        already; else 'done', 'error', or 'again': one more try is to be made."""
         if under.attempt != attempt or under.backend is None:
             return None
         name, under.backend = under.backend, None
--- a/embertray/model/way.py
+++ b/embertray/model/way.py
@@ -1,16 +1,20 @@
-"""What a link does to what passes it, in one direction. Shares from 0 to 1, times ns; `chance` makes it the same each time."""
+"""What a link does to what passes it, in one direction. Shares from 0 to 1, times ns; `chance` makes it the
+same each time.
+"""
+
 import random
 from dataclasses import dataclass
 
 MS = 10**6
-RESEND = 200 * MS           # ns that a lost part of a stream comes later: a system's first time to send again
+RESEND = 200 * MS  # ns that a lost part of a stream comes later: a system's first time to send again
 STRAIGHT = {"open": True, "drop": 0.0, "again": 0.0, "delay": 0, "jitter": 0}
 
 
 @dataclass
 class Way:
-    """One ordered pair of processes. `open`: False loses datagrams and holds streams silent, as a machine cut off does. `at`: when it
-    was last bent or made straight."""
+    """One ordered pair of processes. `open`: False loses datagrams and holds streams silent, as a machine cut
+    off does. `at`: when it was last bent or made straight."""
+
     chance: random.Random
     open: bool = True
     drop: float = 0.0
@@ -37,7 +41,9 @@
         return self.delay + (self.chance.randrange(self.jitter) if self.jitter else 0)
 
     def copies(self):
-        """ns to hold back each copy of a datagram that arrives; none if it is lost. Jitter past the gaps reorders them."""
+        """ns to hold back each copy of a datagram that arrives; none if it is lost. Jitter past the gaps
+        reorders them.
+        """
         if not self.open or self.chance.random() < self.drop:
             self.lost += 1
             return []
--- a/embertray/model/web.py
+++ b/embertray/model/web.py
@@ -1,4 +1,5 @@
 """All ways between the members of a cluster, and between them and others' ends (the list, the proxies)."""
+
 import random
 
 from .way import STRAIGHT, Way
@@ -12,8 +13,10 @@
         pairs = [(a, b) for a in members for b in members if a != b]
         pairs += [pair for a in members for b in ends for pair in ((a, b), (b, a))]
         self.ways = {(a, b): Way(random.Random(f"{seed} {a} {b}")) for a, b in pairs}
-        self.watching = []                      # each called with the time after ways were bent or made straight
-        self.streams = {pair: set() for pair in pairs}          # what ends a stream that was opened by the first towards the second
+        self.watching = []  # each called with the time after ways were bent or made straight
+        self.streams = {
+            pair: set() for pair in pairs
+        }  # what ends a stream that was opened by the first towards the second
 
     def way(self, a, b):
         """Raises KeyError for a link that is not there."""
--- a/embertray/net/address.py
+++ b/embertray/net/address.py
@@ -1,4 +1,5 @@
 """Addresses: host:port, on loopback only."""
+
 import ipaddress
 
 
@@ -19,7 +20,9 @@
 
 
 def loopback(text):
-    """(host, port) of 'host:port'. Raises BadAddress for any other form, and for a host that is not loopback."""
+    """(host, port) of 'host:port'. Raises BadAddress for any other form, and for a host that is not
+    loopback.
+    """
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdigit() or int(port) > 65535:
         raise BadAddress(f"'{text}' is no host:port")
--- a/embertray/net/clock.py
+++ b/embertray/net/clock.py
@@ -1,4 +1,5 @@
 """The clock that is handed to whatever needs the time: whole nanoseconds of the event loop's clock."""
+
 import time
 
 import anyio
--- a/embertray/net/conn.py
+++ b/embertray/net/conn.py
@@ -2,18 +2,21 @@
 
 Used where the sender must not wait for a peer: `put` is not async. Whoever owns it looks at `held` and cuts.
 """
+
 from collections import deque
 
 import anyio
 
 
 class Conn:
-    """A byte stream with a queue before it. `on_taken(size)` is called when the stream has taken that many bytes."""
+    """A byte stream with a queue before it. `on_taken(size)` is called when the stream has taken that many
+    bytes.
+    """
 
     def __init__(self, stream, on_taken=None):
         self.stream, self.on_taken = stream, on_taken
         self.queue, self.held, self.wake, self.ending = deque(), 0, anyio.Event(), False
-        self.midway = False             # a send was begun and not ended: no frame may follow it
+        self.midway = False  # a send was begun and not ended: no frame may follow it
 
     def put(self, data):
         self.queue.append(data)
@@ -29,7 +32,7 @@
         """Writes until `end` or until the stream breaks, which raises anyio's error."""
         while True:
             while self.queue:
-                if self.on_taken:                   # one at a time: the owner counts by what it put
+                if self.on_taken:  # one at a time: the owner counts by what it put
                     data = self.queue.popleft()
                 else:
                     data = b"".join(self.queue)
--- a/embertray/net/http.py
+++ b/embertray/net/http.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 calls by h11 over TCP streams. What a failure means is the caller's business; here is only how far it got."""
+"""HTTP/1.1 calls by h11 over TCP streams. What a failure means is the caller's business; here is only how far
+it got.
+"""
+
 import socket
 import struct
 from contextlib import suppress
@@ -8,7 +11,7 @@
 from anyio.abc import SocketAttribute
 
 BROKEN = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
-READ = 64 << 10         # bytes read at once
+READ = 64 << 10  # bytes read at once
 
 
 class CallFailed(Exception):
@@ -23,7 +26,11 @@
     """One connection: requests one after the other, each with a whole answer or one that streams."""
 
     def __init__(self, stream, host):
-        self.stream, self.host, self.state = stream, host, h11.Connection(h11.CLIENT, max_incomplete_event_size=READ)
+        self.stream, self.host, self.state = (
+            stream,
+            host,
+            h11.Connection(h11.CLIENT, max_incomplete_event_size=READ),
+        )
 
     @classmethod
     async def dial(cls, net, address, within):
@@ -31,18 +38,20 @@
         try:
             with anyio.fail_after(within / 1e9):
                 return cls(await net.dial(address), address)
-        except BROKEN as wrong:             # TimeoutError is an OSError
+        except BROKEN as wrong:  # TimeoutError is an OSError
             raise CallFailed(f"{address}: {wrong or 'no connection in time'}", False) from None
 
     async def ask(self, method, path, within, body=b"", kind=""):
-        """Sends a request whole, `within` ns. Raises CallFailed; what has not gone by then is to be dropped by `aclose`."""
+        """Sends a request whole, `within` ns. Raises CallFailed; what has not gone by then is to be dropped
+        by `aclose`.
+        """
         headers = [("Host", self.host)]
         if body:
             headers += [("Content-Type", kind), ("Content-Length", str(len(body)))]
         data = self.state.send(h11.Request(method=method, target=path, headers=headers))
         data += (self.state.send(h11.Data(data=body)) if body else b"") + self.state.send(h11.EndOfMessage())
         try:
-            with anyio.fail_after(within / 1e9):        # against a peer that takes nothing and gives no sign
+            with anyio.fail_after(within / 1e9):  # against a peer that takes nothing and gives no sign
                 await self.stream.send(data)
         except BROKEN as wrong:
             raise CallFailed(f"sending: {type(wrong).__name__}", False) from None
@@ -83,8 +92,8 @@
         raise CallFailed("the connection was closed within an answer", True)
 
     async def answer(self, within, most, whole=0):
-        """(status, body) of the whole answer. Raises CallFailed; `within` ns, or `whole` ns from its beginning if that is
-        later, `most` bytes."""
+        """(status, body) of the whole answer. Raises CallFailed; `within` ns, or `whole` ns from its
+        beginning if that is later, `most` bytes."""
         body = bytearray()
         try:
             with anyio.fail_after(within / 1e9) as limit:
@@ -106,10 +115,14 @@
         return False
 
     async def aclose(self, reset=False):
-        """Closes at once; what was not written yet is dropped. `reset`: so is what the system still holds for the peer, as
-        far as it can be: a request that is given up must not arrive later, behind newer ones."""
+        """Closes at once; what was not written yet is dropped. `reset`: so is what the system still holds for
+        the peer, as far as it can be: a request that is given up must not arrive later, behind newer ones."""
         with anyio.CancelScope(shield=True):
             if reset:
                 with suppress(OSError, anyio.TypedAttributeLookupError):
-                    self.stream.extra(SocketAttribute.raw_socket).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            await self.stream.aclose()      # not in a cancelled scope: that one leaves the transport to its unwritten bytes
+                    self.stream.extra(SocketAttribute.raw_socket).setsockopt(
+                        socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+                    )
+            await (
+                self.stream.aclose()
+            )  # not in a cancelled scope: that one leaves the transport to its unwritten bytes
--- a/embertray/net/process.py
+++ b/embertray/net/process.py
@@ -1,4 +1,5 @@
 """What the system says of this process."""
+
 import os
 import resource
 from pathlib import Path
--- a/embertray/net/tcp.py
+++ b/embertray/net/tcp.py
@@ -1,4 +1,7 @@
-"""TCP for daemon, platform and stand-ins: listen and dial, nothing more; on loopback unless told other addresses."""
+"""TCP for daemon, platform and stand-ins: listen and dial, nothing more; on loopback unless told other
+addresses.
+"""
+
 import socket
 from contextlib import suppress
 
@@ -8,8 +11,8 @@
 
 
 class TcpNet:
-    """Addresses are host:port; port 0 listens on a free one. `parse` says which are allowed: address.loopback, or
-    address.plain for a controller whose configuration names other machines."""
+    """Addresses are host:port; port 0 listens on a free one. `parse` says which are allowed:
+    address.loopback, or address.plain for a controller whose configuration names other machines."""
 
     def __init__(self, parse=loopback):
         self.parse = parse
@@ -23,7 +26,9 @@
         """A byte stream. Raises OSError, BadAddress."""
         host, port = self.parse(address)
         stream = await anyio.connect_tcp(host, port)
-        stream.extra(anyio.abc.SocketAttribute.raw_socket).setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        stream.extra(anyio.abc.SocketAttribute.raw_socket).setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
+        )
         return stream
 
 
--- a/embertray/node/__main__.py
+++ b/embertray/node/__main__.py
@@ -1,8 +1,12 @@
 """`python -m embertray.node`: one real controller, told by ROUTER_CONFIG, in the foreground until SIGTERM."""
-from .early import EARLY  # first: what is imported below takes a while, and a signal may come in it
+
 import os
 import sys
 
+from .early import EARLY  # first: what is imported below takes a while, and a signal may come in it
+
+# isort: split
+
 import anyio
 import structlog
 
--- a/embertray/node/clients.py
+++ b/embertray/node/clients.py
@@ -1,4 +1,5 @@
 """The connections at the controller's address, each from its dial to its end, round a platform Port."""
+
 from contextlib import suppress
 
 import anyio
@@ -13,7 +14,7 @@
 
     def __init__(self, post, clock, poke, log):
         self.post, self.clock, self.poke, self.log = post, clock, poke, log
-        self.space, self.strangers, self.scopes = anyio.Event(), set(), {}     # Ports; and cancel scopes by Port
+        self.space, self.strangers, self.scopes = anyio.Event(), set(), {}  # Ports; and cancel scopes by Port
 
     async def accept(self, listener, group):
         while True:
@@ -21,7 +22,7 @@
                 self.space = anyio.Event()
                 await self.space.wait()
             if (stream := await listener.accept()) is None:
-                await anyio.sleep(GATHER / 1e9)     # no descriptor, or gone again: not at once, nor never
+                await anyio.sleep(GATHER / 1e9)  # no descriptor, or gone again: not at once, nor never
                 continue
             port = self.post.port(self.clock.now())
             self.strangers.add(port)
@@ -33,10 +34,16 @@
             with anyio.CancelScope() as self.scopes[port]:
                 await self.serve(port, stream)
             if port.joined is not None:
-                self.log.info("collector gone", zone=port.joined, why=port.over or "no room", spoilt=port.spoilt, last=port.why)
+                self.log.info(
+                    "collector gone",
+                    zone=port.joined,
+                    why=port.over or "no room",
+                    spoilt=port.spoilt,
+                    last=port.why,
+                )
         except BROKEN:
             pass
-        except Exception as wrong:          # against a peer that finds a fault of ours: it costs its own connection
+        except Exception as wrong:  # against a peer that finds a fault of ours: it costs its own connection
             self.log.error("a connection's handling failed", exc_info=wrong)
         finally:
             self.no_stranger(port)
@@ -66,13 +73,17 @@
                 with anyio.move_on_after((LAST_WITHIN if port.over else REPLY_WITHIN) / 1e9) as sending:
                     await stream.send(reply)
                 if sending.cancelled_caught:
-                    port.over = port.over or "takes no replies"     # against who asks and never reads: they would pile up here
+                    port.over = (
+                        port.over or "takes no replies"
+                    )  # against who asks and never reads: they would pile up here
                 elif port.over:
                     await self.part(stream)
 
     @staticmethod
     async def part(stream):
-        """Ends our side and reads on for a moment: a close over unread bytes is a reset, which can destroy the last reply."""
+        """Ends our side and reads on for a moment: a close over unread bytes is a reset, which can destroy
+        the last reply.
+        """
         got = 0
         with suppress(*BROKEN), anyio.move_on_after(PART_WITHIN / 1e9):
             await stream.send_eof()
--- a/embertray/node/early.py
+++ b/embertray/node/early.py
@@ -1,6 +1,8 @@
-"""Signals from the first import on. SIGTERM and SIGINT end the process at once, wherever it is: during its imports, in a long
-step, while it ends already. Nothing is owed then: proxies keep their tables, a call half out is none for the relay, and the
-system closes the sockets. SIGHUP is kept until somebody can act on it: unhandled, it would end the process."""
+"""Signals from the first import on. SIGTERM and SIGINT end the process at once, wherever it is: during its
+imports, in a long step, while it ends already. Nothing is owed then: proxies keep their tables, a call half
+out is none for the relay, and the system closes the sockets. SIGHUP is kept until somebody can act on it:
+unhandled, it would end the process."""
+
 import os
 import signal
 
@@ -16,8 +18,12 @@
 
     @staticmethod
     def end(number, _):
-        try:        # not by the log: a signal may come while it writes
-            os.write(2, b'{"event": "stopping", "signal": "%s", "level": "info"}\n' % signal.Signals(number).name.encode())
+        try:  # not by the log: a signal may come while it writes
+            os.write(
+                2,
+                b'{"event": "stopping", "signal": "%s", "level": "info"}\n'
+                % signal.Signals(number).name.encode(),
+            )
         finally:
             os._exit(0)
 
--- a/embertray/node/relay.py
+++ b/embertray/node/relay.py
@@ -1,30 +1,42 @@
 """The connections with the relay: one call at a time, and some with its news."""
+
 import anyio
 
 from ..net.http import CallFailed
 from ..platform.calls import CALLS, FORM, Unreadable
-from ..platform.limits import (ANSWER_MOST, ANSWER_WITHIN, LOOK, MS, QUIET_BESIDE, REDIAL, REDIAL_MOST, SEND_WITHIN)
+from ..platform.limits import (
+    ANSWER_MOST,
+    ANSWER_WITHIN,
+    LOOK,
+    MS,
+    QUIET_BESIDE,
+    REDIAL,
+    REDIAL_MOST,
+    SEND_WITHIN,
+)
 from ..platform.news import STREAM
 
 
 class Relay:
-    """`post` is the controller's platform.Post, `dial()` gives a Talk with the relay, `poke()` is called when the module has something
-    to do."""
+    """`post` is the controller's platform.Post, `dial()` gives a Talk with the relay, `poke()` is called when
+    the module has something to do."""
 
     def __init__(self, post, clock, dial, poke, log):
         self.post, self.clock, self.dial, self.poke, self.log = post, clock, dial, poke, log
-        self.called, self.streams = anyio.Event(), {}       # streams: cancel scopes of connections with news
+        self.called, self.streams = anyio.Event(), {}  # streams: cancel scopes of connections with news
 
     def moved(self):
-        """The relay has another address. One connection goes over now; the leader's is closed by the old relay once the other
-        has opened."""
+        """The relay has another address. One connection goes over now; the leader's is closed by the old
+        relay once the other has opened."""
         for name in [n for n in self.streams if n is not self.post.standing.leader]:
             self.streams[name].cancel()
 
     # ---- calls
 
     async def calls(self):
-        """One call in flight, each on a connection of its own: one that does not come up has carried nothing."""
+        """One call in flight, each on a connection of its own: one that does not come up has carried
+        nothing.
+        """
         caller = self.post.caller
         while True:
             self.called = anyio.Event()
@@ -42,8 +54,12 @@
                 said = caller.answered(self.clock.now(), status, body)
             except CallFailed as wrong:
                 said = caller.broke(self.clock.now(), wrong.sent, str(wrong))
-            if said and not caller.fails & (caller.fails - 1):      # of an outage the 1st, 2nd, 4th, 8th ... is told
-                self.log.info("call", why=said, orders=len(call.orders), nonce=call.nonce, failed=caller.fails)
+            if said and not caller.fails & (
+                caller.fails - 1
+            ):  # of an outage the 1st, 2nd, 4th, 8th ... is told
+                self.log.info(
+                    "call", why=said, orders=len(call.orders), nonce=call.nonce, failed=caller.fails
+                )
 
     async def one_call(self, call):
         talk, reset = await self.dial(), True
--- a/embertray/node/service.py
+++ b/embertray/node/service.py
@@ -1,4 +1,7 @@
-"""One controller's sockets and signals round a platform.Post; a task group, nothing detached, nothing decided."""
+"""One controller's sockets and signals round a platform.Post; a task group, nothing detached, nothing
+decided.
+"""
+
 import signal
 
 import anyio
@@ -23,15 +26,22 @@
         self.post = Post(start, clock.now(), clock.wall())
         self.poked = anyio.Event()
         self.clients = Clients(self.post, clock, self.poke, self.log)
-        self.relay = Relay(self.post, clock, lambda: Talk.dial(net, self.start.store.address, CONNECT_WITHIN), self.poke, self.log)
-        self.watching = None        # the cancel scope of the list's call
+        self.relay = Relay(
+            self.post,
+            clock,
+            lambda: Talk.dial(net, self.start.store.address, CONNECT_WITHIN),
+            self.poke,
+            self.log,
+        )
+        self.watching = None  # the cancel scope of the list's call
         self.address = None
 
     # ---- lifecycle
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED, early=None):
-        """Runs until it is cancelled; started(address) once it listens. `early` ends the process by SIGTERM and SIGINT and has kept
-        SIGHUP until now; without it no signal is looked at. Raises OSError, BadAddress."""
+        """Runs until it is cancelled; started(address) once it listens. `early` ends the process by SIGTERM
+        and SIGINT and has kept SIGHUP until now; without it no signal is looked at. Raises OSError,
+        BadAddress."""
         self.dialled(self.start)
         listener = await self.net.listen(self.start.listen)
         self.address = listener.address
@@ -53,11 +63,13 @@
                 await listener.aclose()
 
     async def kept(self, work, *given):
-        """Runs `work` again and again: a fault of ours in it is told in the log, and costs what it was at, not the process."""
+        """Runs `work` again and again: a fault of ours in it is told in the log, and costs what it was at,
+        not the process.
+        """
         while True:
             try:
                 await work(*given)
-            except Exception as wrong:      # against what we have not thought of
+            except Exception as wrong:  # against what we have not thought of
                 self.log.error("a fault of ours", at=work.__name__, exc_info=wrong)
                 await anyio.sleep(FAULT_WAIT / 1e9)
 
@@ -76,7 +88,9 @@
         return start
 
     def reload(self):
-        """A new configuration: other addresses of discovery and relay hold from now on; a bad file changes nothing."""
+        """A new configuration: other addresses of discovery and relay hold from now on; a bad file changes
+        nothing.
+        """
         try:
             new = self.dialled(self.load())
         except (BadStart, BadAddress) as wrong:
@@ -105,7 +119,7 @@
             try:
                 if self.post.advance(now):
                     self.relay.called.set()
-            except Exception:       # against a fault within a step: who knows what it left half done
+            except Exception:  # against a fault within a step: who knows what it left half done
                 self.post.anew(now)
                 raise
             said, self.post.said = self.post.said, []
@@ -134,10 +148,10 @@
                         if not talk.again():
                             break
                 except (CallFailed, BadList) as wrong:
-                    if follow.fails < 3:            # the first ones: an outage is not told every 2 s
+                    if follow.fails < 3:  # the first ones: an outage is not told every 2 s
                         self.log.info("the list did not answer", why=str(wrong))
                     await anyio.sleep(follow.broke() / 1e9)
-                except Exception:       # against a fault of ours halfway through a list
+                except Exception:  # against a fault of ours halfway through a list
                     follow.elsewhere()
                     raise
                 finally:
@@ -148,7 +162,9 @@
         path, within = follow.ask(self.clock.now())
         await talk.ask("GET", path, SEND_WITHIN)
         status, body = await talk.answer(within, LIST_MOST, LIST_WHOLE)
-        if self.start.discovery != address:     # against an answer that came in the same wake-up as another address
+        if (
+            self.start.discovery != address
+        ):  # against an answer that came in the same wake-up as another address
             return
         now = self.clock.now()
         if got := follow.heard(now, status, body):
--- a/embertray/platform/calls.py
+++ b/embertray/platform/calls.py
@@ -1,4 +1,5 @@
 """Calls with orders to the relay, and what an answer, or none, means. One call is in flight at a time."""
+
 from collections import deque
 from urllib.parse import urlencode
 from xml.etree import ElementTree
@@ -24,9 +25,11 @@
     found = root.findall("./items/item/ok_count")
     if status == 200 and root.tag == "Response" and len(found) == 1:
         count = (found[0].text or "").strip()
-        if count.isascii() and count.isdigit() and len(count) <= COUNT_DIGITS:     # against digits that int() takes for none
+        if (
+            count.isascii() and count.isdigit() and len(count) <= COUNT_DIGITS
+        ):  # against digits that int() takes for none
             return "taken", int(count)
-    for part in root.iter():        # the error's word stands in an element, whichever
+    for part in root.iter():  # the error's word stands in an element, whichever
         word = (part.text or "").strip()
         if part.tag.rpartition("}")[2].lower() in ("code", "error") and word.isalpha() and len(word) < 64:
             return "error", word.lower()
@@ -46,20 +49,23 @@
 
 
 class Caller:
-    """`way`: the longest that a message takes to a proxy, ns. A call is `due(now)`, goes out, and one of `answered`, `broke`
-    ends it. Unanswered ones were carried out or not: the answer to the call's nonce tells; without it for long enough the
-    call goes out again, which changes nothing twice, as every order names what is to stand."""
+    """`way`: the longest that a message takes to a proxy, ns. A call is `due(now)`, goes out, and one of
+    `answered`, `broke` ends it. Unanswered ones were carried out or not: the answer to the call's nonce
+    tells; without it for long enough the call goes out again, which changes nothing twice, as every order
+    names what is to stand."""
 
     def __init__(self, way):
         self.way, self.queue, self.at, self.doubt, self.seen, self.fails = way, deque(), 0, False, False, 0
-        self.refused, self.lost, self.again = [], 0, 0      # orders not taken; calls given up; calls sent again
+        self.refused, self.lost, self.again = [], 0, 0  # orders not taken; calls given up; calls sent again
 
     @property
     def idle(self):
         return not self.queue
 
     def put(self, orders, nonce=None, sync=None):
-        """A step's orders as text, in order; `sync`: builds the order for an answer, given 1 for all proxies."""
+        """A step's orders as text, in order; `sync`: builds the order for an answer, given 1 for all
+        proxies.
+        """
         part, size = [], 0
         for order in orders:
             if size + len(order) + 1 > ORDERS_MOST - 64:
@@ -89,7 +95,9 @@
         self.doubt, self.seen, self.fails, self.at = False, False, 0, 0
 
     def saw(self, nonce):
-        """A proxy answered this nonce: the call that carried it was carried out. True if one waited for that."""
+        """A proxy answered this nonce: the call that carried it was carried out. True if one waited for
+        that.
+        """
         if self.queue and self.queue[0].nonce is not None and self.queue[0].nonce == nonce:
             self.seen = True
             if self.doubt:
@@ -104,16 +112,20 @@
             what, value = verdict(status, body)
         except Unreadable as wrong:
             return self.broke(now, True, f"unreadable answer: {wrong}")
-        if what == "taken" and value > len(call.orders):    # more than it was sent: the count is spoilt, and proves nothing
+        if what == "taken" and value > len(
+            call.orders
+        ):  # more than it was sent: the count is spoilt, and proves nothing
             return self.broke(now, True, f"{value} of {len(call.orders)} orders taken")
         if what == "taken" and value == len(call.orders):
             self.done()
             return ""
         if what == "taken":
             self.refused.append(call.orders[value])
-            rest = call.orders[value + 1:]
+            rest = call.orders[value + 1 :]
             if value and rest and call.nonce is not None:
-                rest[-1] = rest[-1].rpartition(",")[0] + ",1"       # those who got the first part are to answer, too
+                rest[-1] = (
+                    rest[-1].rpartition(",")[0] + ",1"
+                )  # those who got the first part are to answer, too
             call.orders = rest
             if not rest:
                 self.done()
--- a/embertray/platform/discovery.py
+++ b/embertray/platform/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery: what is asked, what an answer means, when to ask again. One call at a time, each a watch on the version held."""
+"""Discovery: what is asked, what an answer means, when to ask again. One call at a time, each a watch on the
+version held.
+"""
+
 from typing import Annotated, Literal
 
 import msgspec
@@ -16,6 +19,7 @@
 
 class Member(msgspec.Struct):
     """One backend; has the names that drive.Drive reads."""
+
     id: Name
     locality: Name = ""
     phase: Literal["ready", "draining", "gone"] = "ready"
@@ -43,7 +47,10 @@
 
     def __init__(self, revision=0):
         self.revision, self.fails, self.old_since, self.whole = revision, 0, None, True
-        self.asked, self.still = 0, 0       # when the last call went; calls in a row that were answered at once with nothing new
+        self.asked, self.still = (
+            0,
+            0,
+        )  # when the last call went; calls in a row that were answered at once with nothing new
 
     def ask(self, now):
         """(path, ns within which an answer must begin). The first call wants the whole list, at once."""
@@ -53,13 +60,13 @@
         return f"{PATH}?from={self.revision}&hold_ms={HOLD // MS}", HOLD + LIST_WITHIN
 
     def elsewhere(self):
-        """Discovery has another address: it is asked for the whole list. Versions are those of one list, wherever it is asked
-        for, so an agent there that lags takes back nothing either."""
+        """Discovery has another address: it is asked for the whole list. Versions are those of one list,
+        wherever it is asked for, so an agent there that lags takes back nothing either."""
         self.whole = True
 
     def pause(self):
-        """ns until the next call: against an agent that answers each call at once with what we have, which would take all
-        our processor time."""
+        """ns until the next call: against an agent that answers each call at once with what we have, which
+        would take all our processor time."""
         return min(STILL_MOST, AGAIN_FIRST << min(self.still - 1, 6)) if self.still else 0
 
     def heard(self, now, status, body):
--- a/embertray/platform/news.py
+++ b/embertray/platform/news.py
@@ -1,5 +1,6 @@
-"""The relay's news of proxies: News cuts one connection's event stream into events; Standing makes one story of several
-such connections, of which any may break."""
+"""The relay's news of proxies: News cuts one connection's event stream into events; Standing makes one story
+of several such connections, of which any may break."""
+
 from collections import namedtuple
 from urllib.parse import parse_qsl
 
@@ -10,14 +11,23 @@
 
 Attach = namedtuple("Attach", "proxy zone rate fresh")
 Detach = namedtuple("Detach", "proxy")
-Done = namedtuple("Done", "proxy nonce took")        # took in ns
+Done = namedtuple("Done", "proxy nonce took")  # took in ns
 
 
 class News:
-    """One connection's event stream: bytes in, Attach, Detach and Done out; what has a meaning for nobody is skipped."""
+    """One connection's event stream: bytes in, Attach, Detach and Done out; what has a meaning for nobody is
+    skipped.
+    """
 
     def __init__(self, zones, proxies):
-        self.zones, self.proxies, self.held, self.kind, self.data, self.skipped = zones, proxies, b"", "", "", 0
+        self.zones, self.proxies, self.held, self.kind, self.data, self.skipped = (
+            zones,
+            proxies,
+            b"",
+            "",
+            "",
+            0,
+        )
 
     def receive(self, data):
         """The events that `data` completes. Raises Unreadable."""
@@ -87,11 +97,17 @@
 
 
 class Standing:
-    """Who is joined, by the news of one connection at a time, the leader; when it is lost another takes over, and what
-    the two differ in is told. Answers to nonces count from whichever connection brings them."""
+    """Who is joined, by the news of one connection at a time, the leader; when it is lost another takes over,
+    and what the two differ in is told. Answers to nonces count from whichever connection brings them."""
 
     def __init__(self):
-        self.views, self.leader, self.joined, self.at, self.dark = {}, None, {}, {}, 0     # dark: since when nobody leads
+        self.views, self.leader, self.joined, self.at, self.dark = (
+            {},
+            None,
+            {},
+            {},
+            0,
+        )  # dark: since when nobody leads
 
     def opened(self, now, conn):
         self.views[conn] = View(now)
@@ -131,8 +147,9 @@
         return self.lead(now)
 
     def lead(self, now):
-        """A connection that has told all that stands leads, if none does: the one that has been there longest. If nobody was
-        there meanwhile, whoever holds no ordered table now has left and come back, or was not bound yet."""
+        """A connection that has told all that stands leads, if none does: the one that has been there
+        longest. If nobody was there meanwhile, whoever holds no ordered table now has left and come back, or
+        was not bound yet."""
         if self.leader in self.views:
             return []
         ready = [conn for conn, view in self.views.items() if view.opened(now)]
--- a/embertray/platform/port.py
+++ b/embertray/platform/port.py
@@ -1,9 +1,10 @@
 """One connection at the controller's address: JSON lines in, replies and reports out.
 
-A stranger may ask for a sign of life, and joins as a collector by its zone; whatever else it does, and when it has not
-joined in time, it is turned away with one message. A collector's spoilt report costs that report, unreadable data the
-connection. Reports come out as Met and Came, in our words and nanoseconds.
+A stranger may ask for a sign of life, and joins as a collector by its zone; whatever else it does, and when
+it has not joined in time, it is turned away with one message. A collector's spoilt report costs that report,
+unreadable data the connection. Reports come out as Met and Came, in our words and nanoseconds.
 """
+
 from collections import namedtuple
 from typing import Annotated
 
@@ -20,7 +21,9 @@
 Interval = Annotated[float, Meta(gt=0, le=TOOK_MOST)]
 Load = Annotated[float, Meta(ge=0, le=LOAD_MOST)]
 
-Met = namedtuple("Met", "backend zone tries errored latency span load")     # tries and errored: counts; times in ns
+Met = namedtuple(
+    "Met", "backend zone tries errored latency span load"
+)  # tries and errored: counts; times in ns
 Came = namedtuple("Came", "proxy kind reqs lost span")
 
 
@@ -58,13 +61,18 @@
 
 
 class Port:
-    """`zones` and `kinds`: names that exist, `proxies`: how many there are. After `receive`: `reply` is to be written (and
-    emptied), and when `over` says why, the connection is to be closed after it."""
+    """`zones` and `kinds`: names that exist, `proxies`: how many there are. After `receive`: `reply` is to be
+    written (and emptied), and when `over` says why, the connection is to be closed after it."""
 
     def __init__(self, now, zones, kinds, proxies):
         self.zones, self.kinds, self.proxies = zones, kinds, proxies
         self.joined, self.over, self.reply, self.held = None, "", b"", bytearray()
-        self.scanned, self.spoilt, self.why, self.got = 0, 0, "", 0     # bytes known to hold no line's end; reports passed over; bytes before joining
+        self.scanned, self.spoilt, self.why, self.got = (
+            0,
+            0,
+            "",
+            0,
+        )  # bytes known to hold no line's end; reports passed over; bytes before joining
         self.join_by = now + JOIN_WITHIN
 
     def late(self, now):
@@ -75,7 +83,7 @@
 
     def turn_away(self, why):
         self.over, self.held = why, bytearray()
-        if self.joined is None:             # nothing is ever written to a collector
+        if self.joined is None:  # nothing is ever written to a collector
             self.reply += TURNED_AWAY
 
     def receive(self, data):
@@ -98,7 +106,9 @@
             del self.held[:at]
             self.scanned = len(self.held)
             if self.joined is None and self.got > STRANGER_BYTES:
-                self.turn_away("too much before joining")       # against messages without an end, or without number
+                self.turn_away(
+                    "too much before joining"
+                )  # against messages without an end, or without number
             elif len(self.held) > LINE_MOST:
                 self.turn_away("a line too long")
         return found
@@ -113,7 +123,7 @@
                 self.pass_over(str(wrong))
             return
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as wrong:
-            self.turn_away(f"unreadable: {wrong}")      # what follows can't be trusted either
+            self.turn_away(f"unreadable: {wrong}")  # what follows can't be trusted either
             return
         if isinstance(message, Alive):
             self.reply += ALIVE
@@ -131,7 +141,9 @@
         elif message.errors > message.total:
             self.pass_over("more errors than reqs")
         else:
-            found.append(Came(message.node, message.route, message.total, message.errors, round(message.interval * MS)))
+            found.append(
+                Came(message.node, message.route, message.total, message.errors, round(message.interval * MS))
+            )
 
     def met(self, m, found):
         if m.locality not in self.zones:
@@ -142,7 +154,17 @@
             self.pass_over("no time of those done")
         else:
             load = {LOADS.get(name, name): value for name, value in (m.metrics or {}).items()}
-            found.append(Met(m.endpoint, m.locality, m.total, m.errors, round((m.rtt or 0) * MS), round(m.interval * MS), load))
+            found.append(
+                Met(
+                    m.endpoint,
+                    m.locality,
+                    m.total,
+                    m.errors,
+                    round((m.rtt or 0) * MS),
+                    round(m.interval * MS),
+                    load,
+                )
+            )
 
     def pass_over(self, why):
         self.spoilt, self.why = self.spoilt + 1, why
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -1,7 +1,10 @@
-"""One controller on the platform without I/O: module and door (Drive) between list, reports, relay's news and calls.
+"""One controller on the platform without I/O: module and door (Drive) between list, reports, relay's news and
+calls.
 
-The transports hand in what came and the time, send `caller`'s calls, and call `advance` at once or at `next_at`.
+The transports hand in what came and the time, send `caller`'s calls, and call `advance` at once or at
+`next_at`.
 """
+
 from .. import interface as i
 from ..briefing import Briefing
 from ..choice import Controller
@@ -23,10 +26,16 @@
         self.told = Briefing.nested(start.settings)
         self.said, self.chance = without_words(self.told), start.chance
         super().__init__(start.chance, self.told.deployment, now)
-        self.words, self.caller, self.standing = Words(self.door, self.told.kinds), Caller(self.module.site.way_max), Standing()
+        self.words, self.caller, self.standing = (
+            Words(self.door, self.told.kinds),
+            Caller(self.module.site.way_max),
+            Standing(),
+        )
         known = start.members()
         self.follow, self.tidy_at = Follow(known.revision), now + TIDY
-        self.unknown = self.dropped = 0         # reports on nobody that a list ever had; reports that waited too long
+        self.unknown = self.dropped = (
+            0  # reports on nobody that a list ever had; reports that waited too long
+        )
         self.room = Room(start.limits.sockets)
         self.news(now, "cached", wall, known.members)
 
@@ -41,10 +50,12 @@
     def reports(self, found):
         for one in found:
             if (event := self.words.report(one)) is None:
-                self.unknown += 1           # against reports on what no list ever had
+                self.unknown += 1  # against reports on what no list ever had
             else:
                 self.todo.append(event)
-        if len(self.todo) > WAITING_MOST:   # against a relay that is gone for hours: reports alone would fill the memory
+        if (
+            len(self.todo) > WAITING_MOST
+        ):  # against a relay that is gone for hours: reports alone would fill the memory
             kept = [event for event in self.todo if not isinstance(event, (i.Heard, i.Arrivals))]
             self.dropped += len(self.todo) - len(kept)
             self.todo = kept
@@ -60,7 +71,9 @@
         return due
 
     def advance(self, now):
-        """One step, unless a call is under way: what its answer tells comes first. True if there is a call to send."""
+        """One step, unless a call is under way: what its answer tells comes first. True if there is a call to
+        send.
+        """
         if now >= self.tidy_at:
             self.tidy_at = now + TIDY
             self.tidy()
@@ -71,15 +84,22 @@
         return not self.caller.idle
 
     def anew(self, now):
-        """A new module in place of one that had a fault within a step, told what stands. Its tables get new numbers, so that no
-        line of the former ones is left to anybody who is bound."""
-        listed = [i.Entry(backend.handle, backend.zone, backend.state, backend.started) for backend in self.module.bes
-                  if backend.state not in (None, "gone")]
+        """A new module in place of one that had a fault within a step, told what stands. Its tables get new
+        numbers, so that no line of the former ones is left to anybody who is bound."""
+        listed = [
+            i.Entry(backend.handle, backend.zone, backend.state, backend.started)
+            for backend in self.module.bes
+            if backend.state not in (None, "gone")
+        ]
         for known in (self.door.backends, self.door.proxies):
             for handle in known.values():
                 handle.actor = None
         self.chance += 1
-        self.module, self.wakes, self.door.marks = Controller(self.chance, self.told.deployment(self.door), now), [], {}
+        self.module, self.wakes, self.door.marks = (
+            Controller(self.chance, self.told.deployment(self.door), now),
+            [],
+            {},
+        )
         self.todo = [i.ListNews("cached", listed), *map(self.words.news, self.standing.joined.values())]
 
     def tidy(self):
--- a/embertray/platform/start.py
+++ b/embertray/platform/start.py
@@ -1,4 +1,7 @@
-"""The configuration of one controller, as the platform writes it; read at the start and again at a new configuration."""
+"""The configuration of one controller, as the platform writes it; read at the start and again at a new
+configuration.
+"""
+
 import msgspec
 
 from ..briefing import BadBriefing
@@ -21,6 +24,7 @@
 
 class Start(msgspec.Struct):
     """`settings` is told to the module by briefing.Briefing; `known`: the list as it was last held."""
+
     name: str
     listen: str
     discovery: str
@@ -31,8 +35,8 @@
     known: msgspec.Raw = msgspec.Raw(b"{}")
 
     def members(self):
-        """The list as it was last held; an empty one if it can't be read: it may be out of date anyway, and who would not
-        start for it serves nobody."""
+        """The list as it was last held; an empty one if it can't be read: it may be out of date anyway, and
+        who would not start for it serves nobody."""
         try:
             return list_decoder.decode(self.known)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -59,10 +63,17 @@
 
 
 def without_words(told):
-    """Settings that the platform's protocol has no words for. One that nothing can be served without (tables that belong to
-    slices) raises BadBriefing; permissions go unused: what the log is told of them. A permission is no need, and who would
-    not start for it fails every proxy."""
+    """Settings that the platform's protocol has no words for. One that nothing can be served without (tables
+    that belong to slices) raises BadBriefing; permissions go unused: what the log is told of them. A
+    permission is no need, and who would not start for it fails every proxy."""
     if told.figure("specifics.partitions-n"):
         raise BadBriefing("specifics.partitions-n: the platform's protocol has no words for slices")
-    unused = [what for what, key in (("probes", "caps.probes"), ("notes to peers", "caps.peer-messages")) if told.yes(key)]
-    return [f"the settings permit {what}: the platform's protocol has no words for them, none are sent" for what in unused]
+    unused = [
+        what
+        for what, key in (("probes", "caps.probes"), ("notes to peers", "caps.peer-messages"))
+        if told.yes(key)
+    ]
+    return [
+        f"the settings permit {what}: the platform's protocol has no words for them, none are sent"
+        for what in unused
+    ]
--- a/embertray/platform/words.py
+++ b/embertray/platform/words.py
@@ -1,4 +1,5 @@
 """The module's events and orders in the platform's words, by the door's ids."""
+
 from .. import interface as i
 from .news import Attach, Detach
 
@@ -19,7 +20,9 @@
         """A Met or Came as an event; None if it names a backend or proxy that was never told."""
         if hasattr(got, "backend"):
             backend = self.door.backends.get(got.backend)
-            return backend and i.Heard(backend, self.door.zone(got.zone), got.tries, got.errored, got.latency, got.span, got.load)
+            return backend and i.Heard(
+                backend, self.door.zone(got.zone), got.tries, got.errored, got.latency, got.span, got.load
+            )
         proxy = self.door.proxies.get(got.proxy)
         return proxy and i.Arrivals(proxy, self.kinds[got.kind], got.reqs, got.lost, got.span)
 
@@ -46,7 +49,9 @@
                 texts.append(f"{'OUT' if order.out else 'IN'},{order.backend.door}")
             elif isinstance(order, i.SetLevel):
                 kinds = "+".join(self.names[kind] for kind in order.kinds) or "*"
-                texts.append(f"LIMIT,{self.door.table_id(order.table)},{kinds},{figure(order.level)},{order.retry}")
+                texts.append(
+                    f"LIMIT,{self.door.table_id(order.table)},{kinds},{figure(order.level)},{order.retry}"
+                )
             elif isinstance(order, i.PutMark):
                 nonce = self.door.mark_id(order.mark)
                 sync = f"SYNC,{nonce},{{}}".format
--- a/embertray/reports/intake.py
+++ b/embertray/reports/intake.py
@@ -1,16 +1,18 @@
-"""Proxies' sums become what the module hears: one line for a zone and backend, and one for a proxy and request kind.
+"""Proxies' sums become what the module hears: one line for a zone and backend, and one for a proxy and
+request kind.
 
-No I/O. The sums of a zone's proxies are gathered until each has reported once, a report cycle at most: their counts add
-up, and the time that they cover counts once, not once a proxy, so that a line's rate is the zone's. At most `rate` lines
-a second get through, the oldest first; what waits is merged exactly: counts, latency sums and spans add up, the newest
-load report stays. With rate 0 all goes through at once.
+No I/O. The sums of a zone's proxies are gathered until each has reported once, a report cycle at most: their
+counts add up, and the time that they cover counts once, not once a proxy, so that a line's rate is the
+zone's. At most `rate` lines a second get through, the oldest first; what waits is merged exactly: counts,
+latency sums and spans add up, the newest load report stays. With rate 0 all goes through at once.
 """
+
 from .. import interface as i
 
 S = 10**9
 # -- constants: value, unit, reason
-BURST = 0.25        # s of the rate that may come at once: what one beat of the module can use; one line at least
-SILENT = 3          # report cycles after which a proxy that said nothing is not waited for
+BURST = 0.25  # s of the rate that may come at once: what one beat of the module can use; one line at least
+SILENT = 3  # report cycles after which a proxy that said nothing is not waited for
 
 
 class Met:
@@ -44,7 +46,7 @@
 
     def __init__(self, rate, now=0, cycle=0):
         self.rate, self.cycle, self.waiting, self.room, self.at = rate, cycle, {}, rate * BURST, now
-        self.rounds, self.heard = {}, {}            # by zone: the open Round; proxy -> when it last told
+        self.rounds, self.heard = {}, {}  # by zone: the open Round; proxy -> when it last told
         self.merged = self.passed = self.unknown = self.dropped = 0
 
     def sums(self, now, px, zone, message, backend, kind):
@@ -52,7 +54,7 @@
         for a name that no list had and the site does not have: such a line is skipped and counted."""
         self.close_late(now)
         found = self.rounds.get(zone)
-        if found is not None and px in found.spans:     # its next report: the round is over, whoever is missing
+        if found is not None and px in found.spans:  # its next report: the round is over, whoever is missing
             self.close(zone)
             found = None
         if found is None:
@@ -95,10 +97,14 @@
             line.span += span
 
     def close_late(self, now):
-        """Rounds that have waited for a cycle are closed; who has been silent for long is not waited for again."""
+        """Rounds that have waited for a cycle are closed; who has been silent for long is not waited for
+        again.
+        """
         for zone in [zone for zone, found in self.rounds.items() if now - found.opened >= self.cycle]:
             self.close(zone)
-            self.heard[zone] = {px: at for px, at in self.heard[zone].items() if now - at <= SILENT * self.cycle}
+            self.heard[zone] = {
+                px: at for px, at in self.heard[zone].items() if now - at <= SILENT * self.cycle
+            }
 
     def line(self, key, make):
         if key in self.waiting:
@@ -122,8 +128,17 @@
                 events.append(i.Arrivals(thing, second, line.reqs, line.lost, line.span))
             elif line.tries:
                 done = line.tries - line.errored
-                events.append(i.Heard(thing, second, line.tries, line.errored,
-                                      line.latency // done if done else 0, line.span, line.load))
+                events.append(
+                    i.Heard(
+                        thing,
+                        second,
+                        line.tries,
+                        line.errored,
+                        line.latency // done if done else 0,
+                        line.span,
+                        line.load,
+                    )
+                )
         self.passed += len(events)
         return events
 
@@ -132,7 +147,9 @@
         late = min((found.opened + self.cycle for found in self.rounds.values()), default=None)
         if not self.waiting:
             return late
-        room = self.at if not self.rate or self.room >= 1 else self.at + int((1 - self.room) * S / self.rate) + 1
+        room = (
+            self.at if not self.rate or self.room >= 1 else self.at + int((1 - self.room) * S / self.rate) + 1
+        )
         return room if late is None else min(room, late)
 
     def backends(self):
--- a/embertray/rig/held.py
+++ b/embertray/rig/held.py
@@ -1,4 +1,7 @@
-"""A day's controllers as true processes of the program, with or without the rig's links round them. What days strike acts on these."""
+"""A day's controllers as true processes of the program, with or without the rig's links round them. What days
+strike acts on these.
+"""
+
 from dataclasses import replace
 from functools import partial
 
@@ -28,11 +31,13 @@
 
     async def start(self, stage):
         """All at once."""
-        self.stage, chosen = stage, stage.site.controllers[:int(stage.day.fleet["controllers"])]
+        self.stage, chosen = stage, stage.site.controllers[: int(stage.day.fleet["controllers"])]
         ports = iter(free_ports(3 * len(chosen)))
         for me in chosen:
             listen, admin, cluster = (f"127.0.0.1:{next(ports)}" for _ in range(3))
-            self.at[me.name] = replace(me, listen=listen, admin=admin, cluster=cluster if self.clustered else "")
+            self.at[me.name] = replace(
+                me, listen=listen, admin=admin, cluster=cluster if self.clustered else ""
+            )
         await self.prepare()
         await self.all_up(self.at)
 
@@ -41,10 +46,15 @@
 
     def described(self, name):
         """The day's site as a file, with the addresses of this run as this process is to know them."""
-        return describe(self.stage.sample, self.folder / f"{name}.xml",
-                        [(me.name, me.zone, me.listen, me.admin, self.seen(name, me)) for me in self.at.values()],
-                        self.inventory(name), self.folder / f"{name}.list", self.stage.day.fleet["period"] if self.clustered else None,
-                        self.stage.day.facts)
+        return describe(
+            self.stage.sample,
+            self.folder / f"{name}.xml",
+            [(me.name, me.zone, me.listen, me.admin, self.seen(name, me)) for me in self.at.values()],
+            self.inventory(name),
+            self.folder / f"{name}.list",
+            self.stage.day.fleet["period"] if self.clustered else None,
+            self.stage.day.facts,
+        )
 
     def inventory(self, name):
         return self.stage.site.inventory
@@ -57,7 +67,9 @@
         """Starts it, unless another trouble has done so already; `still`: ns that it stands still first."""
         if name in self.running:
             return
-        self.running[name] = program = Program(self.folder / f"{name}.log", self.described(name), name, self.seed)
+        self.running[name] = program = Program(
+            self.folder / f"{name}.log", self.described(name), name, self.seed
+        )
         if still:
             program.stop()
             await anyio.sleep(still / 1e9)
@@ -127,7 +139,9 @@
 
 
 class Linked(Processes):
-    """The same with a cluster (`clustered`), and with the rig's links between the processes, to the list and from the proxies."""
+    """The same with a cluster (`clustered`), and with the rig's links between the processes, to the list and
+    from the proxies.
+    """
 
     def __init__(self, seed, folder, clustered=True):
         super().__init__(seed, folder)
@@ -143,12 +157,18 @@
 
     async def prepare(self):
         to, taps = {}, {}
-        self.stage.inventory.told = None            # told is what passed the link
+        self.stage.inventory.told = None  # told is what passed the link
         for name in self.at:
             to[name, "list"] = lambda: self.stage.inventory.address
             taps[name, "list"] = lambda name=name: partial(self.passed, name, Splitter())
             to["px", name] = lambda name=name: self.at[name].listen
-        self.links = Ways({name: int((at.cluster or "0:0").rpartition(":")[2]) for name, at in self.at.items()}, self.seed, ("list", "px"), to, taps)
+        self.links = Ways(
+            {name: int((at.cluster or "0:0").rpartition(":")[2]) for name, at in self.at.items()},
+            self.seed,
+            ("list", "px"),
+            to,
+            taps,
+        )
         await self.stage.group.start(self.links.run)
         self.links.watching.append(self.bent)
         if self.clustered:
@@ -161,7 +181,9 @@
                 self.stage.eyes.told(self.stage.clock.now(), name, news)
 
     def bent(self, at):
-        """Proxies are not heard, or hear nothing, or late: what they do then is not their controller's doing."""
+        """Proxies are not heard, or hear nothing, or late: what they do then is not their controller's
+        doing.
+        """
         for name in self.at:
             poor = not (self.links.way(name, "px").straight and self.links.way("px", name).straight)
             if poor != (name in self.poor):
@@ -172,7 +194,9 @@
         return f"127.0.0.1:{self.links.port(name, 'list')}"
 
     def seen(self, name, other):
-        return other.cluster and (other.cluster if name == other.name else f"127.0.0.1:{self.links.port(name, other.name)}")
+        return other.cluster and (
+            other.cluster if name == other.name else f"127.0.0.1:{self.links.port(name, other.name)}"
+        )
 
     def addresses(self):
         return [f"127.0.0.1:{self.links.port('px', name)}" for name in self.at]
--- a/embertray/rig/program.py
+++ b/embertray/rig/program.py
@@ -1,4 +1,5 @@
 """One true process of the program: started, stopped and gone on with, ended, by its id; its log is kept."""
+
 import json
 import sys
 from pathlib import Path
@@ -7,9 +8,9 @@
 import psutil
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-START_WITHIN = 30           # s until it listens
-END_WITHIN = 10             # s that an asked end may take
-LOOK = 0.02                 # s between two looks at its log
+START_WITHIN = 30  # s until it listens
+END_WITHIN = 10  # s that an asked end may take
+LOOK = 0.02  # s between two looks at its log
 
 
 class Program:
@@ -19,8 +20,26 @@
         self.name, self.log = name, Path(log)
         self.from_ = self.log.stat().st_size if self.log.exists() else 0
         with open(self.log, "ab") as out:
-            self.process = psutil.Popen([sys.executable, "-m", "embertray", "--log-format", "json", "--log-level", "info", "serve",
-                                         str(path), "--controller", name, "--seed", str(seed)], cwd=ROOT, stdout=out, stderr=out)
+            self.process = psutil.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "embertray",
+                    "--log-format",
+                    "json",
+                    "--log-level",
+                    "info",
+                    "serve",
+                    str(path),
+                    "--controller",
+                    name,
+                    "--seed",
+                    str(seed),
+                ],
+                cwd=ROOT,
+                stdout=out,
+                stderr=out,
+            )
 
     def said(self):
         """What this life logged so far."""
@@ -30,7 +49,9 @@
         return [json.loads(line) for line in lines if line.startswith(b"{")]
 
     async def listening(self):
-        """What it says of its addresses once it listens. Raises RuntimeError if it ends or does not come to it."""
+        """What it says of its addresses once it listens. Raises RuntimeError if it ends or does not come to
+        it.
+        """
         with anyio.move_on_after(START_WITHIN):
             while self.process.poll() is None:
                 if found := next((row for row in self.said() if row["event"] == "listening"), None):
--- a/embertray/rig/tube.py
+++ b/embertray/rig/tube.py
@@ -1,14 +1,21 @@
-"""An address of the rig's behind which streams are passed on to another one, through a way for each direction."""
+"""An address of the rig's behind which streams are passed on to another one, through a way for each
+direction.
+"""
+
 import socket
 import struct
 
 import anyio
 
-from ..model.way import MS
-
-BROKEN = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.BusyResourceError)
-LOOK = 0.02             # s between two looks at a closed way by a stream that waits on it
-PARTS = 64              # parts of a stream that are under way at most: then its sender feels it
+BROKEN = (
+    OSError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    anyio.BusyResourceError,
+)
+LOOK = 0.02  # s between two looks at a closed way by a stream that waits on it
+PARTS = 64  # parts of a stream that are under way at most: then its sender feels it
 
 
 def now():
@@ -16,8 +23,9 @@
 
 
 class Tube:
-    """From `port` to `target()`, an address. `there`, `back`: the ways; `streams`: where what ends each stream is kept. `tap()`: for each
-    stream a function that sees the bytes that came back, when they are passed on."""
+    """From `port` to `target()`, an address. `there`, `back`: the ways; `streams`: where what ends each
+    stream is kept. `tap()`: for each stream a function that sees the bytes that came back, when they are
+    passed on."""
 
     def __init__(self, port, target, there, back, streams, tap=None):
         self.port, self.target, self.there, self.back, self.streams = port, target, there, back, streams
@@ -30,17 +38,24 @@
             await listener.serve(self.stream)
 
     async def stream(self, near):
-        """What goes to the target passes `there`, what comes from it `back`. Either end's end is the other's."""
+        """What goes to the target passes `there`, what comes from it `back`. Either end's end is the
+        other's.
+        """
         reset = []
         try:
             async with near:
-                while not self.there.open:              # a machine that is cut off answers no call
+                while not self.there.open:  # a machine that is cut off answers no call
                     await anyio.sleep(LOOK)
                 host, _, port = self.target().rpartition(":")
-                async with await anyio.connect_tcp(host, int(port)) as far, anyio.create_task_group() as group:
+                async with (
+                    await anyio.connect_tcp(host, int(port)) as far,
+                    anyio.create_task_group() as group,
+                ):
+
                     def end():
                         reset.append(True)
                         group.cancel_scope.cancel()
+
                     self.streams.add(end)
                     try:
                         group.start_soon(self.carry, self.there, near, far, group, lambda data: None)
@@ -49,7 +64,7 @@
                     finally:
                         self.streams.discard(end)
                         if reset:
-                            for one in (near, far):     # closing sends a reset and drops what was not sent
+                            for one in (near, far):  # closing sends a reset and drops what was not sent
                                 raw = one.extra(anyio.abc.SocketAttribute.raw_socket)
                                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         except* BROKEN:
--- a/embertray/rig/ways.py
+++ b/embertray/rig/ways.py
@@ -1,9 +1,12 @@
-"""The links of true processes: for each ordered pair an address of its own, UDP and TCP, behind which the rig stands.
+"""The links of true processes: for each ordered pair an address of its own, UDP and TCP, behind which the rig
+stands.
 
-A member knows the others by the addresses that it is told, and tells them on; so statements are rewritten on the way: to each member,
-every other one lives behind that member's own link to it.
+A member knows the others by the addresses that it is told, and tells them on; so statements are rewritten on
+the way: to each member, every other one lives behind that member's own link to it.
 """
+
 import socket
+from contextlib import suppress
 
 import anyio
 import msgspec
@@ -15,13 +18,16 @@
 
 
 class Ways(Web):
-    """`at`: name -> the true cluster port of each member. `port(a, b)` is where a reaches b, `way(a, b)` what lies between. `to`: (from,
-    to) -> a function that gives the address, for the ends that are no members; `taps`: (from, to) -> Tube's tap."""
+    """`at`: name -> the true cluster port of each member. `port(a, b)` is where a reaches b, `way(a, b)` what
+    lies between. `to`: (from, to) -> a function that gives the address, for the ends that are no members;
+    `taps`: (from, to) -> Tube's tap."""
 
     def __init__(self, at, seed=1, ends=(), to=None, taps=None):
         super().__init__(list(at), seed, ends)
         self.at, self.to, self.taps, self.unreadable, self.out = at, dict(to or {}), dict(taps or {}), 0, None
-        self.ports = dict(zip([*self.pairs(), *self.to], free_ports(len(self.pairs()) + len(self.to))))
+        self.ports = dict(
+            zip([*self.pairs(), *self.to], free_ports(len(self.pairs()) + len(self.to)), strict=False)
+        )
 
     def port(self, a, b):
         return self.ports[a, b]
@@ -34,12 +40,23 @@
                     await group.start(self.datagrams, pair, group)
                 for (a, b), port in self.ports.items():
                     target = self.to.get((a, b)) or (lambda b=b: f"127.0.0.1:{self.at[b]}")
-                    await group.start(Tube(port, target, self.ways[a, b], self.ways[b, a], self.streams[a, b], self.taps.get((a, b))).run)
+                    await group.start(
+                        Tube(
+                            port,
+                            target,
+                            self.ways[a, b],
+                            self.ways[b, a],
+                            self.streams[a, b],
+                            self.taps.get((a, b)),
+                        ).run
+                    )
                 task_status.started()
 
     async def datagrams(self, pair, group, *, task_status):
         way, receiver = self.ways[pair], pair[1]
-        async with await anyio.create_udp_socket(family=socket.AF_INET, local_host="127.0.0.1", local_port=self.ports[pair]) as udp:
+        async with await anyio.create_udp_socket(
+            family=socket.AF_INET, local_host="127.0.0.1", local_port=self.ports[pair]
+        ) as udp:
             task_status.started()
             async for data, _ in udp:
                 try:
@@ -58,18 +75,18 @@
         self.deliver(data, receiver)
 
     def deliver(self, data, receiver):
-        try:
+        with suppress(OSError):  # lost, as it would be on a full way
             self.out.sendto(data, ("127.0.0.1", self.at[receiver]))
-        except OSError:
-            pass                            # lost, as it would be on a full way
 
     def rewritten(self, receiver, message):
         """As `receiver` is to see it: every other member behind its own link to it."""
+
         def seen(said):
             if said.name == receiver:
                 return msgspec.structs.replace(said, address=f"127.0.0.1:{self.at[receiver]}")
             port = self.ports.get((receiver, said.name))
             return said if port is None else msgspec.structs.replace(said, address=f"127.0.0.1:{port}")
+
         changed = {"sender": seen(message.sender), "news": [seen(said) for said in message.news]}
         if isinstance(message, Help):
             changed["about"] = seen(message.about)
--- a/embertray/site/made.py
+++ b/embertray/site/made.py
@@ -1,4 +1,7 @@
-"""Site files made from a sample, for measurements and for churn: one controller at addresses of the system's choice."""
+"""Site files made from a sample, for measurements and for churn: one controller at addresses of the system's
+choice.
+"""
+
 from pathlib import Path
 
 from lxml import etree
--- a/embertray/site/site.py
+++ b/embertray/site/site.py
@@ -1,4 +1,7 @@
-"""Loads a site description: XML checked against site.xsd by lxml, then the few checks that a schema can't state."""
+"""Loads a site description: XML checked against site.xsd by lxml, then the few checks that a schema can't
+state.
+"""
+
 from dataclasses import dataclass, field, replace
 from functools import cache
 from pathlib import Path
@@ -20,16 +23,20 @@
 @dataclass(frozen=True)
 class ControllerAt:
     """One controller: where its proxies and its operators reach it."""
+
     name: str
     zone: str
     listen: str
     admin: str
-    cluster: str = ""           # where other controllers reach it, if the site has a cluster
+    cluster: str = ""  # where other controllers reach it, if the site has a cluster
 
 
 @dataclass(frozen=True)
 class Cluster:
-    """What the site says of its cluster: ns between two probes, bytes of shared state, bytes a second for it."""
+    """What the site says of its cluster: ns between two probes, bytes of shared state, bytes a second for
+    it.
+    """
+
     name: str
     period: int
     state: int
@@ -38,7 +45,10 @@
 
 @dataclass(frozen=True, eq=False)
 class Site:
-    """A deployment's facts. Times in ns, rates a second. `kinds` are interface.ReqKind, their names at `door`."""
+    """A deployment's facts. Times in ns, rates a second. `kinds` are interface.ReqKind, their names at
+    `door`.
+    """
+
     name: str
     tick: int
     zones: tuple
@@ -77,7 +87,7 @@
     keep: str
     controllers: tuple
     backends: int = 64
-    caps: dict = field(default_factory=dict)        # purpose -> bytes, where the description says
+    caps: dict = field(default_factory=dict)  # purpose -> bytes, where the description says
     cluster: Cluster | None = None
 
     def controller(self, name):
@@ -85,7 +95,9 @@
         for one in self.controllers:
             if one.name == name:
                 return one
-        raise BadSite(f"{self.name}: no controller '{name}' (there are {', '.join(c.name for c in self.controllers)})")
+        raise BadSite(
+            f"{self.name}: no controller '{name}' (there are {', '.join(c.name for c in self.controllers)})"
+        )
 
     def at(self, **other):
         """The same site with other facts, as for ports that are only known once something listens."""
@@ -94,21 +106,41 @@
     def deployment(self, me, door):
         """What the decision module is told at its start; zones become the door's objects."""
         return i.Deployment(
-            kinds=list(self.kinds), zones=[door.zone(name) for name in self.zones], home=door.zone(me.zone),
-            controllers=len(self.controllers), proxies=self.proxies, ask=self.ask, ask_within=self.ask_within,
-            may_probe=self.probes, throttle=self.levels, pick=self.picks, retry_base=self.base_retry,
-            bare_limit=self.bare_limit, pending_max=self.pending_max, channel_rate=self.channel_rate, head=self.head,
-            way_mean=self.way_mean, way_max=self.way_most, messages_max=self.messages_max,
-            messages_window=self.messages_window, report_cycle=self.report_cycle, cold_from=self.cold_from,
-            warm_after=self.warm_after, fall_multiple=self.fall_multiple, fall_after=self.fall_after,
-            drain_grace=self.drain_grace, cross_fee=self.cross_cost, drops_bind=self.dropped_bind)
+            kinds=list(self.kinds),
+            zones=[door.zone(name) for name in self.zones],
+            home=door.zone(me.zone),
+            controllers=len(self.controllers),
+            proxies=self.proxies,
+            ask=self.ask,
+            ask_within=self.ask_within,
+            may_probe=self.probes,
+            throttle=self.levels,
+            pick=self.picks,
+            retry_base=self.base_retry,
+            bare_limit=self.bare_limit,
+            pending_max=self.pending_max,
+            channel_rate=self.channel_rate,
+            head=self.head,
+            way_mean=self.way_mean,
+            way_max=self.way_most,
+            messages_max=self.messages_max,
+            messages_window=self.messages_window,
+            report_cycle=self.report_cycle,
+            cold_from=self.cold_from,
+            warm_after=self.warm_after,
+            fall_multiple=self.fall_multiple,
+            fall_after=self.fall_after,
+            drain_grace=self.drain_grace,
+            cross_fee=self.cross_cost,
+            drops_bind=self.dropped_bind,
+        )
 
 
 def time(text):
     """'2.5s' in ns; the schema has checked its form."""
     for unit, worth in UNITS.items():
         if text.endswith(unit):
-            return round(float(text[:-len(unit)]) * worth)
+            return round(float(text[: -len(unit)]) * worth)
     raise ValueError(text)
 
 
@@ -131,7 +163,7 @@
         raise BadSite(f"{path}: {wrong.args[0] if wrong.args else wrong}") from None
     except etree.XMLSyntaxError as wrong:
         raise BadSite(f"{path}:{wrong.lineno}: not well-formed XML: {wrong.msg}") from None
-    if not schema().validate(tree):      # validating also fills in the defaults
+    if not schema().validate(tree):  # validating also fills in the defaults
         first = schema().error_log[0]
         wanted = next((text for pattern, text in expected().items() if f"'{pattern}'" in first.message), None)
         said = first.message.split(" [facet")[0].split(": [facet")[0] if wanted else first.message
@@ -152,48 +184,96 @@
     kinds, late, windows = [], {}, {}
     for element in root.find("request-kinds"):
         got = {**defaults["kind"], **element.attrib}
-        kind = i.ReqKind(time(got["response-target"]), time(got["client-timeout"]), float(got["credit"]),
-                         got["again"], got["group"], got["name"])
+        kind = i.ReqKind(
+            time(got["response-target"]),
+            time(got["client-timeout"]),
+            float(got["credit"]),
+            got["again"],
+            got["group"],
+            got["name"],
+        )
         if kind.client_timeout < kind.response_target:
-            raise BadSite(f"{path}:{element.sourceline}: kind {kind.door}: client-timeout is under response-target")
+            raise BadSite(
+                f"{path}:{element.sourceline}: kind {kind.door}: client-timeout is under response-target"
+            )
         kinds.append(kind)
         late[kind], windows[kind] = float(got["late-credit"]), time(got["window"])
     (_, px), (channel_at, channel), (_, reports), (_, be), (at, inventory) = (
-        part(name) for name in ("proxies", "channel", "reports", "backends", "inventory"))
+        part(name) for name in ("proxies", "channel", "reports", "backends", "inventory")
+    )
     if not (rate := float(channel["lines-per-second"])) > 0:
         raise BadSite(f"{path}:{channel_at.sourceline}: channel: lines-per-second must be over 0")
     controllers, taken = [], {}
     for element in root.find("controllers"):
-        controllers.append(ControllerAt(*(element.get(k, "") for k in ("name", "zone", "listen", "admin", "cluster"))))
+        controllers.append(
+            ControllerAt(*(element.get(k, "") for k in ("name", "zone", "listen", "admin", "cluster")))
+        )
         for key in ("listen", "admin", "cluster"):
             if not (address := element.get(key, "")):
                 continue
             check(path, element, address)
             if not address.endswith(":0") and address in taken:
-                raise BadSite(f"{path}:{element.sourceline}: {address} is taken by line {taken[address]} already")
+                raise BadSite(
+                    f"{path}:{element.sourceline}: {address} is taken by line {taken[address]} already"
+                )
             taken[address] = element.sourceline
     check(path, at, inventory["address"])
     cluster = None
     if (clustered := root.find("cluster")) is not None:
         got = {**defaults["cluster"], **clustered.attrib}
-        cluster = Cluster(root.get("name"), time(got["period"]), size(got["state"]), size(got["bytes-per-second"]))
+        cluster = Cluster(
+            root.get("name"), time(got["period"]), size(got["state"]), size(got["bytes-per-second"])
+        )
         if cluster.period < 50 * 10**6:
             raise BadSite(f"{path}:{clustered.sourceline}: cluster: a period of 50ms at least is expected")
-        for one, element in zip(controllers, root.find("controllers")):
+        for one, element in zip(controllers, root.find("controllers"), strict=False):
             if not one.cluster or one.cluster.endswith(":0"):
-                raise BadSite(f"{path}:{element.sourceline}: controller {one.name}: a cluster needs its address, with a port that others know")
+                raise BadSite(
+                    f"{path}:{element.sourceline}: controller {one.name}: a cluster needs its "
+                    "address, with a port that others know"
+                )
     return Site(
-        root.get("name"), time(root.get("tick", "5ms")), tuple(z.get("name") for z in root.find("zones")),
-        tuple(kinds), late, windows, int(px["expected"]), px["picks"], px["levels"], int(px["standing"]),
-        int(px["base-retry"]), float(px["per-try"]), int(px["eject-after"]), time(px["bare-limit"]),
-        rate, float(channel["lines-waiting"]), float(channel["head"]), time(channel["way-mean"]),
-        time(channel["way-most"]), int(channel["messages"]), time(channel["messages-within"]),
-        time(reports["cycle"]), float(reports["lines-per-second"]), float(be["cold-from"]), time(be["warm-after"]),
-        float(be["fall-multiple"]), time(be["fall-after"]), time(be["drain-grace"]), true(be["dropped-bind"]),
-        true(be["full-may-have-run"]), true(be["probes"]), float(be["cross-zone-cost"]), inventory["address"],
-        inventory["mode"] == "ask", time(inventory["ask-within"]), inventory["keep"], tuple(controllers),
-        int(be["expected"]), {cap.get("purpose"): size(cap.get("bytes")) for cap in root.iterfind("memory/cap")},
-        cluster)
+        root.get("name"),
+        time(root.get("tick", "5ms")),
+        tuple(z.get("name") for z in root.find("zones")),
+        tuple(kinds),
+        late,
+        windows,
+        int(px["expected"]),
+        px["picks"],
+        px["levels"],
+        int(px["standing"]),
+        int(px["base-retry"]),
+        float(px["per-try"]),
+        int(px["eject-after"]),
+        time(px["bare-limit"]),
+        rate,
+        float(channel["lines-waiting"]),
+        float(channel["head"]),
+        time(channel["way-mean"]),
+        time(channel["way-most"]),
+        int(channel["messages"]),
+        time(channel["messages-within"]),
+        time(reports["cycle"]),
+        float(reports["lines-per-second"]),
+        float(be["cold-from"]),
+        time(be["warm-after"]),
+        float(be["fall-multiple"]),
+        time(be["fall-after"]),
+        time(be["drain-grace"]),
+        true(be["dropped-bind"]),
+        true(be["full-may-have-run"]),
+        true(be["probes"]),
+        float(be["cross-zone-cost"]),
+        inventory["address"],
+        inventory["mode"] == "ask",
+        time(inventory["ask-within"]),
+        inventory["keep"],
+        tuple(controllers),
+        int(be["expected"]),
+        {cap.get("purpose"): size(cap.get("bytes")) for cap in root.iterfind("memory/cap")},
+        cluster,
+    )
 
 
 def check(path, element, address):
@@ -207,8 +287,11 @@
 def expected():
     """What a pattern of the schema stands for, in words: pattern -> its type's documentation."""
     tag = "{http://www.w3.org/2001/XMLSchema}"
-    return {kind.find(f".//{tag}pattern").get("value"): kind.findtext(f".//{tag}documentation")
-            for kind in etree.parse(HERE / "site.xsd").iter(tag + "simpleType") if kind.find(f".//{tag}pattern") is not None}
+    return {
+        kind.find(f".//{tag}pattern").get("value"): kind.findtext(f".//{tag}documentation")
+        for kind in etree.parse(HERE / "site.xsd").iter(tag + "simpleType")
+        if kind.find(f".//{tag}pattern") is not None
+    }
 
 
 @cache
--- a/embertray/standin/aged.py
+++ b/embertray/standin/aged.py
@@ -1,4 +1,5 @@
 """What a controller kept of the list, made older than it is."""
+
 from msgspec import structs
 
 from ..durable.snapshot import Kept, Snapshot
@@ -6,8 +7,15 @@
 
 def older(last, by):
     """A snapshot as if it had been written so much (ns) before, in another boot."""
-    return Snapshot(last.epoch, last.clock, last.wall - by, "", 0, [
-        structs.replace(e, confirmed=e.confirmed - by) for e in last.entries], last.gone)
+    return Snapshot(
+        last.epoch,
+        last.clock,
+        last.wall - by,
+        "",
+        0,
+        [structs.replace(e, confirmed=e.confirmed - by) for e in last.entries],
+        last.gone,
+    )
 
 
 def age_in_memory(kept, by, from_start):
--- a/embertray/standin/backend.py
+++ b/embertray/standin/backend.py
@@ -1,4 +1,5 @@
 """A backend on a listening address, round the model of embertray/model/backend.py."""
+
 import anyio
 
 from .messages import End, Req, encode, read
@@ -6,8 +7,8 @@
 
 
 class StandinBackend:
-    """`model` is a model.backend.Backend whose name is its address once it listens; `saw(now, name, req)` for each req
-    that its socket brings; `draw()` gives numbers from 0 to 1."""
+    """`model` is a model.backend.Backend whose name is its address once it listens; `saw(now, name, req)` for
+    each req that its socket brings; `draw()` gives numbers from 0 to 1."""
 
     def __init__(self, model, net, agenda, draw, saw=None):
         self.model, self.net, self.agenda, self.draw, self.saw = model, net, agenda, draw, saw
@@ -76,6 +77,6 @@
                 link.cut()
 
     def start(self, cold=True):
-        for link in list(self.links):           # of the process before: they break now at the latest
+        for link in list(self.links):  # of the process before: they break now at the latest
             link.cut()
         self.model.start(self.agenda.now(), cold)
--- a/embertray/standin/client.py
+++ b/embertray/standin/client.py
@@ -1,4 +1,5 @@
 """Clients on sockets: reqs by chance at a rate, with time-outs and retries of their own (model/client.py)."""
+
 import anyio
 
 from ..model.client import Clients
@@ -10,8 +11,8 @@
 
 
 class StandinClients:
-    """The clients of one proxy. `mix`: [(ReqKind, share, mean work ns)]; `rate(now)` reqs a second, or a source of
-    model/load.py; `ended(now, at, kind, how, took)` for each req, how: done | late | lost."""
+    """The clients of one proxy. `mix`: [(ReqKind, share, mean work ns)]; `rate(now)` reqs a second, or a
+    source of model/load.py; `ended(now, at, kind, how, took)` for each req, how: done | late | lost."""
 
     def __init__(self, number, mix, rate, net, agenda, rng, retries=1, wait=S // 5, ended=None):
         self.model, self.rng = Clients(number, mix, rng, retries, wait), rng
--- a/embertray/standin/fleet.py
+++ b/embertray/standin/fleet.py
@@ -1,5 +1,6 @@
-"""The relay's channel and a fleet behind it, without streams: paced, in order, one message a proxy. For one decision module,
-which is handed in: a stand-in knows no controller."""
+"""The relay's channel and a fleet behind it, without streams: paced, in order, one message a proxy. For one
+decision module, which is handed in: a stand-in knows no controller."""
+
 from collections import defaultdict, deque
 
 from .. import interface as i
@@ -8,20 +9,46 @@
 
 
 class Fleet:
-    """`controller(seed, deployment, now)` makes the module. Proxies apply messages and answer marks; bound ones hold their
-    table's lines, loose ones what they brought. `late`: (proxy, backend) still held past the grace; `bare`: ns without any
-    line; `written`: when each proxy's messages left the channel; `most`: lines that waited there."""
+    """`controller(seed, deployment, now)` makes the module. Proxies apply messages and answer marks; bound
+    ones hold their table's lines, loose ones what they brought. `late`: (proxy, backend) still held past the
+    grace; `bare`: ns without any line; `written`: when each proxy's messages left the channel; `most`: lines
+    that waited there."""
 
     def __init__(self, controller, backends, proxies, zones=2, seed=1, **site):
         self.zones = [i.Zone(f"zone-{k}") for k in range(zones)]
         self.bes = [i.Backend(f"be-{k}") for k in range(backends)]
         self.pxs = [i.Proxy(k) for k in range(proxies)]
         kinds = [i.ReqKind(800 * MS, 2 * S), i.ReqKind(S, 3 * S, 2.0, "non-replayable")]
-        given = dict(controllers=5, proxies=proxies, throttle="share", pick="two", bare_limit=15 * S, head=6.0, way_mean=180 * MS,
-                     channel_rate=3 * proxies, pending_max=24 * proxies, way_max=450 * MS, messages_max=20,
-                     messages_window=10 * S, report_cycle=2 * S, cold_from=0.2, warm_after=10 * S, fall_multiple=4.0,
-                     fall_after=3 * S, drain_grace=9500 * MS, cross_fee=0.01) | site
-        self.site, self.now, self.todo, self.channel = i.Deployment(kinds, self.zones, **given), 10 * S, [], deque()
+        given = (
+            dict(
+                controllers=5,
+                proxies=proxies,
+                throttle="share",
+                pick="two",
+                bare_limit=15 * S,
+                head=6.0,
+                way_mean=180 * MS,
+                channel_rate=3 * proxies,
+                pending_max=24 * proxies,
+                way_max=450 * MS,
+                messages_max=20,
+                messages_window=10 * S,
+                report_cycle=2 * S,
+                cold_from=0.2,
+                warm_after=10 * S,
+                fall_multiple=4.0,
+                fall_after=3 * S,
+                drain_grace=9500 * MS,
+                cross_fee=0.01,
+            )
+            | site
+        )
+        self.site, self.now, self.todo, self.channel = (
+            i.Deployment(kinds, self.zones, **given),
+            10 * S,
+            [],
+            deque(),
+        )
         self.module = controller(seed, self.site, self.now)
         self.state, self.told, self.held, self.bound, self.since = {}, {}, defaultdict(dict), {}, {}
         self.tables, self.free_at, self.most, self.late, self.bare = defaultdict(dict), 0, 0.0, {}, {}
@@ -85,7 +112,9 @@
             elif isinstance(one, i.PutMark):
                 mark = one.mark
         for px in cost:
-            self.free_at = max(self.free_at, self.now) + int((cost[px] + self.site.head + 1) * S / self.site.channel_rate)
+            self.free_at = max(self.free_at, self.now) + int(
+                (cost[px] + self.site.head + 1) * S / self.site.channel_rate
+            )
             self.written[px].append(self.free_at)
             self.channel.append((self.free_at + self.site.way_mean, px, messages[px], mark, self.now))
         self.most = max(self.most, (self.free_at - self.now) * self.site.channel_rate / S)
--- a/embertray/standin/inventory.py
+++ b/embertray/standin/inventory.py
@@ -1,4 +1,5 @@
 """An inventory of backends on sockets: tells changes late, pushes or answers, and is down sometimes."""
+
 import anyio
 
 from ..inventory.messages import Failed, Watch, encode, read_ask
@@ -7,8 +8,8 @@
 
 
 class StandinInventory(Inventory):
-    """`told(now, sender, news)` for each News that goes to a controller's socket. Calls are answered after `answers` ns;
-    while `down` they fail and no change is told."""
+    """`told(now, sender, news)` for each News that goes to a controller's socket. Calls are answered after
+    `answers` ns; while `down` they fail and no change is told."""
 
     def __init__(self, net, agenda, answers=0, told=None):
         super().__init__()
--- a/embertray/standin/messages.py
+++ b/embertray/standin/messages.py
@@ -1,11 +1,17 @@
-"""What clients, proxies and backends say to each other: a req and its end, in the frames of the proxies' protocol."""
+"""What clients, proxies and backends say to each other: a req and its end, in the frames of the proxies'
+protocol.
+"""
+
 import msgspec
 
 from ..stream.messages import Message
 
 
 class Req(Message, tag="req"):
-    """`work`: ns of a core of speed 1; `within`: ns until whoever sent it gives up; `attempt`: 1 for the first."""
+    """`work`: ns of a core of speed 1; `within`: ns until whoever sent it gives up; `attempt`: 1 for the
+    first.
+    """
+
     ident: int
     kind: str
     work: int
@@ -16,11 +22,12 @@
 
 class End(Message, tag="end"):
     """`how`: done | denied | full | error"""
+
     ident: int
     attempt: int
     how: str
     load: dict[str, float] = {}
-    wait: int = 0                       # ns that who was denied is asked to stay away
+    wait: int = 0  # ns that who was denied is asked to stay away
 
 
 encode = msgspec.msgpack.Encoder().encode
--- a/embertray/standin/parts.py
+++ b/embertray/standin/parts.py
@@ -1,4 +1,5 @@
 """What all stand-ins are made of: an agenda of callbacks, and links that carry messages."""
+
 import asyncio
 
 import anyio
--- a/embertray/standin/platform.py
+++ b/embertray/standin/platform.py
@@ -1,4 +1,7 @@
-"""The platform's discovery on sockets, written from the protocol's page, and what it shares with the relay."""
+"""The platform's discovery on sockets, written from the protocol's page, and what it shares with the
+relay.
+"""
+
 from urllib.parse import parse_qs
 
 import anyio
@@ -35,8 +38,14 @@
 
     async def answer(self, body, kind="text/xml", status=200, upto=None):
         """`upto`: no more than so many bytes of the body go out."""
-        head = self.state.send(h11.Response(status_code=status, headers=[("Content-Type", kind), ("Content-Length", str(len(body)))]))
-        await self.stream.send(head + (self.state.send(h11.Data(data=body)) + self.state.send(h11.EndOfMessage()))[:upto])
+        head = self.state.send(
+            h11.Response(
+                status_code=status, headers=[("Content-Type", kind), ("Content-Length", str(len(body)))]
+            )
+        )
+        await self.stream.send(
+            head + (self.state.send(h11.Data(data=body)) + self.state.send(h11.EndOfMessage()))[:upto]
+        )
         if self.state.our_state is h11.DONE and self.state.their_state is h11.DONE:
             self.state.start_next_cycle()
 
@@ -81,9 +90,10 @@
 
 
 class StandinDiscovery(Party):
-    """`change` makes a new version; watches that wait are told. While `down` nothing is answered. `mood`: how the next answers
-    end, one word each: ok | head (closed after the headers) | half (closed within the body) | hold (silent within the body) |
-    last (closed right after it) | slow (a byte at a time). `eager`: watches wait for nothing."""
+    """`change` makes a new version; watches that wait are told. While `down` nothing is answered. `mood`: how
+    the next answers end, one word each: ok | head (closed after the headers) | half (closed within the body)
+    | hold (silent within the body) | last (closed right after it) | slow (a byte at a time). `eager`: watches
+    wait for nothing."""
 
     def __init__(self, net, members=()):
         super().__init__(net)
@@ -104,7 +114,7 @@
             since = int(got["from"][0]) if "from" in got else None
             if since is not None and not self.eager:
                 with anyio.move_on_after(int(got["hold_ms"][0]) / 1e3):
-                    await self.until(lambda: self.revision != since)
+                    await self.until(lambda since=since: self.revision != since)
             if self.down:
                 await anyio.sleep_forever()
             if path != "/catalog/members":
@@ -114,9 +124,15 @@
             rows = [self.members[name] for name in names]
             if since is None:
                 rows = [row for row in rows if row["phase"] != "gone"]
-            body = msgspec.json.encode({"revision": self.revision, "complete": since is None, "members": rows})
+            body = msgspec.json.encode(
+                {"revision": self.revision, "complete": since is None, "members": rows}
+            )
             mood = self.mood.pop(0) if self.mood and rows else "ok"
-            await side.answer(body, "application/json", upto={"head": 0, "half": len(body) // 2, "hold": len(body) // 2, "slow": 0}.get(mood))
+            await side.answer(
+                body,
+                "application/json",
+                upto={"head": 0, "half": len(body) // 2, "hold": len(body) // 2, "slow": 0}.get(mood),
+            )
             for byte in body if mood == "slow" else ():
                 await side.stream.send(bytes([byte]))
             if mood == "hold":
--- a/embertray/standin/proxy.py
+++ b/embertray/standin/proxy.py
@@ -1,6 +1,7 @@
-"""A plain proxy on sockets: its stream to a controller, its clients and its backends. What it does with a req is told
-by model/proxy.py; it keeps what it holds when its stream breaks and dials the next controller.
+"""A plain proxy on sockets: its stream to a controller, its clients and its backends. What it does with a req
+is told by model/proxy.py; it keeps what it holds when its stream breaks and dials the next controller.
 """
+
 import anyio
 
 from ..model.proxy import Proxy, StandsStill
@@ -11,8 +12,8 @@
 from .parts import BROKEN, Link
 
 S = 10**9
-REDIAL = (S // 5, 2 * S)    # ns; delay before the next dial, first and longest
-CONNECT = S // 4            # ns a connection may take
+REDIAL = (S // 5, 2 * S)  # ns; delay before the next dial, first and longest
+CONNECT = S // 4  # ns a connection may take
 
 
 class Target:
@@ -23,11 +24,12 @@
 
 
 class StandinProxy(StandsStill):
-    """`eyes` sees what crosses its sockets: joined, left, orders, sent (days/observer.py). `way()` gives ns that an
-    order takes from the socket to its effect."""
+    """`eyes` sees what crosses its sockets: joined, left, orders, sent (days/observer.py). `way()` gives ns
+    that an order takes from the socket to its effect."""
 
-    def __init__(self, name, zone, site, controllers, net, agenda, rng, rate=0.0, standing=(), eyes=None,
-                 way=lambda: 0):
+    def __init__(
+        self, name, zone, site, controllers, net, agenda, rng, rate=0.0, standing=(), eyes=None, way=lambda: 0
+    ):
         self.name, self.zone, self.site, self.net, self.agenda, self.rng = name, zone, site, net, agenda, rng
         self.controllers, self.rate, self.eyes, self.way = list(controllers), rate, eyes, way
         self.first = list(standing)
@@ -36,7 +38,7 @@
         self.group, self.scope, self.conn = None, None, None
         self.cut_off = self.still = self.deaf = False
         self.held_back, self.lag, self.last_due, self.home = [], 0, 0, 0
-        self.bad = set()                # backends that it can't reach
+        self.bad = set()  # backends that it can't reach
 
     # ---- its stream to a controller
 
@@ -83,7 +85,7 @@
                 group.start_soon(self.write, self.conn, self.scope)
                 try:
                     while not end.over:
-                        while self.deaf:                # it does not read: its sockets fill up
+                        while self.deaf:  # it does not read: its sockets fill up
                             await anyio.sleep(0.05)
                         for message in end.receive(await self.conn.read()):
                             if isinstance(message, Orders):
@@ -115,7 +117,7 @@
         self.agenda.at(self.last_due, self.apply, end, orders)
 
     def apply(self, end, orders):
-        if end is not self.joined:      # the stream broke while it was under way
+        if end is not self.joined:  # the stream broke while it was under way
             return
         if self.still:
             self.held_back.append((self.apply, end, orders))
@@ -194,7 +196,9 @@
                 if name in self.bad:
                     raise ConnectionRefusedError
                 stream = await self.net.dial(name)
-                link = target.link = Link(stream, encode, read, self.on_end, lambda: self.on_broken(name, target, link))
+                link = target.link = Link(
+                    stream, encode, read, self.on_end, lambda: self.on_broken(name, target, link)
+                )
         except BROKEN:
             pass
         target.dialling = False
--- a/embertray/standin/relay.py
+++ b/embertray/standin/relay.py
@@ -1,4 +1,5 @@
 """The platform's relay on sockets, written from the protocol's page."""
+
 from urllib.parse import parse_qs
 
 import anyio
@@ -8,9 +9,10 @@
 
 
 class StandinRelay(Party):
-    """Takes calls and tells news. `mood`: what it does with the next calls, one word each: ok | lose (no answer, not carried
-    out) | mute (carried out, no answer) | spoil (carried out, unreadable answer) | cut (carried out, the answer broken off) | stall
-    (carried out, silent) | slow (a byte at a time) | throttled. `refuse(order)`: whether an order is refused."""
+    """Takes calls and tells news. `mood`: what it does with the next calls, one word each: ok | lose (no
+    answer, not carried out) | mute (carried out, no answer) | spoil (carried out, unreadable answer) | cut
+    (carried out, the answer broken off) | stall (carried out, silent) | slow (a byte at a time) | throttled.
+    `refuse(order)`: whether an order is refused."""
 
     def __init__(self, net, answers=True):
         super().__init__(net)
@@ -47,7 +49,9 @@
                 return
             got = parse_qs(body.decode())
             if (method, path, got.get("Action")) != ("POST", "/api/", ["CommitChanges"]):
-                await side.answer(b"<Response><Errors><Error><Code>invalid</Code></Error></Errors></Response>", status=400)
+                await side.answer(
+                    b"<Response><Errors><Error><Code>invalid</Code></Error></Errors></Response>", status=400
+                )
                 continue
             orders = got["orders"][0].split(";")
             mood = self.mood.pop(0) if self.mood else "ok"
@@ -55,13 +59,16 @@
             count = self.carry_out(orders) if mood not in ("lose", "throttled") else 0
             self.happened()
             if mood == "throttled":
-                await side.answer(b"<Response><Errors><Error><Code>throttled</Code></Error></Errors></Response>", status=503)
+                await side.answer(
+                    b"<Response><Errors><Error><Code>throttled</Code></Error></Errors></Response>", status=503
+                )
             elif mood in ("lose", "mute"):
                 return
             else:
                 body = b"<Response><items><it\xff"
                 if mood != "spoil":
-                    body = f"<Response><items><item><ok_count>{count}</ok_count></item></items></Response>".encode()
+                    item = f"<item><ok_count>{count}</ok_count></item>"
+                    body = f"<Response><items>{item}</items></Response>".encode()
                 await side.answer(body, upto={"cut": len(body) // 2, "stall": 0, "slow": 0}.get(mood))
                 for byte in body if mood == "slow" else ():
                     await side.stream.send(bytes([byte]))
@@ -75,8 +82,14 @@
         self.streams.append(queue)
         self.happened()
         try:
-            await side.stream.send(side.state.send(h11.Response(status_code=200, headers=[
-                ("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")])))
+            await side.stream.send(
+                side.state.send(
+                    h11.Response(
+                        status_code=200,
+                        headers=[("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")],
+                    )
+                )
+            )
             while True:
                 data, queue[:] = b"".join(queue) or b":\n", []
                 await side.stream.send(side.state.send(h11.Data(data=data)))
@@ -110,7 +123,9 @@
             if int(args[0]) not in self.joined:
                 raise KeyError(args[0])
             self.bound[int(args[0])] = args[1]
-            self.joined[int(args[0])] = self.joined[int(args[0])].replace("cold=1", "cold=0")   # what stands is told as it is now
+            self.joined[int(args[0])] = self.joined[int(args[0])].replace(
+                "cold=1", "cold=0"
+            )  # what stands is told as it is now
             reached.add(int(args[0]))
         elif verb in ("OUT", "IN"):
             (self.out.add if verb == "OUT" else self.out.discard)(args[0])
@@ -119,7 +134,9 @@
             self.levels[args[0], args[1]] = float(args[2]), int(args[3])
             reached.update(node for node, bound in self.bound.items() if bound == args[0])
         elif verb == "SYNC":
-            for node in sorted(self.joined if args[1] == "1" else reached & set(self.joined)) if self.answers else ():
+            for node in (
+                sorted(self.joined if args[1] == "1" else reached & set(self.joined)) if self.answers else ()
+            ):
                 self.tell("done", f"node={node}&nonce={args[0]}&latency=12.5")
         else:
             raise ValueError(verb)
--- a/embertray/standin/virtual.py
+++ b/embertray/standin/virtual.py
@@ -1,8 +1,9 @@
 """Virtual time and streams in memory: the same daemon and stand-ins, a day in the time that its work takes.
 
-The loop is asyncio's own, first in first out; when it would wait, its clock jumps to the next timer instead. So the
-same day with the same seed is the same run. docs/design/controller.md compares this with other ways.
+The loop is asyncio's own, first in first out; when it would wait, its clock jumps to the next timer instead.
+So the same day with the same seed is the same run. docs/design/controller.md compares this with other ways.
 """
+
 import asyncio
 import selectors
 from collections import deque
@@ -12,8 +13,8 @@
 
 from ..net.clock import LoopClock
 
-START = 1000.0              # s on the virtual clock at the start: what started "long ago" lies before it
-MOST_HELD = 64 * 1024       # bytes a stream holds for a reader that does not read, as a socket does
+START = 1000.0  # s on the virtual clock at the start: what started "long ago" lies before it
+MOST_HELD = 64 * 1024  # bytes a stream holds for a reader that does not read, as a socket does
 
 
 class Stuck(RuntimeError):
@@ -225,8 +226,8 @@
         return await self.net.dial(address, self.gate)
 
     def kill(self):
-        """What the system does for a dead process: nobody listens, and its streams break in the order of their
-        making (a cancelled task group ends its tasks in no certain order)."""
+        """What the system does for a dead process: nobody listens, and its streams break in the order of
+        their making (a cancelled task group ends its tasks in no certain order)."""
         for listener in [one for one in self.net.listeners.values() if one.gate is self.gate]:
             listener.close()
         for stream in list(self.gate.streams):
--- a/embertray/stream/frames.py
+++ b/embertray/stream/frames.py
@@ -2,10 +2,11 @@
 
 Sans-I/O in the manner of h11: bytes in, frames out, one error for what can't be a frame.
 """
+
 import struct
 
 PREFIX = struct.Struct(">I")
-MOST = 1 << 20          # bytes; a whole table of 5,000 lines takes a fifth of it, so more is garbage
+MOST = 1 << 20  # bytes; a whole table of 5,000 lines takes a fifth of it, so more is garbage
 
 
 class BadFrame(ValueError):
@@ -35,13 +36,15 @@
         self.held += data
         found, at = [], 0
         while len(self.held) - at >= PREFIX.size:
-            size, = PREFIX.unpack_from(self.held, at)
+            (size,) = PREFIX.unpack_from(self.held, at)
             if not 0 < size <= self.most:
-                raise BadFrame("oversized" if size else "empty", f"a frame of {size} bytes, 1 to {self.most} allowed")
+                raise BadFrame(
+                    "oversized" if size else "empty", f"a frame of {size} bytes, 1 to {self.most} allowed"
+                )
             if len(self.held) - at - PREFIX.size < size:
                 break
             at += PREFIX.size
-            found.append(bytes(self.held[at:at + size]))
+            found.append(bytes(self.held[at : at + size]))
             at += size
         del self.held[:at]
         return found
--- a/embertray/stream/holding.py
+++ b/embertray/stream/holding.py
@@ -1,9 +1,14 @@
-"""What a proxy holds, folded from the orders that it applied: the meaning of the messages, for proxies and observers."""
+"""What a proxy holds, folded from the orders that it applied: the meaning of the messages, for proxies and
+observers.
+"""
+
 from .messages import Bind, Level, Line, Out
 
 
 class Holding:
-    """A proxy's lines, withdrawals and levels. Before a bind its standing table counts; no stream changes that."""
+    """A proxy's lines, withdrawals and levels. Before a bind its standing table counts; no stream changes
+    that.
+    """
 
     def __init__(self, standing=()):
         self.table, self.lines = None, {name: 1.0 for name in standing}
@@ -22,7 +27,7 @@
                 self.table, self.lines = do.table, {name: w for name, w in do.lines if w > 0}
                 self.levels = {kind: (level, again) for kind, level, again in do.levels}
                 self.waits = {}
-                self.out = set(do.out)      # a bound proxy follows only this controller's withdrawals
+                self.out = set(do.out)  # a bound proxy follows only this controller's withdrawals
             elif isinstance(do, Out):
                 (self.out.add if do.out else self.out.discard)(do.backend)
             elif isinstance(do, Level) and do.table == self.table:
--- a/embertray/stream/messages.py
+++ b/embertray/stream/messages.py
@@ -1,15 +1,16 @@
 """The messages on a proxy's stream, as msgspec types: arrays in msgpack, the first item names the message.
 
-Times are whole nanoseconds. Every number and text has its bounds here, so that the decoder refuses what is out of
-them and nobody behind it has to ask again. docs/protocol.md tells the same for writers of proxies.
+Times are whole nanoseconds. Every number and text has its bounds here, so that the decoder refuses what is
+out of them and nobody behind it has to ask again. docs/protocol.md tells the same for writers of proxies.
 """
+
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta, Struct
 
 VERSION = 1
-MOST_LINES = 20_000     # lines in one message; the largest table known to us has a quarter of it
+MOST_LINES = 20_000  # lines in one message; the largest table known to us has a quarter of it
 
 Name = Annotated[str, Meta(min_length=1, max_length=128)]
 Count = Annotated[int, Meta(ge=0, le=2**53)]
@@ -27,33 +28,36 @@
 
 # ---- from a proxy
 
+
 class Hello(Message, tag="hello"):
     version: Count
     proxy: Name
     zone: Name
-    rate: Share = 0.0                   # reqs a second that it usually gets
-    fresh: bool = False                 # holds its standing table only
+    rate: Share = 0.0  # reqs a second that it usually gets
+    fresh: bool = False  # holds its standing table only
 
 
 class Answer(Message, tag="answer"):
     """The message that carried this mark, and all before it, are applied."""
+
     mark: MarkId
 
 
 class Met(Message):
     """What the proxy met at a backend since its last sums."""
+
     backend: Name
     tries: Count
     errored: Count = 0
-    latency: Time = 0                   # ns, the sum over tries done
-    load: dict[Name, Share] = {}        # newest load report among the answers
+    latency: Time = 0  # ns, the sum over tries done
+    load: dict[Name, Share] = {}  # newest load report among the answers
 
 
 class Came(Message):
     kind: Name
     reqs: Count
     lost: Count = 0
-    repeats: Count | None = None        # of reqs, those that clients marked as further tries; None: they mark none
+    repeats: Count | None = None  # of reqs, those that clients marked as further tries; None: they mark none
 
 
 class Sums(Message, tag="sums"):
@@ -64,20 +68,22 @@
 
 # ---- to a proxy
 
+
 class Welcome(Message, tag="welcome"):
     version: Count
     controller: Name
-    kinds: list[Name]                   # names of the request kinds, in the order that levels use
+    kinds: list[Name]  # names of the request kinds, in the order that levels use
 
 
 class Line(Message, tag="line"):
     table: TableId
     backend: Name
-    weight: Weight                      # 0 removes the line
+    weight: Weight  # 0 removes the line
 
 
 class Bind(Message, tag="bind"):
     """The whole table: what the proxy held of an earlier one is forgotten."""
+
     table: TableId
     lines: Annotated[list[tuple[Name, Weight]], Meta(max_length=MOST_LINES)]
     levels: list[tuple[Name, Share, Again]] = []
@@ -91,24 +97,25 @@
 
 class Level(Message, tag="level"):
     table: TableId
-    kinds: list[Name]                   # empty: all
+    kinds: list[Name]  # empty: all
     level: Share
     again: Again
-    wait: Time = 0                      # ns that who is denied is asked to stay away; 0: nothing is said
+    wait: Time = 0  # ns that who is denied is asked to stay away; 0: nothing is said
 
 
 class Orders(Message, tag="orders"):
-    stamp: Time                         # the controller's clock when it ordered this
-    cost: Share                         # lines that the message counts in the channel, its head and mark included
+    stamp: Time  # the controller's clock when it ordered this
+    cost: Share  # lines that the message counts in the channel, its head and mark included
     do: Annotated[list[Line | Bind | Out | Level], Meta(max_length=MOST_LINES)]
     mark: MarkId | None = None
 
 
 class Fault(Message, tag="fault"):
     """The one error before the stream is closed."""
+
     code: Name
     text: Annotated[str, Meta(max_length=512)]
-    wait: Time = 0                      # ns to stay away from this controller
+    wait: Time = 0  # ns to stay away from this controller
 
 
 FromProxy = Hello | Answer | Sums
--- a/embertray/stream/session.py
+++ b/embertray/stream/session.py
@@ -1,14 +1,26 @@
 """One stream between a proxy and a controller, at either end, as state machines without I/O.
 
-The controller's end: bytes in, messages out, in the order hello, then answers and sums. What is malformed, oversized,
-out of order or unknown raises Refused once; the session is then over and takes nothing more.
+The controller's end: bytes in, messages out, in the order hello, then answers and sums. What is malformed,
+oversized, out of order or unknown raises Refused once; the session is then over and takes nothing more.
 """
+
 from collections import deque
 
 import msgspec
 
 from .frames import BadFrame, Splitter, frame
-from .messages import VERSION, Answer, Fault, Hello, Orders, Sums, Welcome, encode, read_from_proxy, read_to_proxy
+from .messages import (
+    VERSION,
+    Answer,
+    Fault,
+    Hello,
+    Orders,
+    Sums,
+    Welcome,
+    encode,
+    read_from_proxy,
+    read_to_proxy,
+)
 
 
 class Refused(ValueError):
@@ -74,7 +86,7 @@
         elif isinstance(message, Answer):
             if message.mark not in self.open:
                 self.refuse("order", f"an answer to mark {message.mark}, which is not open here")
-            while self.open.popleft() != message.mark:              # the channel keeps order
+            while self.open.popleft() != message.mark:  # the channel keeps order
                 pass
         elif isinstance(message, Sums):
             for met in message.met:
--- a/embertray/trust/trust.py
+++ b/embertray/trust/trust.py
@@ -3,21 +3,27 @@
 At the start a list from disk is sorted by how long ago it was confirmed:
 
 - FRESH: as good as told now. It is handed on as it is.
-- older: each ready backend is a candidate. What proxies' sums say of it proves it (answers) or refutes it (nothing but
-  failures). A proven one is handed on as it was; a refuted one stays or goes out until it answers or is listed. After
-  PROOF the rest, of whom nothing was heard, is handed on as started just now: under the same name a replacement may
-  stand there, cold, so the module's pace for cold ones holds for it. (All as cold from the first moment was tried: the
-  module then lets in less among them, which cost more than it saved; docs/design/start.md has the figures.)
-- while only such a list is there (half the drain's grace at most if it knows of a drain), proxies that hold tables of a former controller are not bound: theirs are better.
-  Those that hold their standing table only are bound at once. That ends when discovery has spoken, or most of the
-  candidates have answered, or after PATIENCE, or when a proxy reports that nothing it holds answers. Where proxies tell
-  of backends that answer and are not on the list, the list is behind their tables: then only discovery or BEHIND ends it.
-
-When discovery speaks, an entry it lists counts, unless it is older than what is known here: a lagging replica's list (an
-older epoch) brings nobody back who was told gone since, and takes nobody away who is known from a newer list and answers.
-A whole list that suddenly lacks most of those who answer is asked for again before the missing are believed gone, within
-a part of the drain's grace; what is told draining or gone in so many words is believed at once.
+- older: each ready backend is a candidate. What proxies' sums say of it proves it (answers) or refutes it
+(nothing but
+  failures). A proven one is handed on as it was; a refuted one stays or goes out until it answers or is
+  listed. After PROOF the rest, of whom nothing was heard, is handed on as started just now: under the same
+  name a replacement may stand there, cold, so the module's pace for cold ones holds for it. (All as cold from
+  the first moment was tried: the module then lets in less among them, which cost more than it saved;
+  docs/design/start.md has the figures.)
+- while only such a list is there (half the drain's grace at most if it knows of a drain), proxies that hold
+tables of a former controller are not bound: theirs are better.
+  Those that hold their standing table only are bound at once. That ends when discovery has spoken, or most of
+  the candidates have answered, or after PATIENCE, or when a proxy reports that nothing it holds answers.
+  Where proxies tell of backends that answer and are not on the list, the list is behind their tables: then
+  only discovery or BEHIND ends it.
+
+When discovery speaks, an entry it lists counts, unless it is older than what is known here: a lagging
+replica's list (an older epoch) brings nobody back who was told gone since, and takes nobody away who is known
+from a newer list and answers. A whole list that suddenly lacks most of those who answer is asked for again
+before the missing are believed gone, within a part of the drain's grace; what is told draining or gone in so
+many words is believed at once.
 """
+
 from collections import namedtuple
 
 from ..durable.snapshot import KeptEntry, Snapshot
@@ -25,20 +31,26 @@
 
 S = 10**9
 # -- constants: value, unit, reason
-FRESH = 30 * S          # ns; twice a snapshot's rhythm: in so short a time few backends are replaced
-PATIENCE = 20 * S       # ns that held tables are left alone on an old list: then drains missed meanwhile weigh more
-BEHIND = 300 * S        # ns that held tables are left alone where they know more than the list
-PROOF = 3 * S           # ns that answers are waited for first: two report cycles and their way
+FRESH = 30 * S  # ns; twice a snapshot's rhythm: in so short a time few backends are replaced
+PATIENCE = (
+    20 * S
+)  # ns that held tables are left alone on an old list: then drains missed meanwhile weigh more
+BEHIND = 300 * S  # ns that held tables are left alone where they know more than the list
+PROOF = 3 * S  # ns that answers are waited for first: two report cycles and their way
 PROVEN, REFUTED = 2, 3  # tries done that prove a candidate; tries failed without one done that refute it
-SETTLED = 0.5           # of the candidates proven: the list is then good enough for all
-HELPLESS = 0.9          # of a held table's tries failing: it is no better than the list
-LOSS = 0.5              # of those who answered lately missing from a whole list: it is asked for again first
-LATELY = 15 * S         # ns; an answer so young counts as answering now: some report cycles
-SECOND = 0.35           # of the drain's grace that the second answer is waited for: the rest is for telling the proxies
-KEEP_GONE = 600 * S     # ns that who was told gone is remembered against older lists: past any replica's lag
-AHEAD = 5 * S           # ns; a confirmation so far in the future is a clock set back: its age is not known
+SETTLED = 0.5  # of the candidates proven: the list is then good enough for all
+HELPLESS = 0.9  # of a held table's tries failing: it is no better than the list
+LOSS = 0.5  # of those who answered lately missing from a whole list: it is asked for again first
+LATELY = 15 * S  # ns; an answer so young counts as answering now: some report cycles
+SECOND = (
+    0.35  # of the drain's grace that the second answer is waited for: the rest is for telling the proxies
+)
+KEEP_GONE = 600 * S  # ns that who was told gone is remembered against older lists: past any replica's lag
+AHEAD = 5 * S  # ns; a confirmation so far in the future is a clock set back: its age is not known
 
-Verdict = namedtuple("Verdict", "how entries ask")      # how: changes | whole | cached | None; ask: for the whole again
+Verdict = namedtuple(
+    "Verdict", "how entries ask"
+)  # how: changes | whole | cached | None; ask: for the whole again
 
 
 class Known:
@@ -48,38 +60,45 @@
 
     def __init__(self, entry, age=0, doubt=False, wall=None):
         self.entry, self.age, self.doubt = entry, age, doubt
-        self.wall = wall            # when it was last confirmed, ns since 1970; None: by the discovery of now
+        self.wall = wall  # when it was last confirmed, ns since 1970; None: by the discovery of now
         self.done = self.failed = self.answered = 0
-        self.out = False            # refuted
-        self.handed = not doubt     # the module knows it
+        self.out = False  # refuted
+        self.handed = not doubt  # the module knows it
 
 
 class Trust:
-    """`grace`: the site's drain grace, ns; `binds`: whether a backend that a whole list lacks counts as told gone."""
+    """`grace`: the site's drain grace, ns; `binds`: whether a backend that a whole list lacks counts as told
+    gone.
+    """
 
     def __init__(self, grace, binds=True):
         self.grace, self.binds = grace, binds
         self.known, self.gone, self.epoch, self.started = {}, {}, 0, 0
-        self.spoken = False         # discovery has, since the start
-        self.asked_out = False      # candidates of whom nothing was heard are handed on
+        self.spoken = False  # discovery has, since the start
+        self.asked_out = False  # candidates of whom nothing was heard are handed on
         self.age, self.missing, self.missing_at = None, (), 0
-        self.strangers = False      # proxies tell of backends that answer and are not on the list
-        self.helpless = set()       # proxies that hold tables in which nothing answers
+        self.strangers = False  # proxies tell of backends that answer and are not on the list
+        self.helpless = set()  # proxies that hold tables in which nothing answers
         self.candidates, self.patience, self.clock = 0, PATIENCE, 0
 
     # ---- the start
 
     def begin(self, now, snapshot, wall, boot, mono):
-        """A controller starts: the Verdict on its last snapshot (None: there is none), read at these clocks."""
+        """A controller starts: the Verdict on its last snapshot (None: there is none), read at these
+        clocks.
+        """
         self.started = now
         if snapshot is None:
             return Verdict("cached", [], False)
         self.epoch = snapshot.epoch
-        since = self.since(snapshot, wall, boot, mono)      # ns since the snapshot was written; None: not known
+        since = self.since(snapshot, wall, boot, mono)  # ns since the snapshot was written; None: not known
         entries = []
         for kept in snapshot.entries:
-            age = None if since is None or kept.confirmed > snapshot.wall + AHEAD else (
-                since + max(0, snapshot.wall - kept.confirmed))
+            age = (
+                None
+                if since is None or kept.confirmed > snapshot.wall + AHEAD
+                else (since + max(0, snapshot.wall - kept.confirmed))
+            )
             doubt = kept.state == "ready" and (age is None or age > FRESH)
             entry = Listed(kept.backend, kept.zone, kept.state, kept.started, kept.nominal)
             self.known[kept.backend] = Known(entry, age, doubt, kept.confirmed)
@@ -98,8 +117,8 @@
 
     @staticmethod
     def since(snapshot, wall, boot, mono):
-        """ns since the snapshot. Within one boot of one machine the boot's own clock tells, which nobody sets; else the
-        wall clock, and if that is behind the snapshot it was set back: not known."""
+        """ns since the snapshot. Within one boot of one machine the boot's own clock tells, which nobody
+        sets; else the wall clock, and if that is behind the snapshot it was set back: not known."""
         if boot and boot == snapshot.boot and mono >= snapshot.mono:
             return mono - snapshot.mono
         return wall - snapshot.wall if wall >= snapshot.wall else None
@@ -135,21 +154,27 @@
             return f"the list on disk, {age}, is taken as it is; discovery has not spoken"
         proven = sum(1 for k in self.known.values() if k.doubt and k.done >= PROVEN)
         refuted = sum(k.out for k in self.known.values())
-        state = "good enough" if self.settled(now) else "not enough yet: proxies keep the tables that they hold"
-        return (f"the list on disk is {age}: {proven} of {self.candidates} candidates proven, {refuted} refuted, "
-                f"{state}; discovery has not spoken")
+        state = (
+            "good enough" if self.settled(now) else "not enough yet: proxies keep the tables that they hold"
+        )
+        return (
+            f"the list on disk is {age}: {proven} of {self.candidates} candidates proven, {refuted} refuted, "
+            f"{state}; discovery has not spoken"
+        )
 
     # ---- what proxies met
 
     def met(self, now, px, fresh, sums, came=0):
-        """Evidence from one proxy's sums: (backend, tries, errored), and reqs that came to it. Entries to be handed on
-        as changes, if any."""
+        """Evidence from one proxy's sums: (backend, tries, errored), and reqs that came to it. Entries to be
+        handed on as changes, if any."""
         changes, tries, bad = [], 0, 0
         for backend, n, errored in sums:
             tries, bad = tries + n, bad + errored
             known = self.known.get(backend)
             if known is None:
-                self.strangers = self.strangers or not self.spoken and n > errored and backend not in self.gone
+                self.strangers = (
+                    self.strangers or not self.spoken and n > errored and backend not in self.gone
+                )
                 continue
             known.done += n - errored
             known.failed = 0 if n > errored else known.failed + errored
@@ -158,7 +183,13 @@
                 if known.doubt and not known.handed and known.done >= PROVEN:
                     known.out, known.handed = False, True
                     changes.append(known.entry)
-            elif known.doubt and not self.spoken and not known.out and not known.done and known.failed >= REFUTED:
+            elif (
+                known.doubt
+                and not self.spoken
+                and not known.out
+                and not known.done
+                and known.failed >= REFUTED
+            ):
                 known.out = True
                 if known.handed:
                     known.handed = False
@@ -187,10 +218,14 @@
         answering = [b for b, k in self.known.items() if k.answered and now - k.answered < LATELY]
         lost = [b for b in answering if b not in named]
         ask = False
-        if older:       # a lagging replica takes nobody away who is known from a newer list, unless nothing answers there
+        if (
+            older
+        ):  # a lagging replica takes nobody away who is known from a newer list, unless nothing answers there
             lacks = [b for b in lacks if self.known[b].out]
         elif len(lost) > LOSS * len(answering) and answering:
-            if set(lost) - set(self.missing):           # the first such answer: once more, before they are believed gone
+            if set(lost) - set(
+                self.missing
+            ):  # the first such answer: once more, before they are believed gone
                 self.missing, self.missing_at, ask = tuple(lost), now, True
                 lacks = [b for b in lacks if b not in lost]
             else:
@@ -208,8 +243,8 @@
         return Verdict("whole", handed, first and older)
 
     def due(self, now):
-        """Entries whose time has come: candidates of whom nothing was heard, as cold; and those that a second answer was
-        waited for too long, as gone."""
+        """Entries whose time has come: candidates of whom nothing was heard, as cold; and those that a second
+        answer was waited for too long, as gone."""
         if self.waiting() and now - self.started >= PROOF:
             found = [k for k in self.known.values() if not k.handed and not k.out]
             for known in found:
@@ -217,8 +252,10 @@
             self.asked_out = True
             return [self.as_cold(k.entry, self.clock + now - self.started) for k in found]
         if self.missing and now - self.missing_at >= SECOND * self.grace:
-            if not self.binds:      # the site lets dropped ones stay: as long as they answer
-                still = tuple(b for b in self.missing if b in self.known and now - self.known[b].answered < LATELY)
+            if not self.binds:  # the site lets dropped ones stay: as long as they answer
+                still = tuple(
+                    b for b in self.missing if b in self.known and now - self.known[b].answered < LATELY
+                )
                 gone, self.missing, self.missing_at = [b for b in self.missing if b not in still], still, now
             else:
                 gone, self.missing = self.missing, ()
@@ -243,9 +280,12 @@
             return True
         if older:
             if be in self.gone and entry.started <= self.gone[be][0]:
-                return False                            # told gone since, and not started anew
-            if known and (known.entry.started > entry.started or known.entry.state == "draining"
-                          and known.entry.started == entry.started):
+                return False  # told gone since, and not started anew
+            if known and (
+                known.entry.started > entry.started
+                or known.entry.state == "draining"
+                and known.entry.started == entry.started
+            ):
                 return False
         new = Known(entry)
         if known:
@@ -270,16 +310,36 @@
 
     def snapshot(self, now, clock, wall, boot, mono):
         """What a later start needs. An entry that discovery has not confirmed keeps its old time."""
-        return Snapshot(self.epoch, clock, wall, boot, mono, [
-            KeptEntry(be, k.entry.zone, k.entry.state, k.entry.started, wall if k.wall is None else k.wall,
-                      k.entry.nominal) for be, k in self.known.items()],
-            [KeptEntry(be, "-", "gone", started, wall - max(0, now - at)) for be, (started, at) in self.gone.items()])
+        return Snapshot(
+            self.epoch,
+            clock,
+            wall,
+            boot,
+            mono,
+            [
+                KeptEntry(
+                    be,
+                    k.entry.zone,
+                    k.entry.state,
+                    k.entry.started,
+                    wall if k.wall is None else k.wall,
+                    k.entry.nominal,
+                )
+                for be, k in self.known.items()
+            ],
+            [
+                KeptEntry(be, "-", "gone", started, wall - max(0, now - at))
+                for be, (started, at) in self.gone.items()
+            ],
+        )
 
     def shed(self):
-        """Memory is short: the older half of those remembered as gone is forgotten; a list as old is then believed."""
-        for be in list(self.gone)[:(len(self.gone) + 1) // 2]:
+        """Memory is short: the older half of those remembered as gone is forgotten; a list as old is then
+        believed.
+        """
+        for be in list(self.gone)[: (len(self.gone) + 1) // 2]:
             del self.gone[be]
-        self.gone, self.known = dict(self.gone), dict(self.known)       # made anew, a dict has no empty places
+        self.gone, self.known = dict(self.gone), dict(self.known)  # made anew, a dict has no empty places
 
     def forget(self, now):
         for be in [be for be, (_, at) in self.gone.items() if now - at > KEEP_GONE]:
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -1,4 +1,7 @@
-"""What the tests of the platform's controller share: settings, messages, and a running Service with its stand-ins."""
+"""What the tests of the platform's controller share: settings, messages, and a running Service with its
+stand-ins.
+"""
+
 import json
 from contextlib import asynccontextmanager
 from pathlib import Path
@@ -17,13 +20,35 @@
 HERE = Path(__file__).resolve().parent
 MS, S = 10**6, 10**9
 SETTINGS = {
-    "az": "north", "balancers": 1, "discovery": "push", "feedback": {"fields": ["waiting", "avg_ms"], "how": "piggyback"},
-    "contract": {"cold-from": 0.2, "drain-grace-us": 3000000, "fall-multiple": 4.0, "fall-us": 3000000, "warm-after-us": 5000000},
-    "profiles": [{"name": "view", "aim-us": 800000, "deadline-us": 2000000, "effect": "read_like", "worth": 1.0},
-                 {"name": "pay", "aim-us": 800000, "deadline-us": 2000000, "effect": "non_idempotent", "worth": 2.0}],
-    "specifics": {"agents": 40, "channel-rate": 4000.0, "pending-max": 4000.0, "head": 6.0, "throttle-by": "share",
-                  "push-delay-us": 100000, "push-delay-max-us": 200000, "cycle-us": 1000000, "messages-most": 0},
-    "tick-us": 1000, "zones": ["north", "south"]}
+    "az": "north",
+    "balancers": 1,
+    "discovery": "push",
+    "feedback": {"fields": ["waiting", "avg_ms"], "how": "piggyback"},
+    "contract": {
+        "cold-from": 0.2,
+        "drain-grace-us": 3000000,
+        "fall-multiple": 4.0,
+        "fall-us": 3000000,
+        "warm-after-us": 5000000,
+    },
+    "profiles": [
+        {"name": "view", "aim-us": 800000, "deadline-us": 2000000, "effect": "read_like", "worth": 1.0},
+        {"name": "pay", "aim-us": 800000, "deadline-us": 2000000, "effect": "non_idempotent", "worth": 2.0},
+    ],
+    "specifics": {
+        "agents": 40,
+        "channel-rate": 4000.0,
+        "pending-max": 4000.0,
+        "head": 6.0,
+        "throttle-by": "share",
+        "push-delay-us": 100000,
+        "push-delay-max-us": 200000,
+        "cycle-us": 1000000,
+        "messages-most": 0,
+    },
+    "tick-us": 1000,
+    "zones": ["north", "south"],
+}
 GOOD = b"<Response><items><item><ok_count>%d</ok_count></item></items></Response>"
 ERROR = b"<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>"
 
@@ -33,9 +58,19 @@
 
 
 def configured(relay="127.0.0.1:1", discovery="127.0.0.1:1", listen="127.0.0.1:0", **more):
-    return json.dumps({"name": "n1", "listen": listen, "discovery": discovery, "store": {"address": relay}, "seed": "8c1f",
-                       "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "settings": SETTINGS,
-                       "known": {"revision": 0, "complete": True, "members": [member("be-1"), member("be-2")]}, **more}).encode()
+    return json.dumps(
+        {
+            "name": "n1",
+            "listen": listen,
+            "discovery": discovery,
+            "store": {"address": relay},
+            "seed": "8c1f",
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+            "settings": SETTINGS,
+            "known": {"revision": 0, "complete": True, "members": [member("be-1"), member("be-2")]},
+            **more,
+        }
+    ).encode()
 
 
 def port():
@@ -43,17 +78,24 @@
 
 
 JOIN = b'{"@type":"telemetry","locality":"north"}\n'
-STATS = (b'{"@type":"upstream_stats","locality":"north","endpoint":"be-1","total":9,"errors":1,"rtt":41.5,"interval":1000.0,'
-         b'"metrics":{"queue":3,"util":0.5}}\n')
+STATS = (
+    b'{"@type":"upstream_stats","locality":"north","endpoint":"be-1","total":9,"errors":1,"rtt":41.5,"interval":1000.0,'
+    b'"metrics":{"queue":3,"util":0.5}}\n'
+)
 USAGE = b'{"@type":"client_stats","node":17,"route":"view","total":19,"errors":2,"interval":2000.0}\n'
-HEARD = [Met("be-1", "north", 9, 1, 41_500_000, S, {"waiting": 3, "busy": 0.5}), Came(17, "view", 19, 2, 2 * S)]
+HEARD = [
+    Met("be-1", "north", 9, 1, 41_500_000, S, {"waiting": 3, "busy": 0.5}),
+    Came(17, "view", 19, 2, 2 * S),
+]
 
 
 @asynccontextmanager
 async def stage(before=lambda relay, discovery: None, **more):
     """A running Service with its stand-ins, prepared by `before`: (service, relay, discovery)."""
     net = TcpNet()
-    discovery = StandinDiscovery(net, {name: member(name, zone) for name, zone in (("be-1", "north"), ("be-2", "south"))})
+    discovery = StandinDiscovery(
+        net, {name: member(name, zone) for name, zone in (("be-1", "north"), ("be-2", "south"))}
+    )
     relay = StandinRelay(net)
     async with anyio.create_task_group() as group:
         await group.start(discovery.run)
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,8 +1,11 @@
-"""Runs all tests and judges them by KNOWN-RED.txt at the root: `python tests/run.py [arguments of unittest discover]`.
+"""Runs all tests and judges them by KNOWN-RED.txt at the root: `python tests/run.py [arguments of unittest
+discover]`.
 
-A line there is 'test, cause, issue': a test that fails for a real fault that could not be mended in its sitting. The run
-fails on any other failure, on a fourth line, on a line that is none, and on a listed test that passes.
+A line there is 'test, cause, issue': a test that fails for a real fault that could not be mended in its
+sitting. The run fails on any other failure, on a fourth line, on a line that is none, and on a listed test
+that passes.
 """
+
 import sys
 import unittest
 from pathlib import Path
@@ -40,7 +43,9 @@
             known[parts[0]] = line
     if len(lines) > LINES_MOST:
         wrong.append(f"KNOWN-RED.txt: {len(lines)} lines, {LINES_MOST} at most")
-    wrong += [f"KNOWN-RED.txt lists {test}, which passes" for test in known if test in passed and test not in failed]
+    wrong += [
+        f"KNOWN-RED.txt lists {test}, which passes" for test in known if test in passed and test not in failed
+    ]
     wrong += [f"failed: {test}" for test in sorted(set(failed) - set(known))]
     return [line for test, line in known.items() if test in failed], wrong
 
@@ -48,9 +53,15 @@
 def main(arguments):
     sys.path.insert(0, str(ROOT))
     runner = unittest.TextTestRunner(resultclass=Kept)
-    result = unittest.main(module=None, argv=["bin/test", "discover", "-s", str(ROOT / "tests"), *arguments], testRunner=runner,
-                           exit=False).result
-    failed = {named(test) for test, _ in result.failures + result.errors} | {named(test) for test in result.unexpectedSuccesses}
+    result = unittest.main(
+        module=None,
+        argv=["bin/test", "discover", "-s", str(ROOT / "tests"), *arguments],
+        testRunner=runner,
+        exit=False,
+    ).result
+    failed = {named(test) for test, _ in result.failures + result.errors} | {
+        named(test) for test in result.unexpectedSuccesses
+    }
     red = ROOT / "KNOWN-RED.txt"
     known, wrong = judge(red.read_text() if red.exists() else "", set(result.passed), failed)
     if not result.testsRun:
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -1,4 +1,5 @@
 """Controllers that each break one rule, to show that its check can fail."""
+
 from dataclasses import replace
 
 from embertray import interface as i
@@ -28,8 +29,20 @@
 
     def advance(self, now):
         step = super().advance(now)
-        step.leave = [(name, replace_do(m, [Bind(do.table, [], do.levels, do.out) if isinstance(do, Bind) else do
-                                            for do in m.do if not isinstance(do, Line)])) for name, m in step.leave]
+        step.leave = [
+            (
+                name,
+                replace_do(
+                    m,
+                    [
+                        Bind(do.table, [], do.levels, do.out) if isinstance(do, Bind) else do
+                        for do in m.do
+                        if not isinstance(do, Line)
+                    ],
+                ),
+            )
+            for name, m in step.leave
+        ]
         return step
 
 
@@ -38,8 +51,21 @@
 
     def advance(self, now):
         step = super().advance(now)
-        step.leave = [(name, replace_do(m, [Bind(do.table, do.lines, [(k.door, 1.0, 3) for k in self.site.kinds], do.out)
-                                            if isinstance(do, Bind) else do for do in m.do])) for name, m in step.leave]
+        step.leave = [
+            (
+                name,
+                replace_do(
+                    m,
+                    [
+                        Bind(do.table, do.lines, [(k.door, 1.0, 3) for k in self.site.kinds], do.out)
+                        if isinstance(do, Bind)
+                        else do
+                        for do in m.do
+                    ],
+                ),
+            )
+            for name, m in step.leave
+        ]
         return step
 
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,4 +1,5 @@
 """Plays scenario files to the module. The notation is told in tests/scenes/README.txt."""
+
 import operator
 import sys
 from pathlib import Path
@@ -13,8 +14,8 @@
 
 def value(text):
     for unit in ("ms", "s"):
-        if text.endswith(unit) and text[:-len(unit)].replace(".", "").isdigit():
-            return int(float(text[:-len(unit)]) * UNITS[unit])
+        if text.endswith(unit) and text[: -len(unit)].replace(".", "").isdigit():
+            return int(float(text[: -len(unit)]) * UNITS[unit])
     if text in ("yes", "no"):
         return text == "yes"
     try:
@@ -28,8 +29,10 @@
         self.things, self.now, self.orders, self.todo = {}, 10 * UNITS["s"], [], []
         self.site, self.module, self.steady, self.answers = {}, None, {}, 0
         both = dict(response_target=8 * 10**8, client_timeout=2 * 10**9)
-        self.kinds = {"view": i.ReqKind(**both, credit=1, door="view"),
-                      "pay": i.ReqKind(**both, credit=3, again="non-replayable", door="pay")}
+        self.kinds = {
+            "view": i.ReqKind(**both, credit=1, door="view"),
+            "pay": i.ReqKind(**both, credit=3, again="non-replayable", door="pay"),
+        }
         self.tables, self.bound, self.out, self.levels, self.open = {}, {}, set(), {}, {}
         self.messages = []
 
@@ -40,9 +43,21 @@
         self.site.update((k, value(v)) for k, v in (p.split("=") for p in pairs))
 
     def do_start(self, seed="1"):
-        given = dict(report_cycle=10**9, way_max=3 * 10**8, warm_after=10**10, cold_from=0.2, fall_multiple=4.0,
-                     pending_max=1500.0, channel_rate=1000.0, head=4.0, throttle="share",
-                     messages_window=10**10) | self.site
+        given = (
+            dict(
+                report_cycle=10**9,
+                way_max=3 * 10**8,
+                warm_after=10**10,
+                cold_from=0.2,
+                fall_multiple=4.0,
+                pending_max=1500.0,
+                channel_rate=1000.0,
+                head=4.0,
+                throttle="share",
+                messages_window=10**10,
+            )
+            | self.site
+        )
         zones = [self.thing(i.Zone, z) for z in given.pop("zones", "north").split(",")]
         for thing in self.things.values():
             thing.actor = None
@@ -54,14 +69,16 @@
             self.do_start()
         entries = []
         for row in rows:
-            name, zone, state, started = (row.split(":") + ["north", "ready", "0"][row.count(":"):])[:4]
+            name, zone, state, started = (row.split(":") + ["north", "ready", "0"][row.count(":") :])[:4]
             began = self.now - value(started) if started != "0" else 0
             entries.append(i.Entry(self.thing(i.Backend, name), self.thing(i.Zone, zone), state, began))
         self.todo.append(i.ListNews(how, entries))
 
     def do_join(self, name, zone="north", *flags):
         self.bound.pop(name, None)
-        self.todo.append(i.Joined(self.thing(i.Proxy, name), self.thing(i.Zone, zone), 10.0, "fresh" in flags))
+        self.todo.append(
+            i.Joined(self.thing(i.Proxy, name), self.thing(i.Zone, zone), 10.0, "fresh" in flags)
+        )
 
     def do_left(self, name):
         self.open.pop(name, None)
@@ -72,36 +89,51 @@
 
     def do_hear(self, name, *pairs):
         """Every second from now on, the same report; tries=0 ends it."""
-        self.steady |= {one: {k: value(v) for k, v in (p.split("=") for p in pairs)} for one in name.split(",")}
+        self.steady |= {
+            one: {k: value(v) for k, v in (p.split("=") for p in pairs)} for one in name.split(",")
+        }
 
     def do_come(self, name, kind, reqs):
         self.steady[(name, kind)] = value(reqs)
 
     def do_at(self, when):
-        """Steps to a time from the start, a quarter of a second each, with the steady reports at each second."""
+        """Steps to a time from the start, a quarter of a second each, with the steady reports at each
+        second.
+        """
         self.step()
         self.orders, until = [], 10 * UNITS["s"] + value(when)
         while self.now < until:
             self.now += 250 * UNITS["ms"]
             if self.now % UNITS["s"] == 0:
                 for key, what in self.steady.items():
-                    if not isinstance(key, tuple) and self.now // UNITS["s"] % what.get("every", 1) != what.get("from", 0):
+                    if not isinstance(key, tuple) and self.now // UNITS["s"] % what.get(
+                        "every", 1
+                    ) != what.get("from", 0):
                         continue
                     if isinstance(key, tuple):
-                        self.todo.append(i.Arrivals(self.thing(i.Proxy, key[0]), self.kinds[key[1]], what,
-                                                    span=UNITS["s"]))
+                        self.todo.append(
+                            i.Arrivals(self.thing(i.Proxy, key[0]), self.kinds[key[1]], what, span=UNITS["s"])
+                        )
                     else:
                         load = {k: what[k] for k in ("busy", "waiting", "held") if k in what}
-                        self.todo.append(i.Heard(self.thing(i.Backend, key), self.thing(i.Zone, "north"),
-                                                 what["tries"], what.get("errored", 0), what.get("latency", 0),
-                                                 what.get("span", UNITS["s"]), load))
+                        self.todo.append(
+                            i.Heard(
+                                self.thing(i.Backend, key),
+                                self.thing(i.Zone, "north"),
+                                what["tries"],
+                                what.get("errored", 0),
+                                what.get("latency", 0),
+                                what.get("span", UNITS["s"]),
+                                load,
+                            )
+                        )
             self.step()
 
     def step(self):
         for name, marks in self.open.items():
             due = [(m, self.now - at) for m, at in marks if self.now - at >= self.answers]
             self.todo += [i.Answered(self.thing(i.Proxy, name), m, took + 10**8) for m, took in due]
-            del marks[:len(due)]
+            del marks[: len(due)]
         todo, self.todo = self.todo, []
         orders = self.module.step(self.now, todo)
         self.orders += orders
@@ -130,8 +162,11 @@
     def see(self, what, *words):
         """One line of what must be seen; gives a text when it is not."""
         if what in ("bind", "subscribe", "log"):
-            seen = [o for o in self.orders if isinstance(o, {"bind": i.Bind, "subscribe": i.Subscribe,
-                                                             "log": i.Log}[what])]
+            seen = [
+                o
+                for o in self.orders
+                if isinstance(o, {"bind": i.Bind, "subscribe": i.Subscribe, "log": i.Log}[what])
+            ]
             if what != "subscribe":
                 seen = [o for o in seen if " ".join(words) in (o.proxy.door if what == "bind" else o.text)]
             return None if seen else "not ordered"
@@ -162,7 +197,7 @@
         if words and words[0] == "see":
             stage.step()
             no = words[1] == "no"
-            wrong = stage.see(*words[1 + no:])
+            wrong = stage.see(*words[1 + no :])
             if bool(wrong) != no:
                 raise AssertionError(f"{path.name}, line {number}: {text.strip()}: {wrong or 'it was seen'}")
         elif words:
--- a/tests/test_all.py
+++ b/tests/test_all.py
@@ -1,4 +1,5 @@
 """The one runner: every scenario of tests/scenes, and the started adapter."""
+
 import subprocess
 import sys
 import unittest
@@ -7,16 +8,26 @@
 from stage import play
 
 HERE = Path(__file__).resolve().parent
-START = ("SYNC t-us=5000000 batch=1\nFOR who=0\nENLIST salt=7 balancers=1 discovery=push new-key=x profiles.count=1 "
-         "profiles.0.name=view profiles.0.aim-us=800000 profiles.0.deadline-us=2000000 profiles.0.effect=read_like "
-         "specifics.channel-rate=1000 specifics.pending-max=1000 specifics.head=4 specifics.throttle-by=share "
-         "zones=a az=a\nDIRECTORY_UPDATE epoch=1 kind=2 rows-in=1\n"
-         "ITEM backend=10.0.0.1:5000 health=2 rack-zone=a\n")
+START = (
+    "SYNC t-us=5000000 batch=1\nFOR who=0\nENLIST salt=7 balancers=1 discovery=push new-key=x "
+    "profiles.count=1 "
+    "profiles.0.name=view profiles.0.aim-us=800000 profiles.0.deadline-us=2000000 "
+    "profiles.0.effect=read_like "
+    "specifics.channel-rate=1000 specifics.pending-max=1000 specifics.head=4 specifics.throttle-by=share "
+    "zones=a az=a\nDIRECTORY_UPDATE epoch=1 kind=2 rows-in=1\n"
+    "ITEM backend=10.0.0.1:5000 health=2 rack-zone=a\n"
+)
 
 
 def adapter(text):
-    return subprocess.run([sys.executable, "-m", "embertray.benchlink"], input=text, text=True, timeout=60,
-                          capture_output=True, cwd=HERE.parent)
+    return subprocess.run(
+        [sys.executable, "-m", "embertray.benchlink"],
+        input=text,
+        text=True,
+        timeout=60,
+        capture_output=True,
+        cwd=HERE.parent,
+    )
 
 
 class Scenes(unittest.TestCase):
@@ -48,10 +59,12 @@
         self.assertEqual(first.replace("FROM who=0\n", ""), second.replace("DONE batch=1\n", ""))
 
     def test_malformed_lines_end_it_with_one_message(self):
-        for text, words in ((START + "STREAM_UP proxy=x rack-zone=a\n", ("line 6", "'x'", "proxy")),
-                            (START + "DETACHED\n", ("line 6", "proxy is missing")),
-                            (START.replace("rows-in=1", "rows-in=2") + "FLUSH\n", ("line 6", "1 entries short")),
-                            ("FOR who=0\n", ("line 1", "before SYNC"))):
+        for text, words in (
+            (START + "STREAM_UP proxy=x rack-zone=a\n", ("line 6", "'x'", "proxy")),
+            (START + "DETACHED\n", ("line 6", "proxy is missing")),
+            (START.replace("rows-in=1", "rows-in=2") + "FLUSH\n", ("line 6", "1 entries short")),
+            ("FOR who=0\n", ("line 1", "before SYNC")),
+        ):
             done = adapter(text)
             self.assertNotEqual(done.returncode, 0)
             self.assertEqual((done.stdout, done.stderr.count("\n")), ("", 1))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,13 +1,15 @@
-"""What a cluster claims, under wounds drawn by seed in virtual time; each claim is shown to fail on a sabotaged member; and one day
-through true processes, with the verdicts that virtual time gives."""
+"""What a cluster claims, under wounds drawn by seed in virtual time; each claim is shown to fail on a
+sabotaged member; and one day through true processes, with the verdicts that virtual time gives."""
+
 import unittest
 
+from test_cluster import NeverSuspects
+from test_state import DropsDeltas, RepeatsOld
+
 from embertray.cluster.membership import DEAD, Membership
 from embertray.days import notation, player
 from embertray.emulator.company import Company
 from embertray.emulator.drawn import wounds
-from test_cluster import NeverSuspects
-from test_state import DropsDeltas, RepeatsOld
 
 SPLIT = """fleet controllers=6 cluster=yes period=200ms
 load 1/s for 60s
@@ -45,7 +47,13 @@
 
 class Drawn(unittest.TestCase):
     def test_no_claim_is_broken_by_wounds_drawn_by_seed(self):
-        for seed, members in ((1, 3), (5, 8), (31, 4), (38, 5), (98, 5)):       # 5 and later: broke a claim before it was mended, or narrowed
+        for seed, members in (
+            (1, 3),
+            (5, 8),
+            (31, 4),
+            (38, 5),
+            (98, 5),
+        ):  # 5 and later: broke a claim before it was mended, or narrowed
             with self.subTest(seed=seed):
                 claims = Company(notation.read(wounds(seed, members)), seed).play().claims
                 self.assertEqual({claim: why for claim, why in claims.broken.items() if why}, {})
@@ -56,7 +64,9 @@
 
     def test_the_same_seed_is_the_same_run(self):
         one, two = (Company(notation.load("wounds"), 3).play() for _ in range(2))
-        self.assertEqual((one.claims.held, one.claims.worst, one.bytes()), (two.claims.held, two.claims.worst, two.bytes()))
+        self.assertEqual(
+            (one.claims.held, one.claims.worst, one.bytes()), (two.claims.held, two.claims.worst, two.bytes())
+        )
 
 
 class Sabotaged(unittest.TestCase):
@@ -72,7 +82,12 @@
 
         def own_dead(**makes):
             notes = self.company(**makes).play().ring.notes
-            return [(who, change.name) for _, who, change in notes if change.state == DEAD and any({who, change.name} <= side for side in sides)]
+            return [
+                (who, change.name)
+                for _, who, change in notes
+                if change.state == DEAD and any({who, change.name} <= side for side in sides)
+            ]
+
         self.assertEqual(own_dead(), [])
         self.assertGreater(len(own_dead(make=TakesWords)), 0)
 
@@ -92,8 +107,10 @@
         result = player.play(day, mode="processes")
         self.assertEqual({k: v for k, v in {**result.rules, **result.wrong}.items() if v}, {})
         emulated = Company(day).play().claims.verdicts()
-        self.assertEqual({k: v for k, v in result.claims.items() if "not met" not in (v, emulated[k])},
-                         {k: v for k, v in emulated.items() if "not met" not in (v, result.claims[k])})
+        self.assertEqual(
+            {k: v for k, v in result.claims.items() if "not met" not in (v, emulated[k])},
+            {k: v for k, v in emulated.items() if "not met" not in (v, result.claims[k])},
+        )
         self.assertGreater(result.credit, 0.9)
         self.assertLessEqual(result.age, 1.0)
         self.assertEqual(set(result.used), {"c1", "c2", "c3"})
@@ -101,10 +118,14 @@
     def test_links_are_for_processes_only(self):
         with self.assertRaisesRegex(notation.BadDay, "play it with --processes"):
             player.play(notation.read("fleet controllers=2\nat 1s silent c1>c2"))
-        for text, words in (("fleet controllers=2\nat 1s silent c1>c3", "there is no c3"), ("fleet controllers=2\nat 1s lossy list<>px", "one end at least"),
-                            ("fleet controllers=3\nat 1s split groups=c1/c2", "c3 is missing"), ("at 1s silent b1", "can't strike b1"),
-                            ("fleet controllers=2\nat 1s split groups=x%/50%", "'x%' is no share"),
-                            ("fleet controllers=2\nat 1s lossy c1>c2 share=most", "'most' is no share")):
+        for text, words in (
+            ("fleet controllers=2\nat 1s silent c1>c3", "there is no c3"),
+            ("fleet controllers=2\nat 1s lossy list<>px", "one end at least"),
+            ("fleet controllers=3\nat 1s split groups=c1/c2", "c3 is missing"),
+            ("at 1s silent b1", "can't strike b1"),
+            ("fleet controllers=2\nat 1s split groups=x%/50%", "'x%' is no share"),
+            ("fleet controllers=2\nat 1s lossy c1>c2 share=most", "'most' is no share"),
+        ):
             with self.subTest(text=text), self.assertRaisesRegex(notation.BadDay, words):
                 notation.read(text)
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,8 @@
-"""Members of a cluster under virtual time: each hard case with its bound. Real processes are no part of this file."""
+"""Members of a cluster under virtual time: each hard case with its bound. Real processes are no part of this
+file.
+"""
+
+import contextlib
 import random
 import unittest
 
@@ -6,14 +10,14 @@
 from embertray.cluster.membership.health import Health
 from embertray.cluster.membership.member import Statement
 from embertray.cluster.membership.messages import Ping, Unreadable, decode, encode
-from embertray.emulator.gossip import MS, S, Ring
+from embertray.emulator.gossip import MS, Ring, S
 
 PACE = Pace()
 
 
 def detect_within(members, pace=PACE):
-    """The stated bound on declaring a killed member dead where links are good: each member probes each other once in two
-    rounds; then nobody may confirm; then the statement goes round (docs/design/cluster.md)."""
+    """The stated bound on declaring a killed member dead where links are good: each member probes each other
+    once in two rounds; then nobody may confirm; then the statement goes round (docs/design/cluster.md)."""
     return 2 * (members - 1) * pace.period + pace.wait(members, 0) + 2 * members * pace.period
 
 
@@ -23,7 +27,9 @@
 
 def deaths(ring, *but):
     """Members declared dead that are alive, with who said so."""
-    return [(who, change.name) for _, who, change in ring.notes if change.state == DEAD and change.name not in but]
+    return [
+        (who, change.name) for _, who, change in ring.notes if change.state == DEAD and change.name not in but
+    ]
 
 
 class NeverSuspects(Membership):
@@ -65,7 +71,7 @@
 
     def test_one_way_links_are_no_deaths(self):
         ring = Ring(3).gather(5)
-        ring.links.broken = {("m1", "m2"), ("m3", "m0")}         # m2 does not hear m1, m0 does not hear m3
+        ring.links.broken = {("m1", "m2"), ("m3", "m0")}  # m2 does not hear m1, m0 does not hear m3
         ring.run(120 * S)
         self.assertEqual(deaths(ring), [])
         self.assertTrue(ring.agree())
@@ -96,7 +102,10 @@
             self.assertTrue(ring.agree())
 
     def test_local_health_keeps_a_slow_member_from_blaming_others(self):
-        """What comes to it comes 1.2 s late, past the time for an answer; without local health it goes on blaming."""
+        """What comes to it comes 1.2 s late, past the time for an answer; without local health it goes on
+        blaming.
+        """
+
         def blamed(make):
             found = 0
             for seed in range(6):
@@ -105,6 +114,7 @@
                 ring.run(60 * S)
                 found += sum(1 for _, who, c in ring.notes if who == "m4" and c.state in (SUSPECT, DEAD))
             return found
+
         with_it, without = blamed(Membership), blamed(BelievesItself)
         self.assertLess(with_it, without / 2, (with_it, without))
 
@@ -136,7 +146,7 @@
         for clock in (0, -3600 * S, 3600 * S):
             ring = Ring(6).gather(5)
             ring.kill("m3")
-            ring.run(S)                     # before anybody has missed it
+            ring.run(S)  # before anybody has missed it
             ring.up("m3", ["m0", "m1"], clock=clock)
             self.assertIsNotNone(ring.until(ring.agree, 20 * S), clock)
             ring.run(60 * S)
@@ -150,10 +160,14 @@
             self.assertIn("a younger process has the name m2", ring.at["m2"].core.ended)
             self.assertEqual(ring.at["elsewhere"].core.ended, "")
             self.assertTrue(ring.agree())
-            self.assertEqual({p.core.members["m2"].address for p in ring.living() if p.core.me.name != "m2"}, {"elsewhere"})
+            self.assertEqual(
+                {p.core.members["m2"].address for p in ring.living() if p.core.me.name != "m2"}, {"elsewhere"}
+            )
 
     def test_who_waits_for_its_first_seed_has_joined_when_others_know_it(self):
-        """Seen between processes: the first of two stayed 'not joined', and did not end for a younger one of its name."""
+        """Seen between processes: the first of two stayed 'not joined', and did not end for a younger one of
+        its name.
+        """
         ring = Ring(14)
         ring.up("m0", ["m1"])
         ring.run(3 * S)
@@ -166,7 +180,9 @@
 
     def test_one_that_was_removed_comes_back(self):
         ring = Ring(8).gather(4)
-        ring.links.broken = {(a, b) for a in names(0, 1, 2, 3) for b in names(0, 1, 2, 3) if (a == "m3") != (b == "m3")}
+        ring.links.broken = {
+            (a, b) for a in names(0, 1, 2, 3) for b in names(0, 1, 2, 3) if (a == "m3") != (b == "m3")
+        }
         ring.run(60 * S)
         self.assertEqual(ring.at["m0"].core.state_of("m3"), DEAD)
         ring.links.heal()
@@ -199,8 +215,11 @@
         ring = Ring(11).gather(3)
         core, now = ring.at["m0"].core, ring.engine.time
         other = Statement("x", "x", 5, 0, ALIVE)
-        for message, why in ((Ping("elsewhere", 1, other, 0, 1, []), "cluster"), (Ping("c", 2, other, 0, 1, []), "version"),
-                             (Ping("c", 1, other, core.me.life - 1, 1, [core.about(core.members["m1"], DEAD)]), "former life")):
+        for message, why in (
+            (Ping("elsewhere", 1, other, 0, 1, []), "cluster"),
+            (Ping("c", 2, other, 0, 1, []), "version"),
+            (Ping("c", 1, other, core.me.life - 1, 1, [core.about(core.members["m1"], DEAD)]), "former life"),
+        ):
             core.receive(now, "x", message)
             self.assertEqual(core.refused[why, "x"], 1)
         self.assertEqual((core.state_of("x"), core.state_of("m1")), (None, ALIVE))
@@ -237,13 +256,13 @@
         chance, whole = random.Random(1), encode(Ping("c", 1, Statement("m", "m", 1, 0, ALIVE), 0, 1, []))
         self.assertEqual(decode(whole).sender.name, "m")
         for _ in range(3000):
-            data = bytearray(whole[:chance.randrange(len(whole) + 1)] + chance.randbytes(chance.randrange(4)))
+            data = bytearray(
+                whole[: chance.randrange(len(whole) + 1)] + chance.randbytes(chance.randrange(4))
+            )
             if data:
                 data[chance.randrange(len(data))] = chance.randrange(256)
-            try:
+            with contextlib.suppress(Unreadable):
                 decode(bytes(data))
-            except Unreadable:
-                pass
 
 
 if __name__ == "__main__":
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -1,5 +1,6 @@
-"""Several true processes of the program on loopback: killed, stopped, started again, two of one name. Each wait is on what a
-process says of itself or of the others, with a limit; no verdict rests on a sleep."""
+"""Several true processes of the program on loopback: killed, stopped, started again, two of one name. Each
+wait is on what a process says of itself or of the others, with a limit; no verdict rests on a sleep."""
+
 import json
 import subprocess
 import sys
@@ -38,27 +39,47 @@
         site.wait(lambda: site.all_see(**alive), "all know all")
         site.wait(site.fresh, "each told each its facts")
         self.assertLessEqual(*site.oldest())
-        shown = subprocess.run([sys.executable, "-m", "embertray", "cluster", "status", "--admin", site.admin["c1"]], cwd=ROOT,
-                               capture_output=True, text=True).stdout
-        self.assertEqual([line.split()[:2] for line in shown.splitlines()[2:]], [["c2", "alive"], ["c3", "alive"], ["c4", "alive"]])
+        shown = subprocess.run(
+            [sys.executable, "-m", "embertray", "cluster", "status", "--admin", site.admin["c1"]],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+        ).stdout
+        self.assertEqual(
+            [line.split()[:2] for line in shown.splitlines()[2:]],
+            [["c2", "alive"], ["c3", "alive"], ["c4", "alive"]],
+        )
 
         def held():
-            return {row["purpose"]: row for row in json.loads(site.ask("c1", "/memory"))["purposes"]}["cluster"]
-        site.wait(lambda: held()["entries"] > 3, "the accounts have looked at the cluster")     # each second, not at once
+            return {row["purpose"]: row for row in json.loads(site.ask("c1", "/memory"))["purposes"]}[
+                "cluster"
+            ]
+
+        site.wait(
+            lambda: held()["entries"] > 3, "the accounts have looked at the cluster"
+        )  # each second, not at once
         self.assertEqual(held()["action"], "leave out")
 
         pace = Pace(period=PERIOD * 10**6)
-        most = (2 * 3 * pace.period + pace.wait(4, 0) + 8 * pace.period) / 1e9      # the stated bound for four members
+        most = (
+            2 * 3 * pace.period + pace.wait(4, 0) + 8 * pace.period
+        ) / 1e9  # the stated bound for four members
         site.kill("c4")
         took = site.wait(lambda: site.all_see(**alive | {"c4": "dead"}), "c4 is dead")
-        self.assertLessEqual(took, most + 2)                                        # and what this machine takes to look
+        self.assertLessEqual(took, most + 2)  # and what this machine takes to look
 
         site.stop("c3")
         site.wait(lambda: site.all_see(c3="dead"), "c3 stands still and passes for dead")
         site.go_on("c3")
         site.wait(lambda: site.all_see(c1="alive", c2="alive", c3="alive"), "c3 is back")
-        self.assertNotIn('"dead"', "".join(line for line in (Path(self.folder) / "c3.log").read_text().splitlines()
-                                           if '"c1"' in line or '"c2"' in line))    # it blamed nobody
+        self.assertNotIn(
+            '"dead"',
+            "".join(
+                line
+                for line in (Path(self.folder) / "c3.log").read_text().splitlines()
+                if '"c1"' in line or '"c2"' in line
+            ),
+        )  # it blamed nobody
 
         site.up("c4")
         site.wait(lambda: site.all_see(**alive), "c4 lives again")
@@ -77,35 +98,53 @@
         site = self.site(2)
         site.wait(lambda: site.all_see(c1="alive", c2="alive"), "both know both")
         ports = free_ports(3)
-        told = {name: [int(element.get(key).rpartition(":")[2]) for key in ("listen", "admin", "cluster")]
-                for element in etree.parse(str(site.path)).getroot().find("controllers") for name in [element.get("name")]}
+        told = {
+            name: [int(element.get(key).rpartition(":")[2]) for key in ("listen", "admin", "cluster")]
+            for element in etree.parse(str(site.path)).getroot().find("controllers")
+            for name in [element.get("name")]
+        }
         path = site.describe("other", told | {"c2": ports})
         site.up("c2", path, "younger")
         older = site.running.pop("c2")
         self.assertEqual(older.ended(), 0)
         self.assertIn("a younger process has the name c2", (Path(self.folder) / "c2.log").read_text())
         site.admin["c2"] = f"127.0.0.1:{ports[1]}"
-        site.wait(lambda: {m["name"]: m["address"] for m in site.status("c1")["members"]} == {"c2": f"127.0.0.1:{ports[2]}"}
-                  and site.states("c1") == {"c2": "alive"}, "c1 knows the younger")
+        site.wait(
+            lambda: (
+                {m["name"]: m["address"] for m in site.status("c1")["members"]}
+                == {"c2": f"127.0.0.1:{ports[2]}"}
+                and site.states("c1") == {"c2": "alive"}
+            ),
+            "c1 knows the younger",
+        )
 
     def test_without_a_cluster_nothing_of_it_runs(self):
         site = self.site(1, clustered=False)
         site.wait(lambda: site.ask("c1", "/live") == b"live\n", "c1 lives")
         self.assertIn(b"no cluster", site.ask("c1"))
         self.assertNotIn(b'"cluster"', site.ask("c1", "/memory"))
-        code = ("import sys; import embertray.cli.main, embertray.daemon.service, embertray.admin.http; "
-                "print([m for m in sys.modules if m.startswith('embertray.cluster')])")
-        self.assertEqual(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT).stdout, "[]\n")
+        code = (
+            "import sys; import embertray.cli.main, embertray.daemon.service, embertray.admin.http; "
+            "print([m for m in sys.modules if m.startswith('embertray.cluster')])"
+        )
+        self.assertEqual(
+            subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT).stdout,
+            "[]\n",
+        )
 
 
 class Described(unittest.TestCase):
     def test_a_cluster_needs_its_members_addresses(self):
         from embertray.site import BadSite, load
+
         with tempfile.TemporaryDirectory() as folder:
             site = Members(folder, 2)
             self.assertEqual(load(site.path).cluster.period, PERIOD * 10**6)
             text = site.path.read_text()
-            cut = text[:text.index(" cluster=")] + text[text.index(" cluster=") + len(' cluster="127.0.0.1:') + 5 + 1:]
+            cut = (
+                text[: text.index(" cluster=")]
+                + text[text.index(" cluster=") + len(' cluster="127.0.0.1:') + 5 + 1 :]
+            )
             site.path.write_text(cut)
             with self.assertRaisesRegex(BadSite, "a cluster needs its address"):
                 load(site.path)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,4 +1,7 @@
-"""What a step of the module costs, counted in lines of its code that run, not in time: same verdict every time."""
+"""What a step of the module costs, counted in lines of its code that run, not in time: same verdict every
+time.
+"""
+
 import sys
 import unittest
 
@@ -14,7 +17,7 @@
     fleet = Fleet(Controller, backends, proxies, channel_rate=3 * proxies, pending_max=24 * proxies)
     fleet.run(11 * S)
     fleet.join(fleet.pxs, lambda px: fleet.bes[:5])
-    for second in range(8):
+    for _second in range(8):
         for n, be in enumerate(fleet.bes):
             fleet.todo.append(i.Heard(be, fleet.zones[n % 2], 10, 0, 250 * MS, 2 * S, {"waiting": 0}))
         fleet.run(fleet.now + S)
@@ -32,6 +35,7 @@
 
     def begin(frame, what, _):
         return local if "/choice/" in frame.f_code.co_filename else None
+
     fleet.now += wait
     fleet.deliver()
     events, fleet.todo = fleet.todo + events, []
@@ -55,7 +59,9 @@
         self.assertLess(large, 6.5 * small)
 
     def test_who_joins_between_beats_costs_no_look_at_tables(self):
-        """A few lines for each proxy that is here (who uses which table), none for each backend, line or table."""
+        """A few lines for each proxy that is here (who uses which table), none for each backend, line or
+        table.
+        """
         for fleet in (self.small, self.large):
             px = fleet.pxs[7]
             lines(fleet, [])
@@ -63,7 +69,7 @@
             joined = lines(fleet, [i.Joined(px, fleet.zones[1], 1.0, False)], 5 * MS)
             self.assertLess(left, 200)
             self.assertLess(joined, 20 * len(fleet.pxs))
-            self.assertGreater(lines(fleet, []), 3 * joined)        # the count sees what a beat does
+            self.assertGreater(lines(fleet, []), 3 * joined)  # the count sees what a beat does
 
 
 if __name__ == "__main__":
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,5 @@
 """The daemon by its sockets: strangers, slow readers, names that come twice, operators, signals."""
+
 import json
 import os
 import signal
@@ -72,7 +73,9 @@
         for n in range(3):
             self.inventory.list(f"127.0.0.1:900{n}", "north")
         site = load(SITES / "samples" / "pushed.xml").at(inventory=self.inventory.address, **self.facts)
-        self.service = Service(site, site.controllers[0], self.clock, self.net, KeptInMemory(self.clock), 1, lambda: 0.5, quiet())
+        self.service = Service(
+            site, site.controllers[0], self.clock, self.net, KeptInMemory(self.clock), 1, lambda: 0.5, quiet()
+        )
         await self.group.start(self.service.run)
         return self
 
@@ -108,7 +111,9 @@
         async def main():
             async with Room(**facts) as room:
                 await test(self, room, *args)
+
         run(main)
+
     runs.__name__, runs.__doc__ = test.__name__, test.__doc__
     return runs
 
@@ -136,8 +141,15 @@
     async def test_each_bad_peer_gets_one_clear_error_and_nobody_else_is_touched(self, room):
         good = await room.peer("good")
         await good.until(Orders)
-        for data, code in ((b"\xff\xff\xff\xff", "oversized"), (b"\0\0\0\0", "empty"), (b"\0\0\0\1\xc1", "malformed"),
-                           (ProxyEnd.pack(Answer(1)), "order"), (ProxyEnd("x", "moon", 0, True).start(), "zone"), (b"\0\0\0\5ab", None), (b"", "hello")):
+        for data, code in (
+            (b"\xff\xff\xff\xff", "oversized"),
+            (b"\0\0\0\0", "empty"),
+            (b"\0\0\0\1\xc1", "malformed"),
+            (ProxyEnd.pack(Answer(1)), "order"),
+            (ProxyEnd("x", "moon", 0, True).start(), "zone"),
+            (b"\0\0\0\5ab", None),
+            (b"", "hello"),
+        ):
             with self.subTest(data=data):
                 stream = await room.dial()
                 if data:
@@ -179,7 +191,7 @@
         quick, slow = await room.peer("quick"), await room.peer("slow")
         await quick.until(Orders)
         stream = room.service.streams["slow"]
-        stream.conn.stream.peer.held = 1 << 20         # its socket's buffers are full, and it does not read
+        stream.conn.stream.peer.held = 1 << 20  # its socket's buffers are full, and it does not read
         for n in range(5):
             room.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START * 1e9))
             self.assertIsNotNone(await quick.until(Orders))
@@ -200,6 +212,7 @@
         async def bound(peer):
             orders = await peer.until(Orders)
             seen.append((room.clock.now() - began, len(orders.do)))
+
         async with anyio.create_task_group() as group:
             for peer in peers:
                 group.start_soon(bound, peer)
@@ -216,8 +229,14 @@
         self.assertEqual((room.service.instance.refs, room.service.instance.door.marks), ({}, {}))
 
     @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
-    @given(st.lists(st.binary(min_size=1, max_size=60) | st.sampled_from([b"\0\0\0\3", b"\0\0\1\0", b"\x95\xa5hello\1"]),
-                    min_size=1, max_size=6))
+    @given(
+        st.lists(
+            st.binary(min_size=1, max_size=60)
+            | st.sampled_from([b"\0\0\0\3", b"\0\0\1\0", b"\x95\xa5hello\1"]),
+            min_size=1,
+            max_size=6,
+        )
+    )
     def test_noise_on_a_live_listener(self, pieces):
         self.noise(pieces)
 
@@ -249,8 +268,12 @@
         self.assertEqual(json.loads((await room.page("GET", "/proxies"))[1])[0]["proxy"], "p1")
         self.assertEqual((await room.page("POST", "/pace?share=0.5"))[0], 200)
         self.assertEqual(json.loads((await room.page("GET", "/channel"))[1])["pace"], 0.5)
-        for method, path, status in (("POST", "/pace?share=7", 400), ("POST", "/pace", 400), ("GET", "/drain", 405),
-                                     ("GET", "/nowhere", 404)):
+        for method, path, status in (
+            ("POST", "/pace?share=7", 400),
+            ("POST", "/pace", 400),
+            ("GET", "/drain", 405),
+            ("GET", "/nowhere", 404),
+        ):
             self.assertEqual((await room.page(method, path))[0], status)
         self.assertIn(b" 400 ", await room.ask(b"nonsense\r\n\r\n"))
 
@@ -279,6 +302,7 @@
         async def main():
             with self.assertRaises(BadAddress):
                 await TcpNet().listen("0.0.0.0:0")
+
         anyio.run(main)
 
     def test_serves_from_its_last_list_without_an_inventory_and_stops_on_sigterm(self):
@@ -287,16 +311,34 @@
             kept = Kept(folder / "list")
             kept.open()
             wall, boot, mono = kept.times()
-            kept.save(Snapshot(4, 5 * S, wall, boot, mono, [KeptEntry("127.0.0.1:9000", "north", "ready", 0, wall)]))
+            kept.save(
+                Snapshot(4, 5 * S, wall, boot, mono, [KeptEntry("127.0.0.1:9000", "north", "ready", 0, wall)])
+            )
             kept.close()
             text = (SITES / "samples" / "pushed.xml").read_text()
-            for old, new in (("127.0.0.1:7001", "127.0.0.1:0"), ("127.0.0.1:7011", "127.0.0.1:0"),
-                             ("127.0.0.1:7100", "127.0.0.1:1"), ('mode="push"', f'mode="push" keep="{folder}/list"')):
+            for old, new in (
+                ("127.0.0.1:7001", "127.0.0.1:0"),
+                ("127.0.0.1:7011", "127.0.0.1:0"),
+                ("127.0.0.1:7100", "127.0.0.1:1"),
+                ('mode="push"', f'mode="push" keep="{folder}/list"'),
+            ):
                 text = text.replace(old, new)
             (folder / "site.xml").write_text(text)
             program = subprocess.Popen(
-                [sys.executable, "-m", "embertray", "--log-format", "json", "serve", str(folder / "site.xml")],
-                stderr=subprocess.PIPE, text=True, cwd=HERE.parent, env={**os.environ})
+                [
+                    sys.executable,
+                    "-m",
+                    "embertray",
+                    "--log-format",
+                    "json",
+                    "serve",
+                    str(folder / "site.xml"),
+                ],
+                stderr=subprocess.PIPE,
+                text=True,
+                cwd=HERE.parent,
+                env={**os.environ},
+            )
             try:
                 rows = iter(map(json.loads, program.stderr))
                 listen = next(row for row in rows if row["event"] == "listening")["listen"]
@@ -309,6 +351,7 @@
                         program.send_signal(signal.SIGTERM)
                         self.assertIsNone(await peer.until(Fault))
                         await peer.stream.aclose()
+
                 anyio.run(main)
                 self.assertEqual(program.wait(10), 0)
                 self.assertIn("stopping", [row["event"] for row in rows])
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,7 @@
-"""Full-path days: every script in virtual time, some over sockets, and each rule's check on a sabotaged controller."""
+"""Full-path days: every script in virtual time, some over sockets, and each rule's check on a sabotaged
+controller.
+"""
+
 import os
 import subprocess
 import sys
@@ -8,7 +11,9 @@
 from pathlib import Path
 
 import sabotage
+
 from embertray.days import notation, player
+from embertray.days.rules import NAMES
 
 HERE = Path(__file__).resolve().parent
 
@@ -31,7 +36,9 @@
 class Scripts(unittest.TestCase):
     def test_every_day_keeps_the_rules_in_virtual_time(self):
         with ProcessPoolExecutor(4) as pool:
-            for name, rules, credit, reqs in pool.map(verdict, [n for n in notation.names() if not notation.load(n).linked]):
+            for name, rules, credit, reqs in pool.map(
+                verdict, [n for n in notation.names() if not notation.load(n).linked]
+            ):
                 with self.subTest(day=name):
                     self.assertEqual({rule: why for rule, why in rules.items() if why}, {})
                     floor = notation.load(name).expect.get("credit", "0.5")
@@ -40,8 +47,17 @@
 
     def test_same_seed_same_run_and_another_seed_another(self):
         """Also in another process, whose hashes and addresses are others."""
-        one, two = (subprocess.run([sys.executable, "-c", DIGEST, "5"], capture_output=True, text=True, timeout=60,
-                                   cwd=HERE.parent, env={**os.environ, "PYTHONHASHSEED": salt}) for salt in "12")
+        one, two = (
+            subprocess.run(
+                [sys.executable, "-c", DIGEST, "5"],
+                capture_output=True,
+                text=True,
+                timeout=60,
+                cwd=HERE.parent,
+                env={**os.environ, "PYTHONHASHSEED": salt},
+            )
+            for salt in "12"
+        )
         self.assertTrue(one.stdout, one.stderr)
         self.assertEqual(one.stdout, two.stdout)
         three = player.play(notation.load("kill"), seed=6)
@@ -53,13 +69,16 @@
 
     def test_the_main_job(self):
         result = player.play(notation.load("first"), mode="sockets")
-        self.assertEqual(result.verdicts(), dict.fromkeys(player.NAMES, "kept"))
+        self.assertEqual(result.verdicts(), dict.fromkeys(NAMES, "kept"))
         self.assertGreater(result.credit, 0.95)
 
     def test_killed_and_stopped_controllers_and_a_drain(self):
-        rough = day("site pushed\nfleet backends=6 proxies=6 controllers=2\nload 40/s for 14s\n"
-                    "at 2s deploy b1 drain=4s\nat 3s kill c1 for 1s\nat 6s stall c2 for 2s\nat 7s deploy b2 drain=5s\n"
-                    "at 8s garbage c1\nat 9s half-message p1\nat 9s twice p2")
+        rough = day(
+            "site pushed\nfleet backends=6 proxies=6 controllers=2\nload 40/s for 14s\n"
+            "at 2s deploy b1 drain=4s\nat 3s kill c1 for 1s\nat 6s stall c2 for 2s\nat 7s deploy "
+            "b2 drain=5s\n"
+            "at 8s garbage c1\nat 9s half-message p1\nat 9s twice p2"
+        )
         result = player.play(rough, mode="sockets")
         self.assertEqual({k: v for k, v in result.rules.items() if v}, {})
         self.assertGreater(result.credit, 0.8)
@@ -76,36 +95,66 @@
         return {rule for rule, why in spoilt.rules.items() if why}
 
     def test_lost(self):
-        self.assertIn("lost", self.broken("fleet backends=3 proxies=2\nload 10/s for 5s", sabotage.BindsNothing))
+        self.assertIn(
+            "lost", self.broken("fleet backends=3 proxies=2\nload 10/s for 5s", sabotage.BindsNothing)
+        )
 
     def test_duplicate(self):
-        self.assertIn("duplicate", self.broken("site sealed\nfleet backends=4 proxies=3\nload 30/s for 10s\n"
-                                               "at 2s errors b1 for 6s share=1", sabotage.RepeatsAll))
+        self.assertIn(
+            "duplicate",
+            self.broken(
+                "site sealed\nfleet backends=4 proxies=3\nload 30/s for 10s\nat 2s errors b1 for 6s share=1",
+                sabotage.RepeatsAll,
+            ),
+        )
 
     def test_drain(self):
-        self.assertIn("drain", self.broken("fleet backends=4 proxies=3\nload 30/s for 14s\nat 3s deploy b1 drain=8s",
-                                           sabotage.DropsRemovals))
+        self.assertIn(
+            "drain",
+            self.broken(
+                "fleet backends=4 proxies=3\nload 30/s for 14s\nat 3s deploy b1 drain=8s",
+                sabotage.DropsRemovals,
+            ),
+        )
 
     def test_failback(self):
-        self.assertIn("failback", self.broken("fleet backends=4 proxies=4\nload 60/s for 25s\nat 3s crash b1 for 3s",
-                                              sabotage.TrustsTheCold))
+        self.assertIn(
+            "failback",
+            self.broken(
+                "fleet backends=4 proxies=4\nload 60/s for 25s\nat 3s crash b1 for 3s", sabotage.TrustsTheCold
+            ),
+        )
 
     def test_backlog_by_lines(self):
-        self.assertIn("backlog", self.broken("fleet backends=6 proxies=6\nload 20/s for 20s", sabotage.NoLedger))
+        self.assertIn(
+            "backlog", self.broken("fleet backends=6 proxies=6\nload 20/s for 20s", sabotage.NoLedger)
+        )
 
     def test_backlog_by_messages(self):
-        self.assertIn("backlog", self.broken("site sealed\nfleet backends=4 proxies=3\nload 20/s for 20s",
-                                             sabotage.TooManyMessages))
+        self.assertIn(
+            "backlog",
+            self.broken(
+                "site sealed\nfleet backends=4 proxies=3\nload 20/s for 20s", sabotage.TooManyMessages
+            ),
+        )
 
 
 class CommandLine(unittest.TestCase):
     def run_it(self, *words):
-        return subprocess.run([sys.executable, "-m", "embertray", *words], capture_output=True, text=True, timeout=60,
-                              cwd=HERE.parent)
+        return subprocess.run(
+            [sys.executable, "-m", "embertray", *words],
+            capture_output=True,
+            text=True,
+            timeout=60,
+            cwd=HERE.parent,
+        )
 
     def test_bad_input_is_one_clear_error_and_code_2(self):
-        for words, said in ((("play", "no-such-day"), "no such day"), (("check", "no.xml"), "no.xml"),
-                            (("serve", "no.xml"), "no.xml")):
+        for words, said in (
+            (("play", "no-such-day"), "no such day"),
+            (("check", "no.xml"), "no.xml"),
+            (("serve", "no.xml"), "no.xml"),
+        ):
             done = self.run_it(*words)
             self.assertEqual((done.returncode, done.stdout), (2, ""))
             self.assertEqual(done.stderr.count("\n"), 1)
@@ -122,10 +171,14 @@
 
 class Notation(unittest.TestCase):
     def test_errors_name_line_and_column(self):
-        for text, words in (("load 5/s for 3s\nat 2s crush b1", ("here.day:2:7", "no trouble 'crush'")),
-                            ("at 2s crash c1", ("can't strike c1",)), ("at 2s crash b9", ("there is no b9",)),
-                            ("fleet wings=2", ("1:7", "knows no 'wings'")), ("at two crash b1", (":1:4",)),
-                            ("at 2s crash", ("must name what it strikes",))):
+        for text, words in (
+            ("load 5/s for 3s\nat 2s crush b1", ("here.day:2:7", "no trouble 'crush'")),
+            ("at 2s crash c1", ("can't strike c1",)),
+            ("at 2s crash b9", ("there is no b9",)),
+            ("fleet wings=2", ("1:7", "knows no 'wings'")),
+            ("at two crash b1", (":1:4",)),
+            ("at 2s crash", ("must name what it strikes",)),
+        ):
             with self.subTest(text=text), self.assertRaises(notation.BadDay) as caught:
                 day(text)
             for word in words:
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -1,10 +1,12 @@
-"""Named levels of reduced service: first demand, the ladder, pins, and the whole way to proxies and clients."""
+"""Named levels of reduced service: first demand, the ladder, pins, and the whole way to proxies and
+clients.
+"""
+
 import json
 import unittest
 from types import SimpleNamespace
 
 from hypothesis import given, settings, strategies as st
-
 from test_daemon import virtual
 
 from embertray.core import Instance
@@ -41,7 +43,13 @@
 
 class Ladder(unittest.TestCase):
     def test_each_level_is_entered_by_what_is_lost_and_left_after_a_calm_minute(self):
-        for served, name in ((200, "normal"), (190, "normal"), (150, "brownout"), (85, "essential"), (40, "survival")):
+        for served, name in (
+            (200, "normal"),
+            (190, "normal"),
+            (150, "brownout"),
+            (85, "essential"),
+            (40, "survival"),
+        ):
             it = Proxies()
             for _ in range(20):
                 it.second(100, 200)
@@ -49,7 +57,7 @@
                 it.second(100, served)
             self.assertEqual(it.reduced.name, name, served)
             entered = len(it.changes)
-            self.assertLessEqual(entered, 1)            # at once to the right one
+            self.assertLessEqual(entered, 1)  # at once to the right one
             for _ in range(200):
                 it.second(100, 200)
             self.assertEqual(it.reduced.name, "normal")
@@ -62,7 +70,9 @@
             for second in range(600):
                 it.second(100, 200 if second < 10 or second // (period // 2) % 2 else 150)
             for start in range(600):
-                self.assertLessEqual(sum(start <= at < start + 60 for at, _ in it.changes), 1, (period, it.changes))
+                self.assertLessEqual(
+                    sum(start <= at < start + 60 for at, _ in it.changes), 1, (period, it.changes)
+                )
 
     def test_between_two_marks_it_steps_once_a_minute_but_goes_to_the_highest_at_once(self):
         it = Proxies()
@@ -81,9 +91,11 @@
             for second in range(90):
                 it.second(100, 200 if second < 15 else 90)
             found[habit] = it.reduced.name, it.reduced.lost
-        names, lost = zip(*found.values())
+        names, lost = zip(*found.values(), strict=False)
         self.assertEqual(len(set(names)), 1, found)
-        self.assertLess(max(lost) - min(lost), 0.1, found)      # what rose meanwhile may be demand: it can't be told
+        self.assertLess(
+            max(lost) - min(lost), 0.1, found
+        )  # what rose meanwhile may be demand: it can't be told
 
     def test_no_news_is_no_verdict_and_fresh_news_leaves_a_level_entered_on_late_ones(self):
         it = Proxies()
@@ -121,7 +133,11 @@
                 wrong()
 
     @settings(max_examples=60, deadline=None, derandomize=True)
-    @given(st.lists(st.tuples(st.integers(1, 40), st.sampled_from([0.0, 0.03, 0.06, 0.2, 0.3, 0.6, 0.9])), max_size=12))
+    @given(
+        st.lists(
+            st.tuples(st.integers(1, 40), st.sampled_from([0.0, 0.03, 0.06, 0.2, 0.3, 0.6, 0.9])), max_size=12
+        )
+    )
     def test_whatever_comes_up_takes_some_looks_and_down_a_calm_minute(self, course):
         reduced, now, last, lost_at = Reduced([POST], S, False, 0), 0, 0, {}
         reduced.gauge = SimpleNamespace(look=lambda now: lost_at[now])
@@ -174,15 +190,19 @@
         self.assertEqual(gauge.size(), 1)
 
 
-SPIKE = ("site pushed\nfleet backends=6 proxies=6 controllers=1\n"
-         "load 60/s for 110s source=flash times=14 at=6s period=8s\n")
+SPIKE = (
+    "site pushed\nfleet backends=6 proxies=6 controllers=1\n"
+    "load 60/s for 110s source=flash times=14 at=6s period=8s\n"
+)
 
 
 class WholeWay(unittest.TestCase):
     """From sums to the proxies' tables, without streams and with them."""
 
     def seen(self, result):
-        return [do for e in result.events if e.what == "applied" for do in e.rest[0].do if isinstance(do, Level)]
+        return [
+            do for e in result.events if e.what == "applied" for do in e.rest[0].do if isinstance(do, Level)
+        ]
 
     def test_a_spike_is_told_and_over_and_costs_no_rule(self):
         stages = []
@@ -198,13 +218,17 @@
         self.assertTrue(any(do.again == 0 for do in levels if do.wait))
 
     def test_a_pin_costs_no_rule_and_no_line(self):
-        day = notation.read("site pushed\nfleet backends=6 proxies=6\nload 40/s for 20s\nat 4s deploy 50% batch=1 drain=4s by 1s\n",
-                            "pin.day")
+        day = notation.read(
+            "site pushed\nfleet backends=6 proxies=6\nload 40/s for 20s\nat 4s deploy 50% batch=1 "
+            "drain=4s by 1s\n",
+            "pin.day",
+        )
 
         class Pinned(Instance):
             def __init__(self, *args):
                 super().__init__(*args)
                 self.reduced.pin("survival")
+
         free, pinned = (play(day, 2, core=core) for core in (Instance, Pinned))
         self.assertFalse([why for why in pinned.rules.values() if why])
         cost = [sum(e.rest[0].cost for e in result.events if e.what == "orders") for result in (free, pinned)]
@@ -226,12 +250,16 @@
             self.assertEqual(status, 200)
             await room.clock.sleep_until(room.clock.now() + 2 * S)
             told = json.loads((await ask("GET", "/level"))[1])
-            self.assertEqual((told["level"], told["pinned"], told["gives_up"]), ("essential", "essential", ["probes", "tries"]))
+            self.assertEqual(
+                (told["level"], told["pinned"], told["gives_up"]),
+                ("essential", "essential", ["probes", "tries"]),
+            )
             self.assertIn("embertray_service_level 2", (await ask("GET", "/metrics"))[1])
             for wrong in ("pin=panic", "forbid=normal", "up=1", ""):
                 status, body = await ask("POST", "/set-level?" + wrong)
                 self.assertEqual((status, body.count("\n")), (400, 1))
             self.assertEqual((await ask("POST", "/set-level?release=1"))[0], 200)
+
         main(self)
 
 
