--- /dev/null
+++ b/embertray/control/entry.py
@@ -0,0 +1,40 @@
+"""One committed or proposed version of a key."""
+
+from typing import Annotated
+
+import msgspec
+import xxhash
+from msgspec import Meta
+
+KEY_BYTES_MOST = 256  # keys are names such as "limits/search"; longer ones are mistakes
+ENTRY_OVERHEAD = 24  # bytes a entry is charged beyond its key, request and value: numbers and framing
+
+Count = Annotated[int, Meta(ge=0, le=2**62)]
+Name = Annotated[str, Meta(min_length=1, max_length=128)]
+Key = Annotated[str, Meta(max_length=KEY_BYTES_MOST)]  # "" only for the empty entry that opens a term
+RequestId = Annotated[str, Meta(max_length=64)]
+
+
+class Entry(msgspec.Struct, array_like=True, frozen=True):
+    """One version of `key`. `revision` counts all writes of the replicated state, `term` is the leadership
+    that proposed it, `request` names the client's call so that a repeated call is recognised. A `value` of
+    None is a removal."""
+
+    key: Key
+    revision: Count
+    term: Count
+    request: RequestId
+    value: bytes | None
+
+    @property
+    def size(self):
+        """Bytes that the entry is charged on the wire."""
+        return len(self.key) + len(self.request) + len(self.value or b"") + ENTRY_OVERHEAD
+
+    @property
+    def fingerprint(self):
+        """64 bits of key, revision and value."""
+        digest = xxhash.xxh64(self.key.encode())
+        digest.update(self.revision.to_bytes(8, "big"))
+        digest.update(self.value or b"")
+        return digest.intdigest()
--- /dev/null
+++ b/embertray/control/subscriber.py
@@ -0,0 +1,227 @@
+"""One subscriber: follows a replica, applies what it sends, and knows the age of what it holds.
+
+It has an ordered list of replicas, those of its own region first, and follows one at a time. It leaves a
+replica that is silent, or that has been apart from the majority for too long, for the next one, and comes
+back to the first after a while. It only ever moves forward: an entry that is not newer than what is held
+changes nothing.
+"""
+
+from dataclasses import dataclass
+
+from .entry import Entry
+from .freshness import Freshness
+from .messages import VERSION, Confirm, Heartbeat, Inventory, Repair, Subscribe, Update, encode
+from .pace import SubscriberPace
+from .store import VersionedStore
+
+S = 10**9
+
+
+@dataclass(frozen=True)
+class Dial:
+    """Open a connection to `replica`; `number` tells this connection from former ones."""
+
+    replica: str
+    number: int
+
+
+@dataclass(frozen=True)
+class Hang:
+    """Close the connection `number`."""
+
+    number: int
+    why: str
+
+
+@dataclass(frozen=True)
+class Say:
+    """Send an encoded message on the connection `number`."""
+
+    number: int
+    data: bytes
+
+
+class Subscriber:
+    """`replicas`: names in the order of preference. `entries` and `revision`: what a former process kept;
+    `known_at`: when that was certainly the newest, ns by `now`'s clock (may be before 0), None if not known.
+    Call `advance` when `next_at` is due, and `dialled`, `lost` and `receive` as things happen; actions and
+    applied entries gather in `actions` and `applied`, which the caller empties."""
+
+    def __init__(
+        self, cluster, name, replicas, now, chance, pace=None, entries=(), revision=0, known_at=None
+    ):
+        self.cluster, self.name, self.replicas = cluster, name, list(replicas)
+        self.chance, self.pace = chance, pace or SubscriberPace()
+        self.store = VersionedStore()
+        for entry in sorted(entries, key=lambda one: one.revision):
+            self.store.apply(entry)
+        self.store.advance(revision)
+        self.freshness = Freshness(known_at)
+        self.actions, self.applied = [], []
+        self.target, self.number, self.connected, self.dialling = 0, 0, False, False
+        self.dial_at, self.failures, self.heard_at, self.since = now, 0, now, now
+        self.replica_age, self.stale_moves, self.settled_until, self.repair_at = None, 0, now, now
+        self.counted = dict.fromkeys(("dials", "updates", "duplicates", "gaps", "repairs", "moves"), 0)
+
+    # ---- what is asked of it
+
+    @property
+    def revision(self):
+        """Everything up to here is held, of each key the newest."""
+        return self.store.revision
+
+    @property
+    def replica(self):
+        """Name of the replica that is followed or tried."""
+        return self.replicas[self.target]
+
+    def age(self, now):
+        """ns since it was certain that nothing newer was committed anywhere; None if it never was."""
+        return self.freshness.age(now)
+
+    def next_at(self):
+        """ns by which `advance` has to be called."""
+        if self.connected:
+            return min(self.heard_at + self.pace.silence, self._home_at())
+        if self.dialling:
+            return self.heard_at + self.pace.dial
+        return self.dial_at
+
+    # ---- time and connections
+
+    def advance(self, now):
+        """Does what is due."""
+        if self.connected:
+            if now - self.heard_at >= self.pace.silence:
+                self._leave(now, "silent")
+            elif now >= self._home_at():
+                self._go_home(now)
+        elif self.dialling:
+            if now - self.heard_at >= self.pace.dial:
+                self._leave(now, "no connection")
+        elif now >= self.dial_at:
+            self._dial(now)
+
+    def dialled(self, now, number):
+        """The connection `number` is up."""
+        if number != self.number or not self.dialling:
+            return
+        self.connected, self.dialling, self.heard_at, self.since = True, False, now, now
+        self._say(Subscribe(self.cluster, VERSION, self.name, self.revision))
+
+    def lost(self, now, number):
+        """The connection `number` could not be opened, or ended."""
+        if number == self.number and (self.connected or self.dialling):
+            self._next_target(now)
+
+    def receive(self, now, number, message):
+        """Takes what the replica says on the connection `number`; what others bring is dropped."""
+        if number != self.number or not self.connected:
+            return
+        self.heard_at = now
+        if isinstance(message, Heartbeat):
+            self._on_heartbeat(now, message)
+        elif isinstance(message, Update):
+            self._on_update(now, message)
+        elif isinstance(message, Inventory):
+            self._on_inventory(now, message)
+
+    def _dial(self, now):
+        self.number += 1
+        self.dialling, self.heard_at = True, now
+        self.counted["dials"] += 1
+        self.actions.append(Dial(self.replica, self.number))
+
+    def _leave(self, now, why):
+        self.actions.append(Hang(self.number, why))
+        self._next_target(now)
+
+    def _next_target(self, now):
+        """The next replica at once, or after a pause that grows when all of them failed."""
+        self.connected = self.dialling = False
+        self.counted["moves"] += 1
+        self.failures += 1
+        self.target = (self.target + 1) % len(self.replicas)
+        rounds, rest = divmod(self.failures, len(self.replicas))
+        pause = 0 if rest else min(self.pace.retry_first << min(rounds - 1, 8), self.pace.retry_most)
+        spread = self.chance.randrange(self.pace.retry_first)  # against all dialling at once
+        self.dial_at = now + pause + spread
+
+    def _home_at(self):
+        """When the first replica is tried again, if another one is followed."""
+        return self.since + self.pace.return_home if self.target else 2**62
+
+    def _go_home(self, now):
+        self.actions.append(Hang(self.number, "back to the first replica"))
+        self.connected, self.target = False, 0
+        self.counted["moves"] += 1
+        self.dial_at = now + self.chance.randrange(self.pace.retry_first)
+
+    # ---- what the replica says
+
+    def _on_heartbeat(self, now, message):
+        self.freshness.heard(now, message.commit, message.age, self.revision)
+        self.replica_age = message.age
+        if message.age > self.pace.stale:
+            self._leave_stale(now)
+            return
+        self.failures = self.stale_moves = 0
+        if message.commit == self.revision and message.digest != self.store.digest and now >= self.repair_at:
+            self.repair_at = now + self.pace.silence
+            self.counted["repairs"] += 1
+            self._say(Repair(self.store.digests))
+        self._say(Confirm(self.revision))
+
+    def _leave_stale(self, now):
+        """Another replica may reach the majority. When none does, the present one is kept a while."""
+        if now < self.settled_until:
+            self._say(Confirm(self.revision))
+            return
+        self.stale_moves += 1
+        if self.stale_moves % len(self.replicas) == 0:
+            rounds = self.stale_moves // len(self.replicas)
+            self.settled_until = now + min(self.pace.silence << min(rounds, 4), self.pace.return_home)
+        self._leave(now, "apart from the majority")
+
+    def _on_update(self, now, message):
+        if message.since > self.revision:
+            self.counted["gaps"] += 1
+            self._say(Subscribe(self.cluster, VERSION, self.name, self.revision))
+            return
+        if message.upto <= self.revision:
+            self.counted["duplicates"] += 1
+        else:
+            self.counted["updates"] += 1
+            for entry in message.entries:
+                self._apply(entry)
+            self.store.advance(message.upto)
+            self.freshness.reached(self.revision)
+        self._say(Confirm(self.revision))
+
+    def _apply(self, entry):
+        if self.store.apply(entry):
+            self.applied.append(entry)
+
+    def _on_inventory(self, now, message):
+        """Drops what was removed, and asks for what differs."""
+        listed = {item.key: item for item in message.items}
+        for held in self.store.inventory(message.bucket):
+            item = listed.get(held.key)
+            if item is None and held.revision <= message.upto:
+                self._remove(held, message.upto)
+            elif item is not None and item.revision == held.revision and item != held:
+                self.store.forget(held.key)  # spoilt: the same revision with another value
+        missing = [item.revision for item in message.items if self._misses(item)]
+        if missing:
+            self._say(Subscribe(self.cluster, VERSION, self.name, min(missing) - 1))
+
+    def _misses(self, item):
+        held = self.store.get(item.key)
+        return item.revision <= self.revision and (held is None or held.revision < item.revision)
+
+    def _remove(self, held, upto):
+        self.store.forget(held.key)
+        self.applied.append(Entry(held.key, upto, 0, "", None))
+
+    def _say(self, message):
+        self.actions.append(Say(self.number, encode(message)))
