--- a/embertray/control/feed.py
+++ b/embertray/control/feed.py
@@ -51,6 +51,7 @@
     sent: int | None = None
     retry_at: int = 0
     failures: int = 0
+    stamp: int = 0  # newest time of its clock that it told
     repairs: deque = field(default_factory=deque)  # buckets whose inventory it is owed
     bytes_sent: int = 0
 
@@ -117,10 +118,12 @@
             one = self.subscriptions[name] = Subscription(name, bucket, message.revision, now, now)
             self.turn.append(name)
         one.confirmed, one.heard_at, one.sent, one.failures = message.revision, now, None, 0
+        one.stamp = message.stamp
 
     def _confirm(self, now, one, message):
         one.heard_at = now
         one.confirmed = max(one.confirmed, message.revision)
+        one.stamp = max(one.stamp, message.stamp)
         if one.sent is not None and one.confirmed >= one.sent:
             one.sent, one.failures = None, 0
 
@@ -153,7 +156,7 @@
             one.heartbeat_at = now + self.pace.heartbeat
             store = self.store()
             told_age = AGE_UNKNOWN if age is None else age
-            self._send(now, one, encode(Heartbeat(store.revision, store.digest, told_age)), out)
+            self._send(now, one, encode(Heartbeat(store.revision, store.digest, told_age, one.stamp)), out)
         if one.sent is not None and now >= one.retry_at:
             one.sent = None
             one.failures += 1
--- a/embertray/control/freshness.py
+++ b/embertray/control/freshness.py
@@ -13,9 +13,12 @@
         self.known_at = known_at
         self.marks = deque()  # (revision, time) that count once the revision is held
 
-    def heard(self, now, commit, age, held):
-        """At `now - age` nothing newer than `commit` was committed; `held` is our own revision."""
-        at = now - age
+    def heard(self, after, commit, age, held):
+        """It was said after the time `after` that for `age` ns nothing newer than `commit` was committed;
+        `held` is our own revision. A message may have been long on its way: `after` is a time that its sender
+        echoed.
+        """
+        at = after - age
         if commit <= held:
             self._known(at)
             return
--- a/embertray/control/messages.py
+++ b/embertray/control/messages.py
@@ -36,8 +36,9 @@
 
 class Append(ReplicaMessage, tag="append", frozen=True):
     """A leader's heartbeat, with what follows the entry (previous_term, previous_revision). `round` numbers
-    the heartbeats of a leadership; `age` is the ns since a majority last confirmed it. `admitted` is the
-    nonce of a recovering replica whose return a majority has confirmed, else 0."""
+    the heartbeats of a leadership; `age` is the ns since a majority last confirmed it; `echo` is the newest
+    stamp that came from the follower, 0 if none. `admitted` is the nonce of a recovering replica whose return
+    a majority has confirmed, else 0."""
 
     round: Count
     previous_term: Count
@@ -45,6 +46,7 @@
     entries: list[Entry]
     commit: Count
     age: Count
+    echo: Count
     admitted: Count
 
 
@@ -63,13 +65,14 @@
 
 class Appended(ReplicaMessage, tag="appended", frozen=True):
     """Answers an Append or Install. `accepted`: the sender holds everything up to `last_revision`; if not,
-    the leader is to continue after that revision. `nonce`: not 0 while the sender is recovering.
-    `subscribers` and `lowest_confirmed` report what the sender's subscribers hold."""
+    the leader is to continue after that revision. `nonce`: not 0 while the sender is recovering. `stamp`: the
+    sender's clock, ns. `subscribers` and `lowest_confirmed` report what the sender's subscribers hold."""
 
     round: Count
     accepted: bool
     last_revision: Count
     nonce: Count
+    stamp: Count
     subscribers: Count
     lowest_confirmed: Count
 
@@ -97,12 +100,14 @@
     version: Count
     subscriber: Name
     revision: Count
+    stamp: Count
 
 
 class Confirm(msgspec.Struct, tag_field="type", tag="confirm", array_like=True, frozen=True):
-    """Everything up to `revision` is applied. Also answers each heartbeat."""
+    """Everything up to `revision` is applied. Answers each heartbeat, too. `stamp`: the sender's clock."""
 
     revision: Count
+    stamp: Count
 
 
 class Repair(msgspec.Struct, tag_field="type", tag="repair", array_like=True, frozen=True):
@@ -112,11 +117,13 @@
 
 
 class Heartbeat(msgspec.Struct, tag_field="type", tag="heartbeat", array_like=True, frozen=True):
-    """What the replica has committed, its digest, and the ns since that was certainly the newest."""
+    """What the replica has committed, its digest, and the ns since that was certainly the newest. `echo`: the
+    newest stamp that came from the subscriber, so that it knows what time this was said after; 0 if none."""
 
     commit: Count
     digest: Count
     age: Count
+    echo: Count
 
 
 class Update(msgspec.Struct, tag_field="type", tag="update", array_like=True, frozen=True):
--- a/embertray/control/pace.py
+++ b/embertray/control/pace.py
@@ -66,7 +66,7 @@
 
     dial: int = 1 * S  # until a connection that does not come up is given up
     silence: int = 3 * S  # a replica that says nothing for so long is left: three heartbeats
-    stale: int = 4 * S  # a replica that has been apart from the majority for so long is left
+    stale: int = 6 * S  # a replica apart from the majority for so long is left: an election takes under 5
     retry_first: int = 200 * MS  # pause before the next replica is tried, doubled each time all were tried
     retry_most: int = 3 * S
     return_home: int = 30 * S  # after so long at another replica the first one is tried again
--- a/embertray/control/replica.py
+++ b/embertray/control/replica.py
@@ -102,6 +102,7 @@
     nonce: int = 0  # of its recovery, 0 if it counts
     nonce_at: int = 0  # ns when that was first heard
     admitted: bool = False  # it was told that it counts again
+    stamp: int = 0  # newest time of its clock that it told
 
 
 class Replica:
@@ -376,7 +377,8 @@
         peer.admitted = peer.admitted or bool(admitted)
         told_age = AGE_UNKNOWN if age is None else age
         position = (self._term_at(previous), previous)
-        self._send(other, Append(*head, *position, entries, self.store.revision, told_age, admitted))
+        commit = self.store.revision
+        self._send(other, Append(*head, *position, entries, commit, told_age, peer.stamp, admitted))
 
     def _on_appended(self, now, message):
         if message.term > self.term:
@@ -388,6 +390,7 @@
         if peer.nonce and not message.nonce and not peer.admitted:
             return  # said by the process before the one that recovers
         self.reports[message.sender] = message
+        peer.stamp = max(peer.stamp, message.stamp)
         self._note_nonce(now, peer, message)
         if message.accepted:
             peer.next = max(peer.next, message.last_revision + 1)
@@ -433,7 +436,7 @@
     def _follow(self, now, message):
         """True if the message is of a leadership that holds; then its sender is our leader."""
         if message.term < self.term:
-            self._answer(message, False)
+            self._answer(now, message, False)
             return False
         if message.term > self.term or self.role is not Role.FOLLOWER:
             self._step_down(message.term)
@@ -446,18 +449,19 @@
             return
         if message.previous_revision > self.store.revision:
             if self._term_at(message.previous_revision) != message.previous_term:
-                self._answer(message, False)
+                self._answer(now, message, False)
                 return
         elif self._diverged(message):
-            self._answer(message, False)
+            self._answer(now, message, False)
             return
         self._take_entries(message.entries)
         matched = max(message.previous_revision + len(message.entries), self.store.revision)
         self._commit(min(message.commit, matched))
-        self.freshness.heard(now, message.commit, message.age, self.store.revision)
+        if 0 < message.echo <= now:  # not one of a former boot
+            self.freshness.heard(message.echo, message.commit, message.age, self.store.revision)
         if self.nonce and message.admitted == self.nonce and not self.silent_until:
             self._finish_recovery()
-        self._answer(message, True, matched)
+        self._answer(now, message, True, matched)
 
     def _diverged(self, message):
         """Whether an Append continues a committed revision of ours under another term: it never should."""
@@ -480,11 +484,11 @@
         if not self._follow(now, message):
             return
         if message.since > self.store.revision:
-            self._answer(message, False)
+            self._answer(now, message, False)
             return
         if message.commit > self.store.revision:
             self._install(message)
-        self._answer(message, True, max(message.commit, self.store.revision))
+        self._answer(now, message, True, max(message.commit, self.store.revision))
 
     def _install(self, message):
         keep_rest = self._term_at(message.commit) == message.commit_term
@@ -501,10 +505,10 @@
         self.uncommitted, self.changed = rest, True
         self.freshness.reached(self.store.revision)
 
-    def _answer(self, message, accepted, last_revision=None):
+    def _answer(self, now, message, accepted, last_revision=None):
         last = self.store.revision if last_revision is None else last_revision
         report = (self.subscribers, self.lowest_confirmed)
-        answer = (message.round, accepted, last, self.nonce, *report)
+        answer = (message.round, accepted, last, self.nonce, now, *report)
         self._send(message.sender, Appended(self.cluster, self.name, self.term, *answer))
 
     # ---- the log
--- a/embertray/control/subscriber.py
+++ b/embertray/control/subscriber.py
@@ -60,7 +60,7 @@
         self.actions, self.applied = [], []
         self.target, self.number, self.connected, self.dialling = 0, 0, False, False
         self.dial_at, self.failures, self.heard_at, self.since = now, 0, now, now
-        self.replica_age, self.stale_moves, self.settled_until, self.repair_at = None, 0, now, now
+        self.replica_age, self.stale_moves, self.repair_at = None, 0, now
         self.counted = dict.fromkeys(("dials", "updates", "duplicates", "gaps", "repairs", "moves"), 0)
 
     # ---- what is asked of it
@@ -107,7 +107,7 @@
         if number != self.number or not self.dialling:
             return
         self.connected, self.dialling, self.heard_at, self.since = True, False, now, now
-        self._say(Subscribe(self.cluster, VERSION, self.name, self.revision))
+        self._say(Subscribe(self.cluster, VERSION, self.name, self.revision, now))
 
     def lost(self, now, number):
         """The connection `number` could not be opened, or ended."""
@@ -160,7 +160,8 @@
     # ---- what the replica says
 
     def _on_heartbeat(self, now, message):
-        self.freshness.heard(now, message.commit, message.age, self.revision)
+        if 0 < message.echo <= now:
+            self.freshness.heard(message.echo, message.commit, message.age, self.revision)
         self.replica_age = message.age
         if message.age > self.pace.stale:
             self._leave_stale(now)
@@ -170,23 +171,21 @@
             self.repair_at = now + self.pace.silence
             self.counted["repairs"] += 1
             self._say(Repair(self.store.digests))
-        self._say(Confirm(self.revision))
+        self._say(Confirm(self.revision, now))
 
     def _leave_stale(self, now):
-        """Another replica may reach the majority. When none does, the present one is kept a while."""
-        if now < self.settled_until:
-            self._say(Confirm(self.revision))
+        """Another replica may reach the majority. Once all were found apart from it, each is kept a while."""
+        all_tried = self.stale_moves >= len(self.replicas)
+        if all_tried and now - self.since < self.pace.stale:
+            self._say(Confirm(self.revision, now))
             return
         self.stale_moves += 1
-        if self.stale_moves % len(self.replicas) == 0:
-            rounds = self.stale_moves // len(self.replicas)
-            self.settled_until = now + min(self.pace.silence << min(rounds, 4), self.pace.return_home)
         self._leave(now, "apart from the majority")
 
     def _on_update(self, now, message):
         if message.since > self.revision:
             self.counted["gaps"] += 1
-            self._say(Subscribe(self.cluster, VERSION, self.name, self.revision))
+            self._say(Subscribe(self.cluster, VERSION, self.name, self.revision, now))
             return
         if message.upto <= self.revision:
             self.counted["duplicates"] += 1
@@ -196,7 +195,7 @@
                 self._apply(entry)
             self.store.advance(message.upto)
             self.freshness.reached(self.revision)
-        self._say(Confirm(self.revision))
+        self._say(Confirm(self.revision, now))
 
     def _apply(self, entry):
         if self.store.apply(entry):
@@ -213,7 +212,7 @@
                 self.store.forget(held.key)  # spoilt: the same revision with another value
         missing = [item.revision for item in message.items if self._misses(item)]
         if missing:
-            self._say(Subscribe(self.cluster, VERSION, self.name, min(missing) - 1))
+            self._say(Subscribe(self.cluster, VERSION, self.name, min(missing) - 1, now))
 
     def _misses(self, item):
         held = self.store.get(item.key)
