--- a/embertray/control/budget.py
+++ b/embertray/control/budget.py
@@ -26,6 +26,10 @@
         """Takes the bytes of a message that went."""
         self.tokens -= size
 
+    def limit(self, now, tokens):
+        """At most `tokens` bytes may be spent now."""
+        self.tokens = min(self.available(now), float(tokens))
+
     def ready_at(self, now, size):
         """ns when a message of `size` bytes may go."""
         lacking = min(size, self.capacity) - self.available(now)
--- a/embertray/control/entry.py
+++ b/embertray/control/entry.py
@@ -10,6 +10,7 @@
 ENTRY_OVERHEAD = 24  # bytes a entry is charged beyond its key, request and value: numbers and framing
 
 Count = Annotated[int, Meta(ge=0, le=2**62)]
+Digest = Annotated[int, Meta(ge=0)]  # 64 bits
 Name = Annotated[str, Meta(min_length=1, max_length=128)]
 Key = Annotated[str, Meta(max_length=KEY_BYTES_MOST)]  # "" only for the empty entry that opens a term
 RequestId = Annotated[str, Meta(max_length=64)]
--- a/embertray/control/feed.py
+++ b/embertray/control/feed.py
@@ -7,8 +7,10 @@
 
 from collections import deque
 from dataclasses import dataclass, field
+from heapq import heappop, heappush
 
 from .budget import TokenBucket
+from .freshness import AGE_UNKNOWN
 from .messages import (
     VERSION,
     Confirm,
@@ -20,11 +22,10 @@
     encode,
 )
 from .pace import FeedPace
-from .replica import AGE_UNKNOWN
 
 FRAME_BYTES = 4  # of a frame's length
 UPDATE_BYTES = 24  # an update's own numbers, at the most
-IDLE_WAIT = 50 * 10**6  # ns between two looks while some subscriber waits for budget
+BUDGET_WAIT = 50 * 10**6  # ns between two looks at a subscriber that waits for budget
 
 
 class Refused(Exception):
@@ -54,6 +55,7 @@
     stamp: int = 0  # newest time of its clock that it told
     repairs: deque = field(default_factory=deque)  # buckets whose inventory it is owed
     bytes_sent: int = 0
+    wake_at: int = 0  # ns when it is looked at next without a cause
 
 
 class Feed:
@@ -64,7 +66,9 @@
         self.subscriptions = {}
         total = self.pace.total_bytes_per_second
         self.total = TokenBucket(total, total, now)
-        self.turn = deque()  # names, who waits longest first
+        self.touched = {}  # names of subscribers that something changed for, in the order it did
+        self.wakes = []  # heap of (ns, name)
+        self.seen_revision = 0
         self.retries = self.silent = 0
 
     # ---- what is asked of it
@@ -75,22 +79,23 @@
         confirmed = (one.confirmed for one in self.subscriptions.values())
         return min(confirmed, default=self.store().revision)
 
+    @property
+    def count(self):
+        """Subscribers that are served."""
+        return len(self.subscriptions)
+
     def next_at(self, now):
         """ns by which `advance` has to be called."""
-        times = [now + self.pace.heartbeat]
-        for one in self.subscriptions.values():
-            times.append(one.heartbeat_at)
-            if one.sent is not None:
-                times.append(one.retry_at)
-            elif self._lacks(one):
-                times.append(now + IDLE_WAIT)
-        return min(times)
+        if self.touched or self.seen_revision != self.store().revision:
+            return now
+        return self.wakes[0][0] if self.wakes else now + self.pace.heartbeat
 
     # ---- what comes
 
     def receive(self, now, name, message):
         """Takes what the subscriber `name` says on its connection. Raises Refused."""
         one = self.subscriptions.get(name)
+        self.touched[name] = True
         if isinstance(message, Subscribe):
             self._subscribe(now, name, message)
         elif one is None:
@@ -102,8 +107,7 @@
 
     def gone(self, name):
         """A subscriber's connection ended."""
-        if self.subscriptions.pop(name, None) is not None:
-            self.turn.remove(name)
+        self.subscriptions.pop(name, None)
 
     def _subscribe(self, now, name, message):
         if message.cluster != self.cluster:
@@ -116,9 +120,9 @@
         if one is None:
             bucket = TokenBucket(self.pace.sustained, self.pace.burst, now)
             one = self.subscriptions[name] = Subscription(name, bucket, message.revision, now, now)
-            self.turn.append(name)
         one.confirmed, one.heard_at, one.sent, one.failures = message.revision, now, None, 0
         one.stamp = message.stamp
+        one.bucket.limit(now, message.allowance)
 
     def _confirm(self, now, one, message):
         one.heard_at = now
@@ -140,23 +144,54 @@
 
     def advance(self, now, age):
         """(messages to send, names of silent subscribers that are dropped). `age`: the replica's, ns."""
-        silent = [one.name for one in self.subscriptions.values() if now - one.heard_at > self.pace.silence]
+        out, silent = [], []
+        for name in self._due(now):
+            one = self.subscriptions.get(name)
+            if one is None:
+                continue
+            if now - one.heard_at > self.pace.silence:
+                silent.append(name)
+                continue
+            self._serve(now, one, age, out)
+            self._plan(now, one)
         for name in silent:
             self.gone(name)
         self.silent += len(silent)
-        out = []
-        for _ in range(len(self.turn)):
-            one = self.subscriptions[self.turn[0]]
-            self.turn.rotate(-1)
-            self._serve(now, one, age, out)
         return out, silent
 
+    def _due(self, now):
+        """Names of those to look at: all when the state has changed, else whom something came from or whose
+        time it is."""
+        if self.seen_revision != self.store().revision:
+            self.seen_revision = self.store().revision
+            self.touched.update(dict.fromkeys(self.subscriptions, True))
+        while self.wakes and self.wakes[0][0] <= now:
+            when, name = heappop(self.wakes)
+            one = self.subscriptions.get(name)
+            if one is not None and one.wake_at == when:
+                self.touched[name] = True
+        names, self.touched = list(self.touched), {}
+        return names
+
+    def _plan(self, now, one):
+        """When it is looked at next without a cause."""
+        times = [one.heartbeat_at]
+        if one.sent is not None:
+            times.append(one.retry_at)
+        elif self._lacks(one) or one.repairs:
+            times.append(now + BUDGET_WAIT)
+        when = min(times)
+        if when != one.wake_at:
+            one.wake_at = when
+            heappush(self.wakes, (when, one.name))
+
     def _serve(self, now, one, age, out):
         if now >= one.heartbeat_at:
             one.heartbeat_at = now + self.pace.heartbeat
             store = self.store()
-            told_age = AGE_UNKNOWN if age is None else age
-            self._send(now, one, encode(Heartbeat(store.revision, store.digest, told_age, one.stamp)), out)
+            told_age = AGE_UNKNOWN if age is None else min(age, AGE_UNKNOWN)
+            heartbeat = Heartbeat(store.revision, store.digest, told_age, one.stamp)
+            self._send(now, one, encode(heartbeat), out)
         if one.sent is not None and now >= one.retry_at:
             one.sent = None
             one.failures += 1
--- a/embertray/control/freshness.py
+++ b/embertray/control/freshness.py
@@ -2,6 +2,7 @@
 
 from collections import deque
 
+AGE_UNKNOWN = 2**62  # ns; told in place of an age by who knows none
 MARKS_MOST = 64  # heartbeats remembered whose revision is not held yet
 
 
@@ -18,6 +19,8 @@
         `held` is our own revision. A message may have been long on its way: `after` is a time that its sender
         echoed.
         """
+        if age >= AGE_UNKNOWN:
+            return
         at = after - age
         if commit <= held:
             self._known(at)
@@ -36,6 +39,11 @@
         """ns, or None while nothing is known."""
         return None if self.known_at is None else max(0, now - self.known_at)
 
+    def told_age(self, now):
+        """The age as it is told to others: AGE_UNKNOWN while nothing is known."""
+        age = self.age(now)
+        return AGE_UNKNOWN if age is None else min(age, AGE_UNKNOWN)
+
     def _known(self, at):
         if self.known_at is None or at > self.known_at:
             self.known_at = at
--- a/embertray/control/messages.py
+++ b/embertray/control/messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from .entry import Count, Entry, Key, Name, RequestId
+from .entry import Count, Digest, Entry, Key, Name, RequestId
 
 VERSION = 1
 
@@ -94,13 +94,15 @@
 
 
 class Subscribe(msgspec.Struct, tag_field="type", tag="subscribe", array_like=True, frozen=True):
-    """A subscriber's first message, and whenever it found a gap: everything after `revision` is wanted."""
+    """A subscriber's first message, and whenever it found a gap: everything after `revision` is wanted.
+    `stamp`: the sender's clock; `allowance`: bytes that its budget still allows, whoever spent the rest."""
 
     cluster: Name
     version: Count
     subscriber: Name
     revision: Count
     stamp: Count
+    allowance: Count
 
 
 class Confirm(msgspec.Struct, tag_field="type", tag="confirm", array_like=True, frozen=True):
@@ -113,7 +115,7 @@
 class Repair(msgspec.Struct, tag_field="type", tag="repair", array_like=True, frozen=True):
     """The digests differ at the same revision: the subscriber's own, one for each bucket."""
 
-    digests: list[Count]
+    digests: list[Digest]
 
 
 class Heartbeat(msgspec.Struct, tag_field="type", tag="heartbeat", array_like=True, frozen=True):
@@ -121,7 +123,7 @@
     newest stamp that came from the subscriber, so that it knows what time this was said after; 0 if none."""
 
     commit: Count
-    digest: Count
+    digest: Digest
     age: Count
     echo: Count
 
@@ -139,7 +141,7 @@
 
     key: Key
     revision: Count
-    fingerprint: Count
+    fingerprint: Digest
 
 
 class Inventory(msgspec.Struct, tag_field="type", tag="inventory", array_like=True, frozen=True):
--- a/embertray/control/replica.py
+++ b/embertray/control/replica.py
@@ -25,7 +25,6 @@
 from .pace import KEYS_MOST, PROPOSALS_MOST, STATE_BYTES_MOST, ReplicaPace
 from .store import VersionedStore, export, restore
 
-AGE_UNKNOWN = 2**62  # ns; told by a replica that never heard of a leadership
 NONCES = 2**62
 
 
@@ -108,8 +107,8 @@
 class Replica:
     """`names`: all replicas, this one too. `saved`: the ReplicaState that was saved last, None if there is
     none: then the replica votes for nobody until the others have shown that this is the first start, or a
-    leader has brought it up to date. Call `receive` with what came, `advance` when `next_at` is due, `poll`
-    after each."""
+    leader has brought it up to date. `subscribers`, a Feed, is asked for what followers report. Call
+    `receive` with what came, `advance` when `next_at` is due, `poll` after each."""
 
     def __init__(self, cluster, name, names, now, chance, pace=None, saved=None):
         self.cluster, self.name = cluster, name
@@ -122,7 +121,7 @@
         self.freshness = Freshness()
         self.leader_heard_at = now - self.pace.election_most
         self.nonce, self.silent_until, self.blank_replies = 0, 0, set()
-        self.subscribers, self.lowest_confirmed, self.reports = 0, 0, {}
+        self.subscribers, self.reports = None, {}  # a Feed, once there is one; name -> its last Appended
         self.step, self.changed = Step(), False
         if saved is None:
             self._begin_recovery(now)
@@ -160,10 +159,19 @@
         """ns since it was certain that nothing newer than `store.revision` was committed; None if it never
         was.
         """
-        if self.role is Role.LEADER and self.store.term == self.term:
-            self.freshness.heard(now, self.store.revision, now - self.quorum_at, self.store.revision)
+        self._lead_is_fresh(now)
         return self.freshness.age(now)
 
+    def told_age(self, now):
+        """The age as it is told to others: AGE_UNKNOWN in place of None."""
+        self._lead_is_fresh(now)
+        return self.freshness.told_age(now)
+
+    def _lead_is_fresh(self, now):
+        """A leader that has committed in its own term holds all that is committed, as long as it leads."""
+        if self.role is Role.LEADER and self.store.term == self.term:
+            self.freshness.heard(self.quorum_at, self.store.revision, 0, self.store.revision)
+
     def next_at(self):
         """ns by which `advance` has to be called."""
         if self.role is Role.LEADER:
@@ -372,13 +380,11 @@
             self._send(other, Install(*head, previous, *commit, changes, keys, requests))
             return
         entries = self.uncommitted[previous - self.store.revision :]
-        age = self.age(now)
         admitted = peer.nonce if peer.nonce and self.quorum_at > peer.nonce_at else 0
         peer.admitted = peer.admitted or bool(admitted)
-        told_age = AGE_UNKNOWN if age is None else age
         position = (self._term_at(previous), previous)
         commit = self.store.revision
-        self._send(other, Append(*head, *position, entries, commit, told_age, peer.stamp, admitted))
+        self._send(other, Append(*head, *position, entries, commit, self.told_age(now), peer.stamp, admitted))
 
     def _on_appended(self, now, message):
         if message.term > self.term:
@@ -507,7 +513,8 @@
 
     def _answer(self, now, message, accepted, last_revision=None):
         last = self.store.revision if last_revision is None else last_revision
-        report = (self.subscribers, self.lowest_confirmed)
+        feed = self.subscribers
+        report = (feed.count, feed.lowest_confirmed) if feed else (0, self.store.revision)
         answer = (message.round, accepted, last, self.nonce, now, *report)
         self._send(message.sender, Appended(self.cluster, self.name, self.term, *answer))
 
--- a/embertray/control/store.py
+++ b/embertray/control/store.py
@@ -33,6 +33,8 @@
         self.forgotten = 0  # revision of the newest removal that is no longer held
         self.requests = OrderedDict()  # request id -> revision
         self.bytes = 0  # charged for all versions
+        self.kept = []  # all versions in the order they came, some that are no longer held among them
+        self.outdated = 0  # of these
 
     # ---- reading
 
@@ -99,6 +101,7 @@
             self._uncount(entry)
         for former in self.versions.pop(key, ()):
             self.bytes -= former.size
+            self.outdated += 1
 
     def remember(self, requests):
         """Takes (request id, revision) pairs of writes; the newest ones are kept."""
@@ -142,12 +145,20 @@
             if held is not None and held.revision == revision:
                 self.forget(key)
 
+    def _drop_outdated(self):
+        self.outdated += 1
+        if self.outdated > len(self.kept) // 2 + ORDER_SLACK:
+            held = (entry for versions in self.versions.values() for entry in versions)
+            self.kept, self.outdated = sorted(held, key=lambda entry: entry.revision), 0
+
     def _keep_version(self, entry):
         versions = self.versions.setdefault(entry.key, deque())
         versions.append(entry)
+        self.kept.append(entry)
         self.bytes += entry.size
         if len(versions) > HISTORY:
             self.bytes -= versions.popleft().size
+            self._drop_outdated()
 
 
 def restore(revision, term, versions, requests, forgotten=0):
@@ -162,6 +173,5 @@
 
 
 def export(store):
-    """All versions that a store holds, by rising revision."""
-    found = [entry for versions in store.versions.values() for entry in versions]
-    return sorted(found, key=lambda entry: entry.revision)
+    """All versions that a store holds, and some that it no longer does: what `restore` needs."""
+    return list(store.kept)
--- a/embertray/control/subscriber.py
+++ b/embertray/control/subscriber.py
@@ -8,10 +8,11 @@
 
 from dataclasses import dataclass
 
+from .budget import TokenBucket
 from .entry import Entry
 from .freshness import Freshness
 from .messages import VERSION, Confirm, Heartbeat, Inventory, Repair, Subscribe, Update, encode
-from .pace import SubscriberPace
+from .pace import FeedPace, SubscriberPace
 from .store import VersionedStore
 
 S = 10**9
@@ -44,11 +45,22 @@
 class Subscriber:
     """`replicas`: names in the order of preference. `entries` and `revision`: what a former process kept;
     `known_at`: when that was certainly the newest, ns by `now`'s clock (may be before 0), None if not known.
-    Call `advance` when `next_at` is due, and `dialled`, `lost` and `receive` as things happen; actions and
-    applied entries gather in `actions` and `applied`, which the caller empties."""
+    `budget`: the FeedPace whose bytes a second it is owed. Call `advance` when `next_at` is due, and
+    `dialled`, `lost` and `receive` as things happen; actions and applied entries gather in `actions` and
+    `applied`, which the caller empties."""
 
     def __init__(
-        self, cluster, name, replicas, now, chance, pace=None, entries=(), revision=0, known_at=None
+        self,
+        cluster,
+        name,
+        replicas,
+        now,
+        chance,
+        pace=None,
+        budget=None,
+        entries=(),
+        revision=0,
+        known_at=None,
     ):
         self.cluster, self.name, self.replicas = cluster, name, list(replicas)
         self.chance, self.pace = chance, pace or SubscriberPace()
@@ -57,6 +69,8 @@
             self.store.apply(entry)
         self.store.advance(revision)
         self.freshness = Freshness(known_at)
+        budget = budget or FeedPace()
+        self.bucket = TokenBucket(budget.sustained, budget.burst, now)
         self.actions, self.applied = [], []
         self.target, self.number, self.connected, self.dialling = 0, 0, False, False
         self.dial_at, self.failures, self.heard_at, self.since = now, 0, now, now
@@ -107,15 +121,18 @@
         if number != self.number or not self.dialling:
             return
         self.connected, self.dialling, self.heard_at, self.since = True, False, now, now
-        self._say(Subscribe(self.cluster, VERSION, self.name, self.revision, now))
+        self._subscribe(now, self.revision)
 
     def lost(self, now, number):
         """The connection `number` could not be opened, or ended."""
         if number == self.number and (self.connected or self.dialling):
             self._next_target(now)
 
-    def receive(self, now, number, message):
-        """Takes what the replica says on the connection `number`; what others bring is dropped."""
+    def receive(self, now, number, message, size):
+        """Takes what the replica says on the connection `number`, in `size` bytes; what former connections
+        bring is dropped, but their bytes were spent."""
+        self.bucket.available(now)
+        self.bucket.spend(size)
         if number != self.number or not self.connected:
             return
         self.heard_at = now
@@ -185,21 +202,22 @@
     def _on_update(self, now, message):
         if message.since > self.revision:
             self.counted["gaps"] += 1
-            self._say(Subscribe(self.cluster, VERSION, self.name, self.revision, now))
+            self._subscribe(now, self.revision)
             return
-        if message.upto <= self.revision:
-            self.counted["duplicates"] += 1
-        else:
+        applied = sum(self._apply(entry) for entry in message.entries)
+        if applied or message.upto > self.revision:
             self.counted["updates"] += 1
-            for entry in message.entries:
-                self._apply(entry)
-            self.store.advance(message.upto)
-            self.freshness.reached(self.revision)
+        else:
+            self.counted["duplicates"] += 1
+        self.store.advance(message.upto)
+        self.freshness.reached(self.revision)
         self._say(Confirm(self.revision, now))
 
     def _apply(self, entry):
-        if self.store.apply(entry):
+        newer = self.store.apply(entry)
+        if newer:
             self.applied.append(entry)
+        return newer
 
     def _on_inventory(self, now, message):
         """Drops what was removed, and asks for what differs."""
@@ -207,20 +225,20 @@
         for held in self.store.inventory(message.bucket):
             item = listed.get(held.key)
             if item is None and held.revision <= message.upto:
-                self._remove(held, message.upto)
+                self._apply(Entry(held.key, message.upto, 0, "", None))
             elif item is not None and item.revision == held.revision and item != held:
                 self.store.forget(held.key)  # spoilt: the same revision with another value
         missing = [item.revision for item in message.items if self._misses(item)]
         if missing:
-            self._say(Subscribe(self.cluster, VERSION, self.name, min(missing) - 1, now))
+            self._subscribe(now, min(missing) - 1)
 
     def _misses(self, item):
         held = self.store.get(item.key)
         return item.revision <= self.revision and (held is None or held.revision < item.revision)
 
-    def _remove(self, held, upto):
-        self.store.forget(held.key)
-        self.applied.append(Entry(held.key, upto, 0, "", None))
+    def _subscribe(self, now, revision):
+        allowance = max(0, int(self.bucket.available(now)))
+        self._say(Subscribe(self.cluster, VERSION, self.name, revision, now, allowance))
 
     def _say(self, message):
         self.actions.append(Say(self.number, encode(message)))
--- /dev/null
+++ b/embertray/days/control_claims.py
@@ -0,0 +1,150 @@
+"""What the control plane claims, held against what its processes do; no I/O.
+
+| claim | broken when |
+| --- | --- |
+| history | two replicas commit different entries under one revision |
+| acknowledged | an acknowledged write is not what was committed, or no majority has it on disk |
+| request | one request is committed under two revisions |
+| once | a subscriber applies a revision of a key twice, or an older one after a newer one |
+| committed | a subscriber applies what no replica committed |
+| age | a subscriber whose age is `a` lacks a write that was acknowledged `a` ago or earlier |
+| in force | a write is not applied within its bound at a subscriber that was within reach all the while |
+| prompt | the same, long after the last fault, within the bound for good links |
+| alike | at the end, subscribers at one revision hold different entries |
+"""
+
+from bisect import bisect_right
+from collections import Counter
+from dataclasses import dataclass
+
+S = 10**9
+BROKEN_KEPT = 50  # texts that are kept; all are counted
+CLAIMS = ("history", "acknowledged", "request", "once", "committed", "age", "in force", "prompt", "alike")
+
+
+@dataclass(frozen=True)
+class Broken:
+    """One claim that was found broken."""
+
+    claim: str
+    at: int
+    text: str
+
+
+@dataclass(frozen=True)
+class Acknowledged:
+    """A write whose writer was told that it is committed."""
+
+    at: int
+    revision: int
+
+
+class ControlClaims:
+    """Told what happens, in the order of time (ns of one clock)."""
+
+    def __init__(self):
+        self.history = {}  # revision -> Entry
+        self.requests = {}  # request -> revision
+        self.acknowledged, self.newest = [], []  # in order; newest revision acknowledged so far
+        self.applied_at = {}  # (subscriber, key) -> revision
+        self.checked = {}  # (claim, subscriber) -> position in `acknowledged` up to which all was in force
+        self.broken, self.counts, self.held = [], Counter(), Counter()
+        # claim -> ns that each write took at each subscriber within reach, in steps of the looks
+        self.took = {"in force": [], "prompt": []}
+
+    @property
+    def kept(self):
+        """Whether no claim was broken."""
+        return not self.counts
+
+    # ---- what happens
+
+    def committed(self, now, replica, entry):
+        """A replica committed an entry."""
+        self.held["history"] += 1
+        known = self.history.setdefault(entry.revision, entry)
+        if known != entry:
+            self._break("history", now, f"{replica} committed {entry}, before it was {known}")
+        if entry.request and self.requests.setdefault(entry.request, entry.revision) != entry.revision:
+            text = f"{replica} committed {entry.request} twice, at {entry.revision}"
+            self._break("request", now, text)
+
+    def acknowledge(self, now, revision, key, value, durable, majority):
+        """A writer was told that its write is committed; `durable` replicas have it on disk."""
+        self.held["acknowledged"] += 1
+        entry = self.history.get(revision)
+        if entry is None or (entry.key, entry.value) != (key, value):
+            self._break("acknowledged", now, f"{key} at {revision} was acknowledged, committed is {entry}")
+        if durable < majority:
+            self._break("acknowledged", now, f"revision {revision} is on {durable} disks, {majority} needed")
+        newest = max(revision, self.newest[-1] if self.newest else 0)
+        self.acknowledged.append(Acknowledged(now, revision))
+        self.newest.append(newest)
+
+    def applied(self, now, subscriber, entry):
+        """A subscriber applied an entry. A removal found by a repair has term 0."""
+        self.held["once"] += 1
+        place = (subscriber, entry.key)
+        before = self.applied_at.get(place, 0)
+        if entry.revision <= before:
+            self._break("once", now, f"{subscriber} applied {entry.key} at {entry.revision} after {before}")
+        self.applied_at[place] = max(before, entry.revision)
+        if entry.term and self.history.get(entry.revision) != entry:
+            self._break("committed", now, f"{subscriber} applied {entry}, which nobody committed")
+
+    def forgets(self, subscriber):
+        """A subscriber starts with nothing."""
+        self.applied_at = {place: at for place, at in self.applied_at.items() if place[0] != subscriber}
+
+    # ---- what is looked at
+
+    def look(self, now, subscriber, revision, age):
+        """A subscriber says the age of what it holds (None: it does not know)."""
+        if age is None:
+            return
+        self.held["age"] += 1
+        position = bisect_right(self.acknowledged, now - age, key=lambda one: one.at)
+        if position and self.newest[position - 1] > revision:
+            late = self.newest[position - 1]
+            self._break(
+                "age",
+                now,
+                f"{subscriber} at {revision} says {age / S:.2f} s, {late} was acknowledged by then",
+            )
+
+    def reach(self, now, subscriber, revision, since, bound, claim="in force"):
+        """A subscriber holds `revision`; since `since` it has been within reach (None: it is not), so that
+        each write is due `bound` after it or after its acknowledgement."""
+        place = (claim, subscriber)
+        position = self.checked.get(place, 0)
+        while position < len(self.acknowledged):
+            write = self.acknowledged[position]
+            late = since is not None and now > max(write.at, since) + bound
+            if write.revision <= revision:
+                self._on_time(now, write, since, claim)
+            elif late:
+                text = f"{subscriber} is at {revision}, {write.revision} was due after {bound / S:.1f} s"
+                self._break(claim, now, text)
+            else:
+                break
+            position += 1
+        self.checked[place] = position
+
+    def _on_time(self, now, write, since, claim):
+        self.held[claim] += 1
+        if since is not None and since <= write.at:
+            self.took[claim].append(now - write.at)
+
+    def alike(self, now, held):
+        """`held`: subscriber -> (revision, digest), at the end."""
+        by_revision = {}
+        for subscriber, (revision, digest) in sorted(held.items()):
+            self.held["alike"] += 1
+            first = by_revision.setdefault(revision, (subscriber, digest))
+            if first[1] != digest:
+                self._break("alike", now, f"{subscriber} and {first[0]} differ at revision {revision}")
+
+    def _break(self, claim, now, text):
+        self.counts[claim] += 1
+        if len(self.broken) < BROKEN_KEPT:
+            self.broken.append(Broken(claim, now, text))
--- /dev/null
+++ b/embertray/emulator/control/play.py
@@ -0,0 +1,179 @@
+"""A play of the control plane: replicas, subscribers, writers and faults on one engine, held against its
+claims.
+"""
+
+import random
+from dataclasses import dataclass, field
+
+from ...control.bounds import Bounds
+from ...control.pace import FeedPace, ReplicaPace, SubscriberPace
+from ...days.control_claims import ControlClaims
+from ..engine import Engine
+from .links import Links
+from .processes import ReplicaProcess, SubscriberProcess
+from .writer import Writer
+
+MS, S = 10**6, 10**9
+LOOK_EVERY = 250 * MS  # ns between two looks at what every subscriber says
+LISTED = 3  # replicas that a subscriber may follow
+
+
+@dataclass(frozen=True)
+class Settings:
+    """What is played."""
+
+    seed: int = 1
+    replicas: int = 3
+    subscribers: int = 6
+    regions: int = 1
+    keys: int = 40
+    value: tuple = (20, 400)  # bytes, least and most
+    write_every: int = 2 * S
+    cluster: str = "play"
+    replica: ReplicaPace = field(default_factory=ReplicaPace)
+    feed: FeedPace = field(default_factory=FeedPace)
+    subscriber: SubscriberPace = field(default_factory=SubscriberPace)
+
+
+class ControlPlay:
+    """Everything of one play. `run` lets time pass; faults are methods, and are undone by others."""
+
+    def __init__(self, settings, claims=None, replica_process=None, subscriber_process=None):
+        self.settings, self.engine = settings, Engine(1_000 * S)
+        self.claims, self.chance = claims or ControlClaims(), self.draw("play")
+        self.bounds = Bounds(settings.replica, settings.feed, settings.subscriber)
+        self.replica_names = [f"r{number}" for number in range(settings.replicas)]
+        names = [f"s{number:03d}" for number in range(settings.subscribers)]
+        region = {name: number % settings.regions for number, name in enumerate(self.replica_names)}
+        region |= {name: number % settings.regions for number, name in enumerate(names)}
+        self.links = Links(self.engine, self.draw("links"), region)
+        make_replica = replica_process or ReplicaProcess
+        make_subscriber = subscriber_process or SubscriberProcess
+        self.replicas = {name: make_replica(self, name) for name in self.replica_names}
+        self.subscribers = {name: make_subscriber(self, name, self._listed(name, region)) for name in names}
+        self.writer = Writer(self, settings)
+        self.changed_at = self.engine.time
+
+    def draw(self, purpose):
+        """A generator of its own for each purpose."""
+        return random.Random(f"{self.settings.seed} {purpose}")
+
+    def _listed(self, name, region):
+        """Replicas of the own region first, then others, in an order of the subscriber's own."""
+        order = self.draw(f"order {name}").sample(self.replica_names, len(self.replica_names))
+        return sorted(order, key=lambda replica: region[replica] != region[name])[:LISTED]
+
+    # ---- time
+
+    def start(self):
+        """Everything starts at once."""
+        for process in [*self.replicas.values(), *self.subscribers.values()]:
+            process.start()
+        self.engine.at(self.engine.time + LOOK_EVERY, self._look)
+        self.writer.start()
+
+    def run(self, span):
+        """Lets `span` ns pass."""
+        self.engine.run(self.engine.time + span)
+
+    def settle(self):
+        """Heals everything, stops writing, and lets the longest bound pass."""
+        self.writer.stop()
+        self.heal()
+        self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog))
+        self.claims.alike(
+            self.engine.time,
+            {name: (one.core.revision, one.core.store.digest) for name, one in self.subscribers.items()},
+        )
+
+    @property
+    def backlog(self):
+        """Bytes of everything that is in force: the most that a subscriber can lack."""
+        return max(sum(entry.size for entry in one.core.store.live()) for one in self.living)
+
+    @property
+    def living(self):
+        """Replicas that run."""
+        return [one for one in self.replicas.values() if one.alive and not one.stopped]
+
+    # ---- connections
+
+    def dial(self, connection):
+        """A subscriber opens a connection: it comes up, is refused, or nothing answers."""
+        subscriber, replica = connection.subscriber, connection.replica
+        if not self.links.both_ways(subscriber.name, replica.name):
+            return
+        there = self.links.delay(subscriber.name, replica.name)
+        back = self.links.delay(replica.name, subscriber.name)
+        self.engine.at(self.engine.time + there + back, self._dialled, connection, replica.life)
+
+    def _dialled(self, connection, life):
+        if connection.ended:
+            return
+        if connection.replica.alive and connection.replica.life == life:
+            connection.subscriber.connected(connection)
+        else:
+            connection.subscriber.reset(connection.number)
+
+    def hang_up(self, connection):
+        """The subscriber closed it; the replica hears of it if the way is open."""
+        if self.links.open(connection.subscriber.name, connection.replica.name):
+            when = self.engine.time + self.links.delay(connection.subscriber.name, connection.replica.name)
+            self.engine.at(when, connection.replica.hung_up, connection)
+
+    def reset(self, connection):
+        """The replica's end is gone; the subscriber hears of it if the way is open."""
+        if self.links.open(connection.replica.name, connection.subscriber.name):
+            when = self.engine.time + self.links.delay(connection.replica.name, connection.subscriber.name)
+            self.engine.at(when, connection.subscriber.reset, connection.number)
+
+    # ---- faults
+
+    def change(self):
+        """Something failed, or works again: bounds count from now."""
+        self.changed_at = self.engine.time
+
+    def heal(self):
+        """All links are open, all processes run."""
+        self.links.heal()
+        for process in [*self.replicas.values(), *self.subscribers.values()]:
+            if not process.alive:
+                process.start()
+            elif process.stopped:
+                process.go_on()
+        self.change()
+
+    # ---- what holds
+
+    def majority_group(self):
+        """Replicas that run, are not recovering, and all reach each other, if they are a majority; else none.
+        Where some reach each other in one direction only, nothing is claimed."""
+        able = [one.name for one in self.living if not one.core.recovering]
+        for name in able:
+            near = [other for other in able if self.links.open(name, other) or self.links.open(other, name)]
+            whole = all(self.links.both_ways(a, b) for a in near for b in near if a != b)
+            if whole and 2 * len(near) > len(self.replica_names):
+                return set(near)
+        return set()
+
+    def _look(self):
+        now = self.engine.time
+        group = self.majority_group()
+        waiting = self.bounds.waiting(self.backlog) if self.living else 0
+        for name, process in self.subscribers.items():
+            if process.alive and not process.stopped:
+                self._look_at(now, name, process, group, waiting)
+        self.engine.at(now + LOOK_EVERY, self._look)
+
+    def _look_at(self, now, name, process, group, waiting):
+        core = process.core
+        self.claims.look(now, name, core.revision, core.age(now))
+        reached = any(
+            replica in group and self.links.both_ways(name, replica) for replica in process.replica_names
+        )
+        since = self.changed_at if reached else None
+        late = self.bounds.any_fault + waiting + LOOK_EVERY
+        self.claims.reach(now, name, core.revision, since, late)
+        calm = None if since is None else since + late
+        prompt = self.bounds.good + self.bounds.waiting(self.writer.burst_bytes) + LOOK_EVERY
+        self.claims.reach(now, name, core.revision, calm, prompt, "prompt")
