--- a/embertray/platform/calls.py
+++ b/embertray/platform/calls.py
@@ -68,11 +68,12 @@
         """
         part, size = [], 0
         for order in orders:
-            if size + len(order) + 1 > ORDERS_MOST - 64:
+            taken = len(order.encode()) + 1  # the relay counts bytes: names may have longer characters
+            if part and size + taken > ORDERS_MOST - 64:
                 self.queue.append(Call(part))
                 part, size = [], 0
             part.append(order)
-            size += len(order) + 1
+            size += taken
         if sync:
             # in several calls the last one's answer stands for all: it goes to every proxy
             part.append(sync(int(len(orders) > len(part))))
--- a/tests/test_node_relay.py
+++ b/tests/test_node_relay.py
@@ -101,6 +101,15 @@
         self.assertEqual([call.nonce for call in caller.queue], [None] * (len(sizes) - 1) + [5])
         self.assertEqual(caller.queue[-1].orders[-1], "SYNC,5,1")
 
+    def test_a_call_is_measured_in_bytes_and_is_never_empty(self):
+        caller = Caller(0)
+        caller.put([f"SET,1,{'é' * 100}-{k},1" for k in range(500)] + [f"SET,1,{'x' * 70_000},1"])
+        sizes = [len(";".join(call.orders).encode()) for call in caller.queue]
+        self.assertLessEqual(max(sizes[:-1]), limits.ORDERS_MOST)
+        caller = Caller(0)
+        caller.put([f"SET,1,{'x' * 70_000},1"])
+        self.assertEqual([len(call.orders) for call in caller.queue], [1])
+
 
 class Relayed(unittest.TestCase):
     def test_news_in_any_pieces(self):
