--- a/embertray/platform/calls.py
+++ b/embertray/platform/calls.py
@@ -4,7 +4,16 @@
 from urllib.parse import urlencode
 from xml.etree import ElementTree
 
-from .limits import AGAIN_FIRST, AGAIN_MOST, ANSWER_MOST, COUNT_DIGITS, EVIDENCE, ORDERS_MOST, REJECTS_MOST
+from .limits import (
+    AGAIN_FIRST,
+    AGAIN_MOST,
+    ANSWER_MOST,
+    COUNT_DIGITS,
+    EVIDENCE,
+    NAMED_MOST,
+    ORDERS_MOST,
+    REJECTS_MOST,
+)
 
 CALLS = "/api/"
 FORM = "application/x-www-form-urlencoded"
@@ -36,13 +45,20 @@
     raise Unreadable(f"status {status} and neither orders taken nor an error")
 
 
+def asked_of_all(sync):
+    """The order for an answer, to all proxies: who got an earlier part of the step is to answer, too."""
+    return sync.rpartition(",")[0] + ",1"
+
+
 class Call:
-    """One step's orders, or the rest of them; `nonce`: the number that the proxies answer, or None."""
+    """One step's orders, or the rest of them; `nonce`: the number that the proxies answer, or None;
+    `rejects`: errors that it got; `halved`: it is a part of one that was never taken.
+    """
 
-    __slots__ = ("orders", "nonce", "rejects")
+    __slots__ = ("orders", "nonce", "rejects", "halved")
 
-    def __init__(self, orders, nonce=None):
-        self.orders, self.nonce, self.rejects = orders, nonce, 0
+    def __init__(self, orders, nonce=None, rejects=0, halved=False):
+        self.orders, self.nonce, self.rejects, self.halved = orders, nonce, rejects, halved
 
     def body(self):
         return urlencode({"Action": "CommitChanges", "orders": ";".join(self.orders)}).encode()
@@ -56,7 +72,7 @@
 
     def __init__(self, way):
         self.way, self.queue, self.at, self.doubt, self.seen, self.fails = way, deque(), 0, False, False, 0
-        self.refused, self.lost, self.again = [], 0, 0  # orders not taken; calls given up; calls sent again
+        self.refused, self.lost, self.again = [], 0, 0  # orders not taken; orders given up; calls sent again
 
     @property
     def idle(self):
@@ -124,9 +140,7 @@
             self.refused.append(call.orders[value])
             rest = call.orders[value + 1 :]
             if value and rest and call.nonce is not None:
-                rest[-1] = (
-                    rest[-1].rpartition(",")[0] + ",1"
-                )  # those who got the first part are to answer, too
+                rest[-1] = asked_of_all(rest[-1])
             call.orders = rest
             if not rest:
                 self.done()
@@ -134,12 +148,25 @@
         if value != "throttled":
             call.rejects += 1
             if value == "invalid" or call.rejects > REJECTS_MOST:
-                self.lost += 1
-                self.done()
-                return f"call given up: {value}"
+                return self.give_up(call, value)
         self.later(now)
         return f"call rejected: {value}"
 
+    def give_up(self, call, why):
+        """The call would never be taken. It goes again in halves, and so on: only the orders that make it so
+        are lost. A short text for the log."""
+        self.done()
+        if len(call.orders) == 1:
+            self.lost += 1
+            return f"order given up: {why}: {call.orders[0][:NAMED_MOST]}"
+        middle = len(call.orders) // 2
+        first, second = call.orders[:middle], call.orders[middle:]
+        if call.nonce is not None:
+            second[-1] = asked_of_all(second[-1])
+        self.queue.appendleft(Call(second, call.nonce, call.rejects, True))
+        self.queue.appendleft(Call(first, None, call.rejects, True))
+        return "" if call.halved else f"call rejected: {why}: again in halves"
+
     def broke(self, now, sent, why):
         """No answer. `sent`: the call's last byte had gone, so it may have been carried out."""
         if not sent:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,6 +16,7 @@
 from unittest import mock
 
 import anyio
+import structlog
 from platform_stage import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, stage
 
 from embertray.briefing import BadBriefing, Briefing
@@ -177,6 +178,29 @@
 
         anyio.run(play)
 
+    def test_an_order_that_makes_a_call_invalid_costs_itself(self):
+        async def play():
+            async with stage() as (service, relay, discovery):
+                relay.attach(1, "north")
+                await relay.until(lambda: relay.lines(1))
+                names = [f"new-{k}" for k in range(3)]
+                relay.spoils = lambda order: ",new-1," in order
+                for name in names:
+                    discovery.members[name] = member(name)
+                    discovery.log.append((discovery.revision + 1, name))
+                with structlog.testing.capture_logs() as told:
+                    service.relay.log = structlog.get_logger()
+                    discovery.change(names[0])
+                    await relay.until(lambda: {"new-0", "new-2"} <= set(relay.lines(1)))
+                    while not service.post.caller.lost:
+                        await anyio.sleep(0.02)
+                self.assertTrue(any("given up: invalid: SET," in line.get("why", "") for line in told), told)
+                relay.spoils = lambda order: False
+                discovery.change("be-3", **member("be-3"))
+                await relay.until(lambda: "be-3" in relay.lines(1))  # it goes on
+
+        anyio.run(play)
+
     def test_a_step_in_several_calls_survives_the_loss_of_any(self):
         async def play():
             with mock.patch("embertray.platform.calls.ORDERS_MOST", 150):
