--- a/embertray/node/service.py
+++ b/embertray/node/service.py
@@ -76,10 +76,18 @@
     async def hangups(self, early, *, task_status):
         with anyio.open_signal_receiver(signal.SIGHUP) as came:
             if early.kept:
-                self.reload()
+                self.on_hangup()
             task_status.started()
             async for _ in came:
-                self.reload()
+                self.on_hangup()
+
+    def on_hangup(self):
+        """A fault of ours in it is told in the log: one in reading leaves the configuration as it was. Not by
+        `kept`: without its receiver, SIGHUP would end the process."""
+        try:
+            self.reload()
+        except Exception as wrong:  # against what we have not thought of
+            self.log.error("a fault of ours", at="reload", exc_info=wrong)
 
     def dialled(self, start):
         """`start`, if its addresses can be dialled. Raises BadAddress."""
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,6 +13,7 @@
 import unittest
 from contextlib import ExitStack, contextmanager
 from pathlib import Path
+from types import SimpleNamespace
 from unittest import mock
 
 import anyio
@@ -316,6 +317,34 @@
 
         anyio.run(play)
 
+    def test_a_fault_of_ours_at_a_new_configuration_leaves_the_old_one(self):
+        async def play():
+            async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
+                relay.attach(1, "north")
+                await relay.until(lambda: relay.lines(1))
+                faults = [KeyError("a"), TypeError("b"), RecursionError("c"), MemoryError()]
+                old, rest, been = service.start, list(faults), anyio.Event()
+
+                def load():
+                    been.set()
+                    raise rest.pop(0)
+
+                service.load = load
+                with structlog.testing.capture_logs() as told:
+                    service.log = structlog.get_logger()
+                    await group.start(service.hangups, SimpleNamespace(kept=True))  # the first one at once
+                    while rest:
+                        been = anyio.Event()
+                        os.kill(os.getpid(), signal.SIGHUP)
+                        await been.wait()
+                    self.assertEqual([line["event"] for line in told], ["a fault of ours"] * len(faults))
+                self.assertIs(service.start, old)
+                discovery.change("be-3", **member("be-3"))
+                await relay.until(lambda: "be-3" in relay.lines(1))
+                group.cancel_scope.cancel()
+
+        anyio.run(play)
+
     def test_a_call_that_is_in_flight_at_a_new_address_is_carried_out_there_and_back_again(self):
         async def play():
             async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
@@ -415,7 +444,8 @@
                 path.write_bytes(bad)
                 run.send_signal(signal.SIGHUP)
                 self.assertIn("is no address:port", json.loads(logged("can't be used"))["why"])
-            path.write_bytes(configured(relay="127.0.0.1:2"))
+            # settings hold for the process's life: at a new configuration they are not read
+            path.write_bytes(configured(relay="127.0.0.1:2", settings={"profiles": [{}, 5]}))
             run.send_signal(signal.SIGHUP)
             self.assertEqual(json.loads(logged("new configuration"))["relay"], "127.0.0.1:2")
 
