--- a/embertray/briefing/briefing.py
+++ b/embertray/briefing/briefing.py
@@ -31,7 +31,7 @@
 
 def flat(nested, path=""):
     """Nested JSON as the wire's pairs: {'a': {'b': [1, 2]}} gives {'a.b': '1,2'}; lists of objects get
-    .count, .0, .1.
+    .count, .0, .1. Raises BadBriefing for a list of objects and others.
     """
     found = {}
     for name, value in nested.items():
@@ -41,6 +41,8 @@
         elif isinstance(value, list) and value and isinstance(value[0], dict):
             found[key + ".count"] = str(len(value))
             for k, one in enumerate(value):
+                if not isinstance(one, dict):
+                    raise BadBriefing(f"'{one}' among the objects of {key}")
                 found.update(flat(one, f"{key}.{k}."))
         elif isinstance(value, list):
             found[key] = ",".join(map(plain, value))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -509,6 +509,7 @@
             configured(discovery=":1"),
             configured(settings={"specifics": {"agents": "x"}}),
             configured(settings=sliced),
+            configured(settings={**SETTINGS, "profiles": [*SETTINGS["profiles"], 5]}),
         ):
             with tempfile.TemporaryDirectory() as folder:
                 Path(folder, "c").write_bytes(data)
