--- a/embertray/choice/__init__.py
+++ b/embertray/choice/__init__.py
@@ -1,2 +1,3 @@
 """All of embertray's decisions: make one Controller an instance, then step it with each batch of events."""
-from .controller import Controller
+
+from .controller import Controller as Controller
--- a/embertray/choice/actor.py
+++ b/embertray/choice/actor.py
@@ -1,8 +1,9 @@
 """What every part builds on: its inbox, the constants (c) and the types of events and orders (i)."""
+
 from collections import deque
 
-from .. import interface as i
-from . import constants as c
+from .. import interface as i  # noqa: F401
+from . import constants as c  # noqa: F401
 
 
 class Actor:
--- a/embertray/choice/be.py
+++ b/embertray/choice/be.py
@@ -1,12 +1,7 @@
-from collections import deque, namedtuple
-
+from ..records.backend import BackendFigures, BackendSamples
 from .actor import Actor, c
 
 
-Heard = namedtuple("Heard", "at tries errored latency load zone span")
-Figures = namedtuple("Figures", "be long span short warm load newest")
-
-
 class Be(Actor):
     """A backend: what the list says of it, its last samples, its learnt capacity (1 = average) and health."""
 
@@ -14,7 +9,7 @@
         super().__init__(hub, handle)
         self.zone, self.state, self.started = None, None, 0
         self.cap, self.health, self.deaf_until, self.since, self.new = 1.0, 1.0, 0, hub.now, hub.now
-        self.gone_at, self.draw, self.samples = None, hub.chance(), deque(maxlen=c.KEEP)
+        self.gone_at, self.draw, self.samples = None, hub.chance(), BackendSamples(c.KEEP)
 
     def on_listed(self, entry):
         anew = entry.state == "ready" and entry.started > self.started
@@ -22,7 +17,7 @@
             self.health, self.deaf_until, self.since = 1.0, 0, self.now
             self.new = entry.started + self.site.warm_after
             self.samples.clear()
-        if entry.state != "ready" and self.state in (None, "ready"):     # drained, then gone: once only
+        if entry.state != "ready" and self.state in (None, "ready"):  # drained, then gone: once only
             self.hub.channel.tell("remove", self)
         self.zone, self.state, self.started = entry.zone, entry.state, max(entry.started, self.started)
         self.gone_at = (self.gone_at or self.now) if entry.state == "gone" else None
@@ -32,19 +27,12 @@
         self.hub.tells_busy = "busy" in ev.load or self.hub.tells_busy
         if self.now - ev.span >= self.deaf_until and ev.tries > 0:
             load = next((ev.load[name] for name in ("busy", "waiting", "held") if name in ev.load), None)
-            self.samples.append(Heard(self.now, ev.tries, ev.errored, ev.latency, load, ev.zone, ev.span))
+            self.samples.add(self.now, ev, load)
 
     def over(self, start):
-        """Tries, errored, mean latency (errors: a client time-out), done a second by told spans."""
-        rows = [r for r in self.samples if r.at > start]
-        tries, bad = sum(r.tries for r in rows), sum(r.errored for r in rows)
-        least = self.now - max(start, self.hub.born) - self.hub.cycle    # spans with no try go unsaid
-        spans = {}
-        for r in rows:
-            spans[r.zone] = spans.get(r.zone, 0) + r.span
-        done = sum((r.tries - r.errored) * c.S / max(c.BEAT, least, spans[r.zone]) for r in rows)
-        took = sum((r.tries - r.errored) * r.latency + r.errored * self.hub.timeout for r in rows)
-        return tries, bad, took / tries if tries else 0, done
+        """A failed try counts as a client time-out."""
+        least = self.now - max(start, self.hub.born) - self.hub.cycle  # spans with no try go unsaid
+        return self.samples.totals(start, self.hub.timeout, max(c.BEAT, least))
 
     def warmth(self):
         """Guards cold backends: a part of the load they fall under. Lags behind one that warms sooner."""
@@ -52,18 +40,16 @@
         if self.started <= 0 or age >= site.warm_after:
             return 1.0
         told = site.cold_from + (1 - site.cold_from) * age / site.warm_after
-        drawn = c.TWICE if site.pick == "two" else 1.0      # the emptier of two drawn: a cold one wins most
+        drawn = c.TWICE if site.pick == "two" else 1.0  # the emptier of two drawn: a cold one wins most
         return min(c.COLD_TOP, told * (c.COLD_PART * site.fall_multiple * drawn or 1))
 
     def figures(self):
-        """What its samples come to now. An errored try counts as one that just missed its target."""
+        """What its samples come to now. A failed new try counts as one that just missed its target."""
         long, short = (self.now - max(least, 2 * self.hub.cycle) for least in (c.WINDOW, c.SHORT))
-        start, aim = max(long, self.new), self.hub.target       # what it did cold or sick does not count
-        newest = tuple((r.tries, (r.tries - r.errored) * r.latency + r.errored * aim, r.load)
-                       for r in self.samples if r.at > self.now - self.site.report_cycle * 3 // 2)
-        loads = [r.load for r in self.samples if r.load is not None and r.at > self.now - c.WINDOW]
-        return Figures(self, self.over(start), self.now - start, self.over(short), self.warmth(),
-                       sum(loads) / len(loads) if loads else None, newest)
+        start = max(long, self.new)  # what it did cold or sick does not count
+        newest = self.samples.newest(self.now - self.site.report_cycle * 3 // 2, self.hub.target)
+        load, span = self.samples.mean_load(self.now - c.WINDOW), self.now - start
+        return BackendFigures(self, self.over(start), span, self.over(short), self.warmth(), load, newest)
 
     def set(self, cap, health):
         """What reports tell of the time before a cut does not count."""
--- a/embertray/choice/controller.py
+++ b/embertray/choice/controller.py
@@ -2,9 +2,10 @@
 from statistics import median
 from zlib import crc32
 
+from ..records.levels import Level
 from .actor import c, i
 from .channel import Channel
-from .levels import Levels, Row
+from .levels import Levels
 from .lookout import Lookout
 from .planner import Planner
 from .px import Px
@@ -21,7 +22,7 @@
         self.timeout = max((k.client_timeout for k in site.kinds), default=c.S)
         worth = sum(kind.credit for kind in site.kinds) or 1
         self.target = sum(kind.credit * kind.response_target for kind in site.kinds) / worth
-        self.table = {kind: Row(self.all_in, 1) for kind in site.kinds}
+        self.table = {kind: Level(self.all_in, 1) for kind in site.kinds}
         self.planner, self.levels, self.lookout = Planner(self), Levels(self), Lookout(self)
         self.channel = Channel(self)
 
@@ -39,7 +40,7 @@
         self.now, self.orders = now, []
         for ev in events:
             self.route(ev)
-        self.empty()        # cycle: of reports on a backend, longer than told where they are capped
+        self.empty()  # cycle: of reports on a backend, longer than told where they are capped
         self.cycle = max(self.site.report_cycle, median(self.spans or [0]))
         if now >= self.beat_at:
             self.beat_at = now + c.BEAT
@@ -47,7 +48,7 @@
             self.forget()
             self.lookout.tell("beat")
             self.planner.tell("solve")
-        elif self.channel.urgent:           # a join or removal waits for no weights
+        elif self.channel.urgent:  # a join or removal waits for no weights
             self.channel.tell("send", None)
         self.empty()
         return self.orders
@@ -73,7 +74,7 @@
             return
         self.forget_at = self.now + c.SWEEP
         for tab in self.channel.tabs:
-            tab.told = dict(tab.told)       # made anew, it has no empty places
+            tab.compact()
         for known in (self.bes, self.pxs):
             for part in [p for p in known if p.gone_at is not None and self.now - p.gone_at > c.FORGET]:
                 if self.channel.drop(part):
--- a/embertray/choice/ledger.py
+++ b/embertray/choice/ledger.py
@@ -1,6 +1,7 @@
 from collections import deque
 from statistics import median
 
+from ..records.messages import Flights
 from .actor import Actor, c
 
 
@@ -9,21 +10,14 @@
 
     def __init__(self, hub):
         super().__init__(hub)
-        self.lines, self.booked, self.proof_at, self.flight, self.took = {}, 0, hub.now, {}, deque(maxlen=8)
+        self.lines, self.booked, self.flights, self.took = {}, 0, Flights(hub.now), deque(maxlen=8)
 
     def on_through(self, px, mark, took):
         self.took.append(took)
-        if mark in self.flight:
-            while (first := next(iter(self.flight))) is not mark:
-                del self.flight[first]
-            if n := self.flight[mark][0].pop(px, 0):
-                self.flight[mark][1] -= n + self.site.head + 1
-                self.proof_at = self.now
+        self.flights.answered(px, mark, self.site.head + 1, self.now)
 
     def waiting(self):
-        """Lines that may still wait: all since the last mark known to be through, less the slowest pace."""
-        gone = (self.now - self.proof_at) * self.site.channel_rate / c.SLOWEST / c.S
-        return max(0.0, sum(left for _, left in self.flight.values()) - gone)
+        return self.flights.waiting(self.now, self.site.channel_rate, c.SLOWEST)
 
     def patience(self):
         """Lines ahead, the longest way and answers lately seen: a slow channel breeds no repeats."""
@@ -44,11 +38,10 @@
         if self.site.pending_max and pxs and (free := self.free(rank) - heads) < want * len(pxs):
             want = int(free / len(pxs)) if least and free >= least * len(pxs) else 0
         most = self.site.messages_max
-        lost = most and self.now - self.site.messages_window - self.patience()
+        since = self.now - self.site.messages_window
+        lost = since - self.patience() if most else 0
         for px in pxs:
-            while px.sent and px.sent[0] <= self.now - self.site.messages_window:
-                px.sent.popleft()
-            wrote = len(px.sent) + sum(at > lost for _, at in px.open)     # or may yet be written
+            wrote = px.messages.count(since, lost)
             if most and px not in self.lines and wrote >= most - rank[1]:
                 return 0
         if want:
--- a/embertray/choice/levels.py
+++ b/embertray/choice/levels.py
@@ -1,11 +1,9 @@
-from collections import deque, namedtuple
+from collections import deque
 
+from ..records.levels import Level
 from .actor import Actor, c, i
 
 
-Row = namedtuple("Row", "level retry")  # a request kind's; retry 1: only after proof that the first never ran
-
-
 class Levels(Actor):
     """What is let in, and further tries: against overload by what comes or by backends lost, cold or slow."""
 
@@ -15,7 +13,8 @@
         self.calm_at = hub.now + hub.timeout + hub.site.report_cycle  # after a restart a jam is not known yet
         self.look_at, self.cut_at, self.goal, self.full, self.units, self.pace = 0, 0, None, 0.0, 1.0, c.GROW
 
-    def on_state(self, mid, falls, over, busy, tries, bad, done, able, cold):
+    def on_state(self, state):
+        mid, falls, empty, busy, (tries, bad, _, done), able, cold = state
         hub, target, pxs = self.hub, self.hub.target, [px for px in self.hub.pxs if px.joined]
         if tries and bad / tries > c.MOST_FAIL:
             self.calm_at = hub.now + hub.timeout
@@ -30,15 +29,15 @@
             self.came.append((coming if calm else 0.0, unit))
             came, units = min(n for n, _ in self.came), max(u for _, u in self.came)  # reports lag who leaves
             self.done.append((done / units, able, came / units if len(self.came) == c.CALM else 0.0))
-            most, ably, calmly = (max(column) for column in zip(*self.done))
+            most, ably, calmly = (max(column) for column in zip(*self.done, strict=True))
             if self.goal is not None and hub.now < self.cut_at:
                 self.full = max(self.full, done / max(units, self.units))  # what a full fleet does, it can do
-            if mid > c.HIGH * target and not (falls and self.goal or over) and hub.now >= self.cut_at:
+            if mid > c.HIGH * target and not (falls and self.goal or empty) and hub.now >= self.cut_at:
                 known = most if self.goal is None else c.AGAIN * max(self.full, self.goal)
                 self.units = unit
-                least = c.LET_LEAST if len(self.done) > c.SURE_LOOKS else c.LET_NEW     # too new to know
+                least = c.LET_LEAST if len(self.done) > c.SURE_LOOKS else c.LET_NEW  # too new to know
                 self.full = max(known, least * min(coming, usual) / unit)
-                self.pace = c.FIND if known < self.full else c.GROW     # a guess is to be found out
+                self.pace = c.FIND if known < self.full else c.GROW  # a guess is to be found out
                 self.goal = max(c.DEEP, c.DRAIN * c.HIGH * target / mid) * self.full
                 self.cut_at = hub.now + hub.timeout + hub.site.report_cycle + hub.cycle
                 hub.orders.append(i.Log(f"overload: {self.goal * unit:.0f} of {coming:.0f} reqs/s let in"))
@@ -54,7 +53,7 @@
             sure = c.SURE * max(most, calmly) if shrunk else c.ALL_RATE
             more = coming - (sure if self.goal is None else self.goal) * unit
             self.shed(pxs, max(more, (1 - c.WARY) * coming if cold and hub.now < self.calm_at else 0.0))
-        hub.table = {kind: Row(row.level, int(hub.now >= self.calm_at)) for kind, row in hub.table.items()}
+        hub.table = {kind: Level(row.level, int(hub.now >= self.calm_at)) for kind, row in hub.table.items()}
         hub.channel.tell("send", hub.table)
 
     def shed(self, pxs, over):
@@ -66,10 +65,10 @@
                 level = self.limit(come, left) if self.site.throttle == "rate" else left / sum(come)
             old = self.hub.table[kind].level
             if abs(level / old - 1) > c.LEVEL_MOVE or level == self.hub.all_in != old:
-                self.hub.table[kind] = Row(level, self.hub.table[kind].retry)
+                self.hub.table[kind] = Level(level, self.hub.table[kind].retry)
 
     def limit(self, come, rest):
-        for n, rate in zip(range(len(come), 0, -1), sorted(come)):
+        for n, rate in zip(range(len(come), 0, -1), sorted(come), strict=True):
             if rate * n >= rest:
                 return max(rest / n, 0.01)
             rest -= rate
--- a/embertray/choice/parts.py
+++ b/embertray/choice/parts.py
@@ -1,12 +1,7 @@
 """Which lines stand in which table, and which table a joiner gets."""
-from .actor import c, i
-
 
-class Tab:
-    """A zone's table: its lines and levels as wanted and as last told, and its failed pushes."""
-
-    def __init__(self):
-        self.handle, self.want, self.told, self.levels, self.fails = i.Table(), {}, {}, {}, 0
+from ..records.tables import TableState
+from .actor import c, i
 
 
 class Parts:
@@ -24,29 +19,29 @@
         need = max(1, -(-len(want) // size)) if size else 1
         need = need if need <= self.many else min(need, self.usual)
         if need > c.GROWN * len(self.tabs):
-            self.tabs += [Tab() for _ in range(need - len(self.tabs))]
+            self.tabs += [TableState(i.Table()) for _ in range(need - len(self.tabs))]
             self.open = min(need, self.usual)
         if len(self.tabs) == 1:
             self.tabs[0].want = want
             return self.tabs
         self.of = {be: tab for be, tab in self.of.items() if be.state == "ready"}
-        rates = rates if self.open == len(self.tabs) else {}    # else most have no users, all are alike
+        rates = rates if self.open == len(self.tabs) else {}  # else most have no users, all are alike
         some = (sum(rates.get(tab, 0.0) for tab in self.tabs) or 1.0) / len(self.tabs) * c.IDLE
         come = {tab: rates.get(tab, 0.0) + some for tab in self.tabs}
         for zone in dict.fromkeys(be.zone for be in want):
             self.level({be: w for be, w in want.items() if be.zone is zone}, come)
         for tab in self.tabs:
-            tab.want = {be: 0 for be in tab.told if self.of.get(be, tab) is not tab}
+            tab.want = {be: 0 for be in tab.sent if self.of.get(be, tab) is not tab}
         for be, w in want.items():
             self.of[be].want[be] = w
-        few = sorted(want, key=lambda be: -want[be])[:c.LINES_LEAST]
+        few = sorted(want, key=lambda be: -want[be])[: c.LINES_LEAST]
         for tab in [tab for tab in self.tabs if not any(tab.want.values())]:
-            tab.want.update((be, want[be]) for be in few)       # against proxies without a line to pick
+            tab.want.update((be, want[be]) for be in few)  # against proxies without a line to pick
         return self.tabs
 
     def level(self, group, come):
         """Backends of one zone: new ones go where most is lacking, and from where most is over if much is."""
-        each = sum(group.values()) / sum(come.values())     # weight for what comes
+        each = sum(group.values()) / sum(come.values())  # weight for what comes
         lack = {tab: rate * each for tab, rate in come.items()}
         for be in [be for be in group if be in self.of]:
             lack[self.of[be]] -= group[be]
@@ -65,7 +60,7 @@
 
     def place(self, px, rates, full):
         """The table for a joiner: where least comes for what its lines can do. None: none has lines yet."""
-        first = self.draw % max(1, len(self.tabs))      # each controller begins elsewhere
-        used = (self.tabs[first:] + self.tabs[:first])[:self.open]
-        can = {tab: sum(tab.want.values()) for tab in used if tab.told or tab.want and not full}
+        first = self.draw % max(1, len(self.tabs))  # each controller begins elsewhere
+        used = (self.tabs[first:] + self.tabs[:first])[: self.open]
+        can = {tab: sum(tab.want.values()) for tab in used if tab.sent or tab.want and not full}
         return min(can, key=lambda tab: (rates.get(tab, 0.0) + px.rate) / (can[tab] or 1e-9), default=None)
--- a/embertray/core/holdings.py
+++ b/embertray/core/holdings.py
@@ -11,19 +11,19 @@
     """purpose -> shelves of an Instance, without its streams (those are the daemon's)."""
     module, box, door = it.module, it.outbox, it.door
     tabs, ordered = module.channel.tabs, list(box.tables.values())
-    lines = [tab.lines for tab in ordered] + [book for tab in tabs for book in (tab.want, tab.told)]
+    lines = [tab.lines for tab in ordered] + [book for tab in tabs for book in (tab.want, tab.sent)]
     pxs, bes = module.pxs, module.bes
 
     def samples():
         for part in [*bes, *pxs]:
-            yield from part.samples
+            yield from part.samples.rows
 
     def lists(*books):
         return lambda: (item for book in books for item in book.items())
 
     users = [tab.users for tab in ordered]
     told = list(box.out.values())
-    held = [px.open for px in pxs] + [px.sent for px in pxs]
+    held = [px.messages.open for px in pxs] + [px.messages.written for px in pxs]
     return {
         "tables": [
             Shelf("lines", sum(map(len, lines)), lists(*lines), lines, HANDLES),
@@ -66,7 +66,7 @@
                 list(it.reduced.gauge.words.values()),
                 HANDLES,
             ),
-            Shelf("samples", sum(len(p.samples) for p in (*bes, *pxs)), samples, (), HANDLES),
+            Shelf("samples", sum(len(p.samples.rows) for p in (*bes, *pxs)), samples, (), HANDLES),
         ],
         "channel": [
             Shelf("messages", len(it.pacer.queue), lambda: it.pacer.queue, [it.pacer.queue], HANDLES),
@@ -83,9 +83,14 @@
             Shelf("open here", sum(map(len, it.open.values())), lambda: it.open.values(), [it.open], HANDLES),
             Shelf(
                 "flights",
-                sum(len(sent) for sent, _ in module.channel.flight.values()),
-                lambda: (item for sent, _ in module.channel.flight.values() for item in sent.items()),
-                [module.channel.flight, *(sent for sent, _ in module.channel.flight.values())],
+                sum(len(sent) for sent, _ in module.channel.flights.by_mark.values()),
+                lambda: (
+                    item for sent, _ in module.channel.flights.by_mark.values() for item in sent.items()
+                ),
+                [
+                    module.channel.flights.by_mark,
+                    *(sent for sent, _ in module.channel.flights.by_mark.values()),
+                ],
                 HANDLES,
             ),
         ],
@@ -103,7 +108,7 @@
                 lambda: iter([*bes, *pxs]),
                 [bes, pxs],
                 (i.Handle, i.ReqKind),
-                ("hub", "site", "samples", "open", "sent", "handle", "table"),
+                ("hub", "site", "samples", "messages", "handle", "table"),
             ),
         ],
         "probes": [Shelf("under way", len(it.probing), it.probing.items, [it.probing], HANDLES)],
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -105,8 +105,8 @@
     def tidy(self):
         """Who is long gone is forgotten, and marks that nobody owes an answer to."""
         self.forget(lambda thing: thing.door in self.standing.joined)
-        open_marks = {mark for proxy in self.module.pxs for mark, _ in proxy.open}
-        open_marks.update(self.module.channel.flight)
+        open_marks = {mark for proxy in self.module.pxs for mark, _ in proxy.messages.open}
+        open_marks.update(self.module.channel.flights.by_mark)
         self.door.marks = {number: mark for number, mark in self.door.marks.items() if mark in open_marks}
 
     def next_at(self):
--- /dev/null
+++ b/embertray/records/arrivals.py
@@ -0,0 +1,22 @@
+"""The requests that one proxy reported, and their rates."""
+
+from collections import deque
+
+SECOND = 10**9  # ns
+
+
+class ArrivalSamples:
+    """The last reports of a proxy (`interface.Arrivals`), by the time at which they came."""
+
+    def __init__(self, keep):
+        self.rows = deque(maxlen=keep)
+
+    def add(self, at, arrivals):
+        self.rows.append((at, arrivals))
+
+    def rate(self, kind, start, default):
+        """Requests of a kind a second, by the reports since `start` and those that came last."""
+        known = [(at, report) for at, report in self.rows if report.kind is kind]
+        rows = [report for at, report in known if at > start or at == known[-1][0]]
+        span = sum(report.span for report in rows)
+        return sum(report.reqs for report in rows) * SECOND / span if span else default
--- /dev/null
+++ b/embertray/records/backend.py
@@ -0,0 +1,101 @@
+"""What proxies reported of one backend, and the sums over a window of it."""
+
+from collections import deque
+from typing import Any, NamedTuple
+
+SECOND = 10**9  # ns
+
+
+class Sample(NamedTuple):
+    """One report: what the proxies of a zone met within `span` before `at`."""
+
+    at: int
+    tries: int
+    failed: int
+    latency: int  # mean of the tries that were answered
+    load: float | None  # None: no load was reported
+    zone: Any
+    span: int
+
+
+class Totals(NamedTuple):
+    """The sums of a window."""
+
+    tries: int = 0
+    failed: int = 0
+    latency: float = 0  # mean of all tries
+    rate: float = 0  # answered a second, by reported spans
+
+
+class Newest(NamedTuple):
+    """One of a backend's newest reports."""
+
+    tries: int
+    latency: int  # sum of all tries
+    load: float | None
+
+
+class BackendFigures(NamedTuple):
+    """What a backend's samples come to now."""
+
+    backend: Any
+    long: Totals
+    span: int  # the long window
+    short: Totals
+    warmth: float
+    load: float | None  # mean of the long window
+    newest: tuple[Newest, ...]
+
+
+class BackendSamples:
+    """The last reports on a backend."""
+
+    def __init__(self, keep):
+        self.rows = deque(maxlen=keep)
+
+    def add(self, at, heard, load):
+        row = Sample(at, heard.tries, heard.errored, heard.latency, load, heard.zone, heard.span)
+        self.rows.append(row)
+
+    def clear(self):
+        self.rows.clear()
+
+    def totals(self, start, failed_latency, span_least):
+        """A failed try counts as `failed_latency` long. The rate is that of each zone's reported spans, or of
+        `span_least` if they are shorter.
+        """
+        rows = [row for row in self.rows if row.at > start]
+        tries = sum(row.tries for row in rows)
+        failed = sum(row.failed for row in rows)
+        latency = sum(latency_sum(row, failed_latency) for row in rows)
+        spans = {}
+        for row in rows:
+            spans[row.zone] = spans.get(row.zone, 0) + row.span
+        rate = sum((row.tries - row.failed) * SECOND / max(span_least, spans[row.zone]) for row in rows)
+        return Totals(tries, failed, latency / tries if tries else 0, rate)
+
+    def newest(self, start, failed_latency):
+        return tuple(
+            Newest(row.tries, latency_sum(row, failed_latency), row.load)
+            for row in self.rows
+            if row.at > start
+        )
+
+    def mean_load(self, start):
+        """None: no load was reported since."""
+        loads = [row.load for row in self.rows if row.load is not None and row.at > start]
+        return sum(loads) / len(loads) if loads else None
+
+
+def latency_sum(row, failed_latency):
+    return (row.tries - row.failed) * row.latency + row.failed * failed_latency
+
+
+def added(totals):
+    """Totals of several backends: tries, failed and rates are added, latency is left out."""
+    rows = list(totals)
+    return Totals(
+        tries=sum(row.tries for row in rows),
+        failed=sum(row.failed for row in rows),
+        rate=sum(row.rate for row in rows),
+    )
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -2,6 +2,7 @@
 time.
 """
 
+import re
 import sys
 import unittest
 
@@ -10,6 +11,7 @@
 from embertray.standin.fleet import Fleet
 
 MS, S = 10**6, 10**9
+COUNTED = re.compile(r"/embertray/(choice|records)/")
 
 
 def settled(backends, proxies):
@@ -25,7 +27,7 @@
 
 
 def lines(fleet, events, wait=250 * MS):
-    """Lines of embertray/choice that one step runs, loops in comprehensions by turn."""
+    """Lines of embertray/choice and embertray/records that one step runs, loops in comprehensions by turn."""
     count = 0
 
     def local(frame, what, _):
@@ -34,7 +36,7 @@
         return local
 
     def begin(frame, what, _):
-        return local if "/choice/" in frame.f_code.co_filename else None
+        return local if COUNTED.search(frame.f_code.co_filename) else None
 
     fleet.now += wait
     fleet.deliver()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -73,12 +73,12 @@
         """
         fleet = crowd(400)
         bare = next(px.table for px in fleet.module.pxs if px.table)
-        bare.told.clear()
+        bare.sent.clear()
         with mock.patch.object(
             Channel, "waiting", lambda self: 0.4 * self.site.pending_max
         ):  # no room for weights or cuts
             fleet.run(fleet.now + S)
-        self.assertGreaterEqual(len(bare.told), 8)
+        self.assertGreaterEqual(len(bare.sent), 8)
 
     def test_messages_are_counted_as_written_when_the_channel_lags(self):
         fleet = Fleet(Controller, 6, 20, channel_rate=5000.0, pending_max=10**6, messages_max=8)
--- a/tests/test_node_endings.py
+++ b/tests/test_node_endings.py
@@ -19,7 +19,7 @@
         or post.module.channel.queue
         or post.module.channel.out
         or post.module.channel.joins
-        or any(px.open for px in post.module.pxs)
+        or any(px.messages.open for px in post.module.pxs)
     ):
         await anyio.sleep(0.02)
 
@@ -102,8 +102,8 @@
                 relay.attach(2, "north")  # told behind it
                 await relay.until(lambda: relay.lines(2))
                 known = {px.handle.door: px for px in service.post.module.pxs}
-                self.assertTrue(known[1].open)  # its own answer is still owed
-                self.assertNotIn(late, [mark.door for mark, _ in known[1].open])
+                self.assertTrue(known[1].messages.open)  # its own answer is still owed
+                self.assertNotIn(late, [mark.door for mark, _ in known[1].messages.open])
 
         anyio.run(play)
 
