--- a/embertray/measure/accounting.py
+++ b/embertray/measure/accounting.py
@@ -83,7 +83,15 @@
                 only = tracemalloc.take_snapshot().filter_traces(
                     [
                         tracemalloc.Filter(True, f"*/embertray/{name}")
-                        for name in ("choice/*", "core/*", "door/*", "channel/*", "reports/*", "interface.py")
+                        for name in (
+                            "choice/*",
+                            "records/*",
+                            "core/*",
+                            "door/*",
+                            "channel/*",
+                            "reports/*",
+                            "interface.py",
+                        )
                     ]
                 )
                 found["ours"] = sum(stat.size for stat in only.statistics("filename"))
@@ -93,8 +101,8 @@
     ours = sum(size for purpose, size in found["accounted"].items() if purpose not in ("streams",))
     print(
         "After 60 s: accounts (without streams) "
-        f"{ours / 1024:.0f} KiB; tracemalloc, allocated in choice, core, door, channel, reports, interface "
-        f"{found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}"
+        f"{ours / 1024:.0f} KiB; tracemalloc, allocated in choice, records, core, door, channel, reports, "
+        f"interface {found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}"
     )
 
 
