--- a/embertray/admin/ask.py
+++ b/embertray/admin/ask.py
@@ -1,4 +1,4 @@
-"""The other end of the operators' door: one request, for the command line and for days."""
+"""The other end of the operators' HTTP: one request, for the command line and for days."""
 
 import anyio
 import h11
--- a/embertray/admin/http.py
+++ b/embertray/admin/http.py
@@ -187,11 +187,12 @@
     return json(
         [
             {
-                "table": table.door,
-                "proxies": [px.door for px in tab.users],
-                "lines": {be.door: w for be, w in tab.lines.items()},
+                "table": table.external_id,
+                "proxies": [px.external_id for px in tab.users],
+                "lines": {be.external_id: w for be, w in tab.lines.items()},
                 "levels": {
-                    kind.door: {"level": level, "again": again} for kind, (level, again) in tab.levels.items()
+                    kind.external_id: {"level": level, "again": again}
+                    for kind, (level, again) in tab.levels.items()
                 },
             }
             for table, tab in service.instance.outbox.tables.items()
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -6,7 +6,7 @@
 from ..briefing import BadBriefing, Briefing
 from ..briefing.briefing import number
 from ..choice import Controller
-from ..door import Door
+from ..identifiers import Identifiers
 
 US = 1000
 STATES = {0: "draining", 1: "gone", 2: "ready"}
@@ -105,7 +105,7 @@
     return raw, got
 
 
-class Instance(Door):
+class Instance(Identifiers):
     """One controller: its module, and the ids of the objects that the module deals in."""
 
     def __init__(self, seed, raw, clock):
@@ -210,14 +210,14 @@
         if isinstance(order, i.SetLine):
             return (
                 f"ENDPOINT share={order.weight:.6g} route-table={self.table_id(order.table)} "
-                f"backend={order.backend.door}"
+                f"backend={order.backend.external_id}"
             )
         if isinstance(order, i.Bind):
-            return f"POINT proxy={order.proxy.door} route-table={self.table_id(order.table)} lanes=0"
+            return f"POINT proxy={order.proxy.external_id} route-table={self.table_id(order.table)} lanes=0"
         if isinstance(order, i.Withdraw):
-            return f"TAKE_OUT backend={order.backend.door} set={int(order.out)}"
+            return f"TAKE_OUT backend={order.backend.external_id} set={int(order.out)}"
         if isinstance(order, i.SetLevel):
-            lanes = sum(1 << kind.door for kind in order.kinds)
+            lanes = sum(1 << kind.external_id for kind in order.kinds)
             return (
                 f"SET_LEVEL route-table={self.table_id(order.table)} lanes={lanes} "
                 f"allowance={order.level:.6g} second-try={order.retry}"
@@ -231,7 +231,7 @@
         if isinstance(order, i.AskList):
             return "GET_LIST"
         if isinstance(order, i.Probe):
-            return f"PING backend={order.backend.door}"
+            return f"PING backend={order.backend.external_id}"
         return "SAY_LOG what=" + " ".join(order.text.split())
 
 
--- a/embertray/briefing/briefing.py
+++ b/embertray/briefing/briefing.py
@@ -62,8 +62,9 @@
 
 
 class Briefing:
-    """Reads one instance's settings. `kinds`: name -> ReqKind, whose `door` is its place; `reports`: our
-    names of a load report's values in their order; `zones`: names. Raises BadBriefing."""
+    """Reads one instance's settings. `kinds`: name -> ReqKind, whose `external_id` is its place; `reports`:
+    our names of a load report's values in their order; `zones`: names. Raises BadBriefing.
+    """
 
     def __init__(self, raw):
         self.raw = raw
@@ -87,12 +88,12 @@
         """From the JSON object of a platform's configuration."""
         return cls(flat(settings))
 
-    def deployment(self, door):
-        """What the decision module is told at its start; zones become the door's objects."""
+    def deployment(self, identifiers):
+        """What the decision module is told at its start; zones become objects of `identifiers`."""
         return i.Deployment(
             kinds=list(self.kinds.values()),
-            zones=[door.zone(name) for name in self.zones],
-            home=door.zone(self.text("az")),
+            zones=[identifiers.zone(name) for name in self.zones],
+            home=identifiers.zone(self.text("az")),
             controllers=int(self.figure("balancers", 1)),
             proxies=self.proxies,
             ask=self.text("discovery") == "ask",
--- a/embertray/channel/outbox.py
+++ b/embertray/channel/outbox.py
@@ -18,8 +18,8 @@
 class Outbox:
     """Turns a step's orders into messages. `head` is what a message costs beyond its lines."""
 
-    def __init__(self, door, head, kinds):
-        self.door, self.head = door, head
+    def __init__(self, identifiers, head, kinds):
+        self.identifiers, self.head = identifiers, head
         self.names = kinds  # ReqKind -> its name
         self.tables, self.out = {}, {}  # Table -> Ordered; Backend -> proxies told that it is out
         self.bound = {}  # joined Proxy -> Table or None
@@ -49,7 +49,7 @@
                 costs[px] = costs.get(px, 0) + cost
             if isinstance(order, i.PutMark):
                 mark = order.mark
-        ident = self.door.mark_id(mark) if mark and lines else None
+        ident = self.identifiers.mark_id(mark) if mark and lines else None
         for px, do in lines.items():
             cost = self.head + costs[px] + (ident is not None)
             news.append((px, Orders(now, float(cost), do, ident), mark if ident else None))
@@ -58,17 +58,17 @@
     def concerned(self, order):
         """(proxy, message part, lines it costs) for each proxy that an order reaches."""
         if isinstance(order, i.SetLine):
-            tab, ident, be = self.table(order.table), self.door.table_id(order.table), order.backend
+            tab, ident, be = self.table(order.table), self.identifiers.table_id(order.table), order.backend
             new = order.weight > 0 and be not in tab.lines
             if order.weight > 0:
                 tab.lines[be] = order.weight
             else:
                 tab.lines.pop(be, None)
-            part, hidden = Line(ident, be.door, order.weight), self.out.get(be) if new else None
+            part, hidden = Line(ident, be.external_id, order.weight), self.out.get(be) if new else None
             for px in tab.users:
                 if hidden is not None and px not in hidden:  # a withdrawn one comes into a table: still out
                     hidden[px] = True
-                    yield px, Out(be.door, True), 1
+                    yield px, Out(be.external_id, True), 1
                 yield px, part, 1
         elif isinstance(order, i.Bind):
             px = order.proxy
@@ -85,15 +85,15 @@
             yield (
                 px,
                 Bind(
-                    self.door.table_id(order.table),
-                    [(be.door, w) for be, w in tab.lines.items()],
+                    self.identifiers.table_id(order.table),
+                    [(be.external_id, w) for be, w in tab.lines.items()],
                     [(self.names[k], *level) for k, level in tab.levels.items()],
-                    [be.door for be in out],
+                    [be.external_id for be in out],
                 ),
                 1 + len(tab.lines) + len(tab.levels) + len(out),
             )
         elif isinstance(order, i.Withdraw):
-            be, part = order.backend, Out(order.backend.door, order.out)
+            be, part = order.backend, Out(order.backend.external_id, order.out)
             if order.out:
                 told = self.out.setdefault(be, {})
                 for px, table in self.bound.items():
@@ -112,7 +112,11 @@
                 retry, wait = min(retry, self.most_again), self.wait
             tab.levels.update({kind: (order.level, retry) for kind in kinds})
             part = Level(
-                self.door.table_id(order.table), [self.names[k] for k in kinds], order.level, retry, wait
+                self.identifiers.table_id(order.table),
+                [self.names[k] for k in kinds],
+                order.level,
+                retry,
+                wait,
             )
             for px in tab.users:
                 yield px, part, 1
--- a/embertray/cli/operators.py
+++ b/embertray/cli/operators.py
@@ -1,4 +1,4 @@
-"""Requests at a running controller's operators' door, for the commands that show what it says."""
+"""Requests at a running controller's operators' address, for the commands that show what it says."""
 
 import anyio
 
@@ -7,7 +7,7 @@
 
 
 async def asked(address, method, path):
-    """(status, body) of one request at the operators' door."""
+    """(status, body) of one request at the operators' address."""
     with anyio.fail_after(5):
         return await ask(TcpNet(), address, method, path)
 
--- a/embertray/core/__init__.py
+++ b/embertray/core/__init__.py
@@ -1,5 +1,5 @@
-"""One controller without I/O: the decision module with its door, outbox, channel and intake, and the desk
-before it.
+"""One controller without I/O: the decision module with its identifiers, outbox, channel and intake, and the
+desk before it.
 """
 
 from .desk import Desk
--- a/embertray/core/holdings.py
+++ b/embertray/core/holdings.py
@@ -9,7 +9,7 @@
 
 def shelves(it):
     """purpose -> shelves of an Instance, without its streams (those are the daemon's)."""
-    module, box, door = it.module, it.outbox, it.door
+    module, box, identifiers = it.module, it.outbox, it.identifiers
     tabs, ordered = module.channel.tabs, list(box.tables.values())
     lines = [tab.lines for tab in ordered] + [book for tab in tabs for book in (tab.want, tab.sent)]
     pxs, bes = module.pxs, module.bes
@@ -72,9 +72,9 @@
             Shelf("messages", len(it.pacer.queue), lambda: it.pacer.queue, [it.pacer.queue], HANDLES),
             Shelf(
                 "marks",
-                len(door.marks) + len(it.stamps),
-                lists(door.marks, it.stamps),
-                [door.marks, it.stamps],
+                len(identifiers.marks) + len(it.stamps),
+                lists(identifiers.marks, it.stamps),
+                [identifiers.marks, it.stamps],
                 (i.ReqKind, Actor),
             ),
             Shelf(
@@ -97,9 +97,9 @@
         "names": [
             Shelf(
                 "handles",
-                len(door.backends) + len(door.proxies) + len(door.zones),
-                lists(door.backends, door.proxies, door.zones),
-                [door.backends, door.proxies, door.zones],
+                len(identifiers.backends) + len(identifiers.proxies) + len(identifiers.zones),
+                lists(identifiers.backends, identifiers.proxies, identifiers.zones),
+                [identifiers.backends, identifiers.proxies, identifiers.zones],
                 (Actor,),
             ),
             Shelf(
--- a/embertray/core/instance.py
+++ b/embertray/core/instance.py
@@ -45,10 +45,10 @@
     to tell it is the list that it starts with: `news(now, "cached", ...)`, empty if there is none."""
 
     def __init__(self, site, me, seed, now, chance=lambda: 0.5):
-        super().__init__(seed, lambda door: site.deployment(me, door), now)
+        super().__init__(seed, lambda identifiers: site.deployment(me, identifiers), now)
         self.site = site
-        self.kinds = {kind.door: kind for kind in site.kinds}
-        self.outbox = Outbox(self.door, site.head, {kind: kind.door for kind in site.kinds})
+        self.kinds = {kind.external_id: kind for kind in site.kinds}
+        self.outbox = Outbox(self.identifiers, site.head, {kind: kind.external_id for kind in site.kinds})
         self.pacer, self.intake = (
             Pacer(site.channel_rate, now),
             Intake(site.reports_rate, now, site.report_cycle),
@@ -68,7 +68,7 @@
         if how == "whole":
             self.held_back = 0
         if self.accounts.acting("tables", "list"):  # new ones wait; what is there and what goes is never held
-            known = [e for e in entries if e.backend in self.door.backends]
+            known = [e for e in entries if e.backend in self.identifiers.backends]
             self.held_back += len(entries) - len(known)
             self.accounts.by["list"].done += len(entries) - len(known)
             entries = known
@@ -81,13 +81,13 @@
         return self.accounts.turn_away()
 
     def join(self, hello):
-        px = self.door.proxy(hello.proxy)
+        px = self.identifiers.proxy(hello.proxy)
         self.outbox.joined(px)
         self.open[hello.proxy] = deque()
-        self.todo.append(i.Joined(px, self.door.zone(hello.zone), hello.rate, hello.fresh))
+        self.todo.append(i.Joined(px, self.identifiers.zone(hello.zone), hello.rate, hello.fresh))
 
     def left(self, now, name):
-        px = self.door.proxy(name)
+        px = self.identifiers.proxy(name)
         self.outbox.left(px)
         self.pacer.drop(now, px)
         self.intake.left(px)
@@ -98,10 +98,10 @@
 
     def answered(self, now, name, mark):
         """The proxy has applied this mark's message and all before it."""
-        held, known = self.open.get(name, ()), self.door.marks.get(mark)
+        held, known = self.open.get(name, ()), self.identifiers.marks.get(mark)
         if known is None or mark not in held:
             return
-        self.todo.append(i.Answered(self.door.proxy(name), known, now - self.stamps[mark]))
+        self.todo.append(i.Answered(self.identifiers.proxy(name), known, now - self.stamps[mark]))
         while held:
             first = held.popleft()
             self.settled(first)
@@ -112,11 +112,13 @@
         """One proxy less owes an answer; a mark that nobody owes any more is forgotten."""
         self.refs[mark] -= 1
         if not self.refs[mark]:
-            del self.refs[mark], self.stamps[mark], self.door.marks[mark]
+            del self.refs[mark], self.stamps[mark], self.identifiers.marks[mark]
 
     def sums(self, now, name, zone, message):
-        px = self.door.proxy(name)
-        self.intake.sums(now, px, self.door.zone(zone), message, self.door.backends.get, self.kinds.get)
+        px = self.identifiers.proxy(name)
+        self.intake.sums(
+            now, px, self.identifiers.zone(zone), message, self.identifiers.backends.get, self.kinds.get
+        )
         for came in message.came:
             if (kind := self.kinds.get(came.kind)) is not None:
                 self.reduced.gauge.sums(
@@ -133,7 +135,7 @@
     def probed(self, now, backend, answered, load=None):
         began = self.probing.pop(backend, now)
         took = now - began
-        self.todo.append(i.ProbeDone(self.door.backend(backend), answered, took, load or {}))
+        self.todo.append(i.ProbeDone(self.identifiers.backend(backend), answered, took, load or {}))
 
     # ---- time
 
@@ -149,11 +151,11 @@
                 if mark:
                     self.stamps[message.mark] = now
                     self.refs[message.mark] = self.refs.get(message.mark, 0) + 1
-                    self.open[px.door].append(message.mark)
+                    self.open[px.external_id].append(message.mark)
                 self.pacer.put(now, px, message.cost, message)
             self.ask(now, orders, step)
         self.mind(now, step)
-        step.leave = [(px.door, message) for px, message in self.pacer.leave(now)]
+        step.leave = [(px.external_id, message) for px, message in self.pacer.leave(now)]
         return step
 
     def ask(self, now, orders, step):
@@ -170,9 +172,9 @@
                 ):
                     self.skipped += 1
                     self.accounts.by["probes"].done += 1
-                elif order.backend.door not in self.probing:
-                    self.probing[order.backend.door] = now
-                    step.probe.append(order.backend.door)
+                elif order.backend.external_id not in self.probing:
+                    self.probing[order.backend.external_id] = now
+                    step.probe.append(order.backend.external_id)
             elif isinstance(order, i.Log):
                 step.said.append(order.text)
 
@@ -202,7 +204,9 @@
                 account.done += self.intake.drop_oldest(int(verdict.excess / each) + 1)
             elif verdict.action == "cut" and (px := self.pacer.heaviest()) is not None:
                 account.done += 1
-                step.cut.append((px.door, "the channel is at its memory cap, and most waits for this proxy"))
+                step.cut.append(
+                    (px.external_id, "the channel is at its memory cap, and most waits for this proxy")
+                )
         step.notices, self.accounts.notices = self.accounts.notices, []
         if self.accounts.acting("tables", "list"):
             self.room_at = now + RELIST
@@ -210,7 +214,7 @@
             self.held_back, step.relist = 0, True
 
     def tidy(self):
-        """The module has forgotten who is gone for long: so does the door, and what is kept beside it."""
+        """What the module has forgotten goes here, too: identifiers, and what is kept beside them."""
         waiting, tables = self.intake.backends(), self.outbox.tables.values()
         gone = self.forget(
             lambda thing: (
--- a/embertray/daemon/__init__.py
+++ b/embertray/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The running controller: task groups round the core, its streams, its list, its operators' door."""
+"""The running controller: task groups round the core, its streams, its list, its operators' HTTP."""
 
 from .service import Service
 
--- a/embertray/daemon/proxies.py
+++ b/embertray/daemon/proxies.py
@@ -116,7 +116,7 @@
             old.cut("replaced by a newer stream", "replaced")
         self.by_name[stream.name] = stream
         self.host.counted["joins"] += 1
-        conn.put(session.welcome(self.host.me.name, [kind.door for kind in self.host.site.kinds]))
+        conn.put(session.welcome(self.host.me.name, [kind.external_id for kind in self.host.site.kinds]))
         stream.outlet.put(self.host.clock.now(), 0)
         self.host.desk.joined(self.host.clock.now(), stream.hello)
         self.host.poke()
--- a/embertray/days/ground.py
+++ b/embertray/days/ground.py
@@ -96,7 +96,8 @@
         """'view:80ms,post:50ms' by request kind."""
         given = dict(part.split(":") for part in text.split(",") if part)
         return {
-            kind: read(given[kind.door]) if kind.door in given else usual(kind) for kind in self.site.kinds
+            kind: read(given[kind.external_id]) if kind.external_id in given else usual(kind)
+            for kind in self.site.kinds
         }
 
     def standing(self, rng, zone, models):
--- a/embertray/days/player.py
+++ b/embertray/days/player.py
@@ -140,7 +140,7 @@
             await self.clock.sleep_until(now + S)
 
     async def admin(self, name, method, target):
-        """(status, body) of one request at a controller's operators' door, over its socket."""
+        """(status, body) of one request at a controller's operators' address, over its socket."""
         return await ask(self.net, self.held.admin(name), method, target)
 
 
--- a/embertray/days/result.py
+++ b/embertray/days/result.py
@@ -80,7 +80,7 @@
     for kind, (came, done, late, _) in stage.outcomes().items():
         if came:
             earned = kind.credit * (done + late * site.late_credit[kind])
-            by[kind.door] = earned / (kind.credit * came)
+            by[kind.external_id] = earned / (kind.credit * came)
             asked, got, reqs = asked + kind.credit * came, got + earned, reqs + round(came)
     return Result(
         stage.day.name,
--- a/embertray/days/rules.py
+++ b/embertray/days/rules.py
@@ -206,7 +206,7 @@
     def on_sent(self, at, name, backend, req, key):
         px, site = self.pxs[name], self.site
         before = self.tries.setdefault((name, key), [])
-        kind = next(k for k in site.kinds if k.door == req.kind)
+        kind = next(k for k in site.kinds if k.external_id == req.kind)
         for other, how, sent_at in before:
             ran = not (how == "refused" or how == "full" and not site.full_may_have_run)
             far = kind.again == "uniqued" and (
@@ -216,7 +216,9 @@
             )
             if ran and (kind.again == "non-replayable" or far):
                 self.breaks(
-                    "duplicate", at, f"{name} sent a {kind.door} again to {backend} after '{how}' at {other}"
+                    "duplicate",
+                    at,
+                    f"{name} sent a {kind.external_id} again to {backend} after '{how}' at {other}",
                 )
         before.append((backend, "out", at))
         told = px.con.list.get(backend) if px.con else None
--- a/embertray/days/troubles/controllers.py
+++ b/embertray/days/troubles/controllers.py
@@ -90,7 +90,7 @@
             await self.pace(name, 1.0)
 
     async def pace(self, name, part):
-        """By the operators' door, unless the controller is down."""
+        """By the operators' HTTP, unless the controller is down."""
         try:
             await self.stage.admin(name, "POST", f"/pace?share={part:.6f}")
         except BROKEN:
@@ -98,7 +98,7 @@
         self.note("pace", name, part)
 
     async def do_garbage(self):
-        """Strangers on the proxies' door: noise, half frames, a gigabyte announced, a hello that never
+        """Strangers at the proxies' address: noise, half frames, a gigabyte announced, a hello that never
         comes.
         """
         for name in self.controllers():
--- a/embertray/degrade/reduced.py
+++ b/embertray/degrade/reduced.py
@@ -143,7 +143,7 @@
             "pinned": None if self.pinned is None else NAMES[self.pinned],
             "forbidden": [NAMES[place] for place in sorted(self.forbidden)],
             "first_demand": {
-                kind.door: None if d.first is None else round(d.first, 1)
+                kind.external_id: None if d.first is None else round(d.first, 1)
                 for kind, d in self.gauge.demand.items()
             },
         }
--- a/embertray/drive/__init__.py
+++ b/embertray/drive/__init__.py
@@ -1,5 +1,5 @@
-"""What drives the decision module: its door, timers, the list's starts; one text for daemon and platform; no
-I/O.
+"""What drives the decision module: its identifiers, timers, the list's starts; one text for daemon and
+platform; no I/O.
 """
 
 from .drive import Drive
--- a/embertray/drive/drive.py
+++ b/embertray/drive/drive.py
@@ -1,5 +1,5 @@
-"""The module with its door, timers and the mapping of starts. What happens is put to `todo`; `play(now)` is
-one step.
+"""The module with its identifiers, timers and the mapping of starts. What happens is put to `todo`;
+`play(now)` is one step.
 
 Whoever builds on it (core.Instance for the daemon, node.Post for the platform) carries the orders on.
 """
@@ -8,17 +8,18 @@
 
 from .. import interface as i
 from ..choice import Controller
-from ..door import Door
+from ..identifiers import Identifiers
 
 
 class Drive:
-    """`deployment(door)` gives what the module is told at its start. The first thing to tell it is the list
-    that it starts with: `news(now, "cached", ...)`, empty if there is none. List entries have backend, zone,
-    state, started, nominal."""
+    """`deployment(identifiers)` gives what the module is told at its start. The first thing to tell it is the
+    list that it starts with: `news(now, "cached", ...)`, empty if there is none. List entries have backend,
+    zone, state, started, nominal.
+    """
 
     def __init__(self, seed, deployment, now):
-        self.door = Door()
-        self.module = Controller(seed, deployment(self.door), now)
+        self.identifiers = Identifiers()
+        self.module = Controller(seed, deployment(self.identifiers), now)
         self.todo, self.wakes, self.count = [], [], 0
         self.starts, self.state = {}, {}
         self.steps = self.events = 0
@@ -35,7 +36,9 @@
             self.state.pop(e.backend, None)
         else:
             self.state[e.backend] = e.state
-        return i.Entry(self.door.backend(e.backend), self.door.zone(e.zone), e.state, ours, e.nominal)
+        return i.Entry(
+            self.identifiers.backend(e.backend), self.identifiers.zone(e.zone), e.state, ours, e.nominal
+        )
 
     def news(self, now, how, clock=0, entries=()):
         """`clock`: the list's own clock at `now`, ns."""
@@ -65,21 +68,21 @@
         return rest
 
     def forget(self, needed=lambda thing: False):
-        """The module has forgotten who is gone for long: so does the door, but for who is `needed`. Backends
-        forgotten.
+        """The module has forgotten who is gone for long: so do the identifiers, but for who is `needed`.
+        Backends forgotten.
         """
         gone = []
-        for name, be in list(self.door.backends.items()):
+        for name, be in list(self.identifiers.backends.items()):
             if be.actor is None and name not in self.state and not needed(be):
-                del self.door.backends[name]
+                del self.identifiers.backends[name]
                 self.starts.pop(name, None)
                 gone.append(be)
-        for name, px in list(self.door.proxies.items()):
+        for name, px in list(self.identifiers.proxies.items()):
             if px.actor is None and not needed(px):
-                del self.door.proxies[name]
+                del self.identifiers.proxies[name]
         # a dict keeps its largest table until it is made anew
-        self.starts, self.state, self.door.backends, self.door.proxies = map(
-            dict, (self.starts, self.state, self.door.backends, self.door.proxies)
+        self.starts, self.state, self.identifiers.backends, self.identifiers.proxies = map(
+            dict, (self.starts, self.state, self.identifiers.backends, self.identifiers.proxies)
         )
         return gone
 
--- a/embertray/emulator/churn.py
+++ b/embertray/emulator/churn.py
@@ -89,7 +89,7 @@
             address,
             self.streams.of("reqs"),
             self.inventory,
-            [k.door for k in site.kinds],
+            [k.external_id for k in site.kinds],
         )
         fleet.group = group
         each = plan.reqs / plan.backends / 0.6  # the fleet is 60 percent full
--- a/embertray/emulator/clients.py
+++ b/embertray/emulator/clients.py
@@ -33,7 +33,7 @@
             self.town.eyes.ended(engine.time, ask.at, ask.kind, "lost", 0)
             return
         ask.timer = engine.after(within, self.heard, ask.ident, ask.tries, "timeout")
-        self.px.on_req(Req(ask.ident, ask.kind.door, ask.work, within, ask.tries), self.back)
+        self.px.on_req(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries), self.back)
 
     def back(self, req, how, stay=0):
         self.heard(req.ident, req.attempt, how, stay)
--- a/embertray/emulator/fluid.py
+++ b/embertray/emulator/fluid.py
@@ -107,7 +107,7 @@
                 row /= total
             for k, (kind, _, _) in enumerate(self.mixed):
                 free = np.inf if self.site.levels == "rate" else 1.0
-                level, again = holding.levels.get(kind.door, (free, self.site.base_retry))
+                level, again = holding.levels.get(kind.external_id, (free, self.site.base_retry))
                 self.levels[place, k] = free if self.site.levels == "none" else level
                 self.again[place, k] = again
         self.changed.clear()
@@ -141,7 +141,7 @@
                     self.lost[place, k],
                 ]
             ).tolist()
-            came.append(Came(kind.door, first + further, lost, further))
+            came.append(Came(kind.external_id, first + further, lost, further))
         length = int(self.engine.time - self.since[place])
         self.forget(place)
         return Sums(length, met, [c for c in came if c.reqs])
@@ -265,7 +265,7 @@
                 left = kind.response_target - service
                 late[col, k] = 1.0 if left <= 0 else float(np.exp(-left / wait)) if wait > 0 else 0.0
                 bad[col, k] = 1 - met.done
-                if kind.door in model.ills.kinds:
+                if kind.external_id in model.ills.kinds:
                     bad[col, k] = 1.0
             self.watch(now, col, be, masses[col], work)
         return bad, took, late
@@ -294,7 +294,7 @@
                     now,
                     px.name,
                     model.name,
-                    Req(self.numbers, self.mixed[0][0].door, int(mass * work), S, 1, px.name),
+                    Req(self.numbers, self.mixed[0][0].external_id, int(mass * work), S, 1, px.name),
                     (self.numbers, 1),
                 )
 
--- a/embertray/door/__init__.py
+++ b/embertray/identifiers/__init__.py
@@ -2,6 +2,6 @@
 library.
 """
 
-from .door import Door
+from .identifiers import Identifiers
 
-__all__ = ["Door"]
+__all__ = ["Identifiers"]
--- a/embertray/door/door.py
+++ b/embertray/identifiers/identifiers.py
@@ -1,4 +1,4 @@
-"""The door: one object for each id, for the bench's adapter and the daemon alike.
+"""One object for each id, for the bench's adapter and the daemon alike.
 
 The module deals in objects and never sees ids; what comes in names ids, what goes out must name them again.
 """
@@ -8,7 +8,7 @@
 TABLES, MARKS = 65534, 65535  # ids in use: 1 to this, then anew
 
 
-class Door:
+class Identifiers:
     """One instance's ids. Tables and marks are numbered when they are first ordered."""
 
     def __init__(self):
@@ -34,14 +34,14 @@
         return self.known(self.tables, i.Table, ident)
 
     def table_id(self, table):
-        if table.door is None:
+        if table.external_id is None:
             self.next_table = self.next_table % TABLES + 1
-            table.door = self.next_table
-        return table.door
+            table.external_id = self.next_table
+        return table.external_id
 
     def mark_id(self, mark):
         """A new number for a mark that is ordered now; the oldest of the same number is forgotten."""
         self.next_mark = self.next_mark % MARKS + 1
-        mark.door = self.next_mark
+        mark.external_id = self.next_mark
         self.marks[self.next_mark] = mark
         return self.next_mark
--- a/embertray/interface.py
+++ b/embertray/interface.py
@@ -8,10 +8,10 @@
 
 
 class Handle:
-    """One outside thing. `door` is the feeder's id for it; `actor` is free for the module's own part."""
+    """One outside thing. `external_id` is the feeder's id for it; `actor` is the module's own part of it."""
 
-    def __init__(self, door=None):
-        self.door = door
+    def __init__(self, external_id=None):
+        self.external_id = external_id
         self.actor = None
 
 
@@ -44,7 +44,7 @@
     credit: float = 1.0
     again: str = "replayable"  # replayable | uniqued | non-replayable
     group: str = "all"  # for uniqued: who throws repeats away: all | zone | cell
-    door: object = None
+    external_id: object = None  # its name in the settings
 
 
 @dataclass(eq=False)
--- a/embertray/lab/policies.py
+++ b/embertray/lab/policies.py
@@ -1,8 +1,8 @@
 """Baselines to compare the module with; none of them is on the product's path.
 
-Each stands in the place of the decision module inside core.Instance, so that doors, channel and protocol are
-the same. They follow the list and order tables, and guard no rule: no ledger, no pace for cold ones, no
-levels.
+Each stands in the place of the decision module inside core.Instance, so that identifiers, channel and
+protocol are the same. They follow the list and order tables, and guard no rule: no ledger, no pace for cold
+ones, no levels.
 """
 
 import numpy as np
@@ -118,7 +118,7 @@
     def want(self, key):
         found, models = {}, self.truth()
         for be in self.ready:
-            model = models.get(be.door)
+            model = models.get(be.external_id)
             if (
                 model
                 and model.state == "up"
--- a/embertray/measure/accounting.py
+++ b/embertray/measure/accounting.py
@@ -87,7 +87,7 @@
                             "choice/*",
                             "records/*",
                             "core/*",
-                            "door/*",
+                            "identifiers/*",
                             "channel/*",
                             "reports/*",
                             "interface.py",
@@ -101,8 +101,8 @@
     ours = sum(size for purpose, size in found["accounted"].items() if purpose not in ("streams",))
     print(
         "After 60 s: accounts (without streams) "
-        f"{ours / 1024:.0f} KiB; tracemalloc, allocated in choice, records, core, door, channel, reports, "
-        f"interface {found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}"
+        f"{ours / 1024:.0f} KiB; tracemalloc, allocated in choice, records, core, identifiers, channel, "
+        f"reports, interface {found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}"
     )
 
 
--- a/embertray/model/client.py
+++ b/embertray/model/client.py
@@ -21,7 +21,7 @@
 
     def __init__(self, number, mix, rng, retries=1, wait=S // 5):
         self.number, self.mix, self.rng, self.retries, self.wait = number, mix, rng, retries, wait
-        self.kinds = {kind.door: kind for kind, _, _ in mix}
+        self.kinds = {kind.external_id: kind for kind, _, _ in mix}
         self.open, self.count = {}, 0
 
     def draw(self, now):
--- a/embertray/model/proxy.py
+++ b/embertray/model/proxy.py
@@ -76,7 +76,7 @@
 
     def __init__(self, site, rng, standing=()):
         self.site, self.rng, self.holding = site, rng, Holding(standing)
-        self.kinds = {kind.door: kind for kind in site.kinds}
+        self.kinds = {kind.external_id: kind for kind in site.kinds}
         self.heard, self.came, self.buckets, self.since, self.serial = {}, {}, {}, 0, 0
         self.out, self.fails, self.ejected, self.current = {}, {}, {}, {}
         self.book = None  # names, weights, their sums: made anew after each change
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -1,5 +1,5 @@
-"""One controller on the platform without I/O: module and door (Drive) between list, reports, relay's news and
-calls.
+"""One controller on the platform without I/O: module and identifiers (Drive) between list, reports, relay's
+news and calls.
 
 The transports hand in what came and the time, send `caller`'s calls, and call `advance` at once or at
 `next_at`.
@@ -27,7 +27,7 @@
         self.said, self.chance = without_words(self.told), start.chance
         super().__init__(start.chance, self.told.deployment, now)
         self.words, self.caller, self.standing = (
-            Words(self.door, self.told.kinds),
+            Words(self.identifiers, self.told.kinds),
             Caller(self.module.site.way_max),
             Standing(),
         )
@@ -91,12 +91,12 @@
             for backend in self.module.bes
             if backend.state not in (None, "gone")
         ]
-        for known in (self.door.backends, self.door.proxies):
+        for known in (self.identifiers.backends, self.identifiers.proxies):
             for handle in known.values():
                 handle.actor = None
         self.chance += 1
-        self.module, self.wakes, self.door.marks = (
-            Controller(self.chance, self.told.deployment(self.door), now),
+        self.module, self.wakes, self.identifiers.marks = (
+            Controller(self.chance, self.told.deployment(self.identifiers), now),
             [],
             {},
         )
@@ -104,10 +104,12 @@
 
     def tidy(self):
         """Who is long gone is forgotten, and marks that nobody owes an answer to."""
-        self.forget(lambda thing: thing.door in self.standing.joined)
+        self.forget(lambda thing: thing.external_id in self.standing.joined)
         open_marks = {mark for proxy in self.module.pxs for mark, _ in proxy.messages.open}
         open_marks.update(self.module.channel.flights.by_mark)
-        self.door.marks = {number: mark for number, mark in self.door.marks.items() if mark in open_marks}
+        self.identifiers.marks = {
+            number: mark for number, mark in self.identifiers.marks.items() if mark in open_marks
+        }
 
     def next_at(self):
         """When to advance again if nothing happens before, ns; None while a call is under way."""
--- a/embertray/platform/words.py
+++ b/embertray/platform/words.py
@@ -1,4 +1,4 @@
-"""The module's events and orders in the platform's words, by the door's ids."""
+"""The module's events and orders in the platform's words, by their external ids."""
 
 from .. import interface as i
 from .news import Attach, Detach
@@ -10,30 +10,36 @@
 
 
 class Words:
-    """`door` of a Drive, `kinds` of its Briefing."""
+    """`identifiers` of a Drive, `kinds` of its Briefing."""
 
-    def __init__(self, door, kinds):
-        self.door, self.kinds = door, kinds
+    def __init__(self, identifiers, kinds):
+        self.identifiers, self.kinds = identifiers, kinds
         self.names = {kind: name for name, kind in kinds.items()}
 
     def report(self, got):
         """A Met or Came as an event; None if it names a backend or proxy that was never told."""
         if hasattr(got, "backend"):
-            backend = self.door.backends.get(got.backend)
+            backend = self.identifiers.backends.get(got.backend)
             return backend and i.Heard(
-                backend, self.door.zone(got.zone), got.tries, got.errored, got.latency, got.span, got.load
+                backend,
+                self.identifiers.zone(got.zone),
+                got.tries,
+                got.errored,
+                got.latency,
+                got.span,
+                got.load,
             )
-        proxy = self.door.proxies.get(got.proxy)
+        proxy = self.identifiers.proxies.get(got.proxy)
         return proxy and i.Arrivals(proxy, self.kinds[got.kind], got.reqs, got.lost, got.span)
 
     def news(self, got):
         """An Attach, Detach or Done as an event; None for a nonce that is not open any more."""
-        proxy = self.door.proxy(got.proxy)
+        proxy = self.identifiers.proxy(got.proxy)
         if isinstance(got, Attach):
-            return i.Joined(proxy, self.door.zone(got.zone), got.rate, got.fresh)
+            return i.Joined(proxy, self.identifiers.zone(got.zone), got.rate, got.fresh)
         if isinstance(got, Detach):
             return i.Left(proxy)
-        mark = self.door.marks.get(got.nonce)
+        mark = self.identifiers.marks.get(got.nonce)
         return mark and i.Answered(proxy, mark, got.took)
 
     def orders(self, orders):
@@ -41,19 +47,19 @@
         texts, nonce, sync, said = [], None, None, []
         for order in orders:
             if isinstance(order, i.SetLine):
-                table, backend = self.door.table_id(order.table), order.backend.door
+                table, backend = self.identifiers.table_id(order.table), order.backend.external_id
                 texts.append(f"SET,{table},{backend},{figure(order.weight)}")
             elif isinstance(order, i.Bind):
-                texts.append(f"USE,{order.proxy.door},{self.door.table_id(order.table)},*")
+                texts.append(f"USE,{order.proxy.external_id},{self.identifiers.table_id(order.table)},*")
             elif isinstance(order, i.Withdraw):
-                texts.append(f"{'OUT' if order.out else 'IN'},{order.backend.door}")
+                texts.append(f"{'OUT' if order.out else 'IN'},{order.backend.external_id}")
             elif isinstance(order, i.SetLevel):
                 kinds = "+".join(self.names[kind] for kind in order.kinds) or "*"
                 texts.append(
-                    f"LIMIT,{self.door.table_id(order.table)},{kinds},{figure(order.level)},{order.retry}"
+                    f"LIMIT,{self.identifiers.table_id(order.table)},{kinds},{figure(order.level)},{order.retry}"
                 )
             elif isinstance(order, i.PutMark):
-                nonce = self.door.mark_id(order.mark)
+                nonce = self.identifiers.mark_id(order.mark)
                 sync = f"SYNC,{nonce},{{}}".format
             elif isinstance(order, i.Log):
                 said.append(order.text)
--- a/embertray/site/site.py
+++ b/embertray/site/site.py
@@ -46,7 +46,7 @@
 @dataclass(frozen=True, eq=False)
 class Site:
     """A deployment's facts. Times in ns, rates a second. `kinds` are interface.ReqKind, their names at
-    `door`.
+    `external_id`.
     """
 
     name: str
@@ -103,12 +103,12 @@
         """The same site with other facts, as for ports that are only known once something listens."""
         return replace(self, **other)
 
-    def deployment(self, me, door):
-        """What the decision module is told at its start; zones become the door's objects."""
+    def deployment(self, me, identifiers):
+        """What the decision module is told at its start; zones become objects of `identifiers`."""
         return i.Deployment(
             kinds=list(self.kinds),
-            zones=[door.zone(name) for name in self.zones],
-            home=door.zone(me.zone),
+            zones=[identifiers.zone(name) for name in self.zones],
+            home=identifiers.zone(me.zone),
             controllers=len(self.controllers),
             proxies=self.proxies,
             ask=self.ask,
@@ -194,7 +194,8 @@
         )
         if kind.client_timeout < kind.response_target:
             raise BadSite(
-                f"{path}:{element.sourceline}: kind {kind.door}: client-timeout is under response-target"
+                f"{path}:{element.sourceline}: kind {kind.external_id}: "
+                "client-timeout is under response-target"
             )
         kinds.append(kind)
         late[kind], windows[kind] = float(got["late-credit"]), time(got["window"])
--- a/embertray/standin/client.py
+++ b/embertray/standin/client.py
@@ -56,7 +56,7 @@
             self.close(ask, "lost")
             return
         ask.timer = self.agenda.after(within, self.heard, ask.ident, ask.tries, "timeout")
-        self.link.put(Req(ask.ident, ask.kind.door, ask.work, within, ask.tries))
+        self.link.put(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries))
 
     def on_end(self, end):
         if isinstance(end, End):
--- a/embertray/standin/fleet.py
+++ b/embertray/standin/fleet.py
@@ -56,7 +56,9 @@
         self.list("cached", self.bes, "ready")
 
     def list(self, how, bes, state, started=0):
-        entries = [i.Entry(be, self.zones[int(be.door[3:]) % len(self.zones)], state, started) for be in bes]
+        entries = [
+            i.Entry(be, self.zones[int(be.external_id[3:]) % len(self.zones)], state, started) for be in bes
+        ]
         self.state.update((be, state) for be in bes)
         self.told.update((be, self.now) for be in bes if state != "ready" and be not in self.told)
         self.todo.append(i.ListNews(how, entries))
@@ -64,7 +66,7 @@
     def join(self, pxs, holds):
         for px in pxs:
             self.held[px], self.since[px] = dict.fromkeys(holds(px), 1.0), self.now
-            self.todo.append(i.Joined(px, self.zones[px.door % len(self.zones)], 1.0, True))
+            self.todo.append(i.Joined(px, self.zones[px.external_id % len(self.zones)], 1.0, True))
 
     def run(self, until, beat=100 * MS):
         while self.now < until:
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -57,7 +57,7 @@
                 replace_do(
                     m,
                     [
-                        Bind(do.table, do.lines, [(k.door, 1.0, 3) for k in self.site.kinds], do.out)
+                        Bind(do.table, do.lines, [(k.external_id, 1.0, 3) for k in self.site.kinds], do.out)
                         if isinstance(do, Bind)
                         else do
                         for do in m.do
@@ -78,7 +78,9 @@
 
     def advance(self, now):
         step = super().advance(now)
-        new = {be.door for be in self.door.backends.values() if be.actor and be.actor.started > 0}
+        new = {
+            be.external_id for be in self.identifiers.backends.values() if be.actor and be.actor.started > 0
+        }
         step.leave = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.leave]
         return step
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -30,8 +30,8 @@
         self.site, self.module, self.steady, self.answers = {}, None, {}, 0
         both = dict(response_target=8 * 10**8, client_timeout=2 * 10**9)
         self.kinds = {
-            "view": i.ReqKind(**both, credit=1, door="view"),
-            "pay": i.ReqKind(**both, credit=3, again="non-replayable", door="pay"),
+            "view": i.ReqKind(**both, credit=1, external_id="view"),
+            "pay": i.ReqKind(**both, credit=3, again="non-replayable", external_id="pay"),
         }
         self.tables, self.bound, self.out, self.levels, self.open = {}, {}, set(), {}, {}
         self.messages = []
@@ -143,16 +143,16 @@
         touched = set()
         for o in orders:
             if isinstance(o, i.SetLine):
-                self.tables.setdefault(o.table, {})[o.backend.door] = o.weight
+                self.tables.setdefault(o.table, {})[o.backend.external_id] = o.weight
                 touched |= {p for p, t in self.bound.items() if t is o.table}
             elif isinstance(o, i.SetLevel):
-                self.levels.update({k.door: (o.level, o.retry) for k in o.kinds})
+                self.levels.update({k.external_id: (o.level, o.retry) for k in o.kinds})
                 touched |= {p for p, t in self.bound.items() if t is o.table}
             elif isinstance(o, i.Bind):
-                self.bound[o.proxy.door] = o.table
-                touched.add(o.proxy.door)
+                self.bound[o.proxy.external_id] = o.table
+                touched.add(o.proxy.external_id)
             elif isinstance(o, i.Withdraw):
-                (self.out.add if o.out else self.out.discard)(o.backend.door)
+                (self.out.add if o.out else self.out.discard)(o.backend.external_id)
                 touched |= set(self.bound)
             elif isinstance(o, i.PutMark):
                 for name in touched:
@@ -168,10 +168,12 @@
                 if isinstance(o, {"bind": i.Bind, "subscribe": i.Subscribe, "log": i.Log}[what])
             ]
             if what != "subscribe":
-                seen = [o for o in seen if " ".join(words) in (o.proxy.door if what == "bind" else o.text)]
+                seen = [
+                    o for o in seen if " ".join(words) in (o.proxy.external_id if what == "bind" else o.text)
+                ]
             return None if seen else "not ordered"
         if what == "known":
-            known = [part.handle.door for part in self.module.bes + self.module.pxs]
+            known = [part.handle.external_id for part in self.module.bes + self.module.pxs]
             return None if words[0] in known else f"known are {known}"
         if what in ("out", "in"):
             lines = [self.tables[t].get(words[0], 0) for t in self.bound.values()]
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -19,7 +19,7 @@
 from embertray.stream.messages import Level
 
 S = 10**9
-POST, VIEW = ReqKind(S, 2 * S, 3.0, door="post"), ReqKind(S, 2 * S, 1.0, door="view")
+POST, VIEW = ReqKind(S, 2 * S, 3.0, external_id="post"), ReqKind(S, 2 * S, 1.0, external_id="view")
 
 
 class Proxies:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -82,7 +82,7 @@
         for text in (plain, plain + "at 5s reconnect p2\n"):
             play(day(text), 7, on_stage=stages.append)
         first, second = (
-            {at: kind.door for at, kind, _, _ in stage.eyes.reqs if at < stage.zero + 4 * S}
+            {at: kind.external_id for at, kind, _, _ in stage.eyes.reqs if at < stage.zero + 4 * S}
             for stage in stages
         )
         self.assertGreater(len(first), 100)
@@ -120,7 +120,7 @@
         stages = []
         result = play(notation.load("overload"), 2, "flows", on_stage=stages.append)
         for kind, (asked, *ends) in stages[0].outcomes().items():
-            self.assertAlmostEqual(asked, sum(ends), delta=0.01 * asked, msg=kind.door)
+            self.assertAlmostEqual(asked, sum(ends), delta=0.01 * asked, msg=kind.external_id)
         self.assertLess(result.credit, 0.99)
 
     def test_a_flash_crowd_is_seen_second_by_second(self):
@@ -263,7 +263,7 @@
         self.assertAlmostEqual(full, 10, delta=1.5)
 
     def proxy(self, lines, **site):
-        kind = SimpleNamespace(door="view", response_target=S, client_timeout=2 * S)
+        kind = SimpleNamespace(external_id="view", response_target=S, client_timeout=2 * S)
         facts = {
             "kinds": [kind],
             "picks": "weighted",
@@ -314,7 +314,9 @@
         self.assertEqual(px.sums(6).met, [])
 
     def test_clients_ask_again_only_what_may_run_twice(self):
-        kind = SimpleNamespace(door="post", again="non-replayable", response_target=S, client_timeout=2 * S)
+        kind = SimpleNamespace(
+            external_id="post", again="non-replayable", response_target=S, client_timeout=2 * S
+        )
         clients = Clients(1, [(kind, 1.0, S // 10)], np.random.default_rng(2))
         for how, verdict in (("error", "lost"), ("timeout", "lost"), ("denied", "again")):
             ask = clients.draw(0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
     fleet = Fleet(Controller, 200, proxies, **site)
     fleet.run(11 * S)
     for part in range(4):
-        fleet.join(fleet.pxs[part::4], lambda px: fleet.bes[px.door % 5 * 40 :][:40])
+        fleet.join(fleet.pxs[part::4], lambda px: fleet.bes[px.external_id % 5 * 40 :][:40])
         fleet.run(fleet.now + 100 * MS)
     for wave in range(3):
         fleet.run(fleet.now + 1500 * MS)
@@ -52,7 +52,7 @@
         warm = {
             be: 1.0
             for be in fleet.module.bes
-            if be.state == "ready" and be.handle.door in ("be-150", "be-151", "be-152")
+            if be.state == "ready" and be.handle.external_id in ("be-150", "be-151", "be-152")
         }
         self.assertEqual(len(warm), 3)
         parts.deal(warm, channel.part(), channel.rates())
@@ -63,8 +63,8 @@
             all_ready, channel.part(), channel.rates()
         )  # and once there are enough each has its own again
         self.assertEqual(
-            sorted(be.handle.door for tab in parts.tabs for be, w in tab.want.items() if w),
-            sorted(be.handle.door for be in all_ready),
+            sorted(be.handle.external_id for tab in parts.tabs for be, w in tab.want.items() if w),
+            sorted(be.handle.external_id for be in all_ready),
         )
 
     def test_a_table_without_lines_does_not_wait_behind_weights(self):
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -189,7 +189,7 @@
             await anyio.sleep(0.1)
         it = room.service.instance
         self.assertEqual(it.intake.unknown, 100_000)
-        self.assertEqual((len(it.door.backends), len(it.intake.waiting)), (3, 0))
+        self.assertEqual((len(it.identifiers.backends), len(it.intake.waiting)), (3, 0))
 
     @virtual
     async def test_proxies_and_backends_that_are_gone_are_forgotten_everywhere(self, room):
@@ -210,10 +210,10 @@
             room.inventory.list(f"127.0.1.{n + 1}:9000", "north", "gone")
             await peer.stream.aclose()
         await anyio.sleep(120)
-        self.assertEqual((len(it.door.backends), len(it.door.proxies)), (3, 1))
+        self.assertEqual((len(it.identifiers.backends), len(it.identifiers.proxies)), (3, 1))
         self.assertEqual((len(it.module.bes), len(it.module.pxs)), (3, 1))
         self.assertEqual((len(it.starts), len(it.outbox.out), len(it.module.channel.withdrawn)), (0, 0, 0))
-        self.assertLessEqual(len(it.door.marks), 3)
+        self.assertLessEqual(len(it.identifiers.marks), 3)
 
 
 class Churn(unittest.TestCase):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -19,7 +19,7 @@
 from platform_stage import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, stage
 
 from embertray.briefing import BadBriefing, Briefing
-from embertray.door import Door
+from embertray.identifiers import Identifiers
 from embertray.net.address import BadAddress, plain
 from embertray.net.tcp import TcpNet
 from embertray.platform import limits
@@ -45,10 +45,15 @@
             pairs.update({f"{part}.{k}": str(v) for k, v in SETTINGS[part].items()})
         for k, kind in enumerate(SETTINGS["profiles"]):
             pairs.update({f"profiles.{k}.{name}": str(v) for name, v in kind.items()})
-        nested, flat = (vars(one.deployment(Door())) for one in (Briefing.nested(SETTINGS), Briefing(pairs)))
+        nested, flat = (
+            vars(one.deployment(Identifiers())) for one in (Briefing.nested(SETTINGS), Briefing(pairs))
+        )
         for told in (nested, flat):
             told["kinds"] = [vars(kind) for kind in told["kinds"]]
-            told["zones"], told["home"] = [zone.door for zone in told["zones"]], told["home"].door
+            told["zones"], told["home"] = (
+                [zone.external_id for zone in told["zones"]],
+                told["home"].external_id,
+            )
         self.assertEqual(nested, flat)
         self.assertEqual(
             (nested["drain_grace"], nested["throttle"], len(nested["kinds"])), (3 * S, "share", 2)
--- a/tests/test_node_endings.py
+++ b/tests/test_node_endings.py
@@ -90,7 +90,7 @@
                 relay.answers = False
                 relay.attach(1, "north")
                 await relay.until(lambda: relay.lines(1))
-                late = max(service.post.door.marks)
+                late = max(service.post.identifiers.marks)
                 relay.detach(1)
                 relay.attach(1, "north")
                 await relay.until(
@@ -101,9 +101,9 @@
                 relay.tell("done", f"node=1&nonce={late}&latency=5")
                 relay.attach(2, "north")  # told behind it
                 await relay.until(lambda: relay.lines(2))
-                known = {px.handle.door: px for px in service.post.module.pxs}
+                known = {px.handle.external_id: px for px in service.post.module.pxs}
                 self.assertTrue(known[1].messages.open)  # its own answer is still owed
-                self.assertNotIn(late, [mark.door for mark, _ in known[1].messages.open])
+                self.assertNotIn(late, [mark.external_id for mark, _ in known[1].messages.open])
 
         anyio.run(play)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,7 +15,7 @@
 from embertray.channel.outbox import Outbox
 from embertray.channel.outlet import MOST_BYTES, OLDEST, Outlet
 from embertray.channel.pacer import BURST, Pacer
-from embertray.door import Door
+from embertray.identifiers import Identifiers
 from embertray.inventory.follow import Follow
 from embertray.inventory.messages import Failed, Get, Listed, News
 from embertray.model.backend import Backend, Shape
@@ -128,17 +128,17 @@
 
 class Channel(unittest.TestCase):
     def setUp(self):
-        self.door = Door()
-        self.kind = i.ReqKind(1, 2, door="view")
-        self.box = Outbox(self.door, 4, {self.kind: "view"})
+        self.identifiers = Identifiers()
+        self.kind = i.ReqKind(1, 2, external_id="view")
+        self.box = Outbox(self.identifiers, 4, {self.kind: "view"})
         self.table, self.mark = i.Table(), i.Mark()
-        self.a, self.b = self.door.backend("a"), self.door.backend("b")
-        self.p, self.q = self.door.proxy("p"), self.door.proxy("q")
+        self.a, self.b = self.identifiers.backend("a"), self.identifiers.backend("b")
+        self.p, self.q = self.identifiers.proxy("p"), self.identifiers.proxy("q")
         for px in (self.p, self.q):
             self.box.joined(px)
 
     def post(self, *orders):
-        return {px.door: message for px, message, _ in self.box.post(7, orders)}
+        return {px.external_id: message for px, message, _ in self.box.post(7, orders)}
 
     def test_one_message_a_proxy_and_its_cost(self):
         got = self.post(
@@ -183,7 +183,7 @@
         self.setUp()
         held = {"p": Holding(), "q": Holding()}
         for be, what, px in steps:
-            be, px = self.door.backend(be), self.door.proxy(px)
+            be, px = self.identifiers.backend(be), self.identifiers.proxy(px)
             order = {
                 "line": i.SetLine(self.table, be, 1.0),
                 "gone": i.SetLine(self.table, be, 0),
@@ -193,14 +193,14 @@
             }.get(what)
             if order is None:
                 self.box.joined(px)
-                held[px.door] = Holding()
+                held[px.external_id] = Holding()
                 continue
             for name, message in self.post(order).items():
                 held[name].apply(read_to_proxy(encode(message)))
-            lines = {one.door for one in self.box.table(self.table).lines if one not in self.box.out}
+            lines = {one.external_id for one in self.box.table(self.table).lines if one not in self.box.out}
             for px, table in self.box.bound.items():
                 if table is not None:
-                    self.assertEqual(set(held[px.door].picks()), lines)
+                    self.assertEqual(set(held[px.external_id].picks()), lines)
 
     @given(st.lists(st.tuples(st.integers(0, 3 * 10**8), st.integers(1, 80)), min_size=1, max_size=60))
     def test_the_channel_never_runs_faster_than_its_rate(self, puts):
@@ -223,7 +223,7 @@
     def test_waiting_lines_and_a_proxy_that_left(self):
         pacer = Pacer(10.0)
         for px in (self.p, self.q, self.p):
-            pacer.put(0, px, 10, px.door)
+            pacer.put(0, px, 10, px.external_id)
         self.assertEqual((pacer.lines, pacer.next_at()), (30, S))
         pacer.drop(S // 2, self.p)
         self.assertEqual((pacer.lines, pacer.next_at()), (10, S * 3 // 2))
@@ -305,12 +305,12 @@
 
 class Reports(unittest.TestCase):
     def test_merging_loses_no_count_and_the_oldest_goes_first(self):
-        door, intake = Door(), Intake(4.0)
-        px, zone, kind = door.proxy("p"), door.zone("z"), i.ReqKind(1, 2, door="view")
+        identifiers, intake = Identifiers(), Intake(4.0)
+        px, zone, kind = identifiers.proxy("p"), identifiers.zone("z"), i.ReqKind(1, 2, external_id="view")
         for n in range(3):
             now = (n + 1) * S // 100
             for name in "ab":
-                door.backend(name)
+                identifiers.backend(name)
             intake.sums(
                 now,
                 px,
@@ -320,7 +320,7 @@
                     [Met("a", 4, 1, 300, {"busy": n / 2}), Met("b", 2)],
                     [Came("view", 5, 1), Came("strange", 9)],
                 ),
-                door.backends.get,
+                identifiers.backends.get,
                 {"view": kind}.get,
             )
         events, at = [], 0
@@ -334,14 +334,19 @@
 
     def test_the_time_that_a_zone_s_proxies_cover_counts_once(self):
         """Three proxies at their own phases: tries over spans is the zone's rate, and a cycle is one line."""
-        door, intake, events = Door(), Intake(0.0, 0, S), []
-        zone = door.zone("z")
+        identifiers, intake, events = Identifiers(), Intake(0.0, 0, S), []
+        zone = identifiers.zone("z")
         for tenth in range(100):
             now = tenth * S // 10
             for n in range(3):
                 if tenth % 10 == n * 2:
                     intake.sums(
-                        now, door.proxy(f"p{n}"), zone, Sums(S, [Met("a", 10, 1)]), door.backend, {}.get
+                        now,
+                        identifiers.proxy(f"p{n}"),
+                        zone,
+                        Sums(S, [Met("a", 10, 1)]),
+                        identifiers.backend,
+                        {}.get,
                     )
             events += intake.due(now)
         events += intake.due(20 * S)
@@ -351,11 +356,13 @@
         self.assertAlmostEqual(sum(e.tries for e in late) * S / sum(e.span for e in late), 30)
 
     def test_nobody_is_waited_for_longer_than_a_cycle_nor_again_once_silent(self):
-        door, intake = Door(), Intake(0.0, 0, S)
-        zone, at = door.zone("z"), []
+        identifiers, intake = Identifiers(), Intake(0.0, 0, S)
+        zone, at = identifiers.zone("z"), []
 
         def tell(now, name):
-            intake.sums(now, door.proxy(name), zone, Sums(S, [Met("a", 1)]), door.backend, {}.get)
+            intake.sums(
+                now, identifiers.proxy(name), zone, Sums(S, [Met("a", 1)]), identifiers.backend, {}.get
+            )
 
         for name in "pq":
             tell(0, name)
@@ -379,15 +386,15 @@
         st.sampled_from([0.0, 3.0, 50.0]),
     )
     def test_no_try_is_lost_or_counted_twice(self, told, rate):
-        door, intake, events, now = Door(), Intake(rate, 0, S), [], 0
+        identifiers, intake, events, now = Identifiers(), Intake(rate, 0, S), [], 0
         for gap, px, be, tries in told:
             now += gap * S // 100
             intake.sums(
                 now,
-                door.proxy(f"p{px}"),
-                door.zone(f"z{px % 2}"),
+                identifiers.proxy(f"p{px}"),
+                identifiers.zone(f"z{px % 2}"),
                 Sums(S, [Met(f"b{be}", tries, 1, 7)], [Came("view", tries)]),
-                door.backend,
+                identifiers.backend,
                 {"view": "view"}.get,
             )
             events += intake.due(now)
@@ -400,13 +407,13 @@
         self.assertEqual(sum(e.reqs for e in events if isinstance(e, i.Arrivals)), sum(t[3] for t in told))
 
     def test_lines_a_second(self):
-        door, intake = Door(), Intake(10.0)
+        identifiers, intake = Identifiers(), Intake(10.0)
         intake.sums(
             0,
-            door.proxy("p"),
-            door.zone("z"),
+            identifiers.proxy("p"),
+            identifiers.zone("z"),
             Sums(S, [Met(f"b{n}", 1) for n in range(100)]),
-            door.backend,
+            identifiers.backend,
             {}.get,
         )
         count = sum(len(intake.due(t * S // 100)) for t in range(201))
@@ -432,7 +439,7 @@
         self.assertEqual(
             (sites["asked"].ask, sites["pushed"].levels, sites["sealed"].messages_max), (True, "rate", 20)
         )
-        deployment = sites["sealed"].deployment(sites["sealed"].controllers[0], Door())
+        deployment = sites["sealed"].deployment(sites["sealed"].controllers[0], Identifiers())
         self.assertEqual(deployment.kinds[1].again, "non-replayable")
 
     def test_errors_name_the_line_and_what_was_expected(self):
