--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -201,8 +201,8 @@
                 self.slice(got["route-table"]), self.backend(got["backend"]), got.get("share", 1.0)
             )
         if name == "CONFIRMED":
-            mark = self.marks.get(got["epoch"])
-            return mark and i.Answered(self.proxy(got["proxy"]), mark, got.get("took-us", 0) * US)
+            nonce = self.nonces.get(got["epoch"])
+            return nonce and i.Answered(self.proxy(got["proxy"]), nonce, got.get("took-us", 0) * US)
         return None
 
     def action(self, order):
@@ -222,8 +222,8 @@
                 f"SET_LEVEL route-table={self.table_id(order.table)} lanes={lanes} "
                 f"allowance={order.level:.6g} second-try={order.retry}"
             )
-        if isinstance(order, i.PutMark):
-            return f"CHECKPOINT set=0 epoch={self.mark_id(order.mark)}"
+        if isinstance(order, i.PutNonce):
+            return f"CHECKPOINT set=0 epoch={self.nonce_id(order.nonce)}"
         if isinstance(order, i.Wake):
             return f"ARM label={order.label} wait-us={max(0, order.after) // US}"
         if isinstance(order, i.Subscribe):
--- a/embertray/briefing/briefing.py
+++ b/embertray/briefing/briefing.py
@@ -6,7 +6,7 @@
 from .. import interface as i
 
 US = 1000
-AGAIN = {"read_like": "replayable", "idempotency_key": "uniqued", "non_idempotent": "non-replayable"}
+AGAIN = {"read_like": "replayable", "idempotency_key": "deduplicated", "non_idempotent": "non-replayable"}
 THROTTLES = {"silent": "none"}
 # load reports, by the dialect's names and by the common ones
 LOADS = {
@@ -62,8 +62,8 @@
 
 
 class Briefing:
-    """Reads one instance's settings. `kinds`: name -> ReqKind, whose `external_id` is its place; `reports`:
-    our names of a load report's values in their order; `zones`: names. Raises BadBriefing.
+    """Reads one instance's settings. `kinds`: name -> RequestKind, whose `external_id` is its place;
+    `reports`: our names of a load report's values in their order; `zones`: names. Raises BadBriefing.
     """
 
     def __init__(self, raw):
@@ -73,7 +73,7 @@
         self.tick = self.time("tick")
         self.kinds = {}
         for k in range(int(self.figure("profiles.count"))):
-            kind = i.ReqKind(
+            kind = i.RequestKind(
                 self.time(f"profiles.{k}.aim"),
                 self.time(f"profiles.{k}.deadline"),
                 self.figure(f"profiles.{k}.worth", 1.0),
--- a/embertray/channel/budget.py
+++ b/embertray/channel/budget.py
@@ -22,7 +22,7 @@
     """The Budget of one controller of the site: its proxies are the site's by the number of controllers, all
     of them when the others are gone. Warnings are texts, empty when all fits."""
     rate, warnings = site.channel_rate, []
-    each = site.head + 2  # head, mark, one line
+    each = site.head + 2  # head, nonce, one line
     bind = site.head + 2 + site.backends + len(site.kinds)
     removal, bind_one = int(site.proxies * each * S / rate), int(bind * S / rate)
     bind_all = site.proxies * bind_one
--- a/embertray/channel/outbox.py
+++ b/embertray/channel/outbox.py
@@ -20,7 +20,7 @@
 
     def __init__(self, identifiers, head, kinds):
         self.identifiers, self.head = identifiers, head
-        self.names = kinds  # ReqKind -> its name
+        self.names = kinds  # RequestKind -> its name
         self.tables, self.out = {}, {}  # Table -> Ordered; Backend -> proxies told that it is out
         self.bound = {}  # joined Proxy -> Table or None
         self.all_in, self.most_again, self.wait = (
@@ -41,18 +41,18 @@
             told.pop(px, None)
 
     def post(self, now, orders):
-        """[(proxy, Orders, mark or None)], in the order in which proxies were first concerned."""
-        lines, costs, mark, news = {}, {}, None, []
+        """[(proxy, Orders, nonce or None)], in the order in which proxies were first concerned."""
+        lines, costs, nonce, news = {}, {}, None, []
         for order in orders:
             for px, do, cost in self.concerned(order):
                 lines.setdefault(px, []).append(do)
                 costs[px] = costs.get(px, 0) + cost
-            if isinstance(order, i.PutMark):
-                mark = order.mark
-        ident = self.identifiers.mark_id(mark) if mark and lines else None
+            if isinstance(order, i.PutNonce):
+                nonce = order.nonce
+        ident = self.identifiers.nonce_id(nonce) if nonce and lines else None
         for px, do in lines.items():
             cost = self.head + costs[px] + (ident is not None)
-            news.append((px, Orders(now, float(cost), do, ident), mark if ident else None))
+            news.append((px, Orders(now, float(cost), do, ident), nonce if ident else None))
         return news
 
     def concerned(self, order):
--- a/embertray/channel/outlet.py
+++ b/embertray/channel/outlet.py
@@ -17,7 +17,7 @@
 OLDEST = 5 * S  # ns; over any pause known of proxies (2 s), under the age at which orders are of no use
 UNANSWERED = (
     60 * S
-)  # ns; a proxy that reads but answers no mark so long: each further mark would be kept for it
+)  # ns; a proxy that reads but answers no nonce so long: each further nonce would be kept for it
 GAP, SETTLE = (
     S,
     2 * S,
--- a/embertray/choice/channel.py
+++ b/embertray/choice/channel.py
@@ -4,7 +4,7 @@
 
 
 class Channel(Ledger):
-    """The queue of changed tables, the joiners and removals that pass it, and the marks."""
+    """The queue of changed tables, the joiners and removals that pass it, and the nonces."""
 
     def __init__(self, hub):
         super().__init__(hub)
@@ -29,7 +29,7 @@
         return max(c.LINES_LEAST, int(each - site.head - 2 - len(site.kinds))) if each else 0
 
     def rates(self):
-        """Reqs a second that usually come to the users of each table."""
+        """Requests a second that usually come to the users of each table."""
         found = dict.fromkeys(self.tabs, 0.0)
         for px in [px for px in self.hub.pxs if px.table is not None]:
             found[px.table] += px.rate
@@ -67,12 +67,12 @@
             px.table = tab
         hub.orders += self.sets + [i.Bind(px.handle, tab.handle) for px, tab in binds] + outs
         if self.lines:
-            hub.orders.append(i.PutMark(mark := i.Mark()))
+            hub.orders.append(i.PutNonce(nonce := i.Nonce()))
             for px in self.lines:
-                px.messages.ordered(mark, now)
+                px.messages.ordered(nonce, now)
             if not self.waiting():
                 self.flights.restart(now)
-            self.flights.ordered(mark, self.lines, self.booked)
+            self.flights.ordered(nonce, self.lines, self.booked)
 
     def hasten(self, tab, users):
         """Cuts, and lines for those that hardly have any; then levels."""
@@ -100,7 +100,7 @@
                 break  # nor is there room for the rest
 
     def push(self, tab, users, binds):
-        """The design's queue item, applied when all answered; who leaves a mark open is bound anew."""
+        """The design's queue item, applied when all answered; who leaves a nonce open is bound anew."""
         oldest = self.now - self.patience()
         late = [px for px in users if px.messages.open_before(oldest)]
         moved = self.changes(tab)
--- a/embertray/choice/ledger.py
+++ b/embertray/choice/ledger.py
@@ -6,15 +6,15 @@
 
 
 class Ledger(Actor):
-    """What was ordered and not yet answered, by mark; every order is booked here first."""
+    """What was ordered and not yet answered, by nonce; every order is booked here first."""
 
     def __init__(self, hub):
         super().__init__(hub)
         self.lines, self.booked, self.flights, self.took = {}, 0, Flights(hub.now), deque(maxlen=8)
 
-    def on_through(self, px, mark, took):
+    def on_through(self, px, nonce, took):
         self.took.append(took)
-        self.flights.answered(px, mark, self.site.head + 1, self.now)
+        self.flights.answered(px, nonce, self.site.head + 1, self.now)
 
     def waiting(self):
         return self.flights.waiting(self.now, self.site.channel_rate, c.SLOWEST)
--- a/embertray/choice/levels.py
+++ b/embertray/choice/levels.py
@@ -21,10 +21,10 @@
         if hub.now >= self.look_at and pxs and hub.site.throttle != "none":
             self.look_at = hub.now + c.LOOK
             coming = sum(sum(px.rates.values()) for px in pxs)
-            # other controllers' proxies have their part of the fleet: a unit is a backend for a usual req/s
+            # other controllers' proxies have their part of the fleet: a unit is a backend a usual request/s
             unit = able * (usual := sum(px.rate for px in pxs) or 1.0)
             # what came for a while with no queue and nobody denied was done, in the measure it is seen in:
-            # many proxies with few reqs are counted too high. Guards against denying reqs where there is room
+            # many proxies with few requests are counted too high. Guards against denying where there is room
             calm = tries and mid < c.LOW * target and all(r.level == hub.all_in for r in hub.table.values())
             self.came.append((coming if calm else 0.0, unit))
             came, units = min(n for n, _ in self.came), max(u for _, u in self.came)  # reports lag who leaves
--- a/embertray/choice/planner.py
+++ b/embertray/choice/planner.py
@@ -74,15 +74,16 @@
                 self.hub.orders.append(i.Log("a backend errs far more than its peers: its weight is cut"))
 
     def lines(self, eff, need):
-        """Zone tables hold all listed. Where crossing costs, a part of a zone's reqs stays home as far as its
-        own backends' part of the capacity reaches; what it lacks goes where there is some to spare."""
+        """Zone tables hold all listed. Where crossing costs, a part of a zone's requests stays home as far as
+        its own backends' part of the capacity reaches; what it lacks goes where there is some to spare.
+        """
         zones = list(dict.fromkeys(be.zone for be in eff))
-        total, reqs = sum(eff.values()) or 1.0, sum(need.values()) or 1.0
+        total, requests = sum(eff.values()) or 1.0, sum(need.values()) or 1.0
         cap = {z: sum(w for be, w in eff.items() if be.zone is z) / total or 1e-9 for z in zones}
-        spare = {z: max(0.0, cap[z] - need.get(z, 0.0) / reqs) for z in zones}
+        spare = {z: max(0.0, cap[z] - need.get(z, 0.0) / requests) for z in zones}
         keep = c.HOME if self.site.cross_fee > 0 else 0.0
         for zone in dict.fromkeys([] if self.site.slices else [*self.site.zones, *need]):
-            want = need.get(zone, 0.0) / reqs
+            want = need.get(zone, 0.0) / requests
             home, away = min(want, cap.get(zone, 0.0)), sum(s for z, s in spare.items() if z is not zone)
             flow = {z: home if z is zone else (want - home) * spare[z] / away if away else 0.0 for z in zones}
             part = {z: (keep * flow[z] / want if want else 0.0) / cap[z] + 1 - keep for z in zones}
--- a/embertray/choice/px.py
+++ b/embertray/choice/px.py
@@ -4,7 +4,7 @@
 
 
 class Px(Actor):
-    """A proxy: its zone, whether joined and bound, its open marks and the reqs that come to it."""
+    """A proxy: its zone, whether joined and bound, its open nonces and the requests that come to it."""
 
     def __init__(self, hub, handle):
         super().__init__(hub, handle)
@@ -22,8 +22,8 @@
         self.joined, self.table, self.gone_at = False, None, self.now
 
     def on_answered(self, ev):
-        self.messages.answered(ev.mark, self.now)
-        self.hub.channel.tell("through", self, ev.mark, ev.took)
+        self.messages.answered(ev.nonce, self.now)
+        self.hub.channel.tell("through", self, ev.nonce, ev.took)
 
     def on_arrivals(self, ev):
         self.samples.add(self.now, ev)
--- a/embertray/core/desk.py
+++ b/embertray/core/desk.py
@@ -46,14 +46,14 @@
     def take(self, now, hello, message):
         """Sums or an Answer of a joined proxy."""
         if not isinstance(message, Sums):
-            self.instance.answered(now, hello.proxy, message.mark)
+            self.instance.answered(now, hello.proxy, message.nonce)
             return
         entries = self.trust.met(
             now,
             hello.proxy,
             hello.fresh,
-            [(m.backend, m.tries, m.errored) for m in message.met],
-            sum(c.reqs for c in message.came),
+            [(m.backend, m.tries, m.failed) for m in message.met],
+            sum(c.requests for c in message.came),
         )
         if entries:
             self.hand_on(now, "changes", entries)
--- a/embertray/core/holdings.py
+++ b/embertray/core/holdings.py
@@ -4,7 +4,7 @@
 from ..choice.actor import Actor
 from ..memory.sizes import Shelf
 
-HANDLES = (i.Handle, i.ReqKind, Actor)
+HANDLES = (i.Handle, i.RequestKind, Actor)
 
 
 def shelves(it):
@@ -71,11 +71,11 @@
         "channel": [
             Shelf("messages", len(it.pacer.queue), lambda: it.pacer.queue, [it.pacer.queue], HANDLES),
             Shelf(
-                "marks",
-                len(identifiers.marks) + len(it.stamps),
-                lists(identifiers.marks, it.stamps),
-                [identifiers.marks, it.stamps],
-                (i.ReqKind, Actor),
+                "nonces",
+                len(identifiers.nonces) + len(it.stamps),
+                lists(identifiers.nonces, it.stamps),
+                [identifiers.nonces, it.stamps],
+                (i.RequestKind, Actor),
             ),
             Shelf(
                 "open", sum(map(len, held)), lambda: (item for book in held for item in book), held, HANDLES
@@ -83,13 +83,13 @@
             Shelf("open here", sum(map(len, it.open.values())), lambda: it.open.values(), [it.open], HANDLES),
             Shelf(
                 "flights",
-                sum(len(sent) for sent, _ in module.channel.flights.by_mark.values()),
+                sum(len(sent) for sent, _ in module.channel.flights.by_nonce.values()),
                 lambda: (
-                    item for sent, _ in module.channel.flights.by_mark.values() for item in sent.items()
+                    item for sent, _ in module.channel.flights.by_nonce.values() for item in sent.items()
                 ),
                 [
-                    module.channel.flights.by_mark,
-                    *(sent for sent, _ in module.channel.flights.by_mark.values()),
+                    module.channel.flights.by_nonce,
+                    *(sent for sent, _ in module.channel.flights.by_nonce.values()),
                 ],
                 HANDLES,
             ),
@@ -107,7 +107,7 @@
                 len(bes) + len(pxs),
                 lambda: iter([*bes, *pxs]),
                 [bes, pxs],
-                (i.Handle, i.ReqKind),
+                (i.Handle, i.RequestKind),
                 ("hub", "site", "samples", "messages", "handle", "table"),
             ),
         ],
--- a/embertray/core/instance.py
+++ b/embertray/core/instance.py
@@ -92,27 +92,27 @@
         self.pacer.drop(now, px)
         self.intake.left(px)
         self.reduced.gauge.left(px)
-        for mark in self.open.pop(name, ()):
-            self.settled(mark)
+        for nonce in self.open.pop(name, ()):
+            self.settled(nonce)
         self.todo.append(i.Left(px))
 
-    def answered(self, now, name, mark):
-        """The proxy has applied this mark's message and all before it."""
-        held, known = self.open.get(name, ()), self.identifiers.marks.get(mark)
-        if known is None or mark not in held:
+    def answered(self, now, name, nonce):
+        """The proxy has applied this nonce's message and all before it."""
+        held, known = self.open.get(name, ()), self.identifiers.nonces.get(nonce)
+        if known is None or nonce not in held:
             return
-        self.todo.append(i.Answered(self.identifiers.proxy(name), known, now - self.stamps[mark]))
+        self.todo.append(i.Answered(self.identifiers.proxy(name), known, now - self.stamps[nonce]))
         while held:
             first = held.popleft()
             self.settled(first)
-            if first == mark:
+            if first == nonce:
                 break
 
-    def settled(self, mark):
-        """One proxy less owes an answer; a mark that nobody owes any more is forgotten."""
-        self.refs[mark] -= 1
-        if not self.refs[mark]:
-            del self.refs[mark], self.stamps[mark], self.identifiers.marks[mark]
+    def settled(self, nonce):
+        """One proxy less owes an answer; a nonce that nobody owes any more is forgotten."""
+        self.refs[nonce] -= 1
+        if not self.refs[nonce]:
+            del self.refs[nonce], self.stamps[nonce], self.identifiers.nonces[nonce]
 
     def sums(self, now, name, zone, message):
         px = self.identifiers.proxy(name)
@@ -125,7 +125,7 @@
                     now,
                     px,
                     kind,
-                    came.reqs,
+                    came.requests,
                     came.lost,
                     message.span,
                     self.outbox.level_of(px, kind),
@@ -147,11 +147,11 @@
             step.change = change
             self.outbox.wait, self.outbox.most_again = self.reduced.wait, self.reduced.most_again
         if orders := self.play(now, self.intake.due(now)):
-            for px, message, mark in self.outbox.post(now, orders):
-                if mark:
-                    self.stamps[message.mark] = now
-                    self.refs[message.mark] = self.refs.get(message.mark, 0) + 1
-                    self.open[px.external_id].append(message.mark)
+            for px, message, nonce in self.outbox.post(now, orders):
+                if nonce:
+                    self.stamps[message.nonce] = now
+                    self.refs[message.nonce] = self.refs.get(message.nonce, 0) + 1
+                    self.open[px.external_id].append(message.nonce)
                 self.pacer.put(now, px, message.cost, message)
             self.ask(now, orders, step)
         self.mind(now, step)
@@ -193,7 +193,7 @@
             self.tidy()
             if self.awake.look(now):
                 step.cut += [
-                    (name, "it answers no marks")
+                    (name, "it answers no nonces")
                     for name, held in self.open.items()
                     if held and now - self.stamps[held[0]] > UNANSWERED
                 ]
--- a/embertray/daemon/proxies.py
+++ b/embertray/daemon/proxies.py
@@ -45,7 +45,7 @@
         if stream is None:
             return
         data = frame(encode(orders))
-        stream.session.sent(orders.mark)
+        stream.session.sent(orders.nonce)
         stream.outlet.put(now, len(data))
         stream.conn.put(data)
         self.host.counted["messages"] += 1
--- a/embertray/days/ground.py
+++ b/embertray/days/ground.py
@@ -15,13 +15,13 @@
 from .notation import BadDay
 
 S = 10**9
-SETTLE = 4 * S  # ns after the last req that a day goes on: rules still count there
+SETTLE = 4 * S  # ns after the last request that a day goes on: rules still count there
 START_AFTER = S // 5  # ns between the controllers' start and the proxies'
 LONGEST = 60 * 10**6  # us; what takes longer counts as this in histograms
 
 
 def histogram():
-    """Of us that reqs took, three digits exact."""
+    """Of us that requests took, three digits exact."""
     return HdrHistogram(1, LONGEST, 3)
 
 
@@ -77,14 +77,14 @@
         )
 
     def shares(self):
-        """Each proxy's share of the reqs."""
+        """Each proxy's share of the requests."""
         skew, draw = float(self.day.load["skew"]), self.chance.of("shares")
         shares = [(1 + skew * (2 * draw.random() - 1)) for _ in range(self.count)]
         total = sum(shares)
         return [share / total for share in shares]
 
     def mix(self):
-        """[(ReqKind, share, mean work ns)]"""
+        """[(RequestKind, share, mean work ns)]"""
         works = self.table(self.day.load["work"], lambda kind: kind.response_target // 10, span)
         parts = self.table(
             self.day.load["share"], lambda kind: 1.0, lambda text: float(text.rstrip("%")) / 100
@@ -112,7 +112,7 @@
         return lambda: min(site.way_most, int(site.way_mean * (0.5 + rng.random())))
 
     def rate(self, n, usual):
-        """reqs a second of proxy n's clients, by time."""
+        """requests a second of proxy n's clients, by time."""
         ramp, profile = span(self.day.load["ramp"]), self.profile(n)
 
         def now_rate(now):
@@ -152,7 +152,7 @@
         return found
 
     def outcomes(self):
-        """kind -> (reqs asked, done, late, lost)"""
+        """kind -> (requests asked, done, late, lost)"""
         found = {kind: [0, 0, 0, 0] for kind in self.site.kinds}
         for _, kind, how, _ in self.eyes.reqs:
             found[kind][0] += 1
@@ -160,7 +160,7 @@
         return found
 
     def took(self):
-        """The histogram of what done and late reqs took."""
+        """The histogram of what done and late requests took."""
         found = histogram()
         for _, _, how, took in self.eyes.reqs:
             if how != "lost":
@@ -168,7 +168,7 @@
         return found
 
     def line(self):
-        """[credit earned of credit asked] for each second of the load, by when reqs came; None where none
+        """[credit earned of credit asked] for each second of the load, by when requests came; None where none
         came.
         """
         asked, got = {}, {}
--- a/embertray/days/observer.py
+++ b/embertray/days/observer.py
@@ -9,7 +9,7 @@
 
 
 class Observer:
-    """`events`: Event(at ns, what, who, rest). Outcomes of clients' reqs are kept apart, in `reqs`."""
+    """`events`: Event(at ns, what, who, rest). Outcomes of clients' requests stand in `reqs`."""
 
     def __init__(self):
         self.events, self.reqs, self.over = [], [], False
--- a/embertray/days/player.py
+++ b/embertray/days/player.py
@@ -73,7 +73,7 @@
         return be
 
     async def people(self):
-        """Proxies and their clients: each has its own share of the reqs."""
+        """Proxies and their clients: each has its own share of the requests."""
         day, site, now = self.day, self.site, self.clock.now()
         self.zero = now
         ready, shares, mix = [be.model for be in self.backends], self.shares(), self.mix()
@@ -113,7 +113,7 @@
                 await self.clock.sleep_until(now + spread * (n + 1) // self.count)
 
     async def play(self):
-        """The day itself, from the first req to some seconds after the last."""
+        """The day itself, from the first request to some seconds after the last."""
         async with anyio.create_task_group() as self.group:
             try:
                 await self.build()
--- a/embertray/days/result.py
+++ b/embertray/days/result.py
@@ -22,7 +22,7 @@
     spread: list
     wall: float
     events: list
-    took: object  # HdrHistogram, us of done and late reqs
+    took: object  # HdrHistogram, us of done and late requests
     line: list  # credit earned of credit asked, by second
     claims: dict | None = (
         None  # with processes that form a cluster: days.claims by name, kept, broken or not met
--- a/embertray/days/rules.py
+++ b/embertray/days/rules.py
@@ -156,7 +156,7 @@
             return
         cost = (
             self.site.head
-            + (orders.mark is not None)
+            + (orders.nonce is not None)
             + sum(
                 1 + len(do.lines) + len(do.levels) + len(do.out) if isinstance(do, Bind) else 1
                 for do in orders.do
@@ -201,7 +201,7 @@
             name = next(n for n, p in self.pxs.items() if p is px)
             self.breaks("lost", at, f"{name} had no line to pick for {(at - since) / S:.2f} s")
 
-    # ---- reqs
+    # ---- requests
 
     def on_sent(self, at, name, backend, req, key):
         px, site = self.pxs[name], self.site
@@ -209,7 +209,7 @@
         kind = next(k for k in site.kinds if k.external_id == req.kind)
         for other, how, sent_at in before:
             ran = not (how == "refused" or how == "full" and not site.full_may_have_run)
-            far = kind.again == "uniqued" and (
+            far = kind.again == "deduplicated" and (
                 at - sent_at > site.windows[kind]
                 or kind.group == "zone"
                 and self.backends[other].zone != self.backends[backend].zone
--- a/embertray/degrade/gauge.py
+++ b/embertray/degrade/gauge.py
@@ -18,8 +18,8 @@
 
 
 class Word:
-    """A proxy's last word of one kind: reqs a second that came, were let in, failed, and came first (None:
-    unmarked).
+    """A proxy's last word of one kind: requests a second that came, were let in, failed, and came first
+    (None: unmarked).
     """
 
     __slots__ = ("at", "came", "let_in", "failed", "first")
@@ -29,7 +29,7 @@
 
 
 class Demand:
-    """A kind's first demand, reqs a second."""
+    """A kind's first demand, requests a second."""
 
     def __init__(self):
         self.first = None
@@ -50,7 +50,7 @@
 
 
 class Gauge:
-    """`cycle`: the report cycle, ns; `rated`: whether levels are reqs a second (else parts let in)."""
+    """`cycle`: the report cycle, ns; `rated`: whether levels are requests a second (else parts let in)."""
 
     def __init__(self, kinds, cycle, rated):
         self.kinds, self.cycle, self.rated = kinds, cycle, rated
@@ -58,15 +58,15 @@
         self.demand = {kind: Demand() for kind in kinds}
         self.looked = None
 
-    def sums(self, now, px, kind, reqs, failed, span, level, repeats=None):
+    def sums(self, now, px, kind, requests, failed, span, level, repeats=None):
         """What came to a proxy in `span` ns under an ordered level (None: all let in); `repeats`: of it,
         marked ones.
         """
         if span <= 0:
             return
-        came = reqs * S / span
+        came = requests * S / span
         let_in = came if level is None else min(came, level) if self.rated else came * min(1.0, level)
-        first = None if repeats is None else max(0, reqs - repeats) * S / span
+        first = None if repeats is None else max(0, requests - repeats) * S / span
         self.words[kind][px] = Word(now, came, let_in, min(let_in, failed * S / span), first)
 
     def left(self, px):
--- a/embertray/emulator/flows.py
+++ b/embertray/emulator/flows.py
@@ -53,8 +53,8 @@
                         if isinstance(message, Orders):
                             self.orders += 1
                             self.holding.apply(message)
-                            if message.mark:
-                                conn.put(self.end.pack(Answer(message.mark)))
+                            if message.nonce:
+                                conn.put(self.end.pack(Answer(message.nonce)))
                         elif self.end.over:
                             wait = message.wait
                         else:
--- a/embertray/emulator/fluid.py
+++ b/embertray/emulator/fluid.py
@@ -144,7 +144,7 @@
             came.append(Came(kind.external_id, first + further, lost, further))
         length = int(self.engine.time - self.since[place])
         self.forget(place)
-        return Sums(length, met, [c for c in came if c.reqs])
+        return Sums(length, met, [c for c in came if c.requests])
 
     # ---- a step
 
--- a/embertray/emulator/proxy.py
+++ b/embertray/emulator/proxy.py
@@ -102,8 +102,8 @@
             return
         self.model.apply(orders)
         self.town.eyes.applied(self.town.engine.time, self.name, orders)
-        if orders.mark is not None:
-            self.say(session, Answer(orders.mark))
+        if orders.nonce is not None:
+            self.say(session, Answer(orders.nonce))
 
     def say(self, session, message):
         if session is self.session and session is not None:
--- a/embertray/identifiers/identifiers.py
+++ b/embertray/identifiers/identifiers.py
@@ -5,15 +5,15 @@
 
 from .. import interface as i
 
-TABLES, MARKS = 65534, 65535  # ids in use: 1 to this, then anew
+TABLES, NONCES = 65534, 65535  # ids in use: 1 to this, then anew
 
 
 class Identifiers:
-    """One instance's ids. Tables and marks are numbered when they are first ordered."""
+    """One instance's ids. Tables and nonces are numbered when they are first ordered."""
 
     def __init__(self):
-        self.backends, self.proxies, self.zones, self.tables, self.marks = {}, {}, {}, {}, {}
-        self.next_mark = self.next_table = 0
+        self.backends, self.proxies, self.zones, self.tables, self.nonces = {}, {}, {}, {}, {}
+        self.next_nonce = self.next_table = 0
 
     @staticmethod
     def known(things, kind, ident):
@@ -39,9 +39,9 @@
             table.external_id = self.next_table
         return table.external_id
 
-    def mark_id(self, mark):
-        """A new number for a mark that is ordered now; the oldest of the same number is forgotten."""
-        self.next_mark = self.next_mark % MARKS + 1
-        mark.external_id = self.next_mark
-        self.marks[self.next_mark] = mark
-        return self.next_mark
+    def nonce_id(self, nonce):
+        """A new number for a nonce that is ordered now; the oldest of the same number is forgotten."""
+        self.next_nonce = self.next_nonce % NONCES + 1
+        nonce.external_id = self.next_nonce
+        self.nonces[self.next_nonce] = nonce
+        return self.next_nonce
--- a/embertray/interface.py
+++ b/embertray/interface.py
@@ -1,6 +1,6 @@
 """What goes into the decision module and what comes out, in our own words.
 
-Times are whole nanoseconds. Things the module points at (backends, proxies, zones, tables, marks) are
+Times are whole nanoseconds. Things the module points at (backends, proxies, zones, tables, nonces) are
 objects; whoever feeds the module keeps the ids and gives the same object for the same thing each time.
 """
 
@@ -31,19 +31,19 @@
     """A routing table; the feeder numbers it when it is first ordered (a slice's table comes numbered)."""
 
 
-class Mark(Handle):
+class Nonce(Handle):
     """A mark that proxies answer; the feeder numbers it when it is first ordered."""
 
 
 @dataclass(eq=False)
-class ReqKind:
-    """One request kind: what a req earns, by when, and whether it may run again."""
+class RequestKind:
+    """One request kind: what a request earns, by when, and whether it may run again."""
 
     response_target: int
     client_timeout: int
     credit: float = 1.0
-    again: str = "replayable"  # replayable | uniqued | non-replayable
-    group: str = "all"  # for uniqued: who throws repeats away: all | zone | cell
+    again: str = "replayable"  # replayable | deduplicated | non-replayable
+    group: str = "all"  # for deduplicated: who throws repeats away: all | zone | cell
     external_id: object = None  # its name in the settings
 
 
@@ -77,7 +77,7 @@
     fall_multiple: float = 0.0
     fall_after: int = 0
     drain_grace: int = 0
-    cross_fee: float = 0.0  # points for a req that crosses zones
+    cross_fee: float = 0.0  # points for a request that crosses zones
     drops_bind: bool = True  # a backend the list drops counts as gone for the drain rule
 
 
@@ -118,7 +118,7 @@
 class Joined:
     proxy: Proxy
     zone: Zone
-    rate: float = 0.0  # reqs a second that it usually gets
+    rate: float = 0.0  # requests a second that it usually gets
     fresh: bool = False  # holds its standing table only
 
 
@@ -134,7 +134,7 @@
     backend: Backend
     zone: Zone
     tries: int
-    errored: int = 0
+    failed: int = 0
     latency: int = 0  # mean of those done; 0 if none
     span: int = 0
     load: dict = field(default_factory=dict)
@@ -142,11 +142,11 @@
 
 @dataclass(eq=False)
 class Arrivals:
-    """Reqs of a kind that reached a proxy, repeats and denied ones included."""
+    """Requests of a kind that reached a proxy, repeats and denied ones included."""
 
     proxy: Proxy
-    kind: ReqKind
-    reqs: int
+    kind: RequestKind
+    requests: int
     lost: int = 0
     span: int = 0
 
@@ -154,8 +154,8 @@
 @dataclass(eq=False)
 class SliceArrivals:
     table: Table
-    kind: ReqKind
-    reqs: int
+    kind: RequestKind
+    requests: int
     lost: int = 0
     span: int = 0
 
@@ -176,7 +176,7 @@
 @dataclass(eq=False)
 class Answered:
     proxy: Proxy
-    mark: Mark
+    nonce: Nonce
     took: int = 0
 
 
@@ -212,13 +212,13 @@
 class SetLevel:
     table: Table
     kinds: list  # empty: all kinds
-    level: float  # a share, or reqs a second at each proxy
+    level: float  # a share, or requests a second at each proxy
     retry: int  # 0 none, 1 after proof it never ran, 2 once, 3 twice after any failure
 
 
 @dataclass(eq=False)
-class PutMark:
-    mark: Mark
+class PutNonce:
+    nonce: Nonce
 
 
 @dataclass(eq=False)
--- a/embertray/lab/report.py
+++ b/embertray/lab/report.py
@@ -1,7 +1,7 @@
 """A page of results: broken rules first, then errors, then tables by level and arm, worst seeds, and charts.
 
-Differences are paired by seed (arms meet the same reqs), their intervals by bootstrap. A cell in which a run
-died shows no mean: a mean over the survivors is not the mean.
+Differences are paired by seed (arms meet the same requests), their intervals by bootstrap. A cell in which a
+run died shows no mean: a mean over the survivors is not the mean.
 """
 
 from collections import defaultdict
@@ -166,7 +166,7 @@
 
 
 def merged(rows):
-    """One histogram of all the rows' reqs, or None. Counts add up: nothing is averaged."""
+    """One histogram of all the rows' requests, or None. Counts add up: nothing is averaged."""
     whole = None
     for row in rows:
         if row["took"]:
@@ -179,7 +179,7 @@
 
 
 def times(experiment, results):
-    """A table of what reqs took, by arm and levels, from merged histograms."""
+    """A table of what requests took, by arm and levels, from merged histograms."""
     names = [name for name, _ in experiment.factors]
     lines = [
         "",
@@ -242,7 +242,7 @@
 
 
 def spread_chart(experiment, results, path):
-    """The distribution of what reqs took, a line an arm, all cells together; False if there is none."""
+    """The distribution of what requests took, a line an arm, all cells together; False if there is none."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/embertray/measure/fleet.py
+++ b/embertray/measure/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of bare proxy streams on loopback, to load one controller: they join, answer marks and send
+"""A fleet of bare proxy streams on loopback, to load one controller: they join, answer nonces and send
 sums.
 """
 
@@ -49,8 +49,8 @@
                         if isinstance(message, Orders):
                             self.bound.set()
                             self.saw(self.name, now, message, len(data))
-                            if message.mark:
-                                await self.stream.send(self.end.pack(Answer(message.mark)))
+                            if message.nonce:
+                                await self.stream.send(self.end.pack(Answer(message.nonce)))
         except BROKEN:
             pass
 
--- a/embertray/measure/recorded.py
+++ b/embertray/measure/recorded.py
@@ -28,7 +28,7 @@
         self.numbers, self.things, self.counts = {}, {}, {}
 
     def row(self, thing):
-        if isinstance(thing, (i.Handle, i.ReqKind)):
+        if isinstance(thing, (i.Handle, i.RequestKind)):
             if thing not in self.numbers:
                 name = type(thing).__name__
                 self.counts[name] = n = self.counts.get(name, 0) + 1
@@ -67,8 +67,8 @@
 
     def begin(self, row):
         for n, kind in enumerate(row["kinds"], 1):
-            self.things["ReqKind", n] = made = i.ReqKind(*kind)
-            self.numbers[made], self.counts["ReqKind"] = ["ReqKind", n], n
+            self.things["RequestKind", n] = made = i.RequestKind(*kind)
+            self.numbers[made], self.counts["RequestKind"] = ["RequestKind", n], n
         return row["seed"], self.thing(row["site"]), row["now"]
 
 
@@ -87,7 +87,7 @@
         def recorded(now, events):
             rows.append([now, names.row(events)])
             orders = step(now, events)
-            names.row(orders)  # numbers its tables and marks
+            names.row(orders)  # numbers its tables and nonces
             return orders
 
         module.step = recorded
--- a/embertray/model/backend.py
+++ b/embertray/model/backend.py
@@ -1,9 +1,9 @@
 """A backend: cores, a queue, a cold start, a cap on connections and its ways to fail; time in, verdicts out.
 
-Reqs wait in one queue and take a core each, or share all cores (`sharing`); one that starts cold works at a
-part of its speed that rises evenly, one that thrashes loses speed with what waits. Beyond the queue it
-answers `full` unseen; that is proof that the req never ran. `pour` is the same machine for a flow of reqs,
-`Pour` tells its verdict.
+Requests wait in one queue and take a core each, or share all cores (`sharing`); one that starts cold works at
+a part of its speed that rises evenly, one that thrashes loses speed with what waits. Beyond the queue it
+answers `full` unseen; that is proof that the request never ran. `pour` is the same machine for a flow of
+requests, `Pour` tells its verdict.
 """
 
 import heapq
@@ -16,7 +16,7 @@
 
 @dataclass
 class Shape:
-    """What a machine is: `speed` is work done a second by a core; `queue` reqs may wait; `cap`
+    """What a machine is: `speed` is work done a second by a core; `queue` requests may wait; `cap`
     connections.
     """
 
@@ -37,7 +37,7 @@
 
     slow: float = 1.0  # x slower
     hang: bool = False  # takes work, answers nothing
-    fails: float = 0.0  # share of reqs answered with an error at once
+    fails: float = 0.0  # share of requests answered with an error at once
     kinds: set = field(default_factory=set)  # request kinds that fail
     lies: float = 1.0  # x on its load reports
 
@@ -98,7 +98,7 @@
         return able
 
     def waiting(self):
-        """Reqs beyond one a core."""
+        """Requests beyond one a core."""
         return len(self.queue) + max(0, len(self.busy) - self.shape.cores)
 
     def connect(self, now):
@@ -113,8 +113,9 @@
         self.conns = max(0, self.conns - 1)
 
     def offer(self, now, ident, kind, work, until, draw=1.0):
-        """A req: 'full' or 'error' at once, or None: it waits or runs and `advance` gives its end. `until`:
-        not begun past this time; `draw`: a number from 0 to 1 by which a failing backend errs."""
+        """A request: 'full' or 'error' at once, or None: it waits or runs and `advance` gives its end.
+        `until`: not begun past this time; `draw`: a number from 0 to 1 by which a failing backend errs.
+        """
         if kind in self.ills.kinds or draw < self.ills.fails:
             return "error"
         if self.shape.sharing:
@@ -135,7 +136,7 @@
             heapq.heappush(self.busy, (now + took, self.count, now, ident))
 
     def advance(self, now):
-        """Idents of reqs done by now, in the order of their ends."""
+        """Idents of requests done by now, in the order of their ends."""
         if self.shape.sharing:
             return self.advance_shared(now)
         ended = []
@@ -160,7 +161,7 @@
     # ---- all at once, each slower
 
     def pace(self, now):
-        """ns of a core that each req gets a ns: a whole one where there are no more reqs than cores."""
+        """ns of a core that each request gets a ns: a whole one if there are no more of them than cores."""
         return self.capacity(now) / max(self.shape.cores, len(self.busy))
 
     def share(self, now, ident, work):
@@ -192,10 +193,11 @@
 
     # ---- as a flow
 
-    def pour(self, now, span, reqs, work, within):
-        """`reqs` come evenly in `span` ns, each of `work` ns, each given up after `within` ns. Their wait is
-        what stood before them, and that of M/M/c by Sakasegawa's approximation (1977) for as far as there is
-        room."""
+    def pour(self, now, span, requests, work, within):
+        """`requests` come evenly in `span` ns, each of `work` ns, each given up after `within` ns. Their wait
+        is what stood before them, and that of M/M/c by Sakasegawa's approximation (1977) for as far as there
+        is room.
+        """
         if self.state != "up" or self.ills.hang:
             self.waits = 0.0
             return Pour(0.0, 0.0, 1.0, 0)
@@ -203,7 +205,7 @@
         service = work * cores / able
         room = self.shape.queue * work
         before = self.waits
-        came = reqs * (1 - self.ills.fails)
+        came = requests * (1 - self.ills.fails)
         self.waits = max(0.0, before + came * work - able * span)
         full = 0.0
         if self.waits > room:
--- a/embertray/model/client.py
+++ b/embertray/model/client.py
@@ -6,7 +6,7 @@
 
 
 class Ask:
-    """One req from its first try to its end."""
+    """One request from its first try to its end."""
 
     __slots__ = ("ident", "kind", "at", "tries", "timer", "work")
 
@@ -15,8 +15,8 @@
 
 
 class Clients:
-    """`mix`: [(ReqKind, share, mean work ns)]. `retries` further tries, each about `wait` ns after the one
-    before.
+    """`mix`: [(RequestKind, share, mean work ns)]. `retries` further tries, each about `wait` ns after the
+    one before.
     """
 
     def __init__(self, number, mix, rng, retries=1, wait=S // 5):
@@ -25,7 +25,7 @@
         self.open, self.count = {}, 0
 
     def draw(self, now):
-        """A new req of a kind and work drawn from the mix."""
+        """A new request of a kind and work drawn from the mix."""
         draw = self.rng.random()
         for kind, share, mean in self.mix:  # noqa: B007 (used after the loop)
             draw -= share
@@ -42,7 +42,7 @@
         return ask
 
     def attempt(self, now, ask):
-        """ns that the next try may take, or None: the client timeout is over, and the req is lost."""
+        """ns that the next try may take, or None: the client timeout is over, and the request is lost."""
         ask.tries += 1
         left = ask.at + ask.kind.client_timeout - now
         if left <= 0:
--- a/embertray/model/load.py
+++ b/embertray/model/load.py
@@ -1,6 +1,6 @@
-"""Where reqs come from: each source tells when the next one comes. Times in ns, rates a second.
+"""Where requests come from: each source tells when the next one comes. Times in ns, rates a second.
 
-`next(now, rng, until)` gives (when, kind, work): the first req after `now`; kind and work None where the
+`next(now, rng, until)` gives (when, kind, work): the first request after `now`; kind and work None where the
 clients' mix draws them; `when` None when none comes before `until`. Profiles (wave, flash, Bursts) are
 factors on a rate by time. A recorded source replays what a log tells: whoever reads HAR files or access logs
 gives it (when, kind, work) rows.
--- a/embertray/model/proxy.py
+++ b/embertray/model/proxy.py
@@ -19,8 +19,8 @@
 
 
 class StandsStill:
-    """What comes to a process that is stopped waits, as (what, *args) in `held_back`; orders before reqs when
-    it goes on.
+    """What comes to a process that is stopped waits, as (what, *args) in `held_back`; orders before requests
+    when it goes on.
     """
 
     still = False
@@ -36,7 +36,7 @@
 
 
 class Underway:
-    """A req at the proxy: where it is now, and what was tried. `back` is free for whoever brought it."""
+    """A request at the proxy: where it is now, and what was tried. `back` is free for whoever brought it."""
 
     __slots__ = (
         "req",
@@ -64,10 +64,10 @@
 class Heard:
     """What was met at one backend since the last sums."""
 
-    __slots__ = ("tries", "errored", "latency", "load")
+    __slots__ = ("tries", "failed", "latency", "load")
 
     def __init__(self):
-        self.tries = self.errored = self.latency = 0
+        self.tries = self.failed = self.latency = 0
         self.load = {}
 
 
@@ -120,7 +120,7 @@
             )
         return self.book
 
-    # ---- reqs
+    # ---- requests
 
     def arrive(self, now, req, back):
         """An Underway to be tried, or None: denied."""
@@ -205,7 +205,7 @@
             heard.latency += now - under.sent
             self.fails.pop(name, None)
             return "done"
-        heard.errored += 1
+        heard.failed += 1
         fails = self.fails[name] = self.fails.get(name, 0) + 1
         if self.site.eject_after and fails >= self.site.eject_after:
             self.ejected[name] = now + EJECT
@@ -235,5 +235,5 @@
         """What was met and came since the last sums."""
         heard, came, span = self.heard, self.came, now - self.since
         self.joined(now)
-        met = [Met(be, h.tries, h.errored, h.latency, h.load) for be, h in heard.items()]
+        met = [Met(be, h.tries, h.failed, h.latency, h.load) for be, h in heard.items()]
         return Sums(span, met, [Came(kind, *counts) for kind, counts in came.items()])
--- a/embertray/platform/limits.py
+++ b/embertray/platform/limits.py
@@ -20,7 +20,7 @@
     0.5  # of the descriptors told: connections that have not joined, at once; the rest is for who has
 )
 SPARE = 48  # descriptors kept free for relay, discovery and the process itself
-COUNT_MOST = 10**6  # tries or reqs in one report: a hundred times what a zone can do in a minute
+COUNT_MOST = 10**6  # tries or requests in one report: a hundred times what a zone can do in a minute
 TOOK_MOST = 600_000  # ms; no mean latency or report interval is as long
 LOAD_MOST = 10**6  # a load report's value: past any queue, share or latency in ms
 WORD_MOST = 256  # characters of a name
--- a/embertray/platform/port.py
+++ b/embertray/platform/port.py
@@ -22,9 +22,9 @@
 Load = Annotated[float, Meta(ge=0, le=LOAD_MOST)]
 
 Met = namedtuple(
-    "Met", "backend zone tries errored latency span load"
-)  # tries and errored: counts; times in ns
-Came = namedtuple("Came", "proxy kind reqs lost span")
+    "Met", "backend zone tries failed latency span load"
+)  # tries and failed: counts; times in ns
+Came = namedtuple("Came", "proxy kind requests lost span")
 
 
 class Line(msgspec.Struct, tag_field="@type"):
@@ -139,7 +139,7 @@
         elif message.node >= self.proxies or message.route not in self.kinds:
             self.pass_over("a proxy or request kind that is not there")
         elif message.errors > message.total:
-            self.pass_over("more errors than reqs")
+            self.pass_over("more errors than requests")
         else:
             found.append(
                 Came(message.node, message.route, message.total, message.errors, round(message.interval * MS))
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -95,7 +95,7 @@
             for handle in known.values():
                 handle.actor = None
         self.chance += 1
-        self.module, self.wakes, self.identifiers.marks = (
+        self.module, self.wakes, self.identifiers.nonces = (
             Controller(self.chance, self.told.deployment(self.identifiers), now),
             [],
             {},
@@ -103,12 +103,12 @@
         self.todo = [i.ListNews("cached", listed), *map(self.words.news, self.standing.joined.values())]
 
     def tidy(self):
-        """Who is long gone is forgotten, and marks that nobody owes an answer to."""
+        """Who is long gone is forgotten, and nonces that nobody owes an answer to."""
         self.forget(lambda thing: thing.external_id in self.standing.joined)
-        open_marks = {mark for proxy in self.module.pxs for mark, _ in proxy.messages.open}
-        open_marks.update(self.module.channel.flights.by_mark)
-        self.identifiers.marks = {
-            number: mark for number, mark in self.identifiers.marks.items() if mark in open_marks
+        open_nonces = {nonce for proxy in self.module.pxs for nonce, _ in proxy.messages.open}
+        open_nonces.update(self.module.channel.flights.by_nonce)
+        self.identifiers.nonces = {
+            number: nonce for number, nonce in self.identifiers.nonces.items() if nonce in open_nonces
         }
 
     def next_at(self):
--- a/embertray/platform/words.py
+++ b/embertray/platform/words.py
@@ -24,13 +24,13 @@
                 backend,
                 self.identifiers.zone(got.zone),
                 got.tries,
-                got.errored,
+                got.failed,
                 got.latency,
                 got.span,
                 got.load,
             )
         proxy = self.identifiers.proxies.get(got.proxy)
-        return proxy and i.Arrivals(proxy, self.kinds[got.kind], got.reqs, got.lost, got.span)
+        return proxy and i.Arrivals(proxy, self.kinds[got.kind], got.requests, got.lost, got.span)
 
     def news(self, got):
         """An Attach, Detach or Done as an event; None for a nonce that is not open any more."""
@@ -39,8 +39,8 @@
             return i.Joined(proxy, self.identifiers.zone(got.zone), got.rate, got.fresh)
         if isinstance(got, Detach):
             return i.Left(proxy)
-        mark = self.identifiers.marks.get(got.nonce)
-        return mark and i.Answered(proxy, mark, got.took)
+        nonce = self.identifiers.nonces.get(got.nonce)
+        return nonce and i.Answered(proxy, nonce, got.took)
 
     def orders(self, orders):
         """(order texts, the nonce or None, the nonce's order as a function of 0 or 1, log lines)."""
@@ -58,8 +58,8 @@
                 texts.append(
                     f"LIMIT,{self.identifiers.table_id(order.table)},{kinds},{figure(order.level)},{order.retry}"
                 )
-            elif isinstance(order, i.PutMark):
-                nonce = self.identifiers.mark_id(order.mark)
+            elif isinstance(order, i.PutNonce):
+                nonce = self.identifiers.nonce_id(order.nonce)
                 sync = f"SYNC,{nonce},{{}}".format
             elif isinstance(order, i.Log):
                 said.append(order.text)
--- a/embertray/records/arrivals.py
+++ b/embertray/records/arrivals.py
@@ -19,4 +19,4 @@
         known = [(at, report) for at, report in self.rows if report.kind is kind]
         rows = [report for at, report in known if at > start or at == known[-1][0]]
         span = sum(report.span for report in rows)
-        return sum(report.reqs for report in rows) * SECOND / span if span else default
+        return sum(report.requests for report in rows) * SECOND / span if span else default
--- a/embertray/records/backend.py
+++ b/embertray/records/backend.py
@@ -54,7 +54,7 @@
         self.rows = deque(maxlen=keep)
 
     def add(self, at, heard, load):
-        row = Sample(at, heard.tries, heard.errored, heard.latency, load, heard.zone, heard.span)
+        row = Sample(at, heard.tries, heard.failed, heard.latency, load, heard.zone, heard.span)
         self.rows.append(row)
 
     def clear(self):
--- a/embertray/records/messages.py
+++ b/embertray/records/messages.py
@@ -1,4 +1,4 @@
-"""Messages that are on their way, by the marks that close them."""
+"""Messages that are on their way, by the nonces that close them."""
 
 from collections import deque
 
@@ -6,17 +6,17 @@
 
 
 class ProxyMessages:
-    """One proxy's messages: marks it has not answered yet, and until when the answered were written."""
+    """One proxy's messages: nonces it has not answered yet, and until when the answered were written."""
 
     def __init__(self):
-        self.open, self.written = deque(), deque()  # (mark, time ordered); times
+        self.open, self.written = deque(), deque()  # (nonce, time ordered); times
 
-    def ordered(self, mark, at):
-        self.open.append((mark, at))
+    def ordered(self, nonce, at):
+        self.open.append((nonce, at))
 
-    def answered(self, mark, at):
+    def answered(self, nonce, at):
         """All before it, too. They count as written now: a channel that lags writes late and at once."""
-        while any(mark is each for each, _ in self.open):
+        while any(nonce is each for each, _ in self.open):
             self.open.popleft()
             self.written.append(at)
 
@@ -32,32 +32,32 @@
 
 
 class Flights:
-    """Lines that wait in the channel, by mark in the order of sending."""
+    """Lines that wait in the channel, by nonce in the order of sending."""
 
     def __init__(self, now):
-        self.by_mark, self.proof_at = {}, now  # mark -> [proxy -> lines, lines in all that are unanswered]
+        self.by_nonce, self.proof_at = {}, now  # nonce -> [proxy -> lines, lines in all that are unanswered]
 
-    def ordered(self, mark, lines, total):
-        self.by_mark[mark] = [lines, total]
+    def ordered(self, nonce, lines, total):
+        self.by_nonce[nonce] = [lines, total]
 
-    def answered(self, proxy, mark, head, now):
+    def answered(self, proxy, nonce, head, now):
         """Marks before it are through as well. `head`: lines that a message costs beyond its own."""
-        if mark not in self.by_mark:
+        if nonce not in self.by_nonce:
             return
-        while (first := next(iter(self.by_mark))) is not mark:
-            del self.by_mark[first]
-        lines = self.by_mark[mark][0].pop(proxy, 0)
+        while (first := next(iter(self.by_nonce))) is not nonce:
+            del self.by_nonce[first]
+        lines = self.by_nonce[nonce][0].pop(proxy, 0)
         if lines:
-            self.by_mark[mark][1] -= lines + head
+            self.by_nonce[nonce][1] -= lines + head
             self.proof_at = now
 
     def restart(self, now):
-        self.by_mark.clear()
+        self.by_nonce.clear()
         self.proof_at = now
 
     def waiting(self, now, rate, slowest):
-        """Lines that may still wait: all since the last mark known to be through, less what leaves at `rate`
+        """Lines that may still wait: all since the last nonce known to be through, less what leaves at `rate`
         lines a second divided by `slowest`.
         """
         gone = (now - self.proof_at) * rate / slowest / SECOND
-        return max(0.0, sum(left for _, left in self.by_mark.values()) - gone)
+        return max(0.0, sum(left for _, left in self.by_nonce.values()) - gone)
--- a/embertray/reports/intake.py
+++ b/embertray/reports/intake.py
@@ -18,18 +18,18 @@
 class Met:
     """One line's sums. `span`: ns that they cover."""
 
-    __slots__ = ("tries", "errored", "latency", "load", "span")
+    __slots__ = ("tries", "failed", "latency", "load", "span")
 
     def __init__(self):
-        self.tries = self.errored = self.latency = self.span = 0
+        self.tries = self.failed = self.latency = self.span = 0
         self.load = {}
 
 
 class Came:
-    __slots__ = ("reqs", "lost", "span")
+    __slots__ = ("requests", "lost", "span")
 
     def __init__(self):
-        self.reqs = self.lost = self.span = 0
+        self.requests = self.lost = self.span = 0
 
 
 class Round:
@@ -67,7 +67,7 @@
             if line is None:
                 line = found.lines[be] = Met()
             line.tries += met.tries
-            line.errored += met.errored
+            line.failed += met.failed
             line.latency += met.latency
             line.load = met.load or line.load
         found.spans[px] = message.span
@@ -80,7 +80,7 @@
                 self.unknown += 1
             else:
                 line = self.line((px, known), Came)
-                line.reqs += came.reqs
+                line.requests += came.requests
                 line.lost += came.lost
                 line.span += message.span
 
@@ -91,7 +91,7 @@
         for be, met in found.lines.items():
             line = self.line((be, zone), Met)
             line.tries += met.tries
-            line.errored += met.errored
+            line.failed += met.failed
             line.latency += met.latency
             line.load = met.load or line.load
             line.span += span
@@ -125,15 +125,15 @@
             del self.waiting[(thing, second)]
             self.room -= 1
             if isinstance(line, Came):
-                events.append(i.Arrivals(thing, second, line.reqs, line.lost, line.span))
+                events.append(i.Arrivals(thing, second, line.requests, line.lost, line.span))
             elif line.tries:
-                done = line.tries - line.errored
+                done = line.tries - line.failed
                 events.append(
                     i.Heard(
                         thing,
                         second,
                         line.tries,
-                        line.errored,
+                        line.failed,
                         line.latency // done if done else 0,
                         line.span,
                         line.load,
--- a/embertray/site/site.py
+++ b/embertray/site/site.py
@@ -14,6 +14,7 @@
 HERE = Path(__file__).resolve().parent
 SIZES = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 UNITS = {"us": 10**3, "ms": 10**6, "min": 60 * 10**9, "s": 10**9}
+FORMER_AGAIN = {"uniqued": "deduplicated"}  # words of older descriptions
 
 
 class BadSite(ValueError):
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, eq=False)
 class Site:
-    """A deployment's facts. Times in ns, rates a second. `kinds` are interface.ReqKind, their names at
+    """A deployment's facts. Times in ns, rates a second. `kinds` are interface.RequestKind, their names at
     `external_id`.
     """
 
@@ -184,11 +185,11 @@
     kinds, late, windows = [], {}, {}
     for element in root.find("request-kinds"):
         got = {**defaults["kind"], **element.attrib}
-        kind = i.ReqKind(
+        kind = i.RequestKind(
             time(got["response-target"]),
             time(got["client-timeout"]),
             float(got["credit"]),
-            got["again"],
+            FORMER_AGAIN.get(got["again"], got["again"]),
             got["group"],
             got["name"],
         )
--- a/embertray/standin/backend.py
+++ b/embertray/standin/backend.py
@@ -7,8 +7,9 @@
 
 
 class StandinBackend:
-    """`model` is a model.backend.Backend whose name is its address once it listens; `saw(now, name, req)` for
-    each req that its socket brings; `draw()` gives numbers from 0 to 1."""
+    """`model` is a model.backend.Backend whose name is its address once it listens; `saw(now, name, request)`
+    for each request that its socket brings; `draw()` gives numbers from 0 to 1.
+    """
 
     def __init__(self, model, net, agenda, draw, saw=None):
         self.model, self.net, self.agenda, self.draw, self.saw = model, net, agenda, draw, saw
--- a/embertray/standin/client.py
+++ b/embertray/standin/client.py
@@ -1,4 +1,6 @@
-"""Clients on sockets: reqs by chance at a rate, with time-outs and retries of their own (model/client.py)."""
+"""Clients on sockets: requests by chance at a rate, with time-outs and retries of their own
+(model/client.py).
+"""
 
 import anyio
 
@@ -11,8 +13,9 @@
 
 
 class StandinClients:
-    """The clients of one proxy. `mix`: [(ReqKind, share, mean work ns)]; `rate(now)` reqs a second, or a
-    source of model/load.py; `ended(now, at, kind, how, took)` for each req, how: done | late | lost."""
+    """The clients of one proxy. `mix`: [(RequestKind, share, mean work ns)]; `rate(now)` requests a second,
+    or a source of model/load.py; `ended(now, at, kind, how, took)` for each request, how: done | late | lost.
+    """
 
     def __init__(self, number, mix, rate, net, agenda, rng, retries=1, wait=S // 5, ended=None):
         self.model, self.rng = Clients(number, mix, rng, retries, wait), rng
@@ -49,7 +52,7 @@
         self.plan()
 
     def put(self, ask):
-        """One try; the client gives up on the whole req at its client timeout."""
+        """One try; the client gives up on the whole request at its client timeout."""
         now = self.agenda.now()
         within = self.model.attempt(now, ask)
         if within is None:
--- a/embertray/standin/fleet.py
+++ b/embertray/standin/fleet.py
@@ -9,7 +9,7 @@
 
 
 class Fleet:
-    """`controller(seed, deployment, now)` makes the module. Proxies apply messages and answer marks; bound
+    """`controller(seed, deployment, now)` makes the module. Proxies apply messages and answer nonces; bound
     ones hold their table's lines, loose ones what they brought. `late`: (proxy, backend) still held past the
     grace; `bare`: ns without any line; `written`: when each proxy's messages left the channel; `most`: lines
     that waited there."""
@@ -18,7 +18,7 @@
         self.zones = [i.Zone(f"zone-{k}") for k in range(zones)]
         self.bes = [i.Backend(f"be-{k}") for k in range(backends)]
         self.pxs = [i.Proxy(k) for k in range(proxies)]
-        kinds = [i.ReqKind(800 * MS, 2 * S), i.ReqKind(S, 3 * S, 2.0, "non-replayable")]
+        kinds = [i.RequestKind(800 * MS, 2 * S), i.RequestKind(S, 3 * S, 2.0, "non-replayable")]
         given = (
             dict(
                 controllers=5,
@@ -78,7 +78,7 @@
 
     def deliver(self):
         while self.channel and self.channel[0][0] <= self.now:
-            _, px, change, mark, sent = self.channel.popleft()
+            _, px, change, nonce, sent = self.channel.popleft()
             for be, weight in change.items():
                 if be is None:
                     self.held[px] = dict(weight)
@@ -86,12 +86,12 @@
                     self.held[px][be] = weight
                 else:
                     self.held[px].pop(be, None)
-            if mark:
-                self.todo.append(i.Answered(px, mark, self.now - sent))
+            if nonce:
+                self.todo.append(i.Answered(px, nonce, self.now - sent))
 
     def send(self, orders):
         """Orders of a step become one message a proxy; they leave the channel at its pace, in order."""
-        messages, cost, mark = defaultdict(dict), defaultdict(float), None
+        messages, cost, nonce = defaultdict(dict), defaultdict(float), None
         users = defaultdict(list)
         for px, table in self.bound.items():
             users[table].append(px)
@@ -111,14 +111,14 @@
                 for px in self.since:
                     if self.held[px].get(one.backend):
                         messages[px][one.backend], cost[px] = 0, cost[px] + 1
-            elif isinstance(one, i.PutMark):
-                mark = one.mark
+            elif isinstance(one, i.PutNonce):
+                nonce = one.nonce
         for px in cost:
             self.free_at = max(self.free_at, self.now) + int(
                 (cost[px] + self.site.head + 1) * S / self.site.channel_rate
             )
             self.written[px].append(self.free_at)
-            self.channel.append((self.free_at + self.site.way_mean, px, messages[px], mark, self.now))
+            self.channel.append((self.free_at + self.site.way_mean, px, messages[px], nonce, self.now))
         self.most = max(self.most, (self.free_at - self.now) * self.site.channel_rate / S)
 
     def judge(self):
--- a/embertray/standin/messages.py
+++ b/embertray/standin/messages.py
@@ -1,4 +1,4 @@
-"""What clients, proxies and backends say to each other: a req and its end, in the frames of the proxies'
+"""What clients, proxies and backends say to each other: a request and its end, in the frames of the proxies'
 protocol.
 """
 
--- a/embertray/standin/proxy.py
+++ b/embertray/standin/proxy.py
@@ -1,5 +1,6 @@
-"""A plain proxy on sockets: its stream to a controller, its clients and its backends. What it does with a req
-is told by model/proxy.py; it keeps what it holds when its stream breaks and dials the next controller.
+"""A plain proxy on sockets: its stream to a controller, its clients and its backends. What it does with a
+request is told by model/proxy.py; it keeps what it holds when its stream breaks and dials the next
+controller.
 """
 
 import anyio
@@ -125,8 +126,8 @@
         self.model.apply(orders)
         if self.eyes:
             self.eyes.applied(self.agenda.now(), self.name, orders)
-        if orders.mark is not None:
-            self.say(end, Answer(orders.mark))
+        if orders.nonce is not None:
+            self.say(end, Answer(orders.nonce))
 
     def say(self, end, message):
         if end is self.joined:
@@ -151,7 +152,7 @@
             if end and not self.still:
                 self.agenda.after(self.lag, self.say, end, sums)
 
-    # ---- reqs
+    # ---- requests
 
     async def client(self, stream):
         link = Link(stream, encode, read, lambda m: self.on_req(link, m))
--- a/embertray/stream/messages.py
+++ b/embertray/stream/messages.py
@@ -18,7 +18,7 @@
 Weight = Annotated[float, Meta(ge=0, le=1e12)]
 Share = Annotated[float, Meta(ge=0, le=1e12)]
 TableId = Annotated[int, Meta(ge=1, le=65534)]
-MarkId = Annotated[int, Meta(ge=1, le=65535)]
+NonceId = Annotated[int, Meta(ge=1, le=65535)]
 Again = Annotated[int, Meta(ge=0, le=3)]
 
 
@@ -33,14 +33,14 @@
     version: Count
     proxy: Name
     zone: Name
-    rate: Share = 0.0  # reqs a second that it usually gets
+    rate: Share = 0.0  # requests a second that it usually gets
     fresh: bool = False  # holds its standing table only
 
 
 class Answer(Message, tag="answer"):
-    """The message that carried this mark, and all before it, are applied."""
+    """The message that carried this nonce, and all before it, are applied."""
 
-    mark: MarkId
+    nonce: NonceId
 
 
 class Met(Message):
@@ -48,16 +48,17 @@
 
     backend: Name
     tries: Count
-    errored: Count = 0
+    failed: Count = 0
     latency: Time = 0  # ns, the sum over tries done
     load: dict[Name, Share] = {}  # newest load report among the answers
 
 
 class Came(Message):
     kind: Name
-    reqs: Count
+    requests: Count
     lost: Count = 0
-    repeats: Count | None = None  # of reqs, those that clients marked as further tries; None: they mark none
+    # of requests, those that clients marked as further tries; None: they mark none
+    repeats: Count | None = None
 
 
 class Sums(Message, tag="sums"):
@@ -107,7 +108,7 @@
     stamp: Time  # the controller's clock when it ordered this
     cost: Share  # lines that the message counts in the channel, its head and mark included
     do: Annotated[list[Line | Bind | Out | Level], Meta(max_length=MOST_LINES)]
-    mark: MarkId | None = None
+    nonce: NonceId | None = None
 
 
 class Fault(Message, tag="fault"):
--- a/embertray/stream/session.py
+++ b/embertray/stream/session.py
@@ -65,7 +65,7 @@
 
 
 class ControllerEnd(Session):
-    """Knows the proxy's name from its hello on, and which marks are open on this stream."""
+    """Knows the proxy's name from its hello on, and which nonces are open on this stream."""
 
     def __init__(self, zones=None):
         """`zones`: names that a hello may give; None: any."""
@@ -84,22 +84,22 @@
         elif not self.hello:
             self.refuse("order", f"{type(message).__name__.lower()} before the hello")
         elif isinstance(message, Answer):
-            if message.mark not in self.open:
-                self.refuse("order", f"an answer to mark {message.mark}, which is not open here")
-            while self.open.popleft() != message.mark:  # the channel keeps order
+            if message.nonce not in self.open:
+                self.refuse("order", f"an answer to nonce {message.nonce}, which is not open here")
+            while self.open.popleft() != message.nonce:  # the channel keeps order
                 pass
         elif isinstance(message, Sums):
             for met in message.met:
-                if met.errored > met.tries:
-                    self.refuse("malformed", f"{met.errored} of {met.tries} tries errored at {met.backend}")
+                if met.failed > met.tries:
+                    self.refuse("malformed", f"{met.failed} of {met.tries} tries failed at {met.backend}")
 
     def welcome(self, controller, kinds):
         return frame(encode(Welcome(VERSION, controller, kinds)))
 
-    def sent(self, mark):
-        """A message with this mark goes out on this stream: from now on it may be answered."""
-        if mark is not None:
-            self.open.append(mark)
+    def sent(self, nonce):
+        """A message with this nonce goes out on this stream: from now on it may be answered."""
+        if nonce is not None:
+            self.open.append(nonce)
 
 
 class ProxyEnd(Session):
--- a/embertray/trust/trust.py
+++ b/embertray/trust/trust.py
@@ -165,20 +165,19 @@
     # ---- what proxies met
 
     def met(self, now, px, fresh, sums, came=0):
-        """Evidence from one proxy's sums: (backend, tries, errored), and reqs that came to it. Entries to be
-        handed on as changes, if any."""
+        """Evidence from one proxy's sums: (backend, tries, failed), and requests that came to it. Entries to
+        be handed on as changes, if any.
+        """
         changes, tries, bad = [], 0, 0
-        for backend, n, errored in sums:
-            tries, bad = tries + n, bad + errored
+        for backend, n, failed in sums:
+            tries, bad = tries + n, bad + failed
             known = self.known.get(backend)
             if known is None:
-                self.strangers = (
-                    self.strangers or not self.spoken and n > errored and backend not in self.gone
-                )
+                self.strangers = self.strangers or not self.spoken and n > failed and backend not in self.gone
                 continue
-            known.done += n - errored
-            known.failed = 0 if n > errored else known.failed + errored
-            if n > errored:
+            known.done += n - failed
+            known.failed = 0 if n > failed else known.failed + failed
+            if n > failed:
                 known.answered = now
                 if known.doubt and not known.handed and known.done >= PROVEN:
                     known.out, known.handed = False, True
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -21,7 +21,7 @@
 
 
 def replace_do(message, do):
-    return Orders(message.stamp, message.cost, do, message.mark)
+    return Orders(message.stamp, message.cost, do, message.nonce)
 
 
 class BindsNothing(Instance):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -30,8 +30,8 @@
         self.site, self.module, self.steady, self.answers = {}, None, {}, 0
         both = dict(response_target=8 * 10**8, client_timeout=2 * 10**9)
         self.kinds = {
-            "view": i.ReqKind(**both, credit=1, external_id="view"),
-            "pay": i.ReqKind(**both, credit=3, again="non-replayable", external_id="pay"),
+            "view": i.RequestKind(**both, credit=1, external_id="view"),
+            "pay": i.RequestKind(**both, credit=3, again="non-replayable", external_id="pay"),
         }
         self.tables, self.bound, self.out, self.levels, self.open = {}, {}, set(), {}, {}
         self.messages = []
@@ -121,7 +121,7 @@
                                 self.thing(i.Backend, key),
                                 self.thing(i.Zone, "north"),
                                 what["tries"],
-                                what.get("errored", 0),
+                                what.get("failed", 0),
                                 what.get("latency", 0),
                                 what.get("span", UNITS["s"]),
                                 load,
@@ -130,10 +130,10 @@
             self.step()
 
     def step(self):
-        for name, marks in self.open.items():
-            due = [(m, self.now - at) for m, at in marks if self.now - at >= self.answers]
+        for name, nonces in self.open.items():
+            due = [(m, self.now - at) for m, at in nonces if self.now - at >= self.answers]
             self.todo += [i.Answered(self.thing(i.Proxy, name), m, took + 10**8) for m, took in due]
-            del marks[: len(due)]
+            del nonces[: len(due)]
         todo, self.todo = self.todo, []
         orders = self.module.step(self.now, todo)
         self.orders += orders
@@ -154,9 +154,9 @@
             elif isinstance(o, i.Withdraw):
                 (self.out.add if o.out else self.out.discard)(o.backend.external_id)
                 touched |= set(self.bound)
-            elif isinstance(o, i.PutMark):
+            elif isinstance(o, i.PutNonce):
                 for name in touched:
-                    self.open.setdefault(name, []).append((o.mark, self.now))
+                    self.open.setdefault(name, []).append((o.nonce, self.now))
         self.messages += [(self.now, name) for name in touched]
 
     def see(self, what, *words):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -43,12 +43,12 @@
         return self
 
     async def until(self, kind, answer=True):
-        """The next message of a kind; marks on the way are answered."""
+        """The next message of a kind; nonces on the way are answered."""
         while True:
             while self.got:
                 message = self.got.pop(0)
-                if answer and isinstance(message, Orders) and message.mark:
-                    await self.stream.send(self.end.pack(Answer(message.mark)))
+                if answer and isinstance(message, Orders) and message.nonce:
+                    await self.stream.send(self.end.pack(Answer(message.nonce)))
                 if isinstance(message, kind):
                     return message
             try:
@@ -173,7 +173,7 @@
     async def test_an_answer_to_no_open_mark_ends_that_stream(self, room):
         peer = await room.peer("p1")
         orders = await peer.until(Orders)
-        await peer.stream.send(peer.end.pack(Answer(orders.mark)))
+        await peer.stream.send(peer.end.pack(Answer(orders.nonce)))
         self.assertEqual((await peer.until(Fault)).code, "order")
 
     @virtual
@@ -183,7 +183,7 @@
         await peer.stream.aclose()
         again = await room.peer("p1")
         await again.until(Orders, answer=False)
-        await again.stream.send(again.end.pack(Answer(orders.mark)))
+        await again.stream.send(again.end.pack(Answer(orders.nonce)))
         self.assertEqual((await again.until(Fault, answer=False)).code, "order")
 
     @virtual
@@ -226,7 +226,7 @@
         self.assertIsNone(await mute.until(Fault, answer=False))
         self.assertEqual(room.service.counted["cuts"], 1)
         self.assertTrue(60 < room.clock.now() / S - START < 80)
-        self.assertEqual((room.service.instance.refs, room.service.instance.identifiers.marks), ({}, {}))
+        self.assertEqual((room.service.instance.refs, room.service.instance.identifiers.nonces), ({}, {}))
 
     @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
     @given(
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -15,11 +15,11 @@
 from embertray.degrade.gauge import Gauge
 from embertray.degrade.reduced import CALM, ENTER, NAMES, SURE
 from embertray.emulator.play import play
-from embertray.interface import ReqKind
+from embertray.interface import RequestKind
 from embertray.stream.messages import Level
 
 S = 10**9
-POST, VIEW = ReqKind(S, 2 * S, 3.0, external_id="post"), ReqKind(S, 2 * S, 1.0, external_id="view")
+POST, VIEW = RequestKind(S, 2 * S, 3.0, external_id="post"), RequestKind(S, 2 * S, 1.0, external_id="view")
 
 
 class Proxies:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -310,7 +310,7 @@
         self.assertEqual({px.pick(10, []) for _ in range(20)}, {"a", "b"} - {first})
         self.assertEqual({px.pick(2 + EJECT, []) for _ in range(40)}, {"a", "b"})
         sums = px.sums(5)
-        self.assertEqual(sorted((m.tries, m.errored) for m in sums.met), [(1, 0), (1, 1)])
+        self.assertEqual(sorted((m.tries, m.failed) for m in sums.met), [(1, 0), (1, 1)])
         self.assertEqual(px.sums(6).met, [])
 
     def test_clients_ask_again_only_what_may_run_twice(self):
--- a/tests/test_node_endings.py
+++ b/tests/test_node_endings.py
@@ -90,7 +90,7 @@
                 relay.answers = False
                 relay.attach(1, "north")
                 await relay.until(lambda: relay.lines(1))
-                late = max(service.post.identifiers.marks)
+                late = max(service.post.identifiers.nonces)
                 relay.detach(1)
                 relay.attach(1, "north")
                 await relay.until(
@@ -103,7 +103,7 @@
                 await relay.until(lambda: relay.lines(2))
                 known = {px.handle.external_id: px for px in service.post.module.pxs}
                 self.assertTrue(known[1].messages.open)  # its own answer is still owed
-                self.assertNotIn(late, [mark.external_id for mark, _ in known[1].messages.open])
+                self.assertNotIn(late, [nonce.external_id for nonce, _ in known[1].messages.open])
 
         anyio.run(play)
 
--- a/tests/test_node_generated.py
+++ b/tests/test_node_generated.py
@@ -83,8 +83,8 @@
             self.assertIsInstance(one, (Met, Came))
             self.assertTrue(
                 0
-                <= (one.errored if isinstance(one, Met) else one.lost)
-                <= (one.tries if isinstance(one, Met) else one.reqs)
+                <= (one.failed if isinstance(one, Met) else one.lost)
+                <= (one.tries if isinstance(one, Met) else one.requests)
             )
         late = whole.late(limits.JOIN_WITHIN)
         self.assertTrue(late or whole.joined)  # a stranger has its reply or close by then
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -112,8 +112,8 @@
 
     def test_marks_are_answered_once_and_in_order(self):
         end = self.end()
-        for mark in (1, 2, 3):
-            end.sent(mark)
+        for nonce in (1, 2, 3):
+            end.sent(nonce)
         self.assertEqual(len(end.receive(frame(encode(Answer(2))))), 1)
         self.assertEqual(list(end.open), [3])
         self.assertEqual(self.refused(end, Answer(1)), "order")
@@ -129,9 +129,9 @@
 class Channel(unittest.TestCase):
     def setUp(self):
         self.identifiers = Identifiers()
-        self.kind = i.ReqKind(1, 2, external_id="view")
+        self.kind = i.RequestKind(1, 2, external_id="view")
         self.box = Outbox(self.identifiers, 4, {self.kind: "view"})
-        self.table, self.mark = i.Table(), i.Mark()
+        self.table, self.nonce = i.Table(), i.Nonce()
         self.a, self.b = self.identifiers.backend("a"), self.identifiers.backend("b")
         self.p, self.q = self.identifiers.proxy("p"), self.identifiers.proxy("q")
         for px in (self.p, self.q):
@@ -145,10 +145,10 @@
             i.SetLine(self.table, self.a, 1.0),
             i.SetLevel(self.table, [], 0.5, 1),
             i.Bind(self.p, self.table),
-            i.PutMark(self.mark),
+            i.PutNonce(self.nonce),
         )
         self.assertEqual(list(got), ["p"])
-        self.assertEqual(got["p"].cost, 4 + 1 + 1 + 1 + 1)  # head, bind, a line, a level, the mark
+        self.assertEqual(got["p"].cost, 4 + 1 + 1 + 1 + 1)  # head, bind, a line, a level, the nonce
         self.assertEqual(got["p"].do, [Bind(1, [("a", 1.0)], [("view", 0.5, 1)], [])])
         got = self.post(i.SetLine(self.table, self.b, 0.5), i.SetLine(self.table, self.a, 0))
         self.assertEqual((list(got), got["p"].cost), (["p"], 6))
@@ -306,7 +306,11 @@
 class Reports(unittest.TestCase):
     def test_merging_loses_no_count_and_the_oldest_goes_first(self):
         identifiers, intake = Identifiers(), Intake(4.0)
-        px, zone, kind = identifiers.proxy("p"), identifiers.zone("z"), i.ReqKind(1, 2, external_id="view")
+        px, zone, kind = (
+            identifiers.proxy("p"),
+            identifiers.zone("z"),
+            i.RequestKind(1, 2, external_id="view"),
+        )
         for n in range(3):
             now = (n + 1) * S // 100
             for name in "ab":
@@ -328,9 +332,9 @@
             events += intake.due(at)
         self.assertEqual([type(e).__name__ for e in events], ["Heard", "Heard", "Arrivals"])
         self.assertEqual(
-            (events[0].tries, events[0].errored, events[0].latency, events[0].load["busy"]), (12, 3, 100, 1.0)
+            (events[0].tries, events[0].failed, events[0].latency, events[0].load["busy"]), (12, 3, 100, 1.0)
         )
-        self.assertEqual((events[2].reqs, events[2].lost), (15, 3))
+        self.assertEqual((events[2].requests, events[2].lost), (15, 3))
 
     def test_the_time_that_a_zone_s_proxies_cover_counts_once(self):
         """Three proxies at their own phases: tries over spans is the zone's rate, and a cycle is one line."""
@@ -350,7 +354,7 @@
                     )
             events += intake.due(now)
         events += intake.due(20 * S)
-        self.assertEqual((sum(e.tries for e in events), sum(e.errored for e in events)), (300, 30))
+        self.assertEqual((sum(e.tries for e in events), sum(e.failed for e in events)), (300, 30))
         self.assertEqual(len(events), 11)  # the first round knew one proxy only
         late = events[1:-1]
         self.assertAlmostEqual(sum(e.tries for e in late) * S / sum(e.span for e in late), 30)
@@ -403,8 +407,10 @@
             events += intake.due(now)
         heard = [e for e in events if isinstance(e, i.Heard)]
         self.assertEqual(sum(e.tries for e in heard), sum(t[3] for t in told))
-        self.assertEqual(sum(e.errored for e in heard), len(told))
-        self.assertEqual(sum(e.reqs for e in events if isinstance(e, i.Arrivals)), sum(t[3] for t in told))
+        self.assertEqual(sum(e.failed for e in heard), len(told))
+        self.assertEqual(
+            sum(e.requests for e in events if isinstance(e, i.Arrivals)), sum(t[3] for t in told)
+        )
 
     def test_lines_a_second(self):
         identifiers, intake = Identifiers(), Intake(10.0)
@@ -441,6 +447,7 @@
         )
         deployment = sites["sealed"].deployment(sites["sealed"].controllers[0], Identifiers())
         self.assertEqual(deployment.kinds[1].again, "non-replayable")
+        self.assertEqual(sites["asked"].kinds[1].again, "deduplicated")
 
     def test_errors_name_the_line_and_what_was_expected(self):
         good = (SITES / "samples" / "pushed.xml").read_text()
@@ -462,6 +469,14 @@
                 for word in ("site.xml:", *words):
                     self.assertIn(word, str(caught.exception))
 
+    def test_the_former_word_for_deduplicated_is_read(self):
+        text = (SITES / "samples" / "asked.xml").read_text()
+        self.assertIn('"deduplicated"', text)
+        with tempfile.TemporaryDirectory() as folder:
+            path = Path(folder, "site.xml")
+            path.write_text(text.replace('"deduplicated"', '"uniqued"'))
+            self.assertEqual(load(path).kinds[1].again, "deduplicated")
+
 
 class Models(unittest.TestCase):
     def test_a_backend_queues_fills_and_warms(self):
