--- a/embertray/choice/actor.py
+++ b/embertray/choice/actor.py
@@ -9,11 +9,11 @@
 class Actor:
     """A part with an inbox; a note is the name of an on_... method and what it is given."""
 
-    now = property(lambda self: self.hub.now)
+    now = property(lambda self: self.owner.now)
 
-    def __init__(self, hub, handle=None):
-        self.hub, self.site, self.handle, self.inbox = hub, hub.site, handle, deque()
+    def __init__(self, owner, handle=None):
+        self.owner, self.site, self.handle, self.inbox = owner, owner.site, handle, deque()
 
-    def tell(self, note, *what):
+    def send(self, note, *what):
         self.inbox.append((note, what))
-        self.hub.ready.append(self)
+        self.owner.ready.append(self)
--- a/embertray/choice/controller.py
+++ b/embertray/choice/controller.py
@@ -6,9 +6,9 @@
 from .actor import c, i
 from .channel import Channel
 from .levels import Levels
-from .lookout import Lookout
+from .list_watcher import ListWatcher
 from .planner import Planner
-from .px import Px
+from .proxy import Proxy
 
 
 class Controller:
@@ -16,16 +16,18 @@
 
     def __init__(self, seed, site, now=0):
         self.site, self.now, self.born, self.orders, self.seed, self.draws = site, now, now, [], seed, 0
-        self.ready, self.bes, self.pxs, self.beat_at, self.spans = deque(), [], [], 0, deque(maxlen=c.KEEP)
-        self.forget_at, self.tells_busy = now + c.SWEEP, False
+        self.ready, self.backends, self.proxies, self.spans = deque(), [], [], deque(maxlen=c.KEEP)
+        self.beat_at, self.forget_at, self.reports_busy = 0, now + c.SWEEP, False
         self.all_in = c.ALL_RATE if site.throttle == "rate" else 1.0
         self.timeout = max((k.client_timeout for k in site.kinds), default=c.S)
         worth = sum(kind.credit for kind in site.kinds) or 1
         self.target = sum(kind.credit * kind.response_target for kind in site.kinds) / worth
         self.table = {kind: Level(self.all_in, 1) for kind in site.kinds}
-        self.planner, self.levels, self.lookout = Planner(self), Levels(self), Lookout(self)
+        self.list_watcher, self.planner, self.levels = ListWatcher(self), Planner(self), Levels(self)
         self.channel = Channel(self)
 
+    joined = property(lambda self: [proxy for proxy in self.proxies if proxy.joined])
+
     def part(self, handle, kind, known):
         if handle.actor is None:
             handle.actor = kind(self, handle)
@@ -38,29 +40,29 @@
 
     def step(self, now, events):
         self.now, self.orders = now, []
-        for ev in events:
-            self.route(ev)
+        for event in events:
+            self.route(event)
         self.empty()  # cycle: of reports on a backend, longer than told where they are capped
         self.cycle = max(self.site.report_cycle, median(self.spans or [0]))
         if now >= self.beat_at:
             self.beat_at = now + c.BEAT
             self.orders.append(i.Wake(0, c.BEAT))
             self.forget()
-            self.lookout.tell("beat")
-            self.planner.tell("solve")
+            self.list_watcher.send("beat")
+            self.planner.send("solve")
         elif self.channel.urgent:  # a join or removal waits for no weights
-            self.channel.tell("send", None)
+            self.channel.send("send", None)
         self.empty()
         return self.orders
 
-    def route(self, ev):
+    def route(self, event):
         """To the part an event is for. With slices only removals are ordered."""
-        if isinstance(ev, i.ListNews):
-            self.lookout.tell("news", ev)
-        elif isinstance(ev, i.Heard) and ev.backend.actor:
-            ev.backend.actor.tell("heard", ev)
-        elif isinstance(ev, (i.Arrivals, i.Joined, i.Left, i.Answered)):
-            self.part(ev.proxy, Px, self.pxs).tell(type(ev).__name__.lower(), ev)
+        if isinstance(event, i.ListNews):
+            self.list_watcher.send("news", event)
+        elif isinstance(event, i.Heard) and event.backend.actor:
+            event.backend.actor.send("heard", event)
+        elif isinstance(event, (i.Arrivals, i.Joined, i.Left, i.Answered)):
+            self.part(event.proxy, Proxy, self.proxies).send(type(event).__name__.lower(), event)
 
     def empty(self):
         while self.ready:
@@ -73,9 +75,9 @@
         if self.now < self.forget_at:
             return
         self.forget_at = self.now + c.SWEEP
-        for tab in self.channel.tabs:
-            tab.compact()
-        for known in (self.bes, self.pxs):
+        for table in self.channel.tables:
+            table.compact()
+        for known in (self.backends, self.proxies):
             for part in [p for p in known if p.gone_at is not None and self.now - p.gone_at > c.FORGET]:
                 if self.channel.drop(part):
                     part.handle.actor = None
--- a/embertray/choice/px.py
+++ b/embertray/choice/proxy.py
@@ -3,30 +3,30 @@
 from .actor import Actor, c
 
 
-class Px(Actor):
+class Proxy(Actor):
     """A proxy: its zone, whether joined and bound, its open nonces and the requests that come to it."""
 
-    def __init__(self, hub, handle):
-        super().__init__(hub, handle)
-        self.zone, self.joined, self.table, self.gone_at = None, False, None, hub.now
-        self.since, self.seen, self.rates = hub.now, None, {}
+    def __init__(self, owner, handle):
+        super().__init__(owner, handle)
+        self.zone, self.joined, self.table, self.gone_at = None, False, None, owner.now
+        self.since, self.seen, self.rates = owner.now, None, {}
         self.messages, self.samples = ProxyMessages(), ArrivalSamples(c.KEEP)
 
-    def on_joined(self, ev):
-        self.zone, self.joined, self.table, self.rate, self.fresh = ev.zone, True, None, ev.rate, ev.fresh
-        self.gone_at, self.since = None, self.now
+    def on_joined(self, event):
+        self.zone, self.rate, self.fresh = event.zone, event.rate, event.fresh
+        self.joined, self.table, self.gone_at, self.since = True, None, None, self.now
         self.messages = ProxyMessages()
-        self.hub.channel.tell("join", self)
+        self.owner.channel.send("join", self)
 
     def on_left(self, _):
         self.joined, self.table, self.gone_at = False, None, self.now
 
-    def on_answered(self, ev):
-        self.messages.answered(ev.nonce, self.now)
-        self.hub.channel.tell("through", self, ev.nonce, ev.took)
+    def on_answered(self, event):
+        self.messages.answered(event.nonce, self.now)
+        self.owner.channel.send("through", self, event.nonce, event.took)
 
-    def on_arrivals(self, ev):
-        self.samples.add(self.now, ev)
+    def on_arrivals(self, event):
+        self.samples.add(self.now, event)
 
     def look(self):
         """What comes, by request kind lately and in all for longer; proxies are many: not at each beat."""
--- a/embertray/core/holdings.py
+++ b/embertray/core/holdings.py
@@ -10,26 +10,28 @@
 def shelves(it):
     """purpose -> shelves of an Instance, without its streams (those are the daemon's)."""
     module, box, identifiers = it.module, it.outbox, it.identifiers
-    tabs, ordered = module.channel.tabs, list(box.tables.values())
-    lines = [tab.lines for tab in ordered] + [book for tab in tabs for book in (tab.want, tab.sent)]
-    pxs, bes = module.pxs, module.bes
+    tables, ordered = module.channel.tables, list(box.tables.values())
+    lines = [table.lines for table in ordered] + [
+        book for table in tables for book in (table.want, table.sent)
+    ]
+    proxies, backends = module.proxies, module.backends
 
     def samples():
-        for part in [*bes, *pxs]:
+        for part in [*backends, *proxies]:
             yield from part.samples.rows
 
     def lists(*books):
         return lambda: (item for book in books for item in book.items())
 
-    users = [tab.users for tab in ordered]
+    users = [table.users for table in ordered]
     told = list(box.out.values())
-    held = [px.messages.open for px in pxs] + [px.messages.written for px in pxs]
+    held = [proxy.messages.open for proxy in proxies] + [proxy.messages.written for proxy in proxies]
     return {
         "tables": [
             Shelf("lines", sum(map(len, lines)), lists(*lines), lines, HANDLES),
             Shelf(
                 "levels",
-                sum(len(tab.levels) for tab in ordered),
+                sum(len(table.levels) for table in ordered),
                 lists(*(t.levels for t in ordered)),
                 (),
                 HANDLES,
@@ -66,7 +68,7 @@
                 list(it.reduced.gauge.words.values()),
                 HANDLES,
             ),
-            Shelf("samples", sum(len(p.samples.rows) for p in (*bes, *pxs)), samples, (), HANDLES),
+            Shelf("samples", sum(len(p.samples.rows) for p in (*backends, *proxies)), samples, (), HANDLES),
         ],
         "channel": [
             Shelf("messages", len(it.pacer.queue), lambda: it.pacer.queue, [it.pacer.queue], HANDLES),
@@ -104,11 +106,11 @@
             ),
             Shelf(
                 "actors",
-                len(bes) + len(pxs),
-                lambda: iter([*bes, *pxs]),
-                [bes, pxs],
+                len(backends) + len(proxies),
+                lambda: iter([*backends, *proxies]),
+                [backends, proxies],
                 (i.Handle, i.RequestKind),
-                ("hub", "site", "samples", "messages", "handle", "table"),
+                ("owner", "site", "samples", "messages", "handle", "table"),
             ),
         ],
         "probes": [Shelf("under way", len(it.probing), it.probing.items, [it.probing], HANDLES)],
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -88,7 +88,7 @@
         numbers, so that no line of the former ones is left to anybody who is bound."""
         listed = [
             i.Entry(backend.handle, backend.zone, backend.state, backend.started)
-            for backend in self.module.bes
+            for backend in self.module.backends
             if backend.state not in (None, "gone")
         ]
         for known in (self.identifiers.backends, self.identifiers.proxies):
@@ -105,7 +105,7 @@
     def tidy(self):
         """Who is long gone is forgotten, and nonces that nobody owes an answer to."""
         self.forget(lambda thing: thing.external_id in self.standing.joined)
-        open_nonces = {nonce for proxy in self.module.pxs for nonce, _ in proxy.messages.open}
+        open_nonces = {nonce for proxy in self.module.proxies for nonce, _ in proxy.messages.open}
         open_nonces.update(self.module.channel.flights.by_nonce)
         self.identifiers.nonces = {
             number: nonce for number, nonce in self.identifiers.nonces.items() if nonce in open_nonces
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -173,7 +173,7 @@
                 ]
             return None if seen else "not ordered"
         if what == "known":
-            known = [part.handle.external_id for part in self.module.bes + self.module.pxs]
+            known = [part.handle.external_id for part in self.module.backends + self.module.proxies]
             return None if words[0] in known else f"known are {known}"
         if what in ("out", "in"):
             lines = [self.tables[t].get(words[0], 0) for t in self.bound.values()]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,22 +48,22 @@
         fleet = crowd(400)
         channel = fleet.module.channel
         parts = next(iter(channel.zones.values()))
-        self.assertGreater(len(parts.tabs), 4)
+        self.assertGreater(len(parts.tables), 4)
         warm = {
             be: 1.0
-            for be in fleet.module.bes
+            for be in fleet.module.backends
             if be.state == "ready" and be.handle.external_id in ("be-150", "be-151", "be-152")
         }
         self.assertEqual(len(warm), 3)
         parts.deal(warm, channel.part(), channel.rates())
-        for tab in parts.tabs:
+        for tab in parts.tables:
             self.assertTrue(any(tab.want.values()), "a table without a line")
-        all_ready = {be: 1.0 for be in fleet.module.bes if be.state == "ready"}
+        all_ready = {be: 1.0 for be in fleet.module.backends if be.state == "ready"}
         parts.deal(
             all_ready, channel.part(), channel.rates()
         )  # and once there are enough each has its own again
         self.assertEqual(
-            sorted(be.handle.external_id for tab in parts.tabs for be, w in tab.want.items() if w),
+            sorted(be.handle.external_id for tab in parts.tables for be, w in tab.want.items() if w),
             sorted(be.handle.external_id for be in all_ready),
         )
 
@@ -72,7 +72,7 @@
         first.
         """
         fleet = crowd(400)
-        bare = next(px.table for px in fleet.module.pxs if px.table)
+        bare = next(px.table for px in fleet.module.proxies if px.table)
         bare.sent.clear()
         with mock.patch.object(
             Channel, "waiting", lambda self: 0.4 * self.site.pending_max
