--- a/embertray/lab/results.py
+++ b/embertray/lab/results.py
@@ -6,7 +6,7 @@
 SCHEMA = """
 create table if not exists experiment (name text, text text, commit_id text, version text, began text);
 create table if not exists runs (key text primary key, levels text, arm text, seed integer, wall real,
-    error text, kept integer, broken text, credit real, by_kind text, requests integer, p50 real, p99 real,
+    error text, kept integer, broken text, credit real, by_kind text, reqs integer, p50 real, p99 real,
     worst real, took text, line text);
 """
 
