--- a/embertray/admin/http.py
+++ b/embertray/admin/http.py
@@ -188,8 +188,8 @@
         [
             {
                 "table": table.external_id,
-                "proxies": [px.external_id for px in tab.users],
-                "lines": {be.external_id: w for be, w in tab.lines.items()},
+                "proxies": [proxy.external_id for proxy in tab.users],
+                "lines": {backend.external_id: w for backend, w in tab.lines.items()},
                 "levels": {
                     kind.external_id: {"level": level, "again": again}
                     for kind, (level, again) in tab.levels.items()
--- a/embertray/channel/outbox.py
+++ b/embertray/channel/outbox.py
@@ -29,80 +29,88 @@
             0,
         )  # a level that denies none; what goes with one that does
 
-    def joined(self, px):
-        self.left(px)
-        self.bound[px] = None
+    def joined(self, proxy):
+        self.left(proxy)
+        self.bound[proxy] = None
 
-    def left(self, px):
-        table = self.bound.pop(px, None)
+    def left(self, proxy):
+        table = self.bound.pop(proxy, None)
         if table is not None:
-            self.tables[table].users.pop(px, None)
+            self.tables[table].users.pop(proxy, None)
         for told in self.out.values():
-            told.pop(px, None)
+            told.pop(proxy, None)
 
     def post(self, now, orders):
         """[(proxy, Orders, nonce or None)], in the order in which proxies were first concerned."""
         lines, costs, nonce, news = {}, {}, None, []
         for order in orders:
-            for px, do, cost in self.concerned(order):
-                lines.setdefault(px, []).append(do)
-                costs[px] = costs.get(px, 0) + cost
+            for proxy, do, cost in self.concerned(order):
+                lines.setdefault(proxy, []).append(do)
+                costs[proxy] = costs.get(proxy, 0) + cost
             if isinstance(order, i.PutNonce):
                 nonce = order.nonce
         ident = self.identifiers.nonce_id(nonce) if nonce and lines else None
-        for px, do in lines.items():
-            cost = self.head + costs[px] + (ident is not None)
-            news.append((px, Orders(now, float(cost), do, ident), nonce if ident else None))
+        for proxy, do in lines.items():
+            cost = self.head + costs[proxy] + (ident is not None)
+            news.append((proxy, Orders(now, float(cost), do, ident), nonce if ident else None))
         return news
 
     def concerned(self, order):
         """(proxy, message part, lines it costs) for each proxy that an order reaches."""
         if isinstance(order, i.SetLine):
-            tab, ident, be = self.table(order.table), self.identifiers.table_id(order.table), order.backend
-            new = order.weight > 0 and be not in tab.lines
+            tab, ident, backend = (
+                self.table(order.table),
+                self.identifiers.table_id(order.table),
+                order.backend,
+            )
+            new = order.weight > 0 and backend not in tab.lines
             if order.weight > 0:
-                tab.lines[be] = order.weight
+                tab.lines[backend] = order.weight
             else:
-                tab.lines.pop(be, None)
-            part, hidden = Line(ident, be.external_id, order.weight), self.out.get(be) if new else None
-            for px in tab.users:
-                if hidden is not None and px not in hidden:  # a withdrawn one comes into a table: still out
-                    hidden[px] = True
-                    yield px, Out(be.external_id, True), 1
-                yield px, part, 1
+                tab.lines.pop(backend, None)
+            part, hidden = (
+                Line(ident, backend.external_id, order.weight),
+                self.out.get(backend) if new else None,
+            )
+            for proxy in tab.users:
+                # a withdrawn one comes into a table: still out
+                if hidden is not None and proxy not in hidden:
+                    hidden[proxy] = True
+                    yield proxy, Out(backend.external_id, True), 1
+                yield proxy, part, 1
         elif isinstance(order, i.Bind):
-            px = order.proxy
-            if px not in self.bound:
+            proxy = order.proxy
+            if proxy not in self.bound:
                 return
-            self.unbind(px)
+            self.unbind(proxy)
             tab = self.table(order.table)
-            self.bound[px], tab.users[px] = order.table, True
-            out = [be for be in tab.lines if be in self.out]
-            for be, told in self.out.items():
-                told.pop(px, None)
-                if be in tab.lines:
-                    told[px] = True
+            self.bound[proxy], tab.users[proxy] = order.table, True
+            out = [backend for backend in tab.lines if backend in self.out]
+            for backend, told in self.out.items():
+                told.pop(proxy, None)
+                if backend in tab.lines:
+                    told[proxy] = True
             yield (
-                px,
+                proxy,
                 Bind(
                     self.identifiers.table_id(order.table),
-                    [(be.external_id, w) for be, w in tab.lines.items()],
+                    [(backend.external_id, w) for backend, w in tab.lines.items()],
                     [(self.names[k], *level) for k, level in tab.levels.items()],
-                    [be.external_id for be in out],
+                    [backend.external_id for backend in out],
                 ),
                 1 + len(tab.lines) + len(tab.levels) + len(out),
             )
         elif isinstance(order, i.Withdraw):
-            be, part = order.backend, Out(order.backend.external_id, order.out)
+            backend, part = order.backend, Out(order.backend.external_id, order.out)
             if order.out:
-                told = self.out.setdefault(be, {})
-                for px, table in self.bound.items():
-                    if px not in told and (table is None or be in self.tables[table].lines):
-                        told[px] = True
-                        yield px, part, 1
+                told = self.out.setdefault(backend, {})
+                for proxy, table in self.bound.items():
+                    if proxy not in told and (table is None or backend in self.tables[table].lines):
+                        told[proxy] = True
+                        yield proxy, part, 1
             else:
-                for px in self.out.pop(be, {}):
-                    yield px, part, 1
+                for proxy in self.out.pop(backend, {}):
+                    yield proxy, part, 1
         elif isinstance(order, i.SetLevel):
             tab = self.table(order.table)
             kinds, retry, wait = order.kinds or list(self.names), order.retry, 0
@@ -118,19 +126,19 @@
                 retry,
                 wait,
             )
-            for px in tab.users:
-                yield px, part, 1
+            for proxy in tab.users:
+                yield proxy, part, 1
 
-    def level_of(self, px, kind):
+    def level_of(self, proxy, kind):
         """What a joined proxy was ordered to let in of a kind; None: all."""
-        table = self.bound.get(px)
+        table = self.bound.get(proxy)
         level = self.tables[table].levels.get(kind) if table is not None else None
         return None if level is None or level[0] >= self.all_in else level[0]
 
-    def unbind(self, px):
-        old = self.bound.get(px)
+    def unbind(self, proxy):
+        old = self.bound.get(proxy)
         if old is not None:
-            self.tables[old].users.pop(px, None)
+            self.tables[old].users.pop(proxy, None)
 
     def table(self, table):
         if table not in self.tables:
--- a/embertray/channel/pacer.py
+++ b/embertray/channel/pacer.py
@@ -19,10 +19,10 @@
 class Waiting:
     """A message in the channel."""
 
-    __slots__ = ("px", "cost", "load")
+    __slots__ = ("proxy", "cost", "load")
 
-    def __init__(self, px, cost, load):
-        self.px, self.cost, self.load = px, cost, load
+    def __init__(self, proxy, cost, load):
+        self.proxy, self.cost, self.load = proxy, cost, load
 
 
 class Pacer:
@@ -35,11 +35,11 @@
         self.lines, self.peak, self.left = 0.0, 0.0, 0  # waiting now, the most ever, messages that left
         self.at, self.owed = now, 0.0  # lines of the first message still to go at `at`
 
-    def put(self, now, px, cost, load):
+    def put(self, now, proxy, cost, load):
         """A message is ordered. Its load leaves by `leave`."""
         if not self.queue:
             self.at, self.owed = now, cost
-        self.queue.append(Waiting(px, cost, load))
+        self.queue.append(Waiting(proxy, cost, load))
         self.lines += cost
         self.peak = max(self.peak, self.lines)
 
@@ -63,7 +63,7 @@
         self.run(now)
         while self.queue and (not self.rate or self.owed <= 1e-6):
             first = self.queue.popleft()
-            gone.append((first.px, first.load))
+            gone.append((first.proxy, first.load))
             self.lines -= first.cost
             self.left += 1
             spare = min(0.0, self.owed)
@@ -76,7 +76,7 @@
         """The proxy with the most lines waiting; None when nothing waits."""
         lines = {}
         for one in self.queue:
-            lines[one.px] = lines.get(one.px, 0) + one.cost
+            lines[one.proxy] = lines.get(one.proxy, 0) + one.cost
         return max(lines, key=lines.get, default=None)
 
     def next_at(self):
@@ -87,16 +87,16 @@
             return self.at
         return self.at + max(0, -int(-self.owed * S // (self.rate * self.pace)))
 
-    def drop(self, now, px):
+    def drop(self, now, proxy):
         """The proxy's stream is gone: what waits for it is lost and costs no time any more."""
         self.run(now)
-        if self.queue and self.queue[0].px is px:
+        if self.queue and self.queue[0].proxy is proxy:
             self.owed = 0.0
-            while self.queue and self.queue[0].px is px:
+            while self.queue and self.queue[0].proxy is proxy:
                 self.lines -= self.queue.popleft().cost
             if self.queue:
                 self.owed = self.queue[0].cost
-        kept = deque(w for w in self.queue if w.px is not px)
+        kept = deque(w for w in self.queue if w.proxy is not proxy)
         if len(kept) != len(self.queue):
             self.queue = kept
             self.lines = sum(w.cost for w in kept)
--- a/embertray/core/instance.py
+++ b/embertray/core/instance.py
@@ -81,20 +81,20 @@
         return self.accounts.turn_away()
 
     def join(self, hello):
-        px = self.identifiers.proxy(hello.proxy)
-        self.outbox.joined(px)
+        proxy = self.identifiers.proxy(hello.proxy)
+        self.outbox.joined(proxy)
         self.open[hello.proxy] = deque()
-        self.todo.append(i.Joined(px, self.identifiers.zone(hello.zone), hello.rate, hello.fresh))
+        self.todo.append(i.Joined(proxy, self.identifiers.zone(hello.zone), hello.rate, hello.fresh))
 
     def left(self, now, name):
-        px = self.identifiers.proxy(name)
-        self.outbox.left(px)
-        self.pacer.drop(now, px)
-        self.intake.left(px)
-        self.reduced.gauge.left(px)
+        proxy = self.identifiers.proxy(name)
+        self.outbox.left(proxy)
+        self.pacer.drop(now, proxy)
+        self.intake.left(proxy)
+        self.reduced.gauge.left(proxy)
         for nonce in self.open.pop(name, ()):
             self.settled(nonce)
-        self.todo.append(i.Left(px))
+        self.todo.append(i.Left(proxy))
 
     def answered(self, now, name, nonce):
         """The proxy has applied this nonce's message and all before it."""
@@ -115,20 +115,20 @@
             del self.refs[nonce], self.stamps[nonce], self.identifiers.nonces[nonce]
 
     def sums(self, now, name, zone, message):
-        px = self.identifiers.proxy(name)
+        proxy = self.identifiers.proxy(name)
         self.intake.sums(
-            now, px, self.identifiers.zone(zone), message, self.identifiers.backends.get, self.kinds.get
+            now, proxy, self.identifiers.zone(zone), message, self.identifiers.backends.get, self.kinds.get
         )
         for came in message.came:
             if (kind := self.kinds.get(came.kind)) is not None:
                 self.reduced.gauge.sums(
                     now,
-                    px,
+                    proxy,
                     kind,
                     came.requests,
                     came.lost,
                     message.span,
-                    self.outbox.level_of(px, kind),
+                    self.outbox.level_of(proxy, kind),
                     came.repeats,
                 )
 
@@ -147,15 +147,15 @@
             step.change = change
             self.outbox.wait, self.outbox.most_again = self.reduced.wait, self.reduced.most_again
         if orders := self.play(now, self.intake.due(now)):
-            for px, message, nonce in self.outbox.post(now, orders):
+            for proxy, message, nonce in self.outbox.post(now, orders):
                 if nonce:
                     self.stamps[message.nonce] = now
                     self.refs[message.nonce] = self.refs.get(message.nonce, 0) + 1
-                    self.open[px.external_id].append(message.nonce)
-                self.pacer.put(now, px, message.cost, message)
+                    self.open[proxy.external_id].append(message.nonce)
+                self.pacer.put(now, proxy, message.cost, message)
             self.ask(now, orders, step)
         self.mind(now, step)
-        step.leave = [(px.external_id, message) for px, message in self.pacer.leave(now)]
+        step.leave = [(proxy.external_id, message) for proxy, message in self.pacer.leave(now)]
         return step
 
     def ask(self, now, orders, step):
@@ -202,10 +202,10 @@
             if verdict.action == "drop" and self.intake.waiting:
                 each = max(1.0, account.each.get("waiting", 1.0))
                 account.done += self.intake.drop_oldest(int(verdict.excess / each) + 1)
-            elif verdict.action == "cut" and (px := self.pacer.heaviest()) is not None:
+            elif verdict.action == "cut" and (proxy := self.pacer.heaviest()) is not None:
                 account.done += 1
                 step.cut.append(
-                    (px.external_id, "the channel is at its memory cap, and most waits for this proxy")
+                    (proxy.external_id, "the channel is at its memory cap, and most waits for this proxy")
                 )
         step.notices, self.accounts.notices = self.accounts.notices, []
         if self.accounts.acting("tables", "list"):
@@ -221,8 +221,8 @@
                 thing in waiting or thing in self.outbox.bound or any(thing in tab.lines for tab in tables)
             )
         )
-        for be in gone:
-            self.outbox.out.pop(be, None)
+        for backend in gone:
+            self.outbox.out.pop(backend, None)
         for tab in self.outbox.tables.values():
             tab.lines, tab.users = dict(tab.lines), dict(tab.users)
         self.outbox.bound = dict(self.outbox.bound)
--- a/embertray/days/observer.py
+++ b/embertray/days/observer.py
@@ -24,23 +24,23 @@
         self.over = True
 
     # from proxies
-    def joined(self, at, px, controller):
-        self.note(at, "joined", px, controller)
+    def joined(self, at, proxy, controller):
+        self.note(at, "joined", proxy, controller)
 
-    def left(self, at, px):
-        self.note(at, "left", px)
+    def left(self, at, proxy):
+        self.note(at, "left", proxy)
 
-    def orders(self, at, px, orders):
-        self.note(at, "orders", px, orders)
+    def orders(self, at, proxy, orders):
+        self.note(at, "orders", proxy, orders)
 
-    def applied(self, at, px, orders):
-        self.note(at, "applied", px, orders)
+    def applied(self, at, proxy, orders):
+        self.note(at, "applied", proxy, orders)
 
-    def sent(self, at, px, backend, req, key):
-        self.note(at, "sent", px, backend, req, key)
+    def sent(self, at, proxy, backend, req, key):
+        self.note(at, "sent", proxy, backend, req, key)
 
-    def failed(self, at, px, backend, key, how):
-        self.note(at, "failed", px, backend, key, how)
+    def failed(self, at, proxy, backend, key, how):
+        self.note(at, "failed", proxy, backend, key, how)
 
     # from the inventory
     def told(self, at, controller, news):
--- a/embertray/days/player.py
+++ b/embertray/days/player.py
@@ -61,27 +61,27 @@
     async def add(self, number, zone, speed, cold, listed=True):
         """One more backend; its name is the address that it listens on."""
         model = Backend("127.0.0.1:0", zone, self.shape(speed))
-        be = StandinBackend(model, self.net, self.agenda, self.chance.of("failing", number).random)
-        await self.group.start(be.run)
+        backend = StandinBackend(model, self.net, self.agenda, self.chance.of("failing", number).random)
+        await self.group.start(backend.run)
         self.models[model.name] = model
-        self.backends.append(be)
-        be.start(cold)
+        self.backends.append(backend)
+        backend.start(cold)
         if cold:
             self.eyes.note(self.clock.now(), "started", model.name)
         if listed:
             self.inventory.list(model.name, zone, "ready", self.clock.now() if cold else 0)
-        return be
+        return backend
 
     async def people(self):
         """Proxies and their clients: each has its own share of the requests."""
         day, site, now = self.day, self.site, self.clock.now()
         self.zero = now
-        ready, shares, mix = [be.model for be in self.backends], self.shares(), self.mix()
+        ready, shares, mix = [backend.model for backend in self.backends], self.shares(), self.mix()
         addresses, spread = self.held.addresses(), span(day.fleet["spread"])
         for n in range(self.count):
             rng = self.chance.of("proxy", n)
             zone = site.zones[n % len(site.zones)]
-            px = StandinProxy(
+            proxy = StandinProxy(
                 f"p{n + 1}",
                 zone,
                 site,
@@ -94,10 +94,10 @@
                 self.eyes,
                 self.way(n),
             )
-            px.home = n % len(addresses)
-            self.proxies.append(px)
-        for n, px in enumerate(self.proxies):
-            address = await self.group.start(px.run)
+            proxy.home = n % len(addresses)
+            self.proxies.append(proxy)
+        for n, proxy in enumerate(self.proxies):
+            address = await self.group.start(proxy.run)
             clients = StandinClients(
                 n + 1,
                 mix,
--- a/embertray/days/result.py
+++ b/embertray/days/result.py
@@ -73,7 +73,7 @@
 
 def judge(stage, mode, seed, wall):
     site, eyes = stage.site, stage.eyes
-    standing = {px.name: px.first for px in stage.proxies}
+    standing = {proxy.name: proxy.first for proxy in stage.proxies}
     checker = Checker(site, standing, eyes.events, stage.models)
     rules = checker.judge()
     asked, got, by, reqs = 0.0, 0.0, {}, 0
--- a/embertray/days/rules.py
+++ b/embertray/days/rules.py
@@ -27,7 +27,7 @@
 
     def __init__(self, site, standing, events, backends):
         self.site, self.events, self.backends = site, sorted(events, key=lambda e: e.at), backends
-        self.cons, self.pxs = {}, {name: Pxy(lines) for name, lines in standing.items()}
+        self.cons, self.proxies = {}, {name: Pxy(lines) for name, lines in standing.items()}
         self.broken, self.spread, self.open = {name: [] for name in NAMES}, [], {}
         self.tries, self.cold, self.lives, self.epochs, self.unheard = {}, {}, [], {}, set()
 
@@ -35,8 +35,8 @@
         for event in self.events:
             getattr(self, "on_" + event.what, self.skip)(event.at, event.who, *event.rest)
         end = self.events[-1].at if self.events else 0
-        for px in self.pxs.values():
-            self.look(end, px)
+        for proxy in self.proxies.values():
+            self.look(end, proxy)
         for con in [*self.cons.values(), *self.lives]:
             self.channel(con)
         for name, (since, sends) in self.cold.items():
@@ -84,12 +84,12 @@
 
     def on_heard(self, at, name):
         self.unheard.discard(name)
-        for px in self.pxs.values():
-            if px.con is not None and px.con is self.cons.get(name):
-                self.on_back(at, px)
+        for proxy in self.proxies.values():
+            if proxy.con is not None and proxy.con is self.cons.get(name):
+                self.on_back(at, proxy)
 
-    def out(self, px):
-        return px.out or any(px.con is self.cons.get(name) for name in self.unheard)
+    def out(self, proxy):
+        return proxy.out or any(proxy.con is self.cons.get(name) for name in self.unheard)
 
     def on_pace(self, at, name, share):
         con = self.con(name)
@@ -101,58 +101,58 @@
         if con.frozen:
             con.late.append(news)
             return
-        for px in self.pxs.values():
-            if px.con is con:
-                self.look(at, px)
+        for proxy in self.proxies.values():
+            if proxy.con is con:
+                self.look(at, proxy)
         entries = [(e.backend, e.state, e.started) for e in news.entries]
         newest = self.epochs.get(name, 0)
         self.epochs[name] = max(newest, news.epoch)
         if not news.since and news.epoch >= newest:  # an older list than one told before tells no absence
             named = {e.backend for e in news.entries}
-            entries += [(be, "gone", 0) for be in con.list if be not in named]
-        for be, state, started in entries:
-            old = con.list.get(be)
+            entries += [(backend, "gone", 0) for backend in con.list if backend not in named]
+        for backend, state, started in entries:
+            old = con.list.get(backend)
             if old and (old.state, old.started) == (state, started):
                 continue
             if old and old.state != "ready" and state != "ready":
                 old.state = state  # draining, then gone: the clock runs from the first
                 continue
             knew = at if old is None or started != old.started else old.knew
-            con.list[be] = Told(state, started, at, knew)
+            con.list[backend] = Told(state, started, at, knew)
             if state != "ready":
-                for _pname, px in self.pxs.items():
-                    if px.con is con and be in px.holding.picks():
-                        px.waiting[be] = at
+                for _pname, proxy in self.proxies.items():
+                    if proxy.con is con and backend in proxy.holding.picks():
+                        proxy.waiting[backend] = at
 
     # ---- proxies
 
     def on_joined(self, at, name, controller):
-        px = self.pxs[name]
-        px.con, px.joined_at, px.message_at = self.con(controller, at), at, -1
-        px.times.clear()
-        px.waiting.clear()
-        self.changed(at, px)
+        proxy = self.proxies[name]
+        proxy.con, proxy.joined_at, proxy.message_at = self.con(controller, at), at, -1
+        proxy.times.clear()
+        proxy.waiting.clear()
+        self.changed(at, proxy)
 
     def on_left(self, at, name):
-        px = self.pxs[name]
-        self.look(at, px)
-        px.holding.left()
-        px.con, px.bare = None, None
-        px.waiting.clear()
+        proxy = self.proxies[name]
+        self.look(at, proxy)
+        proxy.holding.left()
+        proxy.con, proxy.bare = None, None
+        proxy.waiting.clear()
 
     def on_out(self, at, name):
         """It stands still or does not read, by its own fault."""
-        self.pxs[name].out = True
+        self.proxies[name].out = True
 
     def on_back(self, at, who):
-        px = self.pxs.get(who, who)
-        px.out, px.excused = False, at + STILL_AFTER + self.site.drain_grace
-        if px.bare is not None:
-            px.bare = at
+        proxy = self.proxies.get(who, who)
+        proxy.out, proxy.excused = False, at + STILL_AFTER + self.site.drain_grace
+        if proxy.bare is not None:
+            proxy.bare = at
 
     def on_orders(self, at, name, orders):
-        px = self.pxs[name]
-        if px.con is None:
+        proxy = self.proxies[name]
+        if proxy.con is None:
             return
         cost = (
             self.site.head
@@ -162,49 +162,49 @@
                 for do in orders.do
             )
         )
-        if not self.out(px):
-            px.con.messages.append((orders.stamp, at, cost))
-        px.times.append(at)
-        while px.times[0] <= at - self.site.messages_window:
-            px.times.popleft()
-        if self.site.messages_max and len(px.times) > self.site.messages_max:
-            self.breaks("backlog", at, f"{name} was written {len(px.times)} messages within the window")
+        if not self.out(proxy):
+            proxy.con.messages.append((orders.stamp, at, cost))
+        proxy.times.append(at)
+        while proxy.times[0] <= at - self.site.messages_window:
+            proxy.times.popleft()
+        if self.site.messages_max and len(proxy.times) > self.site.messages_max:
+            self.breaks("backlog", at, f"{name} was written {len(proxy.times)} messages within the window")
 
     def on_applied(self, at, name, orders):
-        px = self.pxs[name]
-        px.holding.apply(orders)
-        if px.con:
-            px.message_at = max(px.message_at, orders.stamp)
-        self.changed(at, px)
-
-    def changed(self, at, px):
-        picks = px.holding.picks()
-        for be in [be for be in px.waiting if be not in picks]:
-            self.spread.append(at - px.waiting.pop(be))
+        proxy = self.proxies[name]
+        proxy.holding.apply(orders)
+        if proxy.con:
+            proxy.message_at = max(proxy.message_at, orders.stamp)
+        self.changed(at, proxy)
+
+    def changed(self, at, proxy):
+        picks = proxy.holding.picks()
+        for backend in [backend for backend in proxy.waiting if backend not in picks]:
+            self.spread.append(at - proxy.waiting.pop(backend))
         if picks:
-            self.look(at, px)
-            px.bare = None
-        elif px.bare is None and px.con:
-            px.bare = at
+            self.look(at, proxy)
+            proxy.bare = None
+        elif proxy.bare is None and proxy.con:
+            proxy.bare = at
 
-    def look(self, at, px):
-        if px.bare is None or px.con is None or self.out(px):
+    def look(self, at, proxy):
+        if proxy.bare is None or proxy.con is None or self.out(proxy):
             return
         site, warm = self.site, self.site.warm_after
         ready = [
             max(t.at, t.started + warm if t.started else 0)
-            for t in px.con.list.values()
+            for t in proxy.con.list.values()
             if t.state == "ready"
         ]
-        since = max(px.bare, min(ready, default=at), px.joined_at)
-        if at - since > site.bare_limit * px.con.factor(since):
-            name = next(n for n, p in self.pxs.items() if p is px)
+        since = max(proxy.bare, min(ready, default=at), proxy.joined_at)
+        if at - since > site.bare_limit * proxy.con.factor(since):
+            name = next(n for n, p in self.proxies.items() if p is proxy)
             self.breaks("lost", at, f"{name} had no line to pick for {(at - since) / S:.2f} s")
 
     # ---- requests
 
     def on_sent(self, at, name, backend, req, key):
-        px, site = self.pxs[name], self.site
+        proxy, site = self.proxies[name], self.site
         before = self.tries.setdefault((name, key), [])
         kind = next(k for k in site.kinds if k.external_id == req.kind)
         for other, how, sent_at in before:
@@ -221,26 +221,33 @@
                     f"{name} sent a {kind.external_id} again to {backend} after '{how}' at {other}",
                 )
         before.append((backend, "out", at))
-        told = px.con.list.get(backend) if px.con else None
-        paused = px.con and told and px.con.frozen and self.begun(px.con, told)
-        if px.con and told and told.state != "ready" and not self.out(px) and not paused and at > px.excused:
-            since = max(told.at, px.joined_at)
-            if at - since > site.drain_grace * px.con.factor(since):
+        told = proxy.con.list.get(backend) if proxy.con else None
+        paused = proxy.con and told and proxy.con.frozen and self.begun(proxy.con, told)
+        if (
+            proxy.con
+            and told
+            and told.state != "ready"
+            and not self.out(proxy)
+            and not paused
+            and at > proxy.excused
+        ):
+            since = max(told.at, proxy.joined_at)
+            if at - since > site.drain_grace * proxy.con.factor(since):
                 self.breaks(
                     "drain", at, f"{name} sent to {backend}, {told.state} {(at - since) / S:.2f} s ago"
                 )
         if backend in self.cold:
             start, sends = self.cold[backend]
             knows = bool(
-                px.con
+                proxy.con
                 and told
                 and told.started
-                and (px.message_at > told.knew or at - told.knew > site.drain_grace)
+                and (proxy.message_at > told.knew or at - told.knew > site.drain_grace)
             )
             sends.append((at, req.work, knows))
 
     def on_failed(self, at, name, backend, key, how):
         before = self.tries.get((name, key), [])
-        for n, (be, was, sent_at) in enumerate(before):
-            if be == backend and was == "out":
-                before[n] = (be, how, sent_at)
+        for n, (tried, was, sent_at) in enumerate(before):
+            if tried == backend and was == "out":
+                before[n] = (tried, how, sent_at)
--- a/embertray/days/troubles/backends.py
+++ b/embertray/days/troubles/backends.py
@@ -6,29 +6,29 @@
 
 class Backends(Struck):
     async def do_crash(self):
-        for be in (struck := self.backends()):
-            be.die()
-            self.list(be, "gone", span(self.fleet["notice"]))
+        for backend in (struck := self.backends()):
+            backend.die()
+            self.list(backend, "gone", span(self.fleet["notice"]))
         await self.wait(self.told.lasts)
-        for be in struck:
-            self.come_back(be)
+        for backend in struck:
+            self.come_back(backend)
 
     async def do_vanish(self):
-        for be in (struck := self.backends()):
-            be.die(silent=True)
-            self.list(be, "gone", span(self.fleet["silent-notice"]))
+        for backend in (struck := self.backends()):
+            backend.die(silent=True)
+            self.list(backend, "gone", span(self.fleet["silent-notice"]))
         await self.wait(max(self.told.lasts, span(self.fleet["silent-notice"])))
-        for be in struck:
-            self.come_back(be)
+        for backend in struck:
+            self.come_back(backend)
 
     async def ills(self, **ills):
-        for be in (struck := self.backends()):
+        for backend in (struck := self.backends()):
             for name, value in ills.items():
-                setattr(be.model.ills, name, value)
+                setattr(backend.model.ills, name, value)
         await self.wait(self.told.lasts)
-        for be in struck:
+        for backend in struck:
             for name in ills:
-                setattr(be.model.ills, name, type(be.model.ills)().__getattribute__(name))
+                setattr(backend.model.ills, name, type(backend.model.ills)().__getattribute__(name))
 
     async def do_slow(self):
         await self.ills(slow=self.told.times)
@@ -47,41 +47,41 @@
 
     async def do_flap(self):
         for _ in range(max(1, int(self.told.times))):
-            for be in (struck := self.backends()):
-                be.die()
-                self.list(be, "gone", span(self.fleet["notice"]))
+            for backend in (struck := self.backends()):
+                backend.die()
+                self.list(backend, "gone", span(self.fleet["notice"]))
             await self.wait(self.told.by)
-            for be in struck:
-                self.come_back(be)
+            for backend in struck:
+                self.come_back(backend)
             await self.wait(self.told.by)
 
     async def do_one_sided(self):
         """Bad for the proxies of one controller only."""
         names = {
-            px.name
-            for px in self.stage.proxies
-            if px.home == int(self.told.options.get("controller", "c1")[1:]) - 1
+            proxy.name
+            for proxy in self.stage.proxies
+            if proxy.home == int(self.told.options.get("controller", "c1")[1:]) - 1
         }
-        for be in (struck := self.backends()):
-            be.bad_for |= names
+        for backend in (struck := self.backends()):
+            backend.bad_for |= names
         await self.wait(self.told.lasts)
-        for be in struck:
-            be.bad_for -= names
+        for backend in struck:
+            backend.bad_for -= names
 
     async def do_deploy(self):
         """By batches: drain, stop, start anew, cold."""
         struck, batch = self.backends(), int(self.told.options.get("batch", "1"))
         drain = span(self.told.options.get("drain", "4s"))
         for first in range(0, len(struck), batch):
-            for be in struck[first : first + batch]:
-                self.list(be, "draining", span(self.fleet["answers"]))
+            for backend in struck[first : first + batch]:
+                self.list(backend, "draining", span(self.fleet["answers"]))
             await self.wait(drain)
-            for be in struck[first : first + batch]:
-                be.die()
-                self.list(be, "gone", span(self.fleet["notice"]) // 2)
+            for backend in struck[first : first + batch]:
+                backend.die()
+                self.list(backend, "gone", span(self.fleet["notice"]) // 2)
             await self.wait(S)
-            for be in struck[first : first + batch]:
-                self.come_back(be)
+            for backend in struck[first : first + batch]:
+                self.come_back(backend)
             await self.wait(self.told.by)
 
     async def do_preempt(self):
@@ -90,16 +90,16 @@
         warning = span(self.told.options.get("drain", "3s"))
         for first in range(0, len(struck), batch):
             wave = struck[first : first + batch]
-            for be in wave:
-                self.list(be, "draining", span(self.fleet["answers"]))
+            for backend in wave:
+                self.list(backend, "draining", span(self.fleet["answers"]))
             await self.wait(warning)
-            for be in wave:
-                be.die()
-                self.list(be, "gone", span(self.fleet["notice"]))
-            for be in wave:
+            for backend in wave:
+                backend.die()
+                self.list(backend, "gone", span(self.fleet["notice"]))
+            for backend in wave:
                 number = len(self.stage.backends)
                 new = await self.stage.add(
-                    number, be.model.zone, be.model.shape.speed, cold=True, listed=False
+                    number, backend.model.zone, backend.model.shape.speed, cold=True, listed=False
                 )
                 self.list(new, "ready", span(self.fleet["notice"]))
             await self.wait(self.told.by)
@@ -108,15 +108,15 @@
         """So many more come, cold, all at once."""
         for n in range(int(self.told.times)):
             zone = self.stage.site.zones[n % len(self.stage.site.zones)]
-            be = await self.stage.add(len(self.stage.backends), zone, 1.0, cold=True, listed=False)
-            self.list(be, "ready", span(self.fleet["notice"]))
+            backend = await self.stage.add(len(self.stage.backends), zone, 1.0, cold=True, listed=False)
+            self.list(backend, "ready", span(self.fleet["notice"]))
 
     async def do_rejoin_list(self):
         """Gone, then ready with a new start, within one batch of the controller."""
-        for be in self.backends():
-            be.die()
-            be.start(cold=True)
-            self.note("started", be.model.name)
-            inventory, model = self.stage.inventory, be.model
+        for backend in self.backends():
+            backend.die()
+            backend.start(cold=True)
+            self.note("started", backend.model.name)
+            inventory, model = self.stage.inventory, backend.model
             inventory.list(model.name, model.zone, "gone")
             inventory.list(model.name, model.zone, "ready", model.started)
--- a/embertray/days/troubles/base.py
+++ b/embertray/days/troubles/base.py
@@ -43,13 +43,15 @@
     def later(self, time, what, *args):
         self.stage.agenda.after(time, what, *args)
 
-    def list(self, be, state, late):
+    def list(self, backend, state, late):
         """The inventory learns of it so much later."""
-        started = be.model.started
-        self.later(late, lambda: self.stage.inventory.list(be.model.name, be.model.zone, state, started))
-
-    def come_back(self, be):
-        be.start(cold=True)
-        be.model.ills.__init__()
-        self.note("started", be.model.name)
-        self.list(be, "ready", span(self.fleet["notice"]))
+        started = backend.model.started
+        self.later(
+            late, lambda: self.stage.inventory.list(backend.model.name, backend.model.zone, state, started)
+        )
+
+    def come_back(self, backend):
+        backend.start(cold=True)
+        backend.model.ills.__init__()
+        self.note("started", backend.model.name)
+        self.list(backend, "ready", span(self.fleet["notice"]))
--- a/embertray/days/troubles/controllers.py
+++ b/embertray/days/troubles/controllers.py
@@ -44,15 +44,15 @@
             if stage.backends[k].model.state == "up"
         ]
         cut = round(len(order) * share(options.get("replaced", "0%")))
-        for be in order[:cut]:
-            be.die()
-            stage.inventory.list(be.model.name, be.model.zone, "gone")
-            await stage.add(len(stage.backends), be.model.zone, be.model.shape.speed, cold=True)
-        for be in order[cut : cut + round((len(order) - cut) * share(options.get("anew", "0%")))]:
-            be.die()
-            be.start(cold=True)
-            self.note("started", be.model.name)
-            stage.inventory.list(be.model.name, be.model.zone, "ready", be.model.started)
+        for backend in order[:cut]:
+            backend.die()
+            stage.inventory.list(backend.model.name, backend.model.zone, "gone")
+            await stage.add(len(stage.backends), backend.model.zone, backend.model.shape.speed, cold=True)
+        for backend in order[cut : cut + round((len(order) - cut) * share(options.get("anew", "0%")))]:
+            backend.die()
+            backend.start(cold=True)
+            self.note("started", backend.model.name)
+            stage.inventory.list(backend.model.name, backend.model.zone, "ready", backend.model.started)
         await self.wait(self.told.lasts)
         for name in self.controllers():
             stage.held.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
@@ -70,16 +70,16 @@
             for name in controllers:
                 self.note("frozen", name)
                 self.stage.held.freeze(name)
-            for px in proxies:
-                self.note("out", px.name)
-                px.stand_still()
+            for proxy in proxies:
+                self.note("out", proxy.name)
+                proxy.stand_still()
             await self.wait(self.told.lasts)
             for name in controllers:
                 self.stage.held.thaw(name)
                 self.note("thawed", name)
-            for px in proxies:
-                self.note("back", px.name)
-                px.go_on()
+            for proxy in proxies:
+                self.note("back", proxy.name)
+                proxy.go_on()
             await self.wait(self.told.by)
 
     async def do_slow_channel(self):
--- a/embertray/days/troubles/lists.py
+++ b/embertray/days/troubles/lists.py
@@ -37,8 +37,8 @@
         inventory = self.stage.inventory
         true, epoch = inventory.entries, inventory.epoch
         inventory.entries = {
-            be.model.name: Listed(be.model.name, be.model.zone)
-            for be in self.stage.backends[: int(self.fleet["backends"])]
+            backend.model.name: Listed(backend.model.name, backend.model.zone)
+            for backend in self.stage.backends[: int(self.fleet["backends"])]
         }
         inventory.epoch, inventory.log = 1, {}
         inventory.go_down()
--- a/embertray/days/troubles/proxies.py
+++ b/embertray/days/troubles/proxies.py
@@ -9,43 +9,43 @@
 
 class Proxies(Struck):
     async def do_reconnect(self):
-        for px in self.proxies():
-            px.break_stream()
+        for proxy in self.proxies():
+            proxy.break_stream()
 
     async def do_half_message(self):
         """A stream that breaks with a message half written, the other half never comes."""
-        for px in self.proxies():
-            if px.conn is not None:
-                px.conn.put(frame(b"x" * 40)[:17])
+        for proxy in self.proxies():
+            if proxy.conn is not None:
+                proxy.conn.put(frame(b"x" * 40)[:17])
                 await anyio.sleep(0.01)
-                px.break_stream()
+                proxy.break_stream()
 
     async def do_cut_off(self):
-        for px in (struck := self.proxies()):
-            px.cut_off = True
-            px.break_stream()
+        for proxy in (struck := self.proxies()):
+            proxy.cut_off = True
+            proxy.break_stream()
         await self.wait(self.told.lasts)
-        for px in struck:
-            px.cut_off = False
+        for proxy in struck:
+            proxy.cut_off = False
 
     async def do_deaf(self):
-        for px in (struck := self.proxies()):
-            px.deaf = True
-            self.note("out", px.name)
+        for proxy in (struck := self.proxies()):
+            proxy.deaf = True
+            self.note("out", proxy.name)
         await self.wait(self.told.lasts)
-        for px in struck:
-            px.deaf = False
-            self.note("back", px.name)
+        for proxy in struck:
+            proxy.deaf = False
+            self.note("back", proxy.name)
 
     async def do_late_reports(self):
-        for px in (struck := self.proxies()):
-            px.lag = self.told.by
+        for proxy in (struck := self.proxies()):
+            proxy.lag = self.told.by
         await self.wait(self.told.lasts)
-        for px in struck:
-            px.lag = 0
+        for proxy in struck:
+            proxy.lag = 0
 
     async def do_hot(self):
-        struck = [n for n, px in enumerate(self.stage.proxies) if px in self.proxies()]
+        struck = [n for n, proxy in enumerate(self.stage.proxies) if proxy in self.proxies()]
         for n in struck:
             self.stage.factors[n] = self.told.times
         await self.wait(self.told.lasts)
@@ -60,9 +60,9 @@
 
     async def do_twice(self):
         """A second process under the same name joins while the first is there."""
-        for px in self.proxies():
+        for proxy in self.proxies():
             with anyio.move_on_after(1):
-                stream = await self.stage.net.dial(px.controllers[px.home])
+                stream = await self.stage.net.dial(proxy.controllers[proxy.home])
                 async with stream:
-                    await stream.send(ProxyEnd(px.name, px.zone, 1.0, True).start())
+                    await stream.send(ProxyEnd(proxy.name, proxy.zone, 1.0, True).start())
                     await stream.receive()
--- a/embertray/degrade/gauge.py
+++ b/embertray/degrade/gauge.py
@@ -58,7 +58,7 @@
         self.demand = {kind: Demand() for kind in kinds}
         self.looked = None
 
-    def sums(self, now, px, kind, requests, failed, span, level, repeats=None):
+    def sums(self, now, proxy, kind, requests, failed, span, level, repeats=None):
         """What came to a proxy in `span` ns under an ordered level (None: all let in); `repeats`: of it,
         marked ones.
         """
@@ -67,11 +67,11 @@
         came = requests * S / span
         let_in = came if level is None else min(came, level) if self.rated else came * min(1.0, level)
         first = None if repeats is None else max(0, requests - repeats) * S / span
-        self.words[kind][px] = Word(now, came, let_in, min(let_in, failed * S / span), first)
+        self.words[kind][proxy] = Word(now, came, let_in, min(let_in, failed * S / span), first)
 
-    def left(self, px):
+    def left(self, proxy):
         for words in self.words.values():
-            words.pop(px, None)
+            words.pop(proxy, None)
 
     def look(self, now):
         """Lost share of the credit asked by first demand, 0 to 1; None: nothing that is known is young
--- a/embertray/drive/drive.py
+++ b/embertray/drive/drive.py
@@ -72,13 +72,13 @@
         Backends forgotten.
         """
         gone = []
-        for name, be in list(self.identifiers.backends.items()):
-            if be.actor is None and name not in self.state and not needed(be):
+        for name, backend in list(self.identifiers.backends.items()):
+            if backend.actor is None and name not in self.state and not needed(backend):
                 del self.identifiers.backends[name]
                 self.starts.pop(name, None)
-                gone.append(be)
-        for name, px in list(self.identifiers.proxies.items()):
-            if px.actor is None and not needed(px):
+                gone.append(backend)
+        for name, proxy in list(self.identifiers.proxies.items()):
+            if proxy.actor is None and not needed(proxy):
                 del self.identifiers.proxies[name]
         # a dict keeps its largest table until it is made anew
         self.starts, self.state, self.identifiers.backends, self.identifiers.proxies = map(
--- a/embertray/lab/policies.py
+++ b/embertray/lab/policies.py
@@ -21,8 +21,14 @@
 
     def __init__(self, seed, site, now):
         self.site, self.now, self.born, self.beat_at = site, now, now, 0
-        self.rng, self.ready, self.pxs, self.tables, self.told = np.random.default_rng(seed), {}, {}, {}, {}
-        self.loads, self.moved_at, self.bes = {}, 0, []
+        self.rng, self.ready, self.proxies, self.tables, self.told = (
+            np.random.default_rng(seed),
+            {},
+            {},
+            {},
+            {},
+        )
+        self.loads, self.moved_at, self.backends = {}, 0, []
 
     def step(self, now, events):
         self.now = now
@@ -30,26 +36,26 @@
             if isinstance(event, i.ListNews) and event.how != "failed":
                 named = {e.backend for e in event.entries}
                 if event.how != "changes":
-                    self.ready = {be: e for be, e in self.ready.items() if be in named}
+                    self.ready = {backend: e for backend, e in self.ready.items() if backend in named}
                 for entry in event.entries:
                     if entry.state == "ready":
                         self.ready[entry.backend] = entry
                     else:
                         self.ready.pop(entry.backend, None)
             elif isinstance(event, i.Joined):
-                self.pxs[event.proxy] = [event.zone, None]
+                self.proxies[event.proxy] = [event.zone, None]
             elif isinstance(event, i.Left):
-                self.pxs.pop(event.proxy, None)
+                self.proxies.pop(event.proxy, None)
             elif isinstance(event, i.Heard) and "busy" in event.load:
                 self.loads[event.backend] = event.load["busy"]
         orders = []
-        for key in dict.fromkeys(self.key(px, zone) for px, (zone, _) in self.pxs.items()):
+        for key in dict.fromkeys(self.key(proxy, zone) for proxy, (zone, _) in self.proxies.items()):
             orders += self.update(key)
-        for px, held in self.pxs.items():
-            key = self.key(px, held[0])
+        for proxy, held in self.proxies.items():
+            key = self.key(proxy, held[0])
             if held[1] != key and self.told.get(key):
                 held[1] = key
-                orders.append(i.Bind(px, self.tables[key]))
+                orders.append(i.Bind(proxy, self.tables[key]))
         if now >= self.beat_at:
             self.beat_at = now + BEAT
             orders.append(i.Wake(0, BEAT))
@@ -61,13 +67,17 @@
             self.told.setdefault(key, {}),
             self.want(key),
         )
-        orders = [i.SetLine(table, be, w) for be, w in want.items() if abs(told.get(be, 0) - w) > 0.1 * w]
-        orders += [i.SetLine(table, be, 0) for be in told if be not in want]
+        orders = [
+            i.SetLine(table, backend, w)
+            for backend, w in want.items()
+            if abs(told.get(backend, 0) - w) > 0.1 * w
+        ]
+        orders += [i.SetLine(table, backend, 0) for backend in told if backend not in want]
         if orders:
             self.told[key] = dict(want)
         return orders
 
-    def key(self, px, zone):
+    def key(self, proxy, zone):
         return "all"
 
     def want(self, key):
@@ -75,23 +85,23 @@
 
 
 class ZoneLocal(Baseline):
-    def key(self, px, zone):
+    def key(self, proxy, zone):
         return zone
 
     def want(self, key):
-        near = [be for be, e in self.ready.items() if e.zone is key]
+        near = [backend for backend, e in self.ready.items() if e.zone is key]
         return dict.fromkeys(near or self.ready, 1.0)
 
 
 class Subset(Baseline):
     """Each proxy its own few, drawn; who goes is replaced."""
 
-    def key(self, px, zone):
-        return px
+    def key(self, proxy, zone):
+        return proxy
 
     def want(self, key):
-        held = [be for be in self.told.get(key, {}) if be in self.ready]
-        rest = [be for be in self.ready if be not in held]
+        held = [backend for backend in self.told.get(key, {}) if backend in self.ready]
+        rest = [backend for backend in self.ready if backend not in held]
         need = min(SUBSET - len(held), len(rest))
         if need > 0:
             held += [rest[int(n)] for n in self.rng.choice(len(rest), need, replace=False)]
@@ -104,8 +114,8 @@
     def want(self, key):
         if self.now >= self.moved_at:
             self.moved_at = self.now + LOAD_EVERY
-            self.weights = {be: 1 / (0.1 + self.loads.get(be, 0.5)) for be in self.ready}
-        return {be: self.weights.get(be, 1.0) for be in self.ready}
+            self.weights = {backend: 1 / (0.1 + self.loads.get(backend, 0.5)) for backend in self.ready}
+        return {backend: self.weights.get(backend, 1.0) for backend in self.ready}
 
 
 class Oracle(Baseline):
@@ -117,8 +127,8 @@
 
     def want(self, key):
         found, models = {}, self.truth()
-        for be in self.ready:
-            model = models.get(be.external_id)
+        for backend in self.ready:
+            model = models.get(backend.external_id)
             if (
                 model
                 and model.state == "up"
@@ -126,7 +136,7 @@
                 and model.ills.fails < 0.5
                 and not model.ills.kinds
             ):
-                found[be] = model.capacity(self.now)
+                found[backend] = model.capacity(self.now)
         return found or dict.fromkeys(self.ready, 1.0)
 
 
--- a/embertray/model/proxy.py
+++ b/embertray/model/proxy.py
@@ -235,5 +235,5 @@
         """What was met and came since the last sums."""
         heard, came, span = self.heard, self.came, now - self.since
         self.joined(now)
-        met = [Met(be, h.tries, h.failed, h.latency, h.load) for be, h in heard.items()]
+        met = [Met(backend, h.tries, h.failed, h.latency, h.load) for backend, h in heard.items()]
         return Sums(span, met, [Came(kind, *counts) for kind, counts in came.items()])
--- a/embertray/reports/intake.py
+++ b/embertray/reports/intake.py
@@ -49,37 +49,39 @@
         self.rounds, self.heard = {}, {}  # by zone: the open Round; proxy -> when it last told
         self.merged = self.passed = self.unknown = self.dropped = 0
 
-    def sums(self, now, px, zone, message, backend, kind):
-        """Takes in one Sums message of a proxy; `backend` and `kind` turn names into objects, or give None
-        for a name that no list had and the site does not have: such a line is skipped and counted."""
+    def sums(self, now, proxy, zone, message, find_backend, find_kind):
+        """Takes in one Sums message of a proxy; `find_backend` and `find_kind` turn names into objects, or
+        give None for a name that no list had and the site does not have: such a line is skipped and counted.
+        """
         self.close_late(now)
         found = self.rounds.get(zone)
-        if found is not None and px in found.spans:  # its next report: the round is over, whoever is missing
+        # its next report: the round is over, whoever is missing
+        if found is not None and proxy in found.spans:
             self.close(zone)
             found = None
         if found is None:
             found = self.rounds[zone] = Round(now)
         for met in message.met:
-            if (be := backend(met.backend)) is None:
+            if (backend := find_backend(met.backend)) is None:
                 self.unknown += 1
                 continue
-            line = found.lines.get(be)
+            line = found.lines.get(backend)
             if line is None:
-                line = found.lines[be] = Met()
+                line = found.lines[backend] = Met()
             line.tries += met.tries
             line.failed += met.failed
             line.latency += met.latency
             line.load = met.load or line.load
-        found.spans[px] = message.span
+        found.spans[proxy] = message.span
         heard = self.heard.setdefault(zone, {})
-        heard[px] = now
+        heard[proxy] = now
         if len(found.spans) >= len(heard):
             self.close(zone)
         for came in message.came:
-            if (known := kind(came.kind)) is None:
+            if (known := find_kind(came.kind)) is None:
                 self.unknown += 1
             else:
-                line = self.line((px, known), Came)
+                line = self.line((proxy, known), Came)
                 line.requests += came.requests
                 line.lost += came.lost
                 line.span += message.span
@@ -88,8 +90,8 @@
         """The zone's round becomes lines that wait."""
         found = self.rounds.pop(zone)
         span = sum(found.spans.values()) // len(found.spans)
-        for be, met in found.lines.items():
-            line = self.line((be, zone), Met)
+        for backend, met in found.lines.items():
+            line = self.line((backend, zone), Met)
             line.tries += met.tries
             line.failed += met.failed
             line.latency += met.latency
@@ -103,7 +105,7 @@
         for zone in [zone for zone, found in self.rounds.items() if now - found.opened >= self.cycle]:
             self.close(zone)
             self.heard[zone] = {
-                px: at for px, at in self.heard[zone].items() if now - at <= SILENT * self.cycle
+                proxy: at for proxy, at in self.heard[zone].items() if now - at <= SILENT * self.cycle
             }
 
     def line(self, key, make):
@@ -164,9 +166,9 @@
         self.dropped += len(gone)
         return len(gone)
 
-    def left(self, px):
+    def left(self, proxy):
         """What came to a proxy that has left says nothing of what will come."""
-        for key in [key for key in self.waiting if key[0] is px]:
+        for key in [key for key in self.waiting if key[0] is proxy]:
             del self.waiting[key]
         for heard in self.heard.values():
-            heard.pop(px, None)
+            heard.pop(proxy, None)
--- a/embertray/trust/trust.py
+++ b/embertray/trust/trust.py
@@ -164,7 +164,7 @@
 
     # ---- what proxies met
 
-    def met(self, now, px, fresh, sums, came=0):
+    def met(self, now, proxy, fresh, sums, came=0):
         """Evidence from one proxy's sums: (backend, tries, failed), and requests that came to it. Entries to
         be handed on as changes, if any.
         """
@@ -194,11 +194,11 @@
                     known.handed = False
                     changes.append(Listed(backend, known.entry.zone, "gone"))
         if not fresh and (tries >= REFUTED and bad > HELPLESS * tries or came and not tries):
-            self.helpless.add(px)
+            self.helpless.add(proxy)
         return changes
 
-    def left(self, px):
-        self.helpless.discard(px)
+    def left(self, proxy):
+        self.helpless.discard(proxy)
 
     # ---- what discovery says
 
@@ -236,8 +236,8 @@
         taken = [e for e in entries if self.take(now, e, older)]
         if older or ask:
             return Verdict("changes", taken + self.go(now, lacks), ask)
-        for be in lacks:
-            self.lose(now, be)
+        for backend in lacks:
+            self.lose(now, backend)
         handed = taken if len(taken) == len(entries) else [k.entry for k in self.known.values()]
         return Verdict("whole", handed, first and older)
 
@@ -271,14 +271,14 @@
 
     def take(self, now, entry, older):
         """Whether an entry of discovery's counts; if so it is known from now on."""
-        be, known = entry.backend, self.known.get(entry.backend)
+        backend, known = entry.backend, self.known.get(entry.backend)
         if entry.state == "gone":
             if older and known and known.entry.started > entry.started:
                 return False
-            self.lose(now, be)
+            self.lose(now, backend)
             return True
         if older:
-            if be in self.gone and entry.started <= self.gone[be][0]:
+            if backend in self.gone and entry.started <= self.gone[backend][0]:
                 return False  # told gone since, and not started anew
             if known and (
                 known.entry.started > entry.started
@@ -289,21 +289,21 @@
         new = Known(entry)
         if known:
             new.done, new.failed, new.answered = known.done, known.failed, known.answered
-        self.known[be] = new
-        self.gone.pop(be, None)
-        self.missing = tuple(b for b in self.missing if b != be)
+        self.known[backend] = new
+        self.gone.pop(backend, None)
+        self.missing = tuple(b for b in self.missing if b != backend)
         return True
 
     def go(self, now, backends):
         """They are gone: the entries that say so."""
-        entries = [Listed(be, self.known[be].entry.zone, "gone") for be in backends]
-        for be in backends:
-            self.lose(now, be)
+        entries = [Listed(backend, self.known[backend].entry.zone, "gone") for backend in backends]
+        for backend in backends:
+            self.lose(now, backend)
         return entries
 
-    def lose(self, now, be):
-        known = self.known.pop(be, None)
-        self.gone[be] = (known.entry.started if known else 0), now
+    def lose(self, now, backend):
+        known = self.known.pop(backend, None)
+        self.gone[backend] = (known.entry.started if known else 0), now
 
     # ---- to be kept
 
@@ -317,18 +317,18 @@
             mono,
             [
                 KeptEntry(
-                    be,
+                    backend,
                     k.entry.zone,
                     k.entry.state,
                     k.entry.started,
                     wall if k.wall is None else k.wall,
                     k.entry.nominal,
                 )
-                for be, k in self.known.items()
+                for backend, k in self.known.items()
             ],
             [
-                KeptEntry(be, "-", "gone", started, wall - max(0, now - at))
-                for be, (started, at) in self.gone.items()
+                KeptEntry(backend, "-", "gone", started, wall - max(0, now - at))
+                for backend, (started, at) in self.gone.items()
             ],
         )
 
@@ -336,10 +336,10 @@
         """Memory is short: the older half of those remembered as gone is forgotten; a list as old is then
         believed.
         """
-        for be in list(self.gone)[: (len(self.gone) + 1) // 2]:
-            del self.gone[be]
+        for backend in list(self.gone)[: (len(self.gone) + 1) // 2]:
+            del self.gone[backend]
         self.gone, self.known = dict(self.gone), dict(self.known)  # made anew, a dict has no empty places
 
     def forget(self, now):
-        for be in [be for be, (_, at) in self.gone.items() if now - at > KEEP_GONE]:
-            del self.gone[be]
+        for backend in [backend for backend, (_, at) in self.gone.items() if now - at > KEEP_GONE]:
+            del self.gone[backend]
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -79,7 +79,9 @@
     def advance(self, now):
         step = super().advance(now)
         new = {
-            be.external_id for be in self.identifiers.backends.values() if be.actor and be.actor.started > 0
+            backend.external_id
+            for backend in self.identifiers.backends.values()
+            if backend.actor and backend.actor.started > 0
         }
         step.leave = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.leave]
         return step
@@ -89,7 +91,12 @@
     if isinstance(do, Line) and do.backend in new and do.weight:
         return Line(do.table, do.backend, 100.0)
     if isinstance(do, Bind):
-        return Bind(do.table, [(be, 100.0 if be in new else w) for be, w in do.lines], do.levels, do.out)
+        return Bind(
+            do.table,
+            [(backend, 100.0 if backend in new else w) for backend, w in do.lines],
+            do.levels,
+            do.out,
+        )
     return do
 
 
@@ -98,9 +105,9 @@
 
     def advance(self, now):
         for table, tab in self.outbox.tables.items():
-            orders = [i.SetLine(table, be, w) for be, w in tab.lines.items()]
-            for px, message, _ in self.outbox.post(now, orders):
-                self.pacer.put(now, px, message.cost, message)
+            orders = [i.SetLine(table, backend, w) for backend, w in tab.lines.items()]
+            for proxy, message, _ in self.outbox.post(now, orders):
+                self.pacer.put(now, proxy, message.cost, message)
         return super().advance(now)
 
 
@@ -111,10 +118,12 @@
         if now - getattr(self, "last", 0) > 250_000_000:
             self.last = now
             for table, tab in self.outbox.tables.items():
-                be = next(iter(tab.lines), None)
-                if be:
-                    for px, message, _ in self.outbox.post(now, [i.SetLine(table, be, tab.lines[be])]):
-                        self.pacer.put(now, px, message.cost, message)
+                backend = next(iter(tab.lines), None)
+                if backend:
+                    for proxy, message, _ in self.outbox.post(
+                        now, [i.SetLine(table, backend, tab.lines[backend])]
+                    ):
+                        self.pacer.put(now, proxy, message.cost, message)
         return super().advance(now)
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -87,7 +87,7 @@
         )
         self.assertGreater(len(first), 100)
         self.assertEqual(first, second)
-        speeds = [[be.model.shape.speed for be in stage.backends] for stage in stages]
+        speeds = [[backend.model.shape.speed for backend in stage.backends] for stage in stages]
         self.assertEqual(*speeds)
 
     def test_a_sabotaged_controller_breaks_its_rule_here_too(self):
@@ -224,41 +224,41 @@
 
 class Models(unittest.TestCase):
     def backend(self, **shape):
-        be = Backend("b", "z", Shape(cores=2, queue=10, cap=99, warm_after=0, **shape))
-        be.start(0, cold=False)
-        return be
+        backend = Backend("b", "z", Shape(cores=2, queue=10, cap=99, warm_after=0, **shape))
+        backend.start(0, cold=False)
+        return backend
 
     def test_what_thrashes_is_slower_the_more_waits(self):
         ends = []
         for thrash in (0.0, 2.0):
-            be = self.backend(thrash=thrash)
+            backend = self.backend(thrash=thrash)
             for n in range(8):
-                be.offer(0, n, "view", S, None)
-            while be.next_at() is not None:
-                last = be.next_at()
-                be.advance(last)
+                backend.offer(0, n, "view", S, None)
+            while backend.next_at() is not None:
+                last = backend.next_at()
+                backend.advance(last)
             ends.append(last)
         self.assertEqual(ends[0], 4 * S)
         self.assertGreater(ends[1], 5 * S)
 
     def test_shared_cores_end_together_and_keep_their_work(self):
-        be = self.backend(sharing=True)
+        backend = self.backend(sharing=True)
         for n in range(4):
-            be.offer(0, n, "view", S, None)
-        self.assertEqual(be.next_at(), 2 * S)  # four on two cores
-        self.assertEqual(be.advance(2 * S), [0, 1, 2, 3])
+            backend.offer(0, n, "view", S, None)
+        self.assertEqual(backend.next_at(), 2 * S)  # four on two cores
+        self.assertEqual(backend.advance(2 * S), [0, 1, 2, 3])
         for n in range(12):
-            self.assertIsNone(be.offer(2 * S, n, "view", S, None))
-        self.assertEqual(be.offer(2 * S, 99, "view", S, None), "full")
+            self.assertIsNone(backend.offer(2 * S, n, "view", S, None))
+        self.assertEqual(backend.offer(2 * S, 99, "view", S, None), "full")
 
     def test_a_flow_keeps_its_mass_and_its_queue_its_room(self):
-        be = self.backend()
+        backend = self.backend()
         done = full = 0.0
         for n in range(100):  # 4 a second where 2 are possible
-            met = be.pour(n * S // 10, S // 10, 0.4, S, 100 * S)
+            met = backend.pour(n * S // 10, S // 10, 0.4, S, 100 * S)
             self.assertAlmostEqual(met.done + met.full + met.late, 1)
             done, full = done + met.done * 0.4, full + met.full * 0.4
-        self.assertLessEqual(be.waits, 10 * S)
+        self.assertLessEqual(backend.waits, 10 * S)
         self.assertAlmostEqual(done, 2 * 10 + 10, delta=1.5)  # what it can do, and what waits
         self.assertAlmostEqual(full, 10, delta=1.5)
 
@@ -274,9 +274,9 @@
             "full_may_have_run": True,
             **site,
         }
-        px = Proxy(SimpleNamespace(**facts), np.random.default_rng(1))
-        px.apply(Orders(0, 0, [Bind(1, lines)]))
-        return px
+        proxy = Proxy(SimpleNamespace(**facts), np.random.default_rng(1))
+        proxy.apply(Orders(0, 0, [Bind(1, lines)]))
+        return proxy
 
     def req(self):
         return SimpleNamespace(kind="view", within=2 * S, ident=1, attempt=1, work=1)
@@ -284,34 +284,34 @@
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(st.floats(0, 5), min_size=1, max_size=6), st.sampled_from(["weighted", "round", "two"]))
     def test_no_pick_without_weight_and_none_twice(self, weights, how):
-        px = self.proxy([(f"b{n}", w) for n, w in enumerate(weights)], picks=how)
+        proxy = self.proxy([(f"b{n}", w) for n, w in enumerate(weights)], picks=how)
         for _ in range(5):
             tried, held = [], {f"b{n}" for n, w in enumerate(weights) if w > 0}
-            while (name := px.pick(0, tried)) is not None:
+            while (name := proxy.pick(0, tried)) is not None:
                 tried.append(name)
             self.assertEqual(sorted(tried), sorted(held))
 
     def test_rounds_follow_the_weights_exactly(self):
-        px = self.proxy([("a", 3.0), ("b", 1.0)], picks="round")
-        picked = [px.pick(0, []) for _ in range(40)]
+        proxy = self.proxy([("a", 3.0), ("b", 1.0)], picks="round")
+        picked = [proxy.pick(0, []) for _ in range(40)]
         self.assertEqual((picked.count("a"), picked.count("b")), (30, 10))
         self.assertNotIn("b,b", ",".join(picked))
 
     def test_it_tries_again_as_told_and_ejects_for_a_while(self):
-        px = self.proxy([("a", 1.0), ("b", 1.0)], eject_after=1)
-        under = px.arrive(0, self.req(), None)
-        self.assertIsNone(px.attempt(0, under))
+        proxy = self.proxy([("a", 1.0), ("b", 1.0)], eject_after=1)
+        under = proxy.arrive(0, self.req(), None)
+        self.assertIsNone(proxy.attempt(0, under))
         first = under.backend
-        self.assertEqual(px.ended(1, under, under.attempt, "error", {}), "again")
-        self.assertIsNone(px.attempt(1, under))
+        self.assertEqual(proxy.ended(1, under, under.attempt, "error", {}), "again")
+        self.assertIsNone(proxy.attempt(1, under))
         self.assertNotEqual(under.backend, first)
-        self.assertEqual(px.ended(2, under, under.attempt, "done", {}), "done")
-        self.assertIsNone(px.ended(3, under, under.attempt, "done", {}))  # a late answer finds nothing
-        self.assertEqual({px.pick(10, []) for _ in range(20)}, {"a", "b"} - {first})
-        self.assertEqual({px.pick(2 + EJECT, []) for _ in range(40)}, {"a", "b"})
-        sums = px.sums(5)
+        self.assertEqual(proxy.ended(2, under, under.attempt, "done", {}), "done")
+        self.assertIsNone(proxy.ended(3, under, under.attempt, "done", {}))  # a late answer finds nothing
+        self.assertEqual({proxy.pick(10, []) for _ in range(20)}, {"a", "b"} - {first})
+        self.assertEqual({proxy.pick(2 + EJECT, []) for _ in range(40)}, {"a", "b"})
+        sums = proxy.sums(5)
         self.assertEqual(sorted((m.tries, m.failed) for m in sums.met), [(1, 0), (1, 1)])
-        self.assertEqual(px.sums(6).met, [])
+        self.assertEqual(proxy.sums(6).met, [])
 
     def test_clients_ask_again_only_what_may_run_twice(self):
         kind = SimpleNamespace(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
     fleet = Fleet(Controller, 200, proxies, **site)
     fleet.run(11 * S)
     for part in range(4):
-        fleet.join(fleet.pxs[part::4], lambda px: fleet.bes[px.external_id % 5 * 40 :][:40])
+        fleet.join(fleet.pxs[part::4], lambda proxy: fleet.bes[proxy.external_id % 5 * 40 :][:40])
         fleet.run(fleet.now + 100 * MS)
     for wave in range(3):
         fleet.run(fleet.now + 1500 * MS)
@@ -50,21 +50,23 @@
         parts = next(iter(channel.zones.values()))
         self.assertGreater(len(parts.tables), 4)
         warm = {
-            be: 1.0
-            for be in fleet.module.backends
-            if be.state == "ready" and be.handle.external_id in ("be-150", "be-151", "be-152")
+            backend: 1.0
+            for backend in fleet.module.backends
+            if backend.state == "ready" and backend.handle.external_id in ("be-150", "be-151", "be-152")
         }
         self.assertEqual(len(warm), 3)
         parts.deal(warm, channel.part(), channel.rates())
         for tab in parts.tables:
             self.assertTrue(any(tab.want.values()), "a table without a line")
-        all_ready = {be: 1.0 for be in fleet.module.backends if be.state == "ready"}
+        all_ready = {backend: 1.0 for backend in fleet.module.backends if backend.state == "ready"}
         parts.deal(
             all_ready, channel.part(), channel.rates()
         )  # and once there are enough each has its own again
         self.assertEqual(
-            sorted(be.handle.external_id for tab in parts.tables for be, w in tab.want.items() if w),
-            sorted(be.handle.external_id for be in all_ready),
+            sorted(
+                backend.handle.external_id for tab in parts.tables for backend, w in tab.want.items() if w
+            ),
+            sorted(backend.handle.external_id for backend in all_ready),
         )
 
     def test_a_table_without_lines_does_not_wait_behind_weights(self):
@@ -72,7 +74,7 @@
         first.
         """
         fleet = crowd(400)
-        bare = next(px.table for px in fleet.module.proxies if px.table)
+        bare = next(proxy.table for proxy in fleet.module.proxies if proxy.table)
         bare.sent.clear()
         with mock.patch.object(
             Channel, "waiting", lambda self: 0.4 * self.site.pending_max
@@ -83,7 +85,7 @@
     def test_messages_are_counted_as_written_when_the_channel_lags(self):
         fleet = Fleet(Controller, 6, 20, channel_rate=5000.0, pending_max=10**6, messages_max=8)
         fleet.run(10500 * MS)
-        fleet.join(fleet.pxs, lambda px: fleet.bes[:5])
+        fleet.join(fleet.pxs, lambda proxy: fleet.bes[:5])
         fleet.run(12 * S)
         fleet.free_at = fleet.now + 9 * S  # the channel stands still, then writes what has waited at once
         for second in range(25):
@@ -98,8 +100,8 @@
         fleet = Fleet(Controller, 30, 100, pending_max=10**5)
         fleet.run(11 * S)
         with mock.patch.object(Planner, "on_solve", autospec=True, side_effect=Planner.on_solve) as solves:
-            for px in fleet.pxs:
-                fleet.join([px], lambda px: fleet.bes[:5])
+            for proxy in fleet.pxs:
+                fleet.join([proxy], lambda proxy: fleet.bes[:5])
                 fleet.run(fleet.now + 10 * MS, 10 * MS)
         self.assertEqual(len(fleet.bound), 100)
         self.assertLessEqual(solves.call_count, 5)  # a second of joins: four beats and one
@@ -107,9 +109,9 @@
     def test_where_the_channel_can_bring_them_tables_are_whole(self):
         fleet = Fleet(Controller, 30, 100, channel_rate=5000.0, pending_max=5000.0)
         fleet.run(10500 * MS)
-        fleet.join(fleet.pxs, lambda px: fleet.bes[:5])
+        fleet.join(fleet.pxs, lambda proxy: fleet.bes[:5])
         fleet.run(14 * S)
-        self.assertTrue(all(len(fleet.held[px]) == 30 for px in fleet.pxs))
+        self.assertTrue(all(len(fleet.held[proxy]) == 30 for proxy in fleet.pxs))
         self.assertEqual(len(set(fleet.bound.values())), 2)
 
 
--- a/tests/test_node_endings.py
+++ b/tests/test_node_endings.py
@@ -19,7 +19,7 @@
         or post.module.channel.queue
         or post.module.channel.out
         or post.module.channel.joins
-        or any(px.messages.open for px in post.module.proxies)
+        or any(proxy.messages.open for proxy in post.module.proxies)
     ):
         await anyio.sleep(0.02)
 
@@ -101,7 +101,7 @@
                 relay.tell("done", f"node=1&nonce={late}&latency=5")
                 relay.attach(2, "north")  # told behind it
                 await relay.until(lambda: relay.lines(2))
-                known = {px.handle.external_id: px for px in service.post.module.proxies}
+                known = {proxy.handle.external_id: proxy for proxy in service.post.module.proxies}
                 self.assertTrue(known[1].messages.open)  # its own answer is still owed
                 self.assertNotIn(late, [nonce.external_id for nonce, _ in known[1].messages.open])
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -134,11 +134,11 @@
         self.table, self.nonce = i.Table(), i.Nonce()
         self.a, self.b = self.identifiers.backend("a"), self.identifiers.backend("b")
         self.p, self.q = self.identifiers.proxy("p"), self.identifiers.proxy("q")
-        for px in (self.p, self.q):
-            self.box.joined(px)
+        for proxy in (self.p, self.q):
+            self.box.joined(proxy)
 
     def post(self, *orders):
-        return {px.external_id: message for px, message, _ in self.box.post(7, orders)}
+        return {proxy.external_id: message for proxy, message, _ in self.box.post(7, orders)}
 
     def test_one_message_a_proxy_and_its_cost(self):
         got = self.post(
@@ -182,25 +182,25 @@
         """
         self.setUp()
         held = {"p": Holding(), "q": Holding()}
-        for be, what, px in steps:
-            be, px = self.identifiers.backend(be), self.identifiers.proxy(px)
+        for backend, what, proxy in steps:
+            backend, proxy = self.identifiers.backend(backend), self.identifiers.proxy(proxy)
             order = {
-                "line": i.SetLine(self.table, be, 1.0),
-                "gone": i.SetLine(self.table, be, 0),
-                "out": i.Withdraw(be, True),
-                "in": i.Withdraw(be, False),
-                "bind": i.Bind(px, self.table),
+                "line": i.SetLine(self.table, backend, 1.0),
+                "gone": i.SetLine(self.table, backend, 0),
+                "out": i.Withdraw(backend, True),
+                "in": i.Withdraw(backend, False),
+                "bind": i.Bind(proxy, self.table),
             }.get(what)
             if order is None:
-                self.box.joined(px)
-                held[px.external_id] = Holding()
+                self.box.joined(proxy)
+                held[proxy.external_id] = Holding()
                 continue
             for name, message in self.post(order).items():
                 held[name].apply(read_to_proxy(encode(message)))
             lines = {one.external_id for one in self.box.table(self.table).lines if one not in self.box.out}
-            for px, table in self.box.bound.items():
+            for proxy, table in self.box.bound.items():
                 if table is not None:
-                    self.assertEqual(set(held[px.external_id].picks()), lines)
+                    self.assertEqual(set(held[proxy.external_id].picks()), lines)
 
     @given(st.lists(st.tuples(st.integers(0, 3 * 10**8), st.integers(1, 80)), min_size=1, max_size=60))
     def test_the_channel_never_runs_faster_than_its_rate(self, puts):
@@ -222,8 +222,8 @@
 
     def test_waiting_lines_and_a_proxy_that_left(self):
         pacer = Pacer(10.0)
-        for px in (self.p, self.q, self.p):
-            pacer.put(0, px, 10, px.external_id)
+        for proxy in (self.p, self.q, self.p):
+            pacer.put(0, proxy, 10, proxy.external_id)
         self.assertEqual((pacer.lines, pacer.next_at()), (30, S))
         pacer.drop(S // 2, self.p)
         self.assertEqual((pacer.lines, pacer.next_at()), (10, S * 3 // 2))
@@ -306,7 +306,7 @@
 class Reports(unittest.TestCase):
     def test_merging_loses_no_count_and_the_oldest_goes_first(self):
         identifiers, intake = Identifiers(), Intake(4.0)
-        px, zone, kind = (
+        proxy, zone, kind = (
             identifiers.proxy("p"),
             identifiers.zone("z"),
             i.RequestKind(1, 2, external_id="view"),
@@ -317,7 +317,7 @@
                 identifiers.backend(name)
             intake.sums(
                 now,
-                px,
+                proxy,
                 zone,
                 Sums(
                     S,
@@ -391,13 +391,13 @@
     )
     def test_no_try_is_lost_or_counted_twice(self, told, rate):
         identifiers, intake, events, now = Identifiers(), Intake(rate, 0, S), [], 0
-        for gap, px, be, tries in told:
+        for gap, proxy, backend, tries in told:
             now += gap * S // 100
             intake.sums(
                 now,
-                identifiers.proxy(f"p{px}"),
-                identifiers.zone(f"z{px % 2}"),
-                Sums(S, [Met(f"b{be}", tries, 1, 7)], [Came("view", tries)]),
+                identifiers.proxy(f"p{proxy}"),
+                identifiers.zone(f"z{proxy % 2}"),
+                Sums(S, [Met(f"b{backend}", tries, 1, 7)], [Came("view", tries)]),
                 identifiers.backend,
                 {"view": "view"}.get,
             )
@@ -480,15 +480,15 @@
 
 class Models(unittest.TestCase):
     def test_a_backend_queues_fills_and_warms(self):
-        be = Backend("a", "z", Shape(cores=1, queue=1, cold_from=0.5, warm_after=10 * S))
-        be.start(0, cold=False)
-        self.assertEqual([be.offer(0, n, "view", S, None) for n in range(3)], [None, None, "full"])
-        self.assertEqual((be.next_at(), be.advance(S), be.advance(2 * S)), (S, [0], [1]))
-        be.start(3 * S, cold=True)
-        be.offer(3 * S, 9, "view", S, None)
-        self.assertEqual(be.next_at(), 5 * S)
-        be.ills.hang = True
-        self.assertEqual(be.advance(9 * S), [])
+        backend = Backend("a", "z", Shape(cores=1, queue=1, cold_from=0.5, warm_after=10 * S))
+        backend.start(0, cold=False)
+        self.assertEqual([backend.offer(0, n, "view", S, None) for n in range(3)], [None, None, "full"])
+        self.assertEqual((backend.next_at(), backend.advance(S), backend.advance(2 * S)), (S, [0], [1]))
+        backend.start(3 * S, cold=True)
+        backend.offer(3 * S, 9, "view", S, None)
+        self.assertEqual(backend.next_at(), 5 * S)
+        backend.ills.hang = True
+        self.assertEqual(backend.advance(9 * S), [])
 
 
 if __name__ == "__main__":
