--- a/embertray/core/instance.py
+++ b/embertray/core/instance.py
@@ -13,10 +13,10 @@
 from ..channel.outlet import UNANSWERED, Awake
 from ..channel.pacer import Pacer
 from ..degrade import Reduced
-from ..drive import Drive
 from ..memory import Accounts
 from ..memory.caps import PROBES, defaults
 from ..reports.intake import Intake
+from ..runner import Runner
 from .holdings import shelves
 
 S = 10**9
@@ -40,7 +40,7 @@
     change: object = None  # degrade.Change: another level of service
 
 
-class Instance(Drive):
+class Instance(Runner):
     """`site` is a site.Site, `me` one of its controllers; `chance` gives numbers from 0 to 1. The first thing
     to tell it is the list that it starts with: `news(now, "cached", ...)`, empty if there is none."""
 
--- a/embertray/measure/recorded.py
+++ b/embertray/measure/recorded.py
@@ -138,7 +138,7 @@
     from ..days import notation
     from ..emulator.play import play
 
-    with mock.patch("embertray.drive.drive.Controller", made):
+    with mock.patch("embertray.runner.runner.Controller", made):
         play(notation.load(name), seed, "reqs")
 
 
--- a/embertray/platform/discovery.py
+++ b/embertray/platform/discovery.py
@@ -18,7 +18,7 @@
 
 
 class Member(msgspec.Struct):
-    """One backend; has the names that drive.Drive reads."""
+    """One backend; has the names that runner.Runner reads."""
 
     id: Name
     locality: Name = ""
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -1,4 +1,4 @@
-"""One controller on the platform without I/O: module and identifiers (Drive) between list, reports, relay's
+"""One controller on the platform without I/O: module and identifiers (Runner) between list, reports, relay's
 news and calls.
 
 The transports hand in what came and the time, send `caller`'s calls, and call `advance` at once or at
@@ -8,7 +8,7 @@
 from .. import interface as i
 from ..briefing import Briefing
 from ..choice import Controller
-from ..drive import Drive
+from ..runner import Runner
 from .calls import Caller
 from .discovery import Follow
 from .limits import TIDY, WAITING_MOST
@@ -19,7 +19,7 @@
 from .words import Words
 
 
-class Post(Drive):
+class Post(Runner):
     """`start` is a start.Start. Raises BadBriefing."""
 
     def __init__(self, start, now, wall):
--- a/embertray/drive/drive.py
+++ b/embertray/runner/runner.py
@@ -11,7 +11,7 @@
 from ..identifiers import Identifiers
 
 
-class Drive:
+class Runner:
     """`deployment(identifiers)` gives what the module is told at its start. The first thing to tell it is the
     list that it starts with: `news(now, "cached", ...)`, empty if there is none. List entries have backend,
     zone, state, started, nominal.
