--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -3,10 +3,10 @@
 import traceback
 
 from .. import interface as i
-from ..briefing import BadBriefing, Briefing
-from ..briefing.briefing import number
 from ..choice import Controller
 from ..identifiers import Identifiers
+from ..settings import BadSettings, StartSettings
+from ..settings.settings import number
 
 US = 1000
 STATES = {0: "draining", 1: "gone", 2: "ready"}
@@ -111,10 +111,10 @@
     def __init__(self, seed, raw, clock):
         super().__init__()
         try:
-            told = Briefing(raw)
+            told = StartSettings(raw)
             self.reports, self.kinds = told.reports, told.kinds
             self.module = Controller(seed, told.deployment(self), clock)
-        except BadBriefing as wrong:
+        except BadSettings as wrong:
             raise BadWire(f"ENLIST: {wrong}") from None
 
     def load(self, got):
--- a/embertray/node/__main__.py
+++ b/embertray/node/__main__.py
@@ -10,12 +10,12 @@
 import anyio
 import structlog
 
-from ..briefing import BadBriefing
 from ..cli.logs import set_up
 from ..net.address import BadAddress, plain
 from ..net.clock import LoopClock
 from ..net.tcp import TcpNet
 from ..platform.start import BadStart, read
+from ..settings import BadSettings
 from .service import Service
 
 
@@ -41,7 +41,7 @@
     failed = []
     try:
         anyio.run(serve, path)
-    except* (BadStart, BadBriefing, BadAddress, OSError) as wrong:
+    except* (BadStart, BadSettings, BadAddress, OSError) as wrong:
         failed += wrong.exceptions
         log.error("ended", why=[str(one) for one in failed])
     return 2 if failed else 0
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -6,9 +6,9 @@
 """
 
 from .. import interface as i
-from ..briefing import Briefing
 from ..choice import Controller
 from ..runner import Runner
+from ..settings import StartSettings
 from .calls import Caller
 from .discovery import Follow
 from .limits import TIDY, WAITING_MOST
@@ -20,10 +20,10 @@
 
 
 class Post(Runner):
-    """`start` is a start.Start. Raises BadBriefing."""
+    """`start` is a start.Start. Raises BadSettings."""
 
     def __init__(self, start, now, wall):
-        self.told = Briefing.nested(start.settings)
+        self.told = StartSettings.nested(start.settings)
         self.said, self.chance = without_words(self.told), start.chance
         super().__init__(start.chance, self.told.deployment, now)
         self.words, self.caller, self.standing = (
--- a/embertray/platform/start.py
+++ b/embertray/platform/start.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..briefing import BadBriefing
+from ..settings import BadSettings
 from .discovery import Members, decoder as list_decoder
 
 
@@ -23,7 +23,7 @@
 
 
 class Start(msgspec.Struct):
-    """`settings` is told to the module by briefing.Briefing; `known`: the list as it was last held."""
+    """`settings` is told to the module by settings.StartSettings; `known`: the list as it was last held."""
 
     name: str
     listen: str
@@ -64,10 +64,10 @@
 
 def without_words(told):
     """Settings that the platform's protocol has no words for. One that nothing can be served without (tables
-    that belong to slices) raises BadBriefing; permissions go unused: what the log is told of them. A
+    that belong to slices) raises BadSettings; permissions go unused: what the log is told of them. A
     permission is no need, and who would not start for it fails every proxy."""
     if told.figure("specifics.partitions-n"):
-        raise BadBriefing("specifics.partitions-n: the platform's protocol has no words for slices")
+        raise BadSettings("specifics.partitions-n: the platform's protocol has no words for slices")
     unused = [
         what
         for what, key in (("probes", "caps.probes"), ("notes to peers", "caps.peer-messages"))
--- a/embertray/platform/words.py
+++ b/embertray/platform/words.py
@@ -10,7 +10,7 @@
 
 
 class Words:
-    """`identifiers` of a Runner, `kinds` of its Briefing."""
+    """`identifiers` of a Runner, `kinds` of its StartSettings."""
 
     def __init__(self, identifiers, kinds):
         self.identifiers, self.kinds = identifiers, kinds
--- a/embertray/briefing/__init__.py
+++ b/embertray/settings/__init__.py
@@ -1,5 +1,5 @@
 """What an instance is told at its start, for the bench's adapter and the platform's controller; no I/O."""
 
-from .briefing import BadBriefing, Briefing
+from .settings import BadSettings, StartSettings
 
-__all__ = ["BadBriefing", "Briefing"]
+__all__ = ["BadSettings", "StartSettings"]
--- a/embertray/briefing/briefing.py
+++ b/embertray/settings/settings.py
@@ -25,7 +25,7 @@
 }
 
 
-class BadBriefing(ValueError):
+class BadSettings(ValueError):
     """A value can't be read; the text names it and its key."""
 
 
@@ -61,9 +61,9 @@
     return value
 
 
-class Briefing:
+class StartSettings:
     """Reads one instance's settings. `kinds`: name -> RequestKind, whose `external_id` is its place;
-    `reports`: our names of a load report's values in their order; `zones`: names. Raises BadBriefing.
+    `reports`: our names of a load report's values in their order; `zones`: names. Raises BadSettings.
     """
 
     def __init__(self, raw):
@@ -133,7 +133,7 @@
         try:
             return number(self.raw[key]) if key in self.raw else other
         except ValueError:
-            raise BadBriefing(f"'{self.raw[key]}' is no good value for {key}") from None
+            raise BadSettings(f"'{self.raw[key]}' is no good value for {key}") from None
 
     def time(self, key):
         return int(self.figure(key + "-us") * US)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,7 +18,6 @@
 import anyio
 from platform_stage import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, stage
 
-from embertray.briefing import BadBriefing, Briefing
 from embertray.identifiers import Identifiers
 from embertray.net.address import BadAddress, plain
 from embertray.net.tcp import TcpNet
@@ -27,6 +26,7 @@
 from embertray.platform.port import ALIVE
 from embertray.platform.post import Post
 from embertray.platform.start import BadStart, read
+from embertray.settings import BadSettings, StartSettings
 from embertray.standin.platform import StandinDiscovery
 from embertray.standin.relay import StandinRelay
 
@@ -46,7 +46,8 @@
         for k, kind in enumerate(SETTINGS["profiles"]):
             pairs.update({f"profiles.{k}.{name}": str(v) for name, v in kind.items()})
         nested, flat = (
-            vars(one.deployment(Identifiers())) for one in (Briefing.nested(SETTINGS), Briefing(pairs))
+            vars(one.deployment(Identifiers()))
+            for one in (StartSettings.nested(SETTINGS), StartSettings(pairs))
         )
         for told in (nested, flat):
             told["kinds"] = [vars(kind) for kind in told["kinds"]]
@@ -60,8 +61,8 @@
         )
 
     def test_bad_values_are_named(self):
-        with self.assertRaisesRegex(BadBriefing, "'x' is no good value for specifics.agents"):
-            Briefing({"specifics.agents": "x"})
+        with self.assertRaisesRegex(BadSettings, "'x' is no good value for specifics.agents"):
+            StartSettings({"specifics.agents": "x"})
         for data in (b"", b"{", b"[]", b'{"name":"n1"}', configured().replace(b'"listen"', b'"l"'), b"\xff"):
             with self.assertRaises(BadStart):
                 read(data)
@@ -332,7 +333,7 @@
             return Post(read(configured(settings={**SETTINGS, **more})), 0, 0)
 
         self.assertEqual(post().said, [])
-        with self.assertRaisesRegex(BadBriefing, "partitions-n: .* no words for slices"):
+        with self.assertRaisesRegex(BadSettings, "partitions-n: .* no words for slices"):
             post(specifics={**SETTINGS["specifics"], "partitions-n": 8})
         told = post(caps={"probes": True, "peer-messages": True}).said
         self.assertEqual([("probes" in one, "peers" in one) for one in told], [(True, False), (False, True)])
