--- a/embertray/core/holdings.py
+++ b/embertray/core/holdings.py
@@ -4,32 +4,34 @@
 from ..choice.actor import Actor
 from ..memory.sizes import Shelf
 
-HANDLES = (i.Handle, i.ReqKind, Actor)
+HANDLES = (i.Handle, i.RequestKind, Actor)
 
 
 def shelves(it):
     """purpose -> shelves of an Instance, without its streams (those are the daemon's)."""
-    module, box, door = it.module, it.outbox, it.door
-    tabs, ordered = module.channel.tabs, list(box.tables.values())
-    lines = [tab.lines for tab in ordered] + [book for tab in tabs for book in (tab.want, tab.told)]
-    pxs, bes = module.pxs, module.bes
+    module, box, identifiers = it.module, it.outbox, it.identifiers
+    tables, ordered = module.channel.tables, list(box.tables.values())
+    lines = [table.lines for table in ordered] + [
+        book for table in tables for book in (table.want, table.sent)
+    ]
+    proxies, backends = module.proxies, module.backends
 
     def samples():
-        for part in [*bes, *pxs]:
-            yield from part.samples
+        for part in [*backends, *proxies]:
+            yield from part.samples.rows
 
     def lists(*books):
         return lambda: (item for book in books for item in book.items())
 
-    users = [tab.users for tab in ordered]
+    users = [table.users for table in ordered]
     told = list(box.out.values())
-    held = [px.open for px in pxs] + [px.sent for px in pxs]
+    held = [proxy.messages.open for proxy in proxies] + [proxy.messages.written for proxy in proxies]
     return {
         "tables": [
             Shelf("lines", sum(map(len, lines)), lists(*lines), lines, HANDLES),
             Shelf(
                 "levels",
-                sum(len(tab.levels) for tab in ordered),
+                sum(len(table.levels) for table in ordered),
                 lists(*(t.levels for t in ordered)),
                 (),
                 HANDLES,
@@ -66,16 +68,16 @@
                 list(it.reduced.gauge.words.values()),
                 HANDLES,
             ),
-            Shelf("samples", sum(len(p.samples) for p in (*bes, *pxs)), samples, (), HANDLES),
+            Shelf("samples", sum(len(p.samples.rows) for p in (*backends, *proxies)), samples, (), HANDLES),
         ],
         "channel": [
             Shelf("messages", len(it.pacer.queue), lambda: it.pacer.queue, [it.pacer.queue], HANDLES),
             Shelf(
-                "marks",
-                len(door.marks) + len(it.stamps),
-                lists(door.marks, it.stamps),
-                [door.marks, it.stamps],
-                (i.ReqKind, Actor),
+                "nonces",
+                len(identifiers.nonces) + len(it.stamps),
+                lists(identifiers.nonces, it.stamps),
+                [identifiers.nonces, it.stamps],
+                (i.RequestKind, Actor),
             ),
             Shelf(
                 "open", sum(map(len, held)), lambda: (item for book in held for item in book), held, HANDLES
@@ -83,27 +85,32 @@
             Shelf("open here", sum(map(len, it.open.values())), lambda: it.open.values(), [it.open], HANDLES),
             Shelf(
                 "flights",
-                sum(len(sent) for sent, _ in module.channel.flight.values()),
-                lambda: (item for sent, _ in module.channel.flight.values() for item in sent.items()),
-                [module.channel.flight, *(sent for sent, _ in module.channel.flight.values())],
+                sum(len(sent) for sent, _ in module.channel.flights.by_nonce.values()),
+                lambda: (
+                    item for sent, _ in module.channel.flights.by_nonce.values() for item in sent.items()
+                ),
+                [
+                    module.channel.flights.by_nonce,
+                    *(sent for sent, _ in module.channel.flights.by_nonce.values()),
+                ],
                 HANDLES,
             ),
         ],
         "names": [
             Shelf(
                 "handles",
-                len(door.backends) + len(door.proxies) + len(door.zones),
-                lists(door.backends, door.proxies, door.zones),
-                [door.backends, door.proxies, door.zones],
+                len(identifiers.backends) + len(identifiers.proxies) + len(identifiers.zones),
+                lists(identifiers.backends, identifiers.proxies, identifiers.zones),
+                [identifiers.backends, identifiers.proxies, identifiers.zones],
                 (Actor,),
             ),
             Shelf(
                 "actors",
-                len(bes) + len(pxs),
-                lambda: iter([*bes, *pxs]),
-                [bes, pxs],
-                (i.Handle, i.ReqKind),
-                ("hub", "site", "samples", "open", "sent", "handle", "table"),
+                len(backends) + len(proxies),
+                lambda: iter([*backends, *proxies]),
+                [backends, proxies],
+                (i.Handle, i.RequestKind),
+                ("owner", "site", "samples", "messages", "handle", "table"),
             ),
         ],
         "probes": [Shelf("under way", len(it.probing), it.probing.items, [it.probing], HANDLES)],
--- a/embertray/days/result.py
+++ b/embertray/days/result.py
@@ -22,7 +22,7 @@
     spread: list
     wall: float
     events: list
-    took: object  # HdrHistogram, us of done and late reqs
+    took: object  # HdrHistogram, us of done and late requests
     line: list  # credit earned of credit asked, by second
     claims: dict | None = (
         None  # with processes that form a cluster: days.claims by name, kept, broken or not met
@@ -73,14 +73,14 @@
 
 def judge(stage, mode, seed, wall):
     site, eyes = stage.site, stage.eyes
-    standing = {px.name: px.first for px in stage.proxies}
+    standing = {proxy.name: proxy.first for proxy in stage.proxies}
     checker = Checker(site, standing, eyes.events, stage.models)
     rules = checker.judge()
     asked, got, by, reqs = 0.0, 0.0, {}, 0
     for kind, (came, done, late, _) in stage.outcomes().items():
         if came:
             earned = kind.credit * (done + late * site.late_credit[kind])
-            by[kind.door] = earned / (kind.credit * came)
+            by[kind.external_id] = earned / (kind.credit * came)
             asked, got, reqs = asked + kind.credit * came, got + earned, reqs + round(came)
     return Result(
         stage.day.name,
--- a/embertray/measure/recorded.py
+++ b/embertray/measure/recorded.py
@@ -28,7 +28,7 @@
         self.numbers, self.things, self.counts = {}, {}, {}
 
     def row(self, thing):
-        if isinstance(thing, (i.Handle, i.ReqKind)):
+        if isinstance(thing, (i.Handle, i.RequestKind)):
             if thing not in self.numbers:
                 name = type(thing).__name__
                 self.counts[name] = n = self.counts.get(name, 0) + 1
@@ -67,8 +67,8 @@
 
     def begin(self, row):
         for n, kind in enumerate(row["kinds"], 1):
-            self.things["ReqKind", n] = made = i.ReqKind(*kind)
-            self.numbers[made], self.counts["ReqKind"] = ["ReqKind", n], n
+            self.things["RequestKind", n] = made = i.RequestKind(*kind)
+            self.numbers[made], self.counts["RequestKind"] = ["RequestKind", n], n
         return row["seed"], self.thing(row["site"]), row["now"]
 
 
@@ -87,7 +87,7 @@
         def recorded(now, events):
             rows.append([now, names.row(events)])
             orders = step(now, events)
-            names.row(orders)  # numbers its tables and marks
+            names.row(orders)  # numbers its tables and nonces
             return orders
 
         module.step = recorded
@@ -118,17 +118,19 @@
     kinds = fleet.site.kinds
     for second in range(30):
         if second < 4:
-            fleet.join(fleet.pxs[second::4], lambda px: fleet.bes[px.door % 5 * 20 :][:20])
+            fleet.join(fleet.pxs[second::4], lambda proxy: fleet.bes[proxy.external_id % 5 * 20 :][:20])
         if second in (3, 5, 7):
             fleet.list("changes", fleet.bes[second * 10 - 30 :][:20], "draining")
             new = [i.Backend(f"be-{1000 + second * 20 + k}") for k in range(20)]
             fleet.list("changes", new, "ready", fleet.now)
-        for n, be in enumerate(fleet.bes[second % 2 :: 2]):
+        for n, backend in enumerate(fleet.bes[second % 2 :: 2]):
             bad = 9 if n % 11 == 0 and second > 12 else 0
             slow = (250 + 40 * (n % 7) + (600 if 15 < second < 24 else 0)) * MS
-            fleet.todo.append(i.Heard(be, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5}))
-        for px in fleet.pxs[second % 4 :: 4]:
-            fleet.todo.append(i.Arrivals(px, kinds[px.door % 2], 2 + px.door % 3, 0, 2 * S))
+            fleet.todo.append(i.Heard(backend, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5}))
+        for proxy in fleet.pxs[second % 4 :: 4]:
+            fleet.todo.append(
+                i.Arrivals(proxy, kinds[proxy.external_id % 2], 2 + proxy.external_id % 3, 0, 2 * S)
+            )
         fleet.run(fleet.now + S)
 
 
@@ -136,7 +138,7 @@
     from ..days import notation
     from ..emulator.play import play
 
-    with mock.patch("embertray.drive.drive.Controller", made):
+    with mock.patch("embertray.runner.runner.Controller", made):
         play(notation.load(name), seed, "reqs")
 
 
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -1,14 +1,14 @@
-"""One controller on the platform without I/O: module and door (Drive) between list, reports, relay's news and
-calls.
+"""One controller on the platform without I/O: module and identifiers (Runner) between list, reports, relay's
+news and calls.
 
 The transports hand in what came and the time, send `caller`'s calls, and call `advance` at once or at
 `next_at`.
 """
 
 from .. import interface as i
-from ..briefing import Briefing
 from ..choice import Controller
-from ..drive import Drive
+from ..runner import Runner
+from ..settings import StartSettings
 from .calls import Caller
 from .discovery import Follow
 from .limits import TIDY, WAITING_MOST
@@ -19,15 +19,15 @@
 from .words import Words
 
 
-class Post(Drive):
-    """`start` is a start.Start. Raises BadBriefing."""
+class Post(Runner):
+    """`start` is a start.Start. Raises BadSettings."""
 
     def __init__(self, start, now, wall):
-        self.told = Briefing.nested(start.settings)
+        self.told = StartSettings.nested(start.settings)
         self.said, self.chance = without_words(self.told), start.chance
         super().__init__(start.chance, self.told.deployment, now)
         self.words, self.caller, self.standing = (
-            Words(self.door, self.told.kinds),
+            Words(self.identifiers, self.told.kinds),
             Caller(self.module.site.way_max),
             Standing(),
         )
@@ -88,26 +88,28 @@
         numbers, so that no line of the former ones is left to anybody who is bound."""
         listed = [
             i.Entry(backend.handle, backend.zone, backend.state, backend.started)
-            for backend in self.module.bes
+            for backend in self.module.backends
             if backend.state not in (None, "gone")
         ]
-        for known in (self.door.backends, self.door.proxies):
+        for known in (self.identifiers.backends, self.identifiers.proxies):
             for handle in known.values():
                 handle.actor = None
         self.chance += 1
-        self.module, self.wakes, self.door.marks = (
-            Controller(self.chance, self.told.deployment(self.door), now),
+        self.module, self.wakes, self.identifiers.nonces = (
+            Controller(self.chance, self.told.deployment(self.identifiers), now),
             [],
             {},
         )
         self.todo = [i.ListNews("cached", listed), *map(self.words.news, self.standing.joined.values())]
 
     def tidy(self):
-        """Who is long gone is forgotten, and marks that nobody owes an answer to."""
-        self.forget(lambda thing: thing.door in self.standing.joined)
-        open_marks = {mark for proxy in self.module.pxs for mark, _ in proxy.open}
-        open_marks.update(self.module.channel.flight)
-        self.door.marks = {number: mark for number, mark in self.door.marks.items() if mark in open_marks}
+        """Who is long gone is forgotten, and nonces that nobody owes an answer to."""
+        self.forget(lambda thing: thing.external_id in self.standing.joined)
+        open_nonces = {nonce for proxy in self.module.proxies for nonce, _ in proxy.messages.open}
+        open_nonces.update(self.module.channel.flights.by_nonce)
+        self.identifiers.nonces = {
+            number: nonce for number, nonce in self.identifiers.nonces.items() if nonce in open_nonces
+        }
 
     def next_at(self):
         """When to advance again if nothing happens before, ns; None while a call is under way."""
--- a/embertray/site/site.py
+++ b/embertray/site/site.py
@@ -14,6 +14,7 @@
 HERE = Path(__file__).resolve().parent
 SIZES = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 UNITS = {"us": 10**3, "ms": 10**6, "min": 60 * 10**9, "s": 10**9}
+FORMER_AGAIN = {"uniqued": "deduplicated"}  # words of older descriptions
 
 
 class BadSite(ValueError):
@@ -45,8 +46,8 @@
 
 @dataclass(frozen=True, eq=False)
 class Site:
-    """A deployment's facts. Times in ns, rates a second. `kinds` are interface.ReqKind, their names at
-    `door`.
+    """A deployment's facts. Times in ns, rates a second. `kinds` are interface.RequestKind, their names at
+    `external_id`.
     """
 
     name: str
@@ -103,12 +104,12 @@
         """The same site with other facts, as for ports that are only known once something listens."""
         return replace(self, **other)
 
-    def deployment(self, me, door):
-        """What the decision module is told at its start; zones become the door's objects."""
+    def deployment(self, me, identifiers):
+        """What the decision module is told at its start; zones become objects of `identifiers`."""
         return i.Deployment(
             kinds=list(self.kinds),
-            zones=[door.zone(name) for name in self.zones],
-            home=door.zone(me.zone),
+            zones=[identifiers.zone(name) for name in self.zones],
+            home=identifiers.zone(me.zone),
             controllers=len(self.controllers),
             proxies=self.proxies,
             ask=self.ask,
@@ -184,17 +185,18 @@
     kinds, late, windows = [], {}, {}
     for element in root.find("request-kinds"):
         got = {**defaults["kind"], **element.attrib}
-        kind = i.ReqKind(
+        kind = i.RequestKind(
             time(got["response-target"]),
             time(got["client-timeout"]),
             float(got["credit"]),
-            got["again"],
+            FORMER_AGAIN.get(got["again"], got["again"]),
             got["group"],
             got["name"],
         )
         if kind.client_timeout < kind.response_target:
             raise BadSite(
-                f"{path}:{element.sourceline}: kind {kind.door}: client-timeout is under response-target"
+                f"{path}:{element.sourceline}: kind {kind.external_id}: "
+                "client-timeout is under response-target"
             )
         kinds.append(kind)
         late[kind], windows[kind] = float(got["late-credit"]), time(got["window"])
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -21,7 +21,7 @@
 
 
 def replace_do(message, do):
-    return Orders(message.stamp, message.cost, do, message.mark)
+    return Orders(message.stamp, message.cost, do, message.nonce)
 
 
 class BindsNothing(Instance):
@@ -57,7 +57,7 @@
                 replace_do(
                     m,
                     [
-                        Bind(do.table, do.lines, [(k.door, 1.0, 3) for k in self.site.kinds], do.out)
+                        Bind(do.table, do.lines, [(k.external_id, 1.0, 3) for k in self.site.kinds], do.out)
                         if isinstance(do, Bind)
                         else do
                         for do in m.do
@@ -78,7 +78,11 @@
 
     def advance(self, now):
         step = super().advance(now)
-        new = {be.door for be in self.door.backends.values() if be.actor and be.actor.started > 0}
+        new = {
+            backend.external_id
+            for backend in self.identifiers.backends.values()
+            if backend.actor and backend.actor.started > 0
+        }
         step.leave = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.leave]
         return step
 
@@ -87,7 +91,12 @@
     if isinstance(do, Line) and do.backend in new and do.weight:
         return Line(do.table, do.backend, 100.0)
     if isinstance(do, Bind):
-        return Bind(do.table, [(be, 100.0 if be in new else w) for be, w in do.lines], do.levels, do.out)
+        return Bind(
+            do.table,
+            [(backend, 100.0 if backend in new else w) for backend, w in do.lines],
+            do.levels,
+            do.out,
+        )
     return do
 
 
@@ -96,9 +105,9 @@
 
     def advance(self, now):
         for table, tab in self.outbox.tables.items():
-            orders = [i.SetLine(table, be, w) for be, w in tab.lines.items()]
-            for px, message, _ in self.outbox.post(now, orders):
-                self.pacer.put(now, px, message.cost, message)
+            orders = [i.SetLine(table, backend, w) for backend, w in tab.lines.items()]
+            for proxy, message, _ in self.outbox.post(now, orders):
+                self.pacer.put(now, proxy, message.cost, message)
         return super().advance(now)
 
 
@@ -109,10 +118,12 @@
         if now - getattr(self, "last", 0) > 250_000_000:
             self.last = now
             for table, tab in self.outbox.tables.items():
-                be = next(iter(tab.lines), None)
-                if be:
-                    for px, message, _ in self.outbox.post(now, [i.SetLine(table, be, tab.lines[be])]):
-                        self.pacer.put(now, px, message.cost, message)
+                backend = next(iter(tab.lines), None)
+                if backend:
+                    for proxy, message, _ in self.outbox.post(
+                        now, [i.SetLine(table, backend, tab.lines[backend])]
+                    ):
+                        self.pacer.put(now, proxy, message.cost, message)
         return super().advance(now)
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -20,8 +20,7 @@
 import structlog
 from platform_stage import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, stage
 
-from embertray.briefing import BadBriefing, Briefing
-from embertray.door import Door
+from embertray.identifiers import Identifiers
 from embertray.net.address import BadAddress, plain
 from embertray.net.tcp import TcpNet
 from embertray.platform import limits
@@ -29,6 +28,7 @@
 from embertray.platform.port import ALIVE
 from embertray.platform.post import Post
 from embertray.platform.start import BadStart, read
+from embertray.settings import BadSettings, StartSettings
 from embertray.standin.platform import StandinDiscovery
 from embertray.standin.relay import StandinRelay
 
@@ -47,18 +47,24 @@
             pairs.update({f"{part}.{k}": str(v) for k, v in SETTINGS[part].items()})
         for k, kind in enumerate(SETTINGS["profiles"]):
             pairs.update({f"profiles.{k}.{name}": str(v) for name, v in kind.items()})
-        nested, flat = (vars(one.deployment(Door())) for one in (Briefing.nested(SETTINGS), Briefing(pairs)))
+        nested, flat = (
+            vars(one.deployment(Identifiers()))
+            for one in (StartSettings.nested(SETTINGS), StartSettings(pairs))
+        )
         for told in (nested, flat):
             told["kinds"] = [vars(kind) for kind in told["kinds"]]
-            told["zones"], told["home"] = [zone.door for zone in told["zones"]], told["home"].door
+            told["zones"], told["home"] = (
+                [zone.external_id for zone in told["zones"]],
+                told["home"].external_id,
+            )
         self.assertEqual(nested, flat)
         self.assertEqual(
             (nested["drain_grace"], nested["throttle"], len(nested["kinds"])), (3 * S, "share", 2)
         )
 
     def test_bad_values_are_named(self):
-        with self.assertRaisesRegex(BadBriefing, "'x' is no good value for specifics.agents"):
-            Briefing({"specifics.agents": "x"})
+        with self.assertRaisesRegex(BadSettings, "'x' is no good value for specifics.agents"):
+            StartSettings({"specifics.agents": "x"})
         for data in (b"", b"{", b"[]", b'{"name":"n1"}', configured().replace(b'"listen"', b'"l"'), b"\xff"):
             with self.assertRaises(BadStart):
                 read(data)
@@ -380,7 +386,7 @@
             return Post(read(configured(settings={**SETTINGS, **more})), 0, 0)
 
         self.assertEqual(post().said, [])
-        with self.assertRaisesRegex(BadBriefing, "partitions-n: .* no words for slices"):
+        with self.assertRaisesRegex(BadSettings, "partitions-n: .* no words for slices"):
             post(specifics={**SETTINGS["specifics"], "partitions-n": 8})
         told = post(caps={"probes": True, "peer-messages": True}).said
         self.assertEqual([("probes" in one, "peers" in one) for one in told], [(True, False), (False, True)])
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,7 +15,7 @@
 from embertray.channel.outbox import Outbox
 from embertray.channel.outlet import MOST_BYTES, OLDEST, Outlet
 from embertray.channel.pacer import BURST, Pacer
-from embertray.door import Door
+from embertray.identifiers import Identifiers
 from embertray.inventory.follow import Follow
 from embertray.inventory.messages import Failed, Get, Listed, News
 from embertray.model.backend import Backend, Shape
@@ -112,8 +112,8 @@
 
     def test_marks_are_answered_once_and_in_order(self):
         end = self.end()
-        for mark in (1, 2, 3):
-            end.sent(mark)
+        for nonce in (1, 2, 3):
+            end.sent(nonce)
         self.assertEqual(len(end.receive(frame(encode(Answer(2))))), 1)
         self.assertEqual(list(end.open), [3])
         self.assertEqual(self.refused(end, Answer(1)), "order")
@@ -128,27 +128,27 @@
 
 class Channel(unittest.TestCase):
     def setUp(self):
-        self.door = Door()
-        self.kind = i.ReqKind(1, 2, door="view")
-        self.box = Outbox(self.door, 4, {self.kind: "view"})
-        self.table, self.mark = i.Table(), i.Mark()
-        self.a, self.b = self.door.backend("a"), self.door.backend("b")
-        self.p, self.q = self.door.proxy("p"), self.door.proxy("q")
-        for px in (self.p, self.q):
-            self.box.joined(px)
+        self.identifiers = Identifiers()
+        self.kind = i.RequestKind(1, 2, external_id="view")
+        self.box = Outbox(self.identifiers, 4, {self.kind: "view"})
+        self.table, self.nonce = i.Table(), i.Nonce()
+        self.a, self.b = self.identifiers.backend("a"), self.identifiers.backend("b")
+        self.p, self.q = self.identifiers.proxy("p"), self.identifiers.proxy("q")
+        for proxy in (self.p, self.q):
+            self.box.joined(proxy)
 
     def post(self, *orders):
-        return {px.door: message for px, message, _ in self.box.post(7, orders)}
+        return {proxy.external_id: message for proxy, message, _ in self.box.post(7, orders)}
 
     def test_one_message_a_proxy_and_its_cost(self):
         got = self.post(
             i.SetLine(self.table, self.a, 1.0),
             i.SetLevel(self.table, [], 0.5, 1),
             i.Bind(self.p, self.table),
-            i.PutMark(self.mark),
+            i.PutNonce(self.nonce),
         )
         self.assertEqual(list(got), ["p"])
-        self.assertEqual(got["p"].cost, 4 + 1 + 1 + 1 + 1)  # head, bind, a line, a level, the mark
+        self.assertEqual(got["p"].cost, 4 + 1 + 1 + 1 + 1)  # head, bind, a line, a level, the nonce
         self.assertEqual(got["p"].do, [Bind(1, [("a", 1.0)], [("view", 0.5, 1)], [])])
         got = self.post(i.SetLine(self.table, self.b, 0.5), i.SetLine(self.table, self.a, 0))
         self.assertEqual((list(got), got["p"].cost), (["p"], 6))
@@ -182,25 +182,25 @@
         """
         self.setUp()
         held = {"p": Holding(), "q": Holding()}
-        for be, what, px in steps:
-            be, px = self.door.backend(be), self.door.proxy(px)
+        for backend, what, proxy in steps:
+            backend, proxy = self.identifiers.backend(backend), self.identifiers.proxy(proxy)
             order = {
-                "line": i.SetLine(self.table, be, 1.0),
-                "gone": i.SetLine(self.table, be, 0),
-                "out": i.Withdraw(be, True),
-                "in": i.Withdraw(be, False),
-                "bind": i.Bind(px, self.table),
+                "line": i.SetLine(self.table, backend, 1.0),
+                "gone": i.SetLine(self.table, backend, 0),
+                "out": i.Withdraw(backend, True),
+                "in": i.Withdraw(backend, False),
+                "bind": i.Bind(proxy, self.table),
             }.get(what)
             if order is None:
-                self.box.joined(px)
-                held[px.door] = Holding()
+                self.box.joined(proxy)
+                held[proxy.external_id] = Holding()
                 continue
             for name, message in self.post(order).items():
                 held[name].apply(read_to_proxy(encode(message)))
-            lines = {one.door for one in self.box.table(self.table).lines if one not in self.box.out}
-            for px, table in self.box.bound.items():
+            lines = {one.external_id for one in self.box.table(self.table).lines if one not in self.box.out}
+            for proxy, table in self.box.bound.items():
                 if table is not None:
-                    self.assertEqual(set(held[px.door].picks()), lines)
+                    self.assertEqual(set(held[proxy.external_id].picks()), lines)
 
     @given(st.lists(st.tuples(st.integers(0, 3 * 10**8), st.integers(1, 80)), min_size=1, max_size=60))
     def test_the_channel_never_runs_faster_than_its_rate(self, puts):
@@ -222,8 +222,8 @@
 
     def test_waiting_lines_and_a_proxy_that_left(self):
         pacer = Pacer(10.0)
-        for px in (self.p, self.q, self.p):
-            pacer.put(0, px, 10, px.door)
+        for proxy in (self.p, self.q, self.p):
+            pacer.put(0, proxy, 10, proxy.external_id)
         self.assertEqual((pacer.lines, pacer.next_at()), (30, S))
         pacer.drop(S // 2, self.p)
         self.assertEqual((pacer.lines, pacer.next_at()), (10, S * 3 // 2))
@@ -305,22 +305,26 @@
 
 class Reports(unittest.TestCase):
     def test_merging_loses_no_count_and_the_oldest_goes_first(self):
-        door, intake = Door(), Intake(4.0)
-        px, zone, kind = door.proxy("p"), door.zone("z"), i.ReqKind(1, 2, door="view")
+        identifiers, intake = Identifiers(), Intake(4.0)
+        proxy, zone, kind = (
+            identifiers.proxy("p"),
+            identifiers.zone("z"),
+            i.RequestKind(1, 2, external_id="view"),
+        )
         for n in range(3):
             now = (n + 1) * S // 100
             for name in "ab":
-                door.backend(name)
+                identifiers.backend(name)
             intake.sums(
                 now,
-                px,
+                proxy,
                 zone,
                 Sums(
                     S,
                     [Met("a", 4, 1, 300, {"busy": n / 2}), Met("b", 2)],
                     [Came("view", 5, 1), Came("strange", 9)],
                 ),
-                door.backends.get,
+                identifiers.backends.get,
                 {"view": kind}.get,
             )
         events, at = [], 0
@@ -328,34 +332,41 @@
             events += intake.due(at)
         self.assertEqual([type(e).__name__ for e in events], ["Heard", "Heard", "Arrivals"])
         self.assertEqual(
-            (events[0].tries, events[0].errored, events[0].latency, events[0].load["busy"]), (12, 3, 100, 1.0)
+            (events[0].tries, events[0].failed, events[0].latency, events[0].load["busy"]), (12, 3, 100, 1.0)
         )
-        self.assertEqual((events[2].reqs, events[2].lost), (15, 3))
+        self.assertEqual((events[2].requests, events[2].lost), (15, 3))
 
     def test_the_time_that_a_zone_s_proxies_cover_counts_once(self):
         """Three proxies at their own phases: tries over spans is the zone's rate, and a cycle is one line."""
-        door, intake, events = Door(), Intake(0.0, 0, S), []
-        zone = door.zone("z")
+        identifiers, intake, events = Identifiers(), Intake(0.0, 0, S), []
+        zone = identifiers.zone("z")
         for tenth in range(100):
             now = tenth * S // 10
             for n in range(3):
                 if tenth % 10 == n * 2:
                     intake.sums(
-                        now, door.proxy(f"p{n}"), zone, Sums(S, [Met("a", 10, 1)]), door.backend, {}.get
+                        now,
+                        identifiers.proxy(f"p{n}"),
+                        zone,
+                        Sums(S, [Met("a", 10, 1)]),
+                        identifiers.backend,
+                        {}.get,
                     )
             events += intake.due(now)
         events += intake.due(20 * S)
-        self.assertEqual((sum(e.tries for e in events), sum(e.errored for e in events)), (300, 30))
+        self.assertEqual((sum(e.tries for e in events), sum(e.failed for e in events)), (300, 30))
         self.assertEqual(len(events), 11)  # the first round knew one proxy only
         late = events[1:-1]
         self.assertAlmostEqual(sum(e.tries for e in late) * S / sum(e.span for e in late), 30)
 
     def test_nobody_is_waited_for_longer_than_a_cycle_nor_again_once_silent(self):
-        door, intake = Door(), Intake(0.0, 0, S)
-        zone, at = door.zone("z"), []
+        identifiers, intake = Identifiers(), Intake(0.0, 0, S)
+        zone, at = identifiers.zone("z"), []
 
         def tell(now, name):
-            intake.sums(now, door.proxy(name), zone, Sums(S, [Met("a", 1)]), door.backend, {}.get)
+            intake.sums(
+                now, identifiers.proxy(name), zone, Sums(S, [Met("a", 1)]), identifiers.backend, {}.get
+            )
 
         for name in "pq":
             tell(0, name)
@@ -379,15 +390,15 @@
         st.sampled_from([0.0, 3.0, 50.0]),
     )
     def test_no_try_is_lost_or_counted_twice(self, told, rate):
-        door, intake, events, now = Door(), Intake(rate, 0, S), [], 0
-        for gap, px, be, tries in told:
+        identifiers, intake, events, now = Identifiers(), Intake(rate, 0, S), [], 0
+        for gap, proxy, backend, tries in told:
             now += gap * S // 100
             intake.sums(
                 now,
-                door.proxy(f"p{px}"),
-                door.zone(f"z{px % 2}"),
-                Sums(S, [Met(f"b{be}", tries, 1, 7)], [Came("view", tries)]),
-                door.backend,
+                identifiers.proxy(f"p{proxy}"),
+                identifiers.zone(f"z{proxy % 2}"),
+                Sums(S, [Met(f"b{backend}", tries, 1, 7)], [Came("view", tries)]),
+                identifiers.backend,
                 {"view": "view"}.get,
             )
             events += intake.due(now)
@@ -396,17 +407,19 @@
             events += intake.due(now)
         heard = [e for e in events if isinstance(e, i.Heard)]
         self.assertEqual(sum(e.tries for e in heard), sum(t[3] for t in told))
-        self.assertEqual(sum(e.errored for e in heard), len(told))
-        self.assertEqual(sum(e.reqs for e in events if isinstance(e, i.Arrivals)), sum(t[3] for t in told))
+        self.assertEqual(sum(e.failed for e in heard), len(told))
+        self.assertEqual(
+            sum(e.requests for e in events if isinstance(e, i.Arrivals)), sum(t[3] for t in told)
+        )
 
     def test_lines_a_second(self):
-        door, intake = Door(), Intake(10.0)
+        identifiers, intake = Identifiers(), Intake(10.0)
         intake.sums(
             0,
-            door.proxy("p"),
-            door.zone("z"),
+            identifiers.proxy("p"),
+            identifiers.zone("z"),
             Sums(S, [Met(f"b{n}", 1) for n in range(100)]),
-            door.backend,
+            identifiers.backend,
             {}.get,
         )
         count = sum(len(intake.due(t * S // 100)) for t in range(201))
@@ -432,8 +445,9 @@
         self.assertEqual(
             (sites["asked"].ask, sites["pushed"].levels, sites["sealed"].messages_max), (True, "rate", 20)
         )
-        deployment = sites["sealed"].deployment(sites["sealed"].controllers[0], Door())
+        deployment = sites["sealed"].deployment(sites["sealed"].controllers[0], Identifiers())
         self.assertEqual(deployment.kinds[1].again, "non-replayable")
+        self.assertEqual(sites["asked"].kinds[1].again, "deduplicated")
 
     def test_errors_name_the_line_and_what_was_expected(self):
         good = (SITES / "samples" / "pushed.xml").read_text()
@@ -455,18 +469,26 @@
                 for word in ("site.xml:", *words):
                     self.assertIn(word, str(caught.exception))
 
+    def test_the_former_word_for_deduplicated_is_read(self):
+        text = (SITES / "samples" / "asked.xml").read_text()
+        self.assertIn('"deduplicated"', text)
+        with tempfile.TemporaryDirectory() as folder:
+            path = Path(folder, "site.xml")
+            path.write_text(text.replace('"deduplicated"', '"uniqued"'))
+            self.assertEqual(load(path).kinds[1].again, "deduplicated")
+
 
 class Models(unittest.TestCase):
     def test_a_backend_queues_fills_and_warms(self):
-        be = Backend("a", "z", Shape(cores=1, queue=1, cold_from=0.5, warm_after=10 * S))
-        be.start(0, cold=False)
-        self.assertEqual([be.offer(0, n, "view", S, None) for n in range(3)], [None, None, "full"])
-        self.assertEqual((be.next_at(), be.advance(S), be.advance(2 * S)), (S, [0], [1]))
-        be.start(3 * S, cold=True)
-        be.offer(3 * S, 9, "view", S, None)
-        self.assertEqual(be.next_at(), 5 * S)
-        be.ills.hang = True
-        self.assertEqual(be.advance(9 * S), [])
+        backend = Backend("a", "z", Shape(cores=1, queue=1, cold_from=0.5, warm_after=10 * S))
+        backend.start(0, cold=False)
+        self.assertEqual([backend.offer(0, n, "view", S, None) for n in range(3)], [None, None, "full"])
+        self.assertEqual((backend.next_at(), backend.advance(S), backend.advance(2 * S)), (S, [0], [1]))
+        backend.start(3 * S, cold=True)
+        backend.offer(3 * S, 9, "view", S, None)
+        self.assertEqual(backend.next_at(), 5 * S)
+        backend.ills.hang = True
+        self.assertEqual(backend.advance(9 * S), [])
 
 
 if __name__ == "__main__":
