--- a/embertray/control/messages.py
+++ b/embertray/control/messages.py
@@ -1,10 +1,14 @@
 """Messages of the control plane: tagged msgpack arrays, in the length-prefixed frames of stream/frames.py."""
 
+from typing import Annotated
+
 import msgspec
+from msgspec import Meta
 
 from .entry import Count, Entry, Key, Name, RequestId
 
 VERSION = 1
+Digest = Annotated[int, Meta(ge=0)]  # 64 bits
 
 
 # ---- between replicas
@@ -113,7 +117,7 @@
 class Repair(msgspec.Struct, tag_field="type", tag="repair", array_like=True, frozen=True):
     """The digests differ at the same revision: the subscriber's own, one for each bucket."""
 
-    digests: list[Count]
+    digests: list[Digest]
 
 
 class Heartbeat(msgspec.Struct, tag_field="type", tag="heartbeat", array_like=True, frozen=True):
@@ -121,7 +125,7 @@
     newest stamp that came from the subscriber, so that it knows what time this was said after; 0 if none."""
 
     commit: Count
-    digest: Count
+    digest: Digest
     age: Count
     echo: Count
 
@@ -139,7 +143,7 @@
 
     key: Key
     revision: Count
-    fingerprint: Count
+    fingerprint: Digest
 
 
 class Inventory(msgspec.Struct, tag_field="type", tag="inventory", array_like=True, frozen=True):
