--- a/embertray/stream/frames.py
+++ b/embertray/stream/frames.py
@@ -17,10 +17,10 @@
         self.code = code
 
 
-def frame(payload):
-    """One frame's bytes. Raises BadFrame if the payload is over MOST bytes."""
-    if len(payload) > MOST:
-        raise BadFrame("oversized", f"a frame of {len(payload)} bytes, {MOST} at most")
+def frame(payload, most=MOST):
+    """One frame's bytes. Raises BadFrame if the payload is over `most` bytes."""
+    if len(payload) > most:
+        raise BadFrame("oversized", f"a frame of {len(payload)} bytes, {most} at most")
     return PREFIX.pack(len(payload)) + payload
 
 
--- /dev/null
+++ b/tests/control_stage.py
@@ -0,0 +1,136 @@
+"""Replicas and subscribers of a control plane in one event loop, on loopback, at a pace that suits tests."""
+
+import random
+from contextlib import asynccontextmanager
+from pathlib import Path
+
+import anyio
+import structlog
+
+from embertray.control.link import (
+    ReplicaServer,
+    ReplicaSettings,
+    SubscriberClient,
+    SubscriberSettings,
+)
+from embertray.control.link.saved import replica_state, subscriber_state
+from embertray.control.pace import MS, FeedPace, ReplicaPace, SubscriberPace
+from embertray.net.clock import LoopClock
+from embertray.net.tcp import TcpNet
+from embertray.rig.ports import free_ports
+
+REPLICA_PACE = ReplicaPace(40 * MS, 200 * MS, 400 * MS, 800 * MS)
+FEED_PACE = FeedPace(heartbeat=50 * MS, retry_first=100 * MS, retry_most=400 * MS, silence=1_000 * MS)
+SUBSCRIBER_PACE = SubscriberPace(
+    dial=500 * MS, silence=400 * MS, stale=600 * MS, retry_first=20 * MS, retry_most=200 * MS
+)
+MOST = 20  # s that a wait takes before it fails
+LOOK = 0.005  # s between two looks; what is looked at decides
+
+structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
+
+
+async def until(wanted, what):
+    """Waits until it holds; fails after MOST seconds."""
+    with anyio.move_on_after(MOST):
+        while not wanted():
+            await anyio.sleep(LOOK)
+        return
+    raise AssertionError(f"not within {MOST} s: {what}")
+
+
+class Stage:
+    """Replicas r1 to rN, and subscribers that are started by name. `folder`: where states are kept, or
+    None."""
+
+    def __init__(self, count, folder=None, feed_pace=FEED_PACE):
+        ports = free_ports(2 * count)
+        self.names = [f"r{n + 1}" for n in range(count)]
+        self.peers = {name: f"127.0.0.1:{ports[2 * n]}" for n, name in enumerate(self.names)}
+        self.listen = {name: f"127.0.0.1:{ports[2 * n + 1]}" for n, name in enumerate(self.names)}
+        self.folder, self.feed_pace, self.clock, self.starts = folder, feed_pace, LoopClock(), 0
+        self.replicas, self.subscribers, self.applied, self.scopes = {}, {}, {}, {}
+        self.group, self.disks = None, {}
+
+    @asynccontextmanager
+    async def running(self):
+        """All replicas run; what still runs at the end is ended."""
+        async with anyio.create_task_group() as self.group:
+            for name in self.names:
+                await self.up(name)
+            yield self
+            self.group.cancel_scope.cancel()
+
+    def chance(self, name):
+        self.starts += 1
+        return random.Random(f"{name} {self.starts}")
+
+    async def up(self, name):
+        settings = ReplicaSettings("test", name, self.peers, self.listen[name])
+        saved = self.folder and replica_state(Path(self.folder) / name, self.disks.get(name))
+        paces = {"replica_pace": REPLICA_PACE, "feed_pace": self.feed_pace}
+        server = ReplicaServer(settings, self.clock, self.chance(name), saved=saved, **paces)
+        self.replicas[name] = server
+        await self.group.start(self._run, name, server)
+        return server
+
+    async def _run(self, name, running, *, task_status):
+        ended = anyio.Event()
+        with anyio.CancelScope() as scope:
+            self.scopes[name] = scope, ended
+            try:
+                await running.run(task_status=task_status)
+            except Exception as failure:
+                running.ended_by = failure
+        ended.set()
+
+    async def down(self, name):
+        """Ends it at once, as a kill does: nothing is said."""
+        scope, ended = self.scopes.pop(name)
+        self.replicas.pop(name, None)
+        self.subscribers.pop(name, None)
+        scope.cancel()
+        await ended.wait()
+
+    async def subscribe(self, name, replicas=None, folder=None, net=None, clock=None):
+        addresses = {replica: self.listen[replica] for replica in replicas or self.names}
+        settings = SubscriberSettings("test", name, addresses)
+        applied = self.applied.setdefault(name, [])
+        saved = folder and subscriber_state(folder)
+        client = SubscriberClient(
+            settings,
+            clock or self.clock,
+            self.chance(name),
+            applied.extend,
+            net or TcpNet(),
+            SUBSCRIBER_PACE,
+            saved,
+        )
+        self.subscribers[name] = client
+        await self.group.start(self._run, name, client)
+        return client
+
+    @property
+    def leader(self):
+        """The replica that leads with a majority, or None."""
+        leading = (one for one in self.replicas.values() if one.replica.has_majority(self.clock.now()))
+        return next(leading, None)
+
+    async def leading(self):
+        """The leader, once there is one that has committed its first entry."""
+        await until(lambda: self.leader and self.leader.replica.store.revision, "a leader")
+        return self.leader
+
+    async def put(self, key, value, request=None):
+        leader = await self.leading()
+        self.starts += 1
+        return await leader.put(key, value, request or f"request-{self.starts}")
+
+    async def all_hold(self, key, value):
+        """Until every subscriber holds it."""
+
+        def held(one):
+            entry = one.subscriber and one.get(key)
+            return (entry.value if entry else None) == value
+
+        await until(lambda: all(held(one) for one in self.subscribers.values()), f"{key} everywhere")
--- /dev/null
+++ b/tests/test_control_link.py
@@ -0,0 +1,422 @@
+"""Replicas and subscribers of the control plane on true sockets: written and followed, ended and begun again,
+and what comes of bad input."""
+
+import tempfile
+import unittest
+from pathlib import Path
+
+import anyio
+from control_stage import MOST, Stage, until
+
+from embertray.control.link.writes import BadKey, BadRequest, TooLarge, VersionNotKept
+from embertray.control.messages import Confirm, Subscribe, Vote, encode
+from embertray.control.replica import Conflict, NotLeader
+from embertray.durable import Disk
+from embertray.net.clock import LoopClock
+from embertray.net.tcp import TcpNet
+from embertray.stream.frames import Splitter, frame
+
+
+class Case(unittest.TestCase):
+    def play(self, body, count=3, keep=False, **more):
+        """Runs body(stage) with all replicas up."""
+        with tempfile.TemporaryDirectory() as folder:
+            stage = Stage(count, folder if keep else None, **more)
+
+            async def run():
+                with anyio.fail_after(3 * MOST):
+                    async with stage.running():
+                        await body(stage)
+
+            anyio.run(run)
+
+
+class Writes(Case):
+    def test_a_write_is_in_force_at_all_subscribers_of_all_replicas(self):
+        async def body(stage):
+            for n, name in enumerate(stage.names):
+                await stage.subscribe(f"s{n}", [name])
+            first = await stage.put("limits/search", b"10")
+            await stage.all_hold("limits/search", b"10")
+            second = await stage.put("limits/search", b"20")
+            self.assertGreater(second, first)
+            await stage.all_hold("limits/search", b"20")
+            leader = stage.leader
+            rolled = await leader.rollback("limits/search", first, "back")
+            self.assertGreater(rolled, second)
+            await stage.all_hold("limits/search", b"10")
+            removed = await leader.put("limits/search", None, "remove")
+            await stage.all_hold("limits/search", None)
+            for applied in stage.applied.values():
+                self.assertEqual([entry.revision for entry in applied][-1], removed)
+                self.assertEqual(sorted({e.revision for e in applied}), [e.revision for e in applied])
+
+        self.play(body)
+
+    def test_a_repeated_request_writes_once(self):
+        async def body(stage):
+            first = await stage.put("key", b"1", "the-request")
+            self.assertEqual(await stage.put("key", b"1", "the-request"), first)
+            self.assertEqual(len(stage.leader.versions("key")), 1)
+
+        self.play(body)
+
+    def test_what_is_refused(self):
+        async def body(stage):
+            leader = await stage.leading()
+            most = leader.feed_pace.value_most
+            revision = await leader.put("key", b"x" * most, "largest")
+            cases = [
+                (TooLarge, leader.put("key", b"x" * (most + 1), "request")),
+                (BadKey, leader.put("", b"x", "request")),
+                (BadKey, leader.put("k" * 257, b"x", "request")),
+                (BadRequest, leader.put("key", b"x", "")),
+                (BadRequest, leader.put("key", b"x", "r" * 65)),
+                (Conflict, leader.put("key", b"x", "request", expected=revision + 1)),
+                (VersionNotKept, leader.rollback("key", revision + 1, "request")),
+                (VersionNotKept, leader.rollback("other", revision, "request")),
+            ]
+            for kind, call in cases:
+                with self.assertRaises(kind):
+                    await call
+            follower = next(one for one in stage.replicas.values() if one is not leader)
+            for call in (follower.put("key", b"y", "request"), follower.rollback("key", 99, "request")):
+                with self.assertRaises(NotLeader) as caught:
+                    await call
+                self.assertEqual(caught.exception.leader, leader.settings.name)
+            self.assertEqual(leader.get("key").revision, revision)
+
+        self.play(body)
+
+    def test_a_single_replica_is_its_own_majority(self):
+        async def body(stage):
+            await stage.subscribe("s1")
+            await stage.put("key", b"1")
+            await stage.all_hold("key", b"1")
+
+        self.play(body, count=1, keep=True)
+
+
+class Restarts(Case):
+    def test_a_replica_ended_and_begun_again_with_its_folder(self):
+        async def body(stage):
+            await stage.put("before", b"1")
+            leader = await stage.leading()
+            name = leader.settings.name
+            await stage.down(name)
+            await until(lambda: stage.leader, "another leader")
+            await stage.put("while", b"2")
+            server = await stage.up(name)
+            self.assertFalse(server.status().recovering)
+            self.assertEqual(server.get("before").value, b"1")
+            await until(lambda: server.get("while"), "it catches up")
+            await stage.put("after", b"3")
+            await until(lambda: server.get("after"), "it follows")
+
+        self.play(body, keep=True)
+
+    def test_all_ended_at_once_and_begun_again(self):
+        async def body(stage):
+            revision = await stage.put("key", b"1", "the-request")
+            for name in stage.names:
+                await stage.down(name)
+            for name in stage.names:
+                await stage.up(name)
+            self.assertEqual(await stage.put("key", b"1", "the-request"), revision)
+            self.assertEqual(stage.leader.get("key").value, b"1")
+
+        self.play(body, keep=True)
+
+    def test_a_replica_begun_again_with_nothing_is_admitted_and_counts(self):
+        async def body(stage):
+            await stage.put("before", b"1")
+            leader = await stage.leading()
+            name = next(one for one in stage.names if one != leader.settings.name)
+            await stage.down(name)
+            server = await stage.up(name)
+            self.assertTrue(server.status().recovering)
+            await until(lambda: not server.status().recovering, "it is admitted")
+            self.assertEqual(server.get("before").value, b"1")
+            other = next(one for one in stage.names if one not in (name, leader.settings.name))
+            await stage.down(other)
+            await stage.put("with its voice", b"2")
+
+        self.play(body)
+
+    def test_a_subscriber_follows_through_a_replicas_end(self):
+        async def body(stage):
+            client = await stage.subscribe("s1")
+            await stage.put("key", b"1")
+            await stage.all_hold("key", b"1")
+            await stage.down(client.subscriber.replica)
+            await until(lambda: stage.leader, "a leader")
+            await stage.put("key", b"2")
+            await stage.all_hold("key", b"2")
+            revisions = [entry.revision for entry in stage.applied["s1"]]
+            self.assertEqual(revisions, sorted(set(revisions)))
+
+        self.play(body, keep=True)
+
+    def test_a_subscriber_begun_again_goes_on_from_what_it_kept(self):
+        async def body(stage):
+            with tempfile.TemporaryDirectory() as folder:
+                client = await stage.subscribe("s1", folder=folder)
+                await stage.put("key", b"1")
+                await stage.all_hold("key", b"1")
+                await until(lambda: client.saves, "it is saved")
+                await stage.down("s1")
+                for name in stage.names:
+                    await stage.down(name)
+                client = await stage.subscribe("s1", folder=folder)
+                self.assertEqual(client.get("key").value, b"1")
+                self.assertEqual(client.revision, 2)
+                self.assertIsNotNone(client.age())
+                await stage.down("s1")
+                clock = EarlierClock()
+                client = await stage.subscribe("s1", folder=folder, clock=clock)
+                self.assertEqual(client.get("key").value, b"1")
+                self.assertIsNone(client.age())  # the wall clock went backwards: nobody knows
+
+        self.play(body)
+
+
+class EarlierClock(LoopClock):
+    """Its wall clock is a day behind."""
+
+    @staticmethod
+    def wall():
+        return LoopClock.wall() - 86_400 * 10**9
+
+
+class FullDisk(Disk):
+    """Takes nothing once it is full."""
+
+    full = False
+
+    def write(self, file, data):
+        if self.full:
+            raise OSError(28, "No space left on device")
+        super().write(file, data)
+
+
+class Saving(Case):
+    def test_a_replica_that_cannot_save_stops_and_acknowledges_nothing(self):
+        async def body(stage):
+            leader = await stage.leading()
+            revision = leader.replica.store.revision
+            disk.full = True
+            with self.assertRaises(Exception) as caught:
+                await leader.put("key", b"1", "request")
+            self.assertEqual(type(caught.exception).__name__, "OutcomeUnknown")
+            _, ended = stage.scopes["r1"]
+            await ended.wait()
+            self.assertEqual(type(leader.ended_by).__name__, "StateNotSaved")
+            disk.full = False
+            server = await stage.up("r1")
+            await stage.leading()
+            self.assertIsNone(server.get("key"))
+            self.assertGreaterEqual(server.replica.store.revision, revision)
+
+        with tempfile.TemporaryDirectory() as folder:
+            stage, disk = Stage(1, folder), FullDisk()
+            stage.disks["r1"] = disk
+
+            async def run():
+                async with stage.running():
+                    await body(stage)
+
+            anyio.run(run)
+
+    def test_a_spoilt_state_is_passed_over_for_the_one_before(self):
+        async def body(stage):
+            await stage.put("key", b"1")
+            await stage.down("r1")
+            newest = sorted((Path(stage.folder) / "r1").glob("*.snap"))[-1]
+            newest.write_bytes(newest.read_bytes()[:-3])
+            server = await stage.up("r1")
+            await stage.put("other", b"2")
+            self.assertEqual(server.get("other").value, b"2")
+
+        self.play(body, count=1, keep=True)
+
+
+class Slow(Case):
+    def test_a_subscriber_that_reads_nothing_is_dropped_and_costs_nobody(self):
+        async def body(stage):
+            await stage.subscribe("s1", ["r1"])
+            server = stage.replicas["r1"]
+            async with await TcpNet().dial(stage.listen["r1"]) as stream:
+                await stream.send(frame(encode(Subscribe("test", 1, "slow", 0, 0))))
+                await until(lambda: "slow" in server.feed.subscriptions, "it is taken")
+                connection = server.subscribers.by_name["slow"]
+                await stage.put("key", b"1")
+                await stage.all_hold("key", b"1")
+                await until(lambda: "slow" not in server.feed.subscriptions, "it is dropped")
+                self.assertLessEqual(len(connection.queue), 2)
+            self.assertEqual(server.status().silent_subscribers, 1)
+            self.assertEqual(server.status().subscribers, 1)
+
+        self.play(body)
+
+
+class BadInput(Case):
+    """Each costs its sender only."""
+
+    async def ends(self, stage, address, data):
+        """Sends it; until the replica has ended the connection."""
+        async with await TcpNet().dial(address) as stream:
+            try:
+                await stream.send(data)
+                while True:
+                    await stream.receive()
+            except (anyio.EndOfStream, anyio.BrokenResourceError):
+                pass
+
+    def test_what_cannot_be_read_or_is_of_strangers(self):
+        subscribe = encode(Subscribe("test", 1, "s9", 0, 0))
+        vote = {"term_asked": 1, "granted": True, "preliminary": False}
+        for_subscribers = {
+            "unreadable": frame(b"\xff\xff\xff"),
+            "no such message": frame(b"\x91\xa4nope"),
+            "an empty frame": b"\0\0\0\0",
+            "oversized": b"\x00\x01\x00\x01" + b"x" * 100,
+            "other cluster": frame(encode(Subscribe("other", 1, "s9", 0, 0))),
+            "other version": frame(encode(Subscribe("test", 2, "s9", 0, 0))),
+            "not subscribed": frame(encode(Confirm(1, 0))),
+            "a name that changes": frame(subscribe) + frame(encode(Subscribe("test", 1, "s8", 0, 0))),
+            "unreadable later": frame(subscribe) + frame(b"\xc1"),
+            "a replica's message": frame(encode(Vote("test", "r2", 1, **vote))),
+            "nothing": b"",
+        }
+        for_replicas = {
+            "unreadable": frame(b"\xff\xff\xff"),
+            "other cluster": frame(encode(Vote("other", "r2", 1, **vote))),
+            "no replica": frame(encode(Vote("test", "r9", 1, **vote))),
+            "itself": frame(encode(Vote("test", "r1", 1, **vote))),
+            "oversized": b"\x00\xc0\x00\x01" + b"x" * 100,
+            "nothing": b"",
+        }
+
+        async def body(stage):
+            await stage.subscribe("s1", ["r1"])
+            server = stage.replicas["r1"]
+            async with anyio.create_task_group() as group:
+                for data in for_subscribers.values():
+                    group.start_soon(self.ends, stage, stage.listen["r1"], data)
+                for data in for_replicas.values():
+                    group.start_soon(self.ends, stage, stage.peers["r1"], data)
+            await until(lambda: list(server.feed.subscriptions) == ["s1"], "no other is left")
+            self.assertEqual(server.traffic.rejected, len(for_subscribers) + len(for_replicas))
+            self.assertEqual((server.subscribers.unidentified, server.peers.unidentified), ({}, {}))
+            await stage.put("key", b"1")
+            await stage.all_hold("key", b"1")
+
+        self.play(body)
+
+    def test_connections_that_only_connect_do_not_keep_others_out(self):
+        async def body(stage):
+            server, streams = stage.replicas["r1"], []
+            for _ in range(300):
+                streams.append(await TcpNet().dial(stage.listen["r1"]))
+            await stage.subscribe("s1", ["r1"])
+            await stage.put("key", b"1")
+            await stage.all_hold("key", b"1")
+            self.assertLessEqual(len(server.subscribers.unidentified), 256)
+            for stream in streams:
+                await stream.aclose()
+
+        self.play(body)
+
+    def test_a_subscriber_leaves_a_replica_that_it_cannot_read(self):
+        async def body(stage):
+            async def garbage(stream):
+                async with stream:
+                    await stream.send(b"\xff\xff\xff\xff")
+                    await anyio.sleep_forever()
+
+            listener = await TcpNet().listen("127.0.0.1:0")
+            stage.listen["bad"] = listener.address
+            async with anyio.create_task_group() as group:
+                group.start_soon(listener.serve, garbage, group)
+                client = await stage.subscribe("s1", ["bad", "r1"])
+                await stage.put("key", b"1")
+                await stage.all_hold("key", b"1")
+                self.assertGreaterEqual(client.status().traffic.rejected, 1)
+                group.cancel_scope.cancel()
+            await listener.aclose()
+
+        self.play(body)
+
+    def test_the_younger_connection_of_a_name_stays(self):
+        async def body(stage):
+            server = stage.replicas["r1"]
+            hello = frame(encode(Subscribe("test", 1, "s1", 0, 0)))
+            async with await TcpNet().dial(stage.listen["r1"]) as first:
+                await first.send(hello)
+                await until(lambda: "s1" in server.feed.subscriptions, "the first is taken")
+                older = server.subscribers.by_name["s1"]
+                async with await TcpNet().dial(stage.listen["r1"]) as second:
+                    await second.send(hello)
+                    await until(lambda: server.subscribers.by_name.get("s1") is not older, "replaced")
+                    with self.assertRaises((anyio.EndOfStream, anyio.BrokenResourceError)):
+                        while True:
+                            await first.receive()
+                    splitter = Splitter()
+                    while not splitter.feed(await second.receive()):
+                        pass
+                    self.assertIn("s1", server.feed.subscriptions)
+
+        self.play(body)
+
+
+class Digests(Case):
+    def test_subscribers_read_digests_of_all_64_bits(self):
+        async def body(stage):
+            client = await stage.subscribe("s1", ["r1"])
+            for n in range(8):  # some of these states have a digest over 2**62, some over 2**63
+                await stage.put(f"key-{n}", b"x")
+                await stage.all_hold(f"key-{n}", b"x")
+            digest = stage.replicas["r1"].replica.store.digest
+            await until(lambda: client.subscriber.store.digest == digest, "the digests agree")
+            self.assertEqual(client.status().traffic.rejected, 0)
+
+        self.play(body)
+
+
+class Status(Case):
+    def test_what_operators_see(self):
+        async def body(stage):
+            for n in range(4):
+                await stage.subscribe(f"s{n}", [stage.names[n % 3]])
+            revision = await stage.put("key", b"1")
+            await stage.all_hold("key", b"1")
+            leader = await stage.leading()
+            await until(
+                lambda: (
+                    (leader.status().fleet_subscribers, leader.status().fleet_lowest_confirmed)
+                    == (4, revision)
+                ),
+                "the leader knows what all subscribers hold",
+            )
+            told = leader.status()
+            self.assertEqual((told.role, told.leader, told.has_majority), ("leader", told.name, True))
+            self.assertEqual((told.revision, told.keys, told.recovering), (revision, 1, False))
+            self.assertEqual(told.peers_connected, 2)
+            self.assertLess(told.age_s, MOST)
+            self.assertGreater(min(told.traffic.bytes_in, told.traffic.bytes_out), 0)
+            follower = next(one for one in stage.replicas.values() if one is not leader).status()
+            self.assertEqual((follower.role, follower.leader), ("follower", told.name))
+            self.assertEqual((follower.fleet_subscribers, follower.fleet_lowest_confirmed), (None, None))
+            client = stage.subscribers["s0"]
+            await until(lambda: client.status().age_s is not None, "it knows its age")
+            seen = client.status()
+            self.assertEqual(
+                (seen.replica, seen.connected, seen.revision, seen.keys), ("r1", True, revision, 1)
+            )
+            self.assertGreater(min(seen.traffic.bytes_in, seen.traffic.bytes_out), 0)
+
+        self.play(body)
+
+
+if __name__ == "__main__":
+    unittest.main()
