--- a/embertray/site/__init__.py
+++ b/embertray/site/__init__.py
@@ -2,6 +2,7 @@
 decisions.
 """
 
-from .site import BadSite, ControllerAt, Site, load
+from .site import ControllerAt, Site, load
+from .values import BadSite
 
 __all__ = ["BadSite", "ControllerAt", "Site", "load"]
--- a/embertray/site/site.py
+++ b/embertray/site/site.py
@@ -9,15 +9,10 @@
 from lxml import etree
 
 from .. import interface as i
-from ..net.address import BadAddress, loopback
+from .control import Control, read_control
+from .values import Addresses, BadSite, size, time
 
 HERE = Path(__file__).resolve().parent
-SIZES = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
-UNITS = {"us": 10**3, "ms": 10**6, "min": 60 * 10**9, "s": 10**9}
-
-
-class BadSite(ValueError):
-    """The description can't be used; the text names file, line and what was expected."""
 
 
 @dataclass(frozen=True)
@@ -29,6 +24,7 @@
     listen: str
     admin: str
     cluster: str = ""  # where other controllers reach it, if the site has a cluster
+    region: str = ""  # whose control replicas it follows first
 
 
 @dataclass(frozen=True)
@@ -89,6 +85,7 @@
     backends: int = 64
     caps: dict = field(default_factory=dict)  # purpose -> bytes, where the description says
     cluster: Cluster | None = None
+    control: Control | None = None
 
     def controller(self, name):
         """Raises BadSite for a name that is not there."""
@@ -136,19 +133,6 @@
         )
 
 
-def time(text):
-    """'2.5s' in ns; the schema has checked its form."""
-    for unit, worth in UNITS.items():
-        if text.endswith(unit):
-            return round(float(text[: -len(unit)]) * worth)
-    raise ValueError(text)
-
-
-def size(text):
-    """'16MiB' in bytes."""
-    return int(text[:-3]) * SIZES[text[-3:]]
-
-
 @cache
 def schema():
     return etree.XMLSchema(etree.parse(HERE / "site.xsd"))
@@ -203,21 +187,14 @@
     )
     if not (rate := float(channel["lines-per-second"])) > 0:
         raise BadSite(f"{path}:{channel_at.sourceline}: channel: lines-per-second must be over 0")
-    controllers, taken = [], {}
+    controllers, addresses = [], Addresses(path)
     for element in root.find("controllers"):
-        controllers.append(
-            ControllerAt(*(element.get(k, "") for k in ("name", "zone", "listen", "admin", "cluster")))
-        )
+        keys = ("name", "zone", "listen", "admin", "cluster", "region")
+        controllers.append(ControllerAt(*(element.get(key, "") for key in keys)))
         for key in ("listen", "admin", "cluster"):
-            if not (address := element.get(key, "")):
-                continue
-            check(path, element, address)
-            if not address.endswith(":0") and address in taken:
-                raise BadSite(
-                    f"{path}:{element.sourceline}: {address} is taken by line {taken[address]} already"
-                )
-            taken[address] = element.sourceline
-    check(path, at, inventory["address"])
+            if address := element.get(key, ""):
+                addresses.take(element, address)
+    addresses.check(at, inventory["address"])
     cluster = None
     if (clustered := root.find("cluster")) is not None:
         got = {**defaults["cluster"], **clustered.attrib}
@@ -273,16 +250,10 @@
         int(be["expected"]),
         {cap.get("purpose"): size(cap.get("bytes")) for cap in root.iterfind("memory/cap")},
         cluster,
+        read_control(root, path, defaults, addresses),
     )
 
 
-def check(path, element, address):
-    try:
-        loopback(address)
-    except BadAddress as wrong:
-        raise BadSite(f"{path}:{element.sourceline}: {wrong}") from None
-
-
 @cache
 def expected():
     """What a pattern of the schema stands for, in words: pattern -> its type's documentation."""
--- /dev/null
+++ b/tests/test_control_site.py
@@ -0,0 +1,171 @@
+"""What a site says of its control replicas: schema, loader, and who follows whom."""
+
+import tempfile
+import unittest
+from collections import Counter
+from pathlib import Path
+
+from hypothesis import given, settings, strategies as st
+
+from embertray.site import BadSite, load
+from embertray.site.control import FOLLOWED, ReplicaAt, replica_order
+from embertray.site.site import HERE as SITES
+
+SAMPLE = (SITES / "samples" / "pushed.xml").read_text()
+CONTROL = """
+  <control keep="/var/lib/control">
+    <replica name="k1" region="east" address="127.0.0.1:7201" listen="127.0.0.1:7301"
+             admin="127.0.0.1:7401" keep="/k1"/>
+    <replica name="k2" region="east" address="127.0.0.1:7202" listen="127.0.0.1:7302"
+             admin="127.0.0.1:7402" keep="/k2"/>
+    <replica name="k3" region="west" address="127.0.0.1:7203" listen="127.0.0.1:7303"
+             admin="127.0.0.1:0" keep="/k3"/>
+  </control>
+  <controllers>"""
+WITH_CONTROL = SAMPLE.replace("  <controllers>", CONTROL.strip("\n"), 1)
+
+
+def loaded(text):
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "site.xml"
+        path.write_text(text)
+        return load(path)
+
+
+def replicas(regions):
+    """One for each named region, in order."""
+    return [ReplicaAt(f"k{n}", region, "", "", "", "") for n, region in enumerate(regions)]
+
+
+class Described(unittest.TestCase):
+    def test_a_control_plane_is_read(self):
+        site = loaded(WITH_CONTROL.replace('zone="north" listen', 'zone="north" region="west" listen', 1))
+        control = site.control
+        self.assertEqual((control.cluster, control.bytes_per_second), ("pushed", 4_000))
+        self.assertEqual(control.keep, "/var/lib/control")
+        self.assertEqual(
+            control.replica("k2"),
+            ReplicaAt("k2", "east", "127.0.0.1:7202", "127.0.0.1:7302", "127.0.0.1:7402", "/k2"),
+        )
+        self.assertEqual([one.region for one in site.controllers], ["west", ""])
+        followed = control.followed_by(site.controllers[0])
+        self.assertEqual((followed[0].name, len(followed)), ("k3", 3))
+        with self.assertRaisesRegex(BadSite, "no replica 'k9' .there are k1, k2, k3"):
+            control.replica("k9")
+
+    def test_a_site_without_control_is_as_before(self):
+        site = loaded(SAMPLE)
+        self.assertIsNone(site.control)
+        self.assertEqual({one.region for one in site.controllers}, {""})
+
+    def test_sizes_have_a_unit_down_to_bytes(self):
+        for text, size in (("1000B", 1_000), ("4KiB", 4_096), ("1MiB", 1 << 20)):
+            told = WITH_CONTROL.replace("<control ", f'<control bytes-per-second="{text}" ', 1)
+            self.assertEqual(loaded(told).control.bytes_per_second, size)
+
+    def test_errors_name_the_line_and_what_was_expected(self):
+        for old, new, words in (
+            ("<control ", '<control bytes-per-second="4000" ', ("4000B",)),
+            ("<control ", '<control bytes-per-second="999B" ', ("1000B at least",)),
+            ('address="127.0.0.1:7201"', 'address="10.0.0.1:7201"', ("loopback",)),
+            ('address="127.0.0.1:7202"', 'address="127.0.0.1:7201"', ("taken by line",)),
+            ('admin="127.0.0.1:7401"', 'admin="127.0.0.1:7301"', ("taken by line",)),
+            ('listen="127.0.0.1:7001"', 'listen="127.0.0.1:7201"', ("taken by line",)),
+            ('address="127.0.0.1:7201"', 'address="127.0.0.1:0"', ("k1", "a port that others know")),
+            ('listen="127.0.0.1:7301"', 'listen="127.0.0.1:0"', ("k1", "a port that others know")),
+            ('keep="/k2"', 'keep="/k1"', ("k2", "a folder of its own")),
+            ('keep="/k2"', 'keep=""', ("k2", "a folder of its own")),
+            (' keep="/k2"', "", ("keep",)),
+            ('name="k2"', 'name="k1"', ("k1",)),
+            ('region="west"', 'region="west side"', ("a name of letters",)),
+            ('region="west" ', "", ("region",)),
+        ):
+            with self.subTest(new=new):
+                with self.assertRaises(BadSite) as caught:
+                    loaded(WITH_CONTROL.replace(old, new, 1))
+                for word in ("site.xml:", *words):
+                    self.assertIn(word, str(caught.exception))
+
+    def test_one_to_sixteen_replicas(self):
+        def described(count):
+            rows = "".join(
+                f'<replica name="k{n}" region="east" address="127.0.0.1:{8000 + n}" '
+                f'listen="127.0.0.1:{8100 + n}" admin="127.0.0.1:0" keep="/k{n}"/>'
+                for n in range(count)
+            )
+            return SAMPLE.replace("  <controllers>", f"<control>{rows}</control><controllers>", 1)
+
+        self.assertEqual(len(loaded(described(16)).control.replicas), 16)
+        for count in (0, 17):
+            with self.assertRaisesRegex(BadSite, "site.xml"):
+                loaded(described(count))
+
+    def test_4096_controllers_and_no_more(self):
+        def described(count):
+            head, rest = SAMPLE.split("<controllers>")
+            tail = rest.split("</controllers>")[1]
+            rows = "".join(
+                f'<controller name="c{n}" zone="north" listen="127.0.0.1:{10_000 + 2 * n}" '
+                f'admin="127.0.0.1:{10_001 + 2 * n}"/>'
+                for n in range(count)
+            )
+            return f"{head}<controllers>{rows}</controllers>{tail}"
+
+        self.assertEqual(len(loaded(described(4096)).controllers), 4096)
+        with self.assertRaisesRegex(BadSite, "site.xml"):
+            loaded(described(4097))
+
+
+class Order(unittest.TestCase):
+    def test_those_of_the_region_come_first_then_others_of_other_regions(self):
+        eight = replicas(["a", "a", "b", "b", "c", "d", "e", "f"])
+        for number in range(100):
+            order = replica_order(f"c{number}", "a", eight)
+            self.assertEqual([one.region == "a" for one in order], [True, True, False])
+            order = replica_order(f"c{number}", "c", eight)
+            self.assertEqual([one.region == "c" for one in order], [True, False, False])
+            self.assertEqual(len({one.region for one in order}), 3)
+
+    def test_a_region_with_many_replicas_still_has_one_elsewhere(self):
+        order = replica_order("c1", "a", replicas(["a"] * 5 + ["b"]))
+        self.assertEqual([one.region for one in order], ["a", "a", "b"])
+        order = replica_order("c1", "a", replicas(["a"] * 5))
+        self.assertEqual([one.region for one in order], ["a"] * 3)
+
+    def test_load_spreads(self):
+        eight = replicas(["a", "a", "b", "b", "c", "d", "e", "f"])
+        first = Counter(replica_order(f"c{n}", "a", eight)[0].name for n in range(470))
+        self.assertEqual(set(first), {"k0", "k1"})
+        self.assertLess(max(first.values()), 1.25 * 470 / 2)
+        without_region = Counter(replica_order(f"c{n}", "", eight)[0].name for n in range(4_000))
+        self.assertEqual(len(without_region), 8)
+        self.assertLess(max(without_region.values()), 1.25 * 4_000 / 8)
+
+    def test_a_removed_replica_moves_only_those_who_followed_it(self):
+        eight = replicas(["a", "a", "a", "b", "b", "b", "c", "c"])
+        for number in range(200):
+            before = replica_order(f"c{number}", "a", eight)[0]
+            after = replica_order(f"c{number}", "a", [one for one in eight if one.name != "k1"])[0]
+            if before.name != "k1":
+                self.assertEqual(after, before)
+
+    @given(
+        st.lists(st.sampled_from("abcd"), min_size=1, max_size=16),
+        st.sampled_from("abcde"),
+        st.integers(0, 99),
+    )
+    @settings(deadline=None)
+    def test_the_order_has_the_stated_form(self, regions, region, number):
+        given_replicas = replicas(regions)
+        order = replica_order(f"c{number}", region, given_replicas)
+        self.assertEqual(len(order), min(FOLLOWED, len(given_replicas)))
+        self.assertEqual(len({one.name for one in order}), len(order))
+        self.assertEqual(order, replica_order(f"c{number}", region, given_replicas[::-1]))
+        if region in regions:
+            self.assertEqual(order[0].region, region)
+        if len(set(regions)) > 1 and len(order) == FOLLOWED:
+            self.assertGreater(len({one.region for one in order}), 1)
+
+
+if __name__ == "__main__":
+    unittest.main()
