--- a/embertray/admin/http.py
+++ b/embertray/admin/http.py
@@ -1,67 +1,21 @@
 """Operators' HTTP/1.1 on loopback: readiness, metrics, tables, the channel; drain and pace. One request a
 connection.
 
-GET /live /ready /metrics /tables /channel /proxies /level /cluster; POST /drain, POST /pace?share=0.25 (runs
-the channel slower), POST /set-level?pin=essential (or release=1, forbid=NAME, allow=NAME).
+GET /live /ready /metrics /tables /channel /proxies /level /cluster /control /control/key?key=K; POST /drain,
+POST /pace?share=0.25 (runs the channel slower), POST /set-level?pin=essential (or release=1, forbid=NAME,
+allow=NAME).
 """
 
 from urllib.parse import parse_qs, urlsplit
 
-import anyio
-import h11
 import msgspec
 
-BODY, HEAD_WITHIN = 4096, 5  # bytes, s: no request here is larger or takes longer
+from .server import serve_request, text
 
 
 async def serve_admin(service, stream):
     """Answers one request. A malformed one gets 400 and one line."""
-    conn = h11.Connection(h11.SERVER, max_incomplete_event_size=BODY)
-    async with stream:
-        try:
-            with anyio.move_on_after(HEAD_WITHIN):
-                request = await next_request(conn, stream)
-                status, kind, body = answer(service, request) if request else (None, "", b"")
-                if status:
-                    await reply(conn, stream, status, kind, body)
-        except h11.RemoteProtocolError as wrong:
-            await reply(conn, stream, 400, "text/plain", f"{wrong}\n".encode())
-        except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            pass
-
-
-async def next_request(conn, stream):
-    request, read = None, 0
-    while True:
-        event = conn.next_event()
-        if event is h11.NEED_DATA:
-            try:
-                data = await stream.receive()
-            except anyio.EndOfStream:
-                data = b""
-            conn.receive_data(data)
-        elif isinstance(event, h11.Request):
-            request = event
-        elif isinstance(event, h11.Data):
-            read += len(event.data)
-            if read > BODY:
-                raise h11.RemoteProtocolError(f"a body of over {BODY} bytes")
-        elif isinstance(event, h11.EndOfMessage):
-            return request
-        else:
-            return None
-
-
-async def reply(conn, stream, status, kind, body):
-    if conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-        return
-    data = conn.send(
-        h11.Response(
-            status_code=status,
-            headers=[("Content-Type", kind), ("Content-Length", str(len(body))), ("Connection", "close")],
-        )
-    )
-    await stream.send(data + conn.send(h11.Data(data=body)) + (conn.send(h11.EndOfMessage()) or b""))
+    await serve_request(stream, lambda request, body: answer(service, request))
 
 
 def answer(service, request):
@@ -77,10 +31,6 @@
     return page(service, query)
 
 
-def text(body, status=200):
-    return status, "text/plain; charset=utf-8", body.encode()
-
-
 def json(what):
     return 200, "application/json", msgspec.json.encode(what) + b"\n"
 
@@ -115,6 +65,27 @@
     return json(service.cluster.status())
 
 
+NO_CONTROL = "no control plane: the site has no <control>\n"
+
+
+def control(service, _):
+    if service.control is None:
+        return text(NO_CONTROL, 404)
+    return json(service.control.status())
+
+
+def control_key(service, query):
+    """What this process holds for a key."""
+    if service.control is None:
+        return text(NO_CONTROL, 404)
+    if not query.get("key", [""])[0]:
+        return text("key: the name of a key is wanted\n", 400)
+    from .control import value_page
+
+    client = service.control
+    return value_page(query["key"][0], client.get, client.status().age_s)
+
+
 def metrics(service, _):
     """Prometheus' text format."""
     it, rows = service.instance, []
@@ -176,6 +147,10 @@
             "state_held_back",
         ):
             row(f"cluster_{key}_total", "counter", told[key])
+    if service.control is not None:
+        from .control import subscriber_metrics
+
+        rows += subscriber_metrics(service.control.status())
     return text("\n".join(rows) + "\n")
 
 
@@ -280,4 +255,6 @@
     "/level": ("GET", level),
     "/set-level": ("POST", set_level),
     "/cluster": ("GET", cluster),
+    "/control": ("GET", control),
+    "/control/key": ("GET", control_key),
 }
--- /dev/null
+++ b/embertray/cli/control.py
@@ -0,0 +1,249 @@
+"""`embertray control`: run a control replica, read and write what it keeps."""
+
+import json
+import signal
+import sys
+import uuid
+from pathlib import Path
+from urllib.parse import quote, urlencode
+
+import anyio
+import click
+
+from ..net.address import BadAddress, loopback
+from ..site import BadSite, load as load_site
+from .standin import Bad
+
+REFUSED, UNKNOWN = 1, 3  # exit codes
+admin_option = click.option(
+    "--admin", required=True, help="A replica's operators' address; the leader is found from any."
+)
+request_option = click.option(
+    "--request", help="Id of this call: said again with the same id, it writes only once. Default: a new one."
+)
+within_option = click.option(
+    "--within",
+    type=click.FloatRange(min=0),
+    default=15.0,
+    show_default=True,
+    help="Seconds in which a write is tried again: two elections.",
+)
+
+
+@click.group()
+def control():
+    """Configuration kept by control replicas."""
+
+
+@control.command()
+@click.argument("site", type=click.Path())
+@click.option("--replica", "name", required=True, help="Which of the site's replicas this is.")
+@click.option("--seed", type=int, default=1, show_default=True)
+def serve(site, name, seed):
+    """Run one control replica of SITE.xml until SIGTERM or SIGINT."""
+    from ..control.link.replica_server import StateNotSaved
+    from ..daemon.control import ReplicaProcess
+    from ..durable import Locked
+    from ..net.clock import LoopClock
+    from ..net.tcp import TcpNet
+
+    told, me = _replica_of(site, name)
+
+    async def run():
+        process = ReplicaProcess(told, me, LoopClock(), TcpNet(), seed)
+        async with anyio.create_task_group() as group:
+            group.start_soon(_stop_on_signal, process)
+            await process.run()
+            group.cancel_scope.cancel()
+
+    try:
+        anyio.run(run, backend_options={"use_uvloop": True})
+    except* (OSError, Locked) as wrong:
+        raise Bad(f"{site}: {_first(wrong)}") from None
+    except* StateNotSaved as wrong:
+        raise click.ClickException(f"the state can't be saved: {_first(wrong)}") from None
+
+
+@control.command()
+@admin_option
+@click.option("--json", "as_json", is_flag=True)
+def status(admin, as_json):
+    """What a replica, or a controller, says of the control plane."""
+    code, body = _ask(admin, "GET", "/control")
+    if code != 200:
+        raise Bad(f"{admin}: {body.decode('utf-8', 'replace').strip()}")
+    told = _json(admin, body)
+    click.echo(json.dumps(told) if as_json else "\n".join(describe(told)))
+
+
+@control.command()
+@click.argument("key")
+@admin_option
+@click.option("--json", "as_json", is_flag=True, help="With revision and age; the value as base64.")
+@click.option("--versions", is_flag=True, help="The versions that are kept, in place of the value.")
+def get(key, admin, as_json, versions):
+    """Print the value of KEY that is in force at a replica or a controller."""
+    page = "versions" if versions else "key"
+    code, body = _ask(admin, "GET", f"/control/{page}?key={quote(key, safe='')}")
+    answer = _answer(admin, code, body)
+    if answer["type"] == "missing":
+        click.echo(f"{key}: there is no such key", err=True)
+        sys.exit(REFUSED)
+    if as_json:
+        click.echo(json.dumps(answer))
+    elif versions:
+        for one in answer["versions"]:
+            click.echo(
+                f"{one['revision']} " + ("removed" if one["bytes"] is None else f"{one['bytes']} bytes")
+            )
+    else:
+        from ..control.operations import decode_answer
+
+        click.get_binary_stream("stdout").write(decode_answer(body).value)
+
+
+@control.command()
+@click.argument("key")
+@click.argument("file", type=click.Path())
+@admin_option
+@request_option
+@within_option
+@click.option("--expected", type=click.IntRange(0), help="Refuse unless KEY is at this revision; 0: new.")
+def put(key, file, admin, request, within, expected):
+    """Write the bytes of FILE ('-': standard input) as KEY."""
+    try:
+        value = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
+    except OSError as wrong:
+        raise Bad(f"{file}: {wrong.strerror or wrong}") from None
+    more = {} if expected is None else {"expected": expected}
+    _write(admin, "PUT", "/control/key", key, request, within, more, value)
+
+
+@control.command()
+@click.argument("key")
+@click.argument("version", type=click.IntRange(1))
+@admin_option
+@request_option
+@within_option
+def rollback(key, version, admin, request, within):
+    """Write the value that KEY had at VERSION again, as its newest."""
+    _write(admin, "POST", "/control/rollback", key, request, within, {"version": version})
+
+
+@control.command()
+@click.argument("key")
+@admin_option
+@request_option
+@within_option
+def remove(key, admin, request, within):
+    """Remove KEY."""
+    _write(admin, "DELETE", "/control/key", key, request, within, {})
+
+
+def _write(admin, method, path, key, request, within, more, value=b""):
+    """Writes, says what came of it in one line, and ends with its exit code."""
+    from .control_calls import Unreachable, write
+
+    request = request or uuid.uuid4().hex
+    _check_address(admin)
+    target = f"{path}?{urlencode({'key': key, 'request': request, **more})}"
+    try:
+        outcome = anyio.run(write, admin, method, target, value, within)
+    except Unreachable as wrong:
+        raise Bad(str(wrong)) from None
+    kind = type(outcome).__name__
+    if kind == "Committed":
+        click.echo(f"{key}: committed at revision {outcome.revision}")
+    elif kind == "Refused":
+        click.echo(f"{key}: refused, nothing is written: {outcome.text} ({outcome.reason})", err=True)
+        sys.exit(REFUSED)
+    else:
+        click.echo(
+            f"{key}: unknown whether it is written: {outcome.text}; ask again with --request {request}",
+            err=True,
+        )
+        sys.exit(UNKNOWN)
+
+
+def _replica_of(site, name):
+    """(Control, ReplicaAt). Raises Bad."""
+    try:
+        told = load_site(site).control
+        if told is None:
+            raise BadSite(f"{site}: the site has no <control>")
+        return told, told.replica(name)
+    except BadSite as wrong:
+        raise Bad(str(wrong)) from None
+
+
+async def _stop_on_signal(process):
+    with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
+        async for _ in signals:
+            process.stop()
+
+
+def _check_address(admin):
+    try:
+        loopback(admin)
+    except BadAddress as wrong:
+        raise Bad(f"--admin: {wrong}") from None
+
+
+def _ask(admin, method, target):
+    """(status, body) of one request. Raises Bad."""
+    from .control_calls import Unreachable, ask
+
+    _check_address(admin)
+    try:
+        return anyio.run(ask, admin, method, target)
+    except Unreachable as wrong:
+        raise Bad(str(wrong)) from None
+
+
+def _answer(admin, code, body):
+    """The typed answer as a dict. Raises Bad for what is none, or refuses what was asked."""
+    if code not in (200, 404) or not body.startswith(b"{"):
+        raise Bad(f"{admin}: {body.decode('utf-8', 'replace').strip()}")
+    return _json(admin, body)
+
+
+def _json(admin, body):
+    try:
+        return json.loads(body)
+    except ValueError:
+        raise Bad(f"{admin}: what it answers is no JSON") from None
+
+
+def _first(group):
+    """The first exception that is no group."""
+    while isinstance(group, BaseExceptionGroup):
+        group = group.exceptions[0]
+    return group
+
+
+def describe(told):
+    """Lines for people, of a ReplicaStatus or SubscriberStatus as JSON."""
+    age = "not known" if told["age_s"] is None else f"{told['age_s']:.1f} s"
+    if told["type"] == "subscriber":
+        how = "follows" if told["connected"] else "NOT CONNECTED, tries"
+        return [
+            f"{told['name']} in {told['cluster']}: {how} {told['replica']}",
+            f"revision {told['revision']}, {told['keys']} keys, age {age}",
+        ]
+    if told["recovering"]:
+        state = "recovering, does not vote"
+    elif told["role"] != "leader":
+        state = f"{told['role']}, " + (f"{told['leader']} leads" if told["leader"] else "NO LEADER KNOWN")
+    else:
+        state = "leads" if told["has_majority"] else "leads WITHOUT A MAJORITY"
+    lines = [
+        f"{told['name']} in {told['cluster']}: {state}, term {told['term']}",
+        f"revision {told['revision']}, {told['keys']} keys, {told['state_bytes']} bytes, age {age}",
+        f"{told['subscribers']} subscribers here hold revision {told['lowest_confirmed']} at the least",
+    ]
+    if told["fleet_subscribers"] is not None:
+        lines.append(
+            f"{told['fleet_subscribers']} subscribers in all hold revision "
+            f"{told['fleet_lowest_confirmed']} at the least"
+        )
+    return lines
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -18,6 +18,7 @@
 from ..site import BadSite, load as load_site
 from . import logs
 from .cluster import cluster
+from .control import control
 from .emulate import emulate
 from .lab import lab
 from .operators import asked, page
@@ -37,6 +38,7 @@
 main.add_command(emulate)
 main.add_command(lab)
 main.add_command(cluster)
+main.add_command(control)
 
 
 @main.command()
--- a/embertray/control/link/replica_server.py
+++ b/embertray/control/link/replica_server.py
@@ -159,19 +159,23 @@
         """Writes a key, or removes it if `value` is None; gives the revision once it is committed. A request
         id that was seen before writes nothing again. Raises WriteRefused, OutcomeUnknown."""
         check_write(key, value, request, self.feed_pace.value_most)
-        return await self._write(request, partial(self._propose, key, lambda: value, expected), within)
+        return await self._write(request, partial(self._propose, key, lambda call: value, expected), within)
 
     async def rollback(self, key, version, request, within=WRITE_WITHIN):
         """Writes the value that the key had at the revision `version` as a new version."""
         check_write(key, None, request, self.feed_pace.value_most)
         return await self._write(
-            request, partial(self._propose, key, lambda: self._value_at(key, version), None), within
+            request, partial(self._propose, key, partial(self._value_at, key, version), None), within
         )
 
     def get(self, key):
         """The Entry that is in force here, or None."""
         return self.replica.store.get(key)
 
+    def age(self):
+        """ns since it was certain that nothing newer was committed; None if it is not known."""
+        return self._age(self.clock.now())
+
     def versions(self, key):
         """All versions of a key that are kept here, oldest first."""
         return list(self.replica.store.versions.get(key, ()))
@@ -221,16 +225,17 @@
 
     def _propose(self, key, value, expected, call, now):
         try:
-            call.revision = self.replica.put(now, key, value(), call.request, expected)
+            call.revision = self.replica.put(now, key, value(call), call.request, expected)
         except WriteRefused as refused:
             call.fail(refused)
         else:
             self.calls.append(call)
 
-    def _value_at(self, key, version):
-        """The value to write again; only the leader says that there is none."""
+    def _value_at(self, key, version, call):
+        """The value to write again. Only the leader says that there is none, and not to a repeated call."""
         entry = self.replica.store.version(key, version)
-        if entry is None and self.replica.role is Role.LEADER:
+        repeated = call.request in self.replica.store.requests
+        if entry is None and self.replica.role is Role.LEADER and not repeated:
             raise VersionNotKept(f"{key} is not kept at version {version}")
         return entry.value if entry is not None else None
 
--- a/embertray/control/link/status.py
+++ b/embertray/control/link/status.py
@@ -7,7 +7,7 @@
 S = 10**9
 
 
-class ReplicaStatus(msgspec.Struct, frozen=True):
+class ReplicaStatus(msgspec.Struct, tag="replica", frozen=True):
     """One replica. `age_s`: since it was certain that nothing newer was committed, None if never.
     `fleet_subscribers` and `fleet_lowest_confirmed`: of all replicas together, known to the leader only."""
 
@@ -35,7 +35,7 @@
     traffic: Traffic
 
 
-class SubscriberStatus(msgspec.Struct, frozen=True):
+class SubscriberStatus(msgspec.Struct, tag="subscriber", frozen=True):
     """One subscriber. `age_s`: since it was certain that nothing newer was committed, None if never."""
 
     cluster: str
--- a/embertray/daemon/service.py
+++ b/embertray/daemon/service.py
@@ -52,7 +52,7 @@
             ),
             0,
         )
-        self.faults, self.cluster = {}, None
+        self.faults, self.cluster, self.control = {}, None, None
 
     @property
     def streams(self):
@@ -90,6 +90,8 @@
                 group.start_soon(self.keeper.run)
                 if self.site.cluster:
                     group.start_soon(self.clustered)
+                if self.site.control:
+                    group.start_soon(self.follow_control)
                 for warning in budget(self.site).warnings:
                     self.log.warning("the channel is short", why=warning)
                 self.log.info("listening", listen=self.listen, admin=self.admin)
@@ -130,6 +132,24 @@
             self.log.error("ended", why=why)
             self.stop()
 
+    async def follow_control(self):
+        """The control plane's task: it ends nothing else of ours when it fails."""
+        from .control import subscriber_client
+
+        self.control = subscriber_client(
+            self.site, self.me, self.clock, self.net, self.seed, self.log, self.applied
+        )
+        try:
+            await self.control.run()
+        except Exception as wrong:  # against a fault of the control plane: proxies are served without it, too
+            self.log.error("following the control plane failed; this process goes on alone", exc_info=wrong)
+
+    def applied(self, entries):
+        """Configuration that is newly in force here; nothing is decided by it yet."""
+        for entry in entries:
+            value = "removed" if entry.value is None else f"{len(entry.value)} bytes"
+            self.log.info("configuration", key=entry.key, revision=entry.revision, value=value)
+
     def facts(self):
         """What the others are told of us: key -> bytes."""
         return {
--- /dev/null
+++ b/embertray/rig/control.py
@@ -0,0 +1,147 @@
+"""A control plane of true processes on loopback: replicas and controllers that follow them, with the rig's
+links between each two of them.
+"""
+
+import json
+import time
+import urllib.error
+import urllib.request
+from pathlib import Path
+
+from lxml import etree
+
+from ..site.site import HERE as SITES
+from .described import describe
+from .ports import free_ports
+from .program import Program
+
+SAMPLE = SITES / "samples" / "pushed.xml"
+REGIONS = ("east", "west", "south")
+MOST = 30  # s that a wait takes before it fails
+LOOK = 0.02  # s between two looks; what is looked at decides
+
+
+class ControlPlane:
+    """Replicas k1 to kN and controllers c1 to cM, each started and ended by its name. `through(a, b)` gives
+    the port where `a` reaches `b`, None for the true one."""
+
+    def __init__(self, folder, replicas=3, controllers=0, through=None):
+        self.folder, self.through = Path(folder), through or (lambda a, b: None)
+        self.replicas = [f"k{n + 1}" for n in range(replicas)]
+        self.controllers = [f"c{n + 1}" for n in range(controllers)]
+        ports = iter(free_ports(3 * (replicas + controllers)))
+        self.ports = {name: [next(ports) for _ in range(3)] for name in self.replicas + self.controllers}
+        self.running = {}
+
+    # ---- descriptions
+
+    def region(self, name):
+        """Replicas and controllers are dealt out to the regions in turn."""
+        return REGIONS[(int(name[1:]) - 1) % len(REGIONS)]
+
+    def admin(self, name):
+        """Where operators reach a process."""
+        return f"127.0.0.1:{self.ports[name][1]}"
+
+    def address(self, name, other):
+        """Where `name` reaches the replica `other`."""
+        true = self.ports[other][0 if name in self.replicas else 2]
+        return f"127.0.0.1:{(name != other and self.through(name, other)) or true}"
+
+    def described(self, name):
+        """The site's file as this process is to know it."""
+        rows = [
+            (one, "north", f"127.0.0.1:{self.ports[one][0]}", self.admin(one), None)
+            for one in self.controllers
+        ]
+        rows = rows or [("c0", "north", "127.0.0.1:0", "127.0.0.1:0", None)]  # a site has one at the least
+        path = describe(SAMPLE, self.folder / f"{name}.xml", rows, "127.0.0.1:1")
+        if not self.replicas:
+            return path
+        tree = etree.parse(str(path))
+        root = tree.getroot()
+        control = etree.Element("control", keep=str(self.folder / "held"))
+        for one in self.replicas:
+            if name in self.replicas:
+                address, listen = self.address(name, one), f"127.0.0.1:{self.ports[one][2]}"
+            else:
+                address, listen = f"127.0.0.1:{self.ports[one][0]}", self.address(name, one)
+            keep = str(self.folder / "kept" / one)
+            attributes = {"address": address, "listen": listen, "admin": self.admin(one), "keep": keep}
+            etree.SubElement(control, "replica", name=one, region=self.region(one), **attributes)
+        root.find("controllers").addprevious(control)
+        for element in root.find("controllers"):
+            element.set("region", self.region(element.get("name")))
+        tree.write(str(path))
+        return path
+
+    # ---- processes
+
+    def up(self, name):
+        """Starts a process."""
+        command = ("control", "serve") if name in self.replicas else ("serve",)
+        option = "--replica" if name in self.replicas else "--controller"
+        log = self.folder / f"{name}.log"
+        self.running[name] = Program(log, self.described(name), name, command=command, option=option)
+
+    def all_up(self):
+        """Starts all."""
+        for name in self.ports:
+            self.up(name)
+
+    def kill(self, name):
+        """Ends a process at once (SIGKILL)."""
+        self.running.pop(name).kill()
+
+    def end(self):
+        """Ends all that still run."""
+        for program in self.running.values():
+            program.kill()
+        self.running.clear()
+
+    # ---- what they say
+
+    def ask(self, name, page="/control"):
+        """(status, body), or (None, b"") if it does not answer."""
+        try:
+            with urllib.request.urlopen(f"http://{self.admin(name)}{page}", timeout=5) as answer:
+                return answer.status, answer.read()
+        except urllib.error.HTTPError as wrong:
+            return wrong.code, wrong.read()
+        except OSError:
+            return None, b""
+
+    def status(self, name):
+        """A process's status of the control plane as a dict, or None."""
+        code, body = self.ask(name)
+        return json.loads(body) if code == 200 else None
+
+    def leader(self):
+        """The name of the replica that leads with a majority, or None."""
+        for name in self.replicas:
+            told = self.status(name) if name in self.running else None
+            if told and told["has_majority"]:
+                return name
+        return None
+
+    def wait(self, wanted, what, most=MOST):
+        """What `wanted()` gives, once that is true. Fails if a process has ended."""
+        began = time.monotonic()
+        while time.monotonic() < began + most:
+            ended = [name for name, program in self.running.items() if program.over]
+            if ended:
+                log = (self.folder / f"{ended[0]}.log").read_text()[-400:]
+                raise AssertionError(f"{ended[0]} has ended: {log}")
+            if found := wanted():
+                return found
+            time.sleep(LOOK)
+        raise AssertionError(f"not within {most} s: {what}; {[self.status(name) for name in self.running]}")
+
+    def applied(self, name):
+        """(key, revision, text) of all configuration that a controller applied, in all its lives."""
+        rows = []
+        for line in (self.folder / f"{name}.log").read_text().splitlines():
+            if line.startswith("{") and '"configuration"' in line:
+                row = json.loads(line)
+                rows.append((row["key"], row["revision"], row["value"]))
+        return rows
--- a/embertray/rig/program.py
+++ b/embertray/rig/program.py
@@ -14,9 +14,10 @@
 
 
 class Program:
-    """`embertray serve` of one description. `log`: a file that is added to."""
+    """`embertray serve` of one description, or another `command` that takes the process's name as `option`.
+    `log`: a file that is added to."""
 
-    def __init__(self, log, path, name, seed=1):
+    def __init__(self, log, path, name, seed=1, command=("serve",), option="--controller"):
         self.name, self.log = name, Path(log)
         self.from_ = self.log.stat().st_size if self.log.exists() else 0
         with open(self.log, "ab") as out:
@@ -29,9 +30,9 @@
                     "json",
                     "--log-level",
                     "info",
-                    "serve",
+                    *command,
                     str(path),
-                    "--controller",
+                    option,
                     name,
                     "--seed",
                     str(seed),
