--- a/embertray/control/link/replica_server.py
+++ b/embertray/control/link/replica_server.py
@@ -13,6 +13,7 @@
 from ..messages import Subscribe, decode_from_subscriber, decode_replica_message, encode
 from ..pace import FeedPace
 from ..replica import AGE_UNKNOWN, Replica, Role, WriteRefused
+from .audit import log_entries
 from .connection import FROM_SUBSCRIBER_FRAME_MOST, REPLICA_FRAME_MOST, Traffic
 from .inbound import Inbound, Stranger
 from .peer import PeerLink
@@ -193,6 +194,7 @@
             has_majority=replica.has_majority(now),
             recovering=replica.recovering,
             revision=replica.store.revision,
+            digest=replica.store.digest,
             age_s=seconds(self._age(now)),
             keys=replica.store.live_count,
             state_bytes=replica.store.bytes,
@@ -298,6 +300,7 @@
             self.links[addressed.to].put(encode(addressed.message))
         if step.committed:
             self.feed_at = self.clock.now()
+            log_entries(self.log, "committed", step.committed)
         if self.calls:
             self._complete_calls()
 
@@ -312,6 +315,8 @@
             self.stop()
             await anyio.sleep_forever()  # nothing is sent of a step that is not saved
         self.saves += 1
+        last = state.uncommitted[-1].revision if state.uncommitted else state.revision
+        self.log.debug("saved", revision=last, committed=state.revision, term=state.term)
 
     def _serve_subscribers(self):
         now = self.clock.now()
--- a/embertray/control/link/status.py
+++ b/embertray/control/link/status.py
@@ -4,7 +4,7 @@
 
 from .connection import Traffic
 
-S = 10**9
+MS = 10**6
 
 
 class ReplicaStatus(msgspec.Struct, tag="replica", frozen=True):
@@ -19,6 +19,7 @@
     has_majority: bool
     recovering: bool
     revision: int
+    digest: int
     age_s: float | None
     keys: int
     state_bytes: int
@@ -43,6 +44,7 @@
     replica: str
     connected: bool
     revision: int
+    digest: int
     age_s: float | None
     keys: int
     saves: int
@@ -52,5 +54,5 @@
 
 
 def seconds(age):
-    """ns in seconds, to the millisecond."""
-    return None if age is None else round(age / S, 3)
+    """ns in seconds, up to the next millisecond: an age must not be told younger than it is."""
+    return None if age is None else -(-age // MS) / 1_000
--- a/embertray/control/link/subscriber_client.py
+++ b/embertray/control/link/subscriber_client.py
@@ -10,6 +10,7 @@
 from ...stream.frames import BadFrame, Splitter
 from ..messages import Unreadable, decode_to_subscriber
 from ..subscriber import Dial, Hang, Subscriber
+from .audit import log_entries
 from .connection import BROKEN, TO_SUBSCRIBER_FRAME_MOST, Connection, Overflow, Traffic
 from .saved import SubscriberState
 from .status import SubscriberStatus, seconds
@@ -31,12 +32,24 @@
 
 class SubscriberClient:
     """`on_applied(entries)` is called with the entries that are newly in force, in order; a value of None is
-    a removal. What was kept from a former process is handed over first. `saved`: a SavedState of
-    SubscriberState, or None."""
-
-    def __init__(self, settings, clock, chance, on_applied=None, net=None, pace=None, saved=None, log=None):
+    a removal. `on_restored(entries)` is called first with what was kept from a former process, if anything
+    was. `saved`: a SavedState of SubscriberState, or None."""
+
+    def __init__(
+        self,
+        settings,
+        clock,
+        chance,
+        on_applied=None,
+        on_restored=None,
+        net=None,
+        pace=None,
+        saved=None,
+        log=None,
+    ):
         self.settings, self.clock, self.chance = settings, clock, chance
-        self.on_applied, self.net, self.pace = on_applied, net or TcpNet(), pace
+        self.on_applied, self.on_restored = on_applied, on_restored
+        self.net, self.pace = net or TcpNet(), pace
         self.saved, self.log = saved, (log or structlog.get_logger()).bind(subscriber=settings.name)
         self.traffic, self.subscriber, self.group = Traffic(), None, None
         self.connection, self.connection_number = None, 0
@@ -71,6 +84,7 @@
             replica=core.replica if core else "",
             connected=bool(core and core.connected),
             revision=self.revision,
+            digest=core.store.digest if core else 0,
             age_s=seconds(self.age()),
             keys=core.store.live_count if core else 0,
             saves=self.saves,
@@ -121,8 +135,9 @@
             settings.cluster, settings.name, names, now, self.chance, self.pace, **kept
         )
         live = self.subscriber.store.live()
-        if live and self.on_applied is not None:
-            self.on_applied(live)
+        log_entries(self.log, "restored", live)
+        if live and self.on_restored is not None:
+            self.on_restored(live)
 
     def _known_at(self, state, now):
         """By our clock; None if the wall clock went backwards since."""
@@ -146,6 +161,7 @@
         core = self.subscriber
         if core.applied:
             applied, core.applied = core.applied, []
+            log_entries(self.log, "applied", applied)
             if self.on_applied is not None:
                 self.on_applied(applied)
         actions, core.actions = core.actions, []
--- a/embertray/daemon/control.py
+++ b/embertray/daemon/control.py
@@ -14,7 +14,7 @@
 class ReplicaProcess:
     """`embertray control serve`: the replica `me` of a site's Control with its operators' HTTP."""
 
-    def __init__(self, control, me, clock, net, seed, replica_pace=None):
+    def __init__(self, control, me, clock, net, seed, replica_pace=None, feed_pace=None):
         self.me, self.net = me, net
         peers = {one.name: one.address for one in control.replicas}
         self.server = ReplicaServer(
@@ -23,7 +23,7 @@
             chance_of_this_start(seed, me.name, clock),
             net,
             replica_pace,
-            FeedPace(bytes_per_second=control.bytes_per_second),
+            feed_pace or FeedPace(bytes_per_second=control.bytes_per_second),
             replica_state(me.keep),
         )
         self.pages = ReplicaAdmin(self.server, {one.name: one.admin for one in control.replicas})
@@ -49,7 +49,7 @@
         self.server.stop()
 
 
-def subscriber_client(site, me, clock, net, seed, log, on_applied=None):
+def subscriber_client(site, me, clock, net, seed, log, pace=None):
     """The SubscriberClient of the controller `me`."""
     control = site.control
     replicas = {one.name: one.listen for one in control.followed_by(me)}
@@ -58,8 +58,9 @@
         SubscriberSettings(control.cluster, me.name, replicas),
         clock,
         chance_of_this_start(seed, me.name, clock),
-        on_applied,
-        net,
+        lambda entries: log.info("configuration", keys=len(entries), revision=entries[-1].revision),
+        net=net,
+        pace=pace,
         saved=saved,
         log=log,
     )
--- a/embertray/daemon/service.py
+++ b/embertray/daemon/service.py
@@ -136,20 +136,12 @@
         """The control plane's task: it ends nothing else of ours when it fails."""
         from .control import subscriber_client
 
-        self.control = subscriber_client(
-            self.site, self.me, self.clock, self.net, self.seed, self.log, self.applied
-        )
+        self.control = subscriber_client(self.site, self.me, self.clock, self.net, self.seed, self.log)
         try:
             await self.control.run()
         except Exception as wrong:  # against a fault of the control plane: proxies are served without it, too
             self.log.error("following the control plane failed; this process goes on alone", exc_info=wrong)
 
-    def applied(self, entries):
-        """Configuration that is newly in force here; nothing is decided by it yet."""
-        for entry in entries:
-            value = "removed" if entry.value is None else f"{len(entry.value)} bytes"
-            self.log.info("configuration", key=entry.key, revision=entry.revision, value=value)
-
     def facts(self):
         """What the others are told of us: key -> bytes."""
         return {
--- a/embertray/rig/control.py
+++ b/embertray/rig/control.py
@@ -13,7 +13,7 @@
 from ..site.site import HERE as SITES
 from .described import describe
 from .ports import free_ports
-from .program import Program
+from .program import Program, embertray
 
 SAMPLE = SITES / "samples" / "pushed.xml"
 REGIONS = ("east", "west", "south")
@@ -79,10 +79,10 @@
 
     def up(self, name):
         """Starts a process."""
-        command = ("control", "serve") if name in self.replicas else ("serve",)
+        kind = ("control", "serve") if name in self.replicas else ("serve",)
         option = "--replica" if name in self.replicas else "--controller"
-        log = self.folder / f"{name}.log"
-        self.running[name] = Program(log, self.described(name), name, command=command, option=option)
+        command = embertray(*kind, str(self.described(name)), option, name, level="debug")
+        self.running[name] = Program(self.folder / f"{name}.log", None, name, command=command)
 
     def all_up(self):
         """Starts all."""
@@ -137,11 +137,13 @@
             time.sleep(LOOK)
         raise AssertionError(f"not within {most} s: {what}; {[self.status(name) for name in self.running]}")
 
+    def lines(self, name):
+        """What a process logged in all its lives, as dicts."""
+        path = self.folder / f"{name}.log"
+        text = path.read_text() if path.exists() else ""
+        return [json.loads(line) for line in text.split("\n")[:-1] if line.startswith("{")]
+
     def applied(self, name):
-        """(key, revision, text) of all configuration that a controller applied, in all its lives."""
-        rows = []
-        for line in (self.folder / f"{name}.log").read_text().splitlines():
-            if line.startswith("{") and '"configuration"' in line:
-                row = json.loads(line)
-                rows.append((row["key"], row["revision"], row["value"]))
-        return rows
+        """(key, revision, digest of the value or None) of all that a controller applied, in all its lives."""
+        rows = [row for row in self.lines(name) if row["event"] == "applied"]
+        return [(row["key"], row["revision"], row["digest"]) for row in rows]
--- a/embertray/rig/program.py
+++ b/embertray/rig/program.py
@@ -13,34 +13,20 @@
 LOOK = 0.02  # s between two looks at its log
 
 
+def embertray(*arguments, level="info"):
+    """The command line of a sub-command that logs as JSON."""
+    return [sys.executable, "-m", "embertray", "--log-format", "json", "--log-level", level, *arguments]
+
+
 class Program:
-    """`embertray serve` of one description, or another `command` that takes the process's name as `option`.
-    `log`: a file that is added to."""
+    """`embertray serve` of one description, or another `command`. `log`: a file that is added to."""
 
-    def __init__(self, log, path, name, seed=1, command=("serve",), option="--controller"):
+    def __init__(self, log, path, name, seed=1, command=None):
         self.name, self.log = name, Path(log)
         self.from_ = self.log.stat().st_size if self.log.exists() else 0
+        command = command or embertray("serve", str(path), "--controller", name, "--seed", str(seed))
         with open(self.log, "ab") as out:
-            self.process = psutil.Popen(
-                [
-                    sys.executable,
-                    "-m",
-                    "embertray",
-                    "--log-format",
-                    "json",
-                    "--log-level",
-                    "info",
-                    *command,
-                    str(path),
-                    option,
-                    name,
-                    "--seed",
-                    str(seed),
-                ],
-                cwd=ROOT,
-                stdout=out,
-                stderr=out,
-            )
+            self.process = psutil.Popen(command, cwd=ROOT, stdout=out, stderr=out)
 
     def said(self):
         """What this life logged so far."""
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -102,9 +102,9 @@
             clock or self.clock,
             self.chance(name),
             applied.extend,
-            net or TcpNet(),
-            SUBSCRIBER_PACE,
-            saved,
+            net=net or TcpNet(),
+            pace=SUBSCRIBER_PACE,
+            saved=saved,
         )
         self.subscribers[name] = client
         await self.group.start(self._run, name, client)
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -75,7 +75,7 @@
         for name in ("k1", "k2", "k3", "c1"):
             self.plane.wait(lambda name=name: self.get("limits/search", name) == 1, f"removed at {name}")
         applied = [row for row in self.plane.applied("c1") if row[0] == "limits/search"]
-        self.assertEqual(applied[-1][2], "removed")
+        self.assertIsNone(applied[-1][2])
         self.assertEqual([row[1] for row in applied], sorted({row[1] for row in applied}))
 
     def test_a_repeated_request_writes_once(self):
