--- /dev/null
+++ b/embertray/measure/capacity/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements of the slopes behind docs/CAPACITY.md."""
--- /dev/null
+++ b/embertray/measure/capacity/__main__.py
@@ -0,0 +1,78 @@
+"""`python -m embertray.measure.capacity NAME`: measures slopes, writes them to docs/measured/capacity/."""
+
+import shlex
+import sys
+
+import click
+
+from . import (
+    decisions as decisions_part,
+    entries as entries_part,
+    picks as picks_part,
+    streams as streams_part,
+)
+from .record import Recording
+
+
+def sizes(text):
+    return [int(part) for part in text.split(",")]
+
+
+def recording():
+    return Recording("python -m embertray.measure.capacity " + shlex.join(sys.argv[1:]))
+
+
+@click.group()
+def main():
+    """Slopes behind docs/CAPACITY.md. Run from the root of the repository."""
+
+
+@main.command()
+@click.option("--proxies", default=68, show_default=True)
+@click.option("--backends", default="17,250,1000,2000,4000", show_default=True)
+@click.option("--seconds", default=20, show_default=True, help="Simulated.")
+def decisions(proxies, backends, seconds):
+    """The decision module: processor time, worst step, memory, against backends."""
+    decisions_part.run(recording(), proxies, sizes(backends), seconds)
+
+
+@main.command(name="by-proxies")
+@click.option("--proxies", default="17,34,68,136,272", show_default=True)
+@click.option("--backends", default=4000, show_default=True)
+@click.option("--seconds", default=20, show_default=True, help="Simulated.")
+def by_proxies(proxies, backends, seconds):
+    """The decision module against proxies."""
+    decisions_part.run_by_proxies(recording(), sizes(proxies), backends, seconds)
+
+
+@main.command()
+@click.option("--proxies", default="17,34,68,136,320", show_default=True)
+@click.option("--backends", default=250, show_default=True)
+def streams(proxies, backends):
+    """A true controller: processor time, bytes and memory, against proxies."""
+    streams_part.run_load(recording(), sizes(proxies), backends)
+
+
+@main.command()
+@click.option("--backends", default="17,250,1000,2000,4000", show_default=True)
+def joins(backends):
+    """How long a joining proxy waits for its first table, and what it costs, against entries of the list."""
+    streams_part.run_joins(recording(), sizes(backends))
+
+
+@main.command()
+@click.option("--entries", default="250,500,1000,2000,4000", show_default=True)
+def entries(entries):
+    """The list: bytes, processor time to read it, memory, against its entries."""
+    entries_part.run(recording(), sizes(entries))
+
+
+@main.command()
+@click.option("--lines", default="17,200,1000,2000,4000", show_default=True)
+def picks(lines):
+    """A stand-in proxy's pick, against lines of its table."""
+    picks_part.run(recording(), sizes(lines))
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/embertray/measure/capacity/decisions.py
@@ -0,0 +1,151 @@
+"""The decision module under simulated fleets: processor time a simulated second, the dearest step, memory."""
+
+import multiprocessing
+import random
+import time
+from dataclasses import dataclass
+from statistics import median
+
+from ... import interface as i
+from ...choice import Controller
+from ...net.process import resident
+from ...standin.fleet import Fleet
+
+MS, S = 10**6, 10**9
+BEAT = 100 * MS  # simulated ns between two steps
+BETWEEN = 5 * MS  # from a beat to the step that is given news
+NEWS = 5  # steps with news of each sort
+SETTLE = 8  # simulated seconds between the joins and the count
+
+
+@dataclass(frozen=True)
+class Load:
+    """Which backends are heard of in a second: all, or as many as there are requests."""
+
+    name: str
+    about: str
+    everyone: bool
+    channel: dict  # of the fleet's settings: lines a second, lines that may wait
+
+    def heard(self, fleet, chance):
+        if self.everyone:
+            return fleet.bes
+        return [fleet.bes[chance.randrange(len(fleet.bes))] for _ in fleet.pxs]
+
+
+AT_TARGET = Load("", "each proxy tells of one request a second, of a backend by chance", False, {})
+EVERYONE = Load("-all-heard", "every backend is heard of each second: the worst case", True, {})
+WHOLE_TABLES = Load(
+    "-whole-tables",
+    AT_TARGET.about + "; a channel so wide that every table holds the whole list",
+    False,
+    {"channel_rate": 10**6, "pending_max": 2 * 10**6},
+)
+
+
+@dataclass(frozen=True)
+class Cost:
+    backends: int
+    cores: float
+    worst_step: float
+    memory: int
+    steps: int
+    change: float
+    whole: float
+
+
+class Timed:
+    """Stands where the module is made: processor seconds of each step."""
+
+    def __init__(self):
+        self.steps = []
+
+    def __call__(self, seed, site, now=0):
+        module = Controller(seed, site, now)
+        step = module.step
+
+        def timed(now, events):
+            began = time.process_time()
+            orders = step(now, events)
+            self.steps.append(time.process_time() - began)
+            return orders
+
+        module.step = timed
+        return module
+
+
+def measure(proxies, backends, load, seconds):
+    """One fleet in this process: all join, SETTLE seconds pass, then `seconds` are counted."""
+    before, timed, chance = resident(), Timed(), random.Random(1)
+    fleet = Fleet(timed, backends, proxies, **load.channel)
+    fleet.run(11 * S, BEAT)
+    fleet.join(fleet.pxs, lambda _: fleet.bes[:5])
+    kind = fleet.site.kinds[0]
+    for second in range(SETTLE + seconds):
+        if second == SETTLE:
+            timed.steps.clear()
+        for number, backend in enumerate(load.heard(fleet, chance)):
+            zone = fleet.zones[number % len(fleet.zones)]
+            fleet.todo.append(
+                i.Heard(backend, zone, 10 if load.everyone else 1, 0, 250 * MS, S, {"waiting": 0})
+            )
+        fleet.todo += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.pxs]
+        fleet.run(fleet.now + S, BEAT)
+    memory, steps = resident() - before, list(timed.steps)
+    return Cost(
+        backends, sum(steps) / seconds, max(steps), memory, len(steps), *cost_of_news(fleet, timed.steps)
+    )
+
+
+def cost_of_news(fleet, steps):
+    """Processor seconds of a step of its own that is given one changed entry, and of one that is given the
+    whole list again: medians of NEWS steps each.
+    """
+    changed, whole = [], []
+    for number in range(1, NEWS + 1):
+        for costs, how, backends, state in (
+            (changed, "changes", fleet.bes[-number:][:1], "draining"),
+            (whole, "whole", fleet.bes[:-number], "ready"),
+        ):
+            fleet.run(fleet.now + S, BEAT)
+            steps.clear()
+            fleet.list(how, backends, state)
+            fleet.run(fleet.now + BETWEEN, BETWEEN)
+            costs.append(sum(steps))
+    return [median(changed), median(whole)]
+
+
+def measure_apart(*arguments):
+    """The same in a process of its own: no size warms up another's memory."""
+    with multiprocessing.get_context("spawn").Pool(1) as pool:
+        return pool.apply(measure, arguments)
+
+
+def run(recording, proxies, sizes, seconds):
+    for load in (AT_TARGET, EVERYONE, WHOLE_TABLES):
+        costs = [measure_apart(proxies, backends, load, seconds) for backends in sizes]
+        note = (
+            f"{proxies} proxies; {load.about}; {seconds} simulated s after {SETTLE} s, "
+            f"{costs[0].steps} steps of {BEAT // MS} ms"
+        )
+
+        def save(name, unit, pick, costs=costs, note=note, load=load):
+            points = [(cost.backends, pick(cost)) for cost in costs]
+            recording.save(f"{name}-{proxies}{load.name}", unit, "backends", points, note)
+
+        save("decisions-processor", "cores a controller", lambda cost: cost.cores)
+        save("decisions-step", "s of processor, worst step", lambda cost: cost.worst_step)
+        save("decisions-memory", "bytes a controller", lambda cost: cost.memory)
+        if load is AT_TARGET:
+            save("change-processor", "s of processor a changed entry", lambda cost: cost.change)
+            save("list-apply-processor", "s of processor a whole list", lambda cost: cost.whole)
+
+
+def run_by_proxies(recording, sizes, backends, seconds):
+    costs = [(proxies, measure_apart(proxies, backends, AT_TARGET, seconds)) for proxies in sizes]
+    note = f"{backends} backends; {AT_TARGET.about}; {seconds} simulated s after {SETTLE} s"
+    for name, unit, pick in (
+        ("decisions-processor-by-proxies", "cores a controller", lambda cost: cost.cores),
+        ("decisions-memory-by-proxies", "bytes a controller", lambda cost: cost.memory),
+    ):
+        recording.save(name, unit, "proxies", [(size, pick(cost)) for size, cost in costs], note)
--- /dev/null
+++ b/embertray/measure/capacity/entries.py
@@ -0,0 +1,73 @@
+"""The list as a controller takes it in: bytes, processor time to read it, memory."""
+
+import random
+import time
+from statistics import median
+
+from ...inventory.follow import Follow
+from ...inventory.messages import Listed, News, encode, read_answer
+from ...memory.sizes import deep
+from ...stream.frames import frame
+
+TURNS = 31  # readings of each; the median counts
+ZONES = 19
+
+
+def listed(count):
+    """Entries as discovery tells them: an address, a zone, a start of its own."""
+    chance = random.Random(1)
+    return [
+        Listed(
+            f"127.{chance.randrange(256)}.{chance.randrange(256)}.{chance.randrange(1, 255)}:"
+            f"{chance.randrange(1024, 65536)}",
+            f"zone-{number % ZONES}",
+            "ready",
+            chance.randrange(2**40),
+        )
+        for number in range(count)
+    ]
+
+
+def reading(follow, payload):
+    """Processor seconds to decode one answer and to take it in."""
+    began = time.process_time()
+    follow.heard(read_answer(payload))
+    return time.process_time() - began
+
+
+def measure(count):
+    entries, follow = listed(count), Follow()
+    whole = encode(News(1, 0, 2**60, entries))
+    whole_costs = [reading(follow, whole) for _ in range(TURNS)]
+    change_costs = []
+    for turn in range(TURNS):
+        change = encode(News(2 + turn, 1 + turn, 2**60, [entries[turn % count]]))
+        change_costs.append(reading(follow, change))
+    return {
+        "list-bytes": len(frame(whole)),
+        "list-processor": median(whole_costs),
+        "list-memory": deep(follow.held),
+        "change-bytes": len(frame(change)),
+        "change-read-processor": median(change_costs),
+    }
+
+
+UNITS = {
+    "list-bytes": "bytes a whole list",
+    "list-processor": "s of processor a whole list",
+    "list-memory": "bytes a controller",
+    "change-bytes": "bytes a changed entry",
+    "change-read-processor": "s of processor a changed entry",
+}
+
+
+def run(recording, sizes):
+    rows = [(size, measure(size)) for size in sizes]
+    for name, unit in UNITS.items():
+        recording.save(
+            name,
+            unit,
+            "entries of the list",
+            [(size, found[name]) for size, found in rows],
+            f"decoded and followed, without the module; median of {TURNS}; names of 15 to 21 characters",
+        )
--- /dev/null
+++ b/embertray/measure/capacity/picks.py
@@ -0,0 +1,59 @@
+"""A stand-in proxy's pick: processor time a request, with its table as it was and just after a change."""
+
+import time
+
+import numpy as np
+
+from ...model.proxy import Proxy
+from ...site import load
+from ...site.site import HERE
+from ...stream.messages import Bind, Line, Orders
+from ..fleet import part
+
+PICKS, CHANGES = 5000, 300  # counted; picks right after a changed line
+MS = 10**6
+
+
+def proxy(picks, lines):
+    site = load(HERE / "samples" / "pushed.xml").at(picks=picks)
+    made = Proxy(site, np.random.default_rng(1))
+    made.apply(Orders(0, 0, [Bind(1, [(f"b{number}", 1.0 + number % 7) for number in range(lines)])]))
+    return made
+
+
+def timed_pick(made, now):
+    began = time.thread_time_ns()
+    made.pick(now, [])
+    return (time.thread_time_ns() - began) / 1e9
+
+
+def measure(picks, lines):
+    """(steady picks, picks after a change), processor seconds each."""
+    made = proxy(picks, lines)
+    for now in range(100):
+        made.pick(now * MS, [])
+    steady = [timed_pick(made, now * MS) for now in range(PICKS)]
+    changed = []
+    for turn in range(CHANGES):
+        made.apply(Orders(0, 0, [Line(1, f"b{turn % lines}", 2.0 + turn % 5)]))
+        changed.append(timed_pick(made, turn * MS))
+    return steady, changed
+
+
+def run(recording, sizes):
+    for picks in ("weighted", "round", "two"):
+        rows = [(size, *measure(picks, size)) for size in sizes]
+        note = f"the stand-in's model, pick '{picks}'; {PICKS} picks, {CHANGES} right after a changed line"
+        for name, which, share in (
+            ("pick-p50", 0, 0.5),
+            ("pick-p99", 0, 0.99),
+            ("pick-changed-p50", 1, 0.5),
+            ("pick-changed-p99", 1, 0.99),
+        ):
+            recording.save(
+                f"{name}-{picks}",
+                "s of processor a pick",
+                "lines of the table",
+                [(size, part(found[which], share)) for size, *found in rows],
+                note,
+            )
--- /dev/null
+++ b/embertray/measure/capacity/streams.py
@@ -0,0 +1,153 @@
+"""A true controller under bare proxy streams: processor time, bytes and memory by its proxies; how long one
+more proxy waits for its first table, by the list.
+"""
+
+import random
+import time
+from dataclasses import dataclass
+from statistics import mean, median
+
+import anyio
+import psutil
+
+from ..fleet import Bare, controller, part
+
+SETTLE, QUIET, REPORTING = 6, 10, 30  # seconds: after the joins; without reports; with them
+WINDOW = 10  # seconds of the worst mean
+JOINS, APART = 20, 0.25  # proxies that come one after the other, seconds from one to the next
+OTHERS = 67  # proxies that are there already
+
+
+@dataclass
+class Phase:
+    """What one controller used while nothing else changed. Bytes are those that its proxies count."""
+
+    cores: float
+    received: list
+    sent: list
+
+    def worst(self, values):
+        """The greatest mean over WINDOW seconds."""
+        return max(mean(values[at : at + WINDOW]) for at in range(max(1, len(values) - WINDOW + 1)))
+
+
+class Meter:
+    """Reads a controller's processor time and its proxies' bytes."""
+
+    def __init__(self, pid, fleet):
+        self.process, self.fleet = psutil.Process(pid), fleet
+
+    def processor(self):
+        times = self.process.cpu_times()
+        return times.user + times.system
+
+    def bytes(self):
+        """(into the controller, out of it) so far."""
+        return sum(proxy.sent for proxy in self.fleet), sum(proxy.received for proxy in self.fleet)
+
+    async def phase(self, seconds, each_second):
+        began, processor, received, sent = time.monotonic(), self.processor(), [], []
+        for second in range(seconds):
+            before = self.bytes()
+            await each_second(began + second + 1)
+            await anyio.sleep(max(0.0, began + second + 1 - time.monotonic()))
+            after = self.bytes()
+            received.append(after[0] - before[0])
+            sent.append(after[1] - before[1])
+        return Phase((self.processor() - processor) / (time.monotonic() - began), received, sent)
+
+
+async def nothing(_):
+    pass
+
+
+async def load(backends, proxies):
+    """(quiet, reporting, bytes of memory that the proxies brought, bytes of memory in all)"""
+    chance = random.Random(1)
+    async with controller(backends, proxies, lambda *_: None, proxies=proxies) as (
+        _,
+        names,
+        fleet,
+        pid,
+        result,
+    ):
+        meter = Meter(pid, fleet)
+
+        async def report(until):
+            """One request of each proxy, spread over the second."""
+            for number, proxy in enumerate(fleet):
+                await proxy.sums([chance.choice(names)], ["view"])
+                left = until - time.monotonic()
+                await anyio.sleep(max(0.0, left / (len(fleet) - number + 1)))
+
+        await meter.phase(SETTLE, report)
+        quiet = await meter.phase(QUIET, nothing)
+        await meter.phase(2, report)
+        reporting = await meter.phase(REPORTING, report)
+        memory = meter.process.memory_info().rss
+    return quiet, reporting, memory - result["idle_kib"] * 1024, memory
+
+
+async def joins(backends):
+    """(seconds each of JOINS proxies waited for its first orders, bytes each got, processor seconds each)"""
+    waits, received = [], []
+    async with (
+        controller(backends, OTHERS, lambda *_: None, proxies=OTHERS + JOINS) as (_, _, fleet, pid, _),
+        anyio.create_task_group() as group,
+    ):
+        meter = Meter(pid, fleet)
+        quiet = await meter.phase(QUIET, nothing)
+        before, began = meter.processor(), time.monotonic()
+        for number in range(JOINS):
+            proxy = Bare(f"late{number}", "north", lambda *_: None)
+            started = time.monotonic()
+            group.start_soon(proxy.run, fleet[0].address)
+            await proxy.bound.wait()
+            waits.append(time.monotonic() - started)
+            await anyio.sleep(APART)
+            received.append(proxy.received)
+        spent = meter.processor() - before - quiet.cores * (time.monotonic() - began)
+        group.cancel_scope.cancel()
+    return waits, received, spent / JOINS
+
+
+def run_load(recording, sizes, backends):
+    rows = [(size, *anyio.run(load, backends, size)) for size in sizes]
+    note = (
+        f"python -m embertray.measure.timed, which serves as `embertray serve`; {backends} backends, channel "
+        f"not paced; loopback, payload bytes; {QUIET} s quiet, {REPORTING} s with one sum of one request a "
+        "proxy a second"
+    )
+    for name, unit, pick in (
+        ("streams-processor", "cores a controller", lambda quiet, *_: quiet.cores),
+        (
+            "reports-processor",
+            "cores a controller",
+            lambda quiet, busy, *_: max(0.0, busy.cores - quiet.cores),
+        ),
+        ("streams-bytes-in", "bytes/s a controller", lambda _, busy, *__: mean(busy.received)),
+        ("streams-bytes-out", "bytes/s a controller", lambda _, busy, *__: mean(busy.sent)),
+        (
+            "streams-worst-in",
+            "bytes/s a controller, worst 10 s",
+            lambda _, busy, *__: busy.worst(busy.received),
+        ),
+        ("streams-worst-out", "bytes/s a controller, worst 10 s", lambda _, busy, *__: busy.worst(busy.sent)),
+        ("streams-memory", "bytes a controller", lambda _, __, brought, ___: brought),
+        ("controller-memory", "bytes a controller", lambda _, __, ___, whole: whole),
+    ):
+        recording.save(name, unit, "proxies", [(size, pick(*found)) for size, *found in rows], note)
+
+
+def run_joins(recording, sizes):
+    rows = [(size, *anyio.run(joins, size)) for size in sizes]
+    note = f"{JOINS} proxies join {OTHERS}, one by one; channel not paced; loopback; wall time from the dial"
+    for name, unit, pick in (
+        ("join-wait", "s a joining proxy, p50", lambda waits, *_: median(waits)),
+        ("join-wait-most", f"s a joining proxy, longest of {JOINS}", lambda waits, *_: part(waits, 1)),
+        ("join-bytes", "bytes a joining proxy", lambda _, received, __: median(received)),
+        ("join-processor", "s of processor a joining proxy", lambda _, __, spent: max(0.0, spent)),
+    ):
+        recording.save(
+            name, unit, "entries of the list", [(size, pick(*found)) for size, *found in rows], note
+        )
--- a/embertray/measure/fleet.py
+++ b/embertray/measure/fleet.py
@@ -26,7 +26,9 @@
 
 
 class Bare:
-    """One proxy's stream. `saw(name, now, orders, bytes)` for each message."""
+    """One proxy's stream. `saw(name, now, orders, bytes)` for each message; `received` and `sent` count
+    bytes.
+    """
 
     def __init__(self, name, zone, saw):
         self.name, self.saw, self.end, self.stream, self.bound = (
@@ -36,31 +38,39 @@
             None,
             anyio.Event(),
         )
+        self.received = self.sent = 0
+        self.address = None
 
     async def run(self, address):
+        self.address = address
         self.stream = await TcpNet().dial(address)
         try:
             async with self.stream:
-                await self.stream.send(self.end.start())
+                await self.send(self.end.start())
                 while True:
                     data = await self.stream.receive()
+                    self.received += len(data)
                     now = time.monotonic_ns()
                     for message in self.end.receive(data):
                         if isinstance(message, Orders):
                             self.bound.set()
                             self.saw(self.name, now, message, len(data))
                             if message.mark:
-                                await self.stream.send(self.end.pack(Answer(message.mark)))
+                                await self.send(self.end.pack(Answer(message.mark)))
         except BROKEN:
             pass
 
+    async def send(self, data):
+        self.sent += len(data)
+        await self.stream.send(data)
+
     async def sums(self, backends, kinds):
         met = [Met(be, 3, 0, 150_000_000, {"busy": 0.4}) for be in backends]
-        await self.stream.send(self.end.pack(Sums(S, met, [Came(kind, 5, 0) for kind in kinds])))
+        await self.send(self.end.pack(Sums(S, met, [Came(kind, 5, 0) for kind in kinds])))
 
 
 @asynccontextmanager
-async def controller(backends, proxies, saw, **changes):
+async def controller(backends, count, saw, **changes):
     """(inventory, names of backends, Bare proxies all bound, process id, result): a controller of its own
     process under so many streams. `result` is filled after the end: CPU by part, peak memory."""
     with tempfile.TemporaryDirectory() as folder:
@@ -76,7 +86,7 @@
                     sys.executable,
                     "-m",
                     "embertray.measure.timed",
-                    str(describe(folder, inventory.address, **changes)),
+                    str(describe(folder, inventory.address, **{"backends": max(500, backends)} | changes)),
                     "c1",
                 ],
                 stdout=subprocess.PIPE,
@@ -89,7 +99,7 @@
                 address = json.loads(row)["listen"]
                 await anyio.sleep(0.5)
                 result["idle_kib"] = kib(program.pid)
-                fleet = [Bare(f"p{n}", zones[n % 3], saw) for n in range(proxies)]
+                fleet = [Bare(f"p{n}", zones[n % 3], saw) for n in range(count)]
                 began = time.monotonic()
                 for px in fleet:
                     group.start_soon(px.run, address)
