--- /dev/null
+++ b/embertray/capacity/failures.py
@@ -0,0 +1,343 @@
+"""What each failure of the target costs, and what must be caught up after it."""
+
+from dataclasses import dataclass
+
+from . import reckon
+from .controller import GOSSIP, LISTED_CHANGES, REPLICAS
+from .figure import derived, no_mechanism, reckoned, unknown
+from .names import Part, Quantity, Role, Situation
+from .row import ONLY_ALL, Rows
+from .target import DAY
+
+
+@dataclass(frozen=True)
+class Loss:
+    """Machines that fail together, by role; means."""
+
+    controllers: float
+    backends: float
+
+
+def rack(target):
+    """Machines of one rack, by each role's part of all."""
+    machines = target.controllers + target.backends + target.control_machines
+    part = target.assumed("machines-in-a-rack") / machines
+    return Loss(target.controllers * part, target.backends * part)
+
+
+def zone(target):
+    return Loss(target.controllers / target.zones, target.backends / target.zones)
+
+
+def rows(target, slopes):
+    return [
+        *lost(target, slopes, Situation.MACHINE, Loss(1, 1)),
+        *lost(target, slopes, Situation.RACK, rack(target)),
+        *lost(target, slopes, Situation.ZONE, zone(target)),
+        *apart(target, slopes),
+        *all_start(target, slopes),
+        *restarts_spread(target, slopes),
+        *restarts_bunched(target, slopes),
+    ]
+
+
+def lost(target, slopes, situation, loss):
+    """Machines are gone at once: their backends leave the list, their controllers' proxies join others."""
+    table = Rows(target, Role.CONTROLLER, situation)
+    change = slopes.at("change-bytes", target.backends)
+    table.add(
+        Part.LIST,
+        Quantity.BYTES_IN,
+        derived(
+            f"{loss.backends:.0f} backends x change-bytes / 10 s",
+            lambda size: loss.backends * size / reckon.WORST,
+            change,
+        ),
+        "inventory/follow: the entries that leave, worst 10 s",
+        readings=ONLY_ALL,
+    )
+    table.add(
+        Part.LIST,
+        Quantity.PROCESSOR,
+        derived(
+            f"{loss.backends:.0f} backends x change-processor-68 / 10 s, each a step of its own",
+            lambda cost: loss.backends * cost / reckon.WORST,
+            slopes.at("change-processor-68", target.backends),
+        ),
+        "choice/: steps with news, worst 10 s, beside what is spent anyway",
+        readings=ONLY_ALL,
+    )
+    add_joins(table, target, slopes, loss)
+    add_deaths(table, target, slopes, situation)
+    return [*table.rows, *discovery_tells(target, change, situation, loss)]
+
+
+def add_joins(table, target, slopes, loss):
+    """Proxies of controllers that are gone, spread over those that are left."""
+    left = max(1.0, target.controllers - loss.controllers)
+    joins = loss.controllers * target.proxies_per_controller / left
+    table.add(
+        Part.STREAMS,
+        Quantity.PROCESSOR,
+        derived(
+            f"{joins:.2f} proxies join each other controller x join-processor / 10 s",
+            lambda cost: joins * cost / reckon.WORST,
+            slopes.at("join-processor", target.backends),
+        ),
+        "daemon/proxies: joins and first tables, worst 10 s",
+        readings=ONLY_ALL,
+    )
+    table.add(
+        Part.STREAMS,
+        Quantity.BYTES_OUT,
+        derived(
+            f"{joins:.2f} proxies join each other controller x join-bytes / 10 s",
+            lambda size: joins * size / reckon.WORST,
+            slopes.at("join-bytes", target.backends),
+        ),
+        "daemon/proxies: first tables, worst 10 s",
+        readings=ONLY_ALL,
+    )
+
+
+def add_deaths(table, target, slopes, situation):
+    table.add(
+        Part.MEMBERSHIP,
+        Quantity.DELAY,
+        reckoned(
+            "(2 (n - 1) + 2 n + 18) T + the longest suspicion: the claim `seen`",
+            reckon.death_known(target.controllers),
+        ),
+        "cluster/membership: until all know that a controller is gone, the bound",
+        designs=GOSSIP,
+    )
+    slope = {
+        Situation.MACHINE: "control-time-to-all-replica-dead",
+        Situation.RACK: "control-time-to-all-two-replicas-dead",
+        Situation.ZONE: "control-time-to-all-zone-dead",
+    }[situation]
+    table.add(
+        Part.CONFIGURATION,
+        Quantity.IN_FORCE,
+        slopes.at(slope, target.controllers),
+        "control/: a change while replicas are dead",
+        designs=REPLICAS,
+    )
+
+
+def discovery_tells(target, change, situation, loss):
+    table = Rows(target, Role.DISCOVERY, situation)
+    table.add(
+        Part.ANSWERS,
+        Quantity.BYTES_OUT,
+        derived(
+            f"{loss.backends:.0f} backends x change-bytes x controllers / 10 s",
+            lambda size: loss.backends * size * target.controllers / reckon.WORST,
+            change,
+        ),
+        "inventory/: each controller follows the list itself, worst 10 s",
+        readings=ONLY_ALL,
+    )
+    return table.rows
+
+
+def apart(target, slopes):
+    """Regions that do not reach each other, and what is brought together after it."""
+    during = Rows(target, Role.CONTROLLER, Situation.APART)
+    during.add(
+        Part.MEMBERSHIP,
+        Quantity.STATE,
+        reckoned(
+            "entries of the other regions, kept: controllers x (regions - 1) / regions x facts-bytes",
+            target.controllers * (target.regions - 1) / target.regions * target.assumed("facts-bytes"),
+        ),
+        "cluster/state: what was told last, its age growing and told",
+        designs=GOSSIP,
+    )
+    during.add(
+        Part.CONFIGURATION,
+        Quantity.IN_FORCE,
+        unknown("no slope control-time-to-all-region-apart"),
+        "control/: on the majority's side; who is away keeps what is in force and says its age",
+        designs=REPLICAS,
+    )
+    missed = target.changes_a_day * target.regions_apart / DAY
+    owed = min(missed, target.configuration_keys) * target.assumed("entry-bytes")
+    after = Rows(target, Role.CONTROLLER, Situation.CATCH_UP)
+    after.add(
+        Part.CONFIGURATION,
+        Quantity.IN_FORCE,
+        reckoned(
+            f"{missed:.1f} keys changed x entry-bytes / bytes a second of the budget",
+            owed / target.bytes_a_second,
+        ),
+        "control/: changed keys alone, paced; until all of them are in force, from the return",
+        designs=REPLICAS,
+    )
+    after.add(
+        Part.CONFIGURATION,
+        Quantity.IN_FORCE,
+        slopes.at("control-time-to-all-after-apart", target.controllers),
+        "control/: the same, measured",
+        designs=REPLICAS,
+    )
+    after.add(
+        Part.CONFIGURATION,
+        Quantity.IN_FORCE,
+        no_mechanism("no version of the configuration is told, so nothing can be caught up"),
+        "none",
+        designs=GOSSIP,
+    )
+    list_missed = (
+        LISTED_CHANGES * (target.machines_a_day + target.restarts_a_day) * target.regions_apart / DAY
+    )
+    after.add(
+        Part.LIST,
+        Quantity.BYTES_IN,
+        derived(
+            f"{list_missed:.0f} changes of the list x change-bytes / 10 s",
+            lambda size: list_missed * size / reckon.WORST,
+            slopes.at("change-bytes", target.backends),
+        ),
+        "inventory/follow: what is new since the epoch held, worst 10 s",
+        readings=ONLY_ALL,
+    )
+    return [*during.rows, *after.rows]
+
+
+def snapshot_bytes(target):
+    return target.configuration_keys * target.assumed("entry-bytes")
+
+
+def all_start(target, slopes):
+    """Every controller starts with nothing on its disk."""
+    table = Rows(target, Role.CONTROLLER, Situation.ALL_START)
+    whole = slopes.at("list-bytes", target.backends)
+    joins = target.proxies_per_controller
+    table.add(
+        Part.LIST,
+        Quantity.BYTES_IN,
+        derived("list-bytes / 10 s", lambda size: size / reckon.WORST, whole),
+        "inventory/follow: the whole list once, worst 10 s",
+        readings=ONLY_ALL,
+    )
+    table.add(
+        Part.LIST,
+        Quantity.PROCESSOR,
+        derived(
+            "(list-processor + list-apply-processor-68) / 10 s",
+            lambda read, apply: (read + apply) / reckon.WORST,
+            slopes.at("list-processor", target.backends),
+            slopes.at("list-apply-processor-68", target.backends),
+        ),
+        "inventory/follow and one step of the module, worst 10 s",
+        readings=ONLY_ALL,
+    )
+    for quantity, slope in ((Quantity.PROCESSOR, "join-processor"), (Quantity.BYTES_OUT, "join-bytes")):
+        table.add(
+            Part.STREAMS,
+            quantity,
+            derived(
+                f"{joins} proxies join x {slope} / 10 s",
+                lambda cost: joins * cost / reckon.WORST,
+                slopes.at(slope, target.backends),
+            ),
+            "daemon/proxies: joins and first tables, worst 10 s",
+            readings=ONLY_ALL,
+        )
+    table.add(
+        Part.CONFIGURATION,
+        Quantity.IN_FORCE,
+        reckoned(
+            "(services + routes) x entry-bytes / bytes a second of the budget",
+            snapshot_bytes(target) / target.bytes_a_second,
+        ),
+        "control/: a whole snapshot for who holds nothing; what is on disk spares it",
+        designs=REPLICAS,
+    )
+    return [
+        *table.rows,
+        *replicas_bring(target, slopes, Situation.ALL_START, target.controllers),
+        *discovery_answers(
+            target, whole, Situation.ALL_START, target.controllers / reckon.WORST, "all at once, 10 s"
+        ),
+    ]
+
+
+def replicas_bring(target, slopes, situation, starts):
+    table = Rows(target, Role.REPLICA, situation)
+    each = starts / target.control_machines
+    rate = target.assumed("control-machine-bytes-a-second")
+    table.add(
+        Part.REPLICATION,
+        Quantity.IN_FORCE,
+        reckoned(
+            f"{each:.1f} snapshots a replica x (services + routes) x entry-bytes / its bytes a second",
+            each * snapshot_bytes(target) / rate,
+        ),
+        "control/: snapshots for those that hold nothing, paced by the replica's own bound",
+        designs=REPLICAS,
+    )
+    if situation is Situation.ALL_START:
+        table.add(
+            Part.REPLICATION,
+            Quantity.IN_FORCE,
+            slopes.at("control-time-to-all-started", target.controllers),
+            "control/: the same, measured",
+            designs=REPLICAS,
+        )
+    return table.rows
+
+
+def discovery_answers(target, whole, situation, starts_a_second, told):
+    table = Rows(target, Role.DISCOVERY, situation)
+    table.add(
+        Part.ANSWERS,
+        Quantity.BYTES_OUT,
+        derived(
+            f"{starts_a_second:.3g} starts a second x list-bytes ({told})",
+            lambda size: starts_a_second * size,
+            whole,
+        ),
+        "inventory/: the whole list to each that starts with nothing",
+        readings=ONLY_ALL,
+    )
+    return table.rows
+
+
+def controllers_restarted(target):
+    """Of the restarts of a day, those of controllers: by their part of all processes that are named."""
+    part = target.controllers / (target.controllers + target.backends + target.control_machines)
+    return target.restarts_a_day * part
+
+
+def restarts_spread(target, slopes):
+    starts = controllers_restarted(target) / DAY
+    whole = slopes.at("list-bytes", target.backends)
+    table = Rows(target, Role.REPLICA, Situation.RESTARTS_SPREAD)
+    table.add(
+        Part.REPLICATION,
+        Quantity.BYTES_OUT,
+        reckoned(
+            "controllers restarted a second x snapshot / control machines",
+            starts * snapshot_bytes(target) / target.control_machines,
+        ),
+        "control/: snapshots for those that hold nothing",
+        designs=REPLICAS,
+    )
+    return [
+        *table.rows,
+        *discovery_answers(target, whole, Situation.RESTARTS_SPREAD, starts, "mean of a day"),
+    ]
+
+
+def restarts_bunched(target, slopes):
+    starts = target.assumed("restarts-bunched")
+    whole = slopes.at("list-bytes", target.backends)
+    table = Rows(target, Role.CONTROLLER, Situation.RESTARTS_BUNCHED)
+    add_joins(table, target, slopes, Loss(starts, 0))
+    return [
+        *table.rows,
+        *replicas_bring(target, slopes, Situation.RESTARTS_BUNCHED, starts),
+        *discovery_answers(target, whole, Situation.RESTARTS_BUNCHED, starts / reckon.WORST, "worst 10 s"),
+    ]
--- /dev/null
+++ b/embertray/capacity/others.py
@@ -0,0 +1,139 @@
+"""What the other roles spend while nothing fails: control machines, proxies, backends, discovery."""
+
+from . import reckon
+from .controller import REPLICAS, list_changes_a_second
+from .figure import derived, reckoned, unknown
+from .names import Part, Quantity, Role, Situation
+from .row import ONLY_ALL, Rows
+from .target import DAY
+
+SAMPLE_CHANNEL = 1_200  # lines a second of the sample description 'pushed'
+
+
+def steady(target, slopes):
+    return [
+        *replica(target, slopes),
+        *proxy(target, slopes),
+        *backend(target),
+        *discovery(target, slopes),
+    ]
+
+
+def replica(target, slopes):
+    rows, subscribers = Rows(target, Role.REPLICA, Situation.PEAK), target.controllers
+    told = "control/: a replica's subscribers, and the other replicas"
+    for quantity, slope in (
+        (Quantity.PROCESSOR, "control-replica-processor"),
+        (Quantity.BYTES_OUT, "control-replica-bytes"),
+        (Quantity.MEMORY, "control-replica-memory"),
+    ):
+        figure = slopes.at(slope, subscribers)
+        rows.add(Part.REPLICATION, quantity, figure, told, designs=REPLICAS, adds_up=True)
+    rows.add(
+        Part.REPLICATION,
+        Quantity.STATE,
+        reckoned(
+            "(services + routes) x entry-bytes, newest versions alone",
+            target.configuration_keys * target.assumed("entry-bytes"),
+        ),
+        told,
+        designs=REPLICAS,
+    )
+    shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
+    shares = reckon.limits_through_replicas(*shape)
+    for quantity, value, formula in (
+        (
+            Quantity.BYTES_IN,
+            shares.replica_in,
+            "controllers x bytes of an ask / 1 s, all at the one that keeps",
+        ),
+        (Quantity.STATE, shares.state, "controllers x bytes of an ask"),
+    ):
+        told_of = "not built: the shares of limits kept by one replica"
+        rows.add(Part.LIMITS, quantity, reckoned(formula, value), told_of, designs=REPLICAS)
+    return rows.rows
+
+
+def proxy(target, slopes):
+    rows = Rows(target, Role.PROXY, Situation.PEAK)
+    for slope, told in (
+        ("pick-p99-round", "model/proxy: a pick from a table that stands"),
+        ("pick-changed-p99-round", "model/proxy: the first pick after a changed line, of the dearest way"),
+    ):
+        rows.add(Part.PICK, Quantity.ADDED, slopes.at(slope, target.backends), f"{told}, one line a backend")
+    wait = slopes.at("join-wait-most", target.backends)
+    rows.add(
+        Part.FIRST_TABLE,
+        Quantity.DELAY,
+        wait,
+        "daemon/proxies: from the dial to the first orders, the channel not paced",
+    )
+    rows.add(
+        Part.FIRST_TABLE,
+        Quantity.DELAY,
+        reckoned(
+            f"lines of a whole table / {SAMPLE_CHANNEL:,} lines a second of the sample",
+            target.backends / SAMPLE_CHANNEL,
+        ),
+        "channel/pacer: the channel as the sample describes it",
+    )
+    rows.add(
+        Part.FIRST_TABLE,
+        Quantity.ADDED,
+        derived(
+            "0 where the share of requests that meet a joining proxy is under 1%, else the longest wait",
+            lambda longest: 0.0 if joining_share(target, longest) < 0.01 else longest,
+            wait,
+        ),
+        "requests that arrive while their proxy waits for its first table",
+    )
+    return rows.rows
+
+
+def joining_share(target, wait):
+    """Of all requests, those that meet a proxy in its first wait: each controller's end moves its proxies,
+    each restart may be a proxy's.
+    """
+    joins_a_day = target.restarts_a_day + target.machines_a_day * target.proxies_per_controller
+    return joins_a_day * wait / (target.proxies * DAY)
+
+
+def backend(target):
+    rows = Rows(target, Role.BACKEND, Situation.PEAK)
+    rows.add(
+        Part.PROBES,
+        Quantity.BYTES_IN,
+        reckoned("0: without probes no controller speaks to a backend", 0),
+        "a description with probes=false; with probes it is not known",
+        readings=ONLY_ALL,
+    )
+    return rows.rows
+
+
+def discovery(target, slopes):
+    rows = Rows(target, Role.DISCOVERY, Situation.PEAK)
+    rows.add(
+        Part.ANSWERS,
+        Quantity.BYTES_OUT,
+        derived(
+            "changes of the list a second x change-bytes x controllers",
+            lambda rate, size: rate * size * target.controllers,
+            list_changes_a_second(target),
+            slopes.at("change-bytes", target.backends),
+        ),
+        "inventory/: each controller follows the list itself",
+        worst=derived(
+            "one change in 10 s to all controllers",
+            lambda size: size * target.controllers / reckon.WORST,
+            slopes.at("change-bytes", target.backends),
+        ),
+        readings=ONLY_ALL,
+    )
+    rows.add(
+        Part.ANSWERS,
+        Quantity.PROCESSOR,
+        unknown("the list's service is the operators' own"),
+        "inventory/",
+        readings=ONLY_ALL,
+    )
+    return rows.rows
--- a/embertray/capacity/slope.py
+++ b/embertray/capacity/slope.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict
 from pathlib import Path
-from statistics import fmean
+from statistics import median
 from typing import Annotated, Literal
 
 import msgspec
@@ -32,12 +32,12 @@
     origin: Literal["measured", "reported"] = "measured"
     note: str = ""
 
-    def means(self):
-        """(size, mean value) of each size, smallest first."""
+    def medians(self):
+        """(size, median value) of each size, smallest first."""
         by_size = defaultdict(list)
         for size, value in self.points:
             by_size[size].append(value)
-        return [(size, fmean(values)) for size, values in sorted(by_size.items())]
+        return [(size, median(values)) for size, values in sorted(by_size.items())]
 
 
 def load(path):
--- /dev/null
+++ b/embertray/capacity/table.py
@@ -0,0 +1,116 @@
+"""The whole table: rows of all roles and situations, totals by reading and design, what is missed most."""
+
+from dataclasses import dataclass
+
+from . import controller, failures, others
+from .figure import Slopes
+from .names import Design, Part, Quantity, Reading, Role, Situation, Verdict
+from .row import Judged, Row, budget_of, judge
+
+TOTALLED = (Quantity.PROCESSOR, Quantity.MEMORY, Quantity.BYTES_IN, Quantity.BYTES_OUT)
+LARGEST = 3
+
+
+@dataclass(frozen=True)
+class Total:
+    """What one controller spends on all parts at the peak. `known`: the sum of the parts that are known;
+    `missing`: those that are not. `two_ways`: bytes in and out against the one budget.
+    """
+
+    reading: Reading
+    design: Design
+    quantity: str
+    unit: str
+    known: float
+    missing: tuple
+    budget: float
+
+    @property
+    def judged(self):
+        """With parts missing it may fall short already, and is not known otherwise."""
+        found = judge(self.known, self.budget)
+        if self.missing and found.verdict is Verdict.FITS:
+            return Judged(Verdict.UNKNOWN)
+        return found
+
+
+@dataclass(frozen=True)
+class Table:
+    target: object
+    slopes: Slopes
+    rows: tuple
+    totals: tuple
+
+    def largest(self, reading, design, count=LARGEST):
+        """The rows that fall short by the largest factors, one of each part and unit."""
+        short = [
+            row
+            for row in self.rows
+            if reading in row.readings and design in row.designs and row.judged.verdict is Verdict.SHORT
+        ]
+        short.sort(key=lambda row: -row.judged.factor)
+        found = {}
+        for row in short:
+            found.setdefault((row.role, row.part, row.unit), row)
+        return list(found.values())[:count]
+
+    def of(self, situation):
+        return [row for row in self.rows if row.situation is situation]
+
+
+def compute(target, by_name):
+    """The Table of a target, from slopes by name."""
+    slopes = Slopes(by_name)
+    rows = (
+        *controller.steady(target, slopes),
+        *others.steady(target, slopes),
+        *failures.rows(target, slopes),
+    )
+    order = list(Situation)
+    rows = tuple(sorted(rows, key=lambda row: order.index(row.situation)))
+    return Table(target, slopes, rows, tuple(totals(target, rows)))
+
+
+def counted(rows, reading, design, quantity):
+    """Rows of a controller that make up a total: of the calm, which go on at the peak, and of the peak."""
+    return [
+        row
+        for row in rows
+        if row.adds_up
+        and row.role is Role.CONTROLLER
+        and row.situation in (Situation.CALM, Situation.PEAK)
+        and row.quantity is quantity
+        and reading in row.readings
+        and design in row.designs
+    ]
+
+
+def totals(target, rows):
+    for design in Design:
+        for reading in Reading:
+            sums = {}
+            for quantity in TOTALLED:
+                parts = counted(rows, reading, design, quantity)
+                known = sum(row.figure.value for row in parts if row.figure.known)
+                missing = tuple(f"{row.part}" for row in parts if not row.figure.known)
+                sums[quantity] = known, missing
+            for quantity in (Quantity.PROCESSOR, Quantity.MEMORY):
+                yield total(target, reading, design, quantity, *sums[quantity])
+            both = (sums[Quantity.BYTES_IN], sums[Quantity.BYTES_OUT])
+            known = sum(value for value, _ in both)
+            missing = tuple(dict.fromkeys(part for _, parts in both for part in parts))
+            yield total(target, reading, design, Quantity.BYTES_OUT, known, missing, "bytes in and out")
+
+
+def total(target, reading, design, quantity, known, missing, name=None):
+    budget = budget_of(target, Role.CONTROLLER, quantity)
+    unit = Row(Role.CONTROLLER, Part.WHOLE, Situation.PEAK, quantity, None, "", budget).unit
+    return Total(reading, design, name or str(quantity), unit, known, missing, budget)
+
+
+def varied(target, by_name):
+    """(assumption, value, Table) for each value that an assumption is varied to, its own left out."""
+    for one in target.assumptions:
+        for value in one.vary:
+            if value != one.value:
+                yield one, value, compute(target.with_assumed(one.name, value), by_name)
--- /dev/null
+++ b/embertray/capacity/text.py
@@ -0,0 +1,52 @@
+"""Figures as text, and tables in Markdown."""
+
+from .names import Origin, Verdict
+
+SECONDS = (("s", 1.0), ("ms", 1e-3), ("us", 1e-6))
+BYTES = (("GB", 1e9), ("MB", 1e6), ("KB", 1e3))
+
+
+def digits(value):
+    """Three digits, without exponents where it can be read without."""
+    if value == 0:
+        return "0"
+    if abs(value) >= 100:
+        return f"{value:,.0f}"
+    return f"{value:.3g}" if abs(value) >= 1e-4 else f"{value:.1e}"
+
+
+def quantity(value, unit):
+    """A value with its unit; None is 'not known'."""
+    if value is None:
+        return "not known"
+    if unit == "s":
+        name, worth = next((one for one in SECONDS if abs(value) >= one[1]), SECONDS[-1])
+        return "0 s" if value == 0 else f"{digits(value / worth)} {name}"
+    if unit in ("bytes", "bytes/s"):
+        name, worth = next((one for one in BYTES if abs(value) >= one[1]), ("B", 1.0))
+        return f"{digits(value / worth)} {name}{unit[5:]}"
+    return f"{digits(value)} {unit}"
+
+
+def verdict(judged):
+    if judged.verdict is Verdict.SHORT:
+        factor = f"{judged.factor:,.0f}" if judged.factor >= 100 else f"{judged.factor:.2g}"
+        if judged.factor < 2:
+            factor = f"{judged.factor:.2f}"
+        return f"**falls short by {factor}**"
+    return str(judged.verdict)
+
+
+def source(figure):
+    """Where a figure comes from: slope or formula, and how."""
+    if figure.origin in (Origin.UNKNOWN, Origin.NO_MECHANISM):
+        return figure.source
+    if figure.origin is Origin.RECKONED:
+        return f"reckoned: {figure.source}"
+    return f"`{figure.source}`, {figure.origin}"
+
+
+def table(heads, rows):
+    lines = ["| " + " | ".join(heads) + " |", "|" + " --- |" * len(heads)]
+    lines += ["| " + " | ".join(cells) + " |" for cells in rows]
+    return "\n".join(lines)
--- /dev/null
+++ b/embertray/cli/capacity.py
@@ -0,0 +1,45 @@
+"""`embertray capacity`: what a fleet of a target's size costs, from measured slopes."""
+
+import json
+from pathlib import Path
+
+import click
+
+from .standin import Bad
+
+SLOPES = Path(__file__).resolve().parents[2] / "docs" / "measured" / "capacity"
+
+
+@click.command()
+@click.argument("target", type=click.Path(), required=False)
+@click.option("--json", "as_json", is_flag=True, help="The table as one JSON object.")
+@click.option("--page", "as_page", is_flag=True, help="The whole page, docs/CAPACITY.md, for its target.")
+@click.option(
+    "--slopes",
+    type=click.Path(),
+    default=SLOPES,
+    help="Folder of measured slopes; default: those of this repository.",
+)
+def capacity(target, as_json, as_page, slopes):
+    """What each role costs at the size that TARGET.xml describes, and which budgets it keeps.
+
+    Without TARGET.xml: the operators' target, the sample that comes with the program."""
+    from ..capacity import page, report
+    from ..capacity.slope import BadSlope, load_all
+    from ..capacity.table import compute
+    from ..capacity.target import OPERATORS, BadTarget, load
+
+    if as_json and as_page:
+        raise Bad("capacity: --json or --page, not both")
+    try:
+        by_name = load_all(slopes)
+        found = compute(load(target or OPERATORS), by_name)
+    except (BadTarget, BadSlope) as error:
+        raise Bad(str(error)) from None
+    if as_json:
+        click.echo(json.dumps(report.as_data(found)))
+    elif as_page:
+        charts = [path.name for path in Path(slopes).glob("*.png")]
+        click.echo(page.page(found, by_name, charts), nl=False)
+    else:
+        click.echo(page.tables(found), nl=False)
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -17,6 +17,7 @@
 from ..net.address import BadAddress
 from ..site import BadSite, load as load_site
 from . import logs
+from .capacity import capacity
 from .cluster import cluster
 from .emulate import emulate
 from .lab import lab
@@ -37,6 +38,7 @@
 main.add_command(emulate)
 main.add_command(lab)
 main.add_command(cluster)
+main.add_command(capacity)
 
 
 @main.command()
--- a/embertray/measure/capacity/__main__.py
+++ b/embertray/measure/capacity/__main__.py
@@ -5,13 +5,17 @@
 
 import click
 
+from ...capacity.slope import load_all
+from ...capacity.table import compute
+from ...capacity.target import load
 from . import (
+    charts as charts_part,
     decisions as decisions_part,
     entries as entries_part,
     picks as picks_part,
     streams as streams_part,
 )
-from .record import Recording
+from .record import FOLDER, Recording
 
 
 def sizes(text):
@@ -31,18 +35,20 @@
 @click.option("--proxies", default=68, show_default=True)
 @click.option("--backends", default="17,250,1000,2000,4000", show_default=True)
 @click.option("--seconds", default=20, show_default=True, help="Simulated.")
-def decisions(proxies, backends, seconds):
+@click.option("--runs", default=3, show_default=True, help="Of each size; the median counts.")
+def decisions(proxies, backends, seconds, runs):
     """The decision module: processor time, worst step, memory, against backends."""
-    decisions_part.run(recording(), proxies, sizes(backends), seconds)
+    decisions_part.run(recording(), proxies, sizes(backends), seconds, runs)
 
 
 @main.command(name="by-proxies")
 @click.option("--proxies", default="17,34,68,136,272", show_default=True)
 @click.option("--backends", default=4000, show_default=True)
 @click.option("--seconds", default=20, show_default=True, help="Simulated.")
-def by_proxies(proxies, backends, seconds):
+@click.option("--runs", default=3, show_default=True, help="Of each size; the median counts.")
+def by_proxies(proxies, backends, seconds, runs):
     """The decision module against proxies."""
-    decisions_part.run_by_proxies(recording(), sizes(proxies), backends, seconds)
+    decisions_part.run_by_proxies(recording(), sizes(proxies), backends, seconds, runs)
 
 
 @main.command()
@@ -74,5 +80,12 @@
     picks_part.run(recording(), sizes(lines))
 
 
+@main.command()
+def charts():
+    """The charts of docs/CAPACITY.md, from the slopes that are there."""
+    found = compute(load(), load_all(FOLDER))
+    charts_part.draw(found, FOLDER)
+
+
 if __name__ == "__main__":
     main()
--- /dev/null
+++ b/embertray/measure/capacity/charts.py
@@ -0,0 +1,95 @@
+"""Charts of docs/CAPACITY.md: processor time, bytes and time to all against size, the budget as a line."""
+
+import matplotlib
+
+matplotlib.use("Agg")
+from matplotlib import pyplot  # noqa: E402
+
+from ...capacity import reckon  # noqa: E402
+from ...capacity.figure import REPORTED  # noqa: E402
+
+SIZES = (8, 16, 32, 64, 128, 256, 470)  # at which reckoned curves are drawn
+LIMITS = 1
+
+
+def curve(axis, slopes, name, label):
+    """One slope's medians and its law, if it is at hand; else the reported one."""
+    found = next((one for one in (name, REPORTED + name) if one in slopes.by_name), None)
+    if found is None:
+        return
+    points = slopes.by_name[found].medians()
+    sizes = [size for size, _ in points]
+    suffix = " (reported)" if found != name else ""
+    (line,) = axis.plot(sizes, [value for _, value in points], marker="o", linestyle="", label=label + suffix)
+    axis.plot(sizes, [max(0.0, slopes.fits[found].at(size)) for size in sizes], color=line.get_color())
+
+
+def budget(axis, value, label):
+    axis.axhline(value, color="black", linestyle="--", linewidth=1, label=label)
+
+
+def finish(axis, **words):
+    axis.set(xscale="log", yscale="log", **words)
+    axis.legend(fontsize=7)
+
+
+def processor(found, path):
+    slopes, target = found.slopes, found.target
+    figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.4), sharey=True)
+    for proxies in (68, 320):
+        curve(
+            left, slopes, f"decisions-processor-{proxies}", f"decisions, {proxies} proxies, the target's load"
+        )
+        curve(
+            left, slopes, f"decisions-processor-{proxies}-all-heard", f"{proxies} proxies, all backends heard"
+        )
+    curve(right, slopes, "cluster-processor", "gossip, a member")
+    curve(right, slopes, "control-subscriber-processor", "a subscriber")
+    curve(right, slopes, "control-replica-processor", "a replica")
+    for axis, size in ((left, "backends"), (right, "members, subscribers")):
+        budget(axis, target.cores, "budget of a controller")
+        finish(axis, xlabel=size, ylabel="cores")
+    save(figure, path)
+
+
+def bytes_a_second(found, path):
+    slopes, target = found.slopes, found.target
+    figure, axis = pyplot.subplots(figsize=(6, 3.6))
+    curve(axis, slopes, "cluster-sent-bytes", "gossip, a member sends")
+    curve(axis, slopes, "control-subscriber-bytes", "a subscriber")
+    curve(axis, slopes, "control-replica-bytes", "a replica")
+    for make, label in (
+        (reckon.limits_each_to_each, "limits, each to each (reckoned)"),
+        (reckon.limits_through_replicas, "limits, through replicas (reckoned)"),
+    ):
+        rates = [make(size, target.proxies_per_controller, LIMITS).controller_out for size in SIZES]
+        axis.plot(SIZES, rates, linestyle=":", label=label)
+    budget(axis, target.bytes_a_second, "budget of a controller")
+    finish(axis, xlabel="members, subscribers", ylabel="bytes/s")
+    save(figure, path)
+
+
+def time_to_all(found, path):
+    slopes, target = found.slopes, found.target
+    figure, axis = pyplot.subplots(figsize=(6, 3.6))
+    curve(axis, slopes, "cluster-oldest", "gossip, oldest entry held")
+    curve(axis, slopes, "cluster-time-to-all", "gossip, until at all")
+    curve(axis, slopes, "control-time-to-all", "replicas, until in force at all")
+    axis.plot(
+        SIZES, [reckon.staleness_promised(size) for size in SIZES], ":", label="gossip, promised (reckoned)"
+    )
+    budget(axis, target.in_force_within, "in force within")
+    finish(axis, xlabel="members, subscribers", ylabel="s")
+    save(figure, path)
+
+
+def save(figure, path):
+    figure.tight_layout()
+    figure.savefig(path, dpi=80)
+    pyplot.close(figure)
+
+
+def draw(found, folder):
+    processor(found, folder / "processor.png")
+    bytes_a_second(found, folder / "bytes.png")
+    time_to_all(found, folder / "time.png")
--- a/embertray/measure/capacity/decisions.py
+++ b/embertray/measure/capacity/decisions.py
@@ -25,20 +25,25 @@
     name: str
     about: str
     everyone: bool
+    silent: bool
     channel: dict  # of the fleet's settings: lines a second, lines that may wait
 
     def heard(self, fleet, chance):
+        if self.silent:
+            return []
         if self.everyone:
             return fleet.bes
         return [fleet.bes[chance.randrange(len(fleet.bes))] for _ in fleet.pxs]
 
 
-AT_TARGET = Load("", "each proxy tells of one request a second, of a backend by chance", False, {})
-EVERYONE = Load("-all-heard", "every backend is heard of each second: the worst case", True, {})
+AT_TARGET = Load("", "each proxy tells of one request a second, of a backend by chance", False, False, {})
+EVERYONE = Load("-all-heard", "every backend is heard of each second: the worst case", True, False, {})
+SILENT = Load("-silent", "nothing is heard of any backend and no request comes", False, True, {})
 WHOLE_TABLES = Load(
     "-whole-tables",
     AT_TARGET.about + "; a channel so wide that every table holds the whole list",
     False,
+    False,
     {"channel_rate": 10**6, "pending_max": 2 * 10**6},
 )
 
@@ -89,7 +94,8 @@
             fleet.todo.append(
                 i.Heard(backend, zone, 10 if load.everyone else 1, 0, 250 * MS, S, {"waiting": 0})
             )
-        fleet.todo += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.pxs]
+        if not load.silent:
+            fleet.todo += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.pxs]
         fleet.run(fleet.now + S, BEAT)
     memory, steps = resident() - before, list(timed.steps)
     return Cost(
@@ -121,11 +127,11 @@
         return pool.apply(measure, arguments)
 
 
-def run(recording, proxies, sizes, seconds):
-    for load in (AT_TARGET, EVERYONE, WHOLE_TABLES):
-        costs = [measure_apart(proxies, backends, load, seconds) for backends in sizes]
+def run(recording, proxies, sizes, seconds, runs):
+    for load in (AT_TARGET, SILENT, EVERYONE, WHOLE_TABLES):
+        costs = [measure_apart(proxies, backends, load, seconds) for _ in range(runs) for backends in sizes]
         note = (
-            f"{proxies} proxies; {load.about}; {seconds} simulated s after {SETTLE} s, "
+            f"{proxies} proxies; {load.about}; {seconds} simulated s after {SETTLE} s, {runs} runs of "
             f"{costs[0].steps} steps of {BEAT // MS} ms"
         )
 
@@ -141,9 +147,13 @@
             save("list-apply-processor", "s of processor a whole list", lambda cost: cost.whole)
 
 
-def run_by_proxies(recording, sizes, backends, seconds):
-    costs = [(proxies, measure_apart(proxies, backends, AT_TARGET, seconds)) for proxies in sizes]
-    note = f"{backends} backends; {AT_TARGET.about}; {seconds} simulated s after {SETTLE} s"
+def run_by_proxies(recording, sizes, backends, seconds, runs):
+    costs = [
+        (proxies, measure_apart(proxies, backends, AT_TARGET, seconds))
+        for _ in range(runs)
+        for proxies in sizes
+    ]
+    note = f"{backends} backends; {AT_TARGET.about}; {seconds} simulated s after {SETTLE} s, {runs} runs"
     for name, unit, pick in (
         ("decisions-processor-by-proxies", "cores a controller", lambda cost: cost.cores),
         ("decisions-memory-by-proxies", "bytes a controller", lambda cost: cost.memory),
--- a/embertray/measure/capacity/record.py
+++ b/embertray/measure/capacity/record.py
@@ -44,7 +44,7 @@
                 name,
                 unit,
                 size_of,
-                points,
+                sorted(points, key=lambda point: point[0]),
                 self.command,
                 self.commit,
                 machine(),
--- a/embertray/measure/fleet.py
+++ b/embertray/measure/fleet.py
@@ -39,6 +39,7 @@
             anyio.Event(),
         )
         self.received = self.sent = 0
+        self.writing = anyio.Lock()  # answers and sums come from different tasks
         self.address = None
 
     async def run(self, address):
@@ -62,7 +63,8 @@
 
     async def send(self, data):
         self.sent += len(data)
-        await self.stream.send(data)
+        async with self.writing:
+            await self.stream.send(data)
 
     async def sums(self, backends, kinds):
         met = [Met(be, 3, 0, 150_000_000, {"busy": 0.4}) for be in backends]
