--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -14,17 +14,19 @@
 
 How to read it:
 
-- A budget "for control" can be read two ways: **{cluster}** (membership, state, limits, configuration), or
-  **{all}** (streams of proxies and the list as well). Both are given.
-- Two designs are told apart: **{gossip}** and **{replicas}** (control machines hold
-  the configuration, each controller follows one of them). A row without a design belongs to both.
+- A budget "for control" can be read two ways: **{cluster}** (membership, state, limits,
+  configuration), or **{all}** (streams of proxies and the list as well). Both are given.
+- Two designs are told apart: **{gossip}** and **{replicas}** (control
+  machines hold the configuration, each controller follows one of them). A row without a design belongs to
+  both.
 - Where a figure comes from: measured at the target's size; predicted by a slope whose largest size was held
   out and predicted; a guess, where none could be held out; reported, where it was taken over and not measured
   again; reckoned by the formula that stands there. *Not known* is said where there is neither.
 - Processor time is time of a processor on one machine that was busy with other work as well; bytes are
   payload, without the heads of TCP, UDP and IP. The worst 10 s stand beside the mean where they are known,
   and decide the verdict.
-- Rows of failures are what comes on top of the peak.
+- Rows of failures are what comes on top of the peak. The time until a configuration is in force is asked of
+  whoever starts or returns as well: the strict reading.
 """
 
 CHARTS = (
@@ -152,20 +154,20 @@
 
 
 def variations(found, by_name):
-    """What changes in the totals and in rows with a budget when an assumption is varied."""
+    """How the totals change when an assumption is varied, and which rows get another verdict."""
     plain = {key_of(row): row for row in found.rows}
-    rows = []
+    lines = []
     for one, value, other in varied(found.target, by_name):
         for before, after in zip(found.totals, other.totals, strict=True):
             if verdict(before.judged) != verdict(after.judged):
                 name = f"{design_word(after.design)}, {after.reading}: total {after.quantity}"
-                rows.append((one.name, digits(value), name, verdict(before.judged), verdict(after.judged)))
+                lines.append((one.name, digits(value), name, verdict(before.judged), verdict(after.judged)))
         for row in other.rows:
             before = plain.get(key_of(row))
-            if before and row.budget is not None and verdict(before.judged) != verdict(row.judged):
+            if before and before.judged.verdict is not row.judged.verdict:
                 name = f"{row.role}: {row.part}, {row.quantity}, {row.situation}"
-                rows.append((one.name, digits(value), name, verdict(before.judged), verdict(row.judged)))
-    return table(("assumption", "at", "row", "verdict", "becomes"), rows)
+                lines.append((one.name, digits(value), name, verdict(before.judged), verdict(row.judged)))
+    return table(("assumption", "at", "total or row", "verdict", "becomes"), lines)
 
 
 def key_of(row):
@@ -267,7 +269,8 @@
             "",
             tables(found),
             "## Assumptions varied\n",
-            "Verdicts that become others when one assumption is set to another value, all else as above.\n",
+            "Totals that change, and rows whose verdict becomes another, when one assumption is set to "
+            "another value and all else is as above.\n",
             variations(found, by_name),
             "",
             "## Shares of limits, each to each or through the replicas\n",
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -336,7 +336,7 @@
         lambda text: text.replace(
             "<target ", '<!DOCTYPE target [<!ENTITY x SYSTEM "file:///etc/hostname">]>\n<target ', 1
         ).replace('name="operators"', 'name="&x;"'),
-        "",
+        "not well-formed",
     ),
 )
 
