--- a/embertray/measure/capacity/__main__.py
+++ b/embertray/measure/capacity/__main__.py
@@ -51,6 +51,16 @@
     decisions_part.run_by_proxies(recording(), sizes(proxies), backends, seconds, runs)
 
 
+@main.command(name="by-steps")
+@click.option("--steps", default="1,2,4,10,50", show_default=True, help="Steps a simulated second.")
+@click.option("--proxies", default=68, show_default=True)
+@click.option("--backends", default=4000, show_default=True)
+@click.option("--seconds", default=20, show_default=True, help="Simulated.")
+def by_steps(steps, proxies, backends, seconds):
+    """The decision module against steps a second, nothing heard."""
+    decisions_part.run_by_steps(recording(), sizes(steps), proxies, backends, seconds)
+
+
 @main.command()
 @click.option("--proxies", default="17,34,68,136,320", show_default=True)
 @click.option("--backends", default=250, show_default=True)
@@ -59,6 +69,14 @@
     streams_part.run_load(recording(), sizes(proxies), backends)
 
 
+@main.command(name="streams-by-backends")
+@click.option("--backends", default="17,250,1000,2000,4000", show_default=True)
+@click.option("--proxies", default=68, show_default=True)
+def streams_by_backends(backends, proxies):
+    """The same against backends."""
+    streams_part.run_load_by_backends(recording(), sizes(backends), proxies)
+
+
 @main.command()
 @click.option("--backends", default="17,250,1000,2000,4000", show_default=True)
 def joins(backends):
--- a/embertray/measure/capacity/decisions.py
+++ b/embertray/measure/capacity/decisions.py
@@ -79,11 +79,11 @@
         return module
 
 
-def measure(proxies, backends, load, seconds):
+def measure(proxies, backends, load, seconds, beat=BEAT):
     """One fleet in this process: all join, SETTLE seconds pass, then `seconds` are counted."""
     before, timed, chance = resident(), Timed(), random.Random(1)
     fleet = Fleet(timed, backends, proxies, **load.channel)
-    fleet.run(11 * S, BEAT)
+    fleet.run(11 * S, beat)
     fleet.join(fleet.pxs, lambda _: fleet.bes[:5])
     kind = fleet.site.kinds[0]
     for second in range(SETTLE + seconds):
@@ -96,7 +96,7 @@
             )
         if not load.silent:
             fleet.todo += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.pxs]
-        fleet.run(fleet.now + S, BEAT)
+        fleet.run(fleet.now + S, beat)
     memory, steps = resident() - before, list(timed.steps)
     return Cost(
         backends, sum(steps) / seconds, max(steps), memory, len(steps), *cost_of_news(fleet, timed.steps)
@@ -159,3 +159,13 @@
         ("decisions-memory-by-proxies", "bytes a controller", lambda cost: cost.memory),
     ):
         recording.save(name, unit, "proxies", [(size, pick(cost)) for size, cost in costs], note)
+
+
+def run_by_steps(recording, steps_a_second, proxies, backends, seconds):
+    """Whether the cost comes with steps or with the module's own beat."""
+    costs = [
+        (steps, measure_apart(proxies, backends, SILENT, seconds, S // steps)) for steps in steps_a_second
+    ]
+    note = f"{proxies} proxies, {backends} backends; {SILENT.about}; {seconds} simulated s after {SETTLE} s"
+    points = [(steps, cost.cores) for steps, cost in costs]
+    recording.save("decisions-processor-by-steps", "cores a controller", "steps a second", points, note)
--- a/embertray/measure/capacity/streams.py
+++ b/embertray/measure/capacity/streams.py
@@ -113,9 +113,18 @@
 
 def run_load(recording, sizes, backends):
     rows = [(size, *anyio.run(load, backends, size)) for size in sizes]
+    save_load(recording, rows, "proxies", "", f"{backends} backends")
+
+
+def run_load_by_backends(recording, sizes, proxies):
+    rows = [(size, *anyio.run(load, size, proxies)) for size in sizes]
+    save_load(recording, rows, "backends", "-by-backends", f"{proxies} proxies")
+
+
+def save_load(recording, rows, size_of, suffix, constant):
     note = (
-        f"python -m embertray.measure.timed, which serves as `embertray serve`; {backends} backends, channel "
-        f"not paced; loopback, payload bytes; {QUIET} s quiet, {REPORTING} s with one sum of one request a "
+        f"python -m embertray.measure.timed, which serves as `embertray serve`; {constant}, channel not "
+        f"paced; loopback, payload bytes; {QUIET} s quiet, {REPORTING} s with one sum of one request a "
         "proxy a second"
     )
     for name, unit, pick in (
@@ -132,11 +141,16 @@
             "bytes/s a controller, worst 10 s",
             lambda _, busy, *__: busy.worst(busy.received),
         ),
-        ("streams-worst-out", "bytes/s a controller, worst 10 s", lambda _, busy, *__: busy.worst(busy.sent)),
+        (
+            "streams-worst-out",
+            "bytes/s a controller, worst 10 s",
+            lambda _, busy, *__: busy.worst(busy.sent),
+        ),
         ("streams-memory", "bytes a controller", lambda _, __, brought, ___: brought),
         ("controller-memory", "bytes a controller", lambda _, __, ___, whole: whole),
     ):
-        recording.save(name, unit, "proxies", [(size, pick(*found)) for size, *found in rows], note)
+        points = [(size, pick(*found)) for size, *found in rows]
+        recording.save(name + suffix, unit, size_of, points, note)
 
 
 def run_joins(recording, sizes):
