--- a/embertray/control/messages.py
+++ b/embertray/control/messages.py
@@ -1,14 +1,10 @@
 """Messages of the control plane: tagged msgpack arrays, in the length-prefixed frames of stream/frames.py."""
 
-from typing import Annotated
-
 import msgspec
-from msgspec import Meta
 
 from .entry import Count, Digest, Entry, Key, Name, RequestId
 
 VERSION = 1
-Digest = Annotated[int, Meta(ge=0)]  # 64 bits
 
 
 # ---- between replicas
