--- a/embertray/control/link/replica_server.py
+++ b/embertray/control/link/replica_server.py
@@ -12,7 +12,7 @@
 from ..feed import Feed, Refused
 from ..messages import Subscribe, decode_from_subscriber, decode_replica_message, encode
 from ..pace import FeedPace
-from ..replica import AGE_UNKNOWN, Replica, Role, WriteRefused
+from ..replica import Replica, Role, WriteRefused
 from .audit import log_entries
 from .connection import FROM_SUBSCRIBER_FRAME_MOST, REPLICA_FRAME_MOST, Traffic
 from .inbound import Inbound, Stranger
@@ -116,6 +116,7 @@
             settings.cluster, settings.name, names, now, self.chance, self.replica_pace, state
         )
         self.feed = Feed(settings.cluster, lambda: self.replica.store, now, self.feed_pace)
+        self.replica.subscribers = self.feed
         self.feed_at = now
         for name in self.replica.others:
             self.links[name] = self._peer_link(name)
@@ -329,14 +330,11 @@
         for one in outgoing:
             if (connection := self.subscribers.by_name.get(one.subscriber)) is not None:
                 connection.put(one.data)
-        self.replica.subscribers = len(self.feed.subscriptions)
-        self.replica.lowest_confirmed = self.feed.lowest_confirmed
         self.feed_at = max(self.feed.next_at(now), now + FEED_TICK)
 
     def _age(self, now):
         """The replica's age, None if it is not known."""
-        age = self.replica.age(now)
-        return None if age is None or age >= AGE_UNKNOWN else age
+        return self.replica.age(now)
 
     # ---- what others say
 
--- a/embertray/control/link/subscriber_client.py
+++ b/embertray/control/link/subscriber_client.py
@@ -7,7 +7,7 @@
 
 from ...net.address import BadAddress
 from ...net.tcp import TcpNet
-from ...stream.frames import BadFrame, Splitter
+from ...stream.frames import PREFIX, BadFrame, Splitter
 from ..messages import Unreadable, decode_to_subscriber
 from ..subscriber import Dial, Hang, Subscriber
 from .audit import log_entries
@@ -33,7 +33,9 @@
 class SubscriberClient:
     """`on_applied(entries)` is called with the entries that are newly in force, in order; a value of None is
     a removal. `on_restored(entries)` is called first with what was kept from a former process, if anything
-    was. `saved`: a SavedState of SubscriberState, or None."""
+    was. `saved`: a SavedState of SubscriberState, or None. `budget`: a FeedPace with the bytes a second that
+    are owed.
+    """
 
     def __init__(
         self,
@@ -46,10 +48,11 @@
         pace=None,
         saved=None,
         log=None,
+        budget=None,
     ):
         self.settings, self.clock, self.chance = settings, clock, chance
         self.on_applied, self.on_restored = on_applied, on_restored
-        self.net, self.pace = net or TcpNet(), pace
+        self.net, self.pace, self.budget = net or TcpNet(), pace, budget
         self.saved, self.log = saved, (log or structlog.get_logger()).bind(subscriber=settings.name)
         self.traffic, self.subscriber, self.group = Traffic(), None, None
         self.connection, self.connection_number = None, 0
@@ -132,7 +135,7 @@
             }
         names = list(settings.replicas)
         self.subscriber = Subscriber(
-            settings.cluster, settings.name, names, now, self.chance, self.pace, **kept
+            settings.cluster, settings.name, names, now, self.chance, self.pace, self.budget, **kept
         )
         live = self.subscriber.store.live()
         log_entries(self.log, "restored", live)
@@ -217,7 +220,8 @@
         self._act()
         while True:
             for data in await connection.read(splitter):
-                core.receive(self.clock.now(), number, decode_to_subscriber(data))
+                size = len(data) + PREFIX.size
+                core.receive(self.clock.now(), number, decode_to_subscriber(data), size)
             self._act()
 
     def _lost(self, number):
--- a/embertray/daemon/control.py
+++ b/embertray/daemon/control.py
@@ -63,6 +63,7 @@
         pace=pace,
         saved=saved,
         log=log,
+        budget=FeedPace(bytes_per_second=control.bytes_per_second),
     )
 
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -246,7 +246,7 @@
             await stage.subscribe("s1", ["r1"])
             server = stage.replicas["r1"]
             async with await TcpNet().dial(stage.listen["r1"]) as stream:
-                await stream.send(frame(encode(Subscribe("test", 1, "slow", 0, 0))))
+                await stream.send(frame(encode(Subscribe("test", 1, "slow", 0, 0, 8_000))))
                 await until(lambda: "slow" in server.feed.subscriptions, "it is taken")
                 connection = server.subscribers.by_name["slow"]
                 await stage.put("key", b"1")
@@ -273,17 +273,17 @@
                 pass
 
     def test_what_cannot_be_read_or_is_of_strangers(self):
-        subscribe = encode(Subscribe("test", 1, "s9", 0, 0))
+        subscribe = encode(Subscribe("test", 1, "s9", 0, 0, 8_000))
         vote = {"term_asked": 1, "granted": True, "preliminary": False}
         for_subscribers = {
             "unreadable": frame(b"\xff\xff\xff"),
             "no such message": frame(b"\x91\xa4nope"),
             "an empty frame": b"\0\0\0\0",
             "oversized": b"\x00\x01\x00\x01" + b"x" * 100,
-            "other cluster": frame(encode(Subscribe("other", 1, "s9", 0, 0))),
-            "other version": frame(encode(Subscribe("test", 2, "s9", 0, 0))),
+            "other cluster": frame(encode(Subscribe("other", 1, "s9", 0, 0, 8_000))),
+            "other version": frame(encode(Subscribe("test", 2, "s9", 0, 0, 8_000))),
             "not subscribed": frame(encode(Confirm(1, 0))),
-            "a name that changes": frame(subscribe) + frame(encode(Subscribe("test", 1, "s8", 0, 0))),
+            "a name that changes": frame(subscribe) + frame(encode(Subscribe("test", 1, "s8", 0, 0, 8_000))),
             "unreadable later": frame(subscribe) + frame(b"\xc1"),
             "a replica's message": frame(encode(Vote("test", "r2", 1, **vote))),
             "nothing": b"",
@@ -350,7 +350,7 @@
     def test_the_younger_connection_of_a_name_stays(self):
         async def body(stage):
             server = stage.replicas["r1"]
-            hello = frame(encode(Subscribe("test", 1, "s1", 0, 0)))
+            hello = frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
             async with await TcpNet().dial(stage.listen["r1"]) as first:
                 await first.send(hello)
                 await until(lambda: "s1" in server.feed.subscriptions, "the first is taken")
