--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -25,6 +25,17 @@
 FACTS_EVERY = 1 * S  # ns between two tellings of our own facts
 LEAVE_WITHIN = S // 2  # ns that an end waits for the last words
 WAIT_MOST = S // 2  # ns that the timer sleeps at most: a clock that jumps is seen soon
+COUNTED = (  # bytes_sent and bytes_received: of datagrams and of state; state's with its frames' lengths
+    "sent",
+    "received",
+    "bytes_sent",
+    "bytes_received",
+    "state_bytes_sent",
+    "state_bytes_received",
+    "unreadable",
+    "exchanges",
+    "exchanges_failed",
+)
 
 pack = msgspec.msgpack.Encoder().encode
 unpack = msgspec.msgpack.Decoder(Offer | Tell).decode
@@ -45,9 +56,7 @@
         self.exchange = Exchange(self.book, chance, now, told.period)
         self.allowance, self.poked, self.udp, self.out = Allowance(told.rate, now), anyio.Event(), None, []
         self.gone, self.failing = anyio.Event(), set()  # members whose last exchange failed
-        self.counted = dict.fromkeys(
-            ("sent", "received", "bytes_sent", "unreadable", "exchanges", "exchanges_failed"), 0
-        )
+        self.counted = dict.fromkeys(COUNTED, 0)
 
     # ---- what operators see
 
@@ -171,6 +180,7 @@
     async def listen(self):
         async for data, (host, port) in self.udp:
             self.counted["received"] += 1
+            self.counted["bytes_received"] += len(data)
             try:
                 message = decode(data)
             except Unreadable:
@@ -233,13 +243,17 @@
         data = frame(pack(message))
         self.allowance.spend(len(data))
         self.counted["bytes_sent"] += len(data)
+        self.counted["state_bytes_sent"] += len(data)
         await stream.send(data)
 
-    @staticmethod
-    async def next(stream, splitter, kind):
+    async def next(self, stream, splitter, kind):
         """The next message, which has to be of this kind. Raises BadFrame, msgspec.DecodeError."""
-        while not (found := splitter.feed(await stream.receive())):
-            pass
+        found = []
+        while not found:
+            data = await stream.receive()
+            self.counted["bytes_received"] += len(data)
+            self.counted["state_bytes_received"] += len(data)
+            found = splitter.feed(data)
         message = unpack(found[0])
         if not isinstance(message, kind):
             raise BadFrame("order", f"{type(message).__name__} where {kind.__name__} is due")
--- a/embertray/emulator/gossip.py
+++ b/embertray/emulator/gossip.py
@@ -38,6 +38,10 @@
                 data = data[:cut] + bytes([data[cut] ^ 0x55]) + data[cut + 1 :] if cut % 2 else data[:cut]
             yield self.chance.randint(*self.delay) + self.lag.get(b, 0), data
 
+    def hold(self, a, b):
+        """ns for a part of a stream, or None while the way is silent."""
+        return self.chance.randint(*self.delay) if self.carries(a, b) else None
+
     def split(self, *groups):
         self.sides = {address: n for n, group in enumerate(groups) for address in group}
 
--- a/embertray/emulator/shared.py
+++ b/embertray/emulator/shared.py
@@ -6,17 +6,25 @@
 
 from ..cluster.link.link import EXCHANGE_WITHIN, FACTS_EVERY, pack
 from ..cluster.state import Book, Exchange
+from ..stream.frames import PREFIX
 
 MS = 10**6
 LOOK = 20 * MS  # ns between two looks at a silent way, as the rig's streams take
 
 
+def time_told(now):
+    """Facts that say nothing but when they were told."""
+    return str(now).encode()
+
+
 class Sharer:
     """Beside one gossip.Process: its book, its facts told anew each second, one exchange at a time.
-    `others()`: address -> Sharer.
+    `others()`: address -> Sharer; `facts(now)`: what is told, bytes. `bytes`: what it sent, in its own
+    exchanges and in others', with the frames' lengths, as a link counts.
     """
 
-    def __init__(self, process, others, links, seed, make=Exchange, book=Book):
+    def __init__(self, process, others, links, seed, make=Exchange, book=Book, facts=time_told):
+        self.facts = facts
         self.process, self.others, self.links, self.engine = process, others, links, process.ring.engine
         core, now = process.core, process.ring.engine.time
         self.book = book(core.me.name, core.me.life)
@@ -42,7 +50,7 @@
             self.book.reborn(core.me.life)
         if now >= self.facts_at:
             self.facts_at = now + FACTS_EVERY
-            self.book.put(now, "facts", str(now).encode())
+            self.book.put(now, "facts", self.facts(now))
         here = {m.name: m.address for m in core.here} if now >= self.exchange.at else {}
         if (name := self.exchange.next(now, here)) is None:
             self.engine.at(max(now + core.pace.period // 20, min(self.exchange.at, self.facts_at)), self.tick)
@@ -91,7 +99,7 @@
                 then()
 
     def say(self, message):
-        self.bytes += len(pack(message)) + 4
+        self.bytes += len(pack(message)) + PREFIX.size
         return message
 
     def offer(self, turn, address):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -3,14 +3,23 @@
 
 import hashlib
 import unittest
+from collections import namedtuple
 from unittest import mock
 
+import anyio
+
+from embertray.cluster.link import ClusterLink
 from embertray.cluster.membership.messages import decode, encode
+from embertray.cluster.state import Entry
 from embertray.days import notation
 from embertray.emulator.company import Company
 from embertray.emulator.drawn import wounds
-from embertray.emulator.gossip import MS, Ring, S
+from embertray.emulator.gossip import MS, START, Ring, S
 from embertray.emulator.shared import Sharer, pack
+from embertray.rig.ports import free_ports
+from embertray.site.site import Cluster
+
+Me = namedtuple("Me", "name cluster")
 
 
 class Traffic:
@@ -117,5 +126,72 @@
                 self.assertEqual(company_traffic(*day), tuple(recorded))
 
 
+class FixedClock:
+    """Time stands still: ages, and so the bytes of an exchange, depend on nothing else."""
+
+    def __init__(self, now):
+        self.time = now
+
+    def now(self):
+        return self.time
+
+    wall = now
+
+
+def filled(book, now, owners):
+    """A book that holds entries of other owners, each told some seconds ago."""
+    entries = [Entry(f"m{n}", "facts", 1, n, n * S, b"f" * 60) for n in owners]
+    book.merge(now, entries)
+    book.caught_up({entry.owner: (entry.life, entry.version) for entry in entries})
+    book.put(now, "facts", b"f" * 60)
+
+
+KNOWN = range(10, 40), range(25, 70)  # owners that the one who begins holds, and the other
+
+
+def emulated_exchange():
+    """Bytes of state that each of two members sent in one exchange under virtual time."""
+    ring = Ring(1, delay=(0, 0))
+    sharers = {}
+    for name, owners in zip(("a", "b"), KNOWN, strict=True):
+        sharers[name] = sharer = Sharer(
+            ring.up(name, []), lambda: sharers, ring.links, 1, facts=lambda _: b"f" * 60
+        )
+        sharer.facts_at, sharer.exchange.at = 10 * START, 10 * START
+        filled(sharer.book, START, owners)
+    ring.run(0)
+    sharers["a"].offer(0, "b")
+    ring.run(0)
+    return sharers["a"].bytes, sharers["b"].bytes
+
+
+async def linked_exchange():
+    """The same exchange of two members with sockets: (sent, received) of each, bytes of state."""
+    links, served = [], anyio.Event()
+    for name, owners, port in zip(("a", "b"), KNOWN, free_ports(2), strict=True):
+        me = Me(name, f"127.0.0.1:{port}")
+        link = ClusterLink(Cluster("c", S, 1 << 20, 1 << 20), me, [], FixedClock(START), 1, dict)
+        filled(link.book, START, owners)
+        links.append(link)
+
+    async def serve(stream):
+        await links[1].serve(stream)
+        served.set()
+
+    listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
+    async with listener, anyio.create_task_group() as group:
+        group.start_soon(listener.serve, serve)
+        await links[0].with_one(me.cluster)
+        await served.wait()
+        group.cancel_scope.cancel()
+    return [(link.counted["state_bytes_sent"], link.counted["state_bytes_received"]) for link in links]
+
+
+class SameCounts(unittest.TestCase):
+    def test_an_exchange_costs_as_many_bytes_under_virtual_time_as_through_sockets(self):
+        first, second = emulated_exchange()
+        self.assertEqual(anyio.run(linked_exchange), [(first, second), (second, first)])
+
+
 if __name__ == "__main__":
     unittest.main()
