--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -3,10 +3,10 @@
 import traceback
 
 from .. import interface as i
-from ..briefing import BadBriefing, Briefing
-from ..briefing.briefing import number
 from ..choice import Controller
-from ..door import Door
+from ..identifiers import Identifiers
+from ..settings import BadSettings, StartSettings
+from ..settings.settings import number
 
 US = 1000
 STATES = {0: "draining", 1: "gone", 2: "ready"}
@@ -105,16 +105,16 @@
     return raw, got
 
 
-class Instance(Door):
+class Instance(Identifiers):
     """One controller: its module, and the ids of the objects that the module deals in."""
 
     def __init__(self, seed, raw, clock):
         super().__init__()
         try:
-            told = Briefing(raw)
+            told = StartSettings(raw)
             self.reports, self.kinds = told.reports, told.kinds
             self.module = Controller(seed, told.deployment(self), clock)
-        except BadBriefing as wrong:
+        except BadSettings as wrong:
             raise BadWire(f"ENLIST: {wrong}") from None
 
     def load(self, got):
@@ -201,8 +201,8 @@
                 self.slice(got["route-table"]), self.backend(got["backend"]), got.get("share", 1.0)
             )
         if name == "CONFIRMED":
-            mark = self.marks.get(got["epoch"])
-            return mark and i.Answered(self.proxy(got["proxy"]), mark, got.get("took-us", 0) * US)
+            nonce = self.nonces.get(got["epoch"])
+            return nonce and i.Answered(self.proxy(got["proxy"]), nonce, got.get("took-us", 0) * US)
         return None
 
     def action(self, order):
@@ -210,20 +210,20 @@
         if isinstance(order, i.SetLine):
             return (
                 f"ENDPOINT share={order.weight:.6g} route-table={self.table_id(order.table)} "
-                f"backend={order.backend.door}"
+                f"backend={order.backend.external_id}"
             )
         if isinstance(order, i.Bind):
-            return f"POINT proxy={order.proxy.door} route-table={self.table_id(order.table)} lanes=0"
+            return f"POINT proxy={order.proxy.external_id} route-table={self.table_id(order.table)} lanes=0"
         if isinstance(order, i.Withdraw):
-            return f"TAKE_OUT backend={order.backend.door} set={int(order.out)}"
+            return f"TAKE_OUT backend={order.backend.external_id} set={int(order.out)}"
         if isinstance(order, i.SetLevel):
-            lanes = sum(1 << kind.door for kind in order.kinds)
+            lanes = sum(1 << kind.external_id for kind in order.kinds)
             return (
                 f"SET_LEVEL route-table={self.table_id(order.table)} lanes={lanes} "
                 f"allowance={order.level:.6g} second-try={order.retry}"
             )
-        if isinstance(order, i.PutMark):
-            return f"CHECKPOINT set=0 epoch={self.mark_id(order.mark)}"
+        if isinstance(order, i.PutNonce):
+            return f"CHECKPOINT set=0 epoch={self.nonce_id(order.nonce)}"
         if isinstance(order, i.Wake):
             return f"ARM label={order.label} wait-us={max(0, order.after) // US}"
         if isinstance(order, i.Subscribe):
@@ -231,7 +231,7 @@
         if isinstance(order, i.AskList):
             return "GET_LIST"
         if isinstance(order, i.Probe):
-            return f"PING backend={order.backend.door}"
+            return f"PING backend={order.backend.external_id}"
         return "SAY_LOG what=" + " ".join(order.text.split())
 
 
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -17,7 +17,9 @@
 from ..net.address import BadAddress
 from ..site import BadSite, load as load_site
 from . import logs
+from .capacity import capacity
 from .cluster import cluster
+from .control import control
 from .emulate import emulate
 from .lab import lab
 from .operators import asked, page
@@ -37,6 +39,11 @@
 main.add_command(emulate)
 main.add_command(lab)
 main.add_command(cluster)
+<<<<<<< HEAD
+main.add_command(control)
+=======
+main.add_command(capacity)
+>>>>>>> capacity
 
 
 @main.command()
--- a/embertray/core/instance.py
+++ b/embertray/core/instance.py
@@ -13,10 +13,10 @@
 from ..channel.outlet import UNANSWERED, Awake
 from ..channel.pacer import Pacer
 from ..degrade import Reduced
-from ..drive import Drive
 from ..memory import Accounts
 from ..memory.caps import PROBES, defaults
 from ..reports.intake import Intake
+from ..runner import Runner
 from .holdings import shelves
 
 S = 10**9
@@ -40,15 +40,15 @@
     change: object = None  # degrade.Change: another level of service
 
 
-class Instance(Drive):
+class Instance(Runner):
     """`site` is a site.Site, `me` one of its controllers; `chance` gives numbers from 0 to 1. The first thing
     to tell it is the list that it starts with: `news(now, "cached", ...)`, empty if there is none."""
 
     def __init__(self, site, me, seed, now, chance=lambda: 0.5):
-        super().__init__(seed, lambda door: site.deployment(me, door), now)
+        super().__init__(seed, lambda identifiers: site.deployment(me, identifiers), now)
         self.site = site
-        self.kinds = {kind.door: kind for kind in site.kinds}
-        self.outbox = Outbox(self.door, site.head, {kind: kind.door for kind in site.kinds})
+        self.kinds = {kind.external_id: kind for kind in site.kinds}
+        self.outbox = Outbox(self.identifiers, site.head, {kind: kind.external_id for kind in site.kinds})
         self.pacer, self.intake = (
             Pacer(site.channel_rate, now),
             Intake(site.reports_rate, now, site.report_cycle),
@@ -68,7 +68,7 @@
         if how == "whole":
             self.held_back = 0
         if self.accounts.acting("tables", "list"):  # new ones wait; what is there and what goes is never held
-            known = [e for e in entries if e.backend in self.door.backends]
+            known = [e for e in entries if e.backend in self.identifiers.backends]
             self.held_back += len(entries) - len(known)
             self.accounts.by["list"].done += len(entries) - len(known)
             entries = known
@@ -81,59 +81,61 @@
         return self.accounts.turn_away()
 
     def join(self, hello):
-        px = self.door.proxy(hello.proxy)
-        self.outbox.joined(px)
+        proxy = self.identifiers.proxy(hello.proxy)
+        self.outbox.joined(proxy)
         self.open[hello.proxy] = deque()
-        self.todo.append(i.Joined(px, self.door.zone(hello.zone), hello.rate, hello.fresh))
+        self.todo.append(i.Joined(proxy, self.identifiers.zone(hello.zone), hello.rate, hello.fresh))
 
     def left(self, now, name):
-        px = self.door.proxy(name)
-        self.outbox.left(px)
-        self.pacer.drop(now, px)
-        self.intake.left(px)
-        self.reduced.gauge.left(px)
-        for mark in self.open.pop(name, ()):
-            self.settled(mark)
-        self.todo.append(i.Left(px))
-
-    def answered(self, now, name, mark):
-        """The proxy has applied this mark's message and all before it."""
-        held, known = self.open.get(name, ()), self.door.marks.get(mark)
-        if known is None or mark not in held:
+        proxy = self.identifiers.proxy(name)
+        self.outbox.left(proxy)
+        self.pacer.drop(now, proxy)
+        self.intake.left(proxy)
+        self.reduced.gauge.left(proxy)
+        for nonce in self.open.pop(name, ()):
+            self.settled(nonce)
+        self.todo.append(i.Left(proxy))
+
+    def answered(self, now, name, nonce):
+        """The proxy has applied this nonce's message and all before it."""
+        held, known = self.open.get(name, ()), self.identifiers.nonces.get(nonce)
+        if known is None or nonce not in held:
             return
-        self.todo.append(i.Answered(self.door.proxy(name), known, now - self.stamps[mark]))
+        self.todo.append(i.Answered(self.identifiers.proxy(name), known, now - self.stamps[nonce]))
         while held:
             first = held.popleft()
             self.settled(first)
-            if first == mark:
+            if first == nonce:
                 break
 
-    def settled(self, mark):
-        """One proxy less owes an answer; a mark that nobody owes any more is forgotten."""
-        self.refs[mark] -= 1
-        if not self.refs[mark]:
-            del self.refs[mark], self.stamps[mark], self.door.marks[mark]
+    def settled(self, nonce):
+        """One proxy less owes an answer; a nonce that nobody owes any more is forgotten."""
+        self.refs[nonce] -= 1
+        if not self.refs[nonce]:
+            del self.refs[nonce], self.stamps[nonce], self.identifiers.nonces[nonce]
 
     def sums(self, now, name, zone, message):
-        px = self.door.proxy(name)
-        self.intake.sums(now, px, self.door.zone(zone), message, self.door.backends.get, self.kinds.get)
+        proxy = self.identifiers.proxy(name)
+        self.intake.sums(
+            now, proxy, self.identifiers.zone(zone), message, self.identifiers.backends.get, self.kinds.get
+        )
         for came in message.came:
             if (kind := self.kinds.get(came.kind)) is not None:
                 self.reduced.gauge.sums(
                     now,
-                    px,
+                    proxy,
                     kind,
-                    came.reqs,
+                    came.requests,
                     came.lost,
                     message.span,
-                    self.outbox.level_of(px, kind),
+                    self.outbox.level_of(proxy, kind),
                     came.repeats,
                 )
 
     def probed(self, now, backend, answered, load=None):
         began = self.probing.pop(backend, now)
         took = now - began
-        self.todo.append(i.ProbeDone(self.door.backend(backend), answered, took, load or {}))
+        self.todo.append(i.ProbeDone(self.identifiers.backend(backend), answered, took, load or {}))
 
     # ---- time
 
@@ -145,15 +147,15 @@
             step.change = change
             self.outbox.wait, self.outbox.most_again = self.reduced.wait, self.reduced.most_again
         if orders := self.play(now, self.intake.due(now)):
-            for px, message, mark in self.outbox.post(now, orders):
-                if mark:
-                    self.stamps[message.mark] = now
-                    self.refs[message.mark] = self.refs.get(message.mark, 0) + 1
-                    self.open[px.door].append(message.mark)
-                self.pacer.put(now, px, message.cost, message)
+            for proxy, message, nonce in self.outbox.post(now, orders):
+                if nonce:
+                    self.stamps[message.nonce] = now
+                    self.refs[message.nonce] = self.refs.get(message.nonce, 0) + 1
+                    self.open[proxy.external_id].append(message.nonce)
+                self.pacer.put(now, proxy, message.cost, message)
             self.ask(now, orders, step)
         self.mind(now, step)
-        step.leave = [(px.door, message) for px, message in self.pacer.leave(now)]
+        step.leave = [(proxy.external_id, message) for proxy, message in self.pacer.leave(now)]
         return step
 
     def ask(self, now, orders, step):
@@ -170,9 +172,9 @@
                 ):
                     self.skipped += 1
                     self.accounts.by["probes"].done += 1
-                elif order.backend.door not in self.probing:
-                    self.probing[order.backend.door] = now
-                    step.probe.append(order.backend.door)
+                elif order.backend.external_id not in self.probing:
+                    self.probing[order.backend.external_id] = now
+                    step.probe.append(order.backend.external_id)
             elif isinstance(order, i.Log):
                 step.said.append(order.text)
 
@@ -191,7 +193,7 @@
             self.tidy()
             if self.awake.look(now):
                 step.cut += [
-                    (name, "it answers no marks")
+                    (name, "it answers no nonces")
                     for name, held in self.open.items()
                     if held and now - self.stamps[held[0]] > UNANSWERED
                 ]
@@ -200,9 +202,11 @@
             if verdict.action == "drop" and self.intake.waiting:
                 each = max(1.0, account.each.get("waiting", 1.0))
                 account.done += self.intake.drop_oldest(int(verdict.excess / each) + 1)
-            elif verdict.action == "cut" and (px := self.pacer.heaviest()) is not None:
+            elif verdict.action == "cut" and (proxy := self.pacer.heaviest()) is not None:
                 account.done += 1
-                step.cut.append((px.door, "the channel is at its memory cap, and most waits for this proxy"))
+                step.cut.append(
+                    (proxy.external_id, "the channel is at its memory cap, and most waits for this proxy")
+                )
         step.notices, self.accounts.notices = self.accounts.notices, []
         if self.accounts.acting("tables", "list"):
             self.room_at = now + RELIST
@@ -210,15 +214,15 @@
             self.held_back, step.relist = 0, True
 
     def tidy(self):
-        """The module has forgotten who is gone for long: so does the door, and what is kept beside it."""
+        """What the module has forgotten goes here, too: identifiers, and what is kept beside them."""
         waiting, tables = self.intake.backends(), self.outbox.tables.values()
         gone = self.forget(
             lambda thing: (
                 thing in waiting or thing in self.outbox.bound or any(thing in tab.lines for tab in tables)
             )
         )
-        for be in gone:
-            self.outbox.out.pop(be, None)
+        for backend in gone:
+            self.outbox.out.pop(backend, None)
         for tab in self.outbox.tables.values():
             tab.lines, tab.users = dict(tab.lines), dict(tab.users)
         self.outbox.bound = dict(self.outbox.bound)
--- a/embertray/platform/limits.py
+++ b/embertray/platform/limits.py
@@ -20,7 +20,7 @@
     0.5  # of the descriptors told: connections that have not joined, at once; the rest is for who has
 )
 SPARE = 48  # descriptors kept free for relay, discovery and the process itself
-COUNT_MOST = 10**6  # tries or reqs in one report: a hundred times what a zone can do in a minute
+COUNT_MOST = 10**6  # tries or requests in one report: a hundred times what a zone can do in a minute
 TOOK_MOST = 600_000  # ms; no mean latency or report interval is as long
 LOAD_MOST = 10**6  # a load report's value: past any queue, share or latency in ms
 WORD_MOST = 256  # characters of a name
@@ -35,6 +35,7 @@
 EVIDENCE = 150 * MS  # ns beyond the longest way of a message, that an unanswered call's nonce is waited for
 AGAIN_FIRST, AGAIN_MOST = 20 * MS, 250 * MS  # ns before a call that was not taken is sent again; doubles
 REJECTS_MOST = 5  # times that a call is sent again after an error that the protocol gives no meaning
+NAMED_MOST = 200  # characters of an order that the log names: a good one has under 100
 COUNT_DIGITS = 9  # digits of a count of orders: one call has under 60,000
 ANSWER_MOST = 64 << 10  # bytes of an answer; a good one has under 200
 
--- a/embertray/briefing/briefing.py
+++ b/embertray/settings/settings.py
@@ -6,7 +6,7 @@
 from .. import interface as i
 
 US = 1000
-AGAIN = {"read_like": "replayable", "idempotency_key": "uniqued", "non_idempotent": "non-replayable"}
+AGAIN = {"read_like": "replayable", "idempotency_key": "deduplicated", "non_idempotent": "non-replayable"}
 THROTTLES = {"silent": "none"}
 # load reports, by the dialect's names and by the common ones
 LOADS = {
@@ -25,13 +25,13 @@
 }
 
 
-class BadBriefing(ValueError):
+class BadSettings(ValueError):
     """A value can't be read; the text names it and its key."""
 
 
 def flat(nested, path=""):
     """Nested JSON as the wire's pairs: {'a': {'b': [1, 2]}} gives {'a.b': '1,2'}; lists of objects get
-    .count, .0, .1.
+    .count, .0, .1. Raises BadSettings for a list of objects and others.
     """
     found = {}
     for name, value in nested.items():
@@ -41,6 +41,8 @@
         elif isinstance(value, list) and value and isinstance(value[0], dict):
             found[key + ".count"] = str(len(value))
             for k, one in enumerate(value):
+                if not isinstance(one, dict):
+                    raise BadSettings(f"'{one}' among the objects of {key}")
                 found.update(flat(one, f"{key}.{k}."))
         elif isinstance(value, list):
             found[key] = ",".join(map(plain, value))
@@ -61,9 +63,10 @@
     return value
 
 
-class Briefing:
-    """Reads one instance's settings. `kinds`: name -> ReqKind, whose `door` is its place; `reports`: our
-    names of a load report's values in their order; `zones`: names. Raises BadBriefing."""
+class StartSettings:
+    """Reads one instance's settings. `kinds`: name -> RequestKind, whose `external_id` is its place;
+    `reports`: our names of a load report's values in their order; `zones`: names. Raises BadSettings.
+    """
 
     def __init__(self, raw):
         self.raw = raw
@@ -72,7 +75,7 @@
         self.tick = self.time("tick")
         self.kinds = {}
         for k in range(int(self.figure("profiles.count"))):
-            kind = i.ReqKind(
+            kind = i.RequestKind(
                 self.time(f"profiles.{k}.aim"),
                 self.time(f"profiles.{k}.deadline"),
                 self.figure(f"profiles.{k}.worth", 1.0),
@@ -87,12 +90,12 @@
         """From the JSON object of a platform's configuration."""
         return cls(flat(settings))
 
-    def deployment(self, door):
-        """What the decision module is told at its start; zones become the door's objects."""
+    def deployment(self, identifiers):
+        """What the decision module is told at its start; zones become objects of `identifiers`."""
         return i.Deployment(
             kinds=list(self.kinds.values()),
-            zones=[door.zone(name) for name in self.zones],
-            home=door.zone(self.text("az")),
+            zones=[identifiers.zone(name) for name in self.zones],
+            home=identifiers.zone(self.text("az")),
             controllers=int(self.figure("balancers", 1)),
             proxies=self.proxies,
             ask=self.text("discovery") == "ask",
@@ -132,7 +135,7 @@
         try:
             return number(self.raw[key]) if key in self.raw else other
         except ValueError:
-            raise BadBriefing(f"'{self.raw[key]}' is no good value for {key}") from None
+            raise BadSettings(f"'{self.raw[key]}' is no good value for {key}") from None
 
     def time(self, key):
         return int(self.figure(key + "-us") * US)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,13 +13,14 @@
 import unittest
 from contextlib import ExitStack, contextmanager
 from pathlib import Path
+from types import SimpleNamespace
 from unittest import mock
 
 import anyio
+import structlog
 from platform_stage import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, stage
 
-from embertray.briefing import BadBriefing, Briefing
-from embertray.door import Door
+from embertray.identifiers import Identifiers
 from embertray.net.address import BadAddress, plain
 from embertray.net.tcp import TcpNet
 from embertray.platform import limits
@@ -27,6 +28,7 @@
 from embertray.platform.port import ALIVE
 from embertray.platform.post import Post
 from embertray.platform.start import BadStart, read
+from embertray.settings import BadSettings, StartSettings
 from embertray.standin.platform import StandinDiscovery
 from embertray.standin.relay import StandinRelay
 
@@ -45,18 +47,24 @@
             pairs.update({f"{part}.{k}": str(v) for k, v in SETTINGS[part].items()})
         for k, kind in enumerate(SETTINGS["profiles"]):
             pairs.update({f"profiles.{k}.{name}": str(v) for name, v in kind.items()})
-        nested, flat = (vars(one.deployment(Door())) for one in (Briefing.nested(SETTINGS), Briefing(pairs)))
+        nested, flat = (
+            vars(one.deployment(Identifiers()))
+            for one in (StartSettings.nested(SETTINGS), StartSettings(pairs))
+        )
         for told in (nested, flat):
             told["kinds"] = [vars(kind) for kind in told["kinds"]]
-            told["zones"], told["home"] = [zone.door for zone in told["zones"]], told["home"].door
+            told["zones"], told["home"] = (
+                [zone.external_id for zone in told["zones"]],
+                told["home"].external_id,
+            )
         self.assertEqual(nested, flat)
         self.assertEqual(
             (nested["drain_grace"], nested["throttle"], len(nested["kinds"])), (3 * S, "share", 2)
         )
 
     def test_bad_values_are_named(self):
-        with self.assertRaisesRegex(BadBriefing, "'x' is no good value for specifics.agents"):
-            Briefing({"specifics.agents": "x"})
+        with self.assertRaisesRegex(BadSettings, "'x' is no good value for specifics.agents"):
+            StartSettings({"specifics.agents": "x"})
         for data in (b"", b"{", b"[]", b'{"name":"n1"}', configured().replace(b'"listen"', b'"l"'), b"\xff"):
             with self.assertRaises(BadStart):
                 read(data)
@@ -177,6 +185,29 @@
 
         anyio.run(play)
 
+    def test_an_order_that_makes_a_call_invalid_costs_itself(self):
+        async def play():
+            async with stage() as (service, relay, discovery):
+                relay.attach(1, "north")
+                await relay.until(lambda: relay.lines(1))
+                names = [f"new-{k}" for k in range(3)]
+                relay.spoils = lambda order: ",new-1," in order
+                for name in names:
+                    discovery.members[name] = member(name)
+                    discovery.log.append((discovery.revision + 1, name))
+                with structlog.testing.capture_logs() as told:
+                    service.relay.log = structlog.get_logger()
+                    discovery.change(names[0])
+                    await relay.until(lambda: {"new-0", "new-2"} <= set(relay.lines(1)))
+                    while not service.post.caller.lost:
+                        await anyio.sleep(0.02)
+                self.assertTrue(any("given up: invalid: SET," in line.get("why", "") for line in told), told)
+                relay.spoils = lambda order: False
+                discovery.change("be-3", **member("be-3"))
+                await relay.until(lambda: "be-3" in relay.lines(1))  # it goes on
+
+        anyio.run(play)
+
     def test_a_step_in_several_calls_survives_the_loss_of_any(self):
         async def play():
             with mock.patch("embertray.platform.calls.ORDERS_MOST", 150):
@@ -292,6 +323,34 @@
 
         anyio.run(play)
 
+    def test_a_fault_of_ours_at_a_new_configuration_leaves_the_old_one(self):
+        async def play():
+            async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
+                relay.attach(1, "north")
+                await relay.until(lambda: relay.lines(1))
+                faults = [KeyError("a"), TypeError("b"), RecursionError("c"), MemoryError()]
+                old, rest, been = service.start, list(faults), anyio.Event()
+
+                def load():
+                    been.set()
+                    raise rest.pop(0)
+
+                service.load = load
+                with structlog.testing.capture_logs() as told:
+                    service.log = structlog.get_logger()
+                    await group.start(service.hangups, SimpleNamespace(kept=True))  # the first one at once
+                    while rest:
+                        been = anyio.Event()
+                        os.kill(os.getpid(), signal.SIGHUP)
+                        await been.wait()
+                    self.assertEqual([line["event"] for line in told], ["a fault of ours"] * len(faults))
+                self.assertIs(service.start, old)
+                discovery.change("be-3", **member("be-3"))
+                await relay.until(lambda: "be-3" in relay.lines(1))
+                group.cancel_scope.cancel()
+
+        anyio.run(play)
+
     def test_a_call_that_is_in_flight_at_a_new_address_is_carried_out_there_and_back_again(self):
         async def play():
             async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
@@ -327,7 +386,7 @@
             return Post(read(configured(settings={**SETTINGS, **more})), 0, 0)
 
         self.assertEqual(post().said, [])
-        with self.assertRaisesRegex(BadBriefing, "partitions-n: .* no words for slices"):
+        with self.assertRaisesRegex(BadSettings, "partitions-n: .* no words for slices"):
             post(specifics={**SETTINGS["specifics"], "partitions-n": 8})
         told = post(caps={"probes": True, "peer-messages": True}).said
         self.assertEqual([("probes" in one, "peers" in one) for one in told], [(True, False), (False, True)])
@@ -391,7 +450,8 @@
                 path.write_bytes(bad)
                 run.send_signal(signal.SIGHUP)
                 self.assertIn("is no address:port", json.loads(logged("can't be used"))["why"])
-            path.write_bytes(configured(relay="127.0.0.1:2"))
+            # settings hold for the process's life: at a new configuration they are not read
+            path.write_bytes(configured(relay="127.0.0.1:2", settings={"profiles": [{}, 5]}))
             run.send_signal(signal.SIGHUP)
             self.assertEqual(json.loads(logged("new configuration"))["relay"], "127.0.0.1:2")
 
@@ -455,6 +515,7 @@
             configured(discovery=":1"),
             configured(settings={"specifics": {"agents": "x"}}),
             configured(settings=sliced),
+            configured(settings={**SETTINGS, "profiles": [*SETTINGS["profiles"], 5]}),
         ):
             with tempfile.TemporaryDirectory() as folder:
                 Path(folder, "c").write_bytes(data)
