--- /dev/null
+++ b/embertray/measure/scale/__main__.py
@@ -0,0 +1,117 @@
+"""`python -m embertray.measure.scale cluster|control|virtual`: hollow members at several sizes; writes slopes
+to docs/measured/capacity/."""
+
+import shlex
+import sys
+
+import click
+
+from ..capacity.record import FOLDER, Recording
+from . import fleet, slopes, virtual
+
+S = 10**9
+
+
+def sizes(text):
+    return [int(part) for part in text.split(",")]
+
+
+def recording(folder):
+    return Recording("python -m embertray.measure.scale " + shlex.join(sys.argv[1:]), folder)
+
+
+out_option = click.option("--out", default=str(FOLDER), show_default=True, help="Folder of the slopes.")
+
+
+def spans_options(spread, settle, window):
+    """Options of when members start and how long they are measured."""
+
+    def decorated(command):
+        for name, value, text in (
+            ("--window", window, "Seconds that are measured."),
+            ("--settle", settle, "Seconds from the last start to these."),
+            ("--spread", spread, "Seconds between two starts."),
+        ):
+            command = click.option(name, default=value, show_default=True, help=text)(command)
+        return command
+
+    return decorated
+
+
+@click.group()
+def main():
+    """Run from the root of the repository."""
+
+
+@main.command()
+@click.option("--sizes", "wanted", default="8,32,64,128,256,470", show_default=True)
+@click.option("--processes", default=8, show_default=True)
+@click.option("--period", default=1.0, show_default=True, help="Seconds.")
+@click.option("--facts", default=60, show_default=True, help="Bytes that each tells of itself.")
+@spans_options(0.1, 20.0, 30.0)
+@out_option
+def cluster(wanted, processes, period, facts, spread, settle, window, out):
+    """Members of a cluster on loopback."""
+    spans, found = fleet.Spans(spread, settle, window), []
+    for size in sizes(wanted):
+        reports = fleet.run(fleet.cluster_plans(size, processes, spans, int(period * S), facts))
+        found.append(fleet.summary(size, "member", reports, window))
+        slopes.show(found[-1])
+    note = f"period {period:g} s, {facts} bytes of facts, at most {processes} processes, {window:g} s a size"
+    slopes.save_cluster(recording(out), found, note)
+
+
+@main.command()
+@click.option("--sizes", "wanted", default="60,120,240,470", show_default=True)
+@click.option("--processes", default=8, show_default=True, help="Of subscribers.")
+@click.option("--replicas", default=8, show_default=True, help="Each a process.")
+@click.option("--keys", default=60, show_default=True)
+@click.option("--value", default=200, show_default=True, help="Bytes of a value.")
+@spans_options(0.02, 30.0, 60.0)
+@out_option
+def control(wanted, processes, replicas, keys, value, spread, settle, window, out):
+    """Replicas and subscribers of the control plane on loopback."""
+    spans, found = fleet.Spans(spread, settle, window), {"subscriber": [], "replica": []}
+    for size in sizes(wanted):
+        reports = fleet.run(fleet.control_plans(size, processes, spans, replicas, keys, value))
+        for role, rows in found.items():
+            rows.append(fleet.summary(size, role, reports, window))
+            slopes.show(rows[-1])
+    note = f"{replicas} replicas, {keys} keys and 3 writes of {value} bytes, {window:g} s a size"
+    slopes.save_control(recording(out), found, note)
+
+
+@main.command(name="virtual")
+@click.option("--sizes", "wanted", default="8,32,64,128,256,470", show_default=True)
+@click.option("--period", default=1.0, show_default=True, help="Seconds.")
+@click.option("--facts", default=60, show_default=True, help="Bytes that each tells of itself.")
+@spans_options(0.1, 20.0, 30.0)
+@out_option
+def virtual_command(wanted, period, facts, spread, settle, window, out):
+    """Members of a cluster under virtual time: the same cores, addresses and facts, no sockets."""
+    spans, found = fleet.Spans(spread, settle, window), []
+    for size in sizes(wanted):
+        found.append(virtual.measure(size, spans, int(period * S), facts))
+        slopes.show(found[-1])
+    note = f"virtual time, period {period:g} s, {facts} bytes of facts, {window:g} s a size"
+    slopes.save_virtual(recording(out), found, note)
+
+
+@main.command()
+@click.option("--size", default=128, show_default=True)
+@spans_options(0.1, 20.0, 30.0)
+def parts(size, spread, settle, window):
+    """What makes the bytes of a member under virtual time: facts, addresses and names, one by one."""
+    spans = fleet.Spans(spread, settle, window)
+    for text, facts, naming in (
+        ("names of 2 to 4 bytes for addresses, 15 bytes of facts", 15, virtual.Naming("c", False)),
+        ("and 60 bytes of facts", 60, virtual.Naming("c", False)),
+        ("and addresses of 15 bytes", 60, virtual.Naming("c", True)),
+        ("and names of 12 to 14 bytes", 60, virtual.Naming()),
+    ):
+        click.echo(f"{text}:")
+        slopes.show(virtual.measure(size, spans, S, facts, naming))
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/embertray/measure/scale/fleet.py
@@ -0,0 +1,141 @@
+"""One size of hollow members: plans for its processes, their start and end, their reports together."""
+
+import subprocess
+import sys
+import time
+from dataclasses import dataclass
+from statistics import mean
+
+import msgspec
+
+from ...rig.ports import free_ports
+from .messages import ClusterPlan, ReplicaPlan, Report, SubscriberPlan, Timetable
+
+MS, S = 10**6, 10**9
+COME_UP = 4 * S  # ns until all processes have read their plans
+GRACE = 120  # s past the window that a worker may take to report
+MARKS = 3  # writes whose way to all is timed
+MEMBERS_LEAST = 8  # of a worker: what measuring itself costs is shared by so many
+FOLLOWED = 3  # replicas that a subscriber turns to
+
+
+class WorkerFailed(RuntimeError):
+    """A process of hollow members ended before it reported."""
+
+
+@dataclass(frozen=True)
+class Spans:
+    """Seconds: between the starts of two members, from the last start to the window, of the window."""
+
+    spread: float
+    settle: float
+    window: float
+
+
+def timetables(size, spans, workers):
+    """A Timetable for each worker; member n of all is of worker n modulo their number."""
+    first = time.monotonic_ns() + COME_UP
+    starts = [first + int(n * spans.spread * S) for n in range(size)]
+    begin = starts[-1] + int(spans.settle * S)
+    end = begin + int(spans.window * S)
+    marks = [begin + (end - begin) * n // (MARKS + 1) for n in range(MARKS)]
+    return [Timetable(starts[n::workers], begin, end, marks) for n in range(workers)]
+
+
+def cluster_plans(size, workers, spans, period, facts_bytes):
+    names = [f"controller-{n}" for n in range(size)]
+    addresses = {name: f"127.0.0.1:{port}" for name, port in zip(names, free_ports(size), strict=True)}
+    workers = min(workers, max(1, size // MEMBERS_LEAST))
+    return [
+        ClusterPlan(timetable, names[n::workers], addresses, period, facts_bytes, names[0])
+        for n, timetable in enumerate(timetables(size, spans, workers))
+    ]
+
+
+def control_plans(size, workers, spans, replicas, keys, value_bytes):
+    """A process for each replica, the subscribers on `workers` others."""
+    names = [f"replica-{n}" for n in range(replicas)]
+    ports = free_ports(2 * replicas)
+    peers = {name: f"127.0.0.1:{ports[n]}" for n, name in enumerate(names)}
+    listen = {name: f"127.0.0.1:{ports[replicas + n]}" for n, name in enumerate(names)}
+    subscribers = [f"controller-{n}" for n in range(size)]
+    follows = [[names[(n + k) % replicas] for k in range(min(FOLLOWED, replicas))] for n in range(size)]
+    tables = timetables(size, spans, workers)
+    at_once = msgspec.structs.replace(tables[0], starts=[tables[0].starts[0] - S])
+    return [ReplicaPlan(at_once, [name], peers, listen, keys, value_bytes) for name in names] + [
+        SubscriberPlan(timetable, subscribers[n::workers], listen, follows[n::workers])
+        for n, timetable in enumerate(tables)
+    ]
+
+
+def run(plans):
+    """The reports of processes with these plans."""
+    command = [sys.executable, "-m", "embertray.measure.scale.worker"]
+    processes = []
+    try:
+        for plan in plans:
+            process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+            processes.append(process)
+            process.stdin.write(msgspec.json.encode(plan))
+            process.stdin.close()
+            process.stdin = None
+        until = plans[0].timetable.window_until / S + GRACE
+        outputs = [process.communicate(timeout=until - time.monotonic())[0] for process in processes]
+    finally:
+        for process in processes:
+            if process.poll() is None:
+                process.kill()
+                process.wait()
+    if failed := [process.returncode for process in processes if process.returncode]:
+        raise WorkerFailed(f"{len(failed)} of {len(processes)} processes failed; stderr says why")
+    return [msgspec.json.decode(output, type=Report) for output in outputs]
+
+
+@dataclass
+class Summary:
+    """All members of one role at one size."""
+
+    size: int
+    count: int
+    processor: float  # cores a member
+    memory: float  # bytes a member, without what its process holds before it has members
+    sent: float
+    received: float
+    sent_worst: float
+    received_worst: float
+    messages: float
+    seen_least: int
+    seen_mean: float
+    oldest: float | None
+    delays: dict  # mark -> (members that saw it, s until the last did)
+    failures: int
+    parts: dict
+
+
+def summary(size, role, reports, window):
+    """The reports of one role together."""
+    reports = [report for report in reports if report.role == role]
+    members = [member for report in reports for member in report.members]
+    count = len(members)
+    seen = {}
+    for member in members:
+        for mark, delay in member.delays.items():
+            seen.setdefault(mark, []).append(delay)
+    ages = [member.oldest for member in members]
+    return Summary(
+        size=size,
+        count=count,
+        processor=sum(report.processor for report in reports) / window / count,
+        memory=sum(report.memory_after - report.memory_before for report in reports) / count,
+        sent=mean(member.sent for member in members),
+        received=mean(member.received for member in members),
+        sent_worst=max(member.sent_worst for member in members),
+        received_worst=max(member.received_worst for member in members),
+        messages=mean(member.messages for member in members),
+        seen_least=min(member.seen for member in members),
+        seen_mean=mean(member.seen for member in members),
+        oldest=None if None in ages else max(ages),
+        delays={mark: (len(delays), max(delays)) for mark, delays in sorted(seen.items())},
+        failures=sum(member.failures for member in members),
+        parts={name: mean(member.parts[name] for member in members) for name in sorted(members[0].parts)},
+    )
--- /dev/null
+++ b/embertray/measure/scale/meter.py
@@ -0,0 +1,40 @@
+"""Counters read once a second, and what they come to."""
+
+from collections import namedtuple
+
+S = 10**9
+WORST = 10  # seconds in a row that the worst rate is of
+
+Counters = namedtuple("Counters", "sent received messages parts")  # totals since the start
+
+
+class Meter:
+    """One member's counters, read once a second."""
+
+    def __init__(self):
+        self.times, self.readings = [], []
+
+    def read(self, now, counters):
+        self.times.append(now)
+        self.readings.append(counters)
+
+    def rate(self, field):
+        """Mean a second over the window."""
+        first, last = (getattr(self.readings[n], field) for n in (0, -1))
+        return (last - first) * S / (self.times[-1] - self.times[0])
+
+    def worst(self, field):
+        """The greatest mean a second over ten seconds in a row."""
+        values = [getattr(one, field) for one in self.readings]
+        width = min(WORST, len(values) - 1)
+        rates = [
+            (values[n + width] - values[n]) * S / (self.times[n + width] - self.times[n])
+            for n in range(len(values) - width)
+        ]
+        return max(rates)
+
+    def part_rates(self):
+        """Mean a second of each part of what was sent."""
+        span = (self.times[-1] - self.times[0]) / S
+        first, last = self.readings[0].parts, self.readings[-1].parts
+        return {name: (last[name] - first.get(name, 0)) / span for name in last}
--- /dev/null
+++ b/embertray/measure/scale/virtual.py
@@ -0,0 +1,128 @@
+"""The same members under virtual time: the cores, names, addresses and facts of hollow members."""
+
+import gc
+from contextlib import contextmanager
+from dataclasses import dataclass
+
+from ...cluster.membership import Pace
+from ...emulator.gossip import Ring
+from ...emulator.shared import Sharer
+from .fleet import MARKS, Summary
+from .meter import Counters, Meter
+
+MS, S = 10**6, 10**9
+MARK = "mark"
+LOOK = 100 * MS  # as workers look
+FIRST_PORT = 20_000
+COLLECT_AFTER = 1_000_000  # allocations: hundreds of thousands of messages are under way, and none is garbage
+
+
+@contextmanager
+def rare_collections():
+    """Python's search for cycles walks all that lives: as often as by default it takes a third of a run."""
+    before = gc.get_threshold()
+    gc.set_threshold(COLLECT_AFTER, *before[1:])
+    try:
+        yield
+    finally:
+        gc.set_threshold(*before)
+
+
+@dataclass(frozen=True)
+class Naming:
+    """How members are called. Without `addresses` their names stand in place of addresses."""
+
+    prefix: str = "controller-"
+    addresses: bool = True
+
+    def name(self, number):
+        return f"{self.prefix}{number}"
+
+    def address(self, number):
+        return f"127.0.0.1:{FIRST_PORT + number}" if self.addresses else self.name(number)
+
+
+class VirtualMembers:
+    """`size` members of one ring, started one after the other as hollow members are."""
+
+    def __init__(self, size, spans, period, facts_bytes, naming=Naming(), seed=1):
+        self.ring = Ring(seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period))
+        self.engine, self.facts = self.ring.engine, b"f" * facts_bytes
+        self.addresses = {naming.name(n): naming.address(n) for n in range(size)}
+        self.marker, self.sharers, self.delays, self.seed = naming.name(0), {}, {}, seed
+        self.unseen = {}  # mark -> sharers that have not seen it
+        self.meters = {name: Meter() for name in self.addresses}
+        for n, name in enumerate(self.addresses):
+            self.engine.at(self.engine.time + int(n * spans.spread * S), self.start, name)
+
+    def start(self, name):
+        address = self.addresses[name]
+        peers = [other for other in self.addresses.values() if other != address]
+        process = self.ring.up(name, peers, address)
+        self.sharers[address] = Sharer(
+            process, lambda: self.sharers, self.ring.links, self.seed, facts=lambda _: self.facts
+        )
+
+    def read(self):
+        for name, meter in self.meters.items():
+            address = self.addresses[name]
+            probes, state = self.ring.bytes[address], self.sharers[address].bytes
+            parts = {"probes": probes, "state": state}
+            meter.read(self.engine.time, Counters(probes + state, 0, self.ring.sent[address], parts))
+
+    def mark(self, number):
+        self.sharers[self.addresses[self.marker]].book.put(self.engine.time, MARK, str(number).encode())
+        self.unseen[number] = set(self.sharers)
+        self.look(number, self.engine.time)
+
+    def look(self, number, written_at):
+        """Until all have seen it."""
+        value = str(number).encode()
+        for address in list(self.unseen[number]):
+            held = self.sharers[address].book.held.get((self.marker, MARK))
+            if held is not None and held.value == value:
+                self.unseen[number].discard(address)
+                self.delays.setdefault(number, []).append((self.engine.time - written_at) / S)
+        if self.unseen[number]:
+            self.engine.at(self.engine.time + LOOK, self.look, number, written_at)
+
+    def oldest(self):
+        """s; None if something is missing somewhere."""
+        now, size = self.engine.time, len(self.addresses)
+        ages = [[known.age for known in one.book.freshest(now, "facts")] for one in self.sharers.values()]
+        return max(map(max, ages)) / S if all(len(row) == size for row in ages) else None
+
+
+def measure(size, spans, period, facts_bytes, naming=Naming()):
+    """The Summary of one size; no processor time, no memory: nothing runs that a member would be."""
+    with rare_collections():
+        members = VirtualMembers(size, spans, period, facts_bytes, naming)
+        engine = members.engine
+        engine.run(engine.time + int(((size - 1) * spans.spread + spans.settle) * S))
+        begin, oldest = engine.time, []
+        for number in range(MARKS):
+            engine.at(begin + int(spans.window * S) * number // (MARKS + 1), members.mark, number)
+        for second in range(int(spans.window) + 1):
+            engine.run(begin + second * S)
+            members.read()
+            oldest.append(members.oldest())
+    meters, seen = members.meters.values(), [p.core.members.here_count + 1 for p in members.ring.living()]
+    return Summary(
+        size=size,
+        count=size,
+        processor=0.0,
+        memory=0.0,
+        sent=sum(meter.rate("sent") for meter in meters) / size,
+        received=0.0,
+        sent_worst=max(meter.worst("sent") for meter in meters),
+        received_worst=0.0,
+        messages=sum(meter.rate("messages") for meter in meters) / size,
+        seen_least=min(seen),
+        seen_mean=sum(seen) / size,
+        oldest=None if None in oldest else max(oldest),
+        delays={mark: (len(delays), max(delays)) for mark, delays in members.delays.items()},
+        failures=sum(one.failed for one in members.sharers.values()),
+        parts={
+            name: sum(meter.part_rates()[name] for meter in meters) / size for name in ("probes", "state")
+        },
+    )
--- /dev/null
+++ b/embertray/measure/scale/worker.py
@@ -0,0 +1,128 @@
+"""One process of hollow members: reads its plan from stdin, runs, writes its report to stdout.
+
+python -m embertray.measure.scale.worker
+"""
+
+import sys
+import time
+from importlib import import_module
+
+import anyio
+import msgspec
+import psutil
+import structlog
+
+from ...net.clock import LoopClock
+from .messages import ClusterPlan, MemberReport, Plan, ReplicaPlan, Report, SubscriberPlan
+from .meter import Meter
+
+MS, S = 10**6, 10**9
+LOOK = 100 * MS  # ns between two looks for marks: what a delay may be told too long
+OLDEST_EVERY = 5  # readings between two of the oldest entry, which costs a walk over all
+
+ROLES = {  # plan -> (role, module that has its members, function that makes them)
+    ClusterPlan: ("member", "cluster_role", "members"),
+    ReplicaPlan: ("replica", "control_role", "replicas"),
+    SubscriberPlan: ("subscriber", "control_role", "subscribers"),
+}
+
+
+class Worker:
+    """Runs the members of one plan and measures them in its window."""
+
+    def __init__(self, plan):
+        self.plan, self.clock = plan, LoopClock()
+        self.role, module, make = ROLES[type(plan)]
+        role = import_module(f".{module}", __package__)  # only what this role needs counts as its memory
+        self.memory_before = psutil.Process().memory_info().rss
+        self.members = getattr(role, make)(plan)
+        self.meters = [Meter() for _ in self.members]
+        self.oldest = [0] * len(self.members)  # ns, None once one lacked something
+        self.processor = 0.0
+
+    async def run(self):
+        async with anyio.create_task_group() as group:
+            for member, when in zip(self.members, self.plan.timetable.starts, strict=True):
+                group.start_soon(self.start, member, when)
+            group.start_soon(self.look)
+            group.start_soon(self.write_marks)
+            await self.measure()
+            group.cancel_scope.cancel()
+        return self.report()
+
+    async def start(self, member, when):
+        await self.clock.sleep_until(when)
+        await member.run()
+
+    async def look(self):
+        while True:
+            await self.clock.sleep_until(self.clock.now() + LOOK)
+            now = self.clock.now()
+            for member in self.members:
+                member.look(now)
+
+    async def write_marks(self):
+        for mark in self.plan.timetable.marks:
+            await self.clock.sleep_until(mark)
+            for member in self.members:
+                await member.mark(mark)
+
+    async def measure(self):
+        timetable, number = self.plan.timetable, 0
+        await self.clock.sleep_until(timetable.window_from)
+        processor = time.process_time()
+        while (now := self.clock.now()) < timetable.window_until:
+            self.read(now, number % OLDEST_EVERY == 0)
+            number += 1
+            await self.clock.sleep_until(min(timetable.window_from + number * S, timetable.window_until))
+        self.read(self.clock.now(), True)
+        self.processor = time.process_time() - processor
+
+    def read(self, now, ages):
+        for n, (member, meter) in enumerate(zip(self.members, self.meters, strict=True)):
+            meter.read(now, member.counters())
+            if ages and self.oldest[n] is not None:
+                age = member.oldest(now)
+                self.oldest[n] = None if age is None else max(self.oldest[n], age)
+
+    def report(self):
+        rows = zip(self.members, self.meters, self.oldest, strict=True)
+        memory = psutil.Process().memory_info().rss
+        return Report(
+            self.role,
+            self.processor,
+            self.memory_before,
+            memory,
+            [self.member_report(member, meter, oldest) for member, meter, oldest in rows],
+        )
+
+    @staticmethod
+    def member_report(member, meter, oldest):
+        return MemberReport(
+            name=member.name,
+            sent=meter.rate("sent"),
+            received=meter.rate("received"),
+            sent_worst=meter.worst("sent"),
+            received_worst=meter.worst("received"),
+            messages=meter.rate("messages"),
+            seen=member.seen(),
+            oldest=None if oldest is None else oldest / S,
+            delays={mark: delay / S for mark, delay in member.delays.items()},
+            failures=member.failures(),
+            parts=meter.part_rates(),
+        )
+
+
+async def measured(plan):
+    """The Report of a plan's members, which need a running loop's clock."""
+    return await Worker(plan).run()
+
+
+def main():
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
+    plan = msgspec.json.decode(sys.stdin.buffer.read(), type=Plan)
+    sys.stdout.buffer.write(msgspec.json.encode(anyio.run(measured, plan)))
+
+
+if __name__ == "__main__":
+    main()
