--- a/embertray/emulator/company.py
+++ b/embertray/emulator/company.py
@@ -16,6 +16,7 @@
 from ..model.chance import Streams
 from ..model.web import Web
 from ..site.site import time as span
+from .collector import rare_collections
 from .gossip import Links, Ring
 from .shared import Sharer
 
@@ -128,7 +129,8 @@
         for told in self.day.troubles:
             if told.name in WORDS:
                 self.engine.start(Trouble(self, told).run())
-        self.engine.run(self.zero + self.day.lasts + SETTLE)
+        with rare_collections():
+            self.engine.run(self.zero + self.day.lasts + SETTLE)
         return self
 
     def bytes(self):
--- a/embertray/measure/scale/virtual.py
+++ b/embertray/measure/scale/virtual.py
@@ -1,10 +1,9 @@
 """The same members under virtual time: the cores, names, addresses and facts of hollow members."""
 
-import gc
-from contextlib import contextmanager
 from dataclasses import dataclass
 
 from ...cluster.membership import Pace
+from ...emulator.collector import rare_collections
 from ...emulator.gossip import Ring
 from ...emulator.shared import Sharer
 from .fleet import MARKS, Summary
@@ -14,18 +13,6 @@
 MARK = "mark"
 LOOK = 100 * MS  # as workers look
 FIRST_PORT = 20_000
-COLLECT_AFTER = 1_000_000  # allocations: hundreds of thousands of messages are under way, and none is garbage
-
-
-@contextmanager
-def rare_collections():
-    """Python's search for cycles walks all that lives: as often as by default it takes a third of a run."""
-    before = gc.get_threshold()
-    gc.set_threshold(COLLECT_AFTER, *before[1:])
-    try:
-        yield
-    finally:
-        gc.set_threshold(*before)
 
 
 @dataclass(frozen=True)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,9 +1,11 @@
 """What members of a cluster send for a fixed seed, counted and digested: a change that is to save processor
 time alone must not move one byte. The figures were recorded before the cores were made faster."""
 
+import gc
 import hashlib
+import itertools
 import unittest
-from collections import namedtuple
+from collections import Counter, namedtuple
 from unittest import mock
 
 import anyio
@@ -16,10 +18,21 @@
 from embertray.emulator.drawn import wounds
 from embertray.emulator.gossip import MS, START, Ring, S
 from embertray.emulator.shared import Sharer, pack
+from embertray.measure.scale import cluster_role, fleet, slopes, virtual
+from embertray.measure.scale.messages import (
+    ClusterPlan,
+    MemberReport,
+    ReplicaPlan,
+    Report,
+    SubscriberPlan,
+    Timetable,
+)
+from embertray.measure.scale.meter import Counters, Meter
 from embertray.rig.ports import free_ports
 from embertray.site.site import Cluster
 
 Me = namedtuple("Me", "name cluster")
+MOST = 20  # s that a wait takes before it fails
 
 
 class Traffic:
@@ -193,5 +206,121 @@
         self.assertEqual(anyio.run(linked_exchange), [(first, second), (second, first)])
 
 
+SPANS = fleet.Spans(spread=0.5, settle=10.0, window=20.0)
+VIRTUAL = {  # members: bytes of probes, of state, and datagrams, of all in the window
+    4: [15296, 43223, 192],
+    12: [62203, 375092, 576],
+}
+
+
+class VirtualMembers(unittest.TestCase):
+    def test_they_send_the_recorded_counts(self):
+        for size, recorded in VIRTUAL.items():
+            with self.subTest(size):
+                one = virtual.measure(size, SPANS, S, 60)
+                found = one.parts["probes"], one.parts["state"], one.messages
+                self.assertEqual([round(value * size * SPANS.window) for value in found], recorded)
+                self.assertEqual((one.seen_least, one.failures), (size, 0))
+                self.assertEqual([count for count, _ in one.delays.values()], [size] * 3)
+
+    def test_the_collector_is_left_as_it_was(self):
+        before = gc.get_threshold()
+        virtual.measure(2, fleet.Spans(0.1, 1.0, 2.0), S, 60)
+        self.assertEqual(gc.get_threshold(), before)
+
+
+class Meters(unittest.TestCase):
+    def test_mean_and_worst_ten_seconds(self):
+        meter = Meter()
+        totals = [0, 100, 200] + [200 + 1_000 * n for n in range(1, 11)] + [10_300, 10_400]
+        for second, total in enumerate(totals):
+            meter.read(second * S, Counters(total, 2 * total, second, {"state": total // 2}))
+        self.assertEqual(meter.rate("sent"), 10_400 / 14)
+        self.assertEqual(meter.worst("sent"), 1_000)
+        self.assertEqual(meter.worst("received"), 2_000)
+        self.assertEqual(meter.part_rates(), {"state": 5_200 / 14})
+
+    def test_a_window_shorter_than_ten_seconds_is_worst_as_a_whole(self):
+        meter = Meter()
+        for second, total in enumerate((0, 10, 40)):
+            meter.read(second * S, Counters(total, 0, 0, {}))
+        self.assertEqual(meter.worst("sent"), 20)
+
+
+class Plans(unittest.TestCase):
+    def test_each_member_is_of_one_process_and_starts_once(self):
+        plans = fleet.cluster_plans(37, 4, SPANS, S, 60)
+        names = [name for plan in plans for name in plan.names]
+        starts = sorted(start for plan in plans for start in plan.timetable.starts)
+        self.assertEqual((len(plans), len(names), len(set(names))), (4, 37, 37))
+        self.assertEqual({b - a for a, b in itertools.pairwise(starts)}, {S // 2})
+        self.assertEqual(len({plan.timetable.window_from for plan in plans}), 1)
+        self.assertTrue(all(plan.timetable.window_from >= starts[-1] + 10 * S for plan in plans))
+
+    def test_few_members_share_a_process_so_that_measuring_is_shared(self):
+        self.assertEqual(len(fleet.cluster_plans(20, 8, SPANS, S, 60)), 2)
+
+    def test_subscribers_are_spread_evenly_and_have_two_more_to_turn_to(self):
+        plans = fleet.control_plans(48, 4, SPANS, 8, 10, 100)
+        replicas = [plan for plan in plans if isinstance(plan, ReplicaPlan)]
+        follows = [row for plan in plans if isinstance(plan, SubscriberPlan) for row in plan.follows]
+        self.assertEqual(([len(plan.names) for plan in replicas], len(plans)), ([1] * 8, 12))
+        self.assertEqual(set(Counter(row[0] for row in follows).values()), {6})
+        self.assertTrue(all(len(set(row)) == 3 for row in follows))
+        ports = [*replicas[0].peers.values(), *replicas[0].listen.values()]
+        self.assertEqual(len(set(ports)), 16)
+
+
+def member_report(name, delays):
+    return MemberReport(
+        name, 100.0, 50.0, 300.0, 60.0, 2.0, 2, 4.5, delays, 1, {"state": 80.0, "probes": 20.0}
+    )
+
+
+class Summaries(unittest.TestCase):
+    def test_reports_of_one_role_come_together(self):
+        rows = [("member", "a", {1: 0.5, 2: 3.0}), ("member", "b", {1: 0.7}), ("other", "c", {})]
+        reports = [
+            Report(role, 3.0, 1_000, 5_000, [member_report(name, delays)]) for role, name, delays in rows
+        ]
+        one = fleet.summary(2, "member", reports, 10.0)
+        self.assertEqual((one.count, one.processor, one.memory, one.failures), (2, 0.3, 4_000, 2))
+        self.assertEqual((one.sent, one.sent_worst, one.oldest), (100.0, 300.0, 4.5))
+        self.assertEqual(one.delays, {1: (2, 0.7), 2: (1, 3.0)})
+        self.assertIsNone(slopes.time_to_all(one), "one did not see the second mark: that is no time to all")
+        one.delays.pop(2)
+        self.assertEqual(slopes.time_to_all(one), 0.7)
+
+
+async def linked_members(count):
+    """Hollow members on loopback until all have seen a mark: them."""
+    addresses = {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(free_ports(count))}
+    never = Timetable([], 0, 0, [])
+    plan = ClusterPlan(never, list(addresses), addresses, S // 20, 60, "m0")
+    members = cluster_role.members(plan)
+    async with anyio.create_task_group() as group:
+        for member in members:
+            group.start_soon(member.run)
+        with anyio.fail_after(MOST):
+            while not all(member.link and member.seen() == count for member in members):
+                await anyio.sleep(0.01)
+            mark = members[0].clock.now()
+            await members[0].mark(mark)
+            while not all(mark in member.delays for member in members):
+                await anyio.sleep(0.01)
+                for member in members:
+                    member.look(member.clock.now())
+        group.cancel_scope.cancel()
+    return members
+
+
+class HollowMembers(unittest.TestCase):
+    def test_true_links_see_each_other_and_a_mark(self):
+        members = anyio.run(linked_members, 4)
+        counted = [member.counters() for member in members]
+        self.assertTrue(all(one.parts["state"] + one.parts["probes"] == one.sent for one in counted))
+        self.assertTrue(all(one.received and one.messages for one in counted))
+
+
 if __name__ == "__main__":
     unittest.main()
