--- a/embertray/measure/scale/__main__.py
+++ b/embertray/measure/scale/__main__.py
@@ -17,6 +17,7 @@
 
 
 def recording(folder):
+    """Made first, as it names the commit that is measured."""
     return Recording("python -m embertray.measure.scale " + shlex.join(sys.argv[1:]), folder)
 
 
@@ -52,13 +53,13 @@
 @out_option
 def cluster(wanted, processes, period, facts, spread, settle, window, out):
     """Members of a cluster on loopback."""
-    spans, found = fleet.Spans(spread, settle, window), []
+    recorder, spans, found = recording(out), fleet.Spans(spread, settle, window), []
     for size in sizes(wanted):
         reports = fleet.run(fleet.cluster_plans(size, processes, spans, int(period * S), facts))
         found.append(fleet.summary(size, "member", reports, window))
         slopes.show(found[-1])
     note = f"period {period:g} s, {facts} bytes of facts, at most {processes} processes, {window:g} s a size"
-    slopes.save_cluster(recording(out), found, note)
+    slopes.save_cluster(recorder, found, note)
 
 
 @main.command()
@@ -71,14 +72,18 @@
 @out_option
 def control(wanted, processes, replicas, keys, value, spread, settle, window, out):
     """Replicas and subscribers of the control plane on loopback."""
-    spans, found = fleet.Spans(spread, settle, window), {"subscriber": [], "replica": []}
+    recorder, spans = recording(out), fleet.Spans(spread, settle, window)
+    found = {"subscriber": [], "replica": []}
     for size in sizes(wanted):
         reports = fleet.run(fleet.control_plans(size, processes, spans, replicas, keys, value))
         for role, rows in found.items():
             rows.append(fleet.summary(size, role, reports, window))
             slopes.show(rows[-1])
-    note = f"{replicas} replicas, {keys} keys and 3 writes of {value} bytes, {window:g} s a size"
-    slopes.save_control(recording(out), found, note)
+    note = (
+        f"{replicas} replicas, {keys} keys and 3 writes of {value} bytes, {window:g} s a size, loopback: "
+        "no delay between machines, nothing kept on disk"
+    )
+    slopes.save_control(recorder, found, note)
 
 
 @main.command(name="virtual")
@@ -89,12 +94,12 @@
 @out_option
 def virtual_command(wanted, period, facts, spread, settle, window, out):
     """Members of a cluster under virtual time: the same cores, addresses and facts, no sockets."""
-    spans, found = fleet.Spans(spread, settle, window), []
+    recorder, spans, found = recording(out), fleet.Spans(spread, settle, window), []
     for size in sizes(wanted):
         found.append(virtual.measure(size, spans, int(period * S), facts))
         slopes.show(found[-1])
     note = f"virtual time, period {period:g} s, {facts} bytes of facts, {window:g} s a size"
-    slopes.save_virtual(recording(out), found, note)
+    slopes.save_virtual(recorder, found, note)
 
 
 @main.command()
--- a/embertray/measure/scale/control_role.py
+++ b/embertray/measure/scale/control_role.py
@@ -64,7 +64,7 @@
         return counters(self.server.traffic)
 
     def seen(self):
-        return self.server.feed.count
+        return len(self.server.feed.subscriptions)
 
     def oldest(self, now):
         return self.server.age()
