--- a/embertray/fleet/limits/__init__.py
+++ b/embertray/fleet/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits that hold for the whole fleet: shares under terms, one keeper at a time by a majority's lease
+"""Limits that hold for the whole fleet: shares under terms, one leader at a time by a majority's lease
 (docs/design/limits.md).
 """
 
--- a/embertray/fleet/limits/core.py
+++ b/embertray/fleet/limits/core.py
@@ -1,4 +1,4 @@
-"""One member's limits: acceptor, proposer, keeper's ledger while it keeps, and holder. Hand in the time and
+"""One member's limits: acceptor, proposer, leader's ledger while it leads, and holder. Hand in the time and
 what came; nothing here waits.
 """
 
@@ -21,7 +21,7 @@
         self.pools = {limit: total - floors[limit] * len(self.names) for limit, total in totals.items()}
         self.acceptor = Acceptor(pace, now, first)
         self.proposer = Proposer(me, self.names.index(me), len(self.names), pace)
-        self.holder, self.ledger, self.tenure, self.keeper, self.seen = (
+        self.holder, self.ledger, self.tenure, self.leader, self.seen = (
             Holder(me, floors, pace, life),
             None,
             0,
@@ -33,12 +33,12 @@
             now + chance.randrange(pace.period),
             now + chance.randrange(pace.period),
         )
-        self.keeper_at = now  # when a keeper was last heard of
+        self.leader_heard_at = now  # when a leader was last heard of
 
     def next_at(self):
         return min(self.ask_at, self.try_at)
 
-    def keeps(self, now):
+    def leads(self, now):
         return self.proposer.holds(now)
 
     def to_all(self, message):
@@ -46,19 +46,19 @@
 
     def advance(self, now):
         out = []
-        if self.ledger is not None and not self.keeps(now):
+        if self.ledger is not None and not self.leads(now):
             self.ledger = None  # our lease has ended: nothing more is lent
         if now >= self.try_at:
             self.try_at = now + self.pace.period
-            # who keeps renews; another tries once nobody was heard of for long, each after a time of chance
+            # who leads renews; another tries once nobody was heard of for long, each after a time of chance
             if not self.memory.whole:
                 out += self.to_all(Recall())
-            elif self.keeps(now) or now - self.keeper_at > self.pace.term // 2:
-                self.try_at += 0 if self.keeps(now) else self.chance.randrange(self.pace.term // 2)
+            elif self.leads(now) or now - self.leader_heard_at > self.pace.term // 2:
+                self.try_at += 0 if self.leads(now) else self.chance.randrange(self.pace.term // 2)
                 out += self.both(now, self.proposer.start(max(self.seen, self.acceptor.promised)))
         if now >= self.ask_at:
             self.ask_at = now + self.pace.period
-            ask = self.holder.ask(now, self.tenure, self.keeps(now))
+            ask = self.holder.ask(now, self.tenure, self.leads(now))
             self.memory.put(self.me, ask)
             out += self.to_all(ask)
             if self.ledger is not None:
@@ -85,7 +85,7 @@
                 out += self.both(now, propose)
         elif isinstance(message, Accepted):
             if self.proposer.on_accepted(now, message, sender):
-                self.kept(now)
+                self.elected(now)
         elif isinstance(message, Ask):
             out += self.asked(now, sender, message)
         elif isinstance(message, Grant):
@@ -96,24 +96,24 @@
             self.memory.recalled(sender, message.asks)
         return out
 
-    def kept(self, now):
+    def elected(self, now):
         if self.ledger is None or self.tenure != self.proposer.tenure:
-            self.tenure, self.keeper = self.proposer.tenure, self.me
+            self.tenure, self.leader = self.proposer.tenure, self.me
             self.ledger = Ledger(
                 self.names, self.pools, self.holder.floors, self.pace, now, self.memory.told()
             )
-        self.keeper_at = now
+        self.leader_heard_at = now
 
     def asked(self, now, sender, ask):
-        """All hear all asks. Grants of a former keeper are not taken any more once we know of a later one."""
+        """All hear all asks. Grants of a former leader are not taken any more once we know of a later one."""
         if sender != self.me:
             if not self.memory.put(sender, ask):
                 return []  # repeated, or overtaken by a later one
-            self.holder.hears(sender, ask)
+            self.holder.heard_from(sender, ask)
             self.seen, self.proposer.known = max(self.seen, ask.ballot), max(self.proposer.known, ask.ballot)
-            if ask.keeping and ask.ballot >= self.tenure:
-                self.tenure, self.keeper, self.keeper_at = ask.ballot, sender, now
-        if self.ledger is None or not self.keeps(now) or ask.ballot != self.proposer.tenure:
+            if ask.leading and ask.ballot >= self.tenure:
+                self.tenure, self.leader, self.leader_heard_at = ask.ballot, sender, now
+        if self.ledger is None or not self.leads(now) or ask.ballot != self.proposer.tenure:
             return []
         if not self.ledger.asked(now, sender, ask):
             return []
--- a/embertray/fleet/limits/holder.py
+++ b/embertray/fleet/limits/holder.py
@@ -26,41 +26,41 @@
 
     # ---- what the controller says
 
-    def joined(self, px):
+    def joined(self, proxy):
         """It acts on what another told it, until it acts on ours."""
-        self.here[px] = self.seq
-        self.away.pop(px, None)
+        self.here[proxy] = self.seq
+        self.away.pop(proxy, None)
         for sent in self.sent.values():
-            sent.pop(px, None)
+            sent.pop(proxy, None)
 
-    def left(self, px):
+    def left(self, proxy):
         """Its stream broke. It goes on with what it was told, and stays on our account until another has
         it.
         """
-        self.here.pop(px, None)
-        self.acted.discard(px)
-        if any(may.get(px) for may in self.may.values()):
-            self.away[px] = None
+        self.here.pop(proxy, None)
+        self.acted.discard(proxy)
+        if any(may.get(proxy) for may in self.may.values()):
+            self.away[proxy] = None
         else:
-            self.drop(px)
+            self.drop(proxy)
 
-    def gone(self, px):
+    def gone(self, proxy):
         """Told by operators, or by the list of proxies: it is no more."""
-        self.here.pop(px, None)
-        self.acted.discard(px)
-        self.drop(px)
+        self.here.pop(proxy, None)
+        self.acted.discard(proxy)
+        self.drop(proxy)
 
-    def drop(self, px):
-        self.away.pop(px, None)
+    def drop(self, proxy):
+        self.away.pop(proxy, None)
         for known in (*self.may.values(), *self.sent.values()):
-            known.pop(px, None)
+            known.pop(proxy, None)
 
-    def acts(self, limit, px, units):
+    def acts(self, limit, proxy, units):
         """It answered the order of so many units."""
-        if px in self.here:
-            self.acted.add(px)
-            if self.sent[limit].get(px) == units:
-                self.may[limit][px] = units
+        if proxy in self.here:
+            self.acted.add(proxy)
+            if self.sent[limit].get(proxy) == units:
+                self.may[limit][proxy] = units
 
     def orders(self, now):
         """[(limit, proxy, units)] to be sent now: lower ones at any time, higher ones while the term runs and
@@ -72,34 +72,34 @@
                 continue
             share = self.floors[limit] + self.loan[limit]
             part, room = share // len(self.listed), share - sum(may.values())
-            for px in sorted(self.here.keys() & self.listed.keys()):
-                old, units = may.get(px, 0), part
-                if px not in self.acted and self.seq - self.here[px] >= WAITS:
+            for proxy in sorted(self.here.keys() & self.listed.keys()):
+                old, units = may.get(proxy, 0), part
+                if proxy not in self.acted and self.seq - self.here[proxy] >= WAITS:
                     units = min(
                         part, old + max(0, room)
                     )  # if need be nothing: its former member's units are free once it acts on ours
                 if (
-                    units == self.sent[limit].get(px)
+                    units == self.sent[limit].get(proxy)
                     or units > old
                     and (now >= self.until or units - old > room)
                 ):
                     continue
-                if px not in self.acted and now >= self.until:
+                if proxy not in self.acted and now >= self.until:
                     continue  # it keeps what another told it
                 room -= max(0, units - old)
-                may[px], self.sent[limit][px] = max(old, units), units
-                found.append((limit, px, units))
+                may[proxy], self.sent[limit][proxy] = max(old, units), units
+                found.append((limit, proxy, units))
         return found
 
     # ---- asks and grants
 
-    def ask(self, now, tenure, keeping):
+    def ask(self, now, tenure, leading):
         self.seq += 1
-        for px, since in self.away.items():
+        for proxy, since in self.away.items():
             if since is None:
-                self.away[px] = self.seq
+                self.away[proxy] = self.seq
         parts = {
-            limit: {px: may.get(px, 0) for px in self.here.keys() | self.away.keys()}
+            limit: {proxy: may.get(proxy, 0) for proxy in self.here.keys() | self.away.keys()}
             for limit, may in self.may.items()
         }
         self.asks = {seq: row for seq, row in self.asks.items() if seq > self.seq - KEPT}
@@ -108,7 +108,7 @@
             self.life,
             self.seq,
             tenure,
-            keeping,
+            leading,
             self.applied,
             dict(self.wants),
             parts,
@@ -116,15 +116,15 @@
             dict(self.heard),
         )
 
-    def hears(self, name, ask):
+    def heard_from(self, name, ask):
         """Another's ask: who has come to it that left us, if it knew then that it had left."""
         self.heard[name] = max(self.heard.get(name, 0), ask.seq)
-        for px in ask.acted & frozenset(self.away):
-            if self.away[px] is not None and ask.heard.get(self.me, 0) >= self.away[px]:
-                self.drop(px)
+        for proxy in ask.acted & frozenset(self.away):
+            if self.away[proxy] is not None and ask.heard.get(self.me, 0) >= self.away[proxy]:
+                self.drop(proxy)
 
     def granted(self, now, grant, tenure):
-        """True if it is taken: of an ask of ours to this keeper, later than what is in force, and its term
+        """True if it is taken: of an ask of ours to this leader, later than what is in force, and its term
         still runs.
         """
         row = self.asks.get(grant.seq)
--- a/embertray/fleet/limits/lease.py
+++ b/embertray/fleet/limits/lease.py
@@ -1,4 +1,4 @@
-"""Who keeps: at most one member at a time, by a lease that a majority granted. PaxosLease (Trencseni, Gazso,
+"""Who leads: at most one member at a time, by a lease that a majority granted. PaxosLease (Trencseni, Gazso,
 Reinhardt, 2012): no disk, no common clock. An acceptor that starts stays silent until whatever it may have
 granted in a former life has ended."""
 
@@ -32,7 +32,7 @@
 class Proposer:
     """Tries for the lease, and renews it. `mine`: until when we hold it, by our clock; `tenure`: the ballot
     that it began with, which an unbroken row of renewals keeps, unless a later one is `known`: to whom that
-    was told we would pass for a former keeper."""
+    was told we would pass for a former leader."""
 
     def __init__(self, me, index, count, pace):
         self.me, self.index, self.count, self.pace = me, index, count, pace
--- a/embertray/fleet/limits/ledger.py
+++ b/embertray/fleet/limits/ledger.py
@@ -1,10 +1,10 @@
-"""The keeper's book: what each member may still use of each limit, whoever is reached and whoever is not.
+"""The leader's ledger: what each member may still use of each limit, whoever is reached and whoever is not.
 Nothing is lent that is charged.
 
 A member that asks is charged the most of what its proxies may act on and of the grants that it may yet apply.
 One that is silent is charged all of that for the outer term, as it may raise its proxies until then; after
 that what those of its proxies may act on that nobody else has: it raises none of them any more, and they keep
-what they were told. So with the proxies of a former life. A member that this keeper has not heard may use all
+what they were told. So with the proxies of a former life. A member that this leader has not heard may use all
 that nobody is known to use, until the outer term is over and none of its proxies is at large.
 """
 
@@ -12,14 +12,14 @@
 
 
 class Line:
-    """One member as the keeper knows it. `grants`: ask's number -> (amounts, proxies that the share is
-    divided among), of those that may still be applied. `ghosts`: (last ask of a former life, its grants or
-    None, when a later life was heard of)."""
+    """One member as the leader knows it. `grants`: ask's number -> (amounts, proxies that the share is
+    divided among), of those that may still be applied. `former_lives`: (last ask of a former life, its grants
+    or None, when a later life was heard of)."""
 
-    __slots__ = ("ask", "at", "grants", "ghosts")
+    __slots__ = ("ask", "at", "grants", "former_lives")
 
     def __init__(self):
-        self.ask, self.at, self.grants, self.ghosts = None, None, {}, []
+        self.ask, self.at, self.grants, self.former_lives = None, None, {}, []
 
 
 class Ledger:
@@ -33,7 +33,7 @@
             {name: asks[-1] for name, asks in (before or {}).items()},
         )
         for name, asks in (before or {}).items():
-            self.lines[name].ghosts = [(ask, None, now) for ask in asks[:-1]]
+            self.lines[name].former_lives = [(ask, None, now) for ask in asks[:-1]]
 
     def asked(self, now, name, ask):
         """False if it is old."""
@@ -42,7 +42,7 @@
             return False
         former = line.ask if line.ask is not None else self.before.get(name)
         if former is not None and former.life < ask.life:  # its proxies keep what that life told them
-            line.ghosts.append((former, line.grants if line.ask is not None else None, now))
+            line.former_lives.append((former, line.grants if line.ask is not None else None, now))
             line.grants = {}
         line.ask, line.at = ask, now
         line.grants = {seq: row for seq, row in line.grants.items() if seq >= ask.applied}
@@ -52,7 +52,7 @@
         """Proxies of a silent life that nobody else is known to have: another has one if it says so after it
         heard that ask.
         """
-        large = {px for parts in ask.parts.values() for px in parts}
+        large = {proxy for parts in ask.parts.values() for proxy in parts}
         for other, line in self.lines.items():
             said = line.ask
             if said is not None and (
@@ -84,15 +84,15 @@
                 and not self.behind(name, before.seq)
                 and not self.at_large(name, before)
             )
-            if not settled or any(self.at_large(name, ask) for ask, _, _ in line.ghosts):
+            if not settled or any(self.at_large(name, ask) for ask, _, _ in line.former_lives):
                 return None
             return 0
         charges = [self.of_life(now, name, limit, line.ask, line.grants, line.at)]
-        charges += [self.of_life(now, name, limit, *ghost) for ghost in line.ghosts]
+        charges += [self.of_life(now, name, limit, *former) for former in line.former_lives]
         return None if None in charges else sum(charges)
 
     def of_life(self, now, name, limit, ask, grants, at):
-        """`grants`: None if another keeper gave them."""
+        """`grants`: None if another leader gave them."""
         parts, floor = ask.parts.get(limit, {}), self.floors[limit]
         if (
             now - at <= self.pace.outer
@@ -109,7 +109,7 @@
         each = max(
             ((floor + amounts[limit]) // count for amounts, count in grants.values() if count), default=0
         )
-        return max(0, sum(max(parts.get(px, 0), each) for px in large) - floor)
+        return max(0, sum(max(parts.get(proxy, 0), each) for proxy in large) - floor)
 
     def free(self, now, limit, but):
         """Units that nobody but `but` may use; what it has itself where somebody is not known."""
@@ -129,13 +129,13 @@
                 for other, row in self.lines.items()
                 if row.ask is not None and now - row.at <= self.pace.outer
             }
-            ghosts = [self.of_life(now, name, limit, *ghost) for ghost in line.ghosts]
-            room = 0 if None in ghosts else self.free(now, limit, name) - sum(ghosts)
+            charged = [self.of_life(now, name, limit, *former) for former in line.former_lives]
+            room = 0 if None in charged else self.free(now, limit, name) - sum(charged)
             amounts[limit] = max(0, min(divide(pool, wants)[name], room))
         line.grants[line.ask.seq] = amounts, len(next(iter(line.ask.parts.values()), ()))
-        line.ghosts = [
-            ghost
-            for ghost in line.ghosts
-            if now - ghost[2] <= self.pace.outer or self.at_large(name, ghost[0])
+        line.former_lives = [
+            former
+            for former in line.former_lives
+            if now - former[2] <= self.pace.outer or self.at_large(name, former[0])
         ]
         return amounts
--- a/embertray/fleet/limits/memory.py
+++ b/embertray/fleet/limits/memory.py
@@ -1,4 +1,4 @@
-"""The last ask of each life of each member, for whoever keeps next: proxies act on what a dead life told
+"""The last ask of each life of each member, for whoever leads next: proxies act on what a dead life told
 them.
 """
 
@@ -6,7 +6,7 @@
 
 
 class Memory:
-    """`whole`: whether this process may keep: it runs since the site began, or a majority has told it what
+    """`whole`: whether this process may lead: it runs since the site began, or a majority has told it what
     they remember.
     """
 
--- a/embertray/fleet/limits/messages.py
+++ b/embertray/fleet/limits/messages.py
@@ -27,8 +27,8 @@
 
 
 class Ask(Message, tag="ask"):
-    """To all. `life`: the sender's; `seq` rises over its lives, too. `ballot`: the keeper that is asked, as
-    far as known; `keeping`: the sender holds that lease itself. `applied`: the grant that is in force (its
+    """To all. `life`: the sender's; `seq` rises over its lives, too. `ballot`: the leader that is asked, as
+    far as known; `leading`: the sender holds that lease itself. `applied`: the grant that is in force (its
     ask's number). `wants`: limit -> units wanted. `parts`: limit -> proxy -> most units that it may act on by
     our word, of those here and those that left; `acted`: those here that act on our word. `heard`: member ->
     its last ask known here."""
@@ -36,7 +36,7 @@
     life: int
     seq: int
     ballot: int
-    keeping: bool
+    leading: bool
     applied: int
     wants: dict[str, int]
     parts: dict[str, dict[str, int]]
--- a/embertray/fleet/limits/pace.py
+++ b/embertray/fleet/limits/pace.py
@@ -12,7 +12,7 @@
     period: int = 1 * S  # between two asks: what follows demand, against messages
     term: int = (
         5 * S
-    )  # that a loan may be raised on, and that the keeper's lease lasts: four lost messages in a row
+    )  # that a loan may be raised on, and that the leader's lease lasts: four lost messages in a row
     drift: float = 0.01  # clocks run so much too fast or too slow at the most
     floor: float = 0.05  # of a limit, divided evenly and never moved: what each one may use whatever breaks
 
--- a/embertray/measure/models/__init__.py
+++ b/embertray/measure/models/__init__.py
@@ -2,7 +2,7 @@
 wake; clocks that run apart.
 """
 
-from .keeper import KeeperModel
+from .leader import LeaderModel
 from .loans import LoansModel
 
-__all__ = ["KeeperModel", "LoansModel"]
+__all__ = ["LeaderModel", "LoansModel"]
--- a/embertray/measure/models/__main__.py
+++ b/embertray/measure/models/__main__.py
@@ -7,13 +7,13 @@
 import click
 
 from ..explore import Found, explore
-from . import KeeperModel, LoansModel
+from . import LeaderModel, LoansModel
 
 
 @click.command()
 @click.option("--most", default=2_000_000, show_default=True, help="States of each at most.")
 def main(most):
-    for model in (KeeperModel(), KeeperModel(rounds=3, ticks=4, crashes=0), LoansModel()):
+    for model in (LeaderModel(), LeaderModel(rounds=3, ticks=4, crashes=0), LoansModel()):
         began = time.monotonic()
         try:
             states, whole = explore(model, most)
--- a/embertray/measure/models/keeper.py
+++ b/embertray/measure/models/leader.py
@@ -1,4 +1,4 @@
-"""Who keeps, in every order of events."""
+"""Who leads, in every order of events."""
 
 from ...fleet.limits.lease import Acceptor, Proposer
 from ...fleet.limits.messages import Accepted, Prepare, Promise, Propose
@@ -6,8 +6,8 @@
 from .ticks import Ticks
 
 
-class KeeperModel:
-    """Three acceptors, two that try to keep. A message stays on its way and may arrive again and again, or
+class LeaderModel:
+    """Three acceptors, two that try to lead. A message stays on its way and may arrive again and again, or
     never. One clock may stand still for one tick (it is slow within the drift), one member may crash and
     forget all. Property: never two that hold the lease."""
 
--- a/embertray/measure/models/loans.py
+++ b/embertray/measure/models/loans.py
@@ -8,7 +8,7 @@
 
 
 class LoansModel:
-    """One keeper, members x and y with a proxy each, a limit of two units, no floors. Asks and grants are
+    """One leader, members x and y with a proxy each, a limit of two units, no floors. Asks and grants are
     lost, repeated, delayed; x may stand still and wake, or crash and start anew; its proxy may move to y.
     Property: the proxies never act on more than two units together."""
 
@@ -30,8 +30,8 @@
         self.ledger = ledger(["x", "y"], {"l": 2}, {"l": 0}, pace, 10)
         self.holders = {name: holder(name, {"l": 0}, pace, 1 << 8) for name in "xy"}
         self.home, self.parts, self.network = {"p": "x", "q": "y"}, {"p": 0, "q": 0}, []
-        for px, name in self.home.items():
-            self.holders[name].joined(px)
+        for proxy, name in self.home.items():
+            self.holders[name].joined(proxy)
         self.holders["x"].wants, self.holders["y"].wants = {"l": 2}, {"l": 2}
 
     def copy(self):
@@ -43,11 +43,11 @@
         other.ledger.lines = {}
         for name, line in self.ledger.lines.items():
             mine = other.ledger.lines[name] = type(line)()
-            mine.ask, mine.at, mine.grants, mine.ghosts = (
+            mine.ask, mine.at, mine.grants, mine.former_lives = (
                 line.ask,
                 line.at,
                 line.grants.copy(),
-                line.ghosts.copy(),
+                line.former_lives.copy(),
             )
         return other
 
@@ -57,7 +57,7 @@
                 row.ask and (row.ask.life, row.ask.seq),
                 row.at,
                 repr(row.grants),
-                tuple((g[0].seq, g[2]) for g in row.ghosts),
+                tuple((g[0].seq, g[2]) for g in row.former_lives),
             )
             for row in self.ledger.lines.values()
         )
@@ -97,11 +97,11 @@
         if self.moving and self.home["p"] == "x":
             found.append(("p moves to y", "move"))
         for n, (to, sender, message, _) in enumerate(self.network):
-            if to in ("keeper", *awake):
+            if to in ("leader", *awake):
                 found.append((f"{sender}>{to} {type(message).__name__} {message.seq & 255}", "deliver", n))
         for name in awake:
-            for _limit, px, units in self.holders[name].orders(self.now):
-                found.append((f"{name} tells {px} {units}", "push", name))
+            for _limit, proxy, units in self.holders[name].orders(self.now):
+                found.append((f"{name} tells {proxy} {units}", "push", name))
                 break
         return found
 
@@ -111,7 +111,7 @@
     def ask(self, name):
         self.asks[name] -= 1
         ask = self.holders[name].ask(self.now, 1, False)
-        for to in ("keeper", "y" if name == "x" else "x"):
+        for to in ("leader", "y" if name == "x" else "x"):
             self.network.append((to, name, ask, f"{to} {ask!r}"))
 
     def stop(self):
@@ -119,8 +119,8 @@
 
     def wake(self):
         self.still = False
-        for what, px in self.learns:
-            getattr(self.holders["x"], what)(px)
+        for what, proxy in self.learns:
+            getattr(self.holders["x"], what)(proxy)
         self.learns = []
 
     def crash(self):
@@ -128,8 +128,8 @@
         self.lives["x"] += 1
         self.holders["x"] = self.make("x", {"l": 0}, self.pace, self.lives["x"] << 8)
         self.holders["x"].wants = {"l": 2}
-        for px in [px for px, home in self.home.items() if home == "x"]:
-            self.holders["x"].joined(px)
+        for proxy in [proxy for proxy, home in self.home.items() if home == "x"]:
+            self.holders["x"].joined(proxy)
 
     def move(self):
         self.moving, self.home["p"] = self.moving - 1, "y"
@@ -141,20 +141,20 @@
 
     def deliver(self, n):
         to, sender, message, _ = self.network[n]
-        if to == "keeper":
+        if to == "leader":
             if self.ledger.asked(self.now, sender, message):
                 grant = Grant(message.seq, 1, self.ledger.grant(self.now, sender))
-                self.network.append((sender, "keeper", grant, f"{sender} {grant!r}"))
+                self.network.append((sender, "leader", grant, f"{sender} {grant!r}"))
         elif isinstance(message, Ask):
-            self.holders[to].hears(sender, message)
+            self.holders[to].heard_from(sender, message)
         else:
             self.holders[to].granted(self.now, message, 1)
 
     def push(self, name):
         """Orders reach their proxies at once, and are answered."""
-        for limit, px, units in self.holders[name].orders(self.now):
-            self.parts[px] = units
-            self.holders[name].acts(limit, px, units)
+        for limit, proxy, units in self.holders[name].orders(self.now):
+            self.parts[proxy] = units
+            self.holders[name].acts(limit, proxy, units)
 
     def wrong(self):
         return f"proxies act on {sum(self.parts.values())} of 2" if sum(self.parts.values()) > 2 else ""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
 from embertray.fleet.limits.lease import Acceptor
 from embertray.fleet.limits.ledger import Ledger
 from embertray.measure.explore import Found, explore, walk
-from embertray.measure.models import KeeperModel, LoansModel
+from embertray.measure.models import LeaderModel, LoansModel
 
 
 def play(seed, make=Limits, drift=0.01, wounds=10):
@@ -37,13 +37,13 @@
             if "holder" in parts:
                 self.holder = parts["holder"](me, self.holder.floors, pace, life)
 
-        def kept(self, now):
-            super().kept(now)
+        def elected(self, now):
+            super().elected(now)
             if "ledger" in parts and type(self.ledger) is Ledger:
                 self.ledger.__class__ = parts["ledger"]
 
-        def keeps(self, now):
-            return parts.get("keeps", Limits.keeps)(self, now)
+        def leads(self, now):
+            return parts.get("leads", Limits.leads)(self, now)
 
     return Sabotaged
 
@@ -53,13 +53,13 @@
 
     def orders(self, now):
         kept, self.away = self.away, {}
-        for px in kept:
-            self.drop(px)
+        for proxy in kept:
+            self.drop(proxy)
         return super().orders(now)
 
 
-def keeps_for_ever(self, now):
-    """A keeper that does not look at the end of its lease."""
+def leads_for_ever(self, now):
+    """A leader that does not look at the end of its lease."""
     return self.ledger is not None or self.proposer.holds(now)
 
 
@@ -73,7 +73,7 @@
 class ForgetsFormerLives(Ledger):
     def asked(self, now, name, ask):
         taken = super().asked(now, name, ask)
-        self.lines[name].ghosts = []
+        self.lines[name].former_lives = []
         return taken
 
 
@@ -120,8 +120,8 @@
     def test_a_dead_members_part_is_used_again_within_the_term(self):
         hall = Hall(3, 5, 20).run(30 * S)
         before = hall.used[-1]
-        keeper = next(name for name, member in hall.members.items() if member.core.keeps(member.clock.now()))
-        hall.kill(next(name for name in hall.names if name != keeper))
+        leader = next(name for name, member in hall.members.items() if member.core.leads(member.clock.now()))
+        hall.kill(next(name for name in hall.names if name != leader))
         hall.run(int(hall.pace.term) + S)
         self.assertGreater(hall.used[-1], before - 0.02)
 
@@ -148,7 +148,7 @@
         self.assertGreater(self.over(15, 45, 97, ledger=ForgetsFormerLives), 0)
 
     def test_a_keeper_that_ignores_its_leases_end(self):
-        self.assertGreater(self.over(keeps=keeps_for_ever), 0)
+        self.assertGreater(self.over(leads=leads_for_ever), 0)
 
 
 class Every(unittest.TestCase):
@@ -157,19 +157,19 @@
     """
 
     def test_never_two_keepers(self):
-        explore(KeeperModel(rounds=2, ticks=3, crashes=1), 8_000)
-        self.assertGreater(walk(KeeperModel(rounds=3, ticks=8), 1000, 60, random.Random(1)), 10_000)
+        explore(LeaderModel(rounds=2, ticks=3, crashes=1), 8_000)
+        self.assertGreater(walk(LeaderModel(rounds=3, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
     def test_one_that_speaks_at_once_after_a_start_is_found_out(self):
         with self.assertRaisesRegex(Found, "two hold the lease"):
-            walk(KeeperModel(rounds=3, ticks=8, acceptor=SpeaksAtOnce), 4000, 60, random.Random(1))
+            walk(LeaderModel(rounds=3, ticks=8, acceptor=SpeaksAtOnce), 4000, 60, random.Random(1))
 
     def test_a_grant_outlasts_the_lease_though_the_holders_clock_is_slow(self):
         """One path, played by hand: the holder's clock stands for a tick, and another tries as soon as its
         own clock says that all is over.
         """
         for acceptor, both in ((Acceptor, False), (ShortMemory, True)):
-            model = KeeperModel(acceptor=acceptor)
+            model = LeaderModel(acceptor=acceptor)
             model.tries("a")
             self.through(model, "a")
             model.tick("a")
