--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -54,15 +54,15 @@
 
     async def main():
         agenda = Agenda(LoopClock())
-        be = StandinBackend(
+        backend = StandinBackend(
             Backend(listen, "", Shape(cores, speed, warm_after=int(warm * S))),
             TcpNet(),
             agenda,
             Streams(1).of("failing").random,
         )
         async with anyio.create_task_group() as group:
-            say(f"backend listens on {await group.start(be.run)}")
-            be.start(cold)
+            say(f"backend listens on {await group.start(backend.run)}")
+            backend.start(cold)
 
     run(main)
 
@@ -114,7 +114,7 @@
 
     async def main():
         agenda, streams, counts = Agenda(LoopClock()), Streams(1), {"done": 0, "late": 0, "lost": 0}
-        px = StandinProxy(
+        proxy = StandinProxy(
             name,
             zone or told.zones[0],
             told,
@@ -131,17 +131,17 @@
         mix = [(kind, 1 / len(told.kinds), kind.response_target // 10) for kind in told.kinds]
         clients = StandinClients(1, mix, lambda _: rate, TcpNet(), agenda, streams.of("clients"), ended=ended)
         async with anyio.create_task_group() as group:
-            address = await group.start(px.run)
+            address = await group.start(proxy.run)
             say(f"proxy {name} listens on {address}")
-            group.start_soon(tell, px, counts)
+            group.start_soon(tell, proxy, counts)
             await clients.run(address, agenda.now() + int(seconds * S))
             group.cancel_scope.cancel()
 
-    async def tell(px, counts):
+    async def tell(proxy, counts):
         while True:
             await anyio.sleep(1)
             say(
-                f"{'joined' if px.joined else 'alone'}, {len(px.holding.picks())} lines, "
+                f"{'joined' if proxy.joined else 'alone'}, {len(proxy.holding.picks())} lines, "
                 + ", ".join(f"{how} {n}" for how, n in counts.items())
             )
 
--- a/embertray/measure/capacity/decisions.py
+++ b/embertray/measure/capacity/decisions.py
@@ -32,8 +32,8 @@
         if self.silent:
             return []
         if self.everyone:
-            return fleet.bes
-        return [fleet.bes[chance.randrange(len(fleet.bes))] for _ in fleet.pxs]
+            return fleet.backends
+        return [fleet.backends[chance.randrange(len(fleet.backends))] for _ in fleet.proxies]
 
 
 AT_TARGET = Load("", "each proxy tells of one request a second, of a backend by chance", False, False, {})
@@ -84,7 +84,7 @@
     before, timed, chance = resident(), Timed(), random.Random(1)
     fleet = Fleet(timed, backends, proxies, **load.channel)
     fleet.run(11 * S, beat)
-    fleet.join(fleet.pxs, lambda _: fleet.bes[:5])
+    fleet.join(fleet.proxies, lambda _: fleet.backends[:5])
     kind = fleet.site.kinds[0]
     for second in range(SETTLE + seconds):
         if second == SETTLE:
@@ -95,7 +95,7 @@
                 i.Heard(backend, zone, 10 if load.everyone else 1, 0, 250 * MS, S, {"waiting": 0})
             )
         if not load.silent:
-            fleet.todo += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.pxs]
+            fleet.todo += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.proxies]
         fleet.run(fleet.now + S, beat)
     memory, steps = resident() - before, list(timed.steps)
     return Cost(
@@ -110,8 +110,8 @@
     changed, whole = [], []
     for number in range(1, NEWS + 1):
         for costs, how, backends, state in (
-            (changed, "changes", fleet.bes[-number:][:1], "draining"),
-            (whole, "whole", fleet.bes[:-number], "ready"),
+            (changed, "changes", fleet.backends[-number:][:1], "draining"),
+            (whole, "whole", fleet.backends[:-number], "ready"),
         ):
             fleet.run(fleet.now + S, BEAT)
             steps.clear()
--- a/embertray/measure/fleet.py
+++ b/embertray/measure/fleet.py
@@ -67,7 +67,7 @@
             await self.stream.send(data)
 
     async def sums(self, backends, kinds):
-        met = [Met(be, 3, 0, 150_000_000, {"busy": 0.4}) for be in backends]
+        met = [Met(backend, 3, 0, 150_000_000, {"busy": 0.4}) for backend in backends]
         await self.send(self.end.pack(Sums(S, met, [Came(kind, 5, 0) for kind in kinds])))
 
 
@@ -103,10 +103,10 @@
                 result["idle_kib"] = kib(program.pid)
                 fleet = [Bare(f"p{n}", zones[n % 3], saw) for n in range(count)]
                 began = time.monotonic()
-                for px in fleet:
-                    group.start_soon(px.run, address)
-                for px in fleet:
-                    await px.bound.wait()
+                for proxy in fleet:
+                    group.start_soon(proxy.run, address)
+                for proxy in fleet:
+                    await proxy.bound.wait()
                 result["bound_s"] = time.monotonic() - began
                 await anyio.sleep(2)
                 result["joined_kib"] = kib(program.pid)
--- a/embertray/measure/recorded.py
+++ b/embertray/measure/recorded.py
@@ -118,16 +118,18 @@
     kinds = fleet.site.kinds
     for second in range(30):
         if second < 4:
-            fleet.join(fleet.pxs[second::4], lambda proxy: fleet.bes[proxy.external_id % 5 * 20 :][:20])
+            fleet.join(
+                fleet.proxies[second::4], lambda proxy: fleet.backends[proxy.external_id % 5 * 20 :][:20]
+            )
         if second in (3, 5, 7):
-            fleet.list("changes", fleet.bes[second * 10 - 30 :][:20], "draining")
+            fleet.list("changes", fleet.backends[second * 10 - 30 :][:20], "draining")
             new = [i.Backend(f"be-{1000 + second * 20 + k}") for k in range(20)]
             fleet.list("changes", new, "ready", fleet.now)
-        for n, backend in enumerate(fleet.bes[second % 2 :: 2]):
+        for n, backend in enumerate(fleet.backends[second % 2 :: 2]):
             bad = 9 if n % 11 == 0 and second > 12 else 0
             slow = (250 + 40 * (n % 7) + (600 if 15 < second < 24 else 0)) * MS
             fleet.todo.append(i.Heard(backend, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5}))
-        for proxy in fleet.pxs[second % 4 :: 4]:
+        for proxy in fleet.proxies[second % 4 :: 4]:
             fleet.todo.append(
                 i.Arrivals(proxy, kinds[proxy.external_id % 2], 2 + proxy.external_id % 3, 0, 2 * S)
             )
--- a/embertray/measure/steady.py
+++ b/embertray/measure/steady.py
@@ -17,8 +17,8 @@
         for n in range(SECONDS + 3):
             before = cpu(pid)
             until = anyio.current_time() + 1
-            for k, px in enumerate(fleet):
-                await px.sums(names, ["view", "post"])
+            for k, proxy in enumerate(fleet):
+                await proxy.sums(names, ["view", "post"])
                 if k % 20 == 19:  # spread over the second as clocks do
                     await anyio.sleep(max(0.0, until - anyio.current_time()) * 20 / (len(fleet) - k + 20))
             await anyio.sleep(max(0.0, until - anyio.current_time()))
--- a/embertray/standin/fleet.py
+++ b/embertray/standin/fleet.py
@@ -16,8 +16,8 @@
 
     def __init__(self, controller, backends, proxies, zones=2, seed=1, **site):
         self.zones = [i.Zone(f"zone-{k}") for k in range(zones)]
-        self.bes = [i.Backend(f"be-{k}") for k in range(backends)]
-        self.pxs = [i.Proxy(k) for k in range(proxies)]
+        self.backends = [i.Backend(f"be-{k}") for k in range(backends)]
+        self.proxies = [i.Proxy(k) for k in range(proxies)]
         kinds = [i.RequestKind(800 * MS, 2 * S), i.RequestKind(S, 3 * S, 2.0, "non-replayable")]
         given = (
             dict(
@@ -53,20 +53,23 @@
         self.state, self.told, self.held, self.bound, self.since = {}, {}, defaultdict(dict), {}, {}
         self.tables, self.free_at, self.most, self.late, self.bare = defaultdict(dict), 0, 0.0, {}, {}
         self.written = defaultdict(list)
-        self.list("cached", self.bes, "ready")
+        self.list("cached", self.backends, "ready")
 
-    def list(self, how, bes, state, started=0):
+    def list(self, how, backends, state, started=0):
         entries = [
-            i.Entry(be, self.zones[int(be.external_id[3:]) % len(self.zones)], state, started) for be in bes
+            i.Entry(backend, self.zones[int(backend.external_id[3:]) % len(self.zones)], state, started)
+            for backend in backends
         ]
-        self.state.update((be, state) for be in bes)
-        self.told.update((be, self.now) for be in bes if state != "ready" and be not in self.told)
+        self.state.update((backend, state) for backend in backends)
+        self.told.update(
+            (backend, self.now) for backend in backends if state != "ready" and backend not in self.told
+        )
         self.todo.append(i.ListNews(how, entries))
 
-    def join(self, pxs, holds):
-        for px in pxs:
-            self.held[px], self.since[px] = dict.fromkeys(holds(px), 1.0), self.now
-            self.todo.append(i.Joined(px, self.zones[px.external_id % len(self.zones)], 1.0, True))
+    def join(self, proxies, holds):
+        for proxy in proxies:
+            self.held[proxy], self.since[proxy] = dict.fromkeys(holds(proxy), 1.0), self.now
+            self.todo.append(i.Joined(proxy, self.zones[proxy.external_id % len(self.zones)], 1.0, True))
 
     def run(self, until, beat=100 * MS):
         while self.now < until:
@@ -78,55 +81,55 @@
 
     def deliver(self):
         while self.channel and self.channel[0][0] <= self.now:
-            _, px, change, nonce, sent = self.channel.popleft()
-            for be, weight in change.items():
-                if be is None:
-                    self.held[px] = dict(weight)
+            _, proxy, change, nonce, sent = self.channel.popleft()
+            for backend, weight in change.items():
+                if backend is None:
+                    self.held[proxy] = dict(weight)
                 elif weight:
-                    self.held[px][be] = weight
+                    self.held[proxy][backend] = weight
                 else:
-                    self.held[px].pop(be, None)
+                    self.held[proxy].pop(backend, None)
             if nonce:
-                self.todo.append(i.Answered(px, nonce, self.now - sent))
+                self.todo.append(i.Answered(proxy, nonce, self.now - sent))
 
     def send(self, orders):
         """Orders of a step become one message a proxy; they leave the channel at its pace, in order."""
         messages, cost, nonce = defaultdict(dict), defaultdict(float), None
         users = defaultdict(list)
-        for px, table in self.bound.items():
-            users[table].append(px)
+        for proxy, table in self.bound.items():
+            users[table].append(proxy)
         for one in orders:
             if isinstance(one, (i.SetLine, i.SetLevel)):
-                for px in users[one.table]:
-                    cost[px] += 1
+                for proxy in users[one.table]:
+                    cost[proxy] += 1
                     if isinstance(one, i.SetLine):
-                        messages[px][one.backend] = one.weight
+                        messages[proxy][one.backend] = one.weight
                 if isinstance(one, i.SetLine):
                     self.tables[one.table][one.backend] = one.weight
             elif isinstance(one, i.Bind):
                 self.bound[one.proxy] = one.table
-                lines = {be: w for be, w in self.tables[one.table].items() if w}
+                lines = {backend: w for backend, w in self.tables[one.table].items() if w}
                 messages[one.proxy], cost[one.proxy] = {None: lines}, 3 + len(lines)
             elif isinstance(one, i.Withdraw):
-                for px in self.since:
-                    if self.held[px].get(one.backend):
-                        messages[px][one.backend], cost[px] = 0, cost[px] + 1
+                for proxy in self.since:
+                    if self.held[proxy].get(one.backend):
+                        messages[proxy][one.backend], cost[proxy] = 0, cost[proxy] + 1
             elif isinstance(one, i.PutNonce):
                 nonce = one.nonce
-        for px in cost:
+        for proxy in cost:
             self.free_at = max(self.free_at, self.now) + int(
-                (cost[px] + self.site.head + 1) * S / self.site.channel_rate
+                (cost[proxy] + self.site.head + 1) * S / self.site.channel_rate
             )
-            self.written[px].append(self.free_at)
-            self.channel.append((self.free_at + self.site.way_mean, px, messages[px], nonce, self.now))
+            self.written[proxy].append(self.free_at)
+            self.channel.append((self.free_at + self.site.way_mean, proxy, messages[proxy], nonce, self.now))
         self.most = max(self.most, (self.free_at - self.now) * self.site.channel_rate / S)
 
     def judge(self):
         grace = self.site.drain_grace + 300 * MS
-        for px, since in self.since.items():
-            gone = [be for be in self.held[px] if be in self.told]
-            for be in gone:
-                if self.now > max(self.told[be], since) + grace:
-                    self.late[px, be] = self.now
-            if len(gone) == len(self.held[px]):
-                self.bare[px] = self.bare.get(px, 0) + 100 * MS
+        for proxy, since in self.since.items():
+            gone = [backend for backend in self.held[proxy] if backend in self.told]
+            for backend in gone:
+                if self.now > max(self.told[backend], since) + grace:
+                    self.late[proxy, backend] = self.now
+            if len(gone) == len(self.held[proxy]):
+                self.bare[proxy] = self.bare.get(proxy, 0) + 100 * MS
--- a/embertray/standin/relay.py
+++ b/embertray/standin/relay.py
@@ -38,7 +38,11 @@
 
     def lines(self, node):
         """What a proxy picks from: backend -> weight."""
-        return {be: w for be, w in self.tables.get(self.bound.get(node), {}).items() if be not in self.out}
+        return {
+            backend: w
+            for backend, w in self.tables.get(self.bound.get(node), {}).items()
+            if backend not in self.out
+        }
 
     # ---- connections
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -18,9 +18,9 @@
     """All proxies are bound and every backend was heard of."""
     fleet = Fleet(Controller, backends, proxies, channel_rate=3 * proxies, pending_max=24 * proxies)
     fleet.run(11 * S)
-    fleet.join(fleet.pxs, lambda proxy: fleet.bes[:5])
+    fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
     for _second in range(8):
-        for n, backend in enumerate(fleet.bes):
+        for n, backend in enumerate(fleet.backends):
             fleet.todo.append(i.Heard(backend, fleet.zones[n % 2], 10, 0, 250 * MS, 2 * S, {"waiting": 0}))
         fleet.run(fleet.now + S)
     return fleet
@@ -65,12 +65,12 @@
         table.
         """
         for fleet in (self.small, self.large):
-            proxy = fleet.pxs[7]
+            proxy = fleet.proxies[7]
             lines(fleet, [])
             left = lines(fleet, [i.Left(proxy)], 5 * MS)
             joined = lines(fleet, [i.Joined(proxy, fleet.zones[1], 1.0, False)], 5 * MS)
             self.assertLess(left, 200)
-            self.assertLess(joined, 20 * len(fleet.pxs))
+            self.assertLess(joined, 20 * len(fleet.proxies))
             self.assertGreater(lines(fleet, []), 3 * joined)  # the count sees what a beat does
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,11 +18,11 @@
     fleet = Fleet(Controller, 200, proxies, **site)
     fleet.run(11 * S)
     for part in range(4):
-        fleet.join(fleet.pxs[part::4], lambda proxy: fleet.bes[proxy.external_id % 5 * 40 :][:40])
+        fleet.join(fleet.proxies[part::4], lambda proxy: fleet.backends[proxy.external_id % 5 * 40 :][:40])
         fleet.run(fleet.now + 100 * MS)
     for wave in range(3):
         fleet.run(fleet.now + 1500 * MS)
-        fleet.list("changes", fleet.bes[wave * 40 :][:40], "draining")
+        fleet.list("changes", fleet.backends[wave * 40 :][:40], "draining")
         new = [i.Backend(f"be-{1000 + wave * 40 + k}") for k in range(40)]
         fleet.list("changes", new, "ready", fleet.now)
     fleet.run(fleet.now + 14 * S)
@@ -85,12 +85,12 @@
     def test_messages_are_counted_as_written_when_the_channel_lags(self):
         fleet = Fleet(Controller, 6, 20, channel_rate=5000.0, pending_max=10**6, messages_max=8)
         fleet.run(10500 * MS)
-        fleet.join(fleet.pxs, lambda proxy: fleet.bes[:5])
+        fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
         fleet.run(12 * S)
         fleet.free_at = fleet.now + 9 * S  # the channel stands still, then writes what has waited at once
         for second in range(25):
-            fleet.list("changes", [fleet.bes[second % 6 - 1]], "ready", 1)
-            fleet.list("changes", [fleet.bes[second % 6]], "draining")
+            fleet.list("changes", [fleet.backends[second % 6 - 1]], "ready", 1)
+            fleet.list("changes", [fleet.backends[second % 6]], "draining")
             fleet.run(fleet.now + S)
         for times in fleet.written.values():
             most = max(sum(at - 10 * S < t <= at for t in times) for at in times)
@@ -100,8 +100,8 @@
         fleet = Fleet(Controller, 30, 100, pending_max=10**5)
         fleet.run(11 * S)
         with mock.patch.object(Planner, "on_solve", autospec=True, side_effect=Planner.on_solve) as solves:
-            for proxy in fleet.pxs:
-                fleet.join([proxy], lambda proxy: fleet.bes[:5])
+            for proxy in fleet.proxies:
+                fleet.join([proxy], lambda proxy: fleet.backends[:5])
                 fleet.run(fleet.now + 10 * MS, 10 * MS)
         self.assertEqual(len(fleet.bound), 100)
         self.assertLessEqual(solves.call_count, 5)  # a second of joins: four beats and one
@@ -109,9 +109,9 @@
     def test_where_the_channel_can_bring_them_tables_are_whole(self):
         fleet = Fleet(Controller, 30, 100, channel_rate=5000.0, pending_max=5000.0)
         fleet.run(10500 * MS)
-        fleet.join(fleet.pxs, lambda proxy: fleet.bes[:5])
+        fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
         fleet.run(14 * S)
-        self.assertTrue(all(len(fleet.held[proxy]) == 30 for proxy in fleet.pxs))
+        self.assertTrue(all(len(fleet.held[proxy]) == 30 for proxy in fleet.proxies))
         self.assertEqual(len(set(fleet.bound.values())), 2)
 
 
--- a/tests/test_node_relay.py
+++ b/tests/test_node_relay.py
@@ -251,7 +251,7 @@
                 while (
                     relay.joined[1].endswith("1")
                     or service.post.module.channel.queue
-                    or any(px.messages.open for px in service.post.module.proxies)
+                    or any(proxy.messages.open for proxy in service.post.module.proxies)
                 ):
                     await anyio.sleep(0.05)  # until nothing is on its way that would miss an answer
                 at = dict(service.post.standing.at)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -255,7 +255,7 @@
         trust.met(S, "p", False, [("x", 10, 10)])
         trust.met(S, "q", False, [("a", 10, 3)])
         trust.met(S, "r", False, [], came=4)
-        self.assertEqual([trust.holds_back(S, False, px) for px in "pqr"], [False, True, False])
+        self.assertEqual([trust.holds_back(S, False, proxy) for proxy in "pqr"], [False, True, False])
         self.assertFalse(trust.holds_back(PATIENCE, False, "q"))
 
     def test_tables_that_know_more_than_the_list_are_left_alone(self):
