--- /dev/null
+++ b/embertray/measure/names.py
@@ -0,0 +1,44 @@
+"""How many lines hold a word as an identifier, by package: `python -m embertray.measure.names WORD...`.
+Prose, strings and what stands within f-strings are not counted.
+"""
+
+import tokenize
+from collections import defaultdict
+from pathlib import Path
+
+import click
+
+ROOT = Path(__file__).resolve().parents[2]
+
+
+def package_of(path):
+    parts = path.relative_to(ROOT).parts
+    return "/".join(parts[:2]) if len(parts) > 2 else parts[0]
+
+
+def lines_with(words, paths):
+    """word -> package -> lines."""
+    found = defaultdict(lambda: defaultdict(int))
+    for path in paths:
+        with tokenize.open(path) as file:
+            tokens = list(tokenize.generate_tokens(file.readline))
+        names = {(token.string, token.start[0]) for token in tokens if token.type == tokenize.NAME}
+        for word, _ in sorted(names):
+            if word in words:
+                found[word][package_of(path)] += 1
+    return found
+
+
+@click.command()
+@click.argument("words", nargs=-1, required=True)
+def main(words):
+    paths = sorted(path for folder in ("embertray", "tests") for path in (ROOT / folder).rglob("*.py"))
+    found = lines_with(frozenset(words), paths)
+    for word in words:
+        packages = sorted(found[word].items(), key=lambda item: -item[1])
+        each = ", ".join(f"{name} {count}" for name, count in packages)
+        click.echo(f"{word}: {sum(found[word].values())}" + (f" ({each})" if each else ""))
+
+
+if __name__ == "__main__":
+    main()
