--- a/embertray/daemon/inventory.py
+++ b/embertray/daemon/inventory.py
@@ -68,7 +68,7 @@
                     )
                     self.host.poke()
                     if how != "failed":
-                        self.host.keeper.due.set()
+                        self.host.snapshots.due.set()
                     if again:
                         self.host.log.warning(
                             "the list is asked for again: it lacks most of those who answer"
--- a/embertray/daemon/service.py
+++ b/embertray/daemon/service.py
@@ -1,7 +1,7 @@
 """One controller as a daemon: a task group, nothing detached; clock, net and what is kept are handed in.
 
 Jobs side by side: the pump (core, timers, channel) here, the streams of proxies (`proxies`), the list
-(`inventory`), what is kept (`keeper`), the operators' HTTP. All that is decided comes from the core (the
+(`inventory`), what is kept (`snapshots`), the operators' HTTP. All that is decided comes from the core (the
 module, the desk), from channel/outlet.py and inventory/follow.py.
 """
 
@@ -19,8 +19,8 @@
 from ..trust import Trust
 from .broken import BROKEN, S
 from .inventory import ListClient
-from .keeper import Keeper
 from .proxies import Proxies
+from .snapshots import SnapshotWriter
 
 
 class Service:
@@ -29,11 +29,11 @@
     def __init__(self, site, me, clock, net, kept, seed, chance, log=None, core=Instance, trust=Trust):
         self.site, self.me, self.clock, self.net, self.kept, self.seed = site, me, clock, net, kept, seed
         self.log = (log or structlog.get_logger()).bind(controller=me.name)
-        self.chance, self.proxies, self.list, self.keeper = (
+        self.chance, self.proxies, self.list, self.snapshots = (
             chance,
             Proxies(self),
             ListClient(self, chance),
-            Keeper(self),
+            SnapshotWriter(self),
         )
         self.stopping, self.poked = anyio.Event(), anyio.Event()
         self.listen = self.admin = None
@@ -87,7 +87,7 @@
                 group.start_soon(listener.serve, self.proxies.serve, group)
                 group.start_soon(admin.serve, lambda stream: serve_admin(self, stream), group)
                 group.start_soon(self.list.run)
-                group.start_soon(self.keeper.run)
+                group.start_soon(self.snapshots.run)
                 if self.site.cluster:
                     group.start_soon(self.clustered)
                 if self.site.control:
--- a/embertray/daemon/snapshots.py
+++ b/embertray/daemon/snapshots.py
@@ -5,7 +5,7 @@
 from ..durable.snapshot import CONFIRM, EVERY
 
 
-class Keeper:
+class SnapshotWriter:
     """Of one `host`, a Service: writes snapshots."""
 
     def __init__(self, host):
