--- a/embertray/capacity/controller.py
+++ b/embertray/capacity/controller.py
@@ -7,7 +7,8 @@
 from .target import DAY
 
 GOSSIP, REPLICAS = (Design.GOSSIP,), (Design.REPLICAS,)
-MEASURED_BACKENDS = 250  # behind the controllers of the streams' slopes
+MEASURED_PROXIES = 68  # of the slopes by backends: the operators' target has as many a controller
+FEW_BACKENDS = 17  # so few that streams cost more than decisions
 LISTED_CHANGES = 2  # that one failed, restarted or replaced machine makes: it goes, and comes
 
 
@@ -22,36 +23,50 @@
     return reckoned("2 x (machines + restarts a day) / 86,400 s", rate)
 
 
-def decisions(target, slopes):
-    """(processor, memory, worst step) of the module: by backends, scaled by what proxies add."""
-    measured = []
-    for name in ("decisions-processor", "decisions-memory"):
-        at_68 = slopes.at(f"{name}-68", target.backends)
-        if target.proxies_per_controller == 68:
-            measured.append(at_68)
-            continue
-        by_proxies = [
-            slopes.at(f"{name}-by-proxies", proxies) for proxies in (target.proxies_per_controller, 68)
-        ]
-        formula = f"{name}-68 at the backends x {name}-by-proxies at the proxies / the same at 68"
-        measured.append(derived(formula, lambda base, now, then: base * now / then, at_68, *by_proxies))
-    return *measured, slopes.at("decisions-step-68", target.backends)
+def by_both(target, slopes, by_backends, by_proxies):
+    """A figure that was measured against backends with MEASURED_PROXIES, and against proxies: read off the
+    first, and scaled by the second where the target has another number of proxies.
+    """
+    measured = slopes.at(by_backends, target.backends)
+    if target.proxies_per_controller == MEASURED_PROXIES:
+        return measured
+    now, then = (slopes.at(by_proxies, n) for n in (target.proxies_per_controller, MEASURED_PROXIES))
+    return derived(
+        f"{by_backends} at the backends x {by_proxies} at the proxies / the same at {MEASURED_PROXIES}",
+        lambda base, now, then: base * now / then if then else 0.0,
+        measured,
+        now,
+        then,
+    )
+
+
+def of_decisions(target, slopes, name):
+    return by_both(target, slopes, f"{name}-{MEASURED_PROXIES}", f"{name}-by-proxies")
+
+
+def of_streams(target, slopes, name):
+    return by_both(target, slopes, f"{name}-by-backends", name)
+
+
+def silent_decisions(target, slopes):
+    """The module's beat with nothing heard."""
+    return slopes.at(f"decisions-processor-{MEASURED_PROXIES}-silent", target.backends)
 
 
 def calm(target, slopes):
-    rows, proxies = Rows(target, Role.CONTROLLER, Situation.CALM), target.proxies_per_controller
+    rows = Rows(target, Role.CONTROLLER, Situation.CALM)
     rows.add(
         Part.DECISIONS,
         Quantity.PROCESSOR,
-        slopes.at("decisions-processor-68-silent", target.backends),
-        "choice/: the beat alone, for 68 proxies, nothing heard",
+        silent_decisions(target, slopes),
+        f"choice/: the beat alone, each 250 ms over all backends, {MEASURED_PROXIES} proxies, nothing heard",
         readings=ONLY_ALL,
     )
     rows.add(
-        Part.STREAMS,
+        Part.WHOLE,
         Quantity.PROCESSOR,
-        slopes.at("streams-processor", proxies),
-        f"daemon/proxies, stream/: streams that say nothing, {MEASURED_BACKENDS} backends behind them",
+        of_streams(target, slopes, "streams-processor"),
+        "`embertray serve`, streams that say nothing",
         readings=ONLY_ALL,
     )
     rows.add(
@@ -86,61 +101,83 @@
 
 
 def add_decisions(rows, target, slopes):
-    processor, memory, step = decisions(target, slopes)
     told = "choice/: one module for the whole list, all services"
-    rows.add(Part.DECISIONS, Quantity.PROCESSOR, processor, told, readings=ONLY_ALL, adds_up=True)
-    rows.add(Part.DECISIONS, Quantity.STATE, memory, f"{told}: backends, tables, samples", readings=ONLY_ALL)
-    rows.add(Part.DECISIONS, Quantity.DELAY, step, f"{told}: its dearest step", readings=ONLY_ALL)
+    for quantity, figure in (
+        (Quantity.PROCESSOR, of_decisions(target, slopes, "decisions-processor")),
+        (Quantity.STATE, of_decisions(target, slopes, "decisions-memory")),
+        (Quantity.DELAY, slopes.at(f"decisions-step-{MEASURED_PROXIES}", target.backends)),
+    ):
+        words = told + (": its dearest step" if quantity is Quantity.DELAY else "")
+        rows.add(Part.DECISIONS, quantity, figure, words, readings=ONLY_ALL)
 
 
 def add_streams(rows, target, slopes):
-    proxies = target.proxies_per_controller
-    for part, quantity, slope, worst, told in (
+    for part, quantity, mean, worst, told in (
         (Part.STREAMS, Quantity.BYTES_OUT, "streams-bytes-out", "streams-worst-out", "orders and marks"),
         (Part.REPORTS, Quantity.BYTES_IN, "streams-bytes-in", "streams-worst-in", "sums and answers"),
     ):
         rows.add(
             part,
             quantity,
-            slopes.at(slope, proxies),
-            f"stream/: {told}, each proxy a sum a second",
-            worst=slopes.at(worst, proxies),
+            of_streams(target, slopes, mean),
+            f"stream/: {told}, each proxy a sum a second, the channel not paced",
+            worst=of_streams(target, slopes, worst),
             readings=ONLY_ALL,
             adds_up=True,
         )
     rows.add(
         Part.REPORTS,
         Quantity.MESSAGES_IN,
-        reckoned("proxies a controller x 1 sum a second", proxies),
+        reckoned("proxies a controller x 1 sum a second", target.proxies_per_controller),
         "stream/: one Sums a proxy each report cycle of 1 s",
         readings=ONLY_ALL,
     )
+    add_streams_processor(rows, target, slopes)
     rows.add(
         Part.STREAMS,
-        Quantity.PROCESSOR,
-        derived(
-            f"streams-processor less decisions-processor-68 at {MEASURED_BACKENDS} backends",
-            lambda whole, module: max(0.0, whole - module),
-            slopes.at("streams-processor", proxies),
-            slopes.at("decisions-processor-68", MEASURED_BACKENDS),
-        ),
-        "daemon/proxies, channel/: streams, outbox, timers; the module's part is in decisions",
+        Quantity.STATE,
+        of_streams(target, slopes, "streams-memory"),
+        "daemon/proxies: streams, queues, and what the module keeps for them",
         readings=ONLY_ALL,
-        adds_up=True,
     )
+
+
+def add_streams_processor(rows, target, slopes):
+    """What the process uses in all, and beside the module: for streams that say nothing, and for reports."""
+    quiet = of_streams(target, slopes, "streams-processor")
+    reports = of_streams(target, slopes, "reports-processor")
     rows.add(
-        Part.REPORTS,
+        Part.WHOLE,
         Quantity.PROCESSOR,
-        slopes.at("reports-processor", proxies),
-        "stream/, reports/: reading and merging sums, the steps that they cause",
+        derived("streams-processor + reports-processor", lambda *parts: sum(parts), quiet, reports),
+        "`embertray serve` under its proxies, each a sum a second: decisions, streams and reports together",
         readings=ONLY_ALL,
         adds_up=True,
     )
     rows.add(
         Part.STREAMS,
-        Quantity.STATE,
-        slopes.at("streams-memory", proxies),
-        "daemon/proxies: streams, queues, what the module keeps of a proxy",
+        Quantity.PROCESSOR,
+        derived(
+            "(streams-processor-by-backends less decisions-processor-silent, both at "
+            f"{FEW_BACKENDS} backends) x proxies a controller / {MEASURED_PROXIES}",
+            lambda whole, module: max(0.0, whole - module) * target.proxies_per_controller / MEASURED_PROXIES,
+            slopes.at("streams-processor-by-backends", FEW_BACKENDS),
+            slopes.at(f"decisions-processor-{MEASURED_PROXIES}-silent", FEW_BACKENDS),
+        ),
+        "daemon/proxies, channel/: streams, outbox, timers",
+        readings=ONLY_ALL,
+    )
+    rows.add(
+        Part.REPORTS,
+        Quantity.PROCESSOR,
+        derived(
+            "reports-processor less what the module takes for what it hears",
+            lambda whole, loud, quiet: max(0.0, whole - max(0.0, loud - quiet)),
+            reports,
+            of_decisions(target, slopes, "decisions-processor"),
+            silent_decisions(target, slopes),
+        ),
+        "stream/, reports/, channel/: reading and merging sums, the orders that follow",
         readings=ONLY_ALL,
     )
 
@@ -184,7 +221,8 @@
         (Quantity.STATE, state_of_gossip(target), False),
         (Quantity.MEMORY, slopes.at("cluster-memory", members), True),
         (Quantity.SEEN, slopes.at("cluster-members-seen", members), False),
-        (Quantity.IN_FORCE, slopes.at("cluster-oldest", members), False),
+        (Quantity.OLDEST, slopes.at("cluster-oldest", members), False),
+        (Quantity.IN_FORCE, slopes.at("cluster-time-to-all", members), False),
         (Quantity.STALENESS, staleness(target), False),
     ):
         rows.add(Part.MEMBERSHIP, quantity, figure, told, designs=GOSSIP, adds_up=adds_up)
@@ -273,20 +311,10 @@
 
 
 def add_process(rows, target, slopes):
-    """Memory of the whole process: measured with few backends, the module's and the list's growth added."""
-    proxies = target.proxies_per_controller
-    module = decisions(target, slopes)[1]
     rows.add(
         Part.BASE,
         Quantity.MEMORY,
-        derived(
-            f"controller-memory + decisions-memory less that at {MEASURED_BACKENDS} backends + list-memory",
-            lambda whole, now, then, listed: whole + now - then + listed,
-            slopes.at("controller-memory", proxies),
-            module,
-            slopes.at("decisions-memory-68", MEASURED_BACKENDS),
-            slopes.at("list-memory", target.backends),
-        ),
+        of_streams(target, slopes, "controller-memory"),
         "`embertray serve`: resident, all parts but cluster and control",
         readings=ONLY_ALL,
         adds_up=True,
--- a/embertray/capacity/names.py
+++ b/embertray/capacity/names.py
@@ -52,6 +52,7 @@
     MESSAGES_IN = "messages in"
     MESSAGES_OUT = "messages out"
     IN_FORCE = "until in force"
+    OLDEST = "oldest entry held"
     STALENESS = "staleness promised"
     ADDED = "added to a request"
     DELAY = "delay"
@@ -67,6 +68,7 @@
     Quantity.MESSAGES_IN: "messages/s",
     Quantity.MESSAGES_OUT: "messages/s",
     Quantity.IN_FORCE: "s",
+    Quantity.OLDEST: "s",
     Quantity.STALENESS: "s",
     Quantity.ADDED: "s",
     Quantity.DELAY: "s",
--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -3,7 +3,7 @@
 from . import reckon
 from .figure import REPORTED
 from .names import Design, Origin, Quantity, Reading, Situation, Verdict
-from .table import varied
+from .table import FAILURES, STEADY, varied
 from .text import digits, quantity, source, table, verdict
 
 HEAD = """# Capacity
@@ -80,17 +80,25 @@
     parts = []
     for design in Design:
         for reading in Reading:
-            rows = found.largest(reading, design)
-            lines = [
-                f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {verdict(row.judged)} "
-                f"({quantity(max_of(row), row.unit)} of {quantity(row.budget, row.unit)}; "
-                f"{row.figure.origin}; {row.mechanism})"
-                for place, row in enumerate(rows, 1)
-            ] or ["None that is known."]
-            parts.append(f"**{str(design).capitalize()}; {reading}:**\n\n" + "\n".join(lines))
+            steady = ranked(found.largest(reading, design, STEADY))
+            failures = ranked(found.largest(reading, design, FAILURES))
+            parts.append(
+                f"### {str(design).capitalize()}; {reading}\n\nWhile nothing fails:\n\n{steady}\n\n"
+                f"In failures, starts and restarts:\n\n{failures}"
+            )
     return "\n\n".join(parts)
 
 
+def ranked(rows):
+    lines = [
+        f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {verdict(row.judged)} "
+        f"({quantity(max_of(row), row.unit)} of {quantity(row.budget, row.unit)}; "
+        f"{row.figure.origin}; {row.mechanism})"
+        for place, row in enumerate(rows, 1)
+    ]
+    return "\n".join(lines) or "None that is known."
+
+
 def max_of(row):
     worst = row.worst.value if row.worst is not None and row.worst.known else row.figure.value
     return min(row.figure.value, worst) if row.quantity is Quantity.SEEN else max(row.figure.value, worst)
--- a/embertray/capacity/report.py
+++ b/embertray/capacity/report.py
@@ -1,6 +1,7 @@
 """The table as plain data, for --json."""
 
 from .names import Design, Reading
+from .table import FAILURES, STEADY
 
 
 def judged(one):
@@ -59,15 +60,20 @@
     }
 
 
+def largest(found, reading, design):
+    return {
+        name: [row(one) for one in found.largest(reading, design, situations)]
+        for name, situations in (("nothing fails", STEADY), ("failures", FAILURES))
+    }
+
+
 def as_data(found):
     return {
         "target": found.target.name,
         "rows": [row(one) for one in found.rows],
         "totals": [total(one) for one in found.totals],
         "largest": {
-            str(design): {
-                str(reading): [row(one) for one in found.largest(reading, design)] for reading in Reading
-            }
+            str(design): {str(reading): largest(found, reading, design) for reading in Reading}
             for design in Design
         },
         "slopes": [slope(name, found) for name in found.slopes.by_name],
--- a/embertray/capacity/row.py
+++ b/embertray/capacity/row.py
@@ -67,7 +67,7 @@
 
 def budget_of(target, role, quantity):
     """What the target grants for it, None where it names nothing."""
-    if quantity in (Quantity.IN_FORCE, Quantity.STALENESS):
+    if quantity in (Quantity.IN_FORCE, Quantity.OLDEST, Quantity.STALENESS):
         return target.in_force_within
     if quantity is Quantity.ADDED:
         return target.added_at_p99
--- a/embertray/capacity/table.py
+++ b/embertray/capacity/table.py
@@ -9,6 +9,8 @@
 
 TOTALLED = (Quantity.PROCESSOR, Quantity.MEMORY, Quantity.BYTES_IN, Quantity.BYTES_OUT)
 LARGEST = 3
+STEADY = (Situation.CALM, Situation.PEAK)
+FAILURES = tuple(one for one in Situation if one not in STEADY)
 
 
 @dataclass(frozen=True)
@@ -41,12 +43,15 @@
     rows: tuple
     totals: tuple
 
-    def largest(self, reading, design, count=LARGEST):
+    def largest(self, reading, design, situations, count=LARGEST):
         """The rows that fall short by the largest factors, one of each part and unit."""
         short = [
             row
             for row in self.rows
-            if reading in row.readings and design in row.designs and row.judged.verdict is Verdict.SHORT
+            if reading in row.readings
+            and design in row.designs
+            and row.situation in situations
+            and row.judged.verdict is Verdict.SHORT
         ]
         short.sort(key=lambda row: -row.judged.factor)
         found = {}
@@ -78,7 +83,7 @@
         for row in rows
         if row.adds_up
         and row.role is Role.CONTROLLER
-        and row.situation in (Situation.CALM, Situation.PEAK)
+        and row.situation in STEADY
         and row.quantity is quantity
         and reading in row.readings
         and design in row.designs
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -4,6 +4,7 @@
 import re
 import tempfile
 import unittest
+from itertools import product
 from math import log
 from pathlib import Path
 
@@ -25,7 +26,7 @@
 )
 from embertray.capacity.row import Row, judge
 from embertray.capacity.slope import BadSlope, Slope, load_all, save
-from embertray.capacity.table import compute, varied
+from embertray.capacity.table import FAILURES, STEADY, compute, varied
 from embertray.capacity.target import OPERATORS, BadTarget, load
 from embertray.cli.main import main
 
@@ -225,15 +226,16 @@
         rows = self.table.rows
         self.assertEqual({row.role for row in rows}, set(Role))
         self.assertEqual({row.situation for row in rows}, set(Situation))
-        self.assertEqual({row.part for row in rows}, set(Part) - {Part.WHOLE})
+        self.assertEqual({row.part for row in rows}, set(Part))
         for row in rows:
             self.assertTrue(row.mechanism)
             self.assertTrue(row.figure.source)
 
     def test_the_largest_factors_fall_and_name_each_part_once(self):
-        for design in Design:
-            for reading in Reading:
-                rows = self.table.largest(reading, design)
+        for design, reading, situations in product(Design, Reading, (STEADY, FAILURES)):
+            with self.subTest(design=design, reading=reading):
+                rows = self.table.largest(reading, design, situations)
+                self.assertTrue(all(row.situation in situations for row in rows))
                 factors = [row.judged.factor for row in rows]
                 self.assertEqual(factors, sorted(factors, reverse=True))
                 self.assertEqual(len({(row.role, row.part, row.unit) for row in rows}), len(rows))
@@ -424,7 +426,7 @@
         text = (ROOT / "docs" / "CAPACITY.md").read_text()
         for design in Design:
             for reading in Reading:
-                self.assertIn(f"**{str(design).capitalize()}; {reading}:**", text)
+                self.assertIn(f"### {str(design).capitalize()}; {reading}\n", text)
 
 
 if __name__ == "__main__":
