--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -39,11 +39,8 @@
 main.add_command(emulate)
 main.add_command(lab)
 main.add_command(cluster)
-<<<<<<< HEAD
 main.add_command(control)
-=======
 main.add_command(capacity)
->>>>>>> capacity
 
 
 @main.command()
