--- /dev/null
+++ b/embertray/capacity/control.py
@@ -0,0 +1,155 @@
+"""What replicas and subscribers are reckoned to cost: true messages of the size that they would have, and the
+bounds that embertray/control states. Measured slopes stand beside them.
+"""
+
+from ..control.bounds import Bounds
+from ..control.entry import Entry
+from ..control.messages import Confirm, Heartbeat, Update, encode
+from ..stream.frames import frame
+from . import reckon
+from .figure import reckoned
+from .names import Design, Part, Quantity, Role, Situation
+from .row import Rows
+
+REPLICAS = (Design.REPLICAS,)
+S = 10**9
+TOLD = "control/: one replica followed, changed keys only"
+
+
+def framed(message):
+    return len(frame(encode(message)))
+
+
+def heartbeat_bytes():
+    number = reckon.BUSY_NUMBER
+    return framed(Heartbeat(number, 2**64 - 1, number, number))
+
+
+def confirm_bytes():
+    return framed(Confirm(reckon.BUSY_NUMBER, reckon.BUSY_NUMBER))
+
+
+def update_bytes(entry_bytes):
+    """An update of one changed key."""
+    number = reckon.BUSY_NUMBER
+    entry = Entry("", number, number, "", b"")
+    return framed(Update(number, number, [entry])) + int(entry_bytes)
+
+
+def rows(target):
+    return [
+        *subscriber(target),
+        *replica(target),
+        *bounds(target),
+    ]
+
+
+def subscriber(target):
+    table, update = (
+        Rows(target, Role.CONTROLLER, Situation.PEAK),
+        update_bytes(target.assumed("entry-bytes")),
+    )
+    beats = S / Bounds().feed.heartbeat
+    bunched = target.assumed("changes-in-worst-10s") / reckon.WORST
+    table.add(
+        Part.CONFIGURATION,
+        Quantity.BYTES_IN,
+        reckoned(
+            f"a heartbeat of {heartbeat_bytes()} bytes a second + changes a second x an update of {update}",
+            beats * heartbeat_bytes() + target.changes_a_second * update,
+        ),
+        f"{TOLD}; worst: changes-in-worst-10s, each an update of its own, not yet paced",
+        worst=reckoned("changes-in-worst-10s", beats * heartbeat_bytes() + bunched * update),
+        designs=REPLICAS,
+    )
+    table.add(
+        Part.CONFIGURATION,
+        Quantity.BYTES_OUT,
+        reckoned(
+            f"a confirm of {confirm_bytes()} bytes to each heartbeat and each update",
+            (beats + target.changes_a_second) * confirm_bytes(),
+        ),
+        TOLD,
+        worst=reckoned("changes-in-worst-10s", (beats + bunched) * confirm_bytes()),
+        designs=REPLICAS,
+        adds_up=True,
+    )
+    table.add(
+        Part.CONFIGURATION,
+        Quantity.STATE,
+        reckoned("(services + routes) x entry-bytes", snapshot_bytes(target)),
+        f"{TOLD}: the newest entry of each key",
+        designs=REPLICAS,
+    )
+    return table.rows
+
+
+def replica(target):
+    table, update = Rows(target, Role.REPLICA, Situation.PEAK), update_bytes(target.assumed("entry-bytes"))
+    beats, each = S / Bounds().feed.heartbeat, target.controllers / target.control_machines
+    bunched = target.assumed("changes-in-worst-10s") / reckon.WORST
+    table.add(
+        Part.REPLICATION,
+        Quantity.BYTES_OUT,
+        reckoned(
+            "controllers / control machines x what a subscriber gets, without the other replicas",
+            each * (beats * heartbeat_bytes() + target.changes_a_second * update),
+        ),
+        "control/feed: heartbeats and updates",
+        worst=reckoned("changes-in-worst-10s", each * (beats * heartbeat_bytes() + bunched * update)),
+        designs=REPLICAS,
+    )
+    table.add(
+        Part.REPLICATION,
+        Quantity.STATE,
+        reckoned("(services + routes) x entry-bytes, newest versions alone", snapshot_bytes(target)),
+        "control/store",
+        designs=REPLICAS,
+    )
+    return table.rows
+
+
+def bounds(target):
+    """The stated bounds on the time until a change is in force, bunched changes before it."""
+    stated = Bounds()
+    waiting = stated.waiting(
+        int(target.assumed("changes-in-worst-10s") * update_bytes(target.assumed("entry-bytes")))
+    )
+    found = []
+    for situation, value, formula in (
+        (Situation.PEAK, stated.good, "Bounds.good"),
+        (Situation.PEAK, stated.good + waiting, "Bounds.good + waiting(changes-in-worst-10s x an update)"),
+        (Situation.MACHINE, stated.replicas_dead(1), "Bounds.replicas_dead(1)"),
+        (Situation.RACK, stated.replicas_dead(2), "Bounds.replicas_dead(2)"),
+        (Situation.ZONE, stated.replicas_dead(2), "Bounds.replicas_dead(2): no more stand in one zone"),
+        (
+            Situation.CATCH_UP,
+            stated.any_fault + stated.waiting(int(missed_bytes(target))),
+            "Bounds.any_fault + waiting(keys changed meanwhile x an update), from the return",
+        ),
+    ):
+        table = Rows(target, Role.CONTROLLER, situation)
+        table.add(
+            Part.CONFIGURATION,
+            Quantity.IN_FORCE,
+            reckoned(formula, value / S),
+            "control/bounds: the stated bound",
+            designs=REPLICAS,
+        )
+        found += table.rows
+    return found
+
+
+def missed_bytes(target):
+    """Updates of the keys that changed while regions were apart, each key once."""
+    changed = min(target.changes_a_second * target.regions_apart, target.configuration_keys)
+    return changed * update_bytes(target.assumed("entry-bytes"))
+
+
+def snapshot_bytes(target):
+    return target.configuration_keys * target.assumed("entry-bytes")
+
+
+def snapshot_time(target):
+    """Seconds until one subscriber that holds nothing has all, at its sustained rate."""
+    return Bounds().waiting(int(snapshot_bytes(target))) / S
--- a/embertray/capacity/controller.py
+++ b/embertray/capacity/controller.py
@@ -290,24 +290,6 @@
     ):
         figure = slopes.at(slope, subscribers)
         rows.add(Part.CONFIGURATION, quantity, figure, told, designs=REPLICAS, adds_up=adds_up)
-    entry, bunched = target.assumed("entry-bytes"), target.assumed("changes-in-worst-10s")
-    rows.add(
-        Part.CONFIGURATION,
-        Quantity.BYTES_IN,
-        reckoned("changes a second x entry-bytes", target.changes_a_second * entry),
-        f"{told}: the entries alone, without heartbeats, heads and digests",
-        worst=reckoned("changes-in-worst-10s x entry-bytes / 10 s", bunched * entry / reckon.WORST),
-        designs=REPLICAS,
-    )
-    rows.add(
-        Part.CONFIGURATION,
-        Quantity.STATE,
-        reckoned(
-            "(services + routes) x entry-bytes", target.configuration_keys * target.assumed("entry-bytes")
-        ),
-        f"{told}: the newest entry of each key",
-        designs=REPLICAS,
-    )
 
 
 def add_process(rows, target, slopes):
--- a/embertray/capacity/failures.py
+++ b/embertray/capacity/failures.py
@@ -3,8 +3,9 @@
 from dataclasses import dataclass
 
 from . import reckon
+from .control import snapshot_bytes, snapshot_time
 from .controller import GOSSIP, LISTED_CHANGES, REPLICAS
-from .figure import derived, no_mechanism, reckoned, unknown
+from .figure import derived, no_mechanism, reckoned
 from .names import Part, Quantity, Role, Situation
 from .row import ONLY_ALL, Rows
 from .target import DAY
@@ -157,28 +158,16 @@
     during.add(
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
-        unknown("no slope control-time-to-all-region-apart"),
+        slopes.at("control-time-to-all-region-apart", target.controllers),
         "control/: on the majority's side; who is away keeps what is in force and says its age",
         designs=REPLICAS,
     )
-    missed = target.changes_a_day * target.regions_apart / DAY
-    owed = min(missed, target.configuration_keys) * target.assumed("entry-bytes")
     after = Rows(target, Role.CONTROLLER, Situation.CATCH_UP)
-    after.add(
-        Part.CONFIGURATION,
-        Quantity.IN_FORCE,
-        reckoned(
-            f"{missed:.1f} keys changed x entry-bytes / bytes a second of the budget",
-            owed / target.bytes_a_second,
-        ),
-        "control/: changed keys alone, paced; until all of them are in force, from the return",
-        designs=REPLICAS,
-    )
     after.add(
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
         slopes.at("control-time-to-all-after-apart", target.controllers),
-        "control/: the same, measured",
+        "control/: changed keys alone, paced, from the return; measured",
         designs=REPLICAS,
     )
     after.add(
@@ -205,10 +194,6 @@
     return [*during.rows, *after.rows]
 
 
-def snapshot_bytes(target):
-    return target.configuration_keys * target.assumed("entry-bytes")
-
-
 def all_start(target, slopes):
     """Every controller starts with nothing on its disk."""
     table = Rows(target, Role.CONTROLLER, Situation.ALL_START)
@@ -249,8 +234,8 @@
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
         reckoned(
-            "(services + routes) x entry-bytes / bytes a second of the budget",
-            snapshot_bytes(target) / target.bytes_a_second,
+            "(services + routes) x entry-bytes / a subscriber's sustained bytes a second",
+            snapshot_time(target),
         ),
         "control/: a whole snapshot for who holds nothing; what is on disk spares it",
         designs=REPLICAS,
--- a/embertray/capacity/others.py
+++ b/embertray/capacity/others.py
@@ -29,16 +29,6 @@
     ):
         figure = slopes.at(slope, subscribers)
         rows.add(Part.REPLICATION, quantity, figure, told, designs=REPLICAS, adds_up=True)
-    rows.add(
-        Part.REPLICATION,
-        Quantity.STATE,
-        reckoned(
-            "(services + routes) x entry-bytes, newest versions alone",
-            target.configuration_keys * target.assumed("entry-bytes"),
-        ),
-        told,
-        designs=REPLICAS,
-    )
     shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
     shares = reckon.limits_through_replicas(*shape)
     for quantity, value, formula in (
--- a/embertray/capacity/table.py
+++ b/embertray/capacity/table.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from . import controller, failures, others
+from . import control, controller, failures, others
 from .figure import Slopes
 from .names import Design, Part, Quantity, Reading, Role, Situation, Verdict
 from .row import Judged, Row, budget_of, judge
@@ -69,6 +69,7 @@
     rows = (
         *controller.steady(target, slopes),
         *others.steady(target, slopes),
+        *control.rows(target),
         *failures.rows(target, slopes),
     )
     order = list(Situation)
