--- a/embertray/capacity/figure.py
+++ b/embertray/capacity/figure.py
@@ -11,13 +11,14 @@
 @dataclass(frozen=True)
 class Figure:
     """`value` None: not known. `source`: the slope's name, the formula, or what is missing. `slopes`: names
-    of all slopes it rests on.
+    of all slopes it rests on. `error`: by how much the slope that predicts it missed its held-out size.
     """
 
     value: float | None
     origin: Origin
     source: str
     slopes: tuple = ()
+    error: float | None = None
 
     @property
     def known(self):
@@ -68,8 +69,10 @@
         if measured is not None:
             return Figure(measured, self.origin(found, Origin.MEASURED), found, (found,))
         predicted = max(0.0, self.fits[found].at(size))
-        origin = Origin.GUESS if self.fits[found].is_guess else self.origin(found, Origin.PREDICTED)
-        return Figure(predicted, origin, found, (found,))
+        held_out = self.fits[found].held_out
+        if held_out is None:
+            return Figure(predicted, Origin.GUESS, found, (found,))
+        return Figure(predicted, self.origin(found, Origin.PREDICTED), found, (found,), held_out.error)
 
     def origin(self, name, otherwise):
         return Origin.REPORTED if self.by_name[name].origin == "reported" else otherwise
--- a/embertray/capacity/fit.py
+++ b/embertray/capacity/fit.py
@@ -5,7 +5,7 @@
 """
 
 from dataclasses import dataclass
-from math import log, sqrt
+from math import inf, log, sqrt
 
 import numpy as np
 
@@ -28,7 +28,9 @@
 
 @dataclass(frozen=True)
 class HeldOut:
-    """The largest size, predicted from the others. `error` is relative to what was measured."""
+    """The largest size, predicted from the others. `error` is relative to what was measured; of 0 it is
+    infinite, unless that was predicted.
+    """
 
     size: float
     measured: float
@@ -36,7 +38,9 @@
 
     @property
     def error(self):
-        return abs(self.predicted - self.measured) / max(abs(self.measured), SMALLEST)
+        if self.measured == 0:
+            return 0.0 if self.predicted == 0 else inf
+        return abs(self.predicted - self.measured) / abs(self.measured)
 
 
 @dataclass(frozen=True)
--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -4,7 +4,7 @@
 from .figure import REPORTED
 from .names import Design, Origin, Quantity, Reading, Situation, Verdict
 from .table import FAILURES, STEADY, varied
-from .text import digits, quantity, source, table, verdict
+from .text import digits, percent, quantity, source, table, verdict
 
 HEAD = """# Capacity
 
@@ -183,17 +183,18 @@
 
 
 def slope_lines(found):
-    for name, slope in found.slopes.by_name.items():
+    asked = found.slopes.asked
+    for name, slope in sorted(found.slopes.by_name.items(), key=lambda one: (one[0] not in asked, one[0])):
         fit = found.slopes.fits[name]
         sizes = [size for size, _ in slope.medians()]
         held = fit.held_out
         yield (
-            f"`{name}`" + ("" if name in found.slopes.asked else " (no row)"),
+            f"`{name}`" + ("" if name in asked else " (no row)"),
             slope.unit,
             f"{slope.n}: {', '.join(digits(size) for size in sizes)}",
             f"{fit.law.base:.3g} + {fit.law.factor:.3g} {fit.law.growth}",
             " / ".join(f"{value:.1%}" for value in fit.residuals.values()),
-            f"{digits(held.predicted)} for {digits(held.measured)}: {held.error:.1%}"
+            f"{digits(held.predicted)} for {digits(held.measured)}: {percent(held.error)}"
             if held
             else "**a guess**",
             f"`{slope.command}`, {slope.commit}" + (", reported" if slope.origin == "reported" else ""),
--- a/embertray/capacity/report.py
+++ b/embertray/capacity/report.py
@@ -1,11 +1,14 @@
 """The table as plain data, for --json."""
 
+from math import isinf
+
 from .names import Design, Reading
 from .table import FAILURES, STEADY
 
 
 def judged(one):
-    return {"verdict": str(one.verdict), "factor": one.factor}
+    infinite = one.factor is not None and isinf(one.factor)
+    return {"verdict": str(one.verdict), "factor": None if infinite else one.factor}
 
 
 def row(one):
@@ -53,7 +56,12 @@
         "residuals": fit.residuals,
         "guess": fit.is_guess,
         "held_out": held
-        and {"size": held.size, "measured": held.measured, "predicted": held.predicted, "error": held.error},
+        and {
+            "size": held.size,
+            "measured": held.measured,
+            "predicted": held.predicted,
+            "error": None if isinf(held.error) else held.error,
+        },
         "command": one.command,
         "commit": one.commit,
         "origin": one.origin,
--- a/embertray/capacity/text.py
+++ b/embertray/capacity/text.py
@@ -1,5 +1,7 @@
 """Figures as text, and tables in Markdown."""
 
+from math import isinf
+
 from .names import Origin, Verdict
 
 SECONDS = (("s", 1.0), ("ms", 1e-3), ("us", 1e-6))
@@ -28,6 +30,11 @@
     return f"{digits(value)} {unit}"
 
 
+def percent(share):
+    """A relative error; none can be told of 0."""
+    return "more than can be told of 0" if isinf(share) else f"{share:.1%}"
+
+
 def verdict(judged):
     if judged.verdict is Verdict.SHORT:
         factor = f"{judged.factor:,.0f}" if judged.factor >= 100 else f"{judged.factor:.2g}"
@@ -43,7 +50,8 @@
         return figure.source
     if figure.origin is Origin.RECKONED:
         return f"reckoned: {figure.source}"
-    return f"`{figure.source}`, {figure.origin}"
+    missed = "" if figure.error is None else f", which missed its held-out size by {percent(figure.error)}"
+    return f"`{figure.source}`, {figure.origin}{missed}"
 
 
 def table(heads, rows):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -5,7 +5,7 @@
 import tempfile
 import unittest
 from itertools import product
-from math import log
+from math import inf, log
 from pathlib import Path
 
 import msgspec
@@ -74,6 +74,15 @@
         found = fit([(n, 77.0) for n in SIZES])
         self.assertAlmostEqual(found.at(10**6), 77.0, 6)
 
+    def test_an_error_of_what_was_0_is_infinite_and_the_json_says_null(self):
+        made = {"s": slope("s", [(1, 30.0), (2, 20.0), (3, 10.0), (4, 0.0), (5, 0.0)])}
+        self.assertEqual(fit(made["s"].medians()).held_out.error, inf)
+        with tempfile.TemporaryDirectory() as folder:
+            save(folder, made["s"])
+            found = json.loads(run("--json", "--slopes", folder).output)
+            self.assertIsNone(found["slopes"][0]["held_out"]["error"])
+            self.assertTrue("more than can be told of 0" in run("--page", "--slopes", folder).output)
+
     def test_three_sizes_are_a_guess_four_are_not(self):
         self.assertTrue(fit([(n, n) for n in SIZES[:3]]).is_guess)
         self.assertFalse(fit([(n, n) for n in SIZES[:4]]).is_guess)
@@ -146,6 +155,10 @@
             with self.subTest(name, size=size):
                 found = slopes.at(name, size)
                 self.assertEqual(found.origin, origin)
+                self.assertEqual(
+                    found.error is None,
+                    origin in (Origin.MEASURED, Origin.GUESS) or size == 4000 or value is None,
+                )
                 if value is None:
                     self.assertIsNone(found.value)
                 else:
