--- a/embertray/measure/capacity/record.py
+++ b/embertray/measure/capacity/record.py
@@ -18,16 +18,20 @@
     return f"{os.cpu_count()} shared cores, {memory:.0f} GiB, Python {platform.python_version()}"
 
 
+def git(*arguments):
+    try:
+        return subprocess.run(["git", *arguments], capture_output=True, text=True, check=False)
+    except OSError:
+        return None
+
+
 def commit():
     """The text that ran; `+` where files under embertray/ other than measurements differ from it."""
-    short = subprocess.run(
-        ["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=True
-    ).stdout.strip()
-    changed = subprocess.run(
-        ["git", "diff", "--quiet", "HEAD", "--", "embertray", ":!embertray/measure", ":!embertray/capacity"],
-        check=False,
-    ).returncode
-    return short + ("+" if changed else "")
+    head = git("rev-parse", "--short", "HEAD")
+    if head is None or head.returncode:
+        return "not known"
+    parts = ("embertray", ":!embertray/measure", ":!embertray/capacity")
+    return head.stdout.strip() + ("+" if git("diff", "--quiet", "HEAD", "--", *parts).returncode else "")
 
 
 class Recording:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,9 +1,11 @@
 """docs/CAPACITY.md and what computes it: fits, targets, verdicts; the page is what the command prints."""
 
+import io
 import json
 import re
 import tempfile
 import unittest
+from contextlib import redirect_stdout
 from itertools import product
 from math import inf, log
 from pathlib import Path
@@ -29,6 +31,8 @@
 from embertray.capacity.table import FAILURES, STEADY, compute, varied
 from embertray.capacity.target import OPERATORS, BadTarget, load
 from embertray.cli.main import main
+from embertray.measure.capacity import decisions, entries, picks
+from embertray.measure.capacity.record import Recording
 
 ROOT = Path(__file__).resolve().parent.parent
 SLOPES = ROOT / "docs" / "measured" / "capacity"
@@ -312,6 +316,37 @@
         self.assertEqual(through[0], through[1])
 
 
+class Measurements(unittest.TestCase):
+    """That they run and count, at small sizes; no time is judged."""
+
+    def test_the_module_is_stepped_as_often_as_said_under_each_load(self):
+        for made in (decisions.AT_TARGET, decisions.SILENT, decisions.EVERYONE, decisions.WHOLE_TABLES):
+            with self.subTest(made.name):
+                cost = decisions.measure(5, 17, made, 2)
+                self.assertEqual((cost.backends, cost.steps), (17, 20))
+
+    def test_bytes_of_the_list_grow_with_its_entries_and_those_of_a_change_do_not(self):
+        small, large = entries.measure(50), entries.measure(500)
+        self.assertAlmostEqual(large["list-bytes"] / small["list-bytes"], 10, 0)
+        self.assertEqual(large["change-bytes"], small["change-bytes"])
+        self.assertGreater(large["list-memory"], 5 * small["list-memory"])
+
+    def test_every_way_to_pick_is_counted_as_often_as_said(self):
+        for way in ("weighted", "round", "two"):
+            steady, changed = picks.measure(way, 17)
+            self.assertEqual((len(steady), len(changed)), (picks.PICKS, picks.CHANGES))
+
+    def test_a_recording_gives_slopes_that_can_be_loaded(self):
+        with tempfile.TemporaryDirectory() as folder:
+            recording = Recording("the command", folder)
+            with redirect_stdout(io.StringIO()):
+                recording.save("one", "s", "lines", [(8, 2.0), (4, 1.0), (8, 3.0)], "why")
+            made = load_all(folder)["one"]
+        self.assertEqual(made.points, [(4, 1.0), (8, 2.0), (8, 3.0)])
+        self.assertEqual((made.command, made.origin), ("the command", "measured"))
+        self.assertTrue(made.note.startswith("why; "))
+
+
 # how a target is spoiled, and what the one error names
 BAD_TARGETS = (
     ("not XML", lambda text: text[:200], "not well-formed"),
