--- a/embertray/measure/capacity/__main__.py
+++ b/embertray/measure/capacity/__main__.py
@@ -1,5 +1,7 @@
 """`python -m embertray.measure.capacity NAME`: measures slopes, writes them to docs/measured/capacity/."""
 
+import cProfile
+import pstats
 import shlex
 import sys
 
@@ -61,6 +63,17 @@
     decisions_part.run_by_steps(recording(), sizes(steps), proxies, backends, seconds)
 
 
+@main.command()
+@click.option("--proxies", default=68, show_default=True)
+@click.option("--backends", default=4000, show_default=True)
+@click.option("--seconds", default=10, show_default=True, help="Simulated.")
+def profile(proxies, backends, seconds):
+    """Prints where the module's time goes while nothing is heard, the profiler's own cost included."""
+    profiler = cProfile.Profile()
+    profiler.runcall(decisions_part.measure, proxies, backends, decisions_part.SILENT, seconds)
+    pstats.Stats(profiler).strip_dirs().sort_stats("cumulative").print_stats(20)
+
+
 @main.command()
 @click.option("--proxies", default="17,34,68,136,320", show_default=True)
 @click.option("--backends", default=250, show_default=True)
