--- a/embertray/capacity/control.py
+++ b/embertray/capacity/control.py
@@ -5,7 +5,6 @@
 from ..control.bounds import Bounds
 from ..control.entry import Entry
 from ..control.messages import Confirm, Heartbeat, Update, encode
-from ..stream.frames import frame
 from . import reckon
 from .figure import reckoned
 from .names import Design, Part, Quantity, Role, Situation
@@ -17,7 +16,7 @@
 
 
 def framed(message):
-    return len(frame(encode(message)))
+    return reckon.FRAME_BYTES + len(encode(message))
 
 
 def heartbeat_bytes():
--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -3,6 +3,7 @@
 from . import reckon
 from .figure import REPORTED
 from .names import Design, Origin, Quantity, Reading, Situation, Verdict
+from .reach import reaches
 from .table import FAILURES, STEADY, varied
 from .text import digits, percent, quantity, source, table, verdict
 
@@ -146,8 +147,8 @@
         f"{digits(target.racks_a_week)} rack or switch a week, {digits(target.zones_a_year)} zones a year, "
         "regions apart for "
         f"{quantity(target.regions_apart, 's')}. By the assumptions: {target.proxies:,.0f} proxies, "
-        f"{target.proxies_per_controller} a controller, {digits(target.requests_per_proxy)} requests a "
-        "second each.\n"
+        f"{target.proxies_per_controller} a controller; requests a second of each: "
+        f"{digits(target.requests_per_proxy)}.\n"
     )
 
 
@@ -245,6 +246,23 @@
     return f"{quantity(rate, 'bytes/s')} ({rate / budget:,.1f} budgets)"
 
 
+def reach_table(found):
+    """How large a fleet one part alone could be within its budget."""
+    return table(
+        ("part", "budget", "reached at", "the target has", "by"),
+        (
+            (
+                one.what,
+                quantity(one.budget, one.unit),
+                f"{one.size:,} {one.size_of}",
+                f"{one.wanted:,}",
+                one.source,
+            )
+            for one in reaches(found.target, found.slopes)
+        ),
+    )
+
+
 def gaps(found):
     """Slopes that rows ask for and that are not there."""
     missing = sorted(
@@ -282,6 +300,10 @@
             "another value and all else is as above.\n",
             variations(found, by_name),
             "",
+            "## Sizes at which a budget is reached\n",
+            "The largest size at which one part, alone, is within its budget, by its law or formula.\n",
+            reach_table(found),
+            "",
             "## Shares of limits, each to each or through the replicas\n",
             "Reckoned from true messages at the target's size, one ask a second. Through the replicas an "
             "ask names only its sender's own proxies, and one replica keeps the shares.\n",
--- a/embertray/capacity/reckon.py
+++ b/embertray/capacity/reckon.py
@@ -7,9 +7,9 @@
 from ..cluster.membership import Pace as ClusterPace
 from ..fleet.limits.messages import Ask, Grant
 from ..fleet.limits.pace import Pace as LimitsPace
-from ..stream.frames import frame
 
 S = 10**9
+FRAME_BYTES = 4  # of a frame's length; how large a frame may be is not asked here
 WORST = 10  # seconds of a worst mean
 PERIOD = ClusterPace().period / S  # s
 EXCHANGE = 2.0  # s: the longest exchange of state (docs/design/cluster.md)
@@ -35,12 +35,12 @@
         frozenset(here),
         dict.fromkeys(names("controller", members), BUSY_NUMBER),
     )
-    return len(frame(msgspec.msgpack.encode(ask)))
+    return FRAME_BYTES + len(msgspec.msgpack.encode(ask))
 
 
 def grant_bytes(limits):
     grant = Grant(BUSY_NUMBER, BUSY_NUMBER, dict.fromkeys(names("limit", limits), 1000))
-    return len(frame(msgspec.msgpack.encode(grant)))
+    return FRAME_BYTES + len(msgspec.msgpack.encode(grant))
 
 
 @dataclass(frozen=True)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -26,6 +26,7 @@
     Situation,
     Verdict,
 )
+from embertray.capacity.reach import SIZE_MOST, largest_within, reaches
 from embertray.capacity.row import Row, judge
 from embertray.capacity.slope import BadSlope, Slope, load_all, save
 from embertray.capacity.table import FAILURES, STEADY, compute, varied
@@ -347,6 +348,28 @@
         self.assertTrue(made.note.startswith("why; "))
 
 
+class Reaches(unittest.TestCase):
+    def test_the_largest_size_within_a_budget(self):
+        for grows, budget, size in (
+            (lambda n: 2 * n, 100, 50),
+            (lambda n: 2 * n, 101, 50),
+            (lambda n: n * n, 100, 10),
+            (lambda n: 5 + n, 5, 0),
+            (lambda n: 3, 5, SIZE_MOST),
+        ):
+            with self.subTest(size=size, budget=budget):
+                self.assertEqual(largest_within(grows, budget), size)
+
+    def test_a_size_within_the_budget_is_at_the_edge_of_it(self):
+        target, slopes = load(), Slopes(load_all(SLOPES))
+        found = {one.what: one for one in reaches(target, slopes)}
+        decisions_reach = found["decisions, the target's load"]
+        law = slopes.fits["decisions-processor-68"].law
+        self.assertLessEqual(law.at(decisions_reach.size), target.cores)
+        self.assertGreater(law.at(decisions_reach.size + 1), target.cores)
+        self.assertEqual(found["gossip, staleness promised"].size, 5)  # 2 x 4 + 3 = 11 s
+
+
 # how a target is spoiled, and what the one error names
 BAD_TARGETS = (
     ("not XML", lambda text: text[:200], "not well-formed"),
