--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -3,8 +3,9 @@
 from . import reckon
 from .figure import REPORTED
 from .names import Design, Origin, Quantity, Reading, Situation, Verdict
-from .table import varied
-from .text import digits, quantity, source, table, verdict
+from .reach import reaches
+from .table import FAILURES, STEADY, varied
+from .text import digits, percent, quantity, source, table, verdict
 
 HEAD = """# Capacity
 
@@ -80,17 +81,25 @@
     parts = []
     for design in Design:
         for reading in Reading:
-            rows = found.largest(reading, design)
-            lines = [
-                f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {verdict(row.judged)} "
-                f"({quantity(max_of(row), row.unit)} of {quantity(row.budget, row.unit)}; "
-                f"{row.figure.origin}; {row.mechanism})"
-                for place, row in enumerate(rows, 1)
-            ] or ["None that is known."]
-            parts.append(f"**{str(design).capitalize()}; {reading}:**\n\n" + "\n".join(lines))
+            steady = ranked(found.largest(reading, design, STEADY))
+            failures = ranked(found.largest(reading, design, FAILURES))
+            parts.append(
+                f"### {str(design).capitalize()}; {reading}\n\nWhile nothing fails:\n\n{steady}\n\n"
+                f"In failures, starts and restarts:\n\n{failures}"
+            )
     return "\n\n".join(parts)
 
 
+def ranked(rows):
+    lines = [
+        f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {verdict(row.judged)} "
+        f"({quantity(max_of(row), row.unit)} of {quantity(row.budget, row.unit)}; "
+        f"{row.figure.origin}; {row.mechanism})"
+        for place, row in enumerate(rows, 1)
+    ]
+    return "\n".join(lines) or "None that is known."
+
+
 def max_of(row):
     worst = row.worst.value if row.worst is not None and row.worst.known else row.figure.value
     return min(row.figure.value, worst) if row.quantity is Quantity.SEEN else max(row.figure.value, worst)
@@ -138,8 +147,8 @@
         f"{digits(target.racks_a_week)} rack or switch a week, {digits(target.zones_a_year)} zones a year, "
         "regions apart for "
         f"{quantity(target.regions_apart, 's')}. By the assumptions: {target.proxies:,.0f} proxies, "
-        f"{target.proxies_per_controller} a controller, {digits(target.requests_per_proxy)} requests a "
-        "second each.\n"
+        f"{target.proxies_per_controller} a controller; requests a second of each: "
+        f"{digits(target.requests_per_proxy)}.\n"
     )
 
 
@@ -175,17 +184,18 @@
 
 
 def slope_lines(found):
-    for name, slope in found.slopes.by_name.items():
+    asked = found.slopes.asked
+    for name, slope in sorted(found.slopes.by_name.items(), key=lambda one: (one[0] not in asked, one[0])):
         fit = found.slopes.fits[name]
         sizes = [size for size, _ in slope.medians()]
         held = fit.held_out
         yield (
-            f"`{name}`" + ("" if name in found.slopes.asked else " (no row)"),
+            f"`{name}`" + ("" if name in asked else " (no row)"),
             slope.unit,
             f"{slope.n}: {', '.join(digits(size) for size in sizes)}",
             f"{fit.law.base:.3g} + {fit.law.factor:.3g} {fit.law.growth}",
             " / ".join(f"{value:.1%}" for value in fit.residuals.values()),
-            f"{digits(held.predicted)} for {digits(held.measured)}: {held.error:.1%}"
+            f"{digits(held.predicted)} for {digits(held.measured)}: {percent(held.error)}"
             if held
             else "**a guess**",
             f"`{slope.command}`, {slope.commit}" + (", reported" if slope.origin == "reported" else ""),
@@ -236,6 +246,23 @@
     return f"{quantity(rate, 'bytes/s')} ({rate / budget:,.1f} budgets)"
 
 
+def reach_table(found):
+    """How large a fleet one part alone could be within its budget."""
+    return table(
+        ("part", "budget", "reached at", "the target has", "by"),
+        (
+            (
+                one.what,
+                quantity(one.budget, one.unit),
+                f"{one.size:,} {one.size_of}",
+                f"{one.wanted:,}",
+                one.source,
+            )
+            for one in reaches(found.target, found.slopes)
+        ),
+    )
+
+
 def gaps(found):
     """Slopes that rows ask for and that are not there."""
     missing = sorted(
@@ -273,6 +300,10 @@
             "another value and all else is as above.\n",
             variations(found, by_name),
             "",
+            "## Sizes at which a budget is reached\n",
+            "The largest size at which one part, alone, is within its budget, by its law or formula.\n",
+            reach_table(found),
+            "",
             "## Shares of limits, each to each or through the replicas\n",
             "Reckoned from true messages at the target's size, one ask a second. Through the replicas an "
             "ask names only its sender's own proxies, and one replica keeps the shares.\n",
--- a/embertray/capacity/report.py
+++ b/embertray/capacity/report.py
@@ -1,10 +1,14 @@
 """The table as plain data, for --json."""
 
+from math import isinf
+
 from .names import Design, Reading
+from .table import FAILURES, STEADY
 
 
 def judged(one):
-    return {"verdict": str(one.verdict), "factor": one.factor}
+    infinite = one.factor is not None and isinf(one.factor)
+    return {"verdict": str(one.verdict), "factor": None if infinite else one.factor}
 
 
 def row(one):
@@ -52,22 +56,32 @@
         "residuals": fit.residuals,
         "guess": fit.is_guess,
         "held_out": held
-        and {"size": held.size, "measured": held.measured, "predicted": held.predicted, "error": held.error},
+        and {
+            "size": held.size,
+            "measured": held.measured,
+            "predicted": held.predicted,
+            "error": None if isinf(held.error) else held.error,
+        },
         "command": one.command,
         "commit": one.commit,
         "origin": one.origin,
     }
 
 
+def largest(found, reading, design):
+    return {
+        name: [row(one) for one in found.largest(reading, design, situations)]
+        for name, situations in (("nothing fails", STEADY), ("failures", FAILURES))
+    }
+
+
 def as_data(found):
     return {
         "target": found.target.name,
         "rows": [row(one) for one in found.rows],
         "totals": [total(one) for one in found.totals],
         "largest": {
-            str(design): {
-                str(reading): [row(one) for one in found.largest(reading, design)] for reading in Reading
-            }
+            str(design): {str(reading): largest(found, reading, design) for reading in Reading}
             for design in Design
         },
         "slopes": [slope(name, found) for name in found.slopes.by_name],
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,10 +1,13 @@
 """docs/CAPACITY.md and what computes it: fits, targets, verdicts; the page is what the command prints."""
 
+import io
 import json
 import re
 import tempfile
 import unittest
-from math import log
+from contextlib import redirect_stdout
+from itertools import product
+from math import inf, log
 from pathlib import Path
 
 import msgspec
@@ -23,11 +26,14 @@
     Situation,
     Verdict,
 )
+from embertray.capacity.reach import SIZE_MOST, largest_within, reaches
 from embertray.capacity.row import Row, judge
 from embertray.capacity.slope import BadSlope, Slope, load_all, save
-from embertray.capacity.table import compute, varied
+from embertray.capacity.table import FAILURES, STEADY, compute, varied
 from embertray.capacity.target import OPERATORS, BadTarget, load
 from embertray.cli.main import main
+from embertray.measure.capacity import decisions, entries, picks
+from embertray.measure.capacity.record import Recording
 
 ROOT = Path(__file__).resolve().parent.parent
 SLOPES = ROOT / "docs" / "measured" / "capacity"
@@ -73,6 +79,15 @@
         found = fit([(n, 77.0) for n in SIZES])
         self.assertAlmostEqual(found.at(10**6), 77.0, 6)
 
+    def test_an_error_of_what_was_0_is_infinite_and_the_json_says_null(self):
+        made = {"s": slope("s", [(1, 30.0), (2, 20.0), (3, 10.0), (4, 0.0), (5, 0.0)])}
+        self.assertEqual(fit(made["s"].medians()).held_out.error, inf)
+        with tempfile.TemporaryDirectory() as folder:
+            save(folder, made["s"])
+            found = json.loads(run("--json", "--slopes", folder).output)
+            self.assertIsNone(found["slopes"][0]["held_out"]["error"])
+            self.assertTrue("more than can be told of 0" in run("--page", "--slopes", folder).output)
+
     def test_three_sizes_are_a_guess_four_are_not(self):
         self.assertTrue(fit([(n, n) for n in SIZES[:3]]).is_guess)
         self.assertFalse(fit([(n, n) for n in SIZES[:4]]).is_guess)
@@ -145,6 +160,10 @@
             with self.subTest(name, size=size):
                 found = slopes.at(name, size)
                 self.assertEqual(found.origin, origin)
+                self.assertEqual(
+                    found.error is None,
+                    origin in (Origin.MEASURED, Origin.GUESS) or size == 4000 or value is None,
+                )
                 if value is None:
                     self.assertIsNone(found.value)
                 else:
@@ -225,15 +244,16 @@
         rows = self.table.rows
         self.assertEqual({row.role for row in rows}, set(Role))
         self.assertEqual({row.situation for row in rows}, set(Situation))
-        self.assertEqual({row.part for row in rows}, set(Part) - {Part.WHOLE})
+        self.assertEqual({row.part for row in rows}, set(Part))
         for row in rows:
             self.assertTrue(row.mechanism)
             self.assertTrue(row.figure.source)
 
     def test_the_largest_factors_fall_and_name_each_part_once(self):
-        for design in Design:
-            for reading in Reading:
-                rows = self.table.largest(reading, design)
+        for design, reading, situations in product(Design, Reading, (STEADY, FAILURES)):
+            with self.subTest(design=design, reading=reading):
+                rows = self.table.largest(reading, design, situations)
+                self.assertTrue(all(row.situation in situations for row in rows))
                 factors = [row.judged.factor for row in rows]
                 self.assertEqual(factors, sorted(factors, reverse=True))
                 self.assertEqual(len({(row.role, row.part, row.unit) for row in rows}), len(rows))
@@ -297,6 +317,59 @@
         self.assertEqual(through[0], through[1])
 
 
+class Measurements(unittest.TestCase):
+    """That they run and count, at small sizes; no time is judged."""
+
+    def test_the_module_is_stepped_as_often_as_said_under_each_load(self):
+        for made in (decisions.AT_TARGET, decisions.SILENT, decisions.EVERYONE, decisions.WHOLE_TABLES):
+            with self.subTest(made.name):
+                cost = decisions.measure(5, 17, made, 2)
+                self.assertEqual((cost.backends, cost.steps), (17, 20))
+
+    def test_bytes_of_the_list_grow_with_its_entries_and_those_of_a_change_do_not(self):
+        small, large = entries.measure(50), entries.measure(500)
+        self.assertAlmostEqual(large["list-bytes"] / small["list-bytes"], 10, 0)
+        self.assertEqual(large["change-bytes"], small["change-bytes"])
+        self.assertGreater(large["list-memory"], 5 * small["list-memory"])
+
+    def test_every_way_to_pick_is_counted_as_often_as_said(self):
+        for way in ("weighted", "round", "two"):
+            steady, changed = picks.measure(way, 17)
+            self.assertEqual((len(steady), len(changed)), (picks.PICKS, picks.CHANGES))
+
+    def test_a_recording_gives_slopes_that_can_be_loaded(self):
+        with tempfile.TemporaryDirectory() as folder:
+            recording = Recording("the command", folder)
+            with redirect_stdout(io.StringIO()):
+                recording.save("one", "s", "lines", [(8, 2.0), (4, 1.0), (8, 3.0)], "why")
+            made = load_all(folder)["one"]
+        self.assertEqual(made.points, [(4, 1.0), (8, 2.0), (8, 3.0)])
+        self.assertEqual((made.command, made.origin), ("the command", "measured"))
+        self.assertTrue(made.note.startswith("why; "))
+
+
+class Reaches(unittest.TestCase):
+    def test_the_largest_size_within_a_budget(self):
+        for grows, budget, size in (
+            (lambda n: 2 * n, 100, 50),
+            (lambda n: 2 * n, 101, 50),
+            (lambda n: n * n, 100, 10),
+            (lambda n: 5 + n, 5, 0),
+            (lambda n: 3, 5, SIZE_MOST),
+        ):
+            with self.subTest(size=size, budget=budget):
+                self.assertEqual(largest_within(grows, budget), size)
+
+    def test_a_size_within_the_budget_is_at_the_edge_of_it(self):
+        target, slopes = load(), Slopes(load_all(SLOPES))
+        found = {one.what: one for one in reaches(target, slopes)}
+        decisions_reach = found["decisions, the target's load"]
+        law = slopes.fits["decisions-processor-68"].law
+        self.assertLessEqual(law.at(decisions_reach.size), target.cores)
+        self.assertGreater(law.at(decisions_reach.size + 1), target.cores)
+        self.assertEqual(found["gossip, staleness promised"].size, 5)  # 2 x 4 + 3 = 11 s
+
+
 # how a target is spoiled, and what the one error names
 BAD_TARGETS = (
     ("not XML", lambda text: text[:200], "not well-formed"),
@@ -424,7 +497,7 @@
         text = (ROOT / "docs" / "CAPACITY.md").read_text()
         for design in Design:
             for reading in Reading:
-                self.assertIn(f"**{str(design).capitalize()}; {reading}:**", text)
+                self.assertIn(f"### {str(design).capitalize()}; {reading}\n", text)
 
 
 if __name__ == "__main__":
