--- a/embertray/rig/control.py
+++ b/embertray/rig/control.py
@@ -3,6 +3,8 @@
 """
 
 import json
+import shutil
+import sys
 import time
 import urllib.error
 import urllib.request
@@ -11,6 +13,7 @@
 from lxml import etree
 
 from ..site.site import HERE as SITES
+from .control_links import ControlLinks
 from .described import describe
 from .ports import free_ports
 from .program import Program, embertray
@@ -22,19 +25,29 @@
 
 
 class ControlPlane:
-    """Replicas k1 to kN and controllers c1 to cM, each started and ended by its name. `through(a, b)` gives
-    the port where `a` reaches `b`, None for the true one."""
+    """Replicas k1 to kN and controllers c1 to cM, each started and ended by its name. `scale`: None runs the
+    program itself, a number the rig's own processes (control_process.py) at that scale; `rate`: the bytes a
+    second of a subscriber."""
 
-    def __init__(self, folder, replicas=3, controllers=0, through=None):
-        self.folder, self.through = Path(folder), through or (lambda a, b: None)
+    def __init__(self, folder, replicas=3, controllers=0, scale=None, rate="4000B"):
+        self.folder, self.scale, self.rate, self.links = Path(folder), scale, rate, None
         self.replicas = [f"k{n + 1}" for n in range(replicas)]
         self.controllers = [f"c{n + 1}" for n in range(controllers)]
         ports = iter(free_ports(3 * (replicas + controllers)))
         self.ports = {name: [next(ports) for _ in range(3)] for name in self.replicas + self.controllers}
-        self.running = {}
+        self.running, self.stopped = {}, set()
+        self.programs = {}  # name -> what runs in place of the rig's own process
 
     # ---- descriptions
 
+    def linked(self, seed=1):
+        """The ControlLinks that lie between all processes from now on; they have to run."""
+        self.links = ControlLinks(self.replicas, self.controllers, self._true_port, seed)
+        return self.links
+
+    def _true_port(self, name, other):
+        return self.ports[other][0 if name in self.replicas else 2]
+
     def region(self, name):
         """Replicas and controllers are dealt out to the regions in turn."""
         return REGIONS[(int(name[1:]) - 1) % len(REGIONS)]
@@ -45,8 +58,9 @@
 
     def address(self, name, other):
         """Where `name` reaches the replica `other`."""
-        true = self.ports[other][0 if name in self.replicas else 2]
-        return f"127.0.0.1:{(name != other and self.through(name, other)) or true}"
+        linked = self.links is not None and name != other
+        port = self.links.port(name, other) if linked else self._true_port(name, other)
+        return f"127.0.0.1:{port}"
 
     def described(self, name):
         """The site's file as this process is to know it."""
@@ -60,7 +74,8 @@
             return path
         tree = etree.parse(str(path))
         root = tree.getroot()
-        control = etree.Element("control", keep=str(self.folder / "held"))
+        held = {"keep": str(self.folder / "held"), "bytes-per-second": self.rate}
+        control = etree.Element("control", held)
         for one in self.replicas:
             if name in self.replicas:
                 address, listen = self.address(name, one), f"127.0.0.1:{self.ports[one][2]}"
@@ -79,10 +94,18 @@
 
     def up(self, name):
         """Starts a process."""
-        kind = ("control", "serve") if name in self.replicas else ("serve",)
-        option = "--replica" if name in self.replicas else "--controller"
-        command = embertray(*kind, str(self.described(name)), option, name, level="debug")
-        self.running[name] = Program(self.folder / f"{name}.log", None, name, command=command)
+        log, path = self.folder / f"{name}.log", str(self.described(name))
+        self.running[name] = Program(log, None, name, command=self._command(name, path))
+
+    def _command(self, name, path):
+        replica = name in self.replicas
+        if self.scale is not None:
+            program = self.programs.get(name, ["-m", "embertray.rig.control_process"])
+            role = "replica" if replica else "subscriber"
+            return [sys.executable, *program, path, role, name, "--scale", str(self.scale)]
+        if replica:
+            return embertray("control", "serve", path, "--replica", name, level="debug")
+        return embertray("serve", path, "--controller", name, level="debug")
 
     def all_up(self):
         """Starts all."""
@@ -93,6 +116,25 @@
         """Ends a process at once (SIGKILL)."""
         self.running.pop(name).kill()
 
+    def stop(self, name):
+        """It stands still (SIGSTOP) until `go_on`."""
+        self.running[name].stop()
+        self.stopped.add(name)
+
+    def go_on(self, name):
+        """It goes on (SIGCONT) as if no time had passed."""
+        self.stopped.discard(name)
+        self.running[name].go_on()
+
+    def forget(self, name):
+        """What a replica that does not run has on disk is gone."""
+        shutil.rmtree(self.folder / "kept" / name, ignore_errors=True)
+
+    @property
+    def asked(self):
+        """Names of processes that can answer."""
+        return [name for name in list(self.running) if name not in self.stopped]
+
     def end(self):
         """Ends all that still run."""
         for program in self.running.values():
@@ -119,7 +161,7 @@
     def leader(self):
         """The name of the replica that leads with a majority, or None."""
         for name in self.replicas:
-            told = self.status(name) if name in self.running else None
+            told = self.status(name) if name in self.asked else None
             if told and told["has_majority"]:
                 return name
         return None
@@ -135,7 +177,7 @@
             if found := wanted():
                 return found
             time.sleep(LOOK)
-        raise AssertionError(f"not within {most} s: {what}; {[self.status(name) for name in self.running]}")
+        raise AssertionError(f"not within {most} s: {what}; {[self.status(name) for name in self.asked]}")
 
     def lines(self, name):
         """What a process logged in all its lives, as dicts."""
--- /dev/null
+++ b/embertray/rig/control_links.py
@@ -0,0 +1,59 @@
+"""The links of a control plane of true processes: each replica to each other one, each subscriber to each
+replica, on TCP addresses of the rig's.
+"""
+
+from contextlib import contextmanager
+
+import anyio
+from anyio.from_thread import start_blocking_portal
+
+from ..model.web import Web
+from .ports import free_ports
+from .tube import Tube
+
+
+class ControlLinks(Web):
+    """`target(a, b)` gives the true port where `a` would reach the replica `b`. Runs in a thread of its own;
+    the methods here may be called from any other."""
+
+    def __init__(self, replicas, subscribers, target, seed=1):
+        super().__init__(replicas, seed, subscribers)
+        self.target, self.portal = target, None
+        dialled = [(a, b) for a in [*replicas, *subscribers] for b in replicas if a != b]
+        self.ports = dict(zip(dialled, free_ports(len(dialled)), strict=True))
+
+    def port(self, a, b):
+        """Where `a` is to dial to reach `b`."""
+        return self.ports[a, b]
+
+    @contextmanager
+    def running(self):
+        """Links run as long as the context lasts."""
+        with start_blocking_portal() as self.portal:
+            task, _ = self.portal.start_task(self._run)
+            try:
+                yield self
+            finally:
+                task.cancel()
+
+    async def _run(self, *, task_status):
+        async with anyio.create_task_group() as group:
+            for (a, b), port in self.ports.items():
+                address = f"127.0.0.1:{self.target(a, b)}"
+                ways, streams = (self.ways[a, b], self.ways[b, a]), self.streams[a, b]
+                await group.start(Tube(port, lambda address=address: address, *ways, streams).run)
+            task_status.started()
+
+    # ---- faults
+
+    def part(self, *groups):
+        """Only those of one group reach each other; who is in none reaches all."""
+        self.portal.call(lambda: self.split(*groups))
+
+    def close(self, *pairs):
+        """Nothing passes from the first of each pair to the second; streams between them stay silent."""
+        self.portal.call(lambda: self.bend(0, pairs, open=False))
+
+    def mend(self):
+        """All links are good again; what they held back is delivered."""
+        self.portal.call(self.heal)
--- /dev/null
+++ b/embertray/rig/control_play.py
@@ -0,0 +1,181 @@
+"""A control plane of true processes that faults strike one after the other, while writes go on."""
+
+import random
+import tempfile
+import threading
+import time
+from contextlib import contextmanager
+from dataclasses import dataclass, field
+
+from ..control.bounds import Bounds
+from .control import ControlPlane
+from .control_pace import scaled_paces
+from .control_record import ControlRecord
+
+S = 10**9
+FAULTS = ("kill", "stop", "split")
+FAULT_SECONDS = 10.0  # that a process stands still, or links are broken, at scale 1
+DOWN_SECONDS = 3.0  # that a killed process stays away at the most, at scale 1
+CALM_SECONDS = 1.0  # between the end of one fault and the next one, at scale 1
+CALM_AT_END = 8.0  # of writes with nothing broken, after the bound on any faults, at scale 1
+KEYS = 20
+FORGETFUL = 4  # each so many kills, one of a replica takes what it had on disk
+WRITE_PAUSE = 0.05  # s between two writes of one writer
+WRITERS = 2
+
+
+@dataclass
+class Struck:
+    """One fault, and the seconds from its end until all held all that was acknowledged."""
+
+    kind: str
+    what: str
+    settled_s: float = 0.0
+
+
+@dataclass
+class PlayResult:
+    """What a play found."""
+
+    claims: object
+    faults: list = field(default_factory=list)
+    outcomes: dict = field(default_factory=dict)
+    seconds: float = 0.0
+
+
+@contextmanager
+def recorded_plane(folder, replicas=3, subscribers=2, scale=0.25, seed=1, programs=None):
+    """A ControlRecord of a control plane with links that runs and has a leader, looked at all the while.
+    `programs`: name -> what runs in place of the rig's own process."""
+    plane = ControlPlane(folder, replicas, subscribers, scale)
+    plane.programs.update(programs or {})
+    bounds = Bounds(*scaled_paces(scale))
+    with plane.linked(seed).running():
+        record = ControlRecord(plane, bounds)
+        looker = threading.Thread(target=record.keep_looking)
+        try:
+            plane.all_up()
+            plane.wait(plane.leader, "a leader")
+            plane.wait(lambda: all(plane.status(name) for name in plane.controllers), "subscribers answer")
+            looker.start()
+            yield record
+        finally:
+            record.ending.set()
+            if looker.ident is not None:
+                looker.join()
+            plane.end()
+
+
+class ControlPlay:
+    """Strikes a ControlRecord's plane; all choices come from `seed`."""
+
+    def __init__(self, record, scale, seed):
+        self.record, self.plane, self.scale = record, record.plane, scale
+        self.chance, self.kills = random.Random(f"{seed} faults"), 0
+        self.seed, self.strikes = seed, []
+
+    def run(self, each, show=lambda text: None):
+        """`each` faults of each kind, in a random order; a PlayResult."""
+        began = time.monotonic()
+        writers = [threading.Thread(target=self._keep_writing, args=(n,)) for n in range(WRITERS)]
+        for writer in writers:
+            writer.start()
+        kinds = [kind for kind in FAULTS for _ in range(each)]
+        self.chance.shuffle(kinds)
+        try:
+            for kind in kinds:
+                struck = getattr(self, f"_{kind}")()
+                struck.settled_s = self._settle()
+                self.strikes.append(struck)
+                settled = f"all had caught up {struck.settled_s:.1f} s later"
+                show(f"{len(self.strikes)} of {len(kinds)}: {struck.what}, {settled}")
+                time.sleep(CALM_SECONDS * self.scale)
+            time.sleep(self.record.bounds.any_fault / S + CALM_AT_END * self.scale)
+        finally:
+            self.record.ending.set()
+            for writer in writers:
+                writer.join()
+        self._settle()
+        claims = self.record.judge()
+        return PlayResult(claims, self.strikes, dict(self.record.outcomes), time.monotonic() - began)
+
+    # ---- faults
+
+    def _kill(self):
+        name = self._victim()
+        replica = name in self.plane.replicas
+        self.kills += replica
+        forgets = replica and self.kills % FORGETFUL == 0
+        self.record.fault([] if replica else [name])
+        self.plane.kill(name)
+        if forgets:
+            self.plane.forget(name)
+        time.sleep(self.chance.random() * DOWN_SECONDS * self.scale)
+        self.plane.up(name)
+        self.plane.wait(lambda: self.plane.status(name), f"{name} answers")
+        self.record.fault_over(name)
+        return Struck("kill", f"{name} killed" + (", its disk lost" if forgets else ""))
+
+    def _stop(self):
+        name = self._victim()
+        self.record.fault([] if name in self.plane.replicas else [name])
+        self.plane.stop(name)
+        time.sleep(FAULT_SECONDS * self.scale)
+        self.plane.go_on(name)
+        self.record.fault_over(name)
+        return Struck("stop", f"{name} stopped")
+
+    def _split(self):
+        everyone = [*self.plane.replicas, *self.plane.controllers]
+        self.record.fault(self.plane.controllers)
+        if self.chance.random() < 0.5:
+            pairs = self.chance.sample(sorted(self.plane.links.ways), 4)
+            self.plane.links.close(*pairs)
+            what = "one way: " + ", ".join(f"{a} to {b}" for a, b in pairs)
+        else:
+            self.chance.shuffle(everyone)
+            cut = self.chance.randrange(1, len(everyone))
+            self.plane.links.part(everyone[:cut], everyone[cut:])
+            what = f"split: {' '.join(sorted(everyone[:cut]))} from the others"
+        time.sleep(FAULT_SECONDS * self.scale)
+        self.plane.links.mend()
+        self.record.fault_over("split")
+        return Struck("split", what)
+
+    def _victim(self):
+        """A replica as often as a subscriber; of the replicas the leader as often as not."""
+        if self.chance.random() < 0.5:
+            return self.chance.choice(self.plane.controllers)
+        if self.chance.random() < 0.5 and (leader := self.plane.leader()):
+            return leader
+        return self.chance.choice(self.plane.replicas)
+
+    # ---- the rest
+
+    def _keep_writing(self, number):
+        chance, count = random.Random(f"{self.seed} writer {number}"), 0
+        while not self.record.ending.wait(WRITE_PAUSE):
+            count += 1
+            key, at = f"key-{chance.randrange(KEYS)}", chance.choice(self.plane.replicas)
+            value = None if chance.random() < 0.1 else f"{number} {count}".encode() * chance.randrange(1, 20)
+            self.record.put(at, key, value, f"{self.seed}-{number}-{count}", within=2.0)
+
+    def _settle(self):
+        """Seconds until all hold all that was acknowledged until now."""
+        began, revision = time.monotonic(), self.record.newest
+        most = (2 * self.record.bounds.any_fault) / S
+
+        def reached():
+            told = [self.plane.status(name) for name in self.plane.running]
+            return None not in told and min(one["revision"] for one in told) >= revision
+
+        self.plane.wait(reached, f"all hold revision {revision}", most)
+        return time.monotonic() - began
+
+
+def play(faults, seed, scale, replicas=3, subscribers=6, folder=None, show=lambda text: None):
+    """A PlayResult. `folder`: where logs and states stay, a temporary one if None."""
+    with tempfile.TemporaryDirectory() as temporary:
+        where = folder or temporary
+        with recorded_plane(where, replicas, subscribers, scale, seed=seed) as record:
+            return ControlPlay(record, scale, seed).run(faults, show)
--- /dev/null
+++ b/embertray/rig/control_process.py
@@ -0,0 +1,76 @@
+"""One process of a control plane whose times are shorter by a factor, for tests and plays: a control replica,
+or a subscriber alone, without a controller round it.
+
+`python -m embertray.rig.control_process SITE.xml replica|subscriber NAME --scale 0.2`
+"""
+
+import signal
+
+import anyio
+import click
+import msgspec
+import structlog
+
+from ..admin.server import serve_request, text
+from ..cli import logs
+from ..control.pace import FeedPace
+from ..daemon.control import ReplicaProcess, subscriber_client
+from ..net.clock import LoopClock
+from ..net.tcp import TcpNet
+from ..site import load
+from .control_pace import scaled_paces
+
+
+@click.command()
+@click.argument("site")
+@click.argument("role", type=click.Choice(["replica", "subscriber"]))
+@click.argument("name")
+@click.option("--scale", type=float, default=1.0, show_default=True)
+def main(site, role, name, scale):
+    """One process of a control plane, until SIGTERM."""
+    logs.set_up("json", "debug")
+    run = run_replica if role == "replica" else run_subscriber
+    anyio.run(run, load(site), name, scale, backend_options={"use_uvloop": True})
+
+
+async def run_replica(site, name, scale):
+    """A ReplicaProcess at this scale."""
+    replica_pace, feed_pace, _ = scaled_paces(scale, FeedPace(bytes_per_second=site.control.bytes_per_second))
+    me = site.control.replica(name)
+    process = ReplicaProcess(
+        site.control, me, LoopClock(), TcpNet(), 1, replica_pace=replica_pace, feed_pace=feed_pace
+    )
+    async with anyio.create_task_group() as group:
+        group.start_soon(until_signal, process.stop)
+        await process.run()
+        group.cancel_scope.cancel()
+
+
+async def run_subscriber(site, name, scale):
+    """A SubscriberClient at this scale, with its status at its controller's operators' address."""
+    log, net, me = structlog.get_logger(), TcpNet(), site.controller(name)
+    _, _, pace = scaled_paces(scale, FeedPace())
+    client = subscriber_client(site, me, LoopClock(), net, 1, log, pace)
+    log.info("started", subscriber=name)
+
+    def answer(request, body):
+        if request.target != b"/control":
+            return text("there is /control\n", 404)
+        return 200, "application/json", msgspec.json.encode(client.status()) + b"\n"
+
+    listener = await net.listen(me.admin)
+    async with anyio.create_task_group() as group:
+        group.start_soon(until_signal, group.cancel_scope.cancel)
+        group.start_soon(listener.serve, lambda stream: serve_request(stream, answer), group)
+        await client.run()
+
+
+async def until_signal(stop):
+    """Calls stop() on SIGTERM."""
+    with anyio.open_signal_receiver(signal.SIGTERM) as signals:
+        async for _ in signals:
+            stop()
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/embertray/rig/control_record.py
@@ -0,0 +1,181 @@
+"""What happens to a control plane of true processes, written down and held against its claims at the end.
+
+Entries that were committed, saved, applied or restored come from the processes' logs; acknowledged writes and
+looks at subscribers are added here. All times are of the machine's wall clock, ns.
+"""
+
+import threading
+import time
+from dataclasses import dataclass
+from datetime import UTC, datetime, timedelta
+from urllib.parse import urlencode
+
+import anyio
+
+from ..cli.control_calls import Unreachable, write
+from ..control.entry import Entry
+from ..control.link.audit import value_digest
+from ..control.operations import Committed
+from ..days.control_claims import ControlClaims
+
+S = 10**9
+LOOK_EVERY = 0.1  # s between two looks at a subscriber
+LATE = 1 * S  # ns that a look, or a process on a busy machine, may be late
+EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
+
+
+@dataclass(frozen=True)
+class Look:
+    """A subscriber said so. `since`: from when it was within reach of all it needs, None: it was not;
+    `calm`: the same, from when the bound for good links counts."""
+
+    subscriber: str
+    revision: int
+    age: int | None
+    since: int | None
+    calm: int | None
+
+
+@dataclass(frozen=True)
+class Acknowledgement:
+    """A writer was told that its write is committed."""
+
+    revision: int
+    key: str
+    digest: str | None
+
+
+class ControlRecord:
+    """Of one ControlPlane that runs; `bounds`: control.bounds.Bounds at its scale."""
+
+    def __init__(self, plane, bounds):
+        self.plane, self.bounds = plane, bounds
+        self.events, self.since, self.outcomes = [], {}, {}
+        self.ending, self.lock = threading.Event(), threading.Lock()
+        self.fault_over("start")
+
+    # ---- faults
+
+    def fault(self, cut=()):
+        """Something is broken from now on; subscribers in `cut` miss what they need."""
+        now = time.time_ns()
+        self.since = {name: None if name in cut else now for name in self.plane.controllers}
+
+    def fault_over(self, what):
+        """All runs, and all links are good."""
+        now = time.time_ns()
+        self.since = dict.fromkeys(self.plane.controllers, now)
+
+    # ---- writes
+
+    def put(self, at, key, value, request, within=10.0):
+        """Writes at the replica `at`; the outcome, or None if it could not be asked."""
+        query = f"/control/key?{urlencode({'key': key, 'request': request})}"
+        method = "DELETE" if value is None else "PUT"
+        try:
+            outcome = anyio.run(write, self.plane.admin(at), method, query, value or b"", within)
+        except Unreachable:
+            outcome = None
+        with self.lock:
+            kind = type(outcome).__name__
+            self.outcomes[kind] = self.outcomes.get(kind, 0) + 1
+            if isinstance(outcome, Committed):
+                said = Acknowledgement(outcome.revision, key, value_digest(value))
+                self.events.append((time.time_ns(), said))
+        return outcome
+
+    @property
+    def newest(self):
+        """The newest revision that was acknowledged."""
+        with self.lock:
+            return max(
+                (one.revision for _, one in self.events if isinstance(one, Acknowledgement)), default=0
+            )
+
+    # ---- looks
+
+    def look(self):
+        """Asks each subscriber that can answer."""
+        for name in self.plane.controllers:
+            if name not in self.plane.asked:
+                continue
+            since, now = self.since[name], time.time_ns()
+            told = self.plane.status(name)
+            if told is None or since != self.since[name]:
+                continue
+            age = None if told["age_s"] is None else round(told["age_s"] * S)
+            calm = None if since is None else since + self.bounds.any_fault
+            with self.lock:
+                self.events.append((now, Look(name, told["revision"], age, since, calm)))
+
+    def keep_looking(self):
+        """Until `ending` is set; for a thread of its own."""
+        while not self.ending.wait(LOOK_EVERY):
+            self.look()
+
+    def all_at(self, revision):
+        """Whether all replicas and subscribers hold everything up to there, and nothing else."""
+        told = [self.plane.status(name) for name in self.plane.running]
+        if None in told or min(one["revision"] for one in told) < revision:
+            return False
+        return len({(one["revision"], one["digest"]) for one in told}) == 1
+
+    # ---- verdict
+
+    def judge(self):
+        """The ControlClaims after all that happened."""
+        claims, plane = ControlClaims(), self.plane
+        majority = len(plane.replicas) // 2 + 1
+        saved = dict.fromkeys(plane.replicas, 0)
+        for now, name, said in sorted(self._all_events(), key=lambda event: event[0]):
+            if isinstance(said, Acknowledgement):
+                durable = sum(revision >= said.revision for revision in saved.values())
+                value = None if said.digest is None else said.digest.encode()
+                claims.acknowledge(now, said.revision, said.key, value, durable, majority)
+            elif isinstance(said, Look):
+                self._judge_look(claims, now, said)
+            elif said["event"] == "saved":
+                saved[name] = said["revision"]
+            elif said["event"] == "committed":
+                claims.committed(now, name, entry_of(said))
+            elif said["event"] == "started":
+                claims.forgets(name)
+            else:
+                claims.applied(now, name, entry_of(said))
+        held = {name: plane.status(name) for name in plane.controllers if name in plane.asked}
+        held = {name: (told["revision"], told["digest"]) for name, told in held.items() if told}
+        claims.alike(time.time_ns(), held)
+        return claims
+
+    def _judge_look(self, claims, now, look):
+        claims.look(now, look.subscriber, look.revision, look.age)
+        late = self.bounds.any_fault + LATE
+        claims.reach(now, look.subscriber, look.revision, look.since, late)
+        if look.calm is None or now < look.calm:
+            claims.reach(now, look.subscriber, look.revision, None, 0, "prompt")
+        else:
+            late = self.bounds.good + LATE
+            claims.reach(now, look.subscriber, look.revision, look.calm, late, "prompt")
+
+    def _all_events(self):
+        """(time, process, what) of writers, looks and logs."""
+        with self.lock:
+            yield from ((now, "", said) for now, said in self.events)
+        wanted = {"replica": ("committed", "saved"), "subscriber": ("started", "applied", "restored")}
+        for name in [*self.plane.replicas, *self.plane.controllers]:
+            events = wanted["replica" if name in self.plane.replicas else "subscriber"]
+            for row in self.plane.lines(name):
+                if row["event"] in events:
+                    yield time_of(row), name, row
+
+
+def time_of(row):
+    """ns of a log line."""
+    microseconds = (datetime.fromisoformat(row["timestamp"]) - EPOCH) // timedelta(microseconds=1)
+    return microseconds * 1_000
+
+
+def entry_of(row):
+    """The Entry of a log line, with the digest in place of its value."""
+    value = None if row["digest"] is None else row["digest"].encode()
+    return Entry(row["key"], row["revision"], row["term"], row["request"], value)
--- /dev/null
+++ b/tests/control_sabotage.py
@@ -0,0 +1,39 @@
+"""A process of the control plane with a fault built in, to show that the checkers see it:
+`control_sabotage.py FAULT SITE.xml replica|subscriber NAME --scale 0.25`."""
+
+import sys
+from pathlib import Path
+
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
+
+from embertray.control.replica import Replica  # noqa: E402
+from embertray.control.subscriber import Subscriber  # noqa: E402
+from embertray.rig.control_process import main  # noqa: E402
+
+
+def answers_without_a_majority():
+    """A replica that takes its own voice for a majority."""
+    Replica.majority = property(lambda replica: 1)
+
+
+def takes_older_versions():
+    """A subscriber that applies whatever it is sent."""
+    true_update = Subscriber._on_update
+
+    def on_update(subscriber, now, message):
+        for entry in message.entries:
+            subscriber.store.forget(entry.key)
+            subscriber._apply(entry)
+        true_update(subscriber, now, message)
+
+    Subscriber._on_update = on_update
+
+
+def says_it_is_fresh():
+    """A subscriber whose age is always nothing."""
+    Subscriber.age = lambda subscriber, now: 0
+
+
+if __name__ == "__main__":
+    globals()[sys.argv.pop(1)]()
+    main()
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -1,6 +1,7 @@
 """Replicas and subscribers of the control plane on true sockets: written and followed, ended and begun again,
 and what comes of bad input."""
 
+import shutil
 import tempfile
 import unittest
 from pathlib import Path
@@ -10,7 +11,7 @@
 
 from embertray.control.link.writes import BadKey, BadRequest, TooLarge, VersionNotKept
 from embertray.control.messages import Confirm, Subscribe, Vote, encode
-from embertray.control.replica import Conflict, NotLeader
+from embertray.control.replica import Conflict, NotLeader, Role
 from embertray.durable import Disk
 from embertray.net.clock import LoopClock
 from embertray.net.tcp import TcpNet
@@ -143,6 +144,43 @@
 
         self.play(body)
 
+    def test_after_a_majority_lost_its_disks_one_state_can_be_copied_to_all(self):
+        async def body(stage):
+            await stage.put("key", b"1")
+            kept = next(name for name in stage.names if stage.replicas[name].get("key"))
+            folders = {name: Path(stage.folder) / name for name in stage.names}
+            for name in stage.names:
+                await stage.down(name)
+            for name in stage.names:
+                if name != kept:
+                    shutil.rmtree(folders[name])
+                    shutil.copytree(folders[kept], folders[name])
+            for name in stage.names:
+                await stage.up(name)
+            await stage.put("other", b"2")
+            self.assertEqual(stage.leader.get("key").value, b"1")
+
+        self.play(body, keep=True)
+
+    def test_a_majority_without_disks_elects_nobody(self):
+        async def body(stage):
+            await stage.put("key", b"1")
+            leader = (await stage.leading()).settings.name
+            for name in stage.names:
+                await stage.down(name)
+            for name in stage.names:
+                if name != leader:
+                    shutil.rmtree(Path(stage.folder) / name)
+                await stage.up(name)
+            kept = stage.replicas[leader]
+            await until(lambda: kept.replica.role is Role.CANDIDATE, "it asks for votes")
+            asked = kept.traffic.messages_in
+            await until(lambda: kept.traffic.messages_in > asked + 20, "the others speak, but do not vote")
+            self.assertIsNone(stage.leader)
+            self.assertEqual(kept.get("key").value, b"1")
+
+        self.play(body, keep=True)
+
     def test_a_subscriber_follows_through_a_replicas_end(self):
         async def body(stage):
             client = await stage.subscribe("s1")
