--- a/embertray/control/subscriber.py
+++ b/embertray/control/subscriber.py
@@ -71,6 +71,7 @@
         self.freshness = Freshness(known_at)
         budget = budget or FeedPace()
         self.bucket = TokenBucket(budget.sustained, budget.burst, now)
+        self.bucket.limit(now, 0)  # a former process may have just spent it all
         self.actions, self.applied = [], []
         self.target, self.number, self.connected, self.dialling = 0, 0, False, False
         self.dial_at, self.failures, self.heard_at, self.since = now, 0, now, now
--- a/embertray/emulator/control/play.py
+++ b/embertray/emulator/control/play.py
@@ -80,7 +80,7 @@
         """Heals everything, stops writing, and lets the longest bound pass."""
         self.writer.stop()
         self.heal()
-        self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog))
+        self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog) + 4 * LOOK_EVERY)
         self.claims.alike(
             self.engine.time,
             {name: (one.core.revision, one.core.store.digest) for name, one in self.subscribers.items()},
--- a/embertray/emulator/control/processes.py
+++ b/embertray/emulator/control/processes.py
@@ -7,6 +7,7 @@
 from ...control.entry import Entry
 from ...control.feed import Feed, Refused
 from ...control.messages import (
+    Unreadable,
     decode_from_subscriber,
     decode_replica_message,
     decode_to_subscriber,
@@ -102,7 +103,9 @@
 
 
 class ReplicaProcess(Process):
-    """A replica, its feed, its disk and its sockets."""
+    """A replica, its feed, its disk and its sockets. `make_core`, `make_feed`: for tests that spoil them."""
+
+    make_core, make_feed = Replica, Feed
 
     def __init__(self, play, name):
         super().__init__(play, name)
@@ -115,10 +118,10 @@
         self.alive, self.stopped, self.busy = True, False, False
         self.waiting.clear()
         chance = self.play.draw(f"{self.name} {self.life}")
-        self.core = Replica(
+        self.core = self.make_core(
             settings.cluster, self.name, self.play.replica_names, now, chance, settings.replica, self.disk
         )
-        self.feed = Feed(settings.cluster, lambda: self.core.store, now, settings.feed)
+        self.feed = self.make_feed(settings.cluster, lambda: self.core.store, now, settings.feed)
         self.core.subscribers = self.feed
         self.writes = {}  # request -> what is called with the committed Entry
         self.call(self.tick)
@@ -159,7 +162,11 @@
             self.call(self._receive_replica, data)
 
     def _receive_replica(self, data):
-        self.core.receive(self.engine.time, decode_replica_message(data))
+        try:
+            message = decode_replica_message(data)
+        except Unreadable:
+            return
+        self.core.receive(self.engine.time, message)
 
     def accepts(self, connection):
         """A subscriber's connection is up."""
@@ -276,7 +283,9 @@
 
 
 class SubscriberProcess(Process):
-    """A subscriber and its connection."""
+    """A subscriber and its connection. `make_core`: for tests that spoil it."""
+
+    make_core = Subscriber
 
     def __init__(self, play, name, replicas):
         super().__init__(play, name)
@@ -290,7 +299,7 @@
         self.alive, self.stopped = True, False
         self.waiting.clear()
         chance = self.play.draw(f"{self.name} {self.life}")
-        self.core = Subscriber(
+        self.core = self.make_core(
             settings.cluster,
             self.name,
             self.replica_names,
--- /dev/null
+++ b/tests/test_control_plays.py
@@ -0,0 +1,286 @@
+"""Plays of the control plane under virtual time: each kind of fault, drawn faults, and checkers that must
+notice.
+"""
+
+import random
+import unittest
+
+from embertray.control.feed import Feed
+from embertray.control.messages import Heartbeat, encode
+from embertray.control.replica import Replica, ReplicaState
+from embertray.control.subscriber import Subscriber
+from embertray.emulator.control import ControlPlay, Settings, draw_faults
+from embertray.emulator.control.faults import KINDS, Fault, play_faults, strike
+from embertray.emulator.control.processes import ReplicaProcess, SubscriberProcess
+
+S = 10**9
+CALM = 40 * S  # past the longest bound after a fault: writes are then due within the bound for good links
+
+
+def played(seed, faults=8, pause=4 * S, together=1, **more):
+    """A finished play of drawn faults."""
+    play = ControlPlay(Settings(seed=seed, **more))
+    play.start()
+    play.run(10 * S)
+    play_faults(play, draw_faults(random.Random(seed), play, faults), pause, together)
+    play.settle()
+    return play
+
+
+class Plays(unittest.TestCase):
+    def assert_kept(self, play):
+        self.assertEqual((dict(play.claims.counts), play.claims.broken[:3]), ({}, []))
+        self.assertGreater(play.writer.acknowledged, 0)
+        for subscriber in play.subscribers.values():
+            self.assertLessEqual(subscriber.worst_window, 10 * play.settings.feed.bytes_per_second)
+
+    def test_each_kind_of_fault(self):
+        for kind in KINDS:
+            with self.subTest(kind):
+                play = ControlPlay(Settings(seed=1, write_every=S // 2))
+                play.start()
+                play.run(10 * S)
+                faults = draw_faults(random.Random(7), play, 3, kinds=(kind,))
+                play_faults(play, faults, 4 * S)
+                play.settle()
+                self.assert_kept(play)
+
+    def test_drawn_faults_of_several_sizes(self):
+        for seed, more in enumerate(
+            ({}, {"replicas": 5, "regions": 3}, {"replicas": 8, "regions": 6, "subscribers": 12})
+        ):
+            with self.subTest(**more):
+                self.assert_kept(played(seed, together=1 + seed, **more))
+
+    def test_long_after_the_last_fault_writes_are_prompt(self):
+        play = played(5, faults=3, pause=CALM, write_every=S // 2)
+        self.assert_kept(play)
+        self.assertGreater(len(play.claims.took["prompt"]), 100)
+        self.assertLess(max(play.claims.took["prompt"]), play.bounds.good)
+
+    def test_with_replicas_dead_writes_are_in_force_within_the_stated_time(self):
+        for dead, seed in ((1, 11), (1, 12), (2, 13), (2, 14)):
+            with self.subTest(dead=dead, seed=seed):
+                play = ControlPlay(Settings(seed=seed, replicas=5, subscribers=20, write_every=S // 4))
+                play.start()
+                play.run(20 * S)
+                leader = next(
+                    n for n, one in play.replicas.items() if one.core.has_majority(play.engine.time)
+                )
+                other = next(name for name in play.replica_names if name != leader)
+                for name in (leader, other)[:dead]:
+                    play.replicas[name].kill(silent=True)
+                play.change()
+                died, bound = play.engine.time, play.bounds.replicas_dead(dead)
+                for _ in range(120):
+                    play.run(S // 4)
+                    for name, one in play.subscribers.items():
+                        play.claims.reach(play.engine.time, name, one.core.revision, died, bound, "prompt")
+                self.assertTrue(play.claims.kept, play.claims.broken)
+                self.assertGreater(play.claims.held["prompt"], 500)
+
+    def test_the_same_seed_gives_the_same_play(self):
+        first, second = played(3), played(3)
+        self.assertEqual(first.claims.history, second.claims.history)
+        self.assertEqual(first.engine.done, second.engine.done)
+        for one, other in zip(first.subscribers.values(), second.subscribers.values(), strict=True):
+            self.assertEqual((one.bytes_in, one.bytes_out), (other.bytes_in, other.bytes_out))
+
+    def test_a_region_apart_for_an_hour_catches_up_within_its_budget(self):
+        play = ControlPlay(
+            Settings(seed=2, replicas=5, regions=5, subscribers=10, keys=200, write_every=4 * S)
+        )
+        play.start()
+        play.run(10 * S)
+        apart = [name for name in play.links.region if play.links.region[name] == 1]
+        together = [name for name in play.links.region if name not in apart]
+        play.change()
+        play.links.split(together, apart)
+        play.run(3_600 * S)
+        away = play.subscribers["s001"].core
+        self.assertGreater(away.age(play.engine.time), 3_590 * S)
+        lacking = sum(entry.size for entry in play.replicas["r0"].core.store.since(away.revision))
+        play.heal()
+        limit = play.bounds.any_fault + play.bounds.waiting(lacking)
+        play.run(limit)
+        self.assertLess(away.age(play.engine.time), 5 * S)
+        play.settle()
+        self.assert_kept(play)
+
+    def test_all_starting_at_once_stay_within_their_budgets(self):
+        play = ControlPlay(Settings(seed=4, subscribers=30, keys=300, write_every=20_000_000))
+        play.start()
+        play.run(25 * S)
+        play.writer.stop()
+        play.run(10 * S)
+        for process in play.subscribers.values():
+            process.kill()
+        play.heal()
+        play.settle()
+        self.assert_kept(play)
+        lowest = min(one.core.revision for one in play.subscribers.values())
+        self.assertEqual(lowest, play.replicas["r0"].core.store.revision)
+
+    def test_a_rollback_while_the_faulty_version_arrives_wins_everywhere(self):
+        play = ControlPlay(Settings(seed=6, subscribers=12, write_every=10**6 * S))
+        play.start()
+        play.run(10 * S)
+        leader = next(one for one in play.replicas.values() if one.core.has_majority(play.engine.time))
+        good, faulty = b"good" * 50, b"faulty" * 500
+        leader.put("route", good, "q1", lambda outcome: None)
+        play.run(5 * S)
+        leader.put("route", faulty, "q2", lambda outcome: None)
+        while not any(one.core.store.get("route").value == faulty for one in play.subscribers.values()):
+            play.run(S // 1_000)
+        leader.put("route", good, "q3", lambda outcome: None)  # some hold the faulty one, some not yet
+        play.run(play.bounds.good)
+        values = {one.core.store.get("route").value for one in play.subscribers.values()}
+        self.assertEqual(values, {good})
+        play.settle()
+        self.assertTrue(play.claims.kept, play.claims.broken)
+
+    def test_a_replica_killed_in_the_middle_of_a_delta(self):
+        play = ControlPlay(Settings(seed=8, keys=100, write_every=10**6 * S))
+        play.start()
+        play.run(10 * S)
+        subscriber = play.subscribers["s000"]
+        others = [name for name in (*play.replicas, *play.subscribers) if name != "s000"]
+        play.links.split(others, ["s000"])
+        leader = next(one for one in play.replicas.values() if one.core.has_majority(play.engine.time))
+        for n in range(60):
+            leader.put(f"k{n}", bytes(300), f"q{n}", lambda outcome: None)
+            play.run(S // 10)
+        play.heal()
+        before = subscriber.core.revision
+        while subscriber.core.revision == before:
+            play.run(S // 100)
+        self.assertLess(subscriber.core.revision, leader.core.store.revision)
+        strike(play, Fault("kill replica", (subscriber.core.replica,), S))
+        play.settle()
+        self.assert_no_gap(play, subscriber)
+
+    def assert_no_gap(self, play, subscriber):
+        self.assertTrue(play.claims.kept, play.claims.broken)
+        digests = {one.core.store.digest for one in play.replicas.values()}
+        self.assertEqual({subscriber.core.store.digest}, digests)
+
+
+class Hasty(Replica):
+    """Answers without a majority."""
+
+    majority = property(lambda self: 1)
+
+
+class Forgetful(Replica):
+    """Takes its start with nothing for a first start."""
+
+    def __init__(self, *given, saved=None, **named):
+        given = [*given[:6], given[6] or ReplicaState(0, "", 0, 0, 0, [], [], [])]
+        super().__init__(*given, **named)
+
+
+class Backwards(Subscriber):
+    """Takes what it is sent, newer or not."""
+
+    def _apply(self, entry):
+        self.store.forget(entry.key)
+        return super()._apply(entry)
+
+
+class Boastful(Subscriber):
+    """Says that it is fresh."""
+
+    def age(self, now):
+        return 0
+
+
+class Stuck(Feed):
+    """Sends heartbeats, and never an update."""
+
+    def _send_update(self, now, one, out):
+        pass
+
+
+class Eager(Feed):
+    """Knows no budget: sends everything, again and again."""
+
+    def _send_update(self, now, one, out):
+        one.bucket.tokens = self.total.tokens = 10**9
+        super()._send_update(now, one, out)
+        one.sent = None
+
+
+class Unaware(Feed):
+    """Counts the age of what it holds from the heartbeat's arrival."""
+
+    def _send(self, now, one, data, out):
+        super()._send(now, one, data, out)
+        if out and data[:1] == encode(Heartbeat(0, 0, 0, 0))[:1] and b"heartbeat" in data:
+            store = self.store()
+            out[-1] = type(out[-1])(one.name, encode(Heartbeat(store.revision, store.digest, 0, one.stamp)))
+
+
+def replicas_of(core=Replica, feed=Feed):
+    return type("Spoilt", (ReplicaProcess,), {"make_core": core, "make_feed": feed})
+
+
+def subscribers_of(core):
+    return type("Spoilt", (SubscriberProcess,), {"make_core": core})
+
+
+class Sabotage(unittest.TestCase):
+    """Each claim's check notices what breaks it."""
+
+    def broken(self, seeds=range(1, 6), **spoilt):
+        found = set()
+        for seed in seeds:
+            play = ControlPlay(Settings(seed=seed, write_every=S // 4, keys=5), **spoilt)
+            play.start()
+            play.run(10 * S)
+            play_faults(play, draw_faults(random.Random(seed), play, 6), 4 * S, together=2)
+            play.settle()
+            found |= set(play.claims.counts)
+        return found
+
+    def test_a_replica_that_answers_without_a_majority(self):
+        self.assertLessEqual({"history", "acknowledged"}, self.broken(replica_process=replicas_of(Hasty)))
+
+    def test_a_replica_that_votes_although_it_lost_its_state(self):
+        kinds = ("lose disk", "split", "kill replica")
+        found = set()
+        for seed in range(1, 13):
+            play = ControlPlay(
+                Settings(seed=seed, write_every=S // 8, keys=5), replica_process=replicas_of(Forgetful)
+            )
+            play.start()
+            play.run(8 * S)
+            play_faults(play, draw_faults(random.Random(seed), play, 10, kinds), S // 2, together=3)
+            found |= set(play.claims.counts)
+            if found:
+                break
+        self.assertIn("history", found)
+
+    def test_a_subscriber_that_takes_an_older_version(self):
+        feed = replicas_of(feed=Eager)
+        self.assertIn("once", self.broken(replica_process=feed, subscriber_process=subscribers_of(Backwards)))
+
+    def test_a_subscriber_that_says_it_is_fresh(self):
+        self.assertIn("age", self.broken(subscriber_process=subscribers_of(Boastful)))
+
+    def test_a_feed_that_says_the_replica_is_fresh(self):
+        self.assertIn("age", self.broken(replica_process=replicas_of(feed=Unaware)))
+
+    def test_a_feed_that_sends_no_update(self):
+        self.assertIn("in force", self.broken(seeds=[1], replica_process=replicas_of(feed=Stuck)))
+
+    def test_a_feed_without_a_budget(self):
+        large = Settings(seed=1, write_every=S // 4, value=(2_000, 4_000))
+        play = ControlPlay(large, replica_process=replicas_of(feed=Eager))
+        play.start()
+        play.run(30 * S)
+        worst = max(one.worst_window for one in play.subscribers.values())
+        self.assertGreater(worst, 10 * play.settings.feed.bytes_per_second)
+
+
+if __name__ == "__main__":
+    unittest.main()
