--- a/embertray/cluster/membership/core.py
+++ b/embertray/cluster/membership/core.py
@@ -77,7 +77,7 @@
         for member in self.members.unsettled():
             if member.deadline is not None and now >= member.deadline:
                 ours = self.me.name in member.doubters
-                (self.take if ours else self.doubted)(
+                (self.apply if ours else self.doubted)(
                     now, *(() if ours else (member,)), self.about(member, DEAD)
                 )
             elif member.state in (DEAD, LEFT) and now - member.since > self.pace.keep:
@@ -126,20 +126,25 @@
             return self.out
         self.joined = self.joined or message.to_life == self.me.life  # this very life is known there
         known = self.members.get(message.sender.name)
-        if known is not None and message.sender.life < known.said.life:
+        if known is not None and message.sender.life < known.statement.life:
             self.refuse("former life", address)
             if not isinstance(
                 message, Join
             ):  # an older process of that name, or a replay: told of the younger
                 self.put(
-                    message.sender.address, Ack, message.sender.life, message.number, "", news=[known.said]
+                    message.sender.address,
+                    Ack,
+                    message.sender.life,
+                    message.number,
+                    "",
+                    news=[known.statement],
                 )
                 return self.out
         elif message.sender.name != self.me.name:
-            self.take(now, message.sender)
+            self.apply(now, message.sender)
             self.heard = now
             self.members[message.sender.name].heard = now
-        self.take_all(now, message.news)
+        self.apply_all(now, message.news)
         getattr(self, "on_" + type(message).__name__.lower())(now, message)
         return self.out
 
@@ -166,14 +171,14 @@
 
     def on_help(self, now, message):
         member = self.members.get(message.about.name)
-        if member is None or member.said.life != message.about.life:
-            self.take(now, message.about)
+        if member is None or member.statement.life != message.about.life:
+            self.apply(now, message.about)
             member = self.members.get(message.about.name)
         if member is not None:
             number = self.next_number()
             until = now + self.pace.period
             self.probes[number] = Probe(
-                member.name, member.said.life, until, until, (message.sender.name, message.number)
+                member.name, member.statement.life, until, until, (message.sender.name, message.number)
             )
             self.send(member, Ping, number)
         self.answer(message, Nack, message.number)
@@ -186,14 +191,14 @@
     def on_join(self, now, message):
         """All that is known, in as many messages as it takes; and the latest life of the asker's name."""
         known = self.members.get(message.sender.name)
-        remembered = known.said.life if known is not None else 0
+        remembered = known.statement.life if known is not None else 0
         rows = [self.me]
-        for said in [m.said for m in self.members.values()] + [None]:
-            if said is None or len(rows) >= 12:
+        for statement in [m.statement for m in self.members.values()] + [None]:
+            if statement is None or len(rows) >= 12:
                 self.put(message.sender.address, All, 0, message.number, "", news=rows, remembered=remembered)
                 rows = []
-            if said is not None:
-                rows.append(said)
+            if statement is not None:
+                rows.append(statement)
 
     def on_all(self, now, message):
         if message.remembered > self.me.life:
--- a/embertray/cluster/membership/directory.py
+++ b/embertray/cluster/membership/directory.py
@@ -27,7 +27,7 @@
 
     def restate(self, member, statement):
         """A newer statement on a member takes the place of the former."""
-        member.said = statement
+        member.statement = statement
         self.index(member)
 
     def remove(self, name):
--- a/embertray/cluster/membership/member.py
+++ b/embertray/cluster/membership/member.py
@@ -42,17 +42,17 @@
     came from it; `death`: another's statement that it is dead, while we look for ourselves;
     `position`: its place in the order in which members were added."""
 
-    __slots__ = ("said", "since", "heard", "doubters", "deadline", "death", "position")
+    __slots__ = ("statement", "since", "heard", "doubters", "deadline", "death", "position")
 
-    def __init__(self, said, now):
-        self.said, self.since, self.heard = said, now, now
+    def __init__(self, statement, now):
+        self.statement, self.since, self.heard = statement, now, now
         self.doubters, self.deadline, self.death = set(), None, None
         self.position = 0
 
-    name = property(lambda self: self.said.name)
-    address = property(lambda self: self.said.address)
-    state = property(lambda self: self.said.state)
+    name = property(lambda self: self.statement.name)
+    address = property(lambda self: self.statement.address)
+    state = property(lambda self: self.statement.state)
 
     @property
     def here(self):
-        return self.said.state in (ALIVE, SUSPECT)
+        return self.statement.state in (ALIVE, SUSPECT)
--- a/embertray/cluster/membership/outbox.py
+++ b/embertray/cluster/membership/outbox.py
@@ -12,7 +12,7 @@
         return self.number
 
     def send(self, member, kind, number, **more):
-        self.put(member.address, kind, member.said.life, number, member.name, **more)
+        self.put(member.address, kind, member.statement.life, number, member.name, **more)
 
     def answer(self, message, kind, number):
         self.put(message.sender.address, kind, message.sender.life, number, message.sender.name)
@@ -20,8 +20,12 @@
     def put(self, address, kind, life, number, name, news=None, **more):
         """`name`: to whom; what we think ill of it goes along, so that it can deny it at once."""
         if news is None:
-            news = self.rumors.take(self.pace.news, self.pace.times(self.members.here_count + 1), name)
+            news = self.rumors.pick(self.pace.news, self.pace.times(self.members.here_count + 1), name)
             member = self.members.get(name)
-            if member is not None and member.state != ALIVE and all(said.name != name for said in news):
-                news.append(member.said)
+            if (
+                member is not None
+                and member.state != ALIVE
+                and all(statement.name != name for statement in news)
+            ):
+                news.append(member.statement)
         self.out.append((address, kind(self.cluster, VERSION, self.me, life, number, news, **more)))
--- a/embertray/cluster/membership/rumors.py
+++ b/embertray/cluster/membership/rumors.py
@@ -12,23 +12,23 @@
     """Kept in the order in which they are handed on: what a message takes moves back, the rest stays."""
 
     def __init__(self):
-        self.told, self.count = {}, 0  # name -> Rumor
+        self.waiting, self.count = {}, 0  # name -> Rumor
         self.queue = []  # (times, order, name), sorted
         self.smallest = 0  # bytes that no statement waiting is below
 
     def __len__(self):
-        return len(self.told)
+        return len(self.waiting)
 
-    def put(self, said):
+    def put(self, statement):
         """A newer statement on a name takes the place of the former."""
-        if said.name in self.told:
-            self.remove(said.name)
+        if statement.name in self.waiting:
+            self.remove(statement.name)
         self.count += 1
-        rumor = Rumor(0, -self.count, said, size(said))
-        self.smallest = min(self.smallest, rumor.bytes) if self.told else rumor.bytes
-        self.insert(said.name, rumor)
+        rumor = Rumor(0, -self.count, statement, size(statement))
+        self.smallest = min(self.smallest, rumor.bytes) if self.waiting else rumor.bytes
+        self.insert(statement.name, rumor)
 
-    def take(self, room, times, to=None):
+    def pick(self, room, times, to=None):
         """Statements for one message of `room` bytes; `to`: a name whose own statement goes first, if there
         is any.
         """
@@ -36,7 +36,7 @@
         for name in self.candidates(to):
             if room < self.smallest:
                 break
-            rumor = self.told[name]
+            rumor = self.waiting[name]
             if rumor.bytes <= room:
                 room -= rumor.bytes
                 found.append(rumor)
@@ -47,16 +47,16 @@
         return [rumor.statement for rumor in found]
 
     def candidates(self, first):
-        if first in self.told:
+        if first in self.waiting:
             yield first
         for _, _, name in self.queue:
             if name != first:
                 yield name
 
     def insert(self, name, rumor):
-        self.told[name] = rumor
+        self.waiting[name] = rumor
         insort(self.queue, (rumor.times, rumor.order, name))
 
     def remove(self, name):
-        rumor = self.told.pop(name)
+        rumor = self.waiting.pop(name)
         del self.queue[bisect_left(self.queue, (rumor.times, rumor.order, name))]
--- a/embertray/cluster/membership/seeking.py
+++ b/embertray/cluster/membership/seeking.py
@@ -18,7 +18,7 @@
         number = self.next_number()
         self.probes[number] = Probe(
             name,
-            member.said.life,
+            member.statement.life,
             now + self.health.stretch(self.pace.answer),
             now + self.health.stretch(self.pace.period),
         )
@@ -30,7 +30,7 @@
         member = self.members.get(probe.target)
         for name in self.chance.sample(others, min(self.pace.helpers, len(others))) if member else ():
             probe.asked += 1
-            self.send(self.members[name], Help, number, about=member.said)
+            self.send(self.members[name], Help, number, about=member.statement)
 
     def failed(self, now, number, probe):
         del self.probes[number]
@@ -40,8 +40,8 @@
             1 + probe.asked if probe.asked else 1
         )  # helpers that did not even say no: it may be us
         member = self.members.get(probe.target)
-        if member is not None and member.here and member.said.life == probe.life:
-            self.take(now, self.about(member, DEAD if member.death is not None else SUSPECT))
+        if member is not None and member.here and member.statement.life == probe.life:
+            self.apply(now, self.about(member, DEAD if member.death is not None else SUSPECT))
 
     def beckon(self, now):
         """Seeds, and those taken for dead, are pinged now and then: so the sides of a split find each other
--- a/embertray/emulator/detectors.py
+++ b/embertray/emulator/detectors.py
@@ -56,7 +56,7 @@
         return now - member.heard > self.limit * self.pace.period
 
     def set(self, member, state):
-        member.said = Statement(member.name, member.address, 0, 0, state)
+        member.statement = Statement(member.name, member.address, 0, 0, state)
         self.changes.append(Change(member.name, state, member.address))
 
     def receive(self, now, address, message):
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -239,10 +239,10 @@
         ring.run(S)
         ring.up("m2")
         ring.run(10 * S)
-        life = ring.at["m1"].core.members["m2"].said.life
+        life = ring.at["m1"].core.members["m2"].statement.life
         self.assertGreater(life, old.life)
         ring.at["m1"].core.receive(ring.engine.time, "m2", Ping("c", 1, old, 0, 1, []))
-        self.assertEqual(ring.at["m1"].core.members["m2"].said.life, life)
+        self.assertEqual(ring.at["m1"].core.members["m2"].statement.life, life)
 
     def test_spoilt_and_repeated_messages_for_a_minute(self):
         ring = Ring(13).gather(5)
