--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -1,5 +1,5 @@
-"""One member's sockets round Membership, Book and Exchange; nothing is decided here. No peer's message ends
-more than itself.
+"""One member's sockets round Membership, EntryStore and Exchange; nothing is decided here. No peer's message
+ends more than itself.
 """
 
 import random
@@ -15,8 +15,8 @@
 from ...stream.frames import BadFrame, Splitter, frame
 from ..membership import Membership, Pace
 from ..membership.messages import Unreadable, decode, encode
-from ..state import Book, Exchange, Full
-from ..state.exchange import Offer, Tell, bound
+from ..state import EntryStore, Exchange, Full
+from ..state.exchange import Delta, Offer, bound
 from .allowance import Allowance
 
 S = 10**9
@@ -38,7 +38,7 @@
 )
 
 pack = msgspec.msgpack.Encoder().encode
-unpack = msgspec.msgpack.Decoder(Offer | Tell).decode
+unpack = msgspec.msgpack.Decoder(Offer | Delta).decode
 
 
 class ClusterLink:
@@ -52,8 +52,8 @@
         chance, now, wall = random.Random(f"{seed} {me.name} {clock.wall()}"), clock.now(), clock.wall()
         pace = Pace(period=told.period, answer=told.period * 3 // 10, beckon=5 * told.period)
         self.membership = Membership(told.name, me.name, me.cluster, wall, now, chance, peers, pace)
-        self.book = Book(me.name, wall, told.state)
-        self.exchange = Exchange(self.book, chance, now, told.period)
+        self.store = EntryStore(me.name, wall, told.state)
+        self.exchange = Exchange(self.store, chance, now, told.period)
         self.allowance, self.poked, self.udp, self.out = Allowance(told.rate, now), anyio.Event(), None, []
         self.gone, self.failing = anyio.Event(), set()  # members whose last exchange failed
         self.counted = dict.fromkeys(COUNTED, 0)
@@ -70,7 +70,7 @@
                 "state": words[m.state],
                 "heard_s": round((now - m.heard) / S, 2),
                 "told_s": min(
-                    (round(k.age / S, 2) for k in self.book.freshest(now, "facts") if k.owner == m.name),
+                    (round(k.age / S, 2) for k in self.store.freshest(now, "facts") if k.owner == m.name),
                     default=None,
                 ),
             }
@@ -88,9 +88,9 @@
             "bound_s": round(
                 bound(len(here) + 1, self.told.period, EXCHANGE_WITHIN, len(self.failing & here)) / S, 2
             ),
-            "state_bytes": self.book.bytes,
-            "state_cap": self.book.cap,
-            "left_out": sum(self.book.left_out.values()),
+            "state_bytes": self.store.bytes,
+            "state_cap": self.store.cap,
+            "left_out": sum(self.store.left_out.values()),
             "refused": [
                 {"why": why, "address": at, "times": n} for (why, at), n in members.refused.most_common(16)
             ],
@@ -100,10 +100,13 @@
 
     def shelves(self):
         """What it holds, for the accounts; what each stands on is weighed without its owner."""
-        members, book = self.membership, self.book
+        members, store = self.membership, self.store
         return [
             Shelf(
-                "entries", len(book.held), book.held.items, [book.held, book.places, book.seen, book.lives]
+                "entries",
+                len(store.held),
+                store.held.items,
+                [store.held, store.places, store.seen, store.lives],
             ),
             Shelf("members", len(members.members), members.members.items, [members.members]),
             Shelf("refused", len(members.refused), members.refused.items, [members.refused]),
@@ -112,8 +115,8 @@
 
     def close(self, closed):
         """At its memory cap, and below it again. How many entries were left out so far."""
-        self.book.closed = closed
-        return sum(self.book.left_out.values())
+        self.store.closed = closed
+        return sum(self.store.left_out.values())
 
     # ---- tasks
 
@@ -162,9 +165,9 @@
         for change in changes:
             self.log.info("member", name=change.name, state=words[change.state], address=change.address)
         changes.clear()
-        self.book.owners(now, self.membership.members.gone)
-        if self.membership.me.life != self.book.life:
-            self.book.reborn(self.membership.me.life)
+        self.store.owners(now, self.membership.members.gone)
+        if self.membership.me.life != self.store.life:
+            self.store.reborn(self.membership.me.life)
 
     async def send(self):
         """What is due, by the pump alone: the socket has one writer."""
@@ -200,7 +203,7 @@
                 facts_at = now + FACTS_EVERY
                 for key, value in self.facts().items():
                     try:
-                        self.book.put(now, key, value)
+                        self.store.put(now, key, value)
                     except Full as wrong:
                         self.log.warning("not told to the others", why=str(wrong))
             here = {m.name: m.address for m in self.membership.here} if now >= self.exchange.at else {}
@@ -223,7 +226,7 @@
         host, port = loopback(address)
         async with await anyio.connect_tcp(host, port) as stream:
             await self.say(stream, self.exchange.offer())
-            answer, _ = self.exchange.on_tell(self.clock.now(), await self.next(stream, Splitter(), Tell))
+            answer, _ = self.exchange.on_delta(self.clock.now(), await self.next(stream, Splitter(), Delta))
             if answer is not None:
                 await self.say(stream, answer)
 
@@ -235,7 +238,7 @@
                     splitter = Splitter()
                     offer = await self.next(stream, splitter, Offer)
                     await self.say(stream, self.exchange.on_offer(self.clock.now(), offer))
-                    self.exchange.on_tell(self.clock.now(), await self.next(stream, splitter, Tell))
+                    self.exchange.on_delta(self.clock.now(), await self.next(stream, splitter, Delta))
         except (*BROKEN, BadFrame, msgspec.DecodeError) as wrong:
             self.log.debug("exchange broke", why=str(wrong) or type(wrong).__name__)
 
--- a/embertray/cluster/state/__init__.py
+++ b/embertray/cluster/state/__init__.py
@@ -2,8 +2,8 @@
 (docs/design/cluster.md).
 """
 
-from .book import Book, Full
 from .entry import Entry
 from .exchange import Exchange
+from .store import EntryStore, Full
 
-__all__ = ["Book", "Entry", "Exchange", "Full"]
+__all__ = ["Entry", "EntryStore", "Exchange", "Full"]
--- a/embertray/cluster/state/exchange.py
+++ b/embertray/cluster/state/exchange.py
@@ -19,7 +19,7 @@
     digest: dict[str, tuple[int, int]]
 
 
-class Tell(msgspec.Struct, tag="tell", array_like=True, frozen=True):
+class Delta(msgspec.Struct, tag="tell", array_like=True, frozen=True):
     """Entries that the other lacks, how far they take it; `back`: the sender's own digest, if it wants to be
     told in turn.
     """
@@ -36,10 +36,10 @@
 
 
 class Exchange:
-    """Of one Book. `chance`: a seeded random.Random."""
+    """Of one EntryStore. `chance`: a seeded random.Random."""
 
-    def __init__(self, book, chance, now, period=1 * S):
-        self.book, self.period, self.round = book, period, Round(chance)
+    def __init__(self, store, chance, now, period=1 * S):
+        self.store, self.period, self.round = store, period, Round(chance)
         self.at = now + chance.randrange(period)
 
     def next(self, now, names):
@@ -50,21 +50,21 @@
         return self.round.next(names)
 
     def offer(self):
-        return Offer(self.book.digest())
+        return Offer(self.store.digest())
 
     def on_offer(self, now, offer):
-        entries, upto = self.book.since(now, offer.digest)
-        return Tell(entries, upto, self.book.digest())
+        entries, upto = self.store.since(now, offer.digest)
+        return Delta(entries, upto, self.store.digest())
 
-    def on_tell(self, now, tell):
+    def on_delta(self, now, delta):
         """The answer to give, or None; and the entries that were new."""
-        before = dict(self.book.left_out)
-        new = self.book.merge(now, tell.entries)
-        full = {owner for owner, count in self.book.left_out.items() if count > before.get(owner, 0)}
-        self.book.caught_up(
-            {owner: mark for owner, mark in tell.upto.items() if owner not in full}
+        before = dict(self.store.left_out)
+        new = self.store.merge(now, delta.entries)
+        full = {owner for owner, count in self.store.left_out.items() if count > before.get(owner, 0)}
+        self.store.caught_up(
+            {owner: upto for owner, upto in delta.upto.items() if owner not in full}
         )  # the rest comes again
-        if tell.back is None:
+        if delta.back is None:
             return None, new
-        entries, upto = self.book.since(now, tell.back)
-        return Tell(entries, upto, None), new
+        entries, upto = self.store.since(now, delta.back)
+        return Delta(entries, upto, None), new
--- a/embertray/cluster/state/book.py
+++ b/embertray/cluster/state/store.py
@@ -16,7 +16,7 @@
     """The entry does not fit under the cap; nothing was changed."""
 
 
-class Book:
+class EntryStore:
     """`me`: own name; `life`: own life, raised by `reborn`. `cap`: bytes of all entries. What would go over
     it: an own entry raises Full; one that came is left out and counted (`left_out`), the owners with the most
     bytes first. `keep`: ns that entries of a gone owner and taken back ones are held, so that no old copy
@@ -58,9 +58,9 @@
 
     def merge(self, now, entries):
         """Takes what is newer; the entries that were."""
-        return [entry for entry in entries if self.take(now, entry)]
+        return [entry for entry in entries if self.apply(now, entry)]
 
-    def take(self, now, entry):
+    def apply(self, now, entry):
         owner, life, place = entry.owner, entry.life, (entry.owner, entry.key)
         if owner == self.me:
             return False  # we alone tell ours; a former life's is outdone by telling again
@@ -125,10 +125,10 @@
     def since(self, now, digest):
         """What the other lacks by its digest, and how far that takes it: (entries, digest)."""
         ahead, newer = {}, []
-        for owner, mark in self.digest().items():
+        for owner, upto in self.digest().items():
             known = tuple(digest.get(owner, NOTHING))
-            if mark > known:
-                ahead[owner] = mark
+            if upto > known:
+                ahead[owner] = upto
                 newer += self.newer(owner, known)
         newer.sort()  # in the order in which they were set: the same bytes whatever owners are ahead
         return [self.entry(now, place) for _, place in newer], ahead
@@ -147,10 +147,10 @@
 
     def caught_up(self, digest):
         """All that `since` told with this digest was merged."""
-        for owner, mark in digest.items():
-            if owner != self.me and tuple(mark) > self.seen.get(owner, NOTHING):
-                self.lived(owner, mark[0])
-                self.seen[owner] = tuple(mark)
+        for owner, upto in digest.items():
+            if owner != self.me and tuple(upto) > self.seen.get(owner, NOTHING):
+                self.lived(owner, upto[0])
+                self.seen[owner] = tuple(upto)
 
     # ---- age and end
 
@@ -164,7 +164,7 @@
                 self.forget(place)
             self.seen.pop(name, None)  # its last life is remembered: a few bytes against old copies
 
-    # ---- the shelf
+    # ---- what is held
 
     def places_of(self, owner):
         """Places of an owner's entries, in the order in which they were set."""
--- a/embertray/emulator/company.py
+++ b/embertray/emulator/company.py
@@ -9,7 +9,7 @@
 
 from ..cluster.link.link import EXCHANGE_WITHIN
 from ..cluster.membership import Membership, Pace
-from ..cluster.state import Book, Exchange
+from ..cluster.state import EntryStore, Exchange
 from ..days.claims import Claims
 from ..days.troubles import Trouble
 from ..days.words import LINKS
@@ -46,8 +46,10 @@
 class Company:
     """`members`: more of them than the day says; `look`: ns between two looks at each. Read `claims`."""
 
-    def __init__(self, day, seed=1, members=None, make=Membership, exchange=Exchange, book=Book, look=S // 4):
-        self.day, self.seed, self.makes, self.look_every = day, seed, (exchange, book), look
+    def __init__(
+        self, day, seed=1, members=None, make=Membership, exchange=Exchange, store=EntryStore, look=S // 4
+    ):
+        self.day, self.seed, self.makes, self.look_every = day, seed, (exchange, store), look
         names = [f"c{n + 1}" for n in range(members or int(day.fleet["controllers"]))]
         period = span(day.fleet["period"])
         self.links = Web(names, seed, ("list", "px"))  # nothing passes on the latter two here
@@ -113,7 +115,7 @@
         for name, sharer in self.sharers.items():
             if sharer is not None and not sharer.process.stopped:
                 core = sharer.process.core
-                ages = {known.owner: known.age for known in sharer.book.freshest(now, "facts")}
+                ages = {known.owner: known.age for known in sharer.store.freshest(now, "facts")}
                 self.claims.look(
                     now,
                     name,
--- a/embertray/emulator/shared.py
+++ b/embertray/emulator/shared.py
@@ -1,11 +1,11 @@
-"""What members tell each other under virtual time: the true books and exchanges, over streams that links hold
-back, silence or end.
+"""What members tell each other under virtual time: the true stores and exchanges, over streams that links
+hold back, silence or end.
 """
 
 import random
 
 from ..cluster.link.link import EXCHANGE_WITHIN, FACTS_EVERY, pack
-from ..cluster.state import Book, Exchange
+from ..cluster.state import EntryStore, Exchange
 from ..stream.frames import PREFIX
 
 MS = 10**6
@@ -18,18 +18,18 @@
 
 
 class Sharer:
-    """Beside one gossip.Process: its book, its facts told anew each second, one exchange at a time.
+    """Beside one gossip.Process: its store, its facts told anew each second, one exchange at a time.
     `others()`: address -> Sharer; `facts(now)`: what is told, bytes. `bytes`: what it sent, in its own
     exchanges and in others', with the frames' lengths, as a link counts.
     """
 
-    def __init__(self, process, others, links, seed, make=Exchange, book=Book, facts=time_told):
+    def __init__(self, process, others, links, seed, make=Exchange, store=EntryStore, facts=time_told):
         self.facts = facts
         self.process, self.others, self.links, self.engine = process, others, links, process.ring.engine
         core, now = process.core, process.ring.engine.time
-        self.book = book(core.me.name, core.me.life)
+        self.store = store(core.me.name, core.me.life)
         self.exchange = make(
-            self.book, random.Random(f"{seed} {core.me.name} {core.me.life}"), now, core.pace.period
+            self.store, random.Random(f"{seed} {core.me.name} {core.me.life}"), now, core.pace.period
         )
         self.facts_at, self.turn, self.bytes, self.failed, self.made = now, 0, 0, 0, 0
         self.engine.at(now, self.tick)
@@ -45,12 +45,12 @@
         if self.process.stopped:
             self.engine.at(now + LOOK, self.tick)
             return
-        self.book.owners(now, core.members.gone)
-        if core.me.life != self.book.life:
-            self.book.reborn(core.me.life)
+        self.store.owners(now, core.members.gone)
+        if core.me.life != self.store.life:
+            self.store.reborn(core.me.life)
         if now >= self.facts_at:
             self.facts_at = now + FACTS_EVERY
-            self.book.put(now, "facts", self.facts(now))
+            self.store.put(now, "facts", self.facts(now))
         here = {m.name: m.address for m in core.here} if now >= self.exchange.at else {}
         if (name := self.exchange.next(now, here)) is None:
             self.engine.at(max(now + core.pace.period // 20, min(self.exchange.at, self.facts_at)), self.tick)
@@ -106,13 +106,13 @@
         offer, to = self.say(self.exchange.offer()), self.others()[address]
 
         def answered():
-            tell = to.say(to.exchange.on_offer(self.engine.time, offer))
-            self.hop(turn, address, False, lambda: self.told(turn, address, to, tell))
+            delta = to.say(to.exchange.on_offer(self.engine.time, offer))
+            self.hop(turn, address, False, lambda: self.told(turn, address, to, delta))
 
         self.hop(turn, address, True, answered)
 
-    def told(self, turn, address, to, tell):
-        answer, _ = self.exchange.on_tell(self.engine.time, tell)
+    def told(self, turn, address, to, delta):
+        answer, _ = self.exchange.on_delta(self.engine.time, delta)
         if answer is not None:
             self.say(answer)
             self.hop(turn, address, True, lambda: self.last(to, answer))
@@ -120,5 +120,5 @@
             self.over()
 
     def last(self, to, answer):
-        to.exchange.on_tell(self.engine.time, answer)
+        to.exchange.on_delta(self.engine.time, answer)
         self.over()
--- a/embertray/measure/claims.py
+++ b/embertray/measure/claims.py
@@ -46,7 +46,7 @@
         """Greatest age that anybody holds of anybody, s; None while something is not held."""
         now, count = self.engine.time, len(self.sharers)
         rows = [
-            [known.age for known in sharer.book.freshest(now, "facts")] for sharer in self.sharers.values()
+            [known.age for known in sharer.store.freshest(now, "facts")] for sharer in self.sharers.values()
         ]
         return max(map(max, rows)) / S if all(len(ages) == count for ages in rows) else None
 
--- a/embertray/measure/scale/cluster_role.py
+++ b/embertray/measure/scale/cluster_role.py
@@ -36,13 +36,13 @@
 
     async def mark(self, mark):
         if self.name == self.plan.marker:
-            self.link.book.put(self.clock.now(), MARK, str(mark).encode())
+            self.link.store.put(self.clock.now(), MARK, str(mark).encode())
 
     def look(self, now):
         """Notes when a mark is seen first."""
         if self.link is None:
             return
-        held = self.link.book.held.get((self.plan.marker, MARK))
+        held = self.link.store.held.get((self.plan.marker, MARK))
         if held is not None:
             self.delays.setdefault(int(held.value), now - int(held.value))
 
@@ -57,7 +57,7 @@
 
     def oldest(self, now):
         """ns; None if it lacks a member's facts."""
-        ages = [known.age for known in self.link.book.freshest(now, "facts")]
+        ages = [known.age for known in self.link.store.freshest(now, "facts")]
         return max(ages) if len(ages) >= self.seen() else None
 
     def failures(self):
--- a/embertray/measure/scale/virtual.py
+++ b/embertray/measure/scale/virtual.py
@@ -58,7 +58,7 @@
             meter.read(self.engine.time, Counters(probes + state, 0, self.ring.sent[address], parts))
 
     def mark(self, number):
-        self.sharers[self.addresses[self.marker]].book.put(self.engine.time, MARK, str(number).encode())
+        self.sharers[self.addresses[self.marker]].store.put(self.engine.time, MARK, str(number).encode())
         self.unseen[number] = set(self.sharers)
         self.look(number, self.engine.time)
 
@@ -66,7 +66,7 @@
         """Until all have seen it."""
         value = str(number).encode()
         for address in list(self.unseen[number]):
-            held = self.sharers[address].book.held.get((self.marker, MARK))
+            held = self.sharers[address].store.held.get((self.marker, MARK))
             if held is not None and held.value == value:
                 self.unseen[number].discard(address)
                 self.delays.setdefault(number, []).append((self.engine.time - written_at) / S)
@@ -76,7 +76,7 @@
     def oldest(self):
         """s; None if something is missing somewhere."""
         now, size = self.engine.time, len(self.addresses)
-        ages = [[known.age for known in one.book.freshest(now, "facts")] for one in self.sharers.values()]
+        ages = [[known.age for known in one.store.freshest(now, "facts")] for one in self.sharers.values()]
         return max(map(max, ages)) / S if all(len(row) == size for row in ages) else None
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -98,7 +98,7 @@
         self.assertIn("fresh", broken(self.company(exchange=DropsDeltas)))
 
     def test_one_that_passes_old_entries_for_new(self):
-        self.assertIn("young", broken(self.company(book=LiesYoung)))
+        self.assertIn("young", broken(self.company(store=LiesYoung)))
 
 
 class Processes(unittest.TestCase):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -151,12 +151,12 @@
     wall = now
 
 
-def filled(book, now, owners):
-    """A book that holds entries of other owners, each told some seconds ago."""
+def filled(store, now, owners):
+    """A store that holds entries of other owners, each told some seconds ago."""
     entries = [Entry(f"m{n}", "facts", 1, n, n * S, b"f" * 60) for n in owners]
-    book.merge(now, entries)
-    book.caught_up({entry.owner: (entry.life, entry.version) for entry in entries})
-    book.put(now, "facts", b"f" * 60)
+    store.merge(now, entries)
+    store.caught_up({entry.owner: (entry.life, entry.version) for entry in entries})
+    store.put(now, "facts", b"f" * 60)
 
 
 KNOWN = range(10, 40), range(25, 70)  # owners that the one who begins holds, and the other
@@ -171,7 +171,7 @@
             ring.up(name, []), lambda: sharers, ring.links, 1, facts=lambda _: b"f" * 60
         )
         sharer.facts_at, sharer.exchange.at = 10 * START, 10 * START
-        filled(sharer.book, START, owners)
+        filled(sharer.store, START, owners)
     ring.run(0)
     sharers["a"].offer(0, "b")
     ring.run(0)
@@ -184,7 +184,7 @@
     for name, owners, port in zip(("a", "b"), KNOWN, free_ports(2), strict=True):
         me = Me(name, f"127.0.0.1:{port}")
         link = ClusterLink(Cluster("c", S, 1 << 20, 1 << 20), me, [], FixedClock(START), 1, dict)
-        filled(link.book, START, owners)
+        filled(link.store, START, owners)
         links.append(link)
 
     async def serve(stream):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from embertray.cluster.state import Book, Entry, Exchange, Full
+from embertray.cluster.state import Entry, EntryStore, Exchange, Full
 from embertray.cluster.state.exchange import bound
 
 S, MS = 10**9, 10**6
@@ -34,17 +34,17 @@
     )
 
 
-def book(*batches, me="me"):
-    one = Book(me, 1)
+def store(*batches, me="me"):
+    one = EntryStore(me, 1)
     for batch in batches:
         one.merge(NOW, batch)
     return one.held, one.lives
 
 
-class RepeatsOld(Book):
+class RepeatsOld(EntryStore):
     """A sabotaged member: it takes whatever came last."""
 
-    def take(self, now, entry):
+    def apply(self, now, entry):
         self.set(entry, now - entry.age)
         return True
 
@@ -53,8 +53,8 @@
     """A sabotaged member: it says that it has told all, and leaves an entry out."""
 
     def on_offer(self, now, offer):
-        tell = super().on_offer(now, offer)
-        return type(tell)(tell.entries[1:], tell.upto, tell.back)
+        delta = super().on_offer(now, offer)
+        return type(delta)(delta.entries[1:], delta.upto, delta.back)
 
 
 class Merge(unittest.TestCase):
@@ -62,10 +62,10 @@
     @given(ENTRIES, ENTRIES, ENTRIES)
     def test_any_order_any_grouping_any_repetition(self, a, b, c):
         a, b, c = ([told(entry) for entry in batch] for batch in (a, b, c))
-        whole = book(a, b, c)
-        self.assertTrue(all(book(*order) == whole for order in itertools.permutations((a, b, c))))
-        self.assertEqual(book(a + b + c), whole)
-        self.assertEqual(book(a, b, c, a, c, b, a), whole)
+        whole = store(a, b, c)
+        self.assertTrue(all(store(*order) == whole for order in itertools.permutations((a, b, c))))
+        self.assertEqual(store(a + b + c), whole)
+        self.assertEqual(store(a, b, c, a, c, b, a), whole)
 
     def test_that_check_notices_one_that_repeats_old_entries(self):
         old, new = (told(Entry("a", "k", 1, version, 0, b"")) for version in (1, 2))
@@ -75,7 +75,7 @@
         self.assertNotEqual(first.held, second.held)
 
     def test_a_later_life_outdoes_all_of_a_former_one(self):
-        one = Book("me", 1)
+        one = EntryStore("me", 1)
         one.merge(NOW, [Entry("a", "k", 5, 9, 0, b"old"), Entry("a", "only", 5, 10, 0, b"old")])
         one.merge(NOW, [Entry("a", "k", 6, 1, 0, b"new")])
         one.merge(NOW, [Entry("a", "only", 5, 10, 0, b"old")])  # a replay
@@ -83,12 +83,12 @@
         self.assertEqual(one.freshest(NOW, "only"), [])
 
     def test_our_own_are_told_by_us_alone(self):
-        one = Book("me", 1)
+        one = EntryStore("me", 1)
         one.put(NOW, "k", b"mine")
         one.merge(NOW, [Entry("me", "k", 9, 9, 0, b"not mine")])
         self.assertEqual(one.freshest(NOW, "k")[0].value, b"mine")
         one.reborn(10)
-        other = Book("you", 1)
+        other = EntryStore("you", 1)
         other.merge(NOW, [Entry("me", "k", 9, 9, 0, b"a former life")])
         other.merge(NOW, one.since(NOW, {})[0])
         self.assertEqual(other.freshest(NOW, "k")[0].value, b"mine")
@@ -96,7 +96,7 @@
 
 class Ages(unittest.TestCase):
     def test_an_age_travels_as_a_duration_through_clocks_an_hour_apart(self):
-        first, second, third = Book("a", 1), Book("b", 1), Book("c", 1)
+        first, second, third = EntryStore("a", 1), EntryStore("b", 1), EntryStore("c", 1)
         first.put(NOW, "k", b"v")
         for source, at, to, there in (
             (first, NOW + 2 * S, second, NOW + 3600 * S),
@@ -108,7 +108,7 @@
         self.assertEqual(third.freshest(NOW - 3599 * S, "k")[0].age, 6 * S)
 
     def test_readers_of_both_kinds(self):
-        one = Book("a", 1)
+        one = EntryStore("a", 1)
         one.merge(NOW, [Entry("b", "k", 1, 1, 4 * S, b"b"), Entry("c", "k", 1, 1, S, b"c")])
         self.assertEqual(
             [(known.owner, known.age) for known in one.freshest(NOW, "k")], [("c", S), ("b", 4 * S)]
@@ -117,7 +117,7 @@
         self.assertEqual(one.within(NOW + 60 * S, "k", 2 * S), [])
 
     def test_entries_of_a_gone_owner_and_taken_back_ones_end(self):
-        one = Book("a", 1, keep=10 * S)
+        one = EntryStore("a", 1, keep=10 * S)
         one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"b")])
         one.put(NOW, "mine", b"x")
         one.drop(NOW, "mine")
@@ -131,19 +131,19 @@
 
 class Caps(unittest.TestCase):
     def test_at_the_cap_the_largest_owner_gives_way_and_own_entries_are_refused(self):
-        one = Book("a", 1, cap=10_000)
+        one = EntryStore("a", 1, cap=10_000)
         one.put(NOW, "mine", b"x" * 100)
         one.merge(NOW, [Entry("big", f"k{n}", 1, n + 1, 0, b"x" * 100) for n in range(40)])
         self.assertLessEqual(one.bytes, 10_000)
         self.assertGreater(one.left_out["big"], 0)
-        self.assertTrue(one.take(NOW, Entry("small", "k", 1, 1, 0, b"y" * 100)))
+        self.assertTrue(one.apply(NOW, Entry("small", "k", 1, 1, 0, b"y" * 100)))
         self.assertEqual(one.freshest(NOW, "mine")[0].value, b"x" * 100)
         with self.assertRaises(Full):
             one.put(NOW, "more", b"x" * 9_000)
         self.assertLessEqual(one.bytes, 10_000)
 
     def test_closed_by_the_accounts_it_renews_what_is_held_and_takes_nothing_more(self):
-        one = Book("a", 1)
+        one = EntryStore("a", 1)
         one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"old")])
         one.closed = True
         one.merge(
@@ -158,14 +158,14 @@
         self.assertEqual(dict(one.left_out), {"b": 1, "c": 1})
 
     def test_what_was_left_out_comes_again_when_there_is_room(self):
-        owner, reader = Book("b", 1), Book("a", 1, cap=3_000)
+        owner, reader = EntryStore("b", 1), EntryStore("a", 1, cap=3_000)
         for n in range(20):
             owner.put(NOW, f"k{n}", b"x" * 100)
         ours, theirs = (Exchange(one, random.Random(n), NOW) for n, one in enumerate((reader, owner)))
-        ours.on_tell(NOW, theirs.on_offer(NOW, ours.offer()))
+        ours.on_delta(NOW, theirs.on_offer(NOW, ours.offer()))
         self.assertLess(len(reader.held), 20)
         reader.cap = 100_000
-        ours.on_tell(NOW, theirs.on_offer(NOW, ours.offer()))
+        ours.on_delta(NOW, theirs.on_offer(NOW, ours.offer()))
         self.assertEqual(len(reader.held), 20)
 
 
@@ -174,25 +174,25 @@
 
     def play(self, count, seed, seconds, make=Exchange, split=None):
         names = [f"m{n:03}" for n in range(count)]
-        books = {name: Book(name, 1) for name in names}
-        ends = {name: make(books[name], random.Random(f"{seed} {name}"), NOW) for name in names}
+        stores = {name: EntryStore(name, 1) for name in names}
+        ends = {name: make(stores[name], random.Random(f"{seed} {name}"), NOW) for name in names}
         worst = 0
         for now in range(NOW, NOW + seconds * S, 100 * MS):
             for name in names:
                 if (now - NOW) % S == 0:
-                    books[name].put(now, "k", str(now).encode())  # a fresh entry each second
+                    stores[name].put(now, "k", str(now).encode())  # a fresh entry each second
                 reach = [
                     other
                     for other in names
                     if other != name and (split is None or split(name) == split(other))
                 ]
                 if (other := ends[name].next(now, reach)) is not None:
-                    answer, _ = ends[name].on_tell(now, ends[other].on_offer(now, ends[name].offer()))
+                    answer, _ = ends[name].on_delta(now, ends[other].on_offer(now, ends[name].offer()))
                     if answer:
-                        ends[other].on_tell(now, answer)
+                        ends[other].on_delta(now, answer)
             if now > NOW + bound(count, S, S):
                 for name in names:
-                    known = {k.owner: k.age for k in books[name].freshest(now, "k")}
+                    known = {k.owner: k.age for k in stores[name].freshest(now, "k")}
                     for other in names:
                         if split is None or split(name) == split(other):
                             worst = max(worst, known.get(other, 10**18))
