--- a/embertray/capacity/control.py
+++ b/embertray/capacity/control.py
@@ -71,7 +71,6 @@
         TOLD,
         worst=reckoned("changes-in-worst-10s", (beats + bunched) * confirm_bytes()),
         designs=REPLICAS,
-        adds_up=True,
     )
     table.add(
         Part.CONFIGURATION,
--- a/embertray/capacity/controller.py
+++ b/embertray/capacity/controller.py
@@ -215,7 +215,6 @@
         received = derived("what all send is received: as sent", lambda value: value, sent)
     for quantity, figure, adds_up in (
         (Quantity.PROCESSOR, slopes.at("cluster-processor", members), True),
-        (Quantity.BYTES_OUT, sent, True),
         (Quantity.BYTES_IN, received, True),
         (Quantity.MESSAGES_OUT, slopes.at("cluster-sent-messages", members), False),
         (Quantity.STATE, state_of_gossip(target), False),
@@ -226,6 +225,15 @@
         (Quantity.STALENESS, staleness(target), False),
     ):
         rows.add(Part.MEMBERSHIP, quantity, figure, told, designs=GOSSIP, adds_up=adds_up)
+    rows.add(
+        Part.MEMBERSHIP,
+        Quantity.BYTES_OUT,
+        sent,
+        told,
+        worst=slopes.at("cluster-sent-worst", members),
+        designs=GOSSIP,
+        adds_up=True,
+    )
     rows.add(
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
@@ -281,15 +289,24 @@
 
 
 def add_subscriber(rows, target, slopes):
-    subscribers, told = target.controllers, "control/: one replica followed, changed keys only"
-    for quantity, slope, adds_up in (
-        (Quantity.PROCESSOR, "control-subscriber-processor", True),
-        (Quantity.BYTES_IN, "control-subscriber-bytes", True),
-        (Quantity.MEMORY, "control-subscriber-memory", True),
-        (Quantity.IN_FORCE, "control-time-to-all", False),
+    told = "control/: one replica followed, changed keys only"
+    for quantity, name, worst, adds_up in (
+        (Quantity.PROCESSOR, "control-subscriber-processor", None, True),
+        (Quantity.BYTES_IN, "control-subscriber-bytes-in", "control-subscriber-worst-in", True),
+        (Quantity.BYTES_OUT, "control-subscriber-bytes-out", "control-subscriber-worst-out", True),
+        (Quantity.MEMORY, "control-subscriber-memory", None, True),
+        (Quantity.OLDEST, "control-subscriber-oldest", None, False),
+        (Quantity.IN_FORCE, "control-time-to-all", None, False),
     ):
-        figure = slopes.at(slope, subscribers)
-        rows.add(Part.CONFIGURATION, quantity, figure, told, designs=REPLICAS, adds_up=adds_up)
+        rows.add(
+            Part.CONFIGURATION,
+            quantity,
+            slopes.at(name, target.controllers),
+            told,
+            worst=worst and slopes.at(worst, target.controllers),
+            designs=REPLICAS,
+            adds_up=adds_up,
+        )
 
 
 def add_process(rows, target, slopes):
--- a/embertray/capacity/others.py
+++ b/embertray/capacity/others.py
@@ -22,13 +22,20 @@
 def replica(target, slopes):
     rows, subscribers = Rows(target, Role.REPLICA, Situation.PEAK), target.controllers
     told = "control/: a replica's subscribers, and the other replicas"
-    for quantity, slope in (
-        (Quantity.PROCESSOR, "control-replica-processor"),
-        (Quantity.BYTES_OUT, "control-replica-bytes"),
-        (Quantity.MEMORY, "control-replica-memory"),
+    for quantity, name, worst in (
+        (Quantity.PROCESSOR, "control-replica-processor", None),
+        (Quantity.BYTES_IN, "control-replica-bytes-in", "control-replica-worst-in"),
+        (Quantity.BYTES_OUT, "control-replica-bytes-out", "control-replica-worst-out"),
+        (Quantity.MEMORY, "control-replica-memory", None),
     ):
-        figure = slopes.at(slope, subscribers)
-        rows.add(Part.REPLICATION, quantity, figure, told, designs=REPLICAS, adds_up=True)
+        rows.add(
+            Part.REPLICATION,
+            quantity,
+            slopes.at(name, subscribers),
+            told,
+            worst=worst and slopes.at(worst, subscribers),
+            designs=REPLICAS,
+        )
     shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
     shares = reckon.limits_through_replicas(*shape)
     for quantity, value, formula in (
--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -30,6 +30,7 @@
   whoever starts or returns as well: the strict reading.
 """
 
+VIRTUAL = "virtual-"  # prefix of slopes taken under virtual time
 CHARTS = (
     ("processor.png", "processor time of a controller against its size"),
     ("bytes.png", "bytes a second of a controller against its size"),
@@ -263,6 +264,21 @@
     )
 
 
+def agreement(found):
+    """What links carried beside what the same cores sent under virtual time, at sizes where both ran."""
+    rows = []
+    for name, slope in found.slopes.by_name.items():
+        virtual = found.slopes.by_name.get(VIRTUAL + name)
+        if virtual is None:
+            continue
+        counted = dict(virtual.medians())
+        for size, value in slope.medians():
+            if size in counted and counted[size]:
+                ratio = f"{value / counted[size]:.2f}"
+                rows.append((f"`{name}`", digits(size), digits(value), digits(counted[size]), ratio))
+    return table(("slope", "size", "on loopback", "under virtual time", "ratio"), rows)
+
+
 def gaps(found):
     """Slopes that rows ask for and that are not there."""
     missing = sorted(
@@ -309,6 +325,10 @@
             "ask names only its sender's own proxies, and one replica keeps the shares.\n",
             limits_text(found.target),
             "",
+            "## Loopback and virtual time\n",
+            "The same cores on true links and under virtual time, where both ran.\n",
+            agreement(found),
+            "",
             "## Not known\n",
             gaps(found),
             "",
--- a/embertray/capacity/reach.py
+++ b/embertray/capacity/reach.py
@@ -66,7 +66,7 @@
         ("gossip, processor", "cluster-processor", "cores", target.cores, "members", members),
         ("gossip, bytes sent", "cluster-sent-bytes", "bytes/s", target.bytes_a_second, "members", members),
         (
-            "a subscriber, bytes",
+            "a subscriber, bytes both ways",
             "control-subscriber-bytes",
             "bytes/s",
             target.bytes_a_second,
--- a/embertray/measure/capacity/charts.py
+++ b/embertray/measure/capacity/charts.py
@@ -56,8 +56,9 @@
     slopes, target = found.slopes, found.target
     figure, axis = pyplot.subplots(figsize=(6, 3.6))
     curve(axis, slopes, "cluster-sent-bytes", "gossip, a member sends")
-    curve(axis, slopes, "control-subscriber-bytes", "a subscriber")
-    curve(axis, slopes, "control-replica-bytes", "a replica")
+    curve(axis, slopes, "virtual-cluster-sent-bytes", "the same under virtual time")
+    curve(axis, slopes, "control-subscriber-bytes", "a subscriber, both ways")
+    curve(axis, slopes, "control-replica-bytes", "a replica, both ways")
     for make, label in (
         (reckon.limits_each_to_each, "limits, each to each (reckoned)"),
         (reckon.limits_through_replicas, "limits, through replicas (reckoned)"),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -267,11 +267,14 @@
 
     def test_slopes_of_the_control_plane_are_taken_in_once_they_are_there(self):
         names = {
-            "control-subscriber-bytes": (Role.CONTROLLER, Quantity.BYTES_IN),
+            "control-subscriber-bytes-in": (Role.CONTROLLER, Quantity.BYTES_IN),
+            "control-subscriber-bytes-out": (Role.CONTROLLER, Quantity.BYTES_OUT),
+            "control-subscriber-oldest": (Role.CONTROLLER, Quantity.OLDEST),
             "control-subscriber-processor": (Role.CONTROLLER, Quantity.PROCESSOR),
             "control-subscriber-memory": (Role.CONTROLLER, Quantity.MEMORY),
             "control-time-to-all": (Role.CONTROLLER, Quantity.IN_FORCE),
-            "control-replica-bytes": (Role.REPLICA, Quantity.BYTES_OUT),
+            "control-replica-bytes-in": (Role.REPLICA, Quantity.BYTES_IN),
+            "control-replica-bytes-out": (Role.REPLICA, Quantity.BYTES_OUT),
             "control-replica-processor": (Role.REPLICA, Quantity.PROCESSOR),
             "control-replica-memory": (Role.REPLICA, Quantity.MEMORY),
         }
@@ -285,6 +288,14 @@
                 self.assertEqual(row.figure.origin, Origin.PREDICTED)
                 self.assertEqual(row.designs, (Design.REPLICAS,))
 
+    def test_what_ran_both_ways_stands_side_by_side(self):
+        both = {
+            "cluster-oldest": slope("cluster-oldest", [(8, 3.0), (32, 6.0)]),
+            "virtual-cluster-oldest": slope("virtual-cluster-oldest", [(8, 2.0), (64, 9.0)]),
+        }
+        rows = page.agreement(compute(load(), both)).splitlines()[2:]
+        self.assertEqual(rows, ["| `cluster-oldest` | 8 | 3 | 2 | 1.50 |"])
+
     def test_a_slope_without_a_held_out_size_is_called_a_guess(self):
         short = self.by_name | {
             "cluster-sent-bytes": slope("cluster-sent-bytes", [(n, 100.0 * n) for n in (8, 32, 64)])
