--- a/embertray/measure/scale/__main__.py
+++ b/embertray/measure/scale/__main__.py
@@ -8,6 +8,7 @@
 
 from ..capacity.record import FOLDER, Recording
 from . import fleet, slopes, virtual
+from .keeping import KeepingRecording
 
 S = 10**9
 
@@ -16,12 +17,18 @@
     return [int(part) for part in text.split(",")]
 
 
-def recording(folder):
-    """Made first, as it names the commit that is measured."""
-    return Recording("python -m embertray.measure.scale " + shlex.join(sys.argv[1:]), folder)
+def recording(folder, keep=False):
+    """Made first, as it names the commit that is measured. `keep`: points of other sizes stay."""
+    kind = KeepingRecording if keep else Recording
+    return kind("python -m embertray.measure.scale " + shlex.join(sys.argv[1:]), folder)
 
 
-out_option = click.option("--out", default=str(FOLDER), show_default=True, help="Folder of the slopes.")
+def out_options(command):
+    """Options of where slopes go, and whether they replace what is there."""
+    command = click.option("--keep", is_flag=True, help="Points of other sizes that are there stay.")(command)
+    return click.option("--out", default=str(FOLDER), show_default=True, help="Folder of the slopes.")(
+        command
+    )
 
 
 def spans_options(spread, settle, window):
@@ -50,10 +57,10 @@
 @click.option("--period", default=1.0, show_default=True, help="Seconds.")
 @click.option("--facts", default=60, show_default=True, help="Bytes that each tells of itself.")
 @spans_options(0.1, 20.0, 30.0)
-@out_option
-def cluster(wanted, processes, period, facts, spread, settle, window, out):
+@out_options
+def cluster(wanted, processes, period, facts, spread, settle, window, out, keep):
     """Members of a cluster on loopback."""
-    recorder, spans, found = recording(out), fleet.Spans(spread, settle, window), []
+    recorder, spans, found = recording(out, keep), fleet.Spans(spread, settle, window), []
     for size in sizes(wanted):
         reports = fleet.run(fleet.cluster_plans(size, processes, spans, int(period * S), facts))
         found.append(fleet.summary(size, "member", reports, window))
@@ -69,10 +76,10 @@
 @click.option("--keys", default=60, show_default=True)
 @click.option("--value", default=200, show_default=True, help="Bytes of a value.")
 @spans_options(0.02, 30.0, 60.0)
-@out_option
-def control(wanted, processes, replicas, keys, value, spread, settle, window, out):
+@out_options
+def control(wanted, processes, replicas, keys, value, spread, settle, window, out, keep):
     """Replicas and subscribers of the control plane on loopback."""
-    recorder, spans = recording(out), fleet.Spans(spread, settle, window)
+    recorder, spans = recording(out, keep), fleet.Spans(spread, settle, window)
     found = {"subscriber": [], "replica": []}
     for size in sizes(wanted):
         reports = fleet.run(fleet.control_plans(size, processes, spans, replicas, keys, value))
@@ -91,10 +98,10 @@
 @click.option("--period", default=1.0, show_default=True, help="Seconds.")
 @click.option("--facts", default=60, show_default=True, help="Bytes that each tells of itself.")
 @spans_options(0.1, 20.0, 30.0)
-@out_option
-def virtual_command(wanted, period, facts, spread, settle, window, out):
+@out_options
+def virtual_command(wanted, period, facts, spread, settle, window, out, keep):
     """Members of a cluster under virtual time: the same cores, addresses and facts, no sockets."""
-    recorder, spans, found = recording(out), fleet.Spans(spread, settle, window), []
+    recorder, spans, found = recording(out, keep), fleet.Spans(spread, settle, window), []
     for size in sizes(wanted):
         found.append(virtual.measure(size, spans, int(period * S), facts))
         slopes.show(found[-1])
--- /dev/null
+++ b/embertray/measure/scale/keeping.py
@@ -0,0 +1,22 @@
+"""Slopes that grow by sizes measured later."""
+
+from pathlib import Path
+
+from ...capacity.slope import load
+from ..capacity.record import Recording
+
+
+class KeepingRecording(Recording):
+    """Points of sizes that are not measured again stay; the note says of which commit they are."""
+
+    def save(self, name, unit, size_of, points, note=""):
+        path = Path(self.folder) / f"{name}.json"
+        if path.exists():
+            former = load(path)
+            sizes = {size for size, _ in points}
+            kept = [point for point in former.points if point[0] not in sizes]
+            if kept:
+                listed = ", ".join(f"{size:g}" for size, _ in kept)
+                note = f"{note}; sizes {listed} of commit {former.commit} by {former.command} ({former.note})"
+            points = kept + list(points)
+        super().save(name, unit, size_of, points, note)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,15 +1,21 @@
 """What members of a cluster send for a fixed seed, counted and digested: a change that is to save processor
 time alone must not move one byte. The figures were recorded before the cores were made faster."""
 
+import contextlib
 import gc
 import hashlib
+import io
 import itertools
+import tempfile
 import unittest
 from collections import Counter, namedtuple
+from pathlib import Path
 from unittest import mock
 
 import anyio
+import structlog
 
+from embertray.capacity.slope import load
 from embertray.cluster.link import ClusterLink
 from embertray.cluster.membership.messages import decode, encode
 from embertray.cluster.state import Entry
@@ -18,7 +24,9 @@
 from embertray.emulator.drawn import wounds
 from embertray.emulator.gossip import MS, START, Ring, S
 from embertray.emulator.shared import Sharer, pack
-from embertray.measure.scale import cluster_role, fleet, slopes, virtual
+from embertray.measure.capacity.record import Recording
+from embertray.measure.scale import cluster_role, control_role, fleet, slopes, virtual
+from embertray.measure.scale.keeping import KeepingRecording
 from embertray.measure.scale.messages import (
     ClusterPlan,
     MemberReport,
@@ -35,6 +43,14 @@
 MOST = 20  # s that a wait takes before it fails
 
 
+def setUpModule():
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
+
+
+def tearDownModule():
+    structlog.reset_defaults()
+
+
 class Traffic:
     """Counts messages and bytes, and digests them in the order in which they were sent."""
 
@@ -247,6 +263,17 @@
         self.assertEqual(meter.worst("sent"), 20)
 
 
+class Recordings(unittest.TestCase):
+    def test_sizes_measured_later_join_those_that_are_there(self):
+        with tempfile.TemporaryDirectory() as folder, contextlib.redirect_stdout(io.StringIO()):
+            Recording("first", folder).save("some", "s a change", "members", [(8, 1.0), (32, 2.0)], "calm")
+            KeepingRecording("second", folder).save("some", "s a change", "members", [(32, 3.0), (64, 4.0)])
+            slope = load(Path(folder) / "some.json")
+        self.assertEqual(slope.points, [(8, 1.0), (32, 3.0), (64, 4.0)])
+        self.assertIn("sizes 8 of commit", slope.note)
+        self.assertIn("by first (calm", slope.note)
+
+
 class Plans(unittest.TestCase):
     def test_each_member_is_of_one_process_and_starts_once(self):
         plans = fleet.cluster_plans(37, 4, SPANS, S, 60)
@@ -322,5 +349,32 @@
         self.assertTrue(all(one.received and one.messages for one in counted))
 
 
+async def control_members(replicas, subscribers):
+    """Hollow replicas and subscribers on loopback, once the latter hold the keys and have seen a mark."""
+    plans = fleet.control_plans(subscribers, 1, SPANS, replicas, 3, 50)
+    leaders = [member for plan in plans[:replicas] for member in control_role.replicas(plan)]
+    followers = control_role.subscribers(plans[replicas])
+    async with anyio.create_task_group() as group:
+        for member in leaders + followers:
+            group.start_soon(member.run)
+        with anyio.fail_after(MOST):
+            while not all(member.client.revision >= 3 for member in followers):
+                await anyio.sleep(0.01)
+            mark = followers[0].clock.now()
+            while not all(mark in member.delays for member in followers):
+                for member in leaders:
+                    await member.mark(mark)  # whoever leads; told again it writes nothing
+                await anyio.sleep(0.01)
+        group.cancel_scope.cancel()
+    return leaders, followers
+
+
+class HollowControl(unittest.TestCase):
+    def test_true_replicas_and_subscribers_carry_a_mark(self):
+        leaders, followers = anyio.run(control_members, 3, 5)
+        self.assertEqual(sum(member.seen() for member in leaders), 5)
+        self.assertTrue(all(member.counters().received for member in leaders + followers))
+
+
 if __name__ == "__main__":
     unittest.main()
