--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -44,20 +44,20 @@
     """The wounds that DAY does to controllers and links, on a cluster's members in virtual time. Exit code 0
     when every claim is kept, 1 when one is broken, 2 on bad input."""
     from ..days import notation
-    from ..emulator.company import Company
+    from ..emulator.cluster_simulation import ClusterSimulation
     from .standin import Bad
 
     try:
-        company = Company(notation.load(day), seed, members)
+        simulation = ClusterSimulation(notation.load(day), seed, members)
     except notation.BadDay as wrong:
         raise Bad(str(wrong)) from None
-    claims = company.play().claims
+    claims = simulation.play().claims
     for name, verdict in claims.verdicts().items():
         click.echo(
             f"  {name:12} {verdict}, asked for {claims.held[name]} times"
             + "".join(f"\n    {text}" for text in claims.broken[name][:3])
         )
-    probes, state = company.bytes()
+    probes, state = simulation.bytes()
     click.echo(
         f"greatest age of its bound {claims.worst:.2f}; bytes a second a member: probes "
         f"{probes:.0f}, state {state:.0f}"
--- a/embertray/emulator/company.py
+++ b/embertray/emulator/cluster_simulation.py
@@ -1,4 +1,4 @@
-"""A day's wounds on the members of a cluster under virtual time: the same words, the same claims as true
+"""The faults of a day on the members of a cluster under virtual time: the same words, the same claims as true
 processes are held against.
 
 Only what strikes controllers and links is played (kill, stall, restart, slow-start, and the links' words):
@@ -43,7 +43,7 @@
         return self.chance.randint(*self.delay) + way.hold() if way.open else None
 
 
-class Company:
+class ClusterSimulation:
     """`members`: more of them than the day says; `look`: ns between two looks at each. Read `claims`."""
 
     def __init__(self, day, seed=1, members=None, make=Membership, exchange=Exchange, book=Book, look=S // 4):
--- a/embertray/measure/claims.py
+++ b/embertray/measure/claims.py
@@ -8,7 +8,7 @@
 import click
 
 from ..days import notation
-from ..emulator.company import Company
+from ..emulator.cluster_simulation import ClusterSimulation
 from ..emulator.drawn import wounds
 
 S = 10**9
@@ -16,11 +16,11 @@
 
 
 def drawn(seed, members):
-    claims = Company(notation.read(wounds(seed, members)), seed).play().claims
+    claims = ClusterSimulation(notation.read(wounds(seed, members)), seed).play().claims
     return dict(claims.held), {name: len(why) for name, why in claims.broken.items()}, claims.worst
 
 
-class Moments(Company):
+class Moments(ClusterSimulation):
     """Also: when all took all for what they are, after each wound."""
 
     def split(self, names):
@@ -54,37 +54,37 @@
 def moments(members, loss, seed):
     """(members, loss, s until a split is seen by all, s until all are whole again, s until one's death is
     seen by all, greatest age before any wound, its bound, bytes/s of probes and of state before any wound)"""
-    company = Moments(
+    simulation = Moments(
         notation.read(f"fleet controllers={members} cluster=yes period=1s\nload 1/s for 1s"),
         seed,
         look=10_000 * S,
     )
-    names = list(company.links.members)
-    company.engine.start(company.all_up(names))
-    company.engine.run(company.zero)
-    company.until(lambda name, here: here == set(names), 200)
-    company.links.each(now=company.engine.time, drop=loss)
-    company.engine.run(company.engine.time + max(CALM, 2 * members + 5) * S)
-    bound, age = (2 * (members - 1) + 2 + 1), company.told()
+    names = list(simulation.links.members)
+    simulation.engine.start(simulation.all_up(names))
+    simulation.engine.run(simulation.zero)
+    simulation.until(lambda name, here: here == set(names), 200)
+    simulation.links.each(now=simulation.engine.time, drop=loss)
+    simulation.engine.run(simulation.engine.time + max(CALM, 2 * members + 5) * S)
+    bound, age = (2 * (members - 1) + 2 + 1), simulation.told()
     began, before = (
-        company.engine.time,
-        (sum(company.ring.bytes.values()), sum(s.bytes for s in company.sharers.values())),
+        simulation.engine.time,
+        (sum(simulation.ring.bytes.values()), sum(s.bytes for s in simulation.sharers.values())),
     )
-    company.engine.run(began + CALM * S)
+    simulation.engine.run(began + CALM * S)
     rates = [
         (now - was) / CALM / members
         for now, was in zip(
-            (sum(company.ring.bytes.values()), sum(s.bytes for s in company.sharers.values())),
+            (sum(simulation.ring.bytes.values()), sum(s.bytes for s in simulation.sharers.values())),
             before,
             strict=False,
         )
     ]
-    side = company.split(names)
-    seen = company.until(lambda name, here: here == side[name], 400)
-    company.links.straight(company.engine.time, company.links.pairs(), ("open",))
-    whole = company.until(lambda name, here: here == set(names), 400)
-    company.kill(names[-1])
-    death = company.until(lambda name, here: here == set(names[:-1]), 400)
+    side = simulation.split(names)
+    seen = simulation.until(lambda name, here: here == side[name], 400)
+    simulation.links.straight(simulation.engine.time, simulation.links.pairs(), ("open",))
+    whole = simulation.until(lambda name, here: here == set(names), 400)
+    simulation.kill(names[-1])
+    death = simulation.until(lambda name, here: here == set(names[:-1]), 400)
     return members, loss, seen, whole, death, age, bound, *rates
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -8,7 +8,7 @@
 
 from embertray.cluster.membership import DEAD, Membership
 from embertray.days import notation, player
-from embertray.emulator.company import Company
+from embertray.emulator.cluster_simulation import ClusterSimulation
 from embertray.emulator.drawn import wounds
 
 SPLIT = """fleet controllers=6 cluster=yes period=200ms
@@ -41,8 +41,8 @@
         return [known._replace(age=0) for known in super().freshest(now, key)]
 
 
-def broken(company):
-    return {claim for claim, why in company.play().claims.broken.items() if why}
+def broken(simulation):
+    return {claim for claim, why in simulation.play().claims.broken.items() if why}
 
 
 class Drawn(unittest.TestCase):
@@ -55,33 +55,35 @@
             (98, 5),
         ):  # 5 and later: broke a claim before it was mended, or narrowed
             with self.subTest(seed=seed):
-                claims = Company(notation.read(wounds(seed, members)), seed).play().claims
+                claims = ClusterSimulation(notation.read(wounds(seed, members)), seed).play().claims
                 self.assertEqual({claim: why for claim, why in claims.broken.items() if why}, {})
                 self.assertGreater(claims.held["wrong"], 1000)
 
     def test_every_claim_is_asked_for(self):
-        self.assertEqual(set(Company(notation.read(SPLIT)).play().claims.verdicts().values()), {"kept"})
+        self.assertEqual(
+            set(ClusterSimulation(notation.read(SPLIT)).play().claims.verdicts().values()), {"kept"}
+        )
 
     def test_the_same_seed_is_the_same_run(self):
-        one, two = (Company(notation.load("wounds"), 3).play() for _ in range(2))
+        one, two = (ClusterSimulation(notation.load("wounds"), 3).play() for _ in range(2))
         self.assertEqual(
             (one.claims.held, one.claims.worst, one.bytes()), (two.claims.held, two.claims.worst, two.bytes())
         )
 
 
 class Sabotaged(unittest.TestCase):
-    def company(self, **makes):
-        return Company(notation.read(SPLIT), **makes)
+    def simulation(self, **makes):
+        return ClusterSimulation(notation.read(SPLIT), **makes)
 
     def test_one_that_never_suspects(self):
-        self.assertIn("seen", broken(self.company(make=NeverSuspects)))
+        self.assertIn("seen", broken(self.simulation(make=NeverSuspects)))
 
     def test_one_that_takes_deaths_by_word_of_mouth(self):
         """As the members did before: the other side's word killed one's own when a split ended."""
         sides = ({"c1", "c2", "c3"}, {"c4", "c5"})
 
         def own_dead(**makes):
-            notes = self.company(**makes).play().ring.notes
+            notes = self.simulation(**makes).play().ring.notes
             return [
                 (who, change.name)
                 for _, who, change in notes
@@ -92,13 +94,13 @@
         self.assertGreater(len(own_dead(make=TakesWords)), 0)
 
     def test_one_that_never_says_it_is_cut_off(self):
-        self.assertEqual(broken(self.company(make=NeverAlone)), {"alone"})
+        self.assertEqual(broken(self.simulation(make=NeverAlone)), {"alone"})
 
     def test_one_that_drops_a_delta(self):
-        self.assertIn("fresh", broken(self.company(exchange=DropsDeltas)))
+        self.assertIn("fresh", broken(self.simulation(exchange=DropsDeltas)))
 
     def test_one_that_passes_old_entries_for_new(self):
-        self.assertIn("young", broken(self.company(book=LiesYoung)))
+        self.assertIn("young", broken(self.simulation(book=LiesYoung)))
 
 
 class Processes(unittest.TestCase):
@@ -106,7 +108,7 @@
         day = notation.load("wounds")
         result = player.play(day, mode="processes")
         self.assertEqual({k: v for k, v in {**result.rules, **result.wrong}.items() if v}, {})
-        emulated = Company(day).play().claims.verdicts()
+        emulated = ClusterSimulation(day).play().claims.verdicts()
         self.assertEqual(
             {k: v for k, v in result.claims.items() if "not met" not in (v, emulated[k])},
             {k: v for k, v in emulated.items() if "not met" not in (v, result.claims[k])},
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,7 +20,7 @@
 from embertray.cluster.membership.messages import decode, encode
 from embertray.cluster.state import Entry
 from embertray.days import notation
-from embertray.emulator.company import Company
+from embertray.emulator.cluster_simulation import ClusterSimulation
 from embertray.emulator.drawn import wounds
 from embertray.emulator.gossip import MS, START, Ring, S
 from embertray.emulator.shared import Sharer, pack
@@ -102,17 +102,17 @@
     return (*traffic.figures, len(ring.notes)), traffic.misread
 
 
-def company_traffic(text, seed):
+def simulation_traffic(text, seed):
     """Membership and state: (datagrams' figures, state's figures, what was asked of each claim)."""
-    company = Company(notation.read(text), seed)
-    datagrams, state, said = Traffic().watch(company.ring), Traffic(), Sharer.say
+    simulation = ClusterSimulation(notation.read(text), seed)
+    datagrams, state, said = Traffic().watch(simulation.ring), Traffic(), Sharer.say
 
     def say(sharer, message):
         state.add(pack(message))
         return said(sharer, message)
 
     with mock.patch.object(Sharer, "say", say):
-        claims = company.play().claims
+        claims = simulation.play().claims
     return datagrams.figures, state.figures, tuple(claims.held.values())
 
 
@@ -152,7 +152,7 @@
     def test_members_with_state_send_the_recorded_bytes(self):
         for name, (day, *recorded) in DAYS.items():
             with self.subTest(name):
-                self.assertEqual(company_traffic(*day), tuple(recorded))
+                self.assertEqual(simulation_traffic(*day), tuple(recorded))
 
 
 class FixedClock:
