--- a/embertray/emulator/cluster_simulation.py
+++ b/embertray/emulator/cluster_simulation.py
@@ -18,7 +18,7 @@
 from ..site.site import time as span
 from .collector import rare_collections
 from .gossip import Links, Ring
-from .shared import Sharer
+from .state_exchanger import StateExchanger
 
 MS, S = 10**6, 10**9
 WORDS = {"kill", "stall", "restart", "slow-start", *LINKS} - {"reset"}
@@ -53,7 +53,7 @@
         self.links = Web(names, seed, ("list", "px"))  # nothing passes on the latter two here
         self.ring = Ring(seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period), make)
         self.ring.links = WebLinks(random.Random(f"{seed} links"), self.links)
-        self.engine, self.sharers, self.chance, self.proxies = self.ring.engine, {}, Streams(seed), []
+        self.engine, self.exchangers, self.chance, self.proxies = self.ring.engine, {}, Streams(seed), []
         self.claims = Claims(self.links, period, EXCHANGE_WITHIN, 50 * MS)
         # what troubles ask of a stage, its clock and what it holds
         self.clock, self.held, self.eyes, self.zero = self.engine, self, self, self.engine.time + S
@@ -68,12 +68,12 @@
     # ---- what troubles do to members
 
     async def up(self, name, still=0):
-        if name not in self.sharers:
-            self.sharers[name] = None
+        if name not in self.exchangers:
+            self.exchangers[name] = None
             await self.engine.sleep_until(self.engine.time + START + still)
             process = self.ring.up(name, [other for other in self.links.members if other != name])
-            self.sharers[name] = Sharer(
-                process, lambda: self.sharers, self.ring.links, self.seed, *self.makes
+            self.exchangers[name] = StateExchanger(
+                process, lambda: self.exchangers, self.ring.links, self.seed, *self.makes
             )
             self.claims.on_up(self.engine.time, name)
 
@@ -84,25 +84,25 @@
     up_slowly = all_up
 
     def kill(self, name):
-        if self.sharers.get(name) is not None:
+        if self.exchangers.get(name) is not None:
             self.ring.kill(name)
-            del self.sharers[name]
+            del self.exchangers[name]
             self.claims.on_down(self.engine.time, name)
 
     async def restart(self, name):
         process = self.ring.at.get(name)
-        if self.sharers.get(name) is not None:
+        if self.exchangers.get(name) is not None:
             self.ring.send(process, process.core.leave(self.engine.time))
             self.kill(name)
         await self.up(name)
 
     def freeze(self, name):
-        if self.sharers.get(name) is not None:
+        if self.exchangers.get(name) is not None:
             self.ring.at[name].stop()
             self.claims.on_still(self.engine.time, name)
 
     def thaw(self, name):
-        if self.sharers.get(name) is not None and self.ring.at[name].stopped:
+        if self.exchangers.get(name) is not None and self.ring.at[name].stopped:
             self.ring.at[name].go_on()
             self.claims.on_go_on(self.engine.time, name)
 
@@ -110,10 +110,10 @@
 
     def look(self):
         now, words = self.engine.time, ("alive", "suspect", "dead", "left")
-        for name, sharer in self.sharers.items():
-            if sharer is not None and not sharer.process.stopped:
-                core = sharer.process.core
-                ages = {known.owner: known.age for known in sharer.book.freshest(now, "facts")}
+        for name, exchanger in self.exchangers.items():
+            if exchanger is not None and not exchanger.process.stopped:
+                core = exchanger.process.core
+                ages = {known.owner: known.age for known in exchanger.book.freshest(now, "facts")}
                 self.claims.look(
                     now,
                     name,
@@ -137,7 +137,7 @@
         """Bytes a second that a member sent: (probes, state)."""
         span_s, living = (
             (self.engine.time - self.zero) / S,
-            [s for s in self.sharers.values() if s is not None],
+            [s for s in self.exchangers.values() if s is not None],
         )
         return (
             sum(self.ring.bytes.values()) / span_s / len(self.links.members),
--- a/embertray/emulator/shared.py
+++ b/embertray/emulator/state_exchanger.py
@@ -1,4 +1,4 @@
-"""What members tell each other under virtual time: the true books and exchanges, over streams that links hold
+"""Exchanges of state under virtual time: the true books and exchanges, over streams that links hold
 back, silence or end.
 """
 
@@ -12,18 +12,18 @@
 LOOK = 20 * MS  # ns between two looks at a silent way, as the rig's streams take
 
 
-def time_told(now):
+def timestamp_facts(now):
     """Facts that say nothing but when they were told."""
     return str(now).encode()
 
 
-class Sharer:
+class StateExchanger:
     """Beside one gossip.Process: its book, its facts told anew each second, one exchange at a time.
-    `others()`: address -> Sharer; `facts(now)`: what is told, bytes. `bytes`: what it sent, in its own
-    exchanges and in others', with the frames' lengths, as a link counts.
+    `others()`: address -> StateExchanger; `facts(now)`: what is told, bytes. `bytes`: what it sent, in its
+    own exchanges and in others', with the frames' lengths, as a link counts.
     """
 
-    def __init__(self, process, others, links, seed, make=Exchange, book=Book, facts=time_told):
+    def __init__(self, process, others, links, seed, make=Exchange, book=Book, facts=timestamp_facts):
         self.facts = facts
         self.process, self.others, self.links, self.engine = process, others, links, process.ring.engine
         core, now = process.core, process.ring.engine.time
@@ -35,12 +35,12 @@
         self.engine.at(now, self.tick)
 
     @property
-    def runs(self):
+    def running(self):
         return self.process.alive and not self.process.core.ended
 
     def tick(self):
         now, core = self.engine.time, self.process.core
-        if not self.runs:
+        if not self.running:
             return
         if self.process.stopped:
             self.engine.at(now + LOOK, self.tick)
@@ -60,65 +60,68 @@
         self.engine.at(now + EXCHANGE_WITHIN, self.give_up, self.turn)
         turn, address = self.turn, here[name]
         # a call and its answer, the offer, what each lacks
-        self.hop(
-            turn, address, True, lambda: self.hop(turn, address, False, lambda: self.offer(turn, address))
+        self.pass_message(
+            turn,
+            address,
+            True,
+            lambda: self.pass_message(turn, address, False, lambda: self.send_offer(turn, address)),
         )
 
     def give_up(self, turn):
-        if turn == self.turn and self.runs:
+        if turn == self.turn and self.running:
             self.failed += 1
-            self.over()
+            self.finish()
 
-    def over(self):
+    def finish(self):
         self.turn += 1
         self.engine.at(self.engine.time + self.process.core.pace.period // 20, self.tick)
 
-    def hop(self, turn, address, there, then):
+    def pass_message(self, turn, address, there, then):
         """One message of the stream; it waits on a silent way, or for one that stands still, until the
         exchange is given up.
         """
-        if turn != self.turn or not self.runs:
+        if turn != self.turn or not self.running:
             return
         a, b = (self.process.core.me.address, address) if there else (address, self.process.core.me.address)
         to = self.others().get(address)
-        if to is None or not to.runs:
+        if to is None or not to.running:
             self.failed += 1
-            self.over()
+            self.finish()
         elif to.process.stopped or self.process.stopped or (hold := self.links.hold(a, b)) is None:
-            self.engine.at(self.engine.time + LOOK, self.hop, turn, address, there, then)
+            self.engine.at(self.engine.time + LOOK, self.pass_message, turn, address, there, then)
         else:
-            self.engine.at(self.engine.time + hold, self.arrive, turn, address, then)
+            self.engine.at(self.engine.time + hold, self.deliver, turn, address, then)
 
-    def arrive(self, turn, address, then):
-        """As the last look may have been before one stood still."""
+    def deliver(self, turn, address, then):
+        """Either may have been stopped since the message was passed on."""
         to = self.others().get(address)
-        if turn == self.turn and self.runs and to is not None and to.runs:
+        if turn == self.turn and self.running and to is not None and to.running:
             if to.process.stopped or self.process.stopped:
-                self.engine.at(self.engine.time + LOOK, self.arrive, turn, address, then)
+                self.engine.at(self.engine.time + LOOK, self.deliver, turn, address, then)
             else:
                 then()
 
-    def say(self, message):
+    def count(self, message):
         self.bytes += len(pack(message)) + PREFIX.size
         return message
 
-    def offer(self, turn, address):
-        offer, to = self.say(self.exchange.offer()), self.others()[address]
+    def send_offer(self, turn, address):
+        offer, to = self.count(self.exchange.offer()), self.others()[address]
 
-        def answered():
-            tell = to.say(to.exchange.on_offer(self.engine.time, offer))
-            self.hop(turn, address, False, lambda: self.told(turn, address, to, tell))
+        def at_other_end():
+            tell = to.count(to.exchange.on_offer(self.engine.time, offer))
+            self.pass_message(turn, address, False, lambda: self.on_answer(turn, address, to, tell))
 
-        self.hop(turn, address, True, answered)
+        self.pass_message(turn, address, True, at_other_end)
 
-    def told(self, turn, address, to, tell):
+    def on_answer(self, turn, address, to, tell):
         answer, _ = self.exchange.on_tell(self.engine.time, tell)
         if answer is not None:
-            self.say(answer)
-            self.hop(turn, address, True, lambda: self.last(to, answer))
+            self.count(answer)
+            self.pass_message(turn, address, True, lambda: self.on_last_message(to, answer))
         else:
-            self.over()
+            self.finish()
 
-    def last(self, to, answer):
+    def on_last_message(self, to, answer):
         to.exchange.on_tell(self.engine.time, answer)
-        self.over()
+        self.finish()
--- a/embertray/measure/claims.py
+++ b/embertray/measure/claims.py
@@ -35,8 +35,8 @@
         began = self.engine.time
         while self.engine.time < began + most * S:
             if all(
-                wanted(name, {name} | {m.name for m in sharer.process.core.here})
-                for name, sharer in self.sharers.items()
+                wanted(name, {name} | {m.name for m in exchanger.process.core.here})
+                for name, exchanger in self.exchangers.items()
             ):
                 return (self.engine.time - began) / S
             self.engine.run(self.engine.time + S // 10)
@@ -44,9 +44,10 @@
 
     def told(self):
         """Greatest age that anybody holds of anybody, s; None while something is not held."""
-        now, count = self.engine.time, len(self.sharers)
+        now, count = self.engine.time, len(self.exchangers)
         rows = [
-            [known.age for known in sharer.book.freshest(now, "facts")] for sharer in self.sharers.values()
+            [known.age for known in exchanger.book.freshest(now, "facts")]
+            for exchanger in self.exchangers.values()
         ]
         return max(map(max, rows)) / S if all(len(ages) == count for ages in rows) else None
 
@@ -68,13 +69,13 @@
     bound, age = (2 * (members - 1) + 2 + 1), simulation.told()
     began, before = (
         simulation.engine.time,
-        (sum(simulation.ring.bytes.values()), sum(s.bytes for s in simulation.sharers.values())),
+        (sum(simulation.ring.bytes.values()), sum(s.bytes for s in simulation.exchangers.values())),
     )
     simulation.engine.run(began + CALM * S)
     rates = [
         (now - was) / CALM / members
         for now, was in zip(
-            (sum(simulation.ring.bytes.values()), sum(s.bytes for s in simulation.sharers.values())),
+            (sum(simulation.ring.bytes.values()), sum(s.bytes for s in simulation.exchangers.values())),
             before,
             strict=False,
         )
--- a/embertray/measure/scale/virtual.py
+++ b/embertray/measure/scale/virtual.py
@@ -5,7 +5,7 @@
 from ...cluster.membership import Pace
 from ...emulator.collector import rare_collections
 from ...emulator.gossip import Ring
-from ...emulator.shared import Sharer
+from ...emulator.state_exchanger import StateExchanger
 from .fleet import MARKS, Summary
 from .meter import Counters, Meter
 
@@ -36,8 +36,8 @@
         self.ring = Ring(seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period))
         self.engine, self.facts = self.ring.engine, b"f" * facts_bytes
         self.addresses = {naming.name(n): naming.address(n) for n in range(size)}
-        self.marker, self.sharers, self.delays, self.seed = naming.name(0), {}, {}, seed
-        self.unseen = {}  # mark -> sharers that have not seen it
+        self.marker, self.exchangers, self.delays, self.seed = naming.name(0), {}, {}, seed
+        self.unseen = {}  # mark -> exchangers that have not seen it
         self.meters = {name: Meter() for name in self.addresses}
         for n, name in enumerate(self.addresses):
             self.engine.at(self.engine.time + int(n * spans.spread * S), self.start, name)
@@ -46,27 +46,27 @@
         address = self.addresses[name]
         peers = [other for other in self.addresses.values() if other != address]
         process = self.ring.up(name, peers, address)
-        self.sharers[address] = Sharer(
-            process, lambda: self.sharers, self.ring.links, self.seed, facts=lambda _: self.facts
+        self.exchangers[address] = StateExchanger(
+            process, lambda: self.exchangers, self.ring.links, self.seed, facts=lambda _: self.facts
         )
 
     def read(self):
         for name, meter in self.meters.items():
             address = self.addresses[name]
-            probes, state = self.ring.bytes[address], self.sharers[address].bytes
+            probes, state = self.ring.bytes[address], self.exchangers[address].bytes
             parts = {"probes": probes, "state": state}
             meter.read(self.engine.time, Counters(probes + state, 0, self.ring.sent[address], parts))
 
     def mark(self, number):
-        self.sharers[self.addresses[self.marker]].book.put(self.engine.time, MARK, str(number).encode())
-        self.unseen[number] = set(self.sharers)
+        self.exchangers[self.addresses[self.marker]].book.put(self.engine.time, MARK, str(number).encode())
+        self.unseen[number] = set(self.exchangers)
         self.look(number, self.engine.time)
 
     def look(self, number, written_at):
         """Until all have seen it."""
         value = str(number).encode()
         for address in list(self.unseen[number]):
-            held = self.sharers[address].book.held.get((self.marker, MARK))
+            held = self.exchangers[address].book.held.get((self.marker, MARK))
             if held is not None and held.value == value:
                 self.unseen[number].discard(address)
                 self.delays.setdefault(number, []).append((self.engine.time - written_at) / S)
@@ -76,7 +76,7 @@
     def oldest(self):
         """s; None if something is missing somewhere."""
         now, size = self.engine.time, len(self.addresses)
-        ages = [[known.age for known in one.book.freshest(now, "facts")] for one in self.sharers.values()]
+        ages = [[known.age for known in one.book.freshest(now, "facts")] for one in self.exchangers.values()]
         return max(map(max, ages)) / S if all(len(row) == size for row in ages) else None
 
 
@@ -108,7 +108,7 @@
         seen_mean=sum(seen) / size,
         oldest=None if None in oldest else max(oldest),
         delays={mark: (len(delays), max(delays)) for mark, delays in members.delays.items()},
-        failures=sum(one.failed for one in members.sharers.values()),
+        failures=sum(one.failed for one in members.exchangers.values()),
         parts={
             name: sum(meter.part_rates()[name] for meter in meters) / size for name in ("probes", "state")
         },
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,7 @@
 from embertray.emulator.cluster_simulation import ClusterSimulation
 from embertray.emulator.drawn import wounds
 from embertray.emulator.gossip import MS, START, Ring, S
-from embertray.emulator.shared import Sharer, pack
+from embertray.emulator.state_exchanger import StateExchanger, pack
 from embertray.measure.capacity.record import Recording
 from embertray.measure.scale import cluster_role, control_role, fleet, slopes, virtual
 from embertray.measure.scale.keeping import KeepingRecording
@@ -105,13 +105,13 @@
 def simulation_traffic(text, seed):
     """Membership and state: (datagrams' figures, state's figures, what was asked of each claim)."""
     simulation = ClusterSimulation(notation.read(text), seed)
-    datagrams, state, said = Traffic().watch(simulation.ring), Traffic(), Sharer.say
+    datagrams, state, counted = Traffic().watch(simulation.ring), Traffic(), StateExchanger.count
 
-    def say(sharer, message):
+    def count(exchanger, message):
         state.add(pack(message))
-        return said(sharer, message)
+        return counted(exchanger, message)
 
-    with mock.patch.object(Sharer, "say", say):
+    with mock.patch.object(StateExchanger, "count", count):
         claims = simulation.play().claims
     return datagrams.figures, state.figures, tuple(claims.held.values())
 
@@ -181,17 +181,17 @@
 def emulated_exchange():
     """Bytes of state that each of two members sent in one exchange under virtual time."""
     ring = Ring(1, delay=(0, 0))
-    sharers = {}
+    exchangers = {}
     for name, owners in zip(("a", "b"), KNOWN, strict=True):
-        sharers[name] = sharer = Sharer(
-            ring.up(name, []), lambda: sharers, ring.links, 1, facts=lambda _: b"f" * 60
+        exchangers[name] = exchanger = StateExchanger(
+            ring.up(name, []), lambda: exchangers, ring.links, 1, facts=lambda _: b"f" * 60
         )
-        sharer.facts_at, sharer.exchange.at = 10 * START, 10 * START
-        filled(sharer.book, START, owners)
+        exchanger.facts_at, exchanger.exchange.at = 10 * START, 10 * START
+        filled(exchanger.book, START, owners)
     ring.run(0)
-    sharers["a"].offer(0, "b")
+    exchangers["a"].send_offer(0, "b")
     ring.run(0)
-    return sharers["a"].bytes, sharers["b"].bytes
+    return exchangers["a"].bytes, exchangers["b"].bytes
 
 
 async def linked_exchange():
