--- a/embertray/days/control_claims.py
+++ b/embertray/days/control_claims.py
@@ -96,6 +96,10 @@
         """A subscriber starts with nothing."""
         self.applied_at = {place: at for place, at in self.applied_at.items() if place[0] != subscriber}
 
+    def out_of_reach(self, now, subscriber):
+        """Nothing is claimed of a subscriber now."""
+        self.held["out of reach"] += 1
+
     # ---- what is looked at
 
     def look(self, now, subscriber, revision, age):
--- a/embertray/emulator/control/faults.py
+++ b/embertray/emulator/control/faults.py
@@ -50,8 +50,8 @@
 
 def strike(play, fault):
     """Makes a fault happen now."""
-    play.change()
     first = fault.targets[0]
+    play.change(*([first] if fault.kind.endswith(" subscriber") else []))
     process = play.replicas.get(first) or play.subscribers[first]
     if fault.kind in ("kill replica", "kill subscriber"):
         process.kill()
--- a/embertray/emulator/control/processes.py
+++ b/embertray/emulator/control/processes.py
@@ -13,7 +13,7 @@
     decode_to_subscriber,
     encode,
 )
-from ...control.replica import Replica, WriteRefused
+from ...control.replica import Replica, ReplicaState, WriteRefused
 from ...control.subscriber import Dial, Hang, Say, Subscriber
 from .links import Stream
 
@@ -109,7 +109,12 @@
 
     def __init__(self, play, name):
         super().__init__(play, name)
-        self.disk, self.lost_disks, self.connections, self.peers = None, [], {}, {}
+        self.disk, self.lost_disks, self.connections, self.peers = self._first_disk(), [], {}, {}
+
+    def _first_disk(self):
+        """None, as before a first start, or what is prefilled."""
+        entries = self.play.prefill
+        return ReplicaState(1, "", len(entries), 1, 0, list(entries), [], []) if entries else None
 
     def start(self):
         """Begins a life with what is on disk."""
@@ -290,10 +295,12 @@
     def __init__(self, play, name, replicas):
         super().__init__(play, name)
         self.replica_names, self.connection = replicas, None
+        entries = play.prefill
+        self.kept = (list(entries), len(entries), None) if entries else ()
         self.worst_window, self.in_window, self.window = 0, 0, deque()
 
     def start(self):
-        """Begins a life with nothing."""
+        """Begins a life with nothing, or with what it kept."""
         now, settings = self.engine.time, self.play.settings
         self.life += 1
         self.alive, self.stopped = True, False
@@ -307,14 +314,19 @@
             chance,
             settings.subscriber,
             settings.feed,
+            *self.kept,
         )
-        self.play.claims.forgets(self.name)
+        if not self.kept:
+            self.play.claims.forgets(self.name)
         self.call(self.tick)
 
     def kill(self, silent=False):
         """Ends at once."""
         self.alive = False
         self.life += 1
+        if self.play.settings.keep:
+            store = self.core.store
+            self.kept = (store.live(), store.revision, self.core.freshness.known_at)
         if self.connection is not None:
             self._close(silent)
 
--- /dev/null
+++ b/embertray/measure/control_day.py
@@ -0,0 +1,69 @@
+"""A day of the control plane at the operators' target, compressed, under virtual time.
+
+`python -m embertray.measure.control_day --compress 24`: prints times until writes were in force, bytes and
+what was claimed, as JSON. Exit code 1 if a claim is broken.
+"""
+
+import json
+import sys
+import time
+
+import click
+
+from ..emulator.control.day import ControlDay, DayPlan
+
+S = 10**9
+SHARES = (0.5, 0.99, 0.999, 1.0)
+
+
+@click.command()
+@click.option("--compress", default=24, show_default=True, help="How much shorter than a day the play is.")
+@click.option("--controllers", default=470, show_default=True)
+@click.option("--replicas", default=8, show_default=True)
+@click.option("--keys", default=3_840, show_default=True)
+@click.option("--seed", default=1, show_default=True)
+def main(compress, controllers, replicas, keys, seed):
+    """Plays it, and prints what was found."""
+    plan = DayPlan(controllers=controllers, replicas=replicas, keys=keys, compress=compress, seed=seed)
+    began = time.process_time()
+    day = ControlDay(plan).run()
+    found = summary(day)
+    found["emulator_processor_s"] = round(time.process_time() - began, 1)
+    click.echo(json.dumps(found, indent=1))
+    sys.exit(0 if day.claims.kept else 1)
+
+
+def summary(day):
+    """The figures of a played ControlDay."""
+    play, claims = day.play, day.claims
+    seconds = day.plan.span / S
+    subscribers = list(play.subscribers.values())
+    return {
+        "seconds": seconds,
+        "events": {**day.counts, "writes acknowledged": play.writer.acknowledged},
+        "writes_given_up": play.writer.given_up,
+        "in_force_s": shares_of(claims.while_reached),
+        "after_return_s": shares_of(claims.after_return),
+        "subscriber_bytes_a_second": {
+            "mean": round(
+                sum(one.bytes_in + one.bytes_out for one in subscribers) / len(subscribers) / seconds
+            ),
+            "worst 10 s": round(max(one.worst_window for one in subscribers) / 10),
+        },
+        "replica_bytes_out_a_second": round(max(one.bytes_out for one in play.replicas.values()) / seconds),
+        "held": dict(claims.held),
+        "broken": dict(claims.counts),
+        "examples": [one.text for one in claims.broken[:5]],
+    }
+
+
+def shares_of(times):
+    """Times in s under which these SHARES of all lie, and how many there are."""
+    ordered = sorted(times)
+    last = len(ordered) - 1
+    found = {str(share): round(ordered[round(share * last)] / S, 2) for share in SHARES} if ordered else {}
+    return {"count": len(ordered), **found}
+
+
+if __name__ == "__main__":
+    main()
