--- a/embertray/emulator/drawn.py
+++ b/embertray/emulator/random_faults.py
@@ -1,12 +1,12 @@
-"""Days of wounds drawn by seed: what strikes members and links of a cluster, several at once, for the
+"""Days of faults drawn by seed: what strikes members and links of a cluster, several at once, for the
 emulator and for true processes.
 """
 
 import random
 
 
-def wounds(seed, members, lasts=120, count=4, extra=""):
-    """A day's text. Wounds begin in its first half, so that all claims are asked for after them too."""
+def random_faults(seed, members, lasts=120, count=4, extra=""):
+    """A day's text. Faults begin in its first half, so that all claims are asked for after them too."""
     draw = random.Random(f"wounds {seed}")
     names = [f"c{n + 1}" for n in range(members)]
     lines = [
--- a/embertray/measure/claims.py
+++ b/embertray/measure/claims.py
@@ -9,14 +9,14 @@
 
 from ..days import notation
 from ..emulator.cluster_simulation import ClusterSimulation
-from ..emulator.drawn import wounds
+from ..emulator.random_faults import random_faults
 
 S = 10**9
 CALM, CUT = 20, 40  # s before the split, and that it lasts at the least
 
 
 def drawn(seed, members):
-    claims = ClusterSimulation(notation.read(wounds(seed, members)), seed).play().claims
+    claims = ClusterSimulation(notation.read(random_faults(seed, members)), seed).play().claims
     return dict(claims.held), {name: len(why) for name, why in claims.broken.items()}, claims.worst
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -9,7 +9,7 @@
 from embertray.cluster.membership import DEAD, Membership
 from embertray.days import notation, player
 from embertray.emulator.cluster_simulation import ClusterSimulation
-from embertray.emulator.drawn import wounds
+from embertray.emulator.random_faults import random_faults
 
 SPLIT = """fleet controllers=6 cluster=yes period=200ms
 load 1/s for 60s
@@ -55,7 +55,7 @@
             (98, 5),
         ):  # 5 and later: broke a claim before it was mended, or narrowed
             with self.subTest(seed=seed):
-                claims = ClusterSimulation(notation.read(wounds(seed, members)), seed).play().claims
+                claims = ClusterSimulation(notation.read(random_faults(seed, members)), seed).play().claims
                 self.assertEqual({claim: why for claim, why in claims.broken.items() if why}, {})
                 self.assertGreater(claims.held["wrong"], 1000)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,8 +21,8 @@
 from embertray.cluster.state import Entry
 from embertray.days import notation
 from embertray.emulator.cluster_simulation import ClusterSimulation
-from embertray.emulator.drawn import wounds
 from embertray.emulator.gossip import MS, START, Ring, S
+from embertray.emulator.random_faults import random_faults
 from embertray.emulator.state_exchanger import StateExchanger, pack
 from embertray.measure.capacity.record import Recording
 from embertray.measure.scale import cluster_role, control_role, fleet, slopes, virtual
@@ -119,13 +119,13 @@
 RING = (11624, 1275768, "b38abda91d644fad", 2325)
 DAYS = {  # name: (text, seed), datagrams, state, how often each claim was asked for
     "drawn 3": (
-        (wounds(3, 6), 3),
+        (random_faults(3, 6), 3),
         (8551, 489925, "16bdd3ae3ede9ee4"),
         (9483, 785544, "2b6430c883c88af9"),
         (658, 9232, 6300, 1344, 2238),
     ),
     "drawn 98": (
-        (wounds(98, 5), 98),
+        (random_faults(98, 5), 98),
         (10349, 613297, "4f4d02c42d08d833"),
         (7672, 553676, "6102bdaaa41044b3"),
         (0, 8400, 5564, 0, 2199),
