--- a/embertray/emulator/backend.py
+++ b/embertray/emulator/backend.py
@@ -1,16 +1,16 @@
 """A backend without streams: tries come and end as planned calls."""
 
 
-class TownBackend:
+class SimulatedBackend:
     """model.Backend with the connections that proxies have to it."""
 
-    def __init__(self, town, model, draw):
-        self.town, self.model, self.draw = town, model, draw
+    def __init__(self, simulation, model, draw):
+        self.simulation, self.model, self.draw = simulation, model, draw
         self.links, self.out, self.bad_for, self.planned = {}, {}, set(), None
 
     def on_req(self, px, under, attempt, kind, work, until):
         """A try has come here; its end goes back to `px.ended`."""
-        now, model = self.town.engine.time, self.model
+        now, model = self.simulation.engine.time, self.model
         if px not in self.links:
             if model.state == "dead" or model.state == "up" and not model.connect(now):
                 px.ended(under, attempt, "broken", {})
@@ -31,12 +31,12 @@
         when = self.model.next_at()
         if when is not None and (self.planned is None or when < self.planned):
             self.planned = when
-            self.town.engine.at(max(when, self.town.engine.time), self.due, when)
+            self.simulation.engine.at(max(when, self.simulation.engine.time), self.due, when)
 
     def due(self, when):
         if self.planned != when:
             return
-        self.planned, now = None, self.town.engine.time
+        self.planned, now = None, self.simulation.engine.time
         for under, attempt in self.model.advance(now):
             self.end(under, attempt, "done", self.model.report(now))
         self.plan()
@@ -46,9 +46,9 @@
         if found is None or found[1] != attempt:
             return
         px = self.out.pop(under)[0]
-        way = self.town.between(px.zone, self.model.zone)
+        way = self.simulation.between(px.zone, self.model.zone)
         if way:
-            self.town.engine.after(way, px.ended, under, attempt, how, load)
+            self.simulation.engine.after(way, px.ended, under, attempt, how, load)
         else:
             px.ended(under, attempt, how, load)
 
@@ -68,6 +68,6 @@
             self.break_links()
 
     def start(self, cold=True):
-        self.model.start(self.town.engine.time, cold)
+        self.model.start(self.simulation.engine.time, cold)
         self.planned = None
         self.break_links()
--- a/embertray/emulator/clients.py
+++ b/embertray/emulator/clients.py
@@ -3,12 +3,12 @@
 from ..standin.messages import Req
 
 
-class TownClients:
+class SimulatedClients:
     """model.Clients of one proxy."""
 
-    def __init__(self, town, model, source, px, rng, until):
-        self.town, self.model, self.source, self.px, self.rng, self.until = (
-            town,
+    def __init__(self, simulation, model, source, px, rng, until):
+        self.simulation, self.model, self.source, self.px, self.rng, self.until = (
+            simulation,
             model,
             source,
             px,
@@ -17,20 +17,20 @@
         )
 
     def plan(self):
-        when, kind, work = self.source.next(self.town.engine.time, self.rng, self.until)
+        when, kind, work = self.source.next(self.simulation.engine.time, self.rng, self.until)
         if when is not None:
-            self.town.engine.at(when, self.send, kind, work)
+            self.simulation.engine.at(when, self.send, kind, work)
 
     def send(self, kind, work):
-        now, model = self.town.engine.time, self.model
+        now, model = self.simulation.engine.time, self.model
         self.put(model.draw(now) if kind is None else model.ask(now, model.kinds[kind], work))
         self.plan()
 
     def put(self, ask):
-        engine = self.town.engine
+        engine = self.simulation.engine
         within = self.model.attempt(engine.time, ask)
         if within is None:
-            self.town.eyes.ended(engine.time, ask.at, ask.kind, "lost", 0)
+            self.simulation.eyes.ended(engine.time, ask.at, ask.kind, "lost", 0)
             return
         ask.timer = engine.after(within, self.heard, ask.ident, ask.tries, "timeout")
         self.px.on_req(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries), self.back)
@@ -39,7 +39,7 @@
         self.heard(req.ident, req.attempt, how, stay)
 
     def heard(self, ident, tries, how, stay=0):
-        engine = self.town.engine
+        engine = self.simulation.engine
         found = self.model.heard(engine.time, ident, tries, how, stay)
         if found is None:
             return
@@ -48,4 +48,4 @@
         if verdict == "again":
             engine.at(engine.time + took, self.put, ask)
         else:
-            self.town.eyes.ended(engine.time, ask.at, ask.kind, verdict, took)
+            self.simulation.eyes.ended(engine.time, ask.at, ask.kind, verdict, took)
--- a/embertray/emulator/controller.py
+++ b/embertray/emulator/controller.py
@@ -6,15 +6,22 @@
 from ..inventory.follow import Follow
 
 
-class TownController:
+class SimulatedController:
     """One life of a controller: a desk, with the pump and the list's client as planned calls."""
 
-    def __init__(self, town, name, me, life, kept):
-        self.town, self.name, self.kept, now = town, name, kept, town.engine.time
-        chance = town.chance.of("cuts", name, life).random
+    def __init__(self, simulation, name, me, life, kept):
+        self.simulation, self.name, self.kept, now = simulation, name, kept, simulation.engine.time
+        chance = simulation.chance.of("cuts", name, life).random
         snapshot, _ = kept.load()
         self.desk = Desk(
-            town.site, me, town.seed * 1000 + life, now, chance, snapshot, kept.times(), *town.make
+            simulation.site,
+            me,
+            simulation.seed * 1000 + life,
+            now,
+            chance,
+            snapshot,
+            kept.times(),
+            *simulation.make,
         )
         self.follow, self.line, self.streams = Follow(name, chance), None, {}
         self.alive, self.frozen, self.waiting, self.planned, self.ran = (
@@ -22,13 +29,13 @@
             False,
             [],
             None,
-            now - town.site.tick,
+            now - simulation.site.tick,
         )
         self.save_at, self.saved = None, now - EVERY
         self.poke()
         self.plan_save(now + CONFIRM)
-        if not town.site.ask:
-            town.engine.at(now + self.follow.first(bool(self.desk.trust.known)), self.dial_list)
+        if not simulation.site.ask:
+            simulation.engine.at(now + self.follow.first(bool(self.desk.trust.known)), self.dial_list)
 
     def when_awake(self, what, *args):
         """Now, or when the process goes on; never if it is killed before."""
@@ -46,13 +53,13 @@
     # ---- the pump
 
     def poke(self):
-        self.plan(self.town.engine.time)
+        self.plan(self.simulation.engine.time)
 
     def plan(self, when):
-        when = max(when, self.ran + self.town.site.tick)
+        when = max(when, self.ran + self.simulation.site.tick)
         if self.planned is None or when < self.planned:
             self.planned = when
-            self.town.engine.at(when, self.pump, when)
+            self.simulation.engine.at(when, self.pump, when)
 
     def pump(self, when):
         if self.planned != when or not self.alive:
@@ -60,10 +67,10 @@
         self.planned = None
         if self.frozen:
             return
-        now = self.ran = self.town.engine.time
+        now = self.ran = self.simulation.engine.time
         step = self.desk.advance(now)
         if step.change is not None:
-            self.town.ladder.append((now, self.name, step.change))
+            self.simulation.ladder.append((now, self.name, step.change))
         for name, orders in step.leave:
             if name in self.streams:
                 self.streams[name].on_orders(self, orders)
@@ -76,41 +83,41 @@
                 self.desk.admission.cut(now, name)
                 self.streams[name].break_stream()
         for backend in step.probe:
-            model = self.town.models.get(backend)
+            model = self.simulation.models.get(backend)
             up = model is not None and model.state != "dead"
-            self.town.engine.after(0 if up else PROBE_WITHIN, self.when_awake, self.probed, backend, up)
+            self.simulation.engine.after(0 if up else PROBE_WITHIN, self.when_awake, self.probed, backend, up)
         if (later := self.desk.next_at()) is not None:
             self.plan(max(later, now))
 
     def probed(self, backend, answered):
-        self.desk.instance.probed(self.town.engine.time, backend, answered)
+        self.desk.instance.probed(self.simulation.engine.time, backend, answered)
         self.poke()
 
     # ---- proxies
 
     def join(self, px, hello):
         """ns to stay away, or None: it has joined."""
-        verdict = self.desk.hello(self.town.engine.time, px.name)
+        verdict = self.desk.hello(self.simulation.engine.time, px.name)
         if verdict:
             return verdict.wait
         if (old := self.streams.get(px.name)) is not None and old is not px:
             old.break_stream()
         elif old is px:
-            self.desk.left(self.town.engine.time, px.name)
+            self.desk.left(self.simulation.engine.time, px.name)
         self.streams[px.name] = px
-        self.desk.joined(self.town.engine.time, hello)
+        self.desk.joined(self.simulation.engine.time, hello)
         self.poke()
         return None
 
     def left(self, px):
         if self.streams.get(px.name) is px:
             del self.streams[px.name]
-            self.desk.left(self.town.engine.time, px.name)
+            self.desk.left(self.simulation.engine.time, px.name)
             self.poke()
 
     def take(self, px, session, message):
         if self.streams.get(px.name) is px and px.session is session:
-            self.desk.take(self.town.engine.time, session, message)
+            self.desk.take(self.simulation.engine.time, session, message)
             self.poke()
 
     # ---- the list
@@ -120,32 +127,32 @@
             return
         if self.frozen:
             self.waiting.append((self.dial_list, ()))
-        elif self.town.inventory.down:
+        elif self.simulation.inventory.down:
             self.list_broke()
         else:
             self.line = object()
-            self.town.inventory.followers[self] = False
-            self.town.inventory.call(self, self.follow.dialled(self.town.engine.time))
+            self.simulation.inventory.followers[self] = False
+            self.simulation.inventory.call(self, self.follow.dialled(self.simulation.engine.time))
 
     def list_broke(self):
         self.line = None
-        self.town.inventory.followers.pop(self, None)
+        self.simulation.inventory.followers.pop(self, None)
         wait = self.follow.broke()
-        if self.town.site.ask:  # the module decides when to ask again
-            self.desk.hand_on(self.town.engine.time, "failed", [])
+        if self.simulation.site.ask:  # the module decides when to ask again
+            self.desk.hand_on(self.simulation.engine.time, "failed", [])
             self.poke()
         else:
-            self.town.engine.at(self.town.engine.time + wait, self.dial_list)
+            self.simulation.engine.at(self.simulation.engine.time + wait, self.dial_list)
 
     def ask_list(self, whole):
         if self.line is None:
-            if self.town.site.ask:
+            if self.simulation.site.ask:
                 self.dial_list()
-        elif call := self.follow.asked(self.town.engine.time, whole):
-            self.town.inventory.call(self, call)
+        elif call := self.follow.asked(self.simulation.engine.time, whole):
+            self.simulation.inventory.call(self, call)
 
     def heard(self, message):
-        now = self.town.engine.time
+        now = self.simulation.engine.time
         how, entries = self.follow.heard(message)
         if how == "gap":
             self.ask_list(True)
@@ -160,12 +167,12 @@
     def plan_save(self, when):
         if self.save_at is None or when < self.save_at:
             self.save_at = when
-            self.town.engine.at(when, self.save, when)
+            self.simulation.engine.at(when, self.save, when)
 
     def save(self, when):
         if self.save_at != when or not self.alive:
             return
-        now, self.save_at = self.town.engine.time, None
+        now, self.save_at = self.simulation.engine.time, None
         if self.line is not None and self.desk.trust.spoken and not self.frozen:
             self.kept.save(self.desk.snapshot(now, self.kept.times()))
             self.saved = now
--- a/embertray/emulator/town.py
+++ b/embertray/emulator/day_simulation.py
@@ -15,12 +15,12 @@
 from ..model.client import Clients
 from ..site.site import time as span
 from ..trust import Trust
-from .backend import TownBackend
-from .clients import TownClients
+from .backend import SimulatedBackend
+from .clients import SimulatedClients
 from .engine import Engine, S
 from .hall import Hall
-from .inventory import TownInventory
-from .proxy import TownProxy
+from .inventory import SimulatedInventory
+from .proxy import SimulatedProxy
 
 START = 1000 * S  # what started "long ago" lies before it
 STREAMS_ONLY = ("half-message", "twice", "garbage")
@@ -33,10 +33,10 @@
         pass
 
 
-class Town(Ground):
+class DaySimulation(Ground):
     """All that a day has on it. `watched`: whether events are kept, for the rules' judgement."""
 
-    proxy = TownProxy
+    proxy = SimulatedProxy
 
     def __init__(self, day, seed, core=None, trust=None, watched=True):
         for trouble in day.troubles:
@@ -56,7 +56,7 @@
         self.eyes = Observer() if watched else Unseen()
         self.by_name, self.cross, self.numbers = {}, span(day.fleet["cross"]), 0
         self.ladder = []  # (ns, controller, degrade.Change)
-        self.inventory = TownInventory(self, span(day.fleet["answers"]))
+        self.inventory = SimulatedInventory(self, span(day.fleet["answers"]))
         self.held = Hall(self)
 
     def between(self, here, there):
@@ -67,7 +67,7 @@
         model = Backend(
             f"127.{number // 65025 + 1}.{number // 255 % 255}.{number % 255 + 1}:80", zone, self.shape(speed)
         )
-        be = TownBackend(self, model, self.chance.of("failing", number).random)
+        be = SimulatedBackend(self, model, self.chance.of("failing", number).random)
         self.models[model.name], self.by_name[model.name] = model, be
         self.backends.append(be)
         be.start(cold)
@@ -124,7 +124,7 @@
         mix, retries = self.mix(), int(self.day.load["retries"])
         for n, px in enumerate(self.proxies):
             rng = self.chance.of("clients", n)
-            TownClients(
+            SimulatedClients(
                 self,
                 Clients(n + 1, mix, rng, retries),
                 self.source(n, self.day.rate * shares[n]),
--- a/embertray/emulator/fluid.py
+++ b/embertray/emulator/fluid.py
@@ -1,5 +1,5 @@
 """The same day as flows: reqs are masses that are poured by the tables each STEP, so a run costs by proxies x
-backends and not by reqs. Controllers, tables, channel and list are those of town.py; backends are
+backends and not by reqs. Controllers, tables, channel and list are those of day_simulation.py; backends are
 model.Backend, by `pour`.
 
 What is approximated: a req's second try goes to the average backend, not to another; a wait's spread is
@@ -14,44 +14,44 @@
 from ..days.ground import LONGEST, histogram
 from ..standin.messages import Req
 from ..stream.messages import Came, Met, Sums
+from .day_simulation import DaySimulation
 from .engine import S
-from .proxy import TownProxy
-from .town import Town
+from .proxy import SimulatedProxy
 
 STEP = S // 20  # ns; a quarter of the shortest beat that the module knows
 
 
-class FluidProxy(TownProxy):
-    """A proxy whose reqs are masses; `place` is its row in the town's arrays."""
+class FluidProxy(SimulatedProxy):
+    """A proxy whose reqs are masses; `place` is its row in the simulation's arrays."""
 
     place = 0
 
     def apply(self, session, orders):
         super().apply(session, orders)
-        self.town.changed.add(self.place)
+        self.simulation.changed.add(self.place)
 
     def break_stream(self):
         super().break_stream()
-        self.town.changed.add(self.place)
+        self.simulation.changed.add(self.place)
 
     def on_joined(self, con):
         super().on_joined(con)
-        self.town.forget(self.place)
+        self.simulation.forget(self.place)
 
     def report(self):
-        town, now = self.town, self.town.engine.time
+        simulation, now = self.simulation, self.simulation.engine.time
         if self.session is not None and not self.still:
-            sums = town.sums(self.place)
+            sums = simulation.sums(self.place)
             if self.lag:
-                town.engine.at(now + self.lag, self.say, self.session, sums)
+                simulation.engine.at(now + self.lag, self.say, self.session, sums)
             else:
                 self.say(self.session, sums)
         else:
-            town.forget(self.place)
-        town.engine.after(town.site.report_cycle, self.report)
+            simulation.forget(self.place)
+        simulation.engine.after(simulation.site.report_cycle, self.report)
 
 
-class FluidTown(Town):
+class FluidSimulation(DaySimulation):
     """`tries`, `errored` and `took_sum` (ns) are proxies x backends since each proxy's last sums; `came`:
     proxies x kinds.
     """
--- a/embertray/emulator/hall.py
+++ b/embertray/emulator/hall.py
@@ -3,34 +3,36 @@
 from ..days.starts import Starts
 from ..durable.snapshot import KeptInMemory
 from ..standin.aged import age_in_memory
-from .controller import TownController
+from .controller import SimulatedController
 
 
 class Hall(Starts):
     """All controllers by name: what troubles kill, freeze and start again."""
 
-    def __init__(self, town):
-        self.town, self.at, self.running, self.lives, self.kept = town, {}, {}, {}, {}
-        self.clock, clock = town.clock, self
+    def __init__(self, simulation):
+        self.simulation, self.at, self.running, self.lives, self.kept = simulation, {}, {}, {}, {}
+        self.clock, clock = simulation.clock, self
 
         class Wall:
-            now = staticmethod(lambda: clock.town.engine.time)
-            wall = staticmethod(lambda: clock.town.engine.time)
+            now = staticmethod(lambda: clock.simulation.engine.time)
+            wall = staticmethod(lambda: clock.simulation.engine.time)
 
-        for me in town.site.controllers[: int(town.day.fleet["controllers"])]:
+        for me in simulation.site.controllers[: int(simulation.day.fleet["controllers"])]:
             self.at[me.name], self.kept[me.name] = me, KeptInMemory(Wall)
 
     async def up(self, name):
         if name not in self.running:
             life = self.lives.get(name, 0)
             self.lives[name] = life + 1
-            self.running[name] = TownController(self.town, name, self.at[name], life, self.kept[name])
+            self.running[name] = SimulatedController(
+                self.simulation, name, self.at[name], life, self.kept[name]
+            )
 
     def kill(self, name):
         con = self.running.pop(name, None)
         if con is not None:
             con.alive, con.line = False, None
-            self.town.inventory.followers.pop(con, None)
+            self.simulation.inventory.followers.pop(con, None)
             for px in list(con.streams.values()):
                 px.break_stream()
 
--- a/embertray/emulator/inventory.py
+++ b/embertray/emulator/inventory.py
@@ -4,22 +4,22 @@
 from ..model.inventory import Inventory
 
 
-class TownInventory(Inventory):
+class SimulatedInventory(Inventory):
     """The list, with the controllers that follow it."""
 
-    def __init__(self, town, answers):
+    def __init__(self, simulation, answers):
         super().__init__()
-        self.town, self.answers, self.followers = town, answers, {}
+        self.simulation, self.answers, self.followers = simulation, answers, {}
 
     def list(self, name, zone, state="ready", started=0):
         entry = self.change(name, zone, state, started)
         if not self.down:
             for con, watches in list(self.followers.items()):
                 if watches:
-                    self.tell(con, self.news(self.town.engine.time, self.epoch - 1, [entry]))
+                    self.tell(con, self.news(self.simulation.engine.time, self.epoch - 1, [entry]))
 
     def call(self, con, call):
-        self.town.engine.at(self.town.engine.time + self.answers, self.reply, con, con.line, call)
+        self.simulation.engine.at(self.simulation.engine.time + self.answers, self.reply, con, con.line, call)
 
     def reply(self, con, line, call):
         if con.line is not line or line is None:
@@ -29,11 +29,11 @@
             return
         if isinstance(call, Watch):
             self.followers[con] = call.on
-        if (news := self.answer(self.town.engine.time, call)) is not None:
+        if (news := self.answer(self.simulation.engine.time, call)) is not None:
             self.tell(con, news)
 
     def tell(self, con, news):
-        self.town.eyes.told(self.town.engine.time, con.name, news)
+        self.simulation.eyes.told(self.simulation.engine.time, con.name, news)
         con.when_awake(con.heard, news)
 
     def go_down(self):
--- a/embertray/emulator/play.py
+++ b/embertray/emulator/play.py
@@ -3,8 +3,8 @@
 import time
 
 from ..days.result import judge
-from .fluid import FluidTown
-from .town import Town
+from .day_simulation import DaySimulation
+from .fluid import FluidSimulation
 
 
 def play(day, seed=1, fidelity="reqs", core=None, trust=None, on_stage=None, watched=True, progress=None):
@@ -12,8 +12,8 @@
     flows.
     """
     began = time.monotonic()
-    town = {"reqs": Town, "flows": FluidTown}[fidelity](day, seed, core, trust, watched)
+    simulation = {"reqs": DaySimulation, "flows": FluidSimulation}[fidelity](day, seed, core, trust, watched)
     if on_stage:
-        on_stage(town)
-    town.play(progress)
-    return judge(town, {"reqs": "emulated", "flows": "flows"}[fidelity], seed, time.monotonic() - began)
+        on_stage(simulation)
+    simulation.play(progress)
+    return judge(simulation, {"reqs": "emulated", "flows": "flows"}[fidelity], seed, time.monotonic() - began)
--- a/embertray/emulator/proxy.py
+++ b/embertray/emulator/proxy.py
@@ -6,12 +6,19 @@
 from ..stream.messages import Answer, Hello
 
 
-class TownProxy(StandsStill):
+class SimulatedProxy(StandsStill):
     """model.Proxy with its stream to a controller."""
 
-    def __init__(self, town, name, zone, rate, rng, standing, way):
-        self.town, self.name, self.zone, self.rate, self.rng, self.way = town, name, zone, rate, rng, way
-        self.model, self.first, self.fresh = Proxy(town.site, rng, standing), list(standing), True
+    def __init__(self, simulation, name, zone, rate, rng, standing, way):
+        self.simulation, self.name, self.zone, self.rate, self.rng, self.way = (
+            simulation,
+            name,
+            zone,
+            rate,
+            rng,
+            way,
+        )
+        self.model, self.first, self.fresh = Proxy(simulation.site, rng, standing), list(standing), True
         self.con = self.session = None
         self.home = self.at = self.tries = self.lag = self.last_due = 0
         self.wait, self.still, self.cut_off, self.reading = REDIAL[0], False, False, True
@@ -21,14 +28,14 @@
 
     def start(self):
         self.at = self.home
-        self.model.joined(self.town.engine.time)
-        self.town.engine.after(self.town.site.report_cycle, self.report)
+        self.model.joined(self.simulation.engine.time)
+        self.simulation.engine.after(self.simulation.site.report_cycle, self.report)
         self.dial()
 
     def dial(self):
-        asked, names = 0, list(self.town.held.at)
+        asked, names = 0, list(self.simulation.held.at)
         name = names[self.at % len(names)]
-        con = self.town.held.running.get(name)
+        con = self.simulation.held.running.get(name)
         if con is not None and not self.cut_off:
             if con.frozen:
                 con.waiting.append((self.dial_at, (con,)))
@@ -47,23 +54,23 @@
         self.at += 1
         self.tries += 1
         pause = max(asked, int(self.wait * (0.5 + self.rng.random())))
-        if self.tries % len(self.town.held.at) == 0:
+        if self.tries % len(self.simulation.held.at) == 0:
             self.wait = min(REDIAL[1], self.wait * 2)
-        self.town.engine.at(self.town.engine.time + pause, self.dial)
+        self.simulation.engine.at(self.simulation.engine.time + pause, self.dial)
 
     def on_joined(self, con):
-        now = self.town.engine.time
+        now = self.simulation.engine.time
         self.con, self.session = con, Hello(1, self.name, self.zone, self.rate, self.fresh)
         self.fresh, self.wait, self.tries = False, REDIAL[0], 0
         self.model.joined(now)
-        self.town.eyes.joined(now, self.name, con.name)
+        self.simulation.eyes.joined(now, self.name, con.name)
 
     def break_stream(self):
         con, self.con, self.session = self.con, None, None
         if con is None:
             return
         self.model.left()
-        self.town.eyes.left(self.town.engine.time, self.name)
+        self.simulation.eyes.left(self.simulation.engine.time, self.name)
         con.when_awake(con.left, self)
         self.unread.clear()
         self.redial()
@@ -81,7 +88,7 @@
     def on_orders(self, con, orders):
         """They have come to its socket; one that does not read finds them there later."""
         if con is self.con:
-            self.town.eyes.orders(self.town.engine.time, self.name, orders)
+            self.simulation.eyes.orders(self.simulation.engine.time, self.name, orders)
             self.take(con, orders)
 
     def take(self, con, orders):
@@ -90,9 +97,9 @@
         if not self.reading:
             self.unread.append((con, orders))
             return
-        now = self.town.engine.time
+        now = self.simulation.engine.time
         self.last_due = max(self.last_due + 1, now + self.way())
-        self.town.engine.at(self.last_due, self.apply, self.session, orders)
+        self.simulation.engine.at(self.last_due, self.apply, self.session, orders)
 
     def apply(self, session, orders):
         if session is not self.session:  # the stream broke while it was under way
@@ -101,7 +108,7 @@
             self.held_back.append((self.apply, session, orders))
             return
         self.model.apply(orders)
-        self.town.eyes.applied(self.town.engine.time, self.name, orders)
+        self.simulation.eyes.applied(self.simulation.engine.time, self.name, orders)
         if orders.nonce is not None:
             self.say(session, Answer(orders.nonce))
 
@@ -110,14 +117,14 @@
             self.con.when_awake(self.con.take, self, session, message)
 
     def report(self):
-        now = self.town.engine.time
+        now = self.simulation.engine.time
         sums = self.model.sums(now)
         if self.session is not None and not self.still:
             if self.lag:
-                self.town.engine.at(now + self.lag, self.say, self.session, sums)
+                self.simulation.engine.at(now + self.lag, self.say, self.session, sums)
             else:
                 self.say(self.session, sums)
-        self.town.engine.after(self.town.site.report_cycle, self.report)
+        self.simulation.engine.after(self.simulation.site.report_cycle, self.report)
 
     # ---- reqs
 
@@ -125,22 +132,22 @@
         if self.still:
             self.held_back.append((self.on_req, req, back))
             return
-        under = self.model.arrive(self.town.engine.time, req, back)
+        under = self.model.arrive(self.simulation.engine.time, req, back)
         if under is None:
             back(req, "denied", self.model.wait_of(req.kind))
         else:
             self.attempt(under)
 
     def attempt(self, under):
-        engine = self.town.engine
+        engine = self.simulation.engine
         how = self.model.attempt(engine.time, under)
         if how:
             under.back(under.req, how)
             return
         under.timer = engine.after(under.within, self.timed_out, under, under.attempt)
-        req, be = under.req, self.town.by_name[under.backend]
-        if self.town.watched:
-            self.town.eyes.sent(
+        req, be = under.req, self.simulation.by_name[under.backend]
+        if self.simulation.watched:
+            self.simulation.eyes.sent(
                 engine.time,
                 self.name,
                 under.backend,
@@ -157,7 +164,7 @@
         if under.backend in self.bad:
             self.ended(under, under.attempt, "refused", {})
             return
-        way = self.town.between(self.zone, be.model.zone)
+        way = self.simulation.between(self.zone, be.model.zone)
         if way:
             engine.after(way, be.on_req, self, under, under.attempt, req.kind, req.work, under.until)
         else:
@@ -165,17 +172,17 @@
 
     def timed_out(self, under, attempt):
         if under.attempt == attempt and under.backend is not None:
-            self.town.by_name[under.backend].gave_up(under)
+            self.simulation.by_name[under.backend].gave_up(under)
             self.ended(under, attempt, "timeout", {})
 
     def ended(self, under, attempt, how, load):
-        now, name = self.town.engine.time, under.backend
+        now, name = self.simulation.engine.time, under.backend
         verdict = self.model.ended(now, under, attempt, how, load)
         if verdict is None:
             return
         under.timer.cancel()
-        if how != "done" and self.town.watched:
-            self.town.eyes.failed(now, self.name, name, (under.req.ident, under.req.attempt), how)
+        if how != "done" and self.simulation.watched:
+            self.simulation.eyes.failed(now, self.name, name, (under.req.ident, under.req.attempt), how)
         if verdict == "again":
             self.attempt(under)
         else:
