--- a/embertray/emulator/hall.py
+++ b/embertray/emulator/controllers.py
@@ -6,7 +6,7 @@
 from .controller import SimulatedController
 
 
-class Hall(Starts):
+class SimulatedControllers(Starts):
     """All controllers by name: what troubles kill, freeze and start again."""
 
     def __init__(self, simulation):
--- a/embertray/emulator/day_simulation.py
+++ b/embertray/emulator/day_simulation.py
@@ -17,8 +17,8 @@
 from ..trust import Trust
 from .backend import SimulatedBackend
 from .clients import SimulatedClients
+from .controllers import SimulatedControllers
 from .engine import Engine, S
-from .hall import Hall
 from .inventory import SimulatedInventory
 from .proxy import SimulatedProxy
 
@@ -57,7 +57,7 @@
         self.by_name, self.cross, self.numbers = {}, span(day.fleet["cross"]), 0
         self.ladder = []  # (ns, controller, degrade.Change)
         self.inventory = SimulatedInventory(self, span(day.fleet["answers"]))
-        self.held = Hall(self)
+        self.held = SimulatedControllers(self)
 
     def between(self, here, there):
         """ns from a proxy to a backend, and back again."""
--- a/embertray/emulator/limits.py
+++ b/embertray/emulator/limits.py
@@ -23,24 +23,24 @@
 
 
 class Member:
-    def __init__(self, hall, name, first):
-        self.hall, self.name, self.alive, self.stopped, self.later = hall, name, True, False, []
-        chance = hall.chance
-        hall.lives += 1
+    def __init__(self, simulation, name, first):
+        self.simulation, self.name, self.alive, self.stopped, self.later = simulation, name, True, False, []
+        chance = simulation.chance
+        simulation.lives += 1
         self.clock = Clock(
-            hall.engine, 1 + hall.drift * chance.uniform(-1, 1), chance.randrange(1, 10**6) * S
+            simulation.engine, 1 + simulation.drift * chance.uniform(-1, 1), chance.randrange(1, 10**6) * S
         )
-        self.core = hall.make(
+        self.core = simulation.make(
             name,
-            hall.names,
-            {"l": hall.total},
+            simulation.names,
+            {"l": simulation.total},
             self.clock.now(),
-            random.Random(f"{hall.seed} {name} {hall.lives}"),
-            hall.pace,
+            random.Random(f"{simulation.seed} {name} {simulation.lives}"),
+            simulation.pace,
             first,
-            hall.lives << 32,
+            simulation.lives << 32,
         )
-        hall.engine.at(hall.engine.time, self.tick)
+        simulation.engine.at(simulation.engine.time, self.tick)
 
     def tick(self):
         if not self.alive:
@@ -48,11 +48,11 @@
         if not self.stopped:
             now = self.clock.now()
             self.core.holder.wants["l"] = sum(
-                self.hall.wants[px] for px, home in self.hall.home.items() if home is self
+                self.simulation.wants[px] for px, home in self.simulation.home.items() if home is self
             )
-            self.hall.send(self, self.core.advance(now))
+            self.simulation.send(self, self.core.advance(now))
             self.order()
-        self.hall.engine.after(100 * MS, self.tick)
+        self.simulation.engine.after(100 * MS, self.tick)
 
     def arrive(self, sender, message):
         if not self.alive:
@@ -60,12 +60,12 @@
         if self.stopped:
             self.later.append((sender, message))
             return
-        self.hall.send(self, self.core.receive(self.clock.now(), sender, message))
+        self.simulation.send(self, self.core.receive(self.clock.now(), sender, message))
         self.order()
 
     def order(self):
         for _limit, px, units in self.core.holder.orders(self.clock.now()):
-            self.hall.engine.after(PUSH, self.hall.told, self, px, units)
+            self.simulation.engine.after(PUSH, self.simulation.told, self, px, units)
 
     def do(self, what, *args):
         """What the holder is told; one that stands still learns of it when it goes on."""
@@ -83,7 +83,7 @@
                 self.arrive(what, rest)
 
 
-class Hall:
+class LimitsSimulation:
     """`total`: units. `over`: the most that all proxies together were allowed beyond it; `used`: share of it,
     by look.
     """
--- a/embertray/measure/limits.py
+++ b/embertray/measure/limits.py
@@ -6,23 +6,23 @@
 
 import click
 
-from ..emulator.limits import Hall, S
+from ..emulator.limits import LimitsSimulation, S
 
 
 def wounded(seed):
     """(units over, of the total; share used at the end, a minute after the last wound)"""
-    hall = Hall(seed, 3 + seed % 5, 12 + seed % 9).run(15 * S)
+    simulation = LimitsSimulation(seed, 3 + seed % 5, 12 + seed % 9).run(15 * S)
     for _ in range(10):
-        hall.strike(hall.chance.randint(1, 20) * S)
-        hall.run(hall.chance.randint(0, 9) * S)
-    hall.run(60 * S)
-    return hall.over, hall.used[-1]
+        simulation.strike(simulation.chance.randint(1, 20) * S)
+        simulation.run(simulation.chance.randint(0, 9) * S)
+    simulation.run(60 * S)
+    return simulation.over, simulation.used[-1]
 
 
 def calm(case):
     members, skew = case
-    hall = Hall(1, members, 4 * members, skew=skew).run(60 * S)
-    return members, skew, hall.used[-1], hall.over, hall.sent / 60 / members
+    simulation = LimitsSimulation(1, members, 4 * members, skew=skew).run(60 * S)
+    return members, skew, simulation.used[-1], simulation.over, simulation.sent / 60 / members
 
 
 def split(case):
@@ -30,32 +30,38 @@
     until all is used again.
     """
     cut, lasts = case
-    hall = Hall(5, 5, 20).run(30 * S)
-    before = hall.used[-1]
-    pairs = hall.web.parted([hall.names[:cut], hall.names[cut:]])
-    hall.web.bend(hall.engine.time, pairs, open=False)
-    hall.run(lasts * S)
-    during = hall.used[-1]
-    hall.web.straight(hall.engine.time, pairs, ("open",))
+    simulation = LimitsSimulation(5, 5, 20).run(30 * S)
+    before = simulation.used[-1]
+    pairs = simulation.web.parted([simulation.names[:cut], simulation.names[cut:]])
+    simulation.web.bend(simulation.engine.time, pairs, open=False)
+    simulation.run(lasts * S)
+    during = simulation.used[-1]
+    simulation.web.straight(simulation.engine.time, pairs, ("open",))
     for second in range(120):  # noqa: B007 (used after the loop)
-        if hall.used[-1] >= 0.98 * before:
+        if simulation.used[-1] >= 0.98 * before:
             break
-        hall.run(S)
-    return cut, lasts, before, during, hall.over, second
+        simulation.run(S)
+    return cut, lasts, before, during, simulation.over, second
 
 
 def killed(case):
     """k of five killed at once, for good."""
-    hall = Hall(6, 5, 20).run(30 * S)
-    for name in hall.names[:case]:
-        hall.kill(name)
+    simulation = LimitsSimulation(6, 5, 20).run(30 * S)
+    for name in simulation.names[:case]:
+        simulation.kill(name)
     least = 1.0
     for second in range(120):  # noqa: B007 (used after the loop)
-        hall.run(S)
-        least = min(least, hall.used[-1])
-        if second > 2 and hall.used[-1] >= 0.93:
+        simulation.run(S)
+        least = min(least, simulation.used[-1])
+        if second > 2 and simulation.used[-1] >= 0.93:
             break
-    return case, least, second + 1 if hall.used[-1] >= 0.93 else None, hall.used[-1], hall.over
+    return (
+        case,
+        least,
+        second + 1 if simulation.used[-1] >= 0.93 else None,
+        simulation.used[-1],
+        simulation.over,
+    )
 
 
 @click.command()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from embertray.emulator.limits import Hall, S
+from embertray.emulator.limits import LimitsSimulation, S
 from embertray.fleet.limits import Limits
 from embertray.fleet.limits.divide import divide
 from embertray.fleet.limits.holder import Holder
@@ -21,11 +21,11 @@
 
 
 def play(seed, make=Limits, drift=0.01, wounds=10):
-    hall = Hall(seed, 3 + seed % 5, 12 + seed % 9, drift=drift, make=make).run(15 * S)
+    simulation = LimitsSimulation(seed, 3 + seed % 5, 12 + seed % 9, drift=drift, make=make).run(15 * S)
     for _ in range(wounds):
-        hall.strike(hall.chance.randint(1, 20) * S)
-        hall.run(hall.chance.randint(0, 9) * S)
-    return hall
+        simulation.strike(simulation.chance.randint(1, 20) * S)
+        simulation.run(simulation.chance.randint(0, 9) * S)
+    return simulation
 
 
 def sabotaged(**parts):
@@ -106,28 +106,30 @@
             601,
         ):  # 15 and later: once over, or stuck, before it was mended
             with self.subTest(seed=seed):
-                hall = play(seed)
-                hall.run(60 * S)
-                self.assertEqual(hall.over, 0)
-                self.assertGreater(hall.used[-1], 0.94)  # all but the floors of members without proxies
+                simulation = play(seed)
+                simulation.run(60 * S)
+                self.assertEqual(simulation.over, 0)
+                self.assertGreater(simulation.used[-1], 0.94)  # all but the floors of members without proxies
 
     def test_a_limit_is_used_though_demand_is_skewed_twenty_to_one(self):
         for members in (2, 5, 12):
-            hall = Hall(1, members, 4 * members, skew=20.0).run(60 * S)
-            self.assertGreater(hall.used[-1], 0.95)
-            self.assertEqual(hall.over, 0)
+            simulation = LimitsSimulation(1, members, 4 * members, skew=20.0).run(60 * S)
+            self.assertGreater(simulation.used[-1], 0.95)
+            self.assertEqual(simulation.over, 0)
 
     def test_a_dead_members_part_is_used_again_within_the_term(self):
-        hall = Hall(3, 5, 20).run(30 * S)
-        before = hall.used[-1]
-        leader = next(name for name, member in hall.members.items() if member.core.leads(member.clock.now()))
-        hall.kill(next(name for name in hall.names if name != leader))
-        hall.run(int(hall.pace.term) + S)
-        self.assertGreater(hall.used[-1], before - 0.02)
+        simulation = LimitsSimulation(3, 5, 20).run(30 * S)
+        before = simulation.used[-1]
+        leader = next(
+            name for name, member in simulation.members.items() if member.core.leads(member.clock.now())
+        )
+        simulation.kill(next(name for name in simulation.names if name != leader))
+        simulation.run(int(simulation.pace.term) + S)
+        self.assertGreater(simulation.used[-1], before - 0.02)
 
     def test_a_limit_below_the_number_of_members(self):
-        hall = Hall(2, 5, 10, total=3).run(60 * S)
-        self.assertEqual(hall.over, 0)
+        simulation = LimitsSimulation(2, 5, 10, total=3).run(60 * S)
+        self.assertEqual(simulation.over, 0)
 
     def test_the_same_seed_is_the_same_run(self):
         one, two = play(7, wounds=4), play(7, wounds=4)
