--- a/embertray/measure/scale/slopes.py
+++ b/embertray/measure/scale/slopes.py
@@ -72,4 +72,4 @@
         save(role, f"{role}-processor", f"cores {each}", lambda one: one.processor)
         save(role, f"{role}-memory", f"bytes {each}", lambda one: one.memory)
     save("subscriber", "time-to-all", "s a change", time_to_all)
-    save("subscriber", "oldest", "s a subscriber", lambda one: one.oldest)
+    save("subscriber", "subscriber-oldest", "s a subscriber", lambda one: one.oldest)
