--- a/embertray/emulator/cluster_simulation.py
+++ b/embertray/emulator/cluster_simulation.py
@@ -17,7 +17,7 @@
 from ..model.web import Web
 from ..site.site import time as span
 from .collector import rare_collections
-from .gossip import Links, Ring
+from .gossip import Links, MembershipSimulation
 from .state_exchanger import StateExchanger
 
 MS, S = 10**6, 10**9
@@ -27,7 +27,7 @@
 
 
 class WebLinks(Links):
-    """A ring's links that are a web's ways."""
+    """The links of members that are a web's ways."""
 
     def __init__(self, chance, web):
         super().__init__(chance)
@@ -53,9 +53,16 @@
         names = [f"c{n + 1}" for n in range(members or int(day.fleet["controllers"]))]
         period = span(day.fleet["period"])
         self.links = Web(names, seed, ("list", "px"))  # nothing passes on the latter two here
-        self.ring = Ring(seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period), make)
-        self.ring.links = WebLinks(random.Random(f"{seed} links"), self.links)
-        self.engine, self.exchangers, self.chance, self.proxies = self.ring.engine, {}, Streams(seed), []
+        self.membership = MembershipSimulation(
+            seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period), make
+        )
+        self.membership.links = WebLinks(random.Random(f"{seed} links"), self.links)
+        self.engine, self.exchangers, self.chance, self.proxies = (
+            self.membership.engine,
+            {},
+            Streams(seed),
+            [],
+        )
         self.claims = Claims(self.links, period, EXCHANGE_WITHIN, 50 * MS)
         # what troubles ask of a stage, its clock and what it holds
         self.clock, self.held, self.eyes, self.zero = self.engine, self, self, self.engine.time + S
@@ -73,9 +80,9 @@
         if name not in self.exchangers:
             self.exchangers[name] = None
             await self.engine.sleep_until(self.engine.time + START + still)
-            process = self.ring.up(name, [other for other in self.links.members if other != name])
+            process = self.membership.up(name, [other for other in self.links.members if other != name])
             self.exchangers[name] = StateExchanger(
-                process, lambda: self.exchangers, self.ring.links, self.seed, *self.makes
+                process, lambda: self.exchangers, self.membership.links, self.seed, *self.makes
             )
             self.claims.on_up(self.engine.time, name)
 
@@ -87,25 +94,25 @@
 
     def kill(self, name):
         if self.exchangers.get(name) is not None:
-            self.ring.kill(name)
+            self.membership.kill(name)
             del self.exchangers[name]
             self.claims.on_down(self.engine.time, name)
 
     async def restart(self, name):
-        process = self.ring.at.get(name)
+        process = self.membership.at.get(name)
         if self.exchangers.get(name) is not None:
-            self.ring.send(process, process.core.leave(self.engine.time))
+            self.membership.send(process, process.core.leave(self.engine.time))
             self.kill(name)
         await self.up(name)
 
     def freeze(self, name):
         if self.exchangers.get(name) is not None:
-            self.ring.at[name].stop()
+            self.membership.at[name].stop()
             self.claims.on_still(self.engine.time, name)
 
     def thaw(self, name):
-        if self.exchangers.get(name) is not None and self.ring.at[name].stopped:
-            self.ring.at[name].go_on()
+        if self.exchangers.get(name) is not None and self.membership.at[name].stopped:
+            self.membership.at[name].go_on()
             self.claims.on_go_on(self.engine.time, name)
 
     # ---- the day
@@ -142,6 +149,6 @@
             [s for s in self.exchangers.values() if s is not None],
         )
         return (
-            sum(self.ring.bytes.values()) / span_s / len(self.links.members),
+            sum(self.membership.bytes.values()) / span_s / len(self.links.members),
             sum(s.bytes for s in living) / span_s / max(1, len(living)),
         )
--- a/embertray/emulator/detectors.py
+++ b/embertray/emulator/detectors.py
@@ -14,8 +14,8 @@
 
 
 class Heartbeats:
-    """Dead after `limit` periods without a heartbeat. The interface of Membership, as far as a Ring needs
-    it.
+    """Dead after `limit` periods without a heartbeat. The interface of Membership, as far as its
+    simulation needs it.
     """
 
     limit = 5.0
--- a/embertray/emulator/gossip.py
+++ b/embertray/emulator/gossip.py
@@ -52,9 +52,9 @@
 class Process:
     """One life of a member: its core, and the time when it is to be called next."""
 
-    def __init__(self, ring, core):
-        self.ring, self.core, self.stopped, self.alive, self.waiting, self.planned = (
-            ring,
+    def __init__(self, simulation, core):
+        self.simulation, self.core, self.stopped, self.alive, self.waiting, self.planned = (
+            simulation,
             core,
             False,
             True,
@@ -63,7 +63,7 @@
         )
 
     def plan(self):
-        when = max(self.core.next_at(), self.ring.engine.time)
+        when = max(self.core.next_at(), self.simulation.engine.time)
         if (
             self.alive
             and not self.stopped
@@ -71,13 +71,13 @@
             and (self.planned is None or when < self.planned)
         ):
             self.planned = when
-            self.ring.engine.at(when, self.due, when)
+            self.simulation.engine.at(when, self.due, when)
 
     def due(self, when):
         if self.planned == when and self.alive and not self.stopped:
             self.planned = None
-            self.ring.send(self, self.core.advance(when))
-            self.ring.note(self)
+            self.simulation.send(self, self.core.advance(when))
+            self.simulation.note(self)
             self.plan()
 
     def arrive(self, address, message):
@@ -87,12 +87,12 @@
         if self.stopped:
             self.waiting.append((address, message))
             return
-        now = self.ring.engine.time
+        now = self.simulation.engine.time
         if message is None:
-            self.ring.unreadable += 1
+            self.simulation.unreadable += 1
             return
-        self.ring.send(self, self.core.receive(now, address, message))
-        self.ring.note(self)
+        self.simulation.send(self, self.core.receive(now, address, message))
+        self.simulation.note(self)
         self.plan()
 
     def stop(self):
@@ -113,7 +113,7 @@
         return None
 
 
-class Ring:
+class MembershipSimulation:
     """All members of one cluster. `notes`: (ns, who, Change) as each took it."""
 
     def __init__(self, seed=1, pace=Pace(), make=Membership, **links):
--- a/embertray/emulator/state_exchanger.py
+++ b/embertray/emulator/state_exchanger.py
@@ -25,8 +25,8 @@
 
     def __init__(self, process, others, links, seed, make=Exchange, store=EntryStore, facts=timestamp_facts):
         self.facts = facts
-        self.process, self.others, self.links, self.engine = process, others, links, process.ring.engine
-        core, now = process.core, process.ring.engine.time
+        self.process, self.others, self.links, self.engine = process, others, links, process.simulation.engine
+        core, now = process.core, process.simulation.engine.time
         self.store = store(core.me.name, core.me.life)
         self.exchange = make(
             self.store, random.Random(f"{seed} {core.me.name} {core.me.life}"), now, core.pace.period
--- a/embertray/measure/cluster.py
+++ b/embertray/measure/cluster.py
@@ -9,47 +9,53 @@
 
 from ..cluster.membership import DEAD, Membership
 from ..emulator.detectors import Heartbeats, Phi
-from ..emulator.gossip import Ring, S
+from ..emulator.gossip import MembershipSimulation, S
 
 MAKES = {"swim": Membership, "heartbeats": Heartbeats, "phi": Phi}
 
 
 def start(how, members, seed):
-    ring = Ring(seed, make=MAKES[how])
+    simulation = MembershipSimulation(seed, make=MAKES[how])
     if how == "swim":
-        return ring.gather(members)
+        return simulation.gather(members)
     for n in range(members):
-        ring.up(f"m{n}", [f"m{k}" for k in range(members)])
-    ring.run(20 * S)
-    return ring
+        simulation.up(f"m{n}", [f"m{k}" for k in range(members)])
+    simulation.run(20 * S)
+    return simulation
 
 
-def false_deaths(ring, but=()):
+def false_deaths(simulation, but=()):
     """Members taken for dead wrongly, each once, whoever said so."""
     return len(
-        {change.name for _, _, change in ring.notes if change.state == DEAD and change.name not in but}
+        {change.name for _, _, change in simulation.notes if change.state == DEAD and change.name not in but}
     )
 
 
 def one(how, members, loss, seed, calm, kills, pause=0):
-    """One ring: `calm` seconds with loss (and one member stopped for `pause` ns each 20 s), then kills, one
-    after the other.
+    """One cluster: `calm` seconds with loss (and one member stopped for `pause` ns each 20 s), then kills,
+    one after the other.
     """
-    ring, chance = start(how, members, seed), random.Random(seed)
-    ring.links.loss, before, began = loss, sum(ring.bytes.values()), ring.engine.time
+    simulation, chance = start(how, members, seed), random.Random(seed)
+    simulation.links.loss, before, began = loss, sum(simulation.bytes.values()), simulation.engine.time
     for _second in range(0, calm, 20):
         if pause:
-            who = ring.at[f"m{chance.randrange(members)}"]
+            who = simulation.at[f"m{chance.randrange(members)}"]
             who.stop()
-            ring.run(pause)
+            simulation.run(pause)
             who.go_on()
-        ring.run(20 * S - pause)
-    span = (ring.engine.time - began) / S
-    rate, wrong, took = (sum(ring.bytes.values()) - before) / span / members, false_deaths(ring), []
+        simulation.run(20 * S - pause)
+    span = (simulation.engine.time - began) / S
+    rate, wrong, took = (
+        (sum(simulation.bytes.values()) - before) / span / members,
+        false_deaths(simulation),
+        [],
+    )
     for n in range(kills):
         name = f"m{members - 1 - n}"
-        ring.kill(name)
-        gone = ring.until(lambda: all(p.core.members[name].state == DEAD for p in ring.living()), 300 * S)
+        simulation.kill(name)
+        gone = simulation.until(
+            lambda: all(p.core.members[name].state == DEAD for p in simulation.living()), 300 * S
+        )
         took.append(300.0 if gone is None else gone / S)
     return took, wrong, rate
 
--- a/embertray/measure/scale/virtual.py
+++ b/embertray/measure/scale/virtual.py
@@ -4,7 +4,7 @@
 
 from ...cluster.membership import Pace
 from ...emulator.collector import rare_collections
-from ...emulator.gossip import Ring
+from ...emulator.gossip import MembershipSimulation
 from ...emulator.state_exchanger import StateExchanger
 from .fleet import MARKS, Summary
 from .meter import Counters, Meter
@@ -30,11 +30,13 @@
 
 
 class VirtualMembers:
-    """`size` members of one ring, started one after the other as hollow members are."""
+    """`size` members of one cluster, started one after the other as hollow members are."""
 
     def __init__(self, size, spans, period, facts_bytes, naming=Naming(), seed=1):
-        self.ring = Ring(seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period))
-        self.engine, self.facts = self.ring.engine, b"f" * facts_bytes
+        self.membership = MembershipSimulation(
+            seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period)
+        )
+        self.engine, self.facts = self.membership.engine, b"f" * facts_bytes
         self.addresses = {naming.name(n): naming.address(n) for n in range(size)}
         self.marker, self.exchangers, self.delays, self.seed = naming.name(0), {}, {}, seed
         self.unseen = {}  # mark -> exchangers that have not seen it
@@ -45,17 +47,17 @@
     def start(self, name):
         address = self.addresses[name]
         peers = [other for other in self.addresses.values() if other != address]
-        process = self.ring.up(name, peers, address)
+        process = self.membership.up(name, peers, address)
         self.exchangers[address] = StateExchanger(
-            process, lambda: self.exchangers, self.ring.links, self.seed, facts=lambda _: self.facts
+            process, lambda: self.exchangers, self.membership.links, self.seed, facts=lambda _: self.facts
         )
 
     def read(self):
         for name, meter in self.meters.items():
             address = self.addresses[name]
-            probes, state = self.ring.bytes[address], self.exchangers[address].bytes
+            probes, state = self.membership.bytes[address], self.exchangers[address].bytes
             parts = {"probes": probes, "state": state}
-            meter.read(self.engine.time, Counters(probes + state, 0, self.ring.sent[address], parts))
+            meter.read(self.engine.time, Counters(probes + state, 0, self.membership.sent[address], parts))
 
     def mark(self, number):
         self.exchangers[self.addresses[self.marker]].store.put(self.engine.time, MARK, str(number).encode())
@@ -93,7 +95,10 @@
             engine.run(begin + second * S)
             members.read()
             oldest.append(members.oldest())
-    meters, seen = members.meters.values(), [p.core.members.here_count + 1 for p in members.ring.living()]
+    meters, seen = (
+        members.meters.values(),
+        [p.core.members.here_count + 1 for p in members.membership.living()],
+    )
     return Summary(
         size=size,
         count=size,
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -83,7 +83,7 @@
         sides = ({"c1", "c2", "c3"}, {"c4", "c5"})
 
         def own_dead(**makes):
-            notes = self.simulation(**makes).play().ring.notes
+            notes = self.simulation(**makes).play().membership.notes
             return [
                 (who, change.name)
                 for _, who, change in notes
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from embertray.cluster.state import Entry
 from embertray.days import notation
 from embertray.emulator.cluster_simulation import ClusterSimulation
-from embertray.emulator.gossip import MS, START, Ring, S
+from embertray.emulator.gossip import MS, START, MembershipSimulation, S
 from embertray.emulator.random_faults import random_faults
 from embertray.emulator.state_exchanger import StateExchanger, pack
 from embertray.measure.capacity.record import Recording
@@ -63,19 +63,19 @@
         self.bytes += len(data)
         self.digest.update(data)
 
-    def watch(self, ring):
-        sent = ring.send
+    def watch(self, simulation):
+        sent = simulation.send
 
         def send(process, out):
             for address, message in out:
                 if decode(encode(message)) != message:
                     self.misread.append(message)
-                head = f"{ring.engine.time} {process.core.me.address} {address} ".encode()
+                head = f"{simulation.engine.time} {process.core.me.address} {address} ".encode()
                 self.digest.update(head)
                 self.add(encode(message))
             sent(process, out)
 
-        ring.send = send
+        simulation.send = send
         return self
 
     @property
@@ -83,29 +83,29 @@
         return self.messages, self.bytes, self.digest.hexdigest()[:16]
 
 
-def ring_traffic():
+def membership_traffic():
     """Membership alone: lost, repeated and spoilt datagrams, a death, a standstill, a life begun again."""
-    ring = Ring(7)
-    traffic = Traffic().watch(ring)
-    ring.gather(12)
-    ring.links.loss, ring.links.again, ring.links.spoil = 0.2, 0.1, 0.05
-    ring.run(30 * S)
-    ring.kill("m3")
-    ring.at["m5"].stop()
-    ring.run(20 * S)
-    ring.at["m5"].go_on()
-    ring.up("m3", ["m0"], clock=5 * MS)
-    ring.links.split([f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 12)])
-    ring.run(40 * S)
-    ring.links.heal()
-    ring.run(40 * S)
-    return (*traffic.figures, len(ring.notes)), traffic.misread
+    simulation = MembershipSimulation(7)
+    traffic = Traffic().watch(simulation)
+    simulation.gather(12)
+    simulation.links.loss, simulation.links.again, simulation.links.spoil = 0.2, 0.1, 0.05
+    simulation.run(30 * S)
+    simulation.kill("m3")
+    simulation.at["m5"].stop()
+    simulation.run(20 * S)
+    simulation.at["m5"].go_on()
+    simulation.up("m3", ["m0"], clock=5 * MS)
+    simulation.links.split([f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 12)])
+    simulation.run(40 * S)
+    simulation.links.heal()
+    simulation.run(40 * S)
+    return (*traffic.figures, len(simulation.notes)), traffic.misread
 
 
 def simulation_traffic(text, seed):
     """Membership and state: (datagrams' figures, state's figures, what was asked of each claim)."""
     simulation = ClusterSimulation(notation.read(text), seed)
-    datagrams, state, counted = Traffic().watch(simulation.ring), Traffic(), StateExchanger.count
+    datagrams, state, counted = Traffic().watch(simulation.membership), Traffic(), StateExchanger.count
 
     def count(exchanger, message):
         state.add(pack(message))
@@ -116,7 +116,7 @@
     return datagrams.figures, state.figures, tuple(claims.held.values())
 
 
-RING = (11624, 1275768, "b38abda91d644fad", 2325)
+MEMBERSHIP = (11624, 1275768, "b38abda91d644fad", 2325)
 DAYS = {  # name: (text, seed), datagrams, state, how often each claim was asked for
     "drawn 3": (
         (random_faults(3, 6), 3),
@@ -145,9 +145,9 @@
 
 class SameTraffic(unittest.TestCase):
     def test_membership_sends_the_recorded_bytes(self):
-        figures, misread = ring_traffic()
-        self.assertEqual(figures, RING)
-        self.assertEqual(misread, [], "a ring hands on messages in place of their bytes")
+        figures, misread = membership_traffic()
+        self.assertEqual(figures, MEMBERSHIP)
+        self.assertEqual(misread, [], "a simulation hands on messages in place of their bytes")
 
     def test_members_with_state_send_the_recorded_bytes(self):
         for name, (day, *recorded) in DAYS.items():
@@ -180,17 +180,17 @@
 
 def emulated_exchange():
     """Bytes of state that each of two members sent in one exchange under virtual time."""
-    ring = Ring(1, delay=(0, 0))
+    simulation = MembershipSimulation(1, delay=(0, 0))
     exchangers = {}
     for name, owners in zip(("a", "b"), KNOWN, strict=True):
         exchangers[name] = exchanger = StateExchanger(
-            ring.up(name, []), lambda: exchangers, ring.links, 1, facts=lambda _: b"f" * 60
+            simulation.up(name, []), lambda: exchangers, simulation.links, 1, facts=lambda _: b"f" * 60
         )
         exchanger.facts_at, exchanger.exchange.at = 10 * START, 10 * START
         filled(exchanger.store, START, owners)
-    ring.run(0)
+    simulation.run(0)
     exchangers["a"].send_offer(0, "b")
-    ring.run(0)
+    simulation.run(0)
     return exchangers["a"].bytes, exchangers["b"].bytes
 
 
