--- a/embertray/measure/claims.py
+++ b/embertray/measure/claims.py
@@ -9,14 +9,14 @@
 
 from ..days import notation
 from ..emulator.cluster_simulation import ClusterSimulation
-from ..emulator.drawn import wounds
+from ..emulator.random_faults import random_faults
 
 S = 10**9
 CALM, CUT = 20, 40  # s before the split, and that it lasts at the least
 
 
 def drawn(seed, members):
-    claims = ClusterSimulation(notation.read(wounds(seed, members)), seed).play().claims
+    claims = ClusterSimulation(notation.read(random_faults(seed, members)), seed).play().claims
     return dict(claims.held), {name: len(why) for name, why in claims.broken.items()}, claims.worst
 
 
@@ -69,13 +69,13 @@
     bound, age = (2 * (members - 1) + 2 + 1), simulation.told()
     began, before = (
         simulation.engine.time,
-        (sum(simulation.ring.bytes.values()), sum(s.bytes for s in simulation.exchangers.values())),
+        (sum(simulation.membership.bytes.values()), sum(s.bytes for s in simulation.exchangers.values())),
     )
     simulation.engine.run(began + CALM * S)
     rates = [
         (now - was) / CALM / members
         for now, was in zip(
-            (sum(simulation.ring.bytes.values()), sum(s.bytes for s in simulation.exchangers.values())),
+            (sum(simulation.membership.bytes.values()), sum(s.bytes for s in simulation.exchangers.values())),
             before,
             strict=False,
         )
