--- a/embertray/emulator/control/day.py
+++ b/embertray/emulator/control/day.py
@@ -108,6 +108,8 @@
         self._plan_events(play.engine.time)
         play.run(plan.span)
         self._join_regions()
+        for machine in self.machines:
+            self._up(machine)
         play.settle()
         return self
 
