--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -10,7 +10,7 @@
 import msgspec
 import structlog
 
-from ...memory import Shelf
+from ...memory import Collection
 from ...net.address import BadAddress, loopback
 from ...stream.frames import BadFrame, Splitter, frame
 from ..membership import Membership, Pace
@@ -98,19 +98,19 @@
             **self.counted,
         }
 
-    def shelves(self):
+    def collections(self):
         """What it holds, for the accounts; what each stands on is weighed without its owner."""
         members, store = self.membership, self.store
         return [
-            Shelf(
+            Collection(
                 "entries",
                 len(store.held),
                 store.held.items,
                 [store.held, store.places, store.seen, store.lives],
             ),
-            Shelf("members", len(members.members), members.members.items, [members.members]),
-            Shelf("refused", len(members.refused), members.refused.items, [members.refused]),
-            Shelf("probes", len(members.probes), members.probes.items, [members.probes]),
+            Collection("members", len(members.members), members.members.items, [members.members]),
+            Collection("refused", len(members.refused), members.refused.items, [members.refused]),
+            Collection("probes", len(members.probes), members.probes.items, [members.probes]),
         ]
 
     def close(self, closed):
--- a/embertray/core/holdings.py
+++ b/embertray/core/holdings.py
@@ -1,14 +1,14 @@
-"""What a controller's parts hold, by purpose: the shelves that the accounts count. Reads, never changes."""
+"""What a controller's parts hold, by purpose: the collections that the accounts count. Changes nothing."""
 
 from .. import interface as i
 from ..choice.actor import Actor
-from ..memory.sizes import Shelf
+from ..memory.sizes import Collection
 
 HANDLES = (i.Handle, i.RequestKind, Actor)
 
 
-def shelves(it):
-    """purpose -> shelves of an Instance, without its streams (those are the daemon's)."""
+def collections(it):
+    """purpose -> collections of an Instance, without its streams (those are the daemon's)."""
     module, box, identifiers = it.module, it.outbox, it.identifiers
     tables, ordered = module.channel.tables, list(box.tables.values())
     lines = [table.lines for table in ordered] + [
@@ -28,22 +28,22 @@
     held = [proxy.messages.open for proxy in proxies] + [proxy.messages.written for proxy in proxies]
     return {
         "tables": [
-            Shelf("lines", sum(map(len, lines)), lists(*lines), lines, HANDLES),
-            Shelf(
+            Collection("lines", sum(map(len, lines)), lists(*lines), lines, HANDLES),
+            Collection(
                 "levels",
                 sum(len(table.levels) for table in ordered),
                 lists(*(t.levels for t in ordered)),
                 (),
                 HANDLES,
             ),
-            Shelf(
+            Collection(
                 "users",
                 sum(map(len, users)) + len(box.bound),
                 lists(*users, box.bound),
                 [*users, box.bound],
                 HANDLES,
             ),
-            Shelf(
+            Collection(
                 "withdrawn",
                 sum(map(len, told)) + len(module.channel.withdrawn),
                 lists(*told, module.channel.withdrawn),
@@ -51,39 +51,45 @@
                 HANDLES,
             ),
         ],
-        "list": [Shelf("starts", len(it.starts), it.starts.items, [it.starts, it.state], HANDLES)],
+        "list": [Collection("starts", len(it.starts), it.starts.items, [it.starts, it.state], HANDLES)],
         "reports": [
-            Shelf("waiting", len(it.intake.waiting), it.intake.waiting.items, [it.intake.waiting], HANDLES),
-            Shelf(
+            Collection(
+                "waiting", len(it.intake.waiting), it.intake.waiting.items, [it.intake.waiting], HANDLES
+            ),
+            Collection(
                 "rounds",
                 sum(len(r.lines) + len(r.spans) for r in it.intake.rounds.values()),
                 lists(*(book for r in it.intake.rounds.values() for book in (r.lines, r.spans))),
                 (),
                 HANDLES,
             ),
-            Shelf(
+            Collection(
                 "demand",
                 it.reduced.gauge.size(),
                 lists(*it.reduced.gauge.words.values()),
                 list(it.reduced.gauge.words.values()),
                 HANDLES,
             ),
-            Shelf("samples", sum(len(p.samples.rows) for p in (*backends, *proxies)), samples, (), HANDLES),
+            Collection(
+                "samples", sum(len(p.samples.rows) for p in (*backends, *proxies)), samples, (), HANDLES
+            ),
         ],
         "channel": [
-            Shelf("messages", len(it.pacer.queue), lambda: it.pacer.queue, [it.pacer.queue], HANDLES),
-            Shelf(
+            Collection("messages", len(it.pacer.queue), lambda: it.pacer.queue, [it.pacer.queue], HANDLES),
+            Collection(
                 "nonces",
                 len(identifiers.nonces) + len(it.stamps),
                 lists(identifiers.nonces, it.stamps),
                 [identifiers.nonces, it.stamps],
                 (i.RequestKind, Actor),
             ),
-            Shelf(
+            Collection(
                 "open", sum(map(len, held)), lambda: (item for book in held for item in book), held, HANDLES
             ),
-            Shelf("open here", sum(map(len, it.open.values())), lambda: it.open.values(), [it.open], HANDLES),
-            Shelf(
+            Collection(
+                "open here", sum(map(len, it.open.values())), lambda: it.open.values(), [it.open], HANDLES
+            ),
+            Collection(
                 "flights",
                 sum(len(sent) for sent, _ in module.channel.flights.by_nonce.values()),
                 lambda: (
@@ -97,14 +103,14 @@
             ),
         ],
         "names": [
-            Shelf(
+            Collection(
                 "handles",
                 len(identifiers.backends) + len(identifiers.proxies) + len(identifiers.zones),
                 lists(identifiers.backends, identifiers.proxies, identifiers.zones),
                 [identifiers.backends, identifiers.proxies, identifiers.zones],
                 (Actor,),
             ),
-            Shelf(
+            Collection(
                 "actors",
                 len(backends) + len(proxies),
                 lambda: iter([*backends, *proxies]),
@@ -113,5 +119,5 @@
                 ("owner", "site", "samples", "messages", "handle", "table"),
             ),
         ],
-        "probes": [Shelf("under way", len(it.probing), it.probing.items, [it.probing], HANDLES)],
+        "probes": [Collection("under way", len(it.probing), it.probing.items, [it.probing], HANDLES)],
     }
--- a/embertray/core/instance.py
+++ b/embertray/core/instance.py
@@ -17,7 +17,7 @@
 from ..memory.caps import PROBES, defaults
 from ..reports.intake import Intake
 from ..runner import Runner
-from .holdings import shelves
+from .holdings import collections
 
 S = 10**9
 # -- constants: value, unit, reason
@@ -59,7 +59,7 @@
         self.open, self.refs, self.probing, self.tidy_at = {}, {}, {}, now + TIDY
         self.accounts = Accounts({**defaults(site), **site.caps}, chance)
         self.awake = Awake(now)
-        self.more = dict  # purpose -> further shelves, of whoever runs this
+        self.more = dict  # purpose -> further collections, of whoever runs this
         self.held_back = self.skipped = self.room_at = 0
 
     # ---- the list
@@ -180,8 +180,8 @@
 
     # ---- memory
 
-    def shelves(self):
-        found = shelves(self)
+    def collections(self):
+        found = collections(self)
         for purpose, more in self.more().items():
             found.setdefault(purpose, []).extend(more)
         return found
@@ -197,7 +197,7 @@
                     for name, held in self.open.items()
                     if held and now - self.stamps[held[0]] > UNANSWERED
                 ]
-        for verdict in self.accounts.look(now, self.shelves):
+        for verdict in self.accounts.look(now, self.collections):
             account = self.accounts.by[verdict.purpose]
             if verdict.action == "drop" and self.intake.waiting:
                 each = max(1.0, account.each.get("waiting", 1.0))
--- a/embertray/daemon/service.py
+++ b/embertray/daemon/service.py
@@ -13,7 +13,7 @@
 from ..channel.budget import budget
 from ..channel.outlet import PROBE_WITHIN
 from ..core import Desk, Instance
-from ..memory import Shelf
+from ..memory import Collection
 from ..net.address import BadAddress
 from ..net.process import resident
 from ..trust import Trust
@@ -75,7 +75,7 @@
         )
         self.instance, self.trust, self.admission = desk.instance, desk.trust, desk.admission
         self.log.info("started", list=self.trust.why(now))
-        self.instance.more = self.shelves
+        self.instance.more = self.collections
         self.began_with = resident()
         listener = await self.net.listen(self.me.listen)
         admin = await self.net.listen(self.me.admin)
@@ -197,13 +197,13 @@
         for backend in step.probe:
             self.group.start_soon(self.probe, backend)
 
-    def shelves(self):
+    def collections(self):
         """What the streams hold, for the accounts."""
         streams = list(self.streams.values())
         return {
-            **({"cluster": self.cluster.shelves()} if self.cluster else {}),
+            **({"cluster": self.cluster.collections()} if self.cluster else {}),
             "streams": [
-                Shelf(
+                Collection(
                     "streams",
                     len(streams),
                     lambda: streams,
@@ -211,19 +211,21 @@
                     (anyio.Event, anyio.CancelScope),
                     ("stream", "on_taken", "read", "scope"),
                 ),
-                Shelf(
+                Collection(
                     "untaken",
                     sum(len(s.conn.queue) for s in streams),
                     lambda: (d for s in streams for d in s.conn.queue),
                 ),
-                Shelf("cuts", len(self.admission.cuts), self.admission.cuts.items, [self.admission.cuts]),
+                Collection(
+                    "cuts", len(self.admission.cuts), self.admission.cuts.items, [self.admission.cuts]
+                ),
             ],
             "list": [
-                Shelf(
+                Collection(
                     "held", len(self.list.follow.held), self.list.follow.held.items, [self.list.follow.held]
                 ),
-                Shelf("known", len(self.trust.known), self.trust.known.items, [self.trust.known]),
-                Shelf("gone", len(self.trust.gone), self.trust.gone.items, [self.trust.gone]),
+                Collection("known", len(self.trust.known), self.trust.known.items, [self.trust.known]),
+                Collection("gone", len(self.trust.gone), self.trust.gone.items, [self.trust.gone]),
             ],
         }
 
--- a/embertray/lab/policies.py
+++ b/embertray/lab/policies.py
@@ -161,7 +161,7 @@
             super().__init__(site, me, seed, now, *rest)
             self.module = policy(seed, site, now)
 
-        def shelves(self):
+        def collections(self):
             return {}
 
     return Core
--- a/embertray/memory/accounts.py
+++ b/embertray/memory/accounts.py
@@ -1,14 +1,14 @@
 """The accounts: for each purpose what it holds, its peak, its cap, what was done at the cap and how often; no
 I/O.
 
-Each `look` counts entries (cheap) and weighs the shelves of one purpose in turn (an exact walk over a
+Each `look` counts entries (cheap) and weighs the collections of one purpose in turn (an exact walk over a
 sample), so that bytes an entry takes are never older than one round over the purposes.
 """
 
 from dataclasses import dataclass, field
 
 from .caps import ACTIONS, JITTER, LEAVE, NOTICE, QUIET, WAIT, Verdict
-from .sizes import box_bytes, weigh
+from .sizes import container_bytes, weigh
 
 S = 10**9
 # -- constants: value, unit, reason
@@ -29,20 +29,20 @@
     done: int = 0  # what was done then: lines dropped, joins turned away, streams cut, ...
     acting: bool = False
     near: bool = False
-    each: dict = field(default_factory=dict)  # shelf -> bytes an entry
+    each: dict = field(default_factory=dict)  # collection -> bytes an entry
 
     @property
     def action(self):
         return ACTIONS[self.purpose]
 
-    def charge(self, shelves, weighing):
-        """Counts the shelves; `weighing`: also looks how many bytes an entry takes."""
+    def charge(self, collections, weighing):
+        """Counts the collections; `weighing`: also looks how many bytes an entry takes."""
         entries = total = 0
-        for shelf in shelves:
-            if weighing or shelf.count and not self.each.get(shelf.name):
-                self.each[shelf.name] = weigh(shelf)
-            entries += shelf.count
-            total += shelf.count * self.each.get(shelf.name, 0.0) + box_bytes(shelf)
+        for collection in collections:
+            if weighing or collection.count and not self.each.get(collection.name):
+                self.each[collection.name] = weigh(collection)
+            entries += collection.count
+            total += collection.count * self.each.get(collection.name, 0.0) + container_bytes(collection)
         self.entries, self.bytes = entries, int(total)
         self.peak = max(self.peak, self.bytes)
         self.usual += (self.bytes - self.usual) / USUAL if self.usual else self.bytes
@@ -55,12 +55,13 @@
         self.by = {purpose: Account(purpose, cap) for purpose, cap in caps.items()}
         self.chance, self.next_look, self.turn, self.notices = chance, 0, 0, []
 
-    def look(self, now, shelves):
-        """`shelves()`: purpose -> list of Shelf. Verdicts of the purposes whose caps act now; `notices` gets
-        a line for each that passes NOTICE of its cap, reaches it, or is below again."""
+    def look(self, now, collections):
+        """`collections()`: purpose -> list of Collection. Verdicts of the purposes whose caps act now;
+        `notices` gets a line for each that passes NOTICE of its cap, reaches it, or is below again.
+        """
         if now < self.next_look:
             return []
-        self.next_look, found, verdicts = now + LOOK, shelves(), []
+        self.next_look, found, verdicts = now + LOOK, collections(), []
         order = list(self.by)
         due = max(1, round(len(order) * LOOK / FULL))
         weighed = {order[(self.turn + n) % len(order)] for n in range(due)}
--- a/embertray/memory/sizes.py
+++ b/embertray/memory/sizes.py
@@ -1,19 +1,19 @@
-"""How many bytes things take: an exact walk over a sample of each shelf, times how many stand on it.
+"""How many bytes things take: an exact walk over a sample of each collection, times how many it holds.
 
-sys.getsizeof of an object and of all that it alone leads to. A walk stops at what belongs to another shelf
-(types named in `stop`, attributes named in `skip`) and counts an object once. docs/design/memory.md compares
-other ways.
+sys.getsizeof of an object and of all that it alone leads to. A walk stops at what belongs to another
+collection (types named in `stop`, attributes named in `skip`) and counts an object once.
+docs/design/memory.md compares other ways.
 """
 
 import sys
 from types import BuiltinFunctionType, FunctionType, MethodType, ModuleType
 
-SAMPLE = 48  # entries walked on a shelf: the mean of so many is within a few percent; more costs CPU
+SAMPLE = 48  # entries walked on a collection: the mean of so many is within a few percent; more costs CPU
 NEVER = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType)
 
 
-class Shelf:
-    """What stands in one place: `count` entries, and how to get at them. `box`: the containers themselves,
+class Collection:
+    """What is kept in one place: `count` entries, and how to get at them. `box`: the containers themselves,
     whose own size (a dict's table) is charged whole."""
 
     __slots__ = ("name", "count", "entries", "box", "stop", "skip")
@@ -53,19 +53,19 @@
     return total
 
 
-def weigh(shelf):
-    """Bytes an entry takes, by a sample spread evenly over the shelf; 0.0 if it is empty."""
-    if not shelf.count:
+def weigh(collection):
+    """Bytes an entry takes, by a sample spread evenly over the collection; 0.0 if it is empty."""
+    if not collection.count:
         return 0.0
-    step, seen, taken, total = max(1, shelf.count // SAMPLE), set(), 0, 0
-    for n, entry in enumerate(shelf.entries()):
+    step, seen, taken, total = max(1, collection.count // SAMPLE), set(), 0, 0
+    for n, entry in enumerate(collection.entries()):
         if n % step == 0:
-            total += deep(entry, shelf.stop, shelf.skip, seen)
+            total += deep(entry, collection.stop, collection.skip, seen)
             taken += 1
             if taken >= SAMPLE:
                 break
     return total / taken if taken else 0.0
 
 
-def box_bytes(shelf):
-    return sum(sys.getsizeof(box) for box in shelf.box)
+def container_bytes(collection):
+    return sum(sys.getsizeof(container) for container in collection.box)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -14,7 +14,7 @@
 from embertray.core import Instance
 from embertray.days import notation, player
 from embertray.emulator import churn
-from embertray.memory import Accounts, Shelf
+from embertray.memory import Accounts, Collection
 from embertray.memory.caps import A_MEMBER, ACTIONS, JITTER, LEAST, NOTICE, WAIT, defaults
 from embertray.memory.sizes import deep, weigh
 from embertray.site import load
@@ -47,10 +47,10 @@
                 self.big = "x" * 10**6
 
         things = [(n, "y" * (n % 100), Other()) for n in range(10_000)]
-        each = weigh(Shelf("s", len(things), lambda: things, stop=(Other,)))
+        each = weigh(Collection("s", len(things), lambda: things, stop=(Other,)))
         true = deep([thing[:2] for thing in things]) / len(things)
         self.assertLess(abs(each / true - 1), 0.25)
-        self.assertEqual(weigh(Shelf("s", 0, list)), 0.0)
+        self.assertEqual(weigh(Collection("s", 0, list)), 0.0)
 
 
 class Books(unittest.TestCase):
@@ -60,7 +60,7 @@
     def look(self, accounts, now, count):
         things = ["x" * 51] * count  # 100 bytes each, but one object: the sample counts it once
         rows = [bytes(67) for _ in things]
-        return accounts.look(now, lambda: {"streams": [Shelf("s", len(rows), lambda: rows)]})
+        return accounts.look(now, lambda: {"streams": [Collection("s", len(rows), lambda: rows)]})
 
     def test_a_cap_acts_until_well_below_and_says_so_once(self):
         accounts, said, acted = self.accounts(), [], []
