--- a/embertray/admin/control.py
+++ b/embertray/admin/control.py
@@ -73,12 +73,12 @@
         return text("live\n")
 
     async def _ready(self, query, body):
-        told = self.server.status()
-        if told.recovering:
+        status = self.server.status()
+        if status.recovering:
             return text("recovering: it must not vote yet\n", 503)
-        if not told.leader:
+        if not status.leader:
             return text("no leader is known\n", 503)
-        return text(f"ready: {told.leader} leads, revision {told.revision}\n")
+        return text(f"ready: {status.leader} leads, revision {status.revision}\n")
 
     async def _status(self, query, body):
         return 200, "application/json", msgspec.json.encode(self.server.status()) + b"\n"
@@ -133,39 +133,39 @@
     return _json(200, Value(key, entry.revision, entry.value, age_s))
 
 
-def replica_metrics(told):
+def replica_metrics(status):
     """Lines of Prometheus' text format for a ReplicaStatus."""
     gauges = {
-        "leads": int(told.has_majority),
-        "term": told.term,
-        "revision": told.revision,
-        "age_seconds": "NaN" if told.age_s is None else told.age_s,
-        "keys": told.keys,
-        "state_bytes": told.state_bytes,
-        "subscribers": told.subscribers,
-        "lowest_confirmed": told.lowest_confirmed,
-        "writes_waiting": told.writes_waiting,
-        "peers_connected": told.peers_connected,
+        "leads": int(status.has_majority),
+        "term": status.term,
+        "revision": status.revision,
+        "age_seconds": "NaN" if status.age_s is None else status.age_s,
+        "keys": status.keys,
+        "state_bytes": status.state_bytes,
+        "subscribers": status.subscribers,
+        "lowest_confirmed": status.lowest_confirmed,
+        "writes_waiting": status.writes_waiting,
+        "peers_connected": status.peers_connected,
     }
     counters = {
-        "saves": told.saves,
-        "steps": told.steps,
-        "update_retries": told.update_retries,
-        "silent_subscribers": told.silent_subscribers,
-        **msgspec.structs.asdict(told.traffic),
+        "saves": status.saves,
+        "steps": status.steps,
+        "update_retries": status.update_retries,
+        "silent_subscribers": status.silent_subscribers,
+        **msgspec.structs.asdict(status.traffic),
     }
     return metric_lines(gauges, counters)
 
 
-def subscriber_metrics(told):
+def subscriber_metrics(status):
     """Lines of Prometheus' text format for a SubscriberStatus."""
     gauges = {
-        "connected": int(told.connected),
-        "revision": told.revision,
-        "age_seconds": "NaN" if told.age_s is None else told.age_s,
-        "keys": told.keys,
+        "connected": int(status.connected),
+        "revision": status.revision,
+        "age_seconds": "NaN" if status.age_s is None else status.age_s,
+        "keys": status.keys,
     }
-    return metric_lines(gauges, {**told.counted, **msgspec.structs.asdict(told.traffic)})
+    return metric_lines(gauges, {**status.counted, **msgspec.structs.asdict(status.traffic)})
 
 
 def metric_lines(gauges, counters):
--- a/embertray/admin/http.py
+++ b/embertray/admin/http.py
@@ -124,19 +124,19 @@
     for code, count in sorted(service.faults.items()):
         row("faults_total", "counter", count, f'{{code="{code}"}}')
     if service.cluster is not None:
-        told = service.cluster.status()
+        status = service.cluster.status()
         for state in ("alive", "suspect", "dead", "left"):
             row(
                 "cluster_members",
                 "gauge",
-                sum(m["state"] == state for m in told["members"]),
+                sum(m["state"] == state for m in status["members"]),
                 f'{{state="{state}"}}',
             )
-        for member in told["members"]:
+        for member in status["members"]:
             if member["told_s"] is not None:
                 row("cluster_told_age_seconds", "gauge", member["told_s"], f'{{member="{member["name"]}"}}')
         for key in ("bound_s", "cut_off", "health", "state_bytes", "left_out"):
-            row(f"cluster_{key}", "gauge", float(told[key]))
+            row(f"cluster_{key}", "gauge", float(status[key]))
         for key in (
             "sent",
             "received",
@@ -146,7 +146,7 @@
             "exchanges_failed",
             "state_held_back",
         ):
-            row(f"cluster_{key}_total", "counter", told[key])
+            row(f"cluster_{key}_total", "counter", status[key])
     if service.control is not None:
         from .control import subscriber_metrics
 
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -111,9 +111,9 @@
     def __init__(self, seed, raw, clock):
         super().__init__()
         try:
-            told = StartSettings(raw)
-            self.reports, self.kinds = told.reports, told.kinds
-            self.module = Controller(seed, told.deployment(self), clock)
+            settings = StartSettings(raw)
+            self.reports, self.kinds = settings.reports, settings.kinds
+            self.module = Controller(seed, settings.deployment(self), clock)
         except BadSettings as wrong:
             raise BadWire(f"ENLIST: {wrong}") from None
 
--- a/embertray/channel/outbox.py
+++ b/embertray/channel/outbox.py
@@ -37,8 +37,8 @@
         table = self.bound.pop(proxy, None)
         if table is not None:
             self.tables[table].users.pop(proxy, None)
-        for told in self.out.values():
-            told.pop(proxy, None)
+        for informed in self.out.values():
+            informed.pop(proxy, None)
 
     def post(self, now, orders):
         """[(proxy, Orders, nonce or None)], in the order in which proxies were first concerned."""
@@ -86,10 +86,10 @@
             tab = self.table(order.table)
             self.bound[proxy], tab.users[proxy] = order.table, True
             out = [backend for backend in tab.lines if backend in self.out]
-            for backend, told in self.out.items():
-                told.pop(proxy, None)
+            for backend, informed in self.out.items():
+                informed.pop(proxy, None)
                 if backend in tab.lines:
-                    told[proxy] = True
+                    informed[proxy] = True
             yield (
                 proxy,
                 Bind(
@@ -103,10 +103,10 @@
         elif isinstance(order, i.Withdraw):
             backend, part = order.backend, Out(order.backend.external_id, order.out)
             if order.out:
-                told = self.out.setdefault(backend, {})
+                informed = self.out.setdefault(backend, {})
                 for proxy, table in self.bound.items():
-                    if proxy not in told and (table is None or backend in self.tables[table].lines):
-                        told[proxy] = True
+                    if proxy not in informed and (table is None or backend in self.tables[table].lines):
+                        informed[proxy] = True
                         yield proxy, part, 1
             else:
                 for proxy in self.out.pop(backend, {}):
--- a/embertray/cli/cluster.py
+++ b/embertray/cli/cluster.py
@@ -27,27 +27,27 @@
         code, said = anyio.run(asked, admin, "GET", "/cluster")
         if code != 200:
             raise Bad(said.decode().strip())
-        told = json.loads(said)
+        status = json.loads(said)
     except (OSError, BadAddress, ValueError, h11.RemoteProtocolError) as wrong:
         raise Bad(f"{admin}: {wrong or type(wrong).__name__}") from None
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(status))
         return
     click.echo(
-        f"{told['me']} in {told['cluster']}: {'joined' if told['joined'] else 'joining'}"
-        + (", BELIEVES ITSELF CUT OFF" if told["cut_off"] else "")
-        + (f", ended: {told['ended']}" if told["ended"] else "")
+        f"{status['me']} in {status['cluster']}: {'joined' if status['joined'] else 'joining'}"
+        + (", BELIEVES ITSELF CUT OFF" if status["cut_off"] else "")
+        + (f", ended: {status['ended']}" if status["ended"] else "")
     )
     click.echo(
-        f"an entry is known everywhere within {told['bound_s']} s; state {told['state_bytes']} of "
-        f"{told['state_cap']} bytes, "
-        f"{told['left_out']} left out; own slowness {told['health']}"
+        f"an entry is known everywhere within {status['bound_s']} s; state {status['state_bytes']} of "
+        f"{status['state_cap']} bytes, "
+        f"{status['left_out']} left out; own slowness {status['health']}"
     )
-    for member in told["members"]:
+    for member in status["members"]:
         age = "nothing told" if member["told_s"] is None else f"told {member['told_s']:.1f} s ago"
         click.echo(
             f"  {member['name']:16} {member['state']:8} {member['address']:22} heard "
             f"{member['heard_s']:.1f} s ago, {age}"
         )
-    for one in told["refused"]:
+    for one in status["refused"]:
         click.echo(f"  refused {one['times']} from {one['address']}: {one['why']}")
--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -47,10 +47,10 @@
     from ..net.clock import LoopClock
     from ..net.tcp import TcpNet
 
-    told, me = _replica_of(site, name)
+    description, me = _replica_of(site, name)
 
     async def run():
-        process = ReplicaProcess(told, me, LoopClock(), TcpNet(), seed)
+        process = ReplicaProcess(description, me, LoopClock(), TcpNet(), seed)
         async with anyio.create_task_group() as group:
             group.start_soon(_stop_on_signal, process)
             await process.run()
@@ -72,8 +72,8 @@
     code, body = _ask(admin, "GET", "/control")
     if code != 200:
         raise Bad(f"{admin}: {body.decode('utf-8', 'replace').strip()}")
-    told = _json(admin, body)
-    click.echo(json.dumps(told) if as_json else "\n".join(describe(told)))
+    status = _json(admin, body)
+    click.echo(json.dumps(status) if as_json else "\n".join(describe(status)))
 
 
 @control.command()
@@ -168,10 +168,10 @@
 def _replica_of(site, name):
     """(Control, ReplicaAt). Raises Bad."""
     try:
-        told = load_site(site).control
-        if told is None:
+        control_site = load_site(site).control
+        if control_site is None:
             raise BadSite(f"{site}: the site has no <control>")
-        return told, told.replica(name)
+        return control_site, control_site.replica(name)
     except BadSite as wrong:
         raise Bad(str(wrong)) from None
 
@@ -221,29 +221,31 @@
     return group
 
 
-def describe(told):
+def describe(status):
     """Lines for people, of a ReplicaStatus or SubscriberStatus as JSON."""
-    age = "not known" if told["age_s"] is None else f"{told['age_s']:.1f} s"
-    if told["type"] == "subscriber":
-        how = "follows" if told["connected"] else "NOT CONNECTED, tries"
+    age = "not known" if status["age_s"] is None else f"{status['age_s']:.1f} s"
+    if status["type"] == "subscriber":
+        how = "follows" if status["connected"] else "NOT CONNECTED, tries"
         return [
-            f"{told['name']} in {told['cluster']}: {how} {told['replica']}",
-            f"revision {told['revision']}, {told['keys']} keys, age {age}",
+            f"{status['name']} in {status['cluster']}: {how} {status['replica']}",
+            f"revision {status['revision']}, {status['keys']} keys, age {age}",
         ]
-    if told["recovering"]:
+    if status["recovering"]:
         state = "recovering, does not vote"
-    elif told["role"] != "leader":
-        state = f"{told['role']}, " + (f"{told['leader']} leads" if told["leader"] else "NO LEADER KNOWN")
+    elif status["role"] != "leader":
+        state = f"{status['role']}, " + (
+            f"{status['leader']} leads" if status["leader"] else "NO LEADER KNOWN"
+        )
     else:
-        state = "leads" if told["has_majority"] else "leads WITHOUT A MAJORITY"
+        state = "leads" if status["has_majority"] else "leads WITHOUT A MAJORITY"
     lines = [
-        f"{told['name']} in {told['cluster']}: {state}, term {told['term']}",
-        f"revision {told['revision']}, {told['keys']} keys, {told['state_bytes']} bytes, age {age}",
-        f"{told['subscribers']} subscribers here hold revision {told['lowest_confirmed']} at the least",
+        f"{status['name']} in {status['cluster']}: {state}, term {status['term']}",
+        f"revision {status['revision']}, {status['keys']} keys, {status['state_bytes']} bytes, age {age}",
+        f"{status['subscribers']} subscribers here hold revision {status['lowest_confirmed']} at the least",
     ]
-    if told["fleet_subscribers"] is not None:
+    if status["fleet_subscribers"] is not None:
         lines.append(
-            f"{told['fleet_subscribers']} subscribers in all hold revision "
-            f"{told['fleet_lowest_confirmed']} at the least"
+            f"{status['fleet_subscribers']} subscribers in all hold revision "
+            f"{status['fleet_lowest_confirmed']} at the least"
         )
     return lines
--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -13,7 +13,7 @@
 from .standin import Bad
 
 
-def told(path):
+def read_experiment(path):
     try:
         return experiments.load(path)
     except experiments.BadExperiment as wrong:
@@ -42,7 +42,7 @@
 @click.option("--retry", is_flag=True, help="Play runs again that died or hung.")
 def run(experiment, out, jobs, retry):
     """Play EXPERIMENT.xml (or one that comes with the program); goes on where it was stopped."""
-    found = told(experiment)
+    found = read_experiment(experiment)
     results = Results(out or f"{found.name}.sqlite")
     try:
         results.begin(
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -56,18 +56,18 @@
     from ..net.clock import LoopClock
     from ..net.tcp import TcpNet
 
-    told = read_site(site)
+    description = read_site(site)
     try:
-        me = told.controller(name or told.controllers[0].name)
+        me = description.controller(name or description.controllers[0].name)
     except BadSite as wrong:
         raise Bad(str(wrong)) from None
     gc.freeze()  # what was imported lives as long as we do
     gc.set_threshold(*COLLECT)
-    kept = Kept(told.keep) if told.keep else KeptInMemory()
+    kept = Kept(description.keep) if description.keep else KeptInMemory()
 
     async def run():
         service = Service(
-            told, me, LoopClock(), TcpNet(), kept, seed, Streams(seed).of("cuts", me.name).random
+            description, me, LoopClock(), TcpNet(), kept, seed, Streams(seed).of("cuts", me.name).random
         )
         async with anyio.create_task_group() as group:
             group.start_soon(stop_on_signal, service, group.cancel_scope)
@@ -89,12 +89,12 @@
 @click.argument("site", type=click.Path())
 def check(site):
     """Check SITE.xml against its schema; exit 2 with file, line and what was expected if it is wrong."""
-    told = read_site(site)
+    description = read_site(site)
     click.echo(
-        f"{site}: {told.name}: {len(told.zones)} zones, {len(told.kinds)} request kinds, "
-        f"{len(told.controllers)} controllers"
+        f"{site}: {description.name}: {len(description.zones)} zones, "
+        f"{len(description.kinds)} request kinds, {len(description.controllers)} controllers"
     )
-    found = budget(told)
+    found = budget(description)
     click.echo(
         f"one drain takes {found.removal / 1e9:.2f} s of the channel, one bind "
         f"{found.bind_one / 1e9:.2f} s, binding all "
@@ -116,9 +116,9 @@
     if not admin and not site:
         raise Bad("memory: name a SITE.xml or --admin HOST:PORT")
     if not admin:
-        told = read_site(site)
+        description = read_site(site)
         try:
-            admin = told.controller(name or told.controllers[0].name).admin
+            admin = description.controller(name or description.controllers[0].name).admin
         except BadSite as wrong:
             raise Bad(str(wrong)) from None
     try:
@@ -157,19 +157,19 @@
             code, said = anyio.run(asked, admin, "POST", f"/set-level?{query}")
             if code != 200:
                 raise Bad(said.decode().strip())
-        told, ready = json.loads(anyio.run(page, admin, "/level")), anyio.run(page, admin, "/ready")
+        status, ready = json.loads(anyio.run(page, admin, "/level")), anyio.run(page, admin, "/ready")
     except (OSError, BadAddress, ValueError, h11.RemoteProtocolError) as wrong:
         raise Bad(f"{admin}: {wrong or type(wrong).__name__}") from None
-    lost = "not known" if told["lost_credit"] is None else f"{told['lost_credit']:.1%}"
+    lost = "not known" if status["lost_credit"] is None else f"{status['lost_credit']:.1%}"
     click.echo(ready.decode().strip())
     click.echo(
-        f"level {told['level']} for {told['for_s']:.0f} s, credit lost {lost}; gives up "
-        f"{', '.join(told['gives_up']) or 'nothing'}; {told['changes']} changes so far"
+        f"level {status['level']} for {status['for_s']:.0f} s, credit lost {lost}; gives up "
+        f"{', '.join(status['gives_up']) or 'nothing'}; {status['changes']} changes so far"
     )
-    if told["pinned"]:
-        click.echo(f"pinned at {told['pinned']}")
-    if told["forbidden"]:
-        click.echo(f"forbidden: {', '.join(told['forbidden'])}")
+    if status["pinned"]:
+        click.echo(f"pinned at {status['pinned']}")
+    if status["forbidden"]:
+        click.echo(f"forbidden: {', '.join(status['forbidden'])}")
 
 
 @main.command()
@@ -209,11 +209,11 @@
     Exit code 0 when all rules are kept, 1 when one is broken, 2 on bad input."""
     show = progress() if sys.stderr.isatty() and not as_json else None
     try:
-        told = notation.load(day)
+        script = notation.load(day)
         if mode in ("emulated", "flows"):
-            result = play_emulated(told, seed, "flows" if mode == "flows" else "reqs", progress=show)
+            result = play_emulated(script, seed, "flows" if mode == "flows" else "reqs", progress=show)
         else:
-            result = player.play(told, mode, seed, show, alone=alone, logs=logs)
+            result = player.play(script, mode, seed, show, alone=alone, logs=logs)
     except (notation.BadDay, BadSite) as wrong:
         raise Bad(str(wrong)) from None
     found = result.as_json()
@@ -221,7 +221,7 @@
         click.echo(json.dumps(found))
     else:
         click.echo(
-            f"{told.name} ({mode}, seed {seed}): credit {found['credit']:.3f} of {found['reqs']} reqs, "
+            f"{script.name} ({mode}, seed {seed}): credit {found['credit']:.3f} of {found['reqs']} reqs, "
             f"{found['wall_s']} s"
         )
         for kind, credit in found["credit_by_kind"].items():
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -108,7 +108,7 @@
 def proxy(site, name, zone, rate, seconds):
     """A plain proxy of SITE.xml with clients of its own; tells what they got each second."""
     try:
-        told = load_site(site)
+        description = load_site(site)
     except BadSite as wrong:
         raise Bad(str(wrong)) from None
 
@@ -116,9 +116,9 @@
         agenda, streams, counts = Agenda(LoopClock()), Streams(1), {"done": 0, "late": 0, "lost": 0}
         proxy = StandinProxy(
             name,
-            zone or told.zones[0],
-            told,
-            [c.listen for c in told.controllers],
+            zone or description.zones[0],
+            description,
+            [c.listen for c in description.controllers],
             TcpNet(),
             agenda,
             streams.of("proxy"),
@@ -128,7 +128,7 @@
         def ended(_, __, ___, how, ____):
             counts[how] += 1
 
-        mix = [(kind, 1 / len(told.kinds), kind.response_target // 10) for kind in told.kinds]
+        mix = [(kind, 1 / len(description.kinds), kind.response_target // 10) for kind in description.kinds]
         clients = StandinClients(1, mix, lambda _: rate, TcpNet(), agenda, streams.of("clients"), ended=ended)
         async with anyio.create_task_group() as group:
             address = await group.start(proxy.run)
--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -42,19 +42,19 @@
 
 
 class ClusterLink:
-    """`me`: the controller's entry in the site; `told`: the site's Cluster; `facts()`: key -> bytes, what we
-    tell of ourselves.
+    """`me`: the controller's entry in the site; `cluster`: the site's Cluster; `facts()`: key -> bytes, what
+    we tell of ourselves.
     """
 
-    def __init__(self, told, me, peers, clock, seed, facts, log=None):
-        self.told, self.me, self.clock, self.facts = told, me, clock, facts
+    def __init__(self, cluster, me, peers, clock, seed, facts, log=None):
+        self.cluster, self.me, self.clock, self.facts = cluster, me, clock, facts
         self.log = (log or structlog.get_logger()).bind(member=me.name)
         chance, now, wall = random.Random(f"{seed} {me.name} {clock.wall()}"), clock.now(), clock.wall()
-        pace = Pace(period=told.period, answer=told.period * 3 // 10, beckon=5 * told.period)
-        self.membership = Membership(told.name, me.name, me.cluster, wall, now, chance, peers, pace)
-        self.store = EntryStore(me.name, wall, told.state)
-        self.exchange = Exchange(self.store, chance, now, told.period)
-        self.allowance, self.poked, self.udp, self.out = Allowance(told.rate, now), anyio.Event(), None, []
+        pace = Pace(period=cluster.period, answer=cluster.period * 3 // 10, beckon=5 * cluster.period)
+        self.membership = Membership(cluster.name, me.name, me.cluster, wall, now, chance, peers, pace)
+        self.store = EntryStore(me.name, wall, cluster.state)
+        self.exchange = Exchange(self.store, chance, now, cluster.period)
+        self.allowance, self.poked, self.udp, self.out = Allowance(cluster.rate, now), anyio.Event(), None, []
         self.gone, self.failing = anyio.Event(), set()  # members whose last exchange failed
         self.counted = dict.fromkeys(COUNTED, 0)
 
@@ -77,7 +77,7 @@
             for m in sorted(members.members.values(), key=lambda m: m.name)
         ]
         return {
-            "cluster": self.told.name,
+            "cluster": self.cluster.name,
             "me": members.me.name,
             "life": members.me.life,
             "joined": members.joined,
@@ -86,7 +86,7 @@
             "ended": members.ended,
             "members": rows,
             "bound_s": round(
-                bound(len(here) + 1, self.told.period, EXCHANGE_WITHIN, len(self.failing & here)) / S, 2
+                bound(len(here) + 1, self.cluster.period, EXCHANGE_WITHIN, len(self.failing & here)) / S, 2
             ),
             "state_bytes": self.store.bytes,
             "state_cap": self.store.cap,
@@ -219,7 +219,7 @@
                 self.counted["exchanges_failed"] += failed
                 (self.failing.add if failed else self.failing.discard)(name)
             await self.clock.sleep_until(
-                max(self.clock.now() + self.told.period // 20, min(self.exchange.at, facts_at))
+                max(self.clock.now() + self.cluster.period // 20, min(self.exchange.at, facts_at))
             )
 
     async def with_one(self, address):
--- a/embertray/core/holdings.py
+++ b/embertray/core/holdings.py
@@ -24,7 +24,7 @@
         return lambda: (item for book in books for item in book.items())
 
     users = [table.users for table in ordered]
-    told = list(box.out.values())
+    informed = list(box.out.values())
     held = [proxy.messages.open for proxy in proxies] + [proxy.messages.written for proxy in proxies]
     return {
         "tables": [
@@ -45,9 +45,9 @@
             ),
             Collection(
                 "withdrawn",
-                sum(map(len, told)) + len(module.channel.withdrawn),
-                lists(*told, module.channel.withdrawn),
-                [*told, box.out],
+                sum(map(len, informed)) + len(module.channel.withdrawn),
+                lists(*informed, module.channel.withdrawn),
+                [*informed, box.out],
                 HANDLES,
             ),
         ],
--- a/embertray/days/result.py
+++ b/embertray/days/result.py
@@ -102,5 +102,5 @@
 def of_cluster(held):
     """The last fields of a Result, where the controllers were processes."""
     claims = getattr(held, "claims", None)
-    told = (claims.verdicts(), claims.broken) if claims else (None, None)
-    return *told, getattr(held, "used", None), claims.worst if claims else 0.0
+    claimed = (claims.verdicts(), claims.broken) if claims else (None, None)
+    return *claimed, getattr(held, "used", None), claims.worst if claims else 0.0
--- a/embertray/days/troubles/backends.py
+++ b/embertray/days/troubles/backends.py
@@ -9,7 +9,7 @@
         for backend in (struck := self.backends()):
             backend.die()
             self.list(backend, "gone", span(self.fleet["notice"]))
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         for backend in struck:
             self.come_back(backend)
 
@@ -17,7 +17,7 @@
         for backend in (struck := self.backends()):
             backend.die(silent=True)
             self.list(backend, "gone", span(self.fleet["silent-notice"]))
-        await self.wait(max(self.told.lasts, span(self.fleet["silent-notice"])))
+        await self.wait(max(self.spec.lasts, span(self.fleet["silent-notice"])))
         for backend in struck:
             self.come_back(backend)
 
@@ -25,53 +25,53 @@
         for backend in (struck := self.backends()):
             for name, value in ills.items():
                 setattr(backend.model.ills, name, value)
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         for backend in struck:
             for name in ills:
                 setattr(backend.model.ills, name, type(backend.model.ills)().__getattribute__(name))
 
     async def do_slow(self):
-        await self.ills(slow=self.told.times)
+        await self.ills(slow=self.spec.times)
 
     async def do_hang(self):
         await self.ills(hang=True)
 
     async def do_errors(self):
-        await self.ills(fails=float(self.told.options.get("share", "1")))
+        await self.ills(fails=float(self.spec.options.get("share", "1")))
 
     async def do_kind_fails(self):
-        await self.ills(kinds=set(self.told.options["kind"].split(",")))
+        await self.ills(kinds=set(self.spec.options["kind"].split(",")))
 
     async def do_false_reports(self):
-        await self.ills(lies=self.told.times if self.told.times != 1 else 0.1)
+        await self.ills(lies=self.spec.times if self.spec.times != 1 else 0.1)
 
     async def do_flap(self):
-        for _ in range(max(1, int(self.told.times))):
+        for _ in range(max(1, int(self.spec.times))):
             for backend in (struck := self.backends()):
                 backend.die()
                 self.list(backend, "gone", span(self.fleet["notice"]))
-            await self.wait(self.told.by)
+            await self.wait(self.spec.by)
             for backend in struck:
                 self.come_back(backend)
-            await self.wait(self.told.by)
+            await self.wait(self.spec.by)
 
     async def do_one_sided(self):
         """Bad for the proxies of one controller only."""
         names = {
             proxy.name
             for proxy in self.stage.proxies
-            if proxy.home == int(self.told.options.get("controller", "c1")[1:]) - 1
+            if proxy.home == int(self.spec.options.get("controller", "c1")[1:]) - 1
         }
         for backend in (struck := self.backends()):
             backend.bad_for |= names
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         for backend in struck:
             backend.bad_for -= names
 
     async def do_deploy(self):
         """By batches: drain, stop, start anew, cold."""
-        struck, batch = self.backends(), int(self.told.options.get("batch", "1"))
-        drain = span(self.told.options.get("drain", "4s"))
+        struck, batch = self.backends(), int(self.spec.options.get("batch", "1"))
+        drain = span(self.spec.options.get("drain", "4s"))
         for first in range(0, len(struck), batch):
             for backend in struck[first : first + batch]:
                 self.list(backend, "draining", span(self.fleet["answers"]))
@@ -82,12 +82,12 @@
             await self.wait(S)
             for backend in struck[first : first + batch]:
                 self.come_back(backend)
-            await self.wait(self.told.by)
+            await self.wait(self.spec.by)
 
     async def do_preempt(self):
         """In waves: a short warning, then gone for good; replacements come cold under new addresses."""
-        struck, batch = self.backends(), int(self.told.options.get("batch", "1"))
-        warning = span(self.told.options.get("drain", "3s"))
+        struck, batch = self.backends(), int(self.spec.options.get("batch", "1"))
+        warning = span(self.spec.options.get("drain", "3s"))
         for first in range(0, len(struck), batch):
             wave = struck[first : first + batch]
             for backend in wave:
@@ -102,11 +102,11 @@
                     number, backend.model.zone, backend.model.shape.speed, cold=True, listed=False
                 )
                 self.list(new, "ready", span(self.fleet["notice"]))
-            await self.wait(self.told.by)
+            await self.wait(self.spec.by)
 
     async def do_add(self):
         """So many more come, cold, all at once."""
-        for n in range(int(self.told.times)):
+        for n in range(int(self.spec.times)):
             zone = self.stage.site.zones[n % len(self.stage.site.zones)]
             backend = await self.stage.add(len(self.stage.backends), zone, 1.0, cold=True, listed=False)
             self.list(backend, "ready", span(self.fleet["notice"]))
--- a/embertray/days/troubles/base.py
+++ b/embertray/days/troubles/base.py
@@ -14,13 +14,13 @@
     names.
     """
 
-    def __init__(self, stage, told):
-        self.stage, self.told = stage, told
+    def __init__(self, stage, spec):
+        self.stage, self.spec = stage, spec
         self.fleet = stage.day.fleet
 
     async def run(self):
-        await self.at(self.stage.zero + self.told.at)
-        await getattr(self, "do_" + self.told.name.replace("-", "_"))()
+        await self.at(self.stage.zero + self.spec.at)
+        await getattr(self, "do_" + self.spec.name.replace("-", "_"))()
 
     async def at(self, when):
         await self.stage.clock.sleep_until(when)
@@ -29,13 +29,13 @@
         await self.at(self.stage.clock.now() + time)
 
     def backends(self):
-        return self.stage.strike(self.told.targets, self.stage.backends)
+        return self.stage.strike(self.spec.targets, self.stage.backends)
 
     def proxies(self):
-        return self.stage.strike(self.told.targets, self.stage.proxies)
+        return self.stage.strike(self.spec.targets, self.stage.proxies)
 
     def controllers(self):
-        return [t for t in self.told.targets if isinstance(t, str) and t[0] == "c"]
+        return [t for t in self.spec.targets if isinstance(t, str) and t[0] == "c"]
 
     def note(self, what, who, *rest):
         self.stage.eyes.note(self.stage.clock.now(), what, who, *rest)
--- a/embertray/days/troubles/controllers.py
+++ b/embertray/days/troubles/controllers.py
@@ -12,7 +12,7 @@
         for name in (struck := self.controllers()):
             self.note("killed", name)
             self.stage.held.kill(name)
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         await self.stage.held.all_up(struck)
 
     async def do_restart(self):
@@ -20,20 +20,20 @@
         for name in self.controllers():
             self.note("killed", name)
             await self.stage.held.restart(name)
-            await self.wait(self.told.by)
+            await self.wait(self.spec.by)
 
     async def do_slow_start(self):
         """Killed and started at once, and then it stands still for `by` before it comes up."""
         for name in (struck := self.controllers()):
             self.note("killed", name)
             self.stage.held.kill(name)
-        await self.stage.held.up_slowly(struck, self.told.by)
+        await self.stage.held.up_slowly(struck, self.spec.by)
 
     async def do_old_list(self):
         """Killed; the list is down for `down`; meanwhile a share is replaced by cold ones under other
         addresses, a share of the rest anew under its own. `for` later it starts from what it kept, now `age`
         older (`kept=first`: from what it kept first, before all that)."""
-        stage, options = self.stage, self.told.options
+        stage, options = self.stage, self.spec.options
         stage.inventory.go_down()
         for name in self.controllers():
             self.note("killed", name)
@@ -53,7 +53,7 @@
             backend.start(cold=True)
             self.note("started", backend.model.name)
             stage.inventory.list(backend.model.name, backend.model.zone, "ready", backend.model.started)
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         for name in self.controllers():
             stage.held.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
             await stage.held.up(name)
@@ -64,28 +64,28 @@
         """Stands still for `for`, as often as `times`, with `by` between."""
         controllers = self.controllers()
         proxies = self.stage.strike(
-            [t for t in self.told.targets if t not in controllers], self.stage.proxies
+            [t for t in self.spec.targets if t not in controllers], self.stage.proxies
         )
-        for _ in range(max(1, int(self.told.times))):
+        for _ in range(max(1, int(self.spec.times))):
             for name in controllers:
                 self.note("frozen", name)
                 self.stage.held.freeze(name)
             for proxy in proxies:
                 self.note("out", proxy.name)
                 proxy.stand_still()
-            await self.wait(self.told.lasts)
+            await self.wait(self.spec.lasts)
             for name in controllers:
                 self.stage.held.thaw(name)
                 self.note("thawed", name)
             for proxy in proxies:
                 self.note("back", proxy.name)
                 proxy.go_on()
-            await self.wait(self.told.by)
+            await self.wait(self.spec.by)
 
     async def do_slow_channel(self):
         for name in (struck := self.controllers()):
-            await self.pace(name, 1 / self.told.times)
-        await self.wait(self.told.lasts)
+            await self.pace(name, 1 / self.spec.times)
+        await self.wait(self.spec.lasts)
         for name in struck:
             await self.pace(name, 1.0)
 
--- a/embertray/days/troubles/links.py
+++ b/embertray/days/troubles/links.py
@@ -14,7 +14,7 @@
 
     def pairs(self):
         web, found = self.stage.held.links, []
-        for target in self.told.targets:
+        for target in self.spec.targets:
             if isinstance(target, float):
                 found += self.stage.strike([target], web.pairs())
             else:
@@ -25,18 +25,18 @@
         """Values of the ways struck, for a while."""
         web, now = self.stage.held.links, self.stage.clock.now
         web.bend(now(), pairs, **how)
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         web.straight(now(), pairs, how)
 
     async def do_lossy(self):
-        await self.bend(self.pairs(), drop=share(self.told.options.get("share", "30%")))
+        await self.bend(self.pairs(), drop=share(self.spec.options.get("share", "30%")))
 
     async def do_repeated(self):
-        await self.bend(self.pairs(), again=share(self.told.options.get("share", "10%")))
+        await self.bend(self.pairs(), again=share(self.spec.options.get("share", "10%")))
 
     async def do_lagged(self):
         """`jitter=` past the gaps of datagrams reorders them; streams keep their order."""
-        await self.bend(self.pairs(), delay=self.told.by, jitter=span(self.told.options.get("jitter", "0ms")))
+        await self.bend(self.pairs(), delay=self.spec.by, jitter=span(self.spec.options.get("jitter", "0ms")))
 
     async def do_silent(self):
         await self.bend(self.pairs(), open=False)
@@ -44,11 +44,11 @@
     async def do_flutter(self):
         """Silent and open in turns of `by`, `times` so often."""
         pairs, web, now = self.pairs(), self.stage.held.links, self.stage.clock.now
-        for _ in range(max(1, int(self.told.times))):
+        for _ in range(max(1, int(self.spec.times))):
             web.bend(now(), pairs, open=False)
-            await self.wait(self.told.by)
+            await self.wait(self.spec.by)
             web.straight(now(), pairs, ("open",))
-            await self.wait(self.told.by)
+            await self.wait(self.spec.by)
 
     async def do_reset(self):
         """Streams on the links end with a reset, at once; new ones may come."""
@@ -59,14 +59,14 @@
         """groups=c1,c2,list/c3, or shares as 30%/70%: only those of one group reach each other; who is in no
         group reaches all.
         """
-        web, told = self.stage.held.links, self.told.options["groups"].split("/")
-        if "%" in told[0]:
+        web, parts = self.stage.held.links, self.spec.options["groups"].split("/")
+        if "%" in parts[0]:
             rest, groups = list(self.stage.strike([1.0], web.members)), []
-            for part in told:
+            for part in parts:
                 size = max(1, round(share(part) * len(web.members)))
                 groups.append(rest[:size])
                 rest = rest[size:]
             groups[-1] += rest
         else:
-            groups = [group.split(",") for group in told]
+            groups = [group.split(",") for group in parts]
         await self.bend(web.parted(groups), open=False)
--- a/embertray/days/troubles/lists.py
+++ b/embertray/days/troubles/lists.py
@@ -7,7 +7,7 @@
 class Lists(Struck):
     async def do_list_down(self):
         self.stage.inventory.go_down()
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         self.stage.inventory.come_back()
 
     async def do_short_list(self):
@@ -15,10 +15,10 @@
         inventory = self.stage.inventory
         true, inventory.entries = (
             inventory.entries,
-            dict(list(inventory.entries.items())[: int(self.told.options.get("keep", "2"))]),
+            dict(list(inventory.entries.items())[: int(self.spec.options.get("keep", "2"))]),
         )
         self.break_list()
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         inventory.entries = true
         self.break_list()
 
@@ -43,7 +43,7 @@
         inventory.epoch, inventory.log = 1, {}
         inventory.go_down()
         inventory.come_back()
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         inventory.entries, inventory.epoch, inventory.log = true, epoch, {}
         inventory.go_down()
         inventory.come_back()
--- a/embertray/days/troubles/proxies.py
+++ b/embertray/days/troubles/proxies.py
@@ -24,7 +24,7 @@
         for proxy in (struck := self.proxies()):
             proxy.cut_off = True
             proxy.break_stream()
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         for proxy in struck:
             proxy.cut_off = False
 
@@ -32,30 +32,30 @@
         for proxy in (struck := self.proxies()):
             proxy.deaf = True
             self.note("out", proxy.name)
-        await self.wait(self.told.lasts)
+        await self.wait(self.spec.lasts)
         for proxy in struck:
             proxy.deaf = False
             self.note("back", proxy.name)
 
     async def do_late_reports(self):
         for proxy in (struck := self.proxies()):
-            proxy.lag = self.told.by
-        await self.wait(self.told.lasts)
+            proxy.lag = self.spec.by
+        await self.wait(self.spec.lasts)
         for proxy in struck:
             proxy.lag = 0
 
     async def do_hot(self):
         struck = [n for n, proxy in enumerate(self.stage.proxies) if proxy in self.proxies()]
         for n in struck:
-            self.stage.factors[n] = self.told.times
-        await self.wait(self.told.lasts)
+            self.stage.factors[n] = self.spec.times
+        await self.wait(self.spec.lasts)
         for n in struck:
             self.stage.factors[n] = 1.0
 
     async def do_shift(self):
-        zone = self.told.options["zone"]
-        self.stage.shifted[zone] = self.told.times
-        await self.wait(self.told.lasts)
+        zone = self.spec.options["zone"]
+        self.stage.shifted[zone] = self.spec.times
+        await self.wait(self.spec.lasts)
         self.stage.shifted[zone] = 1.0
 
     async def do_twice(self):
--- a/embertray/lab/policies.py
+++ b/embertray/lab/policies.py
@@ -13,7 +13,7 @@
 S = 10**9
 BEAT = S // 4
 SUBSET = 5  # backends a proxy in the random subset
-LOAD_EVERY = 2 * S  # ns between moves by told load
+LOAD_EVERY = 2 * S  # ns between moves by reported load
 
 
 class Baseline:
@@ -21,7 +21,7 @@
 
     def __init__(self, seed, site, now):
         self.site, self.now, self.born, self.beat_at = site, now, now, 0
-        self.rng, self.ready, self.proxies, self.tables, self.told = (
+        self.rng, self.ready, self.proxies, self.tables, self.ordered = (
             np.random.default_rng(seed),
             {},
             {},
@@ -53,7 +53,7 @@
             orders += self.update(key)
         for proxy, held in self.proxies.items():
             key = self.key(proxy, held[0])
-            if held[1] != key and self.told.get(key):
+            if held[1] != key and self.ordered.get(key):
                 held[1] = key
                 orders.append(i.Bind(proxy, self.tables[key]))
         if now >= self.beat_at:
@@ -62,19 +62,19 @@
         return orders
 
     def update(self, key):
-        table, told, want = (
+        table, ordered, want = (
             self.tables.setdefault(key, i.Table()),
-            self.told.setdefault(key, {}),
+            self.ordered.setdefault(key, {}),
             self.want(key),
         )
         orders = [
             i.SetLine(table, backend, w)
             for backend, w in want.items()
-            if abs(told.get(backend, 0) - w) > 0.1 * w
+            if abs(ordered.get(backend, 0) - w) > 0.1 * w
         ]
-        orders += [i.SetLine(table, backend, 0) for backend in told if backend not in want]
+        orders += [i.SetLine(table, backend, 0) for backend in ordered if backend not in want]
         if orders:
-            self.told[key] = dict(want)
+            self.ordered[key] = dict(want)
         return orders
 
     def key(self, proxy, zone):
@@ -100,7 +100,7 @@
         return proxy
 
     def want(self, key):
-        held = [backend for backend in self.told.get(key, {}) if backend in self.ready]
+        held = [backend for backend in self.ordered.get(key, {}) if backend in self.ready]
         rest = [backend for backend in self.ready if backend not in held]
         need = min(SUBSET - len(held), len(rest))
         if need > 0:
@@ -109,7 +109,7 @@
 
 
 class LeastLoad(Baseline):
-    """By inverse told load, moved now and then."""
+    """By inverse reported load, moved now and then."""
 
     def want(self, key):
         if self.now >= self.moved_at:
--- a/embertray/platform/post.py
+++ b/embertray/platform/post.py
@@ -23,11 +23,11 @@
     """`start` is a start.Start. Raises BadSettings."""
 
     def __init__(self, start, now, wall):
-        self.told = StartSettings.nested(start.settings)
-        self.said, self.chance = without_words(self.told), start.chance
-        super().__init__(start.chance, self.told.deployment, now)
+        self.settings = StartSettings.nested(start.settings)
+        self.said, self.chance = without_words(self.settings), start.chance
+        super().__init__(start.chance, self.settings.deployment, now)
         self.words, self.caller, self.standing = (
-            Words(self.identifiers, self.told.kinds),
+            Words(self.identifiers, self.settings.kinds),
             Caller(self.module.site.way_max),
             Standing(),
         )
@@ -41,11 +41,11 @@
 
     def port(self, now):
         """A new connection at our address."""
-        return Port(now, self.told.zones, self.told.kinds, self.told.proxies)
+        return Port(now, self.settings.zones, self.settings.kinds, self.settings.proxies)
 
     def stream(self):
         """A new connection with the relay's news."""
-        return News(self.told.zones, self.told.proxies)
+        return News(self.settings.zones, self.settings.proxies)
 
     def reports(self, found):
         for one in found:
@@ -96,7 +96,7 @@
                 handle.actor = None
         self.chance += 1
         self.module, self.wakes, self.identifiers.nonces = (
-            Controller(self.chance, self.told.deployment(self.identifiers), now),
+            Controller(self.chance, self.settings.deployment(self.identifiers), now),
             [],
             {},
         )
--- a/embertray/platform/start.py
+++ b/embertray/platform/start.py
@@ -62,16 +62,16 @@
         raise BadStart(f"configuration: {wrong}") from None
 
 
-def without_words(told):
+def without_words(settings):
     """Settings that the platform's protocol has no words for. One that nothing can be served without (tables
     that belong to slices) raises BadSettings; permissions go unused: what the log is told of them. A
     permission is no need, and who would not start for it fails every proxy."""
-    if told.figure("specifics.partitions-n"):
+    if settings.figure("specifics.partitions-n"):
         raise BadSettings("specifics.partitions-n: the platform's protocol has no words for slices")
     unused = [
         what
         for what, key in (("probes", "caps.probes"), ("notes to peers", "caps.peer-messages"))
-        if told.yes(key)
+        if settings.yes(key)
     ]
     return [
         f"the settings permit {what}: the platform's protocol has no words for them, none are sent"
--- a/embertray/site/control.py
+++ b/embertray/site/control.py
@@ -74,8 +74,8 @@
     element = root.find("control")
     if element is None:
         return None
-    told = {**defaults["control"], **element.attrib}
-    rate = size(told["bytes-per-second"])
+    attributes = {**defaults["control"], **element.attrib}
+    rate = size(attributes["bytes-per-second"])
     if rate < BYTES_PER_SECOND_LEAST:
         raise BadSite(
             f"{path}:{element.sourceline}: control: bytes-per-second of {BYTES_PER_SECOND_LEAST}B at least "
@@ -91,7 +91,7 @@
             raise BadSite(f"{path}:{one.sourceline}: replica {replica.name}: a folder of its own is expected")
         folders.add(replica.keep)
         replicas.append(replica)
-    return Control(root.get("name"), rate, told["keep"], tuple(replicas))
+    return Control(root.get("name"), rate, attributes["keep"], tuple(replicas))
 
 
 def _check_addresses(element, replica, path, addresses):
