--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -22,7 +22,8 @@
   both.
 - Where a figure comes from: measured at the target's size; predicted by a slope whose largest size was held
   out and predicted; a guess, where none could be held out; reported, where it was taken over and not measured
-  again; reckoned by the formula that stands there. *Not known* is said where there is neither.
+  again; reckoned by the formula that stands there. *Not known* is said where there is neither. A predicted
+  figure says by how much its slope missed the held-out size, and whether that could turn the verdict.
 - Processor time is time of a processor on one machine that was busy with other work as well; bytes are
   payload, without the heads of TCP, UDP and IP. The worst 10 s stand beside the mean where they are known,
   and decide the verdict.
--- a/embertray/capacity/report.py
+++ b/embertray/capacity/report.py
@@ -8,7 +8,11 @@
 
 def judged(one):
     infinite = one.factor is not None and isinf(one.factor)
-    return {"verdict": str(one.verdict), "factor": None if infinite else one.factor}
+    return {
+        "verdict": str(one.verdict),
+        "factor": None if infinite else one.factor,
+        "within_error": one.unsure,
+    }
 
 
 def row(one):
--- a/embertray/capacity/row.py
+++ b/embertray/capacity/row.py
@@ -6,26 +6,33 @@
 from .names import UNITS, Design, Origin, Part, Quantity, Reading, Role, Situation, Verdict
 
 BOTH_READINGS = (Reading.CLUSTER, Reading.ALL)
+ROUNDING = 1e-6  # of a factor, that is no shortfall
 ONLY_ALL = (Reading.ALL,)
 BOTH_DESIGNS = (Design.GOSSIP, Design.REPLICAS)
 
 
 @dataclass(frozen=True)
 class Judged:
-    """`factor`: times over the budget, None if not known or nothing is named."""
+    """`factor`: times over the budget, None if not known or nothing is named. `unsure`: by as much as the
+    slope missed its held-out size, the verdict could be the other.
+    """
 
     verdict: Verdict
     factor: float | None = None
+    unsure: bool = False
 
 
-def judge(value, budget, at_least=False):
-    """`at_least`: the budget is the least that will do, not the most."""
+def judge(value, budget, at_least=False, error=None):
+    """`at_least`: the budget is the least that will do, not the most. `error`: relative, of the value."""
     if budget is None:
         return Judged(Verdict.NO_BUDGET)
     if value is None:
         return Judged(Verdict.UNKNOWN)
     factor = shortfall(value, budget) if at_least else value / budget
-    return Judged(Verdict.FITS if factor <= 1 else Verdict.SHORT, factor)
+    most = 1 + ROUNDING
+    fits = factor <= most
+    unsure = error is not None and (factor * (1 + error) > most if fits else factor / (1 + error) <= most)
+    return Judged(Verdict.FITS if fits else Verdict.SHORT, factor, unsure)
 
 
 def shortfall(value, least):
@@ -60,9 +67,12 @@
         """By the worst 10 s where they are known, else by the mean."""
         if self.figure.origin is Origin.NO_MECHANISM:
             return Judged(Verdict.NO_MECHANISM)
-        values = [one.value for one in (self.figure, self.worst) if one is not None and one.known]
-        value = max(values) if values and self.figure.known else None
-        return judge(value, self.budget, self.quantity is Quantity.SEEN)
+        if not self.figure.known:
+            return judge(None, self.budget)
+        figure = self.figure
+        if self.worst is not None and self.worst.known and self.worst.value > figure.value:
+            figure = self.worst
+        return judge(figure.value, self.budget, self.quantity is Quantity.SEEN, figure.error)
 
 
 def budget_of(target, role, quantity):
--- a/embertray/capacity/text.py
+++ b/embertray/capacity/text.py
@@ -36,12 +36,16 @@
 
 
 def verdict(judged):
+    unsure = ", within the slope's error" if judged.unsure else ""
     if judged.verdict is Verdict.SHORT:
-        factor = f"{judged.factor:,.0f}" if judged.factor >= 100 else f"{judged.factor:.2g}"
-        if judged.factor < 2:
-            factor = f"{judged.factor:.2f}"
-        return f"**falls short by {factor}**"
-    return str(judged.verdict)
+        return f"**falls short by {factor(judged.factor)}**{unsure}"
+    return f"{judged.verdict}{unsure}"
+
+
+def factor(value):
+    if value >= 100:
+        return f"{value:,.0f}"
+    return f"{value:.2f}" if value < 2 else f"{value:.2g}"
 
 
 def source(figure):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -202,6 +202,20 @@
                 found = judge(value, budget, at_least)
                 self.assertEqual((found.verdict, found.factor), (verdict, factor))
 
+    def test_a_verdict_that_the_slopes_error_could_turn_says_so(self):
+        for value, error, verdict, unsure in (
+            (90, 0.05, Verdict.FITS, False),
+            (90, 0.2, Verdict.FITS, True),
+            (110, 0.2, Verdict.SHORT, True),
+            (110, 0.05, Verdict.SHORT, False),
+            (110, None, Verdict.SHORT, False),
+            (1000, 3.0, Verdict.SHORT, False),
+            (100.00001, 0.0, Verdict.FITS, False),
+        ):
+            with self.subTest(value=value, error=error):
+                found = judge(value, 100, error=error)
+                self.assertEqual((found.verdict, found.unsure), (verdict, unsure))
+
     def test_the_worst_ten_seconds_decide_where_they_are_known(self):
         def row(mean, worst):
             return Row(
