--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -27,8 +27,8 @@
 - Processor time is time of a processor on one machine that was busy with other work as well; bytes are
   payload, without the heads of TCP, UDP and IP. The worst 10 s stand beside the mean where they are known,
   and decide the verdict.
-- Measured times are of loopback, without distance and disks; where a bound is stated for real links, it stands in
-  a row beside them.
+- Measured times are of loopback, without distance and disks; where a bound is stated for real links, it
+  stands in a row beside them.
 - Rows of failures are what comes on top of the peak. The time until a configuration is in force is asked of
   whoever starts or returns as well: the strict reading.
 """
--- a/embertray/measure/capacity/charts.py
+++ b/embertray/measure/capacity/charts.py
@@ -21,7 +21,8 @@
     sizes = [size for size, _ in points]
     suffix = " (reported)" if found != name else ""
     (line,) = axis.plot(sizes, [value for _, value in points], marker="o", linestyle="", label=label + suffix)
-    axis.plot(sizes, [max(0.0, slopes.fits[found].at(size)) for size in sizes], color=line.get_color())
+    law = [(size, value) for size in sizes if (value := slopes.fits[found].at(size)) > 0]
+    axis.plot(*zip(*law, strict=True), color=line.get_color())
 
 
 def budget(axis, value, label):
