--- a/embertray/capacity/control.py
+++ b/embertray/capacity/control.py
@@ -12,7 +12,7 @@
 
 REPLICAS = (Design.REPLICAS,)
 S = 10**9
-TOLD = "control/: one replica followed, changed keys only"
+MECHANISM = "control/: one replica followed, changed keys only"
 
 
 def framed(message):
@@ -57,7 +57,7 @@
             f"a heartbeat of {heartbeat_bytes()} bytes a second + changes a second x an update of {update}",
             beats * heartbeat_bytes() + target.changes_a_second * update,
         ),
-        f"{TOLD}; worst: changes-in-worst-10s, each an update of its own, not yet paced",
+        f"{MECHANISM}; worst: changes-in-worst-10s, each an update of its own, not yet paced",
         worst=reckoned("changes-in-worst-10s", beats * heartbeat_bytes() + bunched * update),
         designs=REPLICAS,
     )
@@ -68,7 +68,7 @@
             f"a confirm of {confirm_bytes()} bytes to each heartbeat and each update",
             (beats + target.changes_a_second) * confirm_bytes(),
         ),
-        TOLD,
+        MECHANISM,
         worst=reckoned("changes-in-worst-10s", (beats + bunched) * confirm_bytes()),
         designs=REPLICAS,
     )
@@ -76,7 +76,7 @@
         Part.CONFIGURATION,
         Quantity.STATE,
         reckoned("(services + routes) x entry-bytes", snapshot_bytes(target)),
-        f"{TOLD}: the newest entry of each key",
+        f"{MECHANISM}: the newest entry of each key",
         designs=REPLICAS,
     )
     return table.rows
--- a/embertray/capacity/controller.py
+++ b/embertray/capacity/controller.py
@@ -101,18 +101,18 @@
 
 
 def add_decisions(rows, target, slopes):
-    told = "choice/: one module for the whole list, all services"
+    mechanism = "choice/: one module for the whole list, all services"
     for quantity, figure in (
         (Quantity.PROCESSOR, of_decisions(target, slopes, "decisions-processor")),
         (Quantity.STATE, of_decisions(target, slopes, "decisions-memory")),
         (Quantity.DELAY, slopes.at(f"decisions-step-{MEASURED_PROXIES}", target.backends)),
     ):
-        words = told + (": its dearest step" if quantity is Quantity.DELAY else "")
+        words = mechanism + (": its dearest step" if quantity is Quantity.DELAY else "")
         rows.add(Part.DECISIONS, quantity, figure, words, readings=ONLY_ALL)
 
 
 def add_streams(rows, target, slopes):
-    for part, quantity, mean, worst, told in (
+    for part, quantity, mean, worst, mechanism in (
         (Part.STREAMS, Quantity.BYTES_OUT, "streams-bytes-out", "streams-worst-out", "orders and marks"),
         (Part.REPORTS, Quantity.BYTES_IN, "streams-bytes-in", "streams-worst-in", "sums and answers"),
     ):
@@ -120,7 +120,7 @@
             part,
             quantity,
             of_streams(target, slopes, mean),
-            f"stream/: {told}, each proxy a sum a second, the channel not paced",
+            f"stream/: {mechanism}, each proxy a sum a second, the channel not paced",
             worst=of_streams(target, slopes, worst),
             readings=ONLY_ALL,
             adds_up=True,
@@ -208,7 +208,7 @@
 
 
 def add_gossip(rows, target, slopes):
-    members, told = target.controllers, "cluster/: probes and exchanges among all controllers"
+    members, mechanism = target.controllers, "cluster/: probes and exchanges among all controllers"
     sent = slopes.at("cluster-sent-bytes", members)
     received = slopes.at("cluster-received-bytes", members)
     if not received.known:
@@ -224,12 +224,12 @@
         (Quantity.IN_FORCE, slopes.at("cluster-time-to-all", members), False),
         (Quantity.STALENESS, staleness(target), False),
     ):
-        rows.add(Part.MEMBERSHIP, quantity, figure, told, designs=GOSSIP, adds_up=adds_up)
+        rows.add(Part.MEMBERSHIP, quantity, figure, mechanism, designs=GOSSIP, adds_up=adds_up)
     rows.add(
         Part.MEMBERSHIP,
         Quantity.BYTES_OUT,
         sent,
-        told,
+        mechanism,
         worst=slopes.at("cluster-sent-worst", members),
         designs=GOSSIP,
         adds_up=True,
@@ -260,7 +260,7 @@
 def add_limits(rows, target):
     shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
     ask = reckon.ask_bytes(target.proxies_per_controller, target.assumed("limits"), target.controllers - 1)
-    for cost, designs, told, formula in (
+    for cost, designs, mechanism, formula in (
         (
             reckon.limits_each_to_each(*shape),
             GOSSIP,
@@ -278,7 +278,9 @@
             (Quantity.BYTES_OUT, cost.controller_out),
             (Quantity.BYTES_IN, cost.controller_in),
         ):
-            rows.add(Part.LIMITS, quantity, reckoned(formula, value), told, designs=designs, adds_up=True)
+            rows.add(
+                Part.LIMITS, quantity, reckoned(formula, value), mechanism, designs=designs, adds_up=True
+            )
     rows.add(
         Part.LIMITS,
         Quantity.STATE,
@@ -289,7 +291,7 @@
 
 
 def add_subscriber(rows, target, slopes):
-    told = "control/: one replica followed, changed keys only"
+    mechanism = "control/: one replica followed, changed keys only"
     for quantity, name, worst, adds_up in (
         (Quantity.PROCESSOR, "control-subscriber-processor", None, True),
         (Quantity.BYTES_IN, "control-subscriber-bytes-in", "control-subscriber-worst-in", True),
@@ -302,7 +304,7 @@
             Part.CONFIGURATION,
             quantity,
             slopes.at(name, target.controllers),
-            told,
+            mechanism,
             worst=worst and slopes.at(worst, target.controllers),
             designs=REPLICAS,
             adds_up=adds_up,
--- a/embertray/capacity/failures.py
+++ b/embertray/capacity/failures.py
@@ -274,13 +274,13 @@
     return table.rows
 
 
-def discovery_answers(target, whole, situation, starts_a_second, told):
+def discovery_answers(target, whole, situation, starts_a_second, when):
     table = Rows(target, Role.DISCOVERY, situation)
     table.add(
         Part.ANSWERS,
         Quantity.BYTES_OUT,
         derived(
-            f"{starts_a_second:.3g} starts a second x list-bytes ({told})",
+            f"{starts_a_second:.3g} starts a second x list-bytes ({when})",
             lambda size: starts_a_second * size,
             whole,
         ),
--- a/embertray/capacity/others.py
+++ b/embertray/capacity/others.py
@@ -21,7 +21,7 @@
 
 def replica(target, slopes):
     rows, subscribers = Rows(target, Role.REPLICA, Situation.PEAK), target.controllers
-    told = "control/: a replica's subscribers, and the other replicas"
+    mechanism = "control/: a replica's subscribers, and the other replicas"
     for quantity, name, worst in (
         (Quantity.PROCESSOR, "control-replica-processor", None),
         (Quantity.BYTES_IN, "control-replica-bytes-in", "control-replica-worst-in"),
@@ -32,7 +32,7 @@
             Part.REPLICATION,
             quantity,
             slopes.at(name, subscribers),
-            told,
+            mechanism,
             worst=worst and slopes.at(worst, subscribers),
             designs=REPLICAS,
         )
@@ -46,18 +46,20 @@
         ),
         (Quantity.STATE, shares.state, "controllers x bytes of an ask"),
     ):
-        told_of = "not built: the shares of limits kept by one replica"
-        rows.add(Part.LIMITS, quantity, reckoned(formula, value), told_of, designs=REPLICAS)
+        mechanism = "not built: the shares of limits kept by one replica"
+        rows.add(Part.LIMITS, quantity, reckoned(formula, value), mechanism, designs=REPLICAS)
     return rows.rows
 
 
 def proxy(target, slopes):
     rows = Rows(target, Role.PROXY, Situation.PEAK)
-    for slope, told in (
+    for slope, mechanism in (
         ("pick-p99-round", "model/proxy: a pick from a table that stands"),
         ("pick-changed-p99-round", "model/proxy: the first pick after a changed line, of the dearest way"),
     ):
-        rows.add(Part.PICK, Quantity.ADDED, slopes.at(slope, target.backends), f"{told}, one line a backend")
+        rows.add(
+            Part.PICK, Quantity.ADDED, slopes.at(slope, target.backends), f"{mechanism}, one line a backend"
+        )
     wait = slopes.at("join-wait-most", target.backends)
     rows.add(
         Part.FIRST_TABLE,
--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -304,7 +304,9 @@
         "replicas": Design.REPLICAS,
     }
     reported = [name for name in by_name if name.startswith(REPORTED)]
-    pictures = "\n\n".join(f"![{told}](measured/capacity/{name})" for name, told in CHARTS if name in charts)
+    pictures = "\n\n".join(
+        f"![{caption}](measured/capacity/{name})" for name, caption in CHARTS if name in charts
+    )
     return "\n".join(
         (
             HEAD.format(**words),
--- a/embertray/capacity/table.py
+++ b/embertray/capacity/table.py
@@ -4,8 +4,8 @@
 
 from . import control, controller, failures, others
 from .figure import Slopes
-from .names import Design, Part, Quantity, Reading, Role, Situation, Verdict
-from .row import Judged, Row, budget_of, judge
+from .names import UNITS, Design, Quantity, Reading, Role, Situation, Verdict
+from .row import Judged, budget_of, judge
 
 TOTALLED = (Quantity.PROCESSOR, Quantity.MEMORY, Quantity.BYTES_IN, Quantity.BYTES_OUT)
 LARGEST = 3
@@ -16,7 +16,7 @@
 @dataclass(frozen=True)
 class Total:
     """What one controller spends on all parts at the peak. `known`: the sum of the parts that are known;
-    `missing`: those that are not. `two_ways`: bytes in and out against the one budget.
+    `missing`: those that are not.
     """
 
     reading: Reading
@@ -110,8 +110,7 @@
 
 def total(target, reading, design, quantity, known, missing, name=None):
     budget = budget_of(target, Role.CONTROLLER, quantity)
-    unit = Row(Role.CONTROLLER, Part.WHOLE, Situation.PEAK, quantity, None, "", budget).unit
-    return Total(reading, design, name or str(quantity), unit, known, missing, budget)
+    return Total(reading, design, name or str(quantity), UNITS[quantity], known, missing, budget)
 
 
 def varied(target, by_name):
