--- a/embertray/capacity/page.py
+++ b/embertray/capacity/page.py
@@ -22,10 +22,13 @@
   both.
 - Where a figure comes from: measured at the target's size; predicted by a slope whose largest size was held
   out and predicted; a guess, where none could be held out; reported, where it was taken over and not measured
-  again; reckoned by the formula that stands there. *Not known* is said where there is neither.
+  again; reckoned by the formula that stands there. *Not known* is said where there is neither. A predicted
+  figure says by how much its slope missed the held-out size, and whether that could turn the verdict.
 - Processor time is time of a processor on one machine that was busy with other work as well; bytes are
   payload, without the heads of TCP, UDP and IP. The worst 10 s stand beside the mean where they are known,
   and decide the verdict.
+- Measured times are of loopback, without distance and disks; where a bound is stated for real links, it
+  stands in a row beside them.
 - Rows of failures are what comes on top of the peak. The time until a configuration is in force is asked of
   whoever starts or returns as well: the strict reading.
 """
@@ -301,7 +304,9 @@
         "replicas": Design.REPLICAS,
     }
     reported = [name for name in by_name if name.startswith(REPORTED)]
-    pictures = "\n\n".join(f"![{told}](measured/capacity/{name})" for name, told in CHARTS if name in charts)
+    pictures = "\n\n".join(
+        f"![{caption}](measured/capacity/{name})" for name, caption in CHARTS if name in charts
+    )
     return "\n".join(
         (
             HEAD.format(**words),
