--- a/embertray/control/bounds.py
+++ b/embertray/control/bounds.py
@@ -29,9 +29,11 @@
     @property
     def good(self):
         """Nothing fails: the commit goes to the followers, who save it, tell their subscribers and may have
-        to wait for the confirmation of an update under way."""
+        to wait for the confirmation of an update under way, or for one that goes back to its first
+        replica."""
         told = self.message + self.network.save
-        return told + 3 * self.message
+        return_home = self.subscriber.retry_first + 3 * self.message
+        return told + 3 * self.message + return_home
 
     @property
     def election(self):
