--- a/embertray/control/replica.py
+++ b/embertray/control/replica.py
@@ -506,6 +506,8 @@
             kept = set(message.keys)
             for entry in [one for one in self.store.live() if one.key not in kept]:
                 self.store.forget(entry.key)
+            # of what was removed up to here some removals are not known here, either
+            self.store.forgotten = max(self.store.forgotten, message.commit)
         self.store.remember(message.requests)
         self.store.advance(message.commit, message.commit_term)
         self.uncommitted, self.changed = rest, True
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -309,6 +309,24 @@
         self.assertEqual(subscriber.store.digest, self.store.digest)
         self.assertEqual(subscriber.counted["repairs"], 1)
 
+    def test_who_lags_behind_all_removals_that_are_kept_is_repaired(self):
+        for n in range(20):
+            self.write(f"old{n}", b"1")
+        subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
+        for entry in self.store.live():
+            subscriber.store.apply(entry)
+        subscriber.store.advance(self.store.revision)
+        for n in range(20):
+            self.write(f"old{n}", None)
+        for _ in range(REMOVALS_KEPT):
+            self.write("other", b"1")
+            self.write("other", None)
+        self.assertGreater(self.store.forgotten, subscriber.revision)
+        self.converse(subscriber, 15 * S)
+        self.assertEqual((in_force(subscriber.store), subscriber.store.digest), ({}, 0))
+        removed = {entry.key for entry in subscriber.applied if entry.value is None}
+        self.assertLessEqual({f"old{n}" for n in range(20)}, removed)
+
     def converse(self, subscriber, span):
         """Lets feed and subscriber talk with nothing lost."""
         end = self.now + span
@@ -605,6 +623,28 @@
         self.assertEqual(late.store.digests, self.group.leader.store.digests)
         self.assertEqual(late.store.revision, self.group.leader.store.revision)
 
+    def test_one_that_missed_removals_that_are_forgotten_hands_no_removed_key_on(self):
+        first, second = [one for one in self.group.replicas.values() if one is not self.group.leader]
+        self.group.put("gone", b"1")
+        self.group.run(S)
+        self.group.cut = {second.name}
+        self.group.put("gone", None)
+        self.group.run(S)
+        for n in range(REMOVALS_KEPT + 1):
+            self.group.put(f"k{n}", b"1")
+            self.group.put(f"k{n}", None)
+        self.assertGreater(self.group.leader.store.forgotten, second.store.revision)
+        former = self.group.leader
+        late = self.group.make(first.name)  # begins anew from nothing, so that the state comes by an Install
+        late.store, late.uncommitted = VersionedStore(), []
+        self.group.replicas[first.name] = late
+        self.group.run(2 * S)
+        self.group.cut = {former.name}
+        self.group.run(15 * S)
+        self.assertIs(self.group.leader, late)
+        self.assertIsNone(second.store.get("gone"))
+        self.assertEqual(second.store.digests, late.store.digests)
+
     def test_one_restarted_with_its_state_votes_at_once(self):
         self.group.put("a", b"1")
         for name in self.group.names:
