--- a/embertray/rig/control_play.py
+++ b/embertray/rig/control_play.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass, field
 
 from ..control.bounds import Bounds
+from ..control.operations import Committed
 from .control import ControlPlane
 from .control_pace import scaled_paces
 from .control_record import ControlRecord
@@ -19,6 +20,7 @@
 CALM_SECONDS = 1.0  # between the end of one fault and the next one, at scale 1
 CALM_AT_END = 8.0  # of writes with nothing broken, after the bound on any faults, at scale 1
 KEYS = 20
+REMOVED, ROLLED_BACK = 0.1, 0.1  # shares of the writes
 FORGETFUL = 4  # each so many kills, one of a replica takes what it had on disk
 WRITE_PAUSE = 0.05  # s between two writes of one writer
 WRITERS = 2
@@ -153,12 +155,22 @@
     # ---- the rest
 
     def _keep_writing(self, number):
-        chance, count = random.Random(f"{self.seed} writer {number}"), 0
+        """Writes keys, removes some, and rolls some back to what this writer wrote before."""
+        chance, count, written = random.Random(f"{self.seed} writer {number}"), 0, {}
         while not self.record.ending.wait(WRITE_PAUSE):
             count += 1
             key, at = f"key-{chance.randrange(KEYS)}", chance.choice(self.plane.replicas)
-            value = None if chance.random() < 0.1 else f"{number} {count}".encode() * chance.randrange(1, 20)
-            self.record.put(at, key, value, f"{self.seed}-{number}-{count}", within=2.0)
+            request, kind = f"{self.seed}-{number}-{count}", chance.random()
+            value = f"{number} {count}".encode() * chance.randrange(1, 20)
+            if kind < REMOVED:
+                value = None
+            if kind > 1 - ROLLED_BACK and key in written:
+                version, value = written[key]
+                outcome = self.record.rollback(at, key, version, value, request, within=2.0)
+            else:
+                outcome = self.record.put(at, key, value, request, within=2.0)
+            if isinstance(outcome, Committed):
+                written[key] = outcome.revision, value
 
     def _settle(self):
         """Seconds until all hold all that was acknowledged until now."""
--- a/embertray/rig/control_record.py
+++ b/embertray/rig/control_record.py
@@ -70,17 +70,27 @@
 
     def put(self, at, key, value, request, within=10.0):
         """Writes at the replica `at`; the outcome, or None if it could not be asked."""
-        query = f"/control/key?{urlencode({'key': key, 'request': request})}"
         method = "DELETE" if value is None else "PUT"
+        return self._write(at, method, "/control/key", {"key": key, "request": request}, value, within)
+
+    def rollback(self, at, key, version, value, request, within=10.0):
+        """The same for a rollback; `value`: what the key had at that version."""
+        query = {"key": key, "version": version, "request": request}
+        return self._write(at, "POST", "/control/rollback", query, value, within)
+
+    def _write(self, at, method, path, query, value, within):
+        body = value if method == "PUT" else b""
         try:
-            outcome = anyio.run(write, self.plane.admin(at), method, query, value or b"", within)
+            outcome = anyio.run(
+                write, self.plane.admin(at), method, f"{path}?{urlencode(query)}", body, within
+            )
         except Unreachable:
             outcome = None
         with self.lock:
-            kind = type(outcome).__name__
+            kind = "Unreachable" if outcome is None else type(outcome).__name__
             self.outcomes[kind] = self.outcomes.get(kind, 0) + 1
             if isinstance(outcome, Committed):
-                said = Acknowledgement(outcome.revision, key, value_digest(value))
+                said = Acknowledgement(outcome.revision, query["key"], value_digest(value))
                 self.events.append((time.time_ns(), said))
         return outcome
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -9,9 +9,12 @@
 import anyio
 from control_stage import MOST, Stage, until
 
+from embertray.control.entry import Entry
+from embertray.control.link.saved import replica_state
 from embertray.control.link.writes import BadKey, BadRequest, TooLarge, VersionNotKept
 from embertray.control.messages import Confirm, Subscribe, Vote, encode
-from embertray.control.replica import Conflict, NotLeader, Role
+from embertray.control.pace import STATE_BYTES_MOST
+from embertray.control.replica import Conflict, NotLeader, ReplicaState, Role
 from embertray.durable import Disk
 from embertray.net.clock import LoopClock
 from embertray.net.tcp import TcpNet
@@ -154,6 +157,34 @@
 
         self.play(body)
 
+    def test_a_whole_state_of_the_largest_size_travels_to_one_that_has_nothing(self):
+        count = STATE_BYTES_MOST // (6_000 + 64)
+        entries = [Entry(f"key-{n}", n + 1, 1, "", f"{n:06}".encode() * 1_000) for n in range(count)]
+        state = ReplicaState(1, "", count, 1, 0, entries, [], [])
+
+        async def body(stage):
+            server = stage.replicas["r3"]
+            await until(lambda: server.replica.store.revision >= count, "it holds all")
+            await until(lambda: not server.status().recovering, "it counts again")
+            kept = stage.replicas["r1"].replica.store
+            self.assertEqual(server.replica.store.digest, kept.digest)
+            await stage.put("key-0", b"1")
+
+        with tempfile.TemporaryDirectory() as folder:
+            for name in ("r1", "r2"):
+                saved = replica_state(Path(folder) / name)
+                saved.open()
+                saved.save(state)
+                saved.close()
+            stage = Stage(3, folder)
+
+            async def run():
+                with anyio.fail_after(3 * MOST):
+                    async with stage.running():
+                        await body(stage)
+
+            anyio.run(run)
+
     def test_after_a_majority_lost_its_disks_one_state_can_be_copied_to_all(self):
         async def body(stage):
             await stage.put("key", b"1")
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -227,6 +227,23 @@
 
         self.held(body)
 
+    def test_a_rollback_while_the_faulty_version_arrives_wins_everywhere(self):
+        def body(record):
+            plane = record.plane
+            good = self.put(record, "key", b"good")
+            self.half_sent(record, "c1")
+            faulty = self.put(record, "key", b"faulty")
+            leader = plane.wait(plane.leader, "a leader")
+            outcome = record.rollback(leader, "key", good, b"good", "rollback", within=MOST)
+            self.assertIsInstance(outcome, Committed)
+            self.assertGreater(outcome.revision, faulty)
+            for name in plane.controllers:
+                plane.wait(lambda name=name: plane.status(name)["revision"] >= outcome.revision, "all came")
+                applied = [row for row in plane.applied(name) if row[0] == "key"]
+                self.assertEqual(applied[-1], ("key", outcome.revision, value_digest(b"good")))
+
+        self.held(body)
+
     def test_one_that_reads_nothing_for_a_while(self):
         def body(record):
             plane = record.plane
