--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -53,11 +53,11 @@
     if retry:
         results.forget_errors()
 
-    def tell(done, total):
+    def on_progress(done, total):
         if sys.stderr.isatty():
             click.echo(f"\r{done} of {total} runs", nl=done == total, err=True)
 
-    runner.run(found, results, jobs, tell)
+    runner.run(found, results, jobs, on_progress)
     rows = list(results.rows())
     click.echo(
         f"{len(rows)} runs, {sum(1 for r in rows if r['error'])} died, "
@@ -132,11 +132,11 @@
 def hunt(sites, tries, seed, credit, way, jobs, out):
     """Look for days on which a rule breaks; exit code 1 if one is found."""
 
-    def tell(n, total):
+    def on_progress(n, total):
         if sys.stderr.isatty():
             click.echo(f"\r{n} of {total}", nl=n == total, err=True)
 
-    found = hunting.hunt(sites, tries, seed, not credit, tell=tell, way=way, jobs=jobs)
+    found = hunting.hunt(sites, tries, seed, not credit, on_progress=on_progress, way=way, jobs=jobs)
     Path(out).mkdir(exist_ok=True)
     for n, (text, result) in enumerate(found):
         path = Path(out) / f"hunt-{seed}-{n + 1}.day"
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -133,11 +133,11 @@
         async with anyio.create_task_group() as group:
             address = await group.start(proxy.run)
             say(f"proxy {name} listens on {address}")
-            group.start_soon(tell, proxy, counts)
+            group.start_soon(report, proxy, counts)
             await clients.run(address, agenda.now() + int(seconds * S))
             group.cancel_scope.cancel()
 
-    async def tell(proxy, counts):
+    async def report(proxy, counts):
         while True:
             await anyio.sleep(1)
             say(
--- a/embertray/lab/hunt.py
+++ b/embertray/lab/hunt.py
@@ -98,7 +98,7 @@
     return n, lines, sorted(rule for rule, why in result.rules.items() if why), result.credit
 
 
-def hunt(sites, tries, seed=1, rules=True, core=None, tell=lambda *_: None, way="emulated", jobs=1):
+def hunt(sites, tries, seed=1, rules=True, core=None, on_progress=lambda *_: None, way="emulated", jobs=1):
     """[(text, result)] of days found: with `rules` those on which a rule breaks, cut down; else the one of
     the least credit."""
     one = partial(attempt, sites, seed, core, way)
@@ -107,12 +107,12 @@
             done = []
             for found in pool.map(one, range(tries)):
                 done.append(found)
-                tell(len(done), tries)
+                on_progress(len(done), tries)
     else:
         done = []
         for n in range(tries):
             done.append(one(n))
-            tell(n + 1, tries)
+            on_progress(n + 1, tries)
     if not rules:
         n, lines, _, credit = min(done, key=lambda found: found[3])
         return [(text(lines, n + 1, f"credit {credit:.3f}"), play(lines, n + 1, core, way))]
--- a/embertray/lab/run.py
+++ b/embertray/lab/run.py
@@ -47,17 +47,17 @@
     return json.loads(done.stdout), None, wall
 
 
-def run(experiment, results, jobs, tell=lambda done, total: None):
+def run(experiment, results, jobs, on_progress=lambda done, total: None):
     """Plays what is missing in the results. How many processes there are changes nothing in the rows but wall
     times.
     """
     have = results.done()
     todo = [found for found in experiment.runs() if found.key not in have]
     total, done = len(todo) + len(have), len(have)
-    tell(done, total)
+    on_progress(done, total)
     with ThreadPoolExecutor(jobs) as pool:
         waiting = {pool.submit(one, experiment, found): found for found in todo}
         for future in as_completed(waiting):
             results.add(waiting[future], *future.result())
             done += 1
-            tell(done, total)
+            on_progress(done, total)
--- a/embertray/rig/held.py
+++ b/embertray/rig/held.py
@@ -75,7 +75,7 @@
             await anyio.sleep(still / 1e9)
             program.go_on()
         await program.listening()
-        self.tell("up", name)
+        self.notify("up", name)
 
     async def all_up(self, names, still=0):
         """At once."""
@@ -85,7 +85,7 @@
 
     up_slowly = all_up
 
-    def tell(self, what, name):
+    def notify(self, what, name):
         """To whoever holds the processes against what they claim."""
         if self.claims is not None:
             getattr(self.claims, "on_" + what)(self.stage.clock.now(), name)
@@ -101,14 +101,14 @@
         if name in self.running:
             self.still.discard(name)
             self.running.pop(name).kill()
-            self.tell("down", name)
+            self.notify("down", name)
 
     async def restart(self, name):
         """By SIGTERM, and up again once it has ended."""
         if name in self.running:
             program = self.running.pop(name)
             self.still.discard(name)
-            self.tell("down", name)
+            self.notify("down", name)
             program.ask_to_end()
             await anyio.to_thread.run_sync(program.ended)
         await self.up(name)
@@ -120,13 +120,13 @@
         if name in self.running:
             self.still.add(name)
             self.running[name].stop()
-            self.tell("still", name)
+            self.notify("still", name)
 
     def thaw(self, name):
         if name in self.running:
             self.running[name].go_on()
             self.still.discard(name)
-            self.tell("go_on", name)
+            self.notify("go_on", name)
 
     async def closing(self):
         """The day is over, and all still run."""
@@ -157,7 +157,7 @@
 
     async def prepare(self):
         to, taps = {}, {}
-        self.stage.inventory.told = None  # told is what passed the link
+        self.stage.inventory.on_news = None  # what passed the link counts
         for name in self.at:
             to[name, "list"] = lambda: self.stage.inventory.address
             taps[name, "list"] = lambda name=name: partial(self.passed, name, Splitter())
--- a/embertray/standin/inventory.py
+++ b/embertray/standin/inventory.py
@@ -8,12 +8,12 @@
 
 
 class StandinInventory(Inventory):
-    """`told(now, sender, news)` for each News that goes to a controller's socket. Calls are answered after
+    """`on_news(now, sender, news)` for each News that goes to a controller's socket. Calls are answered after
     `answers` ns; while `down` they fail and no change is told."""
 
-    def __init__(self, net, agenda, answers=0, told=None):
+    def __init__(self, net, agenda, answers=0, on_news=None):
         super().__init__()
-        self.net, self.agenda, self.answers, self.told = net, agenda, answers, told
+        self.net, self.agenda, self.answers, self.on_news = net, agenda, answers, on_news
         self.links, self.names, self.address = {}, {}, None
 
     async def run(self, address, *, task_status=anyio.TASK_STATUS_IGNORED):
@@ -45,7 +45,7 @@
         if not self.down:
             for link, watches in list(self.links.items()):
                 if watches:
-                    self.tell(link, self.news(self.agenda.now(), self.epoch - 1, [entry]))
+                    self.send(link, self.news(self.agenda.now(), self.epoch - 1, [entry]))
 
     def on_call(self, link, call):
         if isinstance(call, Watch):
@@ -61,12 +61,12 @@
         if isinstance(call, Watch):
             self.links[link] = call.on
         if (news := self.answer(self.agenda.now(), call)) is not None:
-            self.tell(link, news)
+            self.send(link, news)
 
-    def tell(self, link, news):
+    def send(self, link, news):
         link.put(news)
-        if self.told:
-            self.told(self.agenda.now(), self.names.get(link, ""), news)
+        if self.on_news:
+            self.on_news(self.agenda.now(), self.names.get(link, ""), news)
 
     def go_down(self):
         self.down = True
