--- a/embertray/admin/control.py
+++ b/embertray/admin/control.py
@@ -22,7 +22,7 @@
     Versions,
     encode_answer,
 )
-from ..control.replica import Conflict, NoMajority, NotLeader, Overloaded, WriteRefused
+from ..control.replica_types import Conflict, NoMajority, NotLeader, Overloaded, WriteRefused
 from .server import serve_request, text
 
 BODY_MOST = 64 << 10  # bytes: a value that is too large for an update still gets a typed answer
--- a/embertray/control/link/replica_server.py
+++ b/embertray/control/link/replica_server.py
@@ -12,7 +12,8 @@
 from ..feed import Feed, Refused
 from ..messages import Subscribe, decode_from_subscriber, decode_replica_message, encode
 from ..pace import FeedPace
-from ..replica import Replica, Role, WriteRefused
+from ..replica import Replica
+from ..replica_types import Role, WriteRefused
 from .audit import log_entries
 from .connection import FROM_SUBSCRIBER_FRAME_MOST, REPLICA_FRAME_MOST, Traffic
 from .inbound import Inbound, Stranger
--- a/embertray/control/link/saved.py
+++ b/embertray/control/link/saved.py
@@ -4,7 +4,7 @@
 
 from ...durable import Store
 from ..entry import Entry
-from ..replica import ReplicaState
+from ..replica_types import ReplicaState
 
 
 class BadBody(ValueError):
--- a/embertray/control/link/writes.py
+++ b/embertray/control/link/writes.py
@@ -5,7 +5,7 @@
 import anyio
 
 from ..entry import KEY_BYTES_MOST
-from ..replica import WriteRefused
+from ..replica_types import WriteRefused
 
 REQUEST_BYTES_MOST = 64
 
--- a/embertray/emulator/control/processes.py
+++ b/embertray/emulator/control/processes.py
@@ -13,7 +13,8 @@
     decode_to_subscriber,
     encode,
 )
-from ...control.replica import Replica, ReplicaState, WriteRefused
+from ...control.replica import Replica
+from ...control.replica_types import ReplicaState, WriteRefused
 from ...control.subscriber import Dial, Hang, Say, Subscriber
 from .links import Stream
 
--- a/embertray/emulator/control/writer.py
+++ b/embertray/emulator/control/writer.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ...control.replica import NotLeader, WriteRefused
+from ...control.replica_types import NotLeader, WriteRefused
 
 MS, S = 10**6, 10**9
 ANSWER_WITHIN = 3 * S  # ns until a call is made again, elsewhere
--- a/embertray/measure/scale/control_role.py
+++ b/embertray/measure/scale/control_role.py
@@ -6,7 +6,7 @@
 
 from ...control.link import ReplicaServer, ReplicaSettings, SubscriberClient, SubscriberSettings
 from ...control.link.writes import OutcomeUnknown
-from ...control.replica import WriteRefused
+from ...control.replica_types import WriteRefused
 from ...net.clock import LoopClock
 from .meter import Counters
 
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -16,7 +16,7 @@
 )
 from embertray.control.link.saved import replica_state, subscriber_state
 from embertray.control.pace import MS, FeedPace, ReplicaPace, SubscriberPace
-from embertray.control.replica import NoMajority, NotLeader
+from embertray.control.replica_types import NoMajority, NotLeader
 from embertray.net.clock import LoopClock
 from embertray.net.tcp import TcpNet
 from embertray.rig.ports import free_ports
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -27,14 +27,8 @@
     encode,
 )
 from embertray.control.pace import HISTORY, REMOVALS_KEPT, FeedPace, SubscriberPace
-from embertray.control.replica import (
-    Conflict,
-    NoMajority,
-    NotLeader,
-    Overloaded,
-    Replica,
-    Role,
-)
+from embertray.control.replica import Replica
+from embertray.control.replica_types import Conflict, NoMajority, NotLeader, Overloaded, Role
 from embertray.control.store import VersionedStore, export, restore
 from embertray.control.subscriber import Dial, Hang, Say, Subscriber
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -14,7 +14,7 @@
 from embertray.control.link.writes import BadKey, BadRequest, TooLarge, VersionNotKept
 from embertray.control.messages import Confirm, Subscribe, Vote, encode
 from embertray.control.pace import STATE_BYTES_MOST
-from embertray.control.replica import Conflict, NotLeader, ReplicaState, Role
+from embertray.control.replica_types import Conflict, NotLeader, ReplicaState, Role
 from embertray.durable import Disk
 from embertray.net.clock import LoopClock
 from embertray.net.tcp import TcpNet
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -7,7 +7,8 @@
 
 from embertray.control.feed import Feed
 from embertray.control.messages import Heartbeat, encode
-from embertray.control.replica import Replica, ReplicaState
+from embertray.control.replica import Replica
+from embertray.control.replica_types import ReplicaState
 from embertray.control.subscriber import Subscriber
 from embertray.emulator.control import ControlPlay, Settings, draw_faults
 from embertray.emulator.control.faults import KINDS, Fault, play_faults, strike
