--- a/embertray/emulator/backend.py
+++ b/embertray/emulator/backend.py
@@ -8,18 +8,18 @@
         self.simulation, self.model, self.draw = simulation, model, draw
         self.links, self.out, self.bad_for, self.planned = {}, {}, set(), None
 
-    def on_req(self, px, under, attempt, kind, work, until):
+    def on_req(self, proxy, under, attempt, kind, work, until):
         """A try has come here; its end goes back to `px.ended`."""
         now, model = self.simulation.engine.time, self.model
-        if px not in self.links:
+        if proxy not in self.links:
             if model.state == "dead" or model.state == "up" and not model.connect(now):
-                px.ended(under, attempt, "broken", {})
+                proxy.ended(under, attempt, "broken", {})
                 return
-            self.links[px] = None
-        self.out[under] = px, attempt
+            self.links[proxy] = None
+        self.out[under] = proxy, attempt
         if model.state != "up":
             return
-        if px.name in self.bad_for:
+        if proxy.name in self.bad_for:
             self.end(under, attempt, "error", {})
             return
         how = model.offer(now, (under, attempt), kind, work, until, self.draw())
@@ -45,12 +45,12 @@
         found = self.out.get(under)
         if found is None or found[1] != attempt:
             return
-        px = self.out.pop(under)[0]
-        way = self.simulation.between(px.zone, self.model.zone)
+        proxy = self.out.pop(under)[0]
+        way = self.simulation.between(proxy.zone, self.model.zone)
         if way:
-            self.simulation.engine.after(way, px.ended, under, attempt, how, load)
+            self.simulation.engine.after(way, proxy.ended, under, attempt, how, load)
         else:
-            px.ended(under, attempt, how, load)
+            proxy.ended(under, attempt, how, load)
 
     def gave_up(self, under):
         self.out.pop(under, None)
@@ -58,8 +58,8 @@
     def break_links(self):
         self.links.clear()
         out, self.out = self.out, {}
-        for under, (px, attempt) in out.items():
-            px.ended(under, attempt, "broken", {})
+        for under, (proxy, attempt) in out.items():
+            proxy.ended(under, attempt, "broken", {})
 
     def die(self, silent=False):
         self.model.die(silent)
--- a/embertray/emulator/churn.py
+++ b/embertray/emulator/churn.py
@@ -109,9 +109,9 @@
                 for each_minute in (plan.leaves, plan.replaced)
             ]  # are about would hide a leak
             for _ in range(due[0]):
-                px = fleet.proxies.pop(list(fleet.proxies)[int(rng.integers(len(fleet.proxies)))])
-                px.leave()
-                fleet.add_proxy(px.zone, rate)
+                proxy = fleet.proxies.pop(list(fleet.proxies)[int(rng.integers(len(fleet.proxies)))])
+                proxy.leave()
+                fleet.add_proxy(proxy.zone, rate)
             for _ in range(due[1]):
                 group.start_soon(self.replace, each)
             if second // 60 > minute:
@@ -124,13 +124,17 @@
         ready = [n for n, e in self.inventory.entries.items() if e.state == "ready"]
         if len(ready) < 3:
             return
-        be = fleet.backends[ready[int(self.rng.integers(len(ready)))]]
-        self.inventory.list(be.name, be.zone, "draining", be.started)
+        backend = fleet.backends[ready[int(self.rng.integers(len(ready)))]]
+        self.inventory.list(backend.name, backend.zone, "draining", backend.started)
         await self.clock.sleep_until(self.clock.now() + 4 * S)
-        self.inventory.list(be.name, be.zone, "gone", be.started)
-        fleet.backends.pop(be.name, None)
+        self.inventory.list(backend.name, backend.zone, "gone", backend.started)
+        fleet.backends.pop(backend.name, None)
         fleet.add_backend(
-            be.zone, each * (0.7 + 0.6 * self.rng.random()), self.clock.now(), site.cold_from, site.warm_after
+            backend.zone,
+            each * (0.7 + 0.6 * self.rng.random()),
+            self.clock.now(),
+            site.cold_from,
+            site.warm_after,
         )
 
 
--- a/embertray/emulator/clients.py
+++ b/embertray/emulator/clients.py
@@ -6,12 +6,12 @@
 class SimulatedClients:
     """model.Clients of one proxy."""
 
-    def __init__(self, simulation, model, source, px, rng, until):
-        self.simulation, self.model, self.source, self.px, self.rng, self.until = (
+    def __init__(self, simulation, model, source, proxy, rng, until):
+        self.simulation, self.model, self.source, self.proxy, self.rng, self.until = (
             simulation,
             model,
             source,
-            px,
+            proxy,
             rng,
             until,
         )
@@ -33,7 +33,7 @@
             self.simulation.eyes.ended(engine.time, ask.at, ask.kind, "lost", 0)
             return
         ask.timer = engine.after(within, self.heard, ask.ident, ask.tries, "timeout")
-        self.px.on_req(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries), self.back)
+        self.proxy.on_req(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries), self.back)
 
     def back(self, req, how, stay=0):
         self.heard(req.ident, req.attempt, how, stay)
--- a/embertray/emulator/controller.py
+++ b/embertray/emulator/controller.py
@@ -95,28 +95,28 @@
 
     # ---- proxies
 
-    def join(self, px, hello):
+    def join(self, proxy, hello):
         """ns to stay away, or None: it has joined."""
-        verdict = self.desk.hello(self.simulation.engine.time, px.name)
+        verdict = self.desk.hello(self.simulation.engine.time, proxy.name)
         if verdict:
             return verdict.wait
-        if (old := self.streams.get(px.name)) is not None and old is not px:
+        if (old := self.streams.get(proxy.name)) is not None and old is not proxy:
             old.break_stream()
-        elif old is px:
-            self.desk.left(self.simulation.engine.time, px.name)
-        self.streams[px.name] = px
+        elif old is proxy:
+            self.desk.left(self.simulation.engine.time, proxy.name)
+        self.streams[proxy.name] = proxy
         self.desk.joined(self.simulation.engine.time, hello)
         self.poke()
         return None
 
-    def left(self, px):
-        if self.streams.get(px.name) is px:
-            del self.streams[px.name]
-            self.desk.left(self.simulation.engine.time, px.name)
+    def left(self, proxy):
+        if self.streams.get(proxy.name) is proxy:
+            del self.streams[proxy.name]
+            self.desk.left(self.simulation.engine.time, proxy.name)
             self.poke()
 
-    def take(self, px, session, message):
-        if self.streams.get(px.name) is px and px.session is session:
+    def take(self, proxy, session, message):
+        if self.streams.get(proxy.name) is proxy and proxy.session is session:
             self.desk.take(self.simulation.engine.time, session, message)
             self.poke()
 
--- a/embertray/emulator/controllers.py
+++ b/embertray/emulator/controllers.py
@@ -33,8 +33,8 @@
         if con is not None:
             con.alive, con.line = False, None
             self.simulation.inventory.followers.pop(con, None)
-            for px in list(con.streams.values()):
-                px.break_stream()
+            for proxy in list(con.streams.values()):
+                proxy.break_stream()
 
     def age(self, name, by, from_start):
         age_in_memory(self.kept[name], by, from_start)
--- a/embertray/emulator/day_simulation.py
+++ b/embertray/emulator/day_simulation.py
@@ -67,15 +67,15 @@
         model = Backend(
             f"127.{number // 65025 + 1}.{number // 255 % 255}.{number % 255 + 1}:80", zone, self.shape(speed)
         )
-        be = SimulatedBackend(self, model, self.chance.of("failing", number).random)
-        self.models[model.name], self.by_name[model.name] = model, be
-        self.backends.append(be)
-        be.start(cold)
+        backend = SimulatedBackend(self, model, self.chance.of("failing", number).random)
+        self.models[model.name], self.by_name[model.name] = model, backend
+        self.backends.append(backend)
+        backend.start(cold)
         if cold:
             self.eyes.note(self.engine.time, "started", model.name)
         if listed:
             self.inventory.list(model.name, zone, "ready", self.engine.time if cold else 0)
-        return be
+        return backend
 
     async def admin(self, name, method, target):
         """The one request that troubles make of a controller: the channel's pace."""
@@ -94,11 +94,11 @@
             await self.held.up(name)
         await engine.sleep_until(engine.time + START_AFTER)
         self.zero = engine.time
-        ready, shares = [be.model for be in self.backends], self.shares()
+        ready, shares = [backend.model for backend in self.backends], self.shares()
         spread = span(day.fleet["spread"])
         for n in range(self.count):
             rng, zone = self.chance.of("proxy", n), self.site.zones[n % len(self.site.zones)]
-            px = self.proxy(
+            proxy = self.proxy(
                 self,
                 f"p{n + 1}",
                 zone,
@@ -107,9 +107,9 @@
                 self.standing(rng, zone, ready),
                 self.way(n),
             )
-            px.home = n % len(self.held.at)
-            self.proxies.append(px)
-            engine.at(self.zero + spread * n // max(1, self.count), px.start)
+            proxy.home = n % len(self.held.at)
+            self.proxies.append(proxy)
+            engine.at(self.zero + spread * n // max(1, self.count), proxy.start)
         self.prepare(shares)
         await engine.sleep_until(self.zero + spread)
         self.load(shares, self.zero + day.lasts)
@@ -122,13 +122,13 @@
     def load(self, shares, until):
         """Reqs one by one."""
         mix, retries = self.mix(), int(self.day.load["retries"])
-        for n, px in enumerate(self.proxies):
+        for n, proxy in enumerate(self.proxies):
             rng = self.chance.of("clients", n)
             SimulatedClients(
                 self,
                 Clients(n + 1, mix, rng, retries),
                 self.source(n, self.day.rate * shares[n]),
-                px,
+                proxy,
                 rng,
                 until,
             ).plan()
--- a/embertray/emulator/flows.py
+++ b/embertray/emulator/flows.py
@@ -88,42 +88,42 @@
         n = self.new("be")
         name = f"127.{n // 62500 % 250}.{n // 250 % 250}.{n % 250 + 1}:9{n % 1000:03}"
         shape = Shape(CORES, capacity * self.work / (CORES * S), cold_from=cold_from, warm_after=warm_after)
-        be = self.backends[name] = Backend(name, zone, shape)
-        be.start(started, cold=bool(started))
+        backend = self.backends[name] = Backend(name, zone, shape)
+        backend.start(started, cold=bool(started))
         self.inventory.list(name, zone, "ready", started)
         return name
 
     def add_proxy(self, zone, rate):
-        px = FlowProxy(f"px-{self.new('px')}", zone, rate, self)
-        self.proxies[px.name] = px
-        self.group.start_soon(px.run)
-        return px
+        proxy = FlowProxy(f"px-{self.new('px')}", zone, rate, self)
+        self.proxies[proxy.name] = proxy
+        self.group.start_soon(proxy.run)
+        return proxy
 
     async def tick(self):
         """One cycle: every proxy's reqs are drawn, every backend is settled, every joined proxy sends its
         sums.
         """
         now, drawn, came = self.clock.now(), [], {}
-        for px in self.proxies.values():
-            count = int(self.rng.poisson(px.rate * self.cycle / S))
-            picks = px.holding.picks()
+        for proxy in self.proxies.values():
+            count = int(self.rng.poisson(proxy.rate * self.cycle / S))
+            picks = proxy.holding.picks()
             self.reqs += count
             if not picks:
                 self.nowhere += count
-                drawn.append((px, count, {}))
+                drawn.append((proxy, count, {}))
                 continue
             names, total = list(picks), sum(picks.values())
             spread = self.rng.multinomial(count, [w / total for w in picks.values()])
             tries = {name: int(n) for name, n in zip(names, spread, strict=False) if n}
             for name, n in tries.items():
                 came[name] = came.get(name, 0) + n
-            drawn.append((px, count, tries))
+            drawn.append((proxy, count, tries))
         met_at = {
-            name: be.pour(now, self.cycle, came.get(name, 0), self.work, PATIENCE)
-            for name, be in self.backends.items()
+            name: backend.pour(now, self.cycle, came.get(name, 0), self.work, PATIENCE)
+            for name, backend in self.backends.items()
         }
-        loads = {name: be.report(now) for name, be in self.backends.items()}
-        for px, count, tries in drawn:
+        loads = {name: backend.report(now) for name, backend in self.backends.items()}
+        for proxy, count, tries in drawn:
             met, lost = [], 0
             for name, n in tries.items():
                 got = met_at.get(name)
@@ -131,8 +131,8 @@
                 lost += bad
                 met.append(Met(name, n, bad, (n - bad) * (got.took if got else 0), loads.get(name, {})))
             self.errored += lost
-            if px.conn is not None:
+            if proxy.conn is not None:
                 share = [count // len(self.kinds)] * len(self.kinds)
                 share[0] += count - sum(share)
                 came = [Came(kind, part, 0) for kind, part in zip(self.kinds, share, strict=False)]
-                px.conn.put(px.end.pack(Sums(self.cycle, met, came)))
+                proxy.conn.put(proxy.end.pack(Sums(self.cycle, met, came)))
--- a/embertray/emulator/fluid.py
+++ b/embertray/emulator/fluid.py
@@ -77,14 +77,14 @@
         self.rates = [self.rate(n, self.day.rate * share) for n, share in enumerate(shares)]
         self.seconds, self.times = {}, histogram()
         self.outcome = {kind: [0.0, 0.0, 0.0, 0.0] for kind, _, _ in self.mixed}  # asked, done, late, lost
-        for n, px in enumerate(self.proxies):
-            px.place = n
+        for n, proxy in enumerate(self.proxies):
+            proxy.place = n
 
     # ---- what the proxies hold
 
     def grow(self):
         """Columns for backends that are new."""
-        new = [be.model.name for be in self.backends[len(self.names) :]]
+        new = [backend.model.name for backend in self.backends[len(self.names) :]]
         if new:
             self.places.update((name, len(self.names) + k) for k, name in enumerate(new))
             self.names += new
@@ -168,7 +168,7 @@
 
     def pour(self, now, mass, attempt):
         """Masses (proxies x kinds) reach their proxies, are admitted, spread, and meet the backends."""
-        still = np.array([px.still for px in self.proxies])
+        still = np.array([proxy.still for proxy in self.proxies])
         self.came += mass
         if attempt > 1:
             self.further += mass
@@ -236,22 +236,22 @@
 
     def sided(self):
         """1 where a backend fails for that proxy alone."""
-        struck = [(col, be) for col, be in enumerate(self.backends) if be.bad_for]
+        struck = [(col, backend) for col, backend in enumerate(self.backends) if backend.bad_for]
         if not struck:
             return None
         found = np.zeros_like(self.weights)
-        for col, be in struck:
-            for place, px in enumerate(self.proxies):
-                found[place, col] = px.name in be.bad_for
+        for col, backend in struck:
+            for place, proxy in enumerate(self.proxies):
+                found[place, col] = proxy.name in backend.bad_for
         return found
 
     def meet(self, now, masses):
         """Parts that fail, ns that the rest takes, parts of it that come late: backends x kinds."""
         bad, took, late = (np.zeros_like(masses) for _ in range(3))
         loads = masses.sum(axis=1)
-        for col, be in enumerate(self.backends):
+        for col, backend in enumerate(self.backends):
             reqs = loads[col]
-            model = be.model
+            model = backend.model
             work = float(masses[col] @ self.works / reqs) if reqs > 0 else float(self.works.mean())
             if reqs <= 0 and model.waits <= 0:
                 continue
@@ -267,16 +267,16 @@
                 bad[col, k] = 1 - met.done
                 if kind.external_id in model.ills.kinds:
                     bad[col, k] = 1.0
-            self.watch(now, col, be, masses[col], work)
+            self.watch(now, col, backend, masses[col], work)
         return bad, took, late
 
-    def watch(self, now, col, be, masses, work):
+    def watch(self, now, col, backend, masses, work):
         """What goes to a backend that is cold, draining or gone is told to the rules, once it makes a whole
         req.
         """
         if not self.watched:
             return
-        model = be.model
+        model = backend.model
         entry = self.inventory.entries.get(model.name)
         cold = model.started and now - model.started < model.shape.warm_after + self.site.fall_after
         if entry is not None and entry.state == "ready" and not cold:
@@ -286,15 +286,15 @@
             return
         self.small[:, col] += column / column.sum() * total
         for place in np.flatnonzero((self.small[:, col] >= 1) & (column > 0)):
-            px, mass = self.proxies[place], int(self.small[place, col])
+            proxy, mass = self.proxies[place], int(self.small[place, col])
             self.small[place, col] -= mass
-            if not px.still:
+            if not proxy.still:
                 self.numbers += 1
                 self.eyes.sent(
                     now,
-                    px.name,
+                    proxy.name,
                     model.name,
-                    Req(self.numbers, self.mixed[0][0].external_id, int(mass * work), S, 1, px.name),
+                    Req(self.numbers, self.mixed[0][0].external_id, int(mass * work), S, 1, proxy.name),
                     (self.numbers, 1),
                 )
 
--- a/embertray/emulator/limits.py
+++ b/embertray/emulator/limits.py
@@ -48,7 +48,7 @@
         if not self.stopped:
             now = self.clock.now()
             self.core.holder.wants["l"] = sum(
-                self.simulation.wants[px] for px, home in self.simulation.home.items() if home is self
+                self.simulation.wants[proxy] for proxy, home in self.simulation.home.items() if home is self
             )
             self.simulation.send(self, self.core.advance(now))
             self.order()
@@ -64,8 +64,8 @@
         self.order()
 
     def order(self):
-        for _limit, px, units in self.core.holder.orders(self.clock.now()):
-            self.simulation.engine.after(PUSH, self.simulation.told, self, px, units)
+        for _limit, proxy, units in self.core.holder.orders(self.clock.now()):
+            self.simulation.engine.after(PUSH, self.simulation.told, self, proxy, units)
 
     def do(self, what, *args):
         """What the holder is told; one that stands still learns of it when it goes on."""
@@ -130,29 +130,29 @@
     def deliver(self, sender, to, message):
         self.members[to].arrive(sender, message)
 
-    def join(self, px, name):
+    def join(self, proxy, name):
         member = self.members[name]
         if not member.alive:
-            self.engine.after(self.chance.randint(*REDIAL), self.join, px, self.chance.choice(self.names))
+            self.engine.after(self.chance.randint(*REDIAL), self.join, proxy, self.chance.choice(self.names))
             return
-        self.home[px] = member
-        member.do("joined", px)
+        self.home[proxy] = member
+        member.do("joined", proxy)
 
-    def leave(self, px):
+    def leave(self, proxy):
         """Its stream broke: it joins another after a while, and lets in what it was told until then."""
-        member, self.home[px] = self.home[px], None
+        member, self.home[proxy] = self.home[proxy], None
         if member is not None:
-            member.do("left", px)
-        self.engine.after(self.chance.randint(*REDIAL), self.join, px, self.chance.choice(self.names))
+            member.do("left", proxy)
+        self.engine.after(self.chance.randint(*REDIAL), self.join, proxy, self.chance.choice(self.names))
 
-    def told(self, member, px, part):
+    def told(self, member, proxy, part):
         if (
-            self.home[px] is member and member.alive
+            self.home[proxy] is member and member.alive
         ):  # its stream still stands: it acts on it, though the sender stands still now
-            self.parts[px] = part
+            self.parts[proxy] = part
             if sum(self.parts.values()) - self.total > self.over:
                 self.over, self.over_at = sum(self.parts.values()) - self.total, self.engine.time
-            member.do("acts", "l", px, part)
+            member.do("acts", "l", proxy, part)
 
     def look(self):
         self.used.append(sum(self.parts.values()) / self.total)
@@ -164,9 +164,11 @@
         member = self.members[name]
         if member.alive:
             member.alive = False
-            for px in [px for px, home in self.home.items() if home is member]:
-                self.home[px] = None
-                self.engine.after(self.chance.randint(*REDIAL), self.join, px, self.chance.choice(self.names))
+            for proxy in [proxy for proxy, home in self.home.items() if home is member]:
+                self.home[proxy] = None
+                self.engine.after(
+                    self.chance.randint(*REDIAL), self.join, proxy, self.chance.choice(self.names)
+                )
 
     def up(self, name):
         if not self.members[name].alive:
@@ -197,9 +199,9 @@
                 self.stop(name)
                 after(lasts, self.go_on, name)
         elif kind == "move":
-            for px in draw.sample(sorted(self.home), len(self.home) // 2):
-                if self.home[px] is not None:
-                    self.leave(px)
+            for proxy in draw.sample(sorted(self.home), len(self.home) // 2):
+                if self.home[proxy] is not None:
+                    self.leave(proxy)
         else:
             pairs = self.web.pairs()
             if kind == "split":
--- a/embertray/emulator/proxy.py
+++ b/embertray/emulator/proxy.py
@@ -145,7 +145,7 @@
             under.back(under.req, how)
             return
         under.timer = engine.after(under.within, self.timed_out, under, under.attempt)
-        req, be = under.req, self.simulation.by_name[under.backend]
+        req, backend = under.req, self.simulation.by_name[under.backend]
         if self.simulation.watched:
             self.simulation.eyes.sent(
                 engine.time,
@@ -164,11 +164,11 @@
         if under.backend in self.bad:
             self.ended(under, under.attempt, "refused", {})
             return
-        way = self.simulation.between(self.zone, be.model.zone)
+        way = self.simulation.between(self.zone, backend.model.zone)
         if way:
-            engine.after(way, be.on_req, self, under, under.attempt, req.kind, req.work, under.until)
+            engine.after(way, backend.on_req, self, under, under.attempt, req.kind, req.work, under.until)
         else:
-            be.on_req(self, under, under.attempt, req.kind, req.work, under.until)
+            backend.on_req(self, under, under.attempt, req.kind, req.work, under.until)
 
     def timed_out(self, under, attempt):
         if under.attempt == attempt and under.backend is not None:
--- a/embertray/emulator/queues.py
+++ b/embertray/emulator/queues.py
@@ -22,31 +22,31 @@
         self.engine, self.pick, self.work, self.rng = engine, pick, work, rng
         self.backends, self.waits, self.sent, self.planned = [], [], {}, {}
         for n in range(servers):
-            be = Backend(str(n), "z", Shape(cores=cores, queue=10**9, cap=10**9, sharing=sharing))
-            be.start(0, cold=False)
-            self.backends.append(be)
+            backend = Backend(str(n), "z", Shape(cores=cores, queue=10**9, cap=10**9, sharing=sharing))
+            backend.start(0, cold=False)
+            self.backends.append(backend)
 
     def arrive(self, ident):
-        be, work = self.pick(self.backends), int(self.work())
+        backend, work = self.pick(self.backends), int(self.work())
         self.sent[ident] = self.engine.time, work
-        be.offer(self.engine.time, ident, "req", work, None)
-        self.plan(be)
+        backend.offer(self.engine.time, ident, "req", work, None)
+        self.plan(backend)
 
-    def plan(self, be):
+    def plan(self, backend):
         """Only an end sooner than the one that is planned needs a call."""
-        when = be.next_at()
-        if when is not None and (self.planned.get(be.name) is None or when < self.planned[be.name]):
-            self.planned[be.name] = when
-            self.engine.at(max(when, self.engine.time), self.end, be, when)
+        when = backend.next_at()
+        if when is not None and (self.planned.get(backend.name) is None or when < self.planned[backend.name]):
+            self.planned[backend.name] = when
+            self.engine.at(max(when, self.engine.time), self.end, backend, when)
 
-    def end(self, be, when):
-        if self.planned[be.name] != when:
+    def end(self, backend, when):
+        if self.planned[backend.name] != when:
             return
-        self.planned[be.name] = None
-        for ident in be.advance(self.engine.time):
+        self.planned[backend.name] = None
+        for ident in backend.advance(self.engine.time):
             at, work = self.sent.pop(ident)
             self.waits.append(self.engine.time - at - work)
-        self.plan(be)
+        self.plan(backend)
 
 
 def wait_of(servers, cores, load, reqs, rng, service="exp", choices=1, sharing=False):
@@ -56,7 +56,9 @@
 
     def pick(backends):
         drawn = rng.integers(0, len(backends), choices)
-        return min((backends[int(n)] for n in drawn), key=lambda be: len(be.queue) + len(be.busy))
+        return min(
+            (backends[int(n)] for n in drawn), key=lambda backend: len(backend.queue) + len(backend.busy)
+        )
 
     work = (lambda: rng.exponential(S)) if service == "exp" else (lambda: S)
     farm = Farm(engine, servers, cores, pick, work, rng, sharing)
