--- a/embertray/control/link/replica_server.py
+++ b/embertray/control/link/replica_server.py
@@ -177,7 +177,7 @@
 
     def age(self):
         """ns since it was certain that nothing newer was committed; None if it is not known."""
-        return self._age(self.clock.now())
+        return self.replica.age(self.clock.now())
 
     def versions(self, key):
         """All versions of a key that are kept here, oldest first."""
@@ -197,7 +197,7 @@
             recovering=replica.recovering,
             revision=replica.store.revision,
             digest=replica.store.digest,
-            age_s=seconds(self._age(now)),
+            age_s=seconds(self.replica.age(now)),
             keys=replica.store.live_count,
             state_bytes=replica.store.bytes,
             subscribers=len(feed.subscriptions),
@@ -324,7 +324,7 @@
         now = self.clock.now()
         if now < self.feed_at:
             return
-        outgoing, silent = self.feed.advance(now, self._age(now))
+        outgoing, silent = self.feed.advance(now, self.replica.age(now))
         for name in silent:
             self.log.info("a subscriber is silent", subscriber=name)
             self.subscribers.close(name)
@@ -333,10 +333,6 @@
                 connection.put(one.data)
         self.feed_at = max(self.feed.next_at(now), now + FEED_TICK)
 
-    def _age(self, now):
-        """The replica's age, None if it is not known."""
-        return self.replica.age(now)
-
     # ---- what others say
 
     def _identify_peer(self, message):
