--- a/embertray/emulator/control/play.py
+++ b/embertray/emulator/control/play.py
@@ -11,7 +11,8 @@
 from ...days.control_claims import ControlClaims
 from ..engine import Engine
 from .links import Links
-from .processes import ReplicaProcess, SubscriberProcess
+from .replica_process import ReplicaProcess
+from .subscriber_process import SubscriberProcess
 from .writer import Writer
 
 MS, S = 10**6, 10**9
--- a/embertray/emulator/control/processes.py
+++ b/embertray/emulator/control/replica_process.py
@@ -1,106 +1,16 @@
-"""Processes of the control plane under virtual time: replicas with their disks, subscribers, and the
-connections between them.
-"""
-
-from collections import deque
+"""A replica under virtual time: its core, feed, disk and connections."""
 
 from ...control.entry import Entry
 from ...control.feed import Feed, Refused
-from ...control.messages import (
-    Unreadable,
-    decode_from_subscriber,
-    decode_replica_message,
-    decode_to_subscriber,
-    encode,
-)
+from ...control.messages import Unreadable, decode_from_subscriber, decode_replica_message, encode
 from ...control.replica import Replica
 from ...control.replica_types import ReplicaState, WriteRefused
-from ...control.subscriber import Dial, Hang, Say, Subscriber
 from .links import Stream
+from .process import FRAME_BYTES, Process
 
 MS = 10**6
 SAVE = (2 * MS, 20 * MS)  # ns until a state is on disk
-DATAGRAM_BACKLOG = 64  # messages between two replicas that a closed way holds, newest first
-FRAME_BYTES = 4
-
-
-class Process:
-    """Something that is called with events, one at a time, and may be dead, stopped or busy."""
-
-    def __init__(self, play, name):
-        self.play, self.engine, self.name = play, play.engine, name
-        self.alive, self.stopped, self.busy, self.life = False, False, False, 0
-        self.waiting = deque()
-        self.planned = None
-        self.bytes_out = self.bytes_in = self.messages_out = 0
-
-    def call(self, what, *given):
-        """Calls now, or when the process is free again; a dead one misses it."""
-        if not self.alive:
-            return
-        if self.stopped or self.busy:
-            self.waiting.append((what, given))
-            return
-        what(*given)
-        self.settle()
-
-    def settle(self):
-        """Does what follows from a call."""
-        raise NotImplementedError
-
-    def drain(self):
-        """Calls what has waited."""
-        while self.waiting and self.alive and not self.stopped and not self.busy:
-            what, given = self.waiting.popleft()
-            what(*given)
-            self.settle()
-
-    def plan(self, when):
-        """`tick` is called at `when`; an earlier plan is replaced."""
-        if self.planned is not None:
-            if self.planned.when == when and self.planned.what is not None:
-                return
-            self.planned.cancel()
-        self.planned = self.engine.at(max(when, self.engine.time), self._wake, self.life)
-
-    def _wake(self, life):
-        self.planned = None
-        if life == self.life:
-            self.call(self.tick)
-
-    def tick(self):
-        """Its time has come."""
-        raise NotImplementedError
-
-    def stop(self):
-        """As by SIGSTOP."""
-        self.stopped = True
-
-    def go_on(self):
-        """As by SIGCONT."""
-        self.stopped = False
-        self.call(self.tick)
-        self.drain()
-
-
-class Connection:
-    """A stream in each direction between a subscriber and a replica."""
-
-    def __init__(self, links, subscriber, replica, number):
-        self.subscriber, self.replica, self.number = subscriber, replica, number
-        life = replica.life
-        self.up = Stream(links, subscriber.name, replica.name, lambda data: replica.hears(self, life, data))
-        own = subscriber.life
-        self.down = Stream(
-            links, replica.name, subscriber.name, lambda data: subscriber.hears(self, own, data)
-        )
-        self.ended = False
-
-    def end(self):
-        """Both directions end."""
-        self.ended = True
-        self.up.end()
-        self.down.end()
+HELD_MOST = 64  # messages to another replica that a closed way holds; the oldest are dropped
 
 
 class ReplicaProcess(Process):
@@ -283,128 +193,11 @@
             self.peers[addressed.to] = stream
         data = encode(addressed.message)
         self.bytes_out += len(data) + FRAME_BYTES
-        while len(stream.held) >= DATAGRAM_BACKLOG:
+        while len(stream.held) >= HELD_MOST:
             stream.held.popleft()
         stream.send(data)
 
 
-class SubscriberProcess(Process):
-    """A subscriber and its connection. `make_core`: for tests that spoil it."""
-
-    make_core = Subscriber
-
-    def __init__(self, play, name, replicas):
-        super().__init__(play, name)
-        self.replica_names, self.connection = replicas, None
-        entries = play.prefill
-        self.kept = (list(entries), len(entries), None) if entries else ()
-        self.worst_window, self.in_window, self.window = 0, 0, deque()
-
-    def start(self):
-        """Begins a life with nothing, or with what it kept."""
-        now, settings = self.engine.time, self.play.settings
-        self.life += 1
-        self.alive, self.stopped = True, False
-        self.waiting.clear()
-        chance = self.play.draw(f"{self.name} {self.life}")
-        self.core = self.make_core(
-            settings.cluster,
-            self.name,
-            self.replica_names,
-            now,
-            chance,
-            settings.subscriber,
-            settings.feed,
-            *self.kept,
-        )
-        if not self.kept:
-            self.play.claims.forgets(self.name)
-        self.call(self.tick)
-
-    def kill(self, silent=False):
-        """Ends at once."""
-        self.alive = False
-        self.life += 1
-        if self.play.settings.keep:
-            store = self.core.store
-            self.kept = (store.live(), store.revision, self.core.freshness.known_at)
-        if self.connection is not None:
-            self._close(silent)
-
-    def tick(self):
-        now = self.engine.time
-        if now >= self.core.next_at():
-            self.core.advance(now)
-
-    def hears(self, connection, life, data):
-        """Bytes from a replica."""
-        if life == self.life:
-            self._count(len(data) + FRAME_BYTES)
-            self.call(self._receive, connection, data)
-
-    def _receive(self, connection, data):
-        message = decode_to_subscriber(data)
-        size = len(data) + FRAME_BYTES
-        self.core.receive(self.engine.time, connection.number, message, size)
-
-    def connected(self, connection):
-        """The connection is up."""
-        self.call(self.core.dialled, self.engine.time, connection.number)
-
-    def reset(self, number):
-        """The connection was refused, or ended."""
-        self.call(self._lost, number)
-
-    def _lost(self, number):
-        self.core.lost(self.engine.time, number)
-
-    def settle(self):
-        actions, self.core.actions = self.core.actions, []
-        for action in actions:
-            if isinstance(action, Dial):
-                self._dial(action)
-            elif isinstance(action, Say):
-                self._say(action)
-            elif isinstance(action, Hang):
-                self._close(False)
-        applied, self.core.applied = self.core.applied, []
-        for entry in applied:
-            self.play.claims.applied(self.engine.time, self.name, entry)
-        self.plan(self.core.next_at())
-
-    def _dial(self, action):
-        if self.connection is not None:
-            self._close(False)
-        replica = self.play.replicas[action.replica]
-        self.connection = Connection(self.play.links, self, replica, action.number)
-        self.play.dial(self.connection)
-
-    def _say(self, action):
-        if self.connection is not None and self.connection.number == action.number:
-            self.bytes_out += len(action.data) + FRAME_BYTES
-            self._count_window(len(action.data) + FRAME_BYTES)
-            self.connection.up.send(action.data)
-
-    def _close(self, silent):
-        connection, self.connection = self.connection, None
-        if not connection.ended and not silent:
-            self.play.hang_up(connection)
-        connection.end()
-
-    def _count(self, size):
-        self.bytes_in += size
-        self._count_window(size)
-
-    def _count_window(self, size):
-        """Bytes in and out of the last ten seconds, and the most there were."""
-        now = self.engine.time
-        self.window.append((now, size))
-        self.in_window += size
-        while self.window[0][0] <= now - 10 * 10**9:
-            self.in_window -= self.window.popleft()[1]
-        self.worst_window = max(self.worst_window, self.in_window)
-
-
 def holds(disk, revision):
     """Whether a saved ReplicaState includes the write at a revision."""
     return disk.revision >= revision or any(entry.revision == revision for entry in disk.uncommitted)
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -12,7 +12,8 @@
 from embertray.control.subscriber import Subscriber
 from embertray.emulator.control import ControlPlay, Settings, draw_faults
 from embertray.emulator.control.faults import KINDS, Fault, play_faults, strike
-from embertray.emulator.control.processes import ReplicaProcess, SubscriberProcess
+from embertray.emulator.control.replica_process import ReplicaProcess
+from embertray.emulator.control.subscriber_process import SubscriberProcess
 
 S = 10**9
 CALM = 50 * S  # past the longest bound after a fault: writes are then due within the bound for good links
