--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 
 import msgspec
+import structlog
 from click.testing import CliRunner
 
 from embertray.capacity import page, reckon
@@ -46,7 +47,12 @@
 
 
 def run(*arguments):
-    return CliRunner().invoke(main, ["capacity", *map(str, arguments)])
+    """The command sets up logs that write to the runner's standard error: none may be left to later tests, as
+    that is closed at its end."""
+    try:
+        return CliRunner().invoke(main, ["capacity", *map(str, arguments)])
+    finally:
+        structlog.reset_defaults()
 
 
 class Fits(unittest.TestCase):
