--- a/embertray/control/leading.py
+++ b/embertray/control/leading.py
@@ -14,7 +14,7 @@
             self.leader = ""
             self._await_leader(now)
         elif now >= self.heartbeat_at:
-            self._broadcast(now)
+            self._broadcast(now, again=True)
 
     def _propose(self, now, entry):
         self.uncommitted.append(entry)
@@ -22,19 +22,20 @@
         self._commit_on_majority(now)
         self._broadcast(now)
 
-    def _broadcast(self, now):
-        """A new round: everyone is sent what it lacks, or a heartbeat."""
+    def _broadcast(self, now, again=False):
+        """A new round: everyone is sent what is new, or a heartbeat. `again`: what was not confirmed, too."""
         self.heartbeat_at = now + self.pace.heartbeat
         self.round += 1
         self.round_began[self.round] = now
         if not self.others:
             self.quorum_at = now
         for other in self.others:
-            self._send_entries(now, other)
+            self._send_entries(now, other, again)
 
-    def _send_entries(self, now, other):
+    def _send_entries(self, now, other, again):
         peer = self.peers[other]
-        previous = peer.next - 1
+        previous = peer.next - 1 if again else max(peer.next - 1, peer.sent)
+        peer.sent = self.last[1]
         head = (self.cluster, self.name, self.term, self.round)
         if previous < self.store.revision:
             changes = list(self.store.since(previous))
@@ -44,6 +45,7 @@
             commit = (self.store.term, self.store.revision)
             requests = [(name, at) for name, at in self.store.requests.items() if at > previous]
             self._send(other, Install(*head, previous, *commit, changes, keys, requests))
+            peer.sent = self.store.revision
             return
         entries = self.uncommitted[previous - self.store.revision :]
         admitted = peer.nonce if peer.nonce and self.quorum_at > peer.nonce_at else 0
@@ -76,8 +78,8 @@
         committed = self._commit_on_majority(now)
         if committed:
             self._broadcast(now)
-        elif not message.accepted or peer.next <= self.last[1]:
-            self._send_entries(now, message.sender)
+        elif not message.accepted or peer.sent < self.last[1]:
+            self._send_entries(now, message.sender, again=not message.accepted)
 
     def _note_nonce(self, now, peer, message):
         """A replica that lost its state counts for nothing until it is admitted again."""
--- a/embertray/control/replica_types.py
+++ b/embertray/control/replica_types.py
@@ -77,6 +77,7 @@
 
     next: int  # revision that it is to be sent next
     match: int = 0  # it holds everything up to here
+    sent: int = 0  # newest revision that is under way to it, or was
     acknowledged: int = 0  # newest round that it answered
     nonce: int = 0  # of its recovery, 0 if it counts
     nonce_at: int = 0  # ns when that was first heard
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -551,6 +551,22 @@
         for replica in self.group.replicas.values():
             self.assertEqual((replica.store.revision, replica.store.get("a").value), (revision, b"1"))
 
+    def test_each_entry_goes_once_to_a_follower_that_is_slow_to_answer(self):
+        leader = self.group.leader
+        self.group.deliver()
+        for n in range(20):
+            leader.put(self.group.now, f"k{n}", b"1", "")
+        sent = {name: [] for name in leader.others}
+        messages = leader.poll().messages
+        for addressed in messages:
+            sent[addressed.to] += [entry.key for entry in addressed.message.entries]
+        self.assertEqual(sent, {name: [f"k{n}" for n in range(20)] for name in leader.others})
+        for addressed in messages[:6]:  # the rest is lost, and goes again with the next heartbeat
+            self.group.replicas[addressed.to].receive(self.group.now, addressed.message)
+        self.group.run(S)
+        revisions = {one.store.revision for one in self.group.replicas.values()}
+        self.assertEqual(revisions, {leader.last[1]})
+
     def test_a_repeated_request_has_one_effect(self):
         first = self.group.put("a", b"1", "q1")
         self.group.put("a", b"2", "q2")
