--- a/embertray/control/store.py
+++ b/embertray/control/store.py
@@ -28,7 +28,7 @@
         self.versions = {}  # key -> deque of Entry, oldest first, the newest included
         self.digests = [0] * BUCKETS
         self.bucket_keys = [set() for _ in range(BUCKETS)]  # live keys
-        self.live_count = 0
+        self.live_count, self.live_bytes = 0, 0
         self.removed = deque()  # (key, revision) of removals still held
         self.forgotten = 0  # revision of the newest removal that is no longer held
         self.requests = OrderedDict()  # request id -> revision
@@ -129,12 +129,14 @@
         self.digests[bucket] ^= entry.fingerprint
         self.bucket_keys[bucket].add(entry.key)
         self.live_count += 1
+        self.live_bytes += entry.size
 
     def _uncount(self, entry):
         bucket = bucket_of(entry.key)
         self.digests[bucket] ^= entry.fingerprint
         self.bucket_keys[bucket].discard(entry.key)
         self.live_count -= 1
+        self.live_bytes -= entry.size
 
     def _keep_removal(self, entry):
         self.removed.append((entry.key, entry.revision))
--- a/embertray/emulator/control/play.py
+++ b/embertray/emulator/control/play.py
@@ -105,7 +105,7 @@
     @property
     def backlog(self):
         """Bytes of everything that is in force: the most that a subscriber can lack."""
-        return max(sum(entry.size for entry in one.core.store.live()) for one in self.living)
+        return max(one.core.store.live_bytes for one in self.living)
 
     @property
     def living(self):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -76,6 +76,7 @@
         self.assertEqual(in_force(whole), in_force(other))
         self.assertEqual(whole.digests, other.digests)
         self.assertEqual(whole.live_count, len(in_force(other)))
+        self.assertEqual(whole.live_bytes, sum(entry.size for entry in in_force(other).values()))
         self.assertEqual(
             [one.revision for one in other.since(0)], sorted(one.revision for one in other.since(0))
         )
