--- a/embertray/control/link/replica_server.py
+++ b/embertray/control/link/replica_server.py
@@ -89,9 +89,9 @@
     async def run(self, *, task_status: TaskStatus = anyio.TASK_STATUS_IGNORED):
         """Runs until `stop`; started with its two addresses, for replicas and for subscribers. Raises
         Locked, OSError, StateNotSaved."""
-        state = self._open()
+        state, newest = self._open()
         try:
-            await self._run(state, task_status)
+            await self._run(state, newest, task_status)
         finally:
             self._fail_calls("the replica stops")
             if self.saved is not None:
@@ -103,18 +103,18 @@
 
     def _open(self):
         if self.saved is None:
-            return None
+            return None, True
         self.saved.open()
         state, passed = self.saved.load()
         for name, why in passed:
             self.log.error("a saved state can't be used", file=name, why=why)
-        return state
+        return state, not passed
 
-    async def _run(self, state, task_status):
+    async def _run(self, state, newest, task_status):
         settings, now = self.settings, self.clock.now()
         names = list(settings.peers)
         self.replica = Replica(
-            settings.cluster, settings.name, names, now, self.chance, self.replica_pace, state
+            settings.cluster, settings.name, names, now, self.chance, self.replica_pace, state, newest
         )
         self.feed = Feed(settings.cluster, lambda: self.replica.store, now, self.feed_pace)
         self.replica.subscribers = self.feed
--- a/embertray/control/recovery.py
+++ b/embertray/control/recovery.py
@@ -27,7 +27,8 @@
         self._send(message.sender, RecoverReply(self.cluster, self.name, self.term, message.nonce, blank))
 
     def _on_recover_reply(self, now, message):
-        if message.nonce != self.nonce or not message.blank:
+        holds_something = self.term > 0 or self.last[1] > 0
+        if message.nonce != self.nonce or not message.blank or holds_something:
             return
         self.blank_replies.add(message.sender)
         if len(self.blank_replies) == len(self.others):
--- a/embertray/control/replica.py
+++ b/embertray/control/replica.py
@@ -21,10 +21,12 @@
 class Replica(Election, Leading, Following, Recovery):
     """`names`: all replicas, this one too. `saved`: the ReplicaState that was saved last, None if there is
     none: then the replica votes for nobody until the others have shown that this is the first start, or a
-    leader has brought it up to date. `subscribers`, a Feed, is asked for what followers report. Call
-    `receive` with what came, `advance` when `next_at` is due, `poll` after each."""
+    leader has brought it up to date. `newest`: False if a later state than `saved` was lost, with votes and
+    entries that others count on; then only a leader can bring it back. `subscribers`, a Feed, is asked for
+    what followers report. Call `receive` with what came, `advance` when `next_at` is due, `poll` after
+    each."""
 
-    def __init__(self, cluster, name, names, now, chance, pace=None, saved=None):
+    def __init__(self, cluster, name, names, now, chance, pace=None, saved=None, newest=True):
         self.cluster, self.name = cluster, name
         self.others = sorted(other for other in names if other != name)
         self.pace, self.chance = pace or ReplicaPace(), chance
@@ -46,10 +48,10 @@
             RecoverRequest: self._on_recover_request,
             RecoverReply: self._on_recover_reply,
         }
-        if saved is None:
-            self._begin_recovery(now)
-        else:
+        if saved is not None:
             self._restore(saved)
+        if saved is None or not newest:
+            self._begin_recovery(now)
         self.heartbeat_at = now
         self._await_leader(now)
         if not self.others and self.nonce:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -15,6 +15,7 @@
     Confirm,
     Heartbeat,
     Inventory,
+    RecoverReply,
     Repair,
     Subscribe,
     Unreadable,
@@ -679,6 +680,23 @@
         self.group.run(3 * S)
         self.assertFalse(empty.recovering)
 
+    def test_one_that_lost_its_newest_state_votes_for_nobody_with_an_older_one(self):
+        lost = next(one.name for one in self.group.replicas.values() if one is not self.group.leader)
+        older = self.group.saved[lost]
+        self.group.put("a", b"1")
+        self.group.run(S)
+        chance = random.Random(5)
+        again = Replica("c", lost, self.group.names, self.group.now, chance, saved=older, newest=False)
+        self.group.replicas[lost] = again
+        candidate = VoteRequest("c", again.others[0], 99, 99, 99, preliminary=False)
+        again.receive(self.group.now, candidate)
+        for other in again.others:  # blank ones don't make this a first start: it holds something
+            again.receive(self.group.now, RecoverReply("c", other, 0, again.nonce, True))
+        self.assertTrue(again.recovering)
+        self.assertFalse([one for one in again.poll().messages if isinstance(one.message, Vote)])
+        self.group.run(again.pace.recovery_silence + 3 * S)
+        self.assertEqual((again.recovering, again.store.get("a").value), (False, b"1"))
+
     def test_with_one_dead_and_one_empty_nothing_is_written(self):
         self.group.put("a", b"1")
         leader = self.group.leader.name
