--- a/embertray/measure/control_day.py
+++ b/embertray/measure/control_day.py
@@ -21,10 +21,18 @@
 @click.option("--controllers", default=470, show_default=True)
 @click.option("--replicas", default=8, show_default=True)
 @click.option("--keys", default=3_840, show_default=True)
+@click.option("--changes", default=1_500, show_default=True, help="Writes that fall into the play.")
 @click.option("--seed", default=1, show_default=True)
-def main(compress, controllers, replicas, keys, seed):
+def main(compress, controllers, replicas, keys, changes, seed):
     """Plays it, and prints what was found."""
-    plan = DayPlan(controllers=controllers, replicas=replicas, keys=keys, compress=compress, seed=seed)
+    plan = DayPlan(
+        controllers=controllers,
+        replicas=replicas,
+        keys=keys,
+        changes=changes,
+        compress=compress,
+        seed=seed,
+    )
     began = time.process_time()
     day = ControlDay(plan).run()
     found = summary(day)
