--- a/embertray/capacity/fit.py
+++ b/embertray/capacity/fit.py
@@ -5,10 +5,9 @@
 """
 
 from dataclasses import dataclass
+from fractions import Fraction
 from math import inf, log, sqrt
 
-import numpy as np
-
 SIZES_NEEDED = 4  # three to fit and the largest to predict
 GROWTH = {"n": lambda n: n, "n log n": lambda n: n * log(n) if n > 1 else 0.0, "n^2": lambda n: n * n}
 SMALLEST = 1e-12  # value under which a point is weighed as if it were so large
@@ -83,14 +82,29 @@
 
 
 def least_squares(growth, points):
-    """The law of one growth with the least relative squares; a single size gives a constant."""
-    weights = np.array([1 / max(abs(value), SMALLEST) for _, value in points])
-    values = np.array([value for _, value in points], float)
-    if len(points) < 2:
-        return Law(growth, float(values[0]), 0.0)
-    columns = np.array([[1.0, GROWTH[growth](size)] for size, _ in points])
-    found, *_ = np.linalg.lstsq(columns * weights[:, None], values * weights, rcond=None)
-    return Law(growth, float(found[0]), float(found[1]))
+    """The law of one growth with the least relative squares; a single size gives a constant.
+
+    Solved in rational numbers: a linear-algebra library rounds differently on different processors, and the
+    noise of a constant term that is zero would then stand on the page.
+    """
+    rows = [weighted_row(growth, size, value) for size, value in points]
+    ones = sum(weight for weight, _, _ in rows)
+    growths = sum(weight * growth_at for weight, growth_at, _ in rows)
+    growth_squares = sum(weight * growth_at**2 for weight, growth_at, _ in rows)
+    values = sum(weight * value for weight, _, value in rows)
+    products = sum(weight * growth_at * value for weight, growth_at, value in rows)
+    determinant = ones * growth_squares - growths**2
+    if determinant == 0:  # one size, or sizes between which nothing grows
+        return Law(growth, float(values / ones), 0.0)
+    base = (values * growth_squares - products * growths) / determinant
+    factor = (products * ones - values * growths) / determinant
+    return Law(growth, float(base), float(factor))
+
+
+def weighted_row(growth, size, value):
+    """(weight, growth, value) of one point as fractions; the weight makes the squares relative."""
+    weight = 1 / Fraction(max(abs(value), SMALLEST)) ** 2
+    return weight, Fraction(GROWTH[growth](size)), Fraction(value)
 
 
 def residual(law, points):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -68,6 +68,13 @@
                     self.assertLess(found.held_out.error, 1e-6)
                     self.assertEqual(found.held_out.size, 4000)
 
+    def test_an_exact_line_has_no_rounding_noise(self):
+        """The page failed on another machine: a linear-algebra library left 1e-15 there and 5e-15 here."""
+        exact = fit([(n, n) for n in SIZES]).law
+        constant = fit([(n, 77.0) for n in SIZES]).law
+        self.assertEqual((exact.base, exact.factor), (0.0, 1.0))
+        self.assertEqual((constant.base, constant.factor), (77.0, 0.0))
+
     def test_the_largest_size_does_not_touch_the_fit(self):
         points = [(n, 2.0 * n) for n in SIZES[:-1]]
         straight, bent = fit([*points, (4000, 8000.0)]), fit([*points, (4000, 80_000.0)])
