--- a/embertray/__main__.py
+++ b/embertray/__main__.py
@@ -1,5 +1,5 @@
 """`python -m embertray`: the command line."""
 
-from .cli.main import main
+from embertray.cli.main import main
 
 main(prog_name="embertray")
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -2,11 +2,9 @@
 
 import traceback
 
-from .. import interface as i
-from ..choice import Controller
-from ..identifiers import Identifiers
-from ..settings import BadSettings, StartSettings
-from ..settings.settings import number
+from embertray.controller.identifiers import Identifiers
+from embertray.controller.settings import BadSettings, StartSettings, number
+from embertray.policy import Controller, interface as i
 
 US = 1000
 STATES = {0: "draining", 1: "gone", 2: "ready"}
--- a/embertray/cli/capacity.py
+++ b/embertray/cli/capacity.py
@@ -24,10 +24,10 @@
     """What each role costs at the size that TARGET.xml describes, and which budgets it keeps.
 
     Without TARGET.xml: the operators' target, the sample that comes with the program."""
-    from ..capacity import page, report
-    from ..capacity.slope import BadSlope, load_all
-    from ..capacity.table import compute
-    from ..capacity.target import OPERATORS, BadTarget, load
+    from embertray.experiments.capacity import page, report
+    from embertray.experiments.capacity.slope import BadSlope, load_all
+    from embertray.experiments.capacity.table import compute
+    from embertray.experiments.capacity.target import OPERATORS, BadTarget, load
 
     if as_json and as_page:
         raise Bad("capacity: --json or --page, not both")
--- a/embertray/cli/cluster.py
+++ b/embertray/cli/cluster.py
@@ -6,7 +6,8 @@
 import click
 import h11
 
-from ..net.address import BadAddress
+from embertray.common.net.address import BadAddress
+
 from .operators import asked
 from .standin import Bad
 
--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -10,8 +10,9 @@
 import anyio
 import click
 
-from ..net.address import BadAddress, loopback
-from ..site import BadSite, load as load_site
+from embertray.common.net.address import BadAddress, loopback
+from embertray.service.site import BadSite, load as load_site
+
 from .standin import Bad
 
 REFUSED, UNKNOWN = 1, 3  # exit codes
@@ -41,11 +42,11 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def serve(site, name, seed):
     """Run one control replica of SITE.xml until SIGTERM or SIGINT."""
-    from ..control.link.replica_server import StateNotSaved
-    from ..daemon.control import ReplicaProcess
-    from ..durable import Locked
-    from ..net.clock import LoopClock
-    from ..net.tcp import TcpNet
+    from embertray.cluster.replication.link.replica_server import StateNotSaved
+    from embertray.common.net.clock import LoopClock
+    from embertray.common.net.tcp import TcpNet
+    from embertray.common.snapshots import Locked
+    from embertray.service.daemon.control import ReplicaProcess
 
     description, me = _replica_of(site, name)
 
@@ -97,7 +98,7 @@
                 f"{one['revision']} " + ("removed" if one["bytes"] is None else f"{one['bytes']} bytes")
             )
     else:
-        from ..control.operations import decode_answer
+        from embertray.cluster.replication.operations import decode_answer
 
         click.get_binary_stream("stdout").write(decode_answer(body).value)
 
@@ -142,7 +143,7 @@
 
 def _write(admin, method, path, key, request, within, more, value=b""):
     """Writes, says what came of it in one line, and ends with its exit code."""
-    from .control_calls import Unreachable, write
+    from embertray.service.admin.control_client import Unreachable, write
 
     request = request or uuid.uuid4().hex
     _check_address(admin)
@@ -191,7 +192,7 @@
 
 def _ask(admin, method, target):
     """(status, body) of one request. Raises Bad."""
-    from .control_calls import Unreachable, ask
+    from embertray.service.admin.control_client import Unreachable, ask
 
     _check_address(admin)
     try:
--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -27,7 +27,7 @@
 @click.option("--save", type=click.Path(), help="Each minute's accounts as JSON lines.")
 def churn(hours, backends, proxies, reqs, leaves, replaced, sockets, leak, seed, save):
     """Exit code 0 when no purpose grew after warm-up, 1 when one did."""
-    from ..emulator import churn as run
+    from embertray.simulation.emulator import churn as run
 
     plan = run.Plan(backends, proxies, reqs, hours, leaves, replaced)
     done = run.sockets(plan, seed) if sockets else run.virtual(plan, seed, run.NeverTidies if leak else None)
@@ -43,8 +43,9 @@
 def cluster(day, members, seed):
     """The wounds that DAY does to controllers and links, on a cluster's members in virtual time. Exit code 0
     when every claim is kept, 1 when one is broken, 2 on bad input."""
-    from ..days import notation
-    from ..emulator.cluster_simulation import ClusterSimulation
+    from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
+    from embertray.simulation.scenarios import notation
+
     from .standin import Bad
 
     try:
--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -7,9 +7,15 @@
 
 import click
 
-from ..lab import experiment as experiments, hunt as hunting, report as reports, run as runner
-from ..lab.one import play
-from ..lab.results import Results
+from embertray.experiments.lab import (
+    experiment as experiments,
+    hunt as hunting,
+    report as reports,
+    run as runner,
+)
+from embertray.experiments.lab.one import play
+from embertray.experiments.lab.results import Results
+
 from .standin import Bad
 
 
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -9,14 +9,15 @@
 import click
 import h11
 
-from ..channel.budget import budget
-from ..days import notation, player
-from ..emulator.play import play as play_emulated
-from ..memory.caps import COLLECT
-from ..model.chance import Streams
-from ..net.address import BadAddress
-from ..site import BadSite, load as load_site
-from . import logs
+from embertray.common import logs
+from embertray.common.memory.caps import COLLECT
+from embertray.common.net.address import BadAddress
+from embertray.controller.channel.budget import budget
+from embertray.service.site import BadSite, load as load_site
+from embertray.simulation.emulator.play import play as play_emulated
+from embertray.simulation.models.chance import Streams
+from embertray.simulation.scenarios import notation, player
+
 from .capacity import capacity
 from .cluster import cluster
 from .control import control
@@ -50,11 +51,11 @@
 @click.option("--loop", type=click.Choice(["asyncio", "uvloop"]), default="uvloop", show_default=True)
 def serve(site, name, seed, loop):
     """Run one controller of SITE.xml until SIGTERM or SIGINT."""
-    from ..daemon import Service
-    from ..durable import Kept, Locked
-    from ..durable.snapshot import KeptInMemory
-    from ..net.clock import LoopClock
-    from ..net.tcp import TcpNet
+    from embertray.common.net.clock import LoopClock
+    from embertray.common.net.tcp import TcpNet
+    from embertray.common.snapshots import Kept, Locked
+    from embertray.common.snapshots.snapshot import KeptInMemory
+    from embertray.service.daemon import Service
 
     description = read_site(site)
     try:
--- a/embertray/cli/operators.py
+++ b/embertray/cli/operators.py
@@ -2,8 +2,8 @@
 
 import anyio
 
-from ..admin.ask import ask
-from ..net.tcp import TcpNet
+from embertray.common.net.tcp import TcpNet
+from embertray.service.admin.client import ask
 
 
 async def asked(address, method, path):
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -5,17 +5,17 @@
 import anyio
 import click
 
-from ..model.backend import Backend, Shape
-from ..model.chance import Streams
-from ..net.address import BadAddress
-from ..net.clock import LoopClock
-from ..net.tcp import TcpNet
-from ..site import BadSite, load as load_site
-from ..standin.backend import StandinBackend
-from ..standin.client import StandinClients
-from ..standin.inventory import StandinInventory
-from ..standin.parts import Agenda
-from ..standin.proxy import StandinProxy
+from embertray.common.net.address import BadAddress
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.service.site import BadSite, load as load_site
+from embertray.simulation.models.backend import Backend, Shape
+from embertray.simulation.models.chance import Streams
+from embertray.simulation.standins.backend import StandinBackend
+from embertray.simulation.standins.client import StandinClients
+from embertray.simulation.standins.inventory import StandinInventory
+from embertray.simulation.standins.parts import Agenda
+from embertray.simulation.standins.proxy import StandinProxy
 
 S = 10**9
 
--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -10,13 +10,14 @@
 import msgspec
 import structlog
 
-from ...memory import Collection
-from ...net.address import BadAddress, loopback
-from ...stream.frames import BadFrame, Splitter, frame
-from ..membership import Membership, Pace
-from ..membership.messages import Unreadable, decode, encode
-from ..state import EntryStore, Exchange, Full
-from ..state.exchange import Delta, Offer, bound
+from embertray.cluster.membership import Membership, Pace
+from embertray.cluster.membership.messages import Unreadable, decode, encode
+from embertray.cluster.state import EntryStore, Exchange, Full
+from embertray.cluster.state.exchange import Delta, Offer, bound
+from embertray.common.framing import BadFrame, Splitter, frame
+from embertray.common.memory import Collection
+from embertray.common.net.address import BadAddress, loopback
+
 from .allowance import Allowance
 
 S = 10**9
--- a/embertray/control/feed.py
+++ b/embertray/cluster/replication/feed.py
@@ -11,16 +11,7 @@
 
 from .budget import TokenBucket
 from .freshness import AGE_UNKNOWN
-from .messages import (
-    VERSION,
-    Confirm,
-    Heartbeat,
-    Inventory,
-    Repair,
-    Subscribe,
-    Update,
-    encode,
-)
+from .messages import VERSION, Confirm, Heartbeat, Inventory, Repair, Subscribe, Update, encode
 from .pace import FeedPace
 
 FRAME_BYTES = 4  # of a frame's length
--- a/embertray/control/link/connection.py
+++ b/embertray/cluster/replication/link/connection.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from ...stream.frames import frame
+from embertray.common.framing import frame
 
 BROKEN = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 SEND_WITHIN = 10  # s for one message; a peer that takes nothing for so long is gone
--- a/embertray/control/link/inbound.py
+++ b/embertray/cluster/replication/link/inbound.py
@@ -6,8 +6,9 @@
 
 import anyio
 
-from ...stream.frames import BadFrame, Splitter
-from ..messages import Unreadable
+from embertray.cluster.replication.messages import Unreadable
+from embertray.common.framing import BadFrame, Splitter
+
 from .connection import BROKEN, Connection, Overflow
 
 IDENTIFY_WITHIN = 2  # s until a connection's first message
--- a/embertray/control/link/peer.py
+++ b/embertray/cluster/replication/link/peer.py
@@ -2,7 +2,8 @@
 
 import anyio
 
-from ...net.address import BadAddress
+from embertray.common.net.address import BadAddress
+
 from .connection import BROKEN, Connection, Overflow
 
 S = 10**9
--- a/embertray/control/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -8,12 +8,18 @@
 import structlog
 from anyio.abc import TaskStatus
 
-from ...net.tcp import TcpNet
-from ..feed import Feed, Refused
-from ..messages import Subscribe, decode_from_subscriber, decode_replica_message, encode
-from ..pace import FeedPace
-from ..replica import Replica
-from ..replica_types import Role, WriteRefused
+from embertray.cluster.replication.feed import Feed, Refused
+from embertray.cluster.replication.messages import (
+    Subscribe,
+    decode_from_subscriber,
+    decode_replica_message,
+    encode,
+)
+from embertray.cluster.replication.pace import FeedPace
+from embertray.cluster.replication.replica import Replica
+from embertray.cluster.replication.replica_types import Role, WriteRefused
+from embertray.common.net.tcp import TcpNet
+
 from .audit import log_entries
 from .connection import FROM_SUBSCRIBER_FRAME_MOST, REPLICA_FRAME_MOST, Traffic
 from .inbound import Inbound, Stranger
--- a/embertray/control/link/saved.py
+++ b/embertray/cluster/replication/link/saved.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from ...durable import Store
-from ..entry import Entry
-from ..replica_types import ReplicaState
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.replica_types import ReplicaState
+from embertray.common.snapshots import Store
 
 
 class BadBody(ValueError):
--- a/embertray/control/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -5,11 +5,12 @@
 import anyio
 import structlog
 
-from ...net.address import BadAddress
-from ...net.tcp import TcpNet
-from ...stream.frames import PREFIX, BadFrame, Splitter
-from ..messages import Unreadable, decode_to_subscriber
-from ..subscriber import Dial, Hang, Subscriber
+from embertray.cluster.replication.messages import Unreadable, decode_to_subscriber
+from embertray.cluster.replication.subscriber import Dial, Hang, Subscriber
+from embertray.common.framing import PREFIX, BadFrame, Splitter
+from embertray.common.net.address import BadAddress
+from embertray.common.net.tcp import TcpNet
+
 from .audit import log_entries
 from .connection import BROKEN, TO_SUBSCRIBER_FRAME_MOST, Connection, Overflow, Traffic
 from .saved import SubscriberState
--- a/embertray/control/link/writes.py
+++ b/embertray/cluster/replication/link/writes.py
@@ -4,8 +4,8 @@
 
 import anyio
 
-from ..entry import KEY_BYTES_MOST
-from ..replica_types import WriteRefused
+from embertray.cluster.replication.entry import KEY_BYTES_MOST
+from embertray.cluster.replication.replica_types import WriteRefused
 
 REQUEST_BYTES_MOST = 64
 
--- a/embertray/cluster/state/entry.py
+++ b/embertray/cluster/state/entry.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from ..membership.member import Count, Name
+from embertray.cluster.membership.member import Count, Name
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
--- a/embertray/cluster/state/exchange.py
+++ b/embertray/cluster/state/exchange.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from ..membership.probes import Round
+from embertray.cluster.membership.probes import Round
+
 from .entry import Entry
 
 S = 10**9
--- a/embertray/durable/snapshot.py
+++ b/embertray/common/snapshots/snapshot.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from ..stream.messages import Name
+from embertray.common.fields import Name
+
 from .store import Store
 
 # -- constants: value, unit, reason
--- /dev/null
+++ b/embertray/controller/__init__.py
@@ -0,0 +1,1 @@
+"""One controller without I/O: what stands between the decisions and the transports."""
--- a/embertray/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -4,8 +4,8 @@
 not bound may hold any line (its standing table), so it is told of every withdrawal.
 """
 
-from .. import interface as i
-from ..stream.messages import Bind, Level, Line, Orders, Out
+from embertray.controller.stream.messages import Bind, Level, Line, Orders, Out
+from embertray.policy import interface as i
 
 
 class Ordered:
--- a/embertray/core/desk.py
+++ b/embertray/controller/core/desk.py
@@ -4,9 +4,10 @@
 The daemon carries its verdicts over sockets, the emulator through an event heap: both run the same text.
 """
 
-from ..channel.admission import Admission
-from ..stream.messages import Sums
-from ..trust import Trust
+from embertray.controller.channel.admission import Admission
+from embertray.controller.stream.messages import Sums
+from embertray.controller.trust import Trust
+
 from .instance import Instance
 
 S = 10**9
--- a/embertray/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -1,8 +1,8 @@
 """What a controller's parts hold, by purpose: the collections that the accounts count. Changes nothing."""
 
-from .. import interface as i
-from ..choice.actor import Actor
-from ..memory.sizes import Collection
+from embertray.common.memory.sizes import Collection
+from embertray.policy import interface as i
+from embertray.policy.actor import Actor
 
 HANDLES = (i.Handle, i.RequestKind, Actor)
 
--- a/embertray/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -8,15 +8,16 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from .. import interface as i
-from ..channel.outbox import Outbox
-from ..channel.outlet import UNANSWERED, Awake
-from ..channel.pacer import Pacer
-from ..degrade import Reduced
-from ..memory import Accounts
-from ..memory.caps import PROBES, defaults
-from ..reports.intake import Intake
-from ..runner import Runner
+from embertray.common.memory import Accounts
+from embertray.common.memory.caps import PROBES, defaults
+from embertray.controller.channel.outbox import Outbox
+from embertray.controller.channel.outlet import UNANSWERED, Awake
+from embertray.controller.channel.pacer import Pacer
+from embertray.controller.degradation import Reduced
+from embertray.controller.report_intake import Intake
+from embertray.controller.runner import Runner
+from embertray.policy import interface as i
+
 from .holdings import collections
 
 S = 10**9
--- a/embertray/inventory/messages.py
+++ b/embertray/controller/endpoint_list/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from ..stream.messages import Count, Message, Name, Time
+from embertray.common.fields import Count, Message, Name, Time
 
 
 class Watch(Message, tag="watch"):
--- a/embertray/identifiers/identifiers.py
+++ b/embertray/controller/identifiers.py
@@ -3,7 +3,7 @@
 The module deals in objects and never sees ids; what comes in names ids, what goes out must name them again.
 """
 
-from .. import interface as i
+from embertray.policy import interface as i
 
 TABLES, NONCES = 65534, 65535  # ids in use: 1 to this, then anew
 
--- a/embertray/reports/intake.py
+++ b/embertray/controller/report_intake.py
@@ -7,7 +7,7 @@
 latency sums and spans add up, the newest load report stays. With rate 0 all goes through at once.
 """
 
-from .. import interface as i
+from embertray.policy import interface as i
 
 S = 10**9
 # -- constants: value, unit, reason
--- a/embertray/runner/runner.py
+++ b/embertray/controller/runner.py
@@ -6,9 +6,9 @@
 
 import heapq
 
-from .. import interface as i
-from ..choice import Controller
-from ..identifiers import Identifiers
+from embertray.policy import Controller, interface as i
+
+from .identifiers import Identifiers
 
 
 class Runner:
--- a/embertray/settings/settings.py
+++ b/embertray/controller/settings.py
@@ -3,7 +3,7 @@
 Names are the operators' (their dialect's); they end here. Times there are microseconds, here nanoseconds.
 """
 
-from .. import interface as i
+from embertray.policy import interface as i
 
 US = 1000
 AGAIN = {"read_like": "replayable", "idempotency_key": "deduplicated", "non_idempotent": "non-replayable"}
--- a/embertray/stream/messages.py
+++ b/embertray/controller/stream/messages.py
@@ -7,14 +7,13 @@
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta
+
+from embertray.common.fields import Count, Message, Name, Time
 
 VERSION = 1
 MOST_LINES = 20_000  # lines in one message; the largest table known to us has a quarter of it
 
-Name = Annotated[str, Meta(min_length=1, max_length=128)]
-Count = Annotated[int, Meta(ge=0, le=2**53)]
-Time = Annotated[int, Meta(ge=0, le=2**62)]
 Weight = Annotated[float, Meta(ge=0, le=1e12)]
 Share = Annotated[float, Meta(ge=0, le=1e12)]
 TableId = Annotated[int, Meta(ge=1, le=65534)]
@@ -22,10 +21,6 @@
 Again = Annotated[int, Meta(ge=0, le=3)]
 
 
-class Message(Struct, array_like=True, frozen=True, gc=False):
-    """A message or a part of one; compared by value."""
-
-
 # ---- from a proxy
 
 
--- a/embertray/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from .frames import BadFrame, Splitter, frame
+from embertray.common.framing import BadFrame, Splitter, frame
+
 from .messages import (
     VERSION,
     Answer,
--- a/embertray/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -26,8 +26,8 @@
 
 from collections import namedtuple
 
-from ..durable.snapshot import KeptEntry, Snapshot
-from ..inventory.messages import Listed
+from embertray.common.snapshots.snapshot import KeptEntry, Snapshot
+from embertray.controller.endpoint_list.messages import Listed
 
 S = 10**9
 # -- constants: value, unit, reason
--- a/embertray/capacity/control.py
+++ b/embertray/experiments/capacity/control.py
@@ -1,10 +1,11 @@
 """What replicas and subscribers are reckoned to cost: true messages of the size that they would have, and the
-bounds that embertray/control states. Measured slopes stand beside them.
+bounds that embertray/cluster/replication states. Measured slopes stand beside them.
 """
 
-from ..control.bounds import Bounds
-from ..control.entry import Entry
-from ..control.messages import Confirm, Heartbeat, Update, encode
+from embertray.cluster.replication.bounds import Bounds
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.messages import Confirm, Heartbeat, Update, encode
+
 from . import reckon
 from .figure import reckoned
 from .names import Design, Part, Quantity, Role, Situation
@@ -12,7 +13,7 @@
 
 REPLICAS = (Design.REPLICAS,)
 S = 10**9
-MECHANISM = "control/: one replica followed, changed keys only"
+MECHANISM = "replication/: one replica followed, changed keys only"
 
 
 def framed(message):
--- a/embertray/capacity/controller.py
+++ b/embertray/experiments/capacity/controller.py
@@ -59,7 +59,7 @@
         Part.DECISIONS,
         Quantity.PROCESSOR,
         silent_decisions(target, slopes),
-        f"choice/: the beat alone, each 250 ms over all backends, {MEASURED_PROXIES} proxies, nothing heard",
+        f"policy/: the beat alone, each 250 ms over all backends, {MEASURED_PROXIES} proxies, nothing heard",
         readings=ONLY_ALL,
     )
     rows.add(
@@ -78,7 +78,7 @@
             list_changes_a_second(target),
             slopes.at("change-bytes", target.backends),
         ),
-        "inventory/follow: one News a change",
+        "endpoint_list/follow: one News a change",
         worst=derived(
             "one change in 10 s", lambda size: size / 10, slopes.at("change-bytes", target.backends)
         ),
@@ -101,7 +101,7 @@
 
 
 def add_decisions(rows, target, slopes):
-    mechanism = "choice/: one module for the whole list, all services"
+    mechanism = "policy/: one module for the whole list, all services"
     for quantity, figure in (
         (Quantity.PROCESSOR, of_decisions(target, slopes, "decisions-processor")),
         (Quantity.STATE, of_decisions(target, slopes, "decisions-memory")),
@@ -177,7 +177,7 @@
             of_decisions(target, slopes, "decisions-processor"),
             silent_decisions(target, slopes),
         ),
-        "stream/, reports/, channel/: reading and merging sums, the orders that follow",
+        "stream/, report_intake, channel/: reading and merging sums, the orders that follow",
         readings=ONLY_ALL,
     )
 
@@ -194,7 +194,7 @@
         Part.LIST,
         Quantity.PROCESSOR,
         change,
-        "inventory/follow and one step of the module",
+        "endpoint_list/follow and one step of the module",
         readings=ONLY_ALL,
         adds_up=True,
     )
@@ -202,7 +202,7 @@
         Part.LIST,
         Quantity.STATE,
         slopes.at("list-memory", target.backends),
-        "inventory/follow: all entries",
+        "endpoint_list/follow: all entries",
         readings=ONLY_ALL,
     )
 
@@ -264,7 +264,7 @@
         (
             reckon.limits_each_to_each(*shape),
             GOSSIP,
-            "fleet/limits (not in service yet): an ask from each to all others each second",
+            "cluster/limits (not in service yet): an ask from each to all others each second",
             f"(controllers - 1) x an ask of {ask:,} bytes / 1 s",
         ),
         (
@@ -285,13 +285,13 @@
         Part.LIMITS,
         Quantity.STATE,
         reckoned("controllers x bytes of an ask", reckon.limits_each_to_each(*shape).state),
-        "fleet/limits: the last ask of each member, at whoever keeps",
+        "cluster/limits: the last ask of each member, at whoever keeps",
         designs=GOSSIP,
     )
 
 
 def add_subscriber(rows, target, slopes):
-    mechanism = "control/: one replica followed, changed keys only"
+    mechanism = "replication/: one replica followed, changed keys only"
     for quantity, name, worst, adds_up in (
         (Quantity.PROCESSOR, "control-subscriber-processor", None, True),
         (Quantity.BYTES_IN, "control-subscriber-bytes-in", "control-subscriber-worst-in", True),
--- a/embertray/capacity/failures.py
+++ b/embertray/experiments/capacity/failures.py
@@ -54,7 +54,7 @@
             lambda size: loss.backends * size / reckon.WORST,
             change,
         ),
-        "inventory/follow: the entries that leave, worst 10 s",
+        "endpoint_list/follow: the entries that leave, worst 10 s",
         readings=ONLY_ALL,
     )
     table.add(
@@ -65,7 +65,7 @@
             lambda cost: loss.backends * cost / reckon.WORST,
             slopes.at("change-processor-68", target.backends),
         ),
-        "choice/: steps with news, worst 10 s, beside what is spent anyway",
+        "policy/: steps with news, worst 10 s, beside what is spent anyway",
         readings=ONLY_ALL,
     )
     add_joins(table, target, slopes, loss)
@@ -121,7 +121,7 @@
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
         slopes.at(slope, target.controllers),
-        "control/: a change while replicas are dead",
+        "replication/: a change while replicas are dead",
         designs=REPLICAS,
     )
 
@@ -136,7 +136,7 @@
             lambda size: loss.backends * size * target.controllers / reckon.WORST,
             change,
         ),
-        "inventory/: each controller follows the list itself, worst 10 s",
+        "endpoint_list/: each controller follows the list itself, worst 10 s",
         readings=ONLY_ALL,
     )
     return table.rows
@@ -159,7 +159,7 @@
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
         slopes.at("control-time-to-all-region-apart", target.controllers),
-        "control/: on the majority's side; who is away keeps what is in force and says its age",
+        "replication/: on the majority's side; who is away keeps what is in force and says its age",
         designs=REPLICAS,
     )
     after = Rows(target, Role.CONTROLLER, Situation.CATCH_UP)
@@ -167,7 +167,7 @@
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
         slopes.at("control-time-to-all-after-apart", target.controllers),
-        "control/: changed keys alone, paced, from the return; measured",
+        "replication/: changed keys alone, paced, from the return; measured",
         designs=REPLICAS,
     )
     after.add(
@@ -188,7 +188,7 @@
             lambda size: list_missed * size / reckon.WORST,
             slopes.at("change-bytes", target.backends),
         ),
-        "inventory/follow: what is new since the epoch held, worst 10 s",
+        "endpoint_list/follow: what is new since the epoch held, worst 10 s",
         readings=ONLY_ALL,
     )
     return [*during.rows, *after.rows]
@@ -203,7 +203,7 @@
         Part.LIST,
         Quantity.BYTES_IN,
         derived("list-bytes / 10 s", lambda size: size / reckon.WORST, whole),
-        "inventory/follow: the whole list once, worst 10 s",
+        "endpoint_list/follow: the whole list once, worst 10 s",
         readings=ONLY_ALL,
     )
     table.add(
@@ -215,7 +215,7 @@
             slopes.at("list-processor", target.backends),
             slopes.at("list-apply-processor-68", target.backends),
         ),
-        "inventory/follow and one step of the module, worst 10 s",
+        "endpoint_list/follow and one step of the module, worst 10 s",
         readings=ONLY_ALL,
     )
     for quantity, slope in ((Quantity.PROCESSOR, "join-processor"), (Quantity.BYTES_OUT, "join-bytes")):
@@ -237,7 +237,7 @@
             "(services + routes) x entry-bytes / a subscriber's sustained bytes a second",
             snapshot_time(target),
         ),
-        "control/: a whole snapshot for who holds nothing; what is on disk spares it",
+        "replication/: a whole snapshot for who holds nothing; what is on disk spares it",
         designs=REPLICAS,
     )
     return [
@@ -260,7 +260,7 @@
             f"{each:.1f} snapshots a replica x (services + routes) x entry-bytes / its bytes a second",
             each * snapshot_bytes(target) / rate,
         ),
-        "control/: snapshots for those that hold nothing, paced by the replica's own bound",
+        "replication/: snapshots for those that hold nothing, paced by the replica's own bound",
         designs=REPLICAS,
     )
     if situation is Situation.ALL_START:
@@ -268,7 +268,7 @@
             Part.REPLICATION,
             Quantity.IN_FORCE,
             slopes.at("control-time-to-all-started", target.controllers),
-            "control/: the same, measured",
+            "replication/: the same, measured",
             designs=REPLICAS,
         )
     return table.rows
@@ -284,7 +284,7 @@
             lambda size: starts_a_second * size,
             whole,
         ),
-        "inventory/: the whole list to each that starts with nothing",
+        "endpoint_list/: the whole list to each that starts with nothing",
         readings=ONLY_ALL,
     )
     return table.rows
@@ -307,7 +307,7 @@
             "controllers restarted a second x snapshot / control machines",
             starts * snapshot_bytes(target) / target.control_machines,
         ),
-        "control/: snapshots for those that hold nothing",
+        "replication/: snapshots for those that hold nothing",
         designs=REPLICAS,
     )
     return [
--- a/embertray/capacity/others.py
+++ b/embertray/experiments/capacity/others.py
@@ -21,7 +21,7 @@
 
 def replica(target, slopes):
     rows, subscribers = Rows(target, Role.REPLICA, Situation.PEAK), target.controllers
-    mechanism = "control/: a replica's subscribers, and the other replicas"
+    mechanism = "replication/: a replica's subscribers, and the other replicas"
     for quantity, name, worst in (
         (Quantity.PROCESSOR, "control-replica-processor", None),
         (Quantity.BYTES_IN, "control-replica-bytes-in", "control-replica-worst-in"),
@@ -54,8 +54,8 @@
 def proxy(target, slopes):
     rows = Rows(target, Role.PROXY, Situation.PEAK)
     for slope, mechanism in (
-        ("pick-p99-round", "model/proxy: a pick from a table that stands"),
-        ("pick-changed-p99-round", "model/proxy: the first pick after a changed line, of the dearest way"),
+        ("pick-p99-round", "models/proxy: a pick from a table that stands"),
+        ("pick-changed-p99-round", "models/proxy: the first pick after a changed line, of the dearest way"),
     ):
         rows.add(
             Part.PICK, Quantity.ADDED, slopes.at(slope, target.backends), f"{mechanism}, one line a backend"
@@ -120,7 +120,7 @@
             list_changes_a_second(target),
             slopes.at("change-bytes", target.backends),
         ),
-        "inventory/: each controller follows the list itself",
+        "endpoint_list/: each controller follows the list itself",
         worst=derived(
             "one change in 10 s to all controllers",
             lambda size: size * target.controllers / reckon.WORST,
@@ -132,7 +132,7 @@
         Part.ANSWERS,
         Quantity.PROCESSOR,
         unknown("the list's service is the operators' own"),
-        "inventory/",
+        "endpoint_list/",
         readings=ONLY_ALL,
     )
     return rows.rows
--- a/embertray/capacity/reckon.py
+++ b/embertray/experiments/capacity/reckon.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from ..cluster.membership import Pace as ClusterPace
-from ..fleet.limits.messages import Ask, Grant
-from ..fleet.limits.pace import Pace as LimitsPace
+from embertray.cluster.limits.messages import Ask, Grant
+from embertray.cluster.limits.pace import Pace as LimitsPace
+from embertray.cluster.membership import Pace as ClusterPace
 
 S = 10**9
 FRAME_BYTES = 4  # of a frame's length; how large a frame may be is not asked here
--- a/embertray/lab/experiment.py
+++ b/embertray/experiments/lab/experiment.py
@@ -8,7 +8,7 @@
 
 from lxml import etree
 
-from ..days import notation
+from embertray.simulation.scenarios import notation
 
 HERE = Path(__file__).resolve().parent
 
--- a/embertray/lab/hunt.py
+++ b/embertray/experiments/lab/hunt.py
@@ -5,10 +5,10 @@
 
 import numpy as np
 
-from ..days import notation, player
-from ..emulator.play import play as play_emulated
-from ..site import load as load_site
-from ..site.site import HERE as SITES
+from embertray.service.site import load as load_site
+from embertray.service.site.site import HERE as SITES
+from embertray.simulation.emulator.play import play as play_emulated
+from embertray.simulation.scenarios import notation, player
 
 # trouble -> how a line of it may be drawn
 SHAPES = {
--- a/embertray/lab/one.py
+++ b/embertray/experiments/lab/one.py
@@ -1,12 +1,13 @@
-"""`python -m embertray.lab.one`: one run, described as JSON on standard input; its result as JSON on standard
-output.
+"""`python -m embertray.experiments.lab.one`: one run, described as JSON on standard input; its result as
+JSON on standard output.
 """
 
 import json
 import sys
 
-from ..days import player
-from ..emulator.play import play as play_emulated
+from embertray.simulation.emulator.play import play as play_emulated
+from embertray.simulation.scenarios import player
+
 from . import experiment, policies
 
 
--- a/embertray/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -7,8 +7,8 @@
 
 import numpy as np
 
-from .. import interface as i
-from ..core import Instance
+from embertray.controller.core import Instance
+from embertray.policy import interface as i
 
 S = 10**9
 BEAT = S // 4
--- a/embertray/lab/run.py
+++ b/embertray/experiments/lab/run.py
@@ -12,7 +12,7 @@
 
 def commit():
     """The checkout's commit, with + if it has changes; "" outside one."""
-    root = Path(__file__).resolve().parents[2]
+    root = Path(__file__).resolve().parents[3]
     try:
         head = subprocess.run(
             ["git", "rev-parse", "--short", "HEAD"], cwd=root, capture_output=True, text=True, check=True
@@ -31,12 +31,12 @@
     job = json.dumps({"text": experiment.text, "key": run.key})
     try:
         done = subprocess.run(
-            [sys.executable, "-m", "embertray.lab.one"],
+            [sys.executable, "-m", "embertray.experiments.lab.one"],
             input=job,
             text=True,
             capture_output=True,
             timeout=experiment.seconds,
-            cwd=Path(__file__).resolve().parents[2],
+            cwd=Path(__file__).resolve().parents[3],
         )
     except subprocess.TimeoutExpired:
         return None, f"hung: not done within {experiment.seconds} s", time.monotonic() - began
--- a/embertray/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -1,5 +1,5 @@
-"""`python -m embertray.measure.accounting`: CPU of the same churn with and without accounts, in turn in one
-run; and how far the accounts are from tracemalloc and from the process's size."""
+"""`python -m embertray.experiments.measure.accounting`: CPU of the same churn with and without accounts, in
+turn in one run; and how far the accounts are from tracemalloc and from the process's size."""
 
 import gc
 import resource
@@ -8,10 +8,10 @@
 import time
 import tracemalloc
 
-from ..core import Instance
-from ..emulator import churn
-from ..memory import Accounts
-from ..net.process import resident
+from embertray.common.memory import Accounts
+from embertray.common.net.process import resident
+from embertray.controller.core import Instance
+from embertray.simulation.emulator import churn
 
 
 class NoAccounts(Instance):
@@ -26,7 +26,7 @@
 def cpu(way):
     """CPU of one run in a process of its own."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
-    subprocess.run([sys.executable, "-m", "embertray.measure.accounting", way], check=True)
+    subprocess.run([sys.executable, "-m", "embertray.experiments.measure.accounting", way], check=True)
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
     return after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
 
@@ -84,13 +84,11 @@
                     [
                         tracemalloc.Filter(True, f"*/embertray/{name}")
                         for name in (
-                            "choice/*",
-                            "records/*",
-                            "core/*",
-                            "identifiers/*",
-                            "channel/*",
-                            "reports/*",
-                            "interface.py",
+                            "policy/*",
+                            "controller/core/*",
+                            "controller/identifiers.py",
+                            "controller/channel/*",
+                            "controller/report_intake.py",
                         )
                     ]
                 )
@@ -101,8 +99,8 @@
     ours = sum(size for purpose, size in found["accounted"].items() if purpose not in ("streams",))
     print(
         "After 60 s: accounts (without streams) "
-        f"{ours / 1024:.0f} KiB; tracemalloc, allocated in choice, records, core, identifiers, channel, "
-        f"reports, interface {found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}"
+        f"{ours / 1024:.0f} KiB; tracemalloc, allocated in policy, core, identifiers, channel, "
+        f"reports {found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}"
     )
 
 
--- a/embertray/measure/capacity/__main__.py
+++ b/embertray/experiments/measure/capacity/__main__.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.measure.capacity NAME`: measures slopes, writes them to docs/measured/capacity/."""
+"""`python -m embertray.experiments.measure.capacity NAME`: measures slopes, writes them to
+docs/measured/capacity/."""
 
 import cProfile
 import pstats
@@ -7,9 +8,10 @@
 
 import click
 
-from ...capacity.slope import load_all
-from ...capacity.table import compute
-from ...capacity.target import load
+from embertray.experiments.capacity.slope import load_all
+from embertray.experiments.capacity.table import compute
+from embertray.experiments.capacity.target import load
+
 from . import (
     charts as charts_part,
     decisions as decisions_part,
@@ -25,7 +27,7 @@
 
 
 def recording():
-    return Recording("python -m embertray.measure.capacity " + shlex.join(sys.argv[1:]))
+    return Recording("python -m embertray.experiments.measure.capacity " + shlex.join(sys.argv[1:]))
 
 
 @click.group()
--- a/embertray/measure/capacity/charts.py
+++ b/embertray/experiments/measure/capacity/charts.py
@@ -5,8 +5,8 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
 
-from ...capacity import reckon  # noqa: E402
-from ...capacity.figure import REPORTED  # noqa: E402
+from embertray.experiments.capacity import reckon  # noqa: E402
+from embertray.experiments.capacity.figure import REPORTED  # noqa: E402
 
 SIZES = (8, 16, 32, 64, 128, 256, 470)  # at which reckoned curves are drawn
 LIMITS = 1
--- a/embertray/measure/capacity/decisions.py
+++ b/embertray/experiments/measure/capacity/decisions.py
@@ -6,10 +6,9 @@
 from dataclasses import dataclass
 from statistics import median
 
-from ... import interface as i
-from ...choice import Controller
-from ...net.process import resident
-from ...standin.fleet import Fleet
+from embertray.common.net.process import resident
+from embertray.policy import Controller, interface as i
+from embertray.simulation.standins.fleet import Fleet
 
 MS, S = 10**6, 10**9
 BEAT = 100 * MS  # simulated ns between two steps
--- a/embertray/measure/capacity/entries.py
+++ b/embertray/experiments/measure/capacity/entries.py
@@ -4,10 +4,10 @@
 import time
 from statistics import median
 
-from ...inventory.follow import Follow
-from ...inventory.messages import Listed, News, encode, read_answer
-from ...memory.sizes import deep
-from ...stream.frames import frame
+from embertray.common.framing import frame
+from embertray.common.memory.sizes import deep
+from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list.messages import Listed, News, encode, read_answer
 
 TURNS = 31  # readings of each; the median counts
 ZONES = 19
--- a/embertray/measure/capacity/picks.py
+++ b/embertray/experiments/measure/capacity/picks.py
@@ -4,11 +4,11 @@
 
 import numpy as np
 
-from ...model.proxy import Proxy
-from ...site import load
-from ...site.site import HERE
-from ...stream.messages import Bind, Line, Orders
-from ..fleet import part
+from embertray.controller.stream.messages import Bind, Line, Orders
+from embertray.experiments.measure.fleet import part
+from embertray.service.site import load
+from embertray.service.site.site import HERE
+from embertray.simulation.models.proxy import Proxy
 
 PICKS, CHANGES = 5000, 300  # counted; picks right after a changed line
 MS = 10**6
--- a/embertray/measure/capacity/record.py
+++ b/embertray/experiments/measure/capacity/record.py
@@ -8,7 +8,7 @@
 
 import psutil
 
-from ...capacity.slope import Slope, save
+from embertray.experiments.capacity.slope import Slope, save
 
 FOLDER = Path("docs/measured/capacity")
 
@@ -30,7 +30,7 @@
     head = git("rev-parse", "--short", "HEAD")
     if head is None or head.returncode:
         return "not known"
-    parts = ("embertray", ":!embertray/measure", ":!embertray/capacity")
+    parts = ("embertray", ":!embertray/experiments/measure", ":!embertray/experiments/capacity")
     return head.stdout.strip() + ("+" if git("diff", "--quiet", "HEAD", "--", *parts).returncode else "")
 
 
--- a/embertray/measure/capacity/streams.py
+++ b/embertray/experiments/measure/capacity/streams.py
@@ -10,7 +10,7 @@
 import anyio
 import psutil
 
-from ..fleet import Bare, controller, part
+from embertray.experiments.measure.fleet import Bare, controller, part
 
 SETTLE, QUIET, REPORTING = 6, 10, 30  # seconds: after the joins; without reports; with them
 WINDOW = 10  # seconds of the worst mean
@@ -123,7 +123,8 @@
 
 def save_load(recording, rows, size_of, suffix, constant):
     note = (
-        f"python -m embertray.measure.timed, which serves as `embertray serve`; {constant}, channel not "
+        f"python -m embertray.experiments.measure.timed, which serves as `embertray serve`; "
+        f"{constant}, channel not "
         f"paced; loopback, payload bytes; {QUIET} s quiet, {REPORTING} s with one sum of one request a "
         "proxy a second"
     )
--- a/embertray/measure/charts.py
+++ b/embertray/experiments/measure/charts.py
@@ -1,8 +1,8 @@
-"""`python -m embertray.measure.charts OUT.png CHURN.jsonl [TITLE]`: each purpose's usual size over a churn's
-minutes.
+"""`python -m embertray.experiments.measure.charts OUT.png CHURN.jsonl [TITLE]`: each purpose's usual size
+over a churn's minutes.
 
-With a file that ends in .md, the table of embertray.measure.start: credit by the share replaced, for each
-way.
+With a file that ends in .md, the table of embertray.experiments.measure.start: credit by the share replaced,
+for each way.
 """
 
 import json
--- a/embertray/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.measure.claims`: days of wounds drawn by seed on members in virtual time, each look
+"""`python -m embertray.experiments.measure.claims`: days of wounds drawn by seed on members in virtual time,
+each look
 held against what the cluster claims; then one split into halves that heals, and one death, at sizes up to
 256. Prints Markdown tables; --chart writes one."""
 
@@ -7,9 +8,9 @@
 
 import click
 
-from ..days import notation
-from ..emulator.cluster_simulation import ClusterSimulation
-from ..emulator.random_faults import random_faults
+from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
+from embertray.simulation.emulator.random_faults import random_faults
+from embertray.simulation.scenarios import notation
 
 S = 10**9
 CALM, CUT = 20, 40  # s before the split, and that it lasts at the least
--- a/embertray/measure/cluster.py
+++ b/embertray/experiments/measure/cluster.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.measure.cluster`: the detector against plain heartbeats and phi accrual under virtual
+"""`python -m embertray.experiments.measure.cluster`: the detector against plain heartbeats and phi accrual
+under virtual
 time: time until every living member takes a killed one for dead, false deaths, bytes; a row for each size and
 loss. Prints a Markdown table."""
 
@@ -7,9 +8,9 @@
 
 import click
 
-from ..cluster.membership import DEAD, Membership
-from ..emulator.detectors import Heartbeats, Phi
-from ..emulator.gossip import MembershipSimulation, S
+from embertray.cluster.membership import DEAD, Membership
+from embertray.simulation.emulator.detectors import Heartbeats, Phi
+from embertray.simulation.emulator.gossip import MembershipSimulation, S
 
 MAKES = {"swim": Membership, "heartbeats": Heartbeats, "phi": Phi}
 
--- a/embertray/measure/clustered.py
+++ b/embertray/experiments/measure/clustered.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.measure.clustered DAY..`: days through true processes with the rig's links, without
+"""`python -m embertray.experiments.measure.clustered DAY..`: days through true processes with the rig's
+links, without
 and with the cluster that the day asks for: credit, rules and claims, and what a process uses. Prints a
 Markdown table, a row a day and way; figures are means over the seeds."""
 
--- a/embertray/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -1,6 +1,7 @@
 """A control plane of true processes that faults strike while writes go on.
 
-`python -m embertray.measure.control --faults 20`: so many of kill, stop and split each. Prints what was
+`python -m embertray.experiments.measure.control --faults 20`: so many of kill, stop and split each. Prints
+what was
 claimed, how often that was held against what happened, and the time until writes were in force. Exit code 1
 if a claim is broken.
 """
@@ -10,8 +11,8 @@
 
 import click
 
-from ..days.control_claims import CLAIMS
-from ..rig.control_play import play
+from embertray.simulation.claims.control import CLAIMS
+from embertray.simulation.processes.control_play import play
 
 S = 10**9
 SHARES = (0.5, 0.99, 1.0)  # of the writes at each subscriber, whose times are shown
--- a/embertray/measure/control_day.py
+++ b/embertray/experiments/measure/control_day.py
@@ -1,7 +1,7 @@
 """A day of the control plane at the operators' target, compressed, under virtual time.
 
-`python -m embertray.measure.control_day --compress 24`: prints times until writes were in force, bytes and
-what was claimed, as JSON. Exit code 1 if a claim is broken.
+`python -m embertray.experiments.measure.control_day --compress 24`: prints times until writes were in force,
+bytes and what was claimed, as JSON. Exit code 1 if a claim is broken.
 """
 
 import json
@@ -10,7 +10,7 @@
 
 import click
 
-from ..emulator.control.day import ControlDay, DayPlan
+from embertray.simulation.emulator.control.day import ControlDay, DayPlan
 
 S = 10**9
 SHARES = (0.5, 0.99, 0.999, 1.0)
--- a/embertray/measure/emulated.py
+++ b/embertray/experiments/measure/emulated.py
@@ -1,5 +1,5 @@
-"""`python -m embertray.measure.emulated`: what the emulator costs by the fleet's size, both fidelities, each
-run a process of its own (its peak memory is then its own). Prints a Markdown table."""
+"""`python -m embertray.experiments.measure.emulated`: what the emulator costs by the fleet's size, both
+fidelities, each run a process of its own (its peak memory is then its own). Prints a Markdown table."""
 
 import json
 import resource
@@ -7,8 +7,8 @@
 import sys
 import time
 
-from ..days import notation
-from ..emulator.play import play
+from embertray.simulation.emulator.play import play
+from embertray.simulation.scenarios import notation
 
 S = 10**9
 SIZES = ((25, 40), (90, 150), (300, 500), (1000, 5000))
@@ -63,7 +63,7 @@
                 [
                     sys.executable,
                     "-m",
-                    "embertray.measure.emulated",
+                    "embertray.experiments.measure.emulated",
                     str(backends),
                     str(proxies),
                     fidelity,
--- a/embertray/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -13,14 +13,14 @@
 
 import anyio
 
-from ..net.clock import LoopClock
-from ..net.process import resident
-from ..net.tcp import TcpNet
-from ..site.made import describe
-from ..standin.inventory import StandinInventory
-from ..standin.parts import BROKEN, Agenda
-from ..stream.messages import Answer, Came, Met, Orders, Sums
-from ..stream.session import ProxyEnd
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.process import resident
+from embertray.common.net.tcp import TcpNet
+from embertray.controller.stream.messages import Answer, Came, Met, Orders, Sums
+from embertray.controller.stream.session import ProxyEnd
+from embertray.service.site.made import describe
+from embertray.simulation.standins.inventory import StandinInventory
+from embertray.simulation.standins.parts import BROKEN, Agenda
 
 S = 10**9
 
@@ -87,7 +87,7 @@
                 [
                     sys.executable,
                     "-m",
-                    "embertray.measure.timed",
+                    "embertray.experiments.measure.timed",
                     str(describe(folder, inventory.address, **{"backends": max(500, backends)} | changes)),
                     "c1",
                 ],
--- a/embertray/measure/limits.py
+++ b/embertray/experiments/measure/limits.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.measure.limits`: limits of the whole fleet under virtual time: over and use under
+"""`python -m embertray.experiments.measure.limits`: limits of the whole fleet under virtual time: over and
+use under
 wounds drawn by seed; use against skew and members; what a split leaves usable, by its length. Prints Markdown
 tables."""
 
@@ -6,7 +7,7 @@
 
 import click
 
-from ..emulator.limits import LimitsSimulation, S
+from embertray.simulation.emulator.limits import LimitsSimulation, S
 
 
 def wounded(seed):
--- a/embertray/measure/models/__main__.py
+++ b/embertray/experiments/measure/models/__main__.py
@@ -1,12 +1,13 @@
-"""`python -m embertray.measure.models`: prints how many states of each model were looked at, and what was
-found.
+"""`python -m embertray.experiments.measure.models`: prints how many states of each model were looked at, and
+what was found.
 """
 
 import time
 
 import click
 
-from ..explore import Found, explore
+from embertray.experiments.measure.explore import Found, explore
+
 from . import LeaderModel, LoansModel
 
 
--- a/embertray/measure/models/leader.py
+++ b/embertray/experiments/measure/models/leader.py
@@ -1,8 +1,9 @@
 """Who leads, in every order of events."""
 
-from ...fleet.limits.lease import Acceptor, Proposer
-from ...fleet.limits.messages import Accepted, Prepare, Promise, Propose
-from ..explore import clone
+from embertray.cluster.limits.lease import Acceptor, Proposer
+from embertray.cluster.limits.messages import Accepted, Prepare, Promise, Propose
+from embertray.experiments.measure.explore import clone
+
 from .ticks import Ticks
 
 
--- a/embertray/measure/models/loans.py
+++ b/embertray/experiments/measure/models/loans.py
@@ -1,9 +1,10 @@
 """What is lent, in every order of events."""
 
-from ...fleet.limits.holder import Holder
-from ...fleet.limits.ledger import Ledger
-from ...fleet.limits.messages import Ask, Grant
-from ..explore import clone
+from embertray.cluster.limits.holder import Holder
+from embertray.cluster.limits.ledger import Ledger
+from embertray.cluster.limits.messages import Ask, Grant
+from embertray.experiments.measure.explore import clone
+
 from .ticks import Ticks
 
 
--- a/embertray/measure/names.py
+++ b/embertray/experiments/measure/names.py
@@ -1,5 +1,5 @@
-"""How many lines hold a word as an identifier, by package: `python -m embertray.measure.names WORD...`.
-Prose, strings and what stands within f-strings are not counted.
+"""How many lines hold a word as an identifier, by package: `python -m embertray.experiments.measure.names
+WORD...`. Prose, strings and what stands within f-strings are not counted.
 """
 
 import tokenize
@@ -8,7 +8,7 @@
 
 import click
 
-ROOT = Path(__file__).resolve().parents[2]
+ROOT = Path(__file__).resolve().parents[3]
 
 
 def package_of(path):
--- a/embertray/measure/news.py
+++ b/embertray/experiments/measure/news.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.measure.news [PROXIES ...]`: from the inventory's news of a drain to each proxy's
+"""`python -m embertray.experiments.measure.news [PROXIES ...]`: from the inventory's news of a drain to each
+proxy's
 socket, over loopback, beside a bare loop that writes the same bytes to as many sockets in the same run."""
 
 import subprocess
@@ -7,7 +8,8 @@
 
 import anyio
 
-from ..net.tcp import TcpNet
+from embertray.common.net.tcp import TcpNet
+
 from .fleet import controller, part
 
 ROUNDS, BACKENDS = 10, 60
--- a/embertray/measure/pauses.py
+++ b/embertray/experiments/measure/pauses.py
@@ -1,12 +1,12 @@
-"""`python -m embertray.measure.pauses`: the garbage collector's longest pause at 1,000 proxies, three ways of
-setting it.
+"""`python -m embertray.experiments.measure.pauses`: the garbage collector's longest pause at 1,000 proxies,
+three ways of setting it.
 """
 
 import gc
 import time
 
-from ..core import Instance
-from ..emulator import churn
+from embertray.controller.core import Instance
+from embertray.simulation.emulator import churn
 
 WAYS = {
     "as Python sets it": None,
--- a/embertray/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -1,5 +1,6 @@
 """Streams of events as modules were given them, to be played again: a change that must decide nothing else
-gives the same orders, byte for byte. `python -m embertray.measure.recorded record DAY --out FILE` plays a day
+gives the same orders, byte for byte. `python -m embertray.experiments.measure.recorded record DAY --out
+FILE` plays a day
 without streams, `... crowd --out FILE` a fleet of hundreds that all joins at once, `... orders FILE` prints
 all orders, `... check FILE` their digest beside the recorded one. A file: zstandard of JSON rows, one for
 each step."""
@@ -14,8 +15,7 @@
 import msgspec
 import zstandard
 
-from .. import interface as i
-from ..choice import Controller
+from embertray.policy import Controller, interface as i
 
 KINDS = {kind.__name__: kind for kind in vars(i).values() if isinstance(kind, type)}
 MS, S = 10**6, 10**9
@@ -111,7 +111,7 @@
     """All proxies come at once in the middle of a replacement, with sums of what they meet; then 30 s of
     it.
     """
-    from ..standin.fleet import Fleet
+    from embertray.simulation.standins.fleet import Fleet
 
     fleet = Fleet(made, backends, proxies)
     fleet.run(11 * S)
@@ -137,10 +137,10 @@
 
 
 def day(name, made, seed=1):
-    from ..days import notation
-    from ..emulator.play import play
+    from embertray.simulation.emulator.play import play
+    from embertray.simulation.scenarios import notation
 
-    with mock.patch("embertray.runner.runner.Controller", made):
+    with mock.patch("embertray.controller.runner.Controller", made):
         play(notation.load(name), seed, "reqs")
 
 
--- a/embertray/measure/scale/__main__.py
+++ b/embertray/experiments/measure/scale/__main__.py
@@ -1,12 +1,13 @@
-"""`python -m embertray.measure.scale cluster|control|virtual`: hollow members at several sizes; writes slopes
-to docs/measured/capacity/."""
+"""`python -m embertray.experiments.measure.scale cluster|control|virtual`: hollow members at several sizes;
+writes slopes to docs/measured/capacity/."""
 
 import shlex
 import sys
 
 import click
 
-from ..capacity.record import FOLDER, Recording
+from embertray.experiments.measure.capacity.record import FOLDER, Recording
+
 from . import fleet, slopes, virtual
 from .keeping import KeepingRecording
 
@@ -20,7 +21,7 @@
 def recording(folder, keep=False):
     """Made first, as it names the commit that is measured. `keep`: points of other sizes stay."""
     kind = KeepingRecording if keep else Recording
-    return kind("python -m embertray.measure.scale " + shlex.join(sys.argv[1:]), folder)
+    return kind("python -m embertray.experiments.measure.scale " + shlex.join(sys.argv[1:]), folder)
 
 
 def out_options(command):
--- a/embertray/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -2,9 +2,10 @@
 
 from collections import namedtuple
 
-from ...cluster.link import ClusterLink
-from ...net.clock import LoopClock
-from ...site.site import Cluster
+from embertray.cluster.link import ClusterLink
+from embertray.common.net.clock import LoopClock
+from embertray.service.site.site import Cluster
+
 from .meter import Counters
 
 UNLIMITED = 1 << 24  # bytes of state, and bytes a second for it: what is measured is the want, not the cap
--- a/embertray/measure/scale/control_role.py
+++ b/embertray/experiments/measure/scale/control_role.py
@@ -4,10 +4,16 @@
 
 import anyio
 
-from ...control.link import ReplicaServer, ReplicaSettings, SubscriberClient, SubscriberSettings
-from ...control.link.writes import OutcomeUnknown
-from ...control.replica_types import WriteRefused
-from ...net.clock import LoopClock
+from embertray.cluster.replication.link import (
+    ReplicaServer,
+    ReplicaSettings,
+    SubscriberClient,
+    SubscriberSettings,
+)
+from embertray.cluster.replication.link.writes import OutcomeUnknown
+from embertray.cluster.replication.replica_types import WriteRefused
+from embertray.common.net.clock import LoopClock
+
 from .meter import Counters
 
 MARK = "mark"  # key of the entry that is written to be seen by all
--- a/embertray/measure/scale/fleet.py
+++ b/embertray/experiments/measure/scale/fleet.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from ...rig.ports import free_ports
+from embertray.simulation.processes.ports import free_ports
+
 from .messages import ClusterPlan, ReplicaPlan, Report, SubscriberPlan, Timetable
 
 MS, S = 10**6, 10**9
@@ -70,7 +71,7 @@
 
 def run(plans):
     """The reports of processes with these plans."""
-    command = [sys.executable, "-m", "embertray.measure.scale.worker"]
+    command = [sys.executable, "-m", "embertray.experiments.measure.scale.worker"]
     processes = []
     try:
         for plan in plans:
--- a/embertray/measure/scale/keeping.py
+++ b/embertray/experiments/measure/scale/keeping.py
@@ -2,8 +2,8 @@
 
 from pathlib import Path
 
-from ...capacity.slope import load
-from ..capacity.record import Recording
+from embertray.experiments.capacity.slope import load
+from embertray.experiments.measure.capacity.record import Recording
 
 
 class KeepingRecording(Recording):
--- a/embertray/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -2,10 +2,11 @@
 
 from dataclasses import dataclass
 
-from ...cluster.membership import Pace
-from ...emulator.collector import rare_collections
-from ...emulator.gossip import MembershipSimulation
-from ...emulator.state_exchanger import StateExchanger
+from embertray.cluster.membership import Pace
+from embertray.simulation.emulator.collector import rare_collections
+from embertray.simulation.emulator.gossip import MembershipSimulation
+from embertray.simulation.emulator.state_exchanger import StateExchanger
+
 from .fleet import MARKS, Summary
 from .meter import Counters, Meter
 
--- a/embertray/measure/scale/worker.py
+++ b/embertray/experiments/measure/scale/worker.py
@@ -1,6 +1,6 @@
 """One process of hollow members: reads its plan from stdin, runs, writes its report to stdout.
 
-python -m embertray.measure.scale.worker
+python -m embertray.experiments.measure.scale.worker
 """
 
 import sys
@@ -12,7 +12,8 @@
 import psutil
 import structlog
 
-from ...net.clock import LoopClock
+from embertray.common.net.clock import LoopClock
+
 from .messages import ClusterPlan, MemberReport, Plan, ReplicaPlan, Report, SubscriberPlan
 from .meter import Meter
 
--- a/embertray/measure/snapshots.py
+++ b/embertray/experiments/measure/snapshots.py
@@ -1,5 +1,5 @@
-"""`python -m embertray.measure.snapshots [FOLDER]`: cost of a snapshot's write and read by the number of
-backends.
+"""`python -m embertray.experiments.measure.snapshots [FOLDER]`: cost of a snapshot's write and read by the
+number of backends.
 """
 
 import sys
@@ -9,7 +9,8 @@
 import msgspec
 import numpy as np
 
-from ..durable import Kept, KeptEntry, Snapshot
+from embertray.common.snapshots import Kept, KeptEntry, Snapshot
+
 from .fleet import part
 
 
--- a/embertray/measure/start.py
+++ b/embertray/experiments/measure/start.py
@@ -1,13 +1,14 @@
-"""`python -m embertray.measure.start`: a controller starts from its disk while discovery is down, in virtual
+"""`python -m embertray.experiments.measure.start`: a controller starts from its disk while discovery is
+down, in virtual
 time: by the list's age and how much of it was replaced, against one that trusts it in full and one that waits
 for discovery."""
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from ..days import notation, player
-from ..trust import Trust
-from ..trust.trust import Verdict
+from embertray.controller.trust import Trust
+from embertray.controller.trust.trust import Verdict
+from embertray.simulation.scenarios import notation, player
 
 AGES, REPLACED, SEEDS, DOWN = ("0s", "1min", "60min", "1440min"), (0, 10, 50, 90), (1, 2, 3), 15
 
--- a/embertray/measure/steady.py
+++ b/embertray/experiments/measure/steady.py
@@ -1,5 +1,5 @@
-"""`python -m embertray.measure.steady [BACKENDSxPROXIES ...]`: CPU a second of one controller with reports
-flowing.
+"""`python -m embertray.experiments.measure.steady [BACKENDSxPROXIES ...]`: CPU a second of one controller
+with reports flowing.
 """
 
 import sys
--- a/embertray/measure/timed.py
+++ b/embertray/experiments/measure/timed.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.measure.timed SITE.xml CONTROLLER`: serves as `embertray serve` does, and at its end
+"""`python -m embertray.experiments.measure.timed SITE.xml CONTROLLER`: serves as `embertray serve` does, and
+at its end
 prints how much CPU went into the module, the codec and the rest, as one JSON line on standard output."""
 
 import json
@@ -9,15 +10,15 @@
 
 import anyio
 
-from ..choice import Controller
-from ..daemon import proxies as streams
-from ..daemon.service import Service
-from ..days.player import quiet
-from ..durable.snapshot import KeptInMemory
-from ..net.clock import LoopClock
-from ..net.tcp import TcpNet
-from ..site import load
-from ..stream.session import ControllerEnd
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.controller.stream.session import ControllerEnd
+from embertray.policy import Controller
+from embertray.service.daemon import proxies as streams
+from embertray.service.daemon.service import Service
+from embertray.service.site import load
+from embertray.simulation.scenarios.player import quiet
 
 
 class Spent:
--- a/embertray/measure/wounds.py
+++ b/embertray/experiments/measure/wounds.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.measure.wounds`: true processes on loopback with the rig's links between them; kills,
+"""`python -m embertray.experiments.measure.wounds`: true processes on loopback with the rig's links between
+them; kills,
 stops and splits, one after the other. Times in periods (the table) from the wound until every process says
 what holds, and from its end until all are alive at all again; the greatest age of what is told, against the
 bound, looked at after each. Prints a Markdown table."""
@@ -9,7 +10,7 @@
 import anyio
 import click
 
-from ..rig.processes import PERIOD, Rigged
+from embertray.simulation.processes.processes import PERIOD, Rigged
 
 
 def kill(site, n):
--- a/embertray/platform/__init__.py
+++ b/embertray/platform/__init__.py
@@ -1,3 +1,1 @@
-"""The platform's protocol without I/O: bytes and time in, typed events or verdicts out, in the manner of
-h11.
-"""
+"""The operators' platform: its protocol without I/O, and the controller that `run` starts."""
--- a/embertray/platform/port.py
+++ b/embertray/platform/protocol/port.py
@@ -11,7 +11,8 @@
 import msgspec
 from msgspec import Meta
 
-from ..settings.settings import LOADS
+from embertray.controller.settings import LOADS
+
 from .limits import COUNT_MOST, JOIN_WITHIN, LINE_MOST, LOAD_MOST, MS, STRANGER_BYTES, TOOK_MOST, WORD_MOST
 
 ALIVE, TURNED_AWAY = b'{"@type":"hb_ok"}\n', b'{"@type":"reject"}\n'
--- a/embertray/platform/post.py
+++ b/embertray/platform/protocol/post.py
@@ -5,10 +5,10 @@
 `next_at`.
 """
 
-from .. import interface as i
-from ..choice import Controller
-from ..runner import Runner
-from ..settings import StartSettings
+from embertray.controller.runner import Runner
+from embertray.controller.settings import StartSettings
+from embertray.policy import Controller, interface as i
+
 from .calls import Caller
 from .discovery import Follow
 from .limits import TIDY, WAITING_MOST
--- a/embertray/platform/start.py
+++ b/embertray/platform/protocol/start.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from ..settings import BadSettings
+from embertray.controller.settings import BadSettings
+
 from .discovery import Members, decoder as list_decoder
 
 
--- a/embertray/platform/words.py
+++ b/embertray/platform/protocol/words.py
@@ -1,6 +1,7 @@
 """The module's events and orders in the platform's words, by their external ids."""
 
-from .. import interface as i
+from embertray.policy import interface as i
+
 from .news import Attach, Detach
 
 
--- a/embertray/node/__main__.py
+++ b/embertray/platform/run/__main__.py
@@ -1,4 +1,5 @@
-"""`python -m embertray.node`: one real controller, told by ROUTER_CONFIG, in the foreground until SIGTERM."""
+"""`python -m embertray.platform.run`: one real controller, told by ROUTER_CONFIG, in the foreground until
+SIGTERM."""
 
 import os
 import sys
@@ -10,12 +11,13 @@
 import anyio
 import structlog
 
-from ..cli.logs import set_up
-from ..net.address import BadAddress, plain
-from ..net.clock import LoopClock
-from ..net.tcp import TcpNet
-from ..platform.start import BadStart, read
-from ..settings import BadSettings
+from embertray.common.logs import set_up
+from embertray.common.net.address import BadAddress, plain
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.controller.settings import BadSettings
+from embertray.platform.protocol.start import BadStart, read
+
 from .service import Service
 
 
--- a/embertray/node/clients.py
+++ b/embertray/platform/run/clients.py
@@ -4,9 +4,9 @@
 
 import anyio
 
-from ..net.conn import Conn
-from ..net.http import BROKEN
-from ..platform.limits import GATHER, LAST_WITHIN, PART_BYTES, PART_WITHIN, REPLY_WITHIN
+from embertray.common.net.conn import Conn
+from embertray.common.net.http import BROKEN
+from embertray.platform.protocol.limits import GATHER, LAST_WITHIN, PART_BYTES, PART_WITHIN, REPLY_WITHIN
 
 
 class Clients:
--- a/embertray/node/relay.py
+++ b/embertray/platform/run/relay.py
@@ -2,9 +2,9 @@
 
 import anyio
 
-from ..net.http import CallFailed
-from ..platform.calls import CALLS, FORM, Unreadable
-from ..platform.limits import (
+from embertray.common.net.http import CallFailed
+from embertray.platform.protocol.calls import CALLS, FORM, Unreadable
+from embertray.platform.protocol.limits import (
     ANSWER_MOST,
     ANSWER_WITHIN,
     LOOK,
@@ -14,7 +14,7 @@
     REDIAL_MOST,
     SEND_WITHIN,
 )
-from ..platform.news import STREAM
+from embertray.platform.protocol.news import STREAM
 
 
 class Relay:
--- a/embertray/node/service.py
+++ b/embertray/platform/run/service.py
@@ -7,12 +7,21 @@
 import anyio
 import structlog
 
-from ..net.address import BadAddress
-from ..net.http import CallFailed, Talk
-from ..platform.discovery import Unreadable as BadList
-from ..platform.limits import CONNECT_WITHIN, FAULT_WAIT, GATHER, LIST_MOST, LIST_WHOLE, SEND_WITHIN, STREAMS
-from ..platform.post import Post
-from ..platform.start import BadStart
+from embertray.common.net.address import BadAddress
+from embertray.common.net.http import CallFailed, Talk
+from embertray.platform.protocol.discovery import Unreadable as BadList
+from embertray.platform.protocol.limits import (
+    CONNECT_WITHIN,
+    FAULT_WAIT,
+    GATHER,
+    LIST_MOST,
+    LIST_WHOLE,
+    SEND_WITHIN,
+    STREAMS,
+)
+from embertray.platform.protocol.post import Post
+from embertray.platform.protocol.start import BadStart
+
 from .clients import Clients
 from .relay import Relay
 
--- a/embertray/choice/actor.py
+++ b/embertray/policy/actor.py
@@ -2,8 +2,10 @@
 
 from collections import deque
 
-from .. import interface as i  # noqa: F401
-from . import constants as c  # noqa: F401
+from . import (
+    constants as c,  # noqa: F401
+    interface as i,  # noqa: F401
+)
 
 
 class Actor:
--- a/embertray/choice/backend.py
+++ b/embertray/policy/backend.py
@@ -1,4 +1,5 @@
-from ..records.backend import BackendFigures, BackendSamples
+from embertray.policy.records.backend import BackendFigures, BackendSamples
+
 from .actor import Actor, c
 
 
--- a/embertray/choice/controller.py
+++ b/embertray/policy/controller.py
@@ -2,7 +2,8 @@
 from statistics import median
 from zlib import crc32
 
-from ..records.levels import Level
+from embertray.policy.records.levels import Level
+
 from .actor import c, i
 from .channel import Channel
 from .levels import Levels
--- a/embertray/choice/ledger.py
+++ b/embertray/policy/ledger.py
@@ -1,7 +1,8 @@
 from collections import deque
 from statistics import median
 
-from ..records.messages import Flights
+from embertray.policy.records.messages import Flights
+
 from .actor import Actor, c
 
 
--- a/embertray/choice/levels.py
+++ b/embertray/policy/levels.py
@@ -1,6 +1,7 @@
 from collections import deque
 
-from ..records.levels import Level
+from embertray.policy.records.levels import Level
+
 from .actor import Actor, c, i
 
 
--- a/embertray/choice/parts.py
+++ b/embertray/policy/parts.py
@@ -1,6 +1,7 @@
 """Which lines stand in which table, and which table a joiner gets."""
 
-from ..records.tables import TableState
+from embertray.policy.records.tables import TableState
+
 from .actor import c, i
 
 
--- a/embertray/choice/planner.py
+++ b/embertray/policy/planner.py
@@ -1,8 +1,9 @@
 from collections import deque
 from statistics import median
 
-from ..records.backend import added
-from ..records.levels import FleetState
+from embertray.policy.records.backend import added
+from embertray.policy.records.levels import FleetState
+
 from .actor import Actor, c, i
 
 
--- a/embertray/choice/proxy.py
+++ b/embertray/policy/proxy.py
@@ -1,5 +1,6 @@
-from ..records.arrivals import ArrivalSamples
-from ..records.messages import ProxyMessages
+from embertray.policy.records.arrivals import ArrivalSamples
+from embertray.policy.records.messages import ProxyMessages
+
 from .actor import Actor, c
 
 
--- /dev/null
+++ b/embertray/service/__init__.py
@@ -0,0 +1,1 @@
+"""The daemon: its task groups, the operators' HTTP, and the description of a site."""
--- a/embertray/admin/control.py
+++ b/embertray/service/admin/control.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ..control.link.status import seconds
-from ..control.link.writes import OutcomeUnknown
-from ..control.operations import (
+from embertray.cluster.replication.link.status import seconds
+from embertray.cluster.replication.link.writes import OutcomeUnknown
+from embertray.cluster.replication.operations import (
     Committed,
     Missing,
     Refused,
@@ -22,7 +22,14 @@
     Versions,
     encode_answer,
 )
-from ..control.replica_types import Conflict, NoMajority, NotLeader, Overloaded, WriteRefused
+from embertray.cluster.replication.replica_types import (
+    Conflict,
+    NoMajority,
+    NotLeader,
+    Overloaded,
+    WriteRefused,
+)
+
 from .server import serve_request, text
 
 BODY_MOST = 64 << 10  # bytes: a value that is too large for an update still gets a typed answer
--- a/embertray/cli/control_calls.py
+++ b/embertray/service/admin/control_client.py
@@ -5,9 +5,9 @@
 import anyio
 import msgspec
 
-from ..control.operations import Refused, Unknown, decode_answer
-from ..net.http import CallFailed, Talk
-from ..net.tcp import TcpNet
+from embertray.cluster.replication.operations import Refused, Unknown, decode_answer
+from embertray.common.net.http import CallFailed, Talk
+from embertray.common.net.tcp import TcpNet
 
 S = 10**9
 DIAL_WITHIN, ASK_WITHIN = 1 * S, 5 * S  # ns
--- a/embertray/daemon/control.py
+++ b/embertray/service/daemon/control.py
@@ -5,10 +5,15 @@
 
 import anyio
 
-from ..admin.control import ReplicaAdmin
-from ..control.link import ReplicaServer, ReplicaSettings, SubscriberClient, SubscriberSettings
-from ..control.link.saved import replica_state, subscriber_state
-from ..control.pace import FeedPace
+from embertray.cluster.replication.link import (
+    ReplicaServer,
+    ReplicaSettings,
+    SubscriberClient,
+    SubscriberSettings,
+)
+from embertray.cluster.replication.link.saved import replica_state, subscriber_state
+from embertray.cluster.replication.pace import FeedPace
+from embertray.service.admin.control import ReplicaAdmin
 
 
 class ReplicaProcess:
--- a/embertray/daemon/inventory.py
+++ b/embertray/service/daemon/inventory.py
@@ -3,9 +3,10 @@
 import anyio
 import msgspec
 
-from ..inventory.follow import Follow
-from ..inventory.messages import encode as encode_ask, read_answer
-from ..stream.frames import BadFrame, Splitter, frame
+from embertray.common.framing import BadFrame, Splitter, frame
+from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list.messages import encode as encode_ask, read_answer
+
 from .broken import BROKEN, S
 
 
--- a/embertray/daemon/proxies.py
+++ b/embertray/service/daemon/proxies.py
@@ -4,12 +4,13 @@
 
 import anyio
 
-from ..channel.admission import HELLO_WITHIN
-from ..channel.outlet import Outlet
-from ..net.conn import Conn
-from ..stream.frames import frame
-from ..stream.messages import Fault, Hello, encode
-from ..stream.session import ControllerEnd, Refused
+from embertray.common.framing import frame
+from embertray.common.net.conn import Conn
+from embertray.controller.channel.admission import HELLO_WITHIN
+from embertray.controller.channel.outlet import Outlet
+from embertray.controller.stream.messages import Fault, Hello, encode
+from embertray.controller.stream.session import ControllerEnd, Refused
+
 from .broken import BROKEN, S
 
 
--- a/embertray/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -10,13 +10,14 @@
 import structlog
 from anyio.abc import TaskStatus
 
-from ..channel.budget import budget
-from ..channel.outlet import PROBE_WITHIN
-from ..core import Desk, Instance
-from ..memory import Collection
-from ..net.address import BadAddress
-from ..net.process import resident
-from ..trust import Trust
+from embertray.common.memory import Collection
+from embertray.common.net.address import BadAddress
+from embertray.common.net.process import resident
+from embertray.controller.channel.budget import budget
+from embertray.controller.channel.outlet import PROBE_WITHIN
+from embertray.controller.core import Desk, Instance
+from embertray.controller.trust import Trust
+
 from .broken import BROKEN, S
 from .inventory import ListClient
 from .proxies import Proxies
@@ -63,7 +64,7 @@
 
     async def run(self, *, task_status: TaskStatus = anyio.TASK_STATUS_IGNORED):
         """Runs until `stop`; started(listen address, admin address) once both are listened on."""
-        from ..admin.http import serve_admin
+        from embertray.service.admin.http import serve_admin
 
         self.kept.open()
         snapshot, passed = self.kept.load()
@@ -114,7 +115,7 @@
         """The cluster's task: it ends the process when a younger one has our name, and nothing else of ours
         when it fails.
         """
-        from ..cluster.link import ClusterLink
+        from embertray.cluster.link import ClusterLink
 
         peers = [at.cluster for at in self.site.controllers if at.name != self.me.name]
         self.cluster = ClusterLink(
--- a/embertray/daemon/snapshots.py
+++ b/embertray/service/daemon/snapshots.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from ..durable.snapshot import CONFIRM, EVERY
+from embertray.common.snapshots.snapshot import CONFIRM, EVERY
 
 
 class SnapshotWriter:
--- a/embertray/site/site.py
+++ b/embertray/service/site/site.py
@@ -8,7 +8,8 @@
 
 from lxml import etree
 
-from .. import interface as i
+from embertray.policy import interface as i
+
 from .control import Control, read_control
 from .values import Addresses, BadSite, size, time
 
--- a/embertray/site/values.py
+++ b/embertray/service/site/values.py
@@ -1,6 +1,6 @@
 """Values of a site's description: read from their text, and checked where the schema can't."""
 
-from ..net.address import BadAddress, loopback
+from embertray.common.net.address import BadAddress, loopback
 
 SIZES = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "B": 1}
 UNITS = {"us": 10**3, "ms": 10**6, "min": 60 * 10**9, "s": 10**9}
--- a/embertray/days/claims.py
+++ b/embertray/simulation/claims/cluster.py
@@ -16,8 +16,8 @@
 quarter of the period) are neither within reach nor out of it: nothing is claimed there.
 """
 
-from ..cluster.membership import Pace
-from ..cluster.state.exchange import bound
+from embertray.cluster.membership import Pace
+from embertray.cluster.state.exchange import bound
 
 S = 10**9
 NAMES = ("seen", "wrong", "fresh", "young", "alone")
--- a/embertray/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -16,19 +16,20 @@
 
 import anyio
 
-from ..admin.ask import ask
-from ..core import Instance
-from ..daemon import Service
-from ..days.player import quiet
-from ..durable.snapshot import KeptInMemory
-from ..model.chance import Streams
-from ..net.clock import LoopClock
-from ..net.tcp import TcpNet
-from ..site import load
-from ..site.site import HERE as SITES
-from ..standin.inventory import StandinInventory
-from ..standin.parts import Agenda
-from ..standin.virtual import MemoryNet, VirtualClock, run as run_virtual
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.controller.core import Instance
+from embertray.service.admin.client import ask
+from embertray.service.daemon import Service
+from embertray.service.site import load
+from embertray.service.site.site import HERE as SITES
+from embertray.simulation.models.chance import Streams
+from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.standins.inventory import StandinInventory
+from embertray.simulation.standins.parts import Agenda
+from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
+
 from .flows import FlowFleet
 
 S = 10**9
@@ -181,7 +182,7 @@
 
 def sockets(plan, seed=1):
     """The same over loopback sockets and in real time, the controller a process of its own."""
-    from ..site.made import describe
+    from embertray.service.site.made import describe
 
     async def main():
         churn = Churn(plan, TcpNet(), LoopClock(), seed)
--- a/embertray/emulator/clients.py
+++ b/embertray/simulation/emulator/clients.py
@@ -1,6 +1,6 @@
 """The clients of a proxy without streams."""
 
-from ..standin.messages import Req
+from embertray.simulation.standins.messages import Req
 
 
 class SimulatedClients:
--- a/embertray/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -7,15 +7,16 @@
 
 import random
 
-from ..cluster.link.link import EXCHANGE_WITHIN
-from ..cluster.membership import Membership, Pace
-from ..cluster.state import EntryStore, Exchange
-from ..days.claims import Claims
-from ..days.troubles import Trouble
-from ..days.words import LINKS
-from ..model.chance import Streams
-from ..model.web import Web
-from ..site.site import time as span
+from embertray.cluster.link.link import EXCHANGE_WITHIN
+from embertray.cluster.membership import Membership, Pace
+from embertray.cluster.state import EntryStore, Exchange
+from embertray.service.site.site import time as span
+from embertray.simulation.claims.cluster import Claims
+from embertray.simulation.models.chance import Streams
+from embertray.simulation.models.web import Web
+from embertray.simulation.scenarios.troubles import Trouble
+from embertray.simulation.scenarios.words import LINKS
+
 from .collector import rare_collections
 from .gossip import Links, MembershipSimulation
 from .state_exchanger import StateExchanger
--- a/embertray/emulator/control/day.py
+++ b/embertray/simulation/emulator/control/day.py
@@ -5,7 +5,8 @@
 from bisect import bisect_right
 from dataclasses import dataclass
 
-from ...days.control_claims import ControlClaims
+from embertray.simulation.claims.control import ControlClaims
+
 from .play import ControlPlay, Settings
 
 S = 10**9
--- a/embertray/emulator/control/play.py
+++ b/embertray/simulation/emulator/control/play.py
@@ -5,11 +5,12 @@
 import random
 from dataclasses import dataclass, field
 
-from ...control.bounds import Bounds
-from ...control.entry import Entry
-from ...control.pace import FeedPace, ReplicaPace, SubscriberPace
-from ...days.control_claims import ControlClaims
-from ..engine import Engine
+from embertray.cluster.replication.bounds import Bounds
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.pace import FeedPace, ReplicaPace, SubscriberPace
+from embertray.simulation.claims.control import ControlClaims
+from embertray.simulation.emulator.engine import Engine
+
 from .links import Links
 from .replica_process import ReplicaProcess
 from .subscriber_process import SubscriberProcess
--- a/embertray/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -1,10 +1,16 @@
 """A replica under virtual time: its core, feed, disk and connections."""
 
-from ...control.entry import Entry
-from ...control.feed import Feed, Refused
-from ...control.messages import Unreadable, decode_from_subscriber, decode_replica_message, encode
-from ...control.replica import Replica
-from ...control.replica_types import ReplicaState, WriteRefused
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.feed import Feed, Refused
+from embertray.cluster.replication.messages import (
+    Unreadable,
+    decode_from_subscriber,
+    decode_replica_message,
+    encode,
+)
+from embertray.cluster.replication.replica import Replica
+from embertray.cluster.replication.replica_types import ReplicaState, WriteRefused
+
 from .links import Stream
 from .process import FRAME_BYTES, Process
 
--- a/embertray/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -2,8 +2,9 @@
 
 from collections import deque
 
-from ...control.messages import decode_to_subscriber
-from ...control.subscriber import Dial, Hang, Say, Subscriber
+from embertray.cluster.replication.messages import decode_to_subscriber
+from embertray.cluster.replication.subscriber import Dial, Hang, Say, Subscriber
+
 from .process import FRAME_BYTES, Connection, Process
 
 
--- a/embertray/emulator/control/writer.py
+++ b/embertray/simulation/emulator/control/writer.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ...control.replica_types import NotLeader, WriteRefused
+from embertray.cluster.replication.replica_types import NotLeader, WriteRefused
 
 MS, S = 10**6, 10**9
 ANSWER_WITHIN = 3 * S  # ns until a call is made again, elsewhere
--- a/embertray/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,9 +1,9 @@
 """A controller without streams: the daemon's desk, its pump and the list's client as planned calls."""
 
-from ..channel.outlet import PROBE_WITHIN
-from ..core import Desk
-from ..durable.snapshot import CONFIRM, EVERY
-from ..inventory.follow import Follow
+from embertray.common.snapshots.snapshot import CONFIRM, EVERY
+from embertray.controller.channel.outlet import PROBE_WITHIN
+from embertray.controller.core import Desk
+from embertray.controller.endpoint_list.follow import Follow
 
 
 class SimulatedController:
--- a/embertray/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -1,8 +1,9 @@
 """The controllers of a day by name."""
 
-from ..days.starts import Starts
-from ..durable.snapshot import KeptInMemory
-from ..standin.aged import age_in_memory
+from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.simulation.scenarios.starts import Starts
+from embertray.simulation.standins.aged import age_in_memory
+
 from .controller import SimulatedController
 
 
--- a/embertray/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -3,18 +3,19 @@
 
 The same day's text, the same troubles, the same models as on sockets; a message is a planned call, not bytes.
 What needs true streams (half a message, strangers' noise) is refused. Controllers are core.Desk, with
-`choice/` inside.
+`policy/` inside.
 """
 
-from ..core import Instance
-from ..days.ground import SETTLE, START_AFTER, Ground
-from ..days.notation import BadDay
-from ..days.observer import Observer
-from ..days.troubles import Trouble
-from ..model.backend import Backend
-from ..model.client import Clients
-from ..site.site import time as span
-from ..trust import Trust
+from embertray.controller.core import Instance
+from embertray.controller.trust import Trust
+from embertray.service.site.site import time as span
+from embertray.simulation.models.backend import Backend
+from embertray.simulation.models.client import Clients
+from embertray.simulation.scenarios.ground import SETTLE, START_AFTER, Ground
+from embertray.simulation.scenarios.notation import BadDay
+from embertray.simulation.scenarios.observer import Observer
+from embertray.simulation.scenarios.troubles import Trouble
+
 from .backend import SimulatedBackend
 from .clients import SimulatedClients
 from .controllers import SimulatedControllers
--- a/embertray/emulator/flows.py
+++ b/embertray/simulation/emulator/flows.py
@@ -7,12 +7,12 @@
 
 import anyio
 
-from ..model.backend import Backend, Shape
-from ..net.conn import Conn
-from ..standin.parts import BROKEN
-from ..stream.holding import Holding
-from ..stream.messages import Answer, Came, Met, Orders, Sums
-from ..stream.session import ProxyEnd, Refused
+from embertray.common.net.conn import Conn
+from embertray.controller.stream.holding import Holding
+from embertray.controller.stream.messages import Answer, Came, Met, Orders, Sums
+from embertray.controller.stream.session import ProxyEnd, Refused
+from embertray.simulation.models.backend import Backend, Shape
+from embertray.simulation.standins.parts import BROKEN
 
 S = 10**9
 CORES = 2  # of a backend
--- a/embertray/emulator/fluid.py
+++ b/embertray/simulation/emulator/fluid.py
@@ -11,9 +11,10 @@
 
 import numpy as np
 
-from ..days.ground import LONGEST, histogram
-from ..standin.messages import Req
-from ..stream.messages import Came, Met, Sums
+from embertray.controller.stream.messages import Came, Met, Sums
+from embertray.simulation.scenarios.ground import LONGEST, histogram
+from embertray.simulation.standins.messages import Req
+
 from .day_simulation import DaySimulation
 from .engine import S
 from .proxy import SimulatedProxy
--- a/embertray/emulator/gossip.py
+++ b/embertray/simulation/emulator/gossip.py
@@ -6,8 +6,9 @@
 import random
 from collections import Counter
 
-from ..cluster.membership import Membership, Pace
-from ..cluster.membership.messages import Unreadable, decode, encode
+from embertray.cluster.membership import Membership, Pace
+from embertray.cluster.membership.messages import Unreadable, decode, encode
+
 from .engine import Engine, S
 
 MS = 10**6
--- a/embertray/emulator/inventory.py
+++ b/embertray/simulation/emulator/inventory.py
@@ -1,7 +1,7 @@
 """The inventory without streams: news and answers are planned calls."""
 
-from ..inventory.messages import Failed, Watch
-from ..model.inventory import Inventory
+from embertray.controller.endpoint_list.messages import Failed, Watch
+from embertray.simulation.models.inventory import Inventory
 
 
 class SimulatedInventory(Inventory):
--- a/embertray/emulator/limits.py
+++ b/embertray/simulation/emulator/limits.py
@@ -3,8 +3,9 @@
 
 import random
 
-from ..fleet.limits import Limits, Pace
-from ..model.web import Web
+from embertray.cluster.limits import Limits, Pace
+from embertray.simulation.models.web import Web
+
 from .engine import Engine, S
 
 MS = 10**6
--- a/embertray/emulator/play.py
+++ b/embertray/simulation/emulator/play.py
@@ -2,7 +2,8 @@
 
 import time
 
-from ..days.result import judge
+from embertray.simulation.scenarios.result import judge
+
 from .day_simulation import DaySimulation
 from .fluid import FluidSimulation
 
--- a/embertray/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -1,9 +1,9 @@
 """A proxy without streams: what it is told, reports, sends and hears are planned calls."""
 
-from ..model.proxy import Proxy, StandsStill
-from ..standin.messages import Req
-from ..standin.proxy import REDIAL
-from ..stream.messages import Answer, Hello
+from embertray.controller.stream.messages import Answer, Hello
+from embertray.simulation.models.proxy import Proxy, StandsStill
+from embertray.simulation.standins.messages import Req
+from embertray.simulation.standins.proxy import REDIAL
 
 
 class SimulatedProxy(StandsStill):
--- a/embertray/emulator/queues.py
+++ b/embertray/simulation/emulator/queues.py
@@ -9,7 +9,8 @@
 
 import numpy as np
 
-from ..model.backend import Backend, Shape
+from embertray.simulation.models.backend import Backend, Shape
+
 from .engine import Engine, S
 
 
--- a/embertray/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -4,9 +4,9 @@
 
 import random
 
-from ..cluster.link.link import EXCHANGE_WITHIN, FACTS_EVERY, pack
-from ..cluster.state import EntryStore, Exchange
-from ..stream.frames import PREFIX
+from embertray.cluster.link.link import EXCHANGE_WITHIN, FACTS_EVERY, pack
+from embertray.cluster.state import EntryStore, Exchange
+from embertray.common.framing import PREFIX
 
 MS = 10**6
 LOOK = 20 * MS  # ns between two looks at a silent way, as the rig's streams take
--- a/embertray/model/inventory.py
+++ b/embertray/simulation/models/inventory.py
@@ -1,6 +1,6 @@
 """An inventory without its sockets: what is listed, since when, and what a call is answered. Times in ns."""
 
-from ..inventory.messages import Get, Listed, News
+from embertray.controller.endpoint_list.messages import Get, Listed, News
 
 
 class Inventory:
--- a/embertray/model/proxy.py
+++ b/embertray/simulation/models/proxy.py
@@ -11,8 +11,8 @@
 
 import numpy as np
 
-from ..stream.holding import Holding
-from ..stream.messages import Came, Met, Sums
+from embertray.controller.stream.holding import Holding
+from embertray.controller.stream.messages import Came, Met, Sums
 
 S = 10**9
 EJECT = 3 * S  # ns that an ejected backend is left alone
--- a/embertray/rig/control.py
+++ b/embertray/simulation/processes/control.py
@@ -12,7 +12,8 @@
 
 from lxml import etree
 
-from ..site.site import HERE as SITES
+from embertray.service.site.site import HERE as SITES
+
 from .control_links import ControlLinks
 from .described import describe
 from .ports import free_ports
@@ -100,7 +101,7 @@
     def _command(self, name, path):
         replica = name in self.replicas
         if self.scale is not None:
-            program = self.programs.get(name, ["-m", "embertray.rig.control_process"])
+            program = self.programs.get(name, ["-m", "embertray.simulation.processes.control_process"])
             role = "replica" if replica else "subscriber"
             return [sys.executable, *program, path, role, name, "--scale", str(self.scale)]
         if replica:
--- a/embertray/rig/control_links.py
+++ b/embertray/simulation/processes/control_links.py
@@ -7,7 +7,8 @@
 import anyio
 from anyio.from_thread import start_blocking_portal
 
-from ..model.web import Web
+from embertray.simulation.models.web import Web
+
 from .ports import free_ports
 from .tube import Tube
 
--- a/embertray/rig/control_pace.py
+++ b/embertray/simulation/processes/control_pace.py
@@ -2,7 +2,7 @@
 
 from dataclasses import fields, replace
 
-from ..control.pace import FeedPace, ReplicaPace, SubscriberPace
+from embertray.cluster.replication.pace import FeedPace, ReplicaPace, SubscriberPace
 
 FEED_TIMES = ("heartbeat", "retry_first", "retry_most", "silence")
 
--- a/embertray/rig/control_play.py
+++ b/embertray/simulation/processes/control_play.py
@@ -7,8 +7,9 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 
-from ..control.bounds import Bounds
-from ..control.operations import Committed
+from embertray.cluster.replication.bounds import Bounds
+from embertray.cluster.replication.operations import Committed
+
 from .control import ControlPlane
 from .control_pace import scaled_paces
 from .control_record import ControlRecord
--- a/embertray/rig/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -1,7 +1,7 @@
 """One process of a control plane whose times are shorter by a factor, for tests and plays: a control replica,
 or a subscriber alone, without a controller round it.
 
-`python -m embertray.rig.control_process SITE.xml replica|subscriber NAME --scale 0.2`
+`python -m embertray.simulation.processes.control_process SITE.xml replica|subscriber NAME --scale 0.2`
 """
 
 import signal
@@ -11,13 +11,14 @@
 import msgspec
 import structlog
 
-from ..admin.server import serve_request, text
-from ..cli import logs
-from ..control.pace import FeedPace
-from ..daemon.control import ReplicaProcess, subscriber_client
-from ..net.clock import LoopClock
-from ..net.tcp import TcpNet
-from ..site import load
+from embertray.cluster.replication.pace import FeedPace
+from embertray.common import logs
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.service.admin.server import serve_request, text
+from embertray.service.daemon.control import ReplicaProcess, subscriber_client
+from embertray.service.site import load
+
 from .control_pace import scaled_paces
 
 
--- a/embertray/rig/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -12,11 +12,11 @@
 
 import anyio
 
-from ..cli.control_calls import Unreachable, write
-from ..control.entry import Entry
-from ..control.link.audit import value_digest
-from ..control.operations import Committed
-from ..days.control_claims import ControlClaims
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.link.audit import value_digest
+from embertray.cluster.replication.operations import Committed
+from embertray.service.admin.control_client import Unreachable, write
+from embertray.simulation.claims.control import ControlClaims
 
 S = 10**9
 LOOK_EVERY = 0.1  # s between two looks at a subscriber
--- a/embertray/rig/held.py
+++ b/embertray/simulation/processes/held.py
@@ -7,12 +7,13 @@
 
 import anyio
 
-from ..cluster.link.link import EXCHANGE_WITHIN
-from ..days.claims import Claims
-from ..inventory.messages import News, read_answer
-from ..site.site import time as span
-from ..standin.aged import age_on_disk
-from ..stream.frames import Splitter
+from embertray.cluster.link.link import EXCHANGE_WITHIN
+from embertray.common.framing import Splitter
+from embertray.controller.endpoint_list.messages import News, read_answer
+from embertray.service.site.site import time as span
+from embertray.simulation.claims.cluster import Claims
+from embertray.simulation.standins.aged import age_on_disk
+
 from .described import describe
 from .ports import free_ports
 from .program import Program
--- a/embertray/rig/processes.py
+++ b/embertray/simulation/processes/processes.py
@@ -10,7 +10,8 @@
 
 from lxml import etree
 
-from ..site.site import HERE as SITES
+from embertray.service.site.site import HERE as SITES
+
 from .described import describe
 from .ports import free_ports
 from .program import Program
--- a/embertray/rig/program.py
+++ b/embertray/simulation/processes/program.py
@@ -7,7 +7,7 @@
 import anyio
 import psutil
 
-ROOT = Path(__file__).resolve().parent.parent.parent
+ROOT = Path(__file__).resolve().parents[3]
 START_WITHIN = 30  # s until it listens
 END_WITHIN = 10  # s that an asked end may take
 LOOK = 0.02  # s between two looks at its log
--- a/embertray/rig/watch.py
+++ b/embertray/simulation/processes/watch.py
@@ -7,8 +7,8 @@
 import msgspec
 from prometheus_client.parser import text_string_to_metric_families as families
 
-from ..admin.ask import ask
-from ..standin.parts import BROKEN
+from embertray.service.admin.client import ask
+from embertray.simulation.standins.parts import BROKEN
 
 S = 10**9
 EVERY = S // 4  # ns between two looks at a process
--- a/embertray/rig/ways.py
+++ b/embertray/simulation/processes/ways.py
@@ -11,8 +11,9 @@
 import anyio
 import msgspec
 
-from ..cluster.membership.messages import Help, Unreadable, decode, encode
-from ..model.web import Web
+from embertray.cluster.membership.messages import Help, Unreadable, decode, encode
+from embertray.simulation.models.web import Web
+
 from .ports import free_ports
 from .tube import Tube
 
--- a/embertray/days/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -7,12 +7,13 @@
 
 import anyio
 
-from ..core import Instance
-from ..daemon import Service
-from ..durable.snapshot import KeptInMemory
-from ..standin.aged import age_in_memory
-from ..standin.virtual import Gate, GatedClock, GatedNet
-from ..trust import Trust
+from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.controller.core import Instance
+from embertray.controller.trust import Trust
+from embertray.service.daemon import Service
+from embertray.simulation.standins.aged import age_in_memory
+from embertray.simulation.standins.virtual import Gate, GatedClock, GatedNet
+
 from .starts import Starts
 
 
--- a/embertray/days/ground.py
+++ b/embertray/simulation/scenarios/ground.py
@@ -7,11 +7,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ..model.backend import Shape
-from ..model.chance import Streams
-from ..model.load import Bursts, Poisson, Varying, flash, wave
-from ..site import load as load_site
-from ..site.site import HERE as SITES, time as span
+from embertray.service.site import load as load_site
+from embertray.service.site.site import HERE as SITES, time as span
+from embertray.simulation.models.backend import Shape
+from embertray.simulation.models.chance import Streams
+from embertray.simulation.models.load import Bursts, Poisson, Varying, flash, wave
+
 from .notation import BadDay
 
 S = 10**9
--- a/embertray/days/notation.py
+++ b/embertray/simulation/scenarios/notation.py
@@ -10,7 +10,8 @@
 from lark import Lark, Transformer, UnexpectedInput, v_args
 from lark.exceptions import VisitError
 
-from ..site.site import time
+from embertray.service.site.site import time
+
 from .words import FLEET, LINKS, LOAD, TROUBLES, ends, kind_of
 
 HERE = Path(__file__).resolve().parent
--- a/embertray/days/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -15,17 +15,18 @@
 import anyio
 import structlog
 
-from ..admin.ask import ask
-from ..model.backend import Backend
-from ..net.clock import LoopClock
-from ..net.tcp import TcpNet
-from ..site.site import time as span
-from ..standin.backend import StandinBackend
-from ..standin.client import StandinClients
-from ..standin.inventory import StandinInventory
-from ..standin.parts import Agenda
-from ..standin.proxy import StandinProxy
-from ..standin.virtual import MemoryNet, VirtualClock, run as run_virtual
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.service.admin.client import ask
+from embertray.service.site.site import time as span
+from embertray.simulation.models.backend import Backend
+from embertray.simulation.standins.backend import StandinBackend
+from embertray.simulation.standins.client import StandinClients
+from embertray.simulation.standins.inventory import StandinInventory
+from embertray.simulation.standins.parts import Agenda
+from embertray.simulation.standins.proxy import StandinProxy
+from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
+
 from . import controllers
 from .ground import SETTLE, START_AFTER, Ground
 from .notation import BadDay
@@ -178,7 +179,7 @@
 
         stage = run_virtual(main)
     else:
-        from ..rig.held import Linked, Processes
+        from embertray.simulation.processes.held import Linked, Processes
 
         async def main():
             with tempfile.TemporaryDirectory() as folder:
--- a/embertray/days/rules.py
+++ b/embertray/simulation/scenarios/rules.py
@@ -13,7 +13,8 @@
 does that stands still or does not read is not the controller's doing.
 """
 
-from ..stream.messages import Bind
+from embertray.controller.stream.messages import Bind
+
 from .budgets import Budgets
 from .seen import Con, Pxy, Told
 
--- a/embertray/days/seen.py
+++ b/embertray/simulation/scenarios/seen.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from ..stream.holding import Holding
+from embertray.controller.stream.holding import Holding
 
 
 class Told:
--- a/embertray/days/troubles/backends.py
+++ b/embertray/simulation/scenarios/troubles/backends.py
@@ -1,6 +1,7 @@
 """Backends that die, hang, err, lie, drain, come cold."""
 
-from ...site.site import time as span
+from embertray.service.site.site import time as span
+
 from .base import S, Struck
 
 
--- a/embertray/days/troubles/controllers.py
+++ b/embertray/simulation/scenarios/troubles/controllers.py
@@ -2,8 +2,9 @@
 
 import anyio
 
-from ...site.site import time as span
-from ...standin.parts import BROKEN
+from embertray.service.site.site import time as span
+from embertray.simulation.standins.parts import BROKEN
+
 from .base import Struck, share
 
 
--- a/embertray/days/troubles/links.py
+++ b/embertray/simulation/scenarios/troubles/links.py
@@ -2,8 +2,9 @@
 processes have them.
 """
 
-from ...site.site import time as span
-from ..words import ordered
+from embertray.service.site.site import time as span
+from embertray.simulation.scenarios.words import ordered
+
 from .base import Struck, share
 
 
--- a/embertray/days/troubles/lists.py
+++ b/embertray/simulation/scenarios/troubles/lists.py
@@ -1,6 +1,7 @@
 """An inventory that is down, short or behind."""
 
-from ...inventory.messages import Listed
+from embertray.controller.endpoint_list.messages import Listed
+
 from .base import Struck
 
 
--- a/embertray/days/troubles/proxies.py
+++ b/embertray/simulation/scenarios/troubles/proxies.py
@@ -2,8 +2,9 @@
 
 import anyio
 
-from ...stream.frames import frame
-from ...stream.session import ProxyEnd
+from embertray.common.framing import frame
+from embertray.controller.stream.session import ProxyEnd
+
 from .base import Struck
 
 
--- a/embertray/standin/aged.py
+++ b/embertray/simulation/standins/aged.py
@@ -2,7 +2,7 @@
 
 from msgspec import structs
 
-from ..durable.snapshot import Kept, Snapshot
+from embertray.common.snapshots.snapshot import Kept, Snapshot
 
 
 def older(last, by):
--- a/embertray/standin/backend.py
+++ b/embertray/simulation/standins/backend.py
@@ -1,4 +1,4 @@
-"""A backend on a listening address, round the model of embertray/model/backend.py."""
+"""A backend on a listening address, round the model of embertray/simulation/models/backend.py."""
 
 import anyio
 
--- a/embertray/standin/client.py
+++ b/embertray/simulation/standins/client.py
@@ -4,8 +4,9 @@
 
 import anyio
 
-from ..model.client import Clients
-from ..model.load import Poisson
+from embertray.simulation.models.client import Clients
+from embertray.simulation.models.load import Poisson
+
 from .messages import End, Req, encode, read
 from .parts import Link
 
--- a/embertray/standin/fleet.py
+++ b/embertray/simulation/standins/fleet.py
@@ -3,7 +3,7 @@
 
 from collections import defaultdict, deque
 
-from .. import interface as i
+from embertray.policy import interface as i
 
 MS, S = 10**6, 10**9
 
--- a/embertray/standin/inventory.py
+++ b/embertray/simulation/standins/inventory.py
@@ -2,8 +2,9 @@
 
 import anyio
 
-from ..inventory.messages import Failed, Watch, encode, read_ask
-from ..model.inventory import Inventory
+from embertray.controller.endpoint_list.messages import Failed, Watch, encode, read_ask
+from embertray.simulation.models.inventory import Inventory
+
 from .parts import Link
 
 
--- a/embertray/standin/messages.py
+++ b/embertray/simulation/standins/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..stream.messages import Message
+from embertray.controller.stream.messages import Message
 
 
 class Req(Message, tag="req"):
--- a/embertray/standin/parts.py
+++ b/embertray/simulation/standins/parts.py
@@ -4,8 +4,8 @@
 
 import anyio
 
-from ..net.conn import Conn
-from ..stream.frames import BadFrame, Splitter, frame
+from embertray.common.framing import BadFrame, Splitter, frame
+from embertray.common.net.conn import Conn
 
 BROKEN = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
--- a/embertray/standin/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -5,10 +5,11 @@
 
 import anyio
 
-from ..model.proxy import Proxy, StandsStill
-from ..net.conn import Conn
-from ..stream.messages import Answer, Orders
-from ..stream.session import ProxyEnd, Refused
+from embertray.common.net.conn import Conn
+from embertray.controller.stream.messages import Answer, Orders
+from embertray.controller.stream.session import ProxyEnd, Refused
+from embertray.simulation.models.proxy import Proxy, StandsStill
+
 from .messages import End, Req, encode, read
 from .parts import BROKEN, Link
 
--- a/embertray/standin/virtual.py
+++ b/embertray/simulation/standins/virtual.py
@@ -11,7 +11,7 @@
 import anyio
 from anyio.abc import ByteStream
 
-from ..net.clock import LoopClock
+from embertray.common.net.clock import LoopClock
 
 START = 1000.0  # s on the virtual clock at the start: what started "long ago" lies before it
 MOST_HELD = 64 * 1024  # bytes a stream holds for a reader that does not read, as a socket does
--- a/tests/control_sabotage.py
+++ b/tests/control_sabotage.py
@@ -6,9 +6,9 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from embertray.control.replica import Replica  # noqa: E402
-from embertray.control.subscriber import Subscriber  # noqa: E402
-from embertray.rig.control_process import main  # noqa: E402
+from embertray.cluster.replication.replica import Replica  # noqa: E402
+from embertray.cluster.replication.subscriber import Subscriber  # noqa: E402
+from embertray.simulation.processes.control_process import main  # noqa: E402
 
 
 def answers_without_a_majority():
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -7,19 +7,19 @@
 import anyio
 import structlog
 
-from embertray.control.link import (
+from embertray.cluster.replication.link import (
     OutcomeUnknown,
     ReplicaServer,
     ReplicaSettings,
     SubscriberClient,
     SubscriberSettings,
 )
-from embertray.control.link.saved import replica_state, subscriber_state
-from embertray.control.pace import MS, FeedPace, ReplicaPace, SubscriberPace
-from embertray.control.replica_types import NoMajority, NotLeader
-from embertray.net.clock import LoopClock
-from embertray.net.tcp import TcpNet
-from embertray.rig.ports import free_ports
+from embertray.cluster.replication.link.saved import replica_state, subscriber_state
+from embertray.cluster.replication.pace import MS, FeedPace, ReplicaPace, SubscriberPace
+from embertray.cluster.replication.replica_types import NoMajority, NotLeader
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.simulation.processes.ports import free_ports
 
 # elections that are won on a busy machine, too: a vote is two ways and two saves
 REPLICA_PACE = ReplicaPace(80 * MS, 500 * MS, 1_500 * MS, 3_000 * MS)
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -8,14 +8,14 @@
 
 import anyio
 
-from embertray.days.player import quiet
-from embertray.net.clock import LoopClock
-from embertray.net.tcp import TcpNet
-from embertray.node.service import Service
-from embertray.platform.port import Came, Met, Port
-from embertray.platform.start import read
-from embertray.standin.platform import StandinDiscovery
-from embertray.standin.relay import StandinRelay
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.platform.protocol.port import Came, Met, Port
+from embertray.platform.protocol.start import read
+from embertray.platform.run.service import Service
+from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.standins.platform import StandinDiscovery
+from embertray.simulation.standins.relay import StandinRelay
 
 HERE = Path(__file__).resolve().parent
 MS, S = 10**6, 10**9
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -2,9 +2,9 @@
 
 from dataclasses import replace
 
-from embertray import interface as i
-from embertray.core import Instance
-from embertray.stream.messages import Bind, Line, Orders
+from embertray.controller.core import Instance
+from embertray.controller.stream.messages import Bind, Line, Orders
+from embertray.policy import interface as i
 
 
 class DropsRemovals(Instance):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -5,8 +5,10 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from embertray import interface as i  # noqa: E402
-from embertray.choice import Controller  # noqa: E402
+from embertray.policy import (
+    Controller,  # noqa: E402
+    interface as i,  # noqa: E402
+)
 
 UNITS = {"ms": 10**6, "s": 10**9}
 COMPARE = {"<": operator.lt, ">": operator.gt, "=": lambda a, b: abs(a - b) < 1e-6}
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,10 +14,11 @@
 import structlog
 from click.testing import CliRunner
 
-from embertray.capacity import page, reckon
-from embertray.capacity.figure import Slopes, derived, reckoned, unknown
-from embertray.capacity.fit import fit
-from embertray.capacity.names import (
+from embertray.cli.main import main
+from embertray.experiments.capacity import page, reckon
+from embertray.experiments.capacity.figure import Slopes, derived, reckoned, unknown
+from embertray.experiments.capacity.fit import fit
+from embertray.experiments.capacity.names import (
     Design,
     Origin,
     Part,
@@ -27,14 +28,13 @@
     Situation,
     Verdict,
 )
-from embertray.capacity.reach import SIZE_MOST, largest_within, reaches
-from embertray.capacity.row import Row, judge
-from embertray.capacity.slope import BadSlope, Slope, load_all, save
-from embertray.capacity.table import FAILURES, STEADY, compute, varied
-from embertray.capacity.target import OPERATORS, BadTarget, load
-from embertray.cli.main import main
-from embertray.measure.capacity import decisions, entries, picks
-from embertray.measure.capacity.record import Recording
+from embertray.experiments.capacity.reach import SIZE_MOST, largest_within, reaches
+from embertray.experiments.capacity.row import Row, judge
+from embertray.experiments.capacity.slope import BadSlope, Slope, load_all, save
+from embertray.experiments.capacity.table import FAILURES, STEADY, compute, varied
+from embertray.experiments.capacity.target import OPERATORS, BadTarget, load
+from embertray.experiments.measure.capacity import decisions, entries, picks
+from embertray.experiments.measure.capacity.record import Recording
 
 ROOT = Path(__file__).resolve().parent.parent
 SLOPES = ROOT / "docs" / "measured" / "capacity"
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,9 +7,9 @@
 from test_state import DropsDeltas, RepeatsOld
 
 from embertray.cluster.membership import DEAD, Membership
-from embertray.days import notation, player
-from embertray.emulator.cluster_simulation import ClusterSimulation
-from embertray.emulator.random_faults import random_faults
+from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
+from embertray.simulation.emulator.random_faults import random_faults
+from embertray.simulation.scenarios import notation, player
 
 SPLIT = """fleet controllers=6 cluster=yes period=200ms
 load 1/s for 60s
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -10,7 +10,7 @@
 from embertray.cluster.membership.health import Health
 from embertray.cluster.membership.member import Statement
 from embertray.cluster.membership.messages import Ping, Unreadable, decode, encode
-from embertray.emulator.gossip import MS, MembershipSimulation, S
+from embertray.simulation.emulator.gossip import MS, MembershipSimulation, S
 
 PACE = Pace()
 
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -11,9 +11,9 @@
 from lxml import etree
 
 from embertray.cluster.membership import Pace
-from embertray.rig.ports import free_ports
-from embertray.rig.processes import PERIOD, Members
-from embertray.rig.program import ROOT
+from embertray.simulation.processes.ports import free_ports
+from embertray.simulation.processes.processes import PERIOD, Members
+from embertray.simulation.processes.program import ROOT
 
 
 class Held(unittest.TestCase):
@@ -124,7 +124,8 @@
         self.assertIn(b"no cluster", site.ask("c1"))
         self.assertNotIn(b'"cluster"', site.ask("c1", "/memory"))
         code = (
-            "import sys; import embertray.cli.main, embertray.daemon.service, embertray.admin.http; "
+            "import sys; import embertray.cli.main, embertray.service.daemon.service, "
+            "embertray.service.admin.http; "
             "print([m for m in sys.modules if m.startswith('embertray.cluster')])"
         )
         self.assertEqual(
@@ -135,7 +136,7 @@
 
 class Described(unittest.TestCase):
     def test_a_cluster_needs_its_members_addresses(self):
-        from embertray.site import BadSite, load
+        from embertray.service.site import BadSite, load
 
         with tempfile.TemporaryDirectory() as folder:
             site = Members(folder, 2)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,12 +5,12 @@
 
 from hypothesis import given, settings, strategies as st
 
-from embertray.control.bounds import Bounds
-from embertray.control.budget import TokenBucket
-from embertray.control.entry import Entry
-from embertray.control.feed import Feed, Refused
-from embertray.control.freshness import AGE_UNKNOWN, Freshness
-from embertray.control.messages import (
+from embertray.cluster.replication.bounds import Bounds
+from embertray.cluster.replication.budget import TokenBucket
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.feed import Feed, Refused
+from embertray.cluster.replication.freshness import AGE_UNKNOWN, Freshness
+from embertray.cluster.replication.messages import (
     VERSION,
     Confirm,
     Heartbeat,
@@ -27,11 +27,11 @@
     decode_to_subscriber,
     encode,
 )
-from embertray.control.pace import HISTORY, REMOVALS_KEPT, FeedPace, SubscriberPace
-from embertray.control.replica import Replica
-from embertray.control.replica_types import Conflict, NoMajority, NotLeader, Overloaded, Role
-from embertray.control.store import VersionedStore, export, restore
-from embertray.control.subscriber import Dial, Hang, Say, Subscriber
+from embertray.cluster.replication.pace import HISTORY, REMOVALS_KEPT, FeedPace, SubscriberPace
+from embertray.cluster.replication.replica import Replica
+from embertray.cluster.replication.replica_types import Conflict, NoMajority, NotLeader, Overloaded, Role
+from embertray.cluster.replication.store import VersionedStore, export, restore
+from embertray.cluster.replication.subscriber import Dial, Hang, Say, Subscriber
 
 S = 10**9
 MS = 10**6
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -10,9 +10,9 @@
 from click.testing import CliRunner
 
 from embertray.cli.control import control as control_commands
-from embertray.rig.control import ControlPlane
-from embertray.rig.ports import free_ports
-from embertray.rig.program import ROOT
+from embertray.simulation.processes.control import ControlPlane
+from embertray.simulation.processes.ports import free_ports
+from embertray.simulation.processes.program import ROOT
 
 NOT_KNOWN = 10**6  # a revision that no test reaches
 
@@ -237,13 +237,13 @@
 class Off(unittest.TestCase):
     def test_without_control_nothing_of_it_is_imported(self):
         for modules in (
-            "embertray.cli.main, embertray.daemon.service, embertray.admin.http",
-            "embertray.node.service",
+            "embertray.cli.main, embertray.service.daemon.service, embertray.service.admin.http",
+            "embertray.platform.run.service",
             "embertray.benchlink.wire",
         ):
             code = (
                 f"import sys; import {modules}; print([name for name in sys.modules "
-                "if name.startswith(('embertray.control', 'embertray.daemon.control'))])"
+                "if name.startswith(('embertray.cluster.replication', 'embertray.service.daemon.control'))])"
             )
             done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT)
             self.assertEqual((done.stdout, done.stderr), ("[]\n", ""))
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -9,16 +9,16 @@
 import anyio
 from control_stage import MOST, Stage, until
 
-from embertray.control.entry import Entry
-from embertray.control.link.saved import replica_state
-from embertray.control.link.writes import BadKey, BadRequest, TooLarge, VersionNotKept
-from embertray.control.messages import Confirm, Subscribe, Vote, encode
-from embertray.control.pace import STATE_BYTES_MOST
-from embertray.control.replica_types import Conflict, NotLeader, ReplicaState, Role
-from embertray.durable import Disk
-from embertray.net.clock import LoopClock
-from embertray.net.tcp import TcpNet
-from embertray.stream.frames import Splitter, frame
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.link.saved import replica_state
+from embertray.cluster.replication.link.writes import BadKey, BadRequest, TooLarge, VersionNotKept
+from embertray.cluster.replication.messages import Confirm, Subscribe, Vote, encode
+from embertray.cluster.replication.pace import STATE_BYTES_MOST
+from embertray.cluster.replication.replica_types import Conflict, NotLeader, ReplicaState, Role
+from embertray.common.framing import Splitter, frame
+from embertray.common.net.clock import LoopClock
+from embertray.common.net.tcp import TcpNet
+from embertray.common.snapshots import Disk
 
 
 class Case(unittest.TestCase):
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -5,15 +5,15 @@
 import random
 import unittest
 
-from embertray.control.feed import Feed
-from embertray.control.messages import Heartbeat, encode
-from embertray.control.replica import Replica
-from embertray.control.replica_types import ReplicaState
-from embertray.control.subscriber import Subscriber
-from embertray.emulator.control import ControlPlay, Settings, draw_faults
-from embertray.emulator.control.faults import KINDS, Fault, play_faults, strike
-from embertray.emulator.control.replica_process import ReplicaProcess
-from embertray.emulator.control.subscriber_process import SubscriberProcess
+from embertray.cluster.replication.feed import Feed
+from embertray.cluster.replication.messages import Heartbeat, encode
+from embertray.cluster.replication.replica import Replica
+from embertray.cluster.replication.replica_types import ReplicaState
+from embertray.cluster.replication.subscriber import Subscriber
+from embertray.simulation.emulator.control import ControlPlay, Settings, draw_faults
+from embertray.simulation.emulator.control.faults import KINDS, Fault, play_faults, strike
+from embertray.simulation.emulator.control.replica_process import ReplicaProcess
+from embertray.simulation.emulator.control.subscriber_process import SubscriberProcess
 
 S = 10**9
 CALM = 50 * S  # past the longest bound after a fault: writes are then due within the bound for good links
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -6,10 +6,10 @@
 import unittest
 from pathlib import Path
 
-from embertray.control.link.audit import value_digest
-from embertray.control.operations import Committed
-from embertray.rig.control import MOST
-from embertray.rig.control_play import play, recorded_plane
+from embertray.cluster.replication.link.audit import value_digest
+from embertray.cluster.replication.operations import Committed
+from embertray.simulation.processes.control import MOST
+from embertray.simulation.processes.control_play import play, recorded_plane
 
 HERE = Path(__file__).resolve().parent
 SCALE = 0.4  # of all times, so that a case takes seconds, and an election is won on a busy machine
--- a/tests/test_control_site.py
+++ b/tests/test_control_site.py
@@ -7,9 +7,9 @@
 
 from hypothesis import given, settings, strategies as st
 
-from embertray.site import BadSite, load
-from embertray.site.control import FOLLOWED, ReplicaAt, replica_order
-from embertray.site.site import HERE as SITES
+from embertray.service.site import BadSite, load
+from embertray.service.site.control import FOLLOWED, ReplicaAt, replica_order
+from embertray.service.site.site import HERE as SITES
 
 SAMPLE = (SITES / "samples" / "pushed.xml").read_text()
 CONTROL = """
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -6,12 +6,11 @@
 import sys
 import unittest
 
-from embertray import interface as i
-from embertray.choice import Controller
-from embertray.standin.fleet import Fleet
+from embertray.policy import Controller, interface as i
+from embertray.simulation.standins.fleet import Fleet
 
 MS, S = 10**6, 10**9
-COUNTED = re.compile(r"/embertray/(choice|records)/")
+COUNTED = re.compile(r"/embertray/policy/")
 
 
 def settled(backends, proxies):
@@ -27,7 +26,7 @@
 
 
 def lines(fleet, events, wait=250 * MS):
-    """Lines of embertray/choice and embertray/records that one step runs, loops in comprehensions by turn."""
+    """Lines of embertray/policy that one step runs, loops in comprehensions by turn."""
     count = 0
 
     def local(frame, what, _):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -13,20 +13,20 @@
 import anyio
 from hypothesis import HealthCheck, given, settings, strategies as st
 
-from embertray.channel.outlet import OLDEST
-from embertray.daemon import Service
-from embertray.days.player import quiet
-from embertray.durable import Kept, KeptEntry, Snapshot
-from embertray.durable.snapshot import KeptInMemory
-from embertray.net.address import BadAddress, loopback
-from embertray.net.tcp import TcpNet
-from embertray.site import load
-from embertray.site.site import HERE as SITES
-from embertray.standin.inventory import StandinInventory
-from embertray.standin.parts import Agenda
-from embertray.standin.virtual import START, MemoryNet, VirtualClock, run
-from embertray.stream.messages import Answer, Bind, Fault, Orders, Welcome
-from embertray.stream.session import ProxyEnd, Refused
+from embertray.common.net.address import BadAddress, loopback
+from embertray.common.net.tcp import TcpNet
+from embertray.common.snapshots import Kept, KeptEntry, Snapshot
+from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.controller.channel.outlet import OLDEST
+from embertray.controller.stream.messages import Answer, Bind, Fault, Orders, Welcome
+from embertray.controller.stream.session import ProxyEnd, Refused
+from embertray.service.daemon import Service
+from embertray.service.site import load
+from embertray.service.site.site import HERE as SITES
+from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.standins.inventory import StandinInventory
+from embertray.simulation.standins.parts import Agenda
+from embertray.simulation.standins.virtual import START, MemoryNet, VirtualClock, run
 
 HERE = Path(__file__).resolve().parent
 S = 10**9
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -12,8 +12,8 @@
 
 import sabotage
 
-from embertray.days import notation, player
-from embertray.days.rules import NAMES
+from embertray.simulation.scenarios import notation, player
+from embertray.simulation.scenarios.rules import NAMES
 
 HERE = Path(__file__).resolve().parent
 
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -9,14 +9,14 @@
 from hypothesis import given, settings, strategies as st
 from test_daemon import virtual
 
-from embertray.core import Instance
-from embertray.days import notation, player
-from embertray.degrade import Reduced
-from embertray.degrade.gauge import Gauge
-from embertray.degrade.reduced import CALM, ENTER, NAMES, SURE
-from embertray.emulator.play import play
-from embertray.interface import RequestKind
-from embertray.stream.messages import Level
+from embertray.controller.core import Instance
+from embertray.controller.degradation import Reduced
+from embertray.controller.degradation.gauge import Gauge
+from embertray.controller.degradation.reduced import CALM, ENTER, NAMES, SURE
+from embertray.controller.stream.messages import Level
+from embertray.policy.interface import RequestKind
+from embertray.simulation.emulator.play import play
+from embertray.simulation.scenarios import notation, player
 
 S = 10**9
 POST, VIEW = RequestKind(S, 2 * S, 3.0, external_id="post"), RequestKind(S, 2 * S, 1.0, external_id="view")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,15 +14,15 @@
 import sabotage
 from hypothesis import given, settings, strategies as st
 
-from embertray.days import notation, player
-from embertray.emulator.engine import Engine
-from embertray.emulator.play import play
-from embertray.lab import policies
-from embertray.model.backend import Backend, Shape
-from embertray.model.client import Clients
-from embertray.model.load import Bursts, Poisson, Recorded, Varying, flash, wave
-from embertray.model.proxy import EJECT, Proxy
-from embertray.stream.messages import Bind, Orders
+from embertray.controller.stream.messages import Bind, Orders
+from embertray.experiments.lab import policies
+from embertray.simulation.emulator.engine import Engine
+from embertray.simulation.emulator.play import play
+from embertray.simulation.models.backend import Backend, Shape
+from embertray.simulation.models.client import Clients
+from embertray.simulation.models.load import Bursts, Poisson, Recorded, Varying, flash, wave
+from embertray.simulation.models.proxy import EJECT, Proxy
+from embertray.simulation.scenarios import notation, player
 
 S = 10**9
 HERE = Path(__file__).resolve().parent
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,11 +3,10 @@
 import unittest
 from unittest import mock
 
-from embertray import interface as i
-from embertray.choice import Controller
-from embertray.choice.channel import Channel
-from embertray.choice.planner import Planner
-from embertray.standin.fleet import Fleet
+from embertray.policy import Controller, interface as i
+from embertray.policy.channel import Channel
+from embertray.policy.planner import Planner
+from embertray.simulation.standins.fleet import Fleet
 
 MS, S = 10**6, 10**9
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from embertray.net.http import CallFailed, Talk
-from embertray.net.tcp import TcpNet
+from embertray.common.net.http import CallFailed, Talk
+from embertray.common.net.tcp import TcpNet
 
 MS = 10**6
 BODY = b"x" * (16 << 20)  # more than the system takes for a peer that reads nothing
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,10 +8,17 @@
 import numpy as np
 import sabotage
 
-from embertray.emulator.engine import Engine, Stuck
-from embertray.emulator.queues import batch_interval, erlang_c, fixed_service, shared, two_choices, wait_of
-from embertray.lab import experiment, hunt, policies, report, run
-from embertray.lab.results import Results
+from embertray.experiments.lab import experiment, hunt, policies, report, run
+from embertray.experiments.lab.results import Results
+from embertray.simulation.emulator.engine import Engine, Stuck
+from embertray.simulation.emulator.queues import (
+    batch_interval,
+    erlang_c,
+    fixed_service,
+    shared,
+    two_choices,
+    wait_of,
+)
 
 TEXT = """<experiment name="t" seconds="60">
   <about>Small.</about>
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,14 +10,14 @@
 
 from hypothesis import given, settings, strategies as st
 
-from embertray.emulator.limits import LimitsSimulation, S
-from embertray.fleet.limits import Limits
-from embertray.fleet.limits.divide import divide
-from embertray.fleet.limits.holder import Holder
-from embertray.fleet.limits.lease import Acceptor
-from embertray.fleet.limits.ledger import Ledger
-from embertray.measure.explore import Found, explore, walk
-from embertray.measure.models import LeaderModel, LoansModel
+from embertray.cluster.limits import Limits
+from embertray.cluster.limits.divide import divide
+from embertray.cluster.limits.holder import Holder
+from embertray.cluster.limits.lease import Acceptor
+from embertray.cluster.limits.ledger import Ledger
+from embertray.experiments.measure.explore import Found, explore, walk
+from embertray.experiments.measure.models import LeaderModel, LoansModel
+from embertray.simulation.emulator.limits import LimitsSimulation, S
 
 
 def play(seed, make=Limits, drift=0.01, wounds=10):
@@ -155,7 +155,7 @@
 
 class Every(unittest.TestCase):
     """Orders of events at small size: all of the first some thousand states, and paths drawn. The whole:
-    python -m embertray.measure.models
+    python -m embertray.experiments.measure.models
     """
 
     def test_never_two_keepers(self):
@@ -208,7 +208,7 @@
         limits = Limits("a", ["a", "b", "c"], {"l": 100}, 0, random.Random(1), first=True)
         holder = limits.holder
         first, second = holder.ask(10, 7, False), holder.ask(20, 7, False)
-        from embertray.fleet.limits.messages import Grant
+        from embertray.cluster.limits.messages import Grant
 
         self.assertTrue(holder.granted(30, Grant(second.seq, 7, {"l": 9}), 7))
         self.assertFalse(holder.granted(30, Grant(first.seq, 7, {"l": 50}), 7))
@@ -220,9 +220,9 @@
 
     def test_run_and_adapter_load_none_of_it(self):
         code = (
-            "import sys; import embertray.node.service, embertray.benchlink.wire; "
-            "print([m for m in sys.modules if m.startswith(('embertray.fleet', "
-            "'embertray.cluster', 'embertray.rig'))])"
+            "import sys; import embertray.platform.run.service, embertray.benchlink.wire; "
+            "print([m for m in sys.modules if m.startswith(('embertray.cluster.limits', "
+            "'embertray.cluster', 'embertray.simulation.processes'))])"
         )
         root = Path(__file__).resolve().parent.parent
         self.assertEqual(
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,15 +11,15 @@
 import anyio
 from test_daemon import START, virtual
 
-from embertray.core import Instance
-from embertray.days import notation, player
-from embertray.emulator import churn
-from embertray.memory import Accounts, Collection
-from embertray.memory.caps import A_MEMBER, ACTIONS, JITTER, LEAST, NOTICE, WAIT, defaults
-from embertray.memory.sizes import deep, weigh
-from embertray.site import load
-from embertray.site.site import HERE as SITES, Cluster
-from embertray.stream.messages import Fault, Line, Met, Orders, Sums, Welcome
+from embertray.common.memory import Accounts, Collection
+from embertray.common.memory.caps import A_MEMBER, ACTIONS, JITTER, LEAST, NOTICE, WAIT, defaults
+from embertray.common.memory.sizes import deep, weigh
+from embertray.controller.core import Instance
+from embertray.controller.stream.messages import Fault, Line, Met, Orders, Sums, Welcome
+from embertray.service.site import load
+from embertray.service.site.site import HERE as SITES, Cluster
+from embertray.simulation.emulator import churn
+from embertray.simulation.scenarios import notation, player
 
 S = 10**9
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -20,17 +20,17 @@
 import structlog
 from platform_stage import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, stage
 
-from embertray.identifiers import Identifiers
-from embertray.net.address import BadAddress, plain
-from embertray.net.tcp import TcpNet
-from embertray.platform import limits
-from embertray.platform.news import Attach
-from embertray.platform.port import ALIVE
-from embertray.platform.post import Post
-from embertray.platform.start import BadStart, read
-from embertray.settings import BadSettings, StartSettings
-from embertray.standin.platform import StandinDiscovery
-from embertray.standin.relay import StandinRelay
+from embertray.common.net.address import BadAddress, plain
+from embertray.common.net.tcp import TcpNet
+from embertray.controller.identifiers import Identifiers
+from embertray.controller.settings import BadSettings, StartSettings
+from embertray.platform.protocol import limits
+from embertray.platform.protocol.news import Attach
+from embertray.platform.protocol.port import ALIVE
+from embertray.platform.protocol.post import Post
+from embertray.platform.protocol.start import BadStart, read
+from embertray.simulation.standins.platform import StandinDiscovery
+from embertray.simulation.standins.relay import StandinRelay
 
 
 class Told(unittest.TestCase):
@@ -98,14 +98,16 @@
 
     def test_run_imports_nothing_that_it_leaves_off(self):
         code = (
-            "import sys; import embertray.node.service, embertray.cli.logs; print([m for m in "
+            "import sys; import embertray.platform.run.service, embertray.common.logs; print([m for m in "
             "sys.modules if m.split('.')[0] in "
             "('numpy', 'lxml', 'matplotlib', 'lark', 'zstandard', 'click', 'xxhash') or "
-            "m.startswith(('embertray.daemon', "
-            "'embertray.admin', 'embertray.memory', 'embertray.durable', 'embertray.trust', "
-            "'embertray.core', 'embertray.standin', "
-            "'embertray.cluster', 'embertray.fleet', 'embertray.estimate', 'embertray.rig', "
-            "'embertray.emulator'))])"
+            "m.startswith(('embertray.service.daemon', "
+            "'embertray.service.admin', 'embertray.common.memory', 'embertray.common.snapshots', "
+            "'embertray.controller.trust', "
+            "'embertray.controller.core', 'embertray.simulation.standins', "
+            "'embertray.cluster', 'embertray.cluster.limits', 'embertray.estimate', "
+            "'embertray.simulation.processes', "
+            "'embertray.simulation.emulator'))])"
         )
         self.assertEqual(
             subprocess.run(
@@ -210,7 +212,7 @@
 
     def test_a_step_in_several_calls_survives_the_loss_of_any(self):
         async def play():
-            with mock.patch("embertray.platform.calls.ORDERS_MOST", 150):
+            with mock.patch("embertray.platform.protocol.calls.ORDERS_MOST", 150):
                 async with stage() as (service, relay, _):
                     await relay.until(lambda: len(relay.streams) == limits.STREAMS and relay.calls)
                     while service.post.module.channel.queue or not service.post.caller.idle:
@@ -415,7 +417,7 @@
                 Path(folder, "structlog.py").write_text(SLOW_IMPORT % folder)
             env = {**os.environ, "ROUTER_CONFIG": str(path), "PYTHONPATH": folder}
             with subprocess.Popen(
-                [sys.executable, "-m", "embertray.node"],
+                [sys.executable, "-m", "embertray.platform.run"],
                 env=env,
                 cwd=HERE.parent,
                 stdin=subprocess.PIPE,
@@ -520,7 +522,7 @@
             with tempfile.TemporaryDirectory() as folder:
                 Path(folder, "c").write_bytes(data)
                 done = subprocess.run(
-                    [sys.executable, "-m", "embertray.node"],
+                    [sys.executable, "-m", "embertray.platform.run"],
                     env={**os.environ, "ROUTER_CONFIG": str(Path(folder, "c"))},
                     cwd=HERE.parent,
                     capture_output=True,
--- a/tests/test_node_address.py
+++ b/tests/test_node_address.py
@@ -16,9 +16,9 @@
 import anyio
 from platform_stage import HEARD, HERE, JOIN, STATS, USAGE, S, client, configured, ended, port, rest, stage
 
-from embertray.platform import limits
-from embertray.platform.port import ALIVE, TURNED_AWAY
-from embertray.platform.room import Room
+from embertray.platform.protocol import limits
+from embertray.platform.protocol.port import ALIVE, TURNED_AWAY
+from embertray.platform.protocol.room import Room
 
 
 class Lines(unittest.TestCase):
@@ -276,7 +276,7 @@
             Path(folder, "c").write_bytes(configured())
             run = open_ones.enter_context(
                 subprocess.Popen(
-                    [sys.executable, "-m", "embertray.node"],
+                    [sys.executable, "-m", "embertray.platform.run"],
                     env={**os.environ, "ROUTER_CONFIG": str(Path(folder, "c"))},
                     cwd=HERE.parent,
                     stderr=subprocess.PIPE,
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -8,9 +8,9 @@
 import anyio
 from platform_stage import MS, S, configured, member, stage
 
-from embertray.platform import limits
-from embertray.platform.discovery import Follow, Unreadable as BadList
-from embertray.platform.start import read
+from embertray.platform.protocol import limits
+from embertray.platform.protocol.discovery import Follow, Unreadable as BadList
+from embertray.platform.protocol.start import read
 
 
 class Lists(unittest.TestCase):
--- a/tests/test_node_endings.py
+++ b/tests/test_node_endings.py
@@ -7,7 +7,7 @@
 import anyio
 from platform_stage import member, stage
 
-from embertray.platform import limits
+from embertray.platform.protocol import limits
 
 
 async def calm(service, relay):
--- a/tests/test_node_generated.py
+++ b/tests/test_node_generated.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings, strategies as st
 from platform_stage import ERROR, GOOD, HEARD, JOIN, MS, STATS, USAGE, S, configured, member, port
 
-from embertray.platform import limits
-from embertray.platform.calls import Caller, Rejected, Taken, Unreadable, read_answer
-from embertray.platform.discovery import Follow, Unreadable as BadList
-from embertray.platform.news import Attach, Detach, Done, News, Standing
-from embertray.platform.port import ALIVE, TURNED_AWAY, Came, Met
-from embertray.platform.start import BadStart, read
+from embertray.platform.protocol import limits
+from embertray.platform.protocol.calls import Caller, Rejected, Taken, Unreadable, read_answer
+from embertray.platform.protocol.discovery import Follow, Unreadable as BadList
+from embertray.platform.protocol.news import Attach, Detach, Done, News, Standing
+from embertray.platform.protocol.port import ALIVE, TURNED_AWAY, Came, Met
+from embertray.platform.protocol.start import BadStart, read
 
 ANY = settings(max_examples=400, deadline=None, derandomize=True)
 NUMBERS = st.one_of(
--- a/tests/test_node_relay.py
+++ b/tests/test_node_relay.py
@@ -5,9 +5,9 @@
 import anyio
 from platform_stage import ERROR, GOOD, MS, S, stage
 
-from embertray.platform import limits
-from embertray.platform.calls import Caller, Rejected, Taken, Unreadable, read_answer
-from embertray.platform.news import Attach, Detach, Done, News, Standing
+from embertray.platform.protocol import limits
+from embertray.platform.protocol.calls import Caller, Rejected, Taken, Unreadable, read_answer
+from embertray.platform.protocol.news import Attach, Detach, Done, News, Standing
 
 
 class Calls(unittest.TestCase):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -9,22 +9,25 @@
 import msgspec
 from hypothesis import given, settings, strategies as st
 
-from embertray import interface as i
-from embertray.channel.admission import AGAIN_FIRST, AGAIN_MOST, CALM, DRAIN_STEP, STRANGERS, Admission
-from embertray.channel.budget import budget
-from embertray.channel.outbox import Outbox
-from embertray.channel.outlet import MOST_BYTES, OLDEST, Outlet
-from embertray.channel.pacer import BURST, Pacer
-from embertray.identifiers import Identifiers
-from embertray.inventory.follow import Follow
-from embertray.inventory.messages import Failed, Get, Listed, News
-from embertray.model.backend import Backend, Shape
-from embertray.reports.intake import Intake
-from embertray.site import BadSite, load
-from embertray.site.site import HERE as SITES
-from embertray.stream.frames import MOST, BadFrame, Splitter, frame
-from embertray.stream.holding import Holding
-from embertray.stream.messages import (
+from embertray.common.framing import MOST, BadFrame, Splitter, frame
+from embertray.controller.channel.admission import (
+    AGAIN_FIRST,
+    AGAIN_MOST,
+    CALM,
+    DRAIN_STEP,
+    STRANGERS,
+    Admission,
+)
+from embertray.controller.channel.budget import budget
+from embertray.controller.channel.outbox import Outbox
+from embertray.controller.channel.outlet import MOST_BYTES, OLDEST, Outlet
+from embertray.controller.channel.pacer import BURST, Pacer
+from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list.messages import Failed, Get, Listed, News
+from embertray.controller.identifiers import Identifiers
+from embertray.controller.report_intake import Intake
+from embertray.controller.stream.holding import Holding
+from embertray.controller.stream.messages import (
     Answer,
     Bind,
     Came,
@@ -36,7 +39,11 @@
     encode,
     read_to_proxy,
 )
-from embertray.stream.session import ControllerEnd, ProxyEnd, Refused
+from embertray.controller.stream.session import ControllerEnd, ProxyEnd, Refused
+from embertray.policy import interface as i
+from embertray.service.site import BadSite, load
+from embertray.service.site.site import HERE as SITES
+from embertray.simulation.models.backend import Backend, Shape
 
 S = 10**9
 settings.register_profile("same", derandomize=True, deadline=None, max_examples=150)
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -1,14 +1,14 @@
 """The module on recorded streams of events: a change that must decide nothing else gives the same orders to
 the byte. Where decisions are changed on purpose, the streams are recorded anew (python -m
-embertray.measure.recorded record)."""
+embertray.experiments.measure.recorded record)."""
 
 import tomllib
 import unittest
 from pathlib import Path
 from unittest import mock
 
-from embertray.choice import constants
-from embertray.measure.recorded import digest, load
+from embertray.experiments.measure.recorded import digest, load
+from embertray.policy import constants
 
 STREAMS = Path(__file__).resolve().parent / "streams"
 
@@ -19,7 +19,11 @@
         files = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
         self.assertEqual(
             sorted(files),
-            sorted(str(path.relative_to(root)) for path in (root / "embertray" / "choice").glob("*.py")),
+            sorted(
+                str(path.relative_to(root))
+                for path in (root / "embertray" / "policy").glob("*.py")
+                if path.name != "interface.py"
+            ),
         )
         rows = [row for name in files for row in (root / name).read_text().splitlines()]
         self.assertLessEqual(sum(bool(row.strip()) for row in rows), 630)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -7,7 +7,7 @@
 import anyio
 from test_cluster_processes import Held
 
-from embertray.rig.processes import Rigged
+from embertray.simulation.processes.processes import Rigged
 
 
 class Links(Held):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,19 +15,14 @@
 import anyio
 import structlog
 
-from embertray.capacity.slope import load
 from embertray.cluster.link import ClusterLink
 from embertray.cluster.membership.messages import decode, encode
 from embertray.cluster.state import Entry
-from embertray.days import notation
-from embertray.emulator.cluster_simulation import ClusterSimulation
-from embertray.emulator.gossip import MS, START, MembershipSimulation, S
-from embertray.emulator.random_faults import random_faults
-from embertray.emulator.state_exchanger import StateExchanger, pack
-from embertray.measure.capacity.record import Recording
-from embertray.measure.scale import cluster_role, control_role, fleet, slopes, virtual
-from embertray.measure.scale.keeping import KeepingRecording
-from embertray.measure.scale.messages import (
+from embertray.experiments.capacity.slope import load
+from embertray.experiments.measure.capacity.record import Recording
+from embertray.experiments.measure.scale import cluster_role, control_role, fleet, slopes, virtual
+from embertray.experiments.measure.scale.keeping import KeepingRecording
+from embertray.experiments.measure.scale.messages import (
     ClusterPlan,
     MemberReport,
     ReplicaPlan,
@@ -35,9 +30,14 @@
     SubscriberPlan,
     Timetable,
 )
-from embertray.measure.scale.meter import Counters, Meter
-from embertray.rig.ports import free_ports
-from embertray.site.site import Cluster
+from embertray.experiments.measure.scale.meter import Counters, Meter
+from embertray.service.site.site import Cluster
+from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
+from embertray.simulation.emulator.gossip import MS, START, MembershipSimulation, S
+from embertray.simulation.emulator.random_faults import random_faults
+from embertray.simulation.emulator.state_exchanger import StateExchanger, pack
+from embertray.simulation.processes.ports import free_ports
+from embertray.simulation.scenarios import notation
 
 Me = namedtuple("Me", "name cluster")
 MOST = 20  # s that a wait takes before it fails
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,14 +10,14 @@
 
 from hypothesis import given, strategies as st
 
-from embertray.days import notation, player
-from embertray.durable import Disk, Kept, KeptEntry, Locked, Snapshot, Store
-from embertray.durable.store import GENERATIONS, HEAD, MAGIC, pack
-from embertray.inventory.follow import Follow
-from embertray.inventory.messages import Listed
-from embertray.model.chance import Streams
-from embertray.trust import Trust
-from embertray.trust.trust import BEHIND, FRESH, KEEP_GONE, LATELY, PATIENCE, PROOF, SECOND
+from embertray.common.snapshots import Disk, Kept, KeptEntry, Locked, Snapshot, Store
+from embertray.common.snapshots.store import GENERATIONS, HEAD, MAGIC, pack
+from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list.messages import Listed
+from embertray.controller.trust import Trust
+from embertray.controller.trust.trust import BEHIND, FRESH, KEEP_GONE, LATELY, PATIENCE, PROOF, SECOND
+from embertray.simulation.models.chance import Streams
+from embertray.simulation.scenarios import notation, player
 
 S = 10**9
 HERE = Path(__file__).resolve().parent
