--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -1,10 +1,11 @@
-"""Streams of events as modules were given them, to be played again: a change that must decide nothing else
-gives the same orders, byte for byte. `python -m embertray.experiments.measure.recorded record DAY --out
-FILE` plays a day
-without streams, `... crowd --out FILE` a fleet of hundreds that all joins at once, `... drawn-SEED --out FILE` a
-fleet under faults that a seed draws, `... orders FILE` prints
-all orders, `... check FILE` their digest beside the recorded one. A file: zstandard of JSON rows, one for
-each step."""
+"""Streams of events as modules were given them, to be played again.
+
+A change that must decide nothing else gives the same orders, byte for byte:
+`python -m embertray.experiments.measure.recorded record NAME --out FILE` records, where NAME is a day (played
+without streams), `crowd` (a fleet of hundreds that all joins at once) or `drawn-SEED` (a fleet under faults that
+the seed draws); `... orders FILE` prints all orders, `... check FILE` holds their digest against the recorded
+one. A file is zstandard of JSON rows, one for each step.
+"""
 
 import dataclasses
 import hashlib
