--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -2,9 +2,9 @@
 
 A change that must decide nothing else gives the same orders, byte for byte:
 `python -m embertray.experiments.measure.recorded record NAME --out FILE` records, where NAME is a day (played
-without streams), `crowd` (a fleet of hundreds that all joins at once) or `drawn-SEED` (a fleet under faults that
-the seed draws); `... orders FILE` prints all orders, `... check FILE` holds their digest against the recorded
-one. A file is zstandard of JSON rows, one for each step.
+without streams), `crowd` (a fleet of hundreds that all joins at once) or `drawn-SEED` (a fleet under faults
+that the seed draws); `... orders FILE` prints all orders, `... check FILE` holds their digest against the
+recorded one. A file is zstandard of JSON rows, one for each step.
 """
 
 import dataclasses
