--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -2,15 +2,17 @@
 
 from embertray.common.memory.sizes import Collection
 from embertray.policy import interface as i
-from embertray.policy.actor import Actor
+from embertray.policy.backend import BackendState
+from embertray.policy.proxy import ProxyState
 
-HANDLES = (i.Handle, i.RequestKind, Actor)
+STATES = (BackendState, ProxyState)
+HANDLES = (i.Handle, i.RequestKind, *STATES)
 
 
 def collections(it):
     """purpose -> collections of an Instance, without its streams (those are the daemon's)."""
     module, box, identifiers = it.module, it.outbox, it.identifiers
-    tables, ordered = module.channel.tables, list(box.tables.values())
+    tables, ordered = module.publisher.tables.all, list(box.tables.values())
     lines = [table.lines for table in ordered] + [
         book for table in tables for book in (table.want, table.sent)
     ]
@@ -45,8 +47,8 @@
             ),
             Collection(
                 "withdrawn",
-                sum(map(len, informed)) + len(module.channel.withdrawn),
-                lists(*informed, module.channel.withdrawn),
+                sum(map(len, informed)) + len(module.publisher.removal.withdrawn),
+                lists(*informed, module.publisher.removal.withdrawn),
                 [*informed, box.out],
                 HANDLES,
             ),
@@ -81,7 +83,7 @@
                 len(identifiers.nonces) + len(it.stamps),
                 lists(identifiers.nonces, it.stamps),
                 [identifiers.nonces, it.stamps],
-                (i.RequestKind, Actor),
+                (i.RequestKind, *STATES),
             ),
             Collection(
                 "open", sum(map(len, held)), lambda: (item for book in held for item in book), held, HANDLES
@@ -91,13 +93,15 @@
             ),
             Collection(
                 "flights",
-                sum(len(sent) for sent, _ in module.channel.flights.by_nonce.values()),
+                sum(len(sent) for sent, _ in module.publisher.budget.in_flight.by_nonce.values()),
                 lambda: (
-                    item for sent, _ in module.channel.flights.by_nonce.values() for item in sent.items()
+                    item
+                    for sent, _ in module.publisher.budget.in_flight.by_nonce.values()
+                    for item in sent.items()
                 ),
                 [
-                    module.channel.flights.by_nonce,
-                    *(sent for sent, _ in module.channel.flights.by_nonce.values()),
+                    module.publisher.budget.in_flight.by_nonce,
+                    *(sent for sent, _ in module.publisher.budget.in_flight.by_nonce.values()),
                 ],
                 HANDLES,
             ),
@@ -108,7 +112,7 @@
                 len(identifiers.backends) + len(identifiers.proxies) + len(identifiers.zones),
                 lists(identifiers.backends, identifiers.proxies, identifiers.zones),
                 [identifiers.backends, identifiers.proxies, identifiers.zones],
-                (Actor,),
+                STATES,
             ),
             Collection(
                 "actors",
@@ -116,7 +120,7 @@
                 lambda: iter([*backends, *proxies]),
                 [backends, proxies],
                 (i.Handle, i.RequestKind),
-                ("owner", "site", "samples", "messages", "handle", "table"),
+                ("context", "samples", "messages", "handle", "table"),
             ),
         ],
         "probes": [Collection("under way", len(it.probing), it.probing.items, [it.probing], HANDLES)],
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -55,7 +55,7 @@
             Intake(site.reports_rate, now, site.report_cycle),
         )
         self.reduced = Reduced(site.kinds, site.report_cycle, site.levels == "rate", now)
-        self.outbox.all_in = self.module.all_in if site.levels != "none" else 0.0
+        self.outbox.all_in = self.module.context.unlimited if site.levels != "none" else 0.0
         self.stamps = {}
         self.open, self.refs, self.probing, self.tidy_at = {}, {}, {}, now + TIDY
         self.accounts = Accounts({**defaults(site), **site.caps}, chance)
--- a/embertray/platform/protocol/post.py
+++ b/embertray/platform/protocol/post.py
@@ -28,7 +28,7 @@
         super().__init__(start.chance, self.settings.deployment, now)
         self.words, self.caller, self.standing = (
             Words(self.identifiers, self.settings.kinds),
-            Caller(self.module.site.way_max),
+            Caller(self.module.context.deployment.way_max),
             Standing(),
         )
         known = start.members()
@@ -106,7 +106,7 @@
         """Who is long gone is forgotten, and nonces that nobody owes an answer to."""
         self.forget(lambda thing: thing.external_id in self.standing.joined)
         open_nonces = {nonce for proxy in self.module.proxies for nonce, _ in proxy.messages.open}
-        open_nonces.update(self.module.channel.flights.by_nonce)
+        open_nonces.update(self.module.publisher.budget.in_flight.by_nonce)
         self.identifiers.nonces = {
             number: nonce for number, nonce in self.identifiers.nonces.items() if nonce in open_nonces
         }
--- a/embertray/policy/__init__.py
+++ b/embertray/policy/__init__.py
@@ -1,3 +1,12 @@
-"""All of embertray's decisions: make one Controller an instance, then step it with each batch of events."""
+"""All of embertray's decisions: make one `Controller` for each instance and step it with batches of events.
 
-from .controller import Controller as Controller
+Each rule has its module, which opens with the rule, its inputs and the failure that it guards against:
+`learned_weights`, `slow_start`, `outlier_detection`, `congestion`, `locality`, `subsetting`, `load_shedding`,
+`endpoint_watch`, `channel_budget`, `update_queue`, `endpoint_removal`, `proxy_binding`. `weight_planner` and
+`publisher` run them in order. `interface` has the types of events and orders, `records` what is remembered.
+Nothing here does I/O, reads a clock or knows which deployment it serves; times are whole nanoseconds.
+"""
+
+from .controller import Controller
+
+__all__ = ["Controller"]
--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -1,61 +1,127 @@
-from embertray.policy.records.backend import BackendFigures, BackendSamples
+"""One backend as a controller knows it: what the endpoint list says, its last reports, capacity and
+health."""
 
-from .actor import Actor, c
+from .context import REPORTS_KEPT
+from .records.backend import BackendFigures, BackendSamples
+from .slow_start import warmth
+from .units import SECOND
 
+LONG_WINDOW = 8 * SECOND  # ns; some fifty answers of a backend, so that chance evens out
+SHORT_WINDOW = 4 * SECOND  # ns; the last reports, for health
+SPAN_MIN = SECOND // 4  # ns; a report span under a beat makes no rate
+LOAD_NAMES = ("busy", "waiting", "held")  # gauges of a report, the one to be preferred first
 
-class Backend(Actor):
-    """A backend: what the list says of it, its last samples, its learnt capacity (1 = average) and health."""
 
-    def __init__(self, owner, handle):
-        super().__init__(owner, handle)
-        self.zone, self.state, self.started = None, None, 0
-        self.cap, self.health, self.deaf_until, self.since, self.new = 1.0, 1.0, 0, owner.now, owner.now
-        self.gone_at, self.draw, self.samples = None, owner.chance(), BackendSamples(c.KEEP)
+class BackendState:
+    """State of one backend; `capacity` is in average backends, `health` is 1 unless it was ejected.
 
-    def on_listed(self, entry):
+    Args:
+        context: `Context` of the controller.
+        handle: `interface.Backend` that stands for it outside.
+    """
+
+    def __init__(self, context, handle):
+        self.context = context
+        self.handle = handle
+        self.zone = None
+        self.state = None
+        self.started = 0
+        self.gone_at = None
+        self.capacity = 1.0
+        self.health = 1.0
+        self.health_since = context.now
+        self.reports_ignored_until = 0
+        self.learnt_since = context.now
+        self.draw = context.draw()
+        self.samples = BackendSamples(REPORTS_KEPT)
+
+    def update_from_list(self, entry):
+        """Takes over what the endpoint list says of it.
+
+        Args:
+            entry: `interface.Entry`.
+
+        Returns:
+            Whether it has just stopped being ready, so that its lines are to be removed.
+        """
+        now = self.context.now
         if entry.state == "ready" and entry.started > self.started:
-            self.health, self.deaf_until, self.since = 1.0, 0, self.now
-            self.new = entry.started + self.site.warm_after
-            self.samples.clear()
-        if entry.state != "ready" and self.state in (None, "ready"):  # drained, then gone: once only
-            self.owner.channel.send("remove", self)
-        self.zone, self.state, self.started = entry.zone, entry.state, max(entry.started, self.started)
-        self.gone_at = (self.gone_at or self.now) if entry.state == "gone" else None
-
-    def on_heard(self, event):
-        self.owner.spans.append(event.span)
-        self.owner.reports_busy = "busy" in event.load or self.owner.reports_busy
-        if self.now - event.span >= self.deaf_until and event.tries > 0:
-            loads = [event.load[name] for name in ("busy", "waiting", "held") if name in event.load]
-            self.samples.add(self.now, event, loads[0] if loads else None)
-
-    def over(self, start):
-        """A failed try counts as a client time-out."""
-        least = self.now - max(start, self.owner.born) - self.owner.cycle  # spans with no try go unsaid
-        return self.samples.totals(start, self.owner.timeout, max(c.BEAT, least))
-
-    def warmth(self):
-        """Guards cold backends: a part of the load they fall under. Lags behind one that warms sooner."""
-        site, age = self.site, max(0, self.now - self.started)
-        if self.started <= 0 or age >= site.warm_after:
-            return 1.0
-        speed = site.cold_from + (1 - site.cold_from) * age / site.warm_after
-        drawn = c.TWICE if site.pick == "two" else 1.0  # the emptier of two drawn: a cold one wins most
-        return min(c.COLD_TOP, speed * (c.COLD_PART * site.fall_multiple * drawn or 1))
+            self._restarted(entry.started)
+        leaves = entry.state != "ready" and self.state in (None, "ready")
+        self.zone = entry.zone
+        self.state = entry.state
+        self.started = max(entry.started, self.started)
+        self.gone_at = (self.gone_at or now) if entry.state == "gone" else None
+        return leaves
+
+    def _restarted(self, started):
+        """What was learnt of its former run does not count, nor what it does while it warms up."""
+        self.health = 1.0
+        self.health_since = self.context.now
+        self.reports_ignored_until = 0
+        self.learnt_since = started + self.context.deployment.warm_after
+        self.samples.clear()
+
+    def add_report(self, report):
+        """Keeps a report, unless it began before an ejection.
+
+        Args:
+            report: `interface.Heard`, the sums of one zone's proxies.
+        """
+        context = self.context
+        context.reported_spans.append(report.span)
+        context.reports_tell_busy = "busy" in report.load or context.reports_tell_busy
+        if context.now - report.span >= self.reports_ignored_until and report.tries > 0:
+            loads = [report.load[name] for name in LOAD_NAMES if name in report.load]
+            self.samples.add(context.now, report, loads[0] if loads else None)
 
     def figures(self):
-        """What its samples come to now. A failed new try counts as one that just missed its target."""
-        long, short = (self.now - max(least, 2 * self.owner.cycle) for least in (c.WINDOW, c.SHORT))
-        start = max(long, self.new)  # what it did cold or sick does not count
-        newest = self.samples.newest(self.now - self.site.report_cycle * 3 // 2, self.owner.target)
-        load, span = self.samples.mean_load(self.now - c.WINDOW), self.now - start
-        return BackendFigures(self, self.over(start), span, self.over(short), self.warmth(), load, newest)
-
-    def set(self, cap, health):
-        """What reports tell of the time before a cut does not count."""
+        """What its samples come to now.
+
+        A failed attempt counts as a client time-out in the windows, and as one that just missed its latency
+        objective in the newest reports. What it did cold or ejected does not count for its capacity.
+
+        Returns:
+            `BackendFigures`.
+        """
+        context = self.context
+        now = context.now
+        slow_reports = 2 * context.report_interval
+        long_start = max(now - max(LONG_WINDOW, slow_reports), self.learnt_since)
+        short_start = now - max(SHORT_WINDOW, slow_reports)
+        newest_start = now - context.deployment.report_cycle * 3 // 2
+        return BackendFigures(
+            self,
+            self._totals(long_start),
+            now - long_start,
+            self._totals(short_start),
+            warmth(context.deployment, self.started, now),
+            self.samples.mean_load(now - LONG_WINDOW),
+            self.samples.newest(newest_start, context.latency_objective),
+        )
+
+    def _totals(self, start):
+        context = self.context
+        # spans without any attempt are not reported: the window less one interval is covered at least
+        covered = context.now - max(start, context.started_at) - context.report_interval
+        return self.samples.totals(start, context.client_timeout, max(SPAN_MIN, covered))
+
+    def set_capacity(self, capacity):
+        """Sets the learnt capacity, in average backends."""
+        self.capacity = capacity
+
+    def set_health(self, health):
+        """Sets the factor on its weight: under 1 while ejected or recovering.
+
+        Reports of the time before an ejection do not count, and what it does between an ejection and its full
+        recovery teaches no capacity.
+        """
+        context = self.context
+        deployment = context.deployment
         if health < self.health:
-            self.deaf_until = self.now + self.site.report_cycle + self.site.way_max
+            self.reports_ignored_until = context.now + deployment.report_cycle + deployment.way_max
             self.samples.clear()
         if health != self.health:
-            self.since, self.new = self.now, self.now + (self.site.report_cycle if health >= 1 else 0)
-        self.cap, self.health = cap, health
+            self.health_since = context.now
+            self.learnt_since = context.now + (deployment.report_cycle if health >= 1 else 0)
+        self.health = health
--- /dev/null
+++ b/embertray/policy/channel_budget.py
@@ -0,0 +1,148 @@
+"""Channel budget: how many lines may wait in the channel to the proxies, and for what.
+
+Rule: every message is reserved here before it is ordered, with its lines and its overhead, at the priority of
+what it carries. A priority may use so much of the lines that may wait, and leaves so many of the messages
+that a proxy may be sent within the deployment's window to what is more urgent. While acknowledgements come
+late, or the endpoint list is silent, the lesser priorities get less.
+
+Inputs: acknowledgements of nonces with the time they took (ns), the deployment's limits (lines that may wait,
+lines a second, messages a proxy and window). Decides: how many lines of a change are sent now.
+
+Guards against a queue in the channel over its limit, behind which removals would wait out their grace, and
+against more messages to one proxy than allowed.
+"""
+
+from collections import deque
+from dataclasses import dataclass
+from statistics import median
+
+from .records.messages import LinesInFlight
+from .units import SECOND
+
+ACK_TIMEOUT_MIN = 1 * SECOND  # ns; a proxy stands still while it applies a large table
+ACK_DELAYS_KEPT = 8
+SLOWEST_FACTOR = 20  # the channel is taken to send at least its told rate divided by this
+SLOW_FACTOR_MAX = 2  # by which the share of removals and bindings falls at most in a slow channel
+
+
+@dataclass(frozen=True)
+class Priority:
+    """What a message may use of the channel."""
+
+    pending_share: float  # of the lines that may wait
+    messages_spared: int  # of the messages a proxy may be sent, left to more urgent ones
+    yields: bool  # gets less the slower the channel, and while the endpoint list is silent
+
+
+REMOVAL = Priority(0.8, 1, yields=False)
+BINDING = Priority(0.6, 1, yields=False)
+URGENT_UPDATE = Priority(0.35, 4, yields=True)
+ORDINARY_UPDATE = Priority(0.25, 7, yields=True)
+
+
+class ChannelBudget:
+    """Reserves lines of the channel for the messages of one step.
+
+    Args:
+        context: `Context` of the controller.
+        endpoint_watch: `EndpointWatch`, asked whether the list is silent.
+    """
+
+    def __init__(self, context, endpoint_watch):
+        self.context = context
+        self.endpoint_watch = endpoint_watch
+        self.reserved = {}  # proxy -> lines of this step's message to it
+        self.reserved_lines = 0  # of this step, overheads included
+        self.in_flight = LinesInFlight(context.now)
+        self._ack_delays = deque(maxlen=ACK_DELAYS_KEPT)  # ns
+
+    def begin_step(self):
+        """Nothing is reserved yet."""
+        self.reserved = {}
+        self.reserved_lines = 0
+
+    def acknowledged(self, proxy, nonce, took):
+        """A proxy answered a nonce.
+
+        Args:
+            proxy: its `ProxyState`.
+            nonce: `interface.Nonce`.
+            took: ns from the order to the answer.
+        """
+        self._ack_delays.append(took)
+        self.in_flight.answered(proxy, nonce, self.context.deployment.head + 1, self.context.now)
+
+    def ordered(self, nonce):
+        """All that is reserved goes out under this nonce."""
+        if not self.waiting_lines():
+            self.in_flight.restart(self.context.now)
+        self.in_flight.ordered(nonce, self.reserved, self.reserved_lines)
+
+    def waiting_lines(self):
+        """Lines that may still wait in the channel."""
+        rate = self.context.deployment.channel_rate
+        return self.in_flight.waiting(self.context.now, rate, SLOWEST_FACTOR)
+
+    def ack_timeout(self):
+        """After how many ns an open nonce counts as unanswered.
+
+        It allows for the lines ahead, the longest way and the answers seen lately: a slow channel must not
+        breed repeats.
+        """
+        deployment = self.context.deployment
+        ahead = int(self.waiting_lines() * SECOND / (deployment.channel_rate or 1))
+        slowest = max(self._ack_delays, default=0)
+        return ACK_TIMEOUT_MIN + deployment.way_max + 2 * slowest + 2 * ahead
+
+    def free_lines(self, priority):
+        """Lines that messages of a priority may still use.
+
+        A slow channel keeps its lines for removals, whose grace runs; they wait to go in fewer messages. So
+        it does while the endpoint list is silent: what that tells later comes all at once.
+        """
+        deployment = self.context.deployment
+        late = max(1, 2 * median(self._ack_delays or [0]) / (deployment.drain_grace or SECOND))
+        if priority.yields:
+            slow = max(late, SLOW_FACTOR_MAX if self.endpoint_watch.failures else 1)
+        else:
+            slow = min(late, SLOW_FACTOR_MAX)
+        usable = priority.pending_share / slow * deployment.pending_max
+        return usable - self.waiting_lines() - self.reserved_lines
+
+    def reserve(self, proxies, wanted, priority, least=None):
+        """Reserves lines in the messages to some proxies.
+
+        Args:
+            proxies: `ProxyState`s, all of which get the same lines.
+            wanted: lines for each.
+            priority: `Priority` of these lines.
+            least: lines that are worth a message; None: all that are wanted or none.
+
+        Returns:
+            Lines for each: `wanted`, fewer but at least `least`, or 0 if there is no room.
+        """
+        deployment = self.context.deployment
+        overhead = (deployment.head + 1) * sum(proxy not in self.reserved for proxy in proxies)
+        if deployment.pending_max and proxies:
+            free = self.free_lines(priority) - overhead
+            if free < wanted * len(proxies):
+                wanted = int(free / len(proxies)) if least and free >= least * len(proxies) else 0
+        if not self._may_write(proxies, priority):
+            return 0
+        if wanted:
+            self.reserved.update((proxy, self.reserved.get(proxy, 0) + wanted) for proxy in proxies)
+            self.reserved_lines += overhead + wanted * len(proxies)
+        return wanted
+
+    def _may_write(self, proxies, priority):
+        """Whether none of the proxies was written too many messages lately; lost ones may yet be written."""
+        deployment = self.context.deployment
+        is_limited = deployment.messages_max > 0
+        most = deployment.messages_max - priority.messages_spared
+        since = self.context.now - deployment.messages_window
+        open_since = since - self.ack_timeout() if is_limited else 0
+        for proxy in proxies:
+            written = proxy.messages.count(since, open_since)  # forgets older ones as well
+            if is_limited and proxy not in self.reserved and written >= most:
+                return False
+        return True
--- /dev/null
+++ b/embertray/policy/congestion.py
@@ -0,0 +1,86 @@
+"""Congestion: how long requests wait in the backends' queues, and what the fleet can do.
+
+Rule: the mean latency of the newest reports, less the least mean of the last beats (or 0.35 of the latency
+objective, if that is less), is taken for time in queues. It counts only once at least half of the ready
+backends were heard of lately: the first reports after a start tell of few backends, and of those by chance.
+
+Inputs: `BackendFigures` of all ready backends at each beat. Decides: `FleetState`, on which load shedding
+acts, and whether cold backends have to wait (`is_congested`).
+"""
+
+from collections import deque
+
+from .records.backend import added
+from .records.levels import FleetState
+
+BEATS_KEPT = 200  # mean latencies of beats
+BEATS_COMPARED = 9  # the newest beat against the one so many before it
+WORK_SHARE_MAX = 0.35  # of the latency objective: more than that is no work, it is waiting
+FALLING_RATIO = 0.9  # of the earlier mean: the latency falls
+WAIT_LOW = 0.2  # of the latency objective: a wait under it is no queue
+EMPTY_RATIO = 0.5  # of the long window's mean load: the newest loads tell that a queue is over
+
+
+class CongestionEstimate:
+    """Estimates queueing from the newest reports.
+
+    Args:
+        context: `Context` of the controller.
+    """
+
+    def __init__(self, context):
+        self.context = context
+        self._mean_latencies = deque(maxlen=BEATS_KEPT)  # ns
+
+    def estimate(self, figures):
+        """What all ready backends come to at this beat.
+
+        Args:
+            figures: `BackendFigures` of all ready backends.
+
+        Returns:
+            `FleetState`.
+        """
+        attempts = self._newest_attempts(figures)
+        wait = self._wait(figures, attempts)
+        means = self._mean_latencies
+        falls = attempts > 0 and means[-1] < FALLING_RATIO * means[-min(BEATS_COMPARED, len(means))]
+        load, newest_load = self._loads(figures)
+        return FleetState(
+            wait=wait,
+            falls=falls,
+            empty=newest_load < EMPTY_RATIO * load,
+            busy=load if self.context.reports_tell_busy else 1.0,
+            short=added(row.short for row in figures),
+            capacity=sum(row.backend.capacity * row.warmth for row in figures) or 1.0,
+            has_cold=any(row.warmth < 1 for row in figures),
+        )
+
+    def is_congested(self, state, figures):
+        """Whether requests queue at warm backends, so that cold ones have to wait for their lines."""
+        queues = state.wait > WAIT_LOW * self.context.latency_objective
+        return queues and any(row.warmth >= 1 for row in figures)
+
+    @staticmethod
+    def _newest_attempts(figures):
+        """Attempts in the newest reports; 0 unless half of the backends were heard of lately."""
+        heard = sum(row.short.tries > 0 for row in figures)
+        if 2 * heard < len(figures):
+            return 0
+        return sum(report.tries for row in figures for report in row.newest)
+
+    def _wait(self, figures, attempts):
+        """Mean time in queues by the newest reports, ns; 0 if they tell nothing."""
+        if not attempts:
+            return 0
+        mean = sum(report.latency for row in figures for report in row.newest) / attempts
+        self._mean_latencies.append(mean)
+        work = min(WORK_SHARE_MAX * self.context.latency_objective, *self._mean_latencies)
+        return mean - work
+
+    @staticmethod
+    def _loads(figures):
+        """Mean reported load of the long window, and of the newest reports."""
+        loads = [row.load for row in figures if row.load is not None] or [1.0]
+        newest = [report.load for row in figures for report in row.newest if report.load is not None] or loads
+        return sum(loads) / len(loads), sum(newest) / len(newest)
--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -1,85 +1,132 @@
-from collections import deque
-from statistics import median
-from zlib import crc32
+"""One controller's decisions: events in, orders out. `interface` has the types of both."""
 
-from embertray.policy.records.levels import Level
+from . import interface
+from .context import Context
+from .endpoint_watch import EndpointWatch
+from .load_shedding import LoadShedding
+from .proxy import ProxyState
+from .publisher import Publisher
+from .units import MILLISECOND, SECOND
+from .weight_planner import WeightPlanner
 
-from .actor import c, i
-from .channel import Channel
-from .levels import Levels
-from .list_watcher import ListWatcher
-from .planner import Planner
-from .proxy import Proxy
+BEAT_INTERVAL = 250 * MILLISECOND  # ns; under a report interval
+FORGET_INTERVAL = 10 * SECOND  # ns between two looks for those that are gone for long
+FORGET_AFTER = 60 * SECOND  # ns; past any window, retry and grace
 
 
 class Controller:
-    """One instance. step() puts events into inboxes, empties them in one loop and returns the orders."""
-
-    def __init__(self, seed, site, now=0):
-        self.site, self.now, self.born, self.orders, self.seed, self.draws = site, now, now, [], seed, 0
-        self.ready, self.backends, self.proxies, self.spans = deque(), [], [], deque(maxlen=c.KEEP)
-        self.beat_at, self.forget_at, self.reports_busy = 0, now + c.SWEEP, False
-        self.all_in = c.ALL_RATE if site.throttle == "rate" else 1.0
-        self.timeout = max((k.client_timeout for k in site.kinds), default=c.S)
-        worth = sum(kind.credit for kind in site.kinds) or 1
-        self.target = sum(kind.credit * kind.response_target for kind in site.kinds) / worth
-        self.table = {kind: Level(self.all_in, 1) for kind in site.kinds}
-        self.list_watcher, self.planner, self.levels = ListWatcher(self), Planner(self), Levels(self)
-        self.channel = Channel(self)
-
-    joined = property(lambda self: [proxy for proxy in self.proxies if proxy.joined])
-
-    def part(self, handle, kind, known):
-        if handle.actor is None:
-            handle.actor = kind(self, handle)
-            known.append(handle.actor)
-        return handle.actor
+    """Decides for one controller instance. The same events give the same orders.
+
+    At every beat all rules run. Between two beats a step only takes events in, and sends removals and
+    bindings, which wait for no weights.
+
+    Args:
+        seed: makes the controller's random draws its own.
+        deployment: `interface.Deployment`, what it is told at its start.
+        now: time of the start, ns.
+    """
 
-    def chance(self):
-        self.draws += 1
-        return crc32(f"{self.seed}:{self.draws}".encode())
+    def __init__(self, seed, deployment, now=0):
+        self.context = Context(seed, deployment, now)
+        self.endpoint_watch = EndpointWatch(self.context)
+        self.weight_planner = WeightPlanner(self.context)
+        self.load_shedding = LoadShedding(self.context)
+        self.publisher = Publisher(self.context, self.endpoint_watch)
+        self._next_beat_at = 0
+        self._forget_at = now + FORGET_INTERVAL
+
+    @property
+    def backends(self):
+        """The `BackendState`s of all backends that are not forgotten."""
+        return self.context.backends
+
+    @property
+    def proxies(self):
+        """The `ProxyState`s of all proxies that are not forgotten."""
+        return self.context.proxies
 
     def step(self, now, events):
-        self.now, self.orders = now, []
+        """Takes events and decides.
+
+        Args:
+            now: ns; never less than at the step before.
+            events: event objects of `interface`, in the order in which they happened.
+
+        Returns:
+            list of order objects of `interface`, in the order in which they are to be carried out.
+        """
+        context = self.context
+        context.now = now
+        context.orders = []
+        self._take(events)
+        context.update_report_interval()
+        if now >= self._next_beat_at:
+            self._beat()
+        elif self.publisher.is_urgent:
+            self.publisher.publish()
+        return context.orders
+
+    def _take(self, events):
+        """Takes over the events, endpoint lists last: what a step's reports tell is of the list before."""
+        updates = []
         for event in events:
-            self.route(event)
-        self.empty()  # cycle: of reports on a backend, longer than told where they are capped
-        self.cycle = max(self.site.report_cycle, median(self.spans or [0]))
-        if now >= self.beat_at:
-            self.beat_at = now + c.BEAT
-            self.orders.append(i.Wake(0, c.BEAT))
-            self.forget()
-            self.list_watcher.send("beat")
-            self.planner.send("solve")
-        elif self.channel.urgent:  # a join or removal waits for no weights
-            self.channel.send("send", None)
-        self.empty()
-        return self.orders
-
-    def route(self, event):
-        """To the part an event is for. With slices only removals are ordered."""
-        if isinstance(event, i.ListNews):
-            self.list_watcher.send("news", event)
-        elif isinstance(event, i.Heard) and event.backend.actor:
-            event.backend.actor.send("heard", event)
-        elif isinstance(event, (i.Arrivals, i.Joined, i.Left, i.Answered)):
-            self.part(event.proxy, Proxy, self.proxies).send(type(event).__name__.lower(), event)
-
-    def empty(self):
-        while self.ready:
-            part = self.ready.popleft()
-            note, what = part.inbox.popleft()
-            getattr(part, "on_" + note)(*what)
-
-    def forget(self):
-        """Guards against growth with all that ever was: by churn of proxies and backends over hours."""
-        if self.now < self.forget_at:
+            if isinstance(event, interface.Heard):
+                if event.backend.actor:
+                    event.backend.actor.add_report(event)
+            elif isinstance(event, interface.Arrivals):
+                self._proxy(event.proxy).add_arrivals(event)
+            elif isinstance(event, interface.Answered):
+                self._take_acknowledgement(event)
+            elif isinstance(event, interface.Joined):
+                proxy = self._proxy(event.proxy)
+                proxy.join(event)
+                self.publisher.proxy_joined(proxy)
+            elif isinstance(event, interface.Left):
+                self._proxy(event.proxy).leave()
+            elif isinstance(event, interface.ListNews):
+                updates.append(event)
+        for backend in self.endpoint_watch.update(updates):
+            self.publisher.backend_left(backend)
+
+    def _take_acknowledgement(self, event):
+        proxy = self._proxy(event.proxy)
+        proxy.acknowledge(event.nonce)
+        self.publisher.budget.acknowledged(proxy, event.nonce, event.took)
+
+    def _proxy(self, handle):
+        if handle.actor is None:
+            handle.actor = ProxyState(self.context, handle)
+            self.context.proxies.append(handle.actor)
+        return handle.actor
+
+    def _beat(self):
+        self._next_beat_at = self.context.now + BEAT_INTERVAL
+        self.context.orders.append(interface.Wake(0, BEAT_INTERVAL))
+        self._forget()
+        self.endpoint_watch.poll_if_due()
+        state, wanted = self.weight_planner.plan()
+        self.load_shedding.update(state)
+        for zone, lines in wanted:
+            self.publisher.set_wanted(zone, lines)
+        self.publisher.publish(self.context.admission)
+
+    def _forget(self):
+        """Forgets backends and proxies that are gone for long.
+
+        Guards against growth with all that ever was: by churn over hours memory and the cost of a beat would
+        rise without end.
+        """
+        context = self.context
+        if context.now < self._forget_at:
             return
-        self.forget_at = self.now + c.SWEEP
-        for table in self.channel.tables:
+        self._forget_at = context.now + FORGET_INTERVAL
+        for table in self.publisher.tables.all:
             table.compact()
-        for known in (self.backends, self.proxies):
-            for part in [p for p in known if p.gone_at is not None and self.now - p.gone_at > c.FORGET]:
-                if self.channel.drop(part):
-                    part.handle.actor = None
-                    known.remove(part)
+        for known in (context.backends, context.proxies):
+            gone = [
+                one for one in known if one.gone_at is not None and context.now - one.gone_at > FORGET_AFTER
+            ]
+            for member in gone:
+                if self.publisher.forget(member):
+                    member.handle.actor = None
+                    known.remove(member)
--- /dev/null
+++ b/embertray/policy/endpoint_watch.py
@@ -0,0 +1,75 @@
+"""Endpoint watch: follows the endpoint list, and polls it again with backoff after a failure.
+
+Rule: an update that names changes counts for the entries it names. One that is complete, or comes from a
+cache, also tells that every backend it does not name is gone. Where the list has to be asked for (polled
+discovery), a failure is followed by another subscription after a pause that doubles from 0.5 s to 4 s; the
+list known before stays in force meanwhile.
+
+Inputs: `interface.ListNews`. Decides: which backends stopped being ready (their lines are removed), and when
+to subscribe again.
+
+Guards against a list service that is down or restarts: a controller neither hammers it nor drops the backends
+that it knows.
+"""
+
+from .backend import BackendState
+from .interface import Entry, Log, Subscribe
+from .units import MILLISECOND, SECOND
+
+POLL_BACKOFF_FIRST = 500 * MILLISECOND  # ns
+POLL_BACKOFF_MAX = 4 * SECOND  # ns
+POLL_DOUBLINGS_MAX = 6
+
+
+class EndpointWatch:
+    """Follows the endpoint list of one controller.
+
+    Args:
+        context: `Context` of the controller.
+    """
+
+    def __init__(self, context):
+        self.context = context
+        self.failures = 0
+        self._poll_at = 0 if context.deployment.ask else None
+
+    def update(self, updates):
+        """Takes over updates of one step.
+
+        Args:
+            updates: `interface.ListNews`, in the order in which they came.
+
+        Returns:
+            The `BackendState`s whose lines are to be removed.
+        """
+        entries = [pair for update in updates for pair in self._entries(update)]
+        return [backend for backend, entry in entries if backend.update_from_list(entry)]
+
+    def _entries(self, update):
+        """(backend, entry) for all that an update says, the backends it leaves out included."""
+        if update.how == "failed":
+            self._failed()
+            return []
+        self.failures = 0
+        named = {entry.backend for entry in update.entries}
+        known = self.context.backends if update.how in ("whole", "cached") else []
+        missing = [Entry(one.handle, one.zone, "gone") for one in known if one.handle not in named]
+        return [(self._backend(entry.backend), entry) for entry in update.entries + missing]
+
+    def _failed(self):
+        backoff = POLL_BACKOFF_FIRST << min(self.failures, POLL_DOUBLINGS_MAX)
+        self._poll_at = self.context.now + min(POLL_BACKOFF_MAX, backoff)
+        self.failures += 1
+        self.context.orders.append(Log("the list did not answer: it is asked again"))
+
+    def _backend(self, handle):
+        if handle.actor is None:
+            handle.actor = BackendState(self.context, handle)
+            self.context.backends.append(handle.actor)
+        return handle.actor
+
+    def poll_if_due(self):
+        """Orders a subscription when one is due; to be called at each beat."""
+        if self._poll_at is not None and self.context.now >= self._poll_at:
+            self._poll_at = None
+            self.context.orders.append(Subscribe())
--- /dev/null
+++ b/embertray/policy/outlier_detection.py
@@ -0,0 +1,75 @@
+"""Outlier detection: backends that fail far more than their peers are ejected, and recover step by step.
+
+Ejection rule: a backend whose share of failed attempts in the short window is more than 0.35 above the lower
+quartile of all reported backends is an outlier. Its weight is cut to the part that it answers, but not under
+6%, so that it is still heard of. At most 0.6 of the ready backends are ejected at a time. A general fault
+moves the quartile and ejects nobody. Harms where few peers are heard.
+
+Recovery rule: at each solve an ejected backend's weight doubles, once most of its few attempts were good, or
+nothing at all was heard of it for 12 s.
+
+Inputs: `BackendFigures`. Decides: `BackendState.health`, a factor on the weight; 1 is healthy.
+
+Guards against backends that fail fast, hang or die unseen by the endpoint list: they would take their share
+of requests, or more, and fail them.
+"""
+
+from .interface import Log
+from .units import SECOND
+
+FAILED_SHARE_ABOVE_PEERS = 0.35  # above the peers' lower quartile
+ATTEMPTS_MIN = 8  # reported in the short window, so that chance ejects nobody
+EJECTED_SHARE_MAX = 0.6  # of the ready backends: a zone may be lost, but never nearly all
+HEALTH_MIN = 0.06  # of its weight, to hear whether it is well again
+RECOVERY_FACTOR = 2.0  # on health at each solve
+RECOVERY_ATTEMPTS_MIN = 2
+RECOVERY_FAILED_SHARE_MAX = 1 / 4
+SILENT_RECOVERY_AFTER = 12 * SECOND  # ns without any report
+
+
+class OutlierDetection:
+    """Ejects outliers at every beat and lets them recover at every solve.
+
+    Args:
+        context: `Context` of the controller.
+    """
+
+    def __init__(self, context):
+        self.context = context
+
+    def recover(self, figures):
+        """Raises the weight of ejected backends that do well, or of which nothing is heard.
+
+        Args:
+            figures: `BackendFigures` of all ready backends.
+        """
+        now = self.context.now
+        for row in figures:
+            backend = row.backend
+            does_well = (
+                row.long.tries >= RECOVERY_ATTEMPTS_MIN
+                and row.long.failed <= row.long.tries * RECOVERY_FAILED_SHARE_MAX
+            )
+            silent = not row.long.tries and now - backend.health_since > SILENT_RECOVERY_AFTER
+            heard_since = now > backend.reports_ignored_until + self.context.report_interval
+            if (does_well or silent) and backend.health < 1 and heard_since:
+                backend.set_health(min(1.0, backend.health * RECOVERY_FACTOR))
+
+    def eject(self, figures):
+        """Cuts the weight of outliers, the worst first.
+
+        Args:
+            figures: `BackendFigures` of all ready backends.
+        """
+        heard = [
+            row for row in figures if row.short.tries >= ATTEMPTS_MIN and row.backend.health > HEALTH_MIN
+        ]
+        failed = {row.backend: row.short.failed / row.short.tries for row in heard}
+        usual = sorted(failed.values())[len(failed) // 4] if failed else 0
+        may_eject = int(EJECTED_SHARE_MAX * len(figures)) - sum(row.backend.health < 1 for row in figures)
+        outliers = [one for one, share in failed.items() if share > FAILED_SHARE_ABOVE_PEERS + usual]
+        for backend in sorted(outliers, key=lambda backend: -failed[backend]):
+            if backend.health < 1 or may_eject > 0:
+                may_eject -= backend.health >= 1
+                backend.set_health(max(HEALTH_MIN, backend.health * (1 - failed[backend])))
+                self.context.orders.append(Log("a backend errs far more than its peers: its weight is cut"))
--- a/embertray/policy/proxy.py
+++ b/embertray/policy/proxy.py
@@ -1,40 +1,77 @@
-from embertray.policy.records.arrivals import ArrivalSamples
-from embertray.policy.records.messages import ProxyMessages
+"""One proxy as a controller knows it: whether it joined, its table, open nonces and the requests it gets."""
 
-from .actor import Actor, c
+from .backend import LONG_WINDOW, SHORT_WINDOW
+from .context import REPORTS_KEPT
+from .records.arrivals import ArrivalSamples
+from .records.messages import ProxyMessages
+from .units import SECOND
 
+RATES_INTERVAL = 1 * SECOND  # ns between two looks at its rates: proxies are many
 
-class Proxy(Actor):
-    """A proxy: its zone, whether joined and bound, its open nonces and the requests that come to it."""
 
-    def __init__(self, owner, handle):
-        super().__init__(owner, handle)
-        self.zone, self.joined, self.table, self.gone_at = None, False, None, owner.now
-        self.since, self.seen, self.rates = owner.now, None, {}
-        self.messages, self.samples = ProxyMessages(), ArrivalSamples(c.KEEP)
+class ProxyState:
+    """State of one proxy; rates are requests a second.
 
-    def on_joined(self, event):
-        self.zone, self.rate, self.fresh = event.zone, event.rate, event.fresh
-        self.joined, self.table, self.gone_at, self.since = True, None, None, self.now
+    Args:
+        context: `Context` of the controller.
+        handle: `interface.Proxy` that stands for it outside.
+    """
+
+    def __init__(self, context, handle):
+        self.context = context
+        self.handle = handle
+        self.zone = None
+        self.joined = False
+        self.joined_at = context.now
+        self.gone_at = context.now
+        self.table = None
+        self.usual_rate = 0.0
+        self.has_standing_table_only = False
+        self.rates = {}
+        self.long_rate = 0.0
+        self.messages = ProxyMessages()
+        self.samples = ArrivalSamples(REPORTS_KEPT)
+        self._rates_at = None
+
+    def join(self, event):
+        """Its stream stands: whatever it held before, it is bound anew.
+
+        Args:
+            event: `interface.Joined`.
+        """
+        self.zone = event.zone
+        self.usual_rate = event.rate
+        self.has_standing_table_only = event.fresh
+        self.joined = True
+        self.joined_at = self.context.now
+        self.gone_at = None
+        self.table = None
         self.messages = ProxyMessages()
-        self.owner.channel.send("join", self)
 
-    def on_left(self, _):
-        self.joined, self.table, self.gone_at = False, None, self.now
+    def leave(self):
+        """Its stream broke: it is bound to nothing."""
+        self.joined = False
+        self.gone_at = self.context.now
+        self.table = None
 
-    def on_answered(self, event):
-        self.messages.answered(event.nonce, self.now)
-        self.owner.channel.send("through", self, event.nonce, event.took)
+    def acknowledge(self, nonce):
+        """It applied the message that carried `nonce`, and all before it."""
+        self.messages.answered(nonce, self.context.now)
 
-    def on_arrivals(self, event):
-        self.samples.add(self.now, event)
+    def add_arrivals(self, report):
+        """Keeps `interface.Arrivals`, the requests of one kind that reached it."""
+        self.samples.add(self.context.now, report)
 
-    def look(self):
-        """What comes, by request kind lately and in all for longer; proxies are many: not at each beat."""
-        if self.seen is None or self.now >= self.seen + c.LOOK:
-            self.seen, self.rates = self.now, self.over(c.SHORT)
-            self.rate_long = sum(self.over(c.WINDOW).values())
+    def update_rates(self):
+        """Estimates what comes to it: by request kind lately, and in all for longer."""
+        now = self.context.now
+        if self._rates_at is None or now >= self._rates_at + RATES_INTERVAL:
+            self._rates_at = now
+            self.rates = self._rates_over(SHORT_WINDOW)
+            self.long_rate = sum(self._rates_over(LONG_WINDOW).values())
 
-    def over(self, window):
-        kinds, start = self.site.kinds, self.now - window
-        return {kind: self.samples.rate(kind, start, self.rate / len(kinds)) for kind in kinds}
+    def _rates_over(self, window):
+        kinds = self.context.deployment.kinds
+        start = self.context.now - window
+        usual = self.usual_rate / (len(kinds) or 1)
+        return {kind: self.samples.rate(kind, start, usual) for kind in kinds}
--- /dev/null
+++ b/embertray/policy/proxy_binding.py
@@ -0,0 +1,89 @@
+"""Binding of proxies: gives each proxy that joins the table of its zone.
+
+Rule: a joiner is bound anew, whatever it held before. Who has waited longest goes first; a proxy that holds
+its standing table only counts as a quarter of the drain grace ahead, then the one with the most requests goes
+first.
+
+Inputs: joined proxies that are not bound, with the time of their joining (ns). Decides: `Binding`s.
+
+Guards against proxies that are left with few or stale backends: when a whole fleet joins at once its bindings
+take seconds of the channel, and for each proxy the grace runs from its joining.
+"""
+
+from typing import Any, NamedTuple
+
+from .units import SECOND
+
+AHEAD_MIN = SECOND // 4  # ns; a beat
+AHEAD_SHARE_OF_GRACE = 4  # a proxy with its standing table only is this part of the drain grace ahead
+
+
+class Binding(NamedTuple):
+    """A proxy that is to be bound to a table."""
+
+    proxy: Any  # ProxyState
+    table: Any  # TableState
+
+
+class ProxyBinding:
+    """The proxies that wait for their table.
+
+    Args:
+        context: `Context` of the controller.
+        budget: `ChannelBudget`.
+        writer: `TableWriter`.
+        tables: `RoutingTables`.
+    """
+
+    def __init__(self, context, budget, writer, tables):
+        self.context = context
+        self.budget = budget
+        self.writer = writer
+        self.tables = tables
+        self.waiting = {}  # proxy -> True
+
+    def add(self, proxy):
+        """A proxy joined."""
+        self.waiting[proxy] = True
+
+    def bind(self, priority, removals_wait, joined_before=None):
+        """Binds those that wait, as far as there is room.
+
+        Args:
+            priority: `Priority` in the channel.
+            removals_wait: whether removals wait.
+            joined_before: ns; only proxies that joined earlier. None: all.
+
+        Returns:
+            list of `Binding`.
+        """
+        bindings = []
+        rates = self.tables.usual_rates()
+        for proxy in self._in_order(joined_before):
+            table = self.tables.table_for(proxy, rates, removals_wait)
+            if not table:
+                continue
+            lines = self.writer.bind_lines(table)
+            if self.budget.reserve([proxy], lines, priority):
+                del self.waiting[proxy]
+                bindings.append(Binding(proxy, table))
+                rates[table] += proxy.usual_rate
+            elif self._is_full(lines, priority):
+                break
+        return bindings
+
+    def _in_order(self, joined_before):
+        ahead = max(AHEAD_MIN, self.context.deployment.drain_grace // AHEAD_SHARE_OF_GRACE)
+        limit = joined_before or self.context.now + 1
+        proxies = [proxy for proxy in self.waiting if proxy.joined and proxy.joined_at < limit]
+
+        def urgency(proxy):
+            return proxy.joined_at + (0 if proxy.has_standing_table_only else ahead), -proxy.usual_rate
+
+        return sorted(proxies, key=urgency)
+
+    def _is_full(self, lines, priority):
+        """Whether there is no room for the others either."""
+        deployment = self.context.deployment
+        needed = lines + deployment.head + 1
+        return deployment.pending_max and self.budget.free_lines(priority) < needed
--- /dev/null
+++ b/embertray/policy/publisher.py
@@ -0,0 +1,138 @@
+"""Publisher: what goes to the proxies at one step, the most urgent first, one message a proxy.
+
+Rule: removals and bindings go at every step. At beats urgent updates and levels follow, then the update
+queue. All that is ordered in one step carries one nonce, which each proxy concerned answers once it has
+applied the message. While removals wait, a table with proxies gets nothing of the queue.
+"""
+
+from .channel_budget import BINDING, REMOVAL, ChannelBudget
+from .endpoint_removal import EndpointRemoval
+from .interface import Bind, Nonce, PutNonce
+from .proxy_binding import Binding, ProxyBinding
+from .subsetting import RoutingTables
+from .table_writer import TableWriter
+from .update_queue import UpdateQueue
+
+
+class Publisher:
+    """Brings the tables of one controller to its proxies.
+
+    Args:
+        context: `Context` of the controller.
+        endpoint_watch: `EndpointWatch`.
+    """
+
+    def __init__(self, context, endpoint_watch):
+        self.context = context
+        self.tables = RoutingTables(context)
+        self.budget = ChannelBudget(context, endpoint_watch)
+        self.writer = TableWriter(self.budget)
+        self.queue = UpdateQueue(context, self.budget, self.writer)
+        self.removal = EndpointRemoval(context, self.budget, self.writer, self.queue)
+        self.binding = ProxyBinding(context, self.budget, self.writer, self.tables)
+        self.is_urgent = False  # a removal or a binding waits for no beat
+
+    def proxy_joined(self, proxy):
+        """A proxy joined: it is bound at the next step."""
+        self.binding.add(proxy)
+        self.is_urgent = True
+
+    def backend_left(self, backend):
+        """A backend stopped being ready: its lines are removed at the next step."""
+        self.removal.add(backend)
+        self.is_urgent = True
+
+    def set_wanted(self, zone, wanted):
+        """Sets the wanted lines of a zone and queues the tables that change by it.
+
+        Args:
+            zone: `interface.Zone`.
+            wanted: `BackendState` -> weight.
+        """
+        for table in self.tables.set_wanted(zone, wanted):
+            self.queue.add(table)
+
+    def publish(self, levels=None):
+        """Orders what has room.
+
+        Args:
+            levels: at beats, request kind -> `AdmissionLevel`; None between beats, when only removals and
+                bindings go.
+        """
+        context = self.context
+        joined = context.joined_proxies
+        self.is_urgent = False
+        self.budget.begin_step()
+        self.writer.begin_step(levels)
+        self.removal.drop_returned()
+        proxies_of, unbound = self._proxies_by_table(joined)
+        self.queue.sweep_if_due(self.tables.all)
+        bindings, withdrawals = self._remove_and_bind(joined, proxies_of, unbound)
+        if levels:
+            bindings += self._update(proxies_of)
+        for binding in bindings:
+            binding.proxy.table = binding.table
+        binds = [Bind(binding.proxy.handle, binding.table.handle) for binding in bindings]
+        context.orders += self.writer.orders + binds + withdrawals
+        self._order_nonce()
+
+    def _proxies_by_table(self, joined):
+        """(table -> joined proxies bound to it, joined proxies that are not bound)."""
+        proxies_of = {table: [] for table in self.tables.all}
+        unbound = []
+        for proxy in joined:
+            (unbound if proxy.table is None else proxies_of[proxy.table]).append(proxy)
+        return proxies_of, unbound
+
+    def _remove_and_bind(self, joined, proxies_of, unbound):
+        """Removals and bindings; a proxy that has waited longer than any removal is bound before."""
+        removal = self.removal
+        subsets = self.tables.are_subsets
+        bindings = []
+        if subsets and removal.due:
+            bindings += self.binding.bind(REMOVAL, True, removal.oldest())
+        withdrawals = removal.remove(proxies_of, [] if subsets else unbound, joined)
+        removals_wait = bool(removal.due)
+        priority = REMOVAL if removals_wait and subsets else BINDING
+        bindings += self.binding.bind(priority, removals_wait)
+        return bindings, withdrawals
+
+    def _update(self, proxies_of):
+        removals_wait = bool(self.removal.due)
+        for table, proxies in proxies_of.items():
+            self.queue.send_urgent(table, proxies, removals_wait)
+        bindings = []
+        due = [table for table in self.queue.due_tables() if not (removals_wait and proxies_of[table])]
+        for table in due:
+            rebound = self.queue.update(table, proxies_of[table])
+            bindings += [Binding(proxy, table) for proxy in rebound]
+        return bindings
+
+    def _order_nonce(self):
+        if not self.budget.reserved:
+            return
+        nonce = Nonce()
+        self.context.orders.append(PutNonce(nonce))
+        for proxy in self.budget.reserved:
+            proxy.messages.ordered(nonce, self.context.now)
+        self.budget.ordered(nonce)
+
+    def forget(self, member):
+        """Forgets a backend or proxy that is gone for long.
+
+        Args:
+            member: `BackendState` or `ProxyState`.
+
+        Returns:
+            Whether it could be forgotten: not while its removal is not out, a table still has its line, or an
+            unbound proxy holds it withdrawn (a binding clears that).
+        """
+        removal = self.removal
+        is_withdrawn = member in removal.withdrawn and any(
+            proxy.table is None for proxy in self.context.joined_proxies
+        )
+        if is_withdrawn or member in removal.due or any(member in table.sent for table in self.tables.all):
+            return False
+        self.binding.waiting.pop(member, None)
+        removal.withdrawn.pop(member, None)
+        return True
--- a/embertray/policy/records/arrivals.py
+++ b/embertray/policy/records/arrivals.py
@@ -6,16 +6,27 @@
 
 
 class ArrivalSamples:
-    """The last reports of a proxy (`interface.Arrivals`), by the time at which they came."""
+    """The last reports of a proxy (`interface.Arrivals`), by the time at which they came.
+
+    Args:
+        keep: reports that are kept.
+    """
 
     def __init__(self, keep):
         self.rows = deque(maxlen=keep)
 
     def add(self, at, arrivals):
+        """Keeps a report that came at `at`, ns."""
         self.rows.append((at, arrivals))
 
     def rate(self, kind, start, default):
-        """Requests of a kind a second, by the reports since `start` and those that came last."""
+        """Requests of a kind a second, by the reports since `start` and those that came last.
+
+        Args:
+            kind: `interface.RequestKind`.
+            start: ns.
+            default: what is returned if nothing was reported of the kind.
+        """
         known = [(at, report) for at, report in self.rows if report.kind is kind]
         rows = [report for at, report in known if at > start or at == known[-1][0]]
         span = sum(report.span for report in rows)
--- a/embertray/policy/records/backend.py
+++ b/embertray/policy/records/backend.py
@@ -48,21 +48,34 @@
 
 
 class BackendSamples:
-    """The last reports on a backend."""
+    """The last reports on a backend.
+
+    Args:
+        keep: reports that are kept.
+    """
 
     def __init__(self, keep):
         self.rows = deque(maxlen=keep)
 
     def add(self, at, heard, load):
+        """Keeps a report that came at `at`, ns, with the load that it tells or None."""
         row = Sample(at, heard.tries, heard.failed, heard.latency, load, heard.zone, heard.span)
         self.rows.append(row)
 
     def clear(self):
+        """Forgets all reports."""
         self.rows.clear()
 
     def totals(self, start, failed_latency, span_least):
-        """A failed try counts as `failed_latency` long. The rate is that of each zone's reported spans, or of
-        `span_least` if they are shorter.
+        """The sums of all reports since `start`.
+
+        Args:
+            start: ns.
+            failed_latency: ns that a failed attempt counts as.
+            span_least: ns; the rate is that of each zone's reported spans, or of this if they are shorter.
+
+        Returns:
+            `Totals`.
         """
         rows = [row for row in self.rows if row.at > start]
         tries = sum(row.tries for row in rows)
@@ -75,6 +88,7 @@
         return Totals(tries, failed, latency / tries if tries else 0, rate)
 
     def newest(self, start, failed_latency):
+        """The reports since `start`, ns, as `Newest` each; a failed attempt counts as `failed_latency` ns."""
         return tuple(
             Newest(row.tries, latency_sum(row, failed_latency), row.load)
             for row in self.rows
@@ -82,12 +96,13 @@
         )
 
     def mean_load(self, start):
-        """None: no load was reported since."""
+        """Mean reported load since `start`, ns; None if none was reported."""
         loads = [row.load for row in self.rows if row.load is not None and row.at > start]
         return sum(loads) / len(loads) if loads else None
 
 
 def latency_sum(row, failed_latency):
+    """Latency of all attempts of a `Sample`, ns; a failed one counts as `failed_latency`."""
     return (row.tries - row.failed) * row.latency + row.failed * failed_latency
 
 
--- a/embertray/policy/records/levels.py
+++ b/embertray/policy/records/levels.py
@@ -1,15 +1,15 @@
-"""What the parts of the decision module hand to each other about levels."""
+"""What the rules hand to each other about load and admission."""
 
 from typing import NamedTuple
 
 from .backend import Totals
 
 
-class Level(NamedTuple):
-    """What is let in of a request kind, and how it may be tried again (`interface.SetLevel`)."""
+class AdmissionLevel(NamedTuple):
+    """How much of a request kind proxies admit, and how they may retry it (`interface.SetLevel`)."""
 
-    level: float
-    retry: int  # 1: only after proof that the first try never ran
+    admitted: float  # share, or requests a second at each proxy
+    retry: int  # 1: only after proof that the first attempt never ran
 
 
 class FleetState(NamedTuple):
@@ -20,5 +20,5 @@
     empty: bool  # the newest loads are far below those of the long window
     busy: float  # mean load if it tells of busy slots, else 1
     short: Totals  # of the short window, all backends
-    able: float  # capacity, in average backends
-    cold: bool  # some backend is not warm yet
+    capacity: float  # average backends
+    has_cold: bool  # some backend is not warm yet
--- a/embertray/policy/records/messages.py
+++ b/embertray/policy/records/messages.py
@@ -9,39 +9,62 @@
     """One proxy's messages: nonces it has not answered yet, and until when the answered were written."""
 
     def __init__(self):
-        self.open, self.written = deque(), deque()  # (nonce, time ordered); times
+        self.open = deque()  # (nonce, ns at which it was ordered)
+        self.written = deque()  # ns
 
     def ordered(self, nonce, at):
+        """A message with this nonce was ordered at `at`, ns."""
         self.open.append((nonce, at))
 
     def answered(self, nonce, at):
-        """All before it, too. They count as written now: a channel that lags writes late and at once."""
+        """The nonce and all before it are answered.
+
+        They count as written at `at`, ns: a channel that lags writes late and at once.
+        """
         while any(nonce is each for each, _ in self.open):
             self.open.popleft()
             self.written.append(at)
 
     def open_before(self, time):
-        """Whether one that was ordered before then is open."""
+        """Whether a nonce that was ordered before `time`, ns, is open."""
         return bool(self.open) and self.open[0][1] < time
 
     def count(self, since, open_since):
-        """Messages written since then, and those ordered after `open_since` that may yet be written."""
+        """Messages written after `since`, and those ordered after `open_since` that may yet be written.
+
+        Forgets what was written before `since`; both are ns.
+        """
         while self.written and self.written[0] <= since:
             self.written.popleft()
         return len(self.written) + sum(at > open_since for _, at in self.open)
 
 
-class Flights:
+class LinesInFlight:
     """Lines that wait in the channel, by nonce in the order of sending."""
 
     def __init__(self, now):
-        self.by_nonce, self.proof_at = {}, now  # nonce -> [proxy -> lines, lines in all that are unanswered]
+        self.by_nonce = {}  # nonce -> [proxy -> lines, lines in all that are unanswered]
+        self.proof_at = now  # ns; when a proxy last proved that the channel sends
 
     def ordered(self, nonce, lines, total):
+        """Messages go out under a nonce.
+
+        Args:
+            nonce: `interface.Nonce`.
+            lines: proxy -> lines of its message, without overhead.
+            total: lines in all, overheads included.
+        """
         self.by_nonce[nonce] = [lines, total]
 
     def answered(self, proxy, nonce, head, now):
-        """Marks before it are through as well. `head`: lines that a message costs beyond its own."""
+        """A proxy answered a nonce: those before it are through as well.
+
+        Args:
+            proxy: who answered.
+            nonce: `interface.Nonce`.
+            head: lines that a message costs beyond its own.
+            now: ns.
+        """
         if nonce not in self.by_nonce:
             return
         while (first := next(iter(self.by_nonce))) is not nonce:
@@ -52,12 +75,21 @@
             self.proof_at = now
 
     def restart(self, now):
+        """Nothing waits any more: the channel's time is counted from `now`, ns."""
         self.by_nonce.clear()
         self.proof_at = now
 
     def waiting(self, now, rate, slowest):
-        """Lines that may still wait: all since the last nonce known to be through, less what leaves at `rate`
-        lines a second divided by `slowest`.
+        """Lines that may still wait: all since the last nonce known to be through, less what leaves
+        meanwhile.
+
+        Args:
+            now: ns.
+            rate: lines a second that the channel sends.
+            slowest: by which the rate is divided, to be on the safe side.
+
+        Returns:
+            Lines, 0 or more.
         """
         gone = (now - self.proof_at) * rate / slowest / SECOND
         return max(0.0, sum(left for _, left in self.by_nonce.values()) - gone)
--- a/embertray/policy/records/tables.py
+++ b/embertray/policy/records/tables.py
@@ -1,22 +1,34 @@
-"""A routing table as the decision module keeps it."""
+"""A routing table as the decisions keep it."""
 
 
 class TableState:
-    """Lines (backend -> weight) and levels, as wanted and as last sent, and pushes that failed in a row."""
+    """Lines (backend -> weight) and levels of a table, as wanted and as last sent.
+
+    Args:
+        handle: `interface.Table` that stands for it outside.
+    """
 
     def __init__(self, handle):
-        self.handle, self.want, self.sent, self.levels, self.fails = handle, {}, {}, {}, 0
+        self.handle = handle
+        self.want = {}
+        self.sent = {}
+        self.levels = {}
+        self.fails = 0  # updates in a row that some proxy did not acknowledge
 
     def size(self):
         """Lines that bind a proxy anew to it."""
         return len(self.sent | self.want)
 
     def put(self, lines):
-        """These lines were sent: (backend, weight) pairs; weight 0 removes one."""
+        """Keeps lines that were sent.
+
+        Args:
+            lines: list of (backend, weight); weight 0 removes a line.
+        """
         self.sent.update(lines)
         for backend in [backend for backend, weight in lines if not weight]:
             del self.sent[backend]
 
     def compact(self):
-        """Made anew, a dict has no empty places."""
+        """Frees the room of removed lines: a dict that is made anew has no empty places."""
         self.sent = dict(self.sent)
--- /dev/null
+++ b/embertray/policy/slow_start.py
@@ -0,0 +1,49 @@
+"""Slow start: how much of its usual weight a backend gets while it warms up.
+
+Rule: a backend that started less than the told warm-up time ago gets a part of the load under which the
+deployment says that it would fall over. The part grows with the backend's age as its speed does, and never
+reaches its full weight before it is warm. While requests queue everywhere, proxies shun busy backends and
+pick the idle one, so that a cold backend would get far more than its weight: then it gets no line at all.
+
+Inputs: age of the backend (ns), the deployment's cold speed (share of the usual), warm-up time (ns), overload
+multiple, and how proxies pick. Decides: a factor on the weight, 0 to 1.
+
+Guards against pushing over a backend that has just started: it falls under several times what it can do at
+that moment and stays down. Costs some capacity where a backend warms sooner than told.
+"""
+
+PART_OF_OVERLOAD = 0.5  # share of the load under which a cold backend falls over
+COLD_FACTOR_MAX = 0.95  # factor on the weight until it is warm
+TWO_CHOICES_FACTOR = 0.42  # proxies that draw two and take the idler one prefer a cold backend
+
+
+def warmth(deployment, started_at, now):
+    """How much of its weight a backend gets for its age.
+
+    Args:
+        deployment: `interface.Deployment`.
+        started_at: when the backend started, ns; 0 or less: long ago.
+        now: time of the step, ns.
+
+    Returns:
+        A factor, 1.0 for a warm backend.
+    """
+    age = max(0, now - started_at)
+    if started_at <= 0 or age >= deployment.warm_after:
+        return 1.0
+    speed = deployment.cold_from + (1 - deployment.cold_from) * age / deployment.warm_after
+    preferred = TWO_CHOICES_FACTOR if deployment.pick == "two" else 1.0
+    return min(COLD_FACTOR_MAX, speed * (PART_OF_OVERLOAD * deployment.fall_multiple * preferred or 1))
+
+
+def backends_with_weight(figures, congested):
+    """The backends that get a weight now.
+
+    Args:
+        figures: `BackendFigures` of all ready backends.
+        congested: whether requests queue at the warm ones.
+
+    Returns:
+        Those of `figures` that may get lines: all, or the warm ones alone while requests queue.
+    """
+    return [row for row in figures if row.warmth >= 1 or not congested]
--- /dev/null
+++ b/embertray/policy/subsetting.py
@@ -0,0 +1,219 @@
+"""Subsetting: which of a zone's wanted lines stand in which of its tables, and which table a proxy gets.
+
+Rule: a zone has one table of all ready backends where the channel can bring that to all proxies in time.
+Where it can't, the zone has several tables, each with lines of every zone in proportion to the requests that
+come to its proxies. A new backend goes to the table that lacks most; at each beat up to four lines move from
+the table that has most over to one that lacks more than a quarter. A proxy that joins gets the table with the
+fewest requests for what its lines can do. There are no more tables in use than one for five proxies: where
+that makes larger subsets needed, they are larger.
+
+Inputs: wanted weights, lines that a table may have (0: any number), usual requests a second of each table's
+proxies. Decides: `TableState.want` of each table, and the table of a joining proxy.
+
+Guards against proxies that are not bound within the drain grace and go on to send to backends that left:
+whole tables for a large fleet take the channel longer than that.
+"""
+
+from .interface import Table
+from .records.tables import TableState
+from .units import SECOND
+
+LINES_MIN = 8  # lines of a table at the least
+PROXIES_PER_TABLE_MIN = 5  # so that tables are shared
+TABLES_PER_LINE_MIN = 4  # of all controllers' tables; fewer, and subsets are larger
+GROWTH_TO_SPLIT = 1.5  # times the tables there are, until there are more
+IDLE_SHARE = 0.25  # of the mean requests, counted for each table, as proxies join
+LACK_TO_MOVE = 0.25  # share of its lines' weight that a table lacks until one moves to it
+MOVES_MAX = 4  # lines of a zone moved at a beat: each costs lines of the channel
+GRACE_SHARE = 0.7  # of the drain grace, within which all proxies have to be bound
+
+
+class ZoneTables:
+    """The tables of one zone's proxies.
+
+    Args:
+        context: `Context` of the controller.
+    """
+
+    def __init__(self, context):
+        deployment = context.deployment
+        per_table = max(1, deployment.controllers * PROXIES_PER_TABLE_MIN * len(deployment.zones))
+        self.tables = []
+        self._usable_max = max(1, deployment.proxies // per_table)
+        self._covered_max = self._usable_max * deployment.controllers // TABLES_PER_LINE_MIN
+        self._used = 1  # the first so many tables are in use
+        self._first = context.draw()  # each controller begins at another table
+        self._table_of = {}  # backend -> the table its line stands in
+
+    def assign(self, wanted, lines_max, rates):
+        """Gives each table its part of the wanted lines.
+
+        Args:
+            wanted: `BackendState` -> weight.
+            lines_max: lines of a table at the most; 0: any number.
+            rates: table -> usual requests a second of its proxies.
+
+        Returns:
+            The zone's tables (`TableState`), their `want` set.
+        """
+        self._add_tables(len(wanted), lines_max)
+        if len(self.tables) == 1:
+            self.tables[0].want = wanted
+            return self.tables
+        self._table_of = {one: table for one, table in self._table_of.items() if one.state == "ready"}
+        demand = self._demand(rates)
+        for zone in dict.fromkeys(backend.zone for backend in wanted):
+            group = {backend: weight for backend, weight in wanted.items() if backend.zone is zone}
+            self._assign_zone(group, demand)
+        for table in self.tables:
+            moved = [one for one in table.sent if self._table_of.get(one, table) is not table]
+            table.want = dict.fromkeys(moved, 0)
+        for backend, weight in wanted.items():
+            self._table_of[backend].want[backend] = weight
+        self._fill_empty_tables(wanted)
+        return self.tables
+
+    def _add_tables(self, lines, lines_max):
+        needed = max(1, -(-lines // lines_max)) if lines_max else 1
+        if needed > self._covered_max:
+            needed = min(needed, self._usable_max)
+        if needed > GROWTH_TO_SPLIT * len(self.tables):
+            self.tables += [TableState(Table()) for _ in range(needed - len(self.tables))]
+            self._used = min(needed, self._usable_max)
+
+    def _demand(self, rates):
+        """Table -> requests a second, an idle part of the mean added to each; alike while most have no
+        proxies."""
+        known = rates if self._used == len(self.tables) else {}
+        total = sum(known.get(table, 0.0) for table in self.tables) or 1.0
+        idle = total / len(self.tables) * IDLE_SHARE
+        return {table: known.get(table, 0.0) + idle for table in self.tables}
+
+    def _assign_zone(self, group, demand):
+        """Places the new backends of one zone, then moves lines to tables that lack them.
+
+        Args:
+            group: backend -> weight, of one zone.
+            demand: table -> requests a second.
+        """
+        weight_per_request = sum(group.values()) / sum(demand.values())
+        lacking = {table: rate * weight_per_request for table, rate in demand.items()}
+        for backend in [backend for backend in group if backend in self._table_of]:
+            lacking[self._table_of[backend]] -= group[backend]
+        new = [backend for backend in group if backend not in self._table_of]
+        for backend in sorted(new, key=lambda backend: (-group[backend], backend.draw)):
+            table = max(lacking, key=lacking.get)
+            self._table_of[backend] = table
+            lacking[table] -= group[backend]
+        for _ in range(MOVES_MAX):
+            poorest = max(lacking, key=lacking.get)
+            if lacking[poorest] <= LACK_TO_MOVE * demand[poorest] * weight_per_request:
+                break
+            if not self._move_line(group, lacking, poorest):
+                break
+
+    def _move_line(self, group, lacking, poorest):
+        """Moves the line that evens out best from the table with most over; False if none would."""
+        richest = min(lacking, key=lacking.get)
+        gap = lacking[poorest] - lacking[richest]
+        movable = [one for one, weight in group.items() if self._table_of[one] is richest and weight < gap]
+        if not movable:
+            return False
+        backend = min(movable, key=lambda one: abs(group[one] - gap / 2))
+        self._table_of[backend] = poorest
+        lacking[poorest] -= group[backend]
+        lacking[richest] += group[backend]
+        return True
+
+    def _fill_empty_tables(self, wanted):
+        """A table whose lines all left, or wait while requests queue, gets the best of the list: its proxies
+        would have no backend to pick."""
+        best = sorted(wanted, key=lambda backend: -wanted[backend])[:LINES_MIN]
+        for table in self.tables:
+            if not any(table.want.values()):
+                table.want.update({backend: wanted[backend] for backend in best})
+
+    def table_for(self, proxy, rates, removals_wait):
+        """The table for a proxy that joins: where fewest requests come for what the lines can do.
+
+        Args:
+            proxy: `ProxyState`.
+            rates: table -> usual requests a second of its proxies.
+            removals_wait: whether removals wait; a table that was never sent costs too much then.
+
+        Returns:
+            `TableState`, or None if no table has lines yet.
+        """
+        first = self._first % max(1, len(self.tables))
+        used = (self.tables[first:] + self.tables[:first])[: self._used]
+        weights = {
+            table: sum(table.want.values())
+            for table in used
+            if table.sent or table.want and not removals_wait
+        }
+        loads = {
+            table: (rates.get(table, 0.0) + proxy.usual_rate) / (weight or 1e-9)
+            for table, weight in weights.items()
+        }
+        return min(loads, key=loads.get, default=None)
+
+
+class RoutingTables:
+    """All tables of a controller, by zone.
+
+    Args:
+        context: `Context` of the controller.
+    """
+
+    def __init__(self, context):
+        self.context = context
+        self.zones = {}
+
+    @property
+    def all(self):
+        """All `TableState`s, zone by zone."""
+        return [table for zone in self.zones.values() for table in zone.tables]
+
+    @property
+    def are_subsets(self):
+        """Whether some zone has more than one table."""
+        return any(len(zone.tables) > 1 for zone in self.zones.values())
+
+    def set_wanted(self, zone, wanted):
+        """Sets a zone's wanted lines.
+
+        Args:
+            zone: `interface.Zone`.
+            wanted: `BackendState` -> weight.
+
+        Returns:
+            The zone's tables.
+        """
+        if zone not in self.zones:
+            self.zones[zone] = ZoneTables(self.context)
+        return self.zones[zone].assign(wanted, self.lines_max(), self.usual_rates())
+
+    def lines_max(self):
+        """Lines of a table that the channel brings to all proxies in time; 0: any number.
+
+        All proxies may come to one controller at once, and one that is not bound within the grace may still
+        send to a backend that left.
+        """
+        deployment = self.context.deployment
+        limits = [limit for limit in (deployment.drain_grace, deployment.bare_limit) if limit]
+        time = min(limits, default=0)
+        lines = GRACE_SHARE * deployment.channel_rate * time / SECOND / (deployment.proxies or 1)
+        return max(LINES_MIN, int(lines - deployment.head - 2 - len(deployment.kinds))) if lines else 0
+
+    def usual_rates(self):
+        """Table -> usual requests a second of the proxies bound to it."""
+        rates = dict.fromkeys(self.all, 0.0)
+        for proxy in self.context.proxies:
+            if proxy.table is not None:
+                rates[proxy.table] += proxy.usual_rate
+        return rates
+
+    def table_for(self, proxy, rates, removals_wait):
+        """The table for a proxy that joins, or None (see `ZoneTables.table_for`)."""
+        zone = self.zones.get(proxy.zone)
+        return zone and zone.table_for(proxy, rates, removals_wait)
--- /dev/null
+++ b/embertray/policy/weight_planner.py
@@ -0,0 +1,53 @@
+"""Weights: learnt capacity times slow start times health, at every beat, as wanted lines for each zone."""
+
+from .congestion import CongestionEstimate
+from .learned_weights import SOLVE_INTERVAL, LearnedWeights
+from .locality import Locality
+from .outlier_detection import OutlierDetection
+from .slow_start import backends_with_weight
+
+
+class WeightPlanner:
+    """Runs the rules that make the weights.
+
+    Args:
+        context: `Context` of the controller.
+    """
+
+    def __init__(self, context):
+        self.context = context
+        self.learned_weights = LearnedWeights(context)
+        self.outliers = OutlierDetection(context)
+        self.congestion = CongestionEstimate(context)
+        self.locality = Locality(context)
+        self._next_solve_at = 0
+
+    def plan(self):
+        """One beat.
+
+        Returns:
+            (`FleetState`, list of (zone, `BackendState` -> wanted weight)).
+        """
+        context = self.context
+        figures = [backend.figures() for backend in context.backends if backend.state == "ready"]
+        demand = self._demand()
+        if context.now >= self._next_solve_at:
+            self._next_solve_at = context.now + SOLVE_INTERVAL
+            self.learned_weights.learn(figures)
+            self.outliers.recover(figures)
+        self.outliers.eject(figures)
+        state = self.congestion.estimate(figures)
+        is_congested = self.congestion.is_congested(state, figures)
+        weights = {
+            row.backend: row.backend.capacity * row.warmth * row.backend.health
+            for row in backends_with_weight(figures, is_congested)
+        }
+        return state, list(self.locality.lines(weights, demand))
+
+    def _demand(self):
+        """Zone -> requests a second that come to its joined proxies."""
+        demand = {}
+        for proxy in self.context.joined_proxies:
+            proxy.update_rates()
+            demand[proxy.zone] = demand.get(proxy.zone, 0.0) + proxy.long_rate
+        return demand
