--- a/embertray/policy/endpoint_watch.py
+++ b/embertray/policy/endpoint_watch.py
@@ -57,10 +57,15 @@
         return [(self._backend(entry.backend), entry) for entry in update.entries + missing]
 
     def _failed(self):
-        backoff = POLL_BACKOFF_FIRST << min(self.failures, POLL_DOUBLINGS_MAX)
-        self._poll_at = self.context.now + min(POLL_BACKOFF_MAX, backoff)
+        backoff = min(POLL_BACKOFF_MAX, POLL_BACKOFF_FIRST << min(self.failures, POLL_DOUBLINGS_MAX))
+        self._poll_at = self.context.now + backoff
         self.failures += 1
-        self.context.orders.append(Log("the list did not answer: it is asked again"))
+        self.context.orders.append(
+            Log(
+                f"endpoint list: no answer, {self.failures} in a row; polled again in "
+                f"{backoff // MILLISECOND} ms, the last list stays in force"
+            )
+        )
 
     def _backend(self, handle):
         if handle.actor is None:
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -28,7 +28,7 @@
 from .context import UNLIMITED_RATE
 from .interface import Log
 from .records.levels import AdmissionLevel
-from .units import SECOND
+from .units import MILLISECOND, SECOND
 
 LOOK_INTERVAL = 1 * SECOND  # ns
 LOOKS_KEPT = 40  # looks whose most is taken for what can be done
@@ -175,13 +175,18 @@
         effect = context.client_timeout + context.deployment.report_cycle + context.report_interval
         self._next_cut_at = context.now + effect
         admitted = self._goal * demand.unit
-        context.orders.append(Log(f"overload: {admitted:.0f} of {demand.coming:.0f} reqs/s let in"))
+        context.orders.append(
+            Log(
+                f"overload: requests wait {state.wait / MILLISECOND:.0f} ms in queues; "
+                f"{admitted:.0f} of {demand.coming:.0f} requests/s admitted"
+            )
+        )
 
     def _raise_goal(self, demand):
         self._goal = max(GOAL_AFTER_QUEUE * self._sustainable, self._goal * self._growth)
         if self._goal * demand.unit > demand.coming:
             self._goal = None
-            self.context.orders.append(Log("overload over: all let in"))
+            self.context.orders.append(Log(f"overload over: all of {demand.coming:.0f} requests/s admitted"))
 
     def _excess(self, state, demand, limits):
         """Requests a second to be shed.
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -72,4 +72,9 @@
             if backend.health < 1 or may_eject > 0:
                 may_eject -= backend.health >= 1
                 backend.set_health(max(HEALTH_MIN, backend.health * (1 - failed[backend])))
-                self.context.orders.append(Log("a backend errs far more than its peers: its weight is cut"))
+                self.context.orders.append(
+                    Log(
+                        f"backend {backend.handle.external_id} ejected: {failed[backend]:.0%} of attempts "
+                        f"failed, {usual:.0%} at its peers; {backend.health:.0%} of its weight is left"
+                    )
+                )
