--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -19,7 +19,7 @@
 
 DIGEST = """
 import sys, zlib
-from embertray.days import notation, player
+from embertray.simulation.scenarios import notation, player
 print(zlib.crc32(repr(player.play(notation.load("kill"), seed=int(sys.argv[1])).events).encode()))
 """
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -30,8 +30,8 @@
 MARGIN = 0.02  # of credit between a day with streams and one without: other draws where a req is tried again
 DIGEST = """
 import sys, zlib
-from embertray.days import notation
-from embertray.emulator.play import play
+from embertray.simulation.scenarios import notation
+from embertray.simulation.emulator.play import play
 print(zlib.crc32(repr(play(notation.load("rough"), 5, sys.argv[1]).events).encode()))
 """
 
