--- a/embertray/simulation/processes/control_play.py
+++ b/embertray/simulation/processes/control_play.py
@@ -47,14 +47,15 @@
 
 
 @contextmanager
-def recorded_plane(folder, replicas=3, subscribers=2, scale=0.25, seed=1, programs=None):
+def recorded_plane(folder, replicas=3, subscribers=2, scale=0.25, seed=1, programs=None, limits=None):
     """A ControlRecord of a control plane with links that runs and has a leader, looked at all the while.
-    `programs`: name -> what runs in place of the rig's own process."""
+    `programs`: name -> what runs in place of the rig's own process; `limits`: the TimeLimits to judge by,
+    those of the stated bounds if None."""
     plane = ControlPlane(folder, replicas, subscribers, scale)
     plane.programs.update(programs or {})
     bounds = Bounds(*scaled_paces(scale))
     with plane.linked(seed).running():
-        record = ControlRecord(plane, bounds)
+        record = ControlRecord(plane, bounds, limits)
         looker = threading.Thread(target=record.keep_looking)
         try:
             plane.all_up()
@@ -186,9 +187,9 @@
         return time.monotonic() - began
 
 
-def play(faults, seed, scale, replicas=3, subscribers=6, folder=None, show=lambda text: None):
-    """A PlayResult. `folder`: where logs and states stay, a temporary one if None."""
+def play(faults, seed, scale, replicas=3, subscribers=6, folder=None, show=lambda text: None, limits=None):
+    """A PlayResult. `folder`: where logs and states stay, a temporary one if None; `limits` as above."""
     with tempfile.TemporaryDirectory() as temporary:
         where = folder or temporary
-        with recorded_plane(where, replicas, subscribers, scale, seed=seed) as record:
+        with recorded_plane(where, replicas, subscribers, scale, seed, limits=limits) as record:
             return ControlPlay(record, scale, seed).run(faults, show)
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -24,6 +24,28 @@
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 
 
+@dataclass(frozen=True)
+class TimeLimits:
+    """Within how many ns a write has to be in force at a subscriber that is within reach.
+
+    `in_force`: counted from the write's acknowledgement or the end of the last fault, whichever is later;
+    `prompt`: the same long after the last fault, when all links are good.
+    """
+
+    in_force: int
+    prompt: int
+
+
+def limits_by_bounds(bounds):
+    """The TimeLimits that a Bounds states, for processes that this busy machine may run late."""
+    return TimeLimits(in_force=bounds.any_fault + LATE, prompt=bounds.good + LATE)
+
+
+def limits_by_objective(within):
+    """The TimeLimits of an objective that holds everywhere, ns: a late process is no excuse."""
+    return TimeLimits(in_force=within, prompt=within)
+
+
 @dataclass(frozen=True)
 class Look:
     """A subscriber said so. `since`: from when it was within reach of all it needs, None: it was not;
@@ -46,10 +68,12 @@
 
 
 class ControlRecord:
-    """Of one ControlPlane that runs; `bounds`: control.bounds.Bounds at its scale."""
+    """Of one ControlPlane that runs; `bounds`: control.bounds.Bounds at its scale; `limits`: the TimeLimits
+    to judge by, those of the bounds if None."""
 
-    def __init__(self, plane, bounds):
+    def __init__(self, plane, bounds, limits=None):
         self.plane, self.bounds = plane, bounds
+        self.limits = limits or limits_by_bounds(bounds)
         self.events, self.since, self.outcomes = [], {}, {}
         self.ending, self.lock = threading.Event(), threading.Lock()
         self.fault_over("start")
@@ -159,13 +183,11 @@
 
     def _judge_look(self, claims, now, look):
         claims.look(now, look.subscriber, look.revision, look.age)
-        late = self.bounds.any_fault + LATE
-        claims.reach(now, look.subscriber, look.revision, look.since, late)
+        claims.reach(now, look.subscriber, look.revision, look.since, self.limits.in_force)
         if look.calm is None or now < look.calm:
             claims.reach(now, look.subscriber, look.revision, None, 0, "prompt")
         else:
-            late = self.bounds.good + LATE
-            claims.reach(now, look.subscriber, look.revision, look.calm, late, "prompt")
+            claims.reach(now, look.subscriber, look.revision, look.calm, self.limits.prompt, "prompt")
 
     def _all_events(self):
         """(time, process, what) of writers, looks and logs."""
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -4,27 +4,38 @@
 import tempfile
 import threading
 import unittest
+from datetime import UTC, datetime
 from pathlib import Path
 
+from embertray.cluster.replication.bounds import Bounds
 from embertray.cluster.replication.link.audit import value_digest
 from embertray.cluster.replication.operations import Committed
+from embertray.experiments.capacity import target
 from embertray.simulation.processes.control import MOST
 from embertray.simulation.processes.control_play import play, recorded_plane
+from embertray.simulation.processes.control_record import (
+    LATE,
+    Acknowledgement,
+    ControlRecord,
+    Look,
+    limits_by_objective,
+)
 
 HERE = Path(__file__).resolve().parent
 SCALE = 0.4  # of all times, so that a case takes seconds, and an election is won on a busy machine
 LARGE = b"x" * 1_500  # a dozen of these take a subscriber some seconds by its budget
-
-
-def untimed(broken):
-    """Without the bounds on times: on a busy machine they are no verdict; measure/control.py holds them."""
-    return [one for one in broken if one.claim not in ("in force", "prompt")]
+S = 10**9
+# what the operators' target asks for: a write is in force within 12 s at whoever is within reach
+LIMITS = limits_by_objective(round(target.load().in_force_within * S))
 
 
 class Case(unittest.TestCase):
     def held(self, body, **more):
         """Runs body(record) on a control plane; in the end all are alike and no claim is broken."""
-        with tempfile.TemporaryDirectory() as folder, recorded_plane(folder, scale=SCALE, **more) as record:
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            recorded_plane(folder, scale=SCALE, limits=LIMITS, **more) as record,
+        ):
             body(record)
             record.plane.links.mend()
             record.fault_over("end")
@@ -32,7 +43,7 @@
             record.plane.wait(lambda: record.all_at(newest), f"all are alike at {newest} or later")
             record.look()  # after the last write: the looks beside the case may all have come before
             claims = record.judge()
-            self.assertEqual(untimed(claims.broken), [])
+            self.assertEqual(claims.broken, [])
             for claim in ("history", "acknowledged", "once", "age", "in force", "alike"):
                 self.assertGreater(claims.held[claim], 0, claim)
 
@@ -321,10 +332,66 @@
         self.assertIn("age", self.broken(body, "says_it_is_fresh", ["c1"]))
 
 
+class RecordedOnly:
+    """Stands for a ControlPlane whose processes logged nothing but one write, on all disks at once."""
+
+    def __init__(self, written_at):
+        self.replicas = ["k1", "k2", "k3"]
+        self.controllers = ["c1"]
+        self.asked = []
+        self.written_at = written_at
+
+    def lines(self, name):
+        """Log lines of a process."""
+        if name in self.controllers:
+            return []
+        timestamp = datetime.fromtimestamp(self.written_at / S, UTC).isoformat()
+        saved = {"event": "saved", "revision": 1, "timestamp": timestamp}
+        committed = {"event": "committed", "key": "key", "revision": 1, "term": 1, "request": "r"}
+        return [saved, {**committed, "digest": value_digest(b"1"), "timestamp": timestamp}]
+
+
+class Limits(unittest.TestCase):
+    """A subscriber that stays without a write is found out once the objective has passed, and no sooner."""
+
+    WRITTEN_AT = 1_700_000_000 * S
+
+    def broken_by(self, late, since, limits=LIMITS):
+        """Claims broken if a subscriber lacks a write `late` ns after it; within reach since `since`."""
+        record = ControlRecord(RecordedOnly(self.WRITTEN_AT - S), Bounds(), limits)
+        written = Acknowledgement(1, "key", value_digest(b"1"))
+        calm = None if since is None else since + record.bounds.any_fault
+        look = Look("c1", revision=0, age=None, since=since, calm=calm)
+        record.events += [(self.WRITTEN_AT, written), (self.WRITTEN_AT + late, look)]
+        return set(record.judge().counts)
+
+    def test_the_objective_is_the_operators_twelve_seconds(self):
+        self.assertEqual((LIMITS.in_force, LIMITS.prompt), (12 * S, 12 * S))
+
+    def test_a_late_write_breaks_both_claims_when_nothing_had_failed(self):
+        long_ago = self.WRITTEN_AT - 3_600 * S
+        self.assertEqual(self.broken_by(12 * S, long_ago), set())
+        self.assertEqual(self.broken_by(12 * S + 1, long_ago), {"in force", "prompt"})
+
+    def test_after_a_fault_the_time_counts_from_its_end(self):
+        ended = self.WRITTEN_AT + 5 * S
+        self.assertEqual(self.broken_by(17 * S, ended), set())
+        self.assertEqual(self.broken_by(17 * S + 1, ended), {"in force"})
+        self.assertEqual(self.broken_by(3_600 * S, None), set())
+
+    def test_without_an_objective_the_stated_bounds_count(self):
+        long_ago = self.WRITTEN_AT - 3_600 * S
+        bounds = Bounds()
+        self.assertEqual(self.broken_by(bounds.good + LATE, long_ago, None), set())
+        self.assertEqual(self.broken_by(bounds.good + LATE + 1, long_ago, None), {"prompt"})
+        self.assertEqual(self.broken_by(bounds.any_fault + LATE, long_ago, None), {"prompt"})
+        self.assertEqual(self.broken_by(bounds.any_fault + LATE + 1, long_ago, None), {"in force", "prompt"})
+
+
 class Play(unittest.TestCase):
     def test_a_fault_of_each_kind_while_writes_go_on(self):
-        found = play(1, seed=3, scale=SCALE, subscribers=3)
-        self.assertEqual(untimed(found.claims.broken), [])
+        found = play(1, seed=3, scale=SCALE, subscribers=3, limits=LIMITS)
+        self.assertEqual(found.claims.broken, [])
         self.assertEqual(sorted(one.kind for one in found.faults), ["kill", "split", "stop"])
         self.assertGreater(found.outcomes["Committed"], 0)
         self.assertGreater(found.claims.held["prompt"], 0)
