--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -12,8 +12,8 @@
 
 from embertray.cluster.membership import Membership, Pace
 from embertray.cluster.membership.messages import Unreadable, decode, encode
-from embertray.cluster.state import EntryStore, Exchange, Full
-from embertray.cluster.state.exchange import Delta, Offer, bound
+from embertray.cluster.state import AntiEntropyExchange, EntryStore, StoreFullError
+from embertray.cluster.state.exchange import Delta, Offer, staleness_bound_ns
 from embertray.common.framing import BadFrame, Splitter, frame
 from embertray.common.memory import Collection
 from embertray.common.net.address import BadAddress, loopback
@@ -54,7 +54,7 @@
         pace = Pace(period=cluster.period, answer=cluster.period * 3 // 10, beckon=5 * cluster.period)
         self.membership = Membership(cluster.name, me.name, me.cluster, wall, now, chance, peers, pace)
         self.store = EntryStore(me.name, wall, cluster.state)
-        self.exchange = Exchange(self.store, chance, now, cluster.period)
+        self.exchange = AntiEntropyExchange(self.store, chance, now, cluster.period)
         self.allowance, self.poked, self.udp, self.out = Allowance(cluster.rate, now), anyio.Event(), None, []
         self.gone, self.failing = anyio.Event(), set()  # members whose last exchange failed
         self.counted = dict.fromkeys(COUNTED, 0)
@@ -71,7 +71,7 @@
                 "state": words[m.state],
                 "heard_s": round((now - m.heard) / S, 2),
                 "told_s": min(
-                    (round(k.age / S, 2) for k in self.store.freshest(now, "facts") if k.owner == m.name),
+                    (round(k.age_ns / S, 2) for k in self.store.freshest(now, "facts") if k.owner == m.name),
                     default=None,
                 ),
             }
@@ -87,11 +87,15 @@
             "ended": members.ended,
             "members": rows,
             "bound_s": round(
-                bound(len(here) + 1, self.cluster.period, EXCHANGE_WITHIN, len(self.failing & here)) / S, 2
+                staleness_bound_ns(
+                    len(here) + 1, self.cluster.period, EXCHANGE_WITHIN, len(self.failing & here)
+                )
+                / S,
+                2,
             ),
-            "state_bytes": self.store.bytes,
-            "state_cap": self.store.cap,
-            "left_out": sum(self.store.left_out.values()),
+            "state_bytes": self.store.size_bytes,
+            "state_cap": self.store.cap_bytes,
+            "left_out": sum(self.store.shed.values()),
             "refused": [
                 {"why": why, "address": at, "times": n} for (why, at), n in members.refused.most_common(16)
             ],
@@ -105,9 +109,9 @@
         return [
             Collection(
                 "entries",
-                len(store.held),
-                store.held.items,
-                [store.held, store.places, store.seen, store.lives],
+                len(store.entries),
+                store.entries.items,
+                [store.entries, store.order_by_owner, store.complete_up_to, store.incarnations],
             ),
             Collection("members", len(members.members), members.members.items, [members.members]),
             Collection("refused", len(members.refused), members.refused.items, [members.refused]),
@@ -117,7 +121,7 @@
     def close(self, closed):
         """At its memory cap, and below it again. How many entries were left out so far."""
         self.store.closed = closed
-        return sum(self.store.left_out.values())
+        return sum(self.store.shed.values())
 
     # ---- tasks
 
@@ -166,9 +170,9 @@
         for change in changes:
             self.log.info("member", name=change.name, state=words[change.state], address=change.address)
         changes.clear()
-        self.store.owners(now, self.membership.members.gone)
-        if self.membership.me.life != self.store.life:
-            self.store.reborn(self.membership.me.life)
+        self.store.expire(now, self.membership.members.gone)
+        if self.membership.me.life != self.store.incarnation:
+            self.store.adopt_incarnation(self.membership.me.life)
 
     async def send(self):
         """What is due, by the pump alone: the socket has one writer."""
@@ -205,10 +209,10 @@
                 for key, value in self.facts().items():
                     try:
                         self.store.put(now, key, value)
-                    except Full as wrong:
+                    except StoreFullError as wrong:
                         self.log.warning("not told to the others", why=str(wrong))
-            here = {m.name: m.address for m in self.membership.here} if now >= self.exchange.at else {}
-            if (name := self.exchange.next(now, here)) is not None and self.allowance.may(now):
+            here = {m.name: m.address for m in self.membership.here} if now >= self.exchange.next_at else {}
+            if (name := self.exchange.next_peer(now, here)) is not None and self.allowance.may(now):
                 self.counted["exchanges"] += 1
                 failed = False
                 with anyio.move_on_after(EXCHANGE_WITHIN / S) as scope:
@@ -220,7 +224,7 @@
                 self.counted["exchanges_failed"] += failed
                 (self.failing.add if failed else self.failing.discard)(name)
             await self.clock.sleep_until(
-                max(self.clock.now() + self.cluster.period // 20, min(self.exchange.at, facts_at))
+                max(self.clock.now() + self.cluster.period // 20, min(self.exchange.next_at, facts_at))
             )
 
     async def with_one(self, address):
--- a/embertray/cluster/state/__init__.py
+++ b/embertray/cluster/state/__init__.py
@@ -3,7 +3,7 @@
 """
 
 from .entry import Entry
-from .exchange import Exchange
-from .store import EntryStore, Full
+from .exchange import AntiEntropyExchange
+from .store import EntryStore, StoreFullError
 
-__all__ = ["Entry", "EntryStore", "Exchange", "Full"]
+__all__ = ["AntiEntropyExchange", "Entry", "EntryStore", "StoreFullError"]
--- a/embertray/cluster/state/entry.py
+++ b/embertray/cluster/state/entry.py
@@ -15,9 +15,9 @@
 
     owner: Name
     key: Annotated[str, Meta(max_length=256)]
-    life: Count
+    incarnation: Count
     version: Count
-    age: Count
+    age_ns: Count
     value: bytes | None
 
     @property
@@ -26,7 +26,7 @@
 
     @property
     def rank(self):
-        return self.life, self.version
+        return self.incarnation, self.version
 
 
 def bytes_of(owner, key, value):
--- a/embertray/cluster/state/exchange.py
+++ b/embertray/cluster/state/exchange.py
@@ -26,46 +26,46 @@
     """
 
     entries: list[Entry]
-    upto: dict[str, tuple[int, int]]
-    back: dict[str, tuple[int, int]] | None
+    complete_up_to: dict[str, tuple[int, int]]
+    reply_digest: dict[str, tuple[int, int]] | None
 
 
-def bound(members, period, exchange, failing=0):
+def staleness_bound_ns(members, period, exchange, failing=0):
     """ns within which an entry is known at every member that is reached. `exchange`: ns that one takes at
     most; `failing`: members with which exchanges fail: their turns take as long."""
     return 2 * max(1, members - 1) * period + 2 * failing * exchange + exchange
 
 
-class Exchange:
+class AntiEntropyExchange:
     """Of one EntryStore. `chance`: a seeded random.Random."""
 
     def __init__(self, store, chance, now, period=1 * S):
         self.store, self.period, self.round = store, period, Round(chance)
-        self.at = now + chance.randrange(period)
+        self.next_at = now + chance.randrange(period)
 
-    def next(self, now, names):
+    def next_peer(self, now, names):
         """Whom to make an Offer now, or None."""
-        if now < self.at:
+        if now < self.next_at:
             return None
-        self.at = max(self.at + self.period, now)
+        self.next_at = max(self.next_at + self.period, now)
         return self.round.next(names)
 
     def offer(self):
         return Offer(self.store.digest())
 
     def on_offer(self, now, offer):
-        entries, upto = self.store.since(now, offer.digest)
+        entries, upto = self.store.missing_entries(now, offer.digest)
         return Delta(entries, upto, self.store.digest())
 
     def on_delta(self, now, delta):
         """The answer to give, or None; and the entries that were new."""
-        before = dict(self.store.left_out)
+        before = dict(self.store.shed)
         new = self.store.merge(now, delta.entries)
-        full = {owner for owner, count in self.store.left_out.items() if count > before.get(owner, 0)}
-        self.store.caught_up(
-            {owner: upto for owner, upto in delta.upto.items() if owner not in full}
+        full = {owner for owner, count in self.store.shed.items() if count > before.get(owner, 0)}
+        self.store.mark_complete(
+            {owner: upto for owner, upto in delta.complete_up_to.items() if owner not in full}
         )  # the rest comes again
-        if delta.back is None:
+        if delta.reply_digest is None:
             return None, new
-        entries, upto = self.store.since(now, delta.back)
+        entries, upto = self.store.missing_entries(now, delta.reply_digest)
         return Delta(entries, upto, None), new
--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -43,7 +43,7 @@
         """Notes when a mark is seen first."""
         if self.link is None:
             return
-        held = self.link.store.held.get((self.plan.marker, MARK))
+        held = self.link.store.entries.get((self.plan.marker, MARK))
         if held is not None:
             self.delays.setdefault(int(held.value), now - int(held.value))
 
@@ -58,7 +58,7 @@
 
     def oldest(self, now):
         """ns; None if it lacks a member's facts."""
-        ages = [known.age for known in self.link.store.freshest(now, "facts")]
+        ages = [known.age_ns for known in self.link.store.freshest(now, "facts")]
         return max(ages) if len(ages) >= self.seen() else None
 
     def failures(self):
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -69,7 +69,7 @@
         """Until all have seen it."""
         value = str(number).encode()
         for address in list(self.unseen[number]):
-            held = self.exchangers[address].store.held.get((self.marker, MARK))
+            held = self.exchangers[address].store.entries.get((self.marker, MARK))
             if held is not None and held.value == value:
                 self.unseen[number].discard(address)
                 self.delays.setdefault(number, []).append((self.engine.time - written_at) / S)
@@ -79,7 +79,9 @@
     def oldest(self):
         """s; None if something is missing somewhere."""
         now, size = self.engine.time, len(self.addresses)
-        ages = [[known.age for known in one.store.freshest(now, "facts")] for one in self.exchangers.values()]
+        ages = [
+            [known.age_ns for known in one.store.freshest(now, "facts")] for one in self.exchangers.values()
+        ]
         return max(map(max, ages)) / S if all(len(row) == size for row in ages) else None
 
 
--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -17,7 +17,7 @@
 """
 
 from embertray.cluster.membership import Pace
-from embertray.cluster.state.exchange import bound
+from embertray.cluster.state.exchange import staleness_bound_ns
 
 S = 10**9
 NAMES = ("seen", "wrong", "fresh", "young", "alone")
@@ -206,7 +206,7 @@
                     )
             if (who, other) in self.direct:
                 since, failing = self.direct[who, other]
-                most = bound(len(self.names), self.period, self.exchange, failing) + FACTS
+                most = staleness_bound_ns(len(self.names), self.period, self.exchange, failing) + FACTS
                 if at - since > self.whole + most + self.slack:
                     self.held["fresh"] += 1
                     self.worst = max(self.worst, (age if age is not None else 99 * most) / most)
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -9,7 +9,7 @@
 
 from embertray.cluster.link.link import EXCHANGE_WITHIN
 from embertray.cluster.membership import Membership, Pace
-from embertray.cluster.state import EntryStore, Exchange
+from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.service.site.site import time as span
 from embertray.simulation.claims.cluster import Claims
 from embertray.simulation.models.chance import Streams
@@ -48,7 +48,14 @@
     """`members`: more of them than the day says; `look`: ns between two looks at each. Read `claims`."""
 
     def __init__(
-        self, day, seed=1, members=None, make=Membership, exchange=Exchange, store=EntryStore, look=S // 4
+        self,
+        day,
+        seed=1,
+        members=None,
+        make=Membership,
+        exchange=AntiEntropyExchange,
+        store=EntryStore,
+        look=S // 4,
     ):
         self.day, self.seed, self.makes, self.look_every = day, seed, (exchange, store), look
         names = [f"c{n + 1}" for n in range(members or int(day.fleet["controllers"]))]
@@ -123,7 +130,7 @@
         for name, exchanger in self.exchangers.items():
             if exchanger is not None and not exchanger.process.stopped:
                 core = exchanger.process.core
-                ages = {known.owner: known.age for known in exchanger.store.freshest(now, "facts")}
+                ages = {known.owner: known.age_ns for known in exchanger.store.freshest(now, "facts")}
                 self.claims.look(
                     now,
                     name,
--- a/embertray/simulation/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -5,7 +5,7 @@
 import random
 
 from embertray.cluster.link.link import EXCHANGE_WITHIN, FACTS_EVERY, pack
-from embertray.cluster.state import EntryStore, Exchange
+from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.common.framing import PREFIX
 
 MS = 10**6
@@ -23,7 +23,9 @@
     own exchanges and in others', with the frames' lengths, as a link counts.
     """
 
-    def __init__(self, process, others, links, seed, make=Exchange, store=EntryStore, facts=timestamp_facts):
+    def __init__(
+        self, process, others, links, seed, make=AntiEntropyExchange, store=EntryStore, facts=timestamp_facts
+    ):
         self.facts = facts
         self.process, self.others, self.links, self.engine = process, others, links, process.simulation.engine
         core, now = process.core, process.simulation.engine.time
@@ -45,15 +47,17 @@
         if self.process.stopped:
             self.engine.at(now + LOOK, self.tick)
             return
-        self.store.owners(now, core.members.gone)
-        if core.me.life != self.store.life:
-            self.store.reborn(core.me.life)
+        self.store.expire(now, core.members.gone)
+        if core.me.life != self.store.incarnation:
+            self.store.adopt_incarnation(core.me.life)
         if now >= self.facts_at:
             self.facts_at = now + FACTS_EVERY
             self.store.put(now, "facts", self.facts(now))
-        here = {m.name: m.address for m in core.here} if now >= self.exchange.at else {}
-        if (name := self.exchange.next(now, here)) is None:
-            self.engine.at(max(now + core.pace.period // 20, min(self.exchange.at, self.facts_at)), self.tick)
+        here = {m.name: m.address for m in core.here} if now >= self.exchange.next_at else {}
+        if (name := self.exchange.next_peer(now, here)) is None:
+            self.engine.at(
+                max(now + core.pace.period // 20, min(self.exchange.next_at, self.facts_at)), self.tick
+            )
             return
         self.turn += 1
         self.made += 1
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -33,12 +33,14 @@
 class LiesYoung(RepeatsOld):
     """A sabotaged member: all that it passes on is as good as new."""
 
-    def since(self, now, digest):
-        rows, ahead = super().since(now, digest)
-        return [type(row)(row.owner, row.key, row.life, row.version, 0, row.value) for row in rows], ahead
+    def missing_entries(self, now, digest):
+        rows, ahead = super().missing_entries(now, digest)
+        return [
+            type(row)(row.owner, row.key, row.incarnation, row.version, 0, row.value) for row in rows
+        ], ahead
 
     def freshest(self, now, key):
-        return [known._replace(age=0) for known in super().freshest(now, key)]
+        return [known._replace(age_ns=0) for known in super().freshest(now, key)]
 
 
 def broken(simulation):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -171,7 +171,7 @@
     """A store that holds entries of other owners, each told some seconds ago."""
     entries = [Entry(f"m{n}", "facts", 1, n, n * S, b"f" * 60) for n in owners]
     store.merge(now, entries)
-    store.caught_up({entry.owner: (entry.life, entry.version) for entry in entries})
+    store.mark_complete({entry.owner: (entry.incarnation, entry.version) for entry in entries})
     store.put(now, "facts", b"f" * 60)
 
 
@@ -186,7 +186,7 @@
         exchangers[name] = exchanger = StateExchanger(
             simulation.up(name, []), lambda: exchangers, simulation.links, 1, facts=lambda _: b"f" * 60
         )
-        exchanger.facts_at, exchanger.exchange.at = 10 * START, 10 * START
+        exchanger.facts_at, exchanger.exchange.next_at = 10 * START, 10 * START
         filled(exchanger.store, START, owners)
     simulation.run(0)
     exchangers["a"].send_offer(0, "b")
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -6,8 +6,8 @@
 
 from hypothesis import given, settings, strategies as st
 
-from embertray.cluster.state import Entry, EntryStore, Exchange, Full
-from embertray.cluster.state.exchange import bound
+from embertray.cluster.state import AntiEntropyExchange, Entry, EntryStore, StoreFullError
+from embertray.cluster.state.exchange import staleness_bound_ns
 
 S, MS = 10**9, 10**6
 NOW = 1000 * S
@@ -30,7 +30,12 @@
     version.
     """
     return Entry(
-        entry.owner, entry.key, entry.life, entry.version, entry.age, f"{entry.life} {entry.version}".encode()
+        entry.owner,
+        entry.key,
+        entry.incarnation,
+        entry.version,
+        entry.age_ns,
+        f"{entry.incarnation} {entry.version}".encode(),
     )
 
 
@@ -38,23 +43,23 @@
     one = EntryStore(me, 1)
     for batch in batches:
         one.merge(NOW, batch)
-    return one.held, one.lives
+    return one.entries, one.incarnations
 
 
 class RepeatsOld(EntryStore):
     """A sabotaged member: it takes whatever came last."""
 
     def apply(self, now, entry):
-        self.set(entry, now - entry.age)
+        self.set(entry, now - entry.age_ns)
         return True
 
 
-class DropsDeltas(Exchange):
+class DropsDeltas(AntiEntropyExchange):
     """A sabotaged member: it says that it has told all, and leaves an entry out."""
 
     def on_offer(self, now, offer):
         delta = super().on_offer(now, offer)
-        return type(delta)(delta.entries[1:], delta.upto, delta.back)
+        return type(delta)(delta.entries[1:], delta.complete_up_to, delta.reply_digest)
 
 
 class Merge(unittest.TestCase):
@@ -72,7 +77,7 @@
         first, second = RepeatsOld("me", 1), RepeatsOld("me", 1)
         first.merge(NOW, [old, new])
         second.merge(NOW, [new, old])
-        self.assertNotEqual(first.held, second.held)
+        self.assertNotEqual(first.entries, second.entries)
 
     def test_a_later_life_outdoes_all_of_a_former_one(self):
         one = EntryStore("me", 1)
@@ -87,10 +92,10 @@
         one.put(NOW, "k", b"mine")
         one.merge(NOW, [Entry("me", "k", 9, 9, 0, b"not mine")])
         self.assertEqual(one.freshest(NOW, "k")[0].value, b"mine")
-        one.reborn(10)
+        one.adopt_incarnation(10)
         other = EntryStore("you", 1)
         other.merge(NOW, [Entry("me", "k", 9, 9, 0, b"a former life")])
-        other.merge(NOW, one.since(NOW, {})[0])
+        other.merge(NOW, one.missing_entries(NOW, {})[0])
         self.assertEqual(other.freshest(NOW, "k")[0].value, b"mine")
 
 
@@ -102,45 +107,45 @@
             (first, NOW + 2 * S, second, NOW + 3600 * S),
             (second, NOW + 3603 * S, third, NOW - 3600 * S),
         ):
-            entries, upto = source.since(at, to.digest())
+            entries, upto = source.missing_entries(at, to.digest())
             to.merge(there, entries)
-            to.caught_up(upto)
-        self.assertEqual(third.freshest(NOW - 3599 * S, "k")[0].age, 6 * S)
+            to.mark_complete(upto)
+        self.assertEqual(third.freshest(NOW - 3599 * S, "k")[0].age_ns, 6 * S)
 
     def test_readers_of_both_kinds(self):
         one = EntryStore("a", 1)
         one.merge(NOW, [Entry("b", "k", 1, 1, 4 * S, b"b"), Entry("c", "k", 1, 1, S, b"c")])
         self.assertEqual(
-            [(known.owner, known.age) for known in one.freshest(NOW, "k")], [("c", S), ("b", 4 * S)]
+            [(known.owner, known.age_ns) for known in one.freshest(NOW, "k")], [("c", S), ("b", 4 * S)]
         )
-        self.assertEqual([known.owner for known in one.within(NOW, "k", 2 * S)], ["c"])
-        self.assertEqual(one.within(NOW + 60 * S, "k", 2 * S), [])
+        self.assertEqual([known.owner for known in one.no_older_than(NOW, "k", 2 * S)], ["c"])
+        self.assertEqual(one.no_older_than(NOW + 60 * S, "k", 2 * S), [])
 
     def test_entries_of_a_gone_owner_and_taken_back_ones_end(self):
-        one = EntryStore("a", 1, keep=10 * S)
+        one = EntryStore("a", 1, retention_ns=10 * S)
         one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"b")])
         one.put(NOW, "mine", b"x")
-        one.drop(NOW, "mine")
+        one.delete(NOW, "mine")
         self.assertEqual(one.freshest(NOW, "mine"), [])
-        one.owners(NOW, {"b"})
-        one.owners(NOW + 9 * S, {"b"})
-        self.assertEqual(len(one.held), 2)
-        one.owners(NOW + 10 * S, {"b"})
-        self.assertEqual((one.held, one.bytes, dict(one.by_owner)), ({}, 0, {}))
+        one.expire(NOW, {"b"})
+        one.expire(NOW + 9 * S, {"b"})
+        self.assertEqual(len(one.entries), 2)
+        one.expire(NOW + 10 * S, {"b"})
+        self.assertEqual((one.entries, one.size_bytes, dict(one.bytes_by_owner)), ({}, 0, {}))
 
 
 class Caps(unittest.TestCase):
     def test_at_the_cap_the_largest_owner_gives_way_and_own_entries_are_refused(self):
-        one = EntryStore("a", 1, cap=10_000)
+        one = EntryStore("a", 1, cap_bytes=10_000)
         one.put(NOW, "mine", b"x" * 100)
         one.merge(NOW, [Entry("big", f"k{n}", 1, n + 1, 0, b"x" * 100) for n in range(40)])
-        self.assertLessEqual(one.bytes, 10_000)
-        self.assertGreater(one.left_out["big"], 0)
+        self.assertLessEqual(one.size_bytes, 10_000)
+        self.assertGreater(one.shed["big"], 0)
         self.assertTrue(one.apply(NOW, Entry("small", "k", 1, 1, 0, b"y" * 100)))
         self.assertEqual(one.freshest(NOW, "mine")[0].value, b"x" * 100)
-        with self.assertRaises(Full):
+        with self.assertRaises(StoreFullError):
             one.put(NOW, "more", b"x" * 9_000)
-        self.assertLessEqual(one.bytes, 10_000)
+        self.assertLessEqual(one.size_bytes, 10_000)
 
     def test_closed_by_the_accounts_it_renews_what_is_held_and_takes_nothing_more(self):
         one = EntryStore("a", 1)
@@ -155,24 +160,26 @@
             ],
         )
         self.assertEqual([(k.owner, k.value) for k in one.freshest(NOW, "k")], [("b", b"new")])
-        self.assertEqual(dict(one.left_out), {"b": 1, "c": 1})
+        self.assertEqual(dict(one.shed), {"b": 1, "c": 1})
 
     def test_what_was_left_out_comes_again_when_there_is_room(self):
-        owner, reader = EntryStore("b", 1), EntryStore("a", 1, cap=3_000)
+        owner, reader = EntryStore("b", 1), EntryStore("a", 1, cap_bytes=3_000)
         for n in range(20):
             owner.put(NOW, f"k{n}", b"x" * 100)
-        ours, theirs = (Exchange(one, random.Random(n), NOW) for n, one in enumerate((reader, owner)))
+        ours, theirs = (
+            AntiEntropyExchange(one, random.Random(n), NOW) for n, one in enumerate((reader, owner))
+        )
         ours.on_delta(NOW, theirs.on_offer(NOW, ours.offer()))
-        self.assertLess(len(reader.held), 20)
-        reader.cap = 100_000
+        self.assertLess(len(reader.entries), 20)
+        reader.cap_bytes = 100_000
         ours.on_delta(NOW, theirs.on_offer(NOW, ours.offer()))
-        self.assertEqual(len(reader.held), 20)
+        self.assertEqual(len(reader.entries), 20)
 
 
 class Spread(unittest.TestCase):
     """Members exchange by turns, each period one; every look checks each entry's age against the bound."""
 
-    def play(self, count, seed, seconds, make=Exchange, split=None):
+    def play(self, count, seed, seconds, make=AntiEntropyExchange, split=None):
         names = [f"m{n:03}" for n in range(count)]
         stores = {name: EntryStore(name, 1) for name in names}
         ends = {name: make(stores[name], random.Random(f"{seed} {name}"), NOW) for name in names}
@@ -186,13 +193,13 @@
                     for other in names
                     if other != name and (split is None or split(name) == split(other))
                 ]
-                if (other := ends[name].next(now, reach)) is not None:
+                if (other := ends[name].next_peer(now, reach)) is not None:
                     answer, _ = ends[name].on_delta(now, ends[other].on_offer(now, ends[name].offer()))
                     if answer:
                         ends[other].on_delta(now, answer)
-            if now > NOW + bound(count, S, S):
+            if now > NOW + staleness_bound_ns(count, S, S):
                 for name in names:
-                    known = {k.owner: k.age for k in stores[name].freshest(now, "k")}
+                    known = {k.owner: k.age_ns for k in stores[name].freshest(now, "k")}
                     for other in names:
                         if split is None or split(name) == split(other):
                             worst = max(worst, known.get(other, 10**18))
@@ -201,14 +208,16 @@
     def test_no_entry_is_older_than_the_bound_anywhere(self):
         for count, seconds in ((3, 40), (8, 40), (24, 80)):
             self.assertLessEqual(
-                self.play(count, 1, seconds), bound(count, S, S) + S
+                self.play(count, 1, seconds), staleness_bound_ns(count, S, S) + S
             )  # and the second until it is told anew
 
     def test_on_each_side_of_a_split_the_bound_holds_for_its_own(self):
-        self.assertLessEqual(self.play(9, 2, 40, split=lambda name: name < "m004"), bound(9, S, S) + S)
+        self.assertLessEqual(
+            self.play(9, 2, 40, split=lambda name: name < "m004"), staleness_bound_ns(9, S, S) + S
+        )
 
     def test_one_that_drops_deltas_is_noticed(self):
-        self.assertGreater(self.play(3, 1, 60, make=DropsDeltas), bound(3, S, S) + S)
+        self.assertGreater(self.play(3, 1, 60, make=DropsDeltas), staleness_bound_ns(3, S, S) + S)
 
 
 if __name__ == "__main__":
