--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -12,8 +12,14 @@
 
 from embertray.cluster.membership import Membership, Pace
 from embertray.cluster.membership.messages import Unreadable, decode, encode
-from embertray.cluster.state import AntiEntropyExchange, EntryStore, StoreFullError
-from embertray.cluster.state.exchange import Delta, Offer, staleness_bound_ns
+from embertray.cluster.state import (
+    AntiEntropyExchange,
+    Delta,
+    EntryStore,
+    Offer,
+    StoreFullError,
+    staleness_bound_ns,
+)
 from embertray.common.framing import BadFrame, Splitter, frame
 from embertray.common.memory import Collection
 from embertray.common.net.address import BadAddress, loopback
--- a/embertray/cluster/state/__init__.py
+++ b/embertray/cluster/state/__init__.py
@@ -1,9 +1,22 @@
-"""What members tell each other: entries with one owner each, merged in any order, with their age
-(docs/design/cluster.md).
+"""Entries that members share: one owner each, merged in any order, read with their age.
+
+How stale an entry can be is stated in one place: `staleness.staleness_bound_ns`.
+The design is in docs/design/cluster.md.
 """
 
 from .entry import Entry
-from .exchange import AntiEntropyExchange
-from .store import EntryStore, StoreFullError
+from .exceptions import StoreError, StoreFullError
+from .exchange import AntiEntropyExchange, Delta, Offer
+from .staleness import staleness_bound_ns
+from .store import EntryStore
 
-__all__ = ["AntiEntropyExchange", "Entry", "EntryStore", "StoreFullError"]
+__all__ = [
+    "AntiEntropyExchange",
+    "Delta",
+    "Entry",
+    "EntryStore",
+    "Offer",
+    "StoreError",
+    "StoreFullError",
+    "staleness_bound_ns",
+]
--- a/embertray/cluster/state/exchange.py
+++ b/embertray/cluster/state/exchange.py
@@ -1,71 +1,114 @@
-"""Whom to exchange with, and when: each period one member, each member once in a round; an exchange tells
-both ways.
+"""Anti-entropy: which member to exchange entries with next, and the messages of one exchange.
 
-Bound: a member exchanges with each other reachable one within two rounds, so an entry is known at every
-reachable member within 2 (n - 1) periods and the time of one exchange, however the rounds fall; mostly it
-goes on through others in about log2 n periods."""
+An exchange begins with an Offer, answered by a Delta with what the beginner lacks, answered by a Delta with
+what the other lacks. How fast entries spread by it is stated in `staleness`.
+"""
 
 import msgspec
 
-from embertray.cluster.membership.probes import Round
+from embertray.cluster.membership.round_robin import ShuffledRoundRobin
 
 from .entry import Entry
 
-S = 10**9
+SECOND_NS = 10**9
+DEFAULT_PERIOD_NS = 1 * SECOND_NS
+
+Digest = dict[str, tuple[int, int]]  # owner -> (incarnation, version)
 
 
 class Offer(msgspec.Struct, tag="offer", array_like=True, frozen=True):
-    """What the sender holds, by owner."""
+    """First message of an exchange.
+
+    Attributes:
+        digest: owner -> (incarnation, version) up to which the sender holds all of the owner's entries.
+    """
 
-    digest: dict[str, tuple[int, int]]
+    digest: Digest
 
 
 class Delta(msgspec.Struct, tag="tell", array_like=True, frozen=True):
-    """Entries that the other lacks, how far they take it; `back`: the sender's own digest, if it wants to be
-    told in turn.
+    """Second and third message of an exchange.
+
+    Attributes:
+        entries: What the receiver lacks.
+        complete_up_to: owner -> (incarnation, version) up to which the receiver holds all of the owner's
+            entries once it has merged these.
+        reply_digest: The sender's own digest if it wants a Delta in return, else None.
     """
 
     entries: list[Entry]
-    complete_up_to: dict[str, tuple[int, int]]
-    reply_digest: dict[str, tuple[int, int]] | None
-
-
-def staleness_bound_ns(members, period, exchange, failing=0):
-    """ns within which an entry is known at every member that is reached. `exchange`: ns that one takes at
-    most; `failing`: members with which exchanges fail: their turns take as long."""
-    return 2 * max(1, members - 1) * period + 2 * failing * exchange + exchange
+    complete_up_to: Digest
+    reply_digest: Digest | None
 
 
 class AntiEntropyExchange:
-    """Of one EntryStore. `chance`: a seeded random.Random."""
+    """Exchanges of one member's EntryStore: one in each period, with each other member once in a round.
 
-    def __init__(self, store, chance, now, period=1 * S):
-        self.store, self.period, self.round = store, period, Round(chance)
+    Attributes:
+        next_at: When the next exchange is due, ns.
+    """
+
+    def __init__(self, store, chance, now, period=DEFAULT_PERIOD_NS):
+        """Begin at a random time within the first period.
+
+        Args:
+            store: The EntryStore.
+            chance: A seeded random.Random.
+            now: The time, ns.
+            period: Time between two exchanges, ns.
+        """
+        self.store = store
+        self.period = period
+        self.order = ShuffledRoundRobin(chance)
         self.next_at = now + chance.randrange(period)
 
     def next_peer(self, now, names):
-        """Whom to make an Offer now, or None."""
+        """Return the member to begin an exchange with now.
+
+        Args:
+            now: The time, ns.
+            names: Members that are alive or suspect.
+
+        Returns:
+            A name, or None if no exchange is due or nobody is there.
+        """
         if now < self.next_at:
             return None
         self.next_at = max(self.next_at + self.period, now)
-        return self.round.next(names)
+        return self.order.next_name(names)
 
     def offer(self):
+        """Return the Offer that begins an exchange."""
         return Offer(self.store.digest())
 
     def on_offer(self, now, offer):
-        entries, upto = self.store.missing_entries(now, offer.digest)
-        return Delta(entries, upto, self.store.digest())
+        """Return the Delta that answers an Offer.
+
+        Args:
+            now: The time, ns.
+            offer: The Offer.
+        """
+        entries, complete_up_to = self.store.missing_entries(now, offer.digest)
+        return Delta(entries, complete_up_to, self.store.digest())
 
     def on_delta(self, now, delta):
-        """The answer to give, or None; and the entries that were new."""
-        before = dict(self.store.shed)
-        new = self.store.merge(now, delta.entries)
-        full = {owner for owner, count in self.store.shed.items() if count > before.get(owner, 0)}
+        """Merge a Delta.
+
+        Args:
+            now: The time, ns.
+            delta: The Delta.
+
+        Returns:
+            The Delta to answer with, or None; and the entries that were new.
+        """
+        shed_before = dict(self.store.shed)
+        new_entries = self.store.merge(now, delta.entries)
+        # An owner of which entries were shed is not marked complete: its entries are sent again later.
+        shed_now = {owner for owner, count in self.store.shed.items() if count > shed_before.get(owner, 0)}
         self.store.mark_complete(
-            {owner: upto for owner, upto in delta.complete_up_to.items() if owner not in full}
-        )  # the rest comes again
+            {owner: rank for owner, rank in delta.complete_up_to.items() if owner not in shed_now}
+        )
         if delta.reply_digest is None:
-            return None, new
-        entries, upto = self.store.missing_entries(now, delta.reply_digest)
-        return Delta(entries, upto, None), new
+            return None, new_entries
+        entries, complete_up_to = self.store.missing_entries(now, delta.reply_digest)
+        return Delta(entries, complete_up_to, None), new_entries
--- a/embertray/cluster/state/store.py
+++ b/embertray/cluster/state/store.py
@@ -1,216 +1,232 @@
-"""All entries that a process holds. Merging is commutative, associative and idempotent: of an owner the
-latest life stays, in it for each key the latest version, and of one version the greatest age: that an entry
-is older than told would break the readers' bound, that it is younger only costs a refresh."""
-
-from collections import Counter, namedtuple
-
-from .entry import Entry, bytes_of
-
-S = 10**9
-Held = namedtuple("Held", "incarnation version born value")  # born: ns by our clock
-Known = namedtuple("Known", "owner value age_ns")
-NOTHING = (-1, -1)  # the (life, version) of an owner of whom nothing is held
-
-
-class StoreFullError(ValueError):
-    """The entry does not fit under the cap; nothing was changed."""
-
-
-class EntryStore:
-    """`me`: own name; `life`: own life, raised by `reborn`. `cap`: bytes of all entries. What would go over
-    it: an own entry raises Full; one that came is left out and counted (`shed`), the owners with the most
-    bytes first. `keep`: ns that entries of a gone owner and taken back ones are held, so that no old copy
-    brings them back. `closed`: nothing that is not held already is taken."""
-
-    def __init__(self, me, life, cap_bytes=1 << 20, retention_ns=600 * S):
-        self.name, self.incarnation, self.cap_bytes, self.retention_ns = me, life, cap_bytes, retention_ns
-        self.entries, self.version, self.size_bytes, self.shed = {}, 0, 0, Counter()
-        self.bytes_by_owner, self.gone, self.complete_up_to, self.incarnations, self.closed = (
-            Counter(),
-            {},
-            {},
-            {},
-            False,
-        )
-        self.order_by_owner, self.changes = {}, 0  # owner -> {place: when it was last set, as a count}
-        self.taken_back = set()  # places whose value is None
-
-    # ---- own entries
-
-    def put(self, now, key, value):
-        """Tells an entry of ours. Raises Full."""
-        place = (self.name, key)
-        more = self.growth(place, value, self.entries.get(place))
-        if self.size_bytes + more > self.cap_bytes:
-            raise StoreFullError(f"{key}: {self.size_bytes + more} of {self.cap_bytes} bytes")
-        self.version += 1
-        self.set(Entry(self.name, key, self.incarnation, self.version, 0, value), now)
-
-    def delete(self, now, key):
-        """Takes an entry of ours back."""
-        if (self.name, key) in self.entries:
-            self.put(now, key, None)
-
-    def adopt_incarnation(self, life):
-        """Peers remember a later life of our name: all of ours is told again under one that is later
-        still.
+"""All entries that a member knows: merging those of others, reading them, and removing what has expired.
+
+Merging is commutative, associative and idempotent. Of an owner the latest incarnation holds, in it for each
+key the latest version, and of one version the greatest age: an entry that is older than stated would break
+the readers' bound, one that is younger only costs a refresh.
+"""
+
+from collections import Counter
+
+from .entry import Entry, KnownValue
+from .owner import OwnedEntries
+
+DEFAULT_CAP_BYTES = 1 << 20
+DEFAULT_RETENTION_NS = 600 * 10**9
+NO_RANK = (-1, -1)  # the (incarnation, version) of an owner of which nothing is known
+
+
+class EntryStore(OwnedEntries):
+    """The entries of this member and of all others, as far as they are known here.
+
+    At the cap an own entry is refused (StoreFullError); one that was received is shed, or takes the place
+    of entries of the owner with the most bytes.
+
+    Attributes:
+        shed: owner -> how many of its entries were left out or evicted for lack of room.
+        closed: Whether nothing is taken that needs more bytes than are held now.
+        incarnations: owner -> the latest incarnation that was heard of.
+        complete_up_to: owner -> (incarnation, version) up to which all of its entries are held.
+        departed_at: owner -> when it was first seen to be dead or to have left, ns.
+    """
+
+    def __init__(self, name, incarnation, cap_bytes=DEFAULT_CAP_BYTES, retention_ns=DEFAULT_RETENTION_NS):
+        """Begin with no entries.
+
+        Args:
+            name: Name of this member.
+            incarnation: Its incarnation.
+            cap_bytes: Bytes that all entries may be charged.
+            retention_ns: How long tombstones, and entries of members that departed, are kept. Past that
+                time no old copy is around that could bring them back.
         """
-        self.incarnation = life
-        for place in self.places_of(self.name):
-            self.version += 1
-            self.entries[place] = self.entries[place]._replace(incarnation=life, version=self.version)
+        super().__init__(name, incarnation, cap_bytes)
+        self.retention_ns = retention_ns
+        self.shed = Counter()
+        self.closed = False
+        self.incarnations = {}
+        self.complete_up_to = {}
+        self.departed_at = {}
 
-    # ---- what comes
+    # ---- merging
 
     def merge(self, now, entries):
-        """Takes what is newer; the entries that were."""
+        """Merge entries that were received.
+
+        Args:
+            now: The time, ns.
+            entries: Entries of any owners.
+
+        Returns:
+            Those that were newer than what was held.
+        """
         return [entry for entry in entries if self.apply(now, entry)]
 
     def apply(self, now, entry):
-        owner, life, place = entry.owner, entry.incarnation, (entry.owner, entry.key)
+        """Merge one entry that was received.
+
+        Args:
+            now: The time, ns.
+            entry: The Entry.
+
+        Returns:
+            Whether it was newer than what was held, and there was room for it.
+        """
+        owner = entry.owner
         if owner == self.name:
-            return False  # we alone tell ours; a former life's is outdone by telling again
-        if life < self.incarnations.get(owner, 0):
-            return False  # what a former life told does not hold any more, told again or not
-        self.lived(owner, life)
-        old, born = self.entries.get(place), now - entry.age_ns
-        if old is not None and (life, entry.version) <= (old.incarnation, old.version):
-            if (life, entry.version) == (old.incarnation, old.version) and born < old.born:
-                self.entries[place] = old._replace(born=born)
-            return False
-        more = self.growth(place, entry.value, old)
-        if (
-            self.closed
-            and more > 0
-            or self.size_bytes + more > self.cap_bytes
-            and not self.room(entry.owner, more)
-        ):
-            self.shed[entry.owner] += 1
+            return False  # only this process writes its entries; copies of a former incarnation are passed
+        if entry.incarnation < self.incarnations.get(owner, 0):
+            return False  # a former incarnation's entries do not hold any more, whoever repeats them
+        self.note_incarnation(owner, entry.incarnation)
+        entry_id = entry.entry_id
+        written_at = now - entry.age_ns
+        stored = self.entries.get(entry_id)
+        if stored is not None:
+            rank = (entry.incarnation, entry.version)
+            stored_rank = (stored.incarnation, stored.version)
+            if rank <= stored_rank:
+                if rank == stored_rank and written_at < stored.written_at:
+                    self.entries[entry_id] = stored._replace(written_at=written_at)
+                return False
+        if not self.has_room(owner, self.growth(entry_id, entry.value)):
+            self.shed[owner] += 1
             return False
-        self.set(entry, born)
+        self.set(entry, written_at)
         return True
 
-    def lived(self, owner, life):
-        """An owner's later life is heard of: what it told in a former one ends."""
-        if life > self.incarnations.get(owner, 0):
-            self.incarnations[owner] = life
-            for place in self.places_of(owner):
-                if self.entries[place].incarnation < life:
-                    self.forget(place)
-
-    def room(self, owner, more):
-        """Whether an entry of `owner` may come although the cap is reached: others hold more than it would,
-        and give way.
+    def note_incarnation(self, owner, incarnation):
+        """Remove what a former incarnation of an owner wrote, if a later one is heard of.
+
+        Args:
+            owner: Name of the owner.
+            incarnation: The incarnation that was heard of.
         """
-        while self.size_bytes + more > self.cap_bytes:
-            largest = max(
-                self.bytes_by_owner, key=lambda name: (self.bytes_by_owner[name], name), default=None
-            )
-            if (
-                largest in (None, owner, self.name)
-                or self.bytes_by_owner[largest] <= self.bytes_by_owner[owner] + more
-            ):
+        if incarnation <= self.incarnations.get(owner, 0):
+            return
+        self.incarnations[owner] = incarnation
+        for entry_id in self.ids_of(owner):
+            if self.entries[entry_id].incarnation < incarnation:
+                self.remove(entry_id)
+
+    def has_room(self, owner, growth):
+        """Return whether a received entry may be stored; entries of larger owners are evicted if need be.
+
+        Args:
+            owner: Name of the entry's owner.
+            growth: Bytes by which the entry makes the store grow.
+        """
+        if self.closed and growth > 0:
+            return False
+        while self.size_bytes + growth > self.cap_bytes:
+            largest = self.largest_owner()
+            if largest in (None, owner, self.name):
+                return False
+            if self.bytes_by_owner[largest] <= self.bytes_by_owner[owner] + growth:
                 return False
-            self.forget(max(self.order_by_owner[largest]))
+            self.remove(max(self.order_by_owner[largest]))
             self.shed[largest] += 1
         return True
 
-    # ---- readers
+    def largest_owner(self):
+        """Return the owner whose entries are charged the most bytes, or None if there are no entries."""
+        return max(self.bytes_by_owner, key=lambda name: (self.bytes_by_owner[name], name), default=None)
+
+    # ---- reading
 
     def freshest(self, now, key):
-        """What each owner last told under `key`, youngest first, with its age in ns."""
+        """Return what each owner last wrote under a key, however old.
+
+        Args:
+            now: The time, ns.
+            key: The key.
+
+        Returns:
+            KnownValues, the youngest first.
+        """
         found = [
-            Known(owner, h.value, now - h.born)
-            for (owner, k), h in self.entries.items()
-            if k == key and h.value is not None
+            KnownValue(entry_id.owner, stored.value, now - stored.written_at)
+            for entry_id, stored in self.entries.items()
+            if entry_id.key == key and stored.value is not None
         ]
         return sorted(found, key=lambda known: (known.age_ns, known.owner))
 
-    def no_older_than(self, now, key, age):
-        """The same, but nothing older than `age`: for those who would rather know nothing than what may not
-        hold any more.
+    def no_older_than(self, now, key, age_ns):
+        """Return what each owner last wrote under a key, unless it may not hold any more.
+
+        Args:
+            now: The time, ns.
+            key: The key.
+            age_ns: The greatest age that is acceptable, ns.
+
+        Returns:
+            KnownValues, the youngest first.
         """
-        return [known for known in self.freshest(now, key) if known.age_ns <= age]
+        return [known for known in self.freshest(now, key) if known.age_ns <= age_ns]
 
-    # ---- exchange
+    # ---- exchanging
 
     def digest(self):
-        """owner -> (life, version) up to which all of an owner's entries are held."""
+        """Return owner -> (incarnation, version) up to which all of the owner's entries are held."""
         return {**self.complete_up_to, self.name: (self.incarnation, self.version)}
 
     def missing_entries(self, now, digest):
-        """What the other lacks by its digest, and how far that takes it: (entries, digest)."""
-        ahead, newer = {}, []
-        for owner, upto in self.digest().items():
-            known = tuple(digest.get(owner, NOTHING))
-            if upto > known:
-                ahead[owner] = upto
-                newer += self.newer(owner, known)
-        newer.sort()  # in the order in which they were set: the same bytes whatever owners are ahead
-        return [self.entry(now, place) for _, place in newer], ahead
-
-    def newer(self, owner, known):
-        """(count of its setting, place) of each entry of `owner` that is past the (life, version) `known`."""
-        for place, change in self.order_by_owner.get(owner, {}).items():
-            held = self.entries[place]
-            if (held.incarnation, held.version) > known:
-                yield change, place
-
-    def entry(self, now, place):
-        """An entry as it travels."""
-        held = self.entries[place]
-        return Entry(*place, held.incarnation, held.version, max(0, now - held.born), held.value)
+        """Return what a peer lacks.
+
+        Args:
+            now: The time, ns.
+            digest: The peer's digest.
+
+        Returns:
+            The entries, and owner -> (incarnation, version) up to which the peer holds all with them.
+        """
+        ahead = {}
+        changes = []
+        for owner, rank in self.digest().items():
+            peer_rank = tuple(digest.get(owner, NO_RANK))
+            if rank > peer_rank:
+                ahead[owner] = rank
+                changes += self.newer_than(owner, peer_rank)
+        changes.sort()  # in the order in which they were set: the same bytes whichever owners are ahead
+        return [self.entry(now, entry_id) for _, entry_id in changes], ahead
+
+    def entry(self, now, entry_id):
+        """Return a stored entry as it travels.
+
+        Args:
+            now: The time, ns.
+            entry_id: Its EntryId.
+        """
+        stored = self.entries[entry_id]
+        age_ns = max(0, now - stored.written_at)
+        return Entry(*entry_id, stored.incarnation, stored.version, age_ns, stored.value)
 
     def mark_complete(self, digest):
-        """All that `since` told with this digest was merged."""
-        for owner, upto in digest.items():
-            if owner != self.name and tuple(upto) > self.complete_up_to.get(owner, NOTHING):
-                self.lived(owner, upto[0])
-                self.complete_up_to[owner] = tuple(upto)
-
-    # ---- age and end
-
-    def expire(self, now, gone):
-        """`gone`: names that membership takes for dead or left. Their entries end `keep` after they went."""
-        self.gone = {name: self.gone.get(name, now) for name in gone}
-        for place in [p for p in self.taken_back if now - self.entries[p].born >= self.retention_ns]:
-            self.forget(place)
-        for name in [name for name, at in self.gone.items() if now - at >= self.retention_ns]:
-            for place in self.places_of(name):
-                self.forget(place)
-            self.complete_up_to.pop(name, None)  # its last life is remembered: a few bytes against old copies
-
-    # ---- what is held
-
-    def places_of(self, owner):
-        """Places of an owner's entries, in the order in which they were set."""
-        return list(self.order_by_owner.get(owner, ()))
-
-    @staticmethod
-    def growth(place, value, old):
-        """Bytes by which all entries grow when `value` takes the place of what is held there, if anything."""
-        return bytes_of(*place, value) - (bytes_of(*place, old.value) if old is not None else 0)
-
-    def set(self, entry, born):
-        owner, place = entry.owner, (entry.owner, entry.key)
-        growth = self.growth(place, entry.value, self.entries.get(place))
-        self.entries[place] = Held(entry.incarnation, entry.version, born, entry.value)
-        places = self.order_by_owner.setdefault(owner, {})
-        places.pop(place, None)
-        self.changes += 1
-        places[place] = self.changes
-        (self.taken_back.add if entry.value is None else self.taken_back.discard)(place)
-        self.size_bytes += growth
-        self.bytes_by_owner[owner] += growth
-
-    def forget(self, place):
-        owner, old = place[0], self.entries.pop(place, None)
-        if old is None:
-            return
-        size = bytes_of(*place, old.value)
-        self.taken_back.discard(place)
-        self.size_bytes -= size
-        self.bytes_by_owner[owner] -= size
-        del self.order_by_owner[owner][place]
-        if not self.order_by_owner[owner]:
-            del self.order_by_owner[owner], self.bytes_by_owner[owner]
+        """Note that all entries up to a peer's digest were merged.
+
+        Args:
+            digest: owner -> (incarnation, version).
+        """
+        for owner, rank in digest.items():
+            if owner != self.name and tuple(rank) > self.complete_up_to.get(owner, NO_RANK):
+                self.note_incarnation(owner, rank[0])
+                self.complete_up_to[owner] = tuple(rank)
+
+    # ---- expiring
+
+    def expire(self, now, departed):
+        """Remove tombstones, and entries of members that departed, once they were kept for long enough.
+
+        The latest incarnation of a member that departed stays known: a few bytes against old copies.
+
+        Args:
+            now: The time, ns.
+            departed: Names of the members that are dead or have left.
+        """
+        self.departed_at = {name: self.departed_at.get(name, now) for name in departed}
+        for entry_id in list(self.tombstones):
+            if now - self.entries[entry_id].written_at >= self.retention_ns:
+                self.remove(entry_id)
+        for name, departed_at in self.departed_at.items():
+            if now - departed_at >= self.retention_ns:
+                for entry_id in self.ids_of(name):
+                    self.remove(entry_id)
+                self.complete_up_to.pop(name, None)
--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -17,7 +17,7 @@
 """
 
 from embertray.cluster.membership import Pace
-from embertray.cluster.state.exchange import staleness_bound_ns
+from embertray.cluster.state.staleness import staleness_bound_ns
 
 S = 10**9
 NAMES = ("seen", "wrong", "fresh", "young", "alone")
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings, strategies as st
 
 from embertray.cluster.state import AntiEntropyExchange, Entry, EntryStore, StoreFullError
-from embertray.cluster.state.exchange import staleness_bound_ns
+from embertray.cluster.state.staleness import staleness_bound_ns
 
 S, MS = 10**9, 10**6
 NOW = 1000 * S
