--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -10,8 +10,8 @@
 import msgspec
 import structlog
 
-from embertray.cluster.membership import Membership, Pace
-from embertray.cluster.membership.messages import Unreadable, decode, encode
+from embertray.cluster.membership import Membership, MembershipConfig
+from embertray.cluster.membership.messages import UnreadableMessageError, decode, encode
 from embertray.cluster.state import (
     AntiEntropyExchange,
     Delta,
@@ -57,7 +57,11 @@
         self.cluster, self.me, self.clock, self.facts = cluster, me, clock, facts
         self.log = (log or structlog.get_logger()).bind(member=me.name)
         chance, now, wall = random.Random(f"{seed} {me.name} {clock.wall()}"), clock.now(), clock.wall()
-        pace = Pace(period=cluster.period, answer=cluster.period * 3 // 10, beckon=5 * cluster.period)
+        pace = MembershipConfig(
+            probe_period=cluster.period,
+            probe_timeout=cluster.period * 3 // 10,
+            reconnect_period=5 * cluster.period,
+        )
         self.membership = Membership(cluster.name, me.name, me.cluster, wall, now, chance, peers, pace)
         self.store = EntryStore(me.name, wall, cluster.state)
         self.exchange = AntiEntropyExchange(self.store, chance, now, cluster.period)
@@ -68,14 +72,18 @@
     # ---- what operators see
 
     def status(self):
-        now, members, here = self.clock.now(), self.membership, {m.name for m in self.membership.here}
+        now, members, here = (
+            self.clock.now(),
+            self.membership,
+            {m.name for m in self.membership.active_members},
+        )
         words = ("alive", "suspect", "dead", "left")
         rows = [
             {
                 "name": m.name,
                 "address": m.address,
                 "state": words[m.state],
-                "heard_s": round((now - m.heard) / S, 2),
+                "heard_s": round((now - m.last_heard_at) / S, 2),
                 "told_s": min(
                     (round(k.age_ns / S, 2) for k in self.store.freshest(now, "facts") if k.owner == m.name),
                     default=None,
@@ -86,7 +94,7 @@
         return {
             "cluster": self.cluster.name,
             "me": members.me.name,
-            "life": members.me.life,
+            "life": members.me.incarnation,
             "joined": members.joined,
             "cut_off": members.cut_off(now),
             "health": members.health.steps,
@@ -103,7 +111,7 @@
             "state_cap": self.store.cap_bytes,
             "left_out": sum(self.store.shed.values()),
             "refused": [
-                {"why": why, "address": at, "times": n} for (why, at), n in members.refused.most_common(16)
+                {"why": why, "address": at, "times": n} for (why, at), n in members.rejected.most_common(16)
             ],
             "state_held_back": self.allowance.held_back,
             **self.counted,
@@ -120,7 +128,7 @@
                 [store.entries, store.order_by_owner, store.complete_up_to, store.incarnations],
             ),
             Collection("members", len(members.members), members.members.items, [members.members]),
-            Collection("refused", len(members.refused), members.refused.items, [members.refused]),
+            Collection("refused", len(members.rejected), members.rejected.items, [members.rejected]),
             Collection("probes", len(members.probes), members.probes.items, [members.probes]),
         ]
 
@@ -172,13 +180,13 @@
         await self.send()  # the last words
 
     def changed(self, now):
-        words, changes = ("alive", "suspect", "dead", "left"), self.membership.changes
+        words, changes = ("alive", "suspect", "dead", "left"), self.membership.events
         for change in changes:
             self.log.info("member", name=change.name, state=words[change.state], address=change.address)
         changes.clear()
-        self.store.expire(now, self.membership.members.gone)
-        if self.membership.me.life != self.store.incarnation:
-            self.store.adopt_incarnation(self.membership.me.life)
+        self.store.expire(now, self.membership.members.departed)
+        if self.membership.me.incarnation != self.store.incarnation:
+            self.store.adopt_incarnation(self.membership.me.incarnation)
 
     async def send(self):
         """What is due, by the pump alone: the socket has one writer."""
@@ -197,7 +205,7 @@
             self.counted["bytes_received"] += len(data)
             try:
                 message = decode(data)
-            except Unreadable:
+            except UnreadableMessageError:
                 self.counted["unreadable"] += 1
                 continue
             self.out += self.membership.receive(self.clock.now(), f"{host}:{port}", message)
@@ -217,7 +225,11 @@
                         self.store.put(now, key, value)
                     except StoreFullError as wrong:
                         self.log.warning("not told to the others", why=str(wrong))
-            here = {m.name: m.address for m in self.membership.here} if now >= self.exchange.next_at else {}
+            here = (
+                {m.name: m.address for m in self.membership.active_members}
+                if now >= self.exchange.next_at
+                else {}
+            )
             if (name := self.exchange.next_peer(now, here)) is not None and self.allowance.may(now):
                 self.counted["exchanges"] += 1
                 failed = False
--- a/embertray/cluster/membership/rumors.py
+++ b/embertray/cluster/membership/gossip_queue.py
@@ -5,14 +5,14 @@
 
 from .messages import size
 
-Rumor = namedtuple("Rumor", "times order statement bytes")  # times: how often it was handed on
+Gossip = namedtuple("Gossip", "times order statement bytes")  # times: how often it was handed on
 
 
-class Rumors:
+class GossipQueue:
     """Kept in the order in which they are handed on: what a message takes moves back, the rest stays."""
 
     def __init__(self):
-        self.waiting, self.count = {}, 0  # name -> Rumor
+        self.waiting, self.count = {}, 0  # name -> Gossip
         self.queue = []  # (times, order, name), sorted
         self.smallest = 0  # bytes that no statement waiting is below
 
@@ -24,7 +24,7 @@
         if statement.name in self.waiting:
             self.remove(statement.name)
         self.count += 1
-        rumor = Rumor(0, -self.count, statement, size(statement))
+        rumor = Gossip(0, -self.count, statement, size(statement))
         self.smallest = min(self.smallest, rumor.bytes) if self.waiting else rumor.bytes
         self.insert(statement.name, rumor)
 
--- a/embertray/cluster/membership/health.py
+++ b/embertray/cluster/membership/health.py
@@ -3,19 +3,19 @@
 """
 
 
-class Health:
+class LocalHealth:
     """`steps`: from 0 to `worst`. Times are stretched by steps + 1."""
 
     def __init__(self, worst):
-        self.worst, self.steps = worst, 0
+        self.max_steps, self.steps = worst, 0
 
-    def good(self):
+    def improve(self):
         """A probe was answered in time."""
         self.steps = max(0, self.steps - 1)
 
-    def bad(self, by=1):
+    def degrade(self, by=1):
         """A probe failed, a helper did not even say no, or we had to deny a suspicion."""
-        self.steps = min(self.worst, self.steps + by)
+        self.steps = min(self.max_steps, self.steps + by)
 
     def stretch(self, span):
         return span * (self.steps + 1)
--- a/embertray/cluster/membership/member.py
+++ b/embertray/cluster/membership/member.py
@@ -18,22 +18,26 @@
 
     name: Name
     address: Name
-    life: Count
-    turn: Count
+    incarnation: Count
+    refutations: Count
     state: Annotated[int, Meta(ge=0, le=3)]
-    by: str = ""
+    reported_by: str = ""
 
     @property
     def rank(self):
         """The later life holds, then the later turn, then the worse state: the same at every member, in any
         order. One that left stays so until its next life."""
-        return (self.life, self.state == LEFT, self.turn, self.state)
+        return (self.incarnation, self.state == LEFT, self.refutations, self.state)
 
     def repeats(self, other):
         """Whether `other`, of the same name, adds nothing to this one. A suspicion adds whose it is."""
         return self.state != SUSPECT and (
             self is other
-            or (self.life == other.life and self.turn == other.turn and self.state == other.state)
+            or (
+                self.incarnation == other.incarnation
+                and self.refutations == other.refutations
+                and self.state == other.state
+            )
         )
 
 
@@ -42,11 +46,19 @@
     came from it; `death`: another's statement that it is dead, while we look for ourselves;
     `position`: its place in the order in which members were added."""
 
-    __slots__ = ("statement", "since", "heard", "doubters", "deadline", "death", "position")
+    __slots__ = (
+        "statement",
+        "state_since",
+        "last_heard_at",
+        "suspected_by",
+        "suspicion_ends_at",
+        "reported_death",
+        "position",
+    )
 
     def __init__(self, statement, now):
-        self.statement, self.since, self.heard = statement, now, now
-        self.doubters, self.deadline, self.death = set(), None, None
+        self.statement, self.state_since, self.last_heard_at = statement, now, now
+        self.suspected_by, self.suspicion_ends_at, self.reported_death = set(), None, None
         self.position = 0
 
     name = property(lambda self: self.statement.name)
@@ -54,5 +66,5 @@
     state = property(lambda self: self.statement.state)
 
     @property
-    def here(self):
+    def active(self):
         return self.statement.state in (ALIVE, SUSPECT)
--- a/embertray/cluster/membership/directory.py
+++ b/embertray/cluster/membership/member_table.py
@@ -4,19 +4,19 @@
 from .member import ALIVE
 
 
-class Directory(dict):
+class MemberTable(dict):
     """name -> Member. Members are added, restated and removed through the methods, which keep the index."""
 
     def __init__(self):
         super().__init__()
         self.additions = 0
         self.not_alive = {}  # name -> Member that is suspect, dead or has left
-        self.gone = {}  # name -> Member that is dead or has left
+        self.departed = {}  # name -> Member that is dead or has left
 
     @property
-    def here_count(self):
+    def active_count(self):
         """How many members are taken to be there: alive or suspect."""
-        return len(self) - len(self.gone)
+        return len(self) - len(self.departed)
 
     def add(self, member):
         self.additions += 1
@@ -33,10 +33,10 @@
     def remove(self, name):
         del self[name]
         self.not_alive.pop(name, None)
-        self.gone.pop(name, None)
+        self.departed.pop(name, None)
 
     def index(self, member):
-        for names, belongs in ((self.not_alive, member.state != ALIVE), (self.gone, not member.here)):
+        for names, belongs in ((self.not_alive, member.state != ALIVE), (self.departed, not member.active)):
             if belongs:
                 names[member.name] = member
             else:
@@ -48,4 +48,8 @@
 
     def deadlines(self):
         """Times at which a suspicion ends, ns."""
-        return [member.deadline for member in self.not_alive.values() if member.deadline is not None]
+        return [
+            member.suspicion_ends_at
+            for member in self.not_alive.values()
+            if member.suspicion_ends_at is not None
+        ]
--- a/embertray/cluster/membership/messages.py
+++ b/embertray/cluster/membership/messages.py
@@ -18,9 +18,9 @@
     cluster: str
     version: int
     sender: Statement
-    to_life: int
-    number: int
-    news: list[Statement]
+    target_incarnation: int
+    sequence: int
+    gossip: list[Statement]
 
 
 class Ping(Message, tag="ping", frozen=True):
@@ -31,10 +31,10 @@
     """`number` is the Ping's."""
 
 
-class Help(Message, tag="help", frozen=True):
+class PingRequest(Message, tag="help", frozen=True):
     """Asks to ping another in our place; a Nack says that the helper heard us and has no answer yet."""
 
-    about: Statement
+    target: Statement
 
 
 class Nack(Message, tag="nack", frozen=True):
@@ -47,19 +47,19 @@
     first: bool
 
 
-class All(Message, tag="all", frozen=True):
+class FullState(Message, tag="all", frozen=True):
     """A part of all that is known, in `news`. `remembered`: the latest life that the asker's name had, 0 if
     none.
     """
 
-    remembered: int
+    remembered_incarnation: int
 
 
 encoder = msgspec.msgpack.Encoder()
-decoder = msgspec.msgpack.Decoder(Ping | Ack | Help | Nack | Join | All)
+decoder = msgspec.msgpack.Decoder(Ping | Ack | PingRequest | Nack | Join | FullState)
 
 
-class Unreadable(ValueError):
+class UnreadableMessageError(ValueError):
     """Not a message of ours: cut short, spoilt, or something else."""
 
 
@@ -69,13 +69,13 @@
 
 
 def decode(data):
-    """Raises Unreadable."""
+    """Raises UnreadableMessageError."""
     if len(data) < 5 or crc32(data[4:]) != int.from_bytes(data[:4], "big"):
-        raise Unreadable("cut short or spoilt")
+        raise UnreadableMessageError("cut short or spoilt")
     try:
         return decoder.decode(data[4:])
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as wrong:
-        raise Unreadable(str(wrong)) from None
+        raise UnreadableMessageError(str(wrong)) from None
 
 
 def size(statement):
--- a/embertray/cluster/membership/outbox.py
+++ b/embertray/cluster/membership/outbox.py
@@ -5,22 +5,24 @@
 
 
 class Outbox:
-    """For one who has `cluster`, `me`, `pace`, `members`, `here`, `rumors`, `number` and a list `out`."""
+    """For one who has `cluster`, `me`, `pace`, `members`, `here`, `gossip`, `number` and a list `out`."""
 
-    def next_number(self):
-        self.number += 1
-        return self.number
+    def next_sequence(self):
+        self.last_sequence += 1
+        return self.last_sequence
 
     def send(self, member, kind, number, **more):
-        self.put(member.address, kind, member.statement.life, number, member.name, **more)
+        self.put(member.address, kind, member.statement.incarnation, number, member.name, **more)
 
     def answer(self, message, kind, number):
-        self.put(message.sender.address, kind, message.sender.life, number, message.sender.name)
+        self.put(message.sender.address, kind, message.sender.incarnation, number, message.sender.name)
 
     def put(self, address, kind, life, number, name, news=None, **more):
         """`name`: to whom; what we think ill of it goes along, so that it can deny it at once."""
         if news is None:
-            news = self.rumors.pick(self.pace.news, self.pace.times(self.members.here_count + 1), name)
+            news = self.gossip.pick(
+                self.config.gossip_bytes, self.config.retransmissions(self.members.active_count + 1), name
+            )
             member = self.members.get(name)
             if (
                 member is not None
@@ -28,4 +30,4 @@
                 and all(statement.name != name for statement in news)
             ):
                 news.append(member.statement)
-        self.out.append((address, kind(self.cluster, VERSION, self.me, life, number, news, **more)))
+        self.outgoing.append((address, kind(self.cluster, VERSION, self.me, life, number, news, **more)))
--- a/embertray/cluster/membership/statements.py
+++ b/embertray/cluster/membership/statements.py
@@ -6,7 +6,9 @@
 from .messages import Join
 from .outbox import Outbox
 
-Change = namedtuple("Change", "name state address")  # told once for each change of a member, in order
+MemberChanged = namedtuple(
+    "MemberChanged", "name state address"
+)  # told once for each change of a member, in order
 
 
 class Statements(Outbox):
@@ -29,88 +31,103 @@
             member = self.members.add(Member(statement, now))
             if statement.state in (DEAD, LEFT):
                 return  # remembered against an old statement that would make it new
-            self.round.joined(statement.name)
+            self.probe_order.add(statement.name)
             self.changed(statement)
         elif statement.rank > member.statement.rank:
             if (
                 statement.state == DEAD
-                and member.here
-                and statement.by != self.me.name
-                and self.me.name not in member.doubters
+                and member.active
+                and statement.reported_by != self.me.name
+                and self.me.name not in member.suspected_by
             ):
-                self.doubted(now, member, statement)
+                self.death_reported(now, member, statement)
                 return
             old = member.statement
             self.members.restate(member, statement)
-            if (statement.state, statement.life) != (old.state, old.life):
-                member.since, member.deadline, member.doubters, member.death = now, None, set(), None
-                if old.state not in (ALIVE, SUSPECT) and member.here:
+            if (statement.state, statement.incarnation) != (old.state, old.incarnation):
+                member.state_since, member.suspicion_ends_at, member.suspected_by, member.reported_death = (
+                    now,
+                    None,
+                    set(),
+                    None,
+                )
+                if old.state not in (ALIVE, SUSPECT) and member.active:
                     self.back(member)
                 self.changed(statement)
         elif not (
             statement.state == SUSPECT
             and statement.rank == member.statement.rank
-            and statement.by not in member.doubters
+            and statement.reported_by not in member.suspected_by
         ):
             if statement.rank < member.statement.rank and member.state != ALIVE:
-                self.rumors.put(
+                self.gossip.put(
                     member.statement
                 )  # somebody lacks it, who may reach the one to deny it: against words lost on shut links
             return
         if statement.state == SUSPECT:
-            member.doubters.add(statement.by)
-            member.deadline = (
+            member.suspected_by.add(statement.reported_by)
+            member.suspicion_ends_at = (
                 None
-                if member.death
-                else member.since + self.pace.wait(self.members.here_count + 1, len(member.doubters) - 1)
+                if member.reported_death
+                else member.state_since
+                + self.config.suspicion_timeout(self.members.active_count + 1, len(member.suspected_by) - 1)
             )
-        self.rumors.put(statement)
+        self.gossip.put(statement)
 
-    def doubted(self, now, member, statement):
+    def death_reported(self, now, member, statement):
         """It is dead by the word of others, and we have missed nothing of it: looked at by ourselves before
         it counts. Against the other side of a split that ends, which took ours for dead, and against those
         who reach it worse than we do."""
-        if member.death is None or statement.rank > member.death.rank:
+        if member.reported_death is None or statement.rank > member.reported_death.rank:
             if member.state != SUSPECT:
                 self.apply(
                     now,
                     Statement(
                         statement.name,
                         statement.address,
-                        statement.life,
-                        statement.turn,
+                        statement.incarnation,
+                        statement.refutations,
                         SUSPECT,
-                        statement.by,
+                        statement.reported_by,
                     ),
                 )
-            self.rumors.put(statement)
-            member.death, member.deadline = statement, None
+            self.gossip.put(statement)
+            member.reported_death, member.suspicion_ends_at = statement, None
             self.probe(now, member.name)
 
     def back(self, member):
         """One taken for dead is there: what each side of a split has come to know is exchanged whole."""
-        self.round.joined(member.name)
-        self.put(member.address, Join, member.statement.life, self.next_number(), member.name, first=False)
+        self.probe_order.add(member.name)
+        self.put(
+            member.address, Join, member.statement.incarnation, self.next_sequence(), member.name, first=False
+        )
 
     def of_me(self, statement):
-        if statement.life > self.me.life and self.joined:
+        if statement.incarnation > self.me.incarnation and self.joined:
             self.end(f"a younger process has the name {self.me.name}, at {statement.address}")
         elif (
-            statement.life == self.me.life
+            statement.incarnation == self.me.incarnation
             and statement.state != ALIVE
-            and statement.turn >= self.me.turn
+            and statement.refutations >= self.me.refutations
             and self.me.state == ALIVE
         ):
             # turned worse by others: denied with a later turn; that it came to this tells of us
-            self.me = Statement(self.me.name, self.me.address, self.me.life, statement.turn + 1, ALIVE)
-            self.health.bad()
-            self.rumors.put(self.me)
+            self.me = Statement(
+                self.me.name, self.me.address, self.me.incarnation, statement.refutations + 1, ALIVE
+            )
+            self.health.degrade()
+            self.gossip.put(self.me)
 
-    def about(self, member, state):
+    def statement_about(self, member, state):
         statement = member.statement
         return Statement(
-            statement.name, statement.address, statement.life, statement.turn, state, self.me.name
+            statement.name,
+            statement.address,
+            statement.incarnation,
+            statement.refutations,
+            state,
+            self.me.name,
         )
 
     def changed(self, statement):
-        self.changes.append(Change(statement.name, statement.state, statement.address))
+        self.events.append(MemberChanged(statement.name, statement.state, statement.address))
--- a/embertray/experiments/capacity/reckon.py
+++ b/embertray/experiments/capacity/reckon.py
@@ -6,12 +6,12 @@
 
 from embertray.cluster.limits.messages import Ask, Grant
 from embertray.cluster.limits.pace import Pace as LimitsPace
-from embertray.cluster.membership import Pace as ClusterPace
+from embertray.cluster.membership import MembershipConfig
 
 S = 10**9
 FRAME_BYTES = 4  # of a frame's length; how large a frame may be is not asked here
 WORST = 10  # seconds of a worst mean
-PERIOD = ClusterPace().period / S  # s
+PERIOD = MembershipConfig().probe_period / S  # s
 EXCHANGE = 2.0  # s: the longest exchange of state (docs/design/cluster.md)
 BUSY_NUMBER = 2**40  # of the size that ballots, lives and sequence numbers have
 
@@ -78,4 +78,6 @@
 
 def death_known(members):
     """(2 (n - 1) + 2 n + 18) T and the longest suspicion: the claim `seen` of docs/design/cluster.md."""
-    return (2 * (members - 1) + 2 * members + 18) * PERIOD + ClusterPace().wait(members, 0) / S
+    return (2 * (members - 1) + 2 * members + 18) * PERIOD + MembershipConfig().suspicion_timeout(
+        members, 0
+    ) / S
--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -36,7 +36,7 @@
         began = self.engine.time
         while self.engine.time < began + most * S:
             if all(
-                wanted(name, {name} | {m.name for m in exchanger.process.core.here})
+                wanted(name, {name} | {m.name for m in exchanger.process.core.active_members})
                 for name, exchanger in self.exchangers.items()
             ):
                 return (self.engine.time - began) / S
--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -54,7 +54,7 @@
         return Counters(counted["bytes_sent"], counted["bytes_received"], counted["sent"], parts)
 
     def seen(self):
-        return self.link.membership.members.here_count + 1
+        return self.link.membership.members.active_count + 1
 
     def oldest(self, now):
         """ns; None if it lacks a member's facts."""
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from embertray.cluster.membership import Pace
+from embertray.cluster.membership import MembershipConfig
 from embertray.simulation.emulator.collector import rare_collections
 from embertray.simulation.emulator.gossip import MembershipSimulation
 from embertray.simulation.emulator.state_exchanger import StateExchanger
@@ -35,7 +35,10 @@
 
     def __init__(self, size, spans, period, facts_bytes, naming=Naming(), seed=1):
         self.membership = MembershipSimulation(
-            seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period)
+            seed,
+            MembershipConfig(
+                probe_period=period, probe_timeout=period * 3 // 10, reconnect_period=5 * period
+            ),
         )
         self.engine, self.facts = self.membership.engine, b"f" * facts_bytes
         self.addresses = {naming.name(n): naming.address(n) for n in range(size)}
@@ -100,7 +103,7 @@
             oldest.append(members.oldest())
     meters, seen = (
         members.meters.values(),
-        [p.core.members.here_count + 1 for p in members.membership.living()],
+        [p.core.members.active_count + 1 for p in members.membership.living()],
     )
     return Summary(
         size=size,
--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -16,7 +16,7 @@
 quarter of the period) are neither within reach nor out of it: nothing is claimed there.
 """
 
-from embertray.cluster.membership import Pace
+from embertray.cluster.membership import MembershipConfig
 from embertray.cluster.state.staleness import staleness_bound_ns
 
 S = 10**9
@@ -28,15 +28,19 @@
 def death(members, period):
     """ns: a probe in two rounds; a suspicion that nobody confirms; two rounds to tell; a probe of one's own
     by who is told. Probes are stretched by one's own trouble."""
-    pace = Pace(period=period)
-    return (2 * (members - 1) + 2 * (pace.worst + 1) + 2 * members) * period + pace.wait(members, 0)
+    pace = MembershipConfig(probe_period=period)
+    return (
+        2 * (members - 1) + 2 * (pace.max_health_steps + 1) + 2 * members
+    ) * period + pace.suspicion_timeout(members, 0)
 
 
 def whole(members, period):
     """ns: a ping to one that is taken for dead, in its turn; what one knows to each other, in turns; and the
     denials of who lives.
     """
-    return (5 * -(-(members - 1) // Pace().helpers) + 5 * (members - 1) + 1 + 2 * members) * period
+    return (
+        5 * -(-(members - 1) // MembershipConfig().indirect_probes) + 5 * (members - 1) + 1 + 2 * members
+    ) * period
 
 
 class Claims:
@@ -54,7 +58,7 @@
         self.groups, self.direct, self.helpers = (
             {},
             {},
-            Pace().helpers,
+            MembershipConfig().indirect_probes,
         )  # (a, b) -> (since when, members that the better connected of the two misses)
         self.broken, self.worst, self.looks, self.held = (
             {name: [] for name in NAMES},
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -8,7 +8,7 @@
 import random
 
 from embertray.cluster.link.link import EXCHANGE_WITHIN
-from embertray.cluster.membership import Membership, Pace
+from embertray.cluster.membership import Membership, MembershipConfig
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.service.site.site import time as span
 from embertray.simulation.claims.cluster import Claims
@@ -62,7 +62,11 @@
         period = span(day.fleet["period"])
         self.links = Web(names, seed, ("list", "px"))  # nothing passes on the latter two here
         self.membership = MembershipSimulation(
-            seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period), make
+            seed,
+            MembershipConfig(
+                probe_period=period, probe_timeout=period * 3 // 10, reconnect_period=5 * period
+            ),
+            make,
         )
         self.membership.links = WebLinks(random.Random(f"{seed} links"), self.links)
         self.engine, self.exchangers, self.chance, self.proxies = (
--- a/embertray/simulation/emulator/detectors.py
+++ b/embertray/simulation/emulator/detectors.py
@@ -7,7 +7,7 @@
 
 from embertray.cluster.membership.member import ALIVE, DEAD, Member, Statement
 from embertray.cluster.membership.messages import VERSION, Ping
-from embertray.cluster.membership.statements import Change
+from embertray.cluster.membership.statements import MemberChanged
 
 KEPT = 100  # gaps between heartbeats that phi goes by
 SPREAD = 0.1  # of the period: least deviation, against a certainty that chance alone gives
@@ -20,18 +20,18 @@
 
     limit = 5.0
 
-    def __init__(self, cluster, name, address, wall, now, chance, seeds, pace):
-        self.cluster, self.pace, self.me = cluster, pace, Statement(name, address, wall, 0, ALIVE)
+    def __init__(self, cluster, name, address, wall, now, chance, seeds, config):
+        self.cluster, self.config, self.me = cluster, config, Statement(name, address, wall, 0, ALIVE)
         self.members = {
             other: Member(Statement(other, other, 0, 0, ALIVE), now) for other in seeds if other != name
         }
         self.gaps = {other: deque(maxlen=KEPT) for other in self.members}
-        self.beat_at, self.look_at = now + chance.randrange(pace.period), now + pace.period
-        self.changes, self.refused, self.ended, self.number = [], Counter(), "", 0
+        self.beat_at, self.look_at = now + chance.randrange(config.probe_period), now + config.probe_period
+        self.events, self.rejected, self.ended, self.last_sequence = [], Counter(), "", 0
 
     @property
-    def here(self):
-        return [m for m in self.members.values() if m.here]
+    def active_members(self):
+        return [m for m in self.members.values() if m.active]
 
     def next_at(self):
         return min(self.beat_at, self.look_at)
@@ -39,30 +39,30 @@
     def advance(self, now):
         out = []
         if now >= self.beat_at:
-            self.beat_at += self.pace.period
-            self.number += 1
+            self.beat_at += self.config.probe_period
+            self.last_sequence += 1
             out = [
-                (m.address, Ping(self.cluster, VERSION, self.me, 0, self.number, []))
+                (m.address, Ping(self.cluster, VERSION, self.me, 0, self.last_sequence, []))
                 for m in self.members.values()
             ]
         if now >= self.look_at:
-            self.look_at = now + self.pace.period // 5
-            for member in self.here:
+            self.look_at = now + self.config.probe_period // 5
+            for member in self.active_members:
                 if self.gone(now, member):
                     self.set(member, DEAD)
         return out
 
     def gone(self, now, member):
-        return now - member.heard > self.limit * self.pace.period
+        return now - member.last_heard_at > self.limit * self.config.probe_period
 
     def set(self, member, state):
         member.statement = Statement(member.name, member.address, 0, 0, state)
-        self.changes.append(Change(member.name, state, member.address))
+        self.events.append(MemberChanged(member.name, state, member.address))
 
     def receive(self, now, address, message):
         member = self.members[message.sender.name]
-        self.gaps[member.name].append(now - member.heard)
-        member.heard = now
+        self.gaps[member.name].append(now - member.last_heard_at)
+        member.last_heard_at = now
         if member.state == DEAD:
             self.set(member, ALIVE)
         return []
@@ -80,6 +80,8 @@
         if len(gaps) < 5:
             return super().gone(now, member)
         mean = sum(gaps) / len(gaps)
-        deviation = max(SPREAD * self.pace.period, sqrt(sum((gap - mean) ** 2 for gap in gaps) / len(gaps)))
-        chance = 0.5 * erfc((now - member.heard - mean) / deviation / sqrt(2))
+        deviation = max(
+            SPREAD * self.config.probe_period, sqrt(sum((gap - mean) ** 2 for gap in gaps) / len(gaps))
+        )
+        chance = 0.5 * erfc((now - member.last_heard_at - mean) / deviation / sqrt(2))
         return chance <= 0 or -log10(chance) > self.threshold
--- a/embertray/simulation/emulator/gossip.py
+++ b/embertray/simulation/emulator/gossip.py
@@ -6,8 +6,8 @@
 import random
 from collections import Counter
 
-from embertray.cluster.membership import Membership, Pace
-from embertray.cluster.membership.messages import Unreadable, decode, encode
+from embertray.cluster.membership import DEFAULT_CONFIG, Membership
+from embertray.cluster.membership.messages import UnreadableMessageError, decode, encode
 
 from .engine import Engine, S
 
@@ -110,14 +110,14 @@
     """The message that these bytes stand for, or None."""
     try:
         return decode(data)
-    except Unreadable:
+    except UnreadableMessageError:
         return None
 
 
 class MembershipSimulation:
     """All members of one cluster. `notes`: (ns, who, Change) as each took it."""
 
-    def __init__(self, seed=1, pace=Pace(), make=Membership, **links):
+    def __init__(self, seed=1, pace=DEFAULT_CONFIG, make=Membership, **links):
         self.engine, self.seed, self.pace, self.make = Engine(START), seed, pace, make
         self.links, self.at, self.notes = Links(random.Random(seed), **links), {}, []
         self.bytes, self.sent, self.unreadable, self.lives = Counter(), Counter(), 0, 0
@@ -166,9 +166,9 @@
             self.at[address].arrive(here, message)
 
     def note(self, process):
-        for change in process.core.changes:
+        for change in process.core.events:
             self.notes.append((self.engine.time, process.core.me.name, change))
-        process.core.changes.clear()
+        process.core.events.clear()
 
     def run(self, span):
         self.engine.run(self.engine.time + span)
@@ -189,4 +189,4 @@
         """Whether each of the living (of `group`'s addresses) takes exactly those for there."""
         living = [p for p in self.living() if group is None or p.core.me.address in group]
         names = {p.core.me.name for p in living}
-        return all({m.name for m in p.core.here} == names - {p.core.me.name} for p in living)
+        return all({m.name for m in p.core.active_members} == names - {p.core.me.name} for p in living)
--- a/embertray/simulation/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -29,9 +29,12 @@
         self.facts = facts
         self.process, self.others, self.links, self.engine = process, others, links, process.simulation.engine
         core, now = process.core, process.simulation.engine.time
-        self.store = store(core.me.name, core.me.life)
+        self.store = store(core.me.name, core.me.incarnation)
         self.exchange = make(
-            self.store, random.Random(f"{seed} {core.me.name} {core.me.life}"), now, core.pace.period
+            self.store,
+            random.Random(f"{seed} {core.me.name} {core.me.incarnation}"),
+            now,
+            core.config.probe_period,
         )
         self.facts_at, self.turn, self.bytes, self.failed, self.made = now, 0, 0, 0, 0
         self.engine.at(now, self.tick)
@@ -47,16 +50,17 @@
         if self.process.stopped:
             self.engine.at(now + LOOK, self.tick)
             return
-        self.store.expire(now, core.members.gone)
-        if core.me.life != self.store.incarnation:
-            self.store.adopt_incarnation(core.me.life)
+        self.store.expire(now, core.members.departed)
+        if core.me.incarnation != self.store.incarnation:
+            self.store.adopt_incarnation(core.me.incarnation)
         if now >= self.facts_at:
             self.facts_at = now + FACTS_EVERY
             self.store.put(now, "facts", self.facts(now))
-        here = {m.name: m.address for m in core.here} if now >= self.exchange.next_at else {}
+        here = {m.name: m.address for m in core.active_members} if now >= self.exchange.next_at else {}
         if (name := self.exchange.next_peer(now, here)) is None:
             self.engine.at(
-                max(now + core.pace.period // 20, min(self.exchange.next_at, self.facts_at)), self.tick
+                max(now + core.config.probe_period // 20, min(self.exchange.next_at, self.facts_at)),
+                self.tick,
             )
             return
         self.turn += 1
@@ -78,7 +82,7 @@
 
     def finish(self):
         self.turn += 1
-        self.engine.at(self.engine.time + self.process.core.pace.period // 20, self.tick)
+        self.engine.at(self.engine.time + self.process.core.config.probe_period // 20, self.tick)
 
     def pass_message(self, turn, address, there, then):
         """One message of the stream; it waits on a silent way, or for one that stands still, until the
--- a/embertray/simulation/processes/ways.py
+++ b/embertray/simulation/processes/ways.py
@@ -11,7 +11,7 @@
 import anyio
 import msgspec
 
-from embertray.cluster.membership.messages import Help, Unreadable, decode, encode
+from embertray.cluster.membership.messages import PingRequest, UnreadableMessageError, decode, encode
 from embertray.simulation.models.web import Web
 
 from .ports import free_ports
@@ -62,7 +62,7 @@
             async for data, _ in udp:
                 try:
                     data = self.rewritten(receiver, decode(data))
-                except Unreadable:
+                except UnreadableMessageError:
                     self.unreadable += 1
                     continue
                 for wait in way.copies():
@@ -88,7 +88,7 @@
             port = self.ports.get((receiver, said.name))
             return said if port is None else msgspec.structs.replace(said, address=f"127.0.0.1:{port}")
 
-        changed = {"sender": seen(message.sender), "news": [seen(said) for said in message.news]}
-        if isinstance(message, Help):
-            changed["about"] = seen(message.about)
+        changed = {"sender": seen(message.sender), "gossip": [seen(said) for said in message.gossip]}
+        if isinstance(message, PingRequest):
+            changed["target"] = seen(message.target)
         return encode(msgspec.structs.replace(message, **changed))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -20,8 +20,8 @@
 class TakesWords(Membership):
     """A sabotaged member: whoever says that another is dead is believed."""
 
-    def doubted(self, now, member, statement):
-        member.doubters.add(self.me.name)
+    def death_reported(self, now, member, statement):
+        member.suspected_by.add(self.me.name)
         self.apply(now, statement)
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -6,19 +6,23 @@
 import random
 import unittest
 
-from embertray.cluster.membership import ALIVE, DEAD, LEFT, SUSPECT, Membership, Pace
-from embertray.cluster.membership.health import Health
+from embertray.cluster.membership import ALIVE, DEAD, LEFT, SUSPECT, Membership, MembershipConfig
+from embertray.cluster.membership.health import LocalHealth
 from embertray.cluster.membership.member import Statement
-from embertray.cluster.membership.messages import Ping, Unreadable, decode, encode
+from embertray.cluster.membership.messages import Ping, UnreadableMessageError, decode, encode
 from embertray.simulation.emulator.gossip import MS, MembershipSimulation, S
 
-PACE = Pace()
+PACE = MembershipConfig()
 
 
 def detect_within(members, pace=PACE):
     """The stated bound on declaring a killed member dead where links are good: each member probes each other
     once in two rounds; then nobody may confirm; then the statement goes round (docs/design/cluster.md)."""
-    return 2 * (members - 1) * pace.period + pace.wait(members, 0) + 2 * members * pace.period
+    return (
+        2 * (members - 1) * pace.probe_period
+        + pace.suspicion_timeout(members, 0)
+        + 2 * members * pace.probe_period
+    )
 
 
 def names(*numbers):
@@ -35,7 +39,7 @@
 
 
 class NeverSuspects(Membership):
-    def failed(self, now, number, probe):
+    def probe_failed(self, now, number, probe):
         del self.probes[number]
 
 
@@ -44,7 +48,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.health = Health(0)
+        self.health = LocalHealth(0)
 
 
 class Detect(unittest.TestCase):
@@ -223,10 +227,20 @@
         for message, why in (
             (Ping("elsewhere", 1, other, 0, 1, []), "cluster"),
             (Ping("c", 2, other, 0, 1, []), "version"),
-            (Ping("c", 1, other, core.me.life - 1, 1, [core.about(core.members["m1"], DEAD)]), "former life"),
+            (
+                Ping(
+                    "c",
+                    1,
+                    other,
+                    core.me.incarnation - 1,
+                    1,
+                    [core.statement_about(core.members["m1"], DEAD)],
+                ),
+                "former life",
+            ),
         ):
             core.receive(now, "x", message)
-            self.assertEqual(core.refused[why, "x"], 1)
+            self.assertEqual(core.rejected[why, "x"], 1)
         self.assertEqual((core.state_of("x"), core.state_of("m1")), (None, ALIVE))
 
     def test_strangers_from_ever_new_ports_cost_no_memory(self):
@@ -234,8 +248,8 @@
         core, other = simulation.at["m0"].core, Statement("x", "x", 5, 0, ALIVE)
         for port in range(10_000):
             core.receive(simulation.engine.time, f"x:{port}", Ping("elsewhere", 1, other, 0, 1, []))
-        self.assertLess(len(core.refused), 2100)
-        self.assertEqual(sum(core.refused.values()), 10_000)
+        self.assertLess(len(core.rejected), 2100)
+        self.assertEqual(sum(core.rejected.values()), 10_000)
 
     def test_a_replay_of_a_former_life_does_not_bring_it_back(self):
         simulation = MembershipSimulation(12).gather(4)
@@ -244,10 +258,10 @@
         simulation.run(S)
         simulation.up("m2")
         simulation.run(10 * S)
-        life = simulation.at["m1"].core.members["m2"].statement.life
-        self.assertGreater(life, old.life)
+        life = simulation.at["m1"].core.members["m2"].statement.incarnation
+        self.assertGreater(life, old.incarnation)
         simulation.at["m1"].core.receive(simulation.engine.time, "m2", Ping("c", 1, old, 0, 1, []))
-        self.assertEqual(simulation.at["m1"].core.members["m2"].statement.life, life)
+        self.assertEqual(simulation.at["m1"].core.members["m2"].statement.incarnation, life)
 
     def test_spoilt_and_repeated_messages_for_a_minute(self):
         simulation = MembershipSimulation(13).gather(5)
@@ -266,7 +280,7 @@
             )
             if data:
                 data[chance.randrange(len(data))] = chance.randrange(256)
-            with contextlib.suppress(Unreadable):
+            with contextlib.suppress(UnreadableMessageError):
                 decode(bytes(data))
 
 
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -10,7 +10,7 @@
 
 from lxml import etree
 
-from embertray.cluster.membership import Pace
+from embertray.cluster.membership import MembershipConfig
 from embertray.simulation.processes.ports import free_ports
 from embertray.simulation.processes.processes import PERIOD, Members
 from embertray.simulation.processes.program import ROOT
@@ -60,9 +60,9 @@
         )  # each second, not at once
         self.assertEqual(held()["action"], "leave out")
 
-        pace = Pace(period=PERIOD * 10**6)
+        pace = MembershipConfig(probe_period=PERIOD * 10**6)
         most = (
-            2 * 3 * pace.period + pace.wait(4, 0) + 8 * pace.period
+            2 * 3 * pace.probe_period + pace.suspicion_timeout(4, 0) + 8 * pace.probe_period
         ) / 1e9  # the stated bound for four members
         site.kill("c4")
         took = site.wait(lambda: site.all_see(**alive | {"c4": "dead"}), "c4 is dead")
