--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -77,12 +77,11 @@
             self.membership,
             {m.name for m in self.membership.active_members},
         )
-        words = ("alive", "suspect", "dead", "left")
         rows = [
             {
                 "name": m.name,
                 "address": m.address,
-                "state": words[m.state],
+                "state": m.state.word,
                 "heard_s": round((now - m.last_heard_at) / S, 2),
                 "told_s": min(
                     (round(k.age_ns / S, 2) for k in self.store.freshest(now, "facts") if k.owner == m.name),
@@ -180,9 +179,9 @@
         await self.send()  # the last words
 
     def changed(self, now):
-        words, changes = ("alive", "suspect", "dead", "left"), self.membership.events
+        changes = self.membership.events
         for change in changes:
-            self.log.info("member", name=change.name, state=words[change.state], address=change.address)
+            self.log.info("member", name=change.name, state=change.state.word, address=change.address)
         changes.clear()
         self.store.expire(now, self.membership.members.departed)
         if self.membership.me.incarnation != self.store.incarnation:
--- a/embertray/cluster/membership/config.py
+++ b/embertray/cluster/membership/config.py
@@ -1,48 +1,101 @@
-"""The detector's times and sizes, in one place: value, unit, reason."""
+"""Times and sizes of the failure detector, and the timeouts that follow from them."""
 
 from dataclasses import dataclass
 from math import ceil, log2, log10
 
-MS, S = 10**6, 10**9
+MS_NS = 10**6
+SECOND_NS = 10**9
+
+RECONNECT_PERIODS = 5  # probe periods between two attempts to reach lost members
 
 
 @dataclass(frozen=True)
 class MembershipConfig:
-    """Times are ns. Defaults fit one site's machines on one network."""
-
-    probe_period: int = 1 * S  # between two probes: bytes and CPU against time to detect
-    probe_timeout: int = 300 * MS  # for a direct answer: past any pause of a collector or a scheduler's slice
-    indirect_probes: int = 3  # members asked to probe in our place: three lost ways at 30% each are 3 in 100
-    suspicion_multiplier: float = 4.0  # x log10 of the members x period, at least: time to deny a suspicion
-    unconfirmed_factor: float = 6.0  # x that, as long as nobody else suspects: one's own trouble is no proof
-    confirmations: int = 3  # others' suspicions that bring it down to the least
-    retransmit_multiplier: float = (
-        4.0  # x log2 of the members: how often a statement is handed on, past any loss here
-    )
-    gossip_bytes: int = 1100  # bytes of statements in a message: with its head under one datagram of 1,400
-    max_health_steps: int = 8  # most steps that a member in trouble itself slows down by
-    reconnect_period: int = (
-        5 * S
-    )  # between two pings to a seed or to one that is taken for dead: a split's end is seen
-    departed_retention: int = (
-        600 * S
-    )  # one that is dead or has left is remembered: past any split that heals by itself
-    pause_threshold: int = 2 * S  # a step so late means that we stood still, and not the others
+    """Times are ns. The defaults fit the machines of one site on one network.
+
+    Attributes:
+        probe_period: Between two probes.
+        probe_timeout: For the answer to a direct probe, before indirect probes are requested: longer than a
+            pause of a garbage collector or of a scheduler.
+        indirect_probes: Members that are asked to probe in this one's place.
+        suspicion_multiplier: The least suspicion timeout, in probe periods times log10 of the members.
+        unconfirmed_factor: The suspicion timeout as long as nobody else suspects, in least timeouts: a fault
+            of the observer must not look like one of the observed.
+        confirmations: Suspicions by others that bring the timeout down to the least.
+        retransmit_multiplier: How often a statement is gossiped, times log2 of the members.
+        gossip_bytes: Bytes of statements in a message: with the header it fits a datagram of 1,400 bytes.
+        max_health_steps: Steps by which a member that is slow itself stretches its timeouts, at most.
+        reconnect_period: Between two attempts to reach seeds and dead members, which is how the sides of a
+            network partition find each other again.
+        departed_retention: How long a member that is dead or has left is remembered: longer than partitions
+            that heal by themselves.
+        pause_threshold: A step that is later than this, and a probe period, means that this process stood
+            still.
+    """
+
+    probe_period: int = 1 * SECOND_NS
+    probe_timeout: int = 300 * MS_NS
+    indirect_probes: int = 3
+    suspicion_multiplier: float = 4.0
+    unconfirmed_factor: float = 6.0
+    confirmations: int = 3
+    retransmit_multiplier: float = 4.0
+    gossip_bytes: int = 1100
+    max_health_steps: int = 8
+    reconnect_period: int = 5 * SECOND_NS
+    departed_retention: int = 600 * SECOND_NS
+    pause_threshold: int = 2 * SECOND_NS
+
+    @classmethod
+    def for_period(cls, probe_period):
+        """Return a configuration whose timeouts follow from its probe period.
+
+        Args:
+            probe_period: Between two probes, ns.
+        """
+        return cls(
+            probe_period=probe_period,
+            probe_timeout=probe_period * 3 // 10,
+            reconnect_period=RECONNECT_PERIODS * probe_period,
+        )
 
     def min_suspicion_timeout(self, members):
-        """ns from a suspicion to a death, when enough others suspect too."""
+        """Return the suspicion timeout when enough others suspect, too.
+
+        Args:
+            members: Active members, this one included.
+
+        Returns:
+            The timeout, ns.
+        """
         return int(self.suspicion_multiplier * max(1.0, log10(max(1, members))) * self.probe_period)
 
     def suspicion_timeout(self, members, others):
-        """ns from a suspicion to a death, while `others` suspect it beside us."""
-        least, wanted = self.min_suspicion_timeout(members), min(self.confirmations, members - 2)
+        """Return the time from a suspicion until the member is taken for dead.
+
+        Rule: it shrinks with the logarithm of the confirmations, from `unconfirmed_factor` least timeouts to
+        one, as in Lifeguard.
+
+        Args:
+            members: Active members, this one included.
+            others: Members that suspect it beside this one.
+
+        Returns:
+            The timeout, ns.
+        """
+        least = self.min_suspicion_timeout(members)
+        wanted = min(self.confirmations, members - 2)
         if wanted <= 0:
             return least
-        part = log2(min(others, wanted) + 1) / log2(wanted + 1)
-        return int(least * (self.unconfirmed_factor - (self.unconfirmed_factor - 1) * part))
+        confirmed_share = log2(min(others, wanted) + 1) / log2(wanted + 1)
+        return int(least * (self.unconfirmed_factor - (self.unconfirmed_factor - 1) * confirmed_share))
 
     def retransmissions(self, members):
-        """How often a statement is handed on."""
+        """Return how often a statement is gossiped.
+
+        Args:
+            members: Active members, this one included.
+        """
         return ceil(self.retransmit_multiplier * log2(members + 1))
 
 
--- a/embertray/cluster/membership/gossip_queue.py
+++ b/embertray/cluster/membership/gossip_queue.py
@@ -1,62 +1,93 @@
-"""Statements on their way: each is handed on so many times, those least told first, of these the newest."""
+"""Statements that are to be gossiped, each so many times: the least gossiped first, of these the newest."""
 
 from bisect import bisect_left, insort
-from collections import namedtuple
+from typing import NamedTuple
 
-from .messages import size
+from .member import Statement
+from .messages import statement_size
 
-Gossip = namedtuple("Gossip", "times order statement bytes")  # times: how often it was handed on
+
+class QueuedStatement(NamedTuple):
+    """A statement in the queue.
+
+    Attributes:
+        transmissions: How often it was gossiped.
+        order: Lower for one that was put later.
+        statement: The Statement.
+        size: Bytes that it takes in a message.
+    """
+
+    transmissions: int
+    order: int
+    statement: Statement
+    size: int
 
 
 class GossipQueue:
-    """Kept in the order in which they are handed on: what a message takes moves back, the rest stays."""
+    """Statements in the order in which they are gossiped, one for each member that they are about.
+
+    What a message takes moves back in the order, and the rest stays where it is.
+    """
 
     def __init__(self):
-        self.waiting, self.count = {}, 0  # name -> Gossip
-        self.queue = []  # (times, order, name), sorted
-        self.smallest = 0  # bytes that no statement waiting is below
+        self.by_name = {}  # name -> QueuedStatement
+        self.order = []  # (transmissions, order, name), sorted
+        self.puts = 0
+        self.smallest = 0  # bytes that no statement in the queue is below
 
     def __len__(self):
-        return len(self.waiting)
+        return len(self.by_name)
 
     def put(self, statement):
-        """A newer statement on a name takes the place of the former."""
-        if statement.name in self.waiting:
-            self.remove(statement.name)
-        self.count += 1
-        rumor = Gossip(0, -self.count, statement, size(statement))
-        self.smallest = min(self.smallest, rumor.bytes) if self.waiting else rumor.bytes
-        self.insert(statement.name, rumor)
-
-    def pick(self, room, times, to=None):
-        """Statements for one message of `room` bytes; `to`: a name whose own statement goes first, if there
-        is any.
+        """Queue a statement in the place of a former one about the same member.
+
+        Args:
+            statement: The Statement.
         """
-        found = []
-        for name in self.candidates(to):
+        if statement.name in self.by_name:
+            self._remove(statement.name)
+        self.puts += 1
+        size = statement_size(statement)
+        self.smallest = min(self.smallest, size) if self.by_name else size
+        self._insert(QueuedStatement(0, -self.puts, statement, size))
+
+    def pick(self, room, transmissions, receiver=None):
+        """Take the statements for one message.
+
+        Args:
+            room: Bytes that they may take.
+            transmissions: How often a statement is gossiped in all.
+            receiver: Name of the receiver: a statement about itself goes first, so that it can refute it.
+
+        Returns:
+            The Statements.
+        """
+        picked = []
+        for name in self._candidates(receiver):
             if room < self.smallest:
                 break
-            rumor = self.waiting[name]
-            if rumor.bytes <= room:
-                room -= rumor.bytes
-                found.append(rumor)
-        for rumor in found:
-            self.remove(rumor.statement.name)
-            if rumor.times + 1 < times:
-                self.insert(rumor.statement.name, rumor._replace(times=rumor.times + 1))
-        return [rumor.statement for rumor in found]
-
-    def candidates(self, first):
-        if first in self.waiting:
+            queued = self.by_name[name]
+            if queued.size <= room:
+                room -= queued.size
+                picked.append(queued)
+        for queued in picked:
+            self._remove(queued.statement.name)
+            if queued.transmissions + 1 < transmissions:
+                self._insert(queued._replace(transmissions=queued.transmissions + 1))
+        return [queued.statement for queued in picked]
+
+    def _candidates(self, first):
+        if first in self.by_name:
             yield first
-        for _, _, name in self.queue:
+        for _, _, name in self.order:
             if name != first:
                 yield name
 
-    def insert(self, name, rumor):
-        self.waiting[name] = rumor
-        insort(self.queue, (rumor.times, rumor.order, name))
+    def _insert(self, queued):
+        name = queued.statement.name
+        self.by_name[name] = queued
+        insort(self.order, (queued.transmissions, queued.order, name))
 
-    def remove(self, name):
-        rumor = self.waiting.pop(name)
-        del self.queue[bisect_left(self.queue, (rumor.times, rumor.order, name))]
+    def _remove(self, name):
+        queued = self.by_name.pop(name)
+        del self.order[bisect_left(self.order, (queued.transmissions, queued.order, name))]
--- /dev/null
+++ b/embertray/cluster/membership/handlers.py
@@ -0,0 +1,119 @@
+"""What follows from each message of a member that was let through."""
+
+from .events import Recipient
+from .member import ALIVE, Statement
+from .messages import Ack, FullState, Join, Nack, Ping, PingRequest
+from .reconnector import Reconnector
+
+FULL_STATE_STATEMENTS = 12  # statements in one FullState: a datagram's worth
+
+
+class MessageHandlers(Reconnector):
+    """One handler for each class of message."""
+
+    def handle(self, now, message):
+        """Call the handler of a message.
+
+        Args:
+            now: The time, ns.
+            message: The Message.
+
+        Raises:
+            TypeError: There is no handler for its class.
+        """
+        match message:
+            case Ping():
+                self.reply(message, Ack)
+            case Ack():
+                self.on_ack(message)
+            case PingRequest():
+                self.on_ping_request(now, message)
+            case Nack():
+                self.on_nack(message)
+            case Join():
+                self.on_join(message)
+            case FullState():
+                self.on_full_state(now, message)
+            case _:
+                raise TypeError(f"no handler for {type(message).__name__}")
+
+    def on_ack(self, message):
+        """End a probe that was answered; whoever requested it gets an Ack, too.
+
+        Args:
+            message: The Ack.
+        """
+        probe = self.probes.pop(message.sequence, None)
+        if probe is None:
+            return
+        if not probe.requester:
+            self.health.improve()
+        elif probe.requester in self.members:
+            self.send_to_member(self.members[probe.requester], Ack, probe.requester_sequence)
+
+    def on_ping_request(self, now, message):
+        """Probe a member in the sender's place, and say by a Nack that the request has come.
+
+        Args:
+            now: The time, ns.
+            message: The PingRequest.
+        """
+        target = message.target
+        member = self.members.get(target.name)
+        if member is None or member.statement.incarnation != target.incarnation:
+            self.apply(now, target)
+            member = self.members.get(target.name)
+        if member is not None:
+            self.probe_for(now, member, message.sender.name, message.sequence)
+        self.reply(message, Nack)
+
+    def on_nack(self, message):
+        """Note that a helper has heard the request.
+
+        Args:
+            message: The Nack.
+        """
+        probe = self.probes.get(message.sequence)
+        if probe is not None:
+            probe.nacks_due = max(0, probe.nacks_due - 1)
+
+    def on_join(self, message):
+        """Send all that is known, in as many messages as it takes.
+
+        Args:
+            message: The Join.
+        """
+        sender = message.sender
+        known = self.members.get(sender.name)
+        remembered_incarnation = known.statement.incarnation if known is not None else 0
+        statements = [self.me, *(member.statement for member in self.members.values())]
+        for start in range(0, len(statements), FULL_STATE_STATEMENTS):
+            self.send(
+                Recipient(sender.address, 0, ""),
+                FullState,
+                message.sequence,
+                gossip=statements[start : start + FULL_STATE_STATEMENTS],
+                remembered_incarnation=remembered_incarnation,
+            )
+
+    def on_full_state(self, now, message):
+        """Note that this member has joined; its incarnation has to be the latest of its name.
+
+        Guards against a wall clock that is behind the one of a former process of this name: peers would
+        reject all messages of this one. It takes the incarnation after the one that they remember.
+
+        Args:
+            now: The time, ns.
+            message: The FullState; its statements were applied.
+        """
+        if message.remembered_incarnation > self.me.incarnation:
+            if self.joined:
+                self.end(f"a younger process has the name {self.me.name}")
+                return
+            incarnation = message.remembered_incarnation + 1
+            self.me = Statement(self.me.name, self.me.address, incarnation, 0, ALIVE)
+        if not self.joined:
+            self.joined = True
+            self.gossip.put(self.me)
+        if message.sender.name in self.members:
+            self.members[message.sender.name].last_heard_at = now
--- a/embertray/cluster/membership/member.py
+++ b/embertray/cluster/membership/member.py
@@ -1,36 +1,76 @@
-"""What is stated of a member, and which of two statements holds."""
+"""Members, and the statements that are made about them."""
 
+from enum import IntEnum
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
+MAX_NAME_CHARACTERS = 128
+
 Count = Annotated[int, Meta(ge=0)]
-Name = Annotated[str, Meta(min_length=1, max_length=128)]
-ALIVE, SUSPECT, DEAD, LEFT = range(4)
-WORDS = ("alive", "suspect", "dead", "left")
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
+STATE_WORDS = ("alive", "suspect", "dead", "left")  # by the number of the state
+
+
+class MemberState(IntEnum):
+    """State of a member; on the wire a number. Of one incarnation and refutation the higher holds."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+    LEFT = 3
+
+    @property
+    def word(self):
+        """The state as operators read it in the status and in log lines."""
+        return STATE_WORDS[self]
+
+
+# The states by themselves, as every message asks for them.
+ALIVE = MemberState.ALIVE
+SUSPECT = MemberState.SUSPECT
+DEAD = MemberState.DEAD
+LEFT = MemberState.LEFT
 
 
 class Statement(msgspec.Struct, array_like=True, frozen=True):
-    """`life`: ns by the member's own clock when it began, raised where peers remember a later one; `turn`:
-    raised by the member itself to deny what was said of it. `by`: who says so (a suspicion counts once for
-    each)."""
+    """What a member says about a member. Field order is the wire's.
+
+    Attributes:
+        name: The member that it is about.
+        address: That member's address, as host:port.
+        incarnation: That member's incarnation: ns by its wall clock when it began, or one more than the
+            latest that its peers remember.
+        refutations: How often that member has refuted a suspicion or death in this incarnation.
+        state: Its state.
+        reported_by: Who says so; "" if the member does itself. A suspicion counts once for each.
+    """
 
     name: Name
     address: Name
     incarnation: Count
     refutations: Count
-    state: Annotated[int, Meta(ge=0, le=3)]
+    state: MemberState
     reported_by: str = ""
 
     @property
     def rank(self):
-        """The later life holds, then the later turn, then the worse state: the same at every member, in any
-        order. One that left stays so until its next life."""
+        """Of two statements about a member the one of higher rank holds, at every member, in any order.
+
+        The later incarnation comes first, then the later refutation, then the worse state. A member that has
+        left stays so until its next incarnation.
+        """
         return (self.incarnation, self.state == LEFT, self.refutations, self.state)
 
     def repeats(self, other):
-        """Whether `other`, of the same name, adds nothing to this one. A suspicion adds whose it is."""
+        """Return whether another statement about the same member adds nothing to this one.
+
+        A suspicion always adds who suspects.
+
+        Args:
+            other: The other Statement.
+        """
         return self.state != SUSPECT and (
             self is other
             or (
@@ -40,11 +80,28 @@
             )
         )
 
+    def with_state(self, state, reported_by):
+        """Return the statement that the member, as it is stated here, is in another state.
+
+        Args:
+            state: The MemberState.
+            reported_by: Who says so.
+        """
+        return Statement(self.name, self.address, self.incarnation, self.refutations, state, reported_by)
+
 
 class Member:
-    """One member as it is known here. `since`: when its state was taken, ns; `heard`: when something last
-    came from it; `death`: another's statement that it is dead, while we look for ourselves;
-    `position`: its place in the order in which members were added."""
+    """Another member as it is known here.
+
+    Attributes:
+        statement: The Statement that holds.
+        state_since: When its state was taken, ns.
+        last_heard_at: When something last came from it, ns.
+        suspected_by: Names of the members that suspect it.
+        suspicion_ends_at: When its suspicion ends in death, ns; None if it does not by time alone.
+        reported_death: Another member's Statement that it is dead, while this one probes it; else None.
+        position: Its place in the order in which members were added.
+    """
 
     __slots__ = (
         "statement",
@@ -57,14 +114,44 @@
     )
 
     def __init__(self, statement, now):
-        self.statement, self.state_since, self.last_heard_at = statement, now, now
-        self.suspected_by, self.suspicion_ends_at, self.reported_death = set(), None, None
+        """Begin with a first statement.
+
+        Args:
+            statement: The Statement.
+            now: The time, ns.
+        """
+        self.statement = statement
+        self.last_heard_at = now
         self.position = 0
+        self.enter_state(now)
+
+    def enter_state(self, now):
+        """Note that its state or incarnation is a new one, which nobody has suspected yet.
+
+        Args:
+            now: The time, ns.
+        """
+        self.state_since = now
+        self.suspected_by = set()
+        self.suspicion_ends_at = None
+        self.reported_death = None
 
-    name = property(lambda self: self.statement.name)
-    address = property(lambda self: self.statement.address)
-    state = property(lambda self: self.statement.state)
+    @property
+    def name(self):
+        """Its name."""
+        return self.statement.name
+
+    @property
+    def address(self):
+        """Its address, as host:port."""
+        return self.statement.address
+
+    @property
+    def state(self):
+        """Its MemberState."""
+        return self.statement.state
 
     @property
     def active(self):
+        """Whether it is taken to be running: alive or suspect."""
         return self.statement.state in (ALIVE, SUSPECT)
--- a/embertray/cluster/membership/member_table.py
+++ b/embertray/cluster/membership/member_table.py
@@ -1,53 +1,74 @@
-"""All members by name. Those that are not plainly alive are indexed, so that the cost of a message does not
-grow with the members that are."""
+"""All other members by name, with indices of those that are not plainly alive.
+
+By the indices the cost of a message does not grow with the members that are alive.
+"""
 
 from .member import ALIVE
 
 
 class MemberTable(dict):
-    """name -> Member. Members are added, restated and removed through the methods, which keep the index."""
+    """name -> Member. Members are added, restated and removed by its methods, which keep the indices.
+
+    Attributes:
+        not_alive: name -> Member that is suspect, dead or has left.
+        departed: name -> Member that is dead or has left.
+    """
 
     def __init__(self):
         super().__init__()
         self.additions = 0
-        self.not_alive = {}  # name -> Member that is suspect, dead or has left
-        self.departed = {}  # name -> Member that is dead or has left
+        self.not_alive = {}
+        self.departed = {}
 
     @property
     def active_count(self):
-        """How many members are taken to be there: alive or suspect."""
+        """How many members are alive or suspect."""
         return len(self) - len(self.departed)
 
     def add(self, member):
+        """Add a member that is new.
+
+        Args:
+            member: The Member.
+        """
         self.additions += 1
         member.position = self.additions
         self[member.name] = member
-        self.index(member)
-        return member
+        self._index(member)
 
     def restate(self, member, statement):
-        """A newer statement on a member takes the place of the former."""
+        """Put a newer statement about a member in the place of the former.
+
+        Args:
+            member: The Member.
+            statement: The Statement.
+        """
         member.statement = statement
-        self.index(member)
+        self._index(member)
 
     def remove(self, name):
+        """Forget a member.
+
+        Args:
+            name: Its name.
+        """
         del self[name]
         self.not_alive.pop(name, None)
         self.departed.pop(name, None)
 
-    def index(self, member):
-        for names, belongs in ((self.not_alive, member.state != ALIVE), (self.departed, not member.active)):
+    def _index(self, member):
+        for index, belongs in ((self.not_alive, member.state != ALIVE), (self.departed, not member.active)):
             if belongs:
-                names[member.name] = member
+                index[member.name] = member
             else:
-                names.pop(member.name, None)
+                index.pop(member.name, None)
 
     def unsettled(self):
-        """Members whose state may change by time alone, in the order in which they were added."""
+        """Return the members whose state may change by time alone, in the order in which they were added."""
         return sorted(self.not_alive.values(), key=lambda member: member.position)
 
-    def deadlines(self):
-        """Times at which a suspicion ends, ns."""
+    def suspicion_ends(self):
+        """Return the times at which suspicions end in death, ns."""
         return [
             member.suspicion_ends_at
             for member in self.not_alive.values()
--- a/embertray/cluster/membership/outbox.py
+++ b/embertray/cluster/membership/outbox.py
@@ -1,33 +1,71 @@
-"""Messages on their way out, with what is to be handed on."""
+"""Messages on their way out, and the gossip that goes along with each."""
 
+from .events import OutgoingMessage, Recipient
 from .member import ALIVE
 from .messages import VERSION
+from .state import MembershipState
 
 
-class Outbox:
-    """For one who has `cluster`, `me`, `pace`, `members`, `here`, `gossip`, `number` and a list `out`."""
+class Outbox(MembershipState):
+    """Composes messages. They are collected in `outgoing`, which each step begins anew."""
 
     def next_sequence(self):
+        """Return a sequence number that was not used before."""
         self.last_sequence += 1
         return self.last_sequence
 
-    def send(self, member, kind, number, **more):
-        self.put(member.address, kind, member.statement.incarnation, number, member.name, **more)
-
-    def answer(self, message, kind, number):
-        self.put(message.sender.address, kind, message.sender.incarnation, number, message.sender.name)
-
-    def put(self, address, kind, life, number, name, news=None, **more):
-        """`name`: to whom; what we think ill of it goes along, so that it can deny it at once."""
-        if news is None:
-            news = self.gossip.pick(
-                self.config.gossip_bytes, self.config.retransmissions(self.members.active_count + 1), name
-            )
-            member = self.members.get(name)
-            if (
-                member is not None
-                and member.state != ALIVE
-                and all(statement.name != name for statement in news)
-            ):
-                news.append(member.statement)
-        self.outgoing.append((address, kind(self.cluster, VERSION, self.me, life, number, news, **more)))
+    def send(self, recipient, message_type, sequence, gossip=None, **fields):
+        """Send a message.
+
+        Args:
+            recipient: The Recipient.
+            message_type: Class of the message.
+            sequence: Its sequence number.
+            gossip: Statements to pass on; None for those that are due.
+            **fields: What messages of this class have beside the header.
+        """
+        if gossip is None:
+            gossip = self.due_gossip(recipient.name)
+        message = message_type(
+            self.cluster, VERSION, self.me, recipient.incarnation, sequence, gossip, **fields
+        )
+        self.outgoing.append(OutgoingMessage(recipient.address, message))
+
+    def send_to_member(self, member, message_type, sequence, **fields):
+        """Send a message to a member, as it is known here.
+
+        Args:
+            member: The Member.
+            message_type: Class of the message.
+            sequence: Its sequence number.
+            **fields: As for `send`.
+        """
+        recipient = Recipient(member.address, member.statement.incarnation, member.name)
+        self.send(recipient, message_type, sequence, **fields)
+
+    def reply(self, message, message_type):
+        """Answer a message under its sequence number.
+
+        Args:
+            message: The message that is answered.
+            message_type: Class of the answer.
+        """
+        sender = message.sender
+        self.send(Recipient(sender.address, sender.incarnation, sender.name), message_type, message.sequence)
+
+    def due_gossip(self, receiver):
+        """Return the statements that go along with a message.
+
+        A statement that the receiver is not alive always goes along, so that it can refute it at once.
+
+        Args:
+            receiver: Name of the receiver; "" if it is not known.
+        """
+        transmissions = self.config.retransmissions(self.members.active_count + 1)
+        gossip = self.gossip.pick(self.config.gossip_bytes, transmissions, receiver)
+        member = self.members.get(receiver)
+        if member is None or member.state == ALIVE:
+            return gossip
+        if all(statement.name != receiver for statement in gossip):
+            gossip.append(member.statement)
+        return gossip
--- a/embertray/cluster/membership/probes.py
+++ b/embertray/cluster/membership/probes.py
@@ -1,11 +1,47 @@
-"""Whom to probe next, and the probes under way."""
+"""Probes under way."""
 
 
 class Probe:
-    """`asked`: members that owe a Nack; `on_behalf_of`: (member, number) we probe for, or None."""
+    """A probe whose answer is still due.
 
-    __slots__ = ("target", "incarnation", "direct_by", "until", "asked", "helped", "on_behalf_of")
+    Attributes:
+        target: Name of the member that is probed.
+        incarnation: Its incarnation that is meant.
+        indirect_at: When indirect probes are requested, ns.
+        ends_at: When it has failed, ns.
+        requester: Name of the member that requested it as an indirect probe; "" if it is this member's own.
+        requester_sequence: The sequence number under which it was requested.
+        nacks_due: Members that owe a Nack.
+        indirect: Whether indirect probes were requested.
+    """
 
-    def __init__(self, target, life, direct_by, until, on_behalf_of=None):
-        self.target, self.incarnation, self.direct_by, self.until = target, life, direct_by, until
-        self.asked, self.helped, self.on_behalf_of = 0, False, on_behalf_of
+    __slots__ = (
+        "target",
+        "incarnation",
+        "indirect_at",
+        "ends_at",
+        "requester",
+        "requester_sequence",
+        "nacks_due",
+        "indirect",
+    )
+
+    def __init__(self, target, incarnation, indirect_at, ends_at, requester="", requester_sequence=0):
+        self.target = target
+        self.incarnation = incarnation
+        self.indirect_at = indirect_at
+        self.ends_at = ends_at
+        self.requester = requester
+        self.requester_sequence = requester_sequence
+        self.nacks_due = 0
+        self.indirect = False
+
+    @property
+    def may_go_indirect(self):
+        """Whether indirect probes are still to be requested for it."""
+        return not self.requester and not self.indirect
+
+    @property
+    def next_at(self):
+        """When something is due for it, ns."""
+        return self.indirect_at if self.may_go_indirect else self.ends_at
--- a/embertray/cluster/membership/statements.py
+++ b/embertray/cluster/membership/statements.py
@@ -1,108 +1,60 @@
-"""What is stated of members: which statements hold, what follows for a member, and for us."""
+"""Which statements about members hold, and what follows from each."""
 
-from collections import namedtuple
-
-from .member import ALIVE, DEAD, LEFT, SUSPECT, Member, Statement
+from .events import MemberChanged
+from .member import ALIVE, DEAD, LEFT, SUSPECT, Member
 from .messages import Join
-from .outbox import Outbox
+from .suspicion import SuspicionRules
+
 
-MemberChanged = namedtuple(
-    "MemberChanged", "name state address"
-)  # told once for each change of a member, in order
+class StatementRules(SuspicionRules):
+    """Applies statements, from whomever they come: the statement of highest rank about a member holds."""
 
+    def apply_all(self, now, statements):
+        """Apply the statements of a message.
 
-class Statements(Outbox):
-    """Also has `round`, `health`, `changes`, `joined`, `probe(now, name)` and `end(why)`."""
+        Most repeat what is known, and cost a comparison only.
 
-    def apply_all(self, now, news):
-        """As `apply` for each; most of them repeat what is known already, and cost a comparison."""
-        for statement in news:
+        Args:
+            now: The time, ns.
+            statements: The Statements.
+        """
+        for statement in statements:
             member = self.members.get(statement.name)
             if member is None or not member.statement.repeats(statement):
                 self.apply(now, statement)
 
     def apply(self, now, statement):
-        """A statement from anywhere. Those that hold against what is known are taken, told and handed on."""
+        """Apply one statement. If it holds, it is gossiped.
+
+        Args:
+            now: The time, ns.
+            statement: The Statement.
+        """
         if statement.name == self.me.name:
-            self.of_me(statement)
+            self.apply_to_self(statement)
             return
         member = self.members.get(statement.name)
         if member is None:
-            member = self.members.add(Member(statement, now))
-            if statement.state in (DEAD, LEFT):
-                return  # remembered against an old statement that would make it new
-            self.probe_order.add(statement.name)
-            self.changed(statement)
+            self.add_member(now, statement)
         elif statement.rank > member.statement.rank:
-            if (
-                statement.state == DEAD
-                and member.active
-                and statement.reported_by != self.me.name
-                and self.me.name not in member.suspected_by
-            ):
+            if self.is_hearsay_death(member, statement):
                 self.death_reported(now, member, statement)
-                return
-            old = member.statement
-            self.members.restate(member, statement)
-            if (statement.state, statement.incarnation) != (old.state, old.incarnation):
-                member.state_since, member.suspicion_ends_at, member.suspected_by, member.reported_death = (
-                    now,
-                    None,
-                    set(),
-                    None,
-                )
-                if old.state not in (ALIVE, SUSPECT) and member.active:
-                    self.back(member)
-                self.changed(statement)
-        elif not (
-            statement.state == SUSPECT
-            and statement.rank == member.statement.rank
-            and statement.reported_by not in member.suspected_by
-        ):
-            if statement.rank < member.statement.rank and member.state != ALIVE:
-                self.gossip.put(
-                    member.statement
-                )  # somebody lacks it, who may reach the one to deny it: against words lost on shut links
-            return
-        if statement.state == SUSPECT:
-            member.suspected_by.add(statement.reported_by)
-            member.suspicion_ends_at = (
-                None
-                if member.reported_death
-                else member.state_since
-                + self.config.suspicion_timeout(self.members.active_count + 1, len(member.suspected_by) - 1)
-            )
-        self.gossip.put(statement)
+            else:
+                self.restate(now, member, statement)
+                self.accept(member, statement)
+        elif self.adds_suspicion(member, statement):
+            self.accept(member, statement)
+        elif statement.rank < member.statement.rank and member.state != ALIVE:
+            # Guards against statements lost on links that were down: they show as a member that stays dead
+            # for good, as nobody tells it. Whoever repeats the older statement may reach the one to refute.
+            self.gossip.put(member.statement)
 
-    def death_reported(self, now, member, statement):
-        """It is dead by the word of others, and we have missed nothing of it: looked at by ourselves before
-        it counts. Against the other side of a split that ends, which took ours for dead, and against those
-        who reach it worse than we do."""
-        if member.reported_death is None or statement.rank > member.reported_death.rank:
-            if member.state != SUSPECT:
-                self.apply(
-                    now,
-                    Statement(
-                        statement.name,
-                        statement.address,
-                        statement.incarnation,
-                        statement.refutations,
-                        SUSPECT,
-                        statement.reported_by,
-                    ),
-                )
-            self.gossip.put(statement)
-            member.reported_death, member.suspicion_ends_at = statement, None
-            self.probe(now, member.name)
-
-    def back(self, member):
-        """One taken for dead is there: what each side of a split has come to know is exchanged whole."""
-        self.probe_order.add(member.name)
-        self.put(
-            member.address, Join, member.statement.incarnation, self.next_sequence(), member.name, first=False
-        )
+    def apply_to_self(self, statement):
+        """Apply a statement about this member's name.
 
-    def of_me(self, statement):
+        Args:
+            statement: The Statement.
+        """
         if statement.incarnation > self.me.incarnation and self.joined:
             self.end(f"a younger process has the name {self.me.name}, at {statement.address}")
         elif (
@@ -111,23 +63,66 @@
             and statement.refutations >= self.me.refutations
             and self.me.state == ALIVE
         ):
-            # turned worse by others: denied with a later turn; that it came to this tells of us
-            self.me = Statement(
-                self.me.name, self.me.address, self.me.incarnation, statement.refutations + 1, ALIVE
-            )
-            self.health.degrade()
-            self.gossip.put(self.me)
-
-    def statement_about(self, member, state):
-        statement = member.statement
-        return Statement(
-            statement.name,
-            statement.address,
-            statement.incarnation,
-            statement.refutations,
-            state,
-            self.me.name,
-        )
-
-    def changed(self, statement):
+            self.refute(statement)
+
+    def add_member(self, now, statement):
+        """Add a member that was not known.
+
+        One that is dead or has left is remembered only, against an old statement that would make it new.
+
+        Args:
+            now: The time, ns.
+            statement: The first Statement about it.
+        """
+        member = Member(statement, now)
+        self.members.add(member)
+        if statement.state in (DEAD, LEFT):
+            return
+        self.probe_order.add(statement.name)
+        self.note_change(statement)
+        self.accept(member, statement)
+
+    def restate(self, now, member, statement):
+        """Put a statement of higher rank in the place of the one that held.
+
+        Args:
+            now: The time, ns.
+            member: The Member.
+            statement: The Statement.
+        """
+        old = member.statement
+        self.members.restate(member, statement)
+        if (statement.state, statement.incarnation) == (old.state, old.incarnation):
+            return
+        member.enter_state(now)
+        if old.state in (DEAD, LEFT) and member.active:
+            self.on_return(member)
+        self.note_change(statement)
+
+    def accept(self, member, statement):
+        """Gossip a statement that holds now; a suspicion is counted.
+
+        Args:
+            member: The Member.
+            statement: The Statement.
+        """
+        if statement.state == SUSPECT:
+            self.add_suspicion(member, statement.reported_by)
+        self.gossip.put(statement)
+
+    def on_return(self, member):
+        """Ask a member that was taken for dead for all that it knows: a partition may have ended.
+
+        Args:
+            member: The Member.
+        """
+        self.probe_order.add(member.name)
+        self.send_to_member(member, Join, self.next_sequence(), first=False)
+
+    def note_change(self, statement):
+        """Add the event of a member's new state.
+
+        Args:
+            statement: The Statement that holds.
+        """
         self.events.append(MemberChanged(statement.name, statement.state, statement.address))
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -36,9 +36,7 @@
     def __init__(self, size, spans, period, facts_bytes, naming=Naming(), seed=1):
         self.membership = MembershipSimulation(
             seed,
-            MembershipConfig(
-                probe_period=period, probe_timeout=period * 3 // 10, reconnect_period=5 * period
-            ),
+            MembershipConfig.for_period(period),
         )
         self.engine, self.facts = self.membership.engine, b"f" * facts_bytes
         self.addresses = {naming.name(n): naming.address(n) for n in range(size)}
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -63,9 +63,7 @@
         self.links = Web(names, seed, ("list", "px"))  # nothing passes on the latter two here
         self.membership = MembershipSimulation(
             seed,
-            MembershipConfig(
-                probe_period=period, probe_timeout=period * 3 // 10, reconnect_period=5 * period
-            ),
+            MembershipConfig.for_period(period),
             make,
         )
         self.membership.links = WebLinks(random.Random(f"{seed} links"), self.links)
@@ -130,7 +128,7 @@
     # ---- the day
 
     def look(self):
-        now, words = self.engine.time, ("alive", "suspect", "dead", "left")
+        now = self.engine.time
         for name, exchanger in self.exchangers.items():
             if exchanger is not None and not exchanger.process.stopped:
                 core = exchanger.process.core
@@ -138,7 +136,7 @@
                 self.claims.look(
                     now,
                     name,
-                    {m.name: words[m.state] for m in core.members.values()},
+                    {m.name: m.state.word for m in core.members.values()},
                     ages,
                     core.cut_off(now),
                 )
--- a/embertray/simulation/emulator/detectors.py
+++ b/embertray/simulation/emulator/detectors.py
@@ -5,9 +5,9 @@
 from collections import Counter, deque
 from math import erfc, log10, sqrt
 
+from embertray.cluster.membership.events import MemberChanged
 from embertray.cluster.membership.member import ALIVE, DEAD, Member, Statement
 from embertray.cluster.membership.messages import VERSION, Ping
-from embertray.cluster.membership.statements import MemberChanged
 
 KEPT = 100  # gaps between heartbeats that phi goes by
 SPREAD = 0.1  # of the period: least deviation, against a certainty that chance alone gives
