--- a/embertray/cluster/limits/__init__.py
+++ b/embertray/cluster/limits/__init__.py
@@ -2,7 +2,7 @@
 (docs/design/limits.md).
 """
 
+from .config import DEFAULT_CONFIG, LimitsConfig
 from .core import Limits
-from .pace import Pace
 
-__all__ = ["Limits", "Pace"]
+__all__ = ["DEFAULT_CONFIG", "Limits", "LimitsConfig"]
--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -2,12 +2,21 @@
 what came; nothing here waits.
 """
 
-from .holder import Holder
+from .config import DEFAULT_CONFIG
+from .history import RequestHistory
 from .lease import Acceptor, Proposer
 from .ledger import Ledger
-from .memory import Memory
-from .messages import Accepted, Ask, Grant, Prepare, Promise, Propose, Recall, Recalled
-from .pace import Pace
+from .messages import (
+    Accepted,
+    HistoryReply,
+    HistoryRequest,
+    Prepare,
+    Promise,
+    Propose,
+    QuotaGrant,
+    QuotaRequest,
+)
+from .quota_holder import QuotaHolder
 
 
 class Limits:
@@ -15,31 +24,33 @@
     random.Random; `life`: as in the cluster, later in each life; `first`: no member has run before. `advance`
     and `receive` give [(to, message)]; read `holder`."""
 
-    def __init__(self, me, names, totals, now, chance, pace=Pace(), first=False, life=0):
-        self.me, self.names, self.pace, self.chance = me, sorted(names), pace, chance
-        floors = {limit: int(total * pace.floor) // len(self.names) for limit, total in totals.items()}
+    def __init__(self, me, names, totals, now, chance, config=DEFAULT_CONFIG, first=False, incarnation=0):
+        self.me, self.names, self.config, self.chance = me, sorted(names), config, chance
+        floors = {
+            limit: int(total * config.floor_share) // len(self.names) for limit, total in totals.items()
+        }
         self.pools = {limit: total - floors[limit] * len(self.names) for limit, total in totals.items()}
-        self.acceptor = Acceptor(pace, now, first)
-        self.proposer = Proposer(me, self.names.index(me), len(self.names), pace)
-        self.holder, self.ledger, self.tenure, self.leader, self.seen = (
-            Holder(me, floors, pace, life),
+        self.acceptor = Acceptor(config, now, first)
+        self.proposer = Proposer(me, self.names.index(me), len(self.names), config)
+        self.quota_holder, self.ledger, self.tenure, self.leader, self.highest_ballot = (
+            QuotaHolder(me, floors, config, incarnation),
             None,
             0,
             None,
             0,
         )
-        self.memory, self.ask_at, self.try_at = (
-            Memory(me, len(self.names), first),
-            now + chance.randrange(pace.period),
-            now + chance.randrange(pace.period),
+        self.history, self.next_request_at, self.next_election_at = (
+            RequestHistory(me, len(self.names), first),
+            now + chance.randrange(config.request_period),
+            now + chance.randrange(config.request_period),
         )
         self.leader_heard_at = now  # when a leader was last heard of
 
     def next_at(self):
-        return min(self.ask_at, self.try_at)
+        return min(self.next_request_at, self.next_election_at)
 
     def leads(self, now):
-        return self.proposer.holds(now)
+        return self.proposer.holds_lease(now)
 
     def to_all(self, message):
         return [(name, message) for name in self.names if name != self.me]
@@ -48,21 +59,25 @@
         out = []
         if self.ledger is not None and not self.leads(now):
             self.ledger = None  # our lease has ended: nothing more is lent
-        if now >= self.try_at:
-            self.try_at = now + self.pace.period
+        if now >= self.next_election_at:
+            self.next_election_at = now + self.config.request_period
             # who leads renews; another tries once nobody was heard of for long, each after a time of chance
-            if not self.memory.whole:
-                out += self.to_all(Recall())
-            elif self.leads(now) or now - self.leader_heard_at > self.pace.term // 2:
-                self.try_at += 0 if self.leads(now) else self.chance.randrange(self.pace.term // 2)
-                out += self.both(now, self.proposer.start(max(self.seen, self.acceptor.promised)))
-        if now >= self.ask_at:
-            self.ask_at = now + self.pace.period
-            ask = self.holder.ask(now, self.tenure, self.leads(now))
-            self.memory.put(self.me, ask)
+            if not self.history.complete:
+                out += self.to_all(HistoryRequest())
+            elif self.leads(now) or now - self.leader_heard_at > self.config.lease_term // 2:
+                self.next_election_at += (
+                    0 if self.leads(now) else self.chance.randrange(self.config.lease_term // 2)
+                )
+                out += self.both(
+                    now, self.proposer.start(max(self.highest_ballot, self.acceptor.promised_ballot))
+                )
+        if now >= self.next_request_at:
+            self.next_request_at = now + self.config.request_period
+            ask = self.quota_holder.make_request(now, self.tenure, self.leads(now))
+            self.history.put(self.me, ask)
             out += self.to_all(ask)
             if self.ledger is not None:
-                self.asked(now, self.me, ask)
+                self.on_request(now, self.me, ask)
         return out
 
     def both(self, now, message):
@@ -72,7 +87,7 @@
     def receive(self, now, sender, message):
         out = []
         if isinstance(message, (Prepare, Propose)):
-            self.seen = max(self.seen, message.ballot)
+            self.highest_ballot = max(self.highest_ballot, message.ballot)
             answer = (
                 self.acceptor.on_prepare(now, message)
                 if isinstance(message, Prepare)
@@ -85,40 +100,48 @@
                 out += self.both(now, propose)
         elif isinstance(message, Accepted):
             if self.proposer.on_accepted(now, message, sender):
-                self.elected(now)
-        elif isinstance(message, Ask):
-            out += self.asked(now, sender, message)
-        elif isinstance(message, Grant):
-            self.holder.granted(now, message, self.tenure)
-        elif isinstance(message, Recall):
-            out.append((sender, Recalled(self.memory.told())))
-        elif isinstance(message, Recalled):
-            self.memory.recalled(sender, message.asks)
+                self.on_elected(now)
+        elif isinstance(message, QuotaRequest):
+            out += self.on_request(now, sender, message)
+        elif isinstance(message, QuotaGrant):
+            self.quota_holder.apply_grant(now, message, self.tenure)
+        elif isinstance(message, HistoryRequest):
+            out.append((sender, HistoryReply(self.history.requests_by_member())))
+        elif isinstance(message, HistoryReply):
+            self.history.recalled(sender, message.requests)
         return out
 
-    def elected(self, now):
+    def on_elected(self, now):
         if self.ledger is None or self.tenure != self.proposer.tenure:
             self.tenure, self.leader = self.proposer.tenure, self.me
             self.ledger = Ledger(
-                self.names, self.pools, self.holder.floors, self.pace, now, self.memory.told()
+                self.names,
+                self.pools,
+                self.quota_holder.floors,
+                self.config,
+                now,
+                self.history.requests_by_member(),
             )
         self.leader_heard_at = now
 
-    def asked(self, now, sender, ask):
+    def on_request(self, now, sender, ask):
         """All hear all asks. Grants of a former leader are not taken any more once we know of a later one."""
         if sender != self.me:
-            if not self.memory.put(sender, ask):
+            if not self.history.put(sender, ask):
                 return []  # repeated, or overtaken by a later one
-            self.holder.heard_from(sender, ask)
-            self.seen, self.proposer.known = max(self.seen, ask.ballot), max(self.proposer.known, ask.ballot)
+            self.quota_holder.heard_from(sender, ask)
+            self.highest_ballot, self.proposer.highest_known = (
+                max(self.highest_ballot, ask.ballot),
+                max(self.proposer.highest_known, ask.ballot),
+            )
             if ask.leading and ask.ballot >= self.tenure:
                 self.tenure, self.leader, self.leader_heard_at = ask.ballot, sender, now
         if self.ledger is None or not self.leads(now) or ask.ballot != self.proposer.tenure:
             return []
-        if not self.ledger.asked(now, sender, ask):
+        if not self.ledger.record_request(now, sender, ask):
             return []
-        grant = Grant(ask.seq, ask.ballot, self.ledger.grant(now, sender))
+        grant = QuotaGrant(ask.sequence, ask.ballot, self.ledger.make_grant(now, sender))
         if sender == self.me:
-            self.holder.granted(now, grant, self.tenure)
+            self.quota_holder.apply_grant(now, grant, self.tenure)
             return []
         return [(sender, grant)]
--- a/embertray/experiments/capacity/reckon.py
+++ b/embertray/experiments/capacity/reckon.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from embertray.cluster.limits.messages import Ask, Grant
-from embertray.cluster.limits.pace import Pace as LimitsPace
+from embertray.cluster.limits import LimitsConfig
+from embertray.cluster.limits.messages import QuotaGrant, QuotaRequest
 from embertray.cluster.membership import MembershipConfig
 
 S = 10**9
@@ -24,7 +24,7 @@
     """One ask of a controller: what its proxies act on, by limit, and the last ask of each other member."""
     here = names("proxy", proxies)
     limited = names("limit", limits)
-    ask = Ask(
+    ask = QuotaRequest(
         BUSY_NUMBER,
         BUSY_NUMBER,
         BUSY_NUMBER,
@@ -39,7 +39,7 @@
 
 
 def grant_bytes(limits):
-    grant = Grant(BUSY_NUMBER, BUSY_NUMBER, dict.fromkeys(names("limit", limits), 1000))
+    grant = QuotaGrant(BUSY_NUMBER, BUSY_NUMBER, dict.fromkeys(names("limit", limits), 1000))
     return FRAME_BYTES + len(msgspec.msgpack.encode(grant))
 
 
@@ -58,7 +58,7 @@
 def limits_each_to_each(controllers, proxies, limits):
     """An ask from each to all others each period, as fleet/limits does it."""
     ask = ask_bytes(proxies, limits, controllers - 1)
-    rate = (controllers - 1) * ask / (LimitsPace().period / S)
+    rate = (controllers - 1) * ask / (LimitsConfig().request_period / S)
     return LimitsCost(rate, rate, state=controllers * ask)
 
 
@@ -67,7 +67,7 @@
     grant back.
     """
     ask, grant = ask_bytes(proxies, limits, 0), grant_bytes(limits)
-    period = LimitsPace().period / S
+    period = LimitsConfig().request_period / S
     return LimitsCost(ask / period, grant / period, controllers * ask / period, controllers * ask)
 
 
--- a/embertray/experiments/measure/models/leader.py
+++ b/embertray/experiments/measure/models/leader.py
@@ -37,9 +37,12 @@
 
     def key(self):
         return (
-            tuple((a.promised, a.owner, a.until, a.silent_until) for a in self.acceptors.values()),
             tuple(
-                (p.round, p.trying, frozenset(p.voices), p.proposed, p.began, p.tenure, p.mine)
+                (a.promised_ballot, a.holder, a.lease_ends_at, a.silent_until)
+                for a in self.acceptors.values()
+            ),
+            tuple(
+                (p.round, p.ballot, frozenset(p.votes), p.proposed, p.proposed_at, p.tenure, p.lease_ends_at)
                 for p in self.proposers.values()
             ),
             tuple(self.clock.values()),
@@ -70,7 +73,9 @@
     def tries(self, name):
         self.rounds -= 1
         proposer = self.proposers[name]
-        self.to_all(name, proposer.start(max(acceptor.promised for acceptor in self.acceptors.values())))
+        self.to_all(
+            name, proposer.start(max(acceptor.promised_ballot for acceptor in self.acceptors.values()))
+        )
 
     def crash(self, name):
         self.crashes -= 1
@@ -97,8 +102,8 @@
         states.
         """
         if isinstance(message, (Prepare, Propose)):
-            return message.ballot >= self.acceptors[to].promised
-        return message.ballot == self.proposers[to].trying and self.proposers[to].proposed == isinstance(
+            return message.ballot >= self.acceptors[to].promised_ballot
+        return message.ballot == self.proposers[to].ballot and self.proposers[to].proposed == isinstance(
             message, Accepted
         )
 
@@ -123,5 +128,7 @@
             self.proposers[to].on_accepted(now, message, sender)
 
     def wrong(self):
-        holders = [name for name, proposer in self.proposers.items() if proposer.holds(self.clock[name])]
+        holders = [
+            name for name, proposer in self.proposers.items() if proposer.holds_lease(self.clock[name])
+        ]
         return "two hold the lease" if len(holders) > 1 else ""
--- a/embertray/experiments/measure/models/loans.py
+++ b/embertray/experiments/measure/models/loans.py
@@ -1,8 +1,8 @@
 """What is lent, in every order of events."""
 
-from embertray.cluster.limits.holder import Holder
 from embertray.cluster.limits.ledger import Ledger
-from embertray.cluster.limits.messages import Ask, Grant
+from embertray.cluster.limits.messages import QuotaGrant, QuotaRequest
+from embertray.cluster.limits.quota_holder import QuotaHolder
 from embertray.experiments.measure.explore import clone
 
 from .ticks import Ticks
@@ -13,7 +13,7 @@
     lost, repeated, delayed; x may stand still and wake, or crash and start anew; its proxy may move to y.
     Property: the proxies never act on more than two units together."""
 
-    def __init__(self, asks=2, ticks=4, breaks=1, moves=1, holder=Holder, ledger=Ledger, pace=Ticks):
+    def __init__(self, asks=2, ticks=4, breaks=1, moves=1, holder=QuotaHolder, ledger=Ledger, pace=Ticks):
         self.pace, self.make, self.now, self.asks, self.ticks = (
             pace,
             holder,
@@ -32,8 +32,8 @@
         self.holders = {name: holder(name, {"l": 0}, pace, 1 << 8) for name in "xy"}
         self.home, self.parts, self.network = {"p": "x", "q": "y"}, {"p": 0, "q": 0}, []
         for proxy, name in self.home.items():
-            self.holders[name].joined(proxy)
-        self.holders["x"].wants, self.holders["y"].wants = {"l": 2}, {"l": 2}
+            self.holders[name].proxy_joined(proxy)
+        self.holders["x"].demand, self.holders["y"].demand = {"l": 2}, {"l": 2}
 
     def copy(self):
         other = clone(self)
@@ -41,33 +41,44 @@
         other.home, other.parts, other.network = self.home.copy(), self.parts.copy(), self.network.copy()
         other.holders = {name: clone(one) for name, one in self.holders.items()}
         other.ledger = clone(self.ledger)
-        other.ledger.lines = {}
-        for name, line in self.ledger.lines.items():
-            mine = other.ledger.lines[name] = type(line)()
-            mine.ask, mine.at, mine.grants, mine.former_lives = (
-                line.ask,
-                line.at,
+        other.ledger.accounts = {}
+        for name, line in self.ledger.accounts.items():
+            mine = other.ledger.accounts[name] = type(line)()
+            mine.request, mine.heard_at, mine.grants, mine.former_incarnations = (
+                line.request,
+                line.heard_at,
                 line.grants.copy(),
-                line.former_lives.copy(),
+                line.former_incarnations.copy(),
             )
         return other
 
     def key(self):
         lines = tuple(
             (
-                row.ask and (row.ask.life, row.ask.seq),
-                row.at,
+                row.request and (row.request.incarnation, row.request.sequence),
+                row.heard_at,
                 repr(row.grants),
-                tuple((g[0].seq, g[2]) for g in row.former_lives),
+                tuple((g[0].sequence, g[2]) for g in row.former_incarnations),
             )
-            for row in self.ledger.lines.values()
+            for row in self.ledger.accounts.values()
         )
         holders = tuple(
             (
-                h.seq,
+                h.sequence,
                 h.applied,
-                h.until,
-                repr((h.loan, h.may, h.sent, h.here, sorted(h.acted), h.away, h.heard, list(h.listed))),
+                h.loan_ends_at,
+                repr(
+                    (
+                        h.loan,
+                        h.allowed,
+                        h.last_sent,
+                        h.connected,
+                        sorted(h.acknowledged),
+                        h.departed,
+                        h.last_heard,
+                        list(h.divided_among),
+                    )
+                ),
             )
             for h in self.holders.values()
         )
@@ -99,9 +110,11 @@
             found.append(("p moves to y", "move"))
         for n, (to, sender, message, _) in enumerate(self.network):
             if to in ("leader", *awake):
-                found.append((f"{sender}>{to} {type(message).__name__} {message.seq & 255}", "deliver", n))
+                found.append(
+                    (f"{sender}>{to} {type(message).__name__} {message.sequence & 255}", "deliver", n)
+                )
         for name in awake:
-            for _limit, proxy, units in self.holders[name].orders(self.now):
+            for _limit, proxy, units in self.holders[name].quota_updates(self.now):
                 found.append((f"{name} tells {proxy} {units}", "push", name))
                 break
         return found
@@ -111,7 +124,7 @@
 
     def ask(self, name):
         self.asks[name] -= 1
-        ask = self.holders[name].ask(self.now, 1, False)
+        ask = self.holders[name].make_request(self.now, 1, False)
         for to in ("leader", "y" if name == "x" else "x"):
             self.network.append((to, name, ask, f"{to} {ask!r}"))
 
@@ -128,34 +141,34 @@
         self.breaks, self.still, self.learns = self.breaks - 1, False, []
         self.lives["x"] += 1
         self.holders["x"] = self.make("x", {"l": 0}, self.pace, self.lives["x"] << 8)
-        self.holders["x"].wants = {"l": 2}
+        self.holders["x"].demand = {"l": 2}
         for proxy in [proxy for proxy, home in self.home.items() if home == "x"]:
-            self.holders["x"].joined(proxy)
+            self.holders["x"].proxy_joined(proxy)
 
     def move(self):
         self.moving, self.home["p"] = self.moving - 1, "y"
         if self.still:
-            self.learns.append(("left", "p"))
+            self.learns.append(("proxy_left", "p"))
         else:
-            self.holders["x"].left("p")
-        self.holders["y"].joined("p")
+            self.holders["x"].proxy_left("p")
+        self.holders["y"].proxy_joined("p")
 
     def deliver(self, n):
         to, sender, message, _ = self.network[n]
         if to == "leader":
-            if self.ledger.asked(self.now, sender, message):
-                grant = Grant(message.seq, 1, self.ledger.grant(self.now, sender))
+            if self.ledger.record_request(self.now, sender, message):
+                grant = QuotaGrant(message.sequence, 1, self.ledger.make_grant(self.now, sender))
                 self.network.append((sender, "leader", grant, f"{sender} {grant!r}"))
-        elif isinstance(message, Ask):
+        elif isinstance(message, QuotaRequest):
             self.holders[to].heard_from(sender, message)
         else:
-            self.holders[to].granted(self.now, message, 1)
+            self.holders[to].apply_grant(self.now, message, 1)
 
     def push(self, name):
         """Orders reach their proxies at once, and are answered."""
-        for limit, proxy, units in self.holders[name].orders(self.now):
+        for limit, proxy, units in self.holders[name].quota_updates(self.now):
             self.parts[proxy] = units
-            self.holders[name].acts(limit, proxy, units)
+            self.holders[name].proxy_acknowledged(limit, proxy, units)
 
     def wrong(self):
         return f"proxies act on {sum(self.parts.values())} of 2" if sum(self.parts.values()) > 2 else ""
--- a/embertray/experiments/measure/models/ticks.py
+++ b/embertray/experiments/measure/models/ticks.py
@@ -4,4 +4,4 @@
 class Ticks:
     """A pace in whole ticks."""
 
-    term, outer, period = 2, 3, 1
+    lease_term, outer_term, request_period = 2, 3, 1
--- a/embertray/simulation/emulator/limits.py
+++ b/embertray/simulation/emulator/limits.py
@@ -3,7 +3,7 @@
 
 import random
 
-from embertray.cluster.limits import Limits, Pace
+from embertray.cluster.limits import DEFAULT_CONFIG, Limits
 from embertray.simulation.models.web import Web
 
 from .engine import Engine, S
@@ -48,7 +48,7 @@
             return
         if not self.stopped:
             now = self.clock.now()
-            self.core.holder.wants["l"] = sum(
+            self.core.quota_holder.demand["l"] = sum(
                 self.simulation.wants[proxy] for proxy, home in self.simulation.home.items() if home is self
             )
             self.simulation.send(self, self.core.advance(now))
@@ -65,7 +65,7 @@
         self.order()
 
     def order(self):
-        for _limit, proxy, units in self.core.holder.orders(self.clock.now()):
+        for _limit, proxy, units in self.core.quota_holder.quota_updates(self.clock.now()):
             self.simulation.engine.after(PUSH, self.simulation.told, self, proxy, units)
 
     def do(self, what, *args):
@@ -73,7 +73,7 @@
         if self.stopped:
             self.later.append((what, args))
         elif self.alive:
-            getattr(self.core.holder, what)(*args)
+            getattr(self.core.quota_holder, what)(*args)
 
     def go_on(self):
         self.stopped, later, self.later = False, self.later, []
@@ -89,7 +89,9 @@
     by look.
     """
 
-    def __init__(self, seed, members, proxies, total=10_000, drift=0.01, pace=Pace(), make=Limits, skew=1.0):  # noqa: B008
+    def __init__(
+        self, seed, members, proxies, total=10_000, drift=0.01, pace=DEFAULT_CONFIG, make=Limits, skew=1.0
+    ):
         self.engine, self.seed, self.chance, self.pace, self.drift = (
             Engine(S),
             seed,
@@ -137,13 +139,13 @@
             self.engine.after(self.chance.randint(*REDIAL), self.join, proxy, self.chance.choice(self.names))
             return
         self.home[proxy] = member
-        member.do("joined", proxy)
+        member.do("proxy_joined", proxy)
 
     def leave(self, proxy):
         """Its stream broke: it joins another after a while, and lets in what it was told until then."""
         member, self.home[proxy] = self.home[proxy], None
         if member is not None:
-            member.do("left", proxy)
+            member.do("proxy_left", proxy)
         self.engine.after(self.chance.randint(*REDIAL), self.join, proxy, self.chance.choice(self.names))
 
     def told(self, member, proxy, part):
@@ -153,7 +155,7 @@
             self.parts[proxy] = part
             if sum(self.parts.values()) - self.total > self.over:
                 self.over, self.over_at = sum(self.parts.values()) - self.total, self.engine.time
-            member.do("acts", "l", proxy, part)
+            member.do("proxy_acknowledged", "l", proxy, part)
 
     def look(self):
         self.used.append(sum(self.parts.values()) / self.total)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,11 +8,11 @@
 import unittest
 from pathlib import Path
 
+from embertray.cluster.limits.quota_holder import QuotaHolder
 from hypothesis import given, settings, strategies as st
 
 from embertray.cluster.limits import Limits
 from embertray.cluster.limits.divide import divide
-from embertray.cluster.limits.holder import Holder
 from embertray.cluster.limits.lease import Acceptor
 from embertray.cluster.limits.ledger import Ledger
 from embertray.experiments.measure.explore import Found, explore, walk
@@ -32,13 +32,13 @@
     """Limits whose holder or ledger is another class."""
 
     class Sabotaged(Limits):
-        def __init__(self, me, names, totals, now, chance, pace, first=False, life=0):
-            super().__init__(me, names, totals, now, chance, pace, first, life)
+        def __init__(self, me, names, totals, now, chance, config, first=False, incarnation=0):
+            super().__init__(me, names, totals, now, chance, config, first, incarnation)
             if "holder" in parts:
-                self.holder = parts["holder"](me, self.holder.floors, pace, life)
+                self.quota_holder = parts["holder"](me, self.quota_holder.floors, config, incarnation)
 
-        def elected(self, now):
-            super().elected(now)
+        def on_elected(self, now):
+            super().on_elected(now)
             if "ledger" in parts and type(self.ledger) is Ledger:
                 self.ledger.__class__ = parts["ledger"]
 
@@ -48,32 +48,32 @@
     return Sabotaged
 
 
-class SpendsTwice(Holder):
+class SpendsTwice(QuotaHolder):
     """Raises its proxies without regard to what those that left still act on."""
 
-    def orders(self, now):
-        kept, self.away = self.away, {}
+    def quota_updates(self, now):
+        kept, self.departed = self.departed, {}
         for proxy in kept:
-            self.drop(proxy)
-        return super().orders(now)
+            self.forget_proxy(proxy)
+        return super().quota_updates(now)
 
 
 def leads_for_ever(self, now):
     """A leader that does not look at the end of its lease."""
-    return self.ledger is not None or self.proposer.holds(now)
+    return self.ledger is not None or self.proposer.holds_lease(now)
 
 
 class ForgetsTheSilent(Ledger):
     """Lends a silent member's part as soon as its term is over, whoever still acts on it."""
 
-    def at_large(self, name, ask):
+    def unclaimed_proxies(self, name, ask):
         return set()
 
 
 class ForgetsFormerLives(Ledger):
-    def asked(self, now, name, ask):
-        taken = super().asked(now, name, ask)
-        self.lines[name].former_lives = []
+    def record_request(self, now, name, ask):
+        taken = super().record_request(now, name, ask)
+        self.accounts[name].former_incarnations = []
         return taken
 
 
@@ -82,15 +82,15 @@
 
     def on_propose(self, now, message, sender):
         answer = super().on_propose(now, message, sender)
-        self.until -= self.pace.outer - self.pace.term
+        self.lease_ends_at -= self.config.outer_term - self.config.lease_term
         return answer
 
 
 class SpeaksAtOnce(Acceptor):
     """Does not wait after a start."""
 
-    def __init__(self, pace, now, first=False):
-        super().__init__(pace, now, True)
+    def __init__(self, config, now, first=False):
+        super().__init__(config, now, True)
 
 
 class Drawn(unittest.TestCase):
@@ -124,7 +124,7 @@
             name for name, member in simulation.members.items() if member.core.leads(member.clock.now())
         )
         simulation.kill(next(name for name in simulation.names if name != leader))
-        simulation.run(int(simulation.pace.term) + S)
+        simulation.run(int(simulation.pace.lease_term) + S)
         self.assertGreater(simulation.used[-1], before - 0.02)
 
     def test_a_limit_below_the_number_of_members(self):
@@ -206,16 +206,18 @@
 
     def test_a_replayed_or_late_grant_is_not_taken(self):
         limits = Limits("a", ["a", "b", "c"], {"l": 100}, 0, random.Random(1), first=True)
-        holder = limits.holder
-        first, second = holder.ask(10, 7, False), holder.ask(20, 7, False)
-        from embertray.cluster.limits.messages import Grant
-
-        self.assertTrue(holder.granted(30, Grant(second.seq, 7, {"l": 9}), 7))
-        self.assertFalse(holder.granted(30, Grant(first.seq, 7, {"l": 50}), 7))
-        self.assertFalse(holder.granted(30, Grant(second.seq, 7, {"l": 50}), 7))
-        third = holder.ask(40, 7, False)
-        self.assertFalse(holder.granted(50, Grant(third.seq, 6, {"l": 50}), 7))
-        self.assertFalse(holder.granted(40 + limits.pace.term, Grant(third.seq, 7, {"l": 50}), 7))
+        holder = limits.quota_holder
+        first, second = holder.make_request(10, 7, False), holder.make_request(20, 7, False)
+        from embertray.cluster.limits.messages import QuotaGrant
+
+        self.assertTrue(holder.apply_grant(30, QuotaGrant(second.sequence, 7, {"l": 9}), 7))
+        self.assertFalse(holder.apply_grant(30, QuotaGrant(first.sequence, 7, {"l": 50}), 7))
+        self.assertFalse(holder.apply_grant(30, QuotaGrant(second.sequence, 7, {"l": 50}), 7))
+        third = holder.make_request(40, 7, False)
+        self.assertFalse(holder.apply_grant(50, QuotaGrant(third.sequence, 6, {"l": 50}), 7))
+        self.assertFalse(
+            holder.apply_grant(40 + limits.config.lease_term, QuotaGrant(third.sequence, 7, {"l": 50}), 7)
+        )
         self.assertEqual(holder.loan, {"l": 9})
 
     def test_run_and_adapter_load_none_of_it(self):
