--- a/embertray/cluster/limits/config.py
+++ b/embertray/cluster/limits/config.py
@@ -1,26 +1,35 @@
-"""Times of the limits, in one place: value, unit, reason."""
+"""Times of the limits, and the share of a limit that is never lent."""
 
 from dataclasses import dataclass
 
-S = 10**9
+SECOND_NS = 10**9
 
 
 @dataclass(frozen=True)
 class LimitsConfig:
-    """Times are ns by a member's own clock."""
-
-    request_period: int = 1 * S  # between two asks: what follows demand, against messages
-    lease_term: int = (
-        5 * S
-    )  # that a loan may be raised on, and that the leader's lease lasts: four lost messages in a row
-    clock_drift: float = 0.01  # clocks run so much too fast or too slow at the most
-    floor_share: float = (
-        0.05  # of a limit, divided evenly and never moved: what each one may use whatever breaks
-    )
+    """Times are ns by a member's own clock.
+
+    Attributes:
+        request_period: Between two quota requests of a member: demand that is followed soon, against
+            messages.
+        lease_term: That the leader's lease lasts, and that a loan may be used to raise proxies: four lost
+            messages in a row.
+        clock_drift: Share by which a clock runs too fast or too slow, at most.
+        floor_share: Share of a limit that is divided evenly among the members and never lent: what each may
+            use whatever fails.
+    """
+
+    request_period: int = 1 * SECOND_NS
+    lease_term: int = 5 * SECOND_NS
+    clock_drift: float = 0.01
+    floor_share: float = 0.05
 
     @property
     def outer_term(self):
-        """ns by any clock in which another's `term` has surely passed: theirs may be slow and ours fast."""
+        """The time, ns by any member's clock, in which another's term has surely ended.
+
+        That member's clock may be slow, and the one by which this is measured fast.
+        """
         return int(self.lease_term * (1 + self.clock_drift) / (1 - self.clock_drift)) + 1
 
 
--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -1,15 +1,13 @@
-"""One member's limits: acceptor, proposer, leader's ledger while it leads, and holder. Hand in the time and
-what came; nothing here waits.
-"""
+"""The state machine of one member's limits: time and messages in, messages and quotas out."""
 
 from .config import DEFAULT_CONFIG
-from .history import RequestHistory
-from .lease import Acceptor, Proposer
+from .election import LeaderElection
 from .ledger import Ledger
 from .messages import (
     Accepted,
     HistoryReply,
     HistoryRequest,
+    OutgoingMessage,
     Prepare,
     Promise,
     Propose,
@@ -19,101 +17,123 @@
 from .quota_holder import QuotaHolder
 
 
-class Limits:
-    """`names`: all members that the site names, this one too. `totals`: limit -> units. `chance`: a seeded
-    random.Random; `life`: as in the cluster, later in each life; `first`: no member has run before. `advance`
-    and `receive` give [(to, message)]; read `holder`."""
+class Limits(LeaderElection):
+    """One member's limits: it votes, it may lead, and it holds a quota.
+
+    Hand in the time (`advance`, at `next_at` at the latest) and what came (`receive`); both return
+    OutgoingMessages. The quotas of its proxies are those of `quota_holder`.
+
+    Attributes:
+        quota_holder: The QuotaHolder.
+        ledger: The Ledger while this member leads, else None.
+        tenure: Ballot of the latest leader that is known.
+        leader: Name of that leader, or None.
+        next_request_at: When to send the next QuotaRequest, ns.
+    """
 
     def __init__(self, me, names, totals, now, chance, config=DEFAULT_CONFIG, first=False, incarnation=0):
-        self.me, self.names, self.config, self.chance = me, sorted(names), config, chance
-        floors = {
-            limit: int(total * config.floor_share) // len(self.names) for limit, total in totals.items()
-        }
-        self.pools = {limit: total - floors[limit] * len(self.names) for limit, total in totals.items()}
-        self.acceptor = Acceptor(config, now, first)
-        self.proposer = Proposer(me, self.names.index(me), len(self.names), config)
-        self.quota_holder, self.ledger, self.tenure, self.leader, self.highest_ballot = (
-            QuotaHolder(me, floors, config, incarnation),
-            None,
-            0,
-            None,
-            0,
-        )
-        self.history, self.next_request_at, self.next_election_at = (
-            RequestHistory(me, len(self.names), first),
-            now + chance.randrange(config.request_period),
-            now + chance.randrange(config.request_period),
-        )
-        self.leader_heard_at = now  # when a leader was last heard of
+        """Begin an incarnation.
+
+        Args:
+            me: Name of this member.
+            names: All members that the site names, this one included.
+            totals: limit -> units that all members may use together.
+            now: The time, ns.
+            chance: A seeded random.Random.
+            config: A LimitsConfig.
+            first: Whether no member has run before.
+            incarnation: Later in each; also the base of this incarnation's sequence numbers.
+        """
+        self.next_request_at = now + chance.randrange(config.request_period)
+        super().__init__(me, sorted(names), now, chance, config, first)
+        count = len(self.names)
+        floors = {limit: int(total * config.floor_share) // count for limit, total in totals.items()}
+        self.pools = {limit: total - floors[limit] * count for limit, total in totals.items()}
+        self.quota_holder = QuotaHolder(me, floors, config, incarnation)
+        self.ledger = None
+        self.tenure = 0
+        self.leader = None
 
     def next_at(self):
+        """Return when to call `advance` at the latest, ns."""
         return min(self.next_request_at, self.next_election_at)
 
-    def leads(self, now):
-        return self.proposer.holds_lease(now)
-
-    def to_all(self, message):
-        return [(name, message) for name in self.names if name != self.me]
+    # ---- time
 
     def advance(self, now):
-        out = []
+        """Do what is due.
+
+        Args:
+            now: The time, ns.
+
+        Returns:
+            OutgoingMessages.
+        """
         if self.ledger is not None and not self.leads(now):
-            self.ledger = None  # our lease has ended: nothing more is lent
+            self.ledger = None  # the lease has ended: nothing more is lent
+        outgoing = []
         if now >= self.next_election_at:
-            self.next_election_at = now + self.config.request_period
-            # who leads renews; another tries once nobody was heard of for long, each after a time of chance
-            if not self.history.complete:
-                out += self.to_all(HistoryRequest())
-            elif self.leads(now) or now - self.leader_heard_at > self.config.lease_term // 2:
-                self.next_election_at += (
-                    0 if self.leads(now) else self.chance.randrange(self.config.lease_term // 2)
-                )
-                out += self.both(
-                    now, self.proposer.start(max(self.highest_ballot, self.acceptor.promised_ballot))
-                )
+            outgoing += self.run_election(now)
         if now >= self.next_request_at:
-            self.next_request_at = now + self.config.request_period
-            ask = self.quota_holder.make_request(now, self.tenure, self.leads(now))
-            self.history.put(self.me, ask)
-            out += self.to_all(ask)
-            if self.ledger is not None:
-                self.on_request(now, self.me, ask)
-        return out
-
-    def both(self, now, message):
-        """To all others, and to our own acceptor."""
-        return self.to_all(message) + self.receive(now, self.me, message)
+            outgoing += self.send_request(now)
+        return outgoing
+
+    def send_request(self, now):
+        """Send this member's QuotaRequest to all others, and enter it here.
+
+        Args:
+            now: The time, ns.
+        """
+        self.next_request_at = now + self.config.request_period
+        request = self.quota_holder.make_request(now, self.tenure, self.leads(now))
+        self.history.record(self.me, request)
+        outgoing = self.to_all_others(request)
+        if self.ledger is not None:
+            self.lend(now, self.me, request)
+        return outgoing
+
+    # ---- messages
 
     def receive(self, now, sender, message):
-        out = []
-        if isinstance(message, (Prepare, Propose)):
-            self.highest_ballot = max(self.highest_ballot, message.ballot)
-            answer = (
-                self.acceptor.on_prepare(now, message)
-                if isinstance(message, Prepare)
-                else self.acceptor.on_propose(now, message, sender)
-            )
-            if answer is not None:
-                out += self.receive(now, self.me, answer) if sender == self.me else [(sender, answer)]
-        elif isinstance(message, Promise):
-            if (propose := self.proposer.on_promise(now, message, sender)) is not None:
-                out += self.both(now, propose)
-        elif isinstance(message, Accepted):
-            if self.proposer.on_accepted(now, message, sender):
-                self.on_elected(now)
-        elif isinstance(message, QuotaRequest):
-            out += self.on_request(now, sender, message)
-        elif isinstance(message, QuotaGrant):
-            self.quota_holder.apply_grant(now, message, self.tenure)
-        elif isinstance(message, HistoryRequest):
-            out.append((sender, HistoryReply(self.history.requests_by_member())))
-        elif isinstance(message, HistoryReply):
-            self.history.recalled(sender, message.requests)
-        return out
+        """Take a message.
+
+        Args:
+            now: The time, ns.
+            sender: Name of the member that sent it.
+            message: The message.
+
+        Returns:
+            OutgoingMessages.
+
+        Raises:
+            TypeError: It is no message of this protocol.
+        """
+        match message:
+            case Prepare() | Propose():
+                return self.on_ballot(now, sender, message)
+            case Promise() | Accepted():
+                return self.on_vote(now, sender, message)
+            case QuotaRequest():
+                return self.on_request(now, sender, message)
+            case QuotaGrant():
+                self.quota_holder.apply_grant(now, message, self.tenure)
+            case HistoryRequest():
+                return [OutgoingMessage(sender, HistoryReply(self.history.requests_by_member()))]
+            case HistoryReply():
+                self.history.merge(sender, message.requests)
+            case _:
+                raise TypeError(f"no handler for {type(message).__name__}")
+        return []
 
     def on_elected(self, now):
+        """Begin a tenure, or go on with the one that was renewed.
+
+        Args:
+            now: The time, ns.
+        """
         if self.ledger is None or self.tenure != self.proposer.tenure:
-            self.tenure, self.leader = self.proposer.tenure, self.me
+            self.tenure = self.proposer.tenure
+            self.leader = self.me
             self.ledger = Ledger(
                 self.names,
                 self.pools,
@@ -124,24 +144,44 @@
             )
         self.leader_heard_at = now
 
-    def on_request(self, now, sender, ask):
-        """All hear all asks. Grants of a former leader are not taken any more once we know of a later one."""
-        if sender != self.me:
-            if not self.history.put(sender, ask):
-                return []  # repeated, or overtaken by a later one
-            self.quota_holder.heard_from(sender, ask)
-            self.highest_ballot, self.proposer.highest_known = (
-                max(self.highest_ballot, ask.ballot),
-                max(self.proposer.highest_known, ask.ballot),
-            )
-            if ask.leading and ask.ballot >= self.tenure:
-                self.tenure, self.leader, self.leader_heard_at = ask.ballot, sender, now
-        if self.ledger is None or not self.leads(now) or ask.ballot != self.proposer.tenure:
-            return []
-        if not self.ledger.record_request(now, sender, ask):
+    def on_request(self, now, sender, request):
+        """Take another member's QuotaRequest: note its leader, and lend if that is this member.
+
+        Grants of a former leader are not applied any more once a later one is known.
+
+        Args:
+            now: The time, ns.
+            sender: Name of the member.
+            request: The QuotaRequest.
+
+        Returns:
+            OutgoingMessages.
+        """
+        if not self.history.record(sender, request):
+            return []  # repeated, or overtaken by a later one
+        self.quota_holder.on_peer_request(sender, request)
+        self.highest_ballot = max(self.highest_ballot, request.ballot)
+        self.proposer.highest_known = max(self.proposer.highest_known, request.ballot)
+        if request.leading and request.ballot >= self.tenure:
+            self.tenure = request.ballot
+            self.leader = sender
+            self.leader_heard_at = now
+        return self.lend(now, sender, request)
+
+    def lend(self, now, borrower, request):
+        """Answer a QuotaRequest with a grant, if this member is the leader that it asks.
+
+        Args:
+            now: The time, ns.
+            borrower: Name of the member that asks.
+            request: Its QuotaRequest.
+
+        Returns:
+            OutgoingMessages.
+        """
+        if self.ledger is None or not self.leads(now) or request.ballot != self.proposer.tenure:
             return []
-        grant = QuotaGrant(ask.sequence, ask.ballot, self.ledger.make_grant(now, sender))
-        if sender == self.me:
-            self.quota_holder.apply_grant(now, grant, self.tenure)
+        if not self.ledger.record_request(now, borrower, request):
             return []
-        return [(sender, grant)]
+        amounts = self.ledger.make_grant(now, borrower)
+        return self.reply(now, borrower, QuotaGrant(request.sequence, request.ballot, amounts))
--- a/embertray/cluster/limits/divide.py
+++ b/embertray/cluster/limits/divide.py
@@ -1,17 +1,27 @@
-"""Who gets how much of a pool: by demand, the least wanted first, none more than it wants while another
-lacks.
-"""
+"""How a pool is divided among members."""
 
 
-def divide(pool, wants):
-    """`wants`: member -> units. member -> units, `pool` in all if so much is wanted; what is left over goes
-    to all alike, so that a rise finds room. Whole units; the same for the same input."""
-    left, order, found = pool, sorted(wants, key=lambda name: (wants[name], name)), {}
-    for n, name in enumerate(order):
-        found[name] = min(wants[name], left // (len(order) - n))
-        left -= found[name]
-    if left > 0 and order:
-        each, more = divmod(left, len(order))
-        for n, name in enumerate(order):
-            found[name] += each + (n < more)
-    return found
+def divide(pool, demand):
+    """Divide a pool by demand.
+
+    Rule: the least demand is met first, and none gets more than it wants while another lacks (max-min
+    fairness). What is left over goes to all alike, so that a rise in demand finds room.
+
+    Args:
+        pool: Units to divide.
+        demand: member -> units wanted.
+
+    Returns:
+        member -> units, whole numbers that add up to `pool`; the same for the same input.
+    """
+    by_demand = sorted(demand, key=lambda name: (demand[name], name))
+    remaining = pool
+    shares = {}
+    for position, name in enumerate(by_demand):
+        shares[name] = min(demand[name], remaining // (len(by_demand) - position))
+        remaining -= shares[name]
+    if remaining > 0 and by_demand:
+        each, extra = divmod(remaining, len(by_demand))
+        for position, name in enumerate(by_demand):
+            shares[name] += each + (position < extra)
+    return shares
--- /dev/null
+++ b/embertray/cluster/limits/election.py
@@ -0,0 +1,143 @@
+"""Who leads: opening ballots, voting, and renewing the lease; and how messages reach all members."""
+
+from abc import ABC, abstractmethod
+
+from .history import RequestHistory
+from .lease import Acceptor, Proposer
+from .messages import HistoryRequest, OutgoingMessage, Prepare, Promise
+
+
+class LeaderElection(ABC):
+    """One member's part in electing a leader: it votes, and it may try to lead.
+
+    Attributes:
+        history: The RequestHistory, without which this member may not lead.
+        leader_heard_at: When a leader was last heard of, ns.
+        highest_ballot: The highest ballot seen of any proposer.
+        next_election_at: When to try next, ns.
+    """
+
+    def __init__(self, me, names, now, chance, config, first):
+        """Begin an incarnation.
+
+        Args:
+            me: Name of this member.
+            names: All members, sorted.
+            now: The time, ns.
+            chance: A seeded random.Random.
+            config: A LimitsConfig.
+            first: Whether no member has run before.
+        """
+        self.me = me
+        self.names = names
+        self.config = config
+        self.chance = chance
+        self.acceptor = Acceptor(config, now, first)
+        self.proposer = Proposer(me, names.index(me), len(names), config)
+        self.history = RequestHistory(me, len(names), first)
+        self.highest_ballot = 0
+        self.leader_heard_at = now
+        self.next_election_at = now + chance.randrange(config.request_period)
+
+    @abstractmethod
+    def receive(self, now, sender, message):
+        """Take a message (Limits)."""
+
+    @abstractmethod
+    def on_elected(self, now):
+        """Begin or go on to lead (Limits)."""
+
+    def leads(self, now):
+        """Return whether this member holds the lease, and so may lend.
+
+        Args:
+            now: The time, ns.
+        """
+        return self.proposer.holds_lease(now)
+
+    def run_election(self, now):
+        """Renew the lease, or try to get it if no leader was heard of for half a term.
+
+        Whoever does not lead waits for a random time before its next attempt, so that two do not keep
+        outbidding each other's ballots.
+
+        Args:
+            now: The time, ns.
+        """
+        self.next_election_at = now + self.config.request_period
+        if not self.history.complete:
+            return self.to_all_others(HistoryRequest())
+        half_term = self.config.lease_term // 2
+        if not self.leads(now):
+            if now - self.leader_heard_at <= half_term:
+                return []
+            self.next_election_at += self.chance.randrange(half_term)
+        highest_seen = max(self.highest_ballot, self.acceptor.promised_ballot)
+        return self.to_all(now, self.proposer.start(highest_seen))
+
+    def on_ballot(self, now, sender, message):
+        """Let the acceptor answer a proposer.
+
+        Args:
+            now: The time, ns.
+            sender: Name of the proposer.
+            message: A Prepare or Propose.
+        """
+        self.highest_ballot = max(self.highest_ballot, message.ballot)
+        if isinstance(message, Prepare):
+            answer = self.acceptor.on_prepare(now, message)
+        else:
+            answer = self.acceptor.on_propose(now, message, sender)
+        return self.reply(now, sender, answer)
+
+    def on_vote(self, now, sender, message):
+        """Let the proposer count a vote.
+
+        Args:
+            now: The time, ns.
+            sender: Name of the acceptor.
+            message: A Promise or Accepted.
+        """
+        if isinstance(message, Promise):
+            propose = self.proposer.on_promise(now, message, sender)
+            return [] if propose is None else self.to_all(now, propose)
+        if self.proposer.on_accepted(now, message, sender):
+            self.on_elected(now)
+        return []
+
+    def to_all_others(self, message):
+        """Return OutgoingMessages that take a message to all other members.
+
+        Args:
+            message: The message.
+        """
+        return [OutgoingMessage(name, message) for name in self.names if name != self.me]
+
+    def to_all(self, now, message):
+        """Send a message to all members; this one takes it at once.
+
+        Args:
+            now: The time, ns.
+            message: The message.
+
+        Returns:
+            OutgoingMessages.
+        """
+        return self.to_all_others(message) + self.receive(now, self.me, message)
+
+    def reply(self, now, receiver, message):
+        """Send an answer; if it is this member's own, it takes it at once.
+
+        Args:
+            now: The time, ns.
+            receiver: Name of the receiver.
+            message: The message, None for no answer.
+
+        Returns:
+            OutgoingMessages.
+        """
+        if message is None:
+            return []
+        if receiver == self.me:
+            return self.receive(now, self.me, message)
+        return [OutgoingMessage(receiver, message)]
--- a/embertray/cluster/limits/history.py
+++ b/embertray/cluster/limits/history.py
@@ -1,38 +1,74 @@
-"""The last ask of each life of each member, for whoever leads next: proxies act on what a dead life told
-them.
+"""The last request of each incarnation of each member, for whoever leads next.
+
+Proxies go on acting on what a former incarnation told them, so its requests count after it has ended.
 """
 
-LIVES = 4  # of a member that are remembered: its proxies have joined others long before it started so often
+INCARNATIONS_KEPT = 4  # of a member: its proxies have joined others long before it has started so often
 
 
 class RequestHistory:
-    """`whole`: whether this process may lead: it runs since the site began, or a majority has told it what
-    they remember.
+    """What a member remembers of all members' requests.
+
+    Rule: a member may lead only once its history is complete: it has run since the cluster began, or a
+    majority has told it what they remember. Reason: whoever leads without a request of a former incarnation
+    lends units that proxies still act on.
+
+    Attributes:
+        complete: Whether this member may lead.
     """
 
     def __init__(self, me, count, first):
-        self.me, self.count, self.requests, self.votes = me, count, {}, set()
+        """Begin with no requests.
+
+        Args:
+            me: Name of this member.
+            count: How many members there are, this one included.
+            first: Whether no member has run before.
+        """
+        self.me = me
+        self.count = count
+        self.by_member = {}  # member -> incarnation -> QuotaRequest
+        self.replied = set()
         self.complete = first
 
-    def put(self, name, ask):
-        """False if it is no later than what is known."""
-        lives = self.requests.setdefault(name, {})
-        if lives and ask.sequence <= max(known.sequence for known in lives.values()):
+    def record(self, name, request):
+        """Remember a request.
+
+        Args:
+            name: Whose it is.
+            request: The QuotaRequest.
+
+        Returns:
+            False if it is no later than what is remembered.
+        """
+        requests = self.by_member.setdefault(name, {})
+        if requests and request.sequence <= max(known.sequence for known in requests.values()):
             return False
-        lives[ask.incarnation] = ask
-        for life in sorted(lives)[:-LIVES]:
-            del lives[life]
+        requests[request.incarnation] = request
+        for incarnation in sorted(requests)[:-INCARNATIONS_KEPT]:
+            del requests[incarnation]
         return True
 
     def requests_by_member(self):
-        return {name: [lives[life] for life in sorted(lives)] for name, lives in self.requests.items()}
-
-    def recalled(self, sender, asks):
-        """Another's memory: what it has of each life, if that is later than ours."""
-        for name, known in asks.items():
-            lives = self.requests.setdefault(name, {})
-            for ask in known:
-                if ask.incarnation not in lives or ask.sequence > lives[ask.incarnation].sequence:
-                    lives[ask.incarnation] = ask
-        self.votes.add(sender)
-        self.complete = self.complete or 2 * len(self.votes | {self.me}) > self.count
+        """Return member -> its last request of each incarnation, in their order."""
+        return {
+            name: [requests[incarnation] for incarnation in sorted(requests)]
+            for name, requests in self.by_member.items()
+        }
+
+    def merge(self, sender, requests_by_member):
+        """Take what another member remembers, where it is later.
+
+        Args:
+            sender: Name of that member.
+            requests_by_member: As `requests_by_member` returns them.
+        """
+        for name, requests in requests_by_member.items():
+            known = self.by_member.setdefault(name, {})
+            for request in requests:
+                former = known.get(request.incarnation)
+                if former is None or request.sequence > former.sequence:
+                    known[request.incarnation] = request
+        self.replied.add(sender)
+        if 2 * len(self.replied | {self.me}) > self.count:
+            self.complete = True
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -1,151 +1,164 @@
-"""The leader's ledger: what each member may still use of each limit, whoever is reached and whoever is not.
-Nothing is lent that is charged.
-
-A member that asks is charged the most of what its proxies may act on and of the grants that it may yet apply.
-One that is silent is charged all of that for the outer term, as it may raise its proxies until then; after
-that what those of its proxies may act on that nobody else has: it raises none of them any more, and they keep
-what they were told. So with the proxies of a former life. A member that this leader has not heard may use all
-that nobody is known to use, until the outer term is over and none of its proxies is at large.
+"""The leader's ledger: what each member may still use of each limit, whether it is heard or not.
+
+Rule: nothing is lent that is charged to another member.
+
+- A member that is heard is charged the most of what its proxies may act on, and of the loans that it may
+  still apply.
+- One that is silent is charged the same for the outer term, as it may raise its proxies until then. After
+  that it is charged what those of its proxies may act on that no other member has claimed: it raises none of
+  them any more, and proxies keep the quota that they were told.
+- So is each former incarnation of a member.
+- A member that this leader has never heard may use all that nobody is known to use, until the outer term is
+  over and none of its proxies is unclaimed.
 """
 
+from .accounts import Accounts, Loan
 from .divide import divide
 
 
-class MemberAccount:
-    """One member as the leader knows it. `grants`: ask's number -> (amounts, proxies that the share is
-    divided among), of those that may still be applied. `former_incarnations`: (last ask of one, its grants
-    or None, when a later life was heard of)."""
+class Ledger(Accounts):
+    """What is charged to each member, and what is lent to whoever asks."""
 
-    __slots__ = ("request", "heard_at", "grants", "former_incarnations")
+    # ---- charges
 
-    def __init__(self):
-        self.request, self.heard_at, self.grants, self.former_incarnations = None, None, {}, []
+    def charge(self, now, name, limit):
+        """Return what a member and its former incarnations may use now, beyond the floor.
 
+        Args:
+            now: The time, ns.
+            name: The member.
+            limit: The limit.
 
-class Ledger:
-    """Of one tenure. `pools`, `floors`: limit -> units that are lent, that each member has anyway. `before`:
-    name -> the last Ask of each of its lives that we heard of before, in their order."""
+        Returns:
+            Units; None if it is not known, so that it may be all that is left.
+        """
+        account = self.accounts[name]
+        if account.request is None:
+            return self.charge_unheard(now, name)
+        records = [account.current, *account.former_incarnations]
+        charges = [self.charge_of_incarnation(now, name, limit, record) for record in records]
+        return None if None in charges else sum(charges)
 
-    def __init__(self, names, pools, floors, config, now, before=None):
-        self.names, self.pools, self.floors, self.config, self.began_at = names, pools, floors, config, now
-        self.accounts, self.before = (
-            {name: MemberAccount() for name in names},
-            {name: asks[-1] for name, asks in (before or {}).items()},
-        )
-        for name, asks in (before or {}).items():
-            self.accounts[name].former_incarnations = [(ask, None, now) for ask in asks[:-1]]
-
-    def record_request(self, now, name, ask):
-        """False if it is old."""
-        line = self.accounts[name]
-        if line.request is not None and ask.sequence <= line.request.sequence:
-            return False
-        former = line.request if line.request is not None else self.before.get(name)
-        if (
-            former is not None and former.incarnation < ask.incarnation
-        ):  # its proxies keep what that life told them
-            line.former_incarnations.append((former, line.grants if line.request is not None else None, now))
-            line.grants = {}
-        line.request, line.heard_at = ask, now
-        line.grants = {seq: row for seq, row in line.grants.items() if seq >= ask.applied}
-        return True
-
-    def unclaimed_proxies(self, name, ask):
-        """Proxies of a silent life that nobody else is known to have: another has one if it says so after it
-        heard that ask.
+    def charge_unheard(self, now, name):
+        """Return the charge of a member that this leader has not heard: 0, or None as in `charge`.
+
+        Args:
+            now: The time, ns.
+            name: The member.
         """
-        large = {proxy for parts in ask.allotments.values() for proxy in parts}
-        for other, line in self.accounts.items():
-            said = line.request
-            if said is not None and (
-                said.incarnation > ask.incarnation
-                if other == name
-                else said.last_heard.get(name, 0) >= ask.sequence
-            ):
-                large -= said.acknowledged
-        return large
-
-    def is_behind(self, name, seq):
-        """Whether another has heard a later ask of it than this one: proxies may have been given up to it
-        that we know nothing of.
+        before = self.remembered.get(name)
+        if before is None or now - self.began_at <= self.config.outer_term:
+            return None
+        if self.is_behind(name, before.sequence) or self.unclaimed_proxies(name, before):
+            return None
+        former = self.accounts[name].former_incarnations
+        if any(self.unclaimed_proxies(name, record.request) for record in former):
+            return None
+        return 0
+
+    def charge_of_incarnation(self, now, name, limit, record):
+        """Return what one incarnation of a member, and the proxies that it left, may use now.
+
+        Args:
+            now: The time, ns.
+            name: The member.
+            limit: The limit.
+            record: Its IncarnationRecord.
+
+        Returns:
+            Units beyond the floor; None as in `charge`.
         """
-        return any(
-            line.request is not None and line.request.last_heard.get(name, 0) > seq
-            for other, line in self.accounts.items()
-            if other != name
+        request, loans, _ = record
+        allotments = request.allotments.get(limit, {})
+        floor = self.floors[limit]
+        if self.may_raise_proxies(now, name, record):
+            if loans is None:
+                return None
+            lent = [loan.amounts[limit] for loan in loans.values()]
+            return max([sum(allotments.values()) - floor, *lent, 0])
+        unclaimed = self.unclaimed_proxies(name, request)
+        if loans is None:
+            return None if unclaimed else 0
+        most_each = max(
+            ((floor + loan.amounts[limit]) // loan.proxies for loan in loans.values() if loan.proxies),
+            default=0,
         )
+        return max(0, sum(max(allotments.get(proxy, 0), most_each) for proxy in unclaimed) - floor)
 
-    def charge(self, now, name, limit):
-        """Units of the pool that this member and its former lives may use now; None: not known, so all that
-        is left.
-        """
-        line = self.accounts[name]
-        if line.request is None:
-            before = self.before.get(name)
-            settled = (
-                before is not None
-                and now - self.began_at > self.config.outer_term
-                and not self.is_behind(name, before.sequence)
-                and not self.unclaimed_proxies(name, before)
-            )
-            if not settled or any(
-                self.unclaimed_proxies(name, ask) for ask, _, _ in line.former_incarnations
-            ):
-                return None
-            return 0
-        charges = [self.charge_of_incarnation(now, name, limit, line.request, line.grants, line.heard_at)]
-        charges += [
-            self.charge_of_incarnation(now, name, limit, *former) for former in line.former_incarnations
-        ]
-        return None if None in charges else sum(charges)
+    def may_raise_proxies(self, now, name, record):
+        """Return whether an incarnation may still raise proxies, or have given some up unseen.
 
-    def charge_of_incarnation(self, now, name, limit, ask, grants, at):
-        """`grants`: None if another leader gave them."""
-        parts, floor = ask.allotments.get(limit, {}), self.floors[limit]
-        if (
-            now - at <= self.config.outer_term
-            or self.accounts[name].request is not None
-            and ask.incarnation == self.accounts[name].request.incarnation
-            and self.is_behind(name, ask.sequence)
-        ):
-            if grants is None:
-                return None
-            return max([sum(parts.values()) - floor, *(amounts[limit] for amounts, _ in grants.values()), 0])
-        large = self.unclaimed_proxies(name, ask)
-        if grants is None:
-            return None if large else 0
-        each = max(
-            ((floor + amounts[limit]) // count for amounts, count in grants.values() if count), default=0
+        Args:
+            now: The time, ns.
+            name: The member.
+            record: Its IncarnationRecord.
+        """
+        if now - record.heard_at <= self.config.outer_term:
+            return True
+        latest = self.accounts[name].request
+        return (
+            latest is not None
+            and record.request.incarnation == latest.incarnation
+            and self.is_behind(name, record.request.sequence)
         )
-        return max(0, sum(max(parts.get(proxy, 0), each) for proxy in large) - floor)
 
-    def free_units(self, now, limit, but):
-        """Units that nobody but `but` may use; what it has itself where somebody is not known."""
-        charges = [self.charge(now, name, limit) for name in self.names if name != but]
+    # ---- loans
+
+    def free_units(self, now, limit, borrower):
+        """Return the units that nobody but a member may use.
+
+        Args:
+            now: The time, ns.
+            limit: The limit.
+            borrower: The member.
+
+        Returns:
+            Units of the pool; where another member's charge is not known, what the member has already.
+        """
+        charges = [self.charge(now, name, limit) for name in self.names if name != borrower]
         if None in charges:
-            return self.charge(now, but, limit) or 0
+            return self.charge(now, borrower, limit) or 0
         return max(0, self.pools[limit] - sum(charges))
 
     def make_grant(self, now, name):
-        """Amounts for the member that has just asked: what its demand is due, as far as others have given it
-        up.
+        """Lend to the member that has just sent a request.
+
+        Args:
+            now: The time, ns.
+            name: The member.
+
+        Returns:
+            limit -> units: what its demand is due, as far as others have given it up.
         """
-        line, amounts = self.accounts[name], {}
-        for limit, pool in self.pools.items():
-            wants = {
-                other: row.request.demand.get(limit, 0)
-                for other, row in self.accounts.items()
-                if row.request is not None and now - row.heard_at <= self.config.outer_term
-            }
-            charged = [
-                self.charge_of_incarnation(now, name, limit, *former) for former in line.former_incarnations
-            ]
-            room = 0 if None in charged else self.free_units(now, limit, name) - sum(charged)
-            amounts[limit] = max(0, min(divide(pool, wants)[name], room))
-        line.grants[line.request.sequence] = amounts, len(next(iter(line.request.allotments.values()), ()))
-        line.former_incarnations = [
-            former
-            for former in line.former_incarnations
-            if now - former[2] <= self.config.outer_term or self.unclaimed_proxies(name, former[0])
+        account = self.accounts[name]
+        amounts = {limit: self.amount_due(now, name, limit) for limit in self.pools}
+        proxies = len(next(iter(account.request.allotments.values()), ()))
+        account.loans[account.request.sequence] = Loan(amounts, proxies)
+        account.former_incarnations = [
+            record
+            for record in account.former_incarnations
+            if now - record.heard_at <= self.config.outer_term or self.unclaimed_proxies(name, record.request)
         ]
         return amounts
+
+    def amount_due(self, now, name, limit):
+        """Return the units of a limit that a member is lent now.
+
+        Args:
+            now: The time, ns.
+            name: The member.
+            limit: The limit.
+        """
+        demand = {
+            other: account.request.demand.get(limit, 0)
+            for other, account in self.accounts.items()
+            if account.request is not None and now - account.heard_at <= self.config.outer_term
+        }
+        former_charges = [
+            self.charge_of_incarnation(now, name, limit, record)
+            for record in self.accounts[name].former_incarnations
+        ]
+        if None in former_charges:
+            return 0
+        room = self.free_units(now, limit, name) - sum(former_charges)
+        return max(0, min(divide(self.pools[limit], demand)[name], room))
--- a/embertray/experiments/measure/models/loans.py
+++ b/embertray/experiments/measure/models/loans.py
@@ -44,10 +44,10 @@
         other.ledger.accounts = {}
         for name, line in self.ledger.accounts.items():
             mine = other.ledger.accounts[name] = type(line)()
-            mine.request, mine.heard_at, mine.grants, mine.former_incarnations = (
+            mine.request, mine.heard_at, mine.loans, mine.former_incarnations = (
                 line.request,
                 line.heard_at,
-                line.grants.copy(),
+                line.loans.copy(),
                 line.former_incarnations.copy(),
             )
         return other
@@ -57,7 +57,7 @@
             (
                 row.request and (row.request.incarnation, row.request.sequence),
                 row.heard_at,
-                repr(row.grants),
+                repr(row.loans),
                 tuple((g[0].sequence, g[2]) for g in row.former_incarnations),
             )
             for row in self.ledger.accounts.values()
@@ -160,7 +160,7 @@
                 grant = QuotaGrant(message.sequence, 1, self.ledger.make_grant(self.now, sender))
                 self.network.append((sender, "leader", grant, f"{sender} {grant!r}"))
         elif isinstance(message, QuotaRequest):
-            self.holders[to].heard_from(sender, message)
+            self.holders[to].on_peer_request(sender, message)
         else:
             self.holders[to].apply_grant(self.now, message, 1)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,13 +8,13 @@
 import unittest
 from pathlib import Path
 
-from embertray.cluster.limits.quota_holder import QuotaHolder
 from hypothesis import given, settings, strategies as st
 
 from embertray.cluster.limits import Limits
 from embertray.cluster.limits.divide import divide
 from embertray.cluster.limits.lease import Acceptor
 from embertray.cluster.limits.ledger import Ledger
+from embertray.cluster.limits.quota_holder import QuotaHolder
 from embertray.experiments.measure.explore import Found, explore, walk
 from embertray.experiments.measure.models import LeaderModel, LoansModel
 from embertray.simulation.emulator.limits import LimitsSimulation, S
@@ -70,7 +70,7 @@
         return set()
 
 
-class ForgetsFormerLives(Ledger):
+class ForgetsFormerIncarnations(Ledger):
     def record_request(self, now, name, ask):
         taken = super().record_request(now, name, ask)
         self.accounts[name].former_incarnations = []
@@ -143,13 +143,13 @@
     def test_one_that_spends_twice(self):
         self.assertGreater(self.over(holder=SpendsTwice), 0)
 
-    def test_a_keeper_that_forgets_the_silent(self):
+    def test_a_leader_that_forgets_silent_members(self):
         self.assertGreater(self.over(ledger=ForgetsTheSilent), 0)
 
-    def test_a_keeper_that_forgets_former_lives(self):
-        self.assertGreater(self.over(15, 45, 97, ledger=ForgetsFormerLives), 0)
+    def test_a_leader_that_forgets_former_incarnations(self):
+        self.assertGreater(self.over(15, 45, 97, ledger=ForgetsFormerIncarnations), 0)
 
-    def test_a_keeper_that_ignores_its_leases_end(self):
+    def test_a_leader_that_ignores_the_end_of_its_lease(self):
         self.assertGreater(self.over(leads=leads_for_ever), 0)
 
 
@@ -158,7 +158,7 @@
     python -m embertray.experiments.measure.models
     """
 
-    def test_never_two_keepers(self):
+    def test_never_two_leaders(self):
         explore(LeaderModel(rounds=2, ticks=3, crashes=1), 8_000)
         self.assertGreater(walk(LeaderModel(rounds=3, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
