--- /dev/null
+++ b/embertray/cluster/link/state_stream.py
@@ -0,0 +1,66 @@
+"""Messages of an exchange on a TCP stream: frames of msgpack."""
+
+import msgspec
+
+from embertray.cluster.state import Delta, Offer
+from embertray.common.framing import Splitter, frame
+
+from .exceptions import UnexpectedMessageError
+
+encode_state_message = msgspec.msgpack.Encoder().encode
+decode_state_message = msgspec.msgpack.Decoder(Offer | Delta).decode
+
+
+class StateStream:
+    """One end of an exchange; what it sends is counted and taken from the token bucket."""
+
+    def __init__(self, stream, counters, bucket):
+        """Take a connected stream.
+
+        Args:
+            stream: The stream.
+            counters: LinkCounters.
+            bucket: The TokenBucket.
+        """
+        self.stream = stream
+        self.counters = counters
+        self.bucket = bucket
+        self.splitter = Splitter()
+
+    async def send(self, message):
+        """Send a message.
+
+        Args:
+            message: An Offer or Delta.
+
+        Raises:
+            BadFrame: It is too large for a frame.
+            OSError, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream broke.
+        """
+        data = frame(encode_state_message(message))
+        self.bucket.take(len(data))
+        self.counters.on_state_sent(len(data))
+        await self.stream.send(data)
+
+    async def receive(self, expected):
+        """Return the next message.
+
+        Args:
+            expected: The class that it has to be of.
+
+        Raises:
+            BadFrame: What came is no frame.
+            msgspec.DecodeError: It is no message.
+            UnexpectedMessageError: It is a message of another class.
+            OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream
+                broke, or ended.
+        """
+        payloads = []
+        while not payloads:
+            data = await self.stream.receive()
+            self.counters.on_state_received(len(data))
+            payloads = self.splitter.feed(data)
+        message = decode_state_message(payloads[0])
+        if not isinstance(message, expected):
+            raise UnexpectedMessageError(type(message), expected)
+        return message
--- /dev/null
+++ b/embertray/cluster/link/status.py
@@ -0,0 +1,94 @@
+"""What operators see of the cluster, and what it holds in memory."""
+
+from embertray.common.memory import Collection
+
+SECOND_NS = 10**9
+REJECTED_SHOWN = 16  # of the reasons and addresses of rejected messages, the most frequent
+FACTS_KEY = "facts"  # key under which each member shares its facts
+
+
+def status(link):
+    """Return the status as the admin endpoint and the metrics show it; its keys are read by others.
+
+    Args:
+        link: The ClusterLink.
+    """
+    now = link.clock.now()
+    membership = link.membership
+    store = link.store
+    return {
+        "cluster": link.cluster.name,
+        "me": membership.me.name,
+        "life": membership.me.incarnation,
+        "joined": membership.joined,
+        "cut_off": membership.cut_off(now),
+        "health": membership.health.steps,
+        "ended": membership.ended,
+        "members": member_rows(link, now),
+        "bound_s": seconds(link.state_exchange.staleness_bound_ns()),
+        "state_bytes": store.size_bytes,
+        "state_cap": store.cap_bytes,
+        "left_out": sum(store.shed.values()),
+        "refused": [
+            {"why": reason, "address": address, "times": count}
+            for (reason, address), count in membership.rejected.most_common(REJECTED_SHOWN)
+        ],
+        "state_held_back": link.bucket.deferred,
+        **link.counters.as_dict(),
+    }
+
+
+def member_rows(link, now):
+    """Return a row for each other member, by name.
+
+    Args:
+        link: The ClusterLink.
+        now: The time, ns.
+    """
+    known = link.store.freshest(now, FACTS_KEY)
+    facts_age_s = {entry.owner: seconds(entry.age_ns) for entry in known}
+    members = sorted(link.membership.members.values(), key=lambda member: member.name)
+    return [
+        {
+            "name": member.name,
+            "address": member.address,
+            "state": member.state.word,
+            "heard_s": seconds(now - member.last_heard_at),
+            "told_s": facts_age_s.get(member.name),
+        }
+        for member in members
+    ]
+
+
+def collections(link):
+    """Return what the cluster holds, for the memory accounts: each without what holds it.
+
+    Args:
+        link: The ClusterLink.
+
+    Returns:
+        Collections.
+    """
+    membership = link.membership
+    store = link.store
+    store_boxes = [store.entries, store.order_by_owner, store.complete_up_to, store.incarnations]
+    return [
+        Collection("entries", len(store.entries), store.entries.items, store_boxes),
+        *(
+            Collection(name, len(box), box.items, [box])
+            for name, box in (
+                ("members", membership.members),
+                ("refused", membership.rejected),
+                ("probes", membership.probes),
+            )
+        ),
+    ]
+
+
+def seconds(time_ns):
+    """Return a time in seconds, to hundredths.
+
+    Args:
+        time_ns: The time, ns.
+    """
+    return round(time_ns / SECOND_NS, 2)
--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -48,10 +48,10 @@
             self.delays.setdefault(int(held.value), now - int(held.value))
 
     def counters(self):
-        counted = self.link.counted
-        state = counted["state_bytes_sent"]
-        parts = {"state": state, "probes": counted["bytes_sent"] - state}
-        return Counters(counted["bytes_sent"], counted["bytes_received"], counted["sent"], parts)
+        counters = self.link.counters
+        state = counters.state_bytes_sent
+        parts = {"state": state, "probes": counters.bytes_sent - state}
+        return Counters(counters.bytes_sent, counters.bytes_received, counters.sent, parts)
 
     def seen(self):
         return self.link.membership.members.active_count + 1
@@ -62,7 +62,7 @@
         return max(ages) if len(ages) >= self.seen() else None
 
     def failures(self):
-        return self.link.counted["exchanges_failed"]
+        return self.link.counters.exchanges_failed
 
 
 def members(plan):
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -7,7 +7,7 @@
 
 import random
 
-from embertray.cluster.link.link import EXCHANGE_WITHIN
+from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
 from embertray.cluster.membership import Membership, MembershipConfig
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.service.site.site import time as span
@@ -73,7 +73,7 @@
             Streams(seed),
             [],
         )
-        self.claims = Claims(self.links, period, EXCHANGE_WITHIN, 50 * MS)
+        self.claims = Claims(self.links, period, EXCHANGE_TIMEOUT_NS, 50 * MS)
         # what troubles ask of a stage, its clock and what it holds
         self.clock, self.held, self.eyes, self.zero = self.engine, self, self, self.engine.time + S
 
--- a/embertray/simulation/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -4,7 +4,8 @@
 
 import random
 
-from embertray.cluster.link.link import EXCHANGE_WITHIN, FACTS_EVERY, pack
+from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS, FACTS_PERIOD_NS
+from embertray.cluster.link.state_stream import encode_state_message
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.common.framing import PREFIX
 
@@ -54,7 +55,7 @@
         if core.me.incarnation != self.store.incarnation:
             self.store.adopt_incarnation(core.me.incarnation)
         if now >= self.facts_at:
-            self.facts_at = now + FACTS_EVERY
+            self.facts_at = now + FACTS_PERIOD_NS
             self.store.put(now, "facts", self.facts(now))
         here = {m.name: m.address for m in core.active_members} if now >= self.exchange.next_at else {}
         if (name := self.exchange.next_peer(now, here)) is None:
@@ -65,7 +66,7 @@
             return
         self.turn += 1
         self.made += 1
-        self.engine.at(now + EXCHANGE_WITHIN, self.give_up, self.turn)
+        self.engine.at(now + EXCHANGE_TIMEOUT_NS, self.give_up, self.turn)
         turn, address = self.turn, here[name]
         # a call and its answer, the offer, what each lacks
         self.pass_message(
@@ -110,7 +111,7 @@
                 then()
 
     def count(self, message):
-        self.bytes += len(pack(message)) + PREFIX.size
+        self.bytes += len(encode_state_message(message)) + PREFIX.size
         return message
 
     def send_offer(self, turn, address):
--- a/embertray/simulation/processes/held.py
+++ b/embertray/simulation/processes/held.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from embertray.cluster.link.link import EXCHANGE_WITHIN
+from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
 from embertray.common.framing import Splitter
 from embertray.controller.endpoint_list.messages import News, read_answer
 from embertray.service.site.site import time as span
@@ -173,7 +173,7 @@
         await self.stage.group.start(self.links.run)
         self.links.watching.append(self.bent)
         if self.clustered:
-            self.claims = Claims(self.links, span(self.stage.day.fleet["period"]), EXCHANGE_WITHIN, SLACK)
+            self.claims = Claims(self.links, span(self.stage.day.fleet["period"]), EXCHANGE_TIMEOUT_NS, SLACK)
 
     def passed(self, name, splitter, data):
         """Bytes of the list that reach a controller."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -35,7 +35,7 @@
 from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
 from embertray.simulation.emulator.gossip import MS, START, MembershipSimulation, S
 from embertray.simulation.emulator.random_faults import random_faults
-from embertray.simulation.emulator.state_exchanger import StateExchanger, pack
+from embertray.simulation.emulator.state_exchanger import StateExchanger, encode_state_message
 from embertray.simulation.processes.ports import free_ports
 from embertray.simulation.scenarios import notation
 
@@ -108,7 +108,7 @@
     datagrams, state, counted = Traffic().watch(simulation.membership), Traffic(), StateExchanger.count
 
     def count(exchanger, message):
-        state.add(pack(message))
+        state.add(encode_state_message(message))
         return counted(exchanger, message)
 
     with mock.patch.object(StateExchanger, "count", count):
@@ -204,16 +204,16 @@
         links.append(link)
 
     async def serve(stream):
-        await links[1].serve(stream)
+        await links[1].state_exchange.serve(stream)
         served.set()
 
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
     async with listener, anyio.create_task_group() as group:
         group.start_soon(listener.serve, serve)
-        await links[0].with_one(me.cluster)
+        await links[0].state_exchange.exchange_with(me.cluster)
         await served.wait()
         group.cancel_scope.cancel()
-    return [(link.counted["state_bytes_sent"], link.counted["state_bytes_received"]) for link in links]
+    return [(link.counters.state_bytes_sent, link.counters.state_bytes_received) for link in links]
 
 
 class SameCounts(unittest.TestCase):
