--- /dev/null
+++ b/embertray/cluster/limits/quota_holder.py
@@ -0,0 +1,124 @@
+"""One member's quota: its requests, and the grant that is in force."""
+
+from typing import NamedTuple
+
+from .messages import QuotaRequest
+from .proxy_quotas import ProxyQuotas
+
+REQUESTS_KEPT = 16  # requests whose grants are still taken: more than a term's
+
+
+class SentRequest(NamedTuple):
+    """A request whose grant may still come.
+
+    Attributes:
+        sent_at: When it was sent, ns; the term of its grant runs from there.
+        tenure: Ballot of the leader that was asked.
+        proxies: The proxies that it listed, as keys.
+    """
+
+    sent_at: int
+    tenure: int
+    proxies: dict
+
+
+class QuotaHolder(ProxyQuotas):
+    """One member's floor and loan, divided among its proxies as ProxyQuotas says.
+
+    Attributes:
+        demand: limit -> units wanted, set by the caller.
+        applied: Sequence number of the request whose grant is in force.
+        sent_requests: Sequence number -> SentRequest.
+        last_heard: member -> sequence number of its last request.
+    """
+
+    def __init__(self, me, floors, config, incarnation=0):
+        """Begin with the floors and without proxies.
+
+        Args:
+            me: Name of this member.
+            floors: limit -> units that it has anyway.
+            config: A LimitsConfig.
+            incarnation: Its incarnation; its requests are numbered from there.
+        """
+        super().__init__(floors, sequence=incarnation)
+        self.me = me
+        self.config = config
+        self.incarnation = incarnation
+        self.demand = dict.fromkeys(floors, 0)
+        self.applied = 0
+        self.sent_requests = {}
+        self.last_heard = {}
+
+    def make_request(self, now, tenure, leading):
+        """Return the next QuotaRequest; it counts as sent.
+
+        Args:
+            now: The time, ns.
+            tenure: Ballot of the leader that is asked.
+            leading: Whether this member is the leader itself.
+        """
+        self.sequence += 1
+        for proxy, listed_since in self.departed.items():
+            if listed_since is None:
+                self.departed[proxy] = self.sequence
+        proxies = self.connected.keys() | self.departed.keys()
+        allotments = {
+            limit: {proxy: allowed.get(proxy, 0) for proxy in proxies}
+            for limit, allowed in self.allowed.items()
+        }
+        oldest = self.sequence - REQUESTS_KEPT
+        self.sent_requests = {
+            sequence: sent for sequence, sent in self.sent_requests.items() if sequence > oldest
+        }
+        self.sent_requests[self.sequence] = SentRequest(now, tenure, dict.fromkeys(sorted(proxies)))
+        return QuotaRequest(
+            self.incarnation,
+            self.sequence,
+            tenure,
+            leading,
+            self.applied,
+            dict(self.demand),
+            allotments,
+            frozenset(self.acknowledged),
+            dict(self.last_heard),
+        )
+
+    def on_peer_request(self, name, request):
+        """Take proxies off our account that another member has claimed.
+
+        It has if they act on its word, and it knew by then that they had left us.
+
+        Args:
+            name: The other member.
+            request: Its QuotaRequest.
+        """
+        self.last_heard[name] = max(self.last_heard.get(name, 0), request.sequence)
+        for proxy in request.acknowledged & frozenset(self.departed):
+            listed_since = self.departed[proxy]
+            if listed_since is not None and request.last_heard.get(self.me, 0) >= listed_since:
+                self.forget_proxy(proxy)
+
+    def apply_grant(self, now, grant, tenure):
+        """Apply a grant if it is later than the one in force, of this leader, and its term still runs.
+
+        Args:
+            now: The time, ns.
+            grant: The QuotaGrant.
+            tenure: Ballot of the leader that is known.
+
+        Returns:
+            Whether it was applied.
+        """
+        sent = self.sent_requests.get(grant.sequence)
+        if sent is None or grant.sequence <= self.applied:
+            return False
+        if grant.ballot != tenure or sent.tenure != tenure:
+            return False
+        if now >= sent.sent_at + self.config.lease_term:
+            return False
+        self.applied = grant.sequence
+        self.loan_ends_at = sent.sent_at + self.config.lease_term
+        self.loan = dict(grant.amounts)
+        self.divided_among = sent.proxies
+        return True
--- /dev/null
+++ b/embertray/cluster/membership/gossip_queue.py
@@ -0,0 +1,93 @@
+"""Statements that are to be gossiped, each so many times: the least gossiped first, of these the newest."""
+
+from bisect import bisect_left, insort
+from typing import NamedTuple
+
+from .member import Statement
+from .messages import statement_size
+
+
+class QueuedStatement(NamedTuple):
+    """A statement in the queue.
+
+    Attributes:
+        transmissions: How often it was gossiped.
+        order: Lower for one that was put later.
+        statement: The Statement.
+        size: Bytes that it takes in a message.
+    """
+
+    transmissions: int
+    order: int
+    statement: Statement
+    size: int
+
+
+class GossipQueue:
+    """Statements in the order in which they are gossiped, one for each member that they are about.
+
+    What a message takes moves back in the order, and the rest stays where it is.
+    """
+
+    def __init__(self):
+        self.by_name = {}  # name -> QueuedStatement
+        self.order = []  # (transmissions, order, name), sorted
+        self.puts = 0
+        self.smallest = 0  # bytes that no statement in the queue is below
+
+    def __len__(self):
+        return len(self.by_name)
+
+    def put(self, statement):
+        """Queue a statement in the place of a former one about the same member.
+
+        Args:
+            statement: The Statement.
+        """
+        if statement.name in self.by_name:
+            self._remove(statement.name)
+        self.puts += 1
+        size = statement_size(statement)
+        self.smallest = min(self.smallest, size) if self.by_name else size
+        self._insert(QueuedStatement(0, -self.puts, statement, size))
+
+    def pick(self, room, transmissions, receiver=None):
+        """Take the statements for one message.
+
+        Args:
+            room: Bytes that they may take.
+            transmissions: How often a statement is gossiped in all.
+            receiver: Name of the receiver: a statement about itself goes first, so that it can refute it.
+
+        Returns:
+            The Statements.
+        """
+        picked = []
+        for name in self._candidates(receiver):
+            if room < self.smallest:
+                break
+            queued = self.by_name[name]
+            if queued.size <= room:
+                room -= queued.size
+                picked.append(queued)
+        for queued in picked:
+            self._remove(queued.statement.name)
+            if queued.transmissions + 1 < transmissions:
+                self._insert(queued._replace(transmissions=queued.transmissions + 1))
+        return [queued.statement for queued in picked]
+
+    def _candidates(self, first):
+        if first in self.by_name:
+            yield first
+        for _, _, name in self.order:
+            if name != first:
+                yield name
+
+    def _insert(self, queued):
+        name = queued.statement.name
+        self.by_name[name] = queued
+        insort(self.order, (queued.transmissions, queued.order, name))
+
+    def _remove(self, name):
+        queued = self.by_name.pop(name)
+        del self.order[bisect_left(self.order, (queued.transmissions, queued.order, name))]
--- a/embertray/cluster/membership/probes.py
+++ b/embertray/cluster/membership/probes.py
@@ -1,33 +1,47 @@
-"""Whom to probe next, and the probes under way."""
+"""Probes under way."""
 
 
 class Probe:
-    """`asked`: helpers that owe a Nack; `for_`: (member, number) we probe in another's place, or None."""
-
-    __slots__ = ("target", "life", "direct_by", "until", "asked", "helped", "for_")
-
-    def __init__(self, target, life, direct_by, until, for_=None):
-        self.target, self.life, self.direct_by, self.until = target, life, direct_by, until
-        self.asked, self.helped, self.for_ = 0, False, for_
-
-
-class Round:
-    """Every member once in each round, in an order drawn anew: the longest time between two probes of one is
-    bounded.
+    """A probe whose answer is still due.
+
+    Attributes:
+        target: Name of the member that is probed.
+        incarnation: Its incarnation that is meant.
+        indirect_at: When indirect probes are requested, ns.
+        ends_at: When it has failed, ns.
+        requester: Name of the member that requested it as an indirect probe; "" if it is this member's own.
+        requester_sequence: The sequence number under which it was requested.
+        nacks_due: Members that owe a Nack.
+        indirect: Whether indirect probes were requested.
     """
 
-    def __init__(self, chance):
-        self.chance, self.left = chance, []
-
-    def next(self, names):
-        """The next of `names`, or None if there are none. Who is new comes within this round."""
-        here = set(names)
-        while self.left:
-            if (name := self.left.pop()) in here:
-                return name
-        self.left = sorted(here)
-        self.chance.shuffle(self.left)
-        return self.left.pop() if self.left else None
-
-    def joined(self, name):
-        self.left.insert(self.chance.randrange(len(self.left) + 1), name)
+    __slots__ = (
+        "target",
+        "incarnation",
+        "indirect_at",
+        "ends_at",
+        "requester",
+        "requester_sequence",
+        "nacks_due",
+        "indirect",
+    )
+
+    def __init__(self, target, incarnation, indirect_at, ends_at, requester="", requester_sequence=0):
+        self.target = target
+        self.incarnation = incarnation
+        self.indirect_at = indirect_at
+        self.ends_at = ends_at
+        self.requester = requester
+        self.requester_sequence = requester_sequence
+        self.nacks_due = 0
+        self.indirect = False
+
+    @property
+    def may_go_indirect(self):
+        """Whether indirect probes are still to be requested for it."""
+        return not self.requester and not self.indirect
+
+    @property
+    def next_at(self):
+        """When something is due for it, ns."""
+        return self.indirect_at if self.may_go_indirect else self.ends_at
--- a/embertray/experiments/capacity/reckon.py
+++ b/embertray/experiments/capacity/reckon.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from embertray.cluster.limits.messages import Ask, Grant
-from embertray.cluster.limits.pace import Pace as LimitsPace
-from embertray.cluster.membership import Pace as ClusterPace
+from embertray.cluster.limits import LimitsConfig
+from embertray.cluster.limits.messages import QuotaGrant, QuotaRequest
+from embertray.cluster.membership import MembershipConfig
 
 S = 10**9
 FRAME_BYTES = 4  # of a frame's length; how large a frame may be is not asked here
 WORST = 10  # seconds of a worst mean
-PERIOD = ClusterPace().period / S  # s
+PERIOD = MembershipConfig().probe_period / S  # s
 EXCHANGE = 2.0  # s: the longest exchange of state (docs/design/cluster.md)
 BUSY_NUMBER = 2**40  # of the size that ballots, lives and sequence numbers have
 
@@ -24,7 +24,7 @@
     """One ask of a controller: what its proxies act on, by limit, and the last ask of each other member."""
     here = names("proxy", proxies)
     limited = names("limit", limits)
-    ask = Ask(
+    ask = QuotaRequest(
         BUSY_NUMBER,
         BUSY_NUMBER,
         BUSY_NUMBER,
@@ -39,7 +39,7 @@
 
 
 def grant_bytes(limits):
-    grant = Grant(BUSY_NUMBER, BUSY_NUMBER, dict.fromkeys(names("limit", limits), 1000))
+    grant = QuotaGrant(BUSY_NUMBER, BUSY_NUMBER, dict.fromkeys(names("limit", limits), 1000))
     return FRAME_BYTES + len(msgspec.msgpack.encode(grant))
 
 
@@ -58,7 +58,7 @@
 def limits_each_to_each(controllers, proxies, limits):
     """An ask from each to all others each period, as fleet/limits does it."""
     ask = ask_bytes(proxies, limits, controllers - 1)
-    rate = (controllers - 1) * ask / (LimitsPace().period / S)
+    rate = (controllers - 1) * ask / (LimitsConfig().request_period / S)
     return LimitsCost(rate, rate, state=controllers * ask)
 
 
@@ -67,7 +67,7 @@
     grant back.
     """
     ask, grant = ask_bytes(proxies, limits, 0), grant_bytes(limits)
-    period = LimitsPace().period / S
+    period = LimitsConfig().request_period / S
     return LimitsCost(ask / period, grant / period, controllers * ask / period, controllers * ask)
 
 
@@ -78,4 +78,6 @@
 
 def death_known(members):
     """(2 (n - 1) + 2 n + 18) T and the longest suspicion: the claim `seen` of docs/design/cluster.md."""
-    return (2 * (members - 1) + 2 * members + 18) * PERIOD + ClusterPace().wait(members, 0) / S
+    return (2 * (members - 1) + 2 * members + 18) * PERIOD + MembershipConfig().suspicion_timeout(
+        members, 0
+    ) / S
--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -36,7 +36,7 @@
         began = self.engine.time
         while self.engine.time < began + most * S:
             if all(
-                wanted(name, {name} | {m.name for m in exchanger.process.core.here})
+                wanted(name, {name} | {m.name for m in exchanger.process.core.active_members})
                 for name, exchanger in self.exchangers.items()
             ):
                 return (self.engine.time - began) / S
@@ -47,7 +47,7 @@
         """Greatest age that anybody holds of anybody, s; None while something is not held."""
         now, count = self.engine.time, len(self.exchangers)
         rows = [
-            [known.age for known in exchanger.store.freshest(now, "facts")]
+            [known.age_ns for known in exchanger.store.freshest(now, "facts")]
             for exchanger in self.exchangers.values()
         ]
         return max(map(max, rows)) / S if all(len(ages) == count for ages in rows) else None
--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -43,26 +43,26 @@
         """Notes when a mark is seen first."""
         if self.link is None:
             return
-        held = self.link.store.held.get((self.plan.marker, MARK))
+        held = self.link.store.entries.get((self.plan.marker, MARK))
         if held is not None:
             self.delays.setdefault(int(held.value), now - int(held.value))
 
     def counters(self):
-        counted = self.link.counted
-        state = counted["state_bytes_sent"]
-        parts = {"state": state, "probes": counted["bytes_sent"] - state}
-        return Counters(counted["bytes_sent"], counted["bytes_received"], counted["sent"], parts)
+        counters = self.link.counters
+        state = counters.state_bytes_sent
+        parts = {"state": state, "probes": counters.bytes_sent - state}
+        return Counters(counters.bytes_sent, counters.bytes_received, counters.sent, parts)
 
     def seen(self):
-        return self.link.membership.members.here_count + 1
+        return self.link.membership.members.active_count + 1
 
     def oldest(self, now):
         """ns; None if it lacks a member's facts."""
-        ages = [known.age for known in self.link.store.freshest(now, "facts")]
+        ages = [known.age_ns for known in self.link.store.freshest(now, "facts")]
         return max(ages) if len(ages) >= self.seen() else None
 
     def failures(self):
-        return self.link.counted["exchanges_failed"]
+        return self.link.counters.exchanges_failed
 
 
 def members(plan):
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from embertray.cluster.membership import Pace
+from embertray.cluster.membership import MembershipConfig
 from embertray.simulation.emulator.collector import rare_collections
 from embertray.simulation.emulator.gossip import MembershipSimulation
 from embertray.simulation.emulator.state_exchanger import StateExchanger
@@ -35,7 +35,8 @@
 
     def __init__(self, size, spans, period, facts_bytes, naming=Naming(), seed=1):
         self.membership = MembershipSimulation(
-            seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period)
+            seed,
+            MembershipConfig.for_period(period),
         )
         self.engine, self.facts = self.membership.engine, b"f" * facts_bytes
         self.addresses = {naming.name(n): naming.address(n) for n in range(size)}
@@ -69,7 +70,7 @@
         """Until all have seen it."""
         value = str(number).encode()
         for address in list(self.unseen[number]):
-            held = self.exchangers[address].store.held.get((self.marker, MARK))
+            held = self.exchangers[address].store.entries.get((self.marker, MARK))
             if held is not None and held.value == value:
                 self.unseen[number].discard(address)
                 self.delays.setdefault(number, []).append((self.engine.time - written_at) / S)
@@ -79,7 +80,9 @@
     def oldest(self):
         """s; None if something is missing somewhere."""
         now, size = self.engine.time, len(self.addresses)
-        ages = [[known.age for known in one.store.freshest(now, "facts")] for one in self.exchangers.values()]
+        ages = [
+            [known.age_ns for known in one.store.freshest(now, "facts")] for one in self.exchangers.values()
+        ]
         return max(map(max, ages)) / S if all(len(row) == size for row in ages) else None
 
 
@@ -98,7 +101,7 @@
             oldest.append(members.oldest())
     meters, seen = (
         members.meters.values(),
-        [p.core.members.here_count + 1 for p in members.membership.living()],
+        [p.core.members.active_count + 1 for p in members.membership.living()],
     )
     return Summary(
         size=size,
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -7,9 +7,9 @@
 
 import random
 
-from embertray.cluster.link.link import EXCHANGE_WITHIN
-from embertray.cluster.membership import Membership, Pace
-from embertray.cluster.state import EntryStore, Exchange
+from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
+from embertray.cluster.membership import Membership, MembershipConfig
+from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.service.site.site import time as span
 from embertray.simulation.claims.cluster import Claims
 from embertray.simulation.models.chance import Streams
@@ -48,14 +48,23 @@
     """`members`: more of them than the day says; `look`: ns between two looks at each. Read `claims`."""
 
     def __init__(
-        self, day, seed=1, members=None, make=Membership, exchange=Exchange, store=EntryStore, look=S // 4
+        self,
+        day,
+        seed=1,
+        members=None,
+        make=Membership,
+        exchange=AntiEntropyExchange,
+        store=EntryStore,
+        look=S // 4,
     ):
         self.day, self.seed, self.makes, self.look_every = day, seed, (exchange, store), look
         names = [f"c{n + 1}" for n in range(members or int(day.fleet["controllers"]))]
         period = span(day.fleet["period"])
         self.links = Web(names, seed, ("list", "px"))  # nothing passes on the latter two here
         self.membership = MembershipSimulation(
-            seed, Pace(period=period, answer=period * 3 // 10, beckon=5 * period), make
+            seed,
+            MembershipConfig.for_period(period),
+            make,
         )
         self.membership.links = WebLinks(random.Random(f"{seed} links"), self.links)
         self.engine, self.exchangers, self.chance, self.proxies = (
@@ -64,7 +73,7 @@
             Streams(seed),
             [],
         )
-        self.claims = Claims(self.links, period, EXCHANGE_WITHIN, 50 * MS)
+        self.claims = Claims(self.links, period, EXCHANGE_TIMEOUT_NS, 50 * MS)
         # what troubles ask of a stage, its clock and what it holds
         self.clock, self.held, self.eyes, self.zero = self.engine, self, self, self.engine.time + S
 
@@ -119,15 +128,15 @@
     # ---- the day
 
     def look(self):
-        now, words = self.engine.time, ("alive", "suspect", "dead", "left")
+        now = self.engine.time
         for name, exchanger in self.exchangers.items():
             if exchanger is not None and not exchanger.process.stopped:
                 core = exchanger.process.core
-                ages = {known.owner: known.age for known in exchanger.store.freshest(now, "facts")}
+                ages = {known.owner: known.age_ns for known in exchanger.store.freshest(now, "facts")}
                 self.claims.look(
                     now,
                     name,
-                    {m.name: words[m.state] for m in core.members.values()},
+                    {m.name: m.state.word for m in core.members.values()},
                     ages,
                     core.cut_off(now),
                 )
--- a/embertray/simulation/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -4,8 +4,9 @@
 
 import random
 
-from embertray.cluster.link.link import EXCHANGE_WITHIN, FACTS_EVERY, pack
-from embertray.cluster.state import EntryStore, Exchange
+from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS, FACTS_PERIOD_NS
+from embertray.cluster.link.state_stream import encode_state_message
+from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.common.framing import PREFIX
 
 MS = 10**6
@@ -23,13 +24,18 @@
     own exchanges and in others', with the frames' lengths, as a link counts.
     """
 
-    def __init__(self, process, others, links, seed, make=Exchange, store=EntryStore, facts=timestamp_facts):
+    def __init__(
+        self, process, others, links, seed, make=AntiEntropyExchange, store=EntryStore, facts=timestamp_facts
+    ):
         self.facts = facts
         self.process, self.others, self.links, self.engine = process, others, links, process.simulation.engine
         core, now = process.core, process.simulation.engine.time
-        self.store = store(core.me.name, core.me.life)
+        self.store = store(core.me.name, core.me.incarnation)
         self.exchange = make(
-            self.store, random.Random(f"{seed} {core.me.name} {core.me.life}"), now, core.pace.period
+            self.store,
+            random.Random(f"{seed} {core.me.name} {core.me.incarnation}"),
+            now,
+            core.config.probe_period,
         )
         self.facts_at, self.turn, self.bytes, self.failed, self.made = now, 0, 0, 0, 0
         self.engine.at(now, self.tick)
@@ -45,19 +51,22 @@
         if self.process.stopped:
             self.engine.at(now + LOOK, self.tick)
             return
-        self.store.owners(now, core.members.gone)
-        if core.me.life != self.store.life:
-            self.store.reborn(core.me.life)
+        self.store.expire(now, core.members.departed)
+        if core.me.incarnation != self.store.incarnation:
+            self.store.adopt_incarnation(core.me.incarnation)
         if now >= self.facts_at:
-            self.facts_at = now + FACTS_EVERY
+            self.facts_at = now + FACTS_PERIOD_NS
             self.store.put(now, "facts", self.facts(now))
-        here = {m.name: m.address for m in core.here} if now >= self.exchange.at else {}
-        if (name := self.exchange.next(now, here)) is None:
-            self.engine.at(max(now + core.pace.period // 20, min(self.exchange.at, self.facts_at)), self.tick)
+        here = {m.name: m.address for m in core.active_members} if now >= self.exchange.next_at else {}
+        if (name := self.exchange.next_peer(now, here)) is None:
+            self.engine.at(
+                max(now + core.config.probe_period // 20, min(self.exchange.next_at, self.facts_at)),
+                self.tick,
+            )
             return
         self.turn += 1
         self.made += 1
-        self.engine.at(now + EXCHANGE_WITHIN, self.give_up, self.turn)
+        self.engine.at(now + EXCHANGE_TIMEOUT_NS, self.give_up, self.turn)
         turn, address = self.turn, here[name]
         # a call and its answer, the offer, what each lacks
         self.pass_message(
@@ -74,7 +83,7 @@
 
     def finish(self):
         self.turn += 1
-        self.engine.at(self.engine.time + self.process.core.pace.period // 20, self.tick)
+        self.engine.at(self.engine.time + self.process.core.config.probe_period // 20, self.tick)
 
     def pass_message(self, turn, address, there, then):
         """One message of the stream; it waits on a silent way, or for one that stands still, until the
@@ -102,7 +111,7 @@
                 then()
 
     def count(self, message):
-        self.bytes += len(pack(message)) + PREFIX.size
+        self.bytes += len(encode_state_message(message)) + PREFIX.size
         return message
 
     def send_offer(self, turn, address):
