--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -154,7 +154,7 @@
         finished.
         """
         text = (
-            "import sys; from embertray.durable import Store\ns = Store(sys.argv[1]); n = "
+            "import sys; from embertray.common.snapshots import Store\ns = Store(sys.argv[1]); n = "
             "int((s.load()[0] or b'0'))\n"
             "print(n, flush=True)\nwhile True:\n    n += 1; s.save(b'%d' % n); print(n, flush=True)"
         )
