--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -53,8 +53,8 @@
     """Run one controller of SITE.xml until SIGTERM or SIGINT."""
     from embertray.common.net.clock import LoopClock
     from embertray.common.net.tcp import TcpNet
-    from embertray.common.snapshots import Kept, Locked
-    from embertray.common.snapshots.snapshot import KeptInMemory
+    from embertray.common.snapshots import DurableSnapshots, FolderLocked
+    from embertray.common.snapshots.snapshot import InMemorySnapshots
     from embertray.service.daemon import Service
 
     description = read_site(site)
@@ -64,7 +64,7 @@
         raise Bad(str(wrong)) from None
     gc.freeze()  # what was imported lives as long as we do
     gc.set_threshold(*COLLECT)
-    kept = Kept(description.keep) if description.keep else KeptInMemory()
+    kept = DurableSnapshots(description.keep) if description.keep else InMemorySnapshots()
 
     async def run():
         service = Service(
@@ -82,7 +82,7 @@
 
     try:
         anyio.run(run, backend_options={"use_uvloop": loop == "uvloop"})
-    except* (OSError, Locked) as wrong:
+    except* (OSError, FolderLocked) as wrong:
         raise Bad(f"{site}: {wrong.exceptions[0]}") from None
 
 
--- a/embertray/cluster/replication/link/saved.py
+++ b/embertray/cluster/replication/link/saved.py
@@ -4,7 +4,7 @@
 
 from embertray.cluster.replication.entry import Entry
 from embertray.cluster.replication.replica_types import ReplicaState
-from embertray.common.snapshots import Store
+from embertray.common.snapshots import SnapshotStore
 
 
 class BadBody(ValueError):
@@ -26,11 +26,11 @@
     """A folder with the newest state of type `kind`; `disk` as in durable/store.py. `save` blocks."""
 
     def __init__(self, folder, kind, disk=None):
-        self.store = Store(folder, disk)
+        self.store = SnapshotStore(folder, disk)
         self._decoder = msgspec.msgpack.Decoder(kind)
 
     def open(self):
-        """Takes the folder for this process. Raises Locked, OSError."""
+        """Takes the folder for this process. Raises FolderLocked, OSError."""
         self.store.lock()
 
     def close(self):
--- a/embertray/common/snapshots/__init__.py
+++ b/embertray/common/snapshots/__init__.py
@@ -1,6 +1,6 @@
 """What must outlive a process: whole, checked snapshots in a folder that one controller owns."""
 
-from .snapshot import Kept, KeptEntry, Snapshot
-from .store import Disk, Locked, Store
+from .snapshot import DurableSnapshots, Snapshot, SnapshotEntry
+from .store import Disk, FolderLocked, SnapshotStore
 
-__all__ = ["Disk", "Kept", "KeptEntry", "Locked", "Snapshot", "Store"]
+__all__ = ["Disk", "DurableSnapshots", "SnapshotEntry", "FolderLocked", "Snapshot", "SnapshotStore"]
--- a/embertray/common/snapshots/snapshot.py
+++ b/embertray/common/snapshots/snapshot.py
@@ -11,14 +11,18 @@
 
 from embertray.common.fields import Name
 
-from .store import Store
+from .store import SnapshotStore
 
 # -- constants: value, unit, reason
-EVERY = 10**9  # ns between two snapshots at the least: a deploy changes the list many times a second
-CONFIRM = 15 * 10**9  # ns after which a list that stands is written anew, so that its age is known to that
+SNAPSHOT_PERIOD_NS = (
+    10**9
+)  # ns between two snapshots at the least: a deploy changes the list many times a second
+CONFIRMATION_PERIOD_NS = (
+    15 * 10**9
+)  # ns after which a list that stands is written anew, so that its age is known to that
 
 
-class KeptEntry(msgspec.Struct, array_like=True, frozen=True):
+class SnapshotEntry(msgspec.Struct, array_like=True, frozen=True):
     """`started` by the inventory's clock; `confirmed` by our wall clock: when the inventory last stood for
     it.
     """
@@ -37,12 +41,12 @@
     """
 
     epoch: int
-    clock: int
-    wall: int
-    boot: str
-    mono: int
-    entries: list[KeptEntry]
-    gone: list[KeptEntry] = []  # told gone lately: an older list must not bring them back
+    inventory_clock: int
+    wall_clock: int
+    boot_id: str
+    boot_clock: int
+    entries: list[SnapshotEntry]
+    removed: list[SnapshotEntry] = []  # told gone lately: an older list must not bring them back
 
 
 class BadBody(ValueError):
@@ -64,22 +68,22 @@
         return ""
 
 
-class Kept:
+class DurableSnapshots:
     """Snapshots in a folder. `waits`: saving blocks, so it belongs in a thread."""
 
-    waits = True
+    blocking = True
 
     def __init__(self, folder, disk=None):
-        self.store, self.boot = Store(folder, disk), boot_id()
+        self.store, self.boot = SnapshotStore(folder, disk), boot_id()
 
     def open(self):
-        """Raises Locked or OSError."""
+        """Raises FolderLocked or OSError."""
         self.store.lock()
 
     def close(self):
         self.store.unlock()
 
-    def times(self):
+    def clock_reading(self):
         """(wall, boot, mono) now."""
         return time.time_ns(), self.boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
@@ -91,13 +95,13 @@
         return self.store.load(read)
 
 
-class KeptInMemory:
+class InMemorySnapshots:
     """The same for runs without a disk; `clock` as in net/clock.py, or None."""
 
-    waits = False
+    blocking = False
 
     def __init__(self, clock=None):
-        self.last, self.first, self.clock = None, None, clock
+        self.last_saved, self.first_saved, self.clock = None, None, clock
 
     def open(self):
         pass
@@ -105,11 +109,11 @@
     def close(self):
         pass
 
-    def times(self):
+    def clock_reading(self):
         return (self.clock.wall(), "", 0) if self.clock else (time.time_ns(), "", 0)
 
     def save(self, snapshot):
-        self.last, self.first = snapshot, self.first or snapshot
+        self.last_saved, self.first_saved = snapshot, self.first_saved or snapshot
 
     def load(self):
-        return self.last, []
+        return self.last_saved, []
--- a/embertray/common/snapshots/store.py
+++ b/embertray/common/snapshots/store.py
@@ -22,11 +22,11 @@
 LEVEL = 3  # of zstandard: its default
 
 
-class Locked(RuntimeError):
+class FolderLocked(RuntimeError):
     """Another process owns the folder."""
 
 
-class BadSnapshot(ValueError):
+class CorruptSnapshot(ValueError):
     pass
 
 
@@ -66,27 +66,27 @@
 
 
 def unpack(data):
-    """The body of a file's bytes. Raises BadSnapshot with the reason."""
+    """The body of a file's bytes. Raises CorruptSnapshot with the reason."""
     if len(data) < HEAD.size:
-        raise BadSnapshot(f"it has {len(data)} bytes, fewer than its head")
+        raise CorruptSnapshot(f"it has {len(data)} bytes, fewer than its head")
     magic, form, length, digest = HEAD.unpack_from(data)
     packed = data[HEAD.size :]
     if magic != MAGIC:
-        raise BadSnapshot("it does not begin as a snapshot does")
+        raise CorruptSnapshot("it does not begin as a snapshot does")
     if form != FORMAT:
-        raise BadSnapshot(f"it is of format {form}; this program reads {FORMAT}")
+        raise CorruptSnapshot(f"it is of format {form}; this program reads {FORMAT}")
     if len(packed) != length:
-        raise BadSnapshot(f"it has {len(packed)} of {length} bytes")
+        raise CorruptSnapshot(f"it has {len(packed)} of {length} bytes")
     if xxhash.xxh64_intdigest(packed) != digest:
-        raise BadSnapshot("its checksum is wrong")
+        raise CorruptSnapshot("its checksum is wrong")
     try:
         return zstandard.ZstdDecompressor().decompress(packed, max_output_size=MOST)
     except zstandard.ZstdError as wrong:
-        raise BadSnapshot(f"it can't be unpacked: {wrong}") from None
+        raise CorruptSnapshot(f"it can't be unpacked: {wrong}") from None
 
 
-class Store:
-    """One folder. `lock` first (raises Locked); `save` raises OSError and leaves what was; `load` never
+class SnapshotStore:
+    """One folder. `lock` first (raises FolderLocked); `save` raises OSError and leaves what was; `load` never
     raises.
     """
 
@@ -94,7 +94,7 @@
         self.folder, self.disk, self.owner = Path(folder), disk or Disk(), None
 
     def lock(self):
-        """Makes the folder if need be and takes it for this process. Raises Locked, OSError."""
+        """Makes the folder if need be and takes it for this process. Raises FolderLocked, OSError."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.owner = os.open(self.folder / "owner", os.O_RDWR | os.O_CREAT, 0o644)
         try:
@@ -103,7 +103,7 @@
             who = os.pread(self.owner, 64, 0).decode("ascii", "replace").strip() or "unknown"
             os.close(self.owner)
             self.owner = None
-            raise Locked(
+            raise FolderLocked(
                 f"{self.folder} is in use by process {who}: two controllers can't share a state folder"
             ) from None
         os.ftruncate(self.owner, 0)
@@ -114,21 +114,21 @@
             os.close(self.owner)
             self.owner = None
 
-    def numbers(self):
+    def generations(self):
         """Numbers of the snapshots there, oldest first."""
         try:
             return sorted(int(p.stem[5:]) for p in self.folder.glob("list-*.snap") if p.stem[5:].isdigit())
         except OSError:
             return []
 
-    def path(self, number):
+    def path_of(self, number):
         return self.folder / f"list-{number:012d}.snap"
 
     def save(self, body):
         """The body becomes the newest snapshot. After a crash at any point the newest good one is the old or
         the new.
         """
-        numbers, disk = self.numbers(), self.disk
+        numbers, disk = self.generations(), self.disk
         number = (numbers[-1] if numbers else 0) + 1
         aside = self.folder / "next.tmp"
         file = disk.create(aside)
@@ -137,11 +137,11 @@
             disk.flush(file)
         finally:
             disk.close(file)
-        disk.rename(aside, self.path(number))
+        disk.rename(aside, self.path_of(number))
         disk.flush_folder(self.folder)
         for old in numbers[: max(0, len(numbers) + 1 - GENERATIONS)]:
             with suppress(OSError):  # one file too many does no harm
-                disk.remove(self.path(old))
+                disk.remove(self.path_of(old))
         return number
 
     def load(self, read=lambda body: body):
@@ -149,8 +149,8 @@
         ValueError.
         """
         passed = []
-        for number in reversed(self.numbers()):
-            path = self.path(number)
+        for number in reversed(self.generations()):
+            path = self.path_of(number)
             try:
                 return read(unpack(path.read_bytes())), passed
             except (OSError, ValueError) as wrong:
--- a/embertray/controller/core/desk.py
+++ b/embertray/controller/core/desk.py
@@ -23,7 +23,7 @@
         self.instance = core(site, me, seed, now, chance)
         self.held, self.told = {}, False  # proxies that are left with their tables: name -> Hello
         verdict = self.trust.begin(now, snapshot, *times)
-        clock = snapshot.clock + (Trust.since(snapshot, *times) or 0) if snapshot else 0
+        clock = snapshot.inventory_clock + (Trust.since(snapshot, *times) or 0) if snapshot else 0
         self.heard_clock = clock, now
         self.instance.news(now, "cached", clock, verdict.entries)
 
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -26,7 +26,7 @@
 
 from collections import namedtuple
 
-from embertray.common.snapshots.snapshot import KeptEntry, Snapshot
+from embertray.common.snapshots.snapshot import Snapshot, SnapshotEntry
 from embertray.controller.endpoint_list.messages import Listed
 
 S = 10**9
@@ -96,22 +96,22 @@
         for kept in snapshot.entries:
             age = (
                 None
-                if since is None or kept.confirmed > snapshot.wall + AHEAD
-                else (since + max(0, snapshot.wall - kept.confirmed))
+                if since is None or kept.confirmed > snapshot.wall_clock + AHEAD
+                else (since + max(0, snapshot.wall_clock - kept.confirmed))
             )
             doubt = kept.state == "ready" and (age is None or age > FRESH)
             entry = Listed(kept.backend, kept.zone, kept.state, kept.started, kept.nominal)
             self.known[kept.backend] = Known(entry, age, doubt, kept.confirmed)
             if not doubt:
                 entries.append(entry)
-        self.clock = snapshot.clock + (since or 0)
+        self.clock = snapshot.inventory_clock + (since or 0)
         self.candidates = sum(k.doubt for k in self.known.values())
         if any(k.entry.state == "draining" for k in self.known.values()):
             self.patience = min(PATIENCE, self.grace // 2)
         ages = [k.age for k in self.known.values()]
         self.age = None if not ages or None in ages else max(ages)
-        for kept in snapshot.gone:
-            if since is None or since + max(0, snapshot.wall - kept.confirmed) < KEEP_GONE:
+        for kept in snapshot.removed:
+            if since is None or since + max(0, snapshot.wall_clock - kept.confirmed) < KEEP_GONE:
                 self.gone[kept.backend] = kept.started, now
         return Verdict("cached", entries, False)
 
@@ -119,9 +119,9 @@
     def since(snapshot, wall, boot, mono):
         """ns since the snapshot. Within one boot of one machine the boot's own clock tells, which nobody
         sets; else the wall clock, and if that is behind the snapshot it was set back: not known."""
-        if boot and boot == snapshot.boot and mono >= snapshot.mono:
-            return mono - snapshot.mono
-        return wall - snapshot.wall if wall >= snapshot.wall else None
+        if boot and boot == snapshot.boot_id and mono >= snapshot.boot_clock:
+            return mono - snapshot.boot_clock
+        return wall - snapshot.wall_clock if wall >= snapshot.wall_clock else None
 
     @staticmethod
     def as_cold(entry, clock):
@@ -316,7 +316,7 @@
             boot,
             mono,
             [
-                KeptEntry(
+                SnapshotEntry(
                     backend,
                     k.entry.zone,
                     k.entry.state,
@@ -327,7 +327,7 @@
                 for backend, k in self.known.items()
             ],
             [
-                KeptEntry(backend, "-", "gone", started, wall - max(0, now - at))
+                SnapshotEntry(backend, "-", "gone", started, wall - max(0, now - at))
                 for backend, (started, at) in self.gone.items()
             ],
         )
--- a/embertray/experiments/measure/snapshots.py
+++ b/embertray/experiments/measure/snapshots.py
@@ -9,7 +9,7 @@
 import msgspec
 import numpy as np
 
-from embertray.common.snapshots import Kept, KeptEntry, Snapshot
+from embertray.common.snapshots import DurableSnapshots, Snapshot, SnapshotEntry
 
 from .fleet import part
 
@@ -23,7 +23,7 @@
     )
     for count in (92, 1000, 10_000):
         entries = [
-            KeptEntry(
+            SnapshotEntry(
                 f"127.{rng.integers(256)}.{rng.integers(256)}.{rng.integers(1, 255)}"
                 f":{rng.integers(1024, 65536)}",
                 f"zone-{n % 3}",
@@ -35,7 +35,7 @@
         ]
         snapshot = Snapshot(7, 5, 1_764_000_000_000_000_000, "boot", 1, entries)
         with tempfile.TemporaryDirectory(dir=sys.argv[1] if len(sys.argv) > 1 else None) as folder:
-            kept = Kept(folder)
+            kept = DurableSnapshots(folder)
             writes, quick, reads = [], [], []
             for times, disk_flush in ((writes, True), (quick, False)):
                 if not disk_flush:
@@ -48,7 +48,7 @@
                 began = time.perf_counter()
                 kept.load()
                 reads.append(time.perf_counter() - began)
-            size = kept.store.path(kept.store.numbers()[-1]).stat().st_size
+            size = kept.store.path_of(kept.store.generations()[-1]).stat().st_size
         print(
             f"| {count} | {size} | {len(msgspec.msgpack.encode(snapshot))} | "
             f"{part(writes, 0.5) * 1000:.2f} | "
--- a/embertray/experiments/measure/timed.py
+++ b/embertray/experiments/measure/timed.py
@@ -12,7 +12,7 @@
 
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.common.snapshots.snapshot import InMemorySnapshots
 from embertray.controller.stream.session import ControllerEnd
 from embertray.policy import Controller
 from embertray.service.daemon import proxies as streams
@@ -38,7 +38,7 @@
 
 async def run(site, name):
     service = Service(
-        site, site.controller(name), LoopClock(), TcpNet(), KeptInMemory(), 1, lambda: 0.5, quiet()
+        site, site.controller(name), LoopClock(), TcpNet(), InMemorySnapshots(), 1, lambda: 0.5, quiet()
     )
 
     class Status:
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -72,7 +72,7 @@
             self.log.error("a snapshot can't be used", file=name, why=why)
         now = self.clock.now()
         self.desk = desk = Desk(
-            self.site, self.me, self.seed, now, self.chance, snapshot, self.kept.times(), *self.make
+            self.site, self.me, self.seed, now, self.chance, snapshot, self.kept.clock_reading(), *self.make
         )
         self.instance, self.trust, self.admission = desk.instance, desk.trust, desk.admission
         self.log.info("started", list=self.trust.why(now))
--- a/embertray/service/daemon/snapshots.py
+++ b/embertray/service/daemon/snapshots.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.common.snapshots.snapshot import CONFIRM, EVERY
+from embertray.common.snapshots.snapshot import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
 
 
 class SnapshotWriter:
@@ -14,15 +14,15 @@
     async def run(self):
         """Snapshots: soon after each change, and now and then while the list stands confirmed."""
         while True:
-            with anyio.move_on_after(CONFIRM / 1e9):
+            with anyio.move_on_after(CONFIRMATION_PERIOD_NS / 1e9):
                 await self.due.wait()
             self.due = anyio.Event()
             if not self.host.list.connected or not self.host.trust.spoken:
                 continue
             now = self.host.clock.now()
-            snapshot = self.host.desk.snapshot(now, self.host.kept.times())
+            snapshot = self.host.desk.snapshot(now, self.host.kept.clock_reading())
             try:
-                if self.host.kept.waits:
+                if self.host.kept.blocking:
                     await anyio.to_thread.run_sync(self.host.kept.save, snapshot)
                 else:
                     self.host.kept.save(snapshot)
@@ -30,4 +30,4 @@
             except OSError as wrong:
                 self.host.counted["save_fails"] += 1
                 self.host.log.warning("the list is not kept; what was kept before stands", why=str(wrong))
-            await self.host.clock.sleep_until(now + EVERY)
+            await self.host.clock.sleep_until(now + SNAPSHOT_PERIOD_NS)
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -18,7 +18,7 @@
 
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.common.snapshots.snapshot import InMemorySnapshots
 from embertray.controller.core import Instance
 from embertray.service.admin.client import ask
 from embertray.service.daemon import Service
@@ -153,7 +153,7 @@
                     churn.site.controllers[0],
                     clock,
                     net,
-                    KeptInMemory(clock),
+                    InMemorySnapshots(clock),
                     seed,
                     churn.streams.of("cuts").random,
                     quiet(),
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,6 +1,6 @@
 """A controller without streams: the daemon's desk, its pump and the list's client as planned calls."""
 
-from embertray.common.snapshots.snapshot import CONFIRM, EVERY
+from embertray.common.snapshots.snapshot import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
 from embertray.controller.channel.outlet import PROBE_WITHIN
 from embertray.controller.core import Desk
 from embertray.controller.endpoint_list.follow import Follow
@@ -20,7 +20,7 @@
             now,
             chance,
             snapshot,
-            kept.times(),
+            kept.clock_reading(),
             *simulation.make,
         )
         self.follow, self.line, self.streams = Follow(name, chance), None, {}
@@ -31,9 +31,9 @@
             None,
             now - simulation.site.tick,
         )
-        self.save_at, self.saved = None, now - EVERY
+        self.save_at, self.saved = None, now - SNAPSHOT_PERIOD_NS
         self.poke()
-        self.plan_save(now + CONFIRM)
+        self.plan_save(now + CONFIRMATION_PERIOD_NS)
         if not simulation.site.ask:
             simulation.engine.at(now + self.follow.first(bool(self.desk.trust.known)), self.dial_list)
 
@@ -160,7 +160,7 @@
         again = self.desk.news(now, how, getattr(message, "epoch", 0), getattr(message, "clock", 0), entries)
         self.poke()
         if how != "failed":
-            self.plan_save(max(now, self.saved + EVERY))
+            self.plan_save(max(now, self.saved + SNAPSHOT_PERIOD_NS))
         if again:
             self.ask_list(True)
 
@@ -174,6 +174,6 @@
             return
         now, self.save_at = self.simulation.engine.time, None
         if self.line is not None and self.desk.trust.spoken and not self.frozen:
-            self.kept.save(self.desk.snapshot(now, self.kept.times()))
+            self.kept.save(self.desk.snapshot(now, self.kept.clock_reading()))
             self.saved = now
-        self.plan_save(now + CONFIRM)
+        self.plan_save(now + CONFIRMATION_PERIOD_NS)
--- a/embertray/simulation/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -1,6 +1,6 @@
 """The controllers of a day by name."""
 
-from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.common.snapshots.snapshot import InMemorySnapshots
 from embertray.simulation.scenarios.starts import Starts
 from embertray.simulation.standins.aged import age_in_memory
 
@@ -19,7 +19,7 @@
             wall = staticmethod(lambda: clock.simulation.engine.time)
 
         for me in simulation.site.controllers[: int(simulation.day.fleet["controllers"])]:
-            self.at[me.name], self.kept[me.name] = me, KeptInMemory(Wall)
+            self.at[me.name], self.kept[me.name] = me, InMemorySnapshots(Wall)
 
     async def up(self, name):
         if name not in self.running:
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.common.snapshots.snapshot import InMemorySnapshots
 from embertray.controller.core import Instance
 from embertray.controller.trust import Trust
 from embertray.service.daemon import Service
@@ -29,7 +29,7 @@
         self.stage = stage
         for me in stage.site.controllers[: int(stage.day.fleet["controllers"])]:
             self.at[me.name] = replace(me, listen="127.0.0.1:0", admin="127.0.0.1:0")
-            self.kept[me.name] = KeptInMemory(self.clock)
+            self.kept[me.name] = InMemorySnapshots(self.clock)
             await self.up(me.name)
 
     async def up(self, name):
--- a/embertray/simulation/standins/aged.py
+++ b/embertray/simulation/standins/aged.py
@@ -2,35 +2,35 @@
 
 from msgspec import structs
 
-from embertray.common.snapshots.snapshot import Kept, Snapshot
+from embertray.common.snapshots.snapshot import DurableSnapshots, Snapshot
 
 
 def older(last, by):
     """A snapshot as if it had been written so much (ns) before, in another boot."""
     return Snapshot(
         last.epoch,
-        last.clock,
-        last.wall - by,
+        last.inventory_clock,
+        last.wall_clock - by,
         "",
         0,
         [structs.replace(e, confirmed=e.confirmed - by) for e in last.entries],
-        last.gone,
+        last.removed,
     )
 
 
 def age_in_memory(kept, by, from_start):
     """What is kept becomes so much older (ns); or is what was kept first, before all that happened since."""
-    last = kept.first if from_start else kept.last
+    last = kept.first_saved if from_start else kept.last_saved
     if last is not None:
-        kept.last = older(last, by)
+        kept.last_saved = older(last, by)
 
 
 def age_on_disk(folder, by, from_start):
     """The same in a state folder; the first is the first that is still there, of the few that are kept."""
-    kept = Kept(folder)
-    numbers = kept.store.numbers()
+    kept = DurableSnapshots(folder)
+    numbers = kept.store.generations()
     for number in numbers[1:] if from_start else ():
-        kept.store.path(number).unlink()
+        kept.store.path_of(number).unlink()
     last, _ = kept.load()
     if last is not None:
         kept.save(older(last, by))
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -15,8 +15,8 @@
 
 from embertray.common.net.address import BadAddress, loopback
 from embertray.common.net.tcp import TcpNet
-from embertray.common.snapshots import Kept, KeptEntry, Snapshot
-from embertray.common.snapshots.snapshot import KeptInMemory
+from embertray.common.snapshots import DurableSnapshots, Snapshot, SnapshotEntry
+from embertray.common.snapshots.snapshot import InMemorySnapshots
 from embertray.controller.channel.outlet import OLDEST
 from embertray.controller.stream.messages import Answer, Bind, Fault, Orders, Welcome
 from embertray.controller.stream.session import ProxyEnd, Refused
@@ -74,7 +74,14 @@
             self.inventory.list(f"127.0.0.1:900{n}", "north")
         site = load(SITES / "samples" / "pushed.xml").at(inventory=self.inventory.address, **self.facts)
         self.service = Service(
-            site, site.controllers[0], self.clock, self.net, KeptInMemory(self.clock), 1, lambda: 0.5, quiet()
+            site,
+            site.controllers[0],
+            self.clock,
+            self.net,
+            InMemorySnapshots(self.clock),
+            1,
+            lambda: 0.5,
+            quiet(),
         )
         await self.group.start(self.service.run)
         return self
@@ -308,11 +315,13 @@
     def test_serves_from_its_last_list_without_an_inventory_and_stops_on_sigterm(self):
         with tempfile.TemporaryDirectory() as folder:
             folder = Path(folder)
-            kept = Kept(folder / "list")
+            kept = DurableSnapshots(folder / "list")
             kept.open()
-            wall, boot, mono = kept.times()
+            wall, boot, mono = kept.clock_reading()
             kept.save(
-                Snapshot(4, 5 * S, wall, boot, mono, [KeptEntry("127.0.0.1:9000", "north", "ready", 0, wall)])
+                Snapshot(
+                    4, 5 * S, wall, boot, mono, [SnapshotEntry("127.0.0.1:9000", "north", "ready", 0, wall)]
+                )
             )
             kept.close()
             text = (SITES / "samples" / "pushed.xml").read_text()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,7 +10,14 @@
 
 from hypothesis import given, strategies as st
 
-from embertray.common.snapshots import Disk, Kept, KeptEntry, Locked, Snapshot, Store
+from embertray.common.snapshots import (
+    Disk,
+    DurableSnapshots,
+    FolderLocked,
+    Snapshot,
+    SnapshotEntry,
+    SnapshotStore,
+)
 from embertray.common.snapshots.store import GENERATIONS, HEAD, MAGIC, pack
 from embertray.controller.endpoint_list.follow import Follow
 from embertray.controller.endpoint_list.messages import Listed
@@ -63,16 +70,16 @@
         self.box = tempfile.TemporaryDirectory()
         self.folder = Path(self.box.name) / "state"
         self.addCleanup(self.box.cleanup)
-        Store(self.folder).folder.mkdir()
+        SnapshotStore(self.folder).folder.mkdir()
 
     def fill(self, count=GENERATIONS):
         for n in range(count):
-            Store(self.folder).save(b"body %d" % n)
+            SnapshotStore(self.folder).save(b"body %d" % n)
 
     def test_the_newest_counts_and_few_are_kept(self):
         self.fill(7)
-        self.assertEqual(Store(self.folder).load(), (b"body 6", []))
-        self.assertEqual(len(Store(self.folder).numbers()), GENERATIONS)
+        self.assertEqual(SnapshotStore(self.folder).load(), (b"body 6", []))
+        self.assertEqual(len(SnapshotStore(self.folder).generations()), GENERATIONS)
 
     def test_power_cut_at_every_system_call(self):
         """The list is the old one or the new one, whole; and the next writer goes on."""
@@ -81,15 +88,15 @@
             self.fill()
             disk = FailingDisk(points + 1)
             try:
-                Store(self.folder, disk).save(b"new")
+                SnapshotStore(self.folder, disk).save(b"new")
                 saves += 1
             except Stop:
                 pass
-            body, passed = Store(self.folder).load()
+            body, passed = SnapshotStore(self.folder).load()
             self.assertIn(body, (b"body 2", b"new"))
             self.assertEqual(passed, [])
-            Store(self.folder).save(b"later")
-            self.assertEqual(Store(self.folder).load()[0], b"later")
+            SnapshotStore(self.folder).save(b"later")
+            self.assertEqual(SnapshotStore(self.folder).load()[0], b"later")
             if saves:
                 break
             points += 1
@@ -100,13 +107,13 @@
             for at in range(1, 6):
                 self.fill()
                 with self.assertRaises(OSError):
-                    Store(self.folder, FailingDisk(at, error)).save(b"new")
-                self.assertIn(Store(self.folder).load()[0], (b"body 2", b"new"))
+                    SnapshotStore(self.folder, FailingDisk(at, error)).save(b"new")
+                self.assertIn(SnapshotStore(self.folder).load()[0], (b"body 2", b"new"))
 
     @given(st.data())
     def test_a_flipped_bit_or_a_cut_gives_the_older_and_says_why(self, data):
         self.fill()
-        path = Store(self.folder).path(Store(self.folder).numbers()[-1])
+        path = SnapshotStore(self.folder).path_of(SnapshotStore(self.folder).generations()[-1])
         good = path.read_bytes()
         at = data.draw(st.integers(0, len(good) * 8 - 1))
         bad = bytearray(good)
@@ -115,7 +122,7 @@
         else:
             del bad[at // 8 :]
         path.write_bytes(bytes(bad))
-        body, passed = Store(self.folder).load()
+        body, passed = SnapshotStore(self.folder).load()
         self.assertEqual(body, b"body 1")
         self.assertEqual([name for name, _ in passed], [path.name])
         self.assertTrue(passed[0][1])
@@ -123,16 +130,16 @@
     def test_a_newer_format_and_strange_files(self):
         self.fill()
         newer = HEAD.pack(MAGIC, 2, 0, 0)
-        Store(self.folder).path(99).write_bytes(newer)
+        SnapshotStore(self.folder).path_of(99).write_bytes(newer)
         (self.folder / "list-abc.snap").write_bytes(b"?")
         (self.folder / "next.tmp").write_bytes(b"half")
-        body, passed = Store(self.folder).load()
+        body, passed = SnapshotStore(self.folder).load()
         self.assertEqual(body, b"body 2")
         self.assertIn("format 2", passed[0][1])
-        self.assertEqual(Store(self.folder / "nowhere").load(), (None, []))
+        self.assertEqual(SnapshotStore(self.folder / "nowhere").load(), (None, []))
 
     def test_content_that_is_none_of_ours(self):
-        kept = Kept(self.folder)
+        kept = DurableSnapshots(self.folder)
         kept.store.save(b"not a snapshot")
         found, passed = kept.load()
         self.assertIsNone(found)
@@ -140,9 +147,9 @@
         self.assertGreater(len(pack(b"x" * 10**6)), HEAD.size)
 
     def test_two_on_one_folder_the_second_is_refused(self):
-        first, second = Store(self.folder), Store(self.folder)
+        first, second = SnapshotStore(self.folder), SnapshotStore(self.folder)
         first.lock()
-        with self.assertRaises(Locked) as caught:
+        with self.assertRaises(FolderLocked) as caught:
             second.lock()
         self.assertIn(str(os.getpid()), str(caught.exception))
         first.unlock()
@@ -154,7 +161,7 @@
         finished.
         """
         text = (
-            "import sys; from embertray.common.snapshots import Store\ns = Store(sys.argv[1]); n = "
+            "import sys; from embertray.common.snapshots import SnapshotStore\ns = SnapshotStore(sys.argv[1]); n = "
             "int((s.load()[0] or b'0'))\n"
             "print(n, flush=True)\nwhile True:\n    n += 1; s.save(b'%d' % n); print(n, flush=True)"
         )
@@ -184,7 +191,7 @@
         wall,
         "boot",
         100 * S,
-        [KeptEntry(name, "z", more.get("state", "ready"), 0, wall - ages) for name in names],
+        [SnapshotEntry(name, "z", more.get("state", "ready"), 0, wall - ages) for name in names],
         more.get("gone", []),
     )
 
@@ -295,7 +302,7 @@
         self.assertEqual(sorted(trust.gone), ["c", "d"])
 
     def test_a_lagging_one_takes_nobody_away_and_brings_nobody_back(self):
-        gone = [KeptEntry("old", "z", "gone", 0, 1000 * S)]
+        gone = [SnapshotEntry("old", "z", "gone", 0, 1000 * S)]
         trust = Trust(4 * S)
         trust.begin(0, snapshot("abcdefgh", gone=gone), 1100 * S, "x", 0)
         verdict = trust.news(S, "whole", 3, listed(["a", "b", "old", "new"]))
