--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -45,7 +45,7 @@
     from embertray.cluster.replication.link.replica_server import StateNotSaved
     from embertray.common.net.clock import LoopClock
     from embertray.common.net.tcp import TcpNet
-    from embertray.common.snapshots import FolderLocked
+    from embertray.common.snapshots import FolderLockedError
     from embertray.service.daemon.control import ReplicaProcess
 
     description, me = _replica_of(site, name)
@@ -59,7 +59,7 @@
 
     try:
         anyio.run(run, backend_options={"use_uvloop": True})
-    except* (OSError, FolderLocked) as wrong:
+    except* (OSError, FolderLockedError) as wrong:
         raise Bad(f"{site}: {_first(wrong)}") from None
     except* StateNotSaved as wrong:
         raise click.ClickException(f"the state can't be saved: {_first(wrong)}") from None
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -53,8 +53,7 @@
     """Run one controller of SITE.xml until SIGTERM or SIGINT."""
     from embertray.common.net.clock import LoopClock
     from embertray.common.net.tcp import TcpNet
-    from embertray.common.snapshots import DurableSnapshots, FolderLocked
-    from embertray.common.snapshots.snapshot import InMemorySnapshots
+    from embertray.common.snapshots import DurableSnapshots, FolderLockedError, InMemorySnapshots
     from embertray.service.daemon import Service
 
     description = read_site(site)
@@ -82,7 +81,7 @@
 
     try:
         anyio.run(run, backend_options={"use_uvloop": loop == "uvloop"})
-    except* (OSError, FolderLocked) as wrong:
+    except* (OSError, FolderLockedError) as wrong:
         raise Bad(f"{site}: {wrong.exceptions[0]}") from None
 
 
--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -94,7 +94,7 @@
 
     async def run(self, *, task_status: TaskStatus = anyio.TASK_STATUS_IGNORED):
         """Runs until `stop`; started with its two addresses, for replicas and for subscribers. Raises
-        FolderLocked, OSError, StateNotSaved."""
+        FolderLockedError, OSError, StateNotSaved."""
         state, newest = self._open()
         try:
             await self._run(state, newest, task_status)
--- a/embertray/cluster/replication/link/saved.py
+++ b/embertray/cluster/replication/link/saved.py
@@ -30,7 +30,7 @@
         self._decoder = msgspec.msgpack.Decoder(kind)
 
     def open(self):
-        """Takes the folder for this process. Raises FolderLocked, OSError."""
+        """Takes the folder for this process. Raises FolderLockedError, OSError."""
         self.store.lock()
 
     def close(self):
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -100,7 +100,7 @@
     # ---- tasks
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
-        """Until cancelled. Raises FolderLocked, OSError for the folder."""
+        """Until cancelled. Raises FolderLockedError, OSError for the folder."""
         state = self._open()
         try:
             self._begin(state)
--- a/embertray/common/snapshots/__init__.py
+++ b/embertray/common/snapshots/__init__.py
@@ -1,6 +1,29 @@
-"""What must outlive a process: whole, checked snapshots in a folder that one controller owns."""
+"""Durable snapshots: checked, numbered files in a state folder that one process owns.
 
-from .snapshot import DurableSnapshots, Snapshot, SnapshotEntry
-from .store import Disk, FolderLocked, SnapshotStore
+`store` knows files and generations of bytes, `snapshot` the endpoint list that a controller saves in them.
+"""
 
-__all__ = ["Disk", "DurableSnapshots", "SnapshotEntry", "FolderLocked", "Snapshot", "SnapshotStore"]
+from .clocks import ClockReading
+from .disk import Disk
+from .durable import DurableSnapshots
+from .exceptions import CorruptSnapshotError, FolderLockedError, UnreadableSnapshotError
+from .in_memory import InMemorySnapshots
+from .snapshot import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS, Snapshot, SnapshotEntry
+from .store import LoadResult, SkippedFile, SnapshotStore
+
+__all__ = [
+    "CONFIRMATION_PERIOD_NS",
+    "SNAPSHOT_PERIOD_NS",
+    "ClockReading",
+    "CorruptSnapshotError",
+    "Disk",
+    "DurableSnapshots",
+    "FolderLockedError",
+    "InMemorySnapshots",
+    "LoadResult",
+    "SkippedFile",
+    "Snapshot",
+    "SnapshotEntry",
+    "SnapshotStore",
+    "UnreadableSnapshotError",
+]
--- a/embertray/common/snapshots/snapshot.py
+++ b/embertray/common/snapshots/snapshot.py
@@ -1,30 +1,31 @@
-"""What a controller keeps: the list, when each entry was last confirmed, and who lately went.
+"""What a controller saves: the endpoint list, when each entry was last confirmed, and who was lately removed.
 
-Not kept: tables (proxies hold them), learnt capacity and health (learnt anew within seconds, and wrong after
+Not saved: tables (proxies hold them), learnt capacity and health (learnt anew within seconds, and wrong after
 a replacement), withdrawals (removals are ordered anew from the list). docs/design/start.md gives the reasons.
 """
 
-import time
-from pathlib import Path
-
 import msgspec
 
 from embertray.common.fields import Name
 
-from .store import SnapshotStore
+from .exceptions import UnreadableSnapshotError
 
-# -- constants: value, unit, reason
-SNAPSHOT_PERIOD_NS = (
-    10**9
-)  # ns between two snapshots at the least: a deploy changes the list many times a second
-CONFIRMATION_PERIOD_NS = (
-    15 * 10**9
-)  # ns after which a list that stands is written anew, so that its age is known to that
+# Shortest time between two snapshots, ns: a deploy changes the list many times a second.
+SNAPSHOT_PERIOD_NS = 1 * 10**9
+# An unchanged list is saved again after this time, ns, so that its age is known to that precision.
+CONFIRMATION_PERIOD_NS = 15 * 10**9
 
 
 class SnapshotEntry(msgspec.Struct, array_like=True, frozen=True):
-    """`started` by the inventory's clock; `confirmed` by our wall clock: when the inventory last stood for
-    it.
+    """One backend of the saved list. The order of the fields is the file's.
+
+    Attributes:
+        backend: Its name.
+        zone: Its zone.
+        state: `ready`, `draining` or `gone`.
+        started: When it started, ns by the inventory's clock; 0: long ago.
+        confirmed: When the inventory last listed it, ns since 1970 by this machine's clock.
+        nominal: Nominal capacity, relative to other backends.
     """
 
     backend: Name
@@ -36,8 +37,16 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True):
-    """`clock`: the inventory's when it last spoke; `wall`, `boot`, `mono`: ours then (ns; boot id of the
-    system).
+    """The saved list. The order of the fields is the file's.
+
+    Attributes:
+        epoch: Version of the list.
+        inventory_clock: The inventory's clock when the snapshot was taken, ns.
+        wall_clock: Our wall clock then, ns since 1970.
+        boot_id: The system's name for its boot then; "" where it has none.
+        boot_clock: Time since that boot, ns.
+        entries: The backends.
+        removed: Backends that were lately removed: an older list must not bring them back.
     """
 
     epoch: int
@@ -46,74 +55,27 @@
     boot_id: str
     boot_clock: int
     entries: list[SnapshotEntry]
-    removed: list[SnapshotEntry] = []  # told gone lately: an older list must not bring them back
-
-
-class BadBody(ValueError):
-    pass
-
-
-def read(body):
-    try:
-        return msgspec.msgpack.decode(body, type=Snapshot)
-    except msgspec.DecodeError as wrong:
-        raise BadBody(f"its content can't be read: {wrong}") from None
-
-
-def boot_id():
-    """The system's name for this boot; "" where it tells none (ages then rest on the wall clock alone)."""
-    try:
-        return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
-    except OSError:
-        return ""
-
-
-class DurableSnapshots:
-    """Snapshots in a folder. `waits`: saving blocks, so it belongs in a thread."""
+    removed: list[SnapshotEntry] = []
 
-    blocking = True
 
-    def __init__(self, folder, disk=None):
-        self.store, self.boot = SnapshotStore(folder, disk), boot_id()
+def encode_snapshot(snapshot):
+    """Returns the bytes of a Snapshot."""
+    return msgspec.msgpack.encode(snapshot)
 
-    def open(self):
-        """Raises FolderLocked or OSError."""
-        self.store.lock()
 
-    def close(self):
-        self.store.unlock()
+def decode_snapshot(content):
+    """Reads a Snapshot.
 
-    def clock_reading(self):
-        """(wall, boot, mono) now."""
-        return time.time_ns(), self.boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+    Args:
+        content: Bytes from `encode_snapshot`.
 
-    def save(self, snapshot):
-        self.store.save(msgspec.msgpack.encode(snapshot))
+    Returns:
+        The Snapshot.
 
-    def load(self):
-        """(Snapshot or None, reasons)"""
-        return self.store.load(read)
-
-
-class InMemorySnapshots:
-    """The same for runs without a disk; `clock` as in net/clock.py, or None."""
-
-    blocking = False
-
-    def __init__(self, clock=None):
-        self.last_saved, self.first_saved, self.clock = None, None, clock
-
-    def open(self):
-        pass
-
-    def close(self):
-        pass
-
-    def clock_reading(self):
-        return (self.clock.wall(), "", 0) if self.clock else (time.time_ns(), "", 0)
-
-    def save(self, snapshot):
-        self.last_saved, self.first_saved = snapshot, self.first_saved or snapshot
-
-    def load(self):
-        return self.last_saved, []
+    Raises:
+        UnreadableSnapshotError: The bytes are no Snapshot.
+    """
+    try:
+        return msgspec.msgpack.decode(content, type=Snapshot)
+    except msgspec.DecodeError as error:
+        raise UnreadableSnapshotError(f"its content can't be read: {error}") from None
--- a/embertray/common/snapshots/store.py
+++ b/embertray/common/snapshots/store.py
@@ -1,158 +1,160 @@
-"""A folder of numbered snapshots: each is written aside, flushed, renamed, and the folder flushed; the newest
-good one counts.
+"""A state folder of numbered snapshots, of which the newest sound one counts.
 
-A file is `EMBERTRY`, a format number, the length and the xxhash of what follows, then that, compressed by
-zstandard. What is cut, flipped or of a newer format is passed over with its reason, and the next older is
-taken. Nothing is ever written over. docs/design/start.md compares this with a log, sqlite and lmdb.
+Each snapshot is written to a temporary file, flushed, renamed to the next generation, and the folder flushed.
+No generation is ever overwritten, so a crash at any point leaves the old or the new one complete. A file that
+is truncated, damaged or of a newer format is skipped with its reason, and the next older one is taken.
+docs/design/start.md compares this with a log, sqlite and lmdb.
 """
 
 import fcntl
 import os
-import struct
 from contextlib import suppress
 from pathlib import Path
+from typing import Any, NamedTuple
 
-import xxhash
-import zstandard
+from .disk import Disk
+from .exceptions import FolderLockedError
+from .file_format import decode_file, encode_file
 
-MAGIC, FORMAT = b"EMBERTRY", 1
-HEAD = struct.Struct(">8sHQQ")  # magic, format, length, xxh64 of the body
-MOST = 256 << 20  # bytes a body may unpack to: a length that a flipped bit made is not believed
-GENERATIONS = 3  # good files kept: the newest, and two to fall back on
-LEVEL = 3  # of zstandard: its default
+GENERATIONS_KEPT = 3  # files: the newest, and two to fall back on
+LOCK_FILE = "owner"  # holds the process id of the lock holder, as text
+LOCK_FILE_MODE = 0o644  # permission bits
+LOCK_HOLDER_BYTES = 64  # bytes of the lock file that are read for the message
+TEMPORARY_FILE = "next.tmp"
+PREFIX = "list-"
+SUFFIX = ".snap"
 
 
-class FolderLocked(RuntimeError):
-    """Another process owns the folder."""
+class SkippedFile(NamedTuple):
+    """A snapshot file that could not be used.
 
+    Attributes:
+        name: Its name in the state folder.
+        reason: Why it was skipped, in words.
+    """
 
-class CorruptSnapshot(ValueError):
-    pass
-
-
-class Disk:
-    """The system calls of a writer, one method each, so that tests can fail or stop at any of them."""
-
-    def create(self, path):
-        return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
-
-    def write(self, file, data):
-        while data:
-            data = data[os.write(file, data) :]
-
-    def flush(self, file):
-        os.fsync(file)
-
-    def close(self, file):
-        os.close(file)
-
-    def rename(self, old, new):
-        os.rename(old, new)
-
-    def flush_folder(self, path):
-        file = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
-        try:
-            os.fsync(file)
-        finally:
-            os.close(file)
-
-    def remove(self, path):
-        os.unlink(path)
+    name: str
+    reason: str
 
 
-def pack(body):
-    packed = zstandard.ZstdCompressor(level=LEVEL).compress(body)
-    return HEAD.pack(MAGIC, FORMAT, len(packed), xxhash.xxh64_intdigest(packed)) + packed
+class LoadResult(NamedTuple):
+    """What a state folder gave.
 
+    Attributes:
+        content: The newest readable content; None if there is none.
+        skipped: The newer files that were passed over, newest first.
+    """
 
-def unpack(data):
-    """The body of a file's bytes. Raises CorruptSnapshot with the reason."""
-    if len(data) < HEAD.size:
-        raise CorruptSnapshot(f"it has {len(data)} bytes, fewer than its head")
-    magic, form, length, digest = HEAD.unpack_from(data)
-    packed = data[HEAD.size :]
-    if magic != MAGIC:
-        raise CorruptSnapshot("it does not begin as a snapshot does")
-    if form != FORMAT:
-        raise CorruptSnapshot(f"it is of format {form}; this program reads {FORMAT}")
-    if len(packed) != length:
-        raise CorruptSnapshot(f"it has {len(packed)} of {length} bytes")
-    if xxhash.xxh64_intdigest(packed) != digest:
-        raise CorruptSnapshot("its checksum is wrong")
-    try:
-        return zstandard.ZstdDecompressor().decompress(packed, max_output_size=MOST)
-    except zstandard.ZstdError as wrong:
-        raise CorruptSnapshot(f"it can't be unpacked: {wrong}") from None
+    content: Any
+    skipped: list[SkippedFile]
 
 
 class SnapshotStore:
-    """One folder. `lock` first (raises FolderLocked); `save` raises OSError and leaves what was; `load` never
-    raises.
+    """The snapshots of one state folder. Call `lock` before `save`.
+
+    Args:
+        folder: Path of the folder; `lock` makes it if it is missing.
+        disk: A Disk; tests hand in one that fails.
     """
 
     def __init__(self, folder, disk=None):
-        self.folder, self.disk, self.owner = Path(folder), disk or Disk(), None
+        self.folder = Path(folder)
+        self.disk = disk or Disk()
+        self._lock_file = None  # file descriptor while the folder is locked
 
     def lock(self):
-        """Makes the folder if need be and takes it for this process. Raises FolderLocked, OSError."""
+        """Makes the folder if needed and takes it for this process.
+
+        The kernel drops the lock when the process ends, however it ends, so no stale lock can remain.
+
+        Raises:
+            FolderLockedError: Another process has it; the text names that process.
+            OSError: The folder can't be made or written.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.owner = os.open(self.folder / "owner", os.O_RDWR | os.O_CREAT, 0o644)
+        lock_file = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, LOCK_FILE_MODE)
         try:
-            fcntl.flock(self.owner, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            who = os.pread(self.owner, 64, 0).decode("ascii", "replace").strip() or "unknown"
-            os.close(self.owner)
-            self.owner = None
-            raise FolderLocked(
-                f"{self.folder} is in use by process {who}: two controllers can't share a state folder"
+            content = os.pread(lock_file, LOCK_HOLDER_BYTES, 0)
+            os.close(lock_file)
+            holder = content.decode("ascii", "replace").strip() or "unknown"
+            raise FolderLockedError(
+                f"{self.folder} is in use by process {holder}: two controllers can't share a state folder"
             ) from None
-        os.ftruncate(self.owner, 0)
-        os.pwrite(self.owner, f"{os.getpid()}\n".encode(), 0)
+        self._lock_file = lock_file
+        os.ftruncate(lock_file, 0)
+        os.pwrite(lock_file, f"{os.getpid()}\n".encode(), 0)
 
     def unlock(self):
-        if self.owner is not None:
-            os.close(self.owner)
-            self.owner = None
+        """Releases the folder, if this store holds it."""
+        if self._lock_file is not None:
+            os.close(self._lock_file)
+            self._lock_file = None
 
     def generations(self):
-        """Numbers of the snapshots there, oldest first."""
+        """Returns the numbers of the snapshots in the folder, oldest first; none if it can't be listed."""
         try:
-            return sorted(int(p.stem[5:]) for p in self.folder.glob("list-*.snap") if p.stem[5:].isdigit())
+            numbers = [path.stem.removeprefix(PREFIX) for path in self.folder.glob(f"{PREFIX}*{SUFFIX}")]
         except OSError:
             return []
+        return sorted(int(number) for number in numbers if number.isdigit())
+
+    def path_of(self, generation):
+        """Returns the path of a generation's file."""
+        return self.folder / f"{PREFIX}{generation:012d}{SUFFIX}"
 
-    def path_of(self, number):
-        return self.folder / f"list-{number:012d}.snap"
+    def save(self, content):
+        """Makes `content` the newest snapshot. Blocks until it is durable.
 
-    def save(self, body):
-        """The body becomes the newest snapshot. After a crash at any point the newest good one is the old or
-        the new.
+        Args:
+            content: Bytes.
+
+        Returns:
+            The number of the new generation.
+
+        Raises:
+            OSError: It could not be saved; the former snapshots stand.
+        """
+        generations = self.generations()
+        generation = (generations[-1] if generations else 0) + 1
+        temporary = self.folder / TEMPORARY_FILE
+        self._write(temporary, encode_file(content))
+        self.disk.rename(temporary, self.path_of(generation))
+        self.disk.flush_folder(self.folder)
+        self._remove_outdated(generations)
+        return generation
+
+    def load(self, decode=lambda content: content):
+        """Reads the newest sound snapshot. Never raises.
+
+        Args:
+            decode: Turns the content into what is wanted; may raise ValueError, and the next older file is
+                then tried.
+
+        Returns:
+            A LoadResult.
         """
-        numbers, disk = self.generations(), self.disk
-        number = (numbers[-1] if numbers else 0) + 1
-        aside = self.folder / "next.tmp"
-        file = disk.create(aside)
+        skipped = []
+        for generation in reversed(self.generations()):
+            path = self.path_of(generation)
+            try:
+                return LoadResult(decode(decode_file(path.read_bytes())), skipped)
+            except (OSError, ValueError) as error:
+                skipped.append(SkippedFile(path.name, str(error)))
+        return LoadResult(None, skipped)
+
+    def _write(self, path, data):
+        file = self.disk.create(path)
         try:
-            disk.write(file, pack(body))
-            disk.flush(file)
+            self.disk.write(file, data)
+            self.disk.flush(file)
         finally:
-            disk.close(file)
-        disk.rename(aside, self.path_of(number))
-        disk.flush_folder(self.folder)
-        for old in numbers[: max(0, len(numbers) + 1 - GENERATIONS)]:
-            with suppress(OSError):  # one file too many does no harm
-                disk.remove(self.path_of(old))
-        return number
+            self.disk.close(file)
 
-    def load(self, read=lambda body: body):
-        """(the newest body that can be read, [(file name, why it was passed over)]). `read` may raise
-        ValueError.
-        """
-        passed = []
-        for number in reversed(self.generations()):
-            path = self.path_of(number)
-            try:
-                return read(unpack(path.read_bytes())), passed
-            except (OSError, ValueError) as wrong:
-                passed.append((path.name, str(wrong)))
-        return None, passed
+    def _remove_outdated(self, generations):
+        """Removes all but the newest; `generations` are those from before the newest was written."""
+        outdated = max(0, len(generations) + 1 - GENERATIONS_KEPT)
+        for generation in generations[:outdated]:
+            with suppress(OSError):  # one file too many does no harm
+                self.disk.remove(self.path_of(generation))
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -26,7 +26,7 @@
 
 from collections import namedtuple
 
-from embertray.common.snapshots.snapshot import Snapshot, SnapshotEntry
+from embertray.common.snapshots import Snapshot, SnapshotEntry
 from embertray.controller.endpoint_list.messages import Listed
 
 S = 10**9
--- a/embertray/experiments/measure/timed.py
+++ b/embertray/experiments/measure/timed.py
@@ -12,7 +12,7 @@
 
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.common.snapshots.snapshot import InMemorySnapshots
+from embertray.common.snapshots import InMemorySnapshots
 from embertray.controller.stream.session import ControllerEnd
 from embertray.policy import Controller
 from embertray.service.daemon import proxies as streams
--- a/embertray/service/daemon/control.py
+++ b/embertray/service/daemon/control.py
@@ -34,7 +34,7 @@
         self.pages = ReplicaAdmin(self.server, {one.name: one.admin for one in control.replicas})
 
     async def run(self):
-        """Until `stop`. Raises FolderLocked, OSError, StateNotSaved."""
+        """Until `stop`. Raises FolderLockedError, OSError, StateNotSaved."""
         admin = await self.net.listen(self.me.admin)
         try:
             async with anyio.create_task_group() as group:
--- a/embertray/service/daemon/snapshots.py
+++ b/embertray/service/daemon/snapshots.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.common.snapshots.snapshot import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
+from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
 
 
 class SnapshotWriter:
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -18,7 +18,7 @@
 
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.common.snapshots.snapshot import InMemorySnapshots
+from embertray.common.snapshots import InMemorySnapshots
 from embertray.controller.core import Instance
 from embertray.service.admin.client import ask
 from embertray.service.daemon import Service
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,6 +1,6 @@
 """A controller without streams: the daemon's desk, its pump and the list's client as planned calls."""
 
-from embertray.common.snapshots.snapshot import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
+from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
 from embertray.controller.channel.outlet import PROBE_WITHIN
 from embertray.controller.core import Desk
 from embertray.controller.endpoint_list.follow import Follow
--- a/embertray/simulation/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -1,6 +1,6 @@
 """The controllers of a day by name."""
 
-from embertray.common.snapshots.snapshot import InMemorySnapshots
+from embertray.common.snapshots import InMemorySnapshots
 from embertray.simulation.scenarios.starts import Starts
 from embertray.simulation.standins.aged import age_in_memory
 
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from embertray.common.snapshots.snapshot import InMemorySnapshots
+from embertray.common.snapshots import InMemorySnapshots
 from embertray.controller.core import Instance
 from embertray.controller.trust import Trust
 from embertray.service.daemon import Service
--- a/embertray/simulation/standins/aged.py
+++ b/embertray/simulation/standins/aged.py
@@ -2,7 +2,7 @@
 
 from msgspec import structs
 
-from embertray.common.snapshots.snapshot import DurableSnapshots, Snapshot
+from embertray.common.snapshots import DurableSnapshots, Snapshot
 
 
 def older(last, by):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -15,8 +15,7 @@
 
 from embertray.common.net.address import BadAddress, loopback
 from embertray.common.net.tcp import TcpNet
-from embertray.common.snapshots import DurableSnapshots, Snapshot, SnapshotEntry
-from embertray.common.snapshots.snapshot import InMemorySnapshots
+from embertray.common.snapshots import DurableSnapshots, InMemorySnapshots, Snapshot, SnapshotEntry
 from embertray.controller.channel.outlet import OLDEST
 from embertray.controller.stream.messages import Answer, Bind, Fault, Orders, Welcome
 from embertray.controller.stream.session import ProxyEnd, Refused
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -13,12 +13,13 @@
 from embertray.common.snapshots import (
     Disk,
     DurableSnapshots,
-    FolderLocked,
+    FolderLockedError,
     Snapshot,
     SnapshotEntry,
     SnapshotStore,
 )
-from embertray.common.snapshots.store import GENERATIONS, HEAD, MAGIC, pack
+from embertray.common.snapshots.file_format import HEADER, MAGIC, encode_file
+from embertray.common.snapshots.store import GENERATIONS_KEPT
 from embertray.controller.endpoint_list.follow import Follow
 from embertray.controller.endpoint_list.messages import Listed
 from embertray.controller.trust import Trust
@@ -72,14 +73,14 @@
         self.addCleanup(self.box.cleanup)
         SnapshotStore(self.folder).folder.mkdir()
 
-    def fill(self, count=GENERATIONS):
+    def fill(self, count=GENERATIONS_KEPT):
         for n in range(count):
             SnapshotStore(self.folder).save(b"body %d" % n)
 
     def test_the_newest_counts_and_few_are_kept(self):
         self.fill(7)
         self.assertEqual(SnapshotStore(self.folder).load(), (b"body 6", []))
-        self.assertEqual(len(SnapshotStore(self.folder).generations()), GENERATIONS)
+        self.assertEqual(len(SnapshotStore(self.folder).generations()), GENERATIONS_KEPT)
 
     def test_power_cut_at_every_system_call(self):
         """The list is the old one or the new one, whole; and the next writer goes on."""
@@ -129,7 +130,7 @@
 
     def test_a_newer_format_and_strange_files(self):
         self.fill()
-        newer = HEAD.pack(MAGIC, 2, 0, 0)
+        newer = HEADER.pack(MAGIC, 2, 0, 0)
         SnapshotStore(self.folder).path_of(99).write_bytes(newer)
         (self.folder / "list-abc.snap").write_bytes(b"?")
         (self.folder / "next.tmp").write_bytes(b"half")
@@ -144,12 +145,12 @@
         found, passed = kept.load()
         self.assertIsNone(found)
         self.assertIn("content", passed[0][1])
-        self.assertGreater(len(pack(b"x" * 10**6)), HEAD.size)
+        self.assertGreater(len(encode_file(b"x" * 10**6)), HEADER.size)
 
     def test_two_on_one_folder_the_second_is_refused(self):
         first, second = SnapshotStore(self.folder), SnapshotStore(self.folder)
         first.lock()
-        with self.assertRaises(FolderLocked) as caught:
+        with self.assertRaises(FolderLockedError) as caught:
             second.lock()
         self.assertIn(str(os.getpid()), str(caught.exception))
         first.unlock()
@@ -161,8 +162,8 @@
         finished.
         """
         text = (
-            "import sys; from embertray.common.snapshots import SnapshotStore\ns = SnapshotStore(sys.argv[1]); n = "
-            "int((s.load()[0] or b'0'))\n"
+            "import sys; from embertray.common.snapshots import SnapshotStore\n"
+            "s = SnapshotStore(sys.argv[1]); n = int((s.load()[0] or b'0'))\n"
             "print(n, flush=True)\nwhile True:\n    n += 1; s.save(b'%d' % n); print(n, flush=True)"
         )
         newest = 0
