--- a/embertray/controller/endpoint_list/follow.py
+++ b/embertray/controller/endpoint_list/follow.py
@@ -3,7 +3,7 @@
 An answer that does not fit on the epoch held is not applied: half a list is never taken for a whole one.
 """
 
-from .messages import Failed, Get, News, Watch
+from .messages import ListRequest, RequestFailed, WatchEvent, WatchRequest
 
 S = 10**9
 # -- constants: value, unit, reason
@@ -16,7 +16,7 @@
 
 
 class Follow:
-    """The client's side. Verdicts: what to send, and News to hand on."""
+    """The client's side. Verdicts: what to send, and WatchEvent to hand on."""
 
     def __init__(self, name="", chance=lambda: 1.0):
         self.name, self.chance = name, chance
@@ -30,14 +30,14 @@
     def dialled(self, now):
         """The connection is up: the first thing to say on it."""
         self.waits_since = now
-        return Watch(self.epoch, True, self.name)
+        return WatchRequest(self.epoch, True, self.name)
 
     def asked(self, now, whole=False):
         """The list is wanted again; None while a call is under way: one at a time."""
         if self.waits_since is not None:
             return None
         self.waits_since = now
-        return Get() if whole else Watch(self.epoch, True, self.name)
+        return ListRequest() if whole else WatchRequest(self.epoch, True, self.name)
 
     def broke(self):
         """The connection is gone or a call failed; ns to wait before the next."""
@@ -52,11 +52,11 @@
         """('changes' | 'whole' | 'failed' | 'gap', entries). After a gap the whole list is to be asked
         for.
         """
-        if isinstance(message, Failed):
+        if isinstance(message, RequestFailed):
             self.fails += 1
             self.waits_since = None
             return "failed", []
-        assert isinstance(message, News)
+        assert isinstance(message, WatchEvent)
         if message.since and message.since != self.epoch:
             self.waits_since = None
             return "gap", []
--- a/embertray/controller/endpoint_list/messages.py
+++ b/embertray/controller/endpoint_list/messages.py
@@ -10,7 +10,7 @@
 from embertray.common.fields import Count, Message, Name, Time
 
 
-class Watch(Message, tag="watch"):
+class WatchRequest(Message, tag="watch"):
     """From now on changes are wanted; those after `since` first. since 0: the whole list."""
 
     since: Count = 0
@@ -18,11 +18,11 @@
     sender: Annotated[str, Meta(max_length=128)] = ""  # who asks, for the inventory's own records
 
 
-class Get(Message, tag="get"):
+class ListRequest(Message, tag="get"):
     """The whole list, once."""
 
 
-class Listed(Message):
+class EndpointEntry(Message):
     """One backend. `started` by the inventory's clock, ns; 0: long ago."""
 
     backend: Name
@@ -32,21 +32,21 @@
     nominal: Annotated[float, Meta(ge=0, le=1e9)] = 1.0
 
 
-class News(Message, tag="news"):
+class WatchEvent(Message, tag="news"):
     """Changes on top of epoch `since`, or the whole list (since = 0)."""
 
     epoch: Count
     since: Count
     clock: Time  # the inventory's clock when it sent this
-    entries: list[Listed]
+    entries: list[EndpointEntry]
 
 
-class Failed(Message, tag="failed"):
+class RequestFailed(Message, tag="failed"):
     """The call could not be answered: ask again later."""
 
     text: Annotated[str, Meta(max_length=512)] = ""
 
 
 encode = msgspec.msgpack.Encoder().encode
-read_ask = msgspec.msgpack.Decoder(Watch | Get).decode
-read_answer = msgspec.msgpack.Decoder(News | Failed).decode
+decode_request = msgspec.msgpack.Decoder(WatchRequest | ListRequest).decode
+decode_response = msgspec.msgpack.Decoder(WatchEvent | RequestFailed).decode
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -27,7 +27,7 @@
 from collections import namedtuple
 
 from embertray.common.snapshots import Snapshot, SnapshotEntry
-from embertray.controller.endpoint_list.messages import Listed
+from embertray.controller.endpoint_list.messages import EndpointEntry
 
 S = 10**9
 # -- constants: value, unit, reason
@@ -100,7 +100,7 @@
                 else (since + max(0, snapshot.wall_clock - kept.confirmed))
             )
             doubt = kept.state == "ready" and (age is None or age > FRESH)
-            entry = Listed(kept.backend, kept.zone, kept.state, kept.started, kept.nominal)
+            entry = EndpointEntry(kept.backend, kept.zone, kept.state, kept.started, kept.nominal)
             self.known[kept.backend] = Known(entry, age, doubt, kept.confirmed)
             if not doubt:
                 entries.append(entry)
@@ -125,7 +125,7 @@
 
     @staticmethod
     def as_cold(entry, clock):
-        return Listed(entry.backend, entry.zone, entry.state, max(clock, entry.started), entry.nominal)
+        return EndpointEntry(entry.backend, entry.zone, entry.state, max(clock, entry.started), entry.nominal)
 
     # ---- who is bound
 
@@ -192,7 +192,7 @@
                 known.out = True
                 if known.handed:
                     known.handed = False
-                    changes.append(Listed(backend, known.entry.zone, "gone"))
+                    changes.append(EndpointEntry(backend, known.entry.zone, "gone"))
         if not fresh and (tries >= REFUTED and bad > HELPLESS * tries or came and not tries):
             self.helpless.add(proxy)
         return changes
@@ -296,7 +296,7 @@
 
     def go(self, now, backends):
         """They are gone: the entries that say so."""
-        entries = [Listed(backend, self.known[backend].entry.zone, "gone") for backend in backends]
+        entries = [EndpointEntry(backend, self.known[backend].entry.zone, "gone") for backend in backends]
         for backend in backends:
             self.lose(now, backend)
         return entries
--- a/embertray/experiments/measure/capacity/entries.py
+++ b/embertray/experiments/measure/capacity/entries.py
@@ -7,7 +7,7 @@
 from embertray.common.framing import frame
 from embertray.common.memory.sizes import deep
 from embertray.controller.endpoint_list.follow import Follow
-from embertray.controller.endpoint_list.messages import Listed, News, encode, read_answer
+from embertray.controller.endpoint_list.messages import EndpointEntry, WatchEvent, decode_response, encode
 
 TURNS = 31  # readings of each; the median counts
 ZONES = 19
@@ -17,7 +17,7 @@
     """Entries as discovery tells them: an address, a zone, a start of its own."""
     chance = random.Random(1)
     return [
-        Listed(
+        EndpointEntry(
             f"127.{chance.randrange(256)}.{chance.randrange(256)}.{chance.randrange(1, 255)}:"
             f"{chance.randrange(1024, 65536)}",
             f"zone-{number % ZONES}",
@@ -31,17 +31,17 @@
 def reading(follow, payload):
     """Processor seconds to decode one answer and to take it in."""
     began = time.process_time()
-    follow.heard(read_answer(payload))
+    follow.heard(decode_response(payload))
     return time.process_time() - began
 
 
 def measure(count):
     entries, follow = listed(count), Follow()
-    whole = encode(News(1, 0, 2**60, entries))
+    whole = encode(WatchEvent(1, 0, 2**60, entries))
     whole_costs = [reading(follow, whole) for _ in range(TURNS)]
     change_costs = []
     for turn in range(TURNS):
-        change = encode(News(2 + turn, 1 + turn, 2**60, [entries[turn % count]]))
+        change = encode(WatchEvent(2 + turn, 1 + turn, 2**60, [entries[turn % count]]))
         change_costs.append(reading(follow, change))
     return {
         "list-bytes": len(frame(whole)),
--- a/embertray/service/daemon/inventory.py
+++ b/embertray/service/daemon/inventory.py
@@ -5,7 +5,7 @@
 
 from embertray.common.framing import BadFrame, Splitter, frame
 from embertray.controller.endpoint_list.follow import Follow
-from embertray.controller.endpoint_list.messages import encode as encode_ask, read_answer
+from embertray.controller.endpoint_list.messages import decode_response, encode as encode_request
 
 from .broken import BROKEN, S
 
@@ -50,14 +50,14 @@
         splitter = Splitter()
         async with anyio.create_task_group() as group:
             self.calls.clear()
-            await stream.send(frame(encode_ask(self.follow.dialled(self.host.clock.now()))))
+            await stream.send(frame(encode_request(self.follow.dialled(self.host.clock.now()))))
             self.connected = True
             group.start_soon(self.ask, stream)
             group.start_soon(self.overdue, stream)
             while True:
                 data = await stream.receive()
                 for payload in splitter.feed(data):
-                    message = read_answer(payload)
+                    message = decode_response(payload)
                     how, entries = self.follow.heard(message)
                     if how == "gap":
                         self.asked(True)
@@ -84,7 +84,7 @@
             self.ask_again = anyio.Event()
             calls, self.calls = self.calls, []
             if calls and (call := self.follow.asked(self.host.clock.now(), any(calls))):
-                await stream.send(frame(encode_ask(call)))
+                await stream.send(frame(encode_request(call)))
             await self.ask_again.wait()
 
     def asked(self, whole):
--- a/embertray/simulation/emulator/inventory.py
+++ b/embertray/simulation/emulator/inventory.py
@@ -1,6 +1,6 @@
 """The inventory without streams: news and answers are planned calls."""
 
-from embertray.controller.endpoint_list.messages import Failed, Watch
+from embertray.controller.endpoint_list.messages import RequestFailed, WatchRequest
 from embertray.simulation.models.inventory import Inventory
 
 
@@ -25,9 +25,9 @@
         if con.line is not line or line is None:
             return
         if self.down:
-            con.when_awake(con.heard, Failed("down"))
+            con.when_awake(con.heard, RequestFailed("down"))
             return
-        if isinstance(call, Watch):
+        if isinstance(call, WatchRequest):
             self.followers[con] = call.on
         if (news := self.answer(self.simulation.engine.time, call)) is not None:
             self.tell(con, news)
--- a/embertray/simulation/models/inventory.py
+++ b/embertray/simulation/models/inventory.py
@@ -1,6 +1,6 @@
 """An inventory without its sockets: what is listed, since when, and what a call is answered. Times in ns."""
 
-from embertray.controller.endpoint_list.messages import Get, Listed, News
+from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, WatchEvent
 
 
 class Inventory:
@@ -10,9 +10,9 @@
         self.entries, self.epoch, self.log, self.down = {}, 0, {}, False
 
     def change(self, name, zone, state, started):
-        """The truth changes now; gone: no longer listed. The Listed that watchers are told."""
+        """The truth changes now; gone: no longer listed. The EndpointEntry that watchers are told."""
         self.epoch += 1
-        entry = self.log[self.epoch] = Listed(name, zone, state, started)
+        entry = self.log[self.epoch] = EndpointEntry(name, zone, state, started)
         if state == "gone":
             self.entries.pop(name, None)
         else:
@@ -20,11 +20,11 @@
         return entry
 
     def news(self, now, since, entries):
-        return News(self.epoch, since, now, entries)
+        return WatchEvent(self.epoch, since, now, entries)
 
     def answer(self, now, call):
-        """The News that answers a Get or a Watch; None: there is nothing to tell."""
-        if isinstance(call, Get):
+        """The WatchEvent that answers a ListRequest or a WatchRequest; None: there is nothing to tell."""
+        if isinstance(call, ListRequest):
             return self.news(now, 0, list(self.entries.values()))
         if call.on and call.since and call.since in self.log and call.since <= self.epoch:
             latest = {self.log[n].backend: self.log[n] for n in range(call.since + 1, self.epoch + 1)}
--- a/embertray/simulation/processes/held.py
+++ b/embertray/simulation/processes/held.py
@@ -9,7 +9,7 @@
 
 from embertray.cluster.link.link import EXCHANGE_WITHIN
 from embertray.common.framing import Splitter
-from embertray.controller.endpoint_list.messages import News, read_answer
+from embertray.controller.endpoint_list.messages import WatchEvent, decode_response
 from embertray.service.site.site import time as span
 from embertray.simulation.claims.cluster import Claims
 from embertray.simulation.standins.aged import age_on_disk
@@ -178,7 +178,7 @@
     def passed(self, name, splitter, data):
         """Bytes of the list that reach a controller."""
         for payload in splitter.feed(data):
-            if isinstance(news := read_answer(payload), News):
+            if isinstance(news := decode_response(payload), WatchEvent):
                 self.stage.eyes.told(self.stage.clock.now(), name, news)
 
     def bent(self, at):
--- a/embertray/simulation/scenarios/troubles/lists.py
+++ b/embertray/simulation/scenarios/troubles/lists.py
@@ -1,6 +1,6 @@
 """An inventory that is down, short or behind."""
 
-from embertray.controller.endpoint_list.messages import Listed
+from embertray.controller.endpoint_list.messages import EndpointEntry
 
 from .base import Struck
 
@@ -38,7 +38,7 @@
         inventory = self.stage.inventory
         true, epoch = inventory.entries, inventory.epoch
         inventory.entries = {
-            backend.model.name: Listed(backend.model.name, backend.model.zone)
+            backend.model.name: EndpointEntry(backend.model.name, backend.model.zone)
             for backend in self.stage.backends[: int(self.fleet["backends"])]
         }
         inventory.epoch, inventory.log = 1, {}
--- a/embertray/simulation/standins/inventory.py
+++ b/embertray/simulation/standins/inventory.py
@@ -2,15 +2,15 @@
 
 import anyio
 
-from embertray.controller.endpoint_list.messages import Failed, Watch, encode, read_ask
+from embertray.controller.endpoint_list.messages import RequestFailed, WatchRequest, decode_request, encode
 from embertray.simulation.models.inventory import Inventory
 
 from .parts import Link
 
 
 class StandinInventory(Inventory):
-    """`on_news(now, sender, news)` for each News that goes to a controller's socket. Calls are answered after
-    `answers` ns; while `down` they fail and no change is told."""
+    """`on_news(now, sender, news)` for each WatchEvent that goes to a controller's socket. Calls are answered
+    after `answers` ns; while `down` they fail and no change is told."""
 
     def __init__(self, net, agenda, answers=0, on_news=None):
         super().__init__()
@@ -32,7 +32,9 @@
         if self.down:
             await stream.aclose()
             return
-        link = Link(stream, encode, read_ask, lambda m: self.on_call(link, m), lambda: self.forget(link))
+        link = Link(
+            stream, encode, decode_request, lambda m: self.on_call(link, m), lambda: self.forget(link)
+        )
         self.links[link] = False
         await link.run()
 
@@ -49,7 +51,7 @@
                     self.send(link, self.news(self.agenda.now(), self.epoch - 1, [entry]))
 
     def on_call(self, link, call):
-        if isinstance(call, Watch):
+        if isinstance(call, WatchRequest):
             self.names[link] = call.sender
         self.agenda.after(self.answers, self.reply, link, call)
 
@@ -57,9 +59,9 @@
         if link.over:
             return
         if self.down:
-            link.put(Failed("down"))
+            link.put(RequestFailed("down"))
             return
-        if isinstance(call, Watch):
+        if isinstance(call, WatchRequest):
             self.links[link] = call.on
         if (news := self.answer(self.agenda.now(), call)) is not None:
             self.send(link, news)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -23,7 +23,7 @@
 from embertray.controller.channel.outlet import MOST_BYTES, OLDEST, Outlet
 from embertray.controller.channel.pacer import BURST, Pacer
 from embertray.controller.endpoint_list.follow import Follow
-from embertray.controller.endpoint_list.messages import Failed, Get, Listed, News
+from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, RequestFailed, WatchEvent
 from embertray.controller.identifiers import Identifiers
 from embertray.controller.report_intake import Intake
 from embertray.controller.stream.holding import Holding
@@ -436,13 +436,15 @@
 class List(unittest.TestCase):
     def test_a_gap_is_never_applied(self):
         follow = Follow()
-        self.assertEqual(follow.heard(News(5, 0, 0, [Listed("a", "z"), Listed("b", "z")]))[0], "whole")
-        self.assertEqual(follow.heard(News(6, 5, 0, [Listed("a", "z", "gone")]))[0], "changes")
+        self.assertEqual(
+            follow.heard(WatchEvent(5, 0, 0, [EndpointEntry("a", "z"), EndpointEntry("b", "z")]))[0], "whole"
+        )
+        self.assertEqual(follow.heard(WatchEvent(6, 5, 0, [EndpointEntry("a", "z", "gone")]))[0], "changes")
         self.assertEqual(list(follow.held), ["b"])
-        self.assertEqual(follow.heard(News(9, 8, 0, [Listed("b", "z", "gone")])), ("gap", []))
+        self.assertEqual(follow.heard(WatchEvent(9, 8, 0, [EndpointEntry("b", "z", "gone")])), ("gap", []))
         self.assertEqual((follow.epoch, list(follow.held)), (6, ["b"]))
-        self.assertEqual(follow.asked(0, whole=True), Get())
-        self.assertEqual(follow.heard(Failed())[0], "failed")
+        self.assertEqual(follow.asked(0, whole=True), ListRequest())
+        self.assertEqual(follow.heard(RequestFailed())[0], "failed")
 
 
 class Sites(unittest.TestCase):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -21,7 +21,7 @@
 from embertray.common.snapshots.file_format import HEADER, MAGIC, encode_file
 from embertray.common.snapshots.store import GENERATIONS_KEPT
 from embertray.controller.endpoint_list.follow import Follow
-from embertray.controller.endpoint_list.messages import Listed
+from embertray.controller.endpoint_list.messages import EndpointEntry
 from embertray.controller.trust import Trust
 from embertray.controller.trust.trust import BEHIND, FRESH, KEEP_GONE, LATELY, PATIENCE, PROOF, SECOND
 from embertray.simulation.models.chance import Streams
@@ -198,7 +198,7 @@
 
 
 def listed(names, **more):
-    return [Listed(name, "z", **more) for name in names]
+    return [EndpointEntry(name, "z", **more) for name in names]
 
 
 class Worth(unittest.TestCase):
@@ -379,7 +379,7 @@
         trust.begin(0, snapshot("abc", epoch=6), 5000 * S, "x", 0)
         newest = 6
         for n, (name, state, started, epoch, whole) in enumerate(steps):
-            entry = Listed(name, "z", state, started)
+            entry = EndpointEntry(name, "z", state, started)
             if whole and state != "gone":
                 trust.news(n * S, "whole", epoch, [entry])
             else:
