--- a/embertray/controller/endpoint_list/__init__.py
+++ b/embertray/controller/endpoint_list/__init__.py
@@ -1,3 +1,6 @@
-"""The list of backends: its messages, the client that follows it, and the last list that outlives a
-process.
-"""
+"""The endpoint list: its messages, and the client that follows it without I/O."""
+
+from .follower import EndpointListFollower
+from .updates import ListUpdate, UpdateKind
+
+__all__ = ["EndpointListFollower", "ListUpdate", "UpdateKind"]
--- a/embertray/experiments/measure/capacity/entries.py
+++ b/embertray/experiments/measure/capacity/entries.py
@@ -6,7 +6,7 @@
 
 from embertray.common.framing import frame
 from embertray.common.memory.sizes import deep
-from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, WatchEvent, decode_response, encode
 
 TURNS = 31  # readings of each; the median counts
@@ -28,25 +28,25 @@
     ]
 
 
-def reading(follow, payload):
+def reading(follower, payload):
     """Processor seconds to decode one answer and to take it in."""
     began = time.process_time()
-    follow.heard(decode_response(payload))
+    follower.receive(decode_response(payload))
     return time.process_time() - began
 
 
 def measure(count):
-    entries, follow = listed(count), Follow()
+    entries, follower = listed(count), EndpointListFollower()
     whole = encode(WatchEvent(1, 0, 2**60, entries))
-    whole_costs = [reading(follow, whole) for _ in range(TURNS)]
+    whole_costs = [reading(follower, whole) for _ in range(TURNS)]
     change_costs = []
     for turn in range(TURNS):
         change = encode(WatchEvent(2 + turn, 1 + turn, 2**60, [entries[turn % count]]))
-        change_costs.append(reading(follow, change))
+        change_costs.append(reading(follower, change))
     return {
         "list-bytes": len(frame(whole)),
         "list-processor": median(whole_costs),
-        "list-memory": deep(follow.held),
+        "list-memory": deep(follower.entries),
         "change-bytes": len(frame(change)),
         "change-read-processor": median(change_costs),
     }
--- a/embertray/service/daemon/inventory.py
+++ b/embertray/service/daemon/inventory.py
@@ -4,7 +4,7 @@
 import msgspec
 
 from embertray.common.framing import BadFrame, Splitter, frame
-from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list import EndpointListFollower, UpdateKind
 from embertray.controller.endpoint_list.messages import decode_response, encode as encode_request
 
 from .broken import BROKEN, S
@@ -14,7 +14,7 @@
     """Of one `host`, a Service: its connection to the inventory."""
 
     def __init__(self, host, chance):
-        self.host, self.follow = host, Follow(host.me.name, chance)
+        self.host, self.follower = host, EndpointListFollower(host.me.name, chance)
         self.calls, self.ask_again, self.connected = [], anyio.Event(), False
 
     async def run(self):
@@ -22,7 +22,7 @@
         if self.host.site.ask:
             await self.ask_again.wait()  # the module says when
         await self.host.clock.sleep_until(
-            self.host.clock.now() + self.follow.first(bool(self.host.trust.known))
+            self.host.clock.now() + self.follower.initial_delay(bool(self.host.trust.known))
         )
         while True:
             try:
@@ -36,7 +36,7 @@
                 self.host.log.warning("inventory broke", why=str(first) or type(first).__name__)
             self.connected = False
             self.host.counted["list_breaks"] += 1
-            wait = self.follow.broke()
+            wait = self.follower.connection_failed()
             if self.host.site.ask:  # the module decides when to ask again
                 self.host.desk.hand_on(self.host.clock.now(), "failed", [])
                 self.host.poke()
@@ -50,7 +50,7 @@
         splitter = Splitter()
         async with anyio.create_task_group() as group:
             self.calls.clear()
-            await stream.send(frame(encode_request(self.follow.dialled(self.host.clock.now()))))
+            await stream.send(frame(encode_request(self.follower.connected(self.host.clock.now()))))
             self.connected = True
             group.start_soon(self.ask, stream)
             group.start_soon(self.overdue, stream)
@@ -58,17 +58,17 @@
                 data = await stream.receive()
                 for payload in splitter.feed(data):
                     message = decode_response(payload)
-                    how, entries = self.follow.heard(message)
-                    if how == "gap":
+                    update = self.follower.receive(message)
+                    if update.kind is UpdateKind.GAP:
                         self.asked(True)
                         continue
                     self.host.counted["list_news"] += 1
                     now = self.host.clock.now()
                     again = self.host.desk.news(
-                        now, how, getattr(message, "epoch", 0), getattr(message, "clock", 0), entries
+                        now, update.kind, update.epoch, update.inventory_clock, update.entries
                     )
                     self.host.poke()
-                    if how != "failed":
+                    if update.kind is not UpdateKind.FAILED:
                         self.host.snapshots.due.set()
                     if again:
                         self.host.log.warning(
@@ -83,7 +83,7 @@
         while True:
             self.ask_again = anyio.Event()
             calls, self.calls = self.calls, []
-            if calls and (call := self.follow.asked(self.host.clock.now(), any(calls))):
+            if calls and (call := self.follower.next_request(self.host.clock.now(), any(calls))):
                 await stream.send(frame(encode_request(call)))
             await self.ask_again.wait()
 
@@ -94,6 +94,6 @@
 
     async def overdue(self, stream):
         """A call without an answer for too long has failed: the connection is given up."""
-        while not self.follow.late(self.host.clock.now()):
+        while not self.follower.timed_out(self.host.clock.now()):
             await self.host.clock.sleep_until(self.host.clock.now() + S)
         raise TimeoutError("the list does not answer")
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -2,7 +2,7 @@
 
 Jobs side by side: the pump (core, timers, channel) here, the streams of proxies (`proxies`), the list
 (`inventory`), what is kept (`snapshots`), the operators' HTTP. All that is decided comes from the core (the
-module, the desk), from channel/outlet.py and inventory/follow.py.
+module, the desk), from channel/outlet.py and endpoint_list/follower.py.
 """
 
 import anyio
@@ -223,7 +223,10 @@
             ],
             "list": [
                 Collection(
-                    "held", len(self.list.follow.held), self.list.follow.held.items, [self.list.follow.held]
+                    "entries",
+                    len(self.list.follower.entries),
+                    self.list.follower.entries.items,
+                    [self.list.follower.entries],
                 ),
                 Collection("known", len(self.trust.known), self.trust.known.items, [self.trust.known]),
                 Collection("gone", len(self.trust.gone), self.trust.gone.items, [self.trust.gone]),
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -3,7 +3,7 @@
 from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
 from embertray.controller.channel.outlet import PROBE_WITHIN
 from embertray.controller.core import Desk
-from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list import EndpointListFollower, UpdateKind
 
 
 class SimulatedController:
@@ -23,7 +23,7 @@
             kept.clock_reading(),
             *simulation.make,
         )
-        self.follow, self.line, self.streams = Follow(name, chance), None, {}
+        self.follower, self.line, self.streams = EndpointListFollower(name, chance), None, {}
         self.alive, self.frozen, self.waiting, self.planned, self.ran = (
             True,
             False,
@@ -35,7 +35,9 @@
         self.poke()
         self.plan_save(now + CONFIRMATION_PERIOD_NS)
         if not simulation.site.ask:
-            simulation.engine.at(now + self.follow.first(bool(self.desk.trust.known)), self.dial_list)
+            simulation.engine.at(
+                now + self.follower.initial_delay(bool(self.desk.trust.known)), self.dial_list
+            )
 
     def when_awake(self, what, *args):
         """Now, or when the process goes on; never if it is killed before."""
@@ -132,12 +134,12 @@
         else:
             self.line = object()
             self.simulation.inventory.followers[self] = False
-            self.simulation.inventory.call(self, self.follow.dialled(self.simulation.engine.time))
+            self.simulation.inventory.call(self, self.follower.connected(self.simulation.engine.time))
 
     def list_broke(self):
         self.line = None
         self.simulation.inventory.followers.pop(self, None)
-        wait = self.follow.broke()
+        wait = self.follower.connection_failed()
         if self.simulation.site.ask:  # the module decides when to ask again
             self.desk.hand_on(self.simulation.engine.time, "failed", [])
             self.poke()
@@ -148,18 +150,18 @@
         if self.line is None:
             if self.simulation.site.ask:
                 self.dial_list()
-        elif call := self.follow.asked(self.simulation.engine.time, whole):
+        elif call := self.follower.next_request(self.simulation.engine.time, whole):
             self.simulation.inventory.call(self, call)
 
     def heard(self, message):
         now = self.simulation.engine.time
-        how, entries = self.follow.heard(message)
-        if how == "gap":
+        update = self.follower.receive(message)
+        if update.kind is UpdateKind.GAP:
             self.ask_list(True)
             return
-        again = self.desk.news(now, how, getattr(message, "epoch", 0), getattr(message, "clock", 0), entries)
+        again = self.desk.news(now, update.kind, update.epoch, update.inventory_clock, update.entries)
         self.poke()
-        if how != "failed":
+        if update.kind is not UpdateKind.FAILED:
             self.plan_save(max(now, self.saved + SNAPSHOT_PERIOD_NS))
         if again:
             self.ask_list(True)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -22,7 +22,7 @@
 from embertray.controller.channel.outbox import Outbox
 from embertray.controller.channel.outlet import MOST_BYTES, OLDEST, Outlet
 from embertray.controller.channel.pacer import BURST, Pacer
-from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, RequestFailed, WatchEvent
 from embertray.controller.identifiers import Identifiers
 from embertray.controller.report_intake import Intake
@@ -435,16 +435,18 @@
 
 class List(unittest.TestCase):
     def test_a_gap_is_never_applied(self):
-        follow = Follow()
+        follower = EndpointListFollower()
+        complete = [EndpointEntry("a", "z"), EndpointEntry("b", "z")]
+        self.assertEqual(follower.receive(WatchEvent(5, 0, 0, complete)).kind, "whole")
         self.assertEqual(
-            follow.heard(WatchEvent(5, 0, 0, [EndpointEntry("a", "z"), EndpointEntry("b", "z")]))[0], "whole"
+            follower.receive(WatchEvent(6, 5, 0, [EndpointEntry("a", "z", "gone")])).kind, "changes"
         )
-        self.assertEqual(follow.heard(WatchEvent(6, 5, 0, [EndpointEntry("a", "z", "gone")]))[0], "changes")
-        self.assertEqual(list(follow.held), ["b"])
-        self.assertEqual(follow.heard(WatchEvent(9, 8, 0, [EndpointEntry("b", "z", "gone")])), ("gap", []))
-        self.assertEqual((follow.epoch, list(follow.held)), (6, ["b"]))
-        self.assertEqual(follow.asked(0, whole=True), ListRequest())
-        self.assertEqual(follow.heard(RequestFailed())[0], "failed")
+        self.assertEqual(list(follower.entries), ["b"])
+        update = follower.receive(WatchEvent(9, 8, 0, [EndpointEntry("b", "z", "gone")]))
+        self.assertEqual((update.kind, update.entries), ("gap", []))
+        self.assertEqual((follower.epoch, list(follower.entries)), (6, ["b"]))
+        self.assertEqual(follower.next_request(0, complete=True), ListRequest())
+        self.assertEqual(follower.receive(RequestFailed()).kind, "failed")
 
 
 class Sites(unittest.TestCase):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -20,7 +20,7 @@
 )
 from embertray.common.snapshots.file_format import HEADER, MAGIC, encode_file
 from embertray.common.snapshots.store import GENERATIONS_KEPT
-from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry
 from embertray.controller.trust import Trust
 from embertray.controller.trust.trust import BEHIND, FRESH, KEEP_GONE, LATELY, PATIENCE, PROOF, SECOND
@@ -399,11 +399,11 @@
         def worst(draws):
             at = {}
             for draw in draws:
-                follow, now = Follow("c", draw), 0
-                now += follow.first(have=True)
+                follower, now = EndpointListFollower("c", draw), 0
+                now += follower.initial_delay(has_list=True)
                 for _ in range(6):  # the list does not answer
                     at[now // (S // 10)] = at.get(now // (S // 10), 0) + 1
-                    now += follow.broke()
+                    now += follower.connection_failed()
             return max(at.values())
 
         streams = Streams(1)
@@ -411,11 +411,11 @@
         self.assertLess(worst([streams.of("start", n).random for n in range(1000)]), 200)
 
     def test_one_call_at_a_time(self):
-        follow = Follow()
-        self.assertIsNotNone(follow.dialled(0))
-        self.assertIsNone(follow.asked(S))
-        follow.broke()
-        self.assertIsNotNone(follow.asked(S))
+        follower = EndpointListFollower()
+        self.assertIsNotNone(follower.connected(0))
+        self.assertIsNone(follower.next_request(S))
+        follower.connection_failed()
+        self.assertIsNotNone(follower.next_request(S))
 
 
 class Variants(unittest.TestCase):
