--- a/embertray/controller/core/desk.py
+++ b/embertray/controller/core/desk.py
@@ -22,8 +22,8 @@
         self.admission, self.trust = Admission(chance), trust(site.drain_grace, site.dropped_bind)
         self.instance = core(site, me, seed, now, chance)
         self.held, self.told = {}, False  # proxies that are left with their tables: name -> Hello
-        verdict = self.trust.begin(now, snapshot, *times)
-        clock = snapshot.inventory_clock + (Trust.since(snapshot, *times) or 0) if snapshot else 0
+        verdict = self.trust.start(now, snapshot, *times)
+        clock = snapshot.inventory_clock + (Trust.time_since(snapshot, *times) or 0) if snapshot else 0
         self.heard_clock = clock, now
         self.instance.news(now, "cached", clock, verdict.entries)
 
@@ -34,13 +34,13 @@
         return self.admission.hello(now, name, self.instance.turn_away())
 
     def joined(self, now, hello):
-        if self.trust.holds_back(now, hello.fresh, hello.proxy):
+        if self.trust.keeps_tables(now, hello.fresh, hello.proxy):
             self.held[hello.proxy] = hello
         else:
             self.instance.join(hello)
 
     def left(self, now, name):
-        self.trust.left(name)
+        self.trust.proxy_left(name)
         if self.held.pop(name, None) is None:
             self.instance.left(now, name)
 
@@ -49,7 +49,7 @@
         if not isinstance(message, Sums):
             self.instance.answered(now, hello.proxy, message.nonce)
             return
-        entries = self.trust.met(
+        entries = self.trust.observe(
             now,
             hello.proxy,
             hello.fresh,
@@ -65,11 +65,11 @@
 
     def news(self, now, how, epoch, clock, entries):
         """What inventory/follow.py made of a message; True if the whole is to be asked for again."""
-        verdict = self.trust.news(now, how, epoch, entries)
+        verdict = self.trust.receive_update(now, how, epoch, entries)
         if how != "failed":
             self.heard_clock, self.told = (clock, now), True
-        self.hand_on(now, verdict.how, verdict.entries)
-        return verdict.ask
+        self.hand_on(now, verdict.kind, verdict.entries)
+        return verdict.request_complete
 
     def hand_on(self, now, how, entries):
         clock, at = self.heard_clock
@@ -77,7 +77,7 @@
 
     def snapshot(self, now, times):
         clock, at = self.heard_clock
-        return self.trust.snapshot(now, clock + now - at, *times)
+        return self.trust.make_snapshot(now, clock + now - at, *times)
 
     # ---- time
 
@@ -85,17 +85,17 @@
         """The core's step. Who was left with its tables is bound when the list is good enough; who is missing
         is gone in the end."""
         if self.held:
-            all_now = self.trust.settled(now)
-            for name in [n for n in self.held if all_now or n in self.trust.helpless]:
+            all_now = self.trust.is_settled(now)
+            for name in [n for n in self.held if all_now or n in self.trust.failing_proxies]:
                 self.instance.join(self.held.pop(name))
-        if entries := self.trust.due(now):
+        if entries := self.trust.apply_timers(now):
             self.hand_on(now, "changes", entries)
         step = self.instance.advance(now)
         if self.instance.accounts.acting("list"):
-            self.trust.shed()
+            self.trust.shed_memory()
         return step
 
     def next_at(self):
         """When to advance again if nothing happens before, ns or None."""
-        times = [t for t in (self.instance.next_at(), self.trust.due_at()) if t is not None]
+        times = [t for t in (self.instance.next_at(), self.trust.next_timer()) if t is not None]
         return min(times, default=None)
--- a/embertray/experiments/measure/start.py
+++ b/embertray/experiments/measure/start.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from embertray.controller.trust import Trust
-from embertray.controller.trust.trust import Verdict
+from embertray.controller.trust.trust import TrustDecision
 from embertray.simulation.scenarios import notation, player
 
 AGES, REPLACED, SEEDS, DOWN = ("0s", "1min", "60min", "1440min"), (0, 10, 50, 90), (1, 2, 3), 15
@@ -16,26 +16,26 @@
 class Fully(Trust):
     """Whatever its age, the list is as told now."""
 
-    def begin(self, now, snapshot, *times):
-        super().begin(now, snapshot, *times)
-        self.candidates = 0
-        for known in self.known.values():
-            known.doubt, known.handed = False, True
-        return Verdict("cached", [k.entry for k in self.known.values()], False)
+    def start(self, now, snapshot, *times):
+        super().start(now, snapshot, *times)
+        self.candidate_count = 0
+        for known in self.backends.values():
+            known.candidate, known.handed_on = False, True
+        return TrustDecision("cached", [k.entry for k in self.backends.values()], False)
 
 
 class Waits(Trust):
     """Nothing is done before discovery speaks."""
 
-    def begin(self, now, snapshot, *times):
-        super().begin(now, None, *times)
-        return Verdict("cached", [], False)
+    def start(self, now, snapshot, *times):
+        super().start(now, None, *times)
+        return TrustDecision("cached", [], False)
 
-    def holds_back(self, now, fresh, name):
-        return not self.spoken
+    def keeps_tables(self, now, fresh, name):
+        return not self.discovery_answered
 
-    def settled(self, now):
-        return self.spoken
+    def is_settled(self, now):
+        return self.discovery_answered
 
 
 WAYS = {"by age": None, "in full": Fully, "waits": Waits}
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -38,19 +38,19 @@
 def ready(service, _):
     if service.admission.draining is not None:
         return text("draining\n", 503)
-    why = service.trust.why(service.clock.now())
-    return text(f"ready: {why}\n") if service.trust.known else text(f"{why}\n", 503)
+    why = service.trust.describe(service.clock.now())
+    return text(f"ready: {why}\n") if service.trust.backends else text(f"{why}\n", 503)
 
 
 def start(service, _):
     trust, now = service.trust, service.clock.now()
     return json(
         {
-            "why": trust.why(now),
-            "settled": trust.settled(now),
+            "why": trust.describe(now),
+            "settled": trust.is_settled(now),
             "epoch": trust.epoch,
-            "known": len(trust.known),
-            "refuted": sorted(b for b, k in trust.known.items() if k.out),
+            "known": len(trust.backends),
+            "refuted": sorted(b for b, k in trust.backends.items() if k.refuted),
             "missing": list(trust.missing),
             "left_with_their_tables": sorted(service.desk.held),
             "saves": service.counted["saves"],
--- a/embertray/service/daemon/inventory.py
+++ b/embertray/service/daemon/inventory.py
@@ -22,7 +22,7 @@
         if self.host.site.ask:
             await self.ask_again.wait()  # the module says when
         await self.host.clock.sleep_until(
-            self.host.clock.now() + self.follower.initial_delay(bool(self.host.trust.known))
+            self.host.clock.now() + self.follower.initial_delay(bool(self.host.trust.backends))
         )
         while True:
             try:
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -75,7 +75,7 @@
             self.site, self.me, self.seed, now, self.chance, snapshot, self.kept.clock_reading(), *self.make
         )
         self.instance, self.trust, self.admission = desk.instance, desk.trust, desk.admission
-        self.log.info("started", list=self.trust.why(now))
+        self.log.info("started", list=self.trust.describe(now))
         self.instance.more = self.collections
         self.began_with = resident()
         listener = await self.net.listen(self.me.listen)
@@ -228,8 +228,10 @@
                     self.list.follower.entries.items,
                     [self.list.follower.entries],
                 ),
-                Collection("known", len(self.trust.known), self.trust.known.items, [self.trust.known]),
-                Collection("gone", len(self.trust.gone), self.trust.gone.items, [self.trust.gone]),
+                Collection(
+                    "known", len(self.trust.backends), self.trust.backends.items, [self.trust.backends]
+                ),
+                Collection("gone", len(self.trust.removed), self.trust.removed.items, [self.trust.removed]),
             ],
         }
 
--- a/embertray/service/daemon/snapshots.py
+++ b/embertray/service/daemon/snapshots.py
@@ -17,7 +17,7 @@
             with anyio.move_on_after(CONFIRMATION_PERIOD_NS / 1e9):
                 await self.due.wait()
             self.due = anyio.Event()
-            if not self.host.list.connected or not self.host.trust.spoken:
+            if not self.host.list.connected or not self.host.trust.discovery_answered:
                 continue
             now = self.host.clock.now()
             snapshot = self.host.desk.snapshot(now, self.host.kept.clock_reading())
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -36,7 +36,7 @@
         self.plan_save(now + CONFIRMATION_PERIOD_NS)
         if not simulation.site.ask:
             simulation.engine.at(
-                now + self.follower.initial_delay(bool(self.desk.trust.known)), self.dial_list
+                now + self.follower.initial_delay(bool(self.desk.trust.backends)), self.dial_list
             )
 
     def when_awake(self, what, *args):
@@ -175,7 +175,7 @@
         if self.save_at != when or not self.alive:
             return
         now, self.save_at = self.simulation.engine.time, None
-        if self.line is not None and self.desk.trust.spoken and not self.frozen:
+        if self.line is not None and self.desk.trust.discovery_answered and not self.frozen:
             self.kept.save(self.desk.snapshot(now, self.kept.clock_reading()))
             self.saved = now
         self.plan_save(now + CONFIRMATION_PERIOD_NS)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -23,7 +23,15 @@
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry
 from embertray.controller.trust import Trust
-from embertray.controller.trust.trust import BEHIND, FRESH, KEEP_GONE, LATELY, PATIENCE, PROOF, SECOND
+from embertray.controller.trust.trust import (
+    ANSWERING_AGE_NS,
+    CONFIRMATION_SHARE,
+    FRESH_AGE_NS,
+    TABLE_RETENTION_NS,
+    TABLE_RETENTION_UNLISTED_NS,
+    TOMBSTONE_PERIOD_NS,
+    VERIFICATION_PERIOD_NS,
+)
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.scenarios import notation, player
 
@@ -204,161 +212,167 @@
 class Worth(unittest.TestCase):
     def begin(self, age, **more):
         trust = Trust(4 * S)
-        verdict = trust.begin(0, snapshot(**more), (1000 * S) + age, "other boot", 0)
+        verdict = trust.start(0, snapshot(**more), (1000 * S) + age, "other boot", 0)
         return trust, verdict
 
     def test_a_fresh_list_is_taken_as_it_is(self):
-        trust, verdict = self.begin(FRESH)
+        trust, verdict = self.begin(FRESH_AGE_NS)
         self.assertEqual([e.started for e in verdict.entries], [0, 0, 0, 0])
-        self.assertTrue(trust.settled(0))
-        self.assertFalse(trust.holds_back(0, False, "p"))
+        self.assertTrue(trust.is_settled(0))
+        self.assertFalse(trust.keeps_tables(0, False, "p"))
 
     def test_an_old_one_names_candidates_that_are_as_cold(self):
         trust, verdict = self.begin(3600 * S)
-        self.assertEqual((verdict.entries, trust.due(PROOF - 1), trust.due_at()), ([], [], PROOF))
-        trust.met(S, "p", True, [("a", 2, 0), ("b", 3, 3)])
-        rest = trust.due(PROOF)
         self.assertEqual(
-            [(e.backend, e.started) for e in rest], [("c", 4100 * S + PROOF), ("d", 4100 * S + PROOF)]
+            (verdict.entries, trust.apply_timers(VERIFICATION_PERIOD_NS - 1), trust.next_timer()),
+            ([], [], VERIFICATION_PERIOD_NS),
+        )
+        trust.observe(S, "p", True, [("a", 2, 0), ("b", 3, 3)])
+        rest = trust.apply_timers(VERIFICATION_PERIOD_NS)
+        self.assertEqual(
+            [(e.backend, e.started) for e in rest],
+            [("c", 4100 * S + VERIFICATION_PERIOD_NS), ("d", 4100 * S + VERIFICATION_PERIOD_NS)],
         )
-        self.assertEqual((trust.due(PROOF + S), trust.due_at()), ([], None))
-        self.assertTrue(trust.holds_back(0, False, "p"))
-        self.assertFalse(trust.holds_back(0, True, "p"))  # it has nothing better
-        self.assertIn("3600 s old", trust.why(0))
+        self.assertEqual((trust.apply_timers(VERIFICATION_PERIOD_NS + S), trust.next_timer()), ([], None))
+        self.assertTrue(trust.keeps_tables(0, False, "p"))
+        self.assertFalse(trust.keeps_tables(0, True, "p"))  # it has nothing better
+        self.assertIn("3600 s old", trust.describe(0))
 
     def test_an_entry_keeps_its_own_age_through_several_starts(self):
         trust, _ = self.begin(100 * S, ages=50 * S)
-        again = trust.snapshot(S, 0, 1101 * S, "b", 0)
+        again = trust.make_snapshot(S, 0, 1101 * S, "b", 0)
         self.assertEqual({e.confirmed for e in again.entries}, {950 * S})
 
     def test_clocks_that_jumped(self):
         back = Trust(4 * S)
-        back.begin(0, snapshot(), 10 * S, "other boot", 0)
+        back.start(0, snapshot(), 10 * S, "other boot", 0)
         self.assertIsNone(back.age)
-        self.assertTrue(back.holds_back(0, False, "p"))  # not known is as old
+        self.assertTrue(back.keeps_tables(0, False, "p"))  # not known is as old
         same = Trust(4 * S)
-        same.begin(0, snapshot(), 10 * S, "boot", 105 * S)  # within one boot its own clock tells
+        same.start(0, snapshot(), 10 * S, "boot", 105 * S)  # within one boot its own clock tells
         self.assertEqual(same.age, 5 * S)
         ahead = Trust(4 * S)
-        ahead.begin(0, snapshot(ages=-100 * S), 1000 * S, "boot", 100 * S)
+        ahead.start(0, snapshot(ages=-100 * S), 1000 * S, "boot", 100 * S)
         self.assertIsNone(ahead.age)
 
     def test_answers_prove_and_failures_refute_until_it_answers(self):
         trust, _ = self.begin(3600 * S)
-        proven = trust.met(S, "p", True, [("a", 5, 0), ("b", 2, 2)])
+        proven = trust.observe(S, "p", True, [("a", 5, 0), ("b", 2, 2)])
         self.assertEqual([(e.backend, e.started) for e in proven], [("a", 0)])
-        trust.due(PROOF)
-        gone = trust.met(2 * S, "p", True, [("b", 1, 1)])
+        trust.apply_timers(VERIFICATION_PERIOD_NS)
+        gone = trust.observe(2 * S, "p", True, [("b", 1, 1)])
         self.assertEqual([(e.backend, e.state) for e in gone], [("b", "gone")])
-        self.assertEqual(trust.met(3 * S, "p", True, [("b", 4, 4)]), [])
-        back = trust.met(4 * S, "p", True, [("b", 2, 0)])
+        self.assertEqual(trust.observe(3 * S, "p", True, [("b", 4, 4)]), [])
+        back = trust.observe(4 * S, "p", True, [("b", 2, 0)])
         self.assertEqual([(e.backend, e.state) for e in back], [("b", "ready")])
-        trust.known["b"].done = 0
-        self.assertFalse(trust.settled(4 * S))
-        trust.met(5 * S, "p", True, [("c", 5, 1)])
-        self.assertTrue(trust.settled(5 * S))  # half of the candidates answer
+        trust.backends["b"].successes = 0
+        self.assertFalse(trust.is_settled(4 * S))
+        trust.observe(5 * S, "p", True, [("c", 5, 1)])
+        self.assertTrue(trust.is_settled(5 * S))  # half of the candidates answer
 
     def test_tables_in_which_nothing_answers_are_not_kept(self):
         trust, _ = self.begin(3600 * S)
-        trust.met(S, "p", False, [("x", 10, 10)])
-        trust.met(S, "q", False, [("a", 10, 3)])
-        trust.met(S, "r", False, [], came=4)
-        self.assertEqual([trust.holds_back(S, False, proxy) for proxy in "pqr"], [False, True, False])
-        self.assertFalse(trust.holds_back(PATIENCE, False, "q"))
+        trust.observe(S, "p", False, [("x", 10, 10)])
+        trust.observe(S, "q", False, [("a", 10, 3)])
+        trust.observe(S, "r", False, [], came=4)
+        self.assertEqual([trust.keeps_tables(S, False, proxy) for proxy in "pqr"], [False, True, False])
+        self.assertFalse(trust.keeps_tables(TABLE_RETENTION_NS, False, "q"))
 
     def test_tables_that_know_more_than_the_list_are_left_alone(self):
         trust, _ = self.begin(3600 * S)
-        trust.met(S, "p", False, [("a", 5, 0), ("b", 5, 0), ("c", 5, 0), ("newer", 5, 0)])
-        self.assertTrue(trust.holds_back(PATIENCE, False, "p"))
-        self.assertFalse(trust.holds_back(BEHIND, False, "p"))
-        trust.news(PATIENCE, "whole", 9, listed(["a", "newer"]))
-        self.assertFalse(trust.holds_back(PATIENCE, False, "p"))
+        trust.observe(S, "p", False, [("a", 5, 0), ("b", 5, 0), ("c", 5, 0), ("newer", 5, 0)])
+        self.assertTrue(trust.keeps_tables(TABLE_RETENTION_NS, False, "p"))
+        self.assertFalse(trust.keeps_tables(TABLE_RETENTION_UNLISTED_NS, False, "p"))
+        trust.receive_update(TABLE_RETENTION_NS, "whole", 9, listed(["a", "newer"]))
+        self.assertFalse(trust.keeps_tables(TABLE_RETENTION_NS, False, "p"))
 
     def test_a_known_drain_shortens_the_wait(self):
         trust = Trust(4 * S)
-        trust.begin(0, snapshot(state="draining"), 5000 * S, "x", 0)
+        trust.start(0, snapshot(state="draining"), 5000 * S, "x", 0)
         self.assertEqual(trust.patience, 2 * S)
 
     def test_nothing_on_disk(self):
         trust = Trust(4 * S)
-        self.assertEqual(trust.begin(0, None, 0, "", 0).entries, [])
-        self.assertIn("proxies keep their tables", trust.why(0))
-        self.assertTrue(trust.settled(0))
+        self.assertEqual(trust.start(0, None, 0, "", 0).entries, [])
+        self.assertIn("proxies keep their tables", trust.describe(0))
+        self.assertTrue(trust.is_settled(0))
 
 
 class Merging(unittest.TestCase):
     def begin(self, **more):
         trust = Trust(4 * S, more.pop("binds", True))
-        trust.begin(0, snapshot("abcdefgh", **more), 5000 * S, "x", 0)
+        trust.start(0, snapshot("abcdefgh", **more), 5000 * S, "x", 0)
         return trust
 
     def answer(self, trust, now, names):
-        trust.met(now, "p", True, [(name, 5, 0) for name in names])
+        trust.observe(now, "p", True, [(name, 5, 0) for name in names])
 
     def test_a_newer_whole_list_counts(self):
         trust = self.begin()
-        verdict = trust.news(S, "whole", 9, listed("abxyefgh"))
-        self.assertEqual((verdict.how, len(verdict.entries), verdict.ask), ("whole", 8, False))
-        self.assertEqual(sorted(trust.known), sorted("abxyefgh"))
-        self.assertEqual(sorted(trust.gone), ["c", "d"])
+        verdict = trust.receive_update(S, "whole", 9, listed("abxyefgh"))
+        self.assertEqual((verdict.kind, len(verdict.entries), verdict.request_complete), ("whole", 8, False))
+        self.assertEqual(sorted(trust.backends), sorted("abxyefgh"))
+        self.assertEqual(sorted(trust.removed), ["c", "d"])
 
     def test_a_lagging_one_takes_nobody_away_and_brings_nobody_back(self):
         gone = [SnapshotEntry("old", "z", "gone", 0, 1000 * S)]
         trust = Trust(4 * S)
-        trust.begin(0, snapshot("abcdefgh", gone=gone), 1100 * S, "x", 0)
-        verdict = trust.news(S, "whole", 3, listed(["a", "b", "old", "new"]))
-        self.assertEqual((verdict.how, [e.backend for e in verdict.entries]), ("changes", ["a", "b", "new"]))
-        self.assertEqual(len(trust.known), 9)
-        anew = trust.news(2 * S, "changes", 4, listed(["old"], started=77))  # started since it was told gone
+        trust.start(0, snapshot("abcdefgh", gone=gone), 1100 * S, "x", 0)
+        verdict = trust.receive_update(S, "whole", 3, listed(["a", "b", "old", "new"]))
+        self.assertEqual((verdict.kind, [e.backend for e in verdict.entries]), ("changes", ["a", "b", "new"]))
+        self.assertEqual(len(trust.backends), 9)
+        anew = trust.receive_update(
+            2 * S, "changes", 4, listed(["old"], started=77)
+        )  # started since it was told gone
         self.assertEqual([e.backend for e in anew.entries], ["old"])
 
     def test_who_was_gone_is_forgotten_in_time(self):
         trust = self.begin()
-        trust.news(S, "changes", 8, listed("a", state="gone"))
-        trust.news(KEEP_GONE + 2 * S, "changes", 9, [])
-        self.assertEqual(trust.gone, {})
+        trust.receive_update(S, "changes", 8, listed("a", state="gone"))
+        trust.receive_update(TOMBSTONE_PERIOD_NS + 2 * S, "changes", 9, [])
+        self.assertEqual(trust.removed, {})
 
     def test_a_list_that_lacks_most_of_those_who_answer_is_asked_for_again(self):
         trust = self.begin()
-        trust.news(S, "whole", 8, listed("abcdefgh"))
+        trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
-        verdict = trust.news(3 * S, "whole", 9, listed("ab"))
-        self.assertEqual((verdict.how, verdict.ask, len(trust.known)), ("changes", True, 8))
-        again = trust.news(3 * S + S // 2, "whole", 10, listed("abcdefgh"))  # it was broken
-        self.assertEqual((again.ask, trust.missing, len(trust.known)), (False, (), 8))
+        verdict = trust.receive_update(3 * S, "whole", 9, listed("ab"))
+        self.assertEqual((verdict.kind, verdict.request_complete, len(trust.backends)), ("changes", True, 8))
+        again = trust.receive_update(3 * S + S // 2, "whole", 10, listed("abcdefgh"))  # it was broken
+        self.assertEqual((again.request_complete, trust.missing, len(trust.backends)), (False, (), 8))
 
     def test_the_second_such_answer_is_believed(self):
         trust = self.begin()
-        trust.news(S, "whole", 8, listed("abcdefgh"))
+        trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
-        trust.news(3 * S, "whole", 9, listed("ab"))
-        verdict = trust.news(3 * S + S // 2, "whole", 9, listed("ab"))
-        self.assertEqual((verdict.how, len(trust.known)), ("whole", 2))
+        trust.receive_update(3 * S, "whole", 9, listed("ab"))
+        verdict = trust.receive_update(3 * S + S // 2, "whole", 9, listed("ab"))
+        self.assertEqual((verdict.kind, len(trust.backends)), ("whole", 2))
 
     def test_without_a_second_answer_they_are_gone_within_the_grace(self):
         trust = self.begin()
-        trust.news(S, "whole", 8, listed("abcdefgh"))
+        trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
-        trust.news(3 * S, "whole", 9, listed("ab"))
-        self.assertEqual(trust.due(3 * S + int(SECOND * 4 * S) - 1), [])
-        self.assertEqual(trust.due_at(), 3 * S + int(SECOND * 4 * S))
-        gone = trust.due(trust.due_at())
-        self.assertEqual(({e.state for e in gone}, len(gone), trust.due_at()), ({"gone"}, 6, None))
+        trust.receive_update(3 * S, "whole", 9, listed("ab"))
+        self.assertEqual(trust.apply_timers(3 * S + int(CONFIRMATION_SHARE * 4 * S) - 1), [])
+        self.assertEqual(trust.next_timer(), 3 * S + int(CONFIRMATION_SHARE * 4 * S))
+        gone = trust.apply_timers(trust.next_timer())
+        self.assertEqual(({e.state for e in gone}, len(gone), trust.next_timer()), ({"gone"}, 6, None))
 
     def test_where_dropped_ones_may_stay_they_stay_while_they_answer(self):
         trust = self.begin(binds=False)
-        trust.news(S, "whole", 8, listed("abcdefgh"))
+        trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
-        trust.news(3 * S, "whole", 9, listed("ab"))
+        trust.receive_update(3 * S, "whole", 9, listed("ab"))
         self.answer(trust, 4 * S, "cde")
-        self.assertEqual(trust.due(trust.due_at()), [])
-        gone = trust.due(2 * S + LATELY + 1 * S)
+        self.assertEqual(trust.apply_timers(trust.next_timer()), [])
+        gone = trust.apply_timers(2 * S + ANSWERING_AGE_NS + 1 * S)
         self.assertEqual([e.backend for e in gone], ["f", "g", "h"])
 
     def test_what_is_told_in_so_many_words_is_believed_at_once(self):
         trust = self.begin()
         self.answer(trust, S, "abcdefgh")
-        verdict = trust.news(2 * S, "changes", 8, listed("abcdef", state="draining"))
+        verdict = trust.receive_update(2 * S, "changes", 8, listed("abcdef", state="draining"))
         self.assertEqual(len(verdict.entries), 6)
 
     @given(
@@ -376,18 +390,18 @@
     def test_whatever_comes_the_newest_word_counts(self, steps):
         """An entry of an epoch at least as new as all before is what is known after it."""
         trust, newest = Trust(4 * S), 0
-        trust.begin(0, snapshot("abc", epoch=6), 5000 * S, "x", 0)
+        trust.start(0, snapshot("abc", epoch=6), 5000 * S, "x", 0)
         newest = 6
         for n, (name, state, started, epoch, whole) in enumerate(steps):
             entry = EndpointEntry(name, "z", state, started)
             if whole and state != "gone":
-                trust.news(n * S, "whole", epoch, [entry])
+                trust.receive_update(n * S, "whole", epoch, [entry])
             else:
-                trust.news(n * S, "changes", epoch, [entry])
+                trust.receive_update(n * S, "changes", epoch, [entry])
             if epoch >= newest:
                 newest = epoch
                 self.assertEqual(
-                    trust.known[name].entry if state != "gone" else name not in trust.known,
+                    trust.backends[name].entry if state != "gone" else name not in trust.backends,
                     entry if state != "gone" else True,
                 )
 
@@ -425,12 +439,12 @@
 
     def test_old_list_behind_tables(self):
         class Fully(Trust):
-            def begin(self, now, snapshot, *times):
-                verdict = super().begin(now, snapshot, *times)
-                self.candidates = 0
-                for known in self.known.values():
-                    known.doubt = False
-                return verdict._replace(entries=[k.entry for k in self.known.values()])
+            def start(self, now, snapshot, *times):
+                verdict = super().start(now, snapshot, *times)
+                self.candidate_count = 0
+                for known in self.backends.values():
+                    known.candidate = False
+                return verdict._replace(entries=[k.entry for k in self.backends.values()])
 
         day = notation.load("old-list-behind-tables")
         ours, fully = player.play(day), player.play(day, trust=Fully)
