--- a/embertray/controller/core/desk.py
+++ b/embertray/controller/core/desk.py
@@ -6,7 +6,8 @@
 
 from embertray.controller.channel.admission import Admission
 from embertray.controller.stream.messages import Sums
-from embertray.controller.trust import Trust
+from embertray.controller.trust import BackendAttempts, Trust
+from embertray.controller.trust.snapshot_age import time_since
 
 from .instance import Instance
 
@@ -14,7 +15,7 @@
 
 
 class Desk:
-    """`times`: the clocks as durable.Kept.times gives them; `snapshot`: what was kept, or None."""
+    """`times`: the clocks as DurableSnapshots.clock_reading gives them; `snapshot`: the newest, or None."""
 
     def __init__(
         self, site, me, seed, now, chance, snapshot=None, times=(0, "", 0), core=Instance, trust=Trust
@@ -22,8 +23,8 @@
         self.admission, self.trust = Admission(chance), trust(site.drain_grace, site.dropped_bind)
         self.instance = core(site, me, seed, now, chance)
         self.held, self.told = {}, False  # proxies that are left with their tables: name -> Hello
-        verdict = self.trust.start(now, snapshot, *times)
-        clock = snapshot.inventory_clock + (Trust.time_since(snapshot, *times) or 0) if snapshot else 0
+        verdict = self.trust.start(now, snapshot, times)
+        clock = snapshot.inventory_clock + (time_since(snapshot, times) or 0) if snapshot else 0
         self.heard_clock = clock, now
         self.instance.news(now, "cached", clock, verdict.entries)
 
@@ -53,7 +54,7 @@
             now,
             hello.proxy,
             hello.fresh,
-            [(m.backend, m.tries, m.failed) for m in message.met],
+            [BackendAttempts(m.backend, m.tries, m.failed) for m in message.met],
             sum(c.requests for c in message.came),
         )
         if entries:
@@ -77,7 +78,7 @@
 
     def snapshot(self, now, times):
         clock, at = self.heard_clock
-        return self.trust.make_snapshot(now, clock + now - at, *times)
+        return self.trust.make_snapshot(now, clock + now - at, times)
 
     # ---- time
 
@@ -86,7 +87,7 @@
         is gone in the end."""
         if self.held:
             all_now = self.trust.is_settled(now)
-            for name in [n for n in self.held if all_now or n in self.trust.failing_proxies]:
+            for name in [n for n in self.held if all_now or n in self.trust.retention.failing_proxies]:
                 self.instance.join(self.held.pop(name))
         if entries := self.trust.apply_timers(now):
             self.hand_on(now, "changes", entries)
--- a/embertray/controller/endpoint_list/updates.py
+++ b/embertray/controller/endpoint_list/updates.py
@@ -11,6 +11,8 @@
     """Entries that changed."""
     COMPLETE = "whole"
     """All entries: who is not among them is not listed."""
+    CACHED = "cached"
+    """All entries that count of a list from disk, at a start; no message of the inventory is one."""
     FAILED = "failed"
     """The inventory could not answer."""
     GAP = "gap"
--- a/embertray/controller/trust/__init__.py
+++ b/embertray/controller/trust/__init__.py
@@ -1,7 +1,6 @@
-"""What a list is worth: by its age at the start, by what answers, and against what discovery says when it is
-back.
-"""
+"""What an endpoint list is worth: by age at the start, by what answers, and against what discovery says."""
 
+from .decision import BackendAttempts, TrustDecision
 from .trust import Trust
 
-__all__ = ["Trust"]
+__all__ = ["BackendAttempts", "Trust", "TrustDecision"]
--- /dev/null
+++ b/embertray/controller/trust/catalog.py
@@ -0,0 +1,88 @@
+"""The backends that are known from the endpoint list, and those that were lately removed from it."""
+
+from .known_backend import KnownBackend
+from .tombstones import Tombstones
+
+
+class BackendCatalog:
+    """What discovery and the disk have said of each backend.
+
+    Attributes:
+        backends: Name -> KnownBackend.
+        tombstones: The Tombstones of those that were removed.
+    """
+
+    def __init__(self):
+        self.backends = {}
+        self.tombstones = Tombstones()
+
+    def missing_from(self, entries):
+        """Returns the names of known backends that are not among the EndpointEntry items."""
+        listed = {entry.backend for entry in entries}
+        return [name for name in self.backends if name not in listed]
+
+    def accept(self, now, entries, outdated):
+        """Takes the entries that count; all do unless they are of an outdated list.
+
+        Args:
+            now: ns.
+            entries: EndpointEntry items.
+            outdated: The list that they are from is older than the newest so far.
+
+        Returns:
+            The entries that were taken.
+        """
+        accepted = []
+        for entry in entries:
+            if outdated and self._is_superseded(entry):
+                continue
+            accepted.append(entry)
+            if entry.state == "gone":
+                self._forget(now, entry.backend)
+            else:
+                self._take(entry)
+        return accepted
+
+    def remove(self, now, names):
+        """Removes known backends.
+
+        Args:
+            now: ns.
+            names: Their names.
+
+        Returns:
+            The EndpointEntry items that say that they are gone.
+        """
+        removals = [self.backends[name].removal() for name in names]
+        for name in names:
+            self._forget(now, name)
+        return removals
+
+    def shed_memory(self):
+        """Forgets the older removals, and makes the dicts anew: one keeps its largest size until then."""
+        self.tombstones.shed_memory()
+        self.backends = dict(self.backends)
+
+    def _is_superseded(self, entry):
+        """Whether an outdated list's entry contradicts what is known from a newer one."""
+        known = self.backends.get(entry.backend)
+        if entry.state == "gone":
+            return known is not None and known.entry.started > entry.started
+        if self.tombstones.covers(entry):
+            return True
+        if known is None:
+            return False
+        drains = known.entry.state == "draining" and known.entry.started == entry.started
+        return known.entry.started > entry.started or drains
+
+    def _take(self, entry):
+        former = self.backends.get(entry.backend)
+        backend = KnownBackend(entry)
+        if former:
+            backend.take_evidence_of(former)
+        self.backends[entry.backend] = backend
+        self.tombstones.discard(entry.backend)
+
+    def _forget(self, now, name):
+        backend = self.backends.pop(name, None)
+        self.tombstones.add(name, backend.entry.started if backend else 0, now)
--- a/embertray/experiments/measure/start.py
+++ b/embertray/experiments/measure/start.py
@@ -6,8 +6,8 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from embertray.controller.trust import Trust
-from embertray.controller.trust.trust import TrustDecision
+from embertray.controller.endpoint_list import UpdateKind
+from embertray.controller.trust import Trust, TrustDecision
 from embertray.simulation.scenarios import notation, player
 
 AGES, REPLACED, SEEDS, DOWN = ("0s", "1min", "60min", "1440min"), (0, 10, 50, 90), (1, 2, 3), 15
@@ -16,20 +16,21 @@
 class Fully(Trust):
     """Whatever its age, the list is as told now."""
 
-    def start(self, now, snapshot, *times):
-        super().start(now, snapshot, *times)
-        self.candidate_count = 0
+    def start(self, now, snapshot, clocks):
+        super().start(now, snapshot, clocks)
+        self.retention.candidate_count = 0
         for known in self.backends.values():
-            known.candidate, known.handed_on = False, True
-        return TrustDecision("cached", [k.entry for k in self.backends.values()], False)
+            known.candidate = False
+            known.handed_on = True
+        return TrustDecision(UpdateKind.CACHED, [known.entry for known in self.backends.values()])
 
 
 class Waits(Trust):
     """Nothing is done before discovery speaks."""
 
-    def start(self, now, snapshot, *times):
-        super().start(now, None, *times)
-        return TrustDecision("cached", [], False)
+    def start(self, now, snapshot, clocks):
+        super().start(now, None, clocks)
+        return TrustDecision(UpdateKind.CACHED, [])
 
     def keeps_tables(self, now, fresh, name):
         return not self.discovery_answered
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -51,7 +51,7 @@
             "epoch": trust.epoch,
             "known": len(trust.backends),
             "refuted": sorted(b for b, k in trust.backends.items() if k.refuted),
-            "missing": list(trust.missing),
+            "missing": list(trust.losses.missing),
             "left_with_their_tables": sorted(service.desk.held),
             "saves": service.counted["saves"],
             "save_fails": service.counted["save_fails"],
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -25,7 +25,7 @@
 
 
 class Service:
-    """`me` is a ControllerAt of `site`; `kept` a durable.Kept; `chance` gives numbers from 0 to 1."""
+    """`me` is a ControllerAt of `site`; `kept` a DurableSnapshots; `chance` gives numbers from 0 to 1."""
 
     def __init__(self, site, me, clock, net, kept, seed, chance, log=None, core=Instance, trust=Trust):
         self.site, self.me, self.clock, self.net, self.kept, self.seed = site, me, clock, net, kept, seed
@@ -231,7 +231,12 @@
                 Collection(
                     "known", len(self.trust.backends), self.trust.backends.items, [self.trust.backends]
                 ),
-                Collection("gone", len(self.trust.removed), self.trust.removed.items, [self.trust.removed]),
+                Collection(
+                    "gone",
+                    len(self.trust.tombstones.entries),
+                    self.trust.tombstones.entries.items,
+                    [self.trust.tombstones.entries],
+                ),
             ],
         }
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,6 +11,7 @@
 from hypothesis import given, strategies as st
 
 from embertray.common.snapshots import (
+    ClockReading,
     Disk,
     DurableSnapshots,
     FolderLockedError,
@@ -23,15 +24,11 @@
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry
 from embertray.controller.trust import Trust
-from embertray.controller.trust.trust import (
-    ANSWERING_AGE_NS,
-    CONFIRMATION_SHARE,
-    FRESH_AGE_NS,
-    TABLE_RETENTION_NS,
-    TABLE_RETENTION_UNLISTED_NS,
-    TOMBSTONE_PERIOD_NS,
-    VERIFICATION_PERIOD_NS,
-)
+from embertray.controller.trust.loss_confirmation import ANSWERING_AGE_NS, CONFIRMATION_SHARE
+from embertray.controller.trust.persistence import FRESH_AGE_NS
+from embertray.controller.trust.table_retention import TABLE_RETENTION_NS, TABLE_RETENTION_UNLISTED_NS
+from embertray.controller.trust.tombstones import TOMBSTONE_PERIOD_NS
+from embertray.controller.trust.verification import VERIFICATION_PERIOD_NS
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.scenarios import notation, player
 
@@ -212,7 +209,7 @@
 class Worth(unittest.TestCase):
     def begin(self, age, **more):
         trust = Trust(4 * S)
-        verdict = trust.start(0, snapshot(**more), (1000 * S) + age, "other boot", 0)
+        verdict = trust.start(0, snapshot(**more), ClockReading((1000 * S) + age, "other boot", 0))
         return trust, verdict
 
     def test_a_fresh_list_is_taken_as_it_is(self):
@@ -240,19 +237,21 @@
 
     def test_an_entry_keeps_its_own_age_through_several_starts(self):
         trust, _ = self.begin(100 * S, ages=50 * S)
-        again = trust.make_snapshot(S, 0, 1101 * S, "b", 0)
+        again = trust.make_snapshot(S, 0, ClockReading(1101 * S, "b", 0))
         self.assertEqual({e.confirmed for e in again.entries}, {950 * S})
 
     def test_clocks_that_jumped(self):
         back = Trust(4 * S)
-        back.start(0, snapshot(), 10 * S, "other boot", 0)
+        back.start(0, snapshot(), ClockReading(10 * S, "other boot", 0))
         self.assertIsNone(back.age)
         self.assertTrue(back.keeps_tables(0, False, "p"))  # not known is as old
         same = Trust(4 * S)
-        same.start(0, snapshot(), 10 * S, "boot", 105 * S)  # within one boot its own clock tells
+        same.start(
+            0, snapshot(), ClockReading(10 * S, "boot", 105 * S)
+        )  # within one boot its own clock tells
         self.assertEqual(same.age, 5 * S)
         ahead = Trust(4 * S)
-        ahead.start(0, snapshot(ages=-100 * S), 1000 * S, "boot", 100 * S)
+        ahead.start(0, snapshot(ages=-100 * S), ClockReading(1000 * S, "boot", 100 * S))
         self.assertIsNone(ahead.age)
 
     def test_answers_prove_and_failures_refute_until_it_answers(self):
@@ -274,7 +273,7 @@
         trust, _ = self.begin(3600 * S)
         trust.observe(S, "p", False, [("x", 10, 10)])
         trust.observe(S, "q", False, [("a", 10, 3)])
-        trust.observe(S, "r", False, [], came=4)
+        trust.observe(S, "r", False, [], requests=4)
         self.assertEqual([trust.keeps_tables(S, False, proxy) for proxy in "pqr"], [False, True, False])
         self.assertFalse(trust.keeps_tables(TABLE_RETENTION_NS, False, "q"))
 
@@ -288,12 +287,12 @@
 
     def test_a_known_drain_shortens_the_wait(self):
         trust = Trust(4 * S)
-        trust.start(0, snapshot(state="draining"), 5000 * S, "x", 0)
-        self.assertEqual(trust.patience, 2 * S)
+        trust.start(0, snapshot(state="draining"), ClockReading(5000 * S, "x", 0))
+        self.assertEqual(trust.retention.patience, 2 * S)
 
     def test_nothing_on_disk(self):
         trust = Trust(4 * S)
-        self.assertEqual(trust.start(0, None, 0, "", 0).entries, [])
+        self.assertEqual(trust.start(0, None, ClockReading(0, "", 0)).entries, [])
         self.assertIn("proxies keep their tables", trust.describe(0))
         self.assertTrue(trust.is_settled(0))
 
@@ -301,7 +300,7 @@
 class Merging(unittest.TestCase):
     def begin(self, **more):
         trust = Trust(4 * S, more.pop("binds", True))
-        trust.start(0, snapshot("abcdefgh", **more), 5000 * S, "x", 0)
+        trust.start(0, snapshot("abcdefgh", **more), ClockReading(5000 * S, "x", 0))
         return trust
 
     def answer(self, trust, now, names):
@@ -312,12 +311,12 @@
         verdict = trust.receive_update(S, "whole", 9, listed("abxyefgh"))
         self.assertEqual((verdict.kind, len(verdict.entries), verdict.request_complete), ("whole", 8, False))
         self.assertEqual(sorted(trust.backends), sorted("abxyefgh"))
-        self.assertEqual(sorted(trust.removed), ["c", "d"])
+        self.assertEqual(sorted(trust.tombstones.entries), ["c", "d"])
 
     def test_a_lagging_one_takes_nobody_away_and_brings_nobody_back(self):
         gone = [SnapshotEntry("old", "z", "gone", 0, 1000 * S)]
         trust = Trust(4 * S)
-        trust.start(0, snapshot("abcdefgh", gone=gone), 1100 * S, "x", 0)
+        trust.start(0, snapshot("abcdefgh", gone=gone), ClockReading(1100 * S, "x", 0))
         verdict = trust.receive_update(S, "whole", 3, listed(["a", "b", "old", "new"]))
         self.assertEqual((verdict.kind, [e.backend for e in verdict.entries]), ("changes", ["a", "b", "new"]))
         self.assertEqual(len(trust.backends), 9)
@@ -330,7 +329,7 @@
         trust = self.begin()
         trust.receive_update(S, "changes", 8, listed("a", state="gone"))
         trust.receive_update(TOMBSTONE_PERIOD_NS + 2 * S, "changes", 9, [])
-        self.assertEqual(trust.removed, {})
+        self.assertEqual(trust.tombstones.entries, {})
 
     def test_a_list_that_lacks_most_of_those_who_answer_is_asked_for_again(self):
         trust = self.begin()
@@ -339,7 +338,7 @@
         verdict = trust.receive_update(3 * S, "whole", 9, listed("ab"))
         self.assertEqual((verdict.kind, verdict.request_complete, len(trust.backends)), ("changes", True, 8))
         again = trust.receive_update(3 * S + S // 2, "whole", 10, listed("abcdefgh"))  # it was broken
-        self.assertEqual((again.request_complete, trust.missing, len(trust.backends)), (False, (), 8))
+        self.assertEqual((again.request_complete, trust.losses.missing, len(trust.backends)), (False, (), 8))
 
     def test_the_second_such_answer_is_believed(self):
         trust = self.begin()
@@ -390,7 +389,7 @@
     def test_whatever_comes_the_newest_word_counts(self, steps):
         """An entry of an epoch at least as new as all before is what is known after it."""
         trust, newest = Trust(4 * S), 0
-        trust.start(0, snapshot("abc", epoch=6), 5000 * S, "x", 0)
+        trust.start(0, snapshot("abc", epoch=6), ClockReading(5000 * S, "x", 0))
         newest = 6
         for n, (name, state, started, epoch, whole) in enumerate(steps):
             entry = EndpointEntry(name, "z", state, started)
@@ -439,9 +438,9 @@
 
     def test_old_list_behind_tables(self):
         class Fully(Trust):
-            def start(self, now, snapshot, *times):
-                verdict = super().start(now, snapshot, *times)
-                self.candidate_count = 0
+            def start(self, now, snapshot, clocks):
+                verdict = super().start(now, snapshot, clocks)
+                self.retention.candidate_count = 0
                 for known in self.backends.values():
                     known.candidate = False
                 return verdict._replace(entries=[k.entry for k in self.backends.values()])
