--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -65,9 +65,9 @@
             ),
             Collection(
                 "demand",
-                it.reduced.gauge.size(),
-                lists(*it.reduced.gauge.words.values()),
-                list(it.reduced.gauge.words.values()),
+                it.reduced.loss_meter.load_count(),
+                lists(*it.reduced.loss_meter.loads.values()),
+                list(it.reduced.loss_meter.loads.values()),
                 HANDLES,
             ),
             Collection(
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -13,7 +13,7 @@
 from embertray.controller.channel.outbox import Outbox
 from embertray.controller.channel.outlet import UNANSWERED, Awake
 from embertray.controller.channel.pacer import Pacer
-from embertray.controller.degradation import Reduced
+from embertray.controller.degradation import DegradationLadder
 from embertray.controller.report_intake import Intake
 from embertray.controller.runner import Runner
 from embertray.policy import interface as i
@@ -38,7 +38,7 @@
     cut: list = field(default_factory=list)  # (proxy, why): streams to be cut
     relist: bool = False  # backends were held back and there is room again: ask for the whole
     notices: list = field(default_factory=list)  # (purpose, text, bytes, cap, action)
-    change: object = None  # degrade.Change: another level of service
+    change: object = None  # degradation.LevelChange: another level of service
 
 
 class Instance(Runner):
@@ -54,7 +54,7 @@
             Pacer(site.channel_rate, now),
             Intake(site.reports_rate, now, site.report_cycle),
         )
-        self.reduced = Reduced(site.kinds, site.report_cycle, site.levels == "rate", now)
+        self.reduced = DegradationLadder(site.kinds, site.report_cycle, site.levels == "rate", now)
         self.outbox.all_in = self.module.all_in if site.levels != "none" else 0.0
         self.stamps = {}
         self.open, self.refs, self.probing, self.tidy_at = {}, {}, {}, now + TIDY
@@ -92,7 +92,7 @@
         self.outbox.left(proxy)
         self.pacer.drop(now, proxy)
         self.intake.left(proxy)
-        self.reduced.gauge.left(proxy)
+        self.reduced.loss_meter.proxy_left(proxy)
         for nonce in self.open.pop(name, ()):
             self.settled(nonce)
         self.todo.append(i.Left(proxy))
@@ -122,7 +122,7 @@
         )
         for came in message.came:
             if (kind := self.kinds.get(came.kind)) is not None:
-                self.reduced.gauge.sums(
+                self.reduced.loss_meter.observe(
                     now,
                     proxy,
                     kind,
@@ -144,9 +144,9 @@
         """One step if anything happened or is due; then what leaves the channel by now."""
         step = Step()
         self.awake.look(now)
-        if (change := self.reduced.due(now)) is not None:
+        if (change := self.reduced.evaluate_if_due(now)) is not None:
             step.change = change
-            self.outbox.wait, self.outbox.most_again = self.reduced.wait, self.reduced.most_again
+            self.outbox.wait, self.outbox.most_again = self.reduced.retry_after, self.reduced.retry_limit
         if orders := self.play(now, self.intake.due(now)):
             for proxy, message, nonce in self.outbox.post(now, orders):
                 if nonce:
--- a/embertray/controller/degradation/__init__.py
+++ b/embertray/controller/degradation/__init__.py
@@ -2,6 +2,6 @@
 and clients.
 """
 
-from .reduced import Change, Reduced
+from .ladder import DegradationLadder, LevelChange
 
-__all__ = ["Change", "Reduced"]
+__all__ = ["LevelChange", "DegradationLadder"]
--- a/embertray/controller/degradation/gauge.py
+++ b/embertray/controller/degradation/loss_meter.py
@@ -11,13 +11,15 @@
 
 S = 10**9
 # -- constants: value, unit, reason
-STALE = 3  # report cycles after which a proxy's word of a kind counts no more: it has missed two
-QUIET = 0.02  # denied or failed share under which nothing is: what comes is first demand
-RISE = 0.002  # a second that first demand may grow while some is denied: 12% a minute, a usual ramp of a day
-SMOOTH = 2  # report cycles over which a fall of demand is averaged: chance in a cycle is none
+STALE_CYCLES = 3  # report cycles after which a proxy's word of a kind counts no more: it has missed two
+NEGLIGIBLE_LOSS_SHARE = 0.02  # denied or failed share under which nothing is: what comes is first demand
+RISE_SHARE = (
+    0.002  # a second that first demand may grow while some is denied: 12% a minute, a usual ramp of a day
+)
+SMOOTHING_CYCLES = 2  # report cycles over which a fall of demand is averaged: chance in a cycle is none
 
 
-class Word:
+class ProxyLoad:
     """A proxy's last word of one kind: requests a second that came, were let in, failed, and came first
     (None: unmarked).
     """
@@ -28,7 +30,7 @@
         self.at, self.came, self.let_in, self.failed, self.first = at, came, let_in, failed, first
 
 
-class Demand:
+class FirstDemand:
     """A kind's first demand, requests a second."""
 
     def __init__(self):
@@ -43,22 +45,22 @@
             self.first = came
         elif came < self.first:  # averaged: chance in a cycle is no fall
             self.first += (came - self.first) * min(1.0, span)
-        elif lost <= QUIET * came:
+        elif lost <= NEGLIGIBLE_LOSS_SHARE * came:
             self.first = came
         else:
-            self.first = min(came, max(self.first * (1 + RISE * span), came - 2 * lost))
+            self.first = min(came, max(self.first * (1 + RISE_SHARE * span), came - 2 * lost))
 
 
-class Gauge:
+class LossMeter:
     """`cycle`: the report cycle, ns; `rated`: whether levels are requests a second (else parts let in)."""
 
     def __init__(self, kinds, cycle, rated):
         self.kinds, self.cycle, self.rated = kinds, cycle, rated
-        self.words = {kind: {} for kind in kinds}
-        self.demand = {kind: Demand() for kind in kinds}
+        self.loads = {kind: {} for kind in kinds}
+        self.demand = {kind: FirstDemand() for kind in kinds}
         self.looked = None
 
-    def sums(self, now, proxy, kind, requests, failed, span, level, repeats=None):
+    def observe(self, now, proxy, kind, requests, failed, span, level, repeats=None):
         """What came to a proxy in `span` ns under an ordered level (None: all let in); `repeats`: of it,
         marked ones.
         """
@@ -67,22 +69,22 @@
         came = requests * S / span
         let_in = came if level is None else min(came, level) if self.rated else came * min(1.0, level)
         first = None if repeats is None else max(0, requests - repeats) * S / span
-        self.words[kind][proxy] = Word(now, came, let_in, min(let_in, failed * S / span), first)
+        self.loads[kind][proxy] = ProxyLoad(now, came, let_in, min(let_in, failed * S / span), first)
 
-    def left(self, proxy):
-        for words in self.words.values():
+    def proxy_left(self, proxy):
+        for words in self.loads.values():
             words.pop(proxy, None)
 
-    def look(self, now):
+    def lost_share(self, now):
         """Lost share of the credit asked by first demand, 0 to 1; None: nothing that is known is young
         enough.
         """
-        oldest = now - STALE * self.cycle
-        span = 0.0 if self.looked is None else (now - self.looked) / (SMOOTH * self.cycle)
+        oldest = now - STALE_CYCLES * self.cycle
+        span = 0.0 if self.looked is None else (now - self.looked) / (SMOOTHING_CYCLES * self.cycle)
         wanted = served = 0.0
         heard = False
         for kind in self.kinds:
-            words = [word for word in self.words[kind].values() if word.at > oldest]
+            words = [word for word in self.loads[kind].values() if word.at > oldest]
             came = sum(word.came for word in words)
             got = sum(word.let_in - word.failed for word in words)
             heard = heard or bool(words)
@@ -99,5 +101,5 @@
         self.looked = now
         return max(0.0, 1 - served / wanted) if wanted > 0 else 0.0
 
-    def size(self):
-        return sum(map(len, self.words.values()))
+    def load_count(self):
+        return sum(map(len, self.loads.values()))
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -210,7 +210,7 @@
 
 
 def level(service, _):
-    return json(service.instance.reduced.page(service.clock.now()))
+    return json(service.instance.reduced.status(service.clock.now()))
 
 
 def set_level(service, query):
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -185,7 +185,7 @@
     def mind(self, now, step):
         """What memory asks for, and probes."""
         if (change := step.change) is not None:
-            self.log.warning("level of service", old=change.old, new=change.new, why=change.why)
+            self.log.warning("level of service", old=change.old, new=change.new, why=change.reason)
         for purpose, text, size, cap, action in step.notices:
             self.log.warning(f"memory {text}", purpose=purpose, bytes=size, cap=cap, action=action)
         for name, why in step.cut:
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -10,9 +10,9 @@
 from test_daemon import virtual
 
 from embertray.controller.core import Instance
-from embertray.controller.degradation import Reduced
-from embertray.controller.degradation.gauge import Gauge
-from embertray.controller.degradation.reduced import CALM, ENTER, NAMES, SURE
+from embertray.controller.degradation import DegradationLadder
+from embertray.controller.degradation.ladder import CALM_PERIOD_NS, ENTER, ENTER_EVALUATIONS, NAMES
+from embertray.controller.degradation.loss_meter import LossMeter
 from embertray.controller.stream.messages import Level
 from embertray.policy.interface import RequestKind
 from embertray.simulation.emulator.play import play
@@ -26,7 +26,12 @@
     """One proxy's sums each second, under a level, with clients of one habit."""
 
     def __init__(self, habit="never"):
-        self.reduced, self.habit, self.now, self.changes = Reduced([POST, VIEW], S, False, 0), habit, 0, []
+        self.ladder, self.habit, self.now, self.changes = (
+            DegradationLadder([POST, VIEW], S, False, 0),
+            habit,
+            0,
+            [],
+        )
 
     def second(self, first, served, tell=True):
         """`first` reqs/s of each kind are asked first; `served` of them are let in (post before view)."""
@@ -35,8 +40,8 @@
             repeats = {"never": 0.0, "later": first - can, "at once": 3 * (first - can)}[self.habit]
             came = first + repeats
             if tell:
-                self.reduced.gauge.sums(self.now, "p", kind, came, 0, S, can / came if came else None)
-        change = self.reduced.due(self.now)
+                self.ladder.loss_meter.observe(self.now, "p", kind, came, 0, S, can / came if came else None)
+        change = self.ladder.evaluate_if_due(self.now)
         if change:
             self.changes.append((self.now // S, change.new))
 
@@ -55,14 +60,14 @@
                 it.second(100, 200)
             for _ in range(30):
                 it.second(100, served)
-            self.assertEqual(it.reduced.name, name, served)
+            self.assertEqual(it.ladder.name, name, served)
             entered = len(it.changes)
             self.assertLessEqual(entered, 1)  # at once to the right one
             for _ in range(200):
                 it.second(100, 200)
-            self.assertEqual(it.reduced.name, "normal")
+            self.assertEqual(it.ladder.name, "normal")
             if entered:
-                self.assertGreaterEqual(it.changes[-1][0] - 50, CALM // S)
+                self.assertGreaterEqual(it.changes[-1][0] - 50, CALM_PERIOD_NS // S)
 
     def test_a_load_that_swings_round_a_mark_changes_the_level_once(self):
         for period in (2, 4, 6, 20, 45):
@@ -82,7 +87,7 @@
             self.assertLessEqual(sum(start <= at < start + 60 for at, _ in it.changes), 1, it.changes)
         for _ in range(5):
             it.second(100, 20)
-        self.assertEqual(it.reduced.name, "survival")
+        self.assertEqual(it.ladder.name, "survival")
 
     def test_clients_that_repeat_at_once_later_or_never_leave_the_same_level(self):
         found = {}
@@ -90,7 +95,7 @@
             it = Proxies(habit)
             for second in range(90):
                 it.second(100, 200 if second < 15 else 90)
-            found[habit] = it.reduced.name, it.reduced.lost
+            found[habit] = it.ladder.name, it.ladder.lost
         names, lost = zip(*found.values(), strict=False)
         self.assertEqual(len(set(names)), 1, found)
         self.assertLess(
@@ -103,32 +108,32 @@
             it.second(100, 200)
         for _ in range(8):
             it.second(100, 60)
-        level = it.reduced.name
+        level = it.ladder.name
         self.assertNotEqual(level, "normal")
         for _ in range(300):
             it.second(100, 200, tell=False)
-        self.assertEqual(it.reduced.name, level)
+        self.assertEqual(it.ladder.name, level)
         for _ in range(64):
             it.second(100, 200)
-        self.assertEqual(it.reduced.name, "normal")
+        self.assertEqual(it.ladder.name, "normal")
 
     def test_pins_and_forbidden_levels(self):
         it = Proxies()
-        it.reduced.pin("essential")
+        it.ladder.pin("essential")
         it.second(100, 200)
-        self.assertEqual((it.reduced.name, it.changes), ("essential", [(1, "essential")]))
-        it.reduced.release()
+        self.assertEqual((it.ladder.name, it.changes), ("essential", [(1, "essential")]))
+        it.ladder.release()
         for _ in range(70):
             it.second(100, 200)
-        self.assertEqual(it.reduced.name, "normal")
-        it.reduced.forbid("survival")
+        self.assertEqual(it.ladder.name, "normal")
+        it.ladder.forbid("survival")
         for _ in range(10):
             it.second(100, 20)
-        self.assertEqual(it.reduced.name, "essential")
-        it.reduced.forbid("essential")
+        self.assertEqual(it.ladder.name, "essential")
+        it.ladder.forbid("essential")
         it.second(100, 20)
-        self.assertEqual(it.reduced.name, "brownout")
-        for wrong in (lambda: it.reduced.pin("panic"), lambda: it.reduced.forbid("normal")):
+        self.assertEqual(it.ladder.name, "brownout")
+        for wrong in (lambda: it.ladder.pin("panic"), lambda: it.ladder.forbid("normal")):
             with self.assertRaises(ValueError):
                 wrong()
 
@@ -139,55 +144,55 @@
         )
     )
     def test_whatever_comes_up_takes_some_looks_and_down_a_calm_minute(self, course):
-        reduced, now, last, lost_at = Reduced([POST], S, False, 0), 0, 0, {}
-        reduced.gauge = SimpleNamespace(look=lambda now: lost_at[now])
+        ladder, now, last, lost_at = DegradationLadder([POST], S, False, 0), 0, 0, {}
+        ladder.loss_meter = SimpleNamespace(lost_share=lambda now: lost_at[now])
         for seconds, lost in course:
             for _ in range(seconds):
                 now += S
                 lost_at[now] = lost
-                change = reduced.due(now)
+                change = ladder.evaluate_if_due(now)
                 if change is None:
                     continue
                 old, new = NAMES.index(change.old), NAMES.index(change.new)
                 if new > old:
-                    self.assertTrue(all(lost_at[now - k * S] > ENTER[new] for k in range(SURE)))
+                    self.assertTrue(all(lost_at[now - k * S] > ENTER[new] for k in range(ENTER_EVALUATIONS)))
                 else:
-                    self.assertGreaterEqual(now - last, CALM)
+                    self.assertGreaterEqual(now - last, CALM_PERIOD_NS)
                 last = now
 
 
 class First(unittest.TestCase):
     def test_first_demand_falls_with_what_comes_and_rises_slowly_while_some_is_denied(self):
-        gauge = Gauge([POST], S, True)
+        meter = LossMeter([POST], S, True)
         for second in range(20):
-            gauge.sums(second * S, "p", POST, 100, 0, S, None)
-            gauge.look(second * S)
-        self.assertAlmostEqual(gauge.demand[POST].first, 100)
+            meter.observe(second * S, "p", POST, 100, 0, S, None)
+            meter.lost_share(second * S)
+        self.assertAlmostEqual(meter.demand[POST].first, 100)
         for second in range(20, 80):
-            gauge.sums(second * S, "p", POST, 300, 0, S, 50.0)
-            lost = gauge.look(second * S)
-        self.assertLess(gauge.demand[POST].first, 110)
+            meter.observe(second * S, "p", POST, 300, 0, S, 50.0)
+            lost = meter.lost_share(second * S)
+        self.assertLess(meter.demand[POST].first, 110)
         self.assertAlmostEqual(lost, 0.5, delta=0.06)
-        gauge.sums(80 * S, "p", POST, 40, 0, S, 50.0)
-        self.assertLess(gauge.look(80 * S), 0.01)
+        meter.observe(80 * S, "p", POST, 40, 0, S, 50.0)
+        self.assertLess(meter.lost_share(80 * S), 0.01)
 
     def test_marked_repeats_tell_first_demand_at_once(self):
-        gauge = Gauge([POST], S, True)
+        meter = LossMeter([POST], S, True)
         for second, came, repeats in ((0, 100, 0), (1, 900, 100), (2, 1500, 700)):
-            gauge.sums(second * S, "p", POST, came, 0, S, 200.0, repeats)
-            lost = gauge.look(second * S)
-        self.assertAlmostEqual(gauge.demand[POST].first, 800)
+            meter.observe(second * S, "p", POST, came, 0, S, 200.0, repeats)
+            lost = meter.lost_share(second * S)
+        self.assertAlmostEqual(meter.demand[POST].first, 800)
         self.assertAlmostEqual(lost, 0.75)
 
     def test_silent_and_gone_proxies_count_no_more(self):
-        gauge = Gauge([POST], S, False)
-        gauge.sums(0, "p", POST, 10, 5, S, 1.0)
-        gauge.sums(0, "q", POST, 10, 0, S, 1.0)
-        self.assertAlmostEqual(gauge.look(S), 0.25)
-        gauge.left("p")
-        self.assertEqual(gauge.look(S), 0.0)
-        self.assertIsNone(gauge.look(9 * S))
-        self.assertEqual(gauge.size(), 1)
+        meter = LossMeter([POST], S, False)
+        meter.observe(0, "p", POST, 10, 5, S, 1.0)
+        meter.observe(0, "q", POST, 10, 0, S, 1.0)
+        self.assertAlmostEqual(meter.lost_share(S), 0.25)
+        meter.proxy_left("p")
+        self.assertEqual(meter.lost_share(S), 0.0)
+        self.assertIsNone(meter.lost_share(9 * S))
+        self.assertEqual(meter.load_count(), 1)
 
 
 SPIKE = (
