--- a/embertray/controller/degradation/__init__.py
+++ b/embertray/controller/degradation/__init__.py
@@ -1,7 +1,19 @@
-"""Named levels of reduced service: what is given up when not all can be served, told to operators, proxies
-and clients.
+"""Named levels of reduced service: what is given up when not all can be served.
+
+Operators, proxies and clients are told the level; `loss_meter` says how much is lost, `ladder` decides.
 """
 
+from .exceptions import NormalLevelError, UnknownLevelError
 from .ladder import DegradationLadder, LevelChange
+from .levels import LEVELS, DegradationLevel
+from .loss_meter import LossMeter
 
-__all__ = ["LevelChange", "DegradationLadder"]
+__all__ = [
+    "LEVELS",
+    "DegradationLadder",
+    "DegradationLevel",
+    "LevelChange",
+    "LossMeter",
+    "NormalLevelError",
+    "UnknownLevelError",
+]
--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -1,155 +1,203 @@
-"""The ladder of named levels; decisions, no I/O.
+"""The ladder of degradation levels, without I/O.
 
-A level is entered when the lost share of credit (gauge.py) stands above its mark for some looks, and left
-when it has stood under a lower mark for a whole minute: a load that swings round a mark changes the level
-once. Levels are by credit, of all request kinds together, never by name. What each gives up costs no rule: a
-level only tries less.
+A level is entered when the lost share of credit (loss_meter.py) stands above its mark for some evaluations,
+and left when it has stood below a lower mark for a whole calm period: a load that swings around a mark
+changes the level once. Levels follow the credit of all request kinds together, never a kind's name.
 """
 
-from collections import namedtuple
+from typing import NamedTuple
 
+from .exceptions import NormalLevelError
+from .levels import LEVEL_NAMES, LEVELS, index_of
 from .loss_meter import LossMeter
 
-S = 10**9
-# -- constants: value, unit, reason
-NAMES = ("normal", "brownout", "essential", "survival")
-ENTER = (0.0, 0.05, 0.25, 0.55)  # lost share of credit: past chance; a quarter; more than half
-LEAVE = (0.0, 0.025, 0.15, 0.40)  # well under the marks above: the module's own swing round a goal is a tenth
-ENTER_EVALUATIONS = 3  # looks above a mark before a level is entered: one late report is no overload
-CALM_PERIOD_NS = (
-    60 * S
-)  # ns under the mark before a level is left, and between two changes but for the highest level:
-#                         at most one change a minute at a load that swings round a mark or between two
-EVALUATION_PERIOD_NS = S  # ns between looks
-WAIT = (
-    0,
-    1 * S,
-    2 * S,
-    4 * S,
-)  # ns that a denied client is asked to stay away; some clients' time-outs at the most
-AGAIN = (
-    3,
-    3,
-    0,
-    0,
-)  # most further tries of a kind that is partly denied: the protocol's ways of trying again, 3 is any
-GIVES_UP = ((), ("probes",), ("probes", "tries"), ("probes", "tries"))
-
-LevelChange = namedtuple("LevelChange", "old new reason")
+NS_PER_SECOND = 10**9
+NS_PER_MS = 10**6
+EVALUATION_PERIOD_NS = 1 * NS_PER_SECOND
+ENTER_EVALUATIONS = 3  # evaluations above a mark before a level is entered: one late report is no overload
+# Time below the mark before a level is left, and between two changes unless to the highest level, ns: at most
+# one change a minute at a load that swings around a mark or between two.
+CALM_PERIOD_NS = 60 * NS_PER_SECOND
+HIGHEST = len(LEVELS) - 1
 
 
-class DegradationLadder:
-    """`look` is to be called each EVALUATION_PERIOD_NS; `level` is an index into NAMES."""
+class LevelChange(NamedTuple):
+    """Another degradation level is in force.
+
+    Attributes:
+        old: Name of the former level.
+        new: Name of the level now.
+        reason: Why, in words.
+    """
+
+    old: str
+    new: str
+    reason: str
+
 
-    def __init__(self, kinds, cycle, rated, now):
-        self.loss_meter = LossMeter(kinds, cycle, rated)
-        self.level, self.since, self.changes = 0, now, 0
-        self.above, self.calm_from = [0] * len(NAMES), now
-        self.pinned, self.forbidden, self.lost, self.look_at = None, set(), None, now + EVALUATION_PERIOD_NS
+class DegradationLadder:
+    """Decides the degradation level of one controller. Call `evaluate_if_due` at least each second.
+
+    Args:
+        kinds: The RequestKinds.
+        report_cycle: The proxies' report cycle, ns.
+        levels_are_rates: Whether ordered admission levels are requests a second; else shares of what comes.
+        now: ns.
+
+    Attributes:
+        loss_meter: The LossMeter, which the load reports go to.
+        level: Index in LEVELS.
+        changes: How often the level changed.
+        lost: Lost share of credit at the last evaluation, 0 to 1; None: not known.
+        pinned: Index of the level that an operator holds, or None.
+        forbidden: Indices of the levels that an operator forbids.
+    """
+
+    def __init__(self, kinds, report_cycle, levels_are_rates, now):
+        self.loss_meter = LossMeter(kinds, report_cycle, levels_are_rates)
+        self.level = 0
+        self.changes = 0
+        self.lost = None
+        self.pinned = None
+        self.forbidden = set()
+        self._changed_at = now  # ns
+        self._calm_since = now  # ns
+        self._evaluations_above = [0] * len(LEVELS)  # consecutive ones above each level's mark
+        self._evaluate_at = now + EVALUATION_PERIOD_NS  # ns
 
     # ---- operators
 
     def pin(self, name):
-        """Holds a level until `release`. Raises ValueError for a name that there is not."""
-        self.pinned = self.known(name)
+        """Holds a level until `release`.
+
+        Raises:
+            UnknownLevelError: There is no level of that name.
+        """
+        self.pinned = index_of(name)
 
     def release(self):
+        """Ends a pin."""
         self.pinned = None
 
     def forbid(self, name, forbidden=True):
-        """A level that is not to be entered; the next milder one stands for it. `normal` can't be
-        forbidden.
+        """Forbids a level, or allows it again; the next milder one takes its place.
+
+        Args:
+            name: The level's name.
+            forbidden: False allows it again.
+
+        Raises:
+            UnknownLevelError: There is no level of that name.
+            NormalLevelError: It is the normal one.
         """
-        place = self.known(name)
-        if not place:
-            raise ValueError("normal can't be forbidden")
-        (self.forbidden.add if forbidden else self.forbidden.discard)(place)
+        index = index_of(name)
+        if not index:
+            raise NormalLevelError("normal can't be forbidden")
+        if forbidden:
+            self.forbidden.add(index)
+        else:
+            self.forbidden.discard(index)
 
-    @staticmethod
-    def known(name):
-        if name not in NAMES:
-            raise ValueError(f"no level '{name}'; there are {', '.join(NAMES)}")
-        return NAMES.index(name)
+    def status(self, now):
+        """Returns the state at `now` (ns) as a JSON object, for operators."""
+        return {
+            "level": self.name,
+            "for_s": round((now - self._changed_at) / NS_PER_SECOND, 1),
+            "lost_credit": self.lost,
+            "gives_up": list(LEVELS[self.level].gives_up),
+            "wait_ms": self.retry_after // NS_PER_MS,
+            "changes": self.changes,
+            "pinned": None if self.pinned is None else LEVEL_NAMES[self.pinned],
+            "forbidden": [LEVEL_NAMES[index] for index in sorted(self.forbidden)],
+            "first_demand": {
+                kind.external_id: None if demand.rate is None else round(demand.rate, 1)
+                for kind, demand in self.loss_meter.demand.items()
+            },
+        }
 
-    # ---- looks
+    # ---- evaluation
 
     def evaluate_if_due(self, now):
-        """The LevelChange that a look brings, or None. Looks at most each EVALUATION_PERIOD_NS."""
-        if now < self.look_at:
-            return None
-        self.look_at = now + EVALUATION_PERIOD_NS
-        return self.look(now)
+        """Evaluates the loss, at most once each EVALUATION_PERIOD_NS.
+
+        Args:
+            now: ns.
 
-    def look(self, now):
+        Returns:
+            A LevelChange, or None: the level stands.
+        """
+        if now < self._evaluate_at:
+            return None
+        self._evaluate_at = now + EVALUATION_PERIOD_NS
         self.lost = self.loss_meter.lost_share(now)
         if self.pinned is not None:
-            return self.go(now, self.pinned, "pinned by an operator")
-        if self.lost is None:  # no news is no verdict: the level stands, and calm does not count
-            self.calm_from = now
+            return self._change(now, self.pinned, "pinned by an operator")
+        if self.lost is None:  # without a load report the level stands, and calm does not count
+            self._calm_since = now
             return None
-        for place in range(1, len(NAMES)):
-            self.above[place] = self.above[place] + 1 if self.lost > ENTER[place] else 0
-        wanted = max(
-            place for place in range(len(NAMES)) if not place or self.above[place] >= ENTER_EVALUATIONS
-        )
-        if wanted > self.level and (
-            not self.changes or now - self.since >= CALM_PERIOD_NS or wanted == len(NAMES) - 1
-        ):
-            return self.go(now, wanted, f"{self.lost:.0%} of the credit is lost")
-        if self.lost >= LEAVE[self.level]:
-            self.calm_from = now
-        elif self.level and now - self.calm_from >= CALM_PERIOD_NS:
-            return self.go(
-                now,
-                max(place for place in range(self.level) if not place or self.lost >= LEAVE[place]),
-                f"{self.lost:.0%} of the credit is lost, for {CALM_PERIOD_NS // S} s",
-            )
+        return self._evaluate(now)
+
+    def _evaluate(self, now):
+        wanted = self._level_to_enter()
+        if wanted > self.level and self._may_rise(now, wanted):
+            return self._change(now, wanted, f"{self.lost:.0%} of the credit is lost")
+        if self.lost >= LEVELS[self.level].leave_below:
+            self._calm_since = now
+        elif self.level and now - self._calm_since >= CALM_PERIOD_NS:
+            reason = f"{self.lost:.0%} of the credit is lost, for {CALM_PERIOD_NS // NS_PER_SECOND} s"
+            return self._change(now, self._level_after_calm(), reason)
         if self.level in self.forbidden:
-            return self.go(now, self.level, "forbidden by an operator")
+            return self._change(now, self.level, "forbidden by an operator")
         return None
 
-    def go(self, now, place, why):
-        """To that level, or the next milder one that is allowed."""
-        while self.pinned is None and place in self.forbidden:
-            place -= 1
-        if place == self.level:
+    def _level_to_enter(self):
+        """The highest level above whose mark the loss has stood for long enough."""
+        wanted = 0
+        for index in range(1, len(LEVELS)):
+            above = self.lost > LEVELS[index].enter_above
+            self._evaluations_above[index] = self._evaluations_above[index] + 1 if above else 0
+            if self._evaluations_above[index] >= ENTER_EVALUATIONS:
+                wanted = index
+        return wanted
+
+    def _may_rise(self, now, wanted):
+        return not self.changes or now - self._changed_at >= CALM_PERIOD_NS or wanted == HIGHEST
+
+    def _level_after_calm(self):
+        """The highest level below this one that the loss does not let go of."""
+        milder = range(1, self.level)
+        return max((index for index in milder if self.lost >= LEVELS[index].leave_below), default=0)
+
+    def _change(self, now, index, reason):
+        """Goes to a level, or to the next milder one that is allowed."""
+        while self.pinned is None and index in self.forbidden:
+            index -= 1
+        if index == self.level:
             return None
-        change = LevelChange(NAMES[self.level], NAMES[place], why)
-        self.level, self.since, self.calm_from = place, now, now
+        change = LevelChange(LEVEL_NAMES[self.level], LEVEL_NAMES[index], reason)
+        self.level = index
         self.changes += 1
+        self._changed_at = now
+        self._calm_since = now
         return change
 
-    # ---- what it means
+    # ---- what the level means
 
     @property
     def name(self):
-        return NAMES[self.level]
+        """Name of the level."""
+        return LEVEL_NAMES[self.level]
 
     @property
     def retry_after(self):
-        """ns that a denied client is asked to stay away."""
-        return WAIT[self.level]
+        """How long a rejected client is asked to stay away, ns."""
+        return LEVELS[self.level].retry_after
 
     @property
     def retry_limit(self):
-        return AGAIN[self.level]
+        """Most further attempts of a request kind that is partly rejected."""
+        return LEVELS[self.level].retry_limit
 
     def gives_up(self, what):
-        return what in GIVES_UP[self.level]
-
-    def status(self, now):
-        """For operators."""
-        return {
-            "level": self.name,
-            "for_s": round((now - self.since) / S, 1),
-            "lost_credit": self.lost,
-            "gives_up": list(GIVES_UP[self.level]),
-            "wait_ms": self.retry_after // 10**6,
-            "changes": self.changes,
-            "pinned": None if self.pinned is None else NAMES[self.pinned],
-            "forbidden": [NAMES[place] for place in sorted(self.forbidden)],
-            "first_demand": {
-                kind.external_id: None if d.first is None else round(d.first, 1)
-                for kind, d in self.loss_meter.demand.items()
-            },
-        }
+        """Whether the level gives up PROBES or RETRIES (levels.py)."""
+        return what in LEVELS[self.level].gives_up
--- a/embertray/controller/degradation/loss_meter.py
+++ b/embertray/controller/degradation/loss_meter.py
@@ -1,105 +1,134 @@
-"""How much of the demand is served, by request kind; decisions, no I/O.
-
-What comes to proxies is first demand and repeats of what was denied or failed. Where clients mark their
-further tries (as Envoy's x-envoy-attempt-count does) and proxies count them, first demand is known. Where
-not, it is held: while nothing is denied all that comes is first demand. From then on first demand is held to
-what it was, and may rise only
-slowly, or to what comes less twice what is lost: a sudden crowd is there before its first losses are, while
-under steady losses that is less than what is served. So clients that ask again at once, later or never leave
-the same figure.
-"""
-
-S = 10**9
-# -- constants: value, unit, reason
-STALE_CYCLES = 3  # report cycles after which a proxy's word of a kind counts no more: it has missed two
-NEGLIGIBLE_LOSS_SHARE = 0.02  # denied or failed share under which nothing is: what comes is first demand
-RISE_SHARE = (
-    0.002  # a second that first demand may grow while some is denied: 12% a minute, a usual ramp of a day
-)
-SMOOTHING_CYCLES = 2  # report cycles over which a fall of demand is averaged: chance in a cycle is none
+"""Measures how much of the first demand is lost, by request kind and weighed by credit, without I/O."""
 
+from .first_demand import FirstDemand
 
-class ProxyLoad:
-    """A proxy's last word of one kind: requests a second that came, were let in, failed, and came first
-    (None: unmarked).
-    """
+NS_PER_SECOND = 10**9
+STALE_CYCLES = 3  # report cycles after which a proxy's load counts no more: it has missed two
+SMOOTHING_CYCLES = 2  # report cycles over which a fall of demand is averaged
 
-    __slots__ = ("at", "came", "let_in", "failed", "first")
 
-    def __init__(self, at, came, let_in, failed, first):
-        self.at, self.came, self.let_in, self.failed, self.first = at, came, let_in, failed, first
+class ProxyLoad:
+    """A proxy's last load report of one request kind, as rates a second.
+
+    Args:
+        reported_at: When it was received, ns.
+        arriving: Requests that came.
+        admitted: Requests that were not rejected.
+        failed: Admitted requests that failed.
+        marked: Requests marked as first attempts; None: clients mark none.
+    """
 
+    __slots__ = ("admitted", "arriving", "failed", "marked", "reported_at")
 
-class FirstDemand:
-    """A kind's first demand, requests a second."""
+    def __init__(self, reported_at, arriving, admitted, failed, marked):
+        self.reported_at = reported_at
+        self.arriving = arriving
+        self.admitted = admitted
+        self.failed = failed
+        self.marked = marked
 
-    def __init__(self):
-        self.first = None
 
-    def look(self, span, came, lost, first=None):
-        """`span`: cycles averaged over that have passed since the last look; `lost`: what of it was denied or
-        failed; `first`: what was marked as first tries, where clients mark."""
-        if first is not None:
-            self.first = first
-        elif self.first is None:
-            self.first = came
-        elif came < self.first:  # averaged: chance in a cycle is no fall
-            self.first += (came - self.first) * min(1.0, span)
-        elif lost <= NEGLIGIBLE_LOSS_SHARE * came:
-            self.first = came
-        else:
-            self.first = min(came, max(self.first * (1 + RISE_SHARE * span), came - 2 * lost))
+class LossMeter:
+    """The lost share of credit of one controller's proxies.
 
+    Args:
+        kinds: The RequestKinds.
+        report_cycle: The proxies' report cycle, ns.
+        levels_are_rates: Whether ordered admission levels are requests a second; else shares of what comes.
 
-class LossMeter:
-    """`cycle`: the report cycle, ns; `rated`: whether levels are requests a second (else parts let in)."""
+    Attributes:
+        loads: Request kind -> proxy -> ProxyLoad.
+        demand: Request kind -> FirstDemand.
+    """
 
-    def __init__(self, kinds, cycle, rated):
-        self.kinds, self.cycle, self.rated = kinds, cycle, rated
+    def __init__(self, kinds, report_cycle, levels_are_rates):
+        self.kinds = kinds
+        self.report_cycle = report_cycle
+        self.levels_are_rates = levels_are_rates
         self.loads = {kind: {} for kind in kinds}
         self.demand = {kind: FirstDemand() for kind in kinds}
-        self.looked = None
+        self._measured_at = None  # ns
 
     def observe(self, now, proxy, kind, requests, failed, span, level, repeats=None):
-        """What came to a proxy in `span` ns under an ordered level (None: all let in); `repeats`: of it,
-        marked ones.
+        """Takes in one request kind of a proxy's load report.
+
+        Args:
+            now: ns.
+            proxy: The proxy.
+            kind: The request kind.
+            requests: How many came.
+            failed: How many of the admitted failed.
+            span: The time that the report covers, ns.
+            level: The ordered admission level; None: all are admitted.
+            repeats: How many were marked as repeats; None: clients mark none.
         """
         if span <= 0:
             return
-        came = requests * S / span
-        let_in = came if level is None else min(came, level) if self.rated else came * min(1.0, level)
-        first = None if repeats is None else max(0, requests - repeats) * S / span
-        self.loads[kind][proxy] = ProxyLoad(now, came, let_in, min(let_in, failed * S / span), first)
+        arriving = requests * NS_PER_SECOND / span
+        admitted = self._admitted(arriving, level)
+        marked = None if repeats is None else max(0, requests - repeats) * NS_PER_SECOND / span
+        failing = min(admitted, failed * NS_PER_SECOND / span)
+        self.loads[kind][proxy] = ProxyLoad(now, arriving, admitted, failing, marked)
+
+    def _admitted(self, arriving, level):
+        if level is None:
+            return arriving
+        if self.levels_are_rates:
+            return min(arriving, level)
+        return arriving * min(1.0, level)
 
     def proxy_left(self, proxy):
-        for words in self.loads.values():
-            words.pop(proxy, None)
+        """Forgets a proxy whose stream ended."""
+        for loads in self.loads.values():
+            loads.pop(proxy, None)
 
     def lost_share(self, now):
-        """Lost share of the credit asked by first demand, 0 to 1; None: nothing that is known is young
-        enough.
+        """Measures the loss.
+
+        Args:
+            now: ns.
+
+        Returns:
+            The lost share of the credit that first demand asks for, 0 to 1; None: no load is recent enough.
         """
-        oldest = now - STALE_CYCLES * self.cycle
-        span = 0.0 if self.looked is None else (now - self.looked) / (SMOOTHING_CYCLES * self.cycle)
-        wanted = served = 0.0
-        heard = False
+        wanted = 0.0
+        served = 0.0
+        any_load = False
+        span = self._span_since_last(now)
         for kind in self.kinds:
-            words = [word for word in self.loads[kind].values() if word.at > oldest]
-            came = sum(word.came for word in words)
-            got = sum(word.let_in - word.failed for word in words)
-            heard = heard or bool(words)
-            if not words:
+            loads = self._recent_loads(now, kind)
+            if not loads:
                 continue
-            demand = self.demand[kind]
-            marked = all(word.first is not None for word in words)
-            demand.look(span, came, came - got, sum(word.first for word in words) if marked else None)
-            asked = min(demand.first, came)  # what no longer comes is not lost
-            wanted += kind.credit * asked
-            served += kind.credit * min(got, asked)
-        if not heard:
-            return None  # first demand is held: silence is no news of it
-        self.looked = now
+            any_load = True
+            wanted_rate, served_rate = self._rates(kind, loads, span)
+            wanted += kind.credit * wanted_rate
+            served += kind.credit * served_rate
+        if not any_load:
+            return None  # silence tells nothing: first demand stays as it is
+        self._measured_at = now
         return max(0.0, 1 - served / wanted) if wanted > 0 else 0.0
 
     def load_count(self):
+        """Returns how many loads are kept."""
         return sum(map(len, self.loads.values()))
+
+    def _span_since_last(self, now):
+        """Time since the last measurement, in periods of SMOOTHING_CYCLES; 0 at the first."""
+        if self._measured_at is None:
+            return 0.0
+        return (now - self._measured_at) / (SMOOTHING_CYCLES * self.report_cycle)
+
+    def _recent_loads(self, now, kind):
+        oldest = now - STALE_CYCLES * self.report_cycle
+        return [load for load in self.loads[kind].values() if load.reported_at > oldest]
+
+    def _rates(self, kind, loads, span):
+        """(first demand, what of it is served) of a request kind, requests a second."""
+        arriving = sum(load.arriving for load in loads)
+        served = sum(load.admitted - load.failed for load in loads)
+        all_marked = all(load.marked is not None for load in loads)
+        marked = sum(load.marked for load in loads) if all_marked else None
+        demand = self.demand[kind]
+        demand.update(span, arriving, arriving - served, marked)
+        wanted = min(demand.rate, arriving)  # what no longer comes is not lost
+        return wanted, min(served, wanted)
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -11,7 +11,8 @@
 
 from embertray.controller.core import Instance
 from embertray.controller.degradation import DegradationLadder
-from embertray.controller.degradation.ladder import CALM_PERIOD_NS, ENTER, ENTER_EVALUATIONS, NAMES
+from embertray.controller.degradation.ladder import CALM_PERIOD_NS, ENTER_EVALUATIONS
+from embertray.controller.degradation.levels import LEVEL_NAMES, LEVELS
 from embertray.controller.degradation.loss_meter import LossMeter
 from embertray.controller.stream.messages import Level
 from embertray.policy.interface import RequestKind
@@ -153,9 +154,11 @@
                 change = ladder.evaluate_if_due(now)
                 if change is None:
                     continue
-                old, new = NAMES.index(change.old), NAMES.index(change.new)
+                old, new = LEVEL_NAMES.index(change.old), LEVEL_NAMES.index(change.new)
                 if new > old:
-                    self.assertTrue(all(lost_at[now - k * S] > ENTER[new] for k in range(ENTER_EVALUATIONS)))
+                    self.assertTrue(
+                        all(lost_at[now - k * S] > LEVELS[new].enter_above for k in range(ENTER_EVALUATIONS))
+                    )
                 else:
                     self.assertGreaterEqual(now - last, CALM_PERIOD_NS)
                 last = now
@@ -167,11 +170,11 @@
         for second in range(20):
             meter.observe(second * S, "p", POST, 100, 0, S, None)
             meter.lost_share(second * S)
-        self.assertAlmostEqual(meter.demand[POST].first, 100)
+        self.assertAlmostEqual(meter.demand[POST].rate, 100)
         for second in range(20, 80):
             meter.observe(second * S, "p", POST, 300, 0, S, 50.0)
             lost = meter.lost_share(second * S)
-        self.assertLess(meter.demand[POST].first, 110)
+        self.assertLess(meter.demand[POST].rate, 110)
         self.assertAlmostEqual(lost, 0.5, delta=0.06)
         meter.observe(80 * S, "p", POST, 40, 0, S, 50.0)
         self.assertLess(meter.lost_share(80 * S), 0.01)
@@ -181,7 +184,7 @@
         for second, came, repeats in ((0, 100, 0), (1, 900, 100), (2, 1500, 700)):
             meter.observe(second * S, "p", POST, came, 0, S, 200.0, repeats)
             lost = meter.lost_share(second * S)
-        self.assertAlmostEqual(meter.demand[POST].first, 800)
+        self.assertAlmostEqual(meter.demand[POST].rate, 800)
         self.assertAlmostEqual(lost, 0.75)
 
     def test_silent_and_gone_proxies_count_no_more(self):
