--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -10,7 +10,7 @@
 import h11
 
 from embertray.common import logs
-from embertray.common.memory.caps import COLLECT
+from embertray.common.memory.caps import COLLECTOR_THRESHOLDS
 from embertray.common.net.address import BadAddress
 from embertray.controller.channel.budget import budget
 from embertray.service.site import BadSite, load as load_site
@@ -62,7 +62,7 @@
     except BadSite as wrong:
         raise Bad(str(wrong)) from None
     gc.freeze()  # what was imported lives as long as we do
-    gc.set_threshold(*COLLECT)
+    gc.set_threshold(*COLLECTOR_THRESHOLDS)
     kept = DurableSnapshots(description.keep) if description.keep else InMemorySnapshots()
 
     async def run():
--- a/embertray/common/memory/__init__.py
+++ b/embertray/common/memory/__init__.py
@@ -1,6 +1,6 @@
 """Memory by purpose: who holds what, its cap, and what is done at the cap; no I/O."""
 
-from .accounts import Accounts
-from .sizes import Collection
+from .accounts import MemoryAccounts
+from .sizing import Collection
 
-__all__ = ["Accounts", "Collection"]
+__all__ = ["MemoryAccounts", "Collection"]
--- a/embertray/common/memory/sizes.py
+++ b/embertray/common/memory/sizing.py
@@ -23,7 +23,7 @@
         self.stop, self.skip = NEVER + tuple(stop), frozenset(skip)
 
 
-def deep(root, stop=NEVER, skip=frozenset(), seen=None):
+def deep_size(root, stop=NEVER, skip=frozenset(), seen=None):
     """Bytes of `root` and of what it leads to, but for what is in `seen` already."""
     seen, total, todo = set() if seen is None else seen, 0, [root]
     while todo:
@@ -53,14 +53,14 @@
     return total
 
 
-def weigh(collection):
+def measure_entry_bytes(collection):
     """Bytes an entry takes, by a sample spread evenly over the collection; 0.0 if it is empty."""
     if not collection.count:
         return 0.0
     step, seen, taken, total = max(1, collection.count // SAMPLE), set(), 0, 0
     for n, entry in enumerate(collection.entries()):
         if n % step == 0:
-            total += deep(entry, collection.stop, collection.skip, seen)
+            total += deep_size(entry, collection.stop, collection.skip, seen)
             taken += 1
             if taken >= SAMPLE:
                 break
--- a/embertray/controller/core/desk.py
+++ b/embertray/controller/core/desk.py
@@ -92,7 +92,7 @@
         if entries := self.trust.apply_timers(now):
             self.hand_on(now, "changes", entries)
         step = self.instance.advance(now)
-        if self.instance.accounts.acting("list"):
+        if self.instance.accounts.any_at_cap("list"):
             self.trust.shed_memory()
         return step
 
--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -1,6 +1,6 @@
 """What a controller's parts hold, by purpose: the collections that the accounts count. Changes nothing."""
 
-from embertray.common.memory.sizes import Collection
+from embertray.common.memory.sizing import Collection
 from embertray.policy import interface as i
 from embertray.policy.actor import Actor
 
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -8,8 +8,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from embertray.common.memory import Accounts
-from embertray.common.memory.caps import PROBES, defaults
+from embertray.common.memory import MemoryAccounts
+from embertray.common.memory.caps import PROBES_IN_FLIGHT_MAX, default_caps
 from embertray.controller.channel.outbox import Outbox
 from embertray.controller.channel.outlet import UNANSWERED, Awake
 from embertray.controller.channel.pacer import Pacer
@@ -58,7 +58,7 @@
         self.outbox.all_in = self.module.all_in if site.levels != "none" else 0.0
         self.stamps = {}
         self.open, self.refs, self.probing, self.tidy_at = {}, {}, {}, now + TIDY
-        self.accounts = Accounts({**defaults(site), **site.caps}, chance)
+        self.accounts = MemoryAccounts({**default_caps(site), **site.caps}, chance)
         self.awake = Awake(now)
         self.more = dict  # purpose -> further collections, of whoever runs this
         self.held_back = self.skipped = self.room_at = 0
@@ -68,10 +68,12 @@
     def news(self, now, how, clock=0, entries=()):
         if how == "whole":
             self.held_back = 0
-        if self.accounts.acting("tables", "list"):  # new ones wait; what is there and what goes is never held
+        if self.accounts.any_at_cap(
+            "tables", "list"
+        ):  # new ones wait; what is there and what goes is never held
             known = [e for e in entries if e.backend in self.identifiers.backends]
             self.held_back += len(entries) - len(known)
-            self.accounts.by["list"].done += len(entries) - len(known)
+            self.accounts.by_purpose["list"].action_count += len(entries) - len(known)
             entries = known
         super().news(now, how, clock, entries)
 
@@ -79,7 +81,7 @@
 
     def turn_away(self):
         """ns that a proxy must stay away for lack of memory, or None."""
-        return self.accounts.turn_away()
+        return self.accounts.reject_join()
 
     def join(self, hello):
         proxy = self.identifiers.proxy(hello.proxy)
@@ -167,12 +169,12 @@
                 step.ask = True
             elif isinstance(order, i.Probe):
                 if (
-                    self.accounts.acting("probes")
-                    or len(self.probing) >= PROBES
+                    self.accounts.any_at_cap("probes")
+                    or len(self.probing) >= PROBES_IN_FLIGHT_MAX
                     or self.reduced.gives_up("probes")
                 ):
                     self.skipped += 1
-                    self.accounts.by["probes"].done += 1
+                    self.accounts.by_purpose["probes"].action_count += 1
                 elif order.backend.external_id not in self.probing:
                     self.probing[order.backend.external_id] = now
                     step.probe.append(order.backend.external_id)
@@ -198,18 +200,18 @@
                     for name, held in self.open.items()
                     if held and now - self.stamps[held[0]] > UNANSWERED
                 ]
-        for verdict in self.accounts.look(now, self.collections):
-            account = self.accounts.by[verdict.purpose]
+        for verdict in self.accounts.evaluate(now, self.collections):
+            account = self.accounts.by_purpose[verdict.purpose]
             if verdict.action == "drop" and self.intake.waiting:
-                each = max(1.0, account.each.get("waiting", 1.0))
-                account.done += self.intake.drop_oldest(int(verdict.excess / each) + 1)
+                each = max(1.0, account.bytes_per_entry.get("waiting", 1.0))
+                account.action_count += self.intake.drop_oldest(int(verdict.excess / each) + 1)
             elif verdict.action == "cut" and (proxy := self.pacer.heaviest()) is not None:
-                account.done += 1
+                account.action_count += 1
                 step.cut.append(
                     (proxy.external_id, "the channel is at its memory cap, and most waits for this proxy")
                 )
         step.notices, self.accounts.notices = self.accounts.notices, []
-        if self.accounts.acting("tables", "list"):
+        if self.accounts.any_at_cap("tables", "list"):
             self.room_at = now + RELIST
         elif self.held_back and now >= self.room_at:
             self.held_back, step.relist = 0, True
--- a/embertray/experiments/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -8,7 +8,7 @@
 import time
 import tracemalloc
 
-from embertray.common.memory import Accounts
+from embertray.common.memory import MemoryAccounts
 from embertray.common.net.process import resident
 from embertray.controller.core import Instance
 from embertray.simulation.emulator import churn
@@ -46,7 +46,7 @@
         print(f"| {found['with']:.2f} | {found['without']:.2f} | {ratios[-1]:.3f} |", flush=True)
     print(f"median ratio {sorted(ratios)[2] / 2 + sorted(ratios)[3] / 2:.3f}\n")
 
-    spent, look = [0.0], Accounts.look
+    spent, look = [0.0], MemoryAccounts.evaluate
 
     def timed(*args):
         began = time.thread_time()
@@ -55,11 +55,11 @@
         finally:
             spent[0] += time.thread_time() - began
 
-    Accounts.look = timed
+    MemoryAccounts.evaluate = timed
     before = time.process_time()
     churn.virtual(churn.Plan(hours=0.02), 1)
     total = time.process_time() - before
-    Accounts.look = look
+    MemoryAccounts.evaluate = look
     print(
         f"within one run: {spent[0]:.3f} s of {total:.2f} s CPU go into the accounts: "
         f"{spent[0] / total:.2%}; "
@@ -79,7 +79,7 @@
             if now - self.module.born > 60 * 10**9 and "held" not in found:
                 gc.collect()
                 found["held"] = tracemalloc.get_traced_memory()[0] - found["start"]
-                found["accounted"] = {p: a.bytes for p, a in self.accounts.by.items()}
+                found["accounted"] = {p: a.bytes for p, a in self.accounts.by_purpose.items()}
                 only = tracemalloc.take_snapshot().filter_traces(
                     [
                         tracemalloc.Filter(True, f"*/embertray/{name}")
--- a/embertray/experiments/measure/capacity/entries.py
+++ b/embertray/experiments/measure/capacity/entries.py
@@ -5,7 +5,7 @@
 from statistics import median
 
 from embertray.common.framing import frame
-from embertray.common.memory.sizes import deep
+from embertray.common.memory.sizing import deep_size
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, WatchEvent, decode_response, encode
 
@@ -46,7 +46,7 @@
     return {
         "list-bytes": len(frame(whole)),
         "list-processor": median(whole_costs),
-        "list-memory": deep(follower.entries),
+        "list-memory": deep_size(follower.entries),
         "change-bytes": len(frame(change)),
         "change-read-processor": median(change_costs),
     }
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -191,8 +191,8 @@
         for name, why in step.cut:
             if name in self.streams:
                 self.proxies.end(now, self.streams[name], why)
-        if self.cluster and (account := self.instance.accounts.by.get("cluster")):
-            account.done = self.cluster.close(account.acting)
+        if self.cluster and (account := self.instance.accounts.by_purpose.get("cluster")):
+            account.action_count = self.cluster.close(account.at_cap)
         if step.relist:
             self.list.asked(True)
         for backend in step.probe:
@@ -243,7 +243,7 @@
     def memory(self):
         """The accounts, and the process as the system sees it; bytes."""
         now = resident()
-        purposes = self.instance.accounts.table()
+        purposes = self.instance.accounts.rows()
         held = sum(row["bytes"] for row in purposes)
         return {
             "purposes": purposes,
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,9 +11,17 @@
 import anyio
 from test_daemon import START, virtual
 
-from embertray.common.memory import Accounts, Collection
-from embertray.common.memory.caps import A_MEMBER, ACTIONS, JITTER, LEAST, NOTICE, WAIT, defaults
-from embertray.common.memory.sizes import deep, weigh
+from embertray.common.memory import Collection, MemoryAccounts
+from embertray.common.memory.caps import (
+    ACTIONS,
+    CAP_BYTES_MIN,
+    JOIN_DELAY_JITTER_NS,
+    JOIN_DELAY_NS,
+    MEMBER_BYTES,
+    NOTICE_SHARE,
+    default_caps,
+)
+from embertray.common.memory.sizing import deep_size, measure_entry_bytes
 from embertray.controller.core import Instance
 from embertray.controller.stream.messages import Fault, Line, Met, Orders, Sums, Welcome
 from embertray.service.site import load
@@ -38,7 +46,7 @@
             held = [make(n) for n in range(300, 40300)]  # many, as the allocator keeps some ready-made
             got, _ = tracemalloc.get_traced_memory()
             tracemalloc.stop()
-            walked = deep(held)
+            walked = deep_size(held)
             self.assertLess(abs(walked / got - 1), 0.08, (make(1), walked, got))
 
     def test_a_sample_stands_for_the_shelf_and_stops_at_what_is_anothers(self):
@@ -47,20 +55,20 @@
                 self.big = "x" * 10**6
 
         things = [(n, "y" * (n % 100), Other()) for n in range(10_000)]
-        each = weigh(Collection("s", len(things), lambda: things, stop=(Other,)))
-        true = deep([thing[:2] for thing in things]) / len(things)
+        each = measure_entry_bytes(Collection("s", len(things), lambda: things, stop=(Other,)))
+        true = deep_size([thing[:2] for thing in things]) / len(things)
         self.assertLess(abs(each / true - 1), 0.25)
-        self.assertEqual(weigh(Collection("s", 0, list)), 0.0)
+        self.assertEqual(measure_entry_bytes(Collection("s", 0, list)), 0.0)
 
 
 class Books(unittest.TestCase):
     def accounts(self, cap=1000, chance=lambda: 0.5):
-        return Accounts({**dict.fromkeys(ACTIONS, 10**9), "streams": cap}, chance)
+        return MemoryAccounts({**dict.fromkeys(ACTIONS, 10**9), "streams": cap}, chance)
 
     def look(self, accounts, now, count):
         things = ["x" * 51] * count  # 100 bytes each, but one object: the sample counts it once
         rows = [bytes(67) for _ in things]
-        return accounts.look(now, lambda: {"streams": [Collection("s", len(rows), lambda: rows)]})
+        return accounts.evaluate(now, lambda: {"streams": [Collection("s", len(rows), lambda: rows)]})
 
     def test_a_cap_acts_until_well_below_and_says_so_once(self):
         accounts, said, acted = self.accounts(), [], []
@@ -81,26 +89,29 @@
                 "past four fifths of its cap",
             ],
         )
-        self.assertEqual(accounts.by["streams"].peak, 1100)
-        self.assertLess(NOTICE, 1)
+        self.assertEqual(accounts.by_purpose["streams"].peak, 1100)
+        self.assertLess(NOTICE_SHARE, 1)
 
     def test_who_is_turned_away_comes_back_at_times_of_chance(self):
         draws = iter([0.0, 0.5, 1.0])
         accounts = self.accounts(chance=lambda: next(draws))
-        self.assertIsNone(accounts.turn_away())
+        self.assertIsNone(accounts.reject_join())
         self.look(accounts, 0, 12)
-        self.assertEqual([accounts.turn_away() for _ in range(3)], [WAIT, WAIT + JITTER // 2, WAIT + JITTER])
-        self.assertEqual(accounts.by["streams"].done, 3)
+        self.assertEqual(
+            [accounts.reject_join() for _ in range(3)],
+            [JOIN_DELAY_NS, JOIN_DELAY_NS + JOIN_DELAY_JITTER_NS // 2, JOIN_DELAY_NS + JOIN_DELAY_JITTER_NS],
+        )
+        self.assertEqual(accounts.by_purpose["streams"].action_count, 3)
 
     def test_caps_follow_from_the_fleet_and_the_description(self):
         site = load(SITES / "samples" / "pushed.xml")
-        small, large = defaults(site), defaults(site.at(proxies=1000, backends=1000))
-        self.assertTrue(all(small[p] >= LEAST and large[p] >= small[p] for p in small))
+        small, large = default_caps(site), default_caps(site.at(proxies=1000, backends=1000))
+        self.assertTrue(all(small[p] >= CAP_BYTES_MIN and large[p] >= small[p] for p in small))
         self.assertEqual(set(ACTIONS) - set(small), {"cluster"})  # nothing of it without the element
         told = Cluster("c", S, 8 << 20, 1 << 16)
-        self.assertEqual(defaults(site.at(cluster=told))["cluster"], 2 * (8 << 20) + 2 * A_MEMBER)
+        self.assertEqual(default_caps(site.at(cluster=told))["cluster"], 2 * (8 << 20) + 2 * MEMBER_BYTES)
         it = Instance(site.at(caps={"reports": 123}), site.controllers[0], 1, 0)
-        self.assertEqual(it.accounts.by["reports"].cap, 123)
+        self.assertEqual(it.accounts.by_purpose["reports"].cap, 123)
 
 
 class Caps(unittest.TestCase):
@@ -114,7 +125,7 @@
         await anyio.sleep(2)
         late = await (await room.peer("late")).until((Welcome, Fault))
         self.assertEqual(late.code, "later")
-        self.assertTrue(WAIT <= late.wait <= WAIT + JITTER)
+        self.assertTrue(JOIN_DELAY_NS <= late.wait <= JOIN_DELAY_NS + JOIN_DELAY_JITTER_NS)
         room.inventory.list("127.0.0.1:9000", "north", "draining")
         for peer in first:
             while not any(isinstance(do, Line) and do.weight == 0 for do in (await peer.until(Orders)).do):
@@ -144,9 +155,9 @@
             room.inventory.list(f"127.0.1.{n + 1}:9000", "north")
             await anyio.sleep(0.3)
         it = room.service.instance
-        self.assertTrue(it.accounts.by["list"].acting)
+        self.assertTrue(it.accounts.by_purpose["list"].at_cap)
         self.assertLess(len(it.state), 43)
-        self.assertGreater(it.accounts.by["list"].done, 0)
+        self.assertGreater(it.accounts.by_purpose["list"].action_count, 0)
         room.inventory.list("127.0.0.1:9000", "north", "draining")
         while not any(isinstance(do, Line) and do.weight == 0 for do in (await peer.until(Orders)).do):
             pass
@@ -154,7 +165,7 @@
             room.inventory.list(f"127.0.1.{n + 1}:9000", "north", "gone")
         room.inventory.list("127.0.2.1:9000", "north")
         await anyio.sleep(100)
-        self.assertFalse(it.accounts.by["list"].acting, it.accounts.table())
+        self.assertFalse(it.accounts.by_purpose["list"].at_cap, it.accounts.rows())
         self.assertIn("127.0.2.1:9000", it.state)  # asked for again when there was room
 
     @partial(virtual, caps={"reports": 20_000}, reports_rate=5.0)
@@ -170,7 +181,7 @@
             await anyio.sleep(1)
         it = room.service.instance
         self.assertGreater(it.intake.dropped, 0)
-        self.assertEqual(it.accounts.by["reports"].done, it.intake.dropped)
+        self.assertEqual(it.accounts.by_purpose["reports"].action_count, it.intake.dropped)
 
     @partial(virtual, caps={"channel": 3000}, channel_rate=20.0)
     async def test_the_channel_cuts_who_has_most_waiting(self, room):
