--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -10,7 +10,7 @@
 import h11
 
 from embertray.common import logs
-from embertray.common.memory.caps import COLLECTOR_THRESHOLDS
+from embertray.common.memory.collector import COLLECTOR_THRESHOLDS
 from embertray.common.net.address import BadAddress
 from embertray.controller.channel.budget import budget
 from embertray.service.site import BadSite, load as load_site
--- a/embertray/common/memory/__init__.py
+++ b/embertray/common/memory/__init__.py
@@ -1,6 +1,6 @@
-"""Memory by purpose: who holds what, its cap, and what is done at the cap; no I/O."""
+"""Memory by purpose: what takes how much, its cap, and what is done at the cap; no I/O."""
 
-from .accounts import MemoryAccounts
+from .accounts import CapInstruction, CapNotice, MemoryAccounts
 from .sizing import Collection
 
-__all__ = ["MemoryAccounts", "Collection"]
+__all__ = ["CapInstruction", "CapNotice", "Collection", "MemoryAccounts"]
--- /dev/null
+++ b/embertray/common/memory/account.py
@@ -0,0 +1,113 @@
+"""The memory account of one purpose: what it takes, and how that stands to its cap."""
+
+from dataclasses import dataclass, field
+
+from .purposes import ACTIONS
+from .sizing import container_bytes, measure_entry_bytes
+
+USUAL_SIZE_EVALUATIONS = 60  # that the usual size is a mean over, the newest weighing most
+
+RELEASE_SHARE = 0.9  # of the cap: an action ends below it, so that it does not flap
+NOTICE_SHARE = 0.8  # of the cap: operators are told once above it,
+NOTICE_RESET_SHARE = 0.7  # and again only after it was below this
+
+# What a notice says. Operators' alerts may match the texts.
+AT_CAP_TEXT = "at its cap"
+BELOW_CAP_TEXT = "below its cap again"
+NEAR_CAP_TEXT = "past four fifths of its cap"
+
+
+@dataclass
+class Account:
+    """The account of one purpose.
+
+    Attributes:
+        purpose: Its name.
+        cap: Bytes.
+        entries: Entries of all its collections.
+        bytes: What they take.
+        peak: The most that they took, bytes.
+        usual: What they usually take: a moving mean, bytes.
+        evaluations_at_cap: Evaluations at which the cap was in force.
+        action_count: What was done then: lines dropped, joins rejected, streams cut.
+        at_cap: The cap is in force.
+        near_cap: Operators were told that the cap is near.
+        bytes_per_entry: Name of a collection -> bytes that an entry takes.
+    """
+
+    purpose: str
+    cap: int
+    entries: int = 0
+    bytes: int = 0
+    peak: int = 0
+    usual: float = 0.0
+    evaluations_at_cap: int = 0
+    action_count: int = 0
+    at_cap: bool = False
+    near_cap: bool = False
+    bytes_per_entry: dict = field(default_factory=dict)
+
+    @property
+    def action(self):
+        """What is done at the cap."""
+        return ACTIONS[self.purpose]
+
+    def charge(self, collections, measure):
+        """Counts the entries of the purpose.
+
+        Args:
+            collections: Its Collections.
+            measure: Whether to measure anew how many bytes an entry takes.
+        """
+        entries = 0
+        total = 0.0
+        for collection in collections:
+            if measure or collection.count and not self.bytes_per_entry.get(collection.name):
+                self.bytes_per_entry[collection.name] = measure_entry_bytes(collection)
+            entry_bytes = self.bytes_per_entry.get(collection.name, 0.0)
+            entries += collection.count
+            total += collection.count * entry_bytes + container_bytes(collection)
+        self.entries = entries
+        self.bytes = int(total)
+        self.peak = max(self.peak, self.bytes)
+        if self.usual:
+            self.usual += (self.bytes - self.usual) / USUAL_SIZE_EVALUATIONS
+        else:
+            self.usual += self.bytes
+
+    def compare_with_cap(self):
+        """Puts the cap in force or out of force.
+
+        Returns:
+            The texts that operators are to be told.
+        """
+        texts = []
+        share = self.bytes / self.cap
+        if not self.at_cap and share >= 1:
+            self.at_cap = True
+            texts.append(AT_CAP_TEXT)
+        elif self.at_cap and share < RELEASE_SHARE:
+            self.at_cap = False
+            texts.append(BELOW_CAP_TEXT)
+        if not self.near_cap and share >= NOTICE_SHARE:
+            self.near_cap = True
+            if not self.at_cap:
+                texts.append(NEAR_CAP_TEXT)
+        elif self.near_cap and share < NOTICE_RESET_SHARE:
+            self.near_cap = False
+        return texts
+
+    def row(self):
+        """Returns the account as a JSON object, for operators and metrics."""
+        return {
+            "purpose": self.purpose,
+            "entries": self.entries,
+            "bytes": self.bytes,
+            "usual": int(self.usual),
+            "peak": self.peak,
+            "cap": self.cap,
+            "action": self.action,
+            "acting": self.at_cap,
+            "acts": self.evaluations_at_cap,
+            "done": self.action_count,
+        }
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -10,6 +10,7 @@
 
 from embertray.common.memory import MemoryAccounts
 from embertray.common.memory.caps import PROBES_IN_FLIGHT_MAX, default_caps
+from embertray.common.memory.purposes import CUT, DROP
 from embertray.controller.channel.outbox import Outbox
 from embertray.controller.channel.outlet import UNANSWERED, Awake
 from embertray.controller.channel.pacer import Pacer
@@ -37,7 +38,7 @@
     said: list = field(default_factory=list)  # the module's log lines
     cut: list = field(default_factory=list)  # (proxy, why): streams to be cut
     relist: bool = False  # backends were held back and there is room again: ask for the whole
-    notices: list = field(default_factory=list)  # (purpose, text, bytes, cap, action)
+    notices: list = field(default_factory=list)  # CapNotice items
     change: object = None  # degradation.LevelChange: another level of service
 
 
@@ -202,10 +203,10 @@
                 ]
         for verdict in self.accounts.evaluate(now, self.collections):
             account = self.accounts.by_purpose[verdict.purpose]
-            if verdict.action == "drop" and self.intake.waiting:
+            if verdict.action == DROP and self.intake.waiting:
                 each = max(1.0, account.bytes_per_entry.get("waiting", 1.0))
                 account.action_count += self.intake.drop_oldest(int(verdict.excess / each) + 1)
-            elif verdict.action == "cut" and (proxy := self.pacer.heaviest()) is not None:
+            elif verdict.action == CUT and (proxy := self.pacer.heaviest()) is not None:
                 account.action_count += 1
                 step.cut.append(
                     (proxy.external_id, "the channel is at its memory cap, and most waits for this proxy")
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -186,8 +186,14 @@
         """What memory asks for, and probes."""
         if (change := step.change) is not None:
             self.log.warning("level of service", old=change.old, new=change.new, why=change.reason)
-        for purpose, text, size, cap, action in step.notices:
-            self.log.warning(f"memory {text}", purpose=purpose, bytes=size, cap=cap, action=action)
+        for notice in step.notices:
+            self.log.warning(
+                f"memory {notice.text}",
+                purpose=notice.purpose,
+                bytes=notice.size,
+                cap=notice.cap,
+                action=notice.action,
+            )
         for name, why in step.cut:
             if name in self.streams:
                 self.proxies.end(now, self.streams[name], why)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,15 +12,10 @@
 from test_daemon import START, virtual
 
 from embertray.common.memory import Collection, MemoryAccounts
-from embertray.common.memory.caps import (
-    ACTIONS,
-    CAP_BYTES_MIN,
-    JOIN_DELAY_JITTER_NS,
-    JOIN_DELAY_NS,
-    MEMBER_BYTES,
-    NOTICE_SHARE,
-    default_caps,
-)
+from embertray.common.memory.account import NOTICE_SHARE
+from embertray.common.memory.accounts import JOIN_DELAY_JITTER_NS, JOIN_DELAY_NS
+from embertray.common.memory.caps import CAP_BYTES_MIN, MEMBER_BYTES, default_caps
+from embertray.common.memory.purposes import ACTIONS
 from embertray.common.memory.sizing import deep_size, measure_entry_bytes
 from embertray.controller.core import Instance
 from embertray.controller.stream.messages import Fault, Line, Met, Orders, Sums, Welcome
