--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -10,7 +10,7 @@
 import h11
 
 from embertray.common import logs
-from embertray.common.memory.caps import COLLECT
+from embertray.common.memory.collector import COLLECTOR_THRESHOLDS
 from embertray.common.net.address import BadAddress
 from embertray.controller.channel.budget import budget
 from embertray.service.site import BadSite, load as load_site
@@ -53,8 +53,7 @@
     """Run one controller of SITE.xml until SIGTERM or SIGINT."""
     from embertray.common.net.clock import LoopClock
     from embertray.common.net.tcp import TcpNet
-    from embertray.common.snapshots import Kept, Locked
-    from embertray.common.snapshots.snapshot import KeptInMemory
+    from embertray.common.snapshots import DurableSnapshots, FolderLockedError, InMemorySnapshots
     from embertray.service.daemon import Service
 
     description = read_site(site)
@@ -63,8 +62,8 @@
     except BadSite as wrong:
         raise Bad(str(wrong)) from None
     gc.freeze()  # what was imported lives as long as we do
-    gc.set_threshold(*COLLECT)
-    kept = Kept(description.keep) if description.keep else KeptInMemory()
+    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    kept = DurableSnapshots(description.keep) if description.keep else InMemorySnapshots()
 
     async def run():
         service = Service(
@@ -82,7 +81,7 @@
 
     try:
         anyio.run(run, backend_options={"use_uvloop": loop == "uvloop"})
-    except* (OSError, Locked) as wrong:
+    except* (OSError, FolderLockedError) as wrong:
         raise Bad(f"{site}: {wrong.exceptions[0]}") from None
 
 
--- a/embertray/common/memory/accounts.py
+++ b/embertray/common/memory/accounts.py
@@ -1,123 +1,123 @@
-"""The accounts: for each purpose what it holds, its peak, its cap, what was done at the cap and how often; no
-I/O.
+"""Memory accounts: for each purpose what it takes, its cap, and what is to be done at the cap, without I/O.
 
-Each `look` counts entries (cheap) and weighs the collections of one purpose in turn (an exact walk over a
-sample), so that bytes an entry takes are never older than one round over the purposes.
+Each evaluation counts entries, which is cheap, and measures the entries of some purposes in turn by an exact
+walk over a sample, so that the bytes an entry takes are never older than one round over the purposes.
 """
 
-from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from .caps import ACTIONS, JITTER, LEAVE, NOTICE, QUIET, WAIT, Verdict
-from .sizes import container_bytes, weigh
+from .account import RELEASE_SHARE, Account
 
-S = 10**9
-# -- constants: value, unit, reason
-LOOK = S  # ns between looks: nothing here grows by a cap's tenth in a second
-FULL = 16 * S  # ns in which every purpose is weighed once
-USUAL = 60  # looks that the usual size is a mean over, the newest the heaviest: what waits comes and goes
+NS_PER_SECOND = 10**9
+EVALUATION_PERIOD_NS = 1 * NS_PER_SECOND  # nothing here grows by a tenth of a cap in a second
+MEASURING_ROUND_NS = 16 * NS_PER_SECOND  # in which the entries of every purpose are measured once
 
+JOIN_DELAY_NS = 5 * NS_PER_SECOND  # a rejected proxy is asked to stay away for this,
+JOIN_DELAY_JITTER_NS = 10 * NS_PER_SECOND  # and up to this more at random: no storm when they come back
+
+
+class CapInstruction(NamedTuple):
+    """What is to be done for a purpose at its cap.
+
+    Attributes:
+        purpose: The purpose.
+        action: One of the actions in purposes.py.
+        excess: Bytes over the size at which the action ends.
+    """
 
-@dataclass
-class Account:
     purpose: str
+    action: str
+    excess: int
+
+
+class CapNotice(NamedTuple):
+    """What operators are told of a purpose.
+
+    Attributes:
+        purpose: The purpose.
+        text: Where it stands to its cap, in words.
+        size: What it takes, bytes.
+        cap: Its cap, bytes.
+        action: What is done at the cap.
+    """
+
+    purpose: str
+    text: str
+    size: int
     cap: int
-    entries: int = 0
-    bytes: int = 0
-    peak: int = 0
-    usual: float = 0.0
-    acts: int = 0  # looks at which the cap acted
-    done: int = 0  # what was done then: lines dropped, joins turned away, streams cut, ...
-    acting: bool = False
-    near: bool = False
-    each: dict = field(default_factory=dict)  # collection -> bytes an entry
-
-    @property
-    def action(self):
-        return ACTIONS[self.purpose]
-
-    def charge(self, collections, weighing):
-        """Counts the collections; `weighing`: also looks how many bytes an entry takes."""
-        entries = total = 0
-        for collection in collections:
-            if weighing or collection.count and not self.each.get(collection.name):
-                self.each[collection.name] = weigh(collection)
-            entries += collection.count
-            total += collection.count * self.each.get(collection.name, 0.0) + container_bytes(collection)
-        self.entries, self.bytes = entries, int(total)
-        self.peak = max(self.peak, self.bytes)
-        self.usual += (self.bytes - self.usual) / USUAL if self.usual else self.bytes
-
-
-class Accounts:
-    """`caps`: purpose -> bytes; `chance` gives numbers from 0 to 1."""
-
-    def __init__(self, caps, chance):
-        self.by = {purpose: Account(purpose, cap) for purpose, cap in caps.items()}
-        self.chance, self.next_look, self.turn, self.notices = chance, 0, 0, []
-
-    def look(self, now, collections):
-        """`collections()`: purpose -> list of Collection. Verdicts of the purposes whose caps act now;
-        `notices` gets a line for each that passes NOTICE of its cap, reaches it, or is below again.
+    action: str
+
+
+class MemoryAccounts:
+    """The accounts of one controller.
+
+    Args:
+        caps: Purpose -> bytes.
+        random: A function that gives numbers from 0 to 1.
+
+    Attributes:
+        by_purpose: Purpose -> Account.
+        notices: CapNotice items that operators have not been told yet; whoever tells them empties it.
+    """
+
+    def __init__(self, caps, random):
+        self.by_purpose = {purpose: Account(purpose, cap) for purpose, cap in caps.items()}
+        self.notices = []
+        self._random = random
+        self._evaluate_at = 0  # ns
+        self._next_measured = 0  # position of the purpose whose entries are measured next
+
+    def evaluate(self, now, collections):
+        """Counts all purposes, at most once each EVALUATION_PERIOD_NS.
+
+        Args:
+            now: ns.
+            collections: A function that gives purpose -> Collections.
+
+        Returns:
+            CapInstruction items for the purposes whose caps are in force.
         """
-        if now < self.next_look:
+        if now < self._evaluate_at:
             return []
-        self.next_look, found, verdicts = now + LOOK, collections(), []
-        order = list(self.by)
-        due = max(1, round(len(order) * LOOK / FULL))
-        weighed = {order[(self.turn + n) % len(order)] for n in range(due)}
-        self.turn = (self.turn + due) % len(order)
-        for purpose, account in self.by.items():
-            account.charge(found.get(purpose, []), purpose in weighed)
-            self.judge(account)
-            if account.acting:
-                account.acts += 1
-                verdicts.append(Verdict(purpose, account.action, account.bytes - int(LEAVE * account.cap)))
-        return verdicts
-
-    def judge(self, account):
-        part = account.bytes / account.cap
-        if not account.acting and part >= 1:
-            account.acting = True
-            self.say(account, "at its cap")
-        elif account.acting and part < LEAVE:
-            account.acting = False
-            self.say(account, "below its cap again")
-        if not account.near and part >= NOTICE:
-            account.near = True
-            if not account.acting:
-                self.say(account, "past four fifths of its cap")
-        elif account.near and part < QUIET:
-            account.near = False
-
-    def say(self, account, text):
-        self.notices.append((account.purpose, text, account.bytes, account.cap, account.action))
-
-    def acting(self, *purposes):
-        return any(self.by[purpose].acting for purpose in purposes)
-
-    def turn_away(self):
-        """ns that a proxy is asked to stay away, or None when joins are taken. By chance, so that those
-        turned away together do not come back together."""
+        self._evaluate_at = now + EVALUATION_PERIOD_NS
+        current = collections()
+        measured = self._purposes_to_measure()
+        instructions = []
+        for purpose, account in self.by_purpose.items():
+            account.charge(current.get(purpose, []), purpose in measured)
+            for text in account.compare_with_cap():
+                self.notices.append(CapNotice(purpose, text, account.bytes, account.cap, account.action))
+            if account.at_cap:
+                account.evaluations_at_cap += 1
+                excess = account.bytes - int(RELEASE_SHARE * account.cap)
+                instructions.append(CapInstruction(purpose, account.action, excess))
+        return instructions
+
+    def any_at_cap(self, *purposes):
+        """Whether the cap of any of the purposes is in force."""
+        return any(self.by_purpose[purpose].at_cap for purpose in purposes)
+
+    def reject_join(self):
+        """Whether a join is to be rejected for lack of memory.
+
+        Returns:
+            How long the proxy is asked to stay away, ns; None: the join is admitted.
+        """
         for purpose in ("streams", "names"):
-            if self.by[purpose].acting:
-                self.by[purpose].done += 1
-                return WAIT + int(JITTER * self.chance())
+            account = self.by_purpose[purpose]
+            if account.at_cap:
+                account.action_count += 1
+                return JOIN_DELAY_NS + int(JOIN_DELAY_JITTER_NS * self._random())
         return None
 
-    def table(self):
-        """Rows for people and metrics."""
-        return [
-            {
-                "purpose": a.purpose,
-                "entries": a.entries,
-                "bytes": a.bytes,
-                "usual": int(a.usual),
-                "peak": a.peak,
-                "cap": a.cap,
-                "action": a.action,
-                "acting": a.acting,
-                "acts": a.acts,
-                "done": a.done,
-            }
-            for a in self.by.values()
-        ]
+    def rows(self):
+        """Returns all accounts as JSON objects, for operators and metrics."""
+        return [account.row() for account in self.by_purpose.values()]
+
+    def _purposes_to_measure(self):
+        """The purposes whose turn it is: each comes once a MEASURING_ROUND_NS."""
+        order = list(self.by_purpose)
+        due = max(1, round(len(order) * EVALUATION_PERIOD_NS / MEASURING_ROUND_NS))
+        measured = {order[(self._next_measured + position) % len(order)] for position in range(due)}
+        self._next_measured = (self._next_measured + due) % len(order)
+        return measured
--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -1,6 +1,6 @@
 """What a controller's parts hold, by purpose: the collections that the accounts count. Changes nothing."""
 
-from embertray.common.memory.sizes import Collection
+from embertray.common.memory.sizing import Collection
 from embertray.policy import interface as i
 from embertray.policy.backend import BackendState
 from embertray.policy.proxy import ProxyState
@@ -67,9 +67,9 @@
             ),
             Collection(
                 "demand",
-                it.reduced.gauge.size(),
-                lists(*it.reduced.gauge.words.values()),
-                list(it.reduced.gauge.words.values()),
+                it.reduced.loss_meter.load_count(),
+                lists(*it.reduced.loss_meter.loads.values()),
+                list(it.reduced.loss_meter.loads.values()),
                 HANDLES,
             ),
             Collection(
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -8,12 +8,13 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from embertray.common.memory import Accounts
-from embertray.common.memory.caps import PROBES, defaults
+from embertray.common.memory import MemoryAccounts
+from embertray.common.memory.caps import PROBES_IN_FLIGHT_MAX, default_caps
+from embertray.common.memory.purposes import CUT, DROP
 from embertray.controller.channel.outbox import Outbox
 from embertray.controller.channel.outlet import UNANSWERED, Awake
 from embertray.controller.channel.pacer import Pacer
-from embertray.controller.degradation import Reduced
+from embertray.controller.degradation import DegradationLadder
 from embertray.controller.report_intake import Intake
 from embertray.controller.runner import Runner
 from embertray.policy import interface as i
@@ -37,8 +38,8 @@
     said: list = field(default_factory=list)  # the module's log lines
     cut: list = field(default_factory=list)  # (proxy, why): streams to be cut
     relist: bool = False  # backends were held back and there is room again: ask for the whole
-    notices: list = field(default_factory=list)  # (purpose, text, bytes, cap, action)
-    change: object = None  # degrade.Change: another level of service
+    notices: list = field(default_factory=list)  # CapNotice items
+    change: object = None  # degradation.LevelChange: another level of service
 
 
 class Instance(Runner):
@@ -54,11 +55,11 @@
             Pacer(site.channel_rate, now),
             Intake(site.reports_rate, now, site.report_cycle),
         )
-        self.reduced = Reduced(site.kinds, site.report_cycle, site.levels == "rate", now)
+        self.reduced = DegradationLadder(site.kinds, site.report_cycle, site.levels == "rate", now)
         self.outbox.all_in = self.module.context.unlimited if site.levels != "none" else 0.0
         self.stamps = {}
         self.open, self.refs, self.probing, self.tidy_at = {}, {}, {}, now + TIDY
-        self.accounts = Accounts({**defaults(site), **site.caps}, chance)
+        self.accounts = MemoryAccounts({**default_caps(site), **site.caps}, chance)
         self.awake = Awake(now)
         self.more = dict  # purpose -> further collections, of whoever runs this
         self.held_back = self.skipped = self.room_at = 0
@@ -68,10 +69,12 @@
     def news(self, now, how, clock=0, entries=()):
         if how == "whole":
             self.held_back = 0
-        if self.accounts.acting("tables", "list"):  # new ones wait; what is there and what goes is never held
+        if self.accounts.any_at_cap(
+            "tables", "list"
+        ):  # new ones wait; what is there and what goes is never held
             known = [e for e in entries if e.backend in self.identifiers.backends]
             self.held_back += len(entries) - len(known)
-            self.accounts.by["list"].done += len(entries) - len(known)
+            self.accounts.by_purpose["list"].action_count += len(entries) - len(known)
             entries = known
         super().news(now, how, clock, entries)
 
@@ -79,7 +82,7 @@
 
     def turn_away(self):
         """ns that a proxy must stay away for lack of memory, or None."""
-        return self.accounts.turn_away()
+        return self.accounts.reject_join()
 
     def join(self, hello):
         proxy = self.identifiers.proxy(hello.proxy)
@@ -92,7 +95,7 @@
         self.outbox.left(proxy)
         self.pacer.drop(now, proxy)
         self.intake.left(proxy)
-        self.reduced.gauge.left(proxy)
+        self.reduced.loss_meter.proxy_left(proxy)
         for nonce in self.open.pop(name, ()):
             self.settled(nonce)
         self.todo.append(i.Left(proxy))
@@ -122,7 +125,7 @@
         )
         for came in message.came:
             if (kind := self.kinds.get(came.kind)) is not None:
-                self.reduced.gauge.sums(
+                self.reduced.loss_meter.observe(
                     now,
                     proxy,
                     kind,
@@ -144,9 +147,9 @@
         """One step if anything happened or is due; then what leaves the channel by now."""
         step = Step()
         self.awake.look(now)
-        if (change := self.reduced.due(now)) is not None:
+        if (change := self.reduced.evaluate_if_due(now)) is not None:
             step.change = change
-            self.outbox.wait, self.outbox.most_again = self.reduced.wait, self.reduced.most_again
+            self.outbox.wait, self.outbox.most_again = self.reduced.retry_after, self.reduced.retry_limit
         if orders := self.play(now, self.intake.due(now)):
             for proxy, message, nonce in self.outbox.post(now, orders):
                 if nonce:
@@ -167,12 +170,12 @@
                 step.ask = True
             elif isinstance(order, i.Probe):
                 if (
-                    self.accounts.acting("probes")
-                    or len(self.probing) >= PROBES
+                    self.accounts.any_at_cap("probes")
+                    or len(self.probing) >= PROBES_IN_FLIGHT_MAX
                     or self.reduced.gives_up("probes")
                 ):
                     self.skipped += 1
-                    self.accounts.by["probes"].done += 1
+                    self.accounts.by_purpose["probes"].action_count += 1
                 elif order.backend.external_id not in self.probing:
                     self.probing[order.backend.external_id] = now
                     step.probe.append(order.backend.external_id)
@@ -198,18 +201,18 @@
                     for name, held in self.open.items()
                     if held and now - self.stamps[held[0]] > UNANSWERED
                 ]
-        for verdict in self.accounts.look(now, self.collections):
-            account = self.accounts.by[verdict.purpose]
-            if verdict.action == "drop" and self.intake.waiting:
-                each = max(1.0, account.each.get("waiting", 1.0))
-                account.done += self.intake.drop_oldest(int(verdict.excess / each) + 1)
-            elif verdict.action == "cut" and (proxy := self.pacer.heaviest()) is not None:
-                account.done += 1
+        for verdict in self.accounts.evaluate(now, self.collections):
+            account = self.accounts.by_purpose[verdict.purpose]
+            if verdict.action == DROP and self.intake.waiting:
+                each = max(1.0, account.bytes_per_entry.get("waiting", 1.0))
+                account.action_count += self.intake.drop_oldest(int(verdict.excess / each) + 1)
+            elif verdict.action == CUT and (proxy := self.pacer.heaviest()) is not None:
+                account.action_count += 1
                 step.cut.append(
                     (proxy.external_id, "the channel is at its memory cap, and most waits for this proxy")
                 )
         step.notices, self.accounts.notices = self.accounts.notices, []
-        if self.accounts.acting("tables", "list"):
+        if self.accounts.any_at_cap("tables", "list"):
             self.room_at = now + RELIST
         elif self.held_back and now >= self.room_at:
             self.held_back, step.relist = 0, True
--- /dev/null
+++ b/embertray/controller/degradation/ladder.py
@@ -0,0 +1,203 @@
+"""The ladder of degradation levels, without I/O.
+
+A level is entered when the lost share of credit (loss_meter.py) stands above its mark for some evaluations,
+and left when it has stood below a lower mark for a whole calm period: a load that swings around a mark
+changes the level once. Levels follow the credit of all request kinds together, never a kind's name.
+"""
+
+from typing import NamedTuple
+
+from .exceptions import NormalLevelError
+from .levels import LEVEL_NAMES, LEVELS, index_of
+from .loss_meter import LossMeter
+
+NS_PER_SECOND = 10**9
+NS_PER_MS = 10**6
+EVALUATION_PERIOD_NS = 1 * NS_PER_SECOND
+ENTER_EVALUATIONS = 3  # evaluations above a mark before a level is entered: one late report is no overload
+# Time below the mark before a level is left, and between two changes unless to the highest level, ns: at most
+# one change a minute at a load that swings around a mark or between two.
+CALM_PERIOD_NS = 60 * NS_PER_SECOND
+HIGHEST = len(LEVELS) - 1
+
+
+class LevelChange(NamedTuple):
+    """Another degradation level is in force.
+
+    Attributes:
+        old: Name of the former level.
+        new: Name of the level now.
+        reason: Why, in words.
+    """
+
+    old: str
+    new: str
+    reason: str
+
+
+class DegradationLadder:
+    """Decides the degradation level of one controller. Call `evaluate_if_due` at least each second.
+
+    Args:
+        kinds: The RequestKinds.
+        report_cycle: The proxies' report cycle, ns.
+        levels_are_rates: Whether ordered admission levels are requests a second; else shares of what comes.
+        now: ns.
+
+    Attributes:
+        loss_meter: The LossMeter, which the load reports go to.
+        level: Index in LEVELS.
+        changes: How often the level changed.
+        lost: Lost share of credit at the last evaluation, 0 to 1; None: not known.
+        pinned: Index of the level that an operator holds, or None.
+        forbidden: Indices of the levels that an operator forbids.
+    """
+
+    def __init__(self, kinds, report_cycle, levels_are_rates, now):
+        self.loss_meter = LossMeter(kinds, report_cycle, levels_are_rates)
+        self.level = 0
+        self.changes = 0
+        self.lost = None
+        self.pinned = None
+        self.forbidden = set()
+        self._changed_at = now  # ns
+        self._calm_since = now  # ns
+        self._evaluations_above = [0] * len(LEVELS)  # consecutive ones above each level's mark
+        self._evaluate_at = now + EVALUATION_PERIOD_NS  # ns
+
+    # ---- operators
+
+    def pin(self, name):
+        """Holds a level until `release`.
+
+        Raises:
+            UnknownLevelError: There is no level of that name.
+        """
+        self.pinned = index_of(name)
+
+    def release(self):
+        """Ends a pin."""
+        self.pinned = None
+
+    def forbid(self, name, forbidden=True):
+        """Forbids a level, or allows it again; the next milder one takes its place.
+
+        Args:
+            name: The level's name.
+            forbidden: False allows it again.
+
+        Raises:
+            UnknownLevelError: There is no level of that name.
+            NormalLevelError: It is the normal one.
+        """
+        index = index_of(name)
+        if not index:
+            raise NormalLevelError("normal can't be forbidden")
+        if forbidden:
+            self.forbidden.add(index)
+        else:
+            self.forbidden.discard(index)
+
+    def status(self, now):
+        """Returns the state at `now` (ns) as a JSON object, for operators."""
+        return {
+            "level": self.name,
+            "for_s": round((now - self._changed_at) / NS_PER_SECOND, 1),
+            "lost_credit": self.lost,
+            "gives_up": list(LEVELS[self.level].gives_up),
+            "wait_ms": self.retry_after // NS_PER_MS,
+            "changes": self.changes,
+            "pinned": None if self.pinned is None else LEVEL_NAMES[self.pinned],
+            "forbidden": [LEVEL_NAMES[index] for index in sorted(self.forbidden)],
+            "first_demand": {
+                kind.external_id: None if demand.rate is None else round(demand.rate, 1)
+                for kind, demand in self.loss_meter.demand.items()
+            },
+        }
+
+    # ---- evaluation
+
+    def evaluate_if_due(self, now):
+        """Evaluates the loss, at most once each EVALUATION_PERIOD_NS.
+
+        Args:
+            now: ns.
+
+        Returns:
+            A LevelChange, or None: the level stands.
+        """
+        if now < self._evaluate_at:
+            return None
+        self._evaluate_at = now + EVALUATION_PERIOD_NS
+        self.lost = self.loss_meter.lost_share(now)
+        if self.pinned is not None:
+            return self._change(now, self.pinned, "pinned by an operator")
+        if self.lost is None:  # without a load report the level stands, and calm does not count
+            self._calm_since = now
+            return None
+        return self._evaluate(now)
+
+    def _evaluate(self, now):
+        wanted = self._level_to_enter()
+        if wanted > self.level and self._may_rise(now, wanted):
+            return self._change(now, wanted, f"{self.lost:.0%} of the credit is lost")
+        if self.lost >= LEVELS[self.level].leave_below:
+            self._calm_since = now
+        elif self.level and now - self._calm_since >= CALM_PERIOD_NS:
+            reason = f"{self.lost:.0%} of the credit is lost, for {CALM_PERIOD_NS // NS_PER_SECOND} s"
+            return self._change(now, self._level_after_calm(), reason)
+        if self.level in self.forbidden:
+            return self._change(now, self.level, "forbidden by an operator")
+        return None
+
+    def _level_to_enter(self):
+        """The highest level above whose mark the loss has stood for long enough."""
+        wanted = 0
+        for index in range(1, len(LEVELS)):
+            above = self.lost > LEVELS[index].enter_above
+            self._evaluations_above[index] = self._evaluations_above[index] + 1 if above else 0
+            if self._evaluations_above[index] >= ENTER_EVALUATIONS:
+                wanted = index
+        return wanted
+
+    def _may_rise(self, now, wanted):
+        return not self.changes or now - self._changed_at >= CALM_PERIOD_NS or wanted == HIGHEST
+
+    def _level_after_calm(self):
+        """The highest level below this one that the loss does not let go of."""
+        milder = range(1, self.level)
+        return max((index for index in milder if self.lost >= LEVELS[index].leave_below), default=0)
+
+    def _change(self, now, index, reason):
+        """Goes to a level, or to the next milder one that is allowed."""
+        while self.pinned is None and index in self.forbidden:
+            index -= 1
+        if index == self.level:
+            return None
+        change = LevelChange(LEVEL_NAMES[self.level], LEVEL_NAMES[index], reason)
+        self.level = index
+        self.changes += 1
+        self._changed_at = now
+        self._calm_since = now
+        return change
+
+    # ---- what the level means
+
+    @property
+    def name(self):
+        """Name of the level."""
+        return LEVEL_NAMES[self.level]
+
+    @property
+    def retry_after(self):
+        """How long a rejected client is asked to stay away, ns."""
+        return LEVELS[self.level].retry_after
+
+    @property
+    def retry_limit(self):
+        """Most further attempts of a request kind that is partly rejected."""
+        return LEVELS[self.level].retry_limit
+
+    def gives_up(self, what):
+        """Whether the level gives up PROBES or RETRIES (levels.py)."""
+        return what in LEVELS[self.level].gives_up
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -2,7 +2,7 @@
 
 Jobs side by side: the pump (core, timers, channel) here, the streams of proxies (`proxies`), the list
 (`inventory`), what is kept (`snapshots`), the operators' HTTP. All that is decided comes from the core (the
-module, the desk), from channel/outlet.py and inventory/follow.py.
+module, the desk), from channel/outlet.py and endpoint_list/follower.py.
 """
 
 import anyio
@@ -25,7 +25,7 @@
 
 
 class Service:
-    """`me` is a ControllerAt of `site`; `kept` a durable.Kept; `chance` gives numbers from 0 to 1."""
+    """`me` is a ControllerAt of `site`; `kept` a DurableSnapshots; `chance` gives numbers from 0 to 1."""
 
     def __init__(self, site, me, clock, net, kept, seed, chance, log=None, core=Instance, trust=Trust):
         self.site, self.me, self.clock, self.net, self.kept, self.seed = site, me, clock, net, kept, seed
@@ -72,10 +72,10 @@
             self.log.error("a snapshot can't be used", file=name, why=why)
         now = self.clock.now()
         self.desk = desk = Desk(
-            self.site, self.me, self.seed, now, self.chance, snapshot, self.kept.times(), *self.make
+            self.site, self.me, self.seed, now, self.chance, snapshot, self.kept.clock_reading(), *self.make
         )
         self.instance, self.trust, self.admission = desk.instance, desk.trust, desk.admission
-        self.log.info("started", list=self.trust.why(now))
+        self.log.info("started", list=self.trust.describe(now))
         self.instance.more = self.collections
         self.began_with = resident()
         listener = await self.net.listen(self.me.listen)
@@ -185,14 +185,20 @@
     def mind(self, now, step):
         """What memory asks for, and probes."""
         if (change := step.change) is not None:
-            self.log.warning("level of service", old=change.old, new=change.new, why=change.why)
-        for purpose, text, size, cap, action in step.notices:
-            self.log.warning(f"memory {text}", purpose=purpose, bytes=size, cap=cap, action=action)
+            self.log.warning("level of service", old=change.old, new=change.new, why=change.reason)
+        for notice in step.notices:
+            self.log.warning(
+                f"memory {notice.text}",
+                purpose=notice.purpose,
+                bytes=notice.size,
+                cap=notice.cap,
+                action=notice.action,
+            )
         for name, why in step.cut:
             if name in self.streams:
                 self.proxies.end(now, self.streams[name], why)
-        if self.cluster and (account := self.instance.accounts.by.get("cluster")):
-            account.done = self.cluster.close(account.acting)
+        if self.cluster and (account := self.instance.accounts.by_purpose.get("cluster")):
+            account.action_count = self.cluster.close(account.at_cap)
         if step.relist:
             self.list.asked(True)
         for backend in step.probe:
@@ -223,17 +229,27 @@
             ],
             "list": [
                 Collection(
-                    "held", len(self.list.follow.held), self.list.follow.held.items, [self.list.follow.held]
+                    "entries",
+                    len(self.list.follower.entries),
+                    self.list.follower.entries.items,
+                    [self.list.follower.entries],
+                ),
+                Collection(
+                    "known", len(self.trust.backends), self.trust.backends.items, [self.trust.backends]
+                ),
+                Collection(
+                    "gone",
+                    len(self.trust.tombstones.entries),
+                    self.trust.tombstones.entries.items,
+                    [self.trust.tombstones.entries],
                 ),
-                Collection("known", len(self.trust.known), self.trust.known.items, [self.trust.known]),
-                Collection("gone", len(self.trust.gone), self.trust.gone.items, [self.trust.gone]),
             ],
         }
 
     def memory(self):
         """The accounts, and the process as the system sees it; bytes."""
         now = resident()
-        purposes = self.instance.accounts.table()
+        purposes = self.instance.accounts.rows()
         held = sum(row["bytes"] for row in purposes)
         return {
             "purposes": purposes,
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,9 +1,9 @@
 """A controller without streams: the daemon's desk, its pump and the list's client as planned calls."""
 
-from embertray.common.snapshots.snapshot import CONFIRM, EVERY
+from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
 from embertray.controller.channel.outlet import PROBE_WITHIN
 from embertray.controller.core import Desk
-from embertray.controller.endpoint_list.follow import Follow
+from embertray.controller.endpoint_list import EndpointListFollower, UpdateKind
 
 
 class SimulatedController:
@@ -20,10 +20,10 @@
             now,
             chance,
             snapshot,
-            kept.times(),
+            kept.clock_reading(),
             *simulation.make,
         )
-        self.follow, self.line, self.streams = Follow(name, chance), None, {}
+        self.follower, self.line, self.streams = EndpointListFollower(name, chance), None, {}
         self.alive, self.frozen, self.waiting, self.planned, self.ran = (
             True,
             False,
@@ -31,11 +31,13 @@
             None,
             now - simulation.site.tick,
         )
-        self.save_at, self.saved = None, now - EVERY
+        self.save_at, self.saved = None, now - SNAPSHOT_PERIOD_NS
         self.poke()
-        self.plan_save(now + CONFIRM)
+        self.plan_save(now + CONFIRMATION_PERIOD_NS)
         if not simulation.site.ask:
-            simulation.engine.at(now + self.follow.first(bool(self.desk.trust.known)), self.dial_list)
+            simulation.engine.at(
+                now + self.follower.initial_delay(bool(self.desk.trust.backends)), self.dial_list
+            )
 
     def when_awake(self, what, *args):
         """Now, or when the process goes on; never if it is killed before."""
@@ -132,12 +134,12 @@
         else:
             self.line = object()
             self.simulation.inventory.followers[self] = False
-            self.simulation.inventory.call(self, self.follow.dialled(self.simulation.engine.time))
+            self.simulation.inventory.call(self, self.follower.connected(self.simulation.engine.time))
 
     def list_broke(self):
         self.line = None
         self.simulation.inventory.followers.pop(self, None)
-        wait = self.follow.broke()
+        wait = self.follower.connection_failed()
         if self.simulation.site.ask:  # the module decides when to ask again
             self.desk.hand_on(self.simulation.engine.time, "failed", [])
             self.poke()
@@ -148,19 +150,19 @@
         if self.line is None:
             if self.simulation.site.ask:
                 self.dial_list()
-        elif call := self.follow.asked(self.simulation.engine.time, whole):
+        elif call := self.follower.next_request(self.simulation.engine.time, whole):
             self.simulation.inventory.call(self, call)
 
     def heard(self, message):
         now = self.simulation.engine.time
-        how, entries = self.follow.heard(message)
-        if how == "gap":
+        update = self.follower.receive(message)
+        if update.kind is UpdateKind.GAP:
             self.ask_list(True)
             return
-        again = self.desk.news(now, how, getattr(message, "epoch", 0), getattr(message, "clock", 0), entries)
+        again = self.desk.news(now, update.kind, update.epoch, update.inventory_clock, update.entries)
         self.poke()
-        if how != "failed":
-            self.plan_save(max(now, self.saved + EVERY))
+        if update.kind is not UpdateKind.FAILED:
+            self.plan_save(max(now, self.saved + SNAPSHOT_PERIOD_NS))
         if again:
             self.ask_list(True)
 
@@ -173,7 +175,7 @@
         if self.save_at != when or not self.alive:
             return
         now, self.save_at = self.simulation.engine.time, None
-        if self.line is not None and self.desk.trust.spoken and not self.frozen:
-            self.kept.save(self.desk.snapshot(now, self.kept.times()))
+        if self.line is not None and self.desk.trust.discovery_answered and not self.frozen:
+            self.kept.save(self.desk.snapshot(now, self.kept.clock_reading()))
             self.saved = now
-        self.plan_save(now + CONFIRM)
+        self.plan_save(now + CONFIRMATION_PERIOD_NS)
