--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -16,7 +16,7 @@
 from embertray.cluster.replication.link.saved import replica_state, subscriber_state
 from embertray.cluster.replication.replica import Replica
 from embertray.cluster.replication.subscriber import Subscriber
-from embertray.common.snapshots import Kept
+from embertray.common.snapshots import DurableSnapshots
 from embertray.experiments.lab import experiment
 from embertray.experiments.lab.results import Results
 from embertray.experiments.measure.recorded import digest, load
@@ -63,7 +63,7 @@
     NAME = "endpoint-list.snap"
 
     def reader(self):
-        return Kept(self.folder)
+        return DurableSnapshots(self.folder)
 
     def test_every_value_is_read(self):
         self.place_snapshot(self.NAME)
