--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -10,7 +10,7 @@
 
 from collections import deque
 
-from .records.backend import added
+from .records.backend import add_totals
 from .records.levels import FleetState
 
 BEATS_KEPT = 200  # mean latencies of beats
@@ -51,7 +51,7 @@
             falls=falls,
             empty=newest_load < EMPTY_RATIO * load,
             busy=load if self.context.reports_tell_busy else 1.0,
-            short=added(row.short for row in figures),
+            short=add_totals(row.short for row in figures),
             capacity=sum(row.backend.capacity * row.warmth for row in figures) or 1.0,
             has_cold=any(row.warmth < 1 for row in figures),
         )
@@ -64,10 +64,10 @@
     @staticmethod
     def _newest_attempts(figures):
         """Attempts in the newest reports; 0 unless half of the backends were heard of lately."""
-        heard = sum(row.short.tries > 0 for row in figures)
+        heard = sum(row.short.attempts > 0 for row in figures)
         if 2 * heard < len(figures):
             return 0
-        return sum(report.tries for row in figures for report in row.newest)
+        return sum(report.attempts for row in figures for report in row.newest)
 
     def _wait(self, figures, attempts):
         """Mean time in queues by the newest reports, ns; 0 if they tell nothing."""
--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -54,7 +54,7 @@
 
     @staticmethod
     def _is_known(row):
-        heard = row.long.tries >= ATTEMPTS_MIN and row.span >= SOLVE_INTERVAL
+        heard = row.long.attempts >= ATTEMPTS_MIN and row.span >= SOLVE_INTERVAL
         return heard and row.backend.health >= 1
 
     def _estimates(self, rows):
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -103,7 +103,7 @@
         context = self.context
         now = context.now
         proxies = context.joined_proxies
-        if state.short.tries and state.short.failed / state.short.tries > FAILED_SHARE_MAX:
+        if state.short.attempts and state.short.failed / state.short.attempts > FAILED_SHARE_MAX:
             self._retries_at = now + context.client_timeout
         if now >= self._next_look_at and proxies and context.deployment.throttle != "none":
             self._next_look_at = now + LOOK_INTERVAL
@@ -127,7 +127,7 @@
         usual = sum(proxy.usual_rate for proxy in proxies) or 1.0
         unit = state.capacity * usual
         all_admitted = all(level.admitted == context.unlimited for level in context.admission.values())
-        is_calm = state.short.tries and state.wait < WAIT_LOW * context.latency_objective and all_admitted
+        is_calm = state.short.attempts and state.wait < WAIT_LOW * context.latency_objective and all_admitted
         self._calm_looks.append((coming if is_calm else 0.0, unit))
         return Demand(coming, usual, unit, max(unit for _, unit in self._calm_looks))
 
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -47,10 +47,10 @@
         for row in figures:
             backend = row.backend
             does_well = (
-                row.long.tries >= RECOVERY_ATTEMPTS_MIN
-                and row.long.failed <= row.long.tries * RECOVERY_FAILED_SHARE_MAX
+                row.long.attempts >= RECOVERY_ATTEMPTS_MIN
+                and row.long.failed <= row.long.attempts * RECOVERY_FAILED_SHARE_MAX
             )
-            silent = not row.long.tries and now - backend.health_since > SILENT_RECOVERY_AFTER
+            silent = not row.long.attempts and now - backend.health_since > SILENT_RECOVERY_AFTER
             heard_since = now > backend.reports_ignored_until + self.context.report_interval
             if (does_well or silent) and backend.health < 1 and heard_since:
                 backend.set_health(min(1.0, backend.health * RECOVERY_FACTOR))
@@ -62,9 +62,9 @@
             figures: `BackendFigures` of all ready backends.
         """
         heard = [
-            row for row in figures if row.short.tries >= ATTEMPTS_MIN and row.backend.health > HEALTH_MIN
+            row for row in figures if row.short.attempts >= ATTEMPTS_MIN and row.backend.health > HEALTH_MIN
         ]
-        failed = {row.backend: row.short.failed / row.short.tries for row in heard}
+        failed = {row.backend: row.short.failed / row.short.attempts for row in heard}
         usual = sorted(failed.values())[len(failed) // 4] if failed else 0
         may_eject = int(EJECTED_SHARE_MAX * len(figures)) - sum(row.backend.health < 1 for row in figures)
         outliers = [one for one, share in failed.items() if share > FAILED_SHARE_ABOVE_PEERS + usual]
--- a/embertray/policy/records/backend.py
+++ b/embertray/policy/records/backend.py
@@ -7,31 +7,31 @@
 
 
 class Sample(NamedTuple):
-    """One report: what the proxies of a zone met within `span` before `at`."""
+    """One report: what the proxies of a zone met within `span` ns before `at`, ns."""
 
     at: int
-    tries: int
+    attempts: int
     failed: int
-    latency: int  # mean of the tries that were answered
+    latency: int  # ns; mean of the attempts that were answered
     load: float | None  # None: no load was reported
     zone: Any
-    span: int
+    span: int  # ns
 
 
 class Totals(NamedTuple):
     """The sums of a window."""
 
-    tries: int = 0
+    attempts: int = 0
     failed: int = 0
-    latency: float = 0  # mean of all tries
+    latency: float = 0  # ns; mean of all attempts
     rate: float = 0  # answered a second, by reported spans
 
 
-class Newest(NamedTuple):
+class NewestReport(NamedTuple):
     """One of a backend's newest reports."""
 
-    tries: int
-    latency: int  # sum of all tries
+    attempts: int
+    latency: int  # ns; sum of all attempts
     load: float | None
 
 
@@ -39,12 +39,12 @@
     """What a backend's samples come to now."""
 
     backend: Any
-    long: Totals
-    span: int  # the long window
-    short: Totals
-    warmth: float
+    long: Totals  # of the long window
+    span: int  # ns that the long window covers
+    short: Totals  # of the short window
+    warmth: float  # factor on the weight by slow start
     load: float | None  # mean of the long window
-    newest: tuple[Newest, ...]
+    newest: tuple[NewestReport, ...]
 
 
 class BackendSamples:
@@ -57,9 +57,9 @@
     def __init__(self, keep):
         self.rows = deque(maxlen=keep)
 
-    def add(self, at, heard, load):
+    def add(self, at, report, load):
         """Keeps a report that came at `at`, ns, with the load that it tells or None."""
-        row = Sample(at, heard.tries, heard.failed, heard.latency, load, heard.zone, heard.span)
+        row = Sample(at, report.tries, report.failed, report.latency, load, report.zone, report.span)
         self.rows.append(row)
 
     def clear(self):
@@ -78,19 +78,23 @@
             `Totals`.
         """
         rows = [row for row in self.rows if row.at > start]
-        tries = sum(row.tries for row in rows)
+        attempts = sum(row.attempts for row in rows)
         failed = sum(row.failed for row in rows)
         latency = sum(latency_sum(row, failed_latency) for row in rows)
         spans = {}
         for row in rows:
             spans[row.zone] = spans.get(row.zone, 0) + row.span
-        rate = sum((row.tries - row.failed) * SECOND / max(span_least, spans[row.zone]) for row in rows)
-        return Totals(tries, failed, latency / tries if tries else 0, rate)
+        rate = sum((row.attempts - row.failed) * SECOND / max(span_least, spans[row.zone]) for row in rows)
+        return Totals(attempts, failed, latency / attempts if attempts else 0, rate)
 
     def newest(self, start, failed_latency):
-        """The reports since `start`, ns, as `Newest` each; a failed attempt counts as `failed_latency` ns."""
+        """The reports since `start`, ns; a failed attempt counts as `failed_latency` ns.
+
+        Returns:
+            tuple of `NewestReport`.
+        """
         return tuple(
-            Newest(row.tries, latency_sum(row, failed_latency), row.load)
+            NewestReport(row.attempts, latency_sum(row, failed_latency), row.load)
             for row in self.rows
             if row.at > start
         )
@@ -103,14 +107,14 @@
 
 def latency_sum(row, failed_latency):
     """Latency of all attempts of a `Sample`, ns; a failed one counts as `failed_latency`."""
-    return (row.tries - row.failed) * row.latency + row.failed * failed_latency
+    return (row.attempts - row.failed) * row.latency + row.failed * failed_latency
 
 
-def added(totals):
-    """Totals of several backends: tries, failed and rates are added, latency is left out."""
+def add_totals(totals):
+    """Totals of several backends: attempts, failures and rates are added, latency is left out."""
     rows = list(totals)
     return Totals(
-        tries=sum(row.tries for row in rows),
+        attempts=sum(row.attempts for row in rows),
         failed=sum(row.failed for row in rows),
         rate=sum(row.rate for row in rows),
     )
