--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -4,7 +4,7 @@
 not bound may hold any line (its standing table), so it is told of every withdrawal.
 """
 
-from embertray.controller.stream.messages import Bind, Level, Line, Orders, Out
+from embertray.controller.stream.messages import Bind, Level, Line, Orders, Withdrawal
 from embertray.policy import interface as i
 
 
@@ -76,7 +76,7 @@
                 # a withdrawn one comes into a table: still out
                 if hidden is not None and proxy not in hidden:
                     hidden[proxy] = True
-                    yield proxy, Out(backend.external_id, True), 1
+                    yield proxy, Withdrawal(backend.external_id, True), 1
                 yield proxy, part, 1
         elif isinstance(order, i.Bind):
             proxy = order.proxy
@@ -101,7 +101,7 @@
                 1 + len(tab.lines) + len(tab.levels) + len(out),
             )
         elif isinstance(order, i.Withdraw):
-            backend, part = order.backend, Out(order.backend.external_id, order.out)
+            backend, part = order.backend, Withdrawal(order.backend.external_id, order.out)
             if order.out:
                 informed = self.out.setdefault(backend, {})
                 for proxy, table in self.bound.items():
--- a/embertray/controller/core/desk.py
+++ b/embertray/controller/core/desk.py
@@ -5,7 +5,7 @@
 """
 
 from embertray.controller.channel.admission import Admission
-from embertray.controller.stream.messages import Sums
+from embertray.controller.stream.messages import LoadReport
 from embertray.controller.trust import BackendAttempts, Trust
 from embertray.controller.trust.snapshot_age import time_since
 
@@ -47,7 +47,7 @@
 
     def take(self, now, hello, message):
         """Sums or an Answer of a joined proxy."""
-        if not isinstance(message, Sums):
+        if not isinstance(message, LoadReport):
             self.instance.answered(now, hello.proxy, message.nonce)
             return
         entries = self.trust.observe(
--- a/embertray/controller/stream/holding.py
+++ b/embertray/controller/stream/holding.py
@@ -2,7 +2,7 @@
 observers.
 """
 
-from .messages import Bind, Level, Line, Out
+from .messages import Bind, Level, Line, Withdrawal
 
 
 class Holding:
@@ -28,7 +28,7 @@
                 self.levels = {kind: (level, again) for kind, level, again in do.levels}
                 self.waits = {}
                 self.out = set(do.out)  # a bound proxy follows only this controller's withdrawals
-            elif isinstance(do, Out):
+            elif isinstance(do, Withdrawal):
                 (self.out.add if do.out else self.out.discard)(do.backend)
             elif isinstance(do, Level) and do.table == self.table:
                 self.levels.update({kind: (do.level, do.again) for kind in do.kinds})
--- a/embertray/controller/stream/messages.py
+++ b/embertray/controller/stream/messages.py
@@ -32,13 +32,13 @@
     fresh: bool = False  # holds its standing table only
 
 
-class Answer(Message, tag="answer"):
+class Acknowledgement(Message, tag="answer"):
     """The message that carried this nonce, and all before it, are applied."""
 
     nonce: NonceId
 
 
-class Met(Message):
+class BackendTotals(Message):
     """What the proxy met at a backend since its last sums."""
 
     backend: Name
@@ -48,7 +48,7 @@
     load: dict[Name, Share] = {}  # newest load report among the answers
 
 
-class Came(Message):
+class ArrivalTotals(Message):
     kind: Name
     requests: Count
     lost: Count = 0
@@ -56,10 +56,10 @@
     repeats: Count | None = None
 
 
-class Sums(Message, tag="sums"):
+class LoadReport(Message, tag="sums"):
     span: Time
-    met: Annotated[list[Met], Meta(max_length=MOST_LINES)] = []
-    came: Annotated[list[Came], Meta(max_length=256)] = []
+    met: Annotated[list[BackendTotals], Meta(max_length=MOST_LINES)] = []
+    came: Annotated[list[ArrivalTotals], Meta(max_length=256)] = []
 
 
 # ---- to a proxy
@@ -86,7 +86,7 @@
     out: list[Name] = []
 
 
-class Out(Message, tag="out"):
+class Withdrawal(Message, tag="out"):
     backend: Name
     out: bool
 
@@ -102,7 +102,7 @@
 class Orders(Message, tag="orders"):
     stamp: Time  # the controller's clock when it ordered this
     cost: Share  # lines that the message counts in the channel, its head and mark included
-    do: Annotated[list[Line | Bind | Out | Level], Meta(max_length=MOST_LINES)]
+    do: Annotated[list[Line | Bind | Withdrawal | Level], Meta(max_length=MOST_LINES)]
     nonce: NonceId | None = None
 
 
@@ -114,7 +114,7 @@
     wait: Time = 0  # ns to stay away from this controller
 
 
-FromProxy = Hello | Answer | Sums
+FromProxy = Hello | Acknowledgement | LoadReport
 ToProxy = Welcome | Orders | Fault
 
 encode = msgspec.msgpack.Encoder().encode
--- a/embertray/controller/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -12,11 +12,11 @@
 
 from .messages import (
     VERSION,
-    Answer,
+    Acknowledgement,
     Fault,
     Hello,
+    LoadReport,
     Orders,
-    Sums,
     Welcome,
     encode,
     read_from_proxy,
@@ -24,7 +24,7 @@
 )
 
 
-class Refused(ValueError):
+class ProtocolError(ValueError):
     """The peer broke the protocol. `code`: malformed | oversized | empty | cut | version | order."""
 
     def __init__(self, code, text):
@@ -45,7 +45,7 @@
     def receive(self, data):
         """Messages that `data` completes, checked for their order. b"" is the stream's end."""
         if self.over:
-            raise Refused("order", "bytes after the end of the session")
+            raise ProtocolError("order", "bytes after the end of the session")
         try:
             if not data:
                 self.over = True
@@ -62,10 +62,10 @@
 
     def refuse(self, code, text):
         self.over = True
-        raise Refused(code, text) from None
+        raise ProtocolError(code, text) from None
 
 
-class ControllerEnd(Session):
+class ControllerSession(Session):
     """Knows the proxy's name from its hello on, and which nonces are open on this stream."""
 
     def __init__(self, zones=None):
@@ -83,13 +83,13 @@
                 self.refuse("zone", f"zone '{message.zone}' of proxy {message.proxy} is not in the site")
             self.hello = message
         elif not self.hello:
-            self.refuse("order", f"{type(message).__name__.lower()} before the hello")
-        elif isinstance(message, Answer):
+            self.refuse("order", f"{message.__struct_config__.tag} before the hello")
+        elif isinstance(message, Acknowledgement):
             if message.nonce not in self.open:
                 self.refuse("order", f"an answer to nonce {message.nonce}, which is not open here")
             while self.open.popleft() != message.nonce:  # the channel keeps order
                 pass
-        elif isinstance(message, Sums):
+        elif isinstance(message, LoadReport):
             for met in message.met:
                 if met.failed > met.tries:
                     self.refuse("malformed", f"{met.failed} of {met.tries} tries failed at {met.backend}")
@@ -103,7 +103,7 @@
             self.open.append(nonce)
 
 
-class ProxyEnd(Session):
+class ProxySession(Session):
     """The proxy's side: welcome first, then orders; a fault may come at any time and is the last."""
 
     def __init__(self, proxy, zone, rate, fresh):
--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -16,8 +16,14 @@
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.process import resident
 from embertray.common.net.tcp import TcpNet
-from embertray.controller.stream.messages import Answer, Came, Met, Orders, Sums
-from embertray.controller.stream.session import ProxyEnd
+from embertray.controller.stream.messages import (
+    Acknowledgement,
+    ArrivalTotals,
+    BackendTotals,
+    LoadReport,
+    Orders,
+)
+from embertray.controller.stream.session import ProxySession
 from embertray.service.site.made import describe
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.parts import BROKEN, Agenda
@@ -34,7 +40,7 @@
         self.name, self.saw, self.end, self.stream, self.bound = (
             name,
             saw,
-            ProxyEnd(name, zone, 10.0, True),
+            ProxySession(name, zone, 10.0, True),
             None,
             anyio.Event(),
         )
@@ -57,7 +63,7 @@
                             self.bound.set()
                             self.saw(self.name, now, message, len(data))
                             if message.nonce:
-                                await self.send(self.end.pack(Answer(message.nonce)))
+                                await self.send(self.end.pack(Acknowledgement(message.nonce)))
         except BROKEN:
             pass
 
@@ -67,8 +73,8 @@
             await self.stream.send(data)
 
     async def sums(self, backends, kinds):
-        met = [Met(backend, 3, 0, 150_000_000, {"busy": 0.4}) for backend in backends]
-        await self.send(self.end.pack(Sums(S, met, [Came(kind, 5, 0) for kind in kinds])))
+        met = [BackendTotals(backend, 3, 0, 150_000_000, {"busy": 0.4}) for backend in backends]
+        await self.send(self.end.pack(LoadReport(S, met, [ArrivalTotals(kind, 5, 0) for kind in kinds])))
 
 
 @asynccontextmanager
--- a/embertray/experiments/measure/timed.py
+++ b/embertray/experiments/measure/timed.py
@@ -13,7 +13,7 @@
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import InMemorySnapshots
-from embertray.controller.stream.session import ControllerEnd
+from embertray.controller.stream.session import ControllerSession
 from embertray.policy import Controller
 from embertray.service.daemon import proxies as streams
 from embertray.service.daemon.service import Service
@@ -61,7 +61,7 @@
     spent, site = Spent(), load(sys.argv[1])
     Controller.step = spent.timing("module", Controller.step)
     streams.encode = spent.timing("codec", streams.encode)
-    ControllerEnd.receive = spent.timing("codec", ControllerEnd.receive)
+    ControllerSession.receive = spent.timing("codec", ControllerSession.receive)
     anyio.run(run, site, sys.argv[2], backend_options={"use_uvloop": True})
     used = resource.getrusage(resource.RUSAGE_SELF)
     print(
--- a/embertray/service/daemon/proxies.py
+++ b/embertray/service/daemon/proxies.py
@@ -9,7 +9,7 @@
 from embertray.controller.channel.admission import HELLO_WITHIN
 from embertray.controller.channel.outlet import Outlet
 from embertray.controller.stream.messages import Fault, Hello, encode
-from embertray.controller.stream.session import ControllerEnd, Refused
+from embertray.controller.stream.session import ControllerSession, ProtocolError
 
 from .broken import BROKEN, S
 
@@ -87,19 +87,19 @@
             if verdict:
                 await self.turn_away(conn, verdict)
                 return
-            session, first = ControllerEnd(self.host.site.zones), []
+            session, first = ControllerSession(self.host.site.zones), []
             try:
                 with anyio.move_on_after(HELLO_WITHIN / 1e9):
                     while not first and not session.over:
                         first = session.receive(await conn.read())
-            except Refused as wrong:
+            except ProtocolError as wrong:
                 await self.refuse(conn, "-", wrong)
                 return
             finally:
                 self.host.admission.gone()
             if not first:
                 if not session.over:
-                    await self.refuse(conn, "-", Refused("hello", "no hello in time"))
+                    await self.refuse(conn, "-", ProtocolError("hello", "no hello in time"))
                 return
             now = self.host.clock.now()
             verdict = self.host.desk.hello(now, session.hello.proxy)
@@ -130,7 +130,7 @@
                     while not session.over:
                         self.take(stream, session.receive(await conn.read()))
                     group.cancel_scope.cancel()
-        except* Refused as wrong:
+        except* ProtocolError as wrong:
             stream.why = str(wrong.exceptions[0])
             self.drop(stream)
             await self.refuse(conn, stream.name, wrong.exceptions[0])
--- a/embertray/simulation/emulator/flows.py
+++ b/embertray/simulation/emulator/flows.py
@@ -9,8 +9,14 @@
 
 from embertray.common.net.conn import Conn
 from embertray.controller.stream.holding import Holding
-from embertray.controller.stream.messages import Answer, Came, Met, Orders, Sums
-from embertray.controller.stream.session import ProxyEnd, Refused
+from embertray.controller.stream.messages import (
+    Acknowledgement,
+    ArrivalTotals,
+    BackendTotals,
+    LoadReport,
+    Orders,
+)
+from embertray.controller.stream.session import ProtocolError, ProxySession
 from embertray.simulation.models.backend import Backend, Shape
 from embertray.simulation.standins.parts import BROKEN
 
@@ -34,12 +40,12 @@
                 wait = S // 2
                 try:
                     wait = max(wait, await self.stay())
-                except* (*BROKEN, Refused):
+                except* (*BROKEN, ProtocolError):
                     pass
                 await self.fleet.clock.sleep_until(self.fleet.clock.now() + wait)
 
     async def stay(self):
-        self.end, wait = ProxyEnd(self.name, self.zone, self.rate, True), 0
+        self.end, wait = ProxySession(self.name, self.zone, self.rate, True), 0
         async with (
             await self.fleet.net.dial(self.fleet.address) as stream,
             anyio.create_task_group() as group,
@@ -54,7 +60,7 @@
                             self.orders += 1
                             self.holding.apply(message)
                             if message.nonce:
-                                conn.put(self.end.pack(Answer(message.nonce)))
+                                conn.put(self.end.pack(Acknowledgement(message.nonce)))
                         elif self.end.over:
                             wait = message.wait
                         else:
@@ -129,10 +135,12 @@
                 got = met_at.get(name)
                 bad = n if got is None else round(n * (1 - got.done))
                 lost += bad
-                met.append(Met(name, n, bad, (n - bad) * (got.took if got else 0), loads.get(name, {})))
+                met.append(
+                    BackendTotals(name, n, bad, (n - bad) * (got.took if got else 0), loads.get(name, {}))
+                )
             self.errored += lost
             if proxy.conn is not None:
                 share = [count // len(self.kinds)] * len(self.kinds)
                 share[0] += count - sum(share)
-                came = [Came(kind, part, 0) for kind, part in zip(self.kinds, share, strict=False)]
-                proxy.conn.put(proxy.end.pack(Sums(self.cycle, met, came)))
+                came = [ArrivalTotals(kind, part, 0) for kind, part in zip(self.kinds, share, strict=False)]
+                proxy.conn.put(proxy.end.pack(LoadReport(self.cycle, met, came)))
--- a/embertray/simulation/emulator/fluid.py
+++ b/embertray/simulation/emulator/fluid.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from embertray.controller.stream.messages import Came, Met, Sums
+from embertray.controller.stream.messages import ArrivalTotals, BackendTotals, LoadReport
 from embertray.simulation.scenarios.ground import LONGEST, histogram
 from embertray.simulation.standins.messages import Req
 
@@ -132,7 +132,7 @@
                 model = self.backends[col].model
                 load = model.report(self.engine.time) if model.state == "up" else {}
                 mean = took[col] / max(1e-9, tries[col] - errored[col])
-                met.append(Met(self.names[col], n, bad, int(mean * (n - bad)), load))
+                met.append(BackendTotals(self.names[col], n, bad, int(mean * (n - bad)), load))
         came = []
         for k, (kind, _, _) in enumerate(self.mixed):
             first, further, lost = self.rng.poisson(
@@ -142,10 +142,10 @@
                     self.lost[place, k],
                 ]
             ).tolist()
-            came.append(Came(kind.external_id, first + further, lost, further))
+            came.append(ArrivalTotals(kind.external_id, first + further, lost, further))
         length = int(self.engine.time - self.since[place])
         self.forget(place)
-        return Sums(length, met, [c for c in came if c.requests])
+        return LoadReport(length, met, [c for c in came if c.requests])
 
     # ---- a step
 
--- a/embertray/simulation/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -1,6 +1,6 @@
 """A proxy without streams: what it is told, reports, sends and hears are planned calls."""
 
-from embertray.controller.stream.messages import Answer, Hello
+from embertray.controller.stream.messages import Acknowledgement, Hello
 from embertray.simulation.models.proxy import Proxy, StandsStill
 from embertray.simulation.standins.messages import Req
 from embertray.simulation.standins.proxy import REDIAL
@@ -110,7 +110,7 @@
         self.model.apply(orders)
         self.simulation.eyes.applied(self.simulation.engine.time, self.name, orders)
         if orders.nonce is not None:
-            self.say(session, Answer(orders.nonce))
+            self.say(session, Acknowledgement(orders.nonce))
 
     def say(self, session, message):
         if session is self.session and session is not None:
--- a/embertray/simulation/models/proxy.py
+++ b/embertray/simulation/models/proxy.py
@@ -12,7 +12,7 @@
 import numpy as np
 
 from embertray.controller.stream.holding import Holding
-from embertray.controller.stream.messages import Came, Met, Sums
+from embertray.controller.stream.messages import ArrivalTotals, BackendTotals, LoadReport
 
 S = 10**9
 EJECT = 3 * S  # ns that an ejected backend is left alone
@@ -235,5 +235,5 @@
         """What was met and came since the last sums."""
         heard, came, span = self.heard, self.came, now - self.since
         self.joined(now)
-        met = [Met(backend, h.tries, h.failed, h.latency, h.load) for backend, h in heard.items()]
-        return Sums(span, met, [Came(kind, *counts) for kind, counts in came.items()])
+        met = [BackendTotals(backend, h.tries, h.failed, h.latency, h.load) for backend, h in heard.items()]
+        return LoadReport(span, met, [ArrivalTotals(kind, *counts) for kind, counts in came.items()])
--- a/embertray/simulation/scenarios/troubles/proxies.py
+++ b/embertray/simulation/scenarios/troubles/proxies.py
@@ -3,7 +3,7 @@
 import anyio
 
 from embertray.common.framing import frame
-from embertray.controller.stream.session import ProxyEnd
+from embertray.controller.stream.session import ProxySession
 
 from .base import Struck
 
@@ -65,5 +65,5 @@
             with anyio.move_on_after(1):
                 stream = await self.stage.net.dial(proxy.controllers[proxy.home])
                 async with stream:
-                    await stream.send(ProxyEnd(proxy.name, proxy.zone, 1.0, True).start())
+                    await stream.send(ProxySession(proxy.name, proxy.zone, 1.0, True).start())
                     await stream.receive()
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -6,8 +6,8 @@
 import anyio
 
 from embertray.common.net.conn import Conn
-from embertray.controller.stream.messages import Answer, Orders
-from embertray.controller.stream.session import ProxyEnd, Refused
+from embertray.controller.stream.messages import Acknowledgement, Orders
+from embertray.controller.stream.session import ProtocolError, ProxySession
 from embertray.simulation.models.proxy import Proxy, StandsStill
 
 from .messages import End, Req, encode, read
@@ -66,7 +66,7 @@
                 try:
                     asked = await self.stay(self.controllers[at % len(self.controllers)])
                     wait, tries = REDIAL[0], 0
-                except* (*BROKEN, Refused):
+                except* (*BROKEN, ProtocolError):
                     pass
             at += 1
             tries += 1
@@ -77,7 +77,7 @@
 
     async def stay(self, address):
         """One stream, to its end; ns that the controller asks it to stay away."""
-        end, asked = ProxyEnd(self.name, self.zone, self.rate, self.fresh), 0
+        end, asked = ProxySession(self.name, self.zone, self.rate, self.fresh), 0
         stream = await self.net.dial(address)
         self.scope = anyio.CancelScope()
         with self.scope:
@@ -128,7 +128,7 @@
         if self.eyes:
             self.eyes.applied(self.agenda.now(), self.name, orders)
         if orders.nonce is not None:
-            self.say(end, Answer(orders.nonce))
+            self.say(end, Acknowledgement(orders.nonce))
 
     def say(self, end, message):
         if end is self.joined:
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -17,7 +17,7 @@
 
 
 def removes(do):
-    return isinstance(do, Line) and do.weight == 0 or type(do).__name__ == "Out" and do.out
+    return isinstance(do, Line) and do.weight == 0 or type(do).__name__ == "Withdrawal" and do.out
 
 
 def replace_do(message, do):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -17,8 +17,8 @@
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import DurableSnapshots, InMemorySnapshots, Snapshot, SnapshotEntry
 from embertray.controller.channel.outlet import OLDEST
-from embertray.controller.stream.messages import Answer, Bind, Fault, Orders, Welcome
-from embertray.controller.stream.session import ProxyEnd, Refused
+from embertray.controller.stream.messages import Acknowledgement, Bind, Fault, Orders, Welcome
+from embertray.controller.stream.session import ProtocolError, ProxySession
 from embertray.service.daemon import Service
 from embertray.service.site import load
 from embertray.service.site.site import HERE as SITES
@@ -35,7 +35,7 @@
     """A scripted proxy's stream."""
 
     def __init__(self, stream, name, zone="north"):
-        self.stream, self.end, self.got = stream, ProxyEnd(name, zone, 5.0, True), []
+        self.stream, self.end, self.got = stream, ProxySession(name, zone, 5.0, True), []
 
     async def hello(self):
         await self.stream.send(self.end.start())
@@ -47,7 +47,7 @@
             while self.got:
                 message = self.got.pop(0)
                 if answer and isinstance(message, Orders) and message.nonce:
-                    await self.stream.send(self.end.pack(Answer(message.nonce)))
+                    await self.stream.send(self.end.pack(Acknowledgement(message.nonce)))
                 if isinstance(message, kind):
                     return message
             try:
@@ -151,8 +151,8 @@
             (b"\xff\xff\xff\xff", "oversized"),
             (b"\0\0\0\0", "empty"),
             (b"\0\0\0\1\xc1", "malformed"),
-            (ProxyEnd.pack(Answer(1)), "order"),
-            (ProxyEnd("x", "moon", 0, True).start(), "zone"),
+            (ProxySession.pack(Acknowledgement(1)), "order"),
+            (ProxySession("x", "moon", 0, True).start(), "zone"),
             (b"\0\0\0\5ab", None),
             (b"", "hello"),
         ):
@@ -162,12 +162,12 @@
                     await stream.send(data)
                 if code is None:
                     await stream.send_eof()
-                end = ProxyEnd("x", "z", 0, True)
+                end = ProxySession("x", "z", 0, True)
                 found = []
                 try:
                     while data_in := await stream.receive():
                         found += end.receive(data_in)
-                except (anyio.EndOfStream, Refused):
+                except (anyio.EndOfStream, ProtocolError):
                     pass
                 self.assertEqual([type(m) for m in found], [Fault])
                 self.assertEqual(found[0].code, code or "cut")
@@ -179,7 +179,7 @@
     async def test_an_answer_to_no_open_mark_ends_that_stream(self, room):
         peer = await room.peer("p1")
         orders = await peer.until(Orders)
-        await peer.stream.send(peer.end.pack(Answer(orders.nonce)))
+        await peer.stream.send(peer.end.pack(Acknowledgement(orders.nonce)))
         self.assertEqual((await peer.until(Fault)).code, "order")
 
     @virtual
@@ -189,7 +189,7 @@
         await peer.stream.aclose()
         again = await room.peer("p1")
         await again.until(Orders, answer=False)
-        await again.stream.send(again.end.pack(Answer(orders.nonce)))
+        await again.stream.send(again.end.pack(Acknowledgement(orders.nonce)))
         self.assertEqual((await again.until(Fault, answer=False)).code, "order")
 
     @virtual
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -18,7 +18,7 @@
 from embertray.common.memory.purposes import ACTIONS
 from embertray.common.memory.sizing import deep_size, measure_entry_bytes
 from embertray.controller.core import Instance
-from embertray.controller.stream.messages import Fault, Line, Met, Orders, Sums, Welcome
+from embertray.controller.stream.messages import BackendTotals, Fault, Line, LoadReport, Orders, Welcome
 from embertray.service.site import load
 from embertray.service.site.site import HERE as SITES, Cluster
 from embertray.simulation.emulator import churn
@@ -32,7 +32,7 @@
         """Within a tenth, for what the accounts really hold: tuples, structs, dicts, objects with slots."""
         for make in (
             lambda n: (n * 1000003, float(n), f"name-{n}"),
-            lambda n: Met(f"b-{n}", n * 1000, 0, n * 10**9),
+            lambda n: BackendTotals(f"b-{n}", n * 1000, 0, n * 10**9),
             lambda n: {f"k-{n}": n + 0.5},
             lambda n: Line(1, f"be-{n}", n + 0.5),
             lambda n: deque([n * 10**9]),
@@ -171,7 +171,9 @@
         await peer.until(Orders)
         for _ in range(30):
             await peer.stream.send(
-                peer.end.pack(Sums(S, [Met(f"127.0.1.{n + 1}:9000", 2, 0, S // 5) for n in range(60)]))
+                peer.end.pack(
+                    LoadReport(S, [BackendTotals(f"127.0.1.{n + 1}:9000", 2, 0, S // 5) for n in range(60)])
+                )
             )
             await anyio.sleep(1)
         it = room.service.instance
@@ -191,7 +193,9 @@
         peer = await room.peer("p1")
         await peer.until(Orders)
         for k in range(50):
-            await peer.stream.send(peer.end.pack(Sums(S, [Met(f"ghost-{k}-{n}", 1) for n in range(2000)])))
+            await peer.stream.send(
+                peer.end.pack(LoadReport(S, [BackendTotals(f"ghost-{k}-{n}", 1) for n in range(2000)]))
+            )
             await anyio.sleep(0.1)
         it = room.service.instance
         self.assertEqual(it.intake.unknown, 100_000)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -28,18 +28,18 @@
 from embertray.controller.report_intake import Intake
 from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import (
-    Answer,
+    Acknowledgement,
+    ArrivalTotals,
+    BackendTotals,
     Bind,
-    Came,
     Hello,
     Line,
-    Met,
-    Out,
-    Sums,
+    LoadReport,
+    Withdrawal,
     encode,
     read_to_proxy,
 )
-from embertray.controller.stream.session import ControllerEnd, ProxyEnd, Refused
+from embertray.controller.stream.session import ControllerSession, ProtocolError, ProxySession
 from embertray.policy import interface as i
 from embertray.service.site import BadSite, load
 from embertray.service.site.site import HERE as SITES
@@ -73,11 +73,11 @@
 
     @given(st.binary(max_size=400))
     def test_noise_never_raises_anything_but_refused(self, noise):
-        for end in (ControllerEnd(), ProxyEnd("p", "z", 1.0, True)):
+        for end in (ControllerSession(), ProxySession("p", "z", 1.0, True)):
             try:
                 end.receive(noise)
                 end.receive(b"")
-            except Refused as wrong:
+            except ProtocolError as wrong:
                 self.assertTrue(wrong.code)
 
     @given(
@@ -90,45 +90,45 @@
         st.sampled_from(["hello", "answer", "sums", "orders", "welcome", "nonsense"]),
     )
     def test_well_framed_nonsense_is_refused_once(self, inner, tag):
-        end = ControllerEnd()
+        end = ControllerSession()
         payload = msgspec.msgpack.encode([tag, *inner] if isinstance(inner, list) else [tag, inner])
         try:
             end.receive(frame(payload))
-        except Refused:
-            with self.assertRaises(Refused):
+        except ProtocolError:
+            with self.assertRaises(ProtocolError):
                 end.receive(frame(encode(Hello(1, "p", "z"))))
 
 
 class Sessions(unittest.TestCase):
     def end(self):
-        end = ControllerEnd()
-        end.receive(ProxyEnd("p", "z", 2.0, True).start())
+        end = ControllerSession()
+        end.receive(ProxySession("p", "z", 2.0, True).start())
         return end
 
     def refused(self, end, message):
-        with self.assertRaises(Refused) as caught:
+        with self.assertRaises(ProtocolError) as caught:
             end.receive(frame(encode(message)))
         return caught.exception.code
 
     def test_order_of_messages(self):
-        self.assertEqual(self.refused(ControllerEnd(), Answer(1)), "order")
+        self.assertEqual(self.refused(ControllerSession(), Acknowledgement(1)), "order")
         self.assertEqual(self.refused(self.end(), Hello(1, "p", "z")), "order")
-        self.assertEqual(self.refused(ControllerEnd(), Hello(9, "p", "z")), "version")
-        self.assertEqual(self.refused(self.end(), Answer(3)), "order")
-        self.assertEqual(self.refused(self.end(), Sums(1, [Met("b", 2, 3)])), "malformed")
+        self.assertEqual(self.refused(ControllerSession(), Hello(9, "p", "z")), "version")
+        self.assertEqual(self.refused(self.end(), Acknowledgement(3)), "order")
+        self.assertEqual(self.refused(self.end(), LoadReport(1, [BackendTotals("b", 2, 3)])), "malformed")
 
     def test_marks_are_answered_once_and_in_order(self):
         end = self.end()
         for nonce in (1, 2, 3):
             end.sent(nonce)
-        self.assertEqual(len(end.receive(frame(encode(Answer(2))))), 1)
+        self.assertEqual(len(end.receive(frame(encode(Acknowledgement(2))))), 1)
         self.assertEqual(list(end.open), [3])
-        self.assertEqual(self.refused(end, Answer(1)), "order")
+        self.assertEqual(self.refused(end, Acknowledgement(1)), "order")
 
     def test_a_stream_cut_within_a_frame(self):
         end = self.end()
-        end.receive(frame(encode(Answer(1)))[:3])
-        with self.assertRaises(Refused) as caught:
+        end.receive(frame(encode(Acknowledgement(1)))[:3])
+        with self.assertRaises(ProtocolError) as caught:
             end.receive(b"")
         self.assertEqual(caught.exception.code, "cut")
 
@@ -164,7 +164,7 @@
         self.post(i.SetLine(self.table, self.a, 1.0), i.Bind(self.p, self.table))
         self.assertEqual(list(self.post(i.Withdraw(self.b, True))), ["q"])  # p's table has no b
         got = self.post(i.SetLine(self.table, self.b, 1.0))
-        self.assertEqual(got["p"].do, [Out("b", True), Line(1, "b", 1.0)])
+        self.assertEqual(got["p"].do, [Withdrawal("b", True), Line(1, "b", 1.0)])
         self.assertEqual(sorted(self.post(i.Withdraw(self.b, False))), ["p", "q"])
         self.assertEqual(self.post(i.Withdraw(self.b, False)), {})
 
@@ -326,10 +326,10 @@
                 now,
                 proxy,
                 zone,
-                Sums(
+                LoadReport(
                     S,
-                    [Met("a", 4, 1, 300, {"busy": n / 2}), Met("b", 2)],
-                    [Came("view", 5, 1), Came("strange", 9)],
+                    [BackendTotals("a", 4, 1, 300, {"busy": n / 2}), BackendTotals("b", 2)],
+                    [ArrivalTotals("view", 5, 1), ArrivalTotals("strange", 9)],
                 ),
                 identifiers.backends.get,
                 {"view": kind}.get,
@@ -355,7 +355,7 @@
                         now,
                         identifiers.proxy(f"p{n}"),
                         zone,
-                        Sums(S, [Met("a", 10, 1)]),
+                        LoadReport(S, [BackendTotals("a", 10, 1)]),
                         identifiers.backend,
                         {}.get,
                     )
@@ -372,7 +372,12 @@
 
         def tell(now, name):
             intake.sums(
-                now, identifiers.proxy(name), zone, Sums(S, [Met("a", 1)]), identifiers.backend, {}.get
+                now,
+                identifiers.proxy(name),
+                zone,
+                LoadReport(S, [BackendTotals("a", 1)]),
+                identifiers.backend,
+                {}.get,
             )
 
         for name in "pq":
@@ -404,7 +409,7 @@
                 now,
                 identifiers.proxy(f"p{proxy}"),
                 identifiers.zone(f"z{proxy % 2}"),
-                Sums(S, [Met(f"b{backend}", tries, 1, 7)], [Came("view", tries)]),
+                LoadReport(S, [BackendTotals(f"b{backend}", tries, 1, 7)], [ArrivalTotals("view", tries)]),
                 identifiers.backend,
                 {"view": "view"}.get,
             )
@@ -425,7 +430,7 @@
             0,
             identifiers.proxy("p"),
             identifiers.zone("z"),
-            Sums(S, [Met(f"b{n}", 1) for n in range(100)]),
+            LoadReport(S, [BackendTotals(f"b{n}", 1) for n in range(100)]),
             identifiers.backend,
             {}.get,
         )
