--- a/embertray/controller/stream/messages.py
+++ b/embertray/controller/stream/messages.py
@@ -25,6 +25,8 @@
 
 
 class Hello(Message, tag="hello"):
+    """The first message of a proxy: who it is."""
+
     version: Count
     proxy: Name
     zone: Name
@@ -39,25 +41,29 @@
 
 
 class BackendTotals(Message):
-    """What the proxy met at a backend since its last sums."""
+    """What the proxy met at a backend since its last report."""
 
     backend: Name
     tries: Count
     failed: Count = 0
-    latency: Time = 0  # ns, the sum over tries done
+    latency: Time = 0  # ns, the sum over attempts that were answered
     load: dict[Name, Share] = {}  # newest load report among the answers
 
 
 class ArrivalTotals(Message):
+    """Requests of a kind that reached the proxy since its last report."""
+
     kind: Name
     requests: Count
     lost: Count = 0
-    # of requests, those that clients marked as further tries; None: they mark none
+    # of requests, those that clients marked as retries; None: they mark none
     repeats: Count | None = None
 
 
 class LoadReport(Message, tag="sums"):
-    span: Time
+    """What a proxy met and what came to it within `span`."""
+
+    span: Time  # ns
     met: Annotated[list[BackendTotals], Meta(max_length=MOST_LINES)] = []
     came: Annotated[list[ArrivalTotals], Meta(max_length=256)] = []
 
@@ -66,12 +72,16 @@
 
 
 class Welcome(Message, tag="welcome"):
+    """The first message of a controller."""
+
     version: Count
     controller: Name
     kinds: list[Name]  # names of the request kinds, in the order that levels use
 
 
 class Line(Message, tag="line"):
+    """One line of a table."""
+
     table: TableId
     backend: Name
     weight: Weight  # 0 removes the line
@@ -87,11 +97,15 @@
 
 
 class Withdrawal(Message, tag="out"):
+    """Whether a backend is withdrawn from whatever the proxy holds."""
+
     backend: Name
     out: bool
 
 
 class Level(Message, tag="level"):
+    """How much of some request kinds is admitted, and how they may be retried."""
+
     table: TableId
     kinds: list[Name]  # empty: all
     level: Share
@@ -100,6 +114,8 @@
 
 
 class Orders(Message, tag="orders"):
+    """All that a controller orders of one proxy at one step, applied in order and all at once."""
+
     stamp: Time  # the controller's clock when it ordered this
     cost: Share  # lines that the message counts in the channel, its head and mark included
     do: Annotated[list[Line | Bind | Withdrawal | Level], Meta(max_length=MOST_LINES)]
--- a/embertray/controller/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -1,7 +1,8 @@
 """One stream between a proxy and a controller, at either end, as state machines without I/O.
 
-The controller's end: bytes in, messages out, in the order hello, then answers and sums. What is malformed,
-oversized, out of order or unknown raises Refused once; the session is then over and takes nothing more.
+The controller's end: bytes in, messages out, in the order hello, then acknowledgements and load reports. What
+is malformed, oversized, out of order or unknown raises `ProtocolError` once; the session is then over and
+takes nothing more.
 """
 
 from collections import deque
@@ -10,6 +11,7 @@
 
 from embertray.common.framing import BadFrame, Splitter, frame
 
+from .exceptions import ProtocolError
 from .messages import (
     VERSION,
     Acknowledgement,
@@ -24,105 +26,146 @@
 )
 
 
-class ProtocolError(ValueError):
-    """The peer broke the protocol. `code`: malformed | oversized | empty | cut | version | order."""
+class Session:
+    """What both ends share: frames become messages; the first error ends the session.
 
-    def __init__(self, code, text):
-        super().__init__(text)
-        self.code = code
+    Args:
+        read: bytes of one frame -> message; raises msgspec.DecodeError.
+    """
 
-    def fault(self):
-        """The bytes of the one clear error that the peer gets."""
-        return frame(encode(Fault(self.code, str(self)[:500])))
+    def __init__(self, read):
+        self.read = read
+        self.splitter = Splitter()
+        self.over = False
 
+    def receive(self, data):
+        """Takes bytes of the stream.
 
-class Session:
-    """What both ends share: frames to messages, refused once."""
+        Args:
+            data: the next bytes; b"" is the stream's end.
 
-    def __init__(self, read):
-        self.read, self.splitter, self.over = read, Splitter(), False
+        Returns:
+            The messages that `data` completes, checked for their order.
 
-    def receive(self, data):
-        """Messages that `data` completes, checked for their order. b"" is the stream's end."""
+        Raises:
+            ProtocolError: the peer broke the protocol, or bytes came after the end of the session.
+        """
         if self.over:
             raise ProtocolError("order", "bytes after the end of the session")
+        messages = self._decode(data)
+        for message in messages:
+            self.check(message)
+        return messages
+
+    def _decode(self, data):
         try:
             if not data:
                 self.over = True
                 self.splitter.end()
                 return []
-            found = [self.read(payload) for payload in self.splitter.feed(data)]
-        except BadFrame as wrong:
-            self.refuse(wrong.code, str(wrong))
-        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as wrong:
-            self.refuse("malformed", str(wrong))
-        for message in found:
-            self.check(message)
-        return found
+            return [self.read(payload) for payload in self.splitter.feed(data)]
+        except BadFrame as error:
+            self.reject(error.code, str(error))
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+            self.reject("malformed", str(error))
+
+    def check(self, message):
+        """Checks a message against what came before it. Raises ProtocolError."""
+        raise NotImplementedError
 
-    def refuse(self, code, text):
+    def reject(self, code, text):
+        """Ends the session. Raises ProtocolError."""
         self.over = True
         raise ProtocolError(code, text) from None
 
 
 class ControllerSession(Session):
-    """Knows the proxy's name from its hello on, and which nonces are open on this stream."""
+    """The controller's end: knows the proxy from its hello on, and which nonces are open on this stream.
+
+    Args:
+        zones: names that a hello may give; None: any.
+    """
 
     def __init__(self, zones=None):
-        """`zones`: names that a hello may give; None: any."""
         super().__init__(read_from_proxy)
-        self.hello, self.open, self.zones = None, deque(), zones
+        self.hello = None
+        self.zones = zones
+        self.open = deque()  # nonces that were sent and are not acknowledged
 
     def check(self, message):
+        """Checks a message of the proxy. Raises ProtocolError."""
         if isinstance(message, Hello):
-            if self.hello:
-                self.refuse("order", f"a second hello from proxy {self.hello.proxy}")
-            if message.version != VERSION:
-                self.refuse("version", f"version {message.version} is not spoken here, only {VERSION}")
-            if self.zones is not None and message.zone not in self.zones:
-                self.refuse("zone", f"zone '{message.zone}' of proxy {message.proxy} is not in the site")
-            self.hello = message
+            self._check_hello(message)
         elif not self.hello:
-            self.refuse("order", f"{message.__struct_config__.tag} before the hello")
+            self.reject("order", f"{message.__struct_config__.tag} before the hello")
         elif isinstance(message, Acknowledgement):
-            if message.nonce not in self.open:
-                self.refuse("order", f"an answer to nonce {message.nonce}, which is not open here")
-            while self.open.popleft() != message.nonce:  # the channel keeps order
-                pass
+            self._check_acknowledgement(message)
         elif isinstance(message, LoadReport):
-            for met in message.met:
-                if met.failed > met.tries:
-                    self.refuse("malformed", f"{met.failed} of {met.tries} tries failed at {met.backend}")
+            self._check_report(message)
+
+    def _check_hello(self, hello):
+        if self.hello:
+            self.reject("order", f"a second hello from proxy {self.hello.proxy}")
+        if hello.version != VERSION:
+            self.reject("version", f"version {hello.version} is not spoken here, only {VERSION}")
+        if self.zones is not None and hello.zone not in self.zones:
+            self.reject("zone", f"zone '{hello.zone}' of proxy {hello.proxy} is not in the site")
+        self.hello = hello
+
+    def _check_acknowledgement(self, message):
+        if message.nonce not in self.open:
+            self.reject("order", f"an answer to nonce {message.nonce}, which is not open here")
+        # the channel keeps order: the nonces before it are acknowledged as well
+        while self.open.popleft() != message.nonce:
+            pass
+
+    def _check_report(self, report):
+        for totals in report.met:
+            if totals.failed > totals.tries:
+                text = f"{totals.failed} of {totals.tries} tries failed at {totals.backend}"
+                self.reject("malformed", text)
 
     def welcome(self, controller, kinds):
+        """Returns the bytes of the welcome: the controller's name and the names of its request kinds."""
         return frame(encode(Welcome(VERSION, controller, kinds)))
 
     def sent(self, nonce):
-        """A message with this nonce goes out on this stream: from now on it may be answered."""
+        """A message goes out on this stream: its nonce, if it has one, may be acknowledged from now on."""
         if nonce is not None:
             self.open.append(nonce)
 
 
 class ProxySession(Session):
-    """The proxy's side: welcome first, then orders; a fault may come at any time and is the last."""
+    """The proxy's end: welcome first, then orders; a fault may come at any time and is the last.
+
+    Args:
+        proxy: its name.
+        zone: its zone's name.
+        rate: requests a second that it usually gets.
+        fresh: whether it holds its standing table only.
+    """
 
     def __init__(self, proxy, zone, rate, fresh):
         super().__init__(read_to_proxy)
-        self.hello, self.welcomed = Hello(VERSION, proxy, zone, rate, fresh), None
+        self.hello = Hello(VERSION, proxy, zone, rate, fresh)
+        self.welcomed = None
 
     def start(self):
+        """Returns the bytes of the hello."""
         return frame(encode(self.hello))
 
     def check(self, message):
+        """Checks a message of the controller. Raises ProtocolError."""
         if isinstance(message, Welcome):
             if self.welcomed:
-                self.refuse("order", "a second welcome")
+                self.reject("order", "a second welcome")
             self.welcomed = message
         elif isinstance(message, Orders) and not self.welcomed:
-            self.refuse("order", "orders before the welcome")
+            self.reject("order", "orders before the welcome")
         elif isinstance(message, Fault):
             self.over = True
 
     @staticmethod
     def pack(message):
+        """Returns the bytes of a message's frame."""
         return frame(encode(message))
--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -1,5 +1,4 @@
-"""One backend as a controller knows it: what the endpoint list says, its last reports, capacity and
-health."""
+"""One backend as a controller knows it: its entry of the list, last reports, capacity and health."""
 
 from .context import REPORTS_KEPT
 from .records.backend import BackendFigures, BackendSamples
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -120,8 +120,10 @@
         self._shed(proxies, self._excess(state, demand, limits))
 
     def _demand(self, state, proxies):
-        """What comes; keeps what came while nothing queued and nobody was refused, in the measure it is seen
-        in: many proxies with few requests are counted too high."""
+        """What comes now, and what came while nothing queued and nobody was rejected.
+
+        The latter is kept in the measure it is seen in: many proxies with few requests are counted too high.
+        """
         context = self.context
         coming = sum(sum(proxy.rates.values()) for proxy in proxies)
         usual = sum(proxy.usual_rate for proxy in proxies) or 1.0
--- a/embertray/policy/records/messages.py
+++ b/embertray/policy/records/messages.py
@@ -80,8 +80,7 @@
         self.proof_at = now
 
     def waiting(self, now, rate, slowest):
-        """Lines that may still wait: all since the last nonce known to be through, less what leaves
-        meanwhile.
+        """Lines that may still wait: those since the last answered nonce, less what leaves meanwhile.
 
         Args:
             now: ns.
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -82,8 +82,10 @@
             self._used = min(needed, self._usable_max)
 
     def _demand(self, rates):
-        """Table -> requests a second, an idle part of the mean added to each; alike while most have no
-        proxies."""
+        """Table -> requests a second, an idle part of the mean added to each.
+
+        All are alike while most tables have no proxies.
+        """
         known = rates if self._used == len(self.tables) else {}
         total = sum(known.get(table, 0.0) for table in self.tables) or 1.0
         idle = total / len(self.tables) * IDLE_SHARE
@@ -126,8 +128,11 @@
         return True
 
     def _fill_empty_tables(self, wanted):
-        """A table whose lines all left, or wait while requests queue, gets the best of the list: its proxies
-        would have no backend to pick."""
+        """Gives the best of the list to tables without a line.
+
+        All lines of a table may leave at once, or wait while requests queue: its proxies would have no
+        backend to pick.
+        """
         best = sorted(wanted, key=lambda backend: -wanted[backend])[:LINES_MIN]
         for table in self.tables:
             if not any(table.want.values()):
--- a/embertray/service/daemon/proxies.py
+++ b/embertray/service/daemon/proxies.py
@@ -8,8 +8,9 @@
 from embertray.common.net.conn import Conn
 from embertray.controller.channel.admission import HELLO_WITHIN
 from embertray.controller.channel.outlet import Outlet
+from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.messages import Fault, Hello, encode
-from embertray.controller.stream.session import ControllerSession, ProtocolError
+from embertray.controller.stream.session import ControllerSession
 
 from .broken import BROKEN, S
 
--- a/embertray/simulation/emulator/flows.py
+++ b/embertray/simulation/emulator/flows.py
@@ -8,6 +8,7 @@
 import anyio
 
 from embertray.common.net.conn import Conn
+from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import (
     Acknowledgement,
@@ -16,7 +17,7 @@
     LoadReport,
     Orders,
 )
-from embertray.controller.stream.session import ProtocolError, ProxySession
+from embertray.controller.stream.session import ProxySession
 from embertray.simulation.models.backend import Backend, Shape
 from embertray.simulation.standins.parts import BROKEN
 
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -6,8 +6,9 @@
 import anyio
 
 from embertray.common.net.conn import Conn
+from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.messages import Acknowledgement, Orders
-from embertray.controller.stream.session import ProtocolError, ProxySession
+from embertray.controller.stream.session import ProxySession
 from embertray.simulation.models.proxy import Proxy, StandsStill
 
 from .messages import End, Req, encode, read
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -17,8 +17,9 @@
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import DurableSnapshots, InMemorySnapshots, Snapshot, SnapshotEntry
 from embertray.controller.channel.outlet import OLDEST
+from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.messages import Acknowledgement, Bind, Fault, Orders, Welcome
-from embertray.controller.stream.session import ProtocolError, ProxySession
+from embertray.controller.stream.session import ProxySession
 from embertray.service.daemon import Service
 from embertray.service.site import load
 from embertray.service.site.site import HERE as SITES
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -26,6 +26,7 @@
 from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, RequestFailed, WatchEvent
 from embertray.controller.identifiers import Identifiers
 from embertray.controller.report_intake import Intake
+from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import (
     Acknowledgement,
@@ -39,7 +40,7 @@
     encode,
     read_to_proxy,
 )
-from embertray.controller.stream.session import ControllerSession, ProtocolError, ProxySession
+from embertray.controller.stream.session import ControllerSession, ProxySession
 from embertray.policy import interface as i
 from embertray.service.site import BadSite, load
 from embertray.service.site.site import HERE as SITES
