--- a/embertray/policy/interface.py
+++ b/embertray/policy/interface.py
@@ -1,14 +1,21 @@
-"""What goes into the decision module and what comes out, in our own words.
+"""The types of what goes into the decisions and of what comes out.
 
-Times are whole nanoseconds. Things the module points at (backends, proxies, zones, tables, nonces) are
-objects; whoever feeds the module keeps the ids and gives the same object for the same thing each time.
+Times are whole nanoseconds. What the decisions point at (backends, proxies, zones, tables, nonces) are
+objects; whoever feeds the decisions keeps the ids and gives the same object for the same thing each time.
 """
 
 from dataclasses import dataclass, field
 
 
 class Handle:
-    """One outside thing. `external_id` is the feeder's id for it; `actor` is the module's own part of it."""
+    """Something outside of the decisions.
+
+    Args:
+        external_id: the feeder's id for it.
+
+    Attributes:
+        actor: the decisions' own state of it; None until they know it.
+    """
 
     def __init__(self, external_id=None):
         self.external_id = external_id
@@ -16,15 +23,15 @@
 
 
 class Backend(Handle):
-    pass
+    """A backend, one for each address."""
 
 
 class Proxy(Handle):
-    pass
+    """A proxy, one for each name."""
 
 
 class Zone(Handle):
-    pass
+    """A zone of backends and proxies."""
 
 
 class Table(Handle):
@@ -32,18 +39,18 @@
 
 
 class Nonce(Handle):
-    """A mark that proxies answer; the feeder numbers it when it is first ordered."""
+    """A nonce that proxies acknowledge; the feeder numbers it when it is first ordered."""
 
 
 @dataclass(eq=False)
 class RequestKind:
-    """One request kind: what a request earns, by when, and whether it may run again."""
+    """One request kind: its latency objective, its weight, and whether a request may run again."""
 
-    response_target: int
-    client_timeout: int
-    credit: float = 1.0
-    again: str = "replayable"  # replayable | deduplicated | non-replayable
-    group: str = "all"  # for deduplicated: who throws repeats away: all | zone | cell
+    response_target: int  # ns; the latency objective
+    client_timeout: int  # ns
+    credit: float = 1.0  # priority weight of a request
+    again: str = "replayable"  # replayable (idempotent) | deduplicated (by a key) | non-replayable
+    group: str = "all"  # for deduplicated: whose backends share the keys: all | zone | cell
     external_id: object = None  # its name in the settings
 
 
@@ -56,29 +63,29 @@
     home: Zone = None
     controllers: int = 1
     proxies: int = 0
-    ask: bool = False  # the list answers only when asked
-    ask_within: int = 0  # deemed told after this long without a subscription (ask only)
-    may_probe: bool = False
-    throttle: str = "none"  # share | rate | none
-    pick: str = "weighted"  # weighted | round | two
-    retry_base: int = 0  # the way of trying again where no level says one
-    slices: int = 0
-    bare_limit: int = 0
+    ask: bool = False  # the endpoint list is polled
+    ask_within: int = 0  # ns without a subscription after which the list counts as told (polled only)
+    may_probe: bool = False  # health checks are permitted
+    throttle: str = "none"  # what admission levels are: share | rate | none
+    pick: str = "weighted"  # how proxies pick a line: weighted | round (robin) | two (the idler of two)
+    retry_base: int = 0  # how proxies retry where no level says so
+    slices: int = 0  # how many slices the tables belong to; 0: tables belong to zones
+    bare_limit: int = 0  # ns that a proxy may be without a usable backend; 0: no limit
     pending_max: float = 0.0  # lines that may wait in the channel
     channel_rate: float = 0.0  # lines a second
     head: float = 0.0  # lines a message costs beyond its own
-    way_mean: int = 0
-    way_max: int = 0
+    way_mean: int = 0  # ns from the channel to a proxy
+    way_max: int = 0  # ns from the channel to a proxy
     messages_max: int = 0  # messages to one proxy within messages_window; 0: no limit
-    messages_window: int = 0
-    report_cycle: int = 0
-    cold_from: float = 1.0
-    warm_after: int = 0
-    fall_multiple: float = 0.0
-    fall_after: int = 0
-    drain_grace: int = 0
-    cross_fee: float = 0.0  # points for a request that crosses zones
-    drops_bind: bool = True  # a backend the list drops counts as gone for the drain rule
+    messages_window: int = 0  # ns
+    report_cycle: int = 0  # ns between two load reports
+    cold_from: float = 1.0  # share of its speed that a backend starts with
+    warm_after: int = 0  # ns from its start until it has its full speed
+    fall_multiple: float = 0.0  # times what a cold backend can do, under which it falls over
+    fall_after: int = 0  # ns of such a load until it falls over
+    drain_grace: int = 0  # ns from a drain's notice within which proxies have to stop sending there
+    cross_fee: float = 0.0  # cost of a request that crosses zones
+    drops_bind: bool = True  # a backend that the list leaves out counts as gone for the drain rule
 
 
 # ---- what happens
@@ -86,36 +93,44 @@
 
 @dataclass(eq=False)
 class Entry:
-    """One backend as the list has it."""
+    """One backend as the endpoint list has it."""
 
     backend: Backend
     zone: Zone
     state: str = "ready"  # ready | draining | gone
-    started: int = 0  # when it last started; 0: long ago
-    nominal: float = 1.0
+    started: int = 0  # ns; when it last started; 0: long ago
+    nominal: float = 1.0  # capacity as listed; the decisions learn their own
 
 
 @dataclass(eq=False)
 class ListNews:
+    """What the endpoint list said, or that it did not answer."""
+
     how: str  # changes | whole | cached | failed
     entries: list = field(default_factory=list)
 
 
 @dataclass(eq=False)
 class WakeDue:
+    """A timer that was ordered is due."""
+
     label: int
 
 
 @dataclass(eq=False)
 class ProbeDone:
+    """The result of a health check."""
+
     backend: Backend
     answered: bool
-    took: int = 0
+    took: int = 0  # ns
     load: dict = field(default_factory=dict)
 
 
 @dataclass(eq=False)
 class Joined:
+    """A proxy's stream stands."""
+
     proxy: Proxy
     zone: Zone
     rate: float = 0.0  # requests a second that it usually gets
@@ -124,50 +139,58 @@
 
 @dataclass(eq=False)
 class Left:
+    """A proxy's stream broke."""
+
     proxy: Proxy
 
 
 @dataclass(eq=False)
 class Heard:
-    """What the proxies of a zone met at a backend."""
+    """A load report: what the proxies of a zone met at a backend within `span`."""
 
     backend: Backend
     zone: Zone
     tries: int
     failed: int = 0
-    latency: int = 0  # mean of those done; 0 if none
-    span: int = 0
+    latency: int = 0  # ns; mean of those answered; 0 if none
+    span: int = 0  # ns
     load: dict = field(default_factory=dict)
 
 
 @dataclass(eq=False)
 class Arrivals:
-    """Requests of a kind that reached a proxy, repeats and denied ones included."""
+    """Requests of a kind that reached a proxy within `span`, retries and rejected ones included."""
 
     proxy: Proxy
     kind: RequestKind
     requests: int
     lost: int = 0
-    span: int = 0
+    span: int = 0  # ns
 
 
 @dataclass(eq=False)
 class SliceArrivals:
+    """Requests of a kind that reached a slice."""
+
     table: Table
     kind: RequestKind
     requests: int
     lost: int = 0
-    span: int = 0
+    span: int = 0  # ns
 
 
 @dataclass(eq=False)
 class SliceGiven:
+    """Whether a slice is this controller's."""
+
     table: Table
     ours: bool
 
 
 @dataclass(eq=False)
 class SliceLine:
+    """A line that a slice's table holds."""
+
     table: Table
     backend: Backend
     weight: float
@@ -175,13 +198,17 @@
 
 @dataclass(eq=False)
 class Answered:
+    """A proxy has applied the message that carried the nonce, and all before it."""
+
     proxy: Proxy
     nonce: Nonce
-    took: int = 0
+    took: int = 0  # ns from the order
 
 
 @dataclass(eq=False)
 class PeerNote:
+    """A message of another controller."""
+
     sender: int
     data: bytes = b""
 
@@ -191,6 +218,8 @@
 
 @dataclass(eq=False)
 class SetLine:
+    """Sets or removes a line of a table."""
+
     table: Table
     backend: Backend
     weight: float  # 0 removes the line
@@ -198,50 +227,66 @@
 
 @dataclass(eq=False)
 class Bind:
+    """Gives a proxy a table: it follows that alone from now on."""
+
     proxy: Proxy
     table: Table
 
 
 @dataclass(eq=False)
 class Withdraw:
+    """Tells proxies that are not bound to leave a backend out of whatever they hold, or to use it again."""
+
     backend: Backend
     out: bool
 
 
 @dataclass(eq=False)
 class SetLevel:
+    """Sets how much of some request kinds a table's proxies admit, and how they retry them."""
+
     table: Table
     kinds: list  # empty: all kinds
     level: float  # a share, or requests a second at each proxy
-    retry: int  # 0 none, 1 after proof it never ran, 2 once, 3 twice after any failure
+    retry: int  # 0 never, 1 after proof that it never ran, 2 once, 3 twice after any failure
 
 
 @dataclass(eq=False)
 class PutNonce:
+    """All orders of this step carry a nonce, which each proxy concerned acknowledges."""
+
     nonce: Nonce
 
 
 @dataclass(eq=False)
 class Wake:
+    """Orders a timer."""
+
     label: int
-    after: int
+    after: int  # ns
 
 
 @dataclass(eq=False)
 class Subscribe:
+    """Subscribes to the endpoint list, or ends that."""
+
     on: bool = True
 
 
 @dataclass(eq=False)
 class AskList:
-    pass
+    """Polls the endpoint list once."""
 
 
 @dataclass(eq=False)
 class Probe:
+    """Orders a health check."""
+
     backend: Backend
 
 
 @dataclass(eq=False)
 class Log:
+    """A log line."""
+
     text: str
