--- /dev/null
+++ b/embertray/platform/protocol/configuration.py
@@ -0,0 +1,50 @@
+"""Reads a controller's configuration, at its start and again at SIGHUP; checks the settings in it."""
+
+import msgspec
+
+from embertray.controller.settings import BadSettings
+
+from .exceptions import ConfigurationError
+from .wire import configuration_decoder
+
+SLICES_SETTING = "specifics.partitions-n"
+UNUSED_PERMISSIONS = (
+    ("probes", "caps.probes"),
+    ("notes to peers", "caps.peer-messages"),
+)  # what the settings may permit, by which key, that the platform's protocol can't carry
+
+
+def read_configuration(data):
+    """Read the configuration in `data`, JSON as bytes.
+
+    Returns:
+        The wire.ControllerConfiguration.
+
+    Raises:
+        ConfigurationError: it is no JSON, or a needed field is missing or of the wrong type.
+    """
+    try:
+        return configuration_decoder.decode(data)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise ConfigurationError(f"configuration: {error}") from None
+
+
+def unsupported_permissions(settings):
+    """Check StartSettings for what the platform's protocol has no words for.
+
+    Permissions go unused: they are no need, and a controller that refused to start for one would fail every
+    proxy.
+
+    Returns:
+        A log text for each permission that goes unused.
+
+    Raises:
+        BadSettings: tables belong to slices, and then nothing can be served without words for them.
+    """
+    if settings.figure(SLICES_SETTING):
+        raise BadSettings(f"{SLICES_SETTING}: the platform's protocol has no words for slices")
+    return [
+        f"the settings permit {what}: the platform's protocol has no words for them, none are sent"
+        for what, key in UNUSED_PERMISSIONS
+        if settings.yes(key)
+    ]
--- /dev/null
+++ b/embertray/platform/protocol/event_stream.py
@@ -0,0 +1,111 @@
+"""One connection with the relay's event stream: bytes in, what happened to proxies out."""
+
+from typing import NamedTuple
+from urllib.parse import parse_qsl
+
+from . import wire
+from .exceptions import UnreadableEventStreamError
+from .limits import EVENT_MAX_BYTES, MS
+
+
+class ProxyJoined(NamedTuple):
+    """A proxy of a zone is connected to the relay; `rate`: about how many requests it gets a second."""
+
+    proxy: int
+    zone: str
+    rate: float
+    without_table: bool  # it holds no table that was ordered
+
+
+class ProxyLeft(NamedTuple):
+    """A proxy is no longer connected to the relay."""
+
+    proxy: int
+
+
+class MarkApplied(NamedTuple):
+    """A proxy has applied all up to the mark with this nonce, which took it `apply_time`, ns."""
+
+    proxy: int
+    nonce: int
+    apply_time: int
+
+
+class EventStreamParser:
+    """Cuts the stream into events; what is no event of a known proxy and zone is skipped.
+
+    Attributes:
+        skipped: Events skipped so far.
+    """
+
+    def __init__(self, zones, proxies):
+        """`zones`: names that exist; `proxies`: how many there are, numbered from 0."""
+        self.zones = zones
+        self.proxies = proxies
+        self.buffer = b""  # a line that has not ended
+        self.event_kind = ""
+        self.event_data = ""
+        self.skipped = 0
+
+    def receive(self, data):
+        """Take bytes in.
+
+        Returns:
+            The events that they complete.
+
+        Raises:
+            UnreadableEventStreamError: they are no text, or an event has no end.
+        """
+        lines = (self.buffer + data).split(b"\n")
+        self.buffer = lines.pop()
+        if len(self.buffer) + len(self.event_data) > EVENT_MAX_BYTES:
+            raise UnreadableEventStreamError("an event without end")
+        found = []
+        for line in lines:
+            try:
+                name, _, value = line.rstrip(b"\r").decode().partition(":")
+            except UnicodeDecodeError as error:
+                raise UnreadableEventStreamError(str(error)) from None
+            value = value.removeprefix(" ")
+            if name == wire.EVENT_NAME:
+                self.event_kind = value
+            elif name == wire.EVENT_DATA:
+                self.event_data += "&" * bool(self.event_data) + value
+            elif not name and not value and (self.event_kind or self.event_data):
+                self.end_event(found)
+        return found
+
+    def end_event(self, found):
+        """An empty line ended an event, which is put to `found` or skipped."""
+        event = self.read_event(self.event_kind, dict(parse_qsl(self.event_data)))
+        self.event_kind = ""
+        self.event_data = ""
+        if event:
+            found.append(event)
+        else:
+            self.skipped += 1
+
+    def read_event(self, kind, fields):
+        """The event of a kind and its fields, both words of the wire; None if it means nothing here."""
+        try:
+            proxy = int(fields[wire.KEY_PROXY])
+            if not 0 <= proxy < self.proxies:
+                return None
+            if kind == wire.EVENT_PROXY_JOINED:
+                return self.read_join(proxy, fields)
+            if kind == wire.EVENT_PROXY_LEFT:
+                return ProxyLeft(proxy)
+            if kind == wire.EVENT_MARK_APPLIED:
+                apply_time = float(fields.get(wire.KEY_APPLY_TIME, 0))
+                return MarkApplied(proxy, int(fields[wire.KEY_NONCE]), max(0, round(apply_time * MS)))
+        except (KeyError, ValueError, OverflowError):
+            pass
+        return None
+
+    def read_join(self, proxy, fields):
+        """The ProxyJoined of an event's fields, or None. Raises KeyError, ValueError."""
+        rate = float(fields.get(wire.KEY_RATE, 0))
+        zone = fields[wire.KEY_ZONE]
+        if zone not in self.zones or not 0 <= rate < float("inf"):
+            return None
+        return ProxyJoined(proxy, zone, rate, fields.get(wire.KEY_WITHOUT_TABLE) == wire.TRUE)
--- a/embertray/platform/protocol/limits.py
+++ b/embertray/platform/protocol/limits.py
@@ -1,75 +1,122 @@
-"""What protocol handling decides by: every time limit and cap, with unit and reason. No other file here has
-any.
+"""What protocol handling decides by: every time limit and cap of the platform's controller, with its reason.
+
+Names say the unit: _NS whole nanoseconds, _BYTES bytes, _CHARACTERS characters; numbers without one are
+counts.
 """
 
-MS, S = 10**6, 10**9
+MS = 10**6  # ns
+S = 10**9  # ns
+
+# ---- the controller's address
+
+# the protocol lets a connection that has not joined by then be closed
+JOIN_TIMEOUT_NS = 1000 * MS
+# for a reply to be taken
+REPLY_TIMEOUT_NS = 1000 * MS
+# for the last reply to be taken, before the close
+LAST_REPLY_TIMEOUT_NS = 4 * MS
+# read on and dropped after the last reply, so long or so much: a close over unread bytes is a reset
+LINGER_TIMEOUT_NS = 200 * MS
+LINGER_MAX_BYTES = 256 << 10
+# sent by a connection before it joins: its first line is under 200
+UNJOINED_MAX_BYTES = 16 << 10
+# by the protocol
+LINE_MAX_BYTES = 1 << 20
+# part of the file descriptors for connections that have not joined; the rest is for those that have
+UNJOINED_SHARE = 0.5
+# file descriptors kept free for relay, discovery and the process itself
+RESERVED_DESCRIPTORS = 48
+# either kind of connection has so many descriptors, however few there are
+UNJOINED_MIN = 16
+COLLECTORS_MIN = 8
+# attempts or requests in one report: a hundred times what a zone can do in a minute
+COUNT_MAX = 10**6
+# milliseconds; no mean latency or report interval is as long
+REPORT_TIME_MAX_MS = 600_000
+# a load report's value: past any queue, share or latency in ms
+LOAD_VALUE_MAX = 10**6
+NAME_MAX_CHARACTERS = 256
 
-# -- the controller's address
-JOIN_WITHIN = 1000 * MS  # ns; the protocol lets a connection that has not joined by then be closed
-REPLY_WITHIN, LAST_WITHIN = (
-    1000 * MS,
-    4 * MS,
-)  # ns for a reply to be taken; and for the last one, before the close
-PART_WITHIN, PART_BYTES = (
-    200 * MS,
-    256 << 10,
-)  # ns, bytes: read on and dropped after it; a close over unread bytes is a reset
-STRANGER_BYTES = 16 << 10  # bytes a connection may send before it joins: its first line is under 200
-LINE_MOST = 1 << 20  # bytes of a line, by the protocol
-STRANGERS_PART = (
-    0.5  # of the descriptors told: connections that have not joined, at once; the rest is for who has
-)
-SPARE = 48  # descriptors kept free for relay, discovery and the process itself
-COUNT_MOST = 10**6  # tries or requests in one report: a hundred times what a zone can do in a minute
-TOOK_MOST = 600_000  # ms; no mean latency or report interval is as long
-LOAD_MOST = 10**6  # a load report's value: past any queue, share or latency in ms
-WORD_MOST = 256  # characters of a name
+# ---- the relay's calls
 
-# -- the relay's calls
-ORDERS_MOST = 60_000  # bytes of orders in one call, by the protocol
-CONNECT_WITHIN = 300 * MS  # ns; a connection on the same network that takes longer does not come up
-SEND_WITHIN = 400 * MS  # ns for a request to be taken: a call has 100 kB at most, on the same network
-ANSWER_WITHIN = (
-    400 * MS
-)  # ns; the relay answers in 50 ms or not at all; the rest is for a process that got no core
-EVIDENCE = 150 * MS  # ns beyond the longest way of a message, that an unanswered call's nonce is waited for
-AGAIN_FIRST, AGAIN_MOST = 20 * MS, 250 * MS  # ns before a call that was not taken is sent again; doubles
-REJECTS_MOST = 5  # times that a call is sent again after an error that the protocol gives no meaning
-NAMED_MOST = 200  # characters of an order that the log names: a good one has under 100
-COUNT_DIGITS = 9  # digits of a count of orders: one call has under 60,000
-ERROR_WORD_MOST = 63  # characters of an error's word
-ANSWER_MOST = 64 << 10  # bytes of an answer; a good one has under 200
+# orders in one call, by the protocol
+ORDERS_MAX_BYTES = 60_000
+# of those, kept free for the order of a mark
+MARK_MAX_BYTES = 64
+# a connection on the same network that takes longer does not come up
+CONNECT_TIMEOUT_NS = 300 * MS
+# for a request to be taken: a call has 100 kB at most, on the same network
+SEND_TIMEOUT_NS = 400 * MS
+# the relay answers in 50 ms or not at all; the rest is for a process that got no core
+ANSWER_TIMEOUT_NS = 400 * MS
+# beyond the longest way of a message, that an unanswered call's nonce is waited for
+ACKNOWLEDGEMENT_WAIT_NS = 150 * MS
+# before a call that was not taken is sent again, or discovery asked again; doubles from the first to the
+# longest
+BACKOFF_FIRST_NS = 20 * MS
+BACKOFF_MAX_NS = 250 * MS
+# doublings of a backoff that are counted: past them the longest one holds anyway
+BACKOFF_DOUBLINGS_MAX = 6
+# times that a call is sent again after an error that the protocol gives no meaning
+REJECTED_RETRIES_MAX = 5
+# of an order that the log names: a good one has under 100
+LOGGED_ORDER_MAX_CHARACTERS = 200
+# of a count of orders: one call has under 60,000
+ORDER_COUNT_MAX_DIGITS = 9
+ERROR_CODE_MAX_CHARACTERS = 63
+# of an answer: a good one has under 200
+ANSWER_MAX_BYTES = 64 << 10
 
-# -- the relay's news
-STREAMS = 2  # connections with news: while one has it, nothing is lost if the other breaks
-OPENING = 300 * MS  # ns from the first bytes of a connection until all that stands has come
-QUIET_MOST = 2500 * MS  # ns without a byte: two signs of life are missing and some
-QUIET_BESIDE = (
-    1300 * MS
-)  # ns without a byte while another connection brings some: one sign of life is missing
-EVENT_MOST = 64 << 10  # bytes of one event; a good one has under 200
-SAME_WITHIN = 300 * MS  # ns by which two connections may differ on when a proxy joined
-LOOK = 100 * MS  # ns between looks at a connection that brings nothing: well under the least time above
-REDIAL = 100 * MS  # ns before a connection is dialled again; doubles up to
-REDIAL_MOST = 500 * MS  # ns; the relay's own connections are few, and without news nothing can be steered
+# ---- the relay's event stream
 
-# -- discovery
-STILL_MOST = (
-    150 * MS
-)  # ns, from AGAIN_FIRST on, before the next call after answers at once that told nothing new; a watch
+# connections with events: while one has them, nothing is lost if the other breaks
+EVENT_STREAMS = 2
+# from the first bytes of a connection until all that stands has come
+SYNC_TIME_NS = 300 * MS
+# without a byte: two signs of life are missing and some
+SILENCE_MAX_NS = 2500 * MS
+# without a byte while another connection brings some: one sign of life is missing
+SILENCE_MAX_BESIDE_OTHER_NS = 1300 * MS
+# of one event: a good one has under 200
+EVENT_MAX_BYTES = 64 << 10
+# by which two connections may differ on when a proxy joined
+JOIN_TIME_TOLERANCE_NS = 300 * MS
+# between looks at a connection that brings nothing: well under the least time above
+SILENCE_CHECK_PERIOD_NS = 100 * MS
+# before a connection is dialled again; doubles from the first to the longest. The relay's own connections are
+# few, and without events nothing can be steered
+RECONNECT_FIRST_NS = 100 * MS
+RECONNECT_MAX_NS = 500 * MS
+# a connection that lasted so long has worked: its reconnects start over
+WORKING_STREAM_NS = 2 * SILENCE_MAX_BESIDE_OTHER_NS
+
+# ---- discovery
+
+# before the next request after answers at once with nothing new, doubling from BACKOFF_FIRST_NS on: a watch
 # goes on if asked again within 200 ms
-HOLD = 2000 * MS  # ns that a watch may wait; an agent that went silent is noticed this much later
-LIST_WITHIN = 700 * MS  # ns beyond the hold for an answer to begin: it comes from the same machine
-LIST_WHOLE = (
-    2000 * MS
-)  # ns from its beginning for all of it: on a slow connection it counts as told that long after the hold
-LIST_MOST = 8 << 20  # bytes of an answer: 40,000 backends
-OLD_MOST = 10 * S  # ns that lists older than the one held are passed over; then discovery began anew
+UNCHANGED_BACKOFF_MAX_NS = 150 * MS
+# that a watch may wait; an agent that went silent is noticed this much later
+WATCH_HOLD_NS = 2000 * MS
+# an answer that tells nothing new and comes sooner came at once
+AT_ONCE_NS = WATCH_HOLD_NS // 2
+# beyond the hold for an answer to begin: it comes from the same machine
+LIST_FIRST_BYTE_TIMEOUT_NS = 700 * MS
+# from its beginning for all of it: on a slow connection it counts as notified that long after the hold
+LIST_TRANSFER_TIMEOUT_NS = 2000 * MS
+# of an answer: 40,000 backends
+LIST_MAX_BYTES = 8 << 20
+# that lists older than the cached one are passed over; then discovery began anew
+STALE_LIST_MAX_NS = 10 * S
+# failures in a row that are logged: an outage is not logged every 2 s
+LIST_FAILURES_LOGGED = 3
+
+# ---- the process
 
-# -- the process
-FAULT_WAIT = 500 * MS  # ns before what had a fault of ours goes on: against a fault that comes at once again
-GATHER = 4 * MS  # ns between steps: what comes together is one step
-WAITING_MOST = (
-    8000  # events that wait while no call gets through: a minute and more of reports; older ones tell nothing
-)
-TIDY = 10 * S  # ns between looks for ids that nothing needs any more: as often as the module's sweep
+# before a task that failed by a fault of the program goes on: against a fault that comes at once again
+FAULT_BACKOFF_NS = 500 * MS
+# between steps: what comes together is one step
+STEP_INTERVAL_NS = 4 * MS
+# events that wait while no call gets through: a minute and more of reports; older ones tell nothing
+PENDING_EVENTS_MAX = 8000
+# between looks for identifiers that nothing needs any more: as often as the module's sweep
+CLEANUP_PERIOD_NS = 10 * S
--- /dev/null
+++ b/embertray/platform/protocol/translation.py
@@ -0,0 +1,99 @@
+"""Translates between the decision module and the platform, by the identifiers of what both name.
+
+Reports and events of proxies become the module's events; its orders become the texts of the relay's calls.
+"""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from embertray.policy import interface as i
+
+from .event_stream import ProxyJoined, ProxyLeft
+from .inbound import BackendReport
+from .wire import ALL_KINDS, BIND, EJECT, KIND_SEPARATOR, MARK, READMIT, SET_LEVEL, SET_LINE
+
+
+def figure(value):
+    """A number as text without exponent: six places, no trailing zeros."""
+    return f"{value:.6f}".rstrip("0").rstrip(".")
+
+
+class StepOrders(NamedTuple):
+    """A step's orders for OrderCaller.enqueue, and what the module wants logged."""
+
+    texts: list
+    nonce: int | None
+    mark: Callable | None  # builds the text of the mark's order from wire.MARK_BOUND or wire.MARK_ALL
+    log_texts: list
+
+
+class Translator:
+    """Translates for one controller."""
+
+    def __init__(self, identifiers, request_kinds):
+        """`identifiers`: of a Runner; `request_kinds`: name -> interface.RequestKind."""
+        self.identifiers = identifiers
+        self.request_kinds = request_kinds
+        self.kind_names = {kind: name for name, kind in request_kinds.items()}
+
+    def report(self, report):
+        """A BackendReport or TrafficReport as an event; None if no list or event ever named its subject."""
+        if isinstance(report, BackendReport):
+            backend = self.identifiers.backends.get(report.backend)
+            return backend and i.Heard(
+                backend,
+                self.identifiers.zone(report.zone),
+                report.attempts,
+                report.failures,
+                report.latency,
+                report.interval,
+                report.load,
+            )
+        proxy = self.identifiers.proxies.get(report.proxy)
+        return proxy and i.Arrivals(
+            proxy,
+            self.request_kinds[report.request_kind],
+            report.requests,
+            report.failures,
+            report.interval,
+        )
+
+    def proxy_event(self, event):
+        """A ProxyJoined, ProxyLeft or MarkApplied as an event; None for a mark that is not open any more."""
+        proxy = self.identifiers.proxy(event.proxy)
+        if isinstance(event, ProxyJoined):
+            return i.Joined(proxy, self.identifiers.zone(event.zone), event.rate, event.without_table)
+        if isinstance(event, ProxyLeft):
+            return i.Left(proxy)
+        nonce = self.identifiers.nonces.get(event.nonce)
+        return nonce and i.Answered(proxy, nonce, event.apply_time)
+
+    def step_orders(self, orders):
+        """The StepOrders of a step's orders. Tables and nonces that are ordered first get their numbers."""
+        texts = []
+        nonce = None
+        mark = None
+        log_texts = []
+        table_id = self.identifiers.table_id
+        for order in orders:
+            if isinstance(order, i.SetLine):
+                table = table_id(order.table)
+                texts.append(f"{SET_LINE},{table},{order.backend.external_id},{figure(order.weight)}")
+            elif isinstance(order, i.Bind):
+                texts.append(f"{BIND},{order.proxy.external_id},{table_id(order.table)},{ALL_KINDS}")
+            elif isinstance(order, i.Withdraw):
+                texts.append(f"{EJECT if order.out else READMIT},{order.backend.external_id}")
+            elif isinstance(order, i.SetLevel):
+                texts.append(self.level_text(order))
+            elif isinstance(order, i.PutNonce):
+                nonce = self.identifiers.nonce_id(order.nonce)
+                mark = f"{MARK},{nonce},{{}}".format
+            elif isinstance(order, i.Log):
+                log_texts.append(order.text)
+        return StepOrders(texts, nonce, mark, log_texts)
+
+    def level_text(self, order):
+        """The text of an interface.SetLevel."""
+        kinds = KIND_SEPARATOR.join(self.kind_names[kind] for kind in order.kinds) or ALL_KINDS
+        table = self.identifiers.table_id(order.table)
+        return f"{SET_LEVEL},{table},{kinds},{figure(order.level)},{order.retry}"
--- a/embertray/platform/run/__init__.py
+++ b/embertray/platform/run/__init__.py
@@ -1,1 +1,1 @@
-"""The controller on the platform: what starts, transports, task groups and signals round platform.Post."""
+"""The program that `run` of the deploy file starts: sockets, tasks and signals round a PlatformController."""
--- a/embertray/platform/run/__main__.py
+++ b/embertray/platform/run/__main__.py
@@ -1,10 +1,12 @@
-"""`python -m embertray.platform.run`: one real controller, told by ROUTER_CONFIG, in the foreground until
-SIGTERM."""
+"""`python -m embertray.platform.run`: one controller in the foreground until SIGTERM.
+
+The file that ROUTER_CONFIG names configures it.
+"""
 
 import os
 import sys
 
-from .early import EARLY  # first: what is imported below takes a while, and a signal may come in it
+from .signals import EARLY_SIGNALS  # first: what is imported below takes a while, and a signal may come in it
 
 # isort: split
 
@@ -16,37 +18,47 @@
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
 from embertray.controller.settings import BadSettings
-from embertray.platform.protocol.start import BadStart, read
+from embertray.platform.protocol.configuration import read_configuration
+from embertray.platform.protocol.exceptions import ConfigurationError
 
 from .service import Service
 
+CONFIGURATION_VARIABLE = "ROUTER_CONFIG"
+LOG_LEVEL_VARIABLE = "EMBERTRAY_LOG"
+EXIT_OK = 0
+EXIT_UNUSABLE = 2  # the configuration, an address or a port can't be used
+
 
 def load(path):
-    """The platform.start.Start in a file. Raises BadStart."""
+    """The wire.ControllerConfiguration in a file. Raises ConfigurationError."""
     try:
         with open(path, "rb") as file:
-            return read(file.read())
-    except OSError as wrong:
-        raise BadStart(f"configuration: {wrong}") from None
+            return read_configuration(file.read())
+    except OSError as error:
+        raise ConfigurationError(f"configuration: {error}") from None
 
 
 async def serve(path):
-    await Service(load(path), LoopClock(), TcpNet(plain), lambda: load(path)).run(early=EARLY)
+    """Run the controller that the file configures. Raises what Service and `load` raise."""
+    service = Service(load(path), LoopClock(), TcpNet(plain), lambda: load(path))
+    await service.run(early_signals=EARLY_SIGNALS)
 
 
 def main():
-    set_up("json", os.environ.get("EMBERTRAY_LOG", "info"))
+    """Run until a signal ends the process. Returns the exit code if it can't go on."""
+    set_up("json", os.environ.get(LOG_LEVEL_VARIABLE, "info"))
     log = structlog.get_logger()
-    if not (path := os.environ.get("ROUTER_CONFIG")):
-        log.error("can't start", why="ROUTER_CONFIG names no file")
-        return 2
-    failed = []
+    path = os.environ.get(CONFIGURATION_VARIABLE)
+    if not path:
+        log.error("can't start", why=f"{CONFIGURATION_VARIABLE} names no file")
+        return EXIT_UNUSABLE
+    exit_code = EXIT_OK
     try:
         anyio.run(serve, path)
-    except* (BadStart, BadSettings, BadAddress, OSError) as wrong:
-        failed += wrong.exceptions
-        log.error("ended", why=[str(one) for one in failed])
-    return 2 if failed else 0
+    except* (ConfigurationError, BadSettings, BadAddress, OSError) as group:
+        exit_code = EXIT_UNUSABLE
+        log.error("ended", why=[str(error) for error in group.exceptions])
+    return exit_code
 
 
 sys.exit(main())
--- /dev/null
+++ b/embertray/platform/run/list_connection.py
@@ -0,0 +1,92 @@
+"""The connection with discovery: request by request, and a new connection when it breaks."""
+
+import anyio
+
+from embertray.common.net.http import CallFailed, Talk
+from embertray.platform.protocol.exceptions import UnreadableListError
+from embertray.platform.protocol.limits import (
+    CONNECT_TIMEOUT_NS,
+    LIST_FAILURES_LOGGED,
+    LIST_MAX_BYTES,
+    LIST_TRANSFER_TIMEOUT_NS,
+    SEND_TIMEOUT_NS,
+    S,
+)
+
+
+class ListConnection:
+    """Follows the list of backends.
+
+    Attributes:
+        list_watch: The controller's EndpointListWatch.
+        scope: The cancel scope of the connection, or None.
+    """
+
+    def __init__(self, controller, clock, net, address, wake, log):
+        """`address()` gives discovery's as it is now; `wake()` is called when news wait for a step."""
+        self.controller = controller
+        self.clock = clock
+        self.net = net
+        self.address = address
+        self.wake = wake
+        self.log = log
+        self.list_watch = controller.list_watch
+        self.scope = None
+
+    def on_address_change(self):
+        """Discovery has another address: the request under way is given up, the whole list requested."""
+        self.list_watch.on_address_change()
+        if self.scope:
+            self.scope.cancel()
+
+    async def watch_list(self):
+        """Follow the list for ever."""
+        while True:
+            with anyio.CancelScope() as self.scope:
+                await self.run_connection()
+
+    async def run_connection(self):
+        """Open a connection and follow the list on it until it breaks or is closed in good order."""
+        talk = None
+        try:
+            address = self.address()
+            talk = await Talk.dial(self.net, address, CONNECT_TIMEOUT_NS)
+            await self.send_requests(talk, address)
+        except (CallFailed, UnreadableListError) as error:
+            if self.list_watch.failures < LIST_FAILURES_LOGGED:
+                self.log.info("the list did not answer", why=str(error))
+            await anyio.sleep(self.list_watch.on_failure() / S)
+        except Exception:
+            # against a fault of the program halfway through a list: what the answer told may be lost
+            self.list_watch.on_address_change()
+            raise
+        finally:
+            if talk:
+                await talk.aclose()
+
+    async def send_requests(self, talk, address):
+        """Send requests until the connection can take no more.
+
+        Raises:
+            CallFailed: it broke.
+            UnreadableListError: it went on with what is no list.
+        """
+        while True:
+            await self.request_list(talk, address)
+            await anyio.sleep(self.list_watch.pause() / S)
+            if not talk.again():
+                return
+
+    async def request_list(self, talk, address):
+        """Send one request and hand on what its answer tells. Raises what `send_requests` does."""
+        request = self.list_watch.next_request(self.clock.now())
+        await talk.ask("GET", request.path, SEND_TIMEOUT_NS)
+        status, body = await talk.answer(request.first_byte_timeout, LIST_MAX_BYTES, LIST_TRANSFER_TIMEOUT_NS)
+        if self.address() != address:
+            # against an answer that comes in the same wake-up as another address: the scope is cancelled, but
+            # this task goes on to its next wait first
+            return
+        now = self.clock.now()
+        if update := self.list_watch.on_answer(now, status, body):
+            self.controller.news(now, update.kind, self.clock.wall(), update.endpoints)
+            self.wake()
--- /dev/null
+++ b/embertray/platform/run/listener.py
@@ -0,0 +1,140 @@
+"""The connections at the controller's address, each from its accept to its close."""
+
+from contextlib import suppress
+
+import anyio
+
+from embertray.common.net.conn import Conn
+from embertray.common.net.http import BROKEN
+from embertray.platform.protocol.limits import (
+    LAST_REPLY_TIMEOUT_NS,
+    LINGER_MAX_BYTES,
+    LINGER_TIMEOUT_NS,
+    REPLY_TIMEOUT_NS,
+    STEP_INTERVAL_NS,
+    S,
+)
+
+
+class ConnectionListener:
+    """Serves peers that connect: collectors, and whoever else does.
+
+    Attributes:
+        unjoined: InboundConnections that have not joined.
+        scopes: InboundConnection -> the cancel scope of its task.
+    """
+
+    def __init__(self, controller, clock, wake, log):
+        """`controller`: the PlatformController; `wake()` is called when reports wait for a step."""
+        self.controller = controller
+        self.clock = clock
+        self.wake = wake
+        self.log = log
+        self.slot_freed = anyio.Event()  # set when one fewer has not joined
+        self.unjoined = set()
+        self.scopes = {}
+
+    async def accept(self, listener, group):
+        """Accept connections for ever; each is served by a task of `group`."""
+        while True:
+            if len(self.unjoined) >= self.controller.admission.unjoined_max:
+                self.slot_freed = anyio.Event()
+                await self.slot_freed.wait()
+            if (stream := await listener.accept()) is None:
+                # no descriptor is free, or the peer has gone again: the next one is accepted, but not at
+                # once, or a process without descriptors would take all its processor time
+                await anyio.sleep(STEP_INTERVAL_NS / S)
+                continue
+            connection = self.controller.inbound_connection(self.clock.now())
+            self.unjoined.add(connection)
+            group.start_soon(self.handle, connection, stream)
+
+    async def handle(self, connection, stream):
+        """Serve one connection from its accept to its close. No error leaves this method."""
+        try:
+            with anyio.CancelScope() as self.scopes[connection]:
+                await self.serve(connection, stream)
+            if connection.zone is not None:
+                self.log.info(
+                    "collector gone",
+                    zone=connection.zone,
+                    why=connection.close_reason or "no room",
+                    spoilt=connection.invalid_reports,
+                    last=connection.last_invalid,
+                )
+        except BROKEN:
+            pass
+        except Exception as error:  # against a peer that finds a fault of ours: it costs its own connection
+            self.log.error("a connection's handling failed", exc_info=error)
+        finally:
+            self.release_unjoined(connection)
+            self.controller.admission.release(connection)
+            del self.scopes[connection]
+            with anyio.CancelScope(shield=True):
+                await stream.aclose()
+
+    async def serve(self, connection, stream):
+        """Read until the connection is to be closed. Raises BROKEN errors of the stream."""
+        reader = Conn(stream)
+        while not connection.close_reason:
+            data = None
+            with anyio.move_on_after(self.time_to_join(connection)):
+                data = await reader.read()
+            self.received(connection, data)
+            if connection.outgoing:
+                await self.send(connection, stream)
+
+    def time_to_join(self, connection):
+        """Seconds that are left for a peer to join, or None once it has."""
+        if connection.zone is not None:
+            return None
+        return max(0, connection.join_deadline - self.clock.now()) / S
+
+    def received(self, connection, data):
+        """Take in what was read, None if the time to join is over."""
+        had_joined = connection.zone is not None
+        reports = connection.receive(data) if data is not None else ()
+        connection.check_join_deadline(self.clock.now())
+        if connection.zone is not None and not had_joined:
+            self.joined(connection)
+        if reports:
+            self.controller.admission.reported(connection)
+            self.controller.add_reports(reports)
+            self.wake()
+
+    def joined(self, connection):
+        """The peer is a collector now; another one may have to go for it."""
+        self.release_unjoined(connection)
+        evicted = self.controller.admission.admit(connection)
+        if evicted is not None:
+            self.scopes[evicted].cancel()
+
+    async def send(self, connection, stream):
+        """Write what is to be written; after a last reply, see to it that it arrives."""
+        reply = connection.outgoing
+        connection.outgoing = b""
+        timeout = LAST_REPLY_TIMEOUT_NS if connection.close_reason else REPLY_TIMEOUT_NS
+        with anyio.move_on_after(timeout / S) as sending:
+            await stream.send(reply)
+        if sending.cancelled_caught:
+            # against a peer that asks and never reads: replies would pile up here
+            connection.close_reason = connection.close_reason or "takes no replies"
+        elif connection.close_reason:
+            await self.linger(stream)
+
+    @staticmethod
+    async def linger(stream):
+        """End our side and read on for a moment.
+
+        A close over unread bytes is a reset, which can destroy the last reply before the peer has read it.
+        """
+        size = 0
+        with suppress(*BROKEN), anyio.move_on_after(LINGER_TIMEOUT_NS / S):
+            await stream.send_eof()
+            while size < LINGER_MAX_BYTES:
+                size += len(await stream.receive())
+
+    def release_unjoined(self, connection):
+        """The connection has joined or is closed."""
+        self.unjoined.discard(connection)
+        self.slot_freed.set()
--- /dev/null
+++ b/embertray/platform/run/relay_connections.py
@@ -0,0 +1,182 @@
+"""The connections with the relay: one for each call, one call at a time, and some with its event stream."""
+
+import anyio
+
+from embertray.common.net.http import CallFailed
+from embertray.platform.protocol.exceptions import UnreadableEventStreamError
+from embertray.platform.protocol.limits import (
+    ANSWER_MAX_BYTES,
+    ANSWER_TIMEOUT_NS,
+    MS,
+    RECONNECT_FIRST_NS,
+    RECONNECT_MAX_NS,
+    SEND_TIMEOUT_NS,
+    SILENCE_CHECK_PERIOD_NS,
+    WORKING_STREAM_NS,
+    S,
+)
+from embertray.platform.protocol.wire import CALL_CONTENT_TYPE, CALLS_PATH, EVENTS_PATH
+
+
+def is_logged(failures):
+    """Whether a failure after so many in a row is logged: of an outage the 1st, 2nd, 4th, 8th and so on."""
+    return not failures & (failures - 1)
+
+
+class RelayConnections:
+    """Sends calls and reads event streams.
+
+    Attributes:
+        call_ready: Event to set when a call may go out.
+        stream_scopes: Event stream -> the cancel scope of its connection.
+    """
+
+    def __init__(self, controller, clock, dial, wake, log):
+        """`dial()` gives a Talk with the relay; `wake()` is called when events wait for a step."""
+        self.controller = controller
+        self.clock = clock
+        self.dial = dial
+        self.wake = wake
+        self.log = log
+        self.call_ready = anyio.Event()
+        self.stream_scopes = {}
+
+    def on_address_change(self):
+        """The relay has another address.
+
+        Event streams that do not lead go over now; the leader's is closed by the old relay, once another one
+        may lead.
+        """
+        leader = self.controller.proxies.leader
+        for name in [name for name in self.stream_scopes if name is not leader]:
+            self.stream_scopes[name].cancel()
+
+    # ---- calls
+
+    async def run_calls(self):
+        """Send calls for ever, one at a time."""
+        caller = self.controller.order_caller
+        while True:
+            self.call_ready = anyio.Event()
+            now = self.clock.now()
+            call = caller.next_call(now)
+            if call is None:
+                await self.wait_for_call(now)
+                continue
+            try:
+                status, body = await self.send_call(call)
+                failure = caller.on_answer(self.clock.now(), status, body)
+            except CallFailed as error:
+                failure = caller.on_failure(self.clock.now(), error.sent, str(error))
+            if failure and is_logged(caller.failures):
+                self.log.info(
+                    "call", why=failure, orders=len(call.orders), nonce=call.nonce, failed=caller.failures
+                )
+
+    async def wait_for_call(self, now):
+        """Wait until a call may go out; if none waits, let the module run a step, which may order one."""
+        caller = self.controller.order_caller
+        if caller.idle:
+            self.wake()
+            await self.call_ready.wait()
+            return
+        with anyio.move_on_after(max(0, caller.next_call_at - now) / S):
+            await self.call_ready.wait()
+
+    async def send_call(self, call):
+        """Send a call on a connection of its own: one that does not come up has carried nothing.
+
+        The connection of a call that is given up is reset, as far as the system still holds bytes of it: it
+        must not arrive behind newer calls.
+
+        Returns:
+            HTTP status and body.
+
+        Raises:
+            CallFailed: no whole answer came.
+        """
+        talk = await self.dial()
+        answered = False
+        try:
+            await talk.ask("POST", CALLS_PATH, SEND_TIMEOUT_NS, call.body(), CALL_CONTENT_TYPE)
+            answer = await talk.answer(ANSWER_TIMEOUT_NS, ANSWER_MAX_BYTES)
+            answered = True
+            return answer
+        finally:
+            await talk.aclose(not answered)
+
+    # ---- event streams
+
+    async def run_event_stream(self, name):
+        """Keep one event stream up for ever, by one connection after the other."""
+        wait = RECONNECT_FIRST_NS
+        failures = 0
+        while True:
+            began = self.clock.now()
+            with anyio.CancelScope() as scope:
+                self.stream_scopes[name] = scope
+                try:
+                    await self.read_event_stream(name)
+                except (CallFailed, UnreadableEventStreamError) as error:
+                    if is_logged(failures):
+                        self.log.info("news broke", stream=name, why=str(error))
+                finally:
+                    self.add_events(self.controller.proxies.stream_lost(self.clock.now(), name))
+            if self.clock.now() - began > WORKING_STREAM_NS:
+                wait = RECONNECT_FIRST_NS
+                failures = 0
+            else:
+                wait = min(RECONNECT_MAX_NS, 2 * wait)
+                failures += 1
+            await anyio.sleep(wait / S)
+
+    async def read_event_stream(self, name):
+        """Read one connection until it breaks.
+
+        Raises:
+            CallFailed: it did not come up, ended or fell silent.
+            UnreadableEventStreamError: it went on with what can't be read.
+        """
+        proxies = self.controller.proxies
+        parser = self.controller.event_stream()
+        talk = await self.dial()
+        try:
+            await talk.ask("GET", EVENTS_PATH, SEND_TIMEOUT_NS)
+            proxies.stream_opened(self.clock.now(), name)
+            status = None
+            while True:
+                data = None
+                with anyio.move_on_after(self.silence_check_wait()):
+                    if status is None and (status := await talk.begin()) != 200:
+                        raise CallFailed(f"status {status}", True)
+                    data = await talk.data()
+                    if data is None:
+                        raise CallFailed("ended", True)
+                now = self.clock.now()
+                if data is not None:
+                    self.add_events(proxies.received(now, name, parser.receive(data)))
+                else:
+                    self.check_silence(now, name)
+        finally:
+            await talk.aclose()
+
+    def check_silence(self, now, name):
+        """A stream brought nothing for a while. Raises CallFailed if it is to be given up."""
+        proxies = self.controller.proxies
+        self.add_events(proxies.elect_leader(now))
+        if why := proxies.silence_reason(now, name):
+            raise CallFailed(why, True)
+
+    def silence_check_wait(self):
+        """Seconds until a stream that brings nothing is looked at again."""
+        sync_at = self.controller.proxies.next_sync_at()
+        if sync_at is None:
+            return SILENCE_CHECK_PERIOD_NS / S
+        return max(MS, min(SILENCE_CHECK_PERIOD_NS, sync_at - self.clock.now())) / S
+
+    def add_events(self, events):
+        """Hand events of proxies to the controller."""
+        if events:
+            if self.controller.add_proxy_events(events):
+                self.call_ready.set()
+            self.wake()
--- a/embertray/platform/run/service.py
+++ b/embertray/platform/run/service.py
@@ -1,5 +1,6 @@
-"""One controller's sockets and signals round a platform.Post; a task group, nothing detached, nothing
-decided.
+"""One controller's sockets and signals round a PlatformController.
+
+One task group, nothing detached, and nothing is decided here.
 """
 
 import signal
@@ -8,182 +9,186 @@
 import structlog
 
 from embertray.common.net.address import BadAddress
-from embertray.common.net.http import CallFailed, Talk
-from embertray.platform.protocol.discovery import Unreadable as BadList
+from embertray.common.net.http import Talk
+from embertray.platform.protocol.exceptions import ConfigurationError
 from embertray.platform.protocol.limits import (
-    CONNECT_WITHIN,
-    FAULT_WAIT,
-    GATHER,
-    LIST_MOST,
-    LIST_WHOLE,
-    SEND_WITHIN,
-    STREAMS,
+    CONNECT_TIMEOUT_NS,
+    EVENT_STREAMS,
+    FAULT_BACKOFF_NS,
+    STEP_INTERVAL_NS,
+    S,
 )
-from embertray.platform.protocol.post import Post
-from embertray.platform.protocol.start import BadStart
+from embertray.platform.protocol.platform_controller import PlatformController
 
-from .clients import Clients
-from .relay import Relay
+from .list_connection import ListConnection
+from .listener import ConnectionListener
+from .relay_connections import RelayConnections
 
 
 class Service:
-    """`start` is a platform Start, `load` reads it anew."""
-
-    def __init__(self, start, clock, net, load, log=None):
-        self.start, self.clock, self.net, self.load = start, clock, net, load
-        self.log = (log or structlog.get_logger()).bind(controller=start.name)
-        self.post = Post(start, clock.now(), clock.wall())
-        self.poked = anyio.Event()
-        self.clients = Clients(self.post, clock, self.poke, self.log)
-        self.relay = Relay(
-            self.post,
-            clock,
-            lambda: Talk.dial(net, self.start.store.address, CONNECT_WITHIN),
-            self.poke,
-            self.log,
+    """Runs one controller.
+
+    Attributes:
+        configuration: The wire.ControllerConfiguration whose addresses hold.
+        controller: The PlatformController.
+        address: Where it listens, once it does.
+    """
+
+    def __init__(self, configuration, clock, net, load_configuration, log=None):
+        """Prepare a controller that `run` starts.
+
+        Args:
+            configuration: The wire.ControllerConfiguration.
+            clock: A net.clock clock.
+            net: Listens, dials and parses addresses.
+            load_configuration: Reads the configuration anew; raises ConfigurationError.
+            log: A structlog logger.
+
+        Raises:
+            BadSettings: a setting can't be read, or needs what the protocol can't carry.
+        """
+        self.configuration = configuration
+        self.clock = clock
+        self.net = net
+        self.load_configuration = load_configuration
+        self.log = (log or structlog.get_logger()).bind(controller=configuration.name)
+        self.controller = PlatformController(configuration, clock.now(), clock.wall())
+        self.woken = anyio.Event()  # something waits for a step
+        self.listener = ConnectionListener(self.controller, clock, self.wake, self.log)
+        self.relay = RelayConnections(self.controller, clock, self.dial_relay, self.wake, self.log)
+        self.discovery = ListConnection(
+            self.controller, clock, net, self.discovery_address, self.wake, self.log
         )
-        self.watching = None  # the cancel scope of the list's call
         self.address = None
 
+    def dial_relay(self):
+        """A new connection with the relay, as an awaitable Talk."""
+        return Talk.dial(self.net, self.configuration.relay.address, CONNECT_TIMEOUT_NS)
+
+    def discovery_address(self):
+        """Where discovery is now, as host:port."""
+        return self.configuration.discovery
+
     # ---- lifecycle
 
-    async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED, early=None):
-        """Runs until it is cancelled; started(address) once it listens. `early` ends the process by SIGTERM
-        and SIGINT and has kept SIGHUP until now; without it no signal is looked at. Raises OSError,
-        BadAddress."""
-        self.dialled(self.start)
-        listener = await self.net.listen(self.start.listen)
+    async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED, early_signals=None):
+        """Run until cancelled.
+
+        Args:
+            task_status: Told the address once the controller listens.
+            early_signals: The EarlySignals, which ends the process by SIGTERM and SIGINT and has kept SIGHUP
+                until now; without it no signal is looked at.
+
+        Raises:
+            OSError: the address can't be listened on.
+            BadAddress: an address of the configuration is none.
+        """
+        self.check_addresses(self.configuration)
+        listener = await self.net.listen(self.configuration.listen)
         self.address = listener.address
         try:
             async with anyio.create_task_group() as group:
-                if early:
-                    await group.start(self.hangups, early)
-                group.start_soon(self.kept, self.clients.accept, listener, group)
-                group.start_soon(self.kept, self.pump)
-                group.start_soon(self.kept, self.relay.calls)
-                group.start_soon(self.kept, self.lists)
-                for name in range(STREAMS):
-                    group.start_soon(self.kept, self.relay.news, name)
-                self.log.info("listening", address=self.address, list=len(self.post.state))
+                if early_signals:
+                    await group.start(self.watch_hangups, early_signals)
+                group.start_soon(self.run_forever, self.listener.accept, listener, group)
+                group.start_soon(self.run_forever, self.run_steps)
+                group.start_soon(self.run_forever, self.relay.run_calls)
+                group.start_soon(self.run_forever, self.discovery.watch_list)
+                for name in range(EVENT_STREAMS):
+                    group.start_soon(self.run_forever, self.relay.run_event_stream, name)
+                self.log.info("listening", address=self.address, list=len(self.controller.state))
                 task_status.started(self.address)
                 await anyio.sleep_forever()
         finally:
             with anyio.CancelScope(shield=True):
                 await listener.aclose()
 
-    async def kept(self, work, *given):
-        """Runs `work` again and again: a fault of ours in it is told in the log, and costs what it was at,
-        not the process.
+    async def run_forever(self, task, *arguments):
+        """Run `task` again whenever it fails.
+
+        Against faults of the program that nobody has thought of: one is logged and costs what the task was
+        at, not the process, as a crash costs more than a start.
         """
         while True:
             try:
-                await work(*given)
-            except Exception as wrong:  # against what we have not thought of
-                self.log.error("a fault of ours", at=work.__name__, exc_info=wrong)
-                await anyio.sleep(FAULT_WAIT / 1e9)
-
-    async def hangups(self, early, *, task_status):
-        with anyio.open_signal_receiver(signal.SIGHUP) as came:
-            if early.kept:
+                await task(*arguments)
+            except Exception as error:
+                self.log.error("a fault of ours", at=task.__name__, exc_info=error)
+                await anyio.sleep(FAULT_BACKOFF_NS / S)
+
+    # ---- configuration
+
+    async def watch_hangups(self, early_signals, *, task_status):
+        """Take the handling of SIGHUP over and act on each, also on one that came before."""
+        with anyio.open_signal_receiver(signal.SIGHUP) as hangups:
+            if early_signals.hangup_pending:
                 self.on_hangup()
             task_status.started()
-            async for _ in came:
+            async for _ in hangups:
                 self.on_hangup()
 
     def on_hangup(self):
-        """A fault of ours in it is told in the log: one in reading leaves the configuration as it was. Not by
-        `kept`: without its receiver, SIGHUP would end the process."""
+        """Load the configuration anew; a fault of the program in it leaves the old one as it was.
+
+        Not by `run_forever`: while it paused, SIGHUP would have no receiver and end the process.
+        """
         try:
             self.reload()
-        except Exception as wrong:  # against what we have not thought of
-            self.log.error("a fault of ours", at="reload", exc_info=wrong)
+        except Exception as error:
+            self.log.error("a fault of ours", at="reload", exc_info=error)
 
-    def dialled(self, start):
-        """`start`, if its addresses can be dialled. Raises BadAddress."""
-        for address in (start.discovery, start.store.address):
+    def check_addresses(self, configuration):
+        """Check that the addresses to dial can be parsed. Returns `configuration`. Raises BadAddress."""
+        for address in (configuration.discovery, configuration.relay.address):
             self.net.parse(address)
-        return start
+        return configuration
 
     def reload(self):
-        """A new configuration: other addresses of discovery and relay hold from now on; a bad file changes
-        nothing.
-        """
+        """Take over the addresses in a new configuration; one that can't be used changes nothing."""
         try:
-            new = self.dialled(self.load())
-        except (BadStart, BadAddress) as wrong:
-            self.log.error("the new configuration can't be used", why=str(wrong))
+            new = self.check_addresses(self.load_configuration())
+        except (ConfigurationError, BadAddress) as error:
+            self.log.error("the new configuration can't be used", why=str(error))
             return
-        old, self.start = self.start, new
-        self.log.info("new configuration", discovery=new.discovery, relay=new.store.address)
+        old = self.configuration
+        self.configuration = new
+        self.log.info("new configuration", discovery=new.discovery, relay=new.relay.address)
         if new.discovery != old.discovery:
-            self.post.follow.elsewhere()
-            if self.watching:
-                self.watching.cancel()
-        if new.store.address != old.store.address:
-            self.relay.moved()
-        self.relay.called.set()
+            self.discovery.on_address_change()
+        if new.relay.address != old.relay.address:
+            self.relay.on_address_change()
+        self.relay.call_ready.set()
 
-    # ---- the module
+    # ---- steps
 
-    def poke(self):
-        self.poked.set()
+    def wake(self):
+        """Something waits for a step."""
+        self.woken.set()
 
-    async def pump(self):
-        """Events of one wake-up are one step."""
+    async def run_steps(self):
+        """Run steps for ever; events of one wake-up are one step."""
         while True:
-            self.poked = anyio.Event()
+            self.woken = anyio.Event()
             now = self.clock.now()
             try:
-                if self.post.advance(now):
-                    self.relay.called.set()
-            except Exception:  # against a fault within a step: who knows what it left half done
-                self.post.anew(now)
+                if self.controller.advance(now):
+                    self.relay.call_ready.set()
+            except Exception:
+                # against a fault of the program within a step: nobody knows what it left half done
+                self.controller.restart_module(now)
                 raise
-            said, self.post.said = self.post.said, []
-            for text in said:
-                self.log.info("decision", says=text)
-            if (due := self.post.next_at()) is None:
-                await self.poked.wait()
+            self.log_decisions()
+            due = self.controller.next_step_at()
+            if due is None:
+                await self.woken.wait()
             else:
-                with anyio.move_on_after(max(0, due - self.clock.now()) / 1e9):
-                    await self.poked.wait()
-            await self.clock.sleep_until(now + GATHER)
-
-    # ---- the list
-
-    async def lists(self):
-        """Follows the list, call by call on one connection, and on a new one when it breaks."""
-        follow = self.post.follow
-        while True:
-            with anyio.CancelScope() as self.watching:
-                talk = None
-                try:
-                    talk = await Talk.dial(self.net, address := self.start.discovery, CONNECT_WITHIN)
-                    while True:
-                        await self.list_call(talk, follow, address)
-                        await anyio.sleep(follow.pause() / 1e9)
-                        if not talk.again():
-                            break
-                except (CallFailed, BadList) as wrong:
-                    if follow.fails < 3:  # the first ones: an outage is not told every 2 s
-                        self.log.info("the list did not answer", why=str(wrong))
-                    await anyio.sleep(follow.broke() / 1e9)
-                except Exception:  # against a fault of ours halfway through a list
-                    follow.elsewhere()
-                    raise
-                finally:
-                    if talk:
-                        await talk.aclose()
-
-    async def list_call(self, talk, follow, address):
-        path, within = follow.ask(self.clock.now())
-        await talk.ask("GET", path, SEND_WITHIN)
-        status, body = await talk.answer(within, LIST_MOST, LIST_WHOLE)
-        if (
-            self.start.discovery != address
-        ):  # against an answer that came in the same wake-up as another address
-            return
-        now = self.clock.now()
-        if got := follow.heard(now, status, body):
-            self.post.news(now, got[0], self.clock.wall(), got[1])
-            self.poke()
+                with anyio.move_on_after(max(0, due - self.clock.now()) / S):
+                    await self.woken.wait()
+            await self.clock.sleep_until(now + STEP_INTERVAL_NS)
+
+    def log_decisions(self):
+        """Log what the module wants logged."""
+        texts = self.controller.log_texts
+        self.controller.log_texts = []
+        for text in texts:
+            self.log.info("decision", says=text)
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -10,8 +10,8 @@
 
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.platform.protocol.port import Came, Met, Port
-from embertray.platform.protocol.start import read
+from embertray.platform.protocol.configuration import read_configuration
+from embertray.platform.protocol.inbound import BackendReport, InboundConnection, TrafficReport
 from embertray.platform.run.service import Service
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.platform import StandinDiscovery
@@ -74,7 +74,7 @@
 
 
 def port():
-    return Port(0, ["north", "south"], {"view": 0}, 40)
+    return InboundConnection(0, ["north", "south"], {"view": 0}, 40)
 
 
 JOIN = b'{"@type":"telemetry","locality":"north"}\n'
@@ -84,8 +84,8 @@
 )
 USAGE = b'{"@type":"client_stats","node":17,"route":"view","total":19,"errors":2,"interval":2000.0}\n'
 HEARD = [
-    Met("be-1", "north", 9, 1, 41_500_000, S, {"waiting": 3, "busy": 0.5}),
-    Came(17, "view", 19, 2, 2 * S),
+    BackendReport("be-1", "north", 9, 1, 41_500_000, S, {"waiting": 3, "busy": 0.5}),
+    TrafficReport(17, "view", 19, 2, 2 * S),
 ]
 
 
@@ -102,7 +102,9 @@
         await group.start(relay.run)
         data = configured(relay.address, discovery.address, **more)
         before(relay, discovery)
-        service = Service(read(data), LoopClock(), net, lambda: read(data), quiet())
+        service = Service(
+            read_configuration(data), LoopClock(), net, lambda: read_configuration(data), quiet()
+        )
         await group.start(lambda **kw: service.run(**kw))
         with anyio.fail_after(30):
             yield service, relay, discovery
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -25,10 +25,11 @@
 from embertray.controller.identifiers import Identifiers
 from embertray.controller.settings import BadSettings, StartSettings
 from embertray.platform.protocol import limits
-from embertray.platform.protocol.news import Attach
-from embertray.platform.protocol.port import ALIVE
-from embertray.platform.protocol.post import Post
-from embertray.platform.protocol.start import BadStart, read
+from embertray.platform.protocol.configuration import read_configuration
+from embertray.platform.protocol.event_stream import ProxyJoined
+from embertray.platform.protocol.exceptions import ConfigurationError
+from embertray.platform.protocol.platform_controller import PlatformController
+from embertray.platform.protocol.wire import HEARTBEAT_REPLY
 from embertray.simulation.standins.platform import StandinDiscovery
 from embertray.simulation.standins.relay import StandinRelay
 
@@ -66,8 +67,8 @@
         with self.assertRaisesRegex(BadSettings, "'x' is no good value for specifics.agents"):
             StartSettings({"specifics.agents": "x"})
         for data in (b"", b"{", b"[]", b'{"name":"n1"}', configured().replace(b'"listen"', b'"l"'), b"\xff"):
-            with self.assertRaises(BadStart):
-                read(data)
+            with self.assertRaises(ConfigurationError):
+                read_configuration(data)
         for address in ("host:80", "10.0.0.4", "10.0.0.4:99999", "10.0.0.4:-1"):
             with self.assertRaises(BadAddress):
                 plain(address)
@@ -81,20 +82,27 @@
             None,
             {"members": None},
         ):
-            start = read(configured(known=known))
-            self.assertEqual((Post(start, 0, 0).state, start.members().revision), ({}, 0), known)
-        self.assertEqual(Post(read(configured()), 0, 0).state, {"be-1": "ready", "be-2": "ready"})
+            start = read_configuration(configured(known=known))
+            self.assertEqual(
+                (PlatformController(start, 0, 0).state, start.known_list().revision), ({}, 0), known
+            )
+        self.assertEqual(
+            PlatformController(read_configuration(configured()), 0, 0).state,
+            {"be-1": "ready", "be-2": "ready"},
+        )
 
     def test_reports_do_not_pile_up_while_no_call_gets_through(self):
-        post = Post(read(configured()), 0, 0)
-        self.assertTrue(post.advance(0))  # the first tables wait for a relay that is not there
-        before = len(post.todo)
-        post.relayed([Attach(1, "north", 1.0, True)])
-        for _ in range(3 * limits.WAITING_MOST):
-            post.reports(HEARD[:1])
-            self.assertLessEqual(len(post.todo), limits.WAITING_MOST + 1)
-        self.assertEqual(post.dropped + len(post.todo) - before, 3 * limits.WAITING_MOST + 1)
-        self.assertIn("Joined", [type(event).__name__ for event in post.todo])
+        controller = PlatformController(read_configuration(configured()), 0, 0)
+        self.assertTrue(controller.advance(0))  # the first tables wait for a relay that is not there
+        before = len(controller.todo)
+        controller.add_proxy_events([ProxyJoined(1, "north", 1.0, True)])
+        for _ in range(3 * limits.PENDING_EVENTS_MAX):
+            controller.add_reports(HEARD[:1])
+            self.assertLessEqual(len(controller.todo), limits.PENDING_EVENTS_MAX + 1)
+        self.assertEqual(
+            controller.dropped_reports + len(controller.todo) - before, 3 * limits.PENDING_EVENTS_MAX + 1
+        )
+        self.assertIn("Joined", [type(event).__name__ for event in controller.todo])
 
     def test_run_imports_nothing_that_it_leaves_off(self):
         code = (
@@ -153,7 +161,7 @@
                     self.assertEqual(repeats, times if mood in ("lose", "throttled") else 0)
                     discovery.change(name, phase="gone")
                     await relay.until(lambda: name not in relay.lines(1))
-                self.assertEqual(service.post.caller.lost, 0)
+                self.assertEqual(service.controller.order_caller.orders_given_up, 0)
 
         anyio.run(play)
 
@@ -178,12 +186,12 @@
                     discovery.change(names[0])
                     await relay.until(
                         lambda: (
-                            len(service.post.caller.refused) == place + 1
-                            and service.post.caller.idle
+                            len(service.controller.order_caller.refused_orders) == place + 1
+                            and service.controller.order_caller.idle
                             and sum(name in relay.lines(1) for name in names) == 2
                         )
                     )
-                    self.assertEqual(service.post.caller.refused[place], seen[place])
+                    self.assertEqual(service.controller.order_caller.refused_orders[place], seen[place])
 
         anyio.run(play)
 
@@ -201,7 +209,7 @@
                     service.relay.log = structlog.get_logger()
                     discovery.change(names[0])
                     await relay.until(lambda: {"new-0", "new-2"} <= set(relay.lines(1)))
-                    while not service.post.caller.lost:
+                    while not service.controller.order_caller.orders_given_up:
                         await anyio.sleep(0.02)
                 self.assertTrue(any("given up: invalid: SET," in line.get("why", "") for line in told), told)
                 relay.spoils = lambda order: False
@@ -212,10 +220,10 @@
 
     def test_a_step_in_several_calls_survives_the_loss_of_any(self):
         async def play():
-            with mock.patch("embertray.platform.protocol.calls.ORDERS_MOST", 150):
+            with mock.patch("embertray.platform.protocol.order_caller.ORDERS_MAX_BYTES", 150):
                 async with stage() as (service, relay, _):
-                    await relay.until(lambda: len(relay.streams) == limits.STREAMS and relay.calls)
-                    while service.post.module.channel.queue or not service.post.caller.idle:
+                    await relay.until(lambda: len(relay.streams) == limits.EVENT_STREAMS and relay.calls)
+                    while service.controller.module.channel.queue or not service.controller.order_caller.idle:
                         await anyio.sleep(0.05)
                     relay.mood, before = ["lose", "ok", "mute", "spoil", "lose", "lose"], len(relay.calls)
                     for node in range(24):
@@ -227,7 +235,13 @@
                     self.assertEqual(
                         relay.calls[before + 1][1], relay.calls[before][1]
                     )  # and goes again first
-                    self.assertEqual((service.post.caller.lost, service.post.caller.refused), (0, []))
+                    self.assertEqual(
+                        (
+                            service.controller.order_caller.orders_given_up,
+                            service.controller.order_caller.refused_orders,
+                        ),
+                        (0, []),
+                    )
 
         anyio.run(play)
 
@@ -240,7 +254,7 @@
                 )
             ) as (service, relay, _):
                 alive = await client(service, b'{"@type":"hb"}\n')
-                self.assertEqual(await alive.receive(), ALIVE)
+                self.assertEqual(await alive.receive(), HEARTBEAT_REPLY)
                 relay.attach(1, "north")
                 await relay.until(
                     lambda: set(relay.lines(1)) == {"be-1", "be-2"}
@@ -254,11 +268,11 @@
         async def play():
             async with stage() as (service, relay, _):
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1) and len(relay.streams) == limits.STREAMS)
+                await relay.until(lambda: relay.lines(1) and len(relay.streams) == limits.EVENT_STREAMS)
                 await anyio.aclose_forcefully(relay.open[0])
                 relay.attach(2, "north")
-                await relay.until(lambda: relay.lines(2) and len(relay.streams) == limits.STREAMS)
-                self.assertEqual(set(service.post.standing.joined), {1, 2})
+                await relay.until(lambda: relay.lines(2) and len(relay.streams) == limits.EVENT_STREAMS)
+                self.assertEqual(set(service.controller.proxies.joined), {1, 2})
 
         anyio.run(play)
 
@@ -268,7 +282,7 @@
                 for node in range(3):
                     relay.attach(node, "north")
                 await relay.until(lambda: all(len(relay.lines(node)) == 2 for node in range(3)))
-                old, tables = service.post.module, set(relay.tables)
+                old, tables = service.controller.module, set(relay.tables)
 
                 def fault(*_):
                     raise KeyError("a fault")
@@ -276,16 +290,24 @@
                 old.planner.on_solve = fault  # in the middle of a step: some parts have acted, some not
                 discovery.change("be-3", **member("be-3"))
                 await relay.until(lambda: all(len(relay.lines(node)) == 3 for node in range(3)))
-                self.assertIsNot(service.post.module, old)
+                self.assertIsNot(service.controller.module, old)
                 self.assertFalse({relay.bound[node] for node in range(3)} & tables)
                 discovery.change("be-1", phase="draining")
                 await relay.until(
                     lambda: all(set(relay.lines(node)) == {"be-2", "be-3"} for node in range(3))
                 )
                 for part, name, poke in (
-                    (service.post.caller, "answered", lambda: discovery.change("be-4", **member("be-4"))),
-                    (service.post.follow, "heard", lambda: discovery.change("be-4", **member("be-4"))),
-                    (service.post.standing, "took", lambda: relay.attach(3, "south")),
+                    (
+                        service.controller.order_caller,
+                        "on_answer",
+                        lambda: discovery.change("be-4", **member("be-4")),
+                    ),
+                    (
+                        service.controller.list_watch,
+                        "on_answer",
+                        lambda: discovery.change("be-4", **member("be-4")),
+                    ),
+                    (service.controller.proxies, "received", lambda: relay.attach(3, "south")),
                 ):
                     faulty = anyio.Event()
 
@@ -311,16 +333,22 @@
                 other.joined, other.tables, other.bound = relay.joined, relay.tables, relay.bound
                 await group.start(other.run)
                 await group.start(elsewhere.run)
-                service.load = lambda: read(b"{")
+                service.load_configuration = lambda: read_configuration(b"{")
                 service.reload()
-                self.assertEqual(service.start.store.address, relay.address)  # a bad file changes nothing
-                service.load = lambda: read(configured(other.address, elsewhere.address))
+                self.assertEqual(
+                    service.configuration.relay.address, relay.address
+                )  # a bad file changes nothing
+                service.load_configuration = lambda: read_configuration(
+                    configured(other.address, elsewhere.address)
+                )
                 service.reload()
                 await other.until(lambda: other.streams)
                 for stream in list(relay.open):
                     await anyio.aclose_forcefully(stream)
                 elsewhere.change("be-3", **member("be-3"))
-                await other.until(lambda: "be-3" in other.lines(1) and len(other.streams) == limits.STREAMS)
+                await other.until(
+                    lambda: "be-3" in other.lines(1) and len(other.streams) == limits.EVENT_STREAMS
+                )
                 group.cancel_scope.cancel()
 
         anyio.run(play)
@@ -331,22 +359,24 @@
                 relay.attach(1, "north")
                 await relay.until(lambda: relay.lines(1))
                 faults = [KeyError("a"), TypeError("b"), RecursionError("c"), MemoryError()]
-                old, rest, been = service.start, list(faults), anyio.Event()
+                old, rest, been = service.configuration, list(faults), anyio.Event()
 
                 def load():
                     been.set()
                     raise rest.pop(0)
 
-                service.load = load
+                service.load_configuration = load
                 with structlog.testing.capture_logs() as told:
                     service.log = structlog.get_logger()
-                    await group.start(service.hangups, SimpleNamespace(kept=True))  # the first one at once
+                    await group.start(
+                        service.watch_hangups, SimpleNamespace(hangup_pending=True)
+                    )  # the first one at once
                     while rest:
                         been = anyio.Event()
                         os.kill(os.getpid(), signal.SIGHUP)
                         await been.wait()
                     self.assertEqual([line["event"] for line in told], ["a fault of ours"] * len(faults))
-                self.assertIs(service.start, old)
+                self.assertIs(service.configuration, old)
                 discovery.change("be-3", **member("be-3"))
                 await relay.until(lambda: "be-3" in relay.lines(1))
                 group.cancel_scope.cancel()
@@ -371,12 +401,14 @@
                         here.address,
                         there.address,
                     ):  # the last one counts
-                        service.load = lambda: read(configured(address, discovery.address))
+                        service.load_configuration = lambda: read_configuration(
+                            configured(address, discovery.address)
+                        )
                         service.reload()
                     await there.until(lambda: name in there.lines(1))
                     for stream in list(here.open):
                         await anyio.aclose_forcefully(stream)
-                    await there.until(lambda: len(there.streams) == limits.STREAMS)
+                    await there.until(lambda: len(there.streams) == limits.EVENT_STREAMS)
                 group.cancel_scope.cancel()
 
         anyio.run(play)
@@ -384,13 +416,13 @@
 
 class Wordless(unittest.TestCase):
     def test_slices_are_refused_and_permissions_go_unused(self):
-        def post(**more):
-            return Post(read(configured(settings={**SETTINGS, **more})), 0, 0)
+        def controller(**more):
+            return PlatformController(read_configuration(configured(settings={**SETTINGS, **more})), 0, 0)
 
-        self.assertEqual(post().said, [])
+        self.assertEqual(controller().log_texts, [])
         with self.assertRaisesRegex(BadSettings, "partitions-n: .* no words for slices"):
-            post(specifics={**SETTINGS["specifics"], "partitions-n": 8})
-        told = post(caps={"probes": True, "peer-messages": True}).said
+            controller(specifics={**SETTINGS["specifics"], "partitions-n": 8})
+        told = controller(caps={"probes": True, "peer-messages": True}).log_texts
         self.assertEqual([("probes" in one, "peers" in one) for one in told], [(True, False), (False, True)])
 
 
@@ -488,7 +520,7 @@
                     ]
                     for peer in peers:
                         peer.sendall(JOIN + b'{"@type":"hb"}\n')
-                    self.assertEqual({peer.recv(100) for peer in peers}, {ALIVE})
+                    self.assertEqual({peer.recv(100) for peer in peers}, {HEARTBEAT_REPLY})
                     run.kill()
                     run.wait(timeout=20)
 
@@ -503,7 +535,7 @@
             ]
             for peer in peers:
                 peer.sendall(JOIN + b'{"@type":"hb"}\n')
-            self.assertEqual({peer.recv(100) for peer in peers}, {ALIVE})
+            self.assertEqual({peer.recv(100) for peer in peers}, {HEARTBEAT_REPLY})
             run.send_signal(signal.SIGTERM)
             self.assertEqual(run.wait(timeout=20), 0)
             self.assertEqual({peer.recv(100) for peer in peers}, {b""})
--- a/tests/test_node_address.py
+++ b/tests/test_node_address.py
@@ -17,8 +17,8 @@
 from platform_stage import HEARD, HERE, JOIN, STATS, USAGE, S, client, configured, ended, port, rest, stage
 
 from embertray.platform.protocol import limits
-from embertray.platform.protocol.port import ALIVE, TURNED_AWAY
-from embertray.platform.protocol.room import Room
+from embertray.platform.protocol.admission import ConnectionAdmission
+from embertray.platform.protocol.wire import HEARTBEAT_REPLY, REJECTION
 
 
 class Lines(unittest.TestCase):
@@ -30,8 +30,8 @@
             for k in range(len(JOIN + STATS + USAGE))
             for one in by_byte.receive((JOIN + STATS + USAGE)[k : k + 1])
         ]
-        self.assertEqual((found, bits, whole.reply, whole.joined), (HEARD, HEARD, b"", "north"))
-        self.assertFalse(whole.late(10 * S))
+        self.assertEqual((found, bits, whole.outgoing, whole.zone), (HEARD, HEARD, b"", "north"))
+        self.assertFalse(whole.check_join_deadline(10 * S))
 
     def test_spoilt_reports_cost_themselves_only(self):
         spoilt = [
@@ -53,13 +53,13 @@
         for line in spoilt:
             one = port()
             self.assertEqual(one.receive(JOIN + line + STATS + USAGE), HEARD, line)
-            self.assertEqual((one.spoilt, one.over), (1, ""), line)
+            self.assertEqual((one.invalid_reports, one.close_reason), (1, ""), line)
 
     def test_unreadable_data_ends_a_collector_without_a_word(self):
         one = port()
         self.assertEqual(one.receive(JOIN + USAGE + b"\x00\xff{garbage\n" + USAGE), HEARD[1:])
-        self.assertTrue(one.over)
-        self.assertEqual(one.reply, b"")
+        self.assertTrue(one.close_reason)
+        self.assertEqual(one.outgoing, b"")
 
     def test_strangers_are_turned_away(self):
         for data in (
@@ -71,59 +71,65 @@
             b'{"@type":"telemetry"}\n',
             b"SET,1,be-1,1\n",
             b"[" * 9000 + b"\n",
-            b"x" * (limits.STRANGER_BYTES + 1),
+            b"x" * (limits.UNJOINED_MAX_BYTES + 1),
             b'{"@type":"assign"}\n',
         ):
             one = port()
             self.assertEqual(one.receive(data), [])
-            self.assertTrue(one.over and one.reply.endswith(TURNED_AWAY), data[:40])
+            self.assertTrue(one.close_reason and one.outgoing.endswith(REJECTION), data[:40])
         quiet = port()
         quiet.receive(b'{"@type":"hb"}\n{"@ty')
-        self.assertEqual(quiet.reply, ALIVE)
-        self.assertFalse(quiet.late(limits.JOIN_WITHIN - 1))
-        self.assertTrue(quiet.late(limits.JOIN_WITHIN))
-        self.assertEqual(quiet.reply, ALIVE + TURNED_AWAY)
+        self.assertEqual(quiet.outgoing, HEARTBEAT_REPLY)
+        self.assertFalse(quiet.check_join_deadline(limits.JOIN_TIMEOUT_NS - 1))
+        self.assertTrue(quiet.check_join_deadline(limits.JOIN_TIMEOUT_NS))
+        self.assertEqual(quiet.outgoing, HEARTBEAT_REPLY + REJECTION)
 
     def test_an_endless_line_ends_a_collector(self):
         one = port()
         one.receive(JOIN)
-        for _ in range(limits.LINE_MOST // 65536 + 1):
+        for _ in range(limits.LINE_MAX_BYTES // 65536 + 1):
             one.receive(b"x" * 65536)
-        self.assertEqual((one.over, len(one.held)), ("a line too long", 0))
+        self.assertEqual((one.close_reason, len(one.buffer)), ("a line too long", 0))
 
     def test_strangers_are_turned_away_for_lines_without_number_too(self):
         for line in (b"\n", b'{"@type":"hb"}\n'):
             one = port()
-            one.receive(line * (limits.STRANGER_BYTES // len(line)))
-            self.assertEqual(one.over, "")
+            one.receive(line * (limits.UNJOINED_MAX_BYTES // len(line)))
+            self.assertEqual(one.close_reason, "")
             one.receive(line * 2)
-            self.assertTrue(one.over)
+            self.assertTrue(one.close_reason)
 
     def test_a_collector_of_no_zone_has_not_joined(self):
         one = port()
         one.receive(JOIN.replace(b"north", b"nowhere"))
-        self.assertEqual((one.joined, one.reply), (None, TURNED_AWAY))
+        self.assertEqual((one.zone, one.outgoing), (None, REJECTION))
 
 
 class Rooms(unittest.TestCase):
     def test_who_told_least_lately_goes(self):
-        room = Room(64)
-        self.assertEqual((room.strangers_most, room.collectors_most), (16, 8))
-        self.assertEqual([room.joined(k) for k in range(8)], [None] * 8)
+        admission = ConnectionAdmission(64)
+        self.assertEqual((admission.unjoined_max, admission.collectors_max), (16, 8))
+        self.assertEqual([admission.admit(k) for k in range(8)], [None] * 8)
         for k in (0, 1, 2, 0):
-            room.told(k)
+            admission.reported(k)
         self.assertEqual(
-            [room.joined(k) for k in range(8, 13)], [3, 4, 5, 6, 7]
+            [admission.admit(k) for k in range(8, 13)], [3, 4, 5, 6, 7]
         )  # silent ones, the oldest first
         for k in range(8, 13):
-            room.told(k)
+            admission.reported(k)
         self.assertEqual(
-            [room.joined(13), room.joined(14)], [1, 13]
+            [admission.admit(13), admission.admit(14)], [1, 13]
         )  # then by the last report; the newest silent one
-        room.told(1)  # on its way out
-        room.left(2)
-        self.assertIsNone(room.joined(15))
-        self.assertEqual([Room(n).strangers_most + Room(n).collectors_most for n in (256, 1024)], [208, 976])
+        admission.reported(1)  # on its way out
+        admission.release(2)
+        self.assertIsNone(admission.admit(15))
+        self.assertEqual(
+            [
+                ConnectionAdmission(n).unjoined_max + ConnectionAdmission(n).collectors_max
+                for n in (256, 1024)
+            ],
+            [208, 976],
+        )
 
 
 class Wire:
@@ -154,11 +160,11 @@
     def test_nothing_is_unread_when_a_stranger_is_closed_unless_it_never_ends(self):
         async def play():
             async with stage() as (service, _, _):
-                for pieces, unread in ((2, 0), (limits.PART_BYTES // 65536 + 3, 3)):
+                for pieces, unread in ((2, 0), (limits.LINGER_MAX_BYTES // 65536 + 3, 3)):
                     wire, one = Wire(b'{"@type":"hb"}\n\xff\n', *[b"x" * 65536] * pieces), port()
-                    one.join_by = service.clock.now() + S
-                    await service.clients.client(one, wire)
-                    self.assertEqual((wire.sent, wire.unread), (ALIVE + TURNED_AWAY + b".", unread))
+                    one.join_deadline = service.clock.now() + S
+                    await service.listener.handle(one, wire)
+                    self.assertEqual((wire.sent, wire.unread), (HEARTBEAT_REPLY + REJECTION + b".", unread))
 
         anyio.run(play)
 
@@ -172,10 +178,10 @@
                 ]
                 collector = await client(service, JOIN + STATS)
                 got = [await rest(stream) for stream in strangers]
-                self.assertEqual(set(got), {TURNED_AWAY, ALIVE + TURNED_AWAY})
+                self.assertEqual(set(got), {REJECTION, HEARTBEAT_REPLY + REJECTION})
                 await collector.send(b'{"@type":"hb"}\n')
-                self.assertEqual(await collector.receive(), ALIVE)
-                self.assertEqual((len(service.clients.strangers), service.post.unknown), (0, 0))
+                self.assertEqual(await collector.receive(), HEARTBEAT_REPLY)
+                self.assertEqual((len(service.listener.unjoined), service.controller.unknown_reports), (0, 0))
                 await collector.aclose()
 
         anyio.run(play)
@@ -186,10 +192,10 @@
 
                 async def joined(data=b""):
                     stream = await client(service, JOIN + data + b'{"@type":"hb"}\n')
-                    self.assertEqual(await stream.receive(), ALIVE)
+                    self.assertEqual(await stream.receive(), HEARTBEAT_REPLY)
                     return stream
 
-                collector, most = await joined(STATS), service.post.room.collectors_most
+                collector, most = await joined(STATS), service.controller.admission.collectors_max
                 silent = [await joined() for _ in range(2 * most)]
                 self.assertEqual(
                     [await ended(stream) for stream in silent[: most + 1]], [(b"", False)] * (most + 1)
@@ -199,8 +205,8 @@
                 await relay.until(lambda: relay.lines(1))  # a call had its descriptor
                 for stream in (collector, late):
                     await stream.send(STATS + b'{"@type":"hb"}\n')
-                    self.assertEqual(await stream.receive(), ALIVE)
-                self.assertEqual(len(service.clients.scopes), most)
+                    self.assertEqual(await stream.receive(), HEARTBEAT_REPLY)
+                self.assertEqual(len(service.listener.scopes), most)
                 for stream in [collector, late, *silent]:
                     await stream.aclose()
 
@@ -211,13 +217,15 @@
             async with stage() as (service, _, _):
                 half = await client(service, b'{"@type":"hb"}\n')
                 await half.send_eof()
-                self.assertEqual(await ended(half), (ALIVE, False))
+                self.assertEqual(await ended(half), (HEARTBEAT_REPLY, False))
                 unfinished = await client(service, b'{"@type":"hb"}\n{"@type":"hb"}')
                 await unfinished.send_eof()
-                self.assertEqual(await ended(unfinished), (ALIVE, False))  # a line that was not ended is none
+                self.assertEqual(
+                    await ended(unfinished), (HEARTBEAT_REPLY, False)
+                )  # a line that was not ended is none
                 for _ in range(3):
                     garbled = await client(service, b'{"@type":"hb"}\n\xff\n' + b"x" * 450_000)
-                    self.assertEqual(await ended(garbled), (ALIVE + TURNED_AWAY, False))
+                    self.assertEqual(await ended(garbled), (HEARTBEAT_REPLY + REJECTION, False))
 
         anyio.run(play)
 
@@ -226,13 +234,13 @@
             async with stage() as (service, _, _):
                 for k, reset in enumerate((False, True)):
                     collector = await client(service, JOIN + b'{"@type":"hb"}\n')
-                    self.assertEqual(await collector.receive(), ALIVE)
+                    self.assertEqual(await collector.receive(), HEARTBEAT_REPLY)
                     await collector.send(STATS.replace(b"be-1", b"nobody") + b'{"unfinished')
                     if reset:
                         await collector.send(b"\xff\n")  # what can't be read ends it; what came before counts
                     await collector.send_eof()
                     self.assertEqual(await ended(collector), (b"", False))
-                    self.assertEqual(service.post.unknown, k + 1)
+                    self.assertEqual(service.controller.unknown_reports, k + 1)
 
         anyio.run(play)
 
@@ -245,10 +253,10 @@
                         gone.sendall(JOIN + STATS)
                         gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 alive = await client(service, b'{"@type":"hb"}\n')
-                self.assertEqual(await alive.receive(), ALIVE)
+                self.assertEqual(await alive.receive(), HEARTBEAT_REPLY)
                 while (
-                    len(service.clients.strangers) > 1
-                    or service.clients.scopes.keys() - service.clients.strangers
+                    len(service.listener.unjoined) > 1
+                    or service.listener.scopes.keys() - service.listener.unjoined
                 ):
                     await anyio.sleep(0.02)
                 await alive.aclose()
@@ -294,10 +302,10 @@
             strangers = [
                 dial() for _ in range(120)
             ]  # none says a word: each is turned away 1 s after it was taken
-            self.assertEqual({peer.recv(100) for peer in strangers}, {TURNED_AWAY})
+            self.assertEqual({peer.recv(100) for peer in strangers}, {REJECTION})
             last = dial()
             last.sendall(b'{"@type":"hb"}\n')
-            self.assertEqual(last.recv(100), ALIVE)
+            self.assertEqual(last.recv(100), HEARTBEAT_REPLY)
 
 
 if __name__ == "__main__":
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -9,8 +9,9 @@
 from platform_stage import MS, S, configured, member, stage
 
 from embertray.platform.protocol import limits
-from embertray.platform.protocol.discovery import Follow, Unreadable as BadList
-from embertray.platform.protocol.start import read
+from embertray.platform.protocol.configuration import read_configuration
+from embertray.platform.protocol.endpoint_list import EndpointListWatch
+from embertray.platform.protocol.exceptions import UnreadableListError
 
 
 class Lists(unittest.TestCase):
@@ -18,50 +19,52 @@
         return json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
 
     def test_the_whole_list_then_changes(self):
-        follow = Follow(41)
-        self.assertEqual(follow.ask(0)[0], "/catalog/members")
-        how, members = follow.heard(0, 200, self.body(42, True, member("be-1", up_since_ms=1500)))
+        watch = EndpointListWatch(41)
+        self.assertEqual(watch.next_request(0)[0], "/catalog/members")
+        how, members = watch.on_answer(0, 200, self.body(42, True, member("be-1", up_since_ms=1500)))
         self.assertEqual((how, members[0].backend, members[0].started), ("whole", "be-1", 1500 * MS))
-        self.assertEqual(follow.ask(0)[0], "/catalog/members?from=42&hold_ms=2000")
+        self.assertEqual(watch.next_request(0)[0], "/catalog/members?from=42&hold_ms=2000")
         self.assertEqual(
-            follow.heard(0, 200, self.body(43, False, member("be-1", phase="gone")))[1][0].state, "gone"
+            watch.on_answer(0, 200, self.body(43, False, member("be-1", phase="gone")))[1][0].state, "gone"
         )
-        self.assertIsNone(follow.heard(0, 200, self.body(43, False)))
+        self.assertIsNone(watch.on_answer(0, 200, self.body(43, False)))
 
     def test_an_older_list_takes_nothing_back_until_it_stays(self):
-        follow = Follow()
-        follow.heard(0, 200, self.body(43, True, member("be-1", phase="draining")))
-        self.assertIsNone(follow.heard(S, 200, self.body(42, True, member("be-1"))))
+        watch = EndpointListWatch()
+        watch.on_answer(0, 200, self.body(43, True, member("be-1", phase="draining")))
+        self.assertIsNone(watch.on_answer(S, 200, self.body(42, True, member("be-1"))))
         self.assertEqual(
-            follow.heard(S + limits.OLD_MOST, 200, self.body(42, True, member("be-1")))[0], "whole"
+            watch.on_answer(S + limits.STALE_LIST_MAX_NS, 200, self.body(42, True, member("be-1")))[0],
+            "whole",
         )
-        follow.heard(20 * S, 200, self.body(50, True, member("be-1", phase="draining")))
+        watch.on_answer(20 * S, 200, self.body(50, True, member("be-1", phase="draining")))
 
     def test_an_older_list_elsewhere_takes_nothing_back_either(self):
         for now in (S, 20 * S):  # clocks may begin at zero
-            follow = Follow()
-            follow.heard(now, 200, self.body(43, True, member("be-1", phase="draining")))
-            follow.elsewhere()
-            self.assertEqual(follow.ask(now)[0], "/catalog/members")
-            self.assertIsNone(follow.heard(now, 200, self.body(42, True, member("be-1"))))
+            watch = EndpointListWatch()
+            watch.on_answer(now, 200, self.body(43, True, member("be-1", phase="draining")))
+            watch.on_address_change()
+            self.assertEqual(watch.next_request(now)[0], "/catalog/members")
+            self.assertIsNone(watch.on_answer(now, 200, self.body(42, True, member("be-1"))))
             self.assertEqual(
-                follow.ask(now)[0], "/catalog/members"
+                watch.next_request(now)[0], "/catalog/members"
             )  # still: it has not told a list that counts
             self.assertEqual(
-                follow.heard(now + S, 200, self.body(43, True, member("be-1", phase="draining")))[0], "whole"
+                watch.on_answer(now + S, 200, self.body(43, True, member("be-1", phase="draining")))[0],
+                "whole",
             )
-            self.assertEqual(follow.ask(now)[0], "/catalog/members?from=43&hold_ms=2000")
-            follow.elsewhere()
-            self.assertIsNone(follow.heard(now + S, 200, self.body(1, True)))
+            self.assertEqual(watch.next_request(now)[0], "/catalog/members?from=43&hold_ms=2000")
+            watch.on_address_change()
+            self.assertIsNone(watch.on_answer(now + S, 200, self.body(1, True)))
             self.assertEqual(
-                follow.heard(now + S + limits.OLD_MOST, 200, self.body(1, True))[0], "whole"
+                watch.on_answer(now + S + limits.STALE_LIST_MAX_NS, 200, self.body(1, True))[0], "whole"
             )  # it began anew
 
     def test_who_answers_at_once_with_nothing_new_is_asked_more_slowly(self):
-        follow = Follow()
-        follow.ask(0)
-        follow.heard(0, 200, self.body(43, True, member("be-1")))
-        self.assertEqual(follow.pause(), 0)
+        watch = EndpointListWatch()
+        watch.next_request(0)
+        watch.on_answer(0, 200, self.body(43, True, member("be-1")))
+        self.assertEqual(watch.pause(), 0)
         pauses = []
         for old in (
             self.body(43, False),
@@ -70,20 +73,25 @@
             self.body(43, False),
             self.body(43, False),
         ):
-            follow.ask(S)
-            follow.heard(S, 200, old)
-            pauses.append(follow.pause())
-        self.assertEqual(pauses, [20 * MS, 40 * MS, 80 * MS, limits.STILL_MOST, limits.STILL_MOST])
-        self.assertLess(limits.STILL_MOST, 200 * MS)  # a watch goes on if it is asked again within that
-        follow.ask(2 * S)
-        follow.heard(2 * S + limits.HOLD, 200, self.body(43, False))
-        self.assertEqual(follow.pause(), 0)
-        follow.ask(9 * S)
-        follow.heard(9 * S, 200, self.body(44, False))
-        self.assertEqual(follow.pause(), 0)
+            watch.next_request(S)
+            watch.on_answer(S, 200, old)
+            pauses.append(watch.pause())
+        self.assertEqual(
+            pauses,
+            [20 * MS, 40 * MS, 80 * MS, limits.UNCHANGED_BACKOFF_MAX_NS, limits.UNCHANGED_BACKOFF_MAX_NS],
+        )
+        self.assertLess(
+            limits.UNCHANGED_BACKOFF_MAX_NS, 200 * MS
+        )  # a watch goes on if it is asked again within that
+        watch.next_request(2 * S)
+        watch.on_answer(2 * S + limits.WATCH_HOLD_NS, 200, self.body(43, False))
+        self.assertEqual(watch.pause(), 0)
+        watch.next_request(9 * S)
+        watch.on_answer(9 * S, 200, self.body(44, False))
+        self.assertEqual(watch.pause(), 0)
 
     def test_what_is_no_list_is_asked_for_again(self):
-        follow = Follow()
+        watch = EndpointListWatch()
         for status, body in (
             (500, self.body(1, True)),
             (200, b"{"),
@@ -92,9 +100,9 @@
             (200, self.body(1, True, member("be-1", phase="x"))),
             (200, b"\xff\xfe"),
         ):
-            with self.assertRaises(BadList):
-                follow.heard(0, status, body)
-            self.assertLessEqual(follow.broke(), limits.AGAIN_MOST)
+            with self.assertRaises(UnreadableListError):
+                watch.on_answer(0, status, body)
+            self.assertLessEqual(watch.on_failure(), limits.BACKOFF_MAX_NS)
 
 
 class OnSockets(unittest.TestCase):
@@ -121,7 +129,7 @@
                 members = dict(discovery.members)
                 for told in ({}, members):
                     discovery.members, discovery.revision = told, discovery.revision + 1
-                    service.post.follow.elsewhere()  # the next answer is a whole list
+                    service.controller.list_watch.on_address_change()  # the next answer is a whole list
                     for stream in list(discovery.open):
                         await anyio.aclose_forcefully(stream)
                     await relay.until(lambda: set(relay.lines(1)) == set(told))
@@ -142,14 +150,14 @@
                         ).encode()
                         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
                         await side.stream.send(head + body[:9])
-                        await anyio.sleep(1.5 * limits.LIST_WITHIN / 1e9)
+                        await anyio.sleep(1.5 * limits.LIST_FIRST_BYTE_TIMEOUT_NS / 1e9)
                         await side.stream.send(body[9:])
                         await anyio.sleep_forever()
 
                 discovery.serve = slowly
                 for stream in list(discovery.open):
                     await anyio.aclose_forcefully(stream)
-                service.post.follow.elsewhere()
+                service.controller.list_watch.on_address_change()
                 relay.attach(1, "north")
                 await relay.until(lambda: set(relay.lines(1)) == {"be-9"})
 
@@ -169,7 +177,7 @@
                 await asked(2)
                 first = service.clock.now()
                 await asked(14)
-                self.assertGreater(service.clock.now() - first, 8 * limits.STILL_MOST)
+                self.assertGreater(service.clock.now() - first, 8 * limits.UNCHANGED_BACKOFF_MAX_NS)
 
         anyio.run(play)
 
@@ -177,19 +185,24 @@
         async def play():
             async with stage() as (service, relay, _):
                 await relay.until(lambda: relay.calls)
-                held = service.post.follow.revision
+                held = service.controller.list_watch.revision
 
                 class Answered:
                     async def ask(self, *_):
                         pass
 
                     async def answer(self, *_):
-                        service.load = lambda: read(configured(relay.address, "127.0.0.1:1"))
+                        service.load_configuration = lambda: read_configuration(
+                            configured(relay.address, "127.0.0.1:1")
+                        )
                         service.reload()
                         return 200, json.dumps({"revision": 99, "complete": True, "members": []}).encode()
 
-                await service.list_call(Answered(), service.post.follow, service.start.discovery)
-                self.assertEqual((service.post.follow.revision, service.post.follow.whole), (held, True))
+                await service.discovery.request_list(Answered(), service.configuration.discovery)
+                self.assertEqual(
+                    (service.controller.list_watch.revision, service.controller.list_watch.needs_whole_list),
+                    (held, True),
+                )
 
         anyio.run(play)
 
--- a/tests/test_node_endings.py
+++ b/tests/test_node_endings.py
@@ -12,14 +12,14 @@
 
 async def calm(service, relay):
     """Until nothing is on its way."""
-    post = service.post
+    controller = service.controller
     while (
-        post.todo
-        or not post.caller.idle
-        or post.module.channel.queue
-        or post.module.channel.out
-        or post.module.channel.joins
-        or any(proxy.messages.open for proxy in post.module.proxies)
+        controller.todo
+        or not controller.order_caller.idle
+        or controller.module.channel.queue
+        or controller.module.channel.out
+        or controller.module.channel.joins
+        or any(proxy.messages.open for proxy in controller.module.proxies)
     ):
         await anyio.sleep(0.02)
 
@@ -40,7 +40,7 @@
                 for fact in facts:
                     discovery.change("new", **fact)
                 revision = discovery.revision
-                while service.post.follow.revision < revision:
+                while service.controller.list_watch.revision < revision:
                     await anyio.sleep(0.02)
                 await calm(service, relay)
                 return relay.lines(1).get("new")
@@ -70,7 +70,7 @@
         async def play():
             for mood in ("ok", "lose", "mute", "stall"):
                 async with stage() as (service, relay, _):
-                    await relay.until(lambda: relay.calls and len(relay.streams) == limits.STREAMS)
+                    await relay.until(lambda: relay.calls and len(relay.streams) == limits.EVENT_STREAMS)
                     await calm(service, relay)
                     relay.mood, before = [mood], len(relay.calls)
                     relay.attach(1, "north")
@@ -90,7 +90,7 @@
                 relay.answers = False
                 relay.attach(1, "north")
                 await relay.until(lambda: relay.lines(1))
-                late = max(service.post.identifiers.nonces)
+                late = max(service.controller.identifiers.nonces)
                 relay.detach(1)
                 relay.attach(1, "north")
                 await relay.until(
@@ -101,7 +101,7 @@
                 relay.tell("done", f"node=1&nonce={late}&latency=5")
                 relay.attach(2, "north")  # told behind it
                 await relay.until(lambda: relay.lines(2))
-                known = {proxy.handle.external_id: proxy for proxy in service.post.module.proxies}
+                known = {proxy.handle.external_id: proxy for proxy in service.controller.module.proxies}
                 self.assertTrue(known[1].messages.open)  # its own answer is still owed
                 self.assertNotIn(late, [nonce.external_id for nonce, _ in known[1].messages.open])
 
--- a/tests/test_node_generated.py
+++ b/tests/test_node_generated.py
@@ -10,11 +10,20 @@
 from platform_stage import ERROR, GOOD, HEARD, JOIN, MS, STATS, USAGE, S, configured, member, port
 
 from embertray.platform.protocol import limits
-from embertray.platform.protocol.calls import Caller, Rejected, Taken, Unreadable, read_answer
-from embertray.platform.protocol.discovery import Follow, Unreadable as BadList
-from embertray.platform.protocol.news import Attach, Detach, Done, News, Standing
-from embertray.platform.protocol.port import ALIVE, TURNED_AWAY, Came, Met
-from embertray.platform.protocol.start import BadStart, read
+from embertray.platform.protocol.answers import CallRejected, OrdersAccepted, read_answer
+from embertray.platform.protocol.configuration import read_configuration
+from embertray.platform.protocol.endpoint_list import EndpointListWatch
+from embertray.platform.protocol.event_stream import EventStreamParser, MarkApplied, ProxyJoined, ProxyLeft
+from embertray.platform.protocol.exceptions import (
+    ConfigurationError,
+    UnreadableAnswerError,
+    UnreadableEventStreamError,
+    UnreadableListError,
+)
+from embertray.platform.protocol.inbound import BackendReport, TrafficReport
+from embertray.platform.protocol.order_caller import OrderCaller
+from embertray.platform.protocol.proxy_registry import ProxyRegistry
+from embertray.platform.protocol.wire import HEARTBEAT_REPLY, REJECTION
 
 ANY = settings(max_examples=400, deadline=None, derandomize=True)
 NUMBERS = st.one_of(
@@ -75,23 +84,24 @@
         found, bits = whole.receive(data) if data else [], []
         for piece in pieces(data, cuts):
             bits += parts.receive(piece)
-            self.assertLessEqual(len(parts.held), limits.LINE_MOST)
+            self.assertLessEqual(len(parts.buffer), limits.LINE_MAX_BYTES)
         self.assertEqual(
-            (bits, parts.reply, parts.joined, parts.spoilt), (found, whole.reply, whole.joined, whole.spoilt)
+            (bits, parts.outgoing, parts.zone, parts.invalid_reports),
+            (found, whole.outgoing, whole.zone, whole.invalid_reports),
         )
         for one in found:
-            self.assertIsInstance(one, (Met, Came))
+            self.assertIsInstance(one, (BackendReport, TrafficReport))
             self.assertTrue(
                 0
-                <= (one.failed if isinstance(one, Met) else one.lost)
-                <= (one.tries if isinstance(one, Met) else one.requests)
+                <= (one.failures if isinstance(one, BackendReport) else one.failures)
+                <= (one.attempts if isinstance(one, BackendReport) else one.requests)
             )
-        late = whole.late(limits.JOIN_WITHIN)
-        self.assertTrue(late or whole.joined)  # a stranger has its reply or close by then
-        if whole.joined is None and whole.over:
-            self.assertTrue(whole.reply.endswith(TURNED_AWAY))
+        late = whole.check_join_deadline(limits.JOIN_TIMEOUT_NS)
+        self.assertTrue(late or whole.zone)  # a stranger has its reply or close by then
+        if whole.zone is None and whole.close_reason:
+            self.assertTrue(whole.outgoing.endswith(REJECTION))
         whole.receive(b"")
-        self.assertTrue(whole.over)
+        self.assertTrue(whole.close_reason)
 
     @ANY
     @given(st.binary(max_size=200), st.lists(st.integers(0, 10**6), max_size=8))
@@ -99,10 +109,10 @@
         one, found = port(), []
         for piece in pieces(JOIN + STATS + USAGE, cuts) + [b"\xff\n" + junk]:
             found += one.receive(piece)
-        self.assertEqual((found, one.joined, one.reply.replace(ALIVE, b"")), (HEARD, "north", b""))
+        self.assertEqual((found, one.zone, one.outgoing.replace(HEARTBEAT_REPLY, b"")), (HEARD, "north", b""))
 
 
-class Relay(unittest.TestCase):
+class RelayConnections(unittest.TestCase):
     @ANY
     @given(
         st.one_of(
@@ -117,22 +127,22 @@
         st.sampled_from([200, 400, 503]),
     )
     def test_an_answer_takes_just_what_was_sent_or_nothing_is_lost(self, body, status):
-        caller = Caller(0)
+        caller = OrderCaller(0)
         orders = ["SET,1,be-1,1", "USE,3,1,*", "SYNC,7,0"]
-        caller.put(orders[:2], 7, "SYNC,7,{}".format)
-        caller.due(0)
-        caller.answered(0, status, body)
+        caller.enqueue(orders[:2], 7, "SYNC,7,{}".format)
+        caller.next_call(0)
+        caller.on_answer(0, status, body)
         left = [order for call in caller.queue for order in call.orders]
         try:
             answer = read_answer(status, body)
-        except Unreadable:
+        except UnreadableAnswerError:
             answer = None
-        if isinstance(answer, Taken) and answer.count <= len(orders):
+        if isinstance(answer, OrdersAccepted) and answer.count <= len(orders):
             # but for its last figure: an answer may be asked of all proxies now
             self.assertEqual(
                 [order[:-1] for order in left], [order[:-1] for order in orders[answer.count + 1 :]]
             )
-        elif answer == Rejected("invalid"):
+        elif answer == CallRejected("invalid"):
             self.assertEqual(left, [*orders[:2], "SYNC,7,1"])
         else:
             self.assertEqual(left, orders)
@@ -162,17 +172,19 @@
     def test_news_in_any_pieces_tell_the_same(self, events, cuts):
         data, told = b"".join(events), []
         for stream in ([data], pieces(data, cuts)):
-            news, found = News(["north"], 40), []
+            news, found = EventStreamParser(["north"], 40), []
             try:
                 for piece in stream:
                     found += news.receive(piece)
-            except Unreadable:
+            except UnreadableEventStreamError:
                 found = None
             told.append(found)
         if None not in told:
             self.assertEqual(*told)
         for event in told[0] or ():
-            self.assertTrue(isinstance(event, (Attach, Detach, Done)) and 0 <= event.proxy < 40)
+            self.assertTrue(
+                isinstance(event, (ProxyJoined, ProxyLeft, MarkApplied)) and 0 <= event.proxy < 40
+            )
 
     @ANY
     @given(
@@ -189,35 +201,35 @@
     def test_what_is_told_of_the_proxies_is_one_story(self, acts):
         """Whatever the connections do: nobody is told to leave who is not there, or to join twice; in the end
         the story is the leader's."""
-        standing, now, there, joined = Standing(), 0, set(), set()
+        registry, now, there, joined = ProxyRegistry(), 0, set(), set()
         for conn, act, proxy in acts:
             now += 100 * MS
             found = []
             if act == "open" and conn not in there:
-                standing.opened(now, conn)
+                registry.stream_opened(now, conn)
                 there.add(conn)
             elif act == "lose":
                 there.discard(conn)
-                found = standing.lost(now, conn)
+                found = registry.stream_lost(now, conn)
             elif conn in there:
                 events = {
-                    "in": [Attach(proxy, "north", 1.0, True)],
-                    "out": [Detach(proxy)],
-                    "done": [Done(proxy, 1, 1)],
+                    "in": [ProxyJoined(proxy, "north", 1.0, True)],
+                    "out": [ProxyLeft(proxy)],
+                    "done": [MarkApplied(proxy, 1, 1)],
                 }.get(act, [])
-                found = standing.took(now, conn, events)
+                found = registry.received(now, conn, events)
             for event in found:
-                if isinstance(event, Attach):
+                if isinstance(event, ProxyJoined):
                     self.assertNotIn(event.proxy, joined)
                     joined.add(event.proxy)
-                elif isinstance(event, Detach):
+                elif isinstance(event, ProxyLeft):
                     self.assertIn(event.proxy, joined)
                     joined.remove(event.proxy)
                 else:
                     self.assertIn(event.proxy, joined)
-        self.assertEqual(joined, set(standing.joined))
-        if standing.leader in standing.views:
-            self.assertEqual(joined, set(standing.views[standing.leader].joined))
+        self.assertEqual(joined, set(registry.joined))
+        if registry.leader in registry.views:
+            self.assertEqual(joined, set(registry.views[registry.leader].joined))
 
 
 class Told(unittest.TestCase):
@@ -250,21 +262,21 @@
     )
     def test_a_list_is_taken_or_asked_for_again(self, body, status, cut):
         for data in (body, body[: cut % (len(body) + 1)]):
-            follow = Follow(3)
-            follow.ask(0)
+            watch = EndpointListWatch(3)
+            watch.next_request(0)
             try:
-                got = follow.heard(S, status, data)
+                got = watch.on_answer(S, status, data)
                 self.assertTrue(got is None or got[0] in ("whole", "changes"))
-                self.assertTrue(status == 200 and follow.revision >= 3)
+                self.assertTrue(status == 200 and watch.revision >= 3)
                 for one in got[1] if got else ():
                     self.assertTrue(
                         one.backend
                         and one.state in ("ready", "draining", "gone")
                         and one.nominal >= 0 <= one.started
                     )
-            except BadList:
-                self.assertEqual((follow.revision, follow.whole), (3, True))
-            self.assertLessEqual(max(follow.pause(), follow.broke()), limits.AGAIN_MOST)
+            except UnreadableListError:
+                self.assertEqual((watch.revision, watch.needs_whole_list), (3, True))
+            self.assertLessEqual(max(watch.pause(), watch.on_failure()), limits.BACKOFF_MAX_NS)
 
     @ANY
     @given(
@@ -274,8 +286,8 @@
         )
     )
     def test_a_configuration_is_read_or_refused(self, data):
-        with contextlib.suppress(BadStart):
-            read(data).members()
+        with contextlib.suppress(ConfigurationError):
+            read_configuration(data).known_list()
 
 
 if __name__ == "__main__":
--- a/tests/test_node_relay.py
+++ b/tests/test_node_relay.py
@@ -6,19 +6,22 @@
 from platform_stage import ERROR, GOOD, MS, S, stage
 
 from embertray.platform.protocol import limits
-from embertray.platform.protocol.calls import Caller, Rejected, Taken, Unreadable, read_answer
-from embertray.platform.protocol.news import Attach, Detach, Done, News, Standing
+from embertray.platform.protocol.answers import CallRejected, OrdersAccepted, read_answer
+from embertray.platform.protocol.event_stream import EventStreamParser, MarkApplied, ProxyJoined, ProxyLeft
+from embertray.platform.protocol.exceptions import UnreadableAnswerError, UnreadableEventStreamError
+from embertray.platform.protocol.order_caller import OrderCaller
+from embertray.platform.protocol.proxy_registry import ProxyRegistry
 
 
 class Calls(unittest.TestCase):
     def caller(self):
-        caller = Caller(200 * MS)
-        caller.put(["SET,1,be-1,1", "USE,3,1,*", "USE,4,1,*"], 7, "SYNC,7,{}".format)
+        caller = OrderCaller(200 * MS)
+        caller.enqueue(["SET,1,be-1,1", "USE,3,1,*", "USE,4,1,*"], 7, "SYNC,7,{}".format)
         return caller
 
     def test_answers(self):
-        self.assertEqual(read_answer(200, b'<?xml version="1.0"?>\n' + GOOD % 2), Taken(2))
-        self.assertEqual(read_answer(503, ERROR % b"throttled"), Rejected("throttled"))
+        self.assertEqual(read_answer(200, b'<?xml version="1.0"?>\n' + GOOD % 2), OrdersAccepted(2))
+        self.assertEqual(read_answer(503, ERROR % b"throttled"), CallRejected("throttled"))
         for spoilt in (
             b"",
             b"<Response><items><it",
@@ -28,48 +31,48 @@
             b"\xff" * 9,
             b"<Response/>",
             (GOOD % 2).replace(b"Response", b"R"),
-            b"x" * (limits.ANSWER_MOST + 1),
+            b"x" * (limits.ANSWER_MAX_BYTES + 1),
             GOOD.replace(b"%d", "²".encode()),
             GOOD.replace(b"%d", b"9" * 5000),
         ):
-            with self.assertRaises(Unreadable):
+            with self.assertRaises(UnreadableAnswerError):
                 read_answer(200, spoilt)
 
     def test_one_call_and_its_answer(self):
         caller = self.caller()
-        call = caller.due(0)
+        call = caller.next_call(0)
         self.assertEqual(call.orders, ["SET,1,be-1,1", "USE,3,1,*", "USE,4,1,*", "SYNC,7,0"])
         self.assertEqual(call.body()[:37], b"Action=CommitChanges&orders=SET%2C1%2")
-        self.assertEqual((caller.answered(0, 200, GOOD % 4), caller.idle), ("", True))
+        self.assertEqual((caller.on_answer(0, 200, GOOD % 4), caller.idle), ("", True))
 
     def test_more_taken_than_was_sent_proves_nothing(self):
         caller = self.caller()
-        caller.due(0)
-        self.assertTrue(caller.answered(0, 200, GOOD % 5))
-        self.assertIsNone(caller.due(100 * MS))
+        caller.next_call(0)
+        self.assertTrue(caller.on_answer(0, 200, GOOD % 5))
+        self.assertIsNone(caller.next_call(100 * MS))
         self.assertEqual(
-            caller.due(200 * MS + limits.EVIDENCE).orders[0], "SET,1,be-1,1"
+            caller.next_call(200 * MS + limits.ACKNOWLEDGEMENT_WAIT_NS).orders[0], "SET,1,be-1,1"
         )  # nobody answered its mark: again
 
     def test_a_refused_order_is_left_out_and_the_rest_goes_on(self):
         caller = self.caller()
-        caller.due(0)
-        caller.answered(0, 200, GOOD % 1)
+        caller.next_call(0)
+        caller.on_answer(0, 200, GOOD % 1)
         self.assertEqual(
-            caller.due(0).orders, ["USE,4,1,*", "SYNC,7,1"]
+            caller.next_call(0).orders, ["USE,4,1,*", "SYNC,7,1"]
         )  # who got the first part answers, too
 
     def test_a_rejected_call_waits_longer_each_time(self):
         caller, now, waits = self.caller(), 0, []
         for _ in range(6):
-            self.assertIsNotNone(caller.due(now))
-            caller.answered(now, 503, ERROR % b"throttled")
-            waits.append(caller.at - now)
-            now = caller.at
+            self.assertIsNotNone(caller.next_call(now))
+            caller.on_answer(now, 503, ERROR % b"throttled")
+            waits.append(caller.next_call_at - now)
+            now = caller.next_call_at
         self.assertEqual(waits, sorted(waits))
-        self.assertEqual((waits[0], waits[-1]), (limits.AGAIN_FIRST, limits.AGAIN_MOST))
-        self.assertEqual(caller.due(now).orders, self.caller().due(0).orders)
-        self.assertEqual(caller.lost, 0)
+        self.assertEqual((waits[0], waits[-1]), (limits.BACKOFF_FIRST_NS, limits.BACKOFF_MAX_NS))
+        self.assertEqual(caller.next_call(now).orders, self.caller().next_call(0).orders)
+        self.assertEqual(caller.orders_given_up, 0)
 
     def rejected(self, spoils, word=b"invalid"):
         """Plays a caller against a relay that takes no call with an order that `spoils(order)`: (caller,
@@ -78,13 +81,13 @@
         for _ in range(100):
             if caller.idle:
                 return caller, taken, said
-            now = max(now, caller.at)
-            orders = list(caller.due(now).orders)
+            now = max(now, caller.next_call_at)
+            orders = list(caller.next_call(now).orders)
             if any(map(spoils, orders)):
-                said.append(caller.answered(now, 400, ERROR % word))
+                said.append(caller.on_answer(now, 400, ERROR % word))
             else:
                 taken += orders
-                said.append(caller.answered(now, 200, GOOD % len(orders)))
+                said.append(caller.on_answer(now, 200, GOOD % len(orders)))
         self.fail("the calls have no end")
 
     def test_an_invalid_call_goes_again_in_halves_and_costs_what_makes_it_so(self):
@@ -92,52 +95,52 @@
         for word in (b"invalid", b"unheard"):
             for bad in orders:
                 caller, taken, said = self.rejected(lambda order, bad=bad: order[:5] == bad[:5], word)
-                self.assertEqual((taken, caller.lost), ([one for one in orders if one != bad], 1))
+                self.assertEqual((taken, caller.orders_given_up), ([one for one in orders if one != bad], 1))
                 named = [line for line in said if "given up" in line]
                 self.assertEqual(len(named), 1)
                 self.assertIn(bad[:5], named[0])
         once = iter([True])
         caller, taken, _ = self.rejected(lambda order: next(once, False))
-        self.assertEqual((taken, caller.lost), (orders, 0))  # it was the answer that was wrong
+        self.assertEqual((taken, caller.orders_given_up), (orders, 0))  # it was the answer that was wrong
         caller, taken, _ = self.rejected(lambda order: True)
-        self.assertEqual((taken, caller.lost), ([], len(orders)))
+        self.assertEqual((taken, caller.orders_given_up), ([], len(orders)))
 
     def test_an_unanswered_call_goes_again_only_without_evidence(self):
         for evidence in (None, 100 * MS):
             caller = self.caller()
-            caller.due(0)
-            caller.broke(0, True, "closed")
-            self.assertIsNone(caller.due(100 * MS))
+            caller.next_call(0)
+            caller.on_failure(0, True, "closed")
+            self.assertIsNone(caller.next_call(100 * MS))
             if evidence:
-                self.assertTrue(caller.saw(7))
-                self.assertIsNone(caller.due(evidence))
+                self.assertTrue(caller.acknowledge(7))
+                self.assertIsNone(caller.next_call(evidence))
                 self.assertTrue(caller.idle)
             else:
-                self.assertFalse(caller.saw(6))
-                self.assertEqual(caller.due(200 * MS + limits.EVIDENCE).nonce, 7)
+                self.assertFalse(caller.acknowledge(6))
+                self.assertEqual(caller.next_call(200 * MS + limits.ACKNOWLEDGEMENT_WAIT_NS).nonce, 7)
                 self.assertFalse(caller.idle)
 
     def test_a_call_that_was_not_sent_goes_again_soon(self):
         caller = self.caller()
-        caller.due(0)
-        caller.broke(0, False, "refused")
-        self.assertEqual(caller.due(limits.AGAIN_FIRST).nonce, 7)
+        caller.next_call(0)
+        caller.on_failure(0, False, "refused")
+        self.assertEqual(caller.next_call(limits.BACKOFF_FIRST_NS).nonce, 7)
 
     def test_many_orders_go_in_several_calls(self):
-        caller = Caller(0)
-        caller.put([f"USE,{k},1,*" for k in range(9000)], 5, "SYNC,5,{}".format)
+        caller = OrderCaller(0)
+        caller.enqueue([f"USE,{k},1,*" for k in range(9000)], 5, "SYNC,5,{}".format)
         sizes = [len(";".join(call.orders)) for call in caller.queue]
-        self.assertTrue(len(sizes) > 1 and max(sizes) <= limits.ORDERS_MOST)
+        self.assertTrue(len(sizes) > 1 and max(sizes) <= limits.ORDERS_MAX_BYTES)
         self.assertEqual([call.nonce for call in caller.queue], [None] * (len(sizes) - 1) + [5])
         self.assertEqual(caller.queue[-1].orders[-1], "SYNC,5,1")
 
     def test_a_call_is_measured_in_bytes_and_is_never_empty(self):
-        caller = Caller(0)
-        caller.put([f"SET,1,{'é' * 100}-{k},1" for k in range(500)] + [f"SET,1,{'x' * 70_000},1"])
+        caller = OrderCaller(0)
+        caller.enqueue([f"SET,1,{'é' * 100}-{k},1" for k in range(500)] + [f"SET,1,{'x' * 70_000},1"])
         sizes = [len(";".join(call.orders).encode()) for call in caller.queue]
-        self.assertLessEqual(max(sizes[:-1]), limits.ORDERS_MOST)
-        caller = Caller(0)
-        caller.put([f"SET,1,{'x' * 70_000},1"])
+        self.assertLessEqual(max(sizes[:-1]), limits.ORDERS_MAX_BYTES)
+        caller = OrderCaller(0)
+        caller.enqueue([f"SET,1,{'x' * 70_000},1"])
         self.assertEqual([len(call.orders) for call in caller.queue], [1])
 
 
@@ -149,74 +152,84 @@
             b"event: attach\ndata: node=40&locality=north&w=1&cold=0\n\nevent: attach\ndata: "
             b"node=x\n\nevent: detach\ndata: node=17\n\n"
         )
-        told = [Attach(17, "north", 21.5, True), Done(17, 905, 310_400_000), Detach(17)]
-        news, bits = News(["north"], 40), News(["north"], 40)
+        told = [ProxyJoined(17, "north", 21.5, True), MarkApplied(17, 905, 310_400_000), ProxyLeft(17)]
+        news, bits = EventStreamParser(["north"], 40), EventStreamParser(["north"], 40)
         self.assertEqual(news.receive(data), told)
         self.assertEqual([one for k in range(len(data)) for one in bits.receive(data[k : k + 1])], told)
         self.assertEqual(news.skipped, 2)
-        with self.assertRaises(Unreadable):
-            news.receive(b"x" * (limits.EVENT_MOST + 1))
+        with self.assertRaises(UnreadableEventStreamError):
+            news.receive(b"x" * (limits.EVENT_MAX_BYTES + 1))
 
-    def standing(self):
+    def registry(self):
         """Two connections on which proxies 1 and 2 stand, both past their opening; 'a' leads."""
-        standing, both = Standing(), [Attach(1, "north", 1.0, True), Attach(2, "north", 1.0, True)]
-        standing.opened(0, "a")
-        first = standing.took(0, "a", both) + standing.took(limits.OPENING, "a", [])
-        standing.opened(limits.OPENING, "b")
-        self.assertEqual(standing.took(limits.OPENING, "b", both) + standing.took(S, "b", []), [])
-        return standing, first, both
+        registry, both = (
+            ProxyRegistry(),
+            [ProxyJoined(1, "north", 1.0, True), ProxyJoined(2, "north", 1.0, True)],
+        )
+        registry.stream_opened(0, "a")
+        first = registry.received(0, "a", both) + registry.received(limits.SYNC_TIME_NS, "a", [])
+        registry.stream_opened(limits.SYNC_TIME_NS, "b")
+        self.assertEqual(
+            registry.received(limits.SYNC_TIME_NS, "b", both) + registry.received(S, "b", []), []
+        )
+        return registry, first, both
 
     def test_what_stands_is_told_once(self):
-        _, first, both = self.standing()
+        _, first, both = self.registry()
         self.assertEqual(first, both)
 
     def test_the_other_connection_takes_over_without_a_word(self):
-        standing, _, _ = self.standing()
-        self.assertEqual(standing.lost(2 * S, "a"), [])
-        self.assertEqual(standing.took(2 * S, "b", [Detach(1)]), [Detach(1)])
+        registry, _, _ = self.registry()
+        self.assertEqual(registry.stream_lost(2 * S, "a"), [])
+        self.assertEqual(registry.received(2 * S, "b", [ProxyLeft(1)]), [ProxyLeft(1)])
 
     def test_what_only_the_other_heard_is_told_when_it_takes_over(self):
-        standing, _, both = self.standing()
-        third = Attach(3, "south", 2.0, False)
-        self.assertEqual(standing.took(2 * S, "b", [Detach(1), both[0], Detach(2), third]), [])
-        self.assertEqual(standing.lost(3 * S, "a"), [Detach(2), Detach(1), both[0], third])
+        registry, _, both = self.registry()
+        third = ProxyJoined(3, "south", 2.0, False)
+        self.assertEqual(registry.received(2 * S, "b", [ProxyLeft(1), both[0], ProxyLeft(2), third]), [])
+        self.assertEqual(registry.stream_lost(3 * S, "a"), [ProxyLeft(2), ProxyLeft(1), both[0], third])
 
     def test_answers_to_marks_count_from_either(self):
-        standing, _, _ = self.standing()
-        self.assertEqual(standing.took(2 * S, "b", [Done(1, 7, 5), Done(9, 7, 5)]), [Done(1, 7, 5)])
+        registry, _, _ = self.registry()
+        self.assertEqual(
+            registry.received(2 * S, "b", [MarkApplied(1, 7, 5), MarkApplied(9, 7, 5)]),
+            [MarkApplied(1, 7, 5)],
+        )
 
     def test_a_silent_connection_is_given_up_sooner_beside_a_lively_one(self):
-        standing, _, _ = self.standing()
-        standing.took(2 * S, "b", [])
-        self.assertTrue(standing.quiet(2 * S, "a"))
-        self.assertFalse(standing.quiet(2 * S, "b"))
-        standing.lost(2 * S, "a")
-        self.assertFalse(standing.quiet(2 * S + limits.QUIET_MOST, "b"))
-        self.assertTrue(standing.quiet(2 * S + limits.QUIET_MOST + 1, "b"))
+        registry, _, _ = self.registry()
+        registry.received(2 * S, "b", [])
+        self.assertTrue(registry.silence_reason(2 * S, "a"))
+        self.assertFalse(registry.silence_reason(2 * S, "b"))
+        registry.stream_lost(2 * S, "a")
+        self.assertFalse(registry.silence_reason(2 * S + limits.SILENCE_MAX_NS, "b"))
+        self.assertTrue(registry.silence_reason(2 * S + limits.SILENCE_MAX_NS + 1, "b"))
 
     def test_a_gap_without_news_leaves_who_still_holds_a_table(self):
-        standing, _, both = self.standing()
-        third = Attach(3, "north", 1.0, True)
-        standing.took(2 * S, "a", [third])
-        standing.took(2 * S, "b", [third])
-        self.assertEqual(standing.lost(2 * S, "b") + standing.lost(2 * S, "a"), [])
-        standing.opened(3 * S, "a")
-        self.assertEqual(standing.took(3 * S, "a", [both[0]._replace(fresh=False), third]), [])
-        self.assertEqual(standing.next_at(), 3 * S + limits.OPENING)
-        self.assertEqual(standing.lead(3 * S + limits.OPENING), [Detach(2), Detach(3), third])
+        registry, _, both = self.registry()
+        third = ProxyJoined(3, "north", 1.0, True)
+        registry.received(2 * S, "a", [third])
+        registry.received(2 * S, "b", [third])
+        self.assertEqual(registry.stream_lost(2 * S, "b") + registry.stream_lost(2 * S, "a"), [])
+        registry.stream_opened(3 * S, "a")
+        self.assertEqual(registry.received(3 * S, "a", [both[0]._replace(without_table=False), third]), [])
+        self.assertEqual(registry.next_sync_at(), 3 * S + limits.SYNC_TIME_NS)
+        self.assertEqual(
+            registry.elect_leader(3 * S + limits.SYNC_TIME_NS), [ProxyLeft(2), ProxyLeft(3), third]
+        )
 
     def test_no_gap_leaves_who_held_no_table_when_the_other_connection_opened(self):
-        standing, _, _ = self.standing()
-        self.assertEqual(standing.lost(3 * S, "a"), [])
+        registry, _, _ = self.registry()
+        self.assertEqual(registry.stream_lost(3 * S, "a"), [])
 
     def test_who_leaves_and_comes_back_while_the_next_leader_opens_is_told(self):
-        standing, _, both = self.standing()
-        standing.lost(2 * S, "b")
-        standing.opened(2 * S, "b")
-        standing.took(2 * S, "b", both)
-        standing.lost(2 * S, "a")
-        standing.took(2 * S + MS, "b", [Detach(1), both[0]])
-        self.assertEqual(standing.lead(2 * S + limits.OPENING), [Detach(1), both[0]])
+        registry, _, both = self.registry()
+        registry.stream_lost(2 * S, "b")
+        registry.stream_opened(2 * S, "b")
+        registry.received(2 * S, "b", both)
+        registry.stream_lost(2 * S, "a")
+        registry.received(2 * S + MS, "b", [ProxyLeft(1), both[0]])
+        self.assertEqual(registry.elect_leader(2 * S + limits.SYNC_TIME_NS), [ProxyLeft(1), both[0]])
 
 
 class OnSockets(unittest.TestCase):
@@ -224,7 +237,7 @@
         async def play():
             async with stage() as (service, relay, _):
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1) and len(relay.streams) == limits.STREAMS)
+                await relay.until(lambda: relay.lines(1) and len(relay.streams) == limits.EVENT_STREAMS)
                 relay.attach(2, "north")
                 while any(relay.streams):  # until the relay has sent it; nobody else has run since
                     await anyio.lowlevel.checkpoint()
@@ -234,8 +247,8 @@
                 await relay.until(
                     lambda: any(order.startswith("USE,2,") for _, orders in relay.calls for order in orders)
                 )
-                await relay.until(lambda: len(relay.streams) == limits.STREAMS)
-                while 2 in service.post.standing.joined:
+                await relay.until(lambda: len(relay.streams) == limits.EVENT_STREAMS)
+                while 2 in service.controller.proxies.joined:
                     await anyio.sleep(0.02)  # and is known to have left once what stands was told
 
         anyio.run(play)
@@ -246,23 +259,23 @@
                 for node in (1, 2):
                     relay.attach(node, "north")
                 await relay.until(
-                    lambda: relay.lines(1) and relay.lines(2) and len(relay.streams) == limits.STREAMS
+                    lambda: relay.lines(1) and relay.lines(2) and len(relay.streams) == limits.EVENT_STREAMS
                 )
                 while (
                     relay.joined[1].endswith("1")
-                    or service.post.module.channel.queue
-                    or any(proxy.messages.open for proxy in service.post.module.proxies)
+                    or service.controller.module.channel.queue
+                    or any(proxy.messages.open for proxy in service.controller.module.proxies)
                 ):
                     await anyio.sleep(0.05)  # until nothing is on its way that would miss an answer
-                at = dict(service.post.standing.at)
+                at = dict(service.controller.proxies.joined_at)
                 binds = sum(order.startswith("USE,2,") for _, orders in relay.calls for order in orders)
                 del relay.bound[1]  # nobody is told
                 relay.joined[1] = relay.joined[1].replace("cold=0", "cold=1")
                 for stream in list(relay.open):
                     await anyio.aclose_forcefully(stream)
                 # by the news, not by the next mark that it misses: that may be long in coming
-                await relay.until(lambda: service.post.standing.at[1] > at[1] and relay.lines(1))
-                self.assertEqual(service.post.standing.at[2], at[2])
+                await relay.until(lambda: service.controller.proxies.joined_at[1] > at[1] and relay.lines(1))
+                self.assertEqual(service.controller.proxies.joined_at[2], at[2])
                 self.assertEqual(
                     sum(order.startswith("USE,2,") for _, orders in relay.calls for order in orders), binds
                 )
