--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -1,9 +1,9 @@
-"""Wire text to types and back: microseconds to nanoseconds, ids to objects, one Instance per controller."""
+"""Wire text to types and back: microseconds to nanoseconds, ids to objects, one module a controller."""
 
 import traceback
 
 from embertray.controller.identifiers import Identifiers
-from embertray.controller.settings import BadSettings, StartSettings, number
+from embertray.controller.settings import SettingsError, StartSettings, number
 from embertray.policy import Controller, interface as i
 
 US = 1000
@@ -11,7 +11,7 @@
 LISTS = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}
 
 
-class BadWire(Exception):
+class WireError(Exception):
     pass
 
 
@@ -85,7 +85,7 @@
         if part:
             name, eq, value = part.partition("=")
             if not eq or not name:
-                raise BadWire(f"'{part}' is not name=value")
+                raise WireError(f"'{part}' is not name=value")
             found[name] = value
     return found
 
@@ -97,13 +97,13 @@
             try:
                 got[key] = read(raw[key])
             except ValueError:
-                raise BadWire(f"{name}: '{raw[key]}' is no good value for {key}") from None
+                raise WireError(f"{name}: '{raw[key]}' is no good value for {key}") from None
         elif needed:
-            raise BadWire(f"{name}: {key} is missing")
+            raise WireError(f"{name}: {key} is missing")
     return raw, got
 
 
-class Instance(Identifiers):
+class BenchController(Identifiers):
     """One controller: its module, and the ids of the objects that the module deals in."""
 
     def __init__(self, seed, raw, clock):
@@ -112,8 +112,8 @@
             settings = StartSettings(raw)
             self.reports, self.kinds = settings.reports, settings.kinds
             self.module = Controller(seed, settings.deployment(self), clock)
-        except BadSettings as wrong:
-            raise BadWire(f"ENLIST: {wrong}") from None
+        except SettingsError as wrong:
+            raise WireError(f"ENLIST: {wrong}") from None
 
     def load(self, got):
         try:
@@ -123,17 +123,17 @@
                 else {}
             )
         except ValueError:
-            raise BadWire(f"'{got['stats']}' is no good load report") from None
+            raise WireError(f"'{got['stats']}' is no good load report") from None
 
     def kind(self, name):
         if name not in self.kinds:
-            raise BadWire(f"request kind '{name}' is not in the settings")
+            raise WireError(f"request kind '{name}' is not in the settings")
         return self.kinds[name]
 
     def entry(self, got):
         state = got.get("health", 2)
         if state not in STATES:
-            raise BadWire(f"ITEM: {state} is no good value for health")
+            raise WireError(f"ITEM: {state} is no good value for health")
         return i.Entry(
             self.backend(got["backend"]),
             self.zone(got.get("rack-zone", "")),
@@ -147,7 +147,7 @@
         span = got.get("window-us", 0) * US
         if name == "DIRECTORY_UPDATE":
             if got["kind"] not in LISTS:
-                raise BadWire(f"{name}: {got['kind']} is no good value for kind")
+                raise WireError(f"{name}: {got['kind']} is no good value for kind")
             return i.ListNews(LISTS[got["kind"]])
         if name == "TICK_DUE":
             return i.WakeDue(got["label"])
@@ -160,7 +160,7 @@
             try:
                 return i.PeerNote(got["by"], b"" if blob == "-" else bytes.fromhex(blob))
             except ValueError:
-                raise BadWire(f"PEER_DATA: '{blob}' is no good value for blob") from None
+                raise WireError(f"PEER_DATA: '{blob}' is no good value for blob") from None
         if name == "STREAM_UP":
             return i.Joined(
                 self.proxy(got["proxy"]),
@@ -186,17 +186,17 @@
             )
         if name == "HEAT":
             return i.SliceArrivals(
-                self.slice(got["route-table"]),
+                self.slice_table(got["route-table"]),
                 self.kind(got["class"]),
                 got["total"],
                 got.get("lost", 0),
                 span,
             )
         if name == "LEASED":
-            return i.SliceGiven(self.slice(got["route-table"]), got["set"])
+            return i.SliceGiven(self.slice_table(got["route-table"]), got["set"])
         if name == "LEDGER_LINE":
             return i.SliceLine(
-                self.slice(got["route-table"]), self.backend(got["backend"]), got.get("share", 1.0)
+                self.slice_table(got["route-table"]), self.backend(got["backend"]), got.get("share", 1.0)
             )
         if name == "CONFIRMED":
             nonce = self.nonces.get(got["epoch"])
@@ -233,7 +233,7 @@
         return "SAY_LOG what=" + " ".join(order.text.split())
 
 
-class Link:
+class BatchReader:
     """Reads batches and plays them to the instances."""
 
     def __init__(self):
@@ -250,13 +250,13 @@
         name, _, rest = text.partition(" ")
         if name == "SYNC":
             if self.clock is not None:
-                raise BadWire("SYNC inside a batch")
+                raise WireError("SYNC inside a batch")
             self.begin(fields(name, rest)[1])
             return None
         if self.clock is None:
-            raise BadWire(f"{name} before SYNC")
+            raise WireError(f"{name} before SYNC")
         if self.rows and name != "ITEM":
-            raise BadWire(f"DIRECTORY_UPDATE is {self.rows} entries short")
+            raise WireError(f"DIRECTORY_UPDATE is {self.rows} entries short")
         if name == "FLUSH":
             return self.finish()
         if name not in FIELDS:
@@ -265,14 +265,14 @@
         if name == "FOR":
             self.who = got["who"]
         elif self.who is None:
-            raise BadWire(f"{name} before FOR")
+            raise WireError(f"{name} before FOR")
         elif name == "ITEM":
             if self.rows:
                 self.rows -= 1
                 if self.news:
                     self.news.entries.append(self.instances[self.who].entry(got))
         elif name == "ENLIST":
-            self.instances[self.who] = Instance(got["salt"], raw, self.clock)
+            self.instances[self.who] = BenchController(got["salt"], raw, self.clock)
             self.todo[self.who] = []
         elif name == "KILLED":
             self.instances.pop(self.who, None)
@@ -283,7 +283,7 @@
             if name == "DIRECTORY_UPDATE":
                 self.rows, self.news = got.get("rows-in", 0), event
                 if self.rows < 0:
-                    raise BadWire("DIRECTORY_UPDATE: rows-in is below 0")
+                    raise WireError("DIRECTORY_UPDATE: rows-in is below 0")
             if event:
                 self.todo.setdefault(self.who, []).append(event)
         return None
@@ -313,7 +313,7 @@
 
 def serve(source, sink, errors):
     """Runs to the end of input: 0, or 1 with one message if a line is malformed."""
-    link, count = Link(), 0
+    link, count = BatchReader(), 0
     for text in source:
         count += 1
         text = text.rstrip("\r\n")
@@ -321,7 +321,7 @@
             continue
         try:
             reply = link.line(text)
-        except BadWire as wrong:
+        except WireError as wrong:
             errors.write(f"embertray: line {count}: {wrong}\n")
             return 1
         if reply:
--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -51,7 +51,11 @@
                 HANDLES,
             ),
         ],
-        "list": [Collection("starts", len(it.starts), it.starts.items, [it.starts, it.state], HANDLES)],
+        "list": [
+            Collection(
+                "starts", len(it.start_times), it.start_times.items, [it.start_times, it.state], HANDLES
+            )
+        ],
         "reports": [
             Collection(
                 "waiting", len(it.intake.waiting), it.intake.waiting.items, [it.intake.waiting], HANDLES
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -85,7 +85,9 @@
         proxy = self.identifiers.proxy(hello.proxy)
         self.outbox.joined(proxy)
         self.open[hello.proxy] = deque()
-        self.todo.append(i.Joined(proxy, self.identifiers.zone(hello.zone), hello.rate, hello.fresh))
+        self.pending_events.append(
+            i.Joined(proxy, self.identifiers.zone(hello.zone), hello.rate, hello.fresh)
+        )
 
     def left(self, now, name):
         proxy = self.identifiers.proxy(name)
@@ -95,14 +97,14 @@
         self.reduced.gauge.left(proxy)
         for nonce in self.open.pop(name, ()):
             self.settled(nonce)
-        self.todo.append(i.Left(proxy))
+        self.pending_events.append(i.Left(proxy))
 
     def answered(self, now, name, nonce):
         """The proxy has applied this nonce's message and all before it."""
         held, known = self.open.get(name, ()), self.identifiers.nonces.get(nonce)
         if known is None or nonce not in held:
             return
-        self.todo.append(i.Answered(self.identifiers.proxy(name), known, now - self.stamps[nonce]))
+        self.pending_events.append(i.Answered(self.identifiers.proxy(name), known, now - self.stamps[nonce]))
         while held:
             first = held.popleft()
             self.settled(first)
@@ -136,7 +138,7 @@
     def probed(self, now, backend, answered, load=None):
         began = self.probing.pop(backend, now)
         took = now - began
-        self.todo.append(i.ProbeDone(self.identifiers.backend(backend), answered, took, load or {}))
+        self.pending_events.append(i.ProbeDone(self.identifiers.backend(backend), answered, took, load or {}))
 
     # ---- time
 
@@ -147,7 +149,7 @@
         if (change := self.reduced.due(now)) is not None:
             step.change = change
             self.outbox.wait, self.outbox.most_again = self.reduced.wait, self.reduced.most_again
-        if orders := self.play(now, self.intake.due(now)):
+        if orders := self.run_step(now, self.intake.due(now)):
             for proxy, message, nonce in self.outbox.post(now, orders):
                 if nonce:
                     self.stamps[message.nonce] = now
@@ -230,7 +232,7 @@
 
     def next_at(self):
         """When to advance again if nothing happens before, ns."""
-        if self.todo:
+        if self.pending_events:
             return 0
-        times = [self.next_wake(), self.intake.next_at(), self.pacer.next_at()]
+        times = [self.next_timer_at(), self.intake.next_at(), self.pacer.next_at()]
         return min((t for t in times if t is not None), default=None)
--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -1,5 +1,5 @@
-"""The module with its identifiers, timers and the mapping of starts. What happens is put to `todo`;
-`play(now)` is one step.
+"""The module with its identifiers, timers and the mapping of starts. What happens is put to `pending_events`;
+`run_step(now)` is one step.
 
 Whoever builds on it (core.Instance for the daemon, node.Post for the platform) carries the orders on.
 """
@@ -20,18 +20,18 @@
     def __init__(self, seed, deployment, now):
         self.identifiers = Identifiers()
         self.module = Controller(seed, deployment(self.identifiers), now)
-        self.todo, self.wakes, self.count = [], [], 0
-        self.starts, self.state = {}, {}
+        self.pending_events, self.timers, self.timers_set = [], [], 0
+        self.start_times, self.state = {}, {}
         self.steps = self.events = 0
 
     def entry(self, now, clock, e):
         """A start is mapped to our clock once, when it is first heard of: it must not wander with the
         delays.
         """
-        heard, ours = self.starts.get(e.backend, (0, 0))
+        heard, ours = self.start_times.get(e.backend, (0, 0))
         if heard != e.started:
             ours = max(1, now - max(0, clock - e.started)) if e.started else 0
-            self.starts[e.backend] = e.started, ours
+            self.start_times[e.backend] = e.started, ours
         if e.state == "gone":
             self.state.pop(e.backend, None)
         else:
@@ -44,25 +44,25 @@
         """`clock`: the list's own clock at `now`, ns."""
         if how == "whole":
             self.state = {}
-        self.todo.append(i.ListNews(how, [self.entry(now, clock, e) for e in entries]))
+        self.pending_events.append(i.ListNews(how, [self.entry(now, clock, e) for e in entries]))
 
-    def play(self, now, late=()):
+    def run_step(self, now, late=()):
         """One step if anything happened or is due (`late`: further events, after the timers): its orders less
         its timers.
         """
-        while self.wakes and self.wakes[0][0] <= now:
-            self.todo.append(i.WakeDue(heapq.heappop(self.wakes)[2]))
-        self.todo += late
-        if not self.todo:
+        while self.timers and self.timers[0][0] <= now:
+            self.pending_events.append(i.WakeDue(heapq.heappop(self.timers)[2]))
+        self.pending_events += late
+        if not self.pending_events:
             return []
-        todo, self.todo = self.todo, []
+        todo, self.pending_events = self.pending_events, []
         self.steps += 1
         self.events += len(todo)
         rest = []
         for order in self.module.step(now, todo):
             if isinstance(order, i.Wake):
-                self.count += 1
-                heapq.heappush(self.wakes, (now + max(1, order.after), self.count, order.label))
+                self.timers_set += 1
+                heapq.heappush(self.timers, (now + max(1, order.after), self.timers_set, order.label))
             else:
                 rest.append(order)
         return rest
@@ -75,19 +75,19 @@
         for name, backend in list(self.identifiers.backends.items()):
             if backend.actor is None and name not in self.state and not needed(backend):
                 del self.identifiers.backends[name]
-                self.starts.pop(name, None)
+                self.start_times.pop(name, None)
                 gone.append(backend)
         for name, proxy in list(self.identifiers.proxies.items()):
             if proxy.actor is None and not needed(proxy):
                 del self.identifiers.proxies[name]
         # a dict keeps its largest table until it is made anew
-        self.starts, self.state, self.identifiers.backends, self.identifiers.proxies = map(
-            dict, (self.starts, self.state, self.identifiers.backends, self.identifiers.proxies)
+        self.start_times, self.state, self.identifiers.backends, self.identifiers.proxies = map(
+            dict, (self.start_times, self.state, self.identifiers.backends, self.identifiers.proxies)
         )
         return gone
 
-    def next_wake(self):
+    def next_timer_at(self):
         """When the next timer is due, ns or None; 0 if something waits already."""
-        if self.todo:
+        if self.pending_events:
             return 0
-        return self.wakes[0][0] if self.wakes else None
+        return self.timers[0][0] if self.timers else None
--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -6,10 +6,14 @@
 from embertray.policy import interface as i
 
 US = 1000
-AGAIN = {"read_like": "replayable", "idempotency_key": "deduplicated", "non_idempotent": "non-replayable"}
-THROTTLES = {"silent": "none"}
+IDEMPOTENCY = {
+    "read_like": "replayable",
+    "idempotency_key": "deduplicated",
+    "non_idempotent": "non-replayable",
+}
+THROTTLE_MODES = {"silent": "none"}
 # load reports, by the dialect's names and by the common ones
-LOADS = {
+LOAD_METRICS = {
     "active": "held",
     "waiting": "waiting",
     "cpu": "busy",
@@ -25,13 +29,13 @@
 }
 
 
-class BadSettings(ValueError):
+class SettingsError(ValueError):
     """A value can't be read; the text names it and its key."""
 
 
 def flat(nested, path=""):
     """Nested JSON as the wire's pairs: {'a': {'b': [1, 2]}} gives {'a.b': '1,2'}; lists of objects get
-    .count, .0, .1. Raises BadSettings for a list of objects and others.
+    .count, .0, .1. Raises SettingsError for a list of objects and others.
     """
     found = {}
     for name, value in nested.items():
@@ -42,7 +46,7 @@
             found[key + ".count"] = str(len(value))
             for k, one in enumerate(value):
                 if not isinstance(one, dict):
-                    raise BadSettings(f"'{one}' among the objects of {key}")
+                    raise SettingsError(f"'{one}' among the objects of {key}")
                 found.update(flat(one, f"{key}.{k}."))
         elif isinstance(value, list):
             found[key] = ",".join(map(plain, value))
@@ -65,12 +69,12 @@
 
 class StartSettings:
     """Reads one instance's settings. `kinds`: name -> RequestKind, whose `external_id` is its place;
-    `reports`: our names of a load report's values in their order; `zones`: names. Raises BadSettings.
+    `reports`: our names of a load report's values in their order; `zones`: names. Raises SettingsError.
     """
 
     def __init__(self, raw):
         self.raw = raw
-        self.reports = [LOADS.get(name, name) for name in self.names("feedback.fields")]
+        self.reports = [LOAD_METRICS.get(name, name) for name in self.names("feedback.fields")]
         self.zones, self.proxies = self.names("zones"), int(self.figure("specifics.agents"))
         self.tick = self.time("tick")
         self.kinds = {}
@@ -79,7 +83,7 @@
                 self.time(f"profiles.{k}.aim"),
                 self.time(f"profiles.{k}.deadline"),
                 self.figure(f"profiles.{k}.worth", 1.0),
-                AGAIN.get(self.text(f"profiles.{k}.effect"), "non-replayable"),
+                IDEMPOTENCY.get(self.text(f"profiles.{k}.effect"), "non-replayable"),
                 self.text(f"profiles.{k}.group", "all"),
                 k,
             )
@@ -101,7 +105,7 @@
             ask=self.text("discovery") == "ask",
             ask_within=self.time("contract.must-ask-in"),
             may_probe=self.yes("caps.probes"),
-            throttle=THROTTLES.get(
+            throttle=THROTTLE_MODES.get(
                 self.text("specifics.throttle-by"), self.text("specifics.throttle-by", "none")
             ),
             pick=self.text("specifics.selects-by", "weighted"),
@@ -135,7 +139,7 @@
         try:
             return number(self.raw[key]) if key in self.raw else other
         except ValueError:
-            raise BadSettings(f"'{self.raw[key]}' is no good value for {key}") from None
+            raise SettingsError(f"'{self.raw[key]}' is no good value for {key}") from None
 
     def time(self, key):
         return int(self.figure(key + "-us") * US)
--- a/embertray/platform/protocol/configuration.py
+++ b/embertray/platform/protocol/configuration.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from embertray.controller.settings import BadSettings
+from embertray.controller.settings import SettingsError
 
 from .exceptions import ConfigurationError
 from .wire import configuration_decoder
@@ -39,10 +39,10 @@
         A log text for each permission that goes unused.
 
     Raises:
-        BadSettings: tables belong to slices, and then nothing can be served without words for them.
+        SettingsError: tables belong to slices, and then nothing can be served without words for them.
     """
     if settings.figure(SLICES_SETTING):
-        raise BadSettings(f"{SLICES_SETTING}: the platform's protocol has no words for slices")
+        raise SettingsError(f"{SLICES_SETTING}: the platform's protocol has no words for slices")
     return [
         f"the settings permit {what}: the platform's protocol has no words for them, none are sent"
         for what, key in UNUSED_PERMISSIONS
--- a/embertray/platform/protocol/inbound.py
+++ b/embertray/platform/protocol/inbound.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from embertray.controller.settings import LOADS
+from embertray.controller.settings import LOAD_METRICS
 
 from .limits import JOIN_TIMEOUT_NS, LINE_MAX_BYTES, MS, UNJOINED_MAX_BYTES
 from .wire import (
@@ -157,7 +157,7 @@
         elif message.latency is None and message.attempts > message.failures:
             self.skip_report("no time of those done")
         else:
-            load = {LOADS.get(name, name): value for name, value in (message.load or {}).items()}
+            load = {LOAD_METRICS.get(name, name): value for name, value in (message.load or {}).items()}
             latency = round((message.latency or 0) * MS)
             interval = round(message.interval * MS)
             reports.append(
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -42,7 +42,7 @@
             wall_clock: Unix time at `now`, ns.
 
         Raises:
-            BadSettings: a setting can't be read, or needs what the protocol can't carry.
+            SettingsError: a setting can't be read, or needs what the protocol can't carry.
         """
         self.settings = StartSettings.nested(configuration.settings)
         self.log_texts = unsupported_permissions(self.settings)
@@ -73,8 +73,8 @@
             if (event := self.translator.report(report)) is None:
                 self.unknown_reports += 1
             else:
-                self.todo.append(event)
-        if len(self.todo) > PENDING_EVENTS_MAX:
+                self.pending_events.append(event)
+        if len(self.pending_events) > PENDING_EVENTS_MAX:
             self.drop_reports()
 
     def drop_reports(self):
@@ -83,9 +83,9 @@
         Against a relay that takes no call for hours: no step runs meanwhile, and reports alone would fill the
         memory. Removals, joins and leaves stay; old reports tell nothing any more.
         """
-        kept = [event for event in self.todo if not isinstance(event, (i.Heard, i.Arrivals))]
-        self.dropped_reports += len(self.todo) - len(kept)
-        self.todo = kept
+        kept = [event for event in self.pending_events if not isinstance(event, (i.Heard, i.Arrivals))]
+        self.dropped_reports += len(self.pending_events) - len(kept)
+        self.pending_events = kept
 
     def add_proxy_events(self, events):
         """Events of the ProxyRegistry wait for the next step.
@@ -98,7 +98,7 @@
             if isinstance(event, MarkApplied):
                 answered = self.order_caller.acknowledge(event.nonce) or answered
             if (translated := self.translator.proxy_event(event)) is not None:
-                self.todo.append(translated)
+                self.pending_events.append(translated)
         return answered
 
     def advance(self, now):
@@ -110,7 +110,7 @@
         if now >= self.cleanup_at:
             self.cleanup_at = now + CLEANUP_PERIOD_NS
             self.clean_up()
-        if self.order_caller.idle and (orders := self.play(now)):
+        if self.order_caller.idle and (orders := self.run_step(now)):
             step = self.translator.step_orders(orders)
             self.order_caller.enqueue(step.texts, step.nonce, step.mark)
             self.log_texts += step.log_texts
@@ -132,10 +132,10 @@
                 handle.actor = None
         self.seed += 1
         self.module = Controller(self.seed, self.settings.deployment(self.identifiers), now)
-        self.wakes = []
+        self.timers = []
         self.identifiers.nonces = {}
         joined = map(self.translator.proxy_event, self.proxies.joined.values())
-        self.todo = [i.ListNews("cached", listed), *joined]
+        self.pending_events = [i.ListNews("cached", listed), *joined]
 
     def clean_up(self):
         """Forget who is long gone, and nonces that nobody owes an answer to."""
@@ -148,4 +148,4 @@
 
     def next_step_at(self):
         """When to advance again if nothing happens before, ns; None while a call is under way."""
-        return self.next_wake() if self.order_caller.idle else None
+        return self.next_timer_at() if self.order_caller.idle else None
--- a/embertray/platform/run/__main__.py
+++ b/embertray/platform/run/__main__.py
@@ -17,7 +17,7 @@
 from embertray.common.net.address import BadAddress, plain
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.controller.settings import BadSettings
+from embertray.controller.settings import SettingsError
 from embertray.platform.protocol.configuration import read_configuration
 from embertray.platform.protocol.exceptions import ConfigurationError
 
@@ -55,7 +55,7 @@
     exit_code = EXIT_OK
     try:
         anyio.run(serve, path)
-    except* (ConfigurationError, BadSettings, BadAddress, OSError) as group:
+    except* (ConfigurationError, SettingsError, BadAddress, OSError) as group:
         exit_code = EXIT_UNUSABLE
         log.error("ended", why=[str(error) for error in group.exceptions])
     return exit_code
--- a/embertray/platform/run/service.py
+++ b/embertray/platform/run/service.py
@@ -45,7 +45,7 @@
             log: A structlog logger.
 
         Raises:
-            BadSettings: a setting can't be read, or needs what the protocol can't carry.
+            SettingsError: a setting can't be read, or needs what the protocol can't carry.
         """
         self.configuration = configuration
         self.clock = clock
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -23,7 +23,7 @@
 from embertray.common.net.address import BadAddress, plain
 from embertray.common.net.tcp import TcpNet
 from embertray.controller.identifiers import Identifiers
-from embertray.controller.settings import BadSettings, StartSettings
+from embertray.controller.settings import SettingsError, StartSettings
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.configuration import read_configuration
 from embertray.platform.protocol.event_stream import ProxyJoined
@@ -64,7 +64,7 @@
         )
 
     def test_bad_values_are_named(self):
-        with self.assertRaisesRegex(BadSettings, "'x' is no good value for specifics.agents"):
+        with self.assertRaisesRegex(SettingsError, "'x' is no good value for specifics.agents"):
             StartSettings({"specifics.agents": "x"})
         for data in (b"", b"{", b"[]", b'{"name":"n1"}', configured().replace(b'"listen"', b'"l"'), b"\xff"):
             with self.assertRaises(ConfigurationError):
@@ -94,15 +94,16 @@
     def test_reports_do_not_pile_up_while_no_call_gets_through(self):
         controller = PlatformController(read_configuration(configured()), 0, 0)
         self.assertTrue(controller.advance(0))  # the first tables wait for a relay that is not there
-        before = len(controller.todo)
+        before = len(controller.pending_events)
         controller.add_proxy_events([ProxyJoined(1, "north", 1.0, True)])
         for _ in range(3 * limits.PENDING_EVENTS_MAX):
             controller.add_reports(HEARD[:1])
-            self.assertLessEqual(len(controller.todo), limits.PENDING_EVENTS_MAX + 1)
+            self.assertLessEqual(len(controller.pending_events), limits.PENDING_EVENTS_MAX + 1)
         self.assertEqual(
-            controller.dropped_reports + len(controller.todo) - before, 3 * limits.PENDING_EVENTS_MAX + 1
+            controller.dropped_reports + len(controller.pending_events) - before,
+            3 * limits.PENDING_EVENTS_MAX + 1,
         )
-        self.assertIn("Joined", [type(event).__name__ for event in controller.todo])
+        self.assertIn("Joined", [type(event).__name__ for event in controller.pending_events])
 
     def test_run_imports_nothing_that_it_leaves_off(self):
         code = (
@@ -420,7 +421,7 @@
             return PlatformController(read_configuration(configured(settings={**SETTINGS, **more})), 0, 0)
 
         self.assertEqual(controller().log_texts, [])
-        with self.assertRaisesRegex(BadSettings, "partitions-n: .* no words for slices"):
+        with self.assertRaisesRegex(SettingsError, "partitions-n: .* no words for slices"):
             controller(specifics={**SETTINGS["specifics"], "partitions-n": 8})
         told = controller(caps={"probes": True, "peer-messages": True}).log_texts
         self.assertEqual([("probes" in one, "peers" in one) for one in told], [(True, False), (False, True)])
--- a/tests/test_node_endings.py
+++ b/tests/test_node_endings.py
@@ -14,7 +14,7 @@
     """Until nothing is on its way."""
     controller = service.controller
     while (
-        controller.todo
+        controller.pending_events
         or not controller.order_caller.idle
         or controller.module.channel.queue
         or controller.module.channel.out
