--- a/embertray/benchlink/__main__.py
+++ b/embertray/benchlink/__main__.py
@@ -2,6 +2,6 @@
 
 import sys
 
-from .wire import serve
+from .batches import serve
 
 sys.exit(serve(sys.stdin, sys.stdout, sys.stderr))
--- /dev/null
+++ b/embertray/benchlink/batches.py
@@ -0,0 +1,138 @@
+"""Batches of the bench's wire: lines in, replies out, for as many controllers as the bench starts."""
+
+from . import wire
+from .controller import EVENT_READERS, BenchController
+from .exceptions import WireError
+
+EXIT_OK = 0
+EXIT_MALFORMED = 1
+
+
+class BatchReader:
+    """Reads batches and runs a step of each controller that a batch has events for.
+
+    Attributes:
+        controllers: Number -> its BenchController.
+        now: Of the batch that is open, ns; None between batches.
+    """
+
+    def __init__(self):
+        self.controllers = {}
+        self.now = None
+        self.batch = None  # number of the batch
+        self.addressee = None  # number of the controller that the next lines are for
+        self.entries_missing = 0  # of the list's news that came last
+        self.list_news = None  # those news; None if they are for no known controller
+        self.events = {}  # number of a controller -> its events, in order of first mention
+
+    def begin(self, values):
+        """A batch begins."""
+        self.now = values["now"]
+        self.batch = values["batch"]
+        self.addressee = None
+        self.entries_missing = 0
+        self.list_news = None
+        self.events = {}
+
+    def line(self, text):
+        """Take one line.
+
+        Returns:
+            The reply's lines if it ends the batch, else None.
+
+        Raises:
+            WireError: it is malformed or stands where it may not.
+        """
+        name, _, rest = text.partition(" ")
+        if name == wire.BATCH_BEGIN:
+            if self.now is not None:
+                raise WireError(f"{name} inside a batch")
+            self.begin(wire.read_fields(name, wire.read_pairs(rest)))
+            return None
+        if self.now is None:
+            raise WireError(f"{name} before {wire.BATCH_BEGIN}")
+        if self.entries_missing and name != wire.LIST_ENTRY:
+            raise WireError(f"{wire.LIST_NEWS} is {self.entries_missing} entries short")
+        if name == wire.BATCH_END:
+            return self.finish()
+        if name in wire.FIELDS:
+            pairs = wire.read_pairs(rest)
+            self.inside(name, pairs, wire.read_fields(name, pairs))
+        return None
+
+    def inside(self, name, pairs, values):
+        """Take a line within a batch by its name, pairs and values. Raises WireError."""
+        if name == wire.ADDRESSEE:
+            self.addressee = values["controller"]
+        elif self.addressee is None:
+            raise WireError(f"{name} before {wire.ADDRESSEE}")
+        elif name == wire.LIST_ENTRY:
+            self.add_entry(values)
+        elif name == wire.START:
+            self.controllers[self.addressee] = BenchController(values["seed"], pairs, self.now)
+            self.events[self.addressee] = []
+        elif name == wire.KILL:
+            self.controllers.pop(self.addressee, None)
+            self.events.pop(self.addressee, None)
+        else:
+            self.add_event(name, values)
+
+    def add_entry(self, values):
+        """An entry of the list's news; one too many is skipped."""
+        if self.entries_missing:
+            self.entries_missing -= 1
+            if self.list_news:
+                self.list_news.entries.append(self.controllers[self.addressee].entry(values))
+
+    def add_event(self, name, values):
+        """An event; it is skipped if its controller is not known."""
+        controller = self.controllers.get(self.addressee)
+        event = EVENT_READERS[name](controller, values) if controller else None
+        if name == wire.LIST_NEWS:
+            self.entries_missing = values.get("entries", 0)
+            self.list_news = event
+            if self.entries_missing < 0:
+                raise WireError(f"{name}: rows-in is below 0")
+        if event:
+            self.events.setdefault(self.addressee, []).append(event)
+
+    def finish(self):
+        """The batch ends. Returns the reply's lines; a module that failed is the last that is run."""
+        reply = []
+        for number, events in self.events.items():
+            lines, failed = self.controllers[number].step(self.now, events)
+            if lines:
+                reply.append(wire.addressor(number))
+                reply += lines
+            if failed:
+                break
+        reply.append(wire.batch_done(self.batch))
+        self.now = None
+        return reply
+
+
+def serve(source, sink, errors):
+    """Run to the end of input.
+
+    Args:
+        source: Text file with the wire's lines.
+        sink: Text file for the replies.
+        errors: Text file for the one message about a malformed line.
+
+    Returns:
+        The exit code.
+    """
+    reader = BatchReader()
+    for count, line in enumerate(source, 1):
+        text = line.rstrip("\r\n")
+        if not text:
+            continue
+        try:
+            reply = reader.line(text)
+        except WireError as error:
+            errors.write(f"embertray: line {count}: {error}\n")
+            return EXIT_MALFORMED
+        if reply:
+            sink.write("\n".join(reply) + "\n")
+            sink.flush()
+    return EXIT_OK
--- /dev/null
+++ b/embertray/benchlink/controller.py
@@ -0,0 +1,213 @@
+"""One controller of the bench: its decision module, the wire's events read for it and its orders written."""
+
+import traceback
+
+from embertray.controller.exceptions import SettingsError
+from embertray.controller.identifiers import Identifiers
+from embertray.controller.settings import StartSettings, number
+from embertray.policy import Controller, interface as i
+
+from . import wire
+from .exceptions import WireError
+
+
+class BenchController(Identifiers):
+    """The module, and the identifiers of the objects that it deals in.
+
+    Methods that read events take the values of a line's fields, by their terms, and raise WireError.
+    """
+
+    def __init__(self, seed, settings, now):
+        """Start at `now`, ns, by the pairs of a start line. Raises WireError: a setting can't be read."""
+        super().__init__()
+        try:
+            settings = StartSettings(settings)
+            self.load_metrics = settings.load_metrics
+            self.request_kinds = settings.kinds
+            self.module = Controller(seed, settings.deployment(self), now)
+        except SettingsError as error:
+            raise WireError(f"{wire.START}: {error}") from None
+
+    # ---- parts of events
+
+    def load(self, values):
+        """The load report in a line, metric -> value; empty if it has none."""
+        if "load" not in values:
+            return {}
+        try:
+            figures = [number(text) for text in values["load"].split(",")]
+        except ValueError:
+            raise WireError(f"'{values['load']}' is no good load report") from None
+        return dict(zip(self.load_metrics, figures, strict=False))
+
+    def request_kind(self, values):
+        """The interface.RequestKind in a line."""
+        name = values["request_kind"]
+        if name not in self.request_kinds:
+            raise WireError(f"request kind '{name}' is not in the settings")
+        return self.request_kinds[name]
+
+    # ---- events
+
+    def entry(self, values):
+        """One entry of the list."""
+        state = values.get("state", wire.STATE_READY)
+        if state not in wire.STATES:
+            raise WireError(f"{wire.LIST_ENTRY}: {state} is no good value for health")
+        return i.Entry(
+            self.backend(values["backend"]),
+            self.zone(values.get("zone", "")),
+            wire.STATES[state],
+            values.get("started", 0),
+            values.get("nominal", 1.0),
+        )
+
+    def list_news(self, values):
+        """The list's news, whose entries follow."""
+        kind = values["kind"]
+        if kind not in wire.LIST_KINDS:
+            raise WireError(f"{wire.LIST_NEWS}: {kind} is no good value for kind")
+        return i.ListNews(wire.LIST_KINDS[kind])
+
+    def timer_due(self, values):
+        """A timer is due."""
+        return i.WakeDue(values["label"])
+
+    def health_check_done(self, values):
+        """A health check was answered or not."""
+        answered = values["outcome"] == wire.HEALTH_CHECK_ANSWERED
+        latency = values.get("latency", 0)
+        return i.ProbeDone(self.backend(values["backend"]), answered, latency, self.load(values))
+
+    def peer_note(self, values):
+        """A note of another controller."""
+        data = values.get("data", wire.NO_DATA)
+        try:
+            return i.PeerNote(values["sender"], b"" if data == wire.NO_DATA else bytes.fromhex(data))
+        except ValueError:
+            raise WireError(f"{wire.PEER_NOTE}: '{data}' is no good value for blob") from None
+
+    def proxy_joined(self, values):
+        """A proxy has joined."""
+        return i.Joined(
+            self.proxy(values["proxy"]),
+            self.zone(values["zone"]),
+            values.get("rate", 0.0),
+            values.get("without_table", False),
+        )
+
+    def proxy_left(self, values):
+        """A proxy has left."""
+        return i.Left(self.proxy(values["proxy"]))
+
+    def backend_report(self, values):
+        """What the proxies of a zone saw of a backend."""
+        return i.Heard(
+            self.backend(values["backend"]),
+            self.zone(values.get("zone", "")),
+            values["attempts"],
+            values.get("failures", 0),
+            values.get("latency", 0),
+            values.get("interval", 0),
+            self.load(values),
+        )
+
+    def traffic_report(self, values):
+        """The requests of a kind that reached a proxy."""
+        return i.Arrivals(
+            self.proxy(values["proxy"]),
+            self.request_kind(values),
+            values["requests"],
+            values.get("failures", 0),
+            values.get("interval", 0),
+        )
+
+    def slice_traffic_report(self, values):
+        """The requests of a kind that reached a slice."""
+        return i.SliceArrivals(
+            self.slice_table(values["table"]),
+            self.request_kind(values),
+            values["requests"],
+            values.get("failures", 0),
+            values.get("interval", 0),
+        )
+
+    def slice_leased(self, values):
+        """A slice was leased to this controller or taken from it."""
+        return i.SliceGiven(self.slice_table(values["table"]), values["ours"])
+
+    def slice_line(self, values):
+        """A line that a slice's table has already."""
+        table = self.slice_table(values["table"])
+        return i.SliceLine(table, self.backend(values["backend"]), values.get("weight", 1.0))
+
+    def mark_applied(self, values):
+        """A proxy answered a nonce; None if it is not open any more."""
+        nonce = self.nonces.get(values["nonce"])
+        return nonce and i.Answered(self.proxy(values["proxy"]), nonce, values.get("apply_time", 0))
+
+    # ---- steps
+
+    def step(self, now, events):
+        """Run one step of the module at `now`, ns.
+
+        Returns:
+            The lines of its orders, or one that says how the module failed, and whether it failed.
+        """
+        try:
+            orders = self.module.step(now, events)
+        except Exception as error:  # the wire wants the module's failure declared, not a crash
+            place = traceback.extract_tb(error.__traceback__)[-1]
+            text = f"{type(error).__name__}: {error} ({place.name}, line {place.lineno})"
+            return [wire.failure(text)], True
+        return [ORDER_WRITERS[type(order)](self, order) for order in orders], False
+
+    # ---- orders
+
+    def write_line(self, order):
+        """The line of an interface.SetLine."""
+        return wire.set_line(self.table_id(order.table), order.backend.external_id, order.weight)
+
+    def write_bind(self, order):
+        """The line of an interface.Bind."""
+        return wire.bind(order.proxy.external_id, self.table_id(order.table))
+
+    def write_level(self, order):
+        """The line of an interface.SetLevel."""
+        kinds = sum(1 << kind.external_id for kind in order.kinds)
+        return wire.set_level(self.table_id(order.table), kinds, order.level, order.retry)
+
+    def write_mark(self, order):
+        """The line of an interface.PutNonce."""
+        return wire.mark(self.nonce_id(order.nonce))
+
+
+# event's name -> the method that reads it
+EVENT_READERS = {
+    wire.LIST_NEWS: BenchController.list_news,
+    wire.TIMER_DUE: BenchController.timer_due,
+    wire.HEALTH_CHECK_DONE: BenchController.health_check_done,
+    wire.PEER_NOTE: BenchController.peer_note,
+    wire.PROXY_JOINED: BenchController.proxy_joined,
+    wire.PROXY_LEFT: BenchController.proxy_left,
+    wire.BACKEND_REPORT: BenchController.backend_report,
+    wire.TRAFFIC_REPORT: BenchController.traffic_report,
+    wire.SLICE_TRAFFIC_REPORT: BenchController.slice_traffic_report,
+    wire.SLICE_LEASED: BenchController.slice_leased,
+    wire.SLICE_LINE: BenchController.slice_line,
+    wire.MARK_APPLIED: BenchController.mark_applied,
+}
+
+# order's type -> what writes its line, called with the controller and the order
+ORDER_WRITERS = {
+    i.SetLine: BenchController.write_line,
+    i.Bind: BenchController.write_bind,
+    i.Withdraw: lambda _, order: wire.eject(order.backend.external_id, order.out),
+    i.SetLevel: BenchController.write_level,
+    i.PutNonce: BenchController.write_mark,
+    i.Wake: lambda _, order: wire.set_timer(order.label, order.after),
+    i.Subscribe: lambda _, order: wire.subscribe(order.on),
+    i.AskList: lambda _, _order: wire.request_list(),
+    i.Probe: lambda _, order: wire.check_health(order.backend.external_id),
+    i.Log: lambda _, order: wire.log(order.text),
+}
--- a/embertray/controller/identifiers.py
+++ b/embertray/controller/identifiers.py
@@ -1,39 +1,61 @@
-"""One object for each id, for the bench's adapter and the daemon alike.
+"""One object for each identifier, for the bench's adapter, the platform and the daemon alike.
 
-The module deals in objects and never sees ids; what comes in names ids, what goes out must name them again.
+The decision module deals in objects and never sees identifiers; what comes in names identifiers, what goes
+out must name them again.
 """
 
 from embertray.policy import interface as i
 
-TABLE_NUMBERS, NONCE_NUMBERS = 65534, 65535  # ids in use: 1 to this, then anew
+# numbers in use: 1 to this, then anew from 1
+TABLE_NUMBERS = 65534
+NONCE_NUMBERS = 65535
 
 
 class Identifiers:
-    """One instance's ids. Tables and nonces are numbered when they are first ordered."""
+    """One controller's identifiers. Tables and nonces are numbered when they are first ordered.
+
+    Attributes:
+        backends: Name -> interface.Backend.
+        proxies: Name or number -> interface.Proxy.
+        zones: Name -> interface.Zone.
+        tables: Number -> interface.Table, of tables that came numbered.
+        nonces: Number -> interface.Nonce, of nonces that are open.
+    """
 
     def __init__(self):
-        self.backends, self.proxies, self.zones, self.tables, self.nonces = {}, {}, {}, {}, {}
-        self.last_nonce_number = self.last_table_number = 0
+        self.backends = {}
+        self.proxies = {}
+        self.zones = {}
+        self.tables = {}
+        self.nonces = {}
+        self.last_nonce_number = 0
+        self.last_table_number = 0
 
     @staticmethod
-    def get_or_create(things, kind, ident):
-        if ident not in things:
-            things[ident] = kind(ident)
-        return things[ident]
+    def get_or_create(handles, kind, identifier):
+        """The handle of an identifier among `handles`, made by `kind` if it is named for the first time."""
+        if identifier not in handles:
+            handles[identifier] = kind(identifier)
+        return handles[identifier]
 
     def zone(self, name):
+        """The interface.Zone of a name."""
         return self.get_or_create(self.zones, i.Zone, name)
 
-    def backend(self, address):
-        return self.get_or_create(self.backends, i.Backend, address)
+    def backend(self, name):
+        """The interface.Backend of a name."""
+        return self.get_or_create(self.backends, i.Backend, name)
 
-    def proxy(self, ident):
-        return self.get_or_create(self.proxies, i.Proxy, ident)
+    def proxy(self, name):
+        """The interface.Proxy of a name or number."""
+        return self.get_or_create(self.proxies, i.Proxy, name)
 
-    def slice_table(self, ident):
-        return self.get_or_create(self.tables, i.Table, ident)
+    def slice_table(self, number):
+        """The interface.Table that belongs to a slice and came numbered."""
+        return self.get_or_create(self.tables, i.Table, number)
 
     def table_id(self, table):
+        """The number of a table, a new one if it is ordered for the first time."""
         if table.external_id is None:
             self.last_table_number = self.last_table_number % TABLE_NUMBERS + 1
             table.external_id = self.last_table_number
--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -1,7 +1,7 @@
-"""The module with its identifiers, timers and the mapping of starts. What happens is put to `pending_events`;
-`run_step(now)` is one step.
+"""The decision module with its identifiers, its timers and the mapping of backends' start times.
 
-Whoever builds on it (core.Instance for the daemon, node.Post for the platform) carries the orders on.
+What happens is put to `pending_events`; `run_step(now)` hands it over. Whoever builds on it (core.Instance
+for the daemon, platform.protocol.PlatformController for the platform) carries the orders on.
 """
 
 import heapq
@@ -11,83 +11,139 @@
 from .identifiers import Identifiers
 
 
+def _not_needed(_handle):
+    return False
+
+
 class Runner:
-    """`deployment(identifiers)` gives what the module is told at its start. The first thing to tell it is the
-    list that it starts with: `news(now, "cached", ...)`, empty if there is none. List entries have backend,
-    zone, state, started, nominal.
+    """Runs one decision module.
+
+    The first thing to tell it is the list that it starts with: `news(now, "cached", ...)`, empty if there is
+    none.
+
+    Attributes:
+        identifiers: The Identifiers of all that the module was told of.
+        module: The policy.Controller.
+        pending_events: Events that wait for the next step.
+        start_times: Backend's name -> (its start by the list's clock, the same by ours), ns.
+        state: Backend's name -> "ready" or "draining", of those on the list.
+        steps: How many steps have run.
+        events: How many events they had.
     """
 
     def __init__(self, seed, deployment, now):
+        """Make the module.
+
+        Args:
+            seed: For its random numbers.
+            deployment: Called with the Identifiers, gives the interface.Deployment.
+            now: ns.
+        """
         self.identifiers = Identifiers()
         self.module = Controller(seed, deployment(self.identifiers), now)
-        self.pending_events, self.timers, self.timers_set = [], [], 0
-        self.start_times, self.state = {}, {}
-        self.steps = self.events = 0
+        self.pending_events = []
+        self.timers = []  # heap of (when due, number of the timer, label)
+        self.timers_set = 0
+        self.start_times = {}
+        self.state = {}
+        self.steps = 0
+        self.events = 0
 
-    def entry(self, now, clock, e):
-        """A start is mapped to our clock once, when it is first heard of: it must not wander with the
+    def entry(self, now, clock, listed):
+        """The interface.Entry of a backend on the list.
+
+        Its start is mapped to our clock once, when it is first named: it must not wander with the list's
         delays.
+
+        Args:
+            now: ns by our clock.
+            clock: ns by the list's clock, at the same time.
+            listed: Has backend, zone, state, started (ns by the list's clock; 0: long ago) and nominal.
         """
-        heard, ours = self.start_times.get(e.backend, (0, 0))
-        if heard != e.started:
-            ours = max(1, now - max(0, clock - e.started)) if e.started else 0
-            self.start_times[e.backend] = e.started, ours
-        if e.state == "gone":
-            self.state.pop(e.backend, None)
+        known_start, start = self.start_times.get(listed.backend, (0, 0))
+        if known_start != listed.started:
+            start = max(1, now - max(0, clock - listed.started)) if listed.started else 0
+            self.start_times[listed.backend] = listed.started, start
+        if listed.state == "gone":
+            self.state.pop(listed.backend, None)
         else:
-            self.state[e.backend] = e.state
+            self.state[listed.backend] = listed.state
         return i.Entry(
-            self.identifiers.backend(e.backend), self.identifiers.zone(e.zone), e.state, ours, e.nominal
+            self.identifiers.backend(listed.backend),
+            self.identifiers.zone(listed.zone),
+            listed.state,
+            start,
+            listed.nominal,
         )
 
     def news(self, now, how, clock=0, entries=()):
-        """`clock`: the list's own clock at `now`, ns."""
+        """What the list tells waits for the next step.
+
+        Args:
+            now: ns by our clock.
+            how: changes | whole | cached | failed, as in interface.ListNews.
+            clock: ns by the list's clock, at the same time.
+            entries: Listed backends, as `entry` takes them.
+        """
         if how == "whole":
             self.state = {}
-        self.pending_events.append(i.ListNews(how, [self.entry(now, clock, e) for e in entries]))
+        self.pending_events.append(i.ListNews(how, [self.entry(now, clock, listed) for listed in entries]))
 
     def run_step(self, now, late=()):
-        """One step if anything happened or is due (`late`: further events, after the timers): its orders less
-        its timers.
+        """Run one step if anything happened or a timer is due.
+
+        Args:
+            now: ns.
+            late: Further events, after those of the timers.
+
+        Returns:
+            The module's orders, less those that set timers.
         """
         while self.timers and self.timers[0][0] <= now:
             self.pending_events.append(i.WakeDue(heapq.heappop(self.timers)[2]))
         self.pending_events += late
         if not self.pending_events:
             return []
-        todo, self.pending_events = self.pending_events, []
+        events = self.pending_events
+        self.pending_events = []
         self.steps += 1
-        self.events += len(todo)
-        rest = []
-        for order in self.module.step(now, todo):
+        self.events += len(events)
+        orders = []
+        for order in self.module.step(now, events):
             if isinstance(order, i.Wake):
                 self.timers_set += 1
                 heapq.heappush(self.timers, (now + max(1, order.after), self.timers_set, order.label))
             else:
-                rest.append(order)
-        return rest
+                orders.append(order)
+        return orders
 
-    def forget(self, needed=lambda thing: False):
-        """The module has forgotten who is gone for long: so do the identifiers, but for who is `needed`.
-        Backends forgotten.
+    def forget(self, needed=_not_needed):
+        """Forget the identifiers of backends and proxies that the module has forgotten.
+
+        Args:
+            needed: Whether a handle is kept all the same.
+
+        Returns:
+            The backends forgotten.
         """
-        gone = []
+        forgotten = []
         for name, backend in list(self.identifiers.backends.items()):
             if backend.actor is None and name not in self.state and not needed(backend):
                 del self.identifiers.backends[name]
                 self.start_times.pop(name, None)
-                gone.append(backend)
+                forgotten.append(backend)
         for name, proxy in list(self.identifiers.proxies.items()):
             if proxy.actor is None and not needed(proxy):
                 del self.identifiers.proxies[name]
-        # a dict keeps its largest table until it is made anew
-        self.start_times, self.state, self.identifiers.backends, self.identifiers.proxies = map(
-            dict, (self.start_times, self.state, self.identifiers.backends, self.identifiers.proxies)
-        )
-        return gone
+        # a dict keeps the memory of its largest size until it is made anew
+        self.start_times = dict(self.start_times)
+        self.state = dict(self.state)
+        self.identifiers.backends = dict(self.identifiers.backends)
+        self.identifiers.proxies = dict(self.identifiers.proxies)
+        return forgotten
 
     def next_timer_at(self):
-        """When the next timer is due, ns or None; 0 if something waits already."""
+        """When the next timer is due, ns, or None; 0 if something waits already."""
         if self.pending_events:
             return 0
         return self.timers[0][0] if self.timers else None
--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -1,18 +1,27 @@
 """The start settings: flat path=value pairs of the bench's wire, or the same names nested in JSON.
 
-Names are the operators' (their dialect's); they end here. Times there are microseconds, here nanoseconds.
+Keys, values and names of metrics are the operators' own words; they end here. Times there are microseconds,
+here nanoseconds.
 """
 
 from embertray.policy import interface as i
 
-US = 1000
+from .exceptions import NotFiniteError, SettingsError
+
+NS_PER_US = 1000
+
+# by the operators' word: whether a request may run again
 IDEMPOTENCY = {
     "read_like": "replayable",
     "idempotency_key": "deduplicated",
     "non_idempotent": "non-replayable",
 }
+NOT_IDEMPOTENT = "non-replayable"  # also of an effect that is not named here
+
+# by the operators' word: what a level limits, where the words differ
 THROTTLE_MODES = {"silent": "none"}
-# load reports, by the dialect's names and by the common ones
+
+# by the operators' word, of this platform and the common ones: metrics of a load report
 LOAD_METRICS = {
     "active": "held",
     "waiting": "waiting",
@@ -28,74 +37,114 @@
     "eps": "errored_rate",
 }
 
+# keys that others than StartSettings ask for
+SLICES_KEY = "specifics.partitions-n"  # how many slices the tables belong to
+PROBES_KEY = "caps.probes"  # whether health checks are permitted
+PEER_NOTES_KEY = "caps.peer-messages"  # whether notes to other controllers are permitted
 
-class SettingsError(ValueError):
-    """A value can't be read; the text names it and its key."""
 
+def flatten(nested, path=""):
+    """Turn nested JSON into the wire's pairs: {'a': {'b': [1, 2]}} gives {'a.b': '1,2'}.
 
-def flat(nested, path=""):
-    """Nested JSON as the wire's pairs: {'a': {'b': [1, 2]}} gives {'a.b': '1,2'}; lists of objects get
-    .count, .0, .1. Raises SettingsError for a list of objects and others.
+    A list of objects gets .count, .0, .1 and so on; values that are null are left out.
+
+    Raises:
+        SettingsError: a list has objects and others.
     """
-    found = {}
+    pairs = {}
     for name, value in nested.items():
         key = path + name
         if isinstance(value, dict):
-            found.update(flat(value, key + "."))
+            pairs.update(flatten(value, key + "."))
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            found[key + ".count"] = str(len(value))
-            for k, one in enumerate(value):
-                if not isinstance(one, dict):
-                    raise SettingsError(f"'{one}' among the objects of {key}")
-                found.update(flat(one, f"{key}.{k}."))
+            pairs.update(flatten_objects(value, key))
         elif isinstance(value, list):
-            found[key] = ",".join(map(plain, value))
+            pairs[key] = ",".join(map(as_text, value))
         elif value is not None:
-            found[key] = plain(value)
-    return found
+            pairs[key] = as_text(value)
+    return pairs
+
+
+def flatten_objects(objects, key):
+    """The pairs of a list of objects. Raises SettingsError if it has others."""
+    pairs = {key + ".count": str(len(objects))}
+    for place, value in enumerate(objects):
+        if not isinstance(value, dict):
+            raise SettingsError(f"'{value}' among the objects of {key}")
+        pairs.update(flatten(value, f"{key}.{place}."))
+    return pairs
 
 
-def plain(value):
+def as_text(value):
+    """A JSON value as the wire writes it."""
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 def number(text):
-    """A finite float. Raises ValueError."""
+    """The finite float in a text.
+
+    Raises:
+        NotFiniteError: it is infinite or NaN.
+        ValueError: it is no number.
+    """
     value = float(text)
     if value != value or value in (float("inf"), float("-inf")):
-        raise ValueError(text)
+        raise NotFiniteError(text)
     return value
 
 
 class StartSettings:
-    """Reads one instance's settings. `kinds`: name -> RequestKind, whose `external_id` is its place;
-    `reports`: our names of a load report's values in their order; `zones`: names. Raises SettingsError.
+    """Reads one controller's settings.
+
+    Attributes:
+        raw: Key -> text.
+        kinds: Name -> interface.RequestKind, whose `external_id` is its place.
+        load_metrics: Names of a load report's values, in their order.
+        zones: Names.
+        proxies: How many there are.
+        tick: Of the bench's clock, ns.
     """
 
     def __init__(self, raw):
+        """Read `raw`, key -> text. Raises SettingsError."""
         self.raw = raw
-        self.reports = [LOAD_METRICS.get(name, name) for name in self.names("feedback.fields")]
-        self.zones, self.proxies = self.names("zones"), int(self.figure("specifics.agents"))
+        self.load_metrics = [LOAD_METRICS.get(name, name) for name in self.names("feedback.fields")]
+        self.zones = self.names("zones")
+        self.proxies = int(self.figure("specifics.agents"))
         self.tick = self.time("tick")
         self.kinds = {}
-        for k in range(int(self.figure("profiles.count"))):
-            kind = i.RequestKind(
-                self.time(f"profiles.{k}.aim"),
-                self.time(f"profiles.{k}.deadline"),
-                self.figure(f"profiles.{k}.worth", 1.0),
-                IDEMPOTENCY.get(self.text(f"profiles.{k}.effect"), "non-replayable"),
-                self.text(f"profiles.{k}.group", "all"),
-                k,
-            )
-            self.kinds[self.text(f"profiles.{k}.name", str(k))] = kind
+        for place in range(int(self.figure("profiles.count"))):
+            name = self.text(f"profiles.{place}.name", str(place))
+            self.kinds[name] = self.request_kind(place)
 
     @classmethod
     def nested(cls, settings):
-        """From the JSON object of a platform's configuration."""
-        return cls(flat(settings))
+        """From the JSON object of a platform's configuration. Raises SettingsError."""
+        return cls(flatten(settings))
+
+    def request_kind(self, place):
+        """The interface.RequestKind at a place of the settings. Raises SettingsError."""
+        return i.RequestKind(
+            self.time(f"profiles.{place}.aim"),
+            self.time(f"profiles.{place}.deadline"),
+            self.figure(f"profiles.{place}.worth", 1.0),
+            IDEMPOTENCY.get(self.text(f"profiles.{place}.effect"), NOT_IDEMPOTENT),
+            self.text(f"profiles.{place}.group", "all"),
+            place,
+        )
 
     def deployment(self, identifiers):
-        """What the decision module is told at its start; zones become objects of `identifiers`."""
+        """What the decision module is told at its start: the table of fields and keys, hence its length.
+
+        Args:
+            identifiers: Identifiers, which the zones become objects of.
+
+        Returns:
+            An interface.Deployment.
+
+        Raises:
+            SettingsError: a value can't be read.
+        """
         return i.Deployment(
             kinds=list(self.kinds.values()),
             zones=[identifiers.zone(name) for name in self.zones],
@@ -104,13 +153,13 @@
             proxies=self.proxies,
             ask=self.text("discovery") == "ask",
             ask_within=self.time("contract.must-ask-in"),
-            may_probe=self.yes("caps.probes"),
+            may_probe=self.flag(PROBES_KEY),
             throttle=THROTTLE_MODES.get(
                 self.text("specifics.throttle-by"), self.text("specifics.throttle-by", "none")
             ),
             pick=self.text("specifics.selects-by", "weighted"),
             retry_base=int(self.figure("specifics.base-mode")),
-            slices=int(self.figure("specifics.partitions-n")),
+            slices=int(self.figure(SLICES_KEY)),
             bare_limit=self.time("specifics.blackhole"),
             pending_max=self.figure("specifics.pending-max"),
             channel_rate=self.figure("specifics.channel-rate"),
@@ -126,23 +175,28 @@
             fall_after=self.time("contract.fall"),
             drain_grace=self.time("contract.drain-grace"),
             cross_fee=self.figure("fees.cross-zone"),
-            drops_bind=not self.yes("contract.dropped-stay-open"),
+            drops_bind=not self.flag("contract.dropped-stay-open"),
         )
 
-    def text(self, key, other=""):
-        return self.raw.get(key, other)
+    def text(self, key, default=""):
+        """The text of a key."""
+        return self.raw.get(key, default)
 
     def names(self, key):
+        """The texts of a key, which commas part; empty ones are left out."""
         return [name for name in self.text(key).split(",") if name]
 
-    def figure(self, key, other=0.0):
+    def figure(self, key, default=0.0):
+        """The finite number of a key. Raises SettingsError."""
         try:
-            return number(self.raw[key]) if key in self.raw else other
+            return number(self.raw[key]) if key in self.raw else default
         except ValueError:
             raise SettingsError(f"'{self.raw[key]}' is no good value for {key}") from None
 
     def time(self, key):
-        return int(self.figure(key + "-us") * US)
+        """The time of a key less its unit's ending, ns. Raises SettingsError."""
+        return int(self.figure(key + "-us") * NS_PER_US)
 
-    def yes(self, key):
+    def flag(self, key):
+        """Whether a key's value is true."""
         return self.text(key) in ("true", "1")
--- a/embertray/platform/protocol/configuration.py
+++ b/embertray/platform/protocol/configuration.py
@@ -2,15 +2,15 @@
 
 import msgspec
 
-from embertray.controller.settings import SettingsError
+from embertray.controller.exceptions import SettingsError
+from embertray.controller.settings import PEER_NOTES_KEY, PROBES_KEY, SLICES_KEY
 
 from .exceptions import ConfigurationError
 from .wire import configuration_decoder
 
-SLICES_SETTING = "specifics.partitions-n"
 UNUSED_PERMISSIONS = (
-    ("probes", "caps.probes"),
-    ("notes to peers", "caps.peer-messages"),
+    ("probes", PROBES_KEY),
+    ("notes to peers", PEER_NOTES_KEY),
 )  # what the settings may permit, by which key, that the platform's protocol can't carry
 
 
@@ -41,10 +41,10 @@
     Raises:
         SettingsError: tables belong to slices, and then nothing can be served without words for them.
     """
-    if settings.figure(SLICES_SETTING):
-        raise SettingsError(f"{SLICES_SETTING}: the platform's protocol has no words for slices")
+    if settings.figure(SLICES_KEY):
+        raise SettingsError(f"{SLICES_KEY}: the platform's protocol has no words for slices")
     return [
         f"the settings permit {what}: the platform's protocol has no words for them, none are sent"
         for what, key in UNUSED_PERMISSIONS
-        if settings.yes(key)
+        if settings.flag(key)
     ]
--- a/embertray/platform/run/__main__.py
+++ b/embertray/platform/run/__main__.py
@@ -17,7 +17,7 @@
 from embertray.common.net.address import BadAddress, plain
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.controller.settings import SettingsError
+from embertray.controller.exceptions import SettingsError
 from embertray.platform.protocol.configuration import read_configuration
 from embertray.platform.protocol.exceptions import ConfigurationError
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -239,7 +239,7 @@
         for modules in (
             "embertray.cli.main, embertray.service.daemon.service, embertray.service.admin.http",
             "embertray.platform.run.service",
-            "embertray.benchlink.wire",
+            "embertray.benchlink.batches",
         ):
             code = (
                 f"import sys; import {modules}; print([name for name in sys.modules "
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -220,7 +220,7 @@
 
     def test_run_and_adapter_load_none_of_it(self):
         code = (
-            "import sys; import embertray.platform.run.service, embertray.benchlink.wire; "
+            "import sys; import embertray.platform.run.service, embertray.benchlink.batches; "
             "print([m for m in sys.modules if m.startswith(('embertray.cluster.limits', "
             "'embertray.cluster', 'embertray.simulation.processes'))])"
         )
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -22,8 +22,9 @@
 
 from embertray.common.net.address import BadAddress, plain
 from embertray.common.net.tcp import TcpNet
+from embertray.controller.exceptions import SettingsError
 from embertray.controller.identifiers import Identifiers
-from embertray.controller.settings import SettingsError, StartSettings
+from embertray.controller.settings import StartSettings
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.configuration import read_configuration
 from embertray.platform.protocol.event_stream import ProxyJoined
