--- a/embertray/platform/protocol/translation.py
+++ b/embertray/platform/protocol/translation.py
@@ -38,7 +38,7 @@
 
     def report(self, report):
         """A BackendReport or TrafficReport as an event; None if no list or event ever named its subject."""
-        if isinstance(report, BackendReport):
+        if type(report) is BackendReport:
             backend = self.identifiers.backends.get(report.backend)
             return backend and i.Heard(
                 backend,
