--- a/embertray/platform/protocol/inbound.py
+++ b/embertray/platform/protocol/inbound.py
@@ -146,16 +146,16 @@
         if message.zone in self.zones:
             self.zone = message.zone
         else:
-            self.reject("a collector of a zone that is not there")
+            self.reject("collector of an unknown zone")
 
     def handle_backend_report(self, message, reports):
         """Put the BackendReport of a BackendReportLine to `reports`, or skip it."""
         if message.zone not in self.zones:
-            self.skip_report("a zone that is not there")
+            self.skip_report("unknown zone")
         elif message.failures > message.attempts:
-            self.skip_report("more errors than tries")
+            self.skip_report("more failures than attempts")
         elif message.latency is None and message.attempts > message.failures:
-            self.skip_report("no time of those done")
+            self.skip_report("no latency of successful attempts")
         else:
             load = {LOAD_METRICS.get(name, name): value for name, value in (message.load or {}).items()}
             latency = round((message.latency or 0) * MS)
@@ -169,9 +169,9 @@
     def handle_traffic_report(self, message, reports):
         """Put the TrafficReport of a TrafficReportLine to `reports`, or skip it."""
         if message.proxy >= self.proxies or message.request_kind not in self.request_kinds:
-            self.skip_report("a proxy or request kind that is not there")
+            self.skip_report("unknown proxy or request kind")
         elif message.failures > message.requests:
-            self.skip_report("more errors than requests")
+            self.skip_report("more failures than requests")
         else:
             interval = round(message.interval * MS)
             reports.append(
--- a/embertray/platform/protocol/proxy_registry.py
+++ b/embertray/platform/protocol/proxy_registry.py
@@ -154,5 +154,5 @@
             (view.last_byte_at for name, view in self.views.items() if name is not stream), default=0
         )
         if now - last > SILENCE_MAX_BESIDE_OTHER_NS and others > last + SILENCE_MAX_BESIDE_OTHER_NS // 2:
-            return "silent while another brings news"
+            return "silent while another stream brings events"
         return ""
--- a/embertray/platform/run/list_connection.py
+++ b/embertray/platform/run/list_connection.py
@@ -54,7 +54,7 @@
             await self.send_requests(talk, address)
         except (CallFailed, UnreadableListError) as error:
             if self.list_watch.failures < LIST_FAILURES_LOGGED:
-                self.log.info("the list did not answer", why=str(error))
+                self.log.info("endpoint list request failed", why=str(error))
             await anyio.sleep(self.list_watch.on_failure() / S)
         except Exception:
             # against a fault of the program halfway through a list: what the answer told may be lost
--- a/embertray/platform/run/listener.py
+++ b/embertray/platform/run/listener.py
@@ -56,16 +56,18 @@
                 await self.serve(connection, stream)
             if connection.zone is not None:
                 self.log.info(
-                    "collector gone",
+                    "collector disconnected",
                     zone=connection.zone,
-                    why=connection.close_reason or "no room",
-                    spoilt=connection.invalid_reports,
-                    last=connection.last_invalid,
+                    why=connection.close_reason or "no capacity",
+                    invalid_reports=connection.invalid_reports,
+                    last_invalid=connection.last_invalid,
                 )
         except BROKEN:
             pass
-        except Exception as error:  # against a peer that finds a fault of ours: it costs its own connection
-            self.log.error("a connection's handling failed", exc_info=error)
+        except (
+            Exception
+        ) as error:  # against a peer that finds a fault of the program: it costs its own connection
+            self.log.error("connection handler failed", exc_info=error)
         finally:
             self.release_unjoined(connection)
             self.controller.admission.release(connection)
--- a/embertray/platform/run/relay_connections.py
+++ b/embertray/platform/run/relay_connections.py
@@ -70,7 +70,11 @@
                 failure = caller.on_failure(self.clock.now(), error.sent, str(error))
             if failure and is_logged(caller.failures):
                 self.log.info(
-                    "call", why=failure, orders=len(call.orders), nonce=call.nonce, failed=caller.failures
+                    "order call failed",
+                    why=failure,
+                    orders=len(call.orders),
+                    nonce=call.nonce,
+                    failures=caller.failures,
                 )
 
     async def wait_for_call(self, now):
@@ -119,7 +123,7 @@
                     await self.read_event_stream(name)
                 except (CallFailed, UnreadableEventStreamError) as error:
                     if is_logged(failures):
-                        self.log.info("news broke", stream=name, why=str(error))
+                        self.log.info("event stream broken", stream=name, why=str(error))
                 finally:
                     self.add_events(self.controller.proxies.stream_lost(self.clock.now(), name))
             if self.clock.now() - began > WORKING_STREAM_NS:
--- a/embertray/platform/run/service.py
+++ b/embertray/platform/run/service.py
@@ -113,7 +113,7 @@
             try:
                 await task(*arguments)
             except Exception as error:
-                self.log.error("a fault of ours", at=task.__name__, exc_info=error)
+                self.log.error("internal error", task=task.__name__, exc_info=error)
                 await anyio.sleep(FAULT_BACKOFF_NS / S)
 
     # ---- configuration
@@ -135,7 +135,7 @@
         try:
             self.reload()
         except Exception as error:
-            self.log.error("a fault of ours", at="reload", exc_info=error)
+            self.log.error("internal error", task="reload", exc_info=error)
 
     def check_addresses(self, configuration):
         """Check that the addresses to dial can be parsed. Returns `configuration`. Raises BadAddress."""
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -377,7 +377,7 @@
                         been = anyio.Event()
                         os.kill(os.getpid(), signal.SIGHUP)
                         await been.wait()
-                    self.assertEqual([line["event"] for line in told], ["a fault of ours"] * len(faults))
+                    self.assertEqual([line["event"] for line in told], ["internal error"] * len(faults))
                 self.assertIs(service.configuration, old)
                 discovery.change("be-3", **member("be-3"))
                 await relay.until(lambda: "be-3" in relay.lines(1))
