--- a/embertray/cluster/limits/accounts.py
+++ b/embertray/cluster/limits/accounts.py
@@ -100,7 +100,7 @@
             return False
         former = account.request if heard else self.remembered.get(name)
         if former is not None and former.incarnation < request.incarnation:
-            # Its proxies keep the quota that the former incarnation told them.
+            # Its proxies keep the quota that the former incarnation sent them.
             loans = account.loans if heard else None
             account.former_incarnations.append(IncarnationRecord(former, loans, now))
             account.loans = {}
--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -31,11 +31,11 @@
         next_request_at: When to send the next QuotaRequest, ns.
     """
 
-    def __init__(self, me, names, totals, now, chance, config=DEFAULT_CONFIG, first=False, incarnation=0):
+    def __init__(self, name, names, totals, now, chance, config=DEFAULT_CONFIG, first=False, incarnation=0):
         """Begin an incarnation.
 
         Args:
-            me: Name of this member.
+            name: Name of this member.
             names: All members that the site names, this one included.
             totals: limit -> units that all members may use together.
             now: The time, ns.
@@ -45,11 +45,11 @@
             incarnation: Later in each; also the base of this incarnation's sequence numbers.
         """
         self.next_request_at = now + chance.randrange(config.request_period)
-        super().__init__(me, sorted(names), now, chance, config, first)
+        super().__init__(name, sorted(names), now, chance, config, first)
         count = len(self.names)
         floors = {limit: int(total * config.floor_share) // count for limit, total in totals.items()}
         self.pools = {limit: total - floors[limit] * count for limit, total in totals.items()}
-        self.quota_holder = QuotaHolder(me, floors, config, incarnation)
+        self.quota_holder = QuotaHolder(name, floors, config, incarnation)
         self.ledger = None
         self.tenure = 0
         self.leader = None
@@ -86,10 +86,10 @@
         """
         self.next_request_at = now + self.config.request_period
         request = self.quota_holder.make_request(now, self.tenure, self.leads(now))
-        self.history.record(self.me, request)
+        self.history.record(self.name, request)
         outgoing = self.to_all_others(request)
         if self.ledger is not None:
-            self.lend(now, self.me, request)
+            self.lend(now, self.name, request)
         return outgoing
 
     # ---- messages
@@ -133,7 +133,7 @@
         """
         if self.ledger is None or self.tenure != self.proposer.tenure:
             self.tenure = self.proposer.tenure
-            self.leader = self.me
+            self.leader = self.name
             self.ledger = Ledger(
                 self.names,
                 self.pools,
--- a/embertray/cluster/limits/election.py
+++ b/embertray/cluster/limits/election.py
@@ -17,24 +17,24 @@
         next_election_at: When to try next, ns.
     """
 
-    def __init__(self, me, names, now, chance, config, first):
+    def __init__(self, name, names, now, chance, config, first):
         """Begin an incarnation.
 
         Args:
-            me: Name of this member.
+            name: Name of this member.
             names: All members, sorted.
             now: The time, ns.
             chance: A seeded random.Random.
             config: A LimitsConfig.
             first: Whether no member has run before.
         """
-        self.me = me
+        self.name = name
         self.names = names
         self.config = config
         self.chance = chance
         self.acceptor = Acceptor(config, now, first)
-        self.proposer = Proposer(me, names.index(me), len(names), config)
-        self.history = RequestHistory(me, len(names), first)
+        self.proposer = Proposer(name, names.index(name), len(names), config)
+        self.history = RequestHistory(name, len(names), first)
         self.highest_ballot = 0
         self.leader_heard_at = now
         self.next_election_at = now + chance.randrange(config.request_period)
@@ -111,7 +111,7 @@
         Args:
             message: The message.
         """
-        return [OutgoingMessage(name, message) for name in self.names if name != self.me]
+        return [OutgoingMessage(name, message) for name in self.names if name != self.name]
 
     def to_all(self, now, message):
         """Send a message to all members; this one takes it at once.
@@ -123,7 +123,7 @@
         Returns:
             OutgoingMessages.
         """
-        return self.to_all_others(message) + self.receive(now, self.me, message)
+        return self.to_all_others(message) + self.receive(now, self.name, message)
 
     def reply(self, now, receiver, message):
         """Send an answer; if it is this member's own, it takes it at once.
@@ -138,6 +138,6 @@
         """
         if message is None:
             return []
-        if receiver == self.me:
-            return self.receive(now, self.me, message)
+        if receiver == self.name:
+            return self.receive(now, self.name, message)
         return [OutgoingMessage(receiver, message)]
--- a/embertray/cluster/limits/history.py
+++ b/embertray/cluster/limits/history.py
@@ -1,6 +1,6 @@
 """The last request of each incarnation of each member, for whoever leads next.
 
-Proxies go on acting on what a former incarnation told them, so its requests count after it has ended.
+Proxies go on acting on what a former incarnation sent them, so its requests count after it has ended.
 """
 
 INCARNATIONS_KEPT = 4  # of a member: its proxies have joined others long before it has started so often
@@ -10,22 +10,22 @@
     """What a member remembers of all members' requests.
 
     Rule: a member may lead only once its history is complete: it has run since the cluster began, or a
-    majority has told it what they remember. Reason: whoever leads without a request of a former incarnation
+    majority has sent it what they remember. Reason: whoever leads without a request of a former incarnation
     lends units that proxies still act on.
 
     Attributes:
         complete: Whether this member may lead.
     """
 
-    def __init__(self, me, count, first):
+    def __init__(self, name, count, first):
         """Begin with no requests.
 
         Args:
-            me: Name of this member.
+            name: Name of this member.
             count: How many members there are, this one included.
             first: Whether no member has run before.
         """
-        self.me = me
+        self.name = name
         self.count = count
         self.by_member = {}  # member -> incarnation -> QuotaRequest
         self.replied = set()
@@ -70,5 +70,5 @@
                 if former is None or request.sequence > former.sequence:
                     known[request.incarnation] = request
         self.replied.add(sender)
-        if 2 * len(self.replied | {self.me}) > self.count:
+        if 2 * len(self.replied | {self.name}) > self.count:
             self.complete = True
--- a/embertray/cluster/limits/lease.py
+++ b/embertray/cluster/limits/lease.py
@@ -100,16 +100,16 @@
         highest_known: The highest ballot of a leader that this member has heard of.
     """
 
-    def __init__(self, me, index, count, config):
+    def __init__(self, name, index, count, config):
         """Begin without the lease.
 
         Args:
-            me: Name of this member.
+            name: Name of this member.
             index: Its place among the members, which makes its ballots its own.
             count: How many members there are.
             config: A LimitsConfig.
         """
-        self.me = me
+        self.name = name
         self.index = index
         self.count = count
         self.config = config
@@ -160,7 +160,7 @@
         Returns:
             The Propose to send to all once a majority has promised; else None.
         """
-        if message.ballot != self.ballot or self.proposed or message.holder not in ("", self.me):
+        if message.ballot != self.ballot or self.proposed or message.holder not in ("", self.name):
             return None
         self.votes.add(sender)
         if not self.has_majority():
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -6,7 +6,7 @@
   still apply.
 - One that is silent is charged the same for the outer term, as it may raise its proxies until then. After
   that it is charged what those of its proxies may act on that no other member has claimed: it raises none of
-  them any more, and proxies keep the quota that they were told.
+  them any more, and proxies keep the quota that they were sent.
 - So is each former incarnation of a member.
 - A member that this leader has never heard may use all that nobody is known to use, until the outer term is
   over and none of its proxies is unclaimed.
--- a/embertray/cluster/limits/messages.py
+++ b/embertray/cluster/limits/messages.py
@@ -16,11 +16,11 @@
     """A message to send.
 
     Attributes:
-        to: Name of the member.
+        receiver: Name of the member.
         message: The Message.
     """
 
-    to: str
+    receiver: str
     message: Message
 
 
--- a/embertray/cluster/limits/proxy_quotas.py
+++ b/embertray/cluster/limits/proxy_quotas.py
@@ -2,7 +2,7 @@
 
 Rule: the units that its proxies may act on, whether they have acknowledged them or not and whether they are
 connected or have left, come to no more than floor and loan. So some are lowered before others are raised.
-Reason: a proxy keeps the quota that it was told, whatever becomes of this member.
+Reason: a proxy keeps the quota that it was sent, whatever becomes of this member.
 """
 
 from typing import NamedTuple
@@ -78,7 +78,7 @@
     def proxy_left(self, proxy):
         """Note that a proxy's connection broke.
 
-        It goes on with the quota that it was told, and stays on our account until another member has it.
+        It goes on with the quota that it was sent, and stays on our account until another member has it.
 
         Args:
             proxy: The proxy.
@@ -192,5 +192,5 @@
         loan_ended = now >= self.loan_ends_at
         if rise > 0 and (loan_ended or rise > room):
             return False
-        # One that does not act on our word keeps what another member told it once the loan has ended.
+        # One that does not act on our word keeps what another member sent it once the loan has ended.
         return proxy in self.acknowledged or not loan_ended
--- a/embertray/cluster/limits/quota_holder.py
+++ b/embertray/cluster/limits/quota_holder.py
@@ -32,17 +32,17 @@
         last_heard: member -> sequence number of its last request.
     """
 
-    def __init__(self, me, floors, config, incarnation=0):
+    def __init__(self, name, floors, config, incarnation=0):
         """Begin with the floors and without proxies.
 
         Args:
-            me: Name of this member.
+            name: Name of this member.
             floors: limit -> units that it has anyway.
             config: A LimitsConfig.
             incarnation: Its incarnation; its requests are numbered from there.
         """
         super().__init__(floors, sequence=incarnation)
-        self.me = me
+        self.name = name
         self.config = config
         self.incarnation = incarnation
         self.demand = dict.fromkeys(floors, 0)
@@ -96,7 +96,7 @@
         self.last_heard[name] = max(self.last_heard.get(name, 0), request.sequence)
         for proxy in request.acknowledged & frozenset(self.departed):
             listed_since = self.departed[proxy]
-            if listed_since is not None and request.last_heard.get(self.me, 0) >= listed_since:
+            if listed_since is not None and request.last_heard.get(self.name, 0) >= listed_since:
                 self.forget_proxy(proxy)
 
     def apply_grant(self, now, grant, tenure):
--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -29,12 +29,12 @@
         counters: LinkCounters.
     """
 
-    def __init__(self, cluster, me, peers, clock, seed, facts, log=None):
+    def __init__(self, cluster, controller, peers, clock, seed, facts, log=None):
         """Begin an incarnation; nothing is sent before `run`.
 
         Args:
             cluster: The site's Cluster.
-            me: The controller's entry in the site.
+            controller: The controller's entry in the site.
             peers: Addresses of the other controllers, as host:port.
             clock: The clock, with `now()` and `wall()` in ns, and `sleep_until()`.
             seed: Of all that is drawn at random, beside the name and the wall clock.
@@ -42,10 +42,10 @@
             log: A structlog logger.
         """
         self.cluster = cluster
-        self.me = me
+        self.controller = controller
         self.clock = clock
-        self.log = (log or structlog.get_logger()).bind(member=me.name)
-        chance = random.Random(f"{seed} {me.name} {clock.wall()}")
+        self.log = (log or structlog.get_logger()).bind(member=controller.name)
+        chance = random.Random(f"{seed} {controller.name} {clock.wall()}")
         now = clock.now()
         incarnation = clock.wall()
 
@@ -53,15 +53,15 @@
         self.bucket = TokenBucket(cluster.rate, now)
         self.membership = Membership(
             cluster.name,
-            me.name,
-            me.cluster,
+            controller.name,
+            controller.cluster,
             incarnation,
             now,
             chance,
             peers,
             MembershipConfig.for_period(cluster.period),
         )
-        self.store = EntryStore(me.name, incarnation, cluster.state)
+        self.store = EntryStore(controller.name, incarnation, cluster.state)
         self.exchange = AntiEntropyExchange(self.store, chance, now, cluster.period)
         self.gossip_socket = GossipSocket(self.membership, clock, self.counters, self.on_advance)
         self.state_exchange = StateExchange(
@@ -109,7 +109,7 @@
         Raises:
             OSError: The address is taken.
         """
-        host, port = loopback(self.me.cluster)
+        host, port = loopback(self.controller.cluster)
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         async with (
             listener,
@@ -143,5 +143,5 @@
             )
         events.clear()
         self.store.expire(now, self.membership.members.departed)
-        if self.membership.me.incarnation != self.store.incarnation:
-            self.store.adopt_incarnation(self.membership.me.incarnation)
+        if self.membership.local.incarnation != self.store.incarnation:
+            self.store.adopt_incarnation(self.membership.local.incarnation)
--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -18,8 +18,8 @@
     store = link.store
     return {
         "cluster": link.cluster.name,
-        "me": membership.me.name,
-        "life": membership.me.incarnation,
+        "me": membership.local.name,
+        "life": membership.local.incarnation,
         "joined": membership.joined,
         "cut_off": membership.cut_off(now),
         "health": membership.health.steps,
--- a/embertray/cluster/link/token_bucket.py
+++ b/embertray/cluster/link/token_bucket.py
@@ -7,7 +7,7 @@
     """A token bucket whose burst is what a second gives.
 
     Rule: an exchange may begin while there are tokens, and takes what it needs, also below zero. Probes are
-    not held back: they are small, and bounded by their period.
+    not put off: they are small, and bounded by their period.
 
     Attributes:
         deferred: How many exchanges were put off to a later turn.
--- a/embertray/cluster/membership/core.py
+++ b/embertray/cluster/membership/core.py
@@ -126,14 +126,14 @@
         if message.version != VERSION:
             self.reject(OTHER_VERSION, address)
             return False
-        if message.target_incarnation == self.me.incarnation:
+        if message.target_incarnation == self.local.incarnation:
             self.joined = True  # the sender knows this very incarnation
             return True
         if message.target_incarnation == 0:
             return True
         self.reject(FORMER_INCARNATION, address)
         sender = message.sender
-        if sender.name != self.me.name:
+        if sender.name != self.local.name:
             self.send(Recipient(sender.address, sender.incarnation, sender.name), Ping, self.next_sequence())
         return False
 
@@ -156,7 +156,7 @@
             recipient = Recipient(sender.address, sender.incarnation, "")
             self.send(recipient, Ack, message.sequence, gossip=[known.statement])
             return False
-        if sender.name != self.me.name:
+        if sender.name != self.local.name:
             self.apply(now, sender)
             self.last_heard_at = now
             self.members[sender.name].last_heard_at = now
@@ -188,8 +188,8 @@
             OutgoingMessages.
         """
         self.outgoing = []
-        self.me = self.me.with_state(LEFT, self.me.name)
-        self.gossip.put(self.me)
+        self.local = self.local.with_state(LEFT, self.local.name)
+        self.gossip.put(self.local)
         names = sorted(self.active_names())
         for name in self.chance.sample(names, min(2 * self.config.indirect_probes, len(names))):
             self.send_to_member(self.members[name], Ping, self.next_sequence())
--- a/embertray/cluster/membership/handlers.py
+++ b/embertray/cluster/membership/handlers.py
@@ -86,7 +86,7 @@
         sender = message.sender
         known = self.members.get(sender.name)
         remembered_incarnation = known.statement.incarnation if known is not None else 0
-        statements = [self.me, *(member.statement for member in self.members.values())]
+        statements = [self.local, *(member.statement for member in self.members.values())]
         for start in range(0, len(statements), FULL_STATE_STATEMENTS):
             self.send(
                 Recipient(sender.address, 0, ""),
@@ -106,14 +106,14 @@
             now: The time, ns.
             message: The FullState; its statements were applied.
         """
-        if message.remembered_incarnation > self.me.incarnation:
+        if message.remembered_incarnation > self.local.incarnation:
             if self.joined:
-                self.end(f"a younger process has the name {self.me.name}")
+                self.end(f"a younger process has the name {self.local.name}")
                 return
             incarnation = message.remembered_incarnation + 1
-            self.me = Statement(self.me.name, self.me.address, incarnation, 0, ALIVE)
+            self.local = Statement(self.local.name, self.local.address, incarnation, 0, ALIVE)
         if not self.joined:
             self.joined = True
-            self.gossip.put(self.me)
+            self.gossip.put(self.local)
         if message.sender.name in self.members:
             self.members[message.sender.name].last_heard_at = now
--- a/embertray/cluster/membership/health.py
+++ b/embertray/cluster/membership/health.py
@@ -25,13 +25,13 @@
         """Take one step off: a probe was answered in time."""
         self.steps = max(0, self.steps - 1)
 
-    def degrade(self, by=1):
+    def degrade(self, steps=1):
         """Add steps: a probe failed, a helper did not send its Nack, or a suspicion had to be refuted.
 
         Args:
-            by: How many steps.
+            steps: How many.
         """
-        self.steps = min(self.max_steps, self.steps + by)
+        self.steps = min(self.max_steps, self.steps + steps)
 
     def stretch(self, span):
         """Return a timeout as it is to be used now.
--- a/embertray/cluster/membership/messages.py
+++ b/embertray/cluster/membership/messages.py
@@ -1,7 +1,7 @@
 """Messages between members: msgpack arrays with a tag, after four bytes of checksum.
 
-The header names the cluster and the protocol's version, so that a message of a stranger is told from a
-damaged one. The checksum guards against bytes changed on the way, which would pass for a statement.
+The header names the cluster and the protocol's version, so that a message of a stranger is distinguished
+from a damaged one. The checksum guards against bytes changed on the way, which would pass for a statement.
 """
 
 from zlib import crc32
--- a/embertray/cluster/membership/outbox.py
+++ b/embertray/cluster/membership/outbox.py
@@ -27,7 +27,7 @@
         if gossip is None:
             gossip = self.due_gossip(recipient.name)
         message = message_type(
-            self.cluster, VERSION, self.me, recipient.incarnation, sequence, gossip, **fields
+            self.cluster, VERSION, self.local, recipient.incarnation, sequence, gossip, **fields
         )
         self.outgoing.append(OutgoingMessage(recipient.address, message))
 
--- a/embertray/cluster/membership/state.py
+++ b/embertray/cluster/membership/state.py
@@ -18,7 +18,7 @@
     `Membership`, which is what processes use.
 
     Attributes:
-        me: What this member states about itself.
+        local: What this member states about itself.
         members: MemberTable of all others.
         events: MemberChanged, to be taken and cleared by the caller.
         rejected: (reason, address) -> how many messages were rejected.
@@ -45,7 +45,7 @@
         self.chance = chance
         self.seeds = [seed for seed in seeds if seed != address]
 
-        self.me = Statement(name, address, wall_time, 0, ALIVE)
+        self.local = Statement(name, address, wall_time, 0, ALIVE)
         self.members = MemberTable()
         self.gossip = GossipQueue()
         self.health = LocalHealth(config.max_health_steps)
--- a/embertray/cluster/membership/statements.py
+++ b/embertray/cluster/membership/statements.py
@@ -30,7 +30,7 @@
             now: The time, ns.
             statement: The Statement.
         """
-        if statement.name == self.me.name:
+        if statement.name == self.local.name:
             self.apply_to_self(statement)
             return
         member = self.members.get(statement.name)
@@ -55,13 +55,13 @@
         Args:
             statement: The Statement.
         """
-        if statement.incarnation > self.me.incarnation and self.joined:
-            self.end(f"a younger process has the name {self.me.name}, at {statement.address}")
+        if statement.incarnation > self.local.incarnation and self.joined:
+            self.end(f"a younger process has the name {self.local.name}, at {statement.address}")
         elif (
-            statement.incarnation == self.me.incarnation
+            statement.incarnation == self.local.incarnation
             and statement.state != ALIVE
-            and statement.refutations >= self.me.refutations
-            and self.me.state == ALIVE
+            and statement.refutations >= self.local.refutations
+            and self.local.state == ALIVE
         ):
             self.refute(statement)
 
@@ -83,7 +83,7 @@
         self.accept(member, statement)
 
     def restate(self, now, member, statement):
-        """Put a statement of higher rank in the place of the one that held.
+        """Put a statement of higher rank in the place of the former one.
 
         Args:
             now: The time, ns.
--- a/embertray/cluster/membership/suspicion.py
+++ b/embertray/cluster/membership/suspicion.py
@@ -29,7 +29,7 @@
             member: The Member.
             state: The MemberState.
         """
-        return member.statement.with_state(state, self.me.name)
+        return member.statement.with_state(state, self.local.name)
 
     def add_suspicion(self, member, suspected_by):
         """Note who suspects a member: the suspicion timeout shrinks with each.
@@ -76,7 +76,7 @@
             member: The Member.
         """
         death = self.statement_about(member, DEAD)
-        if self.me.name in member.suspected_by:
+        if self.local.name in member.suspected_by:
             self.apply(now, death)
         else:
             self.death_reported(now, member, death)
@@ -91,8 +91,8 @@
         return (
             statement.state == DEAD
             and member.active
-            and statement.reported_by != self.me.name
-            and self.me.name not in member.suspected_by
+            and statement.reported_by != self.local.name
+            and self.local.name not in member.suspected_by
         )
 
     def death_reported(self, now, member, statement):
@@ -124,8 +124,8 @@
         Args:
             statement: The Statement about this member.
         """
-        self.me = Statement(
-            self.me.name, self.me.address, self.me.incarnation, statement.refutations + 1, ALIVE
+        self.local = Statement(
+            self.local.name, self.local.address, self.local.incarnation, statement.refutations + 1, ALIVE
         )
         self.health.degrade()
-        self.gossip.put(self.me)
+        self.gossip.put(self.local)
--- a/embertray/cluster/state/exchange.py
+++ b/embertray/cluster/state/exchange.py
@@ -20,7 +20,7 @@
     """First message of an exchange.
 
     Attributes:
-        digest: owner -> (incarnation, version) up to which the sender holds all of the owner's entries.
+        digest: owner -> (incarnation, version) up to which the sender knows all of the owner's entries.
     """
 
     digest: Digest
@@ -31,7 +31,7 @@
 
     Attributes:
         entries: What the receiver lacks.
-        complete_up_to: owner -> (incarnation, version) up to which the receiver holds all of the owner's
+        complete_up_to: owner -> (incarnation, version) up to which the receiver knows all of the owner's
             entries once it has merged these.
         reply_digest: The sender's own digest if it wants a Delta in return, else None.
     """
--- a/embertray/cluster/state/store.py
+++ b/embertray/cluster/state/store.py
@@ -23,9 +23,9 @@
 
     Attributes:
         shed: owner -> how many of its entries were left out or evicted for lack of room.
-        closed: Whether nothing is taken that needs more bytes than are held now.
+        closed: Whether nothing is taken that needs more bytes than are stored now.
         incarnations: owner -> the latest incarnation that was heard of.
-        complete_up_to: owner -> (incarnation, version) up to which all of its entries are held.
+        complete_up_to: owner -> (incarnation, version) up to which all of its entries are known.
         departed_at: owner -> when it was first seen to be dead or to have left, ns.
     """
 
@@ -57,7 +57,7 @@
             entries: Entries of any owners.
 
         Returns:
-            Those that were newer than what was held.
+            Those that were newer than what was known.
         """
         return [entry for entry in entries if self.apply(now, entry)]
 
@@ -69,7 +69,7 @@
             entry: The Entry.
 
         Returns:
-            Whether it was newer than what was held, and there was room for it.
+            Whether it was newer than what was known, and there was room for it.
         """
         owner = entry.owner
         if owner == self.name:
@@ -165,7 +165,7 @@
     # ---- exchanging
 
     def digest(self):
-        """Return owner -> (incarnation, version) up to which all of the owner's entries are held."""
+        """Return owner -> (incarnation, version) up to which all of the owner's entries are known."""
         return {**self.complete_up_to, self.name: (self.incarnation, self.version)}
 
     def missing_entries(self, now, digest):
--- a/embertray/simulation/emulator/detectors.py
+++ b/embertray/simulation/emulator/detectors.py
@@ -21,7 +21,7 @@
     limit = 5.0
 
     def __init__(self, cluster, name, address, wall, now, chance, seeds, config):
-        self.cluster, self.config, self.me = cluster, config, Statement(name, address, wall, 0, ALIVE)
+        self.cluster, self.config, self.local = cluster, config, Statement(name, address, wall, 0, ALIVE)
         self.members = {
             other: Member(Statement(other, other, 0, 0, ALIVE), now) for other in seeds if other != name
         }
@@ -42,7 +42,7 @@
             self.beat_at += self.config.probe_period
             self.last_sequence += 1
             out = [
-                (m.address, Ping(self.cluster, VERSION, self.me, 0, self.last_sequence, []))
+                (m.address, Ping(self.cluster, VERSION, self.local, 0, self.last_sequence, []))
                 for m in self.members.values()
             ]
         if now >= self.look_at:
--- a/embertray/simulation/emulator/gossip.py
+++ b/embertray/simulation/emulator/gossip.py
@@ -152,7 +152,7 @@
         self.at[address].alive = False
 
     def send(self, process, out):
-        here = process.core.me.address
+        here = process.core.local.address
         for address, message in out:
             data = encode(message)
             self.bytes[here] += len(data)
@@ -167,7 +167,7 @@
 
     def note(self, process):
         for change in process.core.events:
-            self.notes.append((self.engine.time, process.core.me.name, change))
+            self.notes.append((self.engine.time, process.core.local.name, change))
         process.core.events.clear()
 
     def run(self, span):
@@ -187,6 +187,6 @@
 
     def agree(self, group=None):
         """Whether each of the living (of `group`'s addresses) takes exactly those for there."""
-        living = [p for p in self.living() if group is None or p.core.me.address in group]
-        names = {p.core.me.name for p in living}
-        return all({m.name for m in p.core.active_members} == names - {p.core.me.name} for p in living)
+        living = [p for p in self.living() if group is None or p.core.local.address in group]
+        names = {p.core.local.name for p in living}
+        return all({m.name for m in p.core.active_members} == names - {p.core.local.name} for p in living)
--- a/embertray/simulation/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -30,10 +30,10 @@
         self.facts = facts
         self.process, self.others, self.links, self.engine = process, others, links, process.simulation.engine
         core, now = process.core, process.simulation.engine.time
-        self.store = store(core.me.name, core.me.incarnation)
+        self.store = store(core.local.name, core.local.incarnation)
         self.exchange = make(
             self.store,
-            random.Random(f"{seed} {core.me.name} {core.me.incarnation}"),
+            random.Random(f"{seed} {core.local.name} {core.local.incarnation}"),
             now,
             core.config.probe_period,
         )
@@ -52,8 +52,8 @@
             self.engine.at(now + LOOK, self.tick)
             return
         self.store.expire(now, core.members.departed)
-        if core.me.incarnation != self.store.incarnation:
-            self.store.adopt_incarnation(core.me.incarnation)
+        if core.local.incarnation != self.store.incarnation:
+            self.store.adopt_incarnation(core.local.incarnation)
         if now >= self.facts_at:
             self.facts_at = now + FACTS_PERIOD_NS
             self.store.put(now, "facts", self.facts(now))
@@ -91,7 +91,11 @@
         """
         if turn != self.turn or not self.running:
             return
-        a, b = (self.process.core.me.address, address) if there else (address, self.process.core.me.address)
+        a, b = (
+            (self.process.core.local.address, address)
+            if there
+            else (address, self.process.core.local.address)
+        )
         to = self.others().get(address)
         if to is None or not to.running:
             self.failed += 1
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -21,7 +21,7 @@
     """A sabotaged member: whoever says that another is dead is believed."""
 
     def death_reported(self, now, member, statement):
-        member.suspected_by.add(self.me.name)
+        member.suspected_by.add(self.local.name)
         self.apply(now, statement)
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -132,7 +132,7 @@
         simulation.links.split(*groups)
         self.assertIsNotNone(simulation.until(lambda: all(simulation.agree(group) for group in groups), most))
         now = simulation.engine.time
-        alone = [p.core.me.name for p in simulation.living() if p.core.cut_off(now)]
+        alone = [p.core.local.name for p in simulation.living() if p.core.cut_off(now)]
         simulation.links.heal()
         self.assertIsNotNone(simulation.until(simulation.agree, 60 * S), "after the split's end")
         return alone
@@ -169,7 +169,7 @@
             self.assertEqual(simulation.at["elsewhere"].core.ended, "")
             self.assertTrue(simulation.agree())
             self.assertEqual(
-                {p.core.members["m2"].address for p in simulation.living() if p.core.me.name != "m2"},
+                {p.core.members["m2"].address for p in simulation.living() if p.core.local.name != "m2"},
                 {"elsewhere"},
             )
 
@@ -232,7 +232,7 @@
                     "c",
                     1,
                     other,
-                    core.me.incarnation - 1,
+                    core.local.incarnation - 1,
                     1,
                     [core.statement_about(core.members["m1"], DEAD)],
                 ),
@@ -253,7 +253,7 @@
 
     def test_a_replay_of_a_former_life_does_not_bring_it_back(self):
         simulation = MembershipSimulation(12).gather(4)
-        old = simulation.at["m2"].core.me
+        old = simulation.at["m2"].core.local
         simulation.kill("m2")
         simulation.run(S)
         simulation.up("m2")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -70,7 +70,7 @@
             for address, message in out:
                 if decode(encode(message)) != message:
                     self.misread.append(message)
-                head = f"{simulation.engine.time} {process.core.me.address} {address} ".encode()
+                head = f"{simulation.engine.time} {process.core.local.address} {address} ".encode()
                 self.digest.update(head)
                 self.add(encode(message))
             sent(process, out)
