--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -17,7 +17,7 @@
 """
 
 
-class TakesWords(Membership):
+class BelievesHearsay(Membership):
     """A sabotaged member: whoever says that another is dead is believed."""
 
     def death_reported(self, now, member, statement):
@@ -26,6 +26,8 @@
 
 
 class NeverAlone(Membership):
+    """A sabotaged member: it never takes itself for cut off."""
+
     def cut_off(self, now):
         return False
 
@@ -80,8 +82,8 @@
     def test_one_that_never_suspects(self):
         self.assertIn("seen", broken(self.simulation(make=NeverSuspects)))
 
-    def test_one_that_takes_deaths_by_word_of_mouth(self):
-        """As the members did before: the other side's word killed one's own when a split ended."""
+    def test_one_that_believes_deaths_by_hearsay(self):
+        """As the members did before: the other side's statements killed one's own when a partition ended."""
         sides = ({"c1", "c2", "c3"}, {"c4", "c5"})
 
         def own_dead(**makes):
@@ -93,7 +95,7 @@
             ]
 
         self.assertEqual(own_dead(), [])
-        self.assertGreater(len(own_dead(make=TakesWords)), 0)
+        self.assertGreater(len(own_dead(make=BelievesHearsay)), 0)
 
     def test_one_that_never_says_it_is_cut_off(self):
         self.assertEqual(broken(self.simulation(make=NeverAlone)), {"alone"})
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -7,21 +7,32 @@
 import unittest
 
 from embertray.cluster.membership import ALIVE, DEAD, LEFT, SUSPECT, Membership, MembershipConfig
+from embertray.cluster.membership.exceptions import UnreadableMessageError
 from embertray.cluster.membership.health import LocalHealth
 from embertray.cluster.membership.member import Statement
-from embertray.cluster.membership.messages import Ping, UnreadableMessageError, decode, encode
+from embertray.cluster.membership.messages import (
+    Ack,
+    FullState,
+    Join,
+    Message,
+    Nack,
+    Ping,
+    PingRequest,
+    decode,
+    encode,
+)
 from embertray.simulation.emulator.gossip import MS, MembershipSimulation, S
 
-PACE = MembershipConfig()
+CONFIG = MembershipConfig()
 
 
-def detect_within(members, pace=PACE):
+def detect_within(members, config=CONFIG):
     """The stated bound on declaring a killed member dead where links are good: each member probes each other
     once in two rounds; then nobody may confirm; then the statement goes round (docs/design/cluster.md)."""
     return (
-        2 * (members - 1) * pace.probe_period
-        + pace.suspicion_timeout(members, 0)
-        + 2 * members * pace.probe_period
+        2 * (members - 1) * config.probe_period
+        + config.suspicion_timeout(members, 0)
+        + 2 * members * config.probe_period
     )
 
 
@@ -39,8 +50,10 @@
 
 
 class NeverSuspects(Membership):
-    def probe_failed(self, now, number, probe):
-        del self.probes[number]
+    """A sabotaged member: a probe that fails has no consequence."""
+
+    def probe_failed(self, now, sequence, probe):
+        del self.probes[sequence]
 
 
 class BelievesItself(Membership):
@@ -119,22 +132,25 @@
                 simulation.links.lag["m4"] = 1200 * MS
                 simulation.run(60 * S)
                 found += sum(
-                    1 for _, who, c in simulation.notes if who == "m4" and c.state in (SUSPECT, DEAD)
+                    1
+                    for _, who, change in simulation.notes
+                    if who == "m4" and change.state in (SUSPECT, DEAD)
                 )
             return found
 
-        with_it, without = blamed(Membership), blamed(BelievesItself)
-        self.assertLess(with_it, without / 2, (with_it, without))
+        with_health = blamed(Membership)
+        without = blamed(BelievesItself)
+        self.assertLess(with_health, without / 2, (with_health, without))
 
 
-class Splits(unittest.TestCase):
+class Partitions(unittest.TestCase):
     def sides(self, simulation, *groups, most=90 * S):
         simulation.links.split(*groups)
         self.assertIsNotNone(simulation.until(lambda: all(simulation.agree(group) for group in groups), most))
         now = simulation.engine.time
         alone = [p.core.local.name for p in simulation.living() if p.core.cut_off(now)]
         simulation.links.heal()
-        self.assertIsNotNone(simulation.until(simulation.agree, 60 * S), "after the split's end")
+        self.assertIsNotNone(simulation.until(simulation.agree, 60 * S), "after the partition's end")
         return alone
 
     def test_in_two_and_in_three_and_together_again(self):
@@ -150,7 +166,7 @@
 
 
 class Names(unittest.TestCase):
-    def test_a_restart_is_a_new_life_whatever_the_clock_says(self):
+    def test_a_restart_is_a_new_incarnation_whatever_the_clock_says(self):
         for clock in (0, -3600 * S, 3600 * S):
             simulation = MembershipSimulation(6).gather(5)
             simulation.kill("m3")
@@ -207,72 +223,80 @@
 
     def test_all_restart_within_a_second_and_twenty_join_at_once(self):
         simulation = MembershipSimulation(10).gather(5)
-        for n in range(5):
-            simulation.kill(f"m{n}")
-        for n in range(5):
-            simulation.up(f"m{n}", names(0, 1))
+        for name in names(*range(5)):
+            simulation.kill(name)
+        for name in names(*range(5)):
+            simulation.up(name, names(0, 1))
             simulation.run(150 * MS)
         self.assertIsNotNone(simulation.until(simulation.agree, 20 * S))
-        for n in range(20):
-            simulation.up(f"n{n}", names(0, 1))
+        for number in range(20):
+            simulation.up(f"n{number}", names(0, 1))
         self.assertIsNotNone(simulation.until(simulation.agree, 30 * S))
         self.assertEqual(deaths(simulation, *names(0, 1, 2, 3, 4)), [])
 
 
 class Strangers(unittest.TestCase):
-    def test_other_clusters_versions_and_former_lives_are_counted_and_change_nothing(self):
+    def test_other_clusters_versions_and_former_incarnations_are_counted_and_change_nothing(self):
         simulation = MembershipSimulation(11).gather(3)
-        core, now = simulation.at["m0"].core, simulation.engine.time
+        core = simulation.at["m0"].core
+        now = simulation.engine.time
         other = Statement("x", "x", 5, 0, ALIVE)
+        death = core.statement_about(core.members["m1"], DEAD)
         for message, why in (
             (Ping("elsewhere", 1, other, 0, 1, []), "cluster"),
             (Ping("c", 2, other, 0, 1, []), "version"),
-            (
-                Ping(
-                    "c",
-                    1,
-                    other,
-                    core.local.incarnation - 1,
-                    1,
-                    [core.statement_about(core.members["m1"], DEAD)],
-                ),
-                "former life",
-            ),
+            (Ping("c", 1, other, core.local.incarnation - 1, 1, [death]), "former life"),
         ):
             core.receive(now, "x", message)
             self.assertEqual(core.rejected[why, "x"], 1)
         self.assertEqual((core.state_of("x"), core.state_of("m1")), (None, ALIVE))
 
+    def test_every_message_that_can_be_read_has_a_handler(self):
+        """A class of message without a handler would end the process at the first one that comes."""
+        for message_type in (Ping, Ack, PingRequest, Nack, Join, FullState):
+            simulation = MembershipSimulation(11).gather(3)
+            core = simulation.at["m0"].core
+            sender = simulation.at["m1"].core.local
+            more = {PingRequest: [sender], Join: [False], FullState: [0]}.get(message_type, [])
+            message = message_type("c", 1, sender, core.local.incarnation, 1, [], *more)
+            core.receive(simulation.engine.time, "m1", decode(encode(message)))
+        with self.assertRaisesRegex(TypeError, "no handler for Message"):
+            core.handle(simulation.engine.time, Message("c", 1, sender, 0, 1, []))
+
     def test_strangers_from_ever_new_ports_cost_no_memory(self):
         simulation = MembershipSimulation(15).gather(2)
-        core, other = simulation.at["m0"].core, Statement("x", "x", 5, 0, ALIVE)
+        core = simulation.at["m0"].core
+        other = Statement("x", "x", 5, 0, ALIVE)
         for port in range(10_000):
             core.receive(simulation.engine.time, f"x:{port}", Ping("elsewhere", 1, other, 0, 1, []))
         self.assertLess(len(core.rejected), 2100)
         self.assertEqual(sum(core.rejected.values()), 10_000)
 
-    def test_a_replay_of_a_former_life_does_not_bring_it_back(self):
+    def test_a_replay_of_a_former_incarnation_does_not_bring_it_back(self):
         simulation = MembershipSimulation(12).gather(4)
         old = simulation.at["m2"].core.local
         simulation.kill("m2")
         simulation.run(S)
         simulation.up("m2")
         simulation.run(10 * S)
-        life = simulation.at["m1"].core.members["m2"].statement.incarnation
-        self.assertGreater(life, old.incarnation)
+        incarnation = simulation.at["m1"].core.members["m2"].statement.incarnation
+        self.assertGreater(incarnation, old.incarnation)
         simulation.at["m1"].core.receive(simulation.engine.time, "m2", Ping("c", 1, old, 0, 1, []))
-        self.assertEqual(simulation.at["m1"].core.members["m2"].statement.incarnation, life)
+        self.assertEqual(simulation.at["m1"].core.members["m2"].statement.incarnation, incarnation)
 
-    def test_spoilt_and_repeated_messages_for_a_minute(self):
+    def test_damaged_and_repeated_messages_for_a_minute(self):
         simulation = MembershipSimulation(13).gather(5)
-        simulation.links.spoil, simulation.links.again, simulation.links.loss = 0.05, 0.2, 0.05
+        simulation.links.spoil = 0.05
+        simulation.links.again = 0.2
+        simulation.links.loss = 0.05
         simulation.run(60 * S)
         simulation.links.spoil = simulation.links.again = simulation.links.loss = 0.0
         self.assertGreater(simulation.unreadable, 0)
         self.assertIsNotNone(simulation.until(simulation.agree, 30 * S))
 
     def test_no_bytes_raise_anything_but_unreadable(self):
-        chance, whole = random.Random(1), encode(Ping("c", 1, Statement("m", "m", 1, 0, ALIVE), 0, 1, []))
+        chance = random.Random(1)
+        whole = encode(Ping("c", 1, Statement("m", "m", 1, 0, ALIVE), 0, 1, []))
         self.assertEqual(decode(whole).sender.name, "m")
         for _ in range(3000):
             data = bytearray(
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -16,7 +16,7 @@
 from embertray.simulation.processes.program import ROOT
 
 
-class Held(unittest.TestCase):
+class ProcessesCase(unittest.TestCase):
     """Processes that a case starts are ended with it."""
 
     def setUp(self):
@@ -32,12 +32,12 @@
         return site
 
 
-class Processes(Held):
+class Processes(ProcessesCase):
     def test_killed_stopped_and_started_again(self):
         site = self.site(4)
         alive = dict.fromkeys(site.names, "alive")
         site.wait(lambda: site.all_see(**alive), "all know all")
-        site.wait(site.fresh, "each told each its facts")
+        site.wait(site.fresh, "each knows the facts of each")
         self.assertLessEqual(*site.oldest())
         shown = subprocess.run(
             [sys.executable, "-m", "embertray", "cluster", "status", "--admin", site.admin["c1"]],
@@ -50,19 +50,19 @@
             [["c2", "alive"], ["c3", "alive"], ["c4", "alive"]],
         )
 
-        def held():
+        def account():
             return {row["purpose"]: row for row in json.loads(site.ask("c1", "/memory"))["purposes"]}[
                 "cluster"
             ]
 
         site.wait(
-            lambda: held()["entries"] > 3, "the accounts have looked at the cluster"
+            lambda: account()["entries"] > 3, "the accounts have looked at the cluster"
         )  # each second, not at once
-        self.assertEqual(held()["action"], "leave out")
+        self.assertEqual(account()["action"], "leave out")
 
-        pace = MembershipConfig(probe_period=PERIOD * 10**6)
+        config = MembershipConfig(probe_period=PERIOD * 10**6)
         most = (
-            2 * 3 * pace.probe_period + pace.suspicion_timeout(4, 0) + 8 * pace.probe_period
+            2 * 3 * config.probe_period + config.suspicion_timeout(4, 0) + 8 * config.probe_period
         ) / 1e9  # the stated bound for four members
         site.kill("c4")
         took = site.wait(lambda: site.all_see(**alive | {"c4": "dead"}), "c4 is dead")
@@ -82,7 +82,7 @@
         )  # it blamed nobody
 
         site.up("c4")
-        site.wait(lambda: site.all_see(**alive), "c4 lives again")
+        site.wait(lambda: site.all_see(**alive), "c4 is alive again")
 
     def test_a_split_by_stopping_and_all_at_once(self):
         site = self.site(3)
@@ -98,12 +98,12 @@
         site = self.site(2)
         site.wait(lambda: site.all_see(c1="alive", c2="alive"), "both know both")
         ports = free_ports(3)
-        told = {
+        known_ports = {
             name: [int(element.get(key).rpartition(":")[2]) for key in ("listen", "admin", "cluster")]
             for element in etree.parse(str(site.path)).getroot().find("controllers")
             for name in [element.get("name")]
         }
-        path = site.describe("other", told | {"c2": ports})
+        path = site.describe("other", known_ports | {"c2": ports})
         site.up("c2", path, "younger")
         older = site.running.pop("c2")
         self.assertEqual(older.ended(), 0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,6 +14,7 @@
 from embertray.cluster.limits.divide import divide
 from embertray.cluster.limits.lease import Acceptor
 from embertray.cluster.limits.ledger import Ledger
+from embertray.cluster.limits.messages import QuotaGrant
 from embertray.cluster.limits.quota_holder import QuotaHolder
 from embertray.experiments.measure.explore import Found, explore, walk
 from embertray.experiments.measure.models import LeaderModel, LoansModel
@@ -52,8 +53,9 @@
     """Raises its proxies without regard to what those that left still act on."""
 
     def quota_updates(self, now):
-        kept, self.departed = self.departed, {}
-        for proxy in kept:
+        departed = list(self.departed)
+        self.departed = {}
+        for proxy in departed:
             self.forget_proxy(proxy)
         return super().quota_updates(now)
 
@@ -64,13 +66,15 @@
 
 
 class ForgetsTheSilent(Ledger):
-    """Lends a silent member's part as soon as its term is over, whoever still acts on it."""
+    """Lends a silent member's units as soon as its term is over, whoever still acts on them."""
 
     def unclaimed_proxies(self, name, ask):
         return set()
 
 
 class ForgetsFormerIncarnations(Ledger):
+    """Does not charge what proxies act on by the word of a former incarnation."""
+
     def record_request(self, now, name, ask):
         taken = super().record_request(now, name, ask)
         self.accounts[name].former_incarnations = []
@@ -132,7 +136,8 @@
         self.assertEqual(simulation.over, 0)
 
     def test_the_same_seed_is_the_same_run(self):
-        one, two = play(7, wounds=4), play(7, wounds=4)
+        one = play(7, wounds=4)
+        two = play(7, wounds=4)
         self.assertEqual((one.used, one.parts), (two.used, two.parts))
 
 
@@ -192,24 +197,23 @@
         self.assertGreater(walk(LoansModel(asks=5, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
 
-class Parts(unittest.TestCase):
+class Quotas(unittest.TestCase):
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(
         st.integers(0, 1000), st.dictionaries(st.sampled_from("abcdefgh"), st.integers(0, 500), min_size=1)
     )
-    def test_a_pool_is_divided_whole_and_nobody_lacks_beside_one_that_has_too_much(self, pool, wants):
-        found = divide(pool, wants)
+    def test_a_pool_is_divided_whole_and_nobody_lacks_beside_one_that_has_too_much(self, pool, demand):
+        found = divide(pool, demand)
         self.assertEqual(sum(found.values()), pool)
-        lacking = [name for name in wants if found[name] < wants[name]]
+        lacking = [name for name in demand if found[name] < demand[name]]
         for name in lacking:
-            self.assertTrue(all(found[other] <= found[name] + 1 for other in wants))
+            self.assertTrue(all(found[other] <= found[name] + 1 for other in demand))
 
     def test_a_replayed_or_late_grant_is_not_taken(self):
         limits = Limits("a", ["a", "b", "c"], {"l": 100}, 0, random.Random(1), first=True)
         holder = limits.quota_holder
-        first, second = holder.make_request(10, 7, False), holder.make_request(20, 7, False)
-        from embertray.cluster.limits.messages import QuotaGrant
-
+        first = holder.make_request(10, 7, False)
+        second = holder.make_request(20, 7, False)
         self.assertTrue(holder.apply_grant(30, QuotaGrant(second.sequence, 7, {"l": 9}), 7))
         self.assertFalse(holder.apply_grant(30, QuotaGrant(first.sequence, 7, {"l": 50}), 7))
         self.assertFalse(holder.apply_grant(30, QuotaGrant(second.sequence, 7, {"l": 50}), 7))
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Shared entries: merging in any order, ages, caps, lives, and the bound on how old they can be anywhere."""
+"""Shared entries: merging in any order, ages, caps, incarnations, and the bound on their staleness."""
 
 import itertools
 import random
@@ -9,7 +9,8 @@
 from embertray.cluster.state import AntiEntropyExchange, Entry, EntryStore, StoreFullError
 from embertray.cluster.state.staleness import staleness_bound_ns
 
-S, MS = 10**9, 10**6
+S = 10**9  # ns
+MS = 10**6  # ns
 NOW = 1000 * S
 ENTRIES = st.lists(
     st.builds(
@@ -25,10 +26,8 @@
 )
 
 
-def told(entry):
-    """Of one owner, life and version there is one value: an owner never tells two things under one
-    version.
-    """
+def as_written(entry):
+    """Of one owner, incarnation and version there is one value: an owner writes none twice."""
     return Entry(
         entry.owner,
         entry.key,
@@ -39,8 +38,9 @@
     )
 
 
-def store(*batches, me="me"):
-    one = EntryStore(me, 1)
+def merged(*batches):
+    """What a store knows once it has merged these batches in this order."""
+    one = EntryStore("me", 1)
     for batch in batches:
         one.merge(NOW, batch)
     return one.entries, one.incarnations
@@ -55,7 +55,7 @@
 
 
 class DropsDeltas(AntiEntropyExchange):
-    """A sabotaged member: it says that it has told all, and leaves an entry out."""
+    """A sabotaged member: it says that it has sent all, and leaves an entry out."""
 
     def on_offer(self, now, offer):
         delta = super().on_offer(now, offer)
@@ -65,21 +65,23 @@
 class Merge(unittest.TestCase):
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(ENTRIES, ENTRIES, ENTRIES)
-    def test_any_order_any_grouping_any_repetition(self, a, b, c):
-        a, b, c = ([told(entry) for entry in batch] for batch in (a, b, c))
-        whole = store(a, b, c)
-        self.assertTrue(all(store(*order) == whole for order in itertools.permutations((a, b, c))))
-        self.assertEqual(store(a + b + c), whole)
-        self.assertEqual(store(a, b, c, a, c, b, a), whole)
+    def test_any_order_any_grouping_any_repetition(self, first, second, third):
+        batches = [[as_written(entry) for entry in batch] for batch in (first, second, third)]
+        first, second, third = batches
+        expected = merged(first, second, third)
+        self.assertTrue(all(merged(*order) == expected for order in itertools.permutations(batches)))
+        self.assertEqual(merged(first + second + third), expected)
+        self.assertEqual(merged(first, second, third, first, third, second, first), expected)
 
     def test_that_check_notices_one_that_repeats_old_entries(self):
-        old, new = (told(Entry("a", "k", 1, version, 0, b"")) for version in (1, 2))
-        first, second = RepeatsOld("me", 1), RepeatsOld("me", 1)
+        old, new = (as_written(Entry("a", "k", 1, version, 0, b"")) for version in (1, 2))
+        first = RepeatsOld("me", 1)
+        second = RepeatsOld("me", 1)
         first.merge(NOW, [old, new])
         second.merge(NOW, [new, old])
         self.assertNotEqual(first.entries, second.entries)
 
-    def test_a_later_life_outdoes_all_of_a_former_one(self):
+    def test_a_later_incarnation_replaces_all_of_a_former_one(self):
         one = EntryStore("me", 1)
         one.merge(NOW, [Entry("a", "k", 5, 9, 0, b"old"), Entry("a", "only", 5, 10, 0, b"old")])
         one.merge(NOW, [Entry("a", "k", 6, 1, 0, b"new")])
@@ -87,29 +89,29 @@
         self.assertEqual([known.value for known in one.freshest(NOW, "k")], [b"new"])
         self.assertEqual(one.freshest(NOW, "only"), [])
 
-    def test_our_own_are_told_by_us_alone(self):
+    def test_own_entries_are_written_by_their_owner_alone(self):
         one = EntryStore("me", 1)
         one.put(NOW, "k", b"mine")
         one.merge(NOW, [Entry("me", "k", 9, 9, 0, b"not mine")])
         self.assertEqual(one.freshest(NOW, "k")[0].value, b"mine")
         one.adopt_incarnation(10)
         other = EntryStore("you", 1)
-        other.merge(NOW, [Entry("me", "k", 9, 9, 0, b"a former life")])
+        other.merge(NOW, [Entry("me", "k", 9, 9, 0, b"a former incarnation")])
         other.merge(NOW, one.missing_entries(NOW, {})[0])
         self.assertEqual(other.freshest(NOW, "k")[0].value, b"mine")
 
 
 class Ages(unittest.TestCase):
     def test_an_age_travels_as_a_duration_through_clocks_an_hour_apart(self):
-        first, second, third = EntryStore("a", 1), EntryStore("b", 1), EntryStore("c", 1)
+        first, second, third = (EntryStore(name, 1) for name in "abc")
         first.put(NOW, "k", b"v")
-        for source, at, to, there in (
+        for source, sent_at, receiver, received_at in (
             (first, NOW + 2 * S, second, NOW + 3600 * S),
             (second, NOW + 3603 * S, third, NOW - 3600 * S),
         ):
-            entries, upto = source.missing_entries(at, to.digest())
-            to.merge(there, entries)
-            to.mark_complete(upto)
+            entries, complete_up_to = source.missing_entries(sent_at, receiver.digest())
+            receiver.merge(received_at, entries)
+            receiver.mark_complete(complete_up_to)
         self.assertEqual(third.freshest(NOW - 3599 * S, "k")[0].age_ns, 6 * S)
 
     def test_readers_of_both_kinds(self):
@@ -121,7 +123,7 @@
         self.assertEqual([known.owner for known in one.no_older_than(NOW, "k", 2 * S)], ["c"])
         self.assertEqual(one.no_older_than(NOW + 60 * S, "k", 2 * S), [])
 
-    def test_entries_of_a_gone_owner_and_taken_back_ones_end(self):
+    def test_entries_of_a_departed_owner_and_tombstones_expire(self):
         one = EntryStore("a", 1, retention_ns=10 * S)
         one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"b")])
         one.put(NOW, "mine", b"x")
@@ -147,7 +149,7 @@
             one.put(NOW, "more", b"x" * 9_000)
         self.assertLessEqual(one.size_bytes, 10_000)
 
-    def test_closed_by_the_accounts_it_renews_what_is_held_and_takes_nothing_more(self):
+    def test_a_closed_store_renews_known_entries_and_takes_no_new_ones(self):
         one = EntryStore("a", 1)
         one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"old")])
         one.closed = True
@@ -162,13 +164,13 @@
         self.assertEqual([(k.owner, k.value) for k in one.freshest(NOW, "k")], [("b", b"new")])
         self.assertEqual(dict(one.shed), {"b": 1, "c": 1})
 
-    def test_what_was_left_out_comes_again_when_there_is_room(self):
-        owner, reader = EntryStore("b", 1), EntryStore("a", 1, cap_bytes=3_000)
-        for n in range(20):
-            owner.put(NOW, f"k{n}", b"x" * 100)
-        ours, theirs = (
-            AntiEntropyExchange(one, random.Random(n), NOW) for n, one in enumerate((reader, owner))
-        )
+    def test_shed_entries_are_sent_again_when_there_is_room(self):
+        owner = EntryStore("b", 1)
+        reader = EntryStore("a", 1, cap_bytes=3_000)
+        for number in range(20):
+            owner.put(NOW, f"k{number}", b"x" * 100)
+        ours = AntiEntropyExchange(reader, random.Random(0), NOW)
+        theirs = AntiEntropyExchange(owner, random.Random(1), NOW)
         ours.on_delta(NOW, theirs.on_offer(NOW, ours.offer()))
         self.assertLess(len(reader.entries), 20)
         reader.cap_bytes = 100_000
@@ -209,9 +211,9 @@
         for count, seconds in ((3, 40), (8, 40), (24, 80)):
             self.assertLessEqual(
                 self.play(count, 1, seconds), staleness_bound_ns(count, S, S) + S
-            )  # and the second until it is told anew
+            )  # and the second until it is written anew
 
-    def test_on_each_side_of_a_split_the_bound_holds_for_its_own(self):
+    def test_on_each_side_of_a_partition_the_bound_holds_for_its_own(self):
         self.assertLessEqual(
             self.play(9, 2, 40, split=lambda name: name < "m004"), staleness_bound_ns(9, S, S) + S
         )
