--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -12,7 +12,7 @@
 from embertray.common import logs
 from embertray.common.memory.collector import COLLECTOR_THRESHOLDS
 from embertray.common.net.address import BadAddress
-from embertray.controller.channel.budget import budget
+from embertray.controller.channel.budget import channel_budget
 from embertray.service.site import BadSite, load as load_site
 from embertray.simulation.emulator.play import play as play_emulated
 from embertray.simulation.models.chance import Streams
@@ -94,7 +94,7 @@
         f"{site}: {description.name}: {len(description.zones)} zones, "
         f"{len(description.kinds)} request kinds, {len(description.controllers)} controllers"
     )
-    found = budget(description)
+    found = channel_budget(description)
     click.echo(
         f"one drain takes {found.removal / 1e9:.2f} s of the channel, one bind "
         f"{found.bind_one / 1e9:.2f} s, binding all "
--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -8,11 +8,11 @@
 from embertray.policy import interface as i
 
 
-class Ordered:
+class OrderedTable:
     """A table as ordered: lines and levels by their objects, in order."""
 
     def __init__(self):
-        self.lines, self.levels, self.users = {}, {}, {}
+        self.lines, self.levels, self.proxies = {}, {}, {}
 
 
 class Outbox:
@@ -21,26 +21,26 @@
     def __init__(self, identifiers, head, kinds):
         self.identifiers, self.head = identifiers, head
         self.names = kinds  # RequestKind -> its name
-        self.tables, self.out = {}, {}  # Table -> Ordered; Backend -> proxies told that it is out
+        self.tables, self.withdrawn = {}, {}  # Table -> OrderedTable; Backend -> proxies told that it is out
         self.bound = {}  # joined Proxy -> Table or None
-        self.all_in, self.most_again, self.wait = (
+        self.unlimited_level, self.retry_limit, self.retry_after = (
             1.0,
             3,
             0,
         )  # a level that denies none; what goes with one that does
 
-    def joined(self, proxy):
-        self.left(proxy)
+    def proxy_joined(self, proxy):
+        self.proxy_left(proxy)
         self.bound[proxy] = None
 
-    def left(self, proxy):
+    def proxy_left(self, proxy):
         table = self.bound.pop(proxy, None)
         if table is not None:
-            self.tables[table].users.pop(proxy, None)
-        for informed in self.out.values():
+            self.tables[table].proxies.pop(proxy, None)
+        for informed in self.withdrawn.values():
             informed.pop(proxy, None)
 
-    def post(self, now, orders):
+    def build_messages(self, now, orders):
         """[(proxy, Orders, nonce or None)], in the order in which proxies were first concerned."""
         lines, costs, nonce, news = {}, {}, None, []
         for order in orders:
@@ -59,7 +59,7 @@
         """(proxy, message part, lines it costs) for each proxy that an order reaches."""
         if isinstance(order, i.SetLine):
             tab, ident, backend = (
-                self.table(order.table),
+                self.ordered_table(order.table),
                 self.identifiers.table_id(order.table),
                 order.backend,
             )
@@ -70,9 +70,9 @@
                 tab.lines.pop(backend, None)
             part, hidden = (
                 Line(ident, backend.external_id, order.weight),
-                self.out.get(backend) if new else None,
+                self.withdrawn.get(backend) if new else None,
             )
-            for proxy in tab.users:
+            for proxy in tab.proxies:
                 # a withdrawn one comes into a table: still out
                 if hidden is not None and proxy not in hidden:
                     hidden[proxy] = True
@@ -83,10 +83,10 @@
             if proxy not in self.bound:
                 return
             self.unbind(proxy)
-            tab = self.table(order.table)
-            self.bound[proxy], tab.users[proxy] = order.table, True
-            out = [backend for backend in tab.lines if backend in self.out]
-            for backend, informed in self.out.items():
+            tab = self.ordered_table(order.table)
+            self.bound[proxy], tab.proxies[proxy] = order.table, True
+            out = [backend for backend in tab.lines if backend in self.withdrawn]
+            for backend, informed in self.withdrawn.items():
                 informed.pop(proxy, None)
                 if backend in tab.lines:
                     informed[proxy] = True
@@ -103,21 +103,21 @@
         elif isinstance(order, i.Withdraw):
             backend, part = order.backend, Out(order.backend.external_id, order.out)
             if order.out:
-                informed = self.out.setdefault(backend, {})
+                informed = self.withdrawn.setdefault(backend, {})
                 for proxy, table in self.bound.items():
                     if proxy not in informed and (table is None or backend in self.tables[table].lines):
                         informed[proxy] = True
                         yield proxy, part, 1
             else:
-                for proxy in self.out.pop(backend, {}):
+                for proxy in self.withdrawn.pop(backend, {}):
                     yield proxy, part, 1
         elif isinstance(order, i.SetLevel):
-            tab = self.table(order.table)
+            tab = self.ordered_table(order.table)
             kinds, retry, wait = order.kinds or list(self.names), order.retry, 0
             if (
-                order.level < self.all_in
+                order.level < self.unlimited_level
             ):  # what is reduced rides along: a level alone is no reason for a line
-                retry, wait = min(retry, self.most_again), self.wait
+                retry, wait = min(retry, self.retry_limit), self.retry_after
             tab.levels.update({kind: (order.level, retry) for kind in kinds})
             part = Level(
                 self.identifiers.table_id(order.table),
@@ -126,21 +126,21 @@
                 retry,
                 wait,
             )
-            for proxy in tab.users:
+            for proxy in tab.proxies:
                 yield proxy, part, 1
 
-    def level_of(self, proxy, kind):
+    def ordered_level(self, proxy, kind):
         """What a joined proxy was ordered to let in of a kind; None: all."""
         table = self.bound.get(proxy)
         level = self.tables[table].levels.get(kind) if table is not None else None
-        return None if level is None or level[0] >= self.all_in else level[0]
+        return None if level is None or level[0] >= self.unlimited_level else level[0]
 
     def unbind(self, proxy):
         old = self.bound.get(proxy)
         if old is not None:
-            self.tables[old].users.pop(proxy, None)
+            self.tables[old].proxies.pop(proxy, None)
 
-    def table(self, table):
+    def ordered_table(self, table):
         if table not in self.tables:
-            self.tables[table] = Ordered()
+            self.tables[table] = OrderedTable()
         return self.tables[table]
--- a/embertray/controller/channel/pacer.py
+++ b/embertray/controller/channel/pacer.py
@@ -10,19 +10,19 @@
 
 S = 10**9
 # -- constants: value, unit, reason
-BURST = (
+BURST_S = (
     0.02  # s of the rate made up for at most after a late wake-up: timers are late by some ms, but a process
 )
 #                     that stood still must not send its whole queue at once
 
 
-class Waiting:
+class QueuedMessage:
     """A message in the channel."""
 
-    __slots__ = ("proxy", "cost", "load")
+    __slots__ = ("proxy", "cost", "message")
 
-    def __init__(self, proxy, cost, load):
-        self.proxy, self.cost, self.load = proxy, cost, load
+    def __init__(self, proxy, cost, message):
+        self.proxy, self.cost, self.message = proxy, cost, message
 
 
 class Pacer:
@@ -32,16 +32,20 @@
 
     def __init__(self, rate, now=0):
         self.rate, self.pace, self.queue = rate, 1.0, deque()
-        self.lines, self.peak, self.left = 0.0, 0.0, 0  # waiting now, the most ever, messages that left
+        self.lines_waiting, self.lines_peak, self.departed = (
+            0.0,
+            0.0,
+            0,
+        )  # waiting now, the most ever, messages that left
         self.at, self.owed = now, 0.0  # lines of the first message still to go at `at`
 
-    def put(self, now, proxy, cost, load):
-        """A message is ordered. Its load leaves by `leave`."""
+    def enqueue(self, now, proxy, cost, message):
+        """A message is ordered. Its message leaves by `leave`."""
         if not self.queue:
             self.at, self.owed = now, cost
-        self.queue.append(Waiting(proxy, cost, load))
-        self.lines += cost
-        self.peak = max(self.peak, self.lines)
+        self.queue.append(QueuedMessage(proxy, cost, message))
+        self.lines_waiting += cost
+        self.lines_peak = max(self.lines_peak, self.lines_waiting)
 
     def set_pace(self, now, pace):
         """Runs the channel at a part of its rate from now on. Raises ValueError out of (0, 1]."""
@@ -54,32 +58,32 @@
         """The time up to now is spent on the first message."""
         if self.queue and self.rate:
             rate = self.rate * self.pace
-            self.owed = max(self.owed - (now - self.at) * rate / S, -BURST * rate)
+            self.owed = max(self.owed - (now - self.at) * rate / S, -BURST_S * rate)
         self.at = now
 
-    def leave(self, now):
-        """[(px, load)] of the messages that have left by now, in order."""
+    def dequeue(self, now):
+        """[(px, message)] of the messages that have left by now, in order."""
         gone = []
         self.run(now)
         while self.queue and (not self.rate or self.owed <= 1e-6):
             first = self.queue.popleft()
-            gone.append((first.proxy, first.load))
-            self.lines -= first.cost
-            self.left += 1
+            gone.append((first.proxy, first.message))
+            self.lines_waiting -= first.cost
+            self.departed += 1
             spare = min(0.0, self.owed)
             self.owed = spare + self.queue[0].cost if self.queue else 0.0
         if not self.queue:
-            self.lines = 0.0
+            self.lines_waiting = 0.0
         return gone
 
-    def heaviest(self):
+    def heaviest_proxy(self):
         """The proxy with the most lines waiting; None when nothing waits."""
         lines = {}
         for one in self.queue:
             lines[one.proxy] = lines.get(one.proxy, 0) + one.cost
         return max(lines, key=lines.get, default=None)
 
-    def next_at(self):
+    def next_departure(self):
         """When the first message leaves, ns; None when nothing waits."""
         if not self.queue:
             return None
@@ -87,16 +91,16 @@
             return self.at
         return self.at + max(0, -int(-self.owed * S // (self.rate * self.pace)))
 
-    def drop(self, now, proxy):
+    def drop_proxy(self, now, proxy):
         """The proxy's stream is gone: what waits for it is lost and costs no time any more."""
         self.run(now)
         if self.queue and self.queue[0].proxy is proxy:
             self.owed = 0.0
             while self.queue and self.queue[0].proxy is proxy:
-                self.lines -= self.queue.popleft().cost
+                self.lines_waiting -= self.queue.popleft().cost
             if self.queue:
                 self.owed = self.queue[0].cost
         kept = deque(w for w in self.queue if w.proxy is not proxy)
         if len(kept) != len(self.queue):
             self.queue = kept
-            self.lines = sum(w.cost for w in kept)
+            self.lines_waiting = sum(w.cost for w in kept)
--- a/embertray/controller/core/desk.py
+++ b/embertray/controller/core/desk.py
@@ -31,8 +31,8 @@
     # ---- proxies
 
     def hello(self, now, name):
-        """None, or a Verdict: turned away."""
-        return self.admission.hello(now, name, self.instance.turn_away())
+        """None, or a Rejection: turned away."""
+        return self.admission.admit(now, name, self.instance.turn_away())
 
     def joined(self, now, hello):
         if self.trust.keeps_tables(now, hello.fresh, hello.proxy):
--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -23,8 +23,8 @@
     def lists(*books):
         return lambda: (item for book in books for item in book.items())
 
-    users = [table.users for table in ordered]
-    informed = list(box.out.values())
+    users = [table.proxies for table in ordered]
+    informed = list(box.withdrawn.values())
     held = [proxy.messages.open for proxy in proxies] + [proxy.messages.written for proxy in proxies]
     return {
         "tables": [
@@ -47,7 +47,7 @@
                 "withdrawn",
                 sum(map(len, informed)) + len(module.channel.withdrawn),
                 lists(*informed, module.channel.withdrawn),
-                [*informed, box.out],
+                [*informed, box.withdrawn],
                 HANDLES,
             ),
         ],
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -12,8 +12,8 @@
 from embertray.common.memory.caps import PROBES_IN_FLIGHT_MAX, default_caps
 from embertray.common.memory.purposes import CUT, DROP
 from embertray.controller.channel.outbox import Outbox
-from embertray.controller.channel.outlet import UNANSWERED, Awake
 from embertray.controller.channel.pacer import Pacer
+from embertray.controller.channel.send_buffer import NONCE_TIMEOUT_NS, StallWatch
 from embertray.controller.degradation import DegradationLadder
 from embertray.controller.report_intake import Intake
 from embertray.controller.runner import Runner
@@ -56,11 +56,11 @@
             Intake(site.reports_rate, now, site.report_cycle),
         )
         self.reduced = DegradationLadder(site.kinds, site.report_cycle, site.levels == "rate", now)
-        self.outbox.all_in = self.module.all_in if site.levels != "none" else 0.0
+        self.outbox.unlimited_level = self.module.all_in if site.levels != "none" else 0.0
         self.stamps = {}
         self.open, self.refs, self.probing, self.tidy_at = {}, {}, {}, now + TIDY
         self.accounts = MemoryAccounts({**default_caps(site), **site.caps}, chance)
-        self.awake = Awake(now)
+        self.stall_watch = StallWatch(now)
         self.more = dict  # purpose -> further collections, of whoever runs this
         self.held_back = self.skipped = self.room_at = 0
 
@@ -86,14 +86,14 @@
 
     def join(self, hello):
         proxy = self.identifiers.proxy(hello.proxy)
-        self.outbox.joined(proxy)
+        self.outbox.proxy_joined(proxy)
         self.open[hello.proxy] = deque()
         self.todo.append(i.Joined(proxy, self.identifiers.zone(hello.zone), hello.rate, hello.fresh))
 
     def left(self, now, name):
         proxy = self.identifiers.proxy(name)
-        self.outbox.left(proxy)
-        self.pacer.drop(now, proxy)
+        self.outbox.proxy_left(proxy)
+        self.pacer.drop_proxy(now, proxy)
         self.intake.left(proxy)
         self.reduced.loss_meter.proxy_left(proxy)
         for nonce in self.open.pop(name, ()):
@@ -132,7 +132,7 @@
                     came.requests,
                     came.lost,
                     message.span,
-                    self.outbox.level_of(proxy, kind),
+                    self.outbox.ordered_level(proxy, kind),
                     came.repeats,
                 )
 
@@ -146,20 +146,23 @@
     def advance(self, now):
         """One step if anything happened or is due; then what leaves the channel by now."""
         step = Step()
-        self.awake.look(now)
+        self.stall_watch.is_steady(now)
         if (change := self.reduced.evaluate_if_due(now)) is not None:
             step.change = change
-            self.outbox.wait, self.outbox.most_again = self.reduced.retry_after, self.reduced.retry_limit
+            self.outbox.retry_after, self.outbox.retry_limit = (
+                self.reduced.retry_after,
+                self.reduced.retry_limit,
+            )
         if orders := self.play(now, self.intake.due(now)):
-            for proxy, message, nonce in self.outbox.post(now, orders):
+            for proxy, message, nonce in self.outbox.build_messages(now, orders):
                 if nonce:
                     self.stamps[message.nonce] = now
                     self.refs[message.nonce] = self.refs.get(message.nonce, 0) + 1
                     self.open[proxy.external_id].append(message.nonce)
-                self.pacer.put(now, proxy, message.cost, message)
+                self.pacer.enqueue(now, proxy, message.cost, message)
             self.ask(now, orders, step)
         self.mind(now, step)
-        step.leave = [(proxy.external_id, message) for proxy, message in self.pacer.leave(now)]
+        step.leave = [(proxy.external_id, message) for proxy, message in self.pacer.dequeue(now)]
         return step
 
     def ask(self, now, orders, step):
@@ -195,18 +198,18 @@
         if now >= self.tidy_at:
             self.tidy_at = now + TIDY
             self.tidy()
-            if self.awake.look(now):
+            if self.stall_watch.is_steady(now):
                 step.cut += [
                     (name, "it answers no nonces")
                     for name, held in self.open.items()
-                    if held and now - self.stamps[held[0]] > UNANSWERED
+                    if held and now - self.stamps[held[0]] > NONCE_TIMEOUT_NS
                 ]
         for verdict in self.accounts.evaluate(now, self.collections):
             account = self.accounts.by_purpose[verdict.purpose]
             if verdict.action == DROP and self.intake.waiting:
                 each = max(1.0, account.bytes_per_entry.get("waiting", 1.0))
                 account.action_count += self.intake.drop_oldest(int(verdict.excess / each) + 1)
-            elif verdict.action == CUT and (proxy := self.pacer.heaviest()) is not None:
+            elif verdict.action == CUT and (proxy := self.pacer.heaviest_proxy()) is not None:
                 account.action_count += 1
                 step.cut.append(
                     (proxy.external_id, "the channel is at its memory cap, and most waits for this proxy")
@@ -226,14 +229,14 @@
             )
         )
         for backend in gone:
-            self.outbox.out.pop(backend, None)
+            self.outbox.withdrawn.pop(backend, None)
         for tab in self.outbox.tables.values():
-            tab.lines, tab.users = dict(tab.lines), dict(tab.users)
+            tab.lines, tab.proxies = dict(tab.lines), dict(tab.proxies)
         self.outbox.bound = dict(self.outbox.bound)
 
     def next_at(self):
         """When to advance again if nothing happens before, ns."""
         if self.todo:
             return 0
-        times = [self.next_wake(), self.intake.next_at(), self.pacer.next_at()]
+        times = [self.next_wake(), self.intake.next_at(), self.pacer.next_departure()]
         return min((t for t in times if t is not None), default=None)
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -97,8 +97,8 @@
 
     row("proxies", "gauge", len(service.streams))
     row("backends_listed", "gauge", len(it.state))
-    row("channel_lines_waiting", "gauge", it.pacer.lines)
-    row("channel_lines_peak", "gauge", it.pacer.peak)
+    row("channel_lines_waiting", "gauge", it.pacer.lines_waiting)
+    row("channel_lines_peak", "gauge", it.pacer.lines_peak)
     row("channel_pace", "gauge", it.pacer.pace)
     row("steps_total", "counter", it.steps)
     row("events_total", "counter", it.events)
@@ -163,7 +163,7 @@
         [
             {
                 "table": table.external_id,
-                "proxies": [proxy.external_id for proxy in tab.users],
+                "proxies": [proxy.external_id for proxy in tab.proxies],
                 "lines": {backend.external_id: w for backend, w in tab.lines.items()},
                 "levels": {
                     kind.external_id: {"level": level, "again": again}
@@ -179,11 +179,11 @@
     pacer = service.instance.pacer
     return json(
         {
-            "lines_waiting": pacer.lines,
-            "peak": pacer.peak,
+            "lines_waiting": pacer.lines_waiting,
+            "peak": pacer.lines_peak,
             "limit": service.site.pending_max,
             "messages_waiting": len(pacer.queue),
-            "left": pacer.left,
+            "left": pacer.departed,
             "pace": pacer.pace,
             "rate": pacer.rate,
         }
@@ -197,7 +197,7 @@
                 "proxy": s.name,
                 "zone": s.hello.zone,
                 "open_marks": len(s.session.open),
-                "untaken_bytes": s.outlet.bytes,
+                "untaken_bytes": s.send_buffer.bytes,
             }
             for s in service.streams.values()
         ]
--- a/embertray/service/daemon/proxies.py
+++ b/embertray/service/daemon/proxies.py
@@ -6,8 +6,8 @@
 
 from embertray.common.framing import frame
 from embertray.common.net.conn import Conn
-from embertray.controller.channel.admission import HELLO_WITHIN
-from embertray.controller.channel.outlet import Outlet
+from embertray.controller.channel.admission import HANDSHAKE_TIMEOUT_NS
+from embertray.controller.channel.send_buffer import SendBuffer
 from embertray.controller.stream.messages import Fault, Hello, encode
 from embertray.controller.stream.session import ControllerEnd, Refused
 
@@ -18,9 +18,9 @@
     """A joined proxy's stream."""
 
     def __init__(self, conn, session):
-        self.conn, self.session, self.outlet = conn, session, Outlet()
+        self.conn, self.session, self.send_buffer = conn, session, SendBuffer()
         self.hello, self.scope, self.why = session.hello, anyio.CancelScope(), "closed by the peer"
-        conn.on_taken = self.outlet.taken
+        conn.on_taken = self.send_buffer.taken
 
     @property
     def name(self):
@@ -31,7 +31,7 @@
         self.why = why
         if code:
             self.conn.put(frame(encode(Fault(code, text or why))))
-            self.outlet.put(0, 0)
+            self.send_buffer.sent(0, 0)
         self.scope.cancel()
 
 
@@ -47,26 +47,30 @@
             return
         data = frame(encode(orders))
         stream.session.sent(orders.nonce)
-        stream.outlet.put(now, len(data))
+        stream.send_buffer.sent(now, len(data))
         stream.conn.put(data)
         self.host.counted["messages"] += 1
 
     def look_after(self, now):
         """Slow proxies are cut, a drain goes on; when to look again, ns or None."""
-        if self.host.instance.awake.look(now):
-            for stream in [s for s in self.by_name.values() if s.outlet.verdict(now)]:
-                self.end(now, stream, stream.outlet.verdict(now))
-        count, again = self.host.admission.to_close(now, len(self.by_name))
+        if self.host.instance.stall_watch.is_steady(now):
+            for stream in [s for s in self.by_name.values() if s.send_buffer.overdue_reason(now)]:
+                self.end(now, stream, stream.send_buffer.overdue_reason(now))
+        count, again = self.host.admission.streams_to_close(now, len(self.by_name))
         for stream in list(self.by_name.values())[:count]:
             self.drop(stream)
             stream.cut("drained", "draining")
-        times = [max(t, now + S // 4) for s in self.by_name.values() if (t := s.outlet.look_at()) is not None]
+        times = [
+            max(t, now + S // 4)
+            for s in self.by_name.values()
+            if (t := s.send_buffer.next_check()) is not None
+        ]
         return min([*times, *([again] if again is not None else [])], default=None)
 
     def end(self, now, stream, why):
         """A stream is cut; its proxy has to stay away for a while."""
         self.host.counted["cuts"] += 1
-        self.host.admission.cut(now, stream.name)
+        self.host.admission.record_cut(now, stream.name)
         self.host.log.warning("proxy cut", proxy=stream.name, why=why)
         self.drop(stream)
         stream.cut(why)
@@ -83,20 +87,20 @@
 
     async def stream(self, conn, raw):
         async with raw:
-            verdict = self.host.admission.dialled()
+            verdict = self.host.admission.stream_opened()
             if verdict:
                 await self.turn_away(conn, verdict)
                 return
             session, first = ControllerEnd(self.host.site.zones), []
             try:
-                with anyio.move_on_after(HELLO_WITHIN / 1e9):
+                with anyio.move_on_after(HANDSHAKE_TIMEOUT_NS / 1e9):
                     while not first and not session.over:
                         first = session.receive(await conn.read())
             except Refused as wrong:
                 await self.refuse(conn, "-", wrong)
                 return
             finally:
-                self.host.admission.gone()
+                self.host.admission.handshake_ended()
             if not first:
                 if not session.over:
                     await self.refuse(conn, "-", Refused("hello", "no hello in time"))
@@ -118,7 +122,7 @@
         self.by_name[stream.name] = stream
         self.host.counted["joins"] += 1
         conn.put(session.welcome(self.host.me.name, [kind.external_id for kind in self.host.site.kinds]))
-        stream.outlet.put(self.host.clock.now(), 0)
+        stream.send_buffer.sent(self.host.clock.now(), 0)
         self.host.desk.joined(self.host.clock.now(), stream.hello)
         self.host.poke()
         self.host.log.debug("proxy joined", proxy=stream.name, zone=stream.hello.zone)
@@ -171,7 +175,7 @@
 
     async def turn_away(self, conn, verdict):
         self.host.faults[verdict.code] = self.host.faults.get(verdict.code, 0) + 1
-        conn.put(frame(encode(Fault(verdict.code, verdict.text, verdict.wait))))
+        conn.put(frame(encode(Fault(verdict.code, verdict.text, verdict.retry_after))))
         await self.last_words(conn)
 
     async def last_words(self, conn):
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -2,7 +2,7 @@
 
 Jobs side by side: the pump (core, timers, channel) here, the streams of proxies (`proxies`), the list
 (`inventory`), what is kept (`snapshots`), the operators' HTTP. All that is decided comes from the core (the
-module, the desk), from channel/outlet.py and endpoint_list/follower.py.
+module, the desk), from channel/send_buffer.py and endpoint_list/follower.py.
 """
 
 import anyio
@@ -13,8 +13,8 @@
 from embertray.common.memory import Collection
 from embertray.common.net.address import BadAddress
 from embertray.common.net.process import resident
-from embertray.controller.channel.budget import budget
-from embertray.controller.channel.outlet import PROBE_WITHIN
+from embertray.controller.channel.budget import channel_budget
+from embertray.controller.channel.send_buffer import PROBE_TIMEOUT_NS
 from embertray.controller.core import Desk, Instance
 from embertray.controller.trust import Trust
 
@@ -93,7 +93,7 @@
                     group.start_soon(self.clustered)
                 if self.site.control:
                     group.start_soon(self.follow_control)
-                for warning in budget(self.site).warnings:
+                for warning in channel_budget(self.site).warnings:
                     self.log.warning("the channel is short", why=warning)
                 self.log.info("listening", listen=self.listen, admin=self.admin)
                 task_status.started((self.listen, self.admin))
@@ -262,7 +262,7 @@
     async def probe(self, backend):
         """A shallow probe: whether the backend takes a connection, and how soon."""
         answered = False
-        with anyio.move_on_after(PROBE_WITHIN / S):
+        with anyio.move_on_after(PROBE_TIMEOUT_NS / S):
             try:
                 async with await self.net.dial(backend):
                     answered = True
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,7 +1,7 @@
 """A controller without streams: the daemon's desk, its pump and the list's client as planned calls."""
 
 from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
-from embertray.controller.channel.outlet import PROBE_WITHIN
+from embertray.controller.channel.send_buffer import PROBE_TIMEOUT_NS
 from embertray.controller.core import Desk
 from embertray.controller.endpoint_list import EndpointListFollower, UpdateKind
 
@@ -82,12 +82,14 @@
             self.ask_list(True)
         for name, _ in step.cut:
             if name in self.streams:
-                self.desk.admission.cut(now, name)
+                self.desk.admission.record_cut(now, name)
                 self.streams[name].break_stream()
         for backend in step.probe:
             model = self.simulation.models.get(backend)
             up = model is not None and model.state != "dead"
-            self.simulation.engine.after(0 if up else PROBE_WITHIN, self.when_awake, self.probed, backend, up)
+            self.simulation.engine.after(
+                0 if up else PROBE_TIMEOUT_NS, self.when_awake, self.probed, backend, up
+            )
         if (later := self.desk.next_at()) is not None:
             self.plan(max(later, now))
 
@@ -101,7 +103,7 @@
         """ns to stay away, or None: it has joined."""
         verdict = self.desk.hello(self.simulation.engine.time, proxy.name)
         if verdict:
-            return verdict.wait
+            return verdict.retry_after
         if (old := self.streams.get(proxy.name)) is not None and old is not proxy:
             old.break_stream()
         elif old is proxy:
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -106,8 +106,8 @@
     def advance(self, now):
         for table, tab in self.outbox.tables.items():
             orders = [i.SetLine(table, backend, w) for backend, w in tab.lines.items()]
-            for proxy, message, _ in self.outbox.post(now, orders):
-                self.pacer.put(now, proxy, message.cost, message)
+            for proxy, message, _ in self.outbox.build_messages(now, orders):
+                self.pacer.enqueue(now, proxy, message.cost, message)
         return super().advance(now)
 
 
@@ -120,10 +120,10 @@
             for table, tab in self.outbox.tables.items():
                 backend = next(iter(tab.lines), None)
                 if backend:
-                    for proxy, message, _ in self.outbox.post(
+                    for proxy, message, _ in self.outbox.build_messages(
                         now, [i.SetLine(table, backend, tab.lines[backend])]
                     ):
-                        self.pacer.put(now, proxy, message.cost, message)
+                        self.pacer.enqueue(now, proxy, message.cost, message)
         return super().advance(now)
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -16,7 +16,7 @@
 from embertray.common.net.address import BadAddress, loopback
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import DurableSnapshots, InMemorySnapshots, Snapshot, SnapshotEntry
-from embertray.controller.channel.outlet import OLDEST
+from embertray.controller.channel.send_buffer import UNSENT_AGE_MAX_NS
 from embertray.controller.stream.messages import Answer, Bind, Fault, Orders, Welcome
 from embertray.controller.stream.session import ProxyEnd, Refused
 from embertray.service.daemon import Service
@@ -202,7 +202,7 @@
             room.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START * 1e9))
             self.assertIsNotNone(await quick.until(Orders))
             await anyio.sleep(1.5)
-        await anyio.sleep(OLDEST / 1e9)
+        await anyio.sleep(UNSENT_AGE_MAX_NS / 1e9)
         self.assertEqual((room.service.counted["cuts"], list(room.service.streams)), (1, ["quick"]))
         self.assertIsNotNone(slow)
         again = await room.peer("slow")
@@ -224,7 +224,7 @@
                 group.start_soon(bound, peer)
         cost = 1000 * (4 + 1 + 1 + 3)
         self.assertLess(max(at for at, _ in seen) / S, 1.5 * cost / 1200)
-        self.assertLessEqual(room.service.instance.pacer.peak, room.service.site.pending_max)
+        self.assertLessEqual(room.service.instance.pacer.lines_peak, room.service.site.pending_max)
 
     @virtual
     async def test_one_that_reads_but_answers_no_mark_is_cut_in_the_end(self, room):
@@ -259,7 +259,7 @@
         await anyio.sleep(6)
         good = await room.peer("good")
         self.assertIsNotNone(await good.until(Orders))
-        self.assertEqual((room.service.admission.strangers, room.service.faults.get("internal", 0)), (0, 0))
+        self.assertEqual((room.service.admission.handshakes, room.service.faults.get("internal", 0)), (0, 0))
 
 
 class Operators(unittest.TestCase):
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -218,7 +218,9 @@
         await anyio.sleep(120)
         self.assertEqual((len(it.identifiers.backends), len(it.identifiers.proxies)), (3, 1))
         self.assertEqual((len(it.module.backends), len(it.module.proxies)), (3, 1))
-        self.assertEqual((len(it.starts), len(it.outbox.out), len(it.module.channel.withdrawn)), (0, 0, 0))
+        self.assertEqual(
+            (len(it.starts), len(it.outbox.withdrawn), len(it.module.channel.withdrawn)), (0, 0, 0)
+        )
         self.assertLessEqual(len(it.identifiers.nonces), 3)
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,17 +11,17 @@
 
 from embertray.common.framing import MOST, BadFrame, Splitter, frame
 from embertray.controller.channel.admission import (
-    AGAIN_FIRST,
-    AGAIN_MOST,
-    CALM,
-    DRAIN_STEP,
-    STRANGERS,
+    CUT_BACKOFF_FIRST_NS,
+    CUT_BACKOFF_MAX_NS,
+    CUT_MEMORY_NS,
+    DRAIN_STEP_NS,
+    HANDSHAKES_MAX,
     Admission,
 )
-from embertray.controller.channel.budget import budget
+from embertray.controller.channel.budget import channel_budget
 from embertray.controller.channel.outbox import Outbox
-from embertray.controller.channel.outlet import MOST_BYTES, OLDEST, Outlet
-from embertray.controller.channel.pacer import BURST, Pacer
+from embertray.controller.channel.pacer import BURST_S, Pacer
+from embertray.controller.channel.send_buffer import UNSENT_AGE_MAX_NS, UNSENT_BYTES_MAX, SendBuffer
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, RequestFailed, WatchEvent
 from embertray.controller.identifiers import Identifiers
@@ -142,10 +142,10 @@
         self.a, self.b = self.identifiers.backend("a"), self.identifiers.backend("b")
         self.p, self.q = self.identifiers.proxy("p"), self.identifiers.proxy("q")
         for proxy in (self.p, self.q):
-            self.box.joined(proxy)
+            self.box.proxy_joined(proxy)
 
     def post(self, *orders):
-        return {proxy.external_id: message for proxy, message, _ in self.box.post(7, orders)}
+        return {proxy.external_id: message for proxy, message, _ in self.box.build_messages(7, orders)}
 
     def test_one_message_a_proxy_and_its_cost(self):
         got = self.post(
@@ -170,7 +170,7 @@
 
     def test_a_proxy_that_left_is_concerned_by_nothing(self):
         self.post(i.SetLine(self.table, self.a, 1.0), i.Bind(self.p, self.table))
-        self.box.left(self.p)
+        self.box.proxy_left(self.p)
         self.assertEqual(self.post(i.SetLine(self.table, self.a, 2.0), i.Bind(self.p, self.table)), {})
 
     @given(
@@ -199,12 +199,16 @@
                 "bind": i.Bind(proxy, self.table),
             }.get(what)
             if order is None:
-                self.box.joined(proxy)
+                self.box.proxy_joined(proxy)
                 held[proxy.external_id] = Holding()
                 continue
             for name, message in self.post(order).items():
                 held[name].apply(read_to_proxy(encode(message)))
-            lines = {one.external_id for one in self.box.table(self.table).lines if one not in self.box.out}
+            lines = {
+                one.external_id
+                for one in self.box.ordered_table(self.table).lines
+                if one not in self.box.withdrawn
+            }
             for proxy, table in self.box.bound.items():
                 if table is not None:
                     self.assertEqual(set(held[proxy.external_id].picks()), lines)
@@ -214,33 +218,33 @@
         rate, pacer, now, left, total = 200.0, Pacer(200.0), 0, [], 0
         for gap, cost in puts:
             now += gap
-            pacer.put(now, "p", cost, cost)
+            pacer.enqueue(now, "p", cost, cost)
             total += cost
-            left += [(now, load) for _, load in pacer.leave(now)]
-        while (when := pacer.next_at()) is not None:
-            left += [(when, load) for _, load in pacer.leave(when)]
+            left += [(now, load) for _, load in pacer.dequeue(now)]
+        while (when := pacer.next_departure()) is not None:
+            left += [(when, load) for _, load in pacer.dequeue(when)]
         self.assertEqual([cost for _, cost in left], [cost for _, cost in puts])
-        self.assertEqual(pacer.lines, 0)
+        self.assertEqual(pacer.lines_waiting, 0)
         for n, (start, _) in enumerate(left):
             carried = 0
             for at, cost in left[n + 1 :]:
                 carried += cost
-                self.assertLessEqual(carried, (at - start) / S * rate + BURST * rate + 1e-3)
+                self.assertLessEqual(carried, (at - start) / S * rate + BURST_S * rate + 1e-3)
 
     def test_waiting_lines_and_a_proxy_that_left(self):
         pacer = Pacer(10.0)
         for proxy in (self.p, self.q, self.p):
-            pacer.put(0, proxy, 10, proxy.external_id)
-        self.assertEqual((pacer.lines, pacer.next_at()), (30, S))
-        pacer.drop(S // 2, self.p)
-        self.assertEqual((pacer.lines, pacer.next_at()), (10, S * 3 // 2))
-        self.assertEqual(pacer.leave(S * 3 // 2), [(self.q, "q")])
+            pacer.enqueue(0, proxy, 10, proxy.external_id)
+        self.assertEqual((pacer.lines_waiting, pacer.next_departure()), (30, S))
+        pacer.drop_proxy(S // 2, self.p)
+        self.assertEqual((pacer.lines_waiting, pacer.next_departure()), (10, S * 3 // 2))
+        self.assertEqual(pacer.dequeue(S * 3 // 2), [(self.q, "q")])
 
     def test_a_slower_pace_counts_from_now(self):
         pacer = Pacer(10.0)
-        pacer.put(0, "p", 10, 1)
+        pacer.enqueue(0, "p", 10, 1)
         pacer.set_pace(S // 2, 0.5)
-        self.assertEqual(pacer.next_at(), S // 2 + S)
+        self.assertEqual(pacer.next_departure(), S // 2 + S)
         for bad in (0, -1, 1.5, float("nan")):
             with self.assertRaises(ValueError):
                 pacer.set_pace(S, bad)
@@ -248,66 +252,68 @@
     def test_standing_still_earns_no_burst(self):
         pacer = Pacer(1000.0)
         for _ in range(100):
-            pacer.put(0, "p", 10, 1)
-        self.assertLessEqual(len(pacer.leave(60 * S)), 1 + 1000 * BURST / 10)
+            pacer.enqueue(0, "p", 10, 1)
+        self.assertLessEqual(len(pacer.dequeue(60 * S)), 1 + 1000 * BURST_S / 10)
 
     def test_slow_readers_are_cut_by_bytes_and_by_age(self):
-        outlet = Outlet()
-        outlet.put(0, MOST_BYTES + 1)
-        self.assertIsNone(outlet.verdict(0))  # one large table alone is no fault
-        outlet.put(0, 1)
-        self.assertIn("bytes", outlet.verdict(0))
-        outlet.taken()
-        self.assertIsNone(outlet.verdict(OLDEST))
-        self.assertIn("not taken", outlet.verdict(OLDEST + 1))
+        send_buffer = SendBuffer()
+        send_buffer.sent(0, UNSENT_BYTES_MAX + 1)
+        self.assertIsNone(send_buffer.overdue_reason(0))  # one large table alone is no fault
+        send_buffer.sent(0, 1)
+        self.assertIn("bytes", send_buffer.overdue_reason(0))
+        send_buffer.taken()
+        self.assertIsNone(send_buffer.overdue_reason(UNSENT_AGE_MAX_NS))
+        self.assertIn("not taken", send_buffer.overdue_reason(UNSENT_AGE_MAX_NS + 1))
 
     def test_cut_proxies_stay_away_longer_each_time_and_apart(self):
         gate, now, waits = Admission(lambda: 1.0), 0, []
         for _ in range(9):
-            gate.cut(now, "p")
-            waits.append(gate.hello(now, "p").wait)
+            gate.record_cut(now, "p")
+            waits.append(gate.admit(now, "p").retry_after)
             now += waits[-1]
-            self.assertIsNone(gate.hello(now, "p"))
-        self.assertEqual(waits[:3], [AGAIN_FIRST, 2 * AGAIN_FIRST, 4 * AGAIN_FIRST])
-        self.assertEqual(waits[-1], AGAIN_MOST)
-        gate.cut(now + 2 * CALM, "q")
+            self.assertIsNone(gate.admit(now, "p"))
+        self.assertEqual(
+            waits[:3], [CUT_BACKOFF_FIRST_NS, 2 * CUT_BACKOFF_FIRST_NS, 4 * CUT_BACKOFF_FIRST_NS]
+        )
+        self.assertEqual(waits[-1], CUT_BACKOFF_MAX_NS)
+        gate.record_cut(now + 2 * CUT_MEMORY_NS, "q")
         self.assertEqual(list(gate.cuts), ["q"])  # p's cuts are forgotten
 
     def test_strangers_are_bounded_and_drains_go_step_by_step(self):
         gate = Admission(lambda: 0.0)
-        self.assertEqual([gate.dialled() for _ in range(STRANGERS)], [None] * STRANGERS)
-        self.assertEqual(gate.dialled().code, "later")
-        gate.gone()
-        self.assertIsNone(gate.dialled())
+        self.assertEqual([gate.stream_opened() for _ in range(HANDSHAKES_MAX)], [None] * HANDSHAKES_MAX)
+        self.assertEqual(gate.stream_opened().code, "later")
+        gate.handshake_ended()
+        self.assertIsNone(gate.stream_opened())
         gate.drain(0)
-        self.assertEqual(gate.hello(0, "p").code, "draining")
-        self.assertEqual(gate.to_close(0, 10), (1, DRAIN_STEP))
-        self.assertEqual(gate.to_close(3 * DRAIN_STEP, 10)[0], 3)
+        self.assertEqual(gate.admit(0, "p").code, "draining")
+        self.assertEqual(gate.streams_to_close(0, 10), (1, DRAIN_STEP_NS))
+        self.assertEqual(gate.streams_to_close(3 * DRAIN_STEP_NS, 10)[0], 3)
 
 
 class Budgets(unittest.TestCase):
     def test_samples_fit_and_what_does_not_is_told_with_what_would(self):
         for name in ("pushed", "asked", "sealed"):
             site = load(SITES / "samples" / f"{name}.xml")
-            self.assertEqual(budget(site).warnings, [], name)
+            self.assertEqual(channel_budget(site).warnings, [], name)
             large = site.at(proxies=600, backends=600)
-            told = budget(large).warnings
+            told = channel_budget(large).warnings
             self.assertTrue(told, name)
             for wanted in (
                 float(text.split(": ")[-1].split(" lines")[0]) for text in told if "would" in text
             ):
                 large = large.at(channel_rate=max(large.channel_rate, 1.01 * wanted))
-            self.assertEqual([text for text in budget(large).warnings if "would" in text], [], name)
+            self.assertEqual([text for text in channel_budget(large).warnings if "would" in text], [], name)
 
     def test_figures(self):
         site = load(SITES / "samples" / "pushed.xml").at(
             proxies=100, backends=50, head=4.0, channel_rate=1000.0
         )
-        found = budget(site)
+        found = channel_budget(site)
         self.assertEqual(
             (found.removal, found.bind_one, found.bind_all), (6 * S // 10, 58 * S // 1000, 58 * S // 10)
         )
-        self.assertIn("can hardly be bound", budget(site.at(pending_max=80.0)).warnings[-1])
+        self.assertIn("can hardly be bound", channel_budget(site.at(pending_max=80.0)).warnings[-1])
 
 
 class Reports(unittest.TestCase):
