--- a/embertray/controller/channel/budget.py
+++ b/embertray/controller/channel/budget.py
@@ -1,48 +1,79 @@
-"""What a site's channel can carry, reckoned from its description; no I/O.
+"""What a site's channel can carry, reckoned from the site's description, without I/O.
 
-A rule can't be kept by any controller where the arithmetic forbids it: a drain must reach every proxy within
+Some rules can't be kept by any controller if the arithmetic forbids it: a drain must reach every proxy within
 the grace, and a proxy that joins has to be bound. docs/measured/emulator.md shows a fleet of 192 x 192 on a
 channel for 12 x 12: each drain past its grace.
 """
 
-from collections import namedtuple
+from typing import NamedTuple
 
-S = 10**9
-# -- constants: value, unit, reason
-# of the drain's grace that one removal may take of the channel: the rest is the way, and a proxy's delay
+NS_PER_SECOND = 10**9
+# Part of the drain grace that one removal may take of the channel: the rest is for the way and the proxies.
 REMOVAL_SHARE = 0.5
-BIND_ALL_TARGET_NS = (
-    30 * S
-)  # ns in which a restarted controller should have bound all its proxies: a usual report window and some
+# Time in which a restarted controller should have bound all its proxies, ns: a usual report window and some.
+BIND_ALL_TARGET_NS = 30 * NS_PER_SECOND
+BIND_SHARE_MAX = 0.6  # of the lines that may wait; a larger bind can hardly ever be sent
+NONCE_AND_ONE = 2  # lines: a nonce, and the one line that a removal or the head of a bind counts
 
-ChannelBudget = namedtuple("ChannelBudget", "removal bind_one bind_all warnings")  # ns of channel time each
+
+class ChannelBudget(NamedTuple):
+    """What the channel of one controller of a site carries.
+
+    Attributes:
+        removal: Channel time in which all proxies are told of one removal, ns.
+        bind_one: Channel time of one bind, ns.
+        bind_all: Channel time of binding all proxies, ns.
+        warnings: What does not fit, in words; empty when all fits.
+    """
+
+    removal: int
+    bind_one: int
+    bind_all: int
+    warnings: list[str]
 
 
 def channel_budget(site):
-    """The ChannelBudget of one controller of the site: its proxies are the site's by the number of controllers,
-    all of them when the others are gone. Warnings are texts, empty when all fits."""
-    rate, warnings = site.channel_rate, []
-    each = site.head + 2  # head, nonce, one line
-    bind = site.head + 2 + site.backends + len(site.kinds)
-    removal, bind_one = int(site.proxies * each * S / rate), int(bind * S / rate)
+    """Returns the ChannelBudget of one controller of a Site that serves all proxies: the others are gone."""
+    removal_lines = site.proxies * (site.head + NONCE_AND_ONE)
+    bind_lines = site.head + NONCE_AND_ONE + site.backends + len(site.kinds)
+    removal = int(removal_lines * NS_PER_SECOND / site.channel_rate)
+    bind_one = int(bind_lines * NS_PER_SECOND / site.channel_rate)
     bind_all = site.proxies * bind_one
-    if removal + site.way_most > site.drain_grace * REMOVAL_SHARE:
-        need = site.proxies * each * S / max(1.0, site.drain_grace * REMOVAL_SHARE - site.way_most)
-        warnings.append(
-            f"telling {site.proxies} proxies of one drain takes {removal / S:.2f} s of the channel "
-            f"and {site.way_most / S:.2f} s of "
-            f"way, of a grace of {site.drain_grace / S:.2f} s: {need:.0f} lines a second would leave room"
-        )
-    if bind_all > BIND_ALL_TARGET_NS:
-        warnings.append(
-            f"binding {site.proxies} proxies to {site.backends} backends takes {bind_all / S:.0f} "
-            "s of the channel: "
-            f"{site.proxies * bind * S / BIND_ALL_TARGET_NS:.0f} lines a second would do it in "
-            f"{BIND_ALL_TARGET_NS // S} s"
-        )
-    if site.pending_max and bind > site.pending_max * 0.6:
-        warnings.append(
-            f"one bind is {bind:.0f} lines of {site.pending_max:.0f} that may wait: proxies can "
-            "hardly be bound"
-        )
+    warnings = [
+        *_removal_warnings(site, removal, removal_lines),
+        *_bind_all_warnings(site, bind_all, bind_lines),
+        *_bind_one_warnings(site, bind_lines),
+    ]
     return ChannelBudget(removal, bind_one, bind_all, warnings)
+
+
+def _removal_warnings(site, removal, lines):
+    allowed = site.drain_grace * REMOVAL_SHARE
+    if removal + site.way_most <= allowed:
+        return []
+    needed_rate = lines * NS_PER_SECOND / max(1.0, allowed - site.way_most)
+    return [
+        f"telling {site.proxies} proxies of one drain takes {removal / NS_PER_SECOND:.2f} s of the channel "
+        f"and {site.way_most / NS_PER_SECOND:.2f} s of way, of a grace of "
+        f"{site.drain_grace / NS_PER_SECOND:.2f} s: {needed_rate:.0f} lines a second would leave room"
+    ]
+
+
+def _bind_all_warnings(site, bind_all, bind_lines):
+    if bind_all <= BIND_ALL_TARGET_NS:
+        return []
+    needed_rate = site.proxies * bind_lines * NS_PER_SECOND / BIND_ALL_TARGET_NS
+    return [
+        f"binding {site.proxies} proxies to {site.backends} backends takes {bind_all / NS_PER_SECOND:.0f} s "
+        f"of the channel: {needed_rate:.0f} lines a second would do it in "
+        f"{BIND_ALL_TARGET_NS // NS_PER_SECOND} s"
+    ]
+
+
+def _bind_one_warnings(site, bind_lines):
+    if not site.pending_max or bind_lines <= site.pending_max * BIND_SHARE_MAX:
+        return []
+    return [
+        f"one bind is {bind_lines:.0f} lines of {site.pending_max:.0f} that may wait: "
+        "proxies can hardly be bound"
+    ]
--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -1,39 +1,83 @@
-"""Orders of one step become one message for each proxy concerned, with what it costs in lines.
+"""Turns the orders of one step into one message for each proxy concerned, with what it costs in lines.
 
-Keeps what was ordered so far: tables, who is bound, who was told of which withdrawal. A joined proxy that is
-not bound may hold any line (its standing table), so it is told of every withdrawal.
+Knows what was ordered so far: tables, which proxy is bound to which, and who was told of which withdrawal. A
+joined proxy that is not bound may have any line (its standing table), so it is told of every withdrawal.
 """
 
+from typing import Any, NamedTuple
+
 from embertray.controller.stream.messages import Bind, Level, Line, Orders, Out
 from embertray.policy import interface as i
 
+from .ordered_table import OrderedLevel, OrderedTable
+
+UNLIMITED_SHARE = 1.0  # an admission level, as a share, that admits all
+ANY_RETRIES = 3  # the protocol's mark for any number of further attempts
+
+
+class MessagePart(NamedTuple):
+    """A part of the message for one proxy.
+
+    Attributes:
+        proxy: The receiver.
+        part: A Bind, Level, Line or Out.
+        cost: Lines that it counts.
+    """
+
+    proxy: Any
+    part: Any
+    cost: int
+
 
-class OrderedTable:
-    """A table as ordered: lines and levels by their objects, in order."""
+class OutgoingMessage(NamedTuple):
+    """A message for one proxy.
 
-    def __init__(self):
-        self.lines, self.levels, self.proxies = {}, {}, {}
+    Attributes:
+        proxy: The receiver.
+        orders: The Orders.
+        nonce: The policy's nonce that its answer stands for, or None.
+    """
+
+    proxy: Any
+    orders: Orders
+    nonce: Any
 
 
 class Outbox:
-    """Turns a step's orders into messages. `head` is what a message costs beyond its lines."""
+    """Turns orders into messages.
+
+    Args:
+        identifiers: The Identifiers: ids of tables and nonces on the wire.
+        head: Lines that a message counts beyond its parts.
+        kinds: Request kind -> its name.
+
+    Attributes:
+        tables: The policy's table -> OrderedTable.
+        withdrawn: Withdrawn backend -> proxies that were told, as keys.
+        bound: Joined proxy -> the policy's table, or None.
+        unlimited_level: An admission level from which on nothing is rejected.
+        retry_limit: Most further attempts that go with a level below that.
+        retry_after: How long rejected clients are asked to stay away at such a level, ns.
+    """
 
     def __init__(self, identifiers, head, kinds):
-        self.identifiers, self.head = identifiers, head
-        self.names = kinds  # RequestKind -> its name
-        self.tables, self.withdrawn = {}, {}  # Table -> OrderedTable; Backend -> proxies told that it is out
-        self.bound = {}  # joined Proxy -> Table or None
-        self.unlimited_level, self.retry_limit, self.retry_after = (
-            1.0,
-            3,
-            0,
-        )  # a level that denies none; what goes with one that does
+        self.identifiers = identifiers
+        self.head = head
+        self.kind_names = kinds
+        self.tables = {}
+        self.withdrawn = {}
+        self.bound = {}
+        self.unlimited_level = UNLIMITED_SHARE
+        self.retry_limit = ANY_RETRIES
+        self.retry_after = 0
 
     def proxy_joined(self, proxy):
+        """Records that a proxy joined; it is not bound yet."""
         self.proxy_left(proxy)
         self.bound[proxy] = None
 
     def proxy_left(self, proxy):
+        """Forgets a proxy: no order concerns it any more."""
         table = self.bound.pop(proxy, None)
         if table is not None:
             self.tables[table].proxies.pop(proxy, None)
@@ -41,106 +85,134 @@
             informed.pop(proxy, None)
 
     def build_messages(self, now, orders):
-        """[(proxy, Orders, nonce or None)], in the order in which proxies were first concerned."""
-        lines, costs, nonce, news = {}, {}, None, []
+        """Turns the orders of one step into messages.
+
+        Args:
+            now: ns.
+            orders: The policy's orders.
+
+        Returns:
+            OutgoingMessages, in the order in which the proxies were first concerned.
+        """
+        parts = {}
+        costs = {}
+        nonce = None
         for order in orders:
-            for proxy, do, cost in self.concerned(order):
-                lines.setdefault(proxy, []).append(do)
+            for proxy, part, cost in self._parts_of(order):
+                parts.setdefault(proxy, []).append(part)
                 costs[proxy] = costs.get(proxy, 0) + cost
             if isinstance(order, i.PutNonce):
                 nonce = order.nonce
-        ident = self.identifiers.nonce_id(nonce) if nonce and lines else None
-        for proxy, do in lines.items():
-            cost = self.head + costs[proxy] + (ident is not None)
-            news.append((proxy, Orders(now, float(cost), do, ident), nonce if ident else None))
-        return news
-
-    def concerned(self, order):
-        """(proxy, message part, lines it costs) for each proxy that an order reaches."""
-        if isinstance(order, i.SetLine):
-            tab, ident, backend = (
-                self.ordered_table(order.table),
-                self.identifiers.table_id(order.table),
-                order.backend,
-            )
-            new = order.weight > 0 and backend not in tab.lines
-            if order.weight > 0:
-                tab.lines[backend] = order.weight
-            else:
-                tab.lines.pop(backend, None)
-            part, hidden = (
-                Line(ident, backend.external_id, order.weight),
-                self.withdrawn.get(backend) if new else None,
-            )
-            for proxy in tab.proxies:
-                # a withdrawn one comes into a table: still out
-                if hidden is not None and proxy not in hidden:
-                    hidden[proxy] = True
-                    yield proxy, Out(backend.external_id, True), 1
-                yield proxy, part, 1
-        elif isinstance(order, i.Bind):
-            proxy = order.proxy
-            if proxy not in self.bound:
-                return
-            self.unbind(proxy)
-            tab = self.ordered_table(order.table)
-            self.bound[proxy], tab.proxies[proxy] = order.table, True
-            out = [backend for backend in tab.lines if backend in self.withdrawn]
-            for backend, informed in self.withdrawn.items():
-                informed.pop(proxy, None)
-                if backend in tab.lines:
-                    informed[proxy] = True
-            yield (
-                proxy,
-                Bind(
-                    self.identifiers.table_id(order.table),
-                    [(backend.external_id, w) for backend, w in tab.lines.items()],
-                    [(self.names[k], *level) for k, level in tab.levels.items()],
-                    [backend.external_id for backend in out],
-                ),
-                1 + len(tab.lines) + len(tab.levels) + len(out),
-            )
-        elif isinstance(order, i.Withdraw):
-            backend, part = order.backend, Out(order.backend.external_id, order.out)
-            if order.out:
-                informed = self.withdrawn.setdefault(backend, {})
-                for proxy, table in self.bound.items():
-                    if proxy not in informed and (table is None or backend in self.tables[table].lines):
-                        informed[proxy] = True
-                        yield proxy, part, 1
-            else:
-                for proxy in self.withdrawn.pop(backend, {}):
-                    yield proxy, part, 1
-        elif isinstance(order, i.SetLevel):
-            tab = self.ordered_table(order.table)
-            kinds, retry, wait = order.kinds or list(self.names), order.retry, 0
-            if (
-                order.level < self.unlimited_level
-            ):  # what is reduced rides along: a level alone is no reason for a line
-                retry, wait = min(retry, self.retry_limit), self.retry_after
-            tab.levels.update({kind: (order.level, retry) for kind in kinds})
-            part = Level(
-                self.identifiers.table_id(order.table),
-                [self.names[k] for k in kinds],
-                order.level,
-                retry,
-                wait,
-            )
-            for proxy in tab.proxies:
-                yield proxy, part, 1
+        nonce_id = self.identifiers.nonce_id(nonce) if nonce and parts else None
+        messages = []
+        for proxy, proxy_parts in parts.items():
+            cost = self.head + costs[proxy] + (nonce_id is not None)
+            message = Orders(now, float(cost), proxy_parts, nonce_id)
+            messages.append(OutgoingMessage(proxy, message, nonce if nonce_id else None))
+        return messages
 
     def ordered_level(self, proxy, kind):
-        """What a joined proxy was ordered to let in of a kind; None: all."""
-        table = self.bound.get(proxy)
-        level = self.tables[table].levels.get(kind) if table is not None else None
-        return None if level is None or level[0] >= self.unlimited_level else level[0]
+        """What a joined proxy was ordered to admit of a request kind.
 
-    def unbind(self, proxy):
-        old = self.bound.get(proxy)
-        if old is not None:
-            self.tables[old].proxies.pop(proxy, None)
+        Returns:
+            The level; None: all.
+        """
+        table = self.bound.get(proxy)
+        ordered = self.tables[table].levels.get(kind) if table is not None else None
+        if ordered is None or ordered.level >= self.unlimited_level:
+            return None
+        return ordered.level
 
     def ordered_table(self, table):
+        """Returns the OrderedTable of the policy's table; a new one is empty."""
         if table not in self.tables:
             self.tables[table] = OrderedTable()
         return self.tables[table]
+
+    def _parts_of(self, order):
+        """MessageParts for the proxies that an order reaches."""
+        match order:
+            case i.SetLine():
+                return self._set_line(order)
+            case i.Bind():
+                return self._bind(order)
+            case i.Withdraw():
+                return self._withdraw(order) if order.out else self._restore(order)
+            case i.SetLevel():
+                return self._set_level(order)
+        return []
+
+    def _set_line(self, order):
+        table = self.ordered_table(order.table)
+        backend = order.backend
+        line = Line(self.identifiers.table_id(order.table), backend.external_id, order.weight)
+        is_new = table.set_line(backend, order.weight)
+        informed = self.withdrawn.get(backend) if is_new else None
+        parts = []
+        for proxy in table.proxies:
+            if informed is not None and proxy not in informed:
+                # the backend was withdrawn before it came into this table: it stays withdrawn
+                informed[proxy] = True
+                parts.append(MessagePart(proxy, Out(backend.external_id, True), 1))
+            parts.append(MessagePart(proxy, line, 1))
+        return parts
+
+    def _bind(self, order):
+        proxy = order.proxy
+        if proxy not in self.bound:
+            return []
+        self._unbind(proxy)
+        table = self.ordered_table(order.table)
+        self.bound[proxy] = order.table
+        table.proxies[proxy] = True
+        withdrawn = [backend for backend in table.lines if backend in self.withdrawn]
+        self._inform_of_bind(proxy, table)
+        bind = Bind(
+            self.identifiers.table_id(order.table),
+            [(backend.external_id, weight) for backend, weight in table.lines.items()],
+            [(self.kind_names[kind], *level) for kind, level in table.levels.items()],
+            [backend.external_id for backend in withdrawn],
+        )
+        return [MessagePart(proxy, bind, 1 + len(table.lines) + len(table.levels) + len(withdrawn))]
+
+    def _inform_of_bind(self, proxy, table):
+        """A bind tells of the withdrawals in its table, and ends all others at the proxy."""
+        for backend, informed in self.withdrawn.items():
+            informed.pop(proxy, None)
+            if backend in table.lines:
+                informed[proxy] = True
+
+    def _unbind(self, proxy):
+        table = self.bound.get(proxy)
+        if table is not None:
+            self.tables[table].proxies.pop(proxy, None)
+
+    def _withdraw(self, order):
+        backend = order.backend
+        informed = self.withdrawn.setdefault(backend, {})
+        concerned = [
+            proxy
+            for proxy, table in self.bound.items()
+            if proxy not in informed and (table is None or backend in self.tables[table].lines)
+        ]
+        informed.update(dict.fromkeys(concerned, True))
+        out = Out(backend.external_id, True)
+        return [MessagePart(proxy, out, 1) for proxy in concerned]
+
+    def _restore(self, order):
+        back = Out(order.backend.external_id, False)
+        return [MessagePart(proxy, back, 1) for proxy in self.withdrawn.pop(order.backend, {})]
+
+    def _set_level(self, order):
+        table = self.ordered_table(order.table)
+        kinds = order.kinds or list(self.kind_names)
+        retry = order.retry
+        retry_after = 0
+        if order.level < self.unlimited_level:
+            # what the degradation level reduces rides along: by itself it is no reason for a line
+            retry = min(retry, self.retry_limit)
+            retry_after = self.retry_after
+        table.levels.update({kind: OrderedLevel(order.level, retry) for kind in kinds})
+        names = [self.kind_names[kind] for kind in kinds]
+        level = Level(self.identifiers.table_id(order.table), names, order.level, retry, retry_after)
+        return [MessagePart(proxy, level, 1) for proxy in table.proxies]
--- a/embertray/controller/channel/pacer.py
+++ b/embertray/controller/channel/pacer.py
@@ -1,106 +1,160 @@
-"""The channel: messages leave one after the other at so many lines a second; what waits is counted as rule 5
-counts it.
+"""Paces the channel: messages leave one after the other at so many lines a second, without I/O.
 
-No I/O: the time comes in, what leaves comes out. Rule 5 counts every line that was ordered and has not left
-yet, heads included. A message leaves when the last of its lines has had its time; one that is under way
-counts whole.
+Every line that was ordered and has not left yet counts as waiting, message heads included. A message leaves
+when the last of its lines has had its time; the one under way counts in full.
 """
 
 from collections import deque
+from typing import Any, NamedTuple
 
-S = 10**9
-# -- constants: value, unit, reason
-BURST_S = (
-    0.02  # s of the rate made up for at most after a late wake-up: timers are late by some ms, but a process
-)
-#                     that stood still must not send its whole queue at once
+from .exceptions import PaceOutOfRangeError
+
+NS_PER_SECOND = 10**9
+# Seconds of the rate that are made up for after a late wake-up, at most: timers are late by some ms, but a
+# process that stood still must not send its whole queue at once.
+BURST_S = 0.02
+ROUNDING_LINES = 1e-6  # lines that count as none: the rest of a float that time was taken from
 
 
 class QueuedMessage:
-    """A message in the channel."""
+    """A message in the channel.
+
+    Args:
+        proxy: Its receiver.
+        cost: Lines that it counts.
+        message: What leaves.
+    """
 
-    __slots__ = ("proxy", "cost", "message")
+    __slots__ = ("cost", "message", "proxy")
 
     def __init__(self, proxy, cost, message):
-        self.proxy, self.cost, self.message = proxy, cost, message
+        self.proxy = proxy
+        self.cost = cost
+        self.message = message
+
+
+class Departure(NamedTuple):
+    """A message that has left the channel.
+
+    Attributes:
+        proxy: Its receiver.
+        message: The message.
+    """
+
+    proxy: Any
+    message: Any
 
 
 class Pacer:
-    """One instance's channel. `rate` is lines a second (0: no limit); `pace` is the part of it that holds
-    now.
+    """The channel of one controller.
+
+    Args:
+        rate: Lines a second; 0: no limit.
+        now: ns.
+
+    Attributes:
+        pace: Part of the rate that is in force, over 0 and 1 at most.
+        queue: QueuedMessage items, the next to leave first.
+        lines_waiting: Lines that have not left yet.
+        lines_peak: The most that ever waited.
+        departed: Messages that left.
     """
 
     def __init__(self, rate, now=0):
-        self.rate, self.pace, self.queue = rate, 1.0, deque()
-        self.lines_waiting, self.lines_peak, self.departed = (
-            0.0,
-            0.0,
-            0,
-        )  # waiting now, the most ever, messages that left
-        self.at, self.owed = now, 0.0  # lines of the first message still to go at `at`
+        self.rate = rate
+        self.pace = 1.0
+        self.queue = deque()
+        self.lines_waiting = 0.0
+        self.lines_peak = 0.0
+        self.departed = 0
+        self._at = now  # ns up to which time is spent
+        self._owed = 0.0  # lines of the first message still to go; negative: time to spare for the next
 
     def enqueue(self, now, proxy, cost, message):
-        """A message is ordered. Its message leaves by `leave`."""
+        """Takes a message that leaves by `dequeue` later.
+
+        Args:
+            now: ns.
+            proxy: Its receiver.
+            cost: Lines that it counts.
+            message: The message.
+        """
         if not self.queue:
-            self.at, self.owed = now, cost
+            self._at = now
+            self._owed = cost
         self.queue.append(QueuedMessage(proxy, cost, message))
         self.lines_waiting += cost
         self.lines_peak = max(self.lines_peak, self.lines_waiting)
 
-    def set_pace(self, now, pace):
-        """Runs the channel at a part of its rate from now on. Raises ValueError out of (0, 1]."""
-        if not 0 < pace <= 1:
-            raise ValueError(f"a pace of {pace}: over 0 and 1 at most is wanted")
-        self.run(now)
-        self.pace = pace
-
-    def run(self, now):
-        """The time up to now is spent on the first message."""
-        if self.queue and self.rate:
-            rate = self.rate * self.pace
-            self.owed = max(self.owed - (now - self.at) * rate / S, -BURST_S * rate)
-        self.at = now
-
     def dequeue(self, now):
-        """[(px, message)] of the messages that have left by now, in order."""
-        gone = []
-        self.run(now)
-        while self.queue and (not self.rate or self.owed <= 1e-6):
+        """Returns the Departures up to `now` (ns), in order."""
+        departures = []
+        self._spend_time(now)
+        while self.queue and (not self.rate or self._owed <= ROUNDING_LINES):
             first = self.queue.popleft()
-            gone.append((first.proxy, first.message))
+            departures.append(Departure(first.proxy, first.message))
             self.lines_waiting -= first.cost
             self.departed += 1
-            spare = min(0.0, self.owed)
-            self.owed = spare + self.queue[0].cost if self.queue else 0.0
+            spare = min(0.0, self._owed)
+            self._owed = spare + self.queue[0].cost if self.queue else 0.0
         if not self.queue:
             self.lines_waiting = 0.0
-        return gone
-
-    def heaviest_proxy(self):
-        """The proxy with the most lines waiting; None when nothing waits."""
-        lines = {}
-        for one in self.queue:
-            lines[one.proxy] = lines.get(one.proxy, 0) + one.cost
-        return max(lines, key=lines.get, default=None)
+        return departures
 
     def next_departure(self):
-        """When the first message leaves, ns; None when nothing waits."""
+        """Returns when the first message leaves, ns; None: nothing waits."""
         if not self.queue:
             return None
         if not self.rate:
-            return self.at
-        return self.at + max(0, -int(-self.owed * S // (self.rate * self.pace)))
+            return self._at
+        # rounded up, so that the message has left at the time that is given
+        return self._at + max(0, -int(-self._owed * NS_PER_SECOND // (self.rate * self.pace)))
+
+    def set_pace(self, now, pace):
+        """Runs the channel at a part of its rate from now on.
+
+        Args:
+            now: ns.
+            pace: The part.
+
+        Raises:
+            PaceOutOfRangeError: It is not over 0 and 1 at most.
+        """
+        if not 0 < pace <= 1:
+            raise PaceOutOfRangeError(f"a pace of {pace}: over 0 and 1 at most is wanted")
+        self._spend_time(now)
+        self.pace = pace
+
+    def heaviest_proxy(self):
+        """Returns the proxy with the most lines waiting; None: nothing waits."""
+        lines = {}
+        for queued in self.queue:
+            lines[queued.proxy] = lines.get(queued.proxy, 0) + queued.cost
+        return max(lines, key=lines.get, default=None)
 
     def drop_proxy(self, now, proxy):
-        """The proxy's stream is gone: what waits for it is lost and costs no time any more."""
-        self.run(now)
+        """Drops what waits for a proxy whose stream ended: it takes no more of the channel's time.
+
+        Args:
+            now: ns.
+            proxy: The proxy.
+        """
+        self._spend_time(now)
         if self.queue and self.queue[0].proxy is proxy:
-            self.owed = 0.0
+            self._owed = 0.0
             while self.queue and self.queue[0].proxy is proxy:
                 self.lines_waiting -= self.queue.popleft().cost
             if self.queue:
-                self.owed = self.queue[0].cost
-        kept = deque(w for w in self.queue if w.proxy is not proxy)
-        if len(kept) != len(self.queue):
-            self.queue = kept
-            self.lines_waiting = sum(w.cost for w in kept)
+                self._owed = self.queue[0].cost
+        remaining = deque(queued for queued in self.queue if queued.proxy is not proxy)
+        if len(remaining) != len(self.queue):
+            self.queue = remaining
+            self.lines_waiting = sum(queued.cost for queued in remaining)
+
+    def _spend_time(self, now):
+        """Spends the time up to `now` (ns) on the first message."""
+        if self.queue and self.rate:
+            rate = self.rate * self.pace
+            lines = (now - self._at) * rate / NS_PER_SECOND
+            self._owed = max(self._owed - lines, -BURST_S * rate)
+        self._at = now
--- a/embertray/controller/channel/send_buffer.py
+++ b/embertray/controller/channel/send_buffer.py
@@ -1,69 +1,67 @@
-"""How long a slow proxy is waited for: what has left the channel and is not taken yet, and when its stream is
-cut.
+"""Bounds what waits in the send buffer of a slow proxy, without I/O.
 
-No I/O. A proxy that does not read must not hold what others need: its buffer is bounded in bytes and in age,
-and past either its stream is cut. It keeps what it holds and dials again when admission lets it
-(admission.py).
+A proxy that does not read must not take memory that others need: what has left the channel and was not taken
+by its transport is bounded in bytes and in age, and past either bound its stream is cut. The proxy keeps its
+tables and connects again when admission.py lets it.
 """
 
 from collections import deque
+from typing import NamedTuple
 
-S = 10**9
-# -- constants: value, unit, reason
-UNSENT_BYTES_MAX = (
-    256 * 1024
-)  # four whole tables of 1,000 lines: more than is ever open at once for a proxy that reads
-PROBE_TIMEOUT_NS = (
-    S // 2
-)  # ns a probe may take: a backend that takes no connection so long is as good as down
-UNSENT_AGE_MAX_NS = (
-    5 * S
-)  # ns; over any pause known of proxies (2 s), under the age at which orders are of no use
-NONCE_TIMEOUT_NS = (
-    60 * S
-)  # ns; a proxy that reads but answers no nonce so long: each further nonce would be kept for it
-STALL_GAP_NS, STALL_GRACE_NS = (
-    S,
-    2 * S,
-)  # ns; a longer gap between looks means that we stood still, and for how long after it nobody
-#                              is blamed for being late: what they sent waits in our own sockets
-
-
-class StallWatch:
-    """Whether this process has run without a gap for long enough to blame others for being late."""
-
-    def __init__(self, now):
-        self.last = self.since = now
-
-    def is_steady(self, now):
-        if now - self.last > STALL_GAP_NS:
-            self.since = now
-        self.last = now
-        return now - self.since >= STALL_GRACE_NS
+NS_PER_SECOND = 10**9
+# Four complete tables of 1,000 lines: more than is ever outstanding for a proxy that reads.
+UNSENT_BYTES_MAX = 256 * 1024
+# Over any pause known of proxies (2 s), and under the age at which orders are of no use, ns.
+UNSENT_AGE_MAX_NS = 5 * NS_PER_SECOND
+
+
+class UnsentMessage(NamedTuple):
+    """A message that the transport has not taken.
+
+    Attributes:
+        queued_at: When it was handed to the transport, ns.
+        size: Bytes.
+    """
+
+    queued_at: int
+    size: int
 
 
 class SendBuffer:
-    """One stream's untaken bytes."""
+    """What one stream's transport has not taken yet.
+
+    Attributes:
+        unsent: UnsentMessage items, the oldest first.
+        bytes: Their size.
+    """
 
     def __init__(self):
-        self.unsent, self.bytes = deque(), 0
+        self.unsent = deque()
+        self.bytes = 0
 
     def sent(self, now, size):
-        self.unsent.append((now, size))
+        """Records that a message of `size` bytes was handed to the transport at `now` (ns)."""
+        self.unsent.append(UnsentMessage(now, size))
         self.bytes += size
 
     def taken(self):
-        """The transport has taken the oldest."""
-        self.bytes -= self.unsent.popleft()[1]
+        """Records that the transport has taken the oldest message."""
+        self.bytes -= self.unsent.popleft().size
 
     def overdue_reason(self, now):
-        """None, or why the stream is to be cut."""
+        """Judges the buffer at `now` (ns).
+
+        Returns:
+            Why the stream is to be cut, in words; None: it is not. One large message alone is no fault.
+        """
         if self.bytes > UNSENT_BYTES_MAX and len(self.unsent) > 1:
             return f"{self.bytes} bytes are not taken, {UNSENT_BYTES_MAX} at most"
-        if self.unsent and now - self.unsent[0][0] > UNSENT_AGE_MAX_NS:
-            return f"the oldest order was not taken for {(now - self.unsent[0][0]) / S:.1f} s"
+        if self.unsent:
+            age = now - self.unsent[0].queued_at
+            if age > UNSENT_AGE_MAX_NS:
+                return f"the oldest order was not taken for {age / NS_PER_SECOND:.1f} s"
         return None
 
     def next_check(self):
-        """When to look again, ns; None when nothing waits."""
-        return self.unsent[0][0] + UNSENT_AGE_MAX_NS + 1 if self.unsent else None
+        """Returns when to judge it again, ns; None: nothing waits."""
+        return self.unsent[0].queued_at + UNSENT_AGE_MAX_NS + 1 if self.unsent else None
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -13,7 +13,8 @@
 from embertray.common.memory.purposes import CUT, DROP
 from embertray.controller.channel.outbox import Outbox
 from embertray.controller.channel.pacer import Pacer
-from embertray.controller.channel.send_buffer import NONCE_TIMEOUT_NS, StallWatch
+from embertray.controller.channel.stall_watch import StallWatch
+from embertray.controller.channel.timeouts import NONCE_TIMEOUT_NS
 from embertray.controller.degradation import DegradationLadder
 from embertray.controller.report_intake import Intake
 from embertray.controller.runner import Runner
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -14,7 +14,7 @@
 from embertray.common.net.address import BadAddress
 from embertray.common.net.process import resident
 from embertray.controller.channel.budget import channel_budget
-from embertray.controller.channel.send_buffer import PROBE_TIMEOUT_NS
+from embertray.controller.channel.timeouts import PROBE_TIMEOUT_NS
 from embertray.controller.core import Desk, Instance
 from embertray.controller.trust import Trust
 
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,7 +1,7 @@
 """A controller without streams: the daemon's desk, its pump and the list's client as planned calls."""
 
 from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
-from embertray.controller.channel.send_buffer import PROBE_TIMEOUT_NS
+from embertray.controller.channel.timeouts import PROBE_TIMEOUT_NS
 from embertray.controller.core import Desk
 from embertray.controller.endpoint_list import EndpointListFollower, UpdateKind
 
