--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -25,8 +25,8 @@
     def lists(*books):
         return lambda: (item for book in books for item in book.items())
 
-    users = [table.users for table in ordered]
-    informed = list(box.out.values())
+    users = [table.proxies for table in ordered]
+    informed = list(box.withdrawn.values())
     held = [proxy.messages.open for proxy in proxies] + [proxy.messages.written for proxy in proxies]
     return {
         "tables": [
@@ -49,7 +49,7 @@
                 "withdrawn",
                 sum(map(len, informed)) + len(module.publisher.removal.withdrawn),
                 lists(*informed, module.publisher.removal.withdrawn),
-                [*informed, box.out],
+                [*informed, box.withdrawn],
                 HANDLES,
             ),
         ],
