--- a/embertray/cluster/__init__.py
+++ b/embertray/cluster/__init__.py
@@ -1,3 +1,4 @@
-"""Processes of one site that know of each other: who is there, what each tells. Off without a <cluster> in
-the site.
+"""Processes of one site that form a cluster: membership, shared entries, limits, and replicated configuration.
+
+Nothing of it is loaded without a <cluster> or <control> in the site.
 """
--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -51,28 +51,15 @@
 
         self.counters = LinkCounters()
         self.bucket = TokenBucket(cluster.rate, now)
+        config = MembershipConfig.for_period(cluster.period)
         self.membership = Membership(
-            cluster.name,
-            controller.name,
-            controller.cluster,
-            incarnation,
-            now,
-            chance,
-            peers,
-            MembershipConfig.for_period(cluster.period),
+            cluster.name, controller.name, controller.cluster, incarnation, now, chance, peers, config
         )
         self.store = EntryStore(controller.name, incarnation, cluster.state)
         self.exchange = AntiEntropyExchange(self.store, chance, now, cluster.period)
         self.gossip_socket = GossipSocket(self.membership, clock, self.counters, self.on_advance)
         self.state_exchange = StateExchange(
-            self.exchange,
-            self.membership,
-            facts,
-            clock,
-            cluster.period,
-            self.bucket,
-            self.counters,
-            self.log,
+            self.exchange, self.membership, facts, clock, cluster.period, self.bucket, self.counters, self.log
         )
         self.stopped = anyio.Event()
 
--- a/embertray/cluster/membership/core.py
+++ b/embertray/cluster/membership/core.py
@@ -1,9 +1,9 @@
 """The state machine of one member: time and messages in, messages and events out."""
 
-from .events import Recipient
 from .handlers import MessageHandlers
 from .member import DEAD, LEFT
 from .messages import VERSION, Ack, Join, Ping
+from .outbox import Recipient
 
 MAX_REJECTED_ADDRESSES = 2048  # addresses by which rejected messages are counted
 
--- a/embertray/cluster/membership/events.py
+++ b/embertray/cluster/membership/events.py
@@ -30,17 +30,3 @@
     name: str
     state: MemberState
     address: str
-
-
-class Recipient(NamedTuple):
-    """To whom a message goes.
-
-    Attributes:
-        address: Its address, as host:port.
-        incarnation: The incarnation that the message is meant for; 0 for whichever is there.
-        name: Its name; "" if it is not known.
-    """
-
-    address: str
-    incarnation: int
-    name: str
--- a/embertray/cluster/membership/handlers.py
+++ b/embertray/cluster/membership/handlers.py
@@ -1,8 +1,8 @@
 """What follows from each message of a member that was let through."""
 
-from .events import Recipient
 from .member import ALIVE, Statement
 from .messages import Ack, FullState, Join, Nack, Ping, PingRequest
+from .outbox import Recipient
 from .reconnector import Reconnector
 
 FULL_STATE_STATEMENTS = 12  # statements in one FullState: a datagram's worth
--- a/embertray/cluster/membership/outbox.py
+++ b/embertray/cluster/membership/outbox.py
@@ -1,11 +1,27 @@
 """Messages on their way out, and the gossip that goes along with each."""
 
-from .events import OutgoingMessage, Recipient
+from typing import NamedTuple
+
+from .events import OutgoingMessage
 from .member import ALIVE
 from .messages import VERSION
 from .state import MembershipState
 
 
+class Recipient(NamedTuple):
+    """To whom a message goes.
+
+    Attributes:
+        address: Its address, as host:port.
+        incarnation: The incarnation that the message is meant for; 0 for whichever is there.
+        name: Its name; "" if it is not known.
+    """
+
+    address: str
+    incarnation: int
+    name: str
+
+
 class Outbox(MembershipState):
     """Composes messages. They are collected in `outgoing`, which each step begins anew."""
 
--- a/embertray/cluster/membership/reconnector.py
+++ b/embertray/cluster/membership/reconnector.py
@@ -1,8 +1,8 @@
 """Reaching members that were lost, so that the sides of a network partition find each other again."""
 
-from .events import Recipient
 from .member import DEAD
 from .messages import Join, Ping
+from .outbox import Recipient
 from .prober import Prober
 
 
