--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -5,12 +5,12 @@
 import unittest
 
 import anyio
-from test_cluster_processes import Held
+from test_cluster_processes import ProcessesCase
 
 from embertray.simulation.processes.processes import Rigged
 
 
-class Links(Held):
+class Links(ProcessesCase):
     """Each case: three or four processes, all alive at all, then the wound, then its end."""
 
     def play(self, count, case):
