--- a/embertray/common/memory/account.py
+++ b/embertray/common/memory/account.py
@@ -8,7 +8,7 @@
 USUAL_SIZE_EVALUATIONS = 60  # that the usual size is a mean over, the newest weighing most
 
 RELEASE_SHARE = 0.9  # of the cap: an action ends below it, so that it does not flap
-NOTICE_SHARE = 0.8  # of the cap: operators are told once above it,
+NOTICE_SHARE = 0.8  # of the cap: operators are notified once above it,
 NOTICE_RESET_SHARE = 0.7  # and again only after it was below this
 
 # What a notice says. Operators' alerts may match the texts.
@@ -31,7 +31,7 @@
         evaluations_at_cap: Evaluations at which the cap was in force.
         action_count: What was done then: lines dropped, joins rejected, streams cut.
         at_cap: The cap is in force.
-        near_cap: Operators were told that the cap is near.
+        near_cap: Operators were notified that the cap is near.
         bytes_per_entry: Name of a collection -> bytes that an entry takes.
     """
 
@@ -79,7 +79,7 @@
         """Puts the cap in force or out of force.
 
         Returns:
-            The texts that operators are to be told.
+            The texts of the notices that operators are to be sent.
         """
         texts = []
         share = self.bytes / self.cap
--- a/embertray/common/memory/accounts.py
+++ b/embertray/common/memory/accounts.py
@@ -31,7 +31,7 @@
 
 
 class CapNotice(NamedTuple):
-    """What operators are told of a purpose.
+    """What operators are notified of.
 
     Attributes:
         purpose: The purpose.
@@ -57,7 +57,7 @@
 
     Attributes:
         by_purpose: Purpose -> Account.
-        notices: CapNotice items that operators have not been told yet; whoever tells them empties it.
+        notices: CapNotice items that operators have not been sent yet; whoever sends them empties it.
     """
 
     def __init__(self, caps, random):
--- a/embertray/common/snapshots/clocks.py
+++ b/embertray/common/snapshots/clocks.py
@@ -1,4 +1,4 @@
-"""Reads the clocks by which the age of a snapshot is told at the next start."""
+"""Reads the clocks that give the age of a snapshot at the next start."""
 
 import time
 from pathlib import Path
--- a/embertray/controller/channel/admission.py
+++ b/embertray/controller/channel/admission.py
@@ -28,7 +28,7 @@
     """A stream is not admitted.
 
     Attributes:
-        code: The code that the peer is told.
+        code: The code that the peer is sent.
         text: Why, in words.
         retry_after: How long the peer is asked to stay away, ns.
     """
--- a/embertray/controller/channel/budget.py
+++ b/embertray/controller/channel/budget.py
@@ -20,7 +20,7 @@
     """What the channel of one controller of a site carries.
 
     Attributes:
-        removal: Channel time in which all proxies are told of one removal, ns.
+        removal: Channel time in which one removal reaches all proxies, ns.
         bind_one: Channel time of one bind, ns.
         bind_all: Channel time of binding all proxies, ns.
         warnings: What does not fit, in words; empty when all fits.
--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -1,7 +1,7 @@
 """Turns the orders of one step into one message for each proxy concerned, with what it costs in lines.
 
-Knows what was ordered so far: tables, which proxy is bound to which, and who was told of which withdrawal. A
-joined proxy that is not bound may have any line (its standing table), so it is told of every withdrawal.
+Knows what was ordered so far: tables, which proxy is bound to which, and who was notified of which
+withdrawal. A joined proxy that is not bound may have any line (its standing table), so it is notified of all.
 """
 
 from typing import Any, NamedTuple
@@ -53,7 +53,7 @@
 
     Attributes:
         tables: The policy's table -> OrderedTable.
-        withdrawn: Withdrawn backend -> proxies that were told, as keys.
+        withdrawn: Withdrawn backend -> proxies that were notified, as keys.
         bound: Joined proxy -> the policy's table, or None.
         unlimited_level: An admission level from which on nothing is rejected.
         retry_limit: Most further attempts that go with a level below that.
@@ -176,7 +176,7 @@
         return [MessagePart(proxy, bind, 1 + len(table.lines) + len(table.levels) + len(withdrawn))]
 
     def _inform_of_bind(self, proxy, table):
-        """A bind tells of the withdrawals in its table, and ends all others at the proxy."""
+        """A bind notifies of the withdrawals in its table, and ends all others at the proxy."""
         for backend, informed in self.withdrawn.items():
             informed.pop(proxy, None)
             if backend in table.lines:
--- a/embertray/controller/degradation/__init__.py
+++ b/embertray/controller/degradation/__init__.py
@@ -1,6 +1,7 @@
 """Named levels of reduced service: what is given up when not all can be served.
 
-Operators, proxies and clients are told the level; `loss_meter` says how much is lost, `ladder` decides.
+Operators, proxies and clients are notified of the level. `loss_meter` says how much is lost, `ladder`
+decides.
 """
 
 from .exceptions import NormalLevelError, UnknownLevelError
--- a/embertray/controller/endpoint_list/messages.py
+++ b/embertray/controller/endpoint_list/messages.py
@@ -20,12 +20,12 @@
 
     Attributes:
         since: The epoch that the controller has; 0: none, the complete list is wanted first.
-        on: False ends the watch.
+        enabled: False ends the watch.
         sender: Who asks, for the inventory's own records.
     """
 
     since: Count = 0
-    on: bool = True
+    enabled: bool = True
     sender: Annotated[str, Meta(max_length=SENDER_CHARACTERS_MAX)] = ""
 
 
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -4,10 +4,8 @@
 candidate that load reports prove or refute (`verification`, `known_backend`), and proxies keep their newer
 tables for a while (`table_retention`).
 
-Once discovery answers, what it lists counts, unless it is older than what is known: a lagging replica's list
-(an older epoch) brings no backend back that was removed since, and removes none that is known from a newer
-list (`catalog`, `tombstones`). A sudden large loss is confirmed first (`loss_confirmation`). What is listed
-as draining or gone in so many words is believed at once.
+Once discovery answers, what it lists counts, unless it is older than what is known (`discovery`, `catalog`,
+`tombstones`). A sudden large loss is confirmed first (`loss_confirmation`).
 """
 
 from embertray.controller.endpoint_list import UpdateKind
@@ -15,7 +13,8 @@
 from . import description, persistence
 from .catalog import BackendCatalog
 from .decision import TrustDecision
-from .loss_confirmation import LossConfirmation, is_answering
+from .discovery import DiscoveryMerge
+from .loss_confirmation import LossConfirmation
 from .snapshot_age import time_since
 from .table_retention import TableRetention
 from .verification import Verification
@@ -31,21 +30,19 @@
     Attributes:
         catalog: The BackendCatalog.
         losses: The LossConfirmation.
+        discovery: The DiscoveryMerge.
         retention: The TableRetention.
         verification: The Verification.
-        epoch: The newest version of the list so far.
         age: How old the oldest entry of the list on disk was at the start, ns; None: not known, or no list.
-        discovery_answered: Discovery has answered since the start.
     """
 
     def __init__(self, drain_grace, removal_binds=True):
         self.catalog = BackendCatalog()
         self.losses = LossConfirmation(drain_grace, removal_binds)
+        self.discovery = DiscoveryMerge(self.catalog, self.losses)
         self.retention = TableRetention()
         self.verification = Verification()
-        self.epoch = 0
         self.age = None
-        self.discovery_answered = False
         self._drain_grace = drain_grace
 
     @property
@@ -58,6 +55,16 @@
         """The removals of late: a Tombstones."""
         return self.catalog.tombstones
 
+    @property
+    def epoch(self):
+        """The newest version of the list so far."""
+        return self.discovery.epoch
+
+    @property
+    def discovery_answered(self):
+        """Whether discovery has answered since the start."""
+        return self.discovery.answered
+
     # ---- the start
 
     def start(self, now, snapshot, clocks):
@@ -74,7 +81,7 @@
         self.verification.started_at = now
         if snapshot is None:
             return TrustDecision(UpdateKind.CACHED, [])
-        self.epoch = snapshot.epoch
+        self.discovery.epoch = snapshot.epoch
         since_snapshot = time_since(snapshot, clocks)
         self.verification.inventory_clock = snapshot.inventory_clock + (since_snapshot or 0)
         entries = []
@@ -163,53 +170,8 @@
     # ---- discovery
 
     def receive_update(self, now, kind, epoch, entries):
-        """Judges one answer of discovery.
-
-        Args:
-            now: ns.
-            kind: UpdateKind.CHANGES, COMPLETE or FAILED.
-            epoch: Version of the list.
-            entries: EndpointEntry items.
-
-        Returns:
-            The TrustDecision.
-        """
-        if kind == UpdateKind.FAILED:
-            return TrustDecision(UpdateKind.FAILED, [])
-        self.tombstones.expire(now)
-        outdated = epoch < self.epoch
-        self.epoch = max(self.epoch, epoch)
-        self.discovery_answered = True
-        if kind == UpdateKind.CHANGES:
-            return TrustDecision(UpdateKind.CHANGES, self._accept(now, entries, outdated))
-        if outdated:
-            return self._merge_outdated(now, entries)
-        return self._merge_complete(now, entries)
-
-    def _merge_outdated(self, now, entries):
-        """A lagging replica's list removes only what is known to be refuted."""
-        missing = self.catalog.missing_from(entries)
-        accepted = self._accept(now, entries, outdated=True)
-        removed = self.catalog.remove(now, [name for name in missing if self.backends[name].refuted])
-        return TrustDecision(UpdateKind.CHANGES, accepted + removed)
-
-    def _merge_complete(self, now, entries):
-        missing = self.catalog.missing_from(entries)
-        answering = [name for name, backend in self.backends.items() if is_answering(backend, now)]
-        absent = set(missing)
-        lost = [name for name in answering if name in absent]
-        request_complete = self.losses.judge(now, lost, len(answering))
-        accepted = self._accept(now, entries, outdated=False)
-        if request_complete:
-            removed = self.catalog.remove(now, [name for name in missing if name not in lost])
-            return TrustDecision(UpdateKind.CHANGES, accepted + removed, request_complete=True)
-        self.catalog.remove(now, missing)
-        return TrustDecision(UpdateKind.COMPLETE, accepted)
-
-    def _accept(self, now, entries, outdated):
-        accepted = self.catalog.accept(now, entries, outdated)
-        self.losses.listed({entry.backend for entry in accepted if entry.state != "gone"})
-        return accepted
+        """Judges one answer of discovery; arguments and result as in DiscoveryMerge.receive."""
+        return self.discovery.receive(now, kind, epoch, entries)
 
     # ---- time, disk and memory
 
--- a/embertray/simulation/emulator/inventory.py
+++ b/embertray/simulation/emulator/inventory.py
@@ -28,7 +28,7 @@
             con.when_awake(con.heard, RequestFailed("down"))
             return
         if isinstance(call, WatchRequest):
-            self.followers[con] = call.on
+            self.followers[con] = call.enabled
         if (news := self.answer(self.simulation.engine.time, call)) is not None:
             self.tell(con, news)
 
--- a/embertray/simulation/models/inventory.py
+++ b/embertray/simulation/models/inventory.py
@@ -26,7 +26,7 @@
         """The WatchEvent that answers a ListRequest or a WatchRequest; None: there is nothing to tell."""
         if isinstance(call, ListRequest):
             return self.news(now, 0, list(self.entries.values()))
-        if call.on and call.since and call.since in self.log and call.since <= self.epoch:
+        if call.enabled and call.since and call.since in self.log and call.since <= self.epoch:
             latest = {self.log[n].backend: self.log[n] for n in range(call.since + 1, self.epoch + 1)}
             return self.news(now, call.since, list(latest.values()))
-        return self.news(now, 0, list(self.entries.values())) if call.on else None
+        return self.news(now, 0, list(self.entries.values())) if call.enabled else None
--- a/embertray/simulation/standins/inventory.py
+++ b/embertray/simulation/standins/inventory.py
@@ -62,7 +62,7 @@
             link.put(RequestFailed("down"))
             return
         if isinstance(call, WatchRequest):
-            self.links[link] = call.on
+            self.links[link] = call.enabled
         if (news := self.answer(self.agenda.now(), call)) is not None:
             self.send(link, news)
 
