--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -23,7 +23,7 @@
 POST, VIEW = RequestKind(S, 2 * S, 3.0, external_id="post"), RequestKind(S, 2 * S, 1.0, external_id="view")
 
 
-class Proxies:
+class ReportingProxy:
     """One proxy's sums each second, under a level, with clients of one habit."""
 
     def __init__(self, habit="never"):
@@ -56,85 +56,85 @@
             (85, "essential"),
             (40, "survival"),
         ):
-            it = Proxies()
+            proxy = ReportingProxy()
             for _ in range(20):
-                it.second(100, 200)
+                proxy.second(100, 200)
             for _ in range(30):
-                it.second(100, served)
-            self.assertEqual(it.ladder.name, name, served)
-            entered = len(it.changes)
+                proxy.second(100, served)
+            self.assertEqual(proxy.ladder.name, name, served)
+            entered = len(proxy.changes)
             self.assertLessEqual(entered, 1)  # at once to the right one
             for _ in range(200):
-                it.second(100, 200)
-            self.assertEqual(it.ladder.name, "normal")
+                proxy.second(100, 200)
+            self.assertEqual(proxy.ladder.name, "normal")
             if entered:
-                self.assertGreaterEqual(it.changes[-1][0] - 50, CALM_PERIOD_NS // S)
+                self.assertGreaterEqual(proxy.changes[-1][0] - 50, CALM_PERIOD_NS // S)
 
-    def test_a_load_that_swings_round_a_mark_changes_the_level_once(self):
+    def test_a_load_that_swings_around_a_mark_changes_the_level_once(self):
         for period in (2, 4, 6, 20, 45):
-            it = Proxies()
+            proxy = ReportingProxy()
             for second in range(600):
-                it.second(100, 200 if second < 10 or second // (period // 2) % 2 else 150)
+                proxy.second(100, 200 if second < 10 or second // (period // 2) % 2 else 150)
             for start in range(600):
                 self.assertLessEqual(
-                    sum(start <= at < start + 60 for at, _ in it.changes), 1, (period, it.changes)
+                    sum(start <= at < start + 60 for at, _ in proxy.changes), 1, (period, proxy.changes)
                 )
 
-    def test_between_two_marks_it_steps_once_a_minute_but_goes_to_the_highest_at_once(self):
-        it = Proxies()
+    def test_the_level_changes_once_a_minute_but_to_the_highest_at_once(self):
+        proxy = ReportingProxy()
         for second in range(200):
-            it.second(100, 200 if second < 10 else 150 if second // 3 % 2 else 85)
+            proxy.second(100, 200 if second < 10 else 150 if second // 3 % 2 else 85)
         for start in range(200):
-            self.assertLessEqual(sum(start <= at < start + 60 for at, _ in it.changes), 1, it.changes)
+            self.assertLessEqual(sum(start <= at < start + 60 for at, _ in proxy.changes), 1, proxy.changes)
         for _ in range(5):
-            it.second(100, 20)
-        self.assertEqual(it.ladder.name, "survival")
+            proxy.second(100, 20)
+        self.assertEqual(proxy.ladder.name, "survival")
 
     def test_clients_that_repeat_at_once_later_or_never_leave_the_same_level(self):
         found = {}
         for habit in ("never", "later", "at once"):
-            it = Proxies(habit)
+            proxy = ReportingProxy(habit)
             for second in range(90):
-                it.second(100, 200 if second < 15 else 90)
-            found[habit] = it.ladder.name, it.ladder.lost
+                proxy.second(100, 200 if second < 15 else 90)
+            found[habit] = proxy.ladder.name, proxy.ladder.lost
         names, lost = zip(*found.values(), strict=False)
         self.assertEqual(len(set(names)), 1, found)
         self.assertLess(
             max(lost) - min(lost), 0.1, found
         )  # what rose meanwhile may be demand: it can't be told
 
-    def test_no_news_is_no_verdict_and_fresh_news_leaves_a_level_entered_on_late_ones(self):
-        it = Proxies()
+    def test_without_load_reports_the_level_stands(self):
+        proxy = ReportingProxy()
         for _ in range(15):
-            it.second(100, 200)
+            proxy.second(100, 200)
         for _ in range(8):
-            it.second(100, 60)
-        level = it.ladder.name
+            proxy.second(100, 60)
+        level = proxy.ladder.name
         self.assertNotEqual(level, "normal")
         for _ in range(300):
-            it.second(100, 200, tell=False)
-        self.assertEqual(it.ladder.name, level)
+            proxy.second(100, 200, tell=False)
+        self.assertEqual(proxy.ladder.name, level)
         for _ in range(64):
-            it.second(100, 200)
-        self.assertEqual(it.ladder.name, "normal")
+            proxy.second(100, 200)
+        self.assertEqual(proxy.ladder.name, "normal")
 
     def test_pins_and_forbidden_levels(self):
-        it = Proxies()
-        it.ladder.pin("essential")
-        it.second(100, 200)
-        self.assertEqual((it.ladder.name, it.changes), ("essential", [(1, "essential")]))
-        it.ladder.release()
+        proxy = ReportingProxy()
+        proxy.ladder.pin("essential")
+        proxy.second(100, 200)
+        self.assertEqual((proxy.ladder.name, proxy.changes), ("essential", [(1, "essential")]))
+        proxy.ladder.release()
         for _ in range(70):
-            it.second(100, 200)
-        self.assertEqual(it.ladder.name, "normal")
-        it.ladder.forbid("survival")
+            proxy.second(100, 200)
+        self.assertEqual(proxy.ladder.name, "normal")
+        proxy.ladder.forbid("survival")
         for _ in range(10):
-            it.second(100, 20)
-        self.assertEqual(it.ladder.name, "essential")
-        it.ladder.forbid("essential")
-        it.second(100, 20)
-        self.assertEqual(it.ladder.name, "brownout")
-        for wrong in (lambda: it.ladder.pin("panic"), lambda: it.ladder.forbid("normal")):
+            proxy.second(100, 20)
+        self.assertEqual(proxy.ladder.name, "essential")
+        proxy.ladder.forbid("essential")
+        proxy.second(100, 20)
+        self.assertEqual(proxy.ladder.name, "brownout")
+        for wrong in (lambda: proxy.ladder.pin("panic"), lambda: proxy.ladder.forbid("normal")):
             with self.assertRaises(ValueError):
                 wrong()
 
@@ -144,7 +144,7 @@
             st.tuples(st.integers(1, 40), st.sampled_from([0.0, 0.03, 0.06, 0.2, 0.3, 0.6, 0.9])), max_size=12
         )
     )
-    def test_whatever_comes_up_takes_some_looks_and_down_a_calm_minute(self, course):
+    def test_rising_takes_some_evaluations_and_falling_a_calm_minute(self, course):
         ladder, now, last, lost_at = DegradationLadder([POST], S, False, 0), 0, 0, {}
         ladder.loss_meter = SimpleNamespace(lost_share=lambda now: lost_at[now])
         for seconds, lost in course:
@@ -164,8 +164,8 @@
                 last = now
 
 
-class First(unittest.TestCase):
-    def test_first_demand_falls_with_what_comes_and_rises_slowly_while_some_is_denied(self):
+class FirstDemandEstimate(unittest.TestCase):
+    def test_first_demand_falls_with_arrivals_and_rises_slowly_under_losses(self):
         meter = LossMeter([POST], S, True)
         for second in range(20):
             meter.observe(second * S, "p", POST, 100, 0, S, None)
@@ -179,7 +179,7 @@
         meter.observe(80 * S, "p", POST, 40, 0, S, 50.0)
         self.assertLess(meter.lost_share(80 * S), 0.01)
 
-    def test_marked_repeats_tell_first_demand_at_once(self):
+    def test_marked_repeats_give_first_demand_at_once(self):
         meter = LossMeter([POST], S, True)
         for second, came, repeats in ((0, 100, 0), (1, 900, 100), (2, 1500, 700)):
             meter.observe(second * S, "p", POST, came, 0, S, 200.0, repeats)
@@ -187,7 +187,7 @@
         self.assertAlmostEqual(meter.demand[POST].rate, 800)
         self.assertAlmostEqual(lost, 0.75)
 
-    def test_silent_and_gone_proxies_count_no_more(self):
+    def test_silent_proxies_and_those_that_left_do_not_count(self):
         meter = LossMeter([POST], S, False)
         meter.observe(0, "p", POST, 10, 5, S, 1.0)
         meter.observe(0, "q", POST, 10, 0, S, 1.0)
@@ -204,7 +204,7 @@
 )
 
 
-class WholeWay(unittest.TestCase):
+class EndToEnd(unittest.TestCase):
     """From sums to the proxies' tables, without streams and with them."""
 
     def seen(self, result):
@@ -212,7 +212,7 @@
             do for e in result.events if e.what == "applied" for do in e.rest[0].do if isinstance(do, Level)
         ]
 
-    def test_a_spike_is_told_and_over_and_costs_no_rule(self):
+    def test_a_spike_raises_and_lowers_the_level_and_breaks_no_rule(self):
         stages = []
         result = play(notation.read(SPIKE, "spike.day"), 4, on_stage=stages.append)
         self.assertFalse([why for why in result.rules.values() if why])
@@ -225,7 +225,7 @@
         self.assertTrue(all(do.wait == 0 for do in levels if do.level >= 10**6))
         self.assertTrue(any(do.again == 0 for do in levels if do.wait))
 
-    def test_a_pin_costs_no_rule_and_no_line(self):
+    def test_a_pin_breaks_no_rule_and_costs_no_line(self):
         day = notation.read(
             "site pushed\nfleet backends=6 proxies=6\nload 40/s for 20s\nat 4s deploy 50% batch=1 "
             "drain=4s by 1s\n",
@@ -243,7 +243,7 @@
         self.assertEqual(*cost)
         self.assertEqual(free.credit, pinned.credit)
 
-    def test_over_streams_denied_clients_are_told_how_long_to_stay_away(self):
+    def test_rejected_clients_get_a_retry_after_over_streams(self):
         result = player.play(notation.read(SPIKE.replace("110s", "20s"), "spike.day"), seed=3)
         self.assertFalse([why for why in result.rules.values() if why])
         self.assertTrue(any(do.wait for do in self.seen(result)))
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -28,7 +28,7 @@
 
 
 class Sizes(unittest.TestCase):
-    def test_a_walk_agrees_with_what_the_allocator_gave(self):
+    def test_deep_size_agrees_with_the_allocator(self):
         """Within a tenth, for what the accounts really hold: tuples, structs, dicts, objects with slots."""
         for make in (
             lambda n: (n * 1000003, float(n), f"name-{n}"),
@@ -44,7 +44,7 @@
             walked = deep_size(held)
             self.assertLess(abs(walked / got - 1), 0.08, (make(1), walked, got))
 
-    def test_a_sample_stands_for_the_shelf_and_stops_at_what_is_anothers(self):
+    def test_a_sample_stands_for_its_collection_and_stops_at_other_collections(self):
         class Other:
             def __init__(self):
                 self.big = "x" * 10**6
@@ -56,7 +56,7 @@
         self.assertEqual(measure_entry_bytes(Collection("s", 0, list)), 0.0)
 
 
-class Books(unittest.TestCase):
+class Accounts(unittest.TestCase):
     def accounts(self, cap=1000, chance=lambda: 0.5):
         return MemoryAccounts({**dict.fromkeys(ACTIONS, 10**9), "streams": cap}, chance)
 
@@ -65,7 +65,7 @@
         rows = [bytes(67) for _ in things]
         return accounts.evaluate(now, lambda: {"streams": [Collection("s", len(rows), lambda: rows)]})
 
-    def test_a_cap_acts_until_well_below_and_says_so_once(self):
+    def test_a_cap_is_in_force_until_well_below_and_notified_once(self):
         accounts, said, acted = self.accounts(), [], []
         for n, count in enumerate([5, 9, 9, 11, 10, 10, 9, 8, 5, 9]):
             verdicts = self.look(accounts, n * S, count)
@@ -87,7 +87,7 @@
         self.assertEqual(accounts.by_purpose["streams"].peak, 1100)
         self.assertLess(NOTICE_SHARE, 1)
 
-    def test_who_is_turned_away_comes_back_at_times_of_chance(self):
+    def test_rejected_proxies_come_back_at_random_times(self):
         draws = iter([0.0, 0.5, 1.0])
         accounts = self.accounts(chance=lambda: next(draws))
         self.assertIsNone(accounts.reject_join())
@@ -98,7 +98,7 @@
         )
         self.assertEqual(accounts.by_purpose["streams"].action_count, 3)
 
-    def test_caps_follow_from_the_fleet_and_the_description(self):
+    def test_default_caps_follow_from_the_fleet_of_the_site(self):
         site = load(SITES / "samples" / "pushed.xml")
         small, large = default_caps(site), default_caps(site.at(proxies=1000, backends=1000))
         self.assertTrue(all(small[p] >= CAP_BYTES_MIN and large[p] >= small[p] for p in small))
@@ -113,7 +113,7 @@
     """Each cap driven to its action in the true daemon."""
 
     @partial(virtual, caps={"streams": 60_000})
-    async def test_joins_are_turned_away_and_those_there_are_served(self, room):
+    async def test_joins_are_rejected_at_the_cap_and_joined_proxies_served(self, room):
         first = [await room.peer(f"p{n}") for n in range(25)]
         for peer in first:
             self.assertIsInstance(await peer.until((Welcome, Fault)), Welcome)
@@ -143,7 +143,7 @@
         self.assertTrue(all(row["bytes"] > 0 for row in rows if row["purpose"] not in ("probes", "reports")))
 
     @partial(virtual, caps={"list": 3000, "tables": 10**7})
-    async def test_new_backends_wait_and_what_goes_is_never_held(self, room):
+    async def test_new_backends_wait_at_the_cap_and_removals_pass(self, room):
         peer = await room.peer("p1")
         await peer.until(Orders)
         for n in range(40):
@@ -179,7 +179,7 @@
         self.assertEqual(it.accounts.by_purpose["reports"].action_count, it.intake.dropped)
 
     @partial(virtual, caps={"channel": 3000}, channel_rate=20.0)
-    async def test_the_channel_cuts_who_has_most_waiting(self, room):
+    async def test_the_channel_cuts_the_proxy_with_the_most_lines_waiting(self, room):
         peers = [await room.peer(f"p{n}") for n in range(30)]
         await anyio.sleep(6)
         self.assertGreater(room.service.counted["cuts"], 0)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -36,7 +36,7 @@
 HERE = Path(__file__).resolve().parent
 
 
-class Stop(BaseException):
+class PowerCut(BaseException):
     """The power is cut."""
 
 
@@ -53,7 +53,7 @@
             half()
             if self.error:
                 raise OSError(self.error, os.strerror(self.error))
-            raise Stop(name)
+            raise PowerCut(name)
 
 
 def wrap(name):
@@ -82,12 +82,12 @@
         for n in range(count):
             SnapshotStore(self.folder).save(b"body %d" % n)
 
-    def test_the_newest_counts_and_few_are_kept(self):
+    def test_the_newest_snapshot_counts_and_older_generations_are_removed(self):
         self.fill(7)
         self.assertEqual(SnapshotStore(self.folder).load(), (b"body 6", []))
         self.assertEqual(len(SnapshotStore(self.folder).generations()), GENERATIONS_KEPT)
 
-    def test_power_cut_at_every_system_call(self):
+    def test_a_power_cut_at_any_system_call_leaves_the_old_or_the_new_snapshot(self):
         """The list is the old one or the new one, whole; and the next writer goes on."""
         points, saves = 0, 0
         while True:
@@ -96,7 +96,7 @@
             try:
                 SnapshotStore(self.folder, disk).save(b"new")
                 saves += 1
-            except Stop:
+            except PowerCut:
                 pass
             body, passed = SnapshotStore(self.folder).load()
             self.assertIn(body, (b"body 2", b"new"))
@@ -108,7 +108,7 @@
             points += 1
         self.assertGreaterEqual(points, 7)
 
-    def test_a_failing_disk_leaves_what_was_and_is_an_error_not_a_crash(self):
+    def test_a_failing_disk_raises_and_leaves_the_former_snapshots(self):
         for error in (errno.ENOSPC, errno.EROFS, errno.EIO):
             for at in range(1, 6):
                 self.fill()
@@ -117,7 +117,7 @@
                 self.assertIn(SnapshotStore(self.folder).load()[0], (b"body 2", b"new"))
 
     @given(st.data())
-    def test_a_flipped_bit_or_a_cut_gives_the_older_and_says_why(self, data):
+    def test_a_damaged_or_truncated_file_is_skipped_with_its_reason(self, data):
         self.fill()
         path = SnapshotStore(self.folder).path_of(SnapshotStore(self.folder).generations()[-1])
         good = path.read_bytes()
@@ -133,7 +133,7 @@
         self.assertEqual([name for name, _ in passed], [path.name])
         self.assertTrue(passed[0][1])
 
-    def test_a_newer_format_and_strange_files(self):
+    def test_a_newer_format_and_foreign_files_are_skipped(self):
         self.fill()
         newer = HEADER.pack(MAGIC, 2, 0, 0)
         SnapshotStore(self.folder).path_of(99).write_bytes(newer)
@@ -144,7 +144,7 @@
         self.assertIn("format 2", passed[0][1])
         self.assertEqual(SnapshotStore(self.folder / "nowhere").load(), (None, []))
 
-    def test_content_that_is_none_of_ours(self):
+    def test_content_of_another_type_is_skipped(self):
         kept = DurableSnapshots(self.folder)
         kept.store.save(b"not a snapshot")
         found, passed = kept.load()
@@ -152,7 +152,7 @@
         self.assertIn("content", passed[0][1])
         self.assertGreater(len(encode_file(b"x" * 10**6)), HEADER.size)
 
-    def test_two_on_one_folder_the_second_is_refused(self):
+    def test_a_second_process_on_a_state_folder_is_locked_out(self):
         first, second = SnapshotStore(self.folder), SnapshotStore(self.folder)
         first.lock()
         with self.assertRaises(FolderLockedError) as caught:
@@ -162,7 +162,7 @@
         second.lock()
         second.unlock()
 
-    def test_killed_while_writing_again_and_again(self):
+    def test_a_writer_killed_at_any_time_leaves_a_complete_snapshot(self):
         """kill -9 at whatever point: 12 starts, each finds a whole list that is no older than the last one
         finished.
         """
@@ -206,19 +206,19 @@
     return [EndpointEntry(name, "z", **more) for name in names]
 
 
-class Worth(unittest.TestCase):
+class SnapshotAge(unittest.TestCase):
     def begin(self, age, **more):
         trust = Trust(4 * S)
         verdict = trust.start(0, snapshot(**more), ClockReading((1000 * S) + age, "other boot", 0))
         return trust, verdict
 
-    def test_a_fresh_list_is_taken_as_it_is(self):
+    def test_a_fresh_list_counts_as_it_is(self):
         trust, verdict = self.begin(FRESH_AGE_NS)
         self.assertEqual([e.started for e in verdict.entries], [0, 0, 0, 0])
         self.assertTrue(trust.is_settled(0))
         self.assertFalse(trust.keeps_tables(0, False, "p"))
 
-    def test_an_old_one_names_candidates_that_are_as_cold(self):
+    def test_unheard_candidates_of_an_old_list_are_handed_on_as_just_started(self):
         trust, verdict = self.begin(3600 * S)
         self.assertEqual(
             (verdict.entries, trust.apply_timers(VERIFICATION_PERIOD_NS - 1), trust.next_timer()),
@@ -235,12 +235,12 @@
         self.assertFalse(trust.keeps_tables(0, True, "p"))  # it has nothing better
         self.assertIn("3600 s old", trust.describe(0))
 
-    def test_an_entry_keeps_its_own_age_through_several_starts(self):
+    def test_an_entry_keeps_its_age_through_several_starts(self):
         trust, _ = self.begin(100 * S, ages=50 * S)
         again = trust.make_snapshot(S, 0, ClockReading(1101 * S, "b", 0))
         self.assertEqual({e.confirmed for e in again.entries}, {950 * S})
 
-    def test_clocks_that_jumped(self):
+    def test_a_clock_that_was_set_back_makes_the_age_unknown(self):
         back = Trust(4 * S)
         back.start(0, snapshot(), ClockReading(10 * S, "other boot", 0))
         self.assertIsNone(back.age)
@@ -254,7 +254,7 @@
         ahead.start(0, snapshot(ages=-100 * S), ClockReading(1000 * S, "boot", 100 * S))
         self.assertIsNone(ahead.age)
 
-    def test_answers_prove_and_failures_refute_until_it_answers(self):
+    def test_successes_prove_a_candidate_and_failures_refute_it_until_it_answers(self):
         trust, _ = self.begin(3600 * S)
         proven = trust.observe(S, "p", True, [("a", 5, 0), ("b", 2, 2)])
         self.assertEqual([(e.backend, e.started) for e in proven], [("a", 0)])
@@ -269,7 +269,7 @@
         trust.observe(5 * S, "p", True, [("c", 5, 1)])
         self.assertTrue(trust.is_settled(5 * S))  # half of the candidates answer
 
-    def test_tables_in_which_nothing_answers_are_not_kept(self):
+    def test_a_table_in_which_nothing_answers_is_not_retained(self):
         trust, _ = self.begin(3600 * S)
         trust.observe(S, "p", False, [("x", 10, 10)])
         trust.observe(S, "q", False, [("a", 10, 3)])
@@ -277,7 +277,7 @@
         self.assertEqual([trust.keeps_tables(S, False, proxy) for proxy in "pqr"], [False, True, False])
         self.assertFalse(trust.keeps_tables(TABLE_RETENTION_NS, False, "q"))
 
-    def test_tables_that_know_more_than_the_list_are_left_alone(self):
+    def test_tables_newer_than_the_list_are_retained_longer(self):
         trust, _ = self.begin(3600 * S)
         trust.observe(S, "p", False, [("a", 5, 0), ("b", 5, 0), ("c", 5, 0), ("newer", 5, 0)])
         self.assertTrue(trust.keeps_tables(TABLE_RETENTION_NS, False, "p"))
@@ -285,19 +285,19 @@
         trust.receive_update(TABLE_RETENTION_NS, "whole", 9, listed(["a", "newer"]))
         self.assertFalse(trust.keeps_tables(TABLE_RETENTION_NS, False, "p"))
 
-    def test_a_known_drain_shortens_the_wait(self):
+    def test_a_known_drain_shortens_table_retention(self):
         trust = Trust(4 * S)
         trust.start(0, snapshot(state="draining"), ClockReading(5000 * S, "x", 0))
         self.assertEqual(trust.retention.patience, 2 * S)
 
-    def test_nothing_on_disk(self):
+    def test_without_a_list_proxies_keep_their_tables(self):
         trust = Trust(4 * S)
         self.assertEqual(trust.start(0, None, ClockReading(0, "", 0)).entries, [])
         self.assertIn("proxies keep their tables", trust.describe(0))
         self.assertTrue(trust.is_settled(0))
 
 
-class Merging(unittest.TestCase):
+class DiscoveryAnswers(unittest.TestCase):
     def begin(self, **more):
         trust = Trust(4 * S, more.pop("binds", True))
         trust.start(0, snapshot("abcdefgh", **more), ClockReading(5000 * S, "x", 0))
@@ -306,14 +306,14 @@
     def answer(self, trust, now, names):
         trust.observe(now, "p", True, [(name, 5, 0) for name in names])
 
-    def test_a_newer_whole_list_counts(self):
+    def test_a_newer_complete_list_counts(self):
         trust = self.begin()
         verdict = trust.receive_update(S, "whole", 9, listed("abxyefgh"))
         self.assertEqual((verdict.kind, len(verdict.entries), verdict.request_complete), ("whole", 8, False))
         self.assertEqual(sorted(trust.backends), sorted("abxyefgh"))
         self.assertEqual(sorted(trust.tombstones.entries), ["c", "d"])
 
-    def test_a_lagging_one_takes_nobody_away_and_brings_nobody_back(self):
+    def test_an_older_epoch_removes_no_backend_and_brings_none_back(self):
         gone = [SnapshotEntry("old", "z", "gone", 0, 1000 * S)]
         trust = Trust(4 * S)
         trust.start(0, snapshot("abcdefgh", gone=gone), ClockReading(1100 * S, "x", 0))
@@ -325,13 +325,13 @@
         )  # started since it was told gone
         self.assertEqual([e.backend for e in anew.entries], ["old"])
 
-    def test_who_was_gone_is_forgotten_in_time(self):
+    def test_tombstones_expire(self):
         trust = self.begin()
         trust.receive_update(S, "changes", 8, listed("a", state="gone"))
         trust.receive_update(TOMBSTONE_PERIOD_NS + 2 * S, "changes", 9, [])
         self.assertEqual(trust.tombstones.entries, {})
 
-    def test_a_list_that_lacks_most_of_those_who_answer_is_asked_for_again(self):
+    def test_a_list_that_lacks_most_answering_backends_is_requested_again(self):
         trust = self.begin()
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
@@ -340,7 +340,7 @@
         again = trust.receive_update(3 * S + S // 2, "whole", 10, listed("abcdefgh"))  # it was broken
         self.assertEqual((again.request_complete, trust.losses.missing, len(trust.backends)), (False, (), 8))
 
-    def test_the_second_such_answer_is_believed(self):
+    def test_a_second_answer_confirms_the_loss(self):
         trust = self.begin()
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
@@ -348,7 +348,7 @@
         verdict = trust.receive_update(3 * S + S // 2, "whole", 9, listed("ab"))
         self.assertEqual((verdict.kind, len(trust.backends)), ("whole", 2))
 
-    def test_without_a_second_answer_they_are_gone_within_the_grace(self):
+    def test_without_a_second_answer_the_missing_are_removed_within_the_drain_grace(self):
         trust = self.begin()
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
@@ -358,7 +358,7 @@
         gone = trust.apply_timers(trust.next_timer())
         self.assertEqual(({e.state for e in gone}, len(gone), trust.next_timer()), ({"gone"}, 6, None))
 
-    def test_where_dropped_ones_may_stay_they_stay_while_they_answer(self):
+    def test_unlisted_backends_that_may_stay_do_so_while_they_answer(self):
         trust = self.begin(binds=False)
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
@@ -368,7 +368,7 @@
         gone = trust.apply_timers(2 * S + ANSWERING_AGE_NS + 1 * S)
         self.assertEqual([e.backend for e in gone], ["f", "g", "h"])
 
-    def test_what_is_told_in_so_many_words_is_believed_at_once(self):
+    def test_listed_changes_are_believed_at_once(self):
         trust = self.begin()
         self.answer(trust, S, "abcdefgh")
         verdict = trust.receive_update(2 * S, "changes", 8, listed("abcdef", state="draining"))
@@ -386,7 +386,7 @@
             max_size=25,
         )
     )
-    def test_whatever_comes_the_newest_word_counts(self, steps):
+    def test_the_entry_of_the_newest_epoch_counts(self, steps):
         """An entry of an epoch at least as new as all before is what is known after it."""
         trust, newest = Trust(4 * S), 0
         trust.start(0, snapshot("abc", epoch=6), ClockReading(5000 * S, "x", 0))
@@ -405,8 +405,8 @@
                 )
 
 
-class Stampede(unittest.TestCase):
-    def test_a_thousand_that_start_together_spread_their_calls(self):
+class FirstCalls(unittest.TestCase):
+    def test_controllers_that_start_together_spread_their_calls(self):
         """Calls in the worst tenth of a second, with the chance of each and without."""
 
         def worst(draws):
@@ -423,7 +423,7 @@
         self.assertEqual(worst([lambda: 1.0] * 1000), 1000)
         self.assertLess(worst([streams.of("start", n).random for n in range(1000)]), 200)
 
-    def test_one_call_at_a_time(self):
+    def test_one_request_is_in_flight_at_a_time(self):
         follower = EndpointListFollower()
         self.assertIsNotNone(follower.connected(0))
         self.assertIsNone(follower.next_request(S))
@@ -431,12 +431,12 @@
         self.assertIsNotNone(follower.next_request(S))
 
 
-class Variants(unittest.TestCase):
+class TrustVariants(unittest.TestCase):
     """The hard case of the disk's list behind the proxies' tables: trust by age loses less than trust in
     full.
     """
 
-    def test_old_list_behind_tables(self):
+    def test_trust_by_age_loses_less_than_full_trust_where_tables_are_newer(self):
         class Fully(Trust):
             def start(self, now, snapshot, clocks):
                 verdict = super().start(now, snapshot, clocks)
