--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -18,14 +18,14 @@
 class Runner:
     """Runs one decision module.
 
-    The first thing to tell it is the list that it starts with: `news(now, "cached", ...)`, empty if there is
+    Its first event is the list that it starts with: `news(now, "cached", ...)`, empty if there is
     none.
 
     Attributes:
-        identifiers: The Identifiers of all that the module was told of.
+        identifiers: The Identifiers of all that the module was notified of.
         module: The policy.Controller.
         pending_events: Events that wait for the next step.
-        start_times: Backend's name -> (its start by the list's clock, the same by ours), ns.
+        start_times: Backend's name -> (its start by the list's clock, the same by this process's), ns.
         state: Backend's name -> "ready" or "draining", of those on the list.
         steps: How many steps have run.
         events: How many events they had.
@@ -52,11 +52,11 @@
     def entry(self, now, clock, listed):
         """The interface.Entry of a backend on the list.
 
-        Its start is mapped to our clock once, when it is first named: it must not wander with the list's
-        delays.
+        Its start is mapped to this process's clock once, when it is first named: it must not wander with the
+        list's delays.
 
         Args:
-            now: ns by our clock.
+            now: ns by this process's clock.
             clock: ns by the list's clock, at the same time.
             listed: Has backend, zone, state, started (ns by the list's clock; 0: long ago) and nominal.
         """
@@ -80,7 +80,7 @@
         """What the list tells waits for the next step.
 
         Args:
-            now: ns by our clock.
+            now: ns by this process's clock.
             how: changes | whole | cached | failed, as in interface.ListNews.
             clock: ns by the list's clock, at the same time.
             entries: Listed backends, as `entry` takes them.
--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -134,7 +134,7 @@
         )
 
     def deployment(self, identifiers):
-        """What the decision module is told at its start: the table of fields and keys, hence its length.
+        """What the decision module is given at its start: the table of fields and keys, hence its length.
 
         Args:
             identifiers: Identifiers, which the zones become objects of.
--- a/embertray/platform/protocol/admission.py
+++ b/embertray/platform/protocol/admission.py
@@ -10,7 +10,7 @@
 class ConnectionAdmission:
     """Counts collectors, and names the one to evict when one too many has joined.
 
-    Against peers that join and never report: any stranger can join, but a true collector reports again and
+    Against peers that join and never report: any peer can join, but a true collector reports again and
     again, so the one that reported least lately goes, those without a report first. Collectors are whatever
     the caller knows them by.
 
--- a/embertray/platform/protocol/endpoint_list.py
+++ b/embertray/platform/protocol/endpoint_list.py
@@ -15,7 +15,7 @@
     BACKOFF_MAX_NS,
     LIST_FIRST_BYTE_TIMEOUT_NS,
     LIST_MAX_BYTES,
-    MS,
+    NS_PER_MS,
     STALE_LIST_MAX_NS,
     UNCHANGED_BACKOFF_MAX_NS,
     WATCH_HOLD_NS,
@@ -60,7 +60,7 @@
         self.requested_at = now
         if self.needs_whole_list:
             return ListRequest(LIST_PATH, LIST_FIRST_BYTE_TIMEOUT_NS)
-        path = WATCH_PATH % (self.revision, WATCH_HOLD_NS // MS)
+        path = WATCH_PATH % (self.revision, WATCH_HOLD_NS // NS_PER_MS)
         return ListRequest(path, WATCH_HOLD_NS + LIST_FIRST_BYTE_TIMEOUT_NS)
 
     def on_address_change(self):
--- a/embertray/platform/protocol/event_stream.py
+++ b/embertray/platform/protocol/event_stream.py
@@ -5,7 +5,7 @@
 
 from . import wire
 from .exceptions import UnreadableEventStreamError
-from .limits import EVENT_MAX_BYTES, MS
+from .limits import EVENT_MAX_BYTES, NS_PER_MS
 
 
 class ProxyJoined(NamedTuple):
@@ -97,7 +97,7 @@
                 return ProxyLeft(proxy)
             if kind == wire.EVENT_MARK_APPLIED:
                 apply_time = float(fields.get(wire.KEY_APPLY_TIME, 0))
-                return MarkApplied(proxy, int(fields[wire.KEY_NONCE]), max(0, round(apply_time * MS)))
+                return MarkApplied(proxy, int(fields[wire.KEY_NONCE]), max(0, round(apply_time * NS_PER_MS)))
         except (KeyError, ValueError, OverflowError):
             pass
         return None
--- a/embertray/platform/protocol/inbound.py
+++ b/embertray/platform/protocol/inbound.py
@@ -11,7 +11,7 @@
 
 from embertray.controller.settings import LOAD_METRICS
 
-from .limits import JOIN_TIMEOUT_NS, LINE_MAX_BYTES, MS, UNJOINED_MAX_BYTES
+from .limits import JOIN_TIMEOUT_NS, LINE_MAX_BYTES, NS_PER_MS, UNJOINED_MAX_BYTES
 from .wire import (
     HEARTBEAT_REPLY,
     REJECTION,
@@ -78,7 +78,7 @@
         return bool(self.close_reason)
 
     def reject(self, why):
-        """The connection is to be closed; a peer that has not joined is told so."""
+        """The connection is to be closed; a peer that has not joined is notified."""
         self.close_reason = why
         self.buffer = bytearray()
         if self.zone is None:  # nothing is ever written to a collector
@@ -158,8 +158,8 @@
             self.skip_report("no latency of successful attempts")
         else:
             load = {LOAD_METRICS.get(name, name): value for name, value in (message.load or {}).items()}
-            latency = round((message.latency or 0) * MS)
-            interval = round(message.interval * MS)
+            latency = round((message.latency or 0) * NS_PER_MS)
+            interval = round(message.interval * NS_PER_MS)
             reports.append(
                 BackendReport(
                     message.backend, message.zone, message.attempts, message.failures, latency, interval, load
@@ -173,7 +173,7 @@
         elif message.failures > message.requests:
             self.skip_report("more failures than requests")
         else:
-            interval = round(message.interval * MS)
+            interval = round(message.interval * NS_PER_MS)
             reports.append(
                 TrafficReport(
                     message.proxy, message.request_kind, message.requests, message.failures, interval
--- a/embertray/platform/protocol/order_caller.py
+++ b/embertray/platform/protocol/order_caller.py
@@ -160,8 +160,8 @@
     def split_or_give_up(self, call, why):
         """A call that the relay would never take goes out again in halves, and those in halves, and so on.
 
-        Against one order that makes the whole call invalid: the others must stand, and a new module told what
-        stands would order the same again. So only the orders that make it so are lost.
+        Against one order that makes the whole call invalid: the others must stand, and a restarted module
+        would order the same again. So only the orders that make it so are lost.
 
         Returns:
             A text for the log, or "" for a half that goes out in halves again.
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -117,7 +117,7 @@
         return not self.order_caller.idle
 
     def restart_module(self, now):
-        """Replace a module that failed within a step by a new one that is told what stands.
+        """Replace a module that failed within a step by a new one that is notified of what stands.
 
         Against a fault that left the module's parts at odds: some have acted on the step's events, some not.
         The new one's tables get new numbers, so that no line of the former ones is left to any bound proxy.
--- a/embertray/platform/protocol/proxy_registry.py
+++ b/embertray/platform/protocol/proxy_registry.py
@@ -9,7 +9,7 @@
 
 
 class StreamView:
-    """What one stream has told.
+    """What one stream has brought.
 
     Attributes:
         first_byte_at: When its first bytes came, ns, or None.
--- a/embertray/platform/protocol/wire.py
+++ b/embertray/platform/protocol/wire.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Raw, field
 
-from .limits import COUNT_MAX, LOAD_VALUE_MAX, MS, NAME_MAX_CHARACTERS, REPORT_TIME_MAX_MS
+from .limits import COUNT_MAX, LOAD_VALUE_MAX, NAME_MAX_CHARACTERS, NS_PER_MS, REPORT_TIME_MAX_MS
 
 Name = Annotated[str, Meta(min_length=1, max_length=NAME_MAX_CHARACTERS)]
 Count = Annotated[int, Meta(ge=0, le=COUNT_MAX)]
@@ -82,7 +82,7 @@
     @property
     def started(self):
         """When the backend last started, Unix time in ns; 0 for long ago."""
-        return int(self.started_ms * MS)
+        return int(self.started_ms * NS_PER_MS)
 
 
 class EndpointList(msgspec.Struct):
@@ -158,7 +158,8 @@
 class ControllerConfiguration(msgspec.Struct):
     """One controller's configuration; addresses are host:port.
 
-    `settings` are read by StartSettings; `known` is the list as this controller last held it, not yet read.
+    `settings` are read by StartSettings; `known` is the list as this controller last cached it, not yet
+    decoded.
     """
 
     name: str
@@ -179,7 +180,7 @@
             return int.from_bytes(self.seed.encode()[:16], "big")
 
     def known_list(self):
-        """The list as it was last held, or an empty one if it can't be read.
+        """The list as it was last cached, or an empty one if it can't be read.
 
         It may be out of date anyway, and a controller that refused to start for it would serve nobody.
         """
--- a/embertray/platform/run/list_connection.py
+++ b/embertray/platform/run/list_connection.py
@@ -9,8 +9,8 @@
     LIST_FAILURES_LOGGED,
     LIST_MAX_BYTES,
     LIST_TRANSFER_TIMEOUT_NS,
+    NS_PER_S,
     SEND_TIMEOUT_NS,
-    S,
 )
 
 
@@ -55,7 +55,7 @@
         except (CallFailed, UnreadableListError) as error:
             if self.list_watch.failures < LIST_FAILURES_LOGGED:
                 self.log.info("endpoint list request failed", why=str(error))
-            await anyio.sleep(self.list_watch.on_failure() / S)
+            await anyio.sleep(self.list_watch.on_failure() / NS_PER_S)
         except Exception:
             # against a fault of the program halfway through a list: what the answer told may be lost
             self.list_watch.on_address_change()
@@ -73,7 +73,7 @@
         """
         while True:
             await self.request_list(talk, address)
-            await anyio.sleep(self.list_watch.pause() / S)
+            await anyio.sleep(self.list_watch.pause() / NS_PER_S)
             if not talk.again():
                 return
 
--- a/embertray/platform/run/listener.py
+++ b/embertray/platform/run/listener.py
@@ -10,9 +10,9 @@
     LAST_REPLY_TIMEOUT_NS,
     LINGER_MAX_BYTES,
     LINGER_TIMEOUT_NS,
+    NS_PER_S,
     REPLY_TIMEOUT_NS,
     STEP_INTERVAL_NS,
-    S,
 )
 
 
@@ -43,7 +43,7 @@
             if (stream := await listener.accept()) is None:
                 # no descriptor is free, or the peer has gone again: the next one is accepted, but not at
                 # once, or a process without descriptors would take all its processor time
-                await anyio.sleep(STEP_INTERVAL_NS / S)
+                await anyio.sleep(STEP_INTERVAL_NS / NS_PER_S)
                 continue
             connection = self.controller.inbound_connection(self.clock.now())
             self.unjoined.add(connection)
@@ -90,7 +90,7 @@
         """Seconds that are left for a peer to join, or None once it has."""
         if connection.zone is not None:
             return None
-        return max(0, connection.join_deadline - self.clock.now()) / S
+        return max(0, connection.join_deadline - self.clock.now()) / NS_PER_S
 
     def received(self, connection, data):
         """Take in what was read, None if the time to join is over."""
@@ -116,7 +116,7 @@
         reply = connection.outgoing
         connection.outgoing = b""
         timeout = LAST_REPLY_TIMEOUT_NS if connection.close_reason else REPLY_TIMEOUT_NS
-        with anyio.move_on_after(timeout / S) as sending:
+        with anyio.move_on_after(timeout / NS_PER_S) as sending:
             await stream.send(reply)
         if sending.cancelled_caught:
             # against a peer that asks and never reads: replies would pile up here
@@ -131,7 +131,7 @@
         A close over unread bytes is a reset, which can destroy the last reply before the peer has read it.
         """
         size = 0
-        with suppress(*BROKEN), anyio.move_on_after(LINGER_TIMEOUT_NS / S):
+        with suppress(*BROKEN), anyio.move_on_after(LINGER_TIMEOUT_NS / NS_PER_S):
             await stream.send_eof()
             while size < LINGER_MAX_BYTES:
                 size += len(await stream.receive())
--- a/embertray/platform/run/relay_connections.py
+++ b/embertray/platform/run/relay_connections.py
@@ -7,13 +7,13 @@
 from embertray.platform.protocol.limits import (
     ANSWER_MAX_BYTES,
     ANSWER_TIMEOUT_NS,
-    MS,
+    NS_PER_MS,
+    NS_PER_S,
     RECONNECT_FIRST_NS,
     RECONNECT_MAX_NS,
     SEND_TIMEOUT_NS,
     SILENCE_CHECK_PERIOD_NS,
     WORKING_STREAM_NS,
-    S,
 )
 from embertray.platform.protocol.wire import CALL_CONTENT_TYPE, CALLS_PATH, EVENTS_PATH
 
@@ -84,7 +84,7 @@
             self.wake()
             await self.call_ready.wait()
             return
-        with anyio.move_on_after(max(0, caller.next_call_at - now) / S):
+        with anyio.move_on_after(max(0, caller.next_call_at - now) / NS_PER_S):
             await self.call_ready.wait()
 
     async def send_call(self, call):
@@ -132,7 +132,7 @@
             else:
                 wait = min(RECONNECT_MAX_NS, 2 * wait)
                 failures += 1
-            await anyio.sleep(wait / S)
+            await anyio.sleep(wait / NS_PER_S)
 
     async def read_event_stream(self, name):
         """Read one connection until it breaks.
@@ -175,8 +175,8 @@
         """Seconds until a stream that brings nothing is looked at again."""
         sync_at = self.controller.proxies.next_sync_at()
         if sync_at is None:
-            return SILENCE_CHECK_PERIOD_NS / S
-        return max(MS, min(SILENCE_CHECK_PERIOD_NS, sync_at - self.clock.now())) / S
+            return SILENCE_CHECK_PERIOD_NS / NS_PER_S
+        return max(NS_PER_MS, min(SILENCE_CHECK_PERIOD_NS, sync_at - self.clock.now())) / NS_PER_S
 
     def add_events(self, events):
         """Hand events of proxies to the controller."""
--- a/embertray/platform/run/service.py
+++ b/embertray/platform/run/service.py
@@ -15,8 +15,8 @@
     CONNECT_TIMEOUT_NS,
     EVENT_STREAMS,
     FAULT_BACKOFF_NS,
+    NS_PER_S,
     STEP_INTERVAL_NS,
-    S,
 )
 from embertray.platform.protocol.platform_controller import PlatformController
 
@@ -114,7 +114,7 @@
                 await task(*arguments)
             except Exception as error:
                 self.log.error("internal error", task=task.__name__, exc_info=error)
-                await anyio.sleep(FAULT_BACKOFF_NS / S)
+                await anyio.sleep(FAULT_BACKOFF_NS / NS_PER_S)
 
     # ---- configuration
 
@@ -182,7 +182,7 @@
             if due is None:
                 await self.woken.wait()
             else:
-                with anyio.move_on_after(max(0, due - self.clock.now()) / S):
+                with anyio.move_on_after(max(0, due - self.clock.now()) / NS_PER_S):
                     await self.woken.wait()
             await self.clock.sleep_until(now + STEP_INTERVAL_NS)
 
