--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -73,7 +73,7 @@
     ).encode()
 
 
-def port():
+def inbound_connection():
     return InboundConnection(0, ["north", "south"], {"view": 0}, 40)
 
 
--- a/tests/test_node.py
+++ b/tests/test_platform.py
@@ -35,8 +35,8 @@
 from embertray.simulation.standins.relay import StandinRelay
 
 
-class Told(unittest.TestCase):
-    def test_nested_and_flat_settings_tell_the_same(self):
+class Configured(unittest.TestCase):
+    def test_nested_and_flat_settings_give_the_same(self):
         pairs = {
             "az": "north",
             "balancers": "1",
@@ -266,7 +266,7 @@
 
         anyio.run(play)
 
-    def test_news_go_on_when_a_connection_breaks(self):
+    def test_events_go_on_when_a_connection_breaks(self):
         async def play():
             async with stage() as (service, relay, _):
                 relay.attach(1, "north")
@@ -278,7 +278,7 @@
 
         anyio.run(play)
 
-    def test_a_fault_of_ours_in_a_step_or_a_task_ends_nothing(self):
+    def test_an_internal_error_in_a_step_or_a_task_ends_nothing(self):
         async def play():
             async with stage() as (service, relay, discovery):
                 for node in range(3):
@@ -355,7 +355,7 @@
 
         anyio.run(play)
 
-    def test_a_fault_of_ours_at_a_new_configuration_leaves_the_old_one(self):
+    def test_an_internal_error_at_a_new_configuration_leaves_the_old_one(self):
         async def play():
             async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
@@ -416,7 +416,7 @@
         anyio.run(play)
 
 
-class Wordless(unittest.TestCase):
+class UnsupportedSettings(unittest.TestCase):
     def test_slices_are_refused_and_permissions_go_unused(self):
         def controller(**more):
             return PlatformController(read_configuration(configured(settings={**SETTINGS, **more})), 0, 0)
--- a/tests/test_node_address.py
+++ b/tests/test_platform_address.py
@@ -14,7 +14,20 @@
 from pathlib import Path
 
 import anyio
-from platform_stage import HEARD, HERE, JOIN, STATS, USAGE, S, client, configured, ended, port, rest, stage
+from platform_stage import (
+    HEARD,
+    HERE,
+    JOIN,
+    STATS,
+    USAGE,
+    S,
+    client,
+    configured,
+    ended,
+    inbound_connection,
+    rest,
+    stage,
+)
 
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.admission import ConnectionAdmission
@@ -23,7 +36,7 @@
 
 class Lines(unittest.TestCase):
     def test_a_collector_joins_and_reports_in_any_pieces(self):
-        whole, by_byte = port(), port()
+        whole, by_byte = inbound_connection(), inbound_connection()
         found = whole.receive(JOIN + STATS + USAGE)
         bits = [
             one
@@ -33,7 +46,7 @@
         self.assertEqual((found, bits, whole.outgoing, whole.zone), (HEARD, HEARD, b"", "north"))
         self.assertFalse(whole.check_join_deadline(10 * S))
 
-    def test_spoilt_reports_cost_themselves_only(self):
+    def test_invalid_reports_cost_themselves_only(self):
         spoilt = [
             STATS.replace(b'"total":9', b'"total":"9"'),
             STATS.replace(b'"total":9,', b""),
@@ -51,17 +64,17 @@
             b"[]\n",
         ]
         for line in spoilt:
-            one = port()
+            one = inbound_connection()
             self.assertEqual(one.receive(JOIN + line + STATS + USAGE), HEARD, line)
             self.assertEqual((one.invalid_reports, one.close_reason), (1, ""), line)
 
     def test_unreadable_data_ends_a_collector_without_a_word(self):
-        one = port()
+        one = inbound_connection()
         self.assertEqual(one.receive(JOIN + USAGE + b"\x00\xff{garbage\n" + USAGE), HEARD[1:])
         self.assertTrue(one.close_reason)
         self.assertEqual(one.outgoing, b"")
 
-    def test_strangers_are_turned_away(self):
+    def test_unjoined_peers_are_rejected(self):
         for data in (
             b"\x16\x03\x01\x00\n",
             b"GET / HTTP/1.1\r\n\r\n",
@@ -74,10 +87,10 @@
             b"x" * (limits.UNJOINED_MAX_BYTES + 1),
             b'{"@type":"assign"}\n',
         ):
-            one = port()
+            one = inbound_connection()
             self.assertEqual(one.receive(data), [])
             self.assertTrue(one.close_reason and one.outgoing.endswith(REJECTION), data[:40])
-        quiet = port()
+        quiet = inbound_connection()
         quiet.receive(b'{"@type":"hb"}\n{"@ty')
         self.assertEqual(quiet.outgoing, HEARTBEAT_REPLY)
         self.assertFalse(quiet.check_join_deadline(limits.JOIN_TIMEOUT_NS - 1))
@@ -85,28 +98,28 @@
         self.assertEqual(quiet.outgoing, HEARTBEAT_REPLY + REJECTION)
 
     def test_an_endless_line_ends_a_collector(self):
-        one = port()
+        one = inbound_connection()
         one.receive(JOIN)
         for _ in range(limits.LINE_MAX_BYTES // 65536 + 1):
             one.receive(b"x" * 65536)
         self.assertEqual((one.close_reason, len(one.buffer)), ("a line too long", 0))
 
-    def test_strangers_are_turned_away_for_lines_without_number_too(self):
+    def test_unjoined_peers_are_rejected_for_lines_without_number_too(self):
         for line in (b"\n", b'{"@type":"hb"}\n'):
-            one = port()
+            one = inbound_connection()
             one.receive(line * (limits.UNJOINED_MAX_BYTES // len(line)))
             self.assertEqual(one.close_reason, "")
             one.receive(line * 2)
             self.assertTrue(one.close_reason)
 
     def test_a_collector_of_no_zone_has_not_joined(self):
-        one = port()
+        one = inbound_connection()
         one.receive(JOIN.replace(b"north", b"nowhere"))
         self.assertEqual((one.zone, one.outgoing), (None, REJECTION))
 
 
-class Rooms(unittest.TestCase):
-    def test_who_told_least_lately_goes(self):
+class Admission(unittest.TestCase):
+    def test_the_collector_that_reported_least_lately_is_evicted(self):
         admission = ConnectionAdmission(64)
         self.assertEqual((admission.unjoined_max, admission.collectors_max), (16, 8))
         self.assertEqual([admission.admit(k) for k in range(8)], [None] * 8)
@@ -132,7 +145,7 @@
         )
 
 
-class Wire:
+class ScriptedStream:
     """A stream by hand: gives its pieces one by one, then its end; keeps what was sent, and what was unread
     at the close.
     """
@@ -156,12 +169,15 @@
         self.unread = len(self.pieces)
 
 
-class Closed(unittest.TestCase):
-    def test_nothing_is_unread_when_a_stranger_is_closed_unless_it_never_ends(self):
+class Lingering(unittest.TestCase):
+    def test_nothing_is_unread_when_an_unjoined_peer_is_closed_unless_it_never_ends(self):
         async def play():
             async with stage() as (service, _, _):
                 for pieces, unread in ((2, 0), (limits.LINGER_MAX_BYTES // 65536 + 3, 3)):
-                    wire, one = Wire(b'{"@type":"hb"}\n\xff\n', *[b"x" * 65536] * pieces), port()
+                    wire, one = (
+                        ScriptedStream(b'{"@type":"hb"}\n\xff\n', *[b"x" * 65536] * pieces),
+                        inbound_connection(),
+                    )
                     one.join_deadline = service.clock.now() + S
                     await service.listener.handle(one, wire)
                     self.assertEqual((wire.sent, wire.unread), (HEARTBEAT_REPLY + REJECTION + b".", unread))
@@ -170,7 +186,7 @@
 
 
 class OnSockets(unittest.TestCase):
-    def test_strangers_by_the_hundreds_are_closed_and_cost_nobody_else(self):
+    def test_unjoined_peers_by_the_hundreds_are_closed_and_cost_nobody_else(self):
         async def play():
             async with stage() as (service, relay, _):
                 strangers = [
@@ -212,7 +228,7 @@
 
         anyio.run(play)
 
-    def test_a_sign_of_life_is_answered_after_a_half_close_and_before_what_cannot_be_read(self):
+    def test_a_heartbeat_is_answered_after_a_half_close_and_before_what_cannot_be_read(self):
         async def play():
             async with stage() as (service, _, _):
                 half = await client(service, b'{"@type":"hb"}\n')
--- a/tests/test_node_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -121,7 +121,7 @@
 
         anyio.run(play)
 
-    def test_a_list_gone_empty_counts_as_told_and_what_is_back_is_served_again(self):
+    def test_a_list_gone_empty_counts_as_notified_and_what_is_back_is_served_again(self):
         async def play():
             async with stage() as (service, relay, discovery):
                 relay.attach(1, "north")
--- a/tests/test_node_generated.py
+++ b/tests/test_platform_generated.py
@@ -7,7 +7,19 @@
 import unittest
 
 from hypothesis import given, settings, strategies as st
-from platform_stage import ERROR, GOOD, HEARD, JOIN, MS, STATS, USAGE, S, configured, member, port
+from platform_stage import (
+    ERROR,
+    GOOD,
+    HEARD,
+    JOIN,
+    MS,
+    STATS,
+    USAGE,
+    S,
+    configured,
+    inbound_connection,
+    member,
+)
 
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.answers import CallRejected, OrdersAccepted, read_answer
@@ -72,15 +84,15 @@
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False) if a < b]
 
 
-class Address(unittest.TestCase):
+class AddressInput(unittest.TestCase):
     @ANY
     @given(
         st.sampled_from([b"", JOIN]),
         st.lists(LINES, max_size=12),
         st.lists(st.integers(0, 10**6), max_size=8),
     )
-    def test_lines_in_any_pieces_tell_the_same_and_are_bounded(self, first, lines, cuts):
-        data, whole, parts = first + b"".join(lines), port(), port()
+    def test_lines_in_any_pieces_give_the_same_and_are_bounded(self, first, lines, cuts):
+        data, whole, parts = first + b"".join(lines), inbound_connection(), inbound_connection()
         found, bits = whole.receive(data) if data else [], []
         for piece in pieces(data, cuts):
             bits += parts.receive(piece)
@@ -106,13 +118,13 @@
     @ANY
     @given(st.binary(max_size=200), st.lists(st.integers(0, 10**6), max_size=8))
     def test_good_lines_before_the_end_count_whatever_follows(self, junk, cuts):
-        one, found = port(), []
+        one, found = inbound_connection(), []
         for piece in pieces(JOIN + STATS + USAGE, cuts) + [b"\xff\n" + junk]:
             found += one.receive(piece)
         self.assertEqual((found, one.zone, one.outgoing.replace(HEARTBEAT_REPLY, b"")), (HEARD, "north", b""))
 
 
-class RelayConnections(unittest.TestCase):
+class RelayInput(unittest.TestCase):
     @ANY
     @given(
         st.one_of(
@@ -169,7 +181,7 @@
         ),
         st.lists(st.integers(0, 10**6), max_size=8),
     )
-    def test_news_in_any_pieces_tell_the_same(self, events, cuts):
+    def test_events_in_any_pieces_give_the_same(self, events, cuts):
         data, told = b"".join(events), []
         for stream in ([data], pieces(data, cuts)):
             news, found = EventStreamParser(["north"], 40), []
@@ -198,7 +210,7 @@
             max_size=60,
         )
     )
-    def test_what_is_told_of_the_proxies_is_one_story(self, acts):
+    def test_events_of_proxies_are_one_consistent_sequence(self, acts):
         """Whatever the connections do: nobody is told to leave who is not there, or to join twice; in the end
         the story is the leader's."""
         registry, now, there, joined = ProxyRegistry(), 0, set(), set()
@@ -232,7 +244,7 @@
             self.assertEqual(joined, set(registry.views[registry.leader].joined))
 
 
-class Told(unittest.TestCase):
+class DiscoveryInput(unittest.TestCase):
     @ANY
     @given(
         st.one_of(
--- a/tests/test_node_relay.py
+++ b/tests/test_platform_relay.py
@@ -144,8 +144,8 @@
         self.assertEqual([len(call.orders) for call in caller.queue], [1])
 
 
-class Relayed(unittest.TestCase):
-    def test_news_in_any_pieces(self):
+class EventStreams(unittest.TestCase):
+    def test_events_in_any_pieces(self):
         data = (
             b":\n\nevent: attach\ndata: node=17&locality=north&w=21.5&cold=1\n\nevent: "
             b"done\r\ndata: node=17&nonce=905&latency=310.4\r\n\r\n"
@@ -205,7 +205,7 @@
         self.assertFalse(registry.silence_reason(2 * S + limits.SILENCE_MAX_NS, "b"))
         self.assertTrue(registry.silence_reason(2 * S + limits.SILENCE_MAX_NS + 1, "b"))
 
-    def test_a_gap_without_news_leaves_who_still_holds_a_table(self):
+    def test_a_gap_without_events_leaves_who_still_holds_a_table(self):
         registry, _, both = self.registry()
         third = ProxyJoined(3, "north", 1.0, True)
         registry.received(2 * S, "a", [third])
@@ -222,7 +222,7 @@
         registry, _, _ = self.registry()
         self.assertEqual(registry.stream_lost(3 * S, "a"), [])
 
-    def test_who_leaves_and_comes_back_while_the_next_leader_opens_is_told(self):
+    def test_who_leaves_and_comes_back_while_the_next_leader_opens_is_notified(self):
         registry, _, both = self.registry()
         registry.stream_lost(2 * S, "b")
         registry.stream_opened(2 * S, "b")
@@ -233,7 +233,7 @@
 
 
 class OnSockets(unittest.TestCase):
-    def test_what_comes_with_the_end_of_the_news_counts(self):
+    def test_what_comes_with_the_end_of_the_event_stream_counts(self):
         async def play():
             async with stage() as (service, relay, _):
                 relay.attach(1, "north")
@@ -253,7 +253,7 @@
 
         anyio.run(play)
 
-    def test_who_left_and_came_back_while_no_news_came_is_bound_again(self):
+    def test_who_left_and_came_back_while_no_events_came_is_bound_again(self):
         async def play():
             async with stage() as (service, relay, _):
                 for node in (1, 2):
