--- a/embertray/benchlink/batches.py
+++ b/embertray/benchlink/batches.py
@@ -92,7 +92,7 @@
             self.entries_missing = values.get("entries", 0)
             self.list_news = event
             if self.entries_missing < 0:
-                raise WireError(f"{name}: rows-in is below 0")
+                raise WireError(f"{name}: {wire.ENTRIES.key} is below 0")
         if event:
             self.events.setdefault(self.addressee, []).append(event)
 
--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -23,7 +23,7 @@
         try:
             settings = StartSettings(settings)
             self.load_metrics = settings.load_metrics
-            self.request_kinds = settings.kinds
+            self.request_kinds = settings.request_kinds
             self.module = Controller(seed, settings.deployment(self), now)
         except SettingsError as error:
             raise WireError(f"{wire.START}: {error}") from None
@@ -53,7 +53,7 @@
         """One entry of the list."""
         state = values.get("state", wire.STATE_READY)
         if state not in wire.STATES:
-            raise WireError(f"{wire.LIST_ENTRY}: {state} is no good value for health")
+            raise WireError(f"{wire.LIST_ENTRY}: {state} is no good value for {wire.STATE.key}")
         return i.Entry(
             self.backend(values["backend"]),
             self.zone(values.get("zone", "")),
@@ -66,7 +66,7 @@
         """The list's news, whose entries follow."""
         kind = values["kind"]
         if kind not in wire.LIST_KINDS:
-            raise WireError(f"{wire.LIST_NEWS}: {kind} is no good value for kind")
+            raise WireError(f"{wire.LIST_NEWS}: {kind} is no good value for {wire.LIST_KIND.key}")
         return i.ListNews(wire.LIST_KINDS[kind])
 
     def timer_due(self, values):
@@ -85,7 +85,7 @@
         try:
             return i.PeerNote(values["sender"], b"" if data == wire.NO_DATA else bytes.fromhex(data))
         except ValueError:
-            raise WireError(f"{wire.PEER_NOTE}: '{data}' is no good value for blob") from None
+            raise WireError(f"{wire.PEER_NOTE}: '{data}' is no good value for {wire.DATA.key}") from None
 
     def proxy_joined(self, values):
         """A proxy has joined."""
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -77,6 +77,10 @@
 LOAD = Field("stats", "load", str)
 LATENCY = Field("took-us", "latency", microseconds)
 APPLY_TIME = Field("took-us", "apply_time", microseconds)
+LIST_KIND = Field("kind", "kind", int, True)
+ENTRIES = Field("rows-in", "entries", int)
+STATE = Field("health", "state", int)
+DATA = Field("blob", "data", str)
 
 # name of a line -> its fields, in the order in which they are checked; others are skipped
 FIELDS = {
@@ -84,17 +88,17 @@
     ADDRESSEE: (Field("who", "controller", int, True),),
     START: (Field("salt", "seed", int, True),),
     KILL: (),
-    LIST_NEWS: (Field("kind", "kind", int, True), Field("rows-in", "entries", int)),
+    LIST_NEWS: (LIST_KIND, ENTRIES),
     LIST_ENTRY: (
         BACKEND,
         Field("ready-at-us", "started", microseconds),
         Field("share", "nominal", number),
-        Field("health", "state", int),
+        STATE,
         ZONE,
     ),
     TIMER_DUE: (Field("label", "label", int, True),),
     HEALTH_CHECK_DONE: (Field("how", "outcome", int, True), LATENCY, BACKEND, LOAD),
-    PEER_NOTE: (Field("by", "sender", int, True), Field("blob", "data", str)),
+    PEER_NOTE: (Field("by", "sender", int, True), DATA),
     PROXY_JOINED: (
         PROXY,
         ZONE._replace(needed=True),
--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -98,7 +98,7 @@
 
     Attributes:
         raw: Key -> text.
-        kinds: Name -> interface.RequestKind, whose `external_id` is its place.
+        request_kinds: Name -> interface.RequestKind, whose `external_id` is its place.
         load_metrics: Names of a load report's values, in their order.
         zones: Names.
         proxies: How many there are.
@@ -112,10 +112,10 @@
         self.zones = self.names("zones")
         self.proxies = int(self.figure("specifics.agents"))
         self.tick = self.time("tick")
-        self.kinds = {}
+        self.request_kinds = {}
         for place in range(int(self.figure("profiles.count"))):
             name = self.text(f"profiles.{place}.name", str(place))
-            self.kinds[name] = self.request_kind(place)
+            self.request_kinds[name] = self.request_kind(place)
 
     @classmethod
     def nested(cls, settings):
@@ -146,7 +146,7 @@
             SettingsError: a value can't be read.
         """
         return i.Deployment(
-            kinds=list(self.kinds.values()),
+            kinds=list(self.request_kinds.values()),
             zones=[identifiers.zone(name) for name in self.zones],
             home=identifiers.zone(self.text("az")),
             controllers=int(self.figure("balancers", 1)),
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -48,7 +48,7 @@
         self.log_texts = unsupported_permissions(self.settings)
         self.seed = configuration.numeric_seed
         super().__init__(self.seed, self.settings.deployment, now)
-        self.translator = Translator(self.identifiers, self.settings.kinds)
+        self.translator = Translator(self.identifiers, self.settings.request_kinds)
         self.order_caller = OrderCaller(self.module.site.way_max)
         self.proxies = ProxyRegistry()
         known = configuration.known_list()
@@ -61,7 +61,7 @@
 
     def inbound_connection(self, now):
         """The InboundConnection of a peer that connected at `now`, ns."""
-        return InboundConnection(now, self.settings.zones, self.settings.kinds, self.settings.proxies)
+        return InboundConnection(now, self.settings.zones, self.settings.request_kinds, self.settings.proxies)
 
     def event_stream(self):
         """The EventStreamParser of a new connection with the relay's events."""
