--- a/embertray/platform/protocol/limits.py
+++ b/embertray/platform/protocol/limits.py
@@ -51,8 +51,7 @@
 ANSWER_TIMEOUT_NS = 400 * NS_PER_MS
 # beyond the longest way of a message, that an unanswered call's nonce is waited for
 ACKNOWLEDGEMENT_WAIT_NS = 150 * NS_PER_MS
-# before a call that was not taken is sent again, or discovery asked again; doubles from the first to the
-# longest
+# before a call that was not taken is sent again, or a list request repeated; doubles from first to max
 BACKOFF_FIRST_NS = 20 * NS_PER_MS
 BACKOFF_MAX_NS = 250 * NS_PER_MS
 # doublings of a backoff that are counted: past them the longest one holds anyway
