--- a/embertray/controller/core/desk.py
+++ b/embertray/controller/core/desk.py
@@ -84,7 +84,8 @@
 
     def advance(self, now):
         """The core's step. Who was left with its tables is bound when the list is good enough; who is missing
-        is gone in the end."""
+        is gone in the end.
+        """
         if self.held:
             all_now = self.trust.is_settled(now)
             for name in [n for n in self.held if all_now or n in self.trust.retention.failing_proxies]:
--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/holdings.py
@@ -10,7 +10,7 @@
 
 
 def collections(it):
-    """purpose -> collections of an Instance, without its streams (those are the daemon's)."""
+    """Purpose -> collections of an Instance, without its streams (those are the daemon's)."""
     module, box, identifiers = it.module, it.outbox, it.identifiers
     tables, ordered = module.publisher.tables.all, list(box.tables.values())
     lines = [table.lines for table in ordered] + [
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/instance.py
@@ -45,7 +45,8 @@
 
 class Instance(Runner):
     """`site` is a site.Site, `me` one of its controllers; `chance` gives numbers from 0 to 1. The first thing
-    to tell it is the list that it starts with: `news(now, "cached", ...)`, empty if there is none."""
+    to tell it is the list that it starts with: `news(now, "cached", ...)`, empty if there is none.
+    """
 
     def __init__(self, site, me, seed, now, chance=lambda: 0.5):
         super().__init__(seed, lambda identifiers: site.deployment(me, identifiers), now)
@@ -82,7 +83,7 @@
     # ---- proxies
 
     def turn_away(self):
-        """ns that a proxy must stay away for lack of memory, or None."""
+        """Ns that a proxy must stay away for lack of memory, or None."""
         return self.accounts.reject_join()
 
     def join(self, hello):
