--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -98,7 +98,7 @@
                 f"{one['revision']} " + ("removed" if one["bytes"] is None else f"{one['bytes']} bytes")
             )
     else:
-        from embertray.cluster.replication.operations import decode_answer
+        from embertray.cluster.replication.api_messages import decode_answer
 
         click.get_binary_stream("stdout").write(decode_answer(body).value)
 
@@ -155,7 +155,7 @@
     kind = type(outcome).__name__
     if kind == "Committed":
         click.echo(f"{key}: committed at revision {outcome.revision}")
-    elif kind == "Refused":
+    elif kind == "Rejected":
         click.echo(f"{key}: refused, nothing is written: {outcome.text} ({outcome.reason})", err=True)
         sys.exit(REFUSED)
     else:
--- a/embertray/cluster/replication/operations.py
+++ b/embertray/cluster/replication/api_messages.py
@@ -15,8 +15,8 @@
     revision: int
 
 
-class Refused(msgspec.Struct, tag="refused", frozen=True):
-    """The write was not taken. `reason`: a name of control.replica.WriteRefused's kinds; `leader`: the admin
+class Rejected(msgspec.Struct, tag="refused", frozen=True):
+    """The write was not taken. `reason`: a name of control.replica.WriteRejected's kinds; `leader`: the admin
     address to ask instead, "" if none is known."""
 
     reason: Text
@@ -59,7 +59,7 @@
     key: Text
 
 
-Answer = Committed | Refused | Unknown | Value | Versions | Missing
+Answer = Committed | Rejected | Unknown | Value | Versions | Missing
 _decoder = msgspec.json.Decoder(Answer)
 
 
--- a/embertray/cluster/replication/election.py
+++ b/embertray/cluster/replication/candidate.py
@@ -2,11 +2,11 @@
 
 from .entry import Entry
 from .messages import Vote, VoteRequest
-from .replica_log import ReplicaLog
-from .replica_types import Peer, Role
+from .replica_core import ReplicaCore
+from .replica_types import FollowerProgress, Role
 
 
-class Election(ReplicaLog):
+class CandidateRole(ReplicaCore):
     """Has `term`, `voted_for`, `role`, `votes`, and the time of the next election."""
 
     def _await_leader(self, now):
@@ -85,7 +85,7 @@
 
     def _become_leader(self, now):
         self.role, self.leader = Role.LEADER, self.name
-        self.peers = {other: Peer(self.last[1] + 1) for other in self.others}
+        self.peers = {other: FollowerProgress(self.last[1] + 1) for other in self.others}
         self.round, self.round_began, self.quorum_at = 0, {}, now
         self._propose(now, Entry("", self.last[1] + 1, self.term, "", None))
 
--- a/embertray/cluster/replication/following.py
+++ b/embertray/cluster/replication/follower.py
@@ -1,11 +1,11 @@
 """What a follower does: takes entries and states from the leader of its term."""
 
 from .messages import Appended
-from .replica_log import ReplicaLog
+from .replica_core import ReplicaCore
 from .replica_types import Role
 
 
-class Following(ReplicaLog):
+class FollowerRole(ReplicaCore):
     """Has `leader` and the time when that was last heard."""
 
     def _follow(self, now, message):
--- a/embertray/cluster/replication/leading.py
+++ b/embertray/cluster/replication/leader.py
@@ -1,11 +1,11 @@
 """What a leader does: rounds to its followers, and commits on a majority."""
 
 from .messages import Append, Install
-from .replica_log import ReplicaLog
+from .replica_core import ReplicaCore
 from .replica_types import Role
 
 
-class Leading(ReplicaLog):
+class LeaderRole(ReplicaCore):
     """Has `peers` by name, and the rounds that tell when a majority last confirmed it."""
 
     def _lead(self, now):
--- a/embertray/cluster/replication/link/saved.py
+++ b/embertray/cluster/replication/link/durable_state.py
@@ -22,7 +22,7 @@
     entries: list[Entry]
 
 
-class SavedState:
+class StateStore:
     """A folder with the newest state of type `kind`; `disk` as in durable/store.py. `save` blocks."""
 
     def __init__(self, folder, kind, disk=None):
@@ -52,11 +52,11 @@
             raise BadBody(f"its content can't be read: {wrong}") from None
 
 
-def replica_state(folder, disk=None):
+def replica_state_store(folder, disk=None):
     """Where a replica keeps its ReplicaState."""
-    return SavedState(folder, ReplicaState, disk)
+    return StateStore(folder, ReplicaState, disk)
 
 
-def subscriber_state(folder, disk=None):
+def subscriber_state_store(folder, disk=None):
     """Where a subscriber keeps its SubscriberState."""
-    return SavedState(folder, SubscriberState, disk)
+    return StateStore(folder, SubscriberState, disk)
--- a/embertray/cluster/replication/link/inbound.py
+++ b/embertray/cluster/replication/link/inbound_connections.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from embertray.cluster.replication.messages import Unreadable
+from embertray.cluster.replication.messages import MalformedMessage
 from embertray.common.framing import BadFrame, Splitter
 
 from .connection import BROKEN, Connection, Overflow
@@ -16,13 +16,13 @@
 QUEUED_MOST = 2  # messages that wait for a peer that reads slowly: an update and a heartbeat
 
 
-class Stranger(Exception):
+class ConnectionRejected(Exception):
     """A connection that is not served, and why."""
 
 
 class Inbound:
-    """Serves the streams of one listener. `decode(data)` raises Unreadable; `identify(message)` names the
-    sender or raises Stranger; `deliver(name, connection, messages)` waits until they are handled;
+    """Serves the streams of one listener. `decode(data)` raises MalformedMessage; `identify(message)` names the
+    sender or raises ConnectionRejected; `deliver(name, connection, messages)` waits until they are handled;
     `ended(name)` is called when the last connection of a name has ended."""
 
     def __init__(self, decode, identify, deliver, ended, frame_most, traffic, log):
@@ -42,7 +42,7 @@
                         await self._read(connection)
         except* BROKEN:
             pass
-        except* (BadFrame, Unreadable, Stranger) as wrong:
+        except* (BadFrame, MalformedMessage, ConnectionRejected) as wrong:
             self.traffic.rejected += 1
             self.log.info("a connection is ended", why=str(wrong.exceptions[0]))
         finally:
@@ -76,7 +76,7 @@
     async def _first(self, connection, splitter):
         with anyio.move_on_after(IDENTIFY_WITHIN):
             return [self.decode(data) for data in await connection.read(splitter)]
-        raise Stranger(f"it said nothing for {IDENTIFY_WITHIN} s")
+        raise ConnectionRejected(f"it said nothing for {IDENTIFY_WITHIN} s")
 
     def _forget(self, connection):
         if self.by_name.get(connection.name) is connection:
--- a/embertray/cluster/replication/link/writes.py
+++ b/embertray/cluster/replication/link/pending_writes.py
@@ -5,24 +5,24 @@
 import anyio
 
 from embertray.cluster.replication.entry import KEY_BYTES_MOST
-from embertray.cluster.replication.replica_types import WriteRefused
+from embertray.cluster.replication.replica_types import WriteRejected
 
 REQUEST_BYTES_MOST = 64
 
 
-class BadKey(WriteRefused):
+class BadKey(WriteRejected):
     """No key can have this name."""
 
 
-class BadRequest(WriteRefused):
+class BadRequest(WriteRejected):
     """No call can have this id."""
 
 
-class TooLarge(WriteRefused):
+class TooLarge(WriteRejected):
     """The value does not fit into one update."""
 
 
-class VersionNotKept(WriteRefused):
+class VersionNotKept(WriteRejected):
     """The key's value at that version is not known any more, or never was."""
 
 
@@ -31,7 +31,7 @@
 
 
 def check_write(key, value, request, value_most):
-    """Raises WriteRefused for what can't be written."""
+    """Raises WriteRejected for what can't be written."""
     if not key or len(key.encode()) > KEY_BYTES_MOST:
         raise BadKey(f"a key has 1 to {KEY_BYTES_MOST} bytes")
     if not request or len(request.encode()) > REQUEST_BYTES_MOST:
@@ -59,7 +59,7 @@
         self.done.set()
 
     async def result(self, within):
-        """The revision. Raises WriteRefused, or OutcomeUnknown after `within` seconds."""
+        """The revision. Raises WriteRejected, or OutcomeUnknown after `within` seconds."""
         with anyio.move_on_after(within):
             await self.done.wait()
         if not self.done.is_set():
--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -1,4 +1,4 @@
-"""One replica's process: its sockets and its saved state round Replica and Feed. Nothing is decided here."""
+"""One replica's process: its sockets and its saved state round Replica and SubscriberFeed. Nothing is decided here."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -8,24 +8,24 @@
 import structlog
 from anyio.abc import TaskStatus
 
-from embertray.cluster.replication.feed import Feed, Refused
 from embertray.cluster.replication.messages import (
     Subscribe,
     decode_from_subscriber,
     decode_replica_message,
     encode,
 )
-from embertray.cluster.replication.pace import FeedPace
 from embertray.cluster.replication.replica import Replica
-from embertray.cluster.replication.replica_types import Role, WriteRefused
+from embertray.cluster.replication.replica_types import Role, WriteRejected
+from embertray.cluster.replication.subscriber_feed import SubscriberFeed, SubscriberRejected
+from embertray.cluster.replication.timing import FeedSettings
 from embertray.common.net.tcp import TcpNet
 
-from .audit import log_entries
 from .connection import FROM_SUBSCRIBER_FRAME_MOST, REPLICA_FRAME_MOST, Traffic
-from .inbound import Inbound, Stranger
-from .peer import PeerLink
+from .entry_log import log_entries
+from .inbound_connections import ConnectionRejected, Inbound
+from .peer_link import PeerLink
+from .pending_writes import Call, OutcomeUnknown, VersionNotKept, check_write
 from .status import ReplicaStatus, seconds
-from .writes import Call, OutcomeUnknown, VersionNotKept, check_write
 
 S = 10**9
 FEED_TICK = 20 * 10**6  # ns: what several subscribers say within it is answered at once
@@ -48,7 +48,7 @@
 
 
 class ReplicaServer:
-    """`chance`: a random.Random that differs at each start. `saved`: a SavedState of ReplicaState, or None to
+    """`chance`: a random.Random that differs at each start. `saved`: a StateStore of ReplicaState, or None to
     keep nothing (such a replica begins anew each time)."""
 
     def __init__(
@@ -57,13 +57,13 @@
         clock,
         chance,
         net=None,
-        replica_pace=None,
-        feed_pace=None,
+        replica_timing=None,
+        feed_settings=None,
         saved=None,
         log=None,
     ):
         self.settings, self.clock, self.chance, self.net = settings, clock, chance, net or TcpNet()
-        self.replica_pace, self.feed_pace = replica_pace, feed_pace or FeedPace()
+        self.replica_timing, self.feed_settings = replica_timing, feed_settings or FeedSettings()
         self.saved, self.log = saved, (log or structlog.get_logger()).bind(replica=settings.name)
         self.traffic = Traffic()
         self.replica = self.feed = None
@@ -120,9 +120,9 @@
         settings, now = self.settings, self.clock.now()
         names = list(settings.peers)
         self.replica = Replica(
-            settings.cluster, settings.name, names, now, self.chance, self.replica_pace, state, newest
+            settings.cluster, settings.name, names, now, self.chance, self.replica_timing, state, newest
         )
-        self.feed = Feed(settings.cluster, lambda: self.replica.store, now, self.feed_pace)
+        self.feed = SubscriberFeed(settings.cluster, lambda: self.replica.store, now, self.feed_settings)
         self.replica.subscribers = self.feed
         self.feed_at = now
         for name in self.replica.others:
@@ -166,13 +166,13 @@
 
     async def put(self, key, value, request, expected=None, within=WRITE_WITHIN):
         """Writes a key, or removes it if `value` is None; gives the revision once it is committed. A request
-        id that was seen before writes nothing again. Raises WriteRefused, OutcomeUnknown."""
-        check_write(key, value, request, self.feed_pace.value_most)
+        id that was seen before writes nothing again. Raises WriteRejected, OutcomeUnknown."""
+        check_write(key, value, request, self.feed_settings.value_most)
         return await self._write(request, partial(self._propose, key, lambda call: value, expected), within)
 
     async def rollback(self, key, version, request, within=WRITE_WITHIN):
         """Writes the value that the key had at the revision `version` as a new version."""
-        check_write(key, None, request, self.feed_pace.value_most)
+        check_write(key, None, request, self.feed_settings.value_most)
         return await self._write(
             request, partial(self._propose, key, partial(self._value_at, key, version), None), within
         )
@@ -236,7 +236,7 @@
     def _propose(self, key, value, expected, call, now):
         try:
             call.revision = self.replica.put(now, key, value(call), call.request, expected)
-        except WriteRefused as refused:
+        except WriteRejected as refused:
             call.fail(refused)
         else:
             self.calls.append(call)
@@ -343,14 +343,14 @@
 
     def _identify_peer(self, message):
         if message.cluster != self.settings.cluster:
-            raise Stranger(f"it is of cluster {message.cluster}")
+            raise ConnectionRejected(f"it is of cluster {message.cluster}")
         if message.sender not in self.links:
-            raise Stranger(f"{message.sender} is no other replica")
+            raise ConnectionRejected(f"{message.sender} is no other replica")
         return message.sender
 
     def _identify_subscriber(self, message):
         if not isinstance(message, Subscribe):
-            raise Stranger("it has to subscribe first")
+            raise ConnectionRejected("it has to subscribe first")
         return message.subscriber
 
     async def _deliver_from_peer(self, name, connection, messages):
@@ -382,7 +382,7 @@
         try:
             for message in messages:
                 self.feed.receive(now, name, message)
-        except Refused as refused:
+        except SubscriberRejected as refused:
             self.traffic.rejected += 1
             self.log.info("a subscriber is refused", subscriber=name, why=str(refused))
             connection.close()
@@ -393,4 +393,4 @@
 
     def _drop_subscription(self, name, now):
         if name not in self.subscribers.by_name:
-            self.feed.gone(name)
+            self.feed.unsubscribe(name)
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -5,15 +5,15 @@
 import anyio
 import structlog
 
-from embertray.cluster.replication.messages import Unreadable, decode_to_subscriber
-from embertray.cluster.replication.subscriber import Dial, Hang, Subscriber
+from embertray.cluster.replication.messages import MalformedMessage, decode_to_subscriber
+from embertray.cluster.replication.subscriber import CloseConnection, OpenConnection, Subscriber
 from embertray.common.framing import PREFIX, BadFrame, Splitter
 from embertray.common.net.address import BadAddress
 from embertray.common.net.tcp import TcpNet
 
-from .audit import log_entries
 from .connection import BROKEN, TO_SUBSCRIBER_FRAME_MOST, Connection, Overflow, Traffic
-from .saved import SubscriberState
+from .durable_state import SubscriberState
+from .entry_log import log_entries
 from .status import SubscriberStatus, seconds
 
 S = 10**9
@@ -34,7 +34,7 @@
 class SubscriberClient:
     """`on_applied(entries)` is called with the entries that are newly in force, in order; a value of None is
     a removal. `on_restored(entries)` is called first with what was kept from a former process, if anything
-    was. `saved`: a SavedState of SubscriberState, or None. `budget`: a FeedPace with the bytes a second that
+    was. `saved`: a StateStore of SubscriberState, or None. `budget`: a FeedSettings with the bytes a second that
     are owed.
     """
 
@@ -93,7 +93,7 @@
             keys=core.store.live_count if core else 0,
             saves=self.saves,
             save_fails=self.save_fails,
-            counted=dict(core.counted) if core else {},
+            counted=dict(core.counters) if core else {},
             traffic=self.traffic,
         )
 
@@ -170,31 +170,31 @@
                 self.on_applied(applied)
         actions, core.actions = core.actions, []
         for action in actions:
-            if isinstance(action, Dial):
-                self.group.start_soon(self._connect, action.replica, action.number)
-            elif isinstance(action, Hang):
+            if isinstance(action, OpenConnection):
+                self.group.start_soon(self._connect, action.replica, action.connection_id)
+            elif isinstance(action, CloseConnection):
                 self._hang(action)
-            elif self.connection is not None and action.number == self.connection_number:
+            elif self.connection is not None and action.connection_id == self.connection_number:
                 self.connection.put(action.data)
         if core.next_at() < self.timer_at:
             self.poked.set()
 
     def _hang(self, action):
-        self.log.debug("leaves a replica", why=action.why)
-        if self.connection is not None and action.number == self.connection_number:
+        self.log.debug("leaves a replica", why=action.reason)
+        if self.connection is not None and action.connection_id == self.connection_number:
             self.connection.close()
             self.connection = None
 
     # ---- one connection
 
-    async def _connect(self, replica, number):
+    async def _connect(self, replica, connection_id):
         """Dials, and reads until the connection ends."""
         pace = self.subscriber.pace
         try:
             with anyio.fail_after(pace.dial / S):
                 stream = await self.net.dial(self.settings.replicas[replica])
         except (*BROKEN, BadAddress):
-            self._lost(number)
+            self._lost(connection_id)
             return
         connection = Connection(stream, self.traffic, QUEUED_MOST, Overflow.DROP_NEWEST)
         try:
@@ -202,31 +202,31 @@
                 with connection.scope:
                     async with anyio.create_task_group() as group:
                         group.start_soon(connection.write)
-                        await self._read(connection, number)
+                        await self._read(connection, connection_id)
         except* BROKEN:
             pass
-        except* (BadFrame, Unreadable) as wrong:
+        except* (BadFrame, MalformedMessage) as wrong:
             self.traffic.rejected += 1
             self.log.warning("a replica can't be read", replica=replica, why=str(wrong.exceptions[0]))
         if self.connection is connection:
             self.connection = None
-        self._lost(number)
+        self._lost(connection_id)
 
-    async def _read(self, connection, number):
+    async def _read(self, connection, connection_id):
         core, splitter = self.subscriber, Splitter(TO_SUBSCRIBER_FRAME_MOST)
-        core.dialled(self.clock.now(), number)
-        if not core.connected or number != core.number:
+        core.connection_opened(self.clock.now(), connection_id)
+        if not core.connected or connection_id != core.connection_id:
             return  # it was given up while it was dialled
-        self.connection, self.connection_number = connection, number
+        self.connection, self.connection_number = connection, connection_id
         self._act()
         while True:
             for data in await connection.read(splitter):
                 size = len(data) + PREFIX.size
-                core.receive(self.clock.now(), number, decode_to_subscriber(data), size)
+                core.receive(self.clock.now(), connection_id, decode_to_subscriber(data), size)
             self._act()
 
-    def _lost(self, number):
-        self.subscriber.lost(self.clock.now(), number)
+    def _lost(self, connection_id):
+        self.subscriber.connection_lost(self.clock.now(), connection_id)
         self._act()
 
     # ---- what is kept
--- a/embertray/cluster/replication/messages.py
+++ b/embertray/cluster/replication/messages.py
@@ -152,7 +152,7 @@
     items: list[InventoryItem]
 
 
-class Unreadable(ValueError):
+class MalformedMessage(ValueError):
     """What came is none of these messages."""
 
 
@@ -177,19 +177,19 @@
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as wrong:
-        raise Unreadable(str(wrong)) from None
+        raise MalformedMessage(str(wrong)) from None
 
 
 def decode_replica_message(data):
-    """What another replica says. Raises Unreadable."""
+    """What another replica says. Raises MalformedMessage."""
     return _decode(_between_replicas, data)
 
 
 def decode_from_subscriber(data):
-    """What a subscriber says. Raises Unreadable."""
+    """What a subscriber says. Raises MalformedMessage."""
     return _decode(_from_subscriber, data)
 
 
 def decode_to_subscriber(data):
-    """What a replica says to its subscriber. Raises Unreadable."""
+    """What a replica says to its subscriber. Raises MalformedMessage."""
     return _decode(_to_subscriber, data)
--- a/embertray/cluster/replication/bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -1,13 +1,13 @@
 """The stated bounds: when a committed write is in force at a subscriber, and what its age promises.
 
-All assume messages that arrive within `Network.one_way` and saves within `Network.save` once links are good.
+All assume messages that arrive within `NetworkAssumptions.one_way` and saves within `NetworkAssumptions.save` once links are good.
 A bound counts from the write's acknowledgement or from the end of the last fault, whichever is later. Bytes
 that wait in front of a write add their time at the subscriber's sustained rate.
 """
 
 from dataclasses import dataclass
 
-from .pace import MS, FeedPace, Network, ReplicaPace, SubscriberPace
+from .timing import MS, FeedSettings, NetworkAssumptions, ReplicaTiming, SubscriberTiming
 
 PROCESSING = 100 * MS  # ns that a process may take to get to a message
 
@@ -16,10 +16,10 @@
 class Bounds:
     """Bounds by what happened last, ns."""
 
-    replica: ReplicaPace = ReplicaPace()
-    feed: FeedPace = FeedPace()
-    subscriber: SubscriberPace = SubscriberPace()
-    network: Network = Network()
+    replica: ReplicaTiming = ReplicaTiming()
+    feed: FeedSettings = FeedSettings()
+    subscriber: SubscriberTiming = SubscriberTiming()
+    network: NetworkAssumptions = NetworkAssumptions()
 
     @property
     def message(self):
--- a/embertray/cluster/replication/recovery.py
+++ b/embertray/cluster/replication/recovery.py
@@ -1,12 +1,12 @@
 """Recovery of a replica that starts without its state: it votes for nobody until it is safe."""
 
 from .messages import RecoverReply, RecoverRequest
-from .replica_log import ReplicaLog
+from .replica_core import ReplicaCore
 
 NONCES = 2**62
 
 
-class Recovery(ReplicaLog):
+class RecoveryRole(ReplicaCore):
     """Has `nonce`, not 0 while it recovers, `silent_until` and `blank_replies`."""
 
     def _begin_recovery(self, now):
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -6,30 +6,30 @@
 sent.
 """
 
-from .election import Election
+from .candidate import CandidateRole
 from .entry import Entry
-from .following import Following
+from .follower import FollowerRole
 from .freshness import Freshness
-from .leading import Leading
+from .leader import LeaderRole
 from .messages import Append, Appended, Install, RecoverReply, RecoverRequest, Vote, VoteRequest
-from .pace import ReplicaPace
-from .recovery import Recovery
-from .replica_types import Conflict, NoMajority, NotLeader, Role, Step
+from .recovery import RecoveryRole
+from .replica_types import Conflict, Instructions, NoMajority, NotLeader, Role
 from .store import VersionedStore
+from .timing import ReplicaTiming
 
 
-class Replica(Election, Leading, Following, Recovery):
+class Replica(CandidateRole, LeaderRole, FollowerRole, RecoveryRole):
     """`names`: all replicas, this one too. `saved`: the ReplicaState that was saved last, None if there is
     none: then the replica votes for nobody until the others have shown that this is the first start, or a
     leader has brought it up to date. `newest`: False if a later state than `saved` was lost, with votes and
-    entries that others count on; then only a leader can bring it back. `subscribers`, a Feed, is asked for
+    entries that others count on; then only a leader can bring it back. `subscribers`, a SubscriberFeed, is asked for
     what followers report. Call `receive` with what came, `advance` when `next_at` is due, `poll` after
     each."""
 
     def __init__(self, cluster, name, names, now, chance, pace=None, saved=None, newest=True):
         self.cluster, self.name = cluster, name
         self.others = sorted(other for other in names if other != name)
-        self.pace, self.chance = pace or ReplicaPace(), chance
+        self.pace, self.chance = pace or ReplicaTiming(), chance
         self.term, self.voted_for, self.store, self.uncommitted = 0, "", VersionedStore(), []
         self.role, self.leader, self.peers = Role.FOLLOWER, "", {}
         self.votes, self.preliminary = set(), False
@@ -37,8 +37,11 @@
         self.freshness = Freshness()
         self.leader_heard_at = now - self.pace.election_most
         self.nonce, self.silent_until, self.blank_replies = 0, 0, set()
-        self.subscribers, self.reports = None, {}  # a Feed, once there is one; name -> its last Appended
-        self.step, self.changed = Step(), False
+        self.subscribers, self.reports = (
+            None,
+            {},
+        )  # a SubscriberFeed, once there is one; name -> its last Appended
+        self.step, self.changed = Instructions(), False
         self._handlers = {
             VoteRequest: self._on_vote_request,
             Vote: self._on_vote,
@@ -106,8 +109,8 @@
         return self.election_at
 
     def poll(self):
-        """The Step that is due since the last call."""
-        step, self.step = self.step, Step()
+        """The Instructions that is due since the last call."""
+        step, self.step = self.step, Instructions()
         if self.changed:
             step.state, self.changed = self._state(), False
         return step
@@ -115,7 +118,7 @@
     def put(self, now, key, value, request, expected=None):
         """Proposes a write; `value` None removes the key. `expected`: the revision that the key must be at.
         Gives the revision that the write has once it is committed; a request that was seen before gives its
-        own. Raises WriteRefused."""
+        own. Raises WriteRejected."""
         if self.role is not Role.LEADER:
             raise NotLeader(self.leader)
         if not self.has_majority(now):
--- a/embertray/cluster/replication/replica_log.py
+++ b/embertray/cluster/replication/replica_core.py
@@ -1,12 +1,12 @@
 """A replica's log: what is committed in its store, and the entries after that which are not."""
 
-from .pace import KEYS_MOST, PROPOSALS_MOST, STATE_BYTES_MOST
-from .replica_types import Addressed, Overloaded, ReplicaState
+from .replica_types import Envelope, Overloaded, ReplicaState
 from .store import export, restore
+from .timing import KEYS_MOST, PROPOSALS_MOST, STATE_BYTES_MOST
 
 
-class ReplicaLog:
-    """Has `store`, `uncommitted`, `freshness`, and the Step that gathers what is due."""
+class ReplicaCore:
+    """Has `store`, `uncommitted`, `freshness`, and the Instructions that gathers what is due."""
 
     def _term_at(self, revision):
         """Term of the entry at a revision; None if it is not held, or folded into the store."""
@@ -55,4 +55,4 @@
         self.store = restore(*position, saved.versions, saved.requests, saved.forgotten)
 
     def _send(self, to, message):
-        self.step.messages.append(Addressed(to, message))
+        self.step.messages.append(Envelope(to, message))
--- a/embertray/cluster/replication/replica_types.py
+++ b/embertray/cluster/replication/replica_types.py
@@ -16,11 +16,11 @@
     LEADER = "leader"
 
 
-class WriteRefused(Exception):
+class WriteRejected(Exception):
     """The write was not taken, and has no effect."""
 
 
-class NotLeader(WriteRefused):
+class NotLeader(WriteRejected):
     """`leader`: the replica to ask, or "" if none is known."""
 
     def __init__(self, leader):
@@ -28,15 +28,15 @@
         self.leader = leader
 
 
-class NoMajority(WriteRefused):
+class NoMajority(WriteRejected):
     """No majority of the replicas confirms the leader."""
 
 
-class Conflict(WriteRefused):
+class Conflict(WriteRejected):
     """The key is not at the revision that the writer expected."""
 
 
-class Overloaded(WriteRefused):
+class Overloaded(WriteRejected):
     """Too many writes wait, too many keys or too many bytes are held."""
 
 
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class Addressed:
+class Envelope:
     """A message for the replica `to`."""
 
     to: str
@@ -62,17 +62,17 @@
 
 
 @dataclass
-class Step:
+class Instructions:
     """What is to be done now: save `state` if there is one, then send `messages`; `committed` are the entries
     that were committed here, in order."""
 
     state: ReplicaState | None = None
-    messages: list[Addressed] = field(default_factory=list)
+    messages: list[Envelope] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
 
 
 @dataclass
-class Peer:
+class FollowerProgress:
     """What a leader knows of another replica."""
 
     next: int  # revision that it is to be sent next
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from .messages import InventoryItem
-from .pace import BUCKETS, HISTORY, REMOVALS_KEPT, REQUESTS_KEPT
+from .timing import BUCKETS, HISTORY, REMOVALS_KEPT, REQUESTS_KEPT
 
 LAST_KEY = "\U0010ffff" * 2  # sorts after every key
 ORDER_SLACK = 256  # outdated pairs that the order may hold before it is built anew
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -8,44 +8,44 @@
 
 from dataclasses import dataclass
 
-from .budget import TokenBucket
 from .entry import Entry
 from .freshness import Freshness
 from .messages import VERSION, Confirm, Heartbeat, Inventory, Repair, Subscribe, Update, encode
-from .pace import FeedPace, SubscriberPace
 from .store import VersionedStore
+from .timing import FeedSettings, SubscriberTiming
+from .token_bucket import TokenBucket
 
 S = 10**9
 
 
 @dataclass(frozen=True)
-class Dial:
+class OpenConnection:
     """Open a connection to `replica`; `number` tells this connection from former ones."""
 
     replica: str
-    number: int
+    connection_id: int
 
 
 @dataclass(frozen=True)
-class Hang:
+class CloseConnection:
     """Close the connection `number`."""
 
-    number: int
-    why: str
+    connection_id: int
+    reason: str
 
 
 @dataclass(frozen=True)
-class Say:
+class SendMessage:
     """Send an encoded message on the connection `number`."""
 
-    number: int
+    connection_id: int
     data: bytes
 
 
 class Subscriber:
     """`replicas`: names in the order of preference. `entries` and `revision`: what a former process kept;
     `known_at`: when that was certainly the newest, ns by `now`'s clock (may be before 0), None if not known.
-    `budget`: the FeedPace whose bytes a second it is owed. Call `advance` when `next_at` is due, and
+    `budget`: the FeedSettings whose bytes a second it is owed. Call `advance` when `next_at` is due, and
     `dialled`, `lost` and `receive` as things happen; actions and applied entries gather in `actions` and
     `applied`, which the caller empties."""
 
@@ -63,20 +63,20 @@
         known_at=None,
     ):
         self.cluster, self.name, self.replicas = cluster, name, list(replicas)
-        self.chance, self.pace = chance, pace or SubscriberPace()
+        self.chance, self.pace = chance, pace or SubscriberTiming()
         self.store = VersionedStore()
         for entry in sorted(entries, key=lambda one: one.revision):
             self.store.apply(entry)
         self.store.advance(revision)
         self.freshness = Freshness(known_at)
-        budget = budget or FeedPace()
+        budget = budget or FeedSettings()
         self.bucket = TokenBucket(budget.sustained, budget.burst, now)
         self.bucket.limit(now, 0)  # a former process may have just spent it all
         self.actions, self.applied = [], []
-        self.target, self.number, self.connected, self.dialling = 0, 0, False, False
+        self.target, self.connection_id, self.connected, self.dialling = 0, 0, False, False
         self.dial_at, self.failures, self.heard_at, self.since = now, 0, now, now
         self.replica_age, self.stale_moves, self.repair_at = None, 0, now
-        self.counted = dict.fromkeys(("dials", "updates", "duplicates", "gaps", "repairs", "moves"), 0)
+        self.counters = dict.fromkeys(("dials", "updates", "duplicates", "gaps", "repairs", "moves"), 0)
 
     # ---- what is asked of it
 
@@ -117,24 +117,24 @@
         elif now >= self.dial_at:
             self._dial(now)
 
-    def dialled(self, now, number):
+    def connection_opened(self, now, connection_id):
         """The connection `number` is up."""
-        if number != self.number or not self.dialling:
+        if connection_id != self.connection_id or not self.dialling:
             return
         self.connected, self.dialling, self.heard_at, self.since = True, False, now, now
         self._subscribe(now, self.revision)
 
-    def lost(self, now, number):
+    def connection_lost(self, now, connection_id):
         """The connection `number` could not be opened, or ended."""
-        if number == self.number and (self.connected or self.dialling):
+        if connection_id == self.connection_id and (self.connected or self.dialling):
             self._next_target(now)
 
-    def receive(self, now, number, message, size):
+    def receive(self, now, connection_id, message, size):
         """Takes what the replica says on the connection `number`, in `size` bytes; what former connections
         bring is dropped, but their bytes were spent."""
         self.bucket.available(now)
         self.bucket.spend(size)
-        if number != self.number or not self.connected:
+        if connection_id != self.connection_id or not self.connected:
             return
         self.heard_at = now
         if isinstance(message, Heartbeat):
@@ -145,19 +145,19 @@
             self._on_inventory(now, message)
 
     def _dial(self, now):
-        self.number += 1
+        self.connection_id += 1
         self.dialling, self.heard_at = True, now
-        self.counted["dials"] += 1
-        self.actions.append(Dial(self.replica, self.number))
+        self.counters["dials"] += 1
+        self.actions.append(OpenConnection(self.replica, self.connection_id))
 
     def _leave(self, now, why):
-        self.actions.append(Hang(self.number, why))
+        self.actions.append(CloseConnection(self.connection_id, why))
         self._next_target(now)
 
     def _next_target(self, now):
         """The next replica at once, or after a pause that grows when all of them failed."""
         self.connected = self.dialling = False
-        self.counted["moves"] += 1
+        self.counters["moves"] += 1
         self.failures += 1
         self.target = (self.target + 1) % len(self.replicas)
         rounds, rest = divmod(self.failures, len(self.replicas))
@@ -170,9 +170,9 @@
         return self.since + self.pace.return_home if self.target else 2**62
 
     def _go_home(self, now):
-        self.actions.append(Hang(self.number, "back to the first replica"))
+        self.actions.append(CloseConnection(self.connection_id, "back to the first replica"))
         self.connected, self.target = False, 0
-        self.counted["moves"] += 1
+        self.counters["moves"] += 1
         self.dial_at = now + self.chance.randrange(self.pace.retry_first)
 
     # ---- what the replica says
@@ -187,7 +187,7 @@
         self.failures = self.stale_moves = 0
         if message.commit == self.revision and message.digest != self.store.digest and now >= self.repair_at:
             self.repair_at = now + self.pace.silence
-            self.counted["repairs"] += 1
+            self.counters["repairs"] += 1
             self._say(Repair(self.store.digests))
         self._say(Confirm(self.revision, now))
 
@@ -202,14 +202,14 @@
 
     def _on_update(self, now, message):
         if message.since > self.revision:
-            self.counted["gaps"] += 1
+            self.counters["gaps"] += 1
             self._subscribe(now, self.revision)
             return
         applied = sum(self._apply(entry) for entry in message.entries)
         if applied or message.upto > self.revision:
-            self.counted["updates"] += 1
+            self.counters["updates"] += 1
         else:
-            self.counted["duplicates"] += 1
+            self.counters["duplicates"] += 1
         self.store.advance(message.upto)
         self.freshness.reached(self.revision)
         self._say(Confirm(self.revision, now))
@@ -242,4 +242,4 @@
         self._say(Subscribe(self.cluster, VERSION, self.name, revision, now, allowance))
 
     def _say(self, message):
-        self.actions.append(Say(self.number, encode(message)))
+        self.actions.append(SendMessage(self.connection_id, encode(message)))
--- a/embertray/cluster/replication/feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -9,17 +9,17 @@
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
-from .budget import TokenBucket
 from .freshness import AGE_UNKNOWN
 from .messages import VERSION, Confirm, Heartbeat, Inventory, Repair, Subscribe, Update, encode
-from .pace import FeedPace
+from .timing import FeedSettings
+from .token_bucket import TokenBucket
 
 FRAME_BYTES = 4  # of a frame's length
 UPDATE_BYTES = 24  # an update's own numbers, at the most
 BUDGET_WAIT = 50 * 10**6  # ns between two looks at a subscriber that waits for budget
 
 
-class Refused(Exception):
+class SubscriberRejected(Exception):
     """A subscriber that is not served, and why."""
 
 
@@ -49,11 +49,11 @@
     wake_at: int = 0  # ns when it is looked at next without a cause
 
 
-class Feed:
+class SubscriberFeed:
     """All subscribers of one replica. `store`: gives the replica's VersionedStore, which may be replaced."""
 
     def __init__(self, cluster, store, now, pace=None):
-        self.cluster, self.store, self.pace = cluster, store, pace or FeedPace()
+        self.cluster, self.store, self.pace = cluster, store, pace or FeedSettings()
         self.subscriptions = {}
         total = self.pace.total_bytes_per_second
         self.total = TokenBucket(total, total, now)
@@ -84,29 +84,29 @@
     # ---- what comes
 
     def receive(self, now, name, message):
-        """Takes what the subscriber `name` says on its connection. Raises Refused."""
+        """Takes what the subscriber `name` says on its connection. Raises SubscriberRejected."""
         one = self.subscriptions.get(name)
         self.touched[name] = True
         if isinstance(message, Subscribe):
             self._subscribe(now, name, message)
         elif one is None:
-            raise Refused("it has to subscribe first")
+            raise SubscriberRejected("it has to subscribe first")
         elif isinstance(message, Confirm):
             self._confirm(now, one, message)
         elif isinstance(message, Repair):
             self._repair(now, one, message)
 
-    def gone(self, name):
+    def unsubscribe(self, name):
         """A subscriber's connection ended."""
         self.subscriptions.pop(name, None)
 
     def _subscribe(self, now, name, message):
         if message.cluster != self.cluster:
-            raise Refused(f"it is of cluster {message.cluster}, this is {self.cluster}")
+            raise SubscriberRejected(f"it is of cluster {message.cluster}, this is {self.cluster}")
         if message.version != VERSION:
-            raise Refused(f"it speaks version {message.version}, this is {VERSION}")
+            raise SubscriberRejected(f"it speaks version {message.version}, this is {VERSION}")
         if name != message.subscriber:
-            raise Refused("its name changed")
+            raise SubscriberRejected("its name changed")
         one = self.subscriptions.get(name)
         if one is None:
             bucket = TokenBucket(self.pace.sustained, self.pace.burst, now)
@@ -126,7 +126,7 @@
         one.heard_at = now
         ours = self.store().digests
         if len(message.digests) != len(ours):
-            raise Refused(f"{len(ours)} digests are expected")
+            raise SubscriberRejected(f"{len(ours)} digests are expected")
         if not one.repairs:
             differing = (n for n, digest in enumerate(ours) if digest != message.digests[n])
             one.repairs.extend(differing)
@@ -146,7 +146,7 @@
             self._serve(now, one, age, out)
             self._plan(now, one)
         for name in silent:
-            self.gone(name)
+            self.unsubscribe(name)
         self.silent += len(silent)
         return out, silent
 
--- a/embertray/cluster/replication/pace.py
+++ b/embertray/cluster/replication/timing.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class ReplicaPace:
+class ReplicaTiming:
     """Times between replicas, ns."""
 
     heartbeat: int = 400 * MS  # of a leader: three fit into the shortest election timeout
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class FeedPace:
+class FeedSettings:
     """What a replica sends to its subscribers, and when. Times in ns, rates in bytes a second."""
 
     heartbeat: int = 1 * S  # to each subscriber; its age and digest let a subscriber judge what it holds
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class SubscriberPace:
+class SubscriberTiming:
     """A subscriber's times, ns."""
 
     dial: int = 1 * S  # until a connection that does not come up is given up
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class Network:
+class NetworkAssumptions:
     """What the stated bounds assume of links that are good, ns."""
 
     one_way: int = 100 * MS  # a message's way, regions included
--- a/embertray/experiments/measure/scale/control_role.py
+++ b/embertray/experiments/measure/scale/control_role.py
@@ -10,8 +10,8 @@
     SubscriberClient,
     SubscriberSettings,
 )
-from embertray.cluster.replication.link.writes import OutcomeUnknown
-from embertray.cluster.replication.replica_types import WriteRefused
+from embertray.cluster.replication.link.pending_writes import OutcomeUnknown
+from embertray.cluster.replication.replica_types import WriteRejected
 from embertray.common.net.clock import LoopClock
 
 from .meter import Counters
@@ -54,7 +54,7 @@
             return False
         try:
             await self.server.put(key, value, request)
-        except (WriteRefused, OutcomeUnknown):
+        except (WriteRejected, OutcomeUnknown):
             self.refused += 1
             return False
         return True
--- a/embertray/service/admin/control.py
+++ b/embertray/service/admin/control.py
@@ -10,24 +10,24 @@
 
 import msgspec
 
-from embertray.cluster.replication.link.status import seconds
-from embertray.cluster.replication.link.writes import OutcomeUnknown
-from embertray.cluster.replication.operations import (
+from embertray.cluster.replication.api_messages import (
     Committed,
     Missing,
-    Refused,
+    Rejected,
     Unknown,
     Value,
     Version,
     Versions,
     encode_answer,
 )
+from embertray.cluster.replication.link.pending_writes import OutcomeUnknown
+from embertray.cluster.replication.link.status import seconds
 from embertray.cluster.replication.replica_types import (
     Conflict,
     NoMajority,
     NotLeader,
     Overloaded,
-    WriteRefused,
+    WriteRejected,
 )
 
 from .server import serve_request, text
@@ -72,7 +72,7 @@
         try:
             return await page(query, body)
         except BadCall as wrong:
-            return _json(400, Refused("BadCall", str(wrong)))
+            return _json(400, Rejected("BadCall", str(wrong)))
 
     # ---- what is read
 
@@ -122,14 +122,14 @@
     async def _write(self, query, call):
         try:
             return _json(200, Committed(query["key"], await call))
-        except WriteRefused as refused:
+        except WriteRejected as refused:
             return _json(STATUS.get(type(refused), 400), self._refused(refused))
         except OutcomeUnknown as unknown:
             return _json(504, Unknown(str(unknown)))
 
     def _refused(self, refused):
         leader = self.admins.get(refused.leader, "") if isinstance(refused, NotLeader) else ""
-        return Refused(type(refused).__name__, str(refused), leader)
+        return Rejected(type(refused).__name__, str(refused), leader)
 
 
 def value_page(key, get, age_s):
--- a/embertray/service/admin/control_client.py
+++ b/embertray/service/admin/control_client.py
@@ -5,7 +5,7 @@
 import anyio
 import msgspec
 
-from embertray.cluster.replication.operations import Refused, Unknown, decode_answer
+from embertray.cluster.replication.api_messages import Rejected, Unknown, decode_answer
 from embertray.common.net.http import CallFailed, Talk
 from embertray.common.net.tcp import TcpNet
 
@@ -40,7 +40,7 @@
 
 
 async def write(admin, method, target, body, within):
-    """Committed, Refused or Unknown. Follows the leader, and tries again for `within` seconds while that may
+    """Committed, Rejected or Unknown. Follows the leader, and tries again for `within` seconds while that may
     help. Raises Unreachable if nobody ever took the call."""
     ends_at, address, outcome, unsure = time.monotonic() + within, admin, None, None
     while True:
@@ -53,7 +53,7 @@
             unsure = outcome
         if not may_change(outcome) or time.monotonic() > ends_at:
             break
-        leader = outcome.leader if isinstance(outcome, Refused) else ""
+        leader = outcome.leader if isinstance(outcome, Rejected) else ""
         if not leader or leader == address:
             await anyio.sleep(PAUSE)
         address = leader or admin
@@ -66,7 +66,7 @@
 
 def may_change(outcome):
     """Whether the same call may end otherwise when it is made again."""
-    if isinstance(outcome, Refused):
+    if isinstance(outcome, Rejected):
         return outcome.reason in MAY_CHANGE
     return outcome is None or isinstance(outcome, Unknown)
 
@@ -77,4 +77,4 @@
         return decode_answer(body)
     except msgspec.DecodeError:
         text = body.decode("utf-8", "replace").strip()
-        return Refused("BadCall", f"status {status}: {text[:200]}")
+        return Rejected("BadCall", f"status {status}: {text[:200]}")
--- a/embertray/service/daemon/control.py
+++ b/embertray/service/daemon/control.py
@@ -11,15 +11,15 @@
     SubscriberClient,
     SubscriberSettings,
 )
-from embertray.cluster.replication.link.saved import replica_state, subscriber_state
-from embertray.cluster.replication.pace import FeedPace
+from embertray.cluster.replication.link.durable_state import replica_state_store, subscriber_state_store
+from embertray.cluster.replication.timing import FeedSettings
 from embertray.service.admin.control import ReplicaAdmin
 
 
 class ReplicaProcess:
     """`embertray control serve`: the replica `me` of a site's Control with its operators' HTTP."""
 
-    def __init__(self, control, me, clock, net, seed, replica_pace=None, feed_pace=None):
+    def __init__(self, control, me, clock, net, seed, replica_timing=None, feed_settings=None):
         self.me, self.net = me, net
         peers = {one.name: one.address for one in control.replicas}
         self.server = ReplicaServer(
@@ -27,9 +27,9 @@
             clock,
             chance_of_this_start(seed, me.name, clock),
             net,
-            replica_pace,
-            feed_pace or FeedPace(bytes_per_second=control.bytes_per_second),
-            replica_state(me.keep),
+            replica_timing,
+            feed_settings or FeedSettings(bytes_per_second=control.bytes_per_second),
+            replica_state_store(me.keep),
         )
         self.pages = ReplicaAdmin(self.server, {one.name: one.admin for one in control.replicas})
 
@@ -58,7 +58,7 @@
     """The SubscriberClient of the controller `me`."""
     control = site.control
     replicas = {one.name: one.listen for one in control.followed_by(me)}
-    saved = subscriber_state(Path(control.keep) / me.name) if control.keep else None
+    saved = subscriber_state_store(Path(control.keep) / me.name) if control.keep else None
     return SubscriberClient(
         SubscriberSettings(control.cluster, me.name, replicas),
         clock,
@@ -68,7 +68,7 @@
         pace=pace,
         saved=saved,
         log=log,
-        budget=FeedPace(bytes_per_second=control.bytes_per_second),
+        budget=FeedSettings(bytes_per_second=control.bytes_per_second),
     )
 
 
--- a/embertray/simulation/emulator/control/play.py
+++ b/embertray/simulation/emulator/control/play.py
@@ -5,9 +5,9 @@
 import random
 from dataclasses import dataclass, field
 
-from embertray.cluster.replication.bounds import Bounds
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.pace import FeedPace, ReplicaPace, SubscriberPace
+from embertray.cluster.replication.propagation_bounds import Bounds
+from embertray.cluster.replication.timing import FeedSettings, ReplicaTiming, SubscriberTiming
 from embertray.simulation.claims.control import ControlClaims
 from embertray.simulation.emulator.engine import Engine
 
@@ -35,9 +35,9 @@
     cluster: str = "play"
     prefilled: int = 0  # keys that everybody holds at the start
     keep: bool = False  # subscribers have a disk, and start with what they held
-    replica: ReplicaPace = field(default_factory=ReplicaPace)
-    feed: FeedPace = field(default_factory=FeedPace)
-    subscriber: SubscriberPace = field(default_factory=SubscriberPace)
+    replica: ReplicaTiming = field(default_factory=ReplicaTiming)
+    feed: FeedSettings = field(default_factory=FeedSettings)
+    subscriber: SubscriberTiming = field(default_factory=SubscriberTiming)
 
 
 class ControlPlay:
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -1,15 +1,15 @@
 """A replica under virtual time: its core, feed, disk and connections."""
 
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.feed import Feed, Refused
 from embertray.cluster.replication.messages import (
-    Unreadable,
+    MalformedMessage,
     decode_from_subscriber,
     decode_replica_message,
     encode,
 )
 from embertray.cluster.replication.replica import Replica
-from embertray.cluster.replication.replica_types import ReplicaState, WriteRefused
+from embertray.cluster.replication.replica_types import ReplicaState, WriteRejected
+from embertray.cluster.replication.subscriber_feed import SubscriberFeed, SubscriberRejected
 
 from .links import Stream
 from .process import FRAME_BYTES, Process
@@ -22,7 +22,7 @@
 class ReplicaProcess(Process):
     """A replica, its feed, its disk and its sockets. `make_core`, `make_feed`: for tests that spoil them."""
 
-    make_core, make_feed = Replica, Feed
+    make_core, make_feed = Replica, SubscriberFeed
 
     def __init__(self, play, name):
         super().__init__(play, name)
@@ -86,7 +86,7 @@
     def _receive_replica(self, data):
         try:
             message = decode_replica_message(data)
-        except Unreadable:
+        except MalformedMessage:
             return
         self.core.receive(self.engine.time, message)
 
@@ -108,11 +108,11 @@
                 return
             if current is not None:
                 current.end()
-                self.feed.gone(name)
+                self.feed.unsubscribe(name)
             self.connections[name] = connection
         try:
             self.feed.receive(self.engine.time, name, decode_from_subscriber(data))
-        except Refused:
+        except SubscriberRejected:
             self.drop(connection)
 
     def hung_up(self, connection):
@@ -124,16 +124,16 @@
         name = connection.subscriber.name
         if self.connections.get(name) is connection:
             del self.connections[name]
-            self.feed.gone(name)
+            self.feed.unsubscribe(name)
 
     def put(self, key, value, request, done, expected=None):
-        """A writer's call; `done(Entry or WriteRefused)` when it is known."""
+        """A writer's call; `done(Entry or WriteRejected)` when it is known."""
         self.call(self._put, key, value, request, done, expected)
 
     def _put(self, key, value, request, done, expected):
         try:
             revision = self.core.put(self.engine.time, key, value, request, expected)
-        except WriteRefused as refused:
+        except WriteRejected as refused:
             done(refused)
             return
         if revision <= self.core.store.revision:  # a repeated call whose first one was committed
--- a/embertray/simulation/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from embertray.cluster.replication.messages import decode_to_subscriber
-from embertray.cluster.replication.subscriber import Dial, Hang, Say, Subscriber
+from embertray.cluster.replication.subscriber import CloseConnection, OpenConnection, SendMessage, Subscriber
 
 from .process import FRAME_BYTES, Connection, Process
 
@@ -69,23 +69,23 @@
 
     def connected(self, connection):
         """The connection is up."""
-        self.call(self.core.dialled, self.engine.time, connection.number)
+        self.call(self.core.connection_opened, self.engine.time, connection.number)
 
     def reset(self, number):
         """The connection was refused, or ended."""
         self.call(self._lost, number)
 
     def _lost(self, number):
-        self.core.lost(self.engine.time, number)
+        self.core.connection_lost(self.engine.time, number)
 
     def settle(self):
         actions, self.core.actions = self.core.actions, []
         for action in actions:
-            if isinstance(action, Dial):
+            if isinstance(action, OpenConnection):
                 self._dial(action)
-            elif isinstance(action, Say):
+            elif isinstance(action, SendMessage):
                 self._say(action)
-            elif isinstance(action, Hang):
+            elif isinstance(action, CloseConnection):
                 self._close(False)
         applied, self.core.applied = self.core.applied, []
         for entry in applied:
@@ -96,11 +96,11 @@
         if self.connection is not None:
             self._close(False)
         replica = self.play.replicas[action.replica]
-        self.connection = Connection(self.play.links, self, replica, action.number)
+        self.connection = Connection(self.play.links, self, replica, action.connection_id)
         self.play.dial(self.connection)
 
     def _say(self, action):
-        if self.connection is not None and self.connection.number == action.number:
+        if self.connection is not None and self.connection.number == action.connection_id:
             self.bytes_out += len(action.data) + FRAME_BYTES
             self._count_window(len(action.data) + FRAME_BYTES)
             self.connection.up.send(action.data)
--- a/embertray/simulation/emulator/control/writer.py
+++ b/embertray/simulation/emulator/control/writer.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from embertray.cluster.replication.replica_types import NotLeader, WriteRefused
+from embertray.cluster.replication.replica_types import NotLeader, WriteRejected
 
 MS, S = 10**6, 10**9
 ANSWER_WITHIN = 3 * S  # ns until a call is made again, elsewhere
@@ -90,7 +90,7 @@
     def _known(self, call, attempt, name, outcome):
         if call.done:
             return
-        if not isinstance(outcome, WriteRefused):
+        if not isinstance(outcome, WriteRejected):
             self._acknowledge(call, outcome)
         elif call.attempts == attempt:
             elsewhere = isinstance(outcome, NotLeader) and outcome.leader
--- a/embertray/simulation/processes/control_pace.py
+++ b/embertray/simulation/processes/control_pace.py
@@ -2,17 +2,17 @@
 
 from dataclasses import fields, replace
 
-from embertray.cluster.replication.pace import FeedPace, ReplicaPace, SubscriberPace
+from embertray.cluster.replication.timing import FeedSettings, ReplicaTiming, SubscriberTiming
 
 FEED_TIMES = ("heartbeat", "retry_first", "retry_most", "silence")
 
 
 def scaled_paces(scale, feed=None):
-    """(ReplicaPace, FeedPace, SubscriberPace) with all times multiplied by `scale`; rates and sizes stay."""
+    """(ReplicaTiming, FeedSettings, SubscriberTiming): times multiplied by `scale`; rates and sizes stay."""
     return (
-        _scaled(ReplicaPace(), scale, [one.name for one in fields(ReplicaPace)]),
-        _scaled(feed or FeedPace(), scale, FEED_TIMES),
-        _scaled(SubscriberPace(), scale, [one.name for one in fields(SubscriberPace)]),
+        _scaled(ReplicaTiming(), scale, [one.name for one in fields(ReplicaTiming)]),
+        _scaled(feed or FeedSettings(), scale, FEED_TIMES),
+        _scaled(SubscriberTiming(), scale, [one.name for one in fields(SubscriberTiming)]),
     )
 
 
--- a/embertray/simulation/processes/control_play.py
+++ b/embertray/simulation/processes/control_play.py
@@ -7,8 +7,8 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 
-from embertray.cluster.replication.bounds import Bounds
-from embertray.cluster.replication.operations import Committed
+from embertray.cluster.replication.api_messages import Committed
+from embertray.cluster.replication.propagation_bounds import Bounds
 
 from .control import ControlPlane
 from .control_pace import scaled_paces
--- a/embertray/simulation/processes/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -11,7 +11,7 @@
 import msgspec
 import structlog
 
-from embertray.cluster.replication.pace import FeedPace
+from embertray.cluster.replication.timing import FeedSettings
 from embertray.common import logs
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
@@ -36,10 +36,12 @@
 
 async def run_replica(site, name, scale):
     """A ReplicaProcess at this scale."""
-    replica_pace, feed_pace, _ = scaled_paces(scale, FeedPace(bytes_per_second=site.control.bytes_per_second))
+    replica_timing, feed_settings, _ = scaled_paces(
+        scale, FeedSettings(bytes_per_second=site.control.bytes_per_second)
+    )
     me = site.control.replica(name)
     process = ReplicaProcess(
-        site.control, me, LoopClock(), TcpNet(), 1, replica_pace=replica_pace, feed_pace=feed_pace
+        site.control, me, LoopClock(), TcpNet(), 1, replica_timing=replica_timing, feed_settings=feed_settings
     )
     async with anyio.create_task_group() as group:
         group.start_soon(until_signal, process.stop)
@@ -50,7 +52,7 @@
 async def run_subscriber(site, name, scale):
     """A SubscriberClient at this scale, with its status at its controller's operators' address."""
     log, net, me = structlog.get_logger(), TcpNet(), site.controller(name)
-    _, _, pace = scaled_paces(scale, FeedPace())
+    _, _, pace = scaled_paces(scale, FeedSettings())
     client = subscriber_client(site, me, LoopClock(), net, 1, log, pace)
     log.info("started", subscriber=name)
 
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -12,9 +12,9 @@
 
 import anyio
 
+from embertray.cluster.replication.api_messages import Committed
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.link.audit import value_digest
-from embertray.cluster.replication.operations import Committed
+from embertray.cluster.replication.link.entry_log import value_digest
 from embertray.service.admin.control_client import Unreachable, write
 from embertray.simulation.claims.control import ControlClaims
 
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -14,17 +14,17 @@
     SubscriberClient,
     SubscriberSettings,
 )
-from embertray.cluster.replication.link.saved import replica_state, subscriber_state
-from embertray.cluster.replication.pace import MS, FeedPace, ReplicaPace, SubscriberPace
+from embertray.cluster.replication.link.durable_state import replica_state_store, subscriber_state_store
 from embertray.cluster.replication.replica_types import NoMajority, NotLeader
+from embertray.cluster.replication.timing import MS, FeedSettings, ReplicaTiming, SubscriberTiming
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
 from embertray.simulation.processes.ports import free_ports
 
 # elections that are won on a busy machine, too: a vote is two ways and two saves
-REPLICA_PACE = ReplicaPace(80 * MS, 500 * MS, 1_500 * MS, 3_000 * MS)
-FEED_PACE = FeedPace(heartbeat=50 * MS, retry_first=100 * MS, retry_most=400 * MS, silence=1_000 * MS)
-SUBSCRIBER_PACE = SubscriberPace(
+REPLICA_PACE = ReplicaTiming(80 * MS, 500 * MS, 1_500 * MS, 3_000 * MS)
+FEED_PACE = FeedSettings(heartbeat=50 * MS, retry_first=100 * MS, retry_most=400 * MS, silence=1_000 * MS)
+SUBSCRIBER_PACE = SubscriberTiming(
     dial=1_000 * MS, silence=800 * MS, stale=2_000 * MS, retry_first=20 * MS, retry_most=200 * MS
 )
 MOST = 60  # s that a wait takes before it fails
@@ -46,12 +46,12 @@
     """Replicas r1 to rN, and subscribers that are started by name. `folder`: where states are kept, or
     None."""
 
-    def __init__(self, count, folder=None, feed_pace=FEED_PACE):
+    def __init__(self, count, folder=None, feed_settings=FEED_PACE):
         ports = free_ports(2 * count)
         self.names = [f"r{n + 1}" for n in range(count)]
         self.peers = {name: f"127.0.0.1:{ports[2 * n]}" for n, name in enumerate(self.names)}
         self.listen = {name: f"127.0.0.1:{ports[2 * n + 1]}" for n, name in enumerate(self.names)}
-        self.folder, self.feed_pace, self.clock, self.starts = folder, feed_pace, LoopClock(), 0
+        self.folder, self.feed_settings, self.clock, self.starts = folder, feed_settings, LoopClock(), 0
         self.replicas, self.subscribers, self.applied, self.scopes = {}, {}, {}, {}
         self.group, self.disks = None, {}
 
@@ -70,8 +70,8 @@
 
     async def up(self, name):
         settings = ReplicaSettings("test", name, self.peers, self.listen[name])
-        saved = self.folder and replica_state(Path(self.folder) / name, self.disks.get(name))
-        paces = {"replica_pace": REPLICA_PACE, "feed_pace": self.feed_pace}
+        saved = self.folder and replica_state_store(Path(self.folder) / name, self.disks.get(name))
+        paces = {"replica_timing": REPLICA_PACE, "feed_settings": self.feed_settings}
         server = ReplicaServer(settings, self.clock, self.chance(name), saved=saved, **paces)
         self.replicas[name] = server
         await self.group.start(self._run, name, server)
@@ -99,7 +99,7 @@
         addresses = {replica: self.listen[replica] for replica in replicas or self.names}
         settings = SubscriberSettings("test", name, addresses)
         applied = self.applied.setdefault(name, [])
-        saved = folder and subscriber_state(folder)
+        saved = folder and subscriber_state_store(folder)
         client = SubscriberClient(
             settings,
             clock or self.clock,
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,20 +5,17 @@
 
 from hypothesis import given, settings, strategies as st
 
-from embertray.cluster.replication.bounds import Bounds
-from embertray.cluster.replication.budget import TokenBucket
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.feed import Feed, Refused
 from embertray.cluster.replication.freshness import AGE_UNKNOWN, Freshness
 from embertray.cluster.replication.messages import (
     VERSION,
     Confirm,
     Heartbeat,
     Inventory,
+    MalformedMessage,
     RecoverReply,
     Repair,
     Subscribe,
-    Unreadable,
     Update,
     Vote,
     VoteRequest,
@@ -27,11 +24,14 @@
     decode_to_subscriber,
     encode,
 )
-from embertray.cluster.replication.pace import HISTORY, REMOVALS_KEPT, FeedPace, SubscriberPace
+from embertray.cluster.replication.propagation_bounds import Bounds
 from embertray.cluster.replication.replica import Replica
 from embertray.cluster.replication.replica_types import Conflict, NoMajority, NotLeader, Overloaded, Role
 from embertray.cluster.replication.store import VersionedStore, export, restore
-from embertray.cluster.replication.subscriber import Dial, Hang, Say, Subscriber
+from embertray.cluster.replication.subscriber import CloseConnection, OpenConnection, SendMessage, Subscriber
+from embertray.cluster.replication.subscriber_feed import SubscriberFeed, SubscriberRejected
+from embertray.cluster.replication.timing import HISTORY, REMOVALS_KEPT, FeedSettings, SubscriberTiming
+from embertray.cluster.replication.token_bucket import TokenBucket
 
 S = 10**9
 MS = 10**6
@@ -122,7 +122,7 @@
 
 class Budget(unittest.TestCase):
     def test_ten_seconds_never_spend_more_than_the_budget(self):
-        pace = FeedPace()
+        pace = FeedSettings()
         bucket, spent, chance = TokenBucket(pace.sustained, pace.burst, 0), [], random.Random(1)
         for now in range(0, 60 * S, 20 * MS):
             size = chance.randrange(1, pace.burst)
@@ -168,10 +168,12 @@
         good = encode(Subscribe("c", VERSION, "s", 0, 0, 0))
         for data in (b"", b"\xc1", good[:-1], good + b"x", b"\x93\x01\x02\x03", encode(Confirm(1, 1))[1:]):
             for decode in (decode_from_subscriber, decode_to_subscriber, decode_replica_message):
-                self.assertRaises(Unreadable, decode, data)
-        self.assertRaises(Unreadable, decode_to_subscriber, good)
-        self.assertRaises(Unreadable, decode_from_subscriber, encode(Subscribe("c", VERSION, "", 0, 0, 0)))
-        self.assertRaises(Unreadable, decode_from_subscriber, encode(Confirm(-1, 0)))
+                self.assertRaises(MalformedMessage, decode, data)
+        self.assertRaises(MalformedMessage, decode_to_subscriber, good)
+        self.assertRaises(
+            MalformedMessage, decode_from_subscriber, encode(Subscribe("c", VERSION, "", 0, 0, 0))
+        )
+        self.assertRaises(MalformedMessage, decode_from_subscriber, encode(Confirm(-1, 0)))
 
     def test_the_largest_numbers_pass(self):
         heartbeat = Heartbeat(2**62, 2**64 - 1, AGE_UNKNOWN, 2**62)
@@ -181,7 +183,7 @@
 class FeedTests(unittest.TestCase):
     def setUp(self):
         self.store, self.now = VersionedStore(), 100 * S
-        self.feed = Feed("c", lambda: self.store, self.now)
+        self.feed = SubscriberFeed("c", lambda: self.store, self.now)
 
     def write(self, key, value):
         revision = self.store.revision + 1
@@ -275,10 +277,10 @@
             Subscribe("c", VERSION, "y", 0, 0, 0),
             Confirm(1, 1),
         ):
-            with self.assertRaises(Refused):
+            with self.assertRaises(SubscriberRejected):
                 self.feed.receive(self.now, "x", message)
         self.subscribe("z")
-        with self.assertRaises(Refused):
+        with self.assertRaises(SubscriberRejected):
             self.feed.receive(self.now, "z", Repair([0]))
 
     def test_a_look_costs_what_changed(self):
@@ -303,7 +305,7 @@
         self.converse(subscriber, 12 * S)
         self.assertEqual(in_force(subscriber.store), in_force(self.store))
         self.assertEqual(subscriber.store.digest, self.store.digest)
-        self.assertEqual(subscriber.counted["repairs"], 1)
+        self.assertEqual(subscriber.counters["repairs"], 1)
 
     def test_who_lags_behind_all_removals_that_are_kept_is_repaired(self):
         for n in range(20):
@@ -327,14 +329,14 @@
         """Lets feed and subscriber talk with nothing lost."""
         end = self.now + span
         subscriber.advance(self.now)
-        subscriber.dialled(self.now, subscriber.number)
+        subscriber.connection_opened(self.now, subscriber.connection_id)
         while self.now < end:
             for action in subscriber.actions:
-                if isinstance(action, Say):
+                if isinstance(action, SendMessage):
                     self.feed.receive(self.now, "s", decode_from_subscriber(action.data))
             subscriber.actions.clear()
             for _, message in self.advance(20 * MS):
-                subscriber.receive(self.now, subscriber.number, message, 100)
+                subscriber.receive(self.now, subscriber.connection_id, message, 100)
 
 
 class Subscribing(unittest.TestCase):
@@ -357,14 +359,14 @@
         return actions
 
     def connect(self):
-        self.subscriber.dialled(self.now, self.until(Dial).number)
+        self.subscriber.connection_opened(self.now, self.until(OpenConnection).connection_id)
         self.take()
 
     def hear(self, message):
-        self.subscriber.receive(self.now, self.subscriber.number, message, 100)
+        self.subscriber.receive(self.now, self.subscriber.connection_id, message, 100)
 
     def said(self):
-        return [decode_from_subscriber(one.data) for one in self.take() if isinstance(one, Say)]
+        return [decode_from_subscriber(one.data) for one in self.take() if isinstance(one, SendMessage)]
 
     def test_a_gap_is_asked_for_and_not_applied(self):
         self.connect()
@@ -380,7 +382,7 @@
         self.hear(Update(0, 3, [new]))
         self.hear(Update(0, 2, [old]))
         self.assertEqual(self.subscriber.applied, [new])
-        self.assertEqual((self.subscriber.revision, self.subscriber.counted["duplicates"]), (3, 2))
+        self.assertEqual((self.subscriber.revision, self.subscriber.counters["duplicates"]), (3, 2))
 
     def test_a_removal_that_overtakes_nothing_stays(self):
         self.connect()
@@ -390,8 +392,8 @@
 
     def test_what_a_former_connection_brings_is_dropped(self):
         self.connect()
-        former = self.subscriber.number
-        self.subscriber.lost(self.now, former)
+        former = self.subscriber.connection_id
+        self.subscriber.connection_lost(self.now, former)
         self.connect()
         self.subscriber.receive(self.now, former, Update(0, 1, [Entry("a", 1, 1, "", b"1")]), 50)
         self.assertEqual(self.subscriber.revision, 0)
@@ -399,27 +401,27 @@
     def test_a_silent_replica_is_left_for_the_next(self):
         self.connect()
         began = self.now
-        self.until(Hang)
-        self.assertEqual((self.now - began, self.subscriber.replica), (SubscriberPace().silence, "r2"))
+        self.until(CloseConnection)
+        self.assertEqual((self.now - began, self.subscriber.replica), (SubscriberTiming().silence, "r2"))
 
     def test_a_replica_that_does_not_answer_the_dial_is_given_up(self):
-        dial = self.until(Dial)
+        dial = self.until(OpenConnection)
         began = self.now
-        self.assertEqual(self.until(Hang).number, dial.number)
-        self.assertEqual(self.now - began, SubscriberPace().dial)
+        self.assertEqual(self.until(CloseConnection).connection_id, dial.connection_id)
+        self.assertEqual(self.now - began, SubscriberTiming().dial)
 
     def test_when_none_answers_the_pauses_grow_to_a_bound(self):
         dialled_at = []
         for _ in range(40):
-            self.subscriber.lost(self.now, self.until(Dial).number)
+            self.subscriber.connection_lost(self.now, self.until(OpenConnection).connection_id)
             dialled_at.append(self.now)
         rounds = [b - a for a, b in zip(dialled_at[::3], dialled_at[3::3], strict=False)]
         self.assertGreater(rounds[-1], rounds[0])
-        pace = SubscriberPace()
+        pace = SubscriberTiming()
         self.assertLessEqual(max(rounds), pace.retry_most + 3 * pace.retry_first)
 
     def test_a_stale_replica_is_left_and_each_is_kept_a_while_once_all_are_stale(self):
-        stale = SubscriberPace().stale
+        stale = SubscriberTiming().stale
         for name in ("r1", "r2", "r3"):
             self.connect()
             self.assertEqual(self.subscriber.replica, name)
@@ -432,7 +434,7 @@
         self.assertFalse(self.subscriber.connected)
 
     def test_it_goes_back_to_its_first_replica(self):
-        self.subscriber.lost(self.now, self.until(Dial).number)
+        self.subscriber.connection_lost(self.now, self.until(OpenConnection).connection_id)
         self.connect()
         self.assertEqual(self.subscriber.replica, "r2")
         began = self.now
@@ -440,7 +442,7 @@
             self.now += S
             self.hear(Heartbeat(0, 0, 0, self.now))
             self.subscriber.advance(self.now)
-        self.assertEqual(self.now - began, SubscriberPace().return_home)
+        self.assertEqual(self.now - began, SubscriberTiming().return_home)
 
     def test_a_held_back_heartbeat_makes_nobody_fresh(self):
         self.connect()
@@ -462,12 +464,12 @@
         whole = store_of(entries_of(writes))
         subscriber = Subscriber("c", "s", ["r"], 0, random.Random(1))
         subscriber.advance(0)
-        subscriber.dialled(0, subscriber.number)
+        subscriber.connection_opened(0, subscriber.connection_id)
         last = whole.revision
         for since, upto in [*spans, (0, last)]:
             since, upto = min(since, last), min(upto, last)
             changes = [entry for entry in store_of(entries_of(writes[:upto])).since(since)]
-            subscriber.receive(0, subscriber.number, Update(since, upto, changes), 10)
+            subscriber.receive(0, subscriber.connection_id, Update(since, upto, changes), 10)
         self.assertEqual((subscriber.revision, in_force(subscriber.store)), (last, in_force(whole)))
         newest = {}
         for entry in subscriber.applied:
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -118,7 +118,7 @@
         value = self.folder / "some"
         value.write_text("1")
         site = str(self.plane.described("k1"))
-        without = ROOT / "embertray" / "site" / "samples" / "pushed.xml"
+        without = ROOT / "embertray" / "service" / "site" / "samples" / "pushed.xml"
         cases = (
             (("status", "--admin", nobody), nobody),
             (("put", "key", str(value), "--admin", nobody), nobody),
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -10,11 +10,11 @@
 from control_stage import MOST, Stage, until
 
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.link.saved import replica_state
-from embertray.cluster.replication.link.writes import BadKey, BadRequest, TooLarge, VersionNotKept
+from embertray.cluster.replication.link.durable_state import replica_state_store
+from embertray.cluster.replication.link.pending_writes import BadKey, BadRequest, TooLarge, VersionNotKept
 from embertray.cluster.replication.messages import Confirm, Subscribe, Vote, encode
-from embertray.cluster.replication.pace import STATE_BYTES_MOST
 from embertray.cluster.replication.replica_types import Conflict, NotLeader, ReplicaState, Role
+from embertray.cluster.replication.timing import STATE_BYTES_MOST
 from embertray.common.framing import Splitter, frame
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
@@ -66,7 +66,7 @@
 
     def test_what_is_refused(self):
         async def body(stage):
-            most = (await stage.leading()).feed_pace.value_most
+            most = (await stage.leading()).feed_settings.value_most
             revision = await stage.put("key", b"x" * most, "largest")
             cases = [
                 (TooLarge, lambda leader: leader.put("key", b"x" * (most + 1), "request")),
@@ -172,7 +172,7 @@
 
         with tempfile.TemporaryDirectory() as folder:
             for name in ("r1", "r2"):
-                saved = replica_state(Path(folder) / name)
+                saved = replica_state_store(Path(folder) / name)
                 saved.open()
                 saved.save(state)
                 saved.close()
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -5,11 +5,11 @@
 import random
 import unittest
 
-from embertray.cluster.replication.feed import Feed
 from embertray.cluster.replication.messages import Heartbeat, encode
 from embertray.cluster.replication.replica import Replica
 from embertray.cluster.replication.replica_types import ReplicaState
 from embertray.cluster.replication.subscriber import Subscriber
+from embertray.cluster.replication.subscriber_feed import SubscriberFeed
 from embertray.simulation.emulator.control import ControlPlay, Settings, draw_faults
 from embertray.simulation.emulator.control.faults import KINDS, Fault, play_faults, strike
 from embertray.simulation.emulator.control.replica_process import ReplicaProcess
@@ -196,14 +196,14 @@
         return 0
 
 
-class Stuck(Feed):
+class Stuck(SubscriberFeed):
     """Sends heartbeats, and never an update."""
 
     def _send_update(self, now, one, out):
         pass
 
 
-class Eager(Feed):
+class Eager(SubscriberFeed):
     """Knows no budget: sends everything, again and again."""
 
     def _send_update(self, now, one, out):
@@ -212,7 +212,7 @@
         one.sent = None
 
 
-class Unaware(Feed):
+class Unaware(SubscriberFeed):
     """Counts the age of what it holds from the heartbeat's arrival."""
 
     def _send(self, now, one, data, out):
@@ -222,7 +222,7 @@
             out[-1] = type(out[-1])(one.name, encode(Heartbeat(store.revision, store.digest, 0, one.stamp)))
 
 
-def replicas_of(core=Replica, feed=Feed):
+def replicas_of(core=Replica, feed=SubscriberFeed):
     return type("Spoilt", (ReplicaProcess,), {"make_core": core, "make_feed": feed})
 
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -6,8 +6,8 @@
 import unittest
 from pathlib import Path
 
-from embertray.cluster.replication.link.audit import value_digest
-from embertray.cluster.replication.operations import Committed
+from embertray.cluster.replication.api_messages import Committed
+from embertray.cluster.replication.link.entry_log import value_digest
 from embertray.simulation.processes.control import MOST
 from embertray.simulation.processes.control_play import play, recorded_plane
 
