--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -42,7 +42,7 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def serve(site, name, seed):
     """Run one control replica of SITE.xml until SIGTERM or SIGINT."""
-    from embertray.cluster.replication.link.replica_server import StateNotSaved
+    from embertray.cluster.replication.exceptions import StateNotSavedError
     from embertray.common.net.clock import LoopClock
     from embertray.common.net.tcp import TcpNet
     from embertray.common.snapshots import Locked
@@ -61,7 +61,7 @@
         anyio.run(run, backend_options={"use_uvloop": True})
     except* (OSError, Locked) as wrong:
         raise Bad(f"{site}: {_first(wrong)}") from None
-    except* StateNotSaved as wrong:
+    except* StateNotSavedError as wrong:
         raise click.ClickException(f"the state can't be saved: {_first(wrong)}") from None
 
 
@@ -143,14 +143,14 @@
 
 def _write(admin, method, path, key, request, within, more, value=b""):
     """Writes, says what came of it in one line, and ends with its exit code."""
-    from embertray.service.admin.control_client import Unreachable, write
+    from embertray.service.admin.control_client import UnreachableError, write
 
     request = request or uuid.uuid4().hex
     _check_address(admin)
     target = f"{path}?{urlencode({'key': key, 'request': request, **more})}"
     try:
         outcome = anyio.run(write, admin, method, target, value, within)
-    except Unreachable as wrong:
+    except UnreachableError as wrong:
         raise Bad(str(wrong)) from None
     kind = type(outcome).__name__
     if kind == "Committed":
@@ -192,12 +192,12 @@
 
 def _ask(admin, method, target):
     """(status, body) of one request. Raises Bad."""
-    from embertray.service.admin.control_client import Unreachable, ask
+    from embertray.service.admin.control_client import UnreachableError, ask
 
     _check_address(admin)
     try:
         return anyio.run(ask, admin, method, target)
-    except Unreachable as wrong:
+    except UnreachableError as wrong:
         raise Bad(str(wrong)) from None
 
 
--- a/embertray/cluster/replication/api_messages.py
+++ b/embertray/cluster/replication/api_messages.py
@@ -1,4 +1,4 @@
-"""What operators' calls to a replica are answered with, as JSON. Each has a `type`."""
+"""What a replica's HTTP API answers, as JSON objects with a `type`."""
 
 from typing import Annotated
 
@@ -9,15 +9,20 @@
 
 
 class Committed(msgspec.Struct, tag="committed", frozen=True):
-    """The write is kept by a majority, as the version `revision` of the key."""
+    """The write is on the disks of a majority, as the version `revision` of the key."""
 
     key: Text
     revision: int
 
 
 class Rejected(msgspec.Struct, tag="refused", frozen=True):
-    """The write was not taken. `reason`: a name of control.replica.WriteRejected's kinds; `leader`: the admin
-    address to ask instead, "" if none is known."""
+    """The write was not accepted and has no effect.
+
+    Attributes:
+        reason: the `reason` of an exceptions.WriteRejectedError, or "BadCall" for a malformed request.
+        text: for people.
+        leader: operators' address of the leader to ask instead, "" if none is known.
+    """
 
     reason: Text
     text: Text
@@ -25,13 +30,20 @@
 
 
 class Unknown(msgspec.Struct, tag="unknown", frozen=True):
-    """The write may have been taken or not; the same request id finds out."""
+    """The write may have been committed or not; repeating it with its request id finds out."""
 
     text: Text
 
 
 class Value(msgspec.Struct, tag="value", frozen=True):
-    """What is in force for a key at whoever answers, and the age of that, None if it is not known."""
+    """What is in force for a key at the replica or subscriber that answers.
+
+    Attributes:
+        key: its name.
+        revision: of the write.
+        value: its bytes, in JSON as base64.
+        age_s: seconds since it was certain that nothing newer was committed; None if it is not known.
+    """
 
     key: Text
     revision: int
@@ -40,7 +52,7 @@
 
 
 class Version(msgspec.Struct, frozen=True):
-    """One version of a key. `bytes` is None for a removal."""
+    """One version of a key. `bytes` is the size of its value, None for a removal."""
 
     revision: int
     bytes: int | None
@@ -54,7 +66,7 @@
 
 
 class Missing(msgspec.Struct, tag="missing", frozen=True):
-    """The key is not there."""
+    """The key does not exist."""
 
     key: Text
 
@@ -64,7 +76,7 @@
 
 
 def encode_answer(answer):
-    """JSON of an Answer."""
+    """The JSON of an Answer, with a newline."""
     return msgspec.json.encode(answer) + b"\n"
 
 
--- a/embertray/cluster/replication/candidate.py
+++ b/embertray/cluster/replication/candidate.py
@@ -1,77 +1,61 @@
-"""Elections: preliminary votes, votes, and becoming the leader."""
+"""What a candidate does to become the leader, and how every replica votes.
+
+An election has two rounds. In the preliminary round (Raft's pre-vote) a candidate only asks whether it could
+win, so that a replica that is cut off does not raise the term, and depose a working leader when it returns.
+"""
 
-from .entry import Entry
 from .messages import Vote, VoteRequest
 from .replica_core import ReplicaCore
-from .replica_types import FollowerProgress, Role
+from .replica_state import Role
 
 
 class CandidateRole(ReplicaCore):
-    """Has `term`, `voted_for`, `role`, `votes`, and the time of the next election."""
+    """Elections: when one starts, who is granted a vote, and when it is won."""
+
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
+        self.preliminary = False  # whether the election is in its preliminary round
+        self.votes = set()  # names that granted their vote in this round
+        self.election_at = 0  # ns when this replica stops waiting for a leader
 
-    def _await_leader(self, now):
-        self.election_at = now + self.pace.election_timeout(self.chance)
+    def _reset_election_timer(self, now):
+        self.election_at = now + self.timing.election_timeout(self.rng)
 
     def _start_preliminary_vote(self, now):
-        """Asks whether an election could be won, so that a replica that is cut off raises no terms."""
+        """Asks whether an election could be won."""
         self._step_down(self.term)
-        self.role, self.preliminary, self.votes, self.leader = Role.CANDIDATE, True, {self.name}, ""
-        self._await_leader(now)
-        self._ask_for_votes(now, self.term + 1)
+        self.role = Role.CANDIDATE
+        self.preliminary = True
+        self.votes = {self.name}
+        self.leader = ""
+        self._reset_election_timer(now)
+        self._request_votes(now, self.term + 1)
 
     def _start_vote(self, now):
-        self.term, self.voted_for, self.changed = self.term + 1, self.name, True
-        self.preliminary, self.votes = False, {self.name}
-        self._await_leader(now)
-        self._ask_for_votes(now, self.term)
+        """Enters the next term and votes for itself."""
+        self.term += 1
+        self.voted_for = self.name
+        self.changed = True
+        self.preliminary = False
+        self.votes = {self.name}
+        self._reset_election_timer(now)
+        self._request_votes(now, self.term)
 
-    def _ask_for_votes(self, now, term):
+    def _request_votes(self, now, term):
         for other in self.others:
-            self._send(
-                other, VoteRequest(self.cluster, self.name, term, *self.last, preliminary=self.preliminary)
+            request = VoteRequest(
+                self.cluster, self.name, term, *self.last_position, preliminary=self.preliminary
             )
+            self._send(other, request)
         self._count_votes(now)
 
-    def _on_vote_request(self, now, message):
-        if self.recovering:
-            return
-        if self._hears_leader(now):
-            granted = False  # against candidates that only they themselves miss the leader
-        elif message.preliminary:
-            granted = message.term > self.term and self._up_to_date(message)
-        else:
-            granted = self._grant(now, message)
-        self._send(
-            message.sender,
-            Vote(self.cluster, self.name, self.term, message.term, granted, message.preliminary),
-        )
-
-    def _grant(self, now, message):
-        if message.term > self.term:
-            self._step_down(message.term)
-        if message.term < self.term or self.voted_for not in ("", message.sender):
-            return False
-        if not self._up_to_date(message):
-            return False
-        self.voted_for, self.changed = message.sender, True
-        self._await_leader(now)
-        return True
-
-    def _hears_leader(self, now):
-        if self.role is Role.LEADER:
-            return self.has_majority(now)
-        return now - self.leader_heard_at < self.pace.election_least
-
-    def _up_to_date(self, message):
-        return (message.last_term, message.last_revision) >= self.last
-
     def _on_vote(self, now, message):
         if message.term > self.term:
             self._step_down(message.term)
             return
-        wanted = self.term + 1 if self.preliminary else self.term
-        asked = self.role is Role.CANDIDATE and message.preliminary == self.preliminary
-        if asked and message.granted and message.term_asked == wanted:
+        term_of_round = self.term + 1 if self.preliminary else self.term
+        same_round = self.role is Role.CANDIDATE and message.preliminary == self.preliminary
+        if same_round and message.granted and message.term_asked == term_of_round:
             self.votes.add(message.sender)
             self._count_votes(now)
 
@@ -83,13 +67,49 @@
         else:
             self._become_leader(now)
 
-    def _become_leader(self, now):
-        self.role, self.leader = Role.LEADER, self.name
-        self.peers = {other: FollowerProgress(self.last[1] + 1) for other in self.others}
-        self.round, self.round_began, self.quorum_at = 0, {}, now
-        self._propose(now, Entry("", self.last[1] + 1, self.term, "", None))
+    # ---- voting
+
+    def _on_vote_request(self, now, message):
+        if self.recovering:
+            return  # it may have voted in this term already, and lost that with its disk
+        if self._leader_is_alive(now):
+            granted = False  # the candidate alone has lost contact: a new term would only interrupt writes
+        elif message.preliminary:
+            granted = message.term > self.term and self._is_up_to_date(message)
+        else:
+            granted = self._grant_vote(now, message)
+        vote = Vote(self.cluster, self.name, self.term, message.term, granted, message.preliminary)
+        self._send(message.sender, vote)
+
+    def _grant_vote(self, now, message):
+        """Votes for the sender unless the term is over, the vote is given, or its log lacks entries."""
+        if message.term > self.term:
+            self._step_down(message.term)
+        if message.term < self.term or self.voted_for not in ("", message.sender):
+            return False
+        if not self._is_up_to_date(message):
+            return False
+        self.voted_for = message.sender
+        self.changed = True
+        self._reset_election_timer(now)
+        return True
+
+    def _leader_is_alive(self, now):
+        if self.role is Role.LEADER:
+            return self.has_majority(now)
+        return now - self.leader_heard_at < self.timing.election_least
+
+    def _is_up_to_date(self, message):
+        """Whether the sender's log ends no earlier than ours: then it has every committed entry."""
+        return (message.last_term, message.last_revision) >= self.last_position
 
     def _step_down(self, term):
+        """Becomes a follower; a higher term is entered without a vote."""
         if term > self.term:
-            self.term, self.voted_for, self.changed = term, "", True
-        self.role, self.peers, self.preliminary, self.votes = Role.FOLLOWER, {}, False, set()
+            self.term = term
+            self.voted_for = ""
+            self.changed = True
+        self.role = Role.FOLLOWER
+        self.followers = {}
+        self.preliminary = False
+        self.votes = set()
--- a/embertray/cluster/replication/entry.py
+++ b/embertray/cluster/replication/entry.py
@@ -6,20 +6,26 @@
 import xxhash
 from msgspec import Meta
 
-KEY_BYTES_MOST = 256  # keys are names such as "limits/search"; longer ones are mistakes
-ENTRY_OVERHEAD = 24  # bytes a entry is charged beyond its key, request and value: numbers and framing
+MAX_KEY_BYTES = 256  # keys are names such as "limits/search"; longer ones are mistakes
+ENTRY_OVERHEAD = 24  # bytes that an entry is charged beyond its key, request and value: numbers and framing
 
 Count = Annotated[int, Meta(ge=0, le=2**62)]
 Digest = Annotated[int, Meta(ge=0)]  # 64 bits
 Name = Annotated[str, Meta(min_length=1, max_length=128)]
-Key = Annotated[str, Meta(max_length=KEY_BYTES_MOST)]  # "" only for the empty entry that opens a term
+Key = Annotated[str, Meta(max_length=MAX_KEY_BYTES)]  # "" only for the empty entry that opens a term
 RequestId = Annotated[str, Meta(max_length=64)]
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One version of `key`. `revision` counts all writes of the replicated state, `term` is the leadership
-    that proposed it, `request` names the client's call so that a repeated call is recognised. A `value` of
-    None is a removal."""
+    """One version of a key, in the order of its fields on the wire and on disk.
+
+    Attributes:
+        key: "" only for the empty entry that opens a term.
+        revision: number of this write among all writes of the cluster.
+        term: of the leader that proposed it.
+        request: id of the client's call, so that a repeated call is recognised.
+        value: None is a removal.
+    """
 
     key: Key
     revision: Count
@@ -29,7 +35,7 @@
 
     @property
     def size(self):
-        """Bytes that the entry is charged on the wire."""
+        """Bytes that the entry is charged, on the wire and in the store."""
         return len(self.key) + len(self.request) + len(self.value or b"") + ENTRY_OVERHEAD
 
     @property
--- a/embertray/cluster/replication/follower.py
+++ b/embertray/cluster/replication/follower.py
@@ -1,90 +1,113 @@
-"""What a follower does: takes entries and states from the leader of its term."""
+"""What a follower does: accepts entries and whole states from the leader of its term."""
 
 from .messages import Appended
 from .replica_core import ReplicaCore
-from .replica_types import Role
+from .replica_state import Role
 
 
 class FollowerRole(ReplicaCore):
-    """Has `leader` and the time when that was last heard."""
+    """Replication as seen by a follower. It never accepts a write from a client."""
 
-    def _follow(self, now, message):
-        """True if the message is of a leadership that holds; then its sender is our leader."""
+    def __init__(self, cluster, name, names, now, *args, **kwargs):
+        super().__init__(cluster, name, names, now, *args, **kwargs)
+        self.leader_heard_at = now - self.timing.election_most  # ns; no leader is heard yet
+
+    def _accept_leader(self, now, message):
+        """Whether the sender leads in our term or a newer one; then it is our leader."""
         if message.term < self.term:
-            self._answer(now, message, False)
+            self._reply(now, message, False)
             return False
         if message.term > self.term or self.role is not Role.FOLLOWER:
             self._step_down(message.term)
-        self.leader, self.leader_heard_at = message.sender, now
-        self._await_leader(now)
+        self.leader = message.sender
+        self.leader_heard_at = now
+        self._reset_election_timer(now)
         return True
 
     def _on_append(self, now, message):
-        if not self._follow(now, message):
+        if not self._accept_leader(now, message):
             return
-        if message.previous_revision > self.store.revision:
-            if self._term_at(message.previous_revision) != message.previous_term:
-                self._answer(now, message, False)
-                return
-        elif self._diverged(message):
-            self._answer(now, message, False)
+        if not self._continues_log(message):
+            self._reply(now, message, False)
             return
-        self._take_entries(message.entries)
+        self._append_entries(message.entries)
         matched = max(message.previous_revision + len(message.entries), self.store.revision)
         self._commit(min(message.commit, matched))
-        if 0 < message.echo <= now:  # not one of a former boot
-            self.freshness.heard(message.echo, message.commit, message.age, self.store.revision)
+        if 0 < message.echo <= now:  # an echo in the future is of a clock before this machine's boot
+            self.freshness.observe_commit(message.echo, message.commit, message.age, self.store.revision)
         if self.nonce and message.admitted == self.nonce and not self.silent_until:
             self._finish_recovery()
-        self._answer(now, message, True, matched)
+        self._reply(now, message, True, matched)
 
-    def _diverged(self, message):
-        """Whether an Append continues a committed revision of ours under another term: it never should."""
-        same = message.previous_revision == self.store.revision
-        return same and message.previous_term != self.store.term
+    def _continues_log(self, message):
+        """Whether the entry before the new ones is in our log, with the same term."""
+        if message.previous_revision > self.store.revision:
+            return self._term_at(message.previous_revision) == message.previous_term
+        # a committed revision under another term: the commit rule excludes it, so nothing is built on it
+        same_revision = message.previous_revision == self.store.revision
+        return not (same_revision and message.previous_term != self.store.term)
 
-    def _take_entries(self, entries):
+    def _append_entries(self, entries):
+        """Adds new entries; an uncommitted one of another term, and all after it, is replaced."""
         for entry in entries:
             if entry.revision <= self.store.revision:
                 continue
-            held = self._term_at(entry.revision)
-            if held == entry.term:
+            term = self._term_at(entry.revision)
+            if term == entry.term:
                 continue
-            if held is not None:
+            if term is not None:
                 del self.uncommitted[entry.revision - self.store.revision - 1 :]
             self.uncommitted.append(entry)
             self.changed = True
 
     def _on_install(self, now, message):
-        if not self._follow(now, message):
+        if not self._accept_leader(now, message):
             return
         if message.since > self.store.revision:
-            self._answer(now, message, False)
+            self._reply(now, message, False)
             return
         if message.commit > self.store.revision:
             self._install(message)
-        self._answer(now, message, True, max(message.commit, self.store.revision))
+        self._reply(now, message, True, max(message.commit, self.store.revision))
 
     def _install(self, message):
-        keep_rest = self._term_at(message.commit) == message.commit_term
-        rest = self.uncommitted[message.commit - self.store.revision :] if keep_rest else []
+        """Takes over the leader's committed state, and the part of our log that continues it."""
+        same_log = self._term_at(message.commit) == message.commit_term
+        remainder = self.uncommitted[message.commit - self.store.revision :] if same_log else []
         for entry in message.entries:
             if self.store.apply(entry):
-                self.step.committed.append(entry)
+                self.instructions.committed.append(entry)
         if message.keys is not None:
-            kept = set(message.keys)
-            for entry in [one for one in self.store.live() if one.key not in kept]:
-                self.store.forget(entry.key)
-            # of what was removed up to here some removals are not known here, either
-            self.store.forgotten = max(self.store.forgotten, message.commit)
+            self._remove_all_but(message.keys, message.commit)
         self.store.remember(message.requests)
         self.store.advance(message.commit, message.commit_term)
-        self.uncommitted, self.changed = rest, True
-        self.freshness.reached(self.store.revision)
+        self.uncommitted = remainder
+        self.changed = True
+        self.freshness.revision_reached(self.store.revision)
+
+    def _remove_all_but(self, live_keys, commit):
+        """Drops keys whose removal the leader no longer remembers.
+
+        Such a removal is not among the entries. Were the key kept, this replica would hand it on as live when
+        it leads. The removals themselves stay unknown here, so the store is marked as having forgotten them.
+        """
+        kept = set(live_keys)
+        for entry in [live for live in self.store.live() if live.key not in kept]:
+            self.store.forget(entry.key)
+        self.store.forgotten = max(self.store.forgotten, commit)
 
-    def _answer(self, now, message, accepted, last_revision=None):
-        last = self.store.revision if last_revision is None else last_revision
-        feed = self.subscribers
-        report = (feed.count, feed.lowest_confirmed) if feed else (0, self.store.revision)
-        answer = (message.round, accepted, last, self.nonce, now, *report)
-        self._send(message.sender, Appended(self.cluster, self.name, self.term, *answer))
+    def _reply(self, now, message, accepted, last_revision=None):
+        """Answers an Append or Install, with what our subscribers have confirmed."""
+        reply = Appended(
+            cluster=self.cluster,
+            sender=self.name,
+            term=self.term,
+            round=message.round,
+            accepted=accepted,
+            last_revision=self.store.revision if last_revision is None else last_revision,
+            nonce=self.nonce,
+            stamp=now,
+            subscribers=self.feed.count if self.feed else 0,
+            lowest_confirmed=self.feed.lowest_confirmed if self.feed else self.store.revision,
+        )
+        self._send(message.sender, reply)
--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -1,20 +1,75 @@
-"""What a leader does: rounds to its followers, and commits on a majority."""
+"""What a leader does: accepts writes, replicates them in rounds, and commits what a majority has on disk.
 
+A leader is confirmed by the newest round that a majority answered. Without one for an election timeout it
+accepts no write, and after the longest election timeout it steps down.
+"""
+
+from dataclasses import dataclass
+
+from .entry import Entry
 from .messages import Append, Install
 from .replica_core import ReplicaCore
-from .replica_types import Role
+from .replica_state import Role
+
+
+@dataclass
+class FollowerProgress:
+    """What a leader knows of one other replica.
+
+    Attributes:
+        next_revision: the first entry that it is to be sent.
+        match: it has everything up to this revision on disk.
+        sent: the newest revision that was sent to it, confirmed or not.
+        acknowledged: the newest round that it answered.
+        nonce: of its recovery; 0 if its answers count.
+        nonce_at: ns when that nonce was first received.
+        admitted: whether it was notified that its recovery is over.
+        stamp: the newest time of its own clock that it sent, ns.
+    """
+
+    next_revision: int
+    match: int = 0
+    sent: int = 0
+    acknowledged: int = 0
+    nonce: int = 0
+    nonce_at: int = 0
+    admitted: bool = False
+    stamp: int = 0
 
 
 class LeaderRole(ReplicaCore):
-    """Has `peers` by name, and the rounds that tell when a majority last confirmed it."""
+    """Replication as seen by the leader."""
+
+    def __init__(self, cluster, name, names, now, *args, **kwargs):
+        super().__init__(cluster, name, names, now, *args, **kwargs)
+        self.followers = {}  # name -> FollowerProgress, while this replica leads
+        self.round = 0  # number of the newest round of this term
+        self.round_began = {}  # round -> ns, for rounds that no majority has answered yet
+        self.quorum_at = now  # ns when the newest round that a majority answered was sent
+        self.reports = {}  # name -> the last Appended of that replica
+
+    def has_majority(self, now):
+        """Whether this replica leads and a majority has confirmed that lately."""
+        return self.role is Role.LEADER and now - self.quorum_at <= self.timing.quorum_timeout
+
+    def _become_leader(self, now):
+        """Starts the term with an empty entry: only an entry of its own term lets a leader commit."""
+        self.role = Role.LEADER
+        self.leader = self.name
+        self.followers = {other: FollowerProgress(self.last_revision + 1) for other in self.others}
+        self.round = 0
+        self.round_began = {}
+        self.quorum_at = now
+        self._propose(now, Entry("", self.last_revision + 1, self.term, "", None))
 
     def _lead(self, now):
-        if now - self.quorum_at > self.pace.election_most:
+        """Sends the next heartbeat, or steps down when no majority answers any more."""
+        if now - self.quorum_at > self.timing.election_most:
             self._step_down(self.term)
             self.leader = ""
-            self._await_leader(now)
+            self._reset_election_timer(now)
         elif now >= self.heartbeat_at:
-            self._broadcast(now, again=True)
+            self._broadcast(now, resend=True)
 
     def _propose(self, now, entry):
         self.uncommitted.append(entry)
@@ -22,84 +77,129 @@
         self._commit_on_majority(now)
         self._broadcast(now)
 
-    def _broadcast(self, now, again=False):
-        """A new round: everyone is sent what is new, or a heartbeat. `again`: what was not confirmed, too."""
-        self.heartbeat_at = now + self.pace.heartbeat
+    # ---- sending
+
+    def _broadcast(self, now, resend=False):
+        """Starts a round: all get new entries, or a heartbeat; with `resend` what is unconfirmed, too."""
+        self.heartbeat_at = now + self.timing.heartbeat
         self.round += 1
         self.round_began[self.round] = now
         if not self.others:
             self.quorum_at = now
         for other in self.others:
-            self._send_entries(now, other, again)
+            self._replicate_to(now, other, resend)
 
-    def _send_entries(self, now, other, again):
-        peer = self.peers[other]
-        previous = peer.next - 1 if again else max(peer.next - 1, peer.sent)
-        peer.sent = self.last[1]
-        head = (self.cluster, self.name, self.term, self.round)
+    def _replicate_to(self, now, other, resend):
+        """Sends entries after what the follower has, or the committed state if the log no longer has them."""
+        progress = self.followers[other]
+        previous = progress.next_revision - 1
+        if not resend:
+            previous = max(previous, progress.sent)
         if previous < self.store.revision:
-            changes = list(self.store.since(previous))
-            keys = None
-            if previous < self.store.forgotten:
-                keys = [entry.key for entry in self.store.live()]
-            commit = (self.store.term, self.store.revision)
-            requests = [(name, at) for name, at in self.store.requests.items() if at > previous]
-            self._send(other, Install(*head, previous, *commit, changes, keys, requests))
-            peer.sent = self.store.revision
-            return
-        entries = self.uncommitted[previous - self.store.revision :]
-        admitted = peer.nonce if peer.nonce and self.quorum_at > peer.nonce_at else 0
-        peer.admitted = peer.admitted or bool(admitted)
-        position = (self._term_at(previous), previous)
-        commit = self.store.revision
-        self._send(other, Append(*head, *position, entries, commit, self.told_age(now), peer.stamp, admitted))
+            progress.sent = self.store.revision
+            self._send(other, self._install_message(previous))
+        else:
+            progress.sent = self.last_revision
+            self._send(other, self._append_message(now, progress, previous))
+
+    def _install_message(self, previous):
+        live_keys = None
+        if previous < self.store.forgotten:
+            live_keys = [entry.key for entry in self.store.live()]
+        return Install(
+            cluster=self.cluster,
+            sender=self.name,
+            term=self.term,
+            round=self.round,
+            since=previous,
+            commit_term=self.store.term,
+            commit=self.store.revision,
+            entries=list(self.store.since(previous)),
+            keys=live_keys,
+            requests=[
+                (name, revision) for name, revision in self.store.requests.items() if revision > previous
+            ],
+        )
+
+    def _append_message(self, now, progress, previous):
+        # A recovering replica is readmitted once a majority has confirmed us after its nonce arrived. Its own
+        # answers do not count while it recovers, so that majority does without it, and no vote that its
+        # former process gave can elect a leader that lacks what was committed.
+        readmit = progress.nonce and self.quorum_at > progress.nonce_at
+        admitted = progress.nonce if readmit else 0
+        progress.admitted = progress.admitted or bool(admitted)
+        return Append(
+            cluster=self.cluster,
+            sender=self.name,
+            term=self.term,
+            round=self.round,
+            previous_term=self._term_at(previous),
+            previous_revision=previous,
+            entries=self.uncommitted[previous - self.store.revision :],
+            commit=self.store.revision,
+            age=self.advertised_age(now),
+            echo=progress.stamp,
+            admitted=admitted,
+        )
+
+    # ---- answers
 
     def _on_appended(self, now, message):
         if message.term > self.term:
             self._step_down(message.term)
             return
-        peer = self.peers.get(message.sender)
-        if self.role is not Role.LEADER or peer is None or message.term != self.term:
+        progress = self.followers.get(message.sender)
+        if self.role is not Role.LEADER or progress is None or message.term != self.term:
             return
-        if peer.nonce and not message.nonce and not peer.admitted:
-            return  # said by the process before the one that recovers
+        if progress.nonce and not message.nonce and not progress.admitted:
+            return  # sent by its former process, before it lost its state
         self.reports[message.sender] = message
-        peer.stamp = max(peer.stamp, message.stamp)
-        self._note_nonce(now, peer, message)
-        if message.accepted:
-            peer.next = max(peer.next, message.last_revision + 1)
-        else:
-            peer.next = min(message.last_revision, self.last[1]) + 1
-        if not peer.nonce:
-            peer.acknowledged = max(peer.acknowledged, message.round)
-            if message.accepted:
-                peer.match = max(peer.match, message.last_revision)
+        self._update_progress(now, progress, message)
         self._confirm_leadership()
-        committed = self._commit_on_majority(now)
-        if committed:
+        if self._commit_on_majority(now):
             self._broadcast(now)
-        elif not message.accepted or peer.sent < self.last[1]:
-            self._send_entries(now, message.sender, again=not message.accepted)
+        elif not message.accepted or progress.sent < self.last_revision:
+            self._replicate_to(now, message.sender, resend=not message.accepted)
 
-    def _note_nonce(self, now, peer, message):
-        """A replica that lost its state counts for nothing until it is admitted again."""
-        if message.nonce and message.nonce != peer.nonce:
-            peer.nonce_at, peer.match, peer.acknowledged, peer.admitted = now, 0, 0, False
-        peer.nonce = message.nonce
+    def _update_progress(self, now, progress, message):
+        progress.stamp = max(progress.stamp, message.stamp)
+        if message.nonce and message.nonce != progress.nonce:
+            # it lost its state: what it confirmed before no longer counts
+            progress.nonce_at = now
+            progress.match = 0
+            progress.acknowledged = 0
+            progress.admitted = False
+        progress.nonce = message.nonce
+        if message.accepted:
+            progress.next_revision = max(progress.next_revision, message.last_revision + 1)
+        else:
+            progress.next_revision = min(message.last_revision, self.last_revision) + 1
+        if progress.nonce:
+            return
+        progress.acknowledged = max(progress.acknowledged, message.round)
+        if message.accepted:
+            progress.match = max(progress.match, message.last_revision)
 
     def _confirm_leadership(self):
-        """The newest round that a majority answered was begun while we led for certain."""
-        rounds = sorted([self.round, *(peer.acknowledged for peer in self.peers.values())], reverse=True)
-        confirmed = rounds[self.majority - 1]
+        """When the newest round that a majority answered was sent, this replica led for certain."""
+        acknowledged = [progress.acknowledged for progress in self.followers.values()]
+        confirmed = sorted([self.round, *acknowledged], reverse=True)[self.majority - 1]
         if confirmed in self.round_began:
             self.quorum_at = max(self.quorum_at, self.round_began[confirmed])
-            for old in [one for one in self.round_began if one < confirmed]:
-                del self.round_began[old]
+            for outdated in [number for number in self.round_began if number < confirmed]:
+                del self.round_began[outdated]
 
     def _commit_on_majority(self, now):
-        """Commits what a majority holds, once that includes an entry of our own term. True if it did."""
-        held = sorted([self.last[1], *(peer.match for peer in self.peers.values())], reverse=True)
-        revision = held[self.majority - 1]
+        """Commits what a majority has, once that includes an entry of our own term.
+
+        An entry of an older term must not be committed by counting replicas: a later leader could still
+        replace it (Raft, section 5.4.2).
+
+        Returns:
+            Whether anything was committed.
+        """
+        matches = [progress.match for progress in self.followers.values()]
+        revision = sorted([self.last_revision, *matches], reverse=True)[self.majority - 1]
         if revision <= self.store.revision or self._term_at(revision) != self.term:
             return False
         self._commit(revision)
--- a/embertray/cluster/replication/link/__init__.py
+++ b/embertray/cluster/replication/link/__init__.py
@@ -1,7 +1,14 @@
-"""The control plane's sockets and files round its cores: a replica's process, and a subscriber's task."""
+"""Sockets and files around the state machines: a replica's server and a subscriber's client."""
+
+from embertray.cluster.replication.exceptions import OutcomeUnknownError
 
-from .pending_writes import OutcomeUnknown
 from .replica_server import ReplicaServer, ReplicaSettings
 from .subscriber_client import SubscriberClient, SubscriberSettings
 
-__all__ = ["OutcomeUnknown", "ReplicaServer", "ReplicaSettings", "SubscriberClient", "SubscriberSettings"]
+__all__ = [
+    "OutcomeUnknownError",
+    "ReplicaServer",
+    "ReplicaSettings",
+    "SubscriberClient",
+    "SubscriberSettings",
+]
--- a/embertray/cluster/replication/link/connection.py
+++ b/embertray/cluster/replication/link/connection.py
@@ -8,13 +8,14 @@
 
 from embertray.common.framing import frame
 
-BROKEN = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
-SEND_WITHIN = 10  # s for one message; a peer that takes nothing for so long is gone
+CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+SEND_TIMEOUT_S = 10  # for one message; a peer that takes nothing for so long is gone
 READ_BYTES = 64 << 10  # read at once
 
-REPLICA_FRAME_MOST = 12 << 20  # bytes; a whole state (pace.STATE_BYTES_MOST, 8 MiB) may travel, with framing
-FROM_SUBSCRIBER_FRAME_MOST = 64 << 10  # bytes; a Repair with all its digests takes 640
-TO_SUBSCRIBER_FRAME_MOST = 256 << 10  # bytes; an inventory of 256 keys of 256 bytes each takes 72 KiB
+# bytes of the largest frame that is accepted
+MAX_REPLICA_FRAME = 12 << 20  # a whole state (replica_core.MAX_STATE_BYTES, 8 MiB) may travel, with framing
+MAX_FRAME_FROM_SUBSCRIBER = 64 << 10  # a Repair with all its digests takes 640
+MAX_FRAME_TO_SUBSCRIBER = 256 << 10  # an inventory of 256 keys of 256 bytes each takes 72 KiB
 
 
 class Overflow(Enum):
@@ -25,28 +26,56 @@
 
 
 class Traffic(msgspec.Struct):
-    """What went over the connections of one process, in total."""
+    """Totals over all connections of one process. The names are those of JSON and metrics.
+
+    Attributes:
+        bytes_in: received, frames included.
+        bytes_out: sent, frames included.
+        messages_in: received.
+        messages_out: sent.
+        dropped: messages that a full queue did not take, or that had no connection.
+        rejected: connections that were ended for what they sent, or for sending nothing.
+    """
 
     bytes_in: int = 0
     bytes_out: int = 0
     messages_in: int = 0
     messages_out: int = 0
-    dropped: int = 0  # messages that a full queue did not take, or that had no connection
-    rejected: int = 0  # connections that were ended for what they sent, or for sending nothing
+    dropped: int = 0
+    rejected: int = 0
 
 
 class Connection:
-    """`put` never waits: at most `queued_most` messages wait for the stream, beside the one being written."""
-
-    def __init__(self, stream, traffic, queued_most, overflow):
-        self.stream, self.traffic = stream, traffic
-        self.queued_most, self.overflow = queued_most, overflow
-        self.queue, self.wake = deque(), anyio.Event()
-        self.scope, self.name = anyio.CancelScope(), ""  # the peer's name, once it is known
+    """One stream. `put` never waits, so that a slow peer delays nobody else.
+
+    Args:
+        stream: the byte stream; whoever opened it closes it.
+        traffic: the Traffic to count in.
+        max_queued: messages that may wait, beside the one being written.
+        overflow: an Overflow.
+
+    Attributes:
+        scope: cancelled by `close`; the connection's tasks run in it.
+        name: the peer's name, "" until it is known.
+    """
+
+    def __init__(self, stream, traffic, max_queued, overflow):
+        self.stream = stream
+        self.traffic = traffic
+        self.max_queued = max_queued
+        self.overflow = overflow
+        self.queue = deque()
+        self.wake = anyio.Event()
+        self.scope = anyio.CancelScope()
+        self.name = ""
 
     def put(self, data):
-        """Queues an encoded message. False if one was dropped for it, or it was dropped itself."""
-        fits = len(self.queue) < self.queued_most
+        """Queues an encoded message.
+
+        Returns:
+            False if it was dropped, or another one for it.
+        """
+        fits = len(self.queue) < self.max_queued
         if not fits:
             self.traffic.dropped += 1
             if self.overflow is Overflow.DROP_NEWEST:
@@ -57,15 +86,15 @@
         return fits
 
     def close(self):
-        """Ends what runs in the connection's scope; who runs it closes the stream."""
+        """Ends what runs in the connection's scope; whoever runs it closes the stream."""
         self.scope.cancel()
 
     async def write(self):
-        """Writes what is put, until the stream breaks: that raises one of BROKEN."""
+        """Writes queued messages until the stream breaks, which raises one of CONNECTION_ERRORS."""
         while True:
             while self.queue:
-                data = frame(self.queue.popleft(), REPLICA_FRAME_MOST)
-                with anyio.fail_after(SEND_WITHIN):
+                data = frame(self.queue.popleft(), MAX_REPLICA_FRAME)
+                with anyio.fail_after(SEND_TIMEOUT_S):
                     await self.stream.send(data)
                 self.traffic.bytes_out += len(data)
                 self.traffic.messages_out += 1
@@ -73,7 +102,18 @@
             await self.wake.wait()
 
     async def read(self, splitter):
-        """The next messages, undecoded; at least one. Raises one of BROKEN, or BadFrame."""
+        """Reads the next messages.
+
+        Args:
+            splitter: a Splitter with the size limit of this connection.
+
+        Returns:
+            At least one message, not yet decoded.
+
+        Raises:
+            BadFrame: what came is no frame, or too large.
+            OSError: or another of CONNECTION_ERRORS; the stream broke.
+        """
         while True:
             data = await self.stream.receive(READ_BYTES)
             self.traffic.bytes_in += len(data)
--- a/embertray/cluster/replication/link/durable_state.py
+++ b/embertray/cluster/replication/link/durable_state.py
@@ -1,19 +1,23 @@
-"""What replicas and subscribers keep on disk, by durable/store.py."""
+"""What replicas and subscribers keep on disk, as snapshots of embertray/common/snapshots."""
 
 import msgspec
 
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.replica_types import ReplicaState
+from embertray.cluster.replication.exceptions import MalformedStateError
+from embertray.cluster.replication.replica_state import ReplicaState
 from embertray.common.snapshots import Store
 
 
-class BadBody(ValueError):
-    """A snapshot's content is none of ours."""
-
-
 class SubscriberState(msgspec.Struct, array_like=True):
-    """What a subscriber held. Wall-clock times in ns: when it was saved, and since when that was certainly
-    the newest (None if it was not known)."""
+    """What a subscriber held, in the order of its fields on disk.
+
+    Attributes:
+        cluster: that it belongs to.
+        revision: everything up to it is included.
+        saved_at: wall-clock ns.
+        known_at: wall-clock ns; since then this was certainly the newest. None if that was not known.
+        entries: the newest entry of each key.
+    """
 
     cluster: str
     revision: int
@@ -23,7 +27,13 @@
 
 
 class StateStore:
-    """A folder with the newest state of type `kind`; `disk` as in durable/store.py. `save` blocks."""
+    """A folder with the newest states of one type.
+
+    Args:
+        folder: path; one process at a time uses it.
+        kind: type of the states.
+        disk: as in embertray/common/snapshots; None for the real one.
+    """
 
     def __init__(self, folder, kind, disk=None):
         self.store = Store(folder, disk)
@@ -34,29 +44,58 @@
         self.store.lock()
 
     def close(self):
-        """Gives the folder back."""
+        """Releases the folder."""
         self.store.unlock()
 
     def load(self):
-        """(the newest state that can be read or None, [(file name, why it was passed over)])."""
-        return self.store.load(self._read)
+        """Reads the newest state that can be read.
+
+        Returns:
+            (the state or None, [(file name, reason)] of newer files that can't be read).
+        """
+        return self.store.load(self._decode)
 
     def save(self, state):
-        """Writes a state; it is durable on return. Raises OSError."""
+        """Writes a state; it is durable on return. Blocks. Raises OSError."""
         self.store.save(msgspec.msgpack.encode(state))
 
-    def _read(self, body):
+    def _decode(self, body):
         try:
             return self._decoder.decode(body)
-        except msgspec.DecodeError as wrong:
-            raise BadBody(f"its content can't be read: {wrong}") from None
+        except msgspec.DecodeError as error:
+            raise MalformedStateError(f"its content can't be read: {error}") from None
 
 
 def replica_state_store(folder, disk=None):
-    """Where a replica keeps its ReplicaState."""
+    """The StateStore of a replica's ReplicaState."""
     return StateStore(folder, ReplicaState, disk)
 
 
 def subscriber_state_store(folder, disk=None):
-    """Where a subscriber keeps its SubscriberState."""
+    """The StateStore of a subscriber's SubscriberState."""
     return StateStore(folder, SubscriberState, disk)
+
+
+def open_and_load(state_store, log):
+    """Opens a StateStore and reads it; files that can't be read are logged.
+
+    Args:
+        state_store: a StateStore, or None if nothing is kept.
+        log: a structlog logger.
+
+    Returns:
+        (the state or None, whether it is the newest that was ever saved).
+
+    Raises:
+        Locked: another process uses the folder.
+        OSError: the folder can't be used.
+    """
+    if state_store is None:
+        return None, True
+    state_store.open()
+    state, unreadable = state_store.load()
+    for file_name, reason in unreadable:
+        log.error(
+            "saved state unreadable, an older one is used if there is one", file=file_name, reason=reason
+        )
+    return state, not unreadable
--- a/embertray/cluster/replication/link/inbound_connections.py
+++ b/embertray/cluster/replication/link/inbound_connections.py
@@ -1,38 +1,57 @@
-"""Connections that others open to a replica: who they are, and what they say, until they end.
+"""Connections that others open to a replica: who they are, and what they send, until they end.
 
-Whoever sends what can't be read, is a stranger, or says nothing at first, loses its own connection and costs
-nobody else anything: a connection may hold one batch of messages in the replica's inbox, no more.
+A peer that sends garbage, belongs to another cluster, or sends nothing at first loses its own connection and
+costs nobody else anything: a connection may have one batch of messages in the replica's inbox, no more.
 """
 
 import anyio
 
-from embertray.cluster.replication.messages import MalformedMessage
+from embertray.cluster.replication.exceptions import ConnectionRejectedError, MalformedMessageError
 from embertray.common.framing import BadFrame, Splitter
 
-from .connection import BROKEN, Connection, Overflow
+from .connection import CONNECTION_ERRORS, Connection, Overflow
 
-IDENTIFY_WITHIN = 2  # s until a connection's first message
-UNIDENTIFIED_MOST = 256  # connections that have not said who they are; a further one ends the oldest
-QUEUED_MOST = 2  # messages that wait for a peer that reads slowly: an update and a heartbeat
+IDENTIFY_TIMEOUT_S = 2  # until a connection's first message
+MAX_UNIDENTIFIED = 256  # connections that have not said who they are; a further one ends the oldest
+MAX_QUEUED = 2  # messages that wait for a peer that reads slowly: an update and a heartbeat
 
 
-class ConnectionRejected(Exception):
-    """A connection that is not served, and why."""
+class InboundConnections:
+    """Serves the streams of one listener. Subclasses say who is served, and what becomes of messages.
 
+    Args:
+        decode: decode(data) returns a message, or raises MalformedMessageError.
+        max_frame: bytes of the largest frame that is accepted.
+        traffic: the Traffic to count in.
+        log: a structlog logger.
 
-class Inbound:
-    """Serves the streams of one listener. `decode(data)` raises MalformedMessage; `identify(message)` names the
-    sender or raises ConnectionRejected; `deliver(name, connection, messages)` waits until they are handled;
-    `ended(name)` is called when the last connection of a name has ended."""
+    Attributes:
+        by_name: name -> its Connection.
+        unidentified: connections whose first message has not come, oldest first.
+    """
 
-    def __init__(self, decode, identify, deliver, ended, frame_most, traffic, log):
-        self.decode, self.identify, self.deliver, self.ended = decode, identify, deliver, ended
-        self.frame_most, self.traffic, self.log = frame_most, traffic, log
-        self.by_name, self.unidentified = {}, {}
+    def __init__(self, decode, max_frame, traffic, log):
+        self.decode = decode
+        self.max_frame = max_frame
+        self.traffic = traffic
+        self.log = log
+        self.by_name = {}
+        self.unidentified = {}
+
+    def identify(self, message):
+        """Returns the name of the first message's sender. Raises ConnectionRejectedError."""
+        raise NotImplementedError
+
+    async def deliver(self, name, connection, messages):
+        """Returns once the messages are handled: the next ones are read then."""
+        raise NotImplementedError
+
+    def ended(self, name):
+        """The last connection of a name has ended."""
 
     async def serve(self, stream):
-        """One connection, to its end."""
-        connection = Connection(stream, self.traffic, QUEUED_MOST, Overflow.DROP_NEWEST)
+        """Serves one connection until it ends."""
+        connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_NEWEST)
         self._admit(connection)
         try:
             async with stream:
@@ -40,14 +59,15 @@
                     async with anyio.create_task_group() as group:
                         group.start_soon(connection.write)
                         await self._read(connection)
-        except* BROKEN:
+        except* CONNECTION_ERRORS:
             pass
-        except* (BadFrame, MalformedMessage, ConnectionRejected) as wrong:
+        except* (BadFrame, MalformedMessageError, ConnectionRejectedError) as errors:
             self.traffic.rejected += 1
-            self.log.info("a connection is ended", why=str(wrong.exceptions[0]))
+            reason = str(errors.exceptions[0])
+            self.log.info("inbound connection rejected", peer=connection.name, reason=reason)
         finally:
             self.unidentified.pop(connection, None)
-            self._forget(connection)
+            self._remove(connection)
 
     def close(self, name):
         """Ends the connection of a name, if there is one."""
@@ -55,7 +75,8 @@
             self.by_name[name].close()
 
     def _admit(self, connection):
-        if len(self.unidentified) >= UNIDENTIFIED_MOST:
+        """Makes room for a new connection, so that idle ones can't keep others out."""
+        if len(self.unidentified) >= MAX_UNIDENTIFIED:
             self.traffic.rejected += 1
             oldest = next(iter(self.unidentified))
             del self.unidentified[oldest]
@@ -63,22 +84,23 @@
         self.unidentified[connection] = True
 
     async def _read(self, connection):
-        splitter = Splitter(self.frame_most)
-        messages = await self._first(connection, splitter)
+        splitter = Splitter(self.max_frame)
+        messages = await self._read_first(connection, splitter)
         name = self.identify(messages[0])
         del self.unidentified[connection]
-        self.close(name)  # an older connection: the process behind it began anew
-        self.by_name[name], connection.name = connection, name
+        self.close(name)  # an older connection: the process behind it has restarted
+        self.by_name[name] = connection
+        connection.name = name
         while True:
             await self.deliver(name, connection, messages)
             messages = [self.decode(data) for data in await connection.read(splitter)]
 
-    async def _first(self, connection, splitter):
-        with anyio.move_on_after(IDENTIFY_WITHIN):
+    async def _read_first(self, connection, splitter):
+        with anyio.move_on_after(IDENTIFY_TIMEOUT_S):
             return [self.decode(data) for data in await connection.read(splitter)]
-        raise ConnectionRejected(f"it said nothing for {IDENTIFY_WITHIN} s")
+        raise ConnectionRejectedError(f"it said nothing for {IDENTIFY_TIMEOUT_S} s")
 
-    def _forget(self, connection):
+    def _remove(self, connection):
         if self.by_name.get(connection.name) is connection:
             del self.by_name[connection.name]
             self.ended(connection.name)
--- a/embertray/cluster/replication/link/peer_link.py
+++ b/embertray/cluster/replication/link/peer_link.py
@@ -1,70 +1,88 @@
-"""The standing connection to one other replica: what is sent to it; it answers on a connection of its own."""
+"""The outgoing connection to one other replica: it only sends. The other has a connection of its own."""
 
 import anyio
 
 from embertray.common.net.address import BadAddress
 
-from .connection import BROKEN, Connection, Overflow
+from .connection import CONNECTION_ERRORS, Connection, Overflow
 
-S = 10**9
-DIAL_WITHIN = 1  # s
-RETRY_FIRST, RETRY_MOST = 0.05, 1.0  # s between two dials, doubled each time: an election takes seconds
-QUEUED_MOST = 16  # messages; the newest are kept, the core says again what matters
-QUIET = 5 * S  # ns without a word of the other replica after which a connection is made anew: it may be
-#               stuck with what is long outdated
+NS_PER_S = 10**9
+CONNECT_TIMEOUT_S = 1
+FIRST_RETRY_S = 0.05  # pause between two attempts, doubled each time
+MAX_RETRY_S = 1.0  # less than an election takes
+MAX_QUEUED = 16  # messages; the newest are kept, as the replica repeats what matters
+PEER_SILENCE_NS = 5 * NS_PER_S  # without a message of the other replica; the connection is then renewed
 
 
 class PeerLink:
-    """`address()` gives where the other replica listens; `heard_at()` ns when it was last heard."""
+    """Connects to the other replica, again and again.
 
-    def __init__(self, address, heard_at, net, clock, chance, traffic):
-        self.address, self.heard_at, self.net, self.clock = address, heard_at, net, clock
-        self.chance, self.traffic = chance, traffic
-        self.connection, self.connected_at, self.dials = None, 0, 0
+    Args:
+        address: returns where the other replica listens.
+        heard_at: returns the ns when it was last heard.
+        net: opens connections.
+        clock: the process's clock.
+        rng: a random.Random.
+        traffic: the Traffic to count in.
+    """
+
+    def __init__(self, address, heard_at, net, clock, rng, traffic):
+        self.address = address
+        self.heard_at = heard_at
+        self.net = net
+        self.clock = clock
+        self.rng = rng
+        self.traffic = traffic
+        self.connection = None
+        self.connected_at = 0
 
     def put(self, data):
         """Sends an encoded message, or drops it if there is no connection."""
         if self.connection is None:
             self.traffic.dropped += 1
             return
+        # A peer that stopped, or a link that passes one way, leaves the stream full of outdated messages and
+        # nothing breaks it. Renewed, the connection starts with the newest ones.
         now = self.clock.now()
-        if now - max(self.heard_at(), self.connected_at) > QUIET:
+        if now - max(self.heard_at(), self.connected_at) > PEER_SILENCE_NS:
             self.connection.close()
         self.connection.put(data)
 
     async def run(self):
         """Connects, and connects again, until cancelled."""
-        pause = RETRY_FIRST
+        pause = FIRST_RETRY_S
         while True:
-            self.dials += 1
             try:
-                with anyio.fail_after(DIAL_WITHIN):
+                with anyio.fail_after(CONNECT_TIMEOUT_S):
                     stream = await self.net.dial(self.address())
-            except (*BROKEN, BadAddress):
-                await anyio.sleep(pause * (0.5 + self.chance.random()))
-                pause = min(2 * pause, RETRY_MOST)
+            except (*CONNECTION_ERRORS, BadAddress):
+                await self._pause(pause)
+                pause = min(2 * pause, MAX_RETRY_S)
                 continue
-            pause = RETRY_FIRST
+            pause = FIRST_RETRY_S
             async with stream:
-                await self._hold(stream)
-            await anyio.sleep(pause * (0.5 + self.chance.random()))
+                await self._use(stream)
+            await self._pause(pause)
+
+    async def _pause(self, seconds):
+        await anyio.sleep(seconds * (0.5 + self.rng.random()))
 
-    async def _hold(self, stream):
-        """Until the connection ends."""
-        self.connection = Connection(stream, self.traffic, QUEUED_MOST, Overflow.DROP_OLDEST)
+    async def _use(self, stream):
+        """Sends what is put, until the connection ends."""
+        self.connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_OLDEST)
         self.connected_at = self.clock.now()
         try:
             with self.connection.scope:
                 async with anyio.create_task_group() as group:
                     group.start_soon(self._until_end, stream)
                     await self.connection.write()
-        except* BROKEN:
+        except* CONNECTION_ERRORS:
             pass
         finally:
             self.connection = None
 
     @staticmethod
     async def _until_end(stream):
-        """The other replica says nothing on this connection: what comes is its end."""
+        """The other replica sends nothing on this connection: what comes is its end."""
         await stream.receive()
         raise anyio.BrokenResourceError
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -1,30 +1,37 @@
-"""A process's task that follows the replicas: the connections and the saved state round Subscriber."""
+"""A process's task that follows the replicas: connections and saved state around Subscriber."""
 
 from dataclasses import dataclass
 
 import anyio
 import structlog
 
-from embertray.cluster.replication.messages import MalformedMessage, decode_to_subscriber
-from embertray.cluster.replication.subscriber import CloseConnection, OpenConnection, Subscriber
+from embertray.cluster.replication.codec import decode_to_subscriber
+from embertray.cluster.replication.exceptions import MalformedMessageError
+from embertray.cluster.replication.instructions import CloseConnection, OpenConnection
+from embertray.cluster.replication.subscriber import Subscriber
 from embertray.common.framing import PREFIX, BadFrame, Splitter
 from embertray.common.net.address import BadAddress
 from embertray.common.net.tcp import TcpNet
 
-from .connection import BROKEN, TO_SUBSCRIBER_FRAME_MOST, Connection, Overflow, Traffic
-from .durable_state import SubscriberState
+from .connection import CONNECTION_ERRORS, MAX_FRAME_TO_SUBSCRIBER, Connection, Overflow, Traffic
+from .durable_state import open_and_load
 from .entry_log import log_entries
-from .status import SubscriberStatus, seconds
+from .status import subscriber_status
+from .subscriber_saver import SubscriberSaver, known_at, usable_state
 
-S = 10**9
-QUEUED_MOST = 64  # messages that wait for a replica that reads slowly: it is left after its silence
-SAVE_EVERY = 1 * S  # ns between two saves at the least
-SAVE_AGE_EVERY = 15 * S  # ns after which the age is saved anew, though nothing changed
+NS_PER_S = 10**9
+MAX_QUEUED = 64  # messages that wait for a replica that reads slowly: it is left as silent before they do
 
 
 @dataclass(frozen=True)
 class SubscriberSettings:
-    """`replicas`: name -> address of the replicas to follow, in the order of preference."""
+    """Names and addresses of one subscriber.
+
+    Attributes:
+        cluster: name of the cluster.
+        name: this subscriber.
+        replicas: name -> address of the replicas to follow, in the order of preference.
+    """
 
     cluster: str
     name: str
@@ -32,43 +39,73 @@
 
 
 class SubscriberClient:
-    """`on_applied(entries)` is called with the entries that are newly in force, in order; a value of None is
-    a removal. `on_restored(entries)` is called first with what was kept from a former process, if anything
-    was. `saved`: a StateStore of SubscriberState, or None. `budget`: a FeedSettings with the bytes a second that
-    are owed.
+    """One subscriber.
+
+    Args:
+        settings: a SubscriberSettings.
+        clock: the process's clock.
+        rng: a random.Random, seeded differently at each start.
+        on_applied: on_applied(entries) is called with the entries that are newly in force, in order; a value
+            of None is a removal.
+        on_restored: on_restored(entries) is called first with what a former process kept, if anything.
+        net: opens connections; None for TCP.
+        timing: a SubscriberTiming, None for the default.
+        saved: a StateStore of SubscriberState; None to keep nothing.
+        log: a structlog logger, None for the default.
+        budget: the FeedSettings whose bytes a second this subscriber may be sent, None for the default.
     """
 
     def __init__(
         self,
         settings,
         clock,
-        chance,
+        rng,
         on_applied=None,
         on_restored=None,
         net=None,
-        pace=None,
+        timing=None,
         saved=None,
         log=None,
         budget=None,
     ):
-        self.settings, self.clock, self.chance = settings, clock, chance
-        self.on_applied, self.on_restored = on_applied, on_restored
-        self.net, self.pace, self.budget = net or TcpNet(), pace, budget
-        self.saved, self.log = saved, (log or structlog.get_logger()).bind(subscriber=settings.name)
-        self.traffic, self.subscriber, self.group = Traffic(), None, None
-        self.connection, self.connection_number = None, 0
-        self.poked, self.timer_at = anyio.Event(), 0
-        self.saves = self.save_fails = 0
-
-    # ---- what is asked of it
+        self.settings = settings
+        self.clock = clock
+        self.rng = rng
+        self.on_applied = on_applied
+        self.on_restored = on_restored
+        self.net = net or TcpNet()
+        self.timing = timing
+        self.saved = saved
+        self.log = (log or structlog.get_logger()).bind(subscriber=settings.name)
+        self.budget = budget
+        self.traffic = Traffic()
+        self.subscriber = None  # these two from `run` on
+        self.saver = None
+        self.group = None
+        self.connection = None  # the Connection that `connection_id` names, once it is up
+        self.connection_id = 0
+        self.poked = anyio.Event()  # the timer has to be set anew
+        self.timer_at = 0  # ns
+
+    # ---- queries
 
     @property
     def revision(self):
         """Everything up to here is applied; 0 before `run`."""
         return self.subscriber.revision if self.subscriber else 0
 
+    @property
+    def saves(self):
+        """States saved."""
+        return self.saver.saves if self.saver else 0
+
+    @property
+    def save_fails(self):
+        """States that could not be saved."""
+        return self.saver.save_fails if self.saver else 0
+
     def age(self):
-        """ns since it was certain that nothing newer was committed; None if it never was."""
+        """Time in ns since it was certain that nothing newer was committed; None if it never was."""
         return self.subscriber.age(self.clock.now()) if self.subscriber else None
 
     def get(self, key):
@@ -81,181 +118,137 @@
 
     def status(self):
         """The SubscriberStatus now."""
-        core = self.subscriber
-        return SubscriberStatus(
-            cluster=self.settings.cluster,
-            name=self.settings.name,
-            replica=core.replica if core else "",
-            connected=bool(core and core.connected),
-            revision=self.revision,
-            digest=core.store.digest if core else 0,
-            age_s=seconds(self.age()),
-            keys=core.store.live_count if core else 0,
-            saves=self.saves,
-            save_fails=self.save_fails,
-            counted=dict(core.counters) if core else {},
-            traffic=self.traffic,
-        )
+        return subscriber_status(self)
 
-    # ---- tasks
+    # ---- lifecycle
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
-        """Until cancelled. Raises Locked, OSError for the folder."""
-        state = self._open()
+        """Runs until cancelled.
+
+        Raises:
+            Locked: another process uses the folder.
+            OSError: the folder can't be used.
+        """
+        state, _ = open_and_load(self.saved, self.log)
         try:
-            self._begin(state)
+            self._begin(usable_state(state, self.settings.cluster, self.log))
             async with anyio.create_task_group() as self.group:
-                if self.saved is not None:
-                    self.group.start_soon(self._keep_saving)
+                if self.saver is not None:
+                    self.group.start_soon(self.saver.run)
                 task_status.started()
                 await self._keep_time()
         finally:
             if self.saved is not None:
                 self.saved.close()
 
-    def _open(self):
-        if self.saved is None:
-            return None
-        self.saved.open()
-        state, passed = self.saved.load()
-        for name, why in passed:
-            self.log.error("a saved state can't be used", file=name, why=why)
-        if state is not None and state.cluster != self.settings.cluster:
-            self.log.error("the saved state is of another cluster", cluster=state.cluster)
-            return None
-        return state
-
     def _begin(self, state):
-        settings, now = self.settings, self.clock.now()
-        kept = {}
+        """Makes the state machine from what a former process kept."""
+        former = {}
         if state is not None:
-            kept = {
-                "entries": state.entries,
-                "revision": state.revision,
-                "known_at": self._known_at(state, now),
-            }
-        names = list(settings.replicas)
+            former["entries"] = state.entries
+            former["revision"] = state.revision
+            former["known_at"] = known_at(state, self.clock)
         self.subscriber = Subscriber(
-            settings.cluster, settings.name, names, now, self.chance, self.pace, self.budget, **kept
+            self.settings.cluster,
+            self.settings.name,
+            list(self.settings.replicas),
+            self.clock.now(),
+            self.rng,
+            self.timing,
+            self.budget,
+            **former,
         )
+        if self.saved is not None:
+            self.saver = SubscriberSaver(self.subscriber, self.saved, self.clock, self.log)
         live = self.subscriber.store.live()
         log_entries(self.log, "restored", live)
         if live and self.on_restored is not None:
             self.on_restored(live)
 
-    def _known_at(self, state, now):
-        """By our clock; None if the wall clock went backwards since."""
-        wall = self.clock.wall()
-        if state.known_at is None or wall < state.saved_at:
-            return None
-        return now - (wall - state.known_at)
-
     async def _keep_time(self):
         while True:
             self.poked = anyio.Event()
             self.subscriber.advance(self.clock.now())
-            self._act()
+            self._carry_out()
             self.timer_at = self.subscriber.next_at()
-            wait = (self.timer_at - self.clock.now()) / S
-            with anyio.move_on_after(max(0, wait)):
+            wait_s = (self.timer_at - self.clock.now()) / NS_PER_S
+            with anyio.move_on_after(max(0, wait_s)):
                 await self.poked.wait()
 
-    def _act(self):
-        """Does what the core asks for."""
-        core = self.subscriber
-        if core.applied:
-            applied, core.applied = core.applied, []
-            log_entries(self.log, "applied", applied)
-            if self.on_applied is not None:
-                self.on_applied(applied)
-        actions, core.actions = core.actions, []
+    # ---- instructions
+
+    def _carry_out(self):
+        """Does what the state machine asks for."""
+        self._report_applied()
+        actions = self.subscriber.actions
+        self.subscriber.actions = []
         for action in actions:
             if isinstance(action, OpenConnection):
                 self.group.start_soon(self._connect, action.replica, action.connection_id)
             elif isinstance(action, CloseConnection):
-                self._hang(action)
-            elif self.connection is not None and action.connection_id == self.connection_number:
+                self._close(action)
+            elif self.connection is not None and action.connection_id == self.connection_id:
                 self.connection.put(action.data)
-        if core.next_at() < self.timer_at:
+        if self.subscriber.next_at() < self.timer_at:
             self.poked.set()
 
-    def _hang(self, action):
-        self.log.debug("leaves a replica", why=action.reason)
-        if self.connection is not None and action.connection_id == self.connection_number:
+    def _report_applied(self):
+        applied = self.subscriber.applied
+        if not applied:
+            return
+        self.subscriber.applied = []
+        log_entries(self.log, "applied", applied)
+        if self.on_applied is not None:
+            self.on_applied(applied)
+
+    def _close(self, action):
+        self.log.debug("replica left", reason=action.reason)
+        if self.connection is not None and action.connection_id == self.connection_id:
             self.connection.close()
             self.connection = None
 
     # ---- one connection
 
     async def _connect(self, replica, connection_id):
-        """Dials, and reads until the connection ends."""
-        pace = self.subscriber.pace
+        """Connects, and reads until the connection ends."""
         try:
-            with anyio.fail_after(pace.dial / S):
+            with anyio.fail_after(self.subscriber.timing.dial / NS_PER_S):
                 stream = await self.net.dial(self.settings.replicas[replica])
-        except (*BROKEN, BadAddress):
+        except (*CONNECTION_ERRORS, BadAddress):
             self._lost(connection_id)
             return
-        connection = Connection(stream, self.traffic, QUEUED_MOST, Overflow.DROP_NEWEST)
+        connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_NEWEST)
         try:
             async with stream:
                 with connection.scope:
                     async with anyio.create_task_group() as group:
                         group.start_soon(connection.write)
                         await self._read(connection, connection_id)
-        except* BROKEN:
+        except* CONNECTION_ERRORS:
             pass
-        except* (BadFrame, MalformedMessage) as wrong:
+        except* (BadFrame, MalformedMessageError) as errors:
             self.traffic.rejected += 1
-            self.log.warning("a replica can't be read", replica=replica, why=str(wrong.exceptions[0]))
+            reason = str(errors.exceptions[0])
+            self.log.warning("replica sent a malformed message", replica=replica, reason=reason)
         if self.connection is connection:
             self.connection = None
         self._lost(connection_id)
 
     async def _read(self, connection, connection_id):
-        core, splitter = self.subscriber, Splitter(TO_SUBSCRIBER_FRAME_MOST)
+        core = self.subscriber
+        splitter = Splitter(MAX_FRAME_TO_SUBSCRIBER)
         core.connection_opened(self.clock.now(), connection_id)
         if not core.connected or connection_id != core.connection_id:
-            return  # it was given up while it was dialled
-        self.connection, self.connection_number = connection, connection_id
-        self._act()
+            return  # it was given up while it was opened
+        self.connection = connection
+        self.connection_id = connection_id
+        self._carry_out()
         while True:
             for data in await connection.read(splitter):
                 size = len(data) + PREFIX.size
                 core.receive(self.clock.now(), connection_id, decode_to_subscriber(data), size)
-            self._act()
+            self._carry_out()
 
     def _lost(self, connection_id):
         self.subscriber.connection_lost(self.clock.now(), connection_id)
-        self._act()
-
-    # ---- what is kept
-
-    async def _keep_saving(self):
-        saved = (self.revision, self.subscriber.freshness.known_at)
-        saved_at = self.clock.now()
-        while True:
-            await self.clock.sleep_until(self.clock.now() + SAVE_EVERY)
-            now = self.clock.now()
-            current = (self.revision, self.subscriber.freshness.known_at)
-            aged = now - saved_at >= SAVE_AGE_EVERY and current != saved
-            if current[0] == saved[0] and not aged:
-                continue
-            if await self._save(now):
-                saved, saved_at = current, now
-
-    async def _save(self, now):
-        try:
-            await anyio.to_thread.run_sync(self.saved.save, self._state(now))
-        except OSError as wrong:
-            self.save_fails += 1
-            self.log.warning("what is held is not kept; what was kept before stands", why=str(wrong))
-            return False
-        self.saves += 1
-        return True
-
-    def _state(self, now):
-        age, wall = self.subscriber.age(now), self.clock.wall()
-        known_at = None if age is None else wall - age
-        entries = list(self.subscriber.store.since(0))
-        return SubscriberState(self.settings.cluster, self.revision, wall, known_at, entries)
+        self._carry_out()
--- /dev/null
+++ b/embertray/cluster/replication/link/subscriber_saver.py
@@ -0,0 +1,98 @@
+"""What a subscriber keeps on disk: read at the start, saved while it runs."""
+
+import anyio
+
+from .durable_state import SubscriberState
+
+NS_PER_S = 10**9
+SAVE_INTERVAL_NS = 1 * NS_PER_S  # between two saves at the least
+SAVE_AGE_INTERVAL_NS = 15 * NS_PER_S  # after which the age is saved anew, though no entry changed
+
+
+def usable_state(state, cluster, log):
+    """The state of a former process, or None if it is of another cluster."""
+    if state is not None and state.cluster != cluster:
+        log.error("saved state ignored", reason="it is of another cluster", cluster=state.cluster)
+        return None
+    return state
+
+
+def known_at(state, clock):
+    """When a saved state was certainly the newest.
+
+    Args:
+        state: a SubscriberState.
+        clock: the process's clock.
+
+    Returns:
+        ns of the monotonic clock, maybe before 0; None if it is not known. A wall clock that went backwards
+        would make the state look fresher than it is, so then it is not known either.
+    """
+    wall = clock.wall()
+    if state.known_at is None or wall < state.saved_at:
+        return None
+    return clock.now() - (wall - state.known_at)
+
+
+class SubscriberSaver:
+    """Saves what a Subscriber holds.
+
+    Args:
+        subscriber: the Subscriber.
+        state_store: an open StateStore of SubscriberState.
+        clock: the process's clock.
+        log: a structlog logger.
+
+    Attributes:
+        saves: states saved.
+        save_fails: states that could not be saved.
+    """
+
+    def __init__(self, subscriber, state_store, clock, log):
+        self.subscriber = subscriber
+        self.state_store = state_store
+        self.clock = clock
+        self.log = log
+        self.saves = 0
+        self.save_fails = 0
+
+    async def run(self):
+        """Saves whenever something changed, until cancelled."""
+        saved = self._position()
+        saved_at = self.clock.now()
+        while True:
+            await self.clock.sleep_until(self.clock.now() + SAVE_INTERVAL_NS)
+            now = self.clock.now()
+            current = self._position()
+            same_revision = current[0] == saved[0]
+            age_due = now - saved_at >= SAVE_AGE_INTERVAL_NS and current != saved
+            if same_revision and not age_due:
+                continue
+            if await self._save(now):
+                saved = current
+                saved_at = now
+
+    def _position(self):
+        return self.subscriber.revision, self.subscriber.freshness.known_at
+
+    async def _save(self, now):
+        """Returns whether the state was saved. A failure is no fault: replicas have everything."""
+        try:
+            await anyio.to_thread.run_sync(self.state_store.save, self._state(now))
+        except OSError as error:
+            self.save_fails += 1
+            self.log.warning("state not saved, the one saved before stays", reason=str(error))
+            return False
+        self.saves += 1
+        return True
+
+    def _state(self, now):
+        age = self.subscriber.age(now)
+        wall = self.clock.wall()
+        return SubscriberState(
+            cluster=self.subscriber.cluster,
+            revision=self.subscriber.revision,
+            saved_at=wall,
+            known_at=None if age is None else wall - age,
+            entries=list(self.subscriber.store.since(0)),
+        )
--- a/embertray/cluster/replication/messages.py
+++ b/embertray/cluster/replication/messages.py
@@ -1,17 +1,28 @@
-"""Messages of the control plane: tagged msgpack arrays, in the length-prefixed frames of stream/frames.py."""
+"""Messages between replicas, and between a subscriber and its replica: tagged msgpack arrays.
+
+The order of the fields is the wire format. Frames are those of embertray/common/framing.py. Every `stamp` is
+the sender's monotonic clock in ns; the receiver echoes it, so that the sender can tell how old the answer may
+be without comparing clocks.
+"""
 
 import msgspec
 
 from .entry import Count, Digest, Entry, Key, Name, RequestId
 
-VERSION = 1
+VERSION = 1  # of the protocol between subscriber and replica
 
 
 # ---- between replicas
 
 
 class ReplicaMessage(msgspec.Struct, tag_field="type", array_like=True, frozen=True):
-    """What one replica says to another. `cluster` keeps strangers out."""
+    """A message between two replicas.
+
+    Attributes:
+        cluster: messages of another cluster are ignored.
+        sender: name of the replica.
+        term: of the sender; for a VoteRequest the term that the vote is asked for.
+    """
 
     cluster: Name
     sender: Name
@@ -19,7 +30,13 @@
 
 
 class VoteRequest(ReplicaMessage, tag="vote-request", frozen=True):
-    """Asks for a vote in `term`. `preliminary`: only asks whether one would be given, and changes nothing."""
+    """A candidate asks for a vote.
+
+    Attributes:
+        last_term: of the newest entry in the candidate's log.
+        last_revision: of the same entry.
+        preliminary: only asks whether a vote would be granted, and changes nothing.
+    """
 
     last_term: Count
     last_revision: Count
@@ -27,7 +44,13 @@
 
 
 class Vote(ReplicaMessage, tag="vote", frozen=True):
-    """Answers a VoteRequest of `term_asked`; `term` is the voter's own."""
+    """Answers a VoteRequest.
+
+    Attributes:
+        term_asked: the term of the request; `term` is the voter's own.
+        granted: whether the vote is given.
+        preliminary: as in the request.
+    """
 
     term_asked: Count
     granted: bool
@@ -35,10 +58,18 @@
 
 
 class Append(ReplicaMessage, tag="append", frozen=True):
-    """A leader's heartbeat, with what follows the entry (previous_term, previous_revision). `round` numbers
-    the heartbeats of a leadership; `age` is the ns since a majority last confirmed it; `echo` is the newest
-    stamp that came from the follower, 0 if none. `admitted` is the nonce of a recovering replica whose return
-    a majority has confirmed, else 0."""
+    """A leader's heartbeat, with the entries that the follower lacks.
+
+    Attributes:
+        round: number of the leader's round in its term.
+        previous_term: of the entry before `entries`; a follower whose log differs there rejects the message.
+        previous_revision: of the same entry.
+        entries: uncommitted ones, without gaps.
+        commit: the leader's newest committed revision.
+        age: ns since a majority confirmed that nothing newer was committed.
+        echo: the newest stamp that came from the follower; 0 if none.
+        admitted: nonce of a recovering replica that may count again; else 0.
+    """
 
     round: Count
     previous_term: Count
@@ -51,22 +82,39 @@
 
 
 class Install(ReplicaMessage, tag="install", frozen=True):
-    """Brings the committed state of a follower from `since` to `commit`: the newest entry of each key that
-    changed, and the digests that the state has then."""
+    """The committed state of the leader, as far as the follower lacks it.
+
+    Attributes:
+        round: as in Append.
+        since: the follower must have everything up to this revision.
+        commit_term: of the entry at `commit`.
+        commit: the revision that the state leads to.
+        entries: the newest entry of each key that changed after `since`.
+        keys: all live keys, if removals after `since` may have been forgotten; else None.
+        requests: (request id, revision) of the writes after `since` that are remembered.
+    """
 
     round: Count
     since: Count
     commit_term: Count
     commit: Count
     entries: list[Entry]
-    keys: list[Key] | None  # all live keys, where removals since `since` may have been forgotten
-    requests: list[tuple[RequestId, Count]]  # ids of all requests since `since` that are remembered
+    keys: list[Key] | None
+    requests: list[tuple[RequestId, Count]]
 
 
 class Appended(ReplicaMessage, tag="appended", frozen=True):
-    """Answers an Append or Install. `accepted`: the sender holds everything up to `last_revision`; if not,
-    the leader is to continue after that revision. `nonce`: not 0 while the sender is recovering. `stamp`: the
-    sender's clock, ns. `subscribers` and `lowest_confirmed` report what the sender's subscribers hold."""
+    """Answers an Append or Install.
+
+    Attributes:
+        round: of the message that is answered.
+        accepted: whether the sender has everything up to `last_revision` on disk.
+        last_revision: if not accepted, the leader is to continue after it.
+        nonce: of the sender's recovery; 0 if its answers count.
+        stamp: the sender's clock, ns.
+        subscribers: number of the sender's subscribers.
+        lowest_confirmed: the revision that all of them have confirmed.
+    """
 
     round: Count
     accepted: bool
@@ -78,13 +126,13 @@
 
 
 class RecoverRequest(ReplicaMessage, tag="recover-request", frozen=True):
-    """A replica without state asks the others whether anything was ever written."""
+    """A replica without its state asks the others whether anything was ever written."""
 
     nonce: Count
 
 
 class RecoverReply(ReplicaMessage, tag="recover-reply", frozen=True):
-    """`blank`: the sender has never voted, and holds nothing."""
+    """Answers a RecoverRequest. `blank`: the sender has never voted, and its log is empty."""
 
     nonce: Count
     blank: bool
@@ -94,8 +142,16 @@
 
 
 class Subscribe(msgspec.Struct, tag_field="type", tag="subscribe", array_like=True, frozen=True):
-    """A subscriber's first message, and whenever it found a gap: everything after `revision` is wanted.
-    `stamp`: the sender's clock; `allowance`: bytes that its budget still allows, whoever spent the rest."""
+    """A subscriber's first message, repeated when it finds a gap.
+
+    Attributes:
+        cluster: that the subscriber belongs to.
+        version: of the protocol.
+        subscriber: its name.
+        revision: everything after it is wanted.
+        stamp: the sender's clock, ns.
+        allowance: bytes that its budget still allows, whoever spent the rest.
+    """
 
     cluster: Name
     version: Count
@@ -106,21 +162,27 @@
 
 
 class Confirm(msgspec.Struct, tag_field="type", tag="confirm", array_like=True, frozen=True):
-    """Everything up to `revision` is applied. Answers each heartbeat, too. `stamp`: the sender's clock."""
+    """Everything up to `revision` is applied; answers updates and heartbeats. `stamp`: the sender's clock."""
 
     revision: Count
     stamp: Count
 
 
 class Repair(msgspec.Struct, tag_field="type", tag="repair", array_like=True, frozen=True):
-    """The digests differ at the same revision: the subscriber's own, one for each bucket."""
+    """The digests differ at the same revision; these are the subscriber's own, one for each bucket."""
 
     digests: list[Digest]
 
 
 class Heartbeat(msgspec.Struct, tag_field="type", tag="heartbeat", array_like=True, frozen=True):
-    """What the replica has committed, its digest, and the ns since that was certainly the newest. `echo`: the
-    newest stamp that came from the subscriber, so that it knows what time this was said after; 0 if none."""
+    """A replica's state, sent to each subscriber at an interval.
+
+    Attributes:
+        commit: the newest revision that the replica knows to be committed.
+        digest: of its store at that revision.
+        age: ns since nothing newer was committed for certain; freshness.AGE_UNKNOWN if it does not know.
+        echo: the newest stamp that came from the subscriber; 0 if none.
+    """
 
     commit: Count
     digest: Digest
@@ -129,7 +191,7 @@
 
 
 class Update(msgspec.Struct, tag_field="type", tag="update", array_like=True, frozen=True):
-    """The newest entries of the keys that changed after `since`, as far as `upto`, by rising revision."""
+    """The newest entries of the keys that changed after `since`, up to `upto`, by rising revision."""
 
     since: Count
     upto: Count
@@ -150,46 +212,3 @@
     bucket: Count
     upto: Count
     items: list[InventoryItem]
-
-
-class MalformedMessage(ValueError):
-    """What came is none of these messages."""
-
-
-_encoder = msgspec.msgpack.Encoder()
-_decoders = {
-    kinds: msgspec.msgpack.Decoder(kinds)
-    for kinds in (
-        VoteRequest | Vote | Append | Install | Appended | RecoverRequest | RecoverReply,
-        Subscribe | Confirm | Repair,
-        Heartbeat | Update | Inventory,
-    )
-}
-_between_replicas, _from_subscriber, _to_subscriber = _decoders.values()
-
-
-def encode(message):
-    """The bytes of a message, without its frame."""
-    return _encoder.encode(message)
-
-
-def _decode(decoder, data):
-    try:
-        return decoder.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as wrong:
-        raise MalformedMessage(str(wrong)) from None
-
-
-def decode_replica_message(data):
-    """What another replica says. Raises MalformedMessage."""
-    return _decode(_between_replicas, data)
-
-
-def decode_from_subscriber(data):
-    """What a subscriber says. Raises MalformedMessage."""
-    return _decode(_from_subscriber, data)
-
-
-def decode_to_subscriber(data):
-    """What a replica says to its subscriber. Raises MalformedMessage."""
-    return _decode(_to_subscriber, data)
--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -1,20 +1,27 @@
-"""The stated bounds: when a committed write is in force at a subscriber, and what its age promises.
+"""The stated bounds: when a committed write is in force at a subscriber.
 
-All assume messages that arrive within `NetworkAssumptions.one_way` and saves within `NetworkAssumptions.save` once links are good.
-A bound counts from the write's acknowledgement or from the end of the last fault, whichever is later. Bytes
-that wait in front of a write add their time at the subscriber's sustained rate.
+All assume messages that arrive within `NetworkAssumptions.one_way` and saves within its `save`, once
+links are good. A bound counts from the write's acknowledgement or from the end of the last fault, whichever
+is later. Bytes that wait before a write add their time at the subscriber's sustained rate.
 """
 
 from dataclasses import dataclass
 
-from .timing import MS, FeedSettings, NetworkAssumptions, ReplicaTiming, SubscriberTiming
+from .timing import MS, FeedSettings, NetworkAssumptions, ReplicaTiming, S, SubscriberTiming
 
-PROCESSING = 100 * MS  # ns that a process may take to get to a message
+PROCESSING = 100 * MS  # ns until a process gets to a message
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Bounds by what happened last, ns."""
+    """Bounds by what happened last, all in ns.
+
+    Attributes:
+        replica: timing between replicas.
+        feed: what replicas send to subscribers, and when.
+        subscriber: timing of the subscriber.
+        network: what is assumed of links and disks.
+    """
 
     replica: ReplicaTiming = ReplicaTiming()
     feed: FeedSettings = FeedSettings()
@@ -23,44 +30,58 @@
 
     @property
     def message(self):
-        """One message, from a process to what the next one does with it."""
+        """One message, from a process to what the next one does with it, ns."""
         return self.network.one_way + PROCESSING
 
     @property
     def good(self):
-        """Nothing fails: the commit goes to the followers, who save it, tell their subscribers and may have
-        to wait for the confirmation of an update under way, or for one that goes back to its first
-        replica."""
-        told = self.message + self.network.save
+        """Nothing fails, ns.
+
+        The commit goes to the followers, who save it and send it to their subscribers. It may have to wait
+        for the confirmation of an update under way, or for a subscriber that returns to its first replica.
+        """
+        followers_saved = self.message + self.network.save
         return_home = self.subscriber.retry_first + 3 * self.message
-        return told + 3 * self.message + return_home
+        return followers_saved + 3 * self.message + return_home
 
     @property
     def election(self):
-        """A leader is gone, until another one has committed: one election that nobody wins is allowed for."""
+        """From a leader's death until the next one has committed, ns; one election may have no winner."""
         rounds = 2 * (2 * self.message + self.network.save)
         opening = 2 * (self.message + self.network.save)
         return 2 * self.replica.election_most + rounds + opening
 
     @property
     def move(self):
-        """From leaving one replica to the first heartbeat of the next."""
+        """From leaving one replica to the first heartbeat of the next, ns."""
         return self.subscriber.retry_first + self.subscriber.dial + 2 * self.message
 
     def replicas_dead(self, dead, listed=3):
-        """`dead` of a subscriber's `listed` replicas are dead, among them the leader and the one it follows:
-        it notices the silence and goes on to the next that lives. The election runs at the same time."""
+        """Some replicas are dead, among them the leader and the one that the subscriber follows.
+
+        The subscriber notices the silence and moves on to the next that lives, while the election runs.
+
+        Args:
+            dead: how many of the subscriber's replicas are dead.
+            listed: how many replicas the subscriber knows.
+
+        Returns:
+            ns.
+        """
         notice = self.subscriber.silence + min(dead, listed - 1) * self.move
         return max(notice, self.election) + self.feed.heartbeat + self.good
 
     @property
     def any_fault(self):
-        """After any faults whatever, once they have ended: a majority of the replicas reach each other, and
-        the subscriber reaches one of them. Elections, then a round of all replicas that were found stale."""
+        """After any faults, once they have ended, ns.
+
+        A majority of the replicas reach each other, and the subscriber reaches one of them: elections, then a
+        round of all replicas that were found stale.
+        """
         visit = self.subscriber.stale + self.feed.heartbeat + self.move
         pause = self.subscriber.retry_most + self.move
         return self.election + visit + 2 * self.move + pause + self.feed.retry_most + self.good
 
     def waiting(self, size):
-        """`size` bytes go before, at a subscriber's sustained rate."""
-        return size * 10**9 // self.feed.sustained
+        """Time in ns that a write waits behind `size` bytes, at a subscriber's sustained rate."""
+        return size * S // self.feed.sustained
--- a/embertray/cluster/replication/recovery.py
+++ b/embertray/cluster/replication/recovery.py
@@ -1,38 +1,59 @@
-"""Recovery of a replica that starts without its state: it votes for nobody until it is safe."""
+"""Recovery of a replica that starts without its state: it must not vote until it is safe.
+
+Raft assumes that votes and entries survive a restart. A replica that lost its disk could vote a second time
+in a term, or make up a majority without a write that it had confirmed: a committed write would be lost. So it
+counts for nothing until either all others report that they are blank (the cluster's first start), or a leader
+readmits it (`leader`).
+"""
 
 from .messages import RecoverReply, RecoverRequest
 from .replica_core import ReplicaCore
 
-NONCES = 2**62
+NONCE_LIMIT = 2**62  # nonces are drawn below: one must never be drawn twice by a replica
 
 
 class RecoveryRole(ReplicaCore):
-    """Has `nonce`, not 0 while it recovers, `silent_until` and `blank_replies`."""
+    """The state of a recovery: a nonce that the leader has to return, and who reported to be blank."""
+
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
+        self.nonce = 0  # not 0 while this replica recovers
+        self.silent_until = 0  # ns until which a vote of the former process could still elect a leader
+        self.blank_replies = set()  # names of replicas that never voted and hold nothing
+
+    @property
+    def recovering(self):
+        """Whether this replica must not vote yet."""
+        return self.nonce != 0
 
     def _begin_recovery(self, now):
-        self.nonce = self.chance.randrange(1, NONCES)
-        self.silent_until = now + self.pace.recovery_silence
+        self.nonce = self.rng.randrange(1, NONCE_LIMIT)
+        self.silent_until = now + self.timing.recovery_silence
 
     def _ask_whether_blank(self, now):
-        self.heartbeat_at = now + self.pace.heartbeat
+        self.heartbeat_at = now + self.timing.heartbeat
         if self.silent_until and now >= self.silent_until:
-            # an answer to a former nonce may have been on its way since before the silence
-            self.nonce, self.silent_until = self.chance.randrange(1, NONCES), 0
+            # a leader may have answered the first nonce before the silence was over: only an answer to a
+            # nonce drawn after it proves a majority that did not count on votes of the former process
+            self.nonce = self.rng.randrange(1, NONCE_LIMIT)
+            self.silent_until = 0
             self.blank_replies = set()
         for other in self.others:
             self._send(other, RecoverRequest(self.cluster, self.name, self.term, self.nonce))
 
     def _on_recover_request(self, now, message):
-        blank = self.term == 0 and self.last[1] == 0
+        blank = self.term == 0 and self.last_revision == 0
         self._send(message.sender, RecoverReply(self.cluster, self.name, self.term, message.nonce, blank))
 
     def _on_recover_reply(self, now, message):
-        holds_something = self.term > 0 or self.last[1] > 0
-        if message.nonce != self.nonce or not message.blank or holds_something:
+        has_state = self.term > 0 or self.last_revision > 0
+        if message.nonce != self.nonce or not message.blank or has_state:
             return
         self.blank_replies.add(message.sender)
         if len(self.blank_replies) == len(self.others):
             self._finish_recovery()
 
     def _finish_recovery(self):
-        self.nonce, self.silent_until, self.changed = 0, 0, True
+        self.nonce = 0
+        self.silent_until = 0
+        self.changed = True
--- a/embertray/cluster/replication/replica_core.py
+++ b/embertray/cluster/replication/replica_core.py
@@ -1,58 +1,132 @@
-"""A replica's log: what is committed in its store, and the entries after that which are not."""
+"""What all roles of a replica share: its term and vote, its log, and the instructions that it gathers.
 
-from .replica_types import Envelope, Overloaded, ReplicaState
-from .store import export, restore
-from .timing import KEYS_MOST, PROPOSALS_MOST, STATE_BYTES_MOST
+The committed part of the log is folded into the store at once; only entries that are not yet committed are
+kept as a log.
+"""
+
+from .exceptions import OverloadedError
+from .freshness import Freshness
+from .instructions import Envelope, ReplicaInstructions
+from .replica_state import ReplicaState, Role
+from .store import VersionedStore, export, restore
+from .timing import ReplicaTiming
+
+MAX_LIVE_KEYS = 16_384  # four times the target's routes: more is a client that runs away
+MAX_STATE_BYTES = 8 << 20  # bytes of all versions; a write that would pass it is rejected
+MAX_PENDING_PROPOSALS = 64  # writes that wait for a majority; further ones are rejected
 
 
 class ReplicaCore:
-    """Has `store`, `uncommitted`, `freshness`, and the Instructions that gathers what is due."""
+    """State and log of one replica.
+
+    Args:
+        cluster: name of the cluster; messages of another one are ignored.
+        name: this replica.
+        names: all replicas of the cluster, this one included.
+        now: ns.
+        rng: a random.Random, seeded differently at each start.
+        timing: a ReplicaTiming, None for the default.
+    """
+
+    def __init__(self, cluster, name, names, now, rng, timing=None):
+        self.cluster = cluster
+        self.name = name
+        self.others = sorted(other for other in names if other != name)
+        self.rng = rng
+        self.timing = timing or ReplicaTiming()
+        # durable: saved before any message that depends on it is sent
+        self.term = 0
+        self.voted_for = ""
+        self.store = VersionedStore()
+        self.uncommitted = []  # entries after store.revision, without gaps
+        self.changed = False  # the durable state differs from what was handed out last
+        # every role
+        self.role = Role.FOLLOWER
+        self.leader = ""
+        self.freshness = Freshness()
+        self.heartbeat_at = now  # ns when a leader, or a recovering replica, sends to all others
+        self.feed = None  # the SubscriberFeed whose confirmations are reported to the leader
+        self.instructions = ReplicaInstructions()
+
+    @property
+    def majority(self):
+        """Number of replicas that make a majority."""
+        return (len(self.others) + 1) // 2 + 1
+
+    @property
+    def last_position(self):
+        """(term, revision) of the newest entry in the log, committed or not."""
+        if self.uncommitted:
+            newest = self.uncommitted[-1]
+            return newest.term, newest.revision
+        return self.store.term, self.store.revision
+
+    @property
+    def last_revision(self):
+        """Revision of the newest entry in the log, committed or not."""
+        return self.last_position[1]
+
+    # ---- log
 
     def _term_at(self, revision):
-        """Term of the entry at a revision; None if it is not held, or folded into the store."""
+        """Term of the entry at a revision; None if it is not in the log, or folded into the store."""
         if revision == self.store.revision:
             return self.store.term
         position = revision - self.store.revision - 1
         return self.uncommitted[position].term if 0 <= position < len(self.uncommitted) else None
 
     def _commit(self, revision):
+        """Applies uncommitted entries up to `revision` to the store."""
         while self.uncommitted and self.uncommitted[0].revision <= revision:
             entry = self.uncommitted.pop(0)
             self.store.apply(entry)
             self.store.advance(entry.revision, entry.term)
-            self.step.committed.append(entry)
+            self.instructions.committed.append(entry)
             self.changed = True
-        self.freshness.reached(self.store.revision)
+        self.freshness.revision_reached(self.store.revision)
 
-    def _current(self, key):
+    def _newest_entry(self, key):
         """The newest Entry of a key, committed or not; None if there is none or it is removed."""
         proposed = (entry for entry in reversed(self.uncommitted) if entry.key == key)
         entry = next(proposed, None) or self.store.get(key)
         return entry if entry is not None and entry.value is not None else None
 
-    def _revision_of(self, request):
+    def _revision_of_request(self, request):
+        """Revision of the write with that request id, committed or not; None if it is not known."""
         proposed = (entry.revision for entry in self.uncommitted if entry.request == request)
         return next(proposed, None) or self.store.requests.get(request)
 
-    def _check_room(self, key, value):
-        if len(self.uncommitted) >= PROPOSALS_MOST:
-            raise Overloaded(f"{PROPOSALS_MOST} writes wait for a majority")
-        if value is not None and self.store.get(key) is None and self.store.live_count >= KEYS_MOST:
-            raise Overloaded(f"{KEYS_MOST} keys are held")
-        if self.store.bytes + len(value or b"") > STATE_BYTES_MOST:
-            raise Overloaded(f"{STATE_BYTES_MOST} bytes are held")
+    def _check_capacity(self, key, value):
+        """Raises OverloadedError for a write that would pass a limit."""
+        if len(self.uncommitted) >= MAX_PENDING_PROPOSALS:
+            raise OverloadedError(f"{MAX_PENDING_PROPOSALS} writes wait for a majority")
+        if value is not None and self.store.get(key) is None and self.store.live_count >= MAX_LIVE_KEYS:
+            raise OverloadedError(f"{MAX_LIVE_KEYS} keys are held")
+        if self.store.bytes + len(value or b"") > MAX_STATE_BYTES:
+            raise OverloadedError(f"{MAX_STATE_BYTES} bytes are held")
 
-    # ---- state and messages
+    # ---- durable state and messages
 
-    def _state(self):
-        store = self.store
-        numbers = (self.term, self.voted_for, store.revision, store.term, store.forgotten)
-        return ReplicaState(*numbers, export(store), list(store.requests.items()), list(self.uncommitted))
+    def _durable_state(self):
+        return ReplicaState(
+            term=self.term,
+            voted_for=self.voted_for,
+            revision=self.store.revision,
+            committed_term=self.store.term,
+            forgotten=self.store.forgotten,
+            versions=export(self.store),
+            requests=list(self.store.requests.items()),
+            uncommitted=list(self.uncommitted),
+        )
 
     def _restore(self, saved):
-        self.term, self.voted_for, self.uncommitted = saved.term, saved.voted_for, list(saved.uncommitted)
-        position = (saved.revision, saved.committed_term)
-        self.store = restore(*position, saved.versions, saved.requests, saved.forgotten)
+        """Takes over a ReplicaState."""
+        self.term = saved.term
+        self.voted_for = saved.voted_for
+        self.uncommitted = list(saved.uncommitted)
+        self.store = restore(
+            saved.revision, saved.committed_term, saved.versions, saved.requests, saved.forgotten
+        )
 
     def _send(self, to, message):
-        self.step.messages.append(Envelope(to, message))
+        self.instructions.messages.append(Envelope(to, message))
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -6,35 +6,48 @@
 import xxhash
 
 from .messages import InventoryItem
-from .timing import BUCKETS, HISTORY, REMOVALS_KEPT, REQUESTS_KEPT
+
+MAX_VERSIONS_PER_KEY = 8  # the newest one included, so that a rollback finds former ones
+MAX_TOMBSTONES = 1_024  # newest removals remembered; who lags further behind is repaired by digest
+MAX_REQUEST_IDS = 4_096  # newest request ids remembered against repeated calls
+DIGEST_BUCKETS = 64  # parts of the key space that are compared by digest: 4,000 keys make 63 each
 
 LAST_KEY = "\U0010ffff" * 2  # sorts after every key
-ORDER_SLACK = 256  # outdated pairs that the order may hold before it is built anew
+COMPACTION_SLACK = 256  # outdated items that a list may hold before it is built anew
 
 
 def bucket_of(key):
     """The part of the key space that a key belongs to, the same everywhere."""
-    return xxhash.xxh64_intdigest(key.encode()) % BUCKETS
+    return xxhash.xxh64_intdigest(key.encode()) % DIGEST_BUCKETS
 
 
 class VersionedStore:
-    """Entries by key. `revision` and `term`: of the last write that is included. Entries only move forward:
-    one that is not newer than what is held for its key changes nothing."""
+    """Entries by key. They only move forward: one that is not newer than its key's entry changes nothing.
+
+    Attributes:
+        revision: everything up to it is included.
+        term: of the entry at `revision`.
+        forgotten: revision of the newest removal that is no longer remembered. Whoever is not past it can't
+            be brought up to date by entries alone.
+        bytes: charged for all versions that are kept.
+    """
 
     def __init__(self):
-        self.revision, self.term = 0, 0
-        self.entries = {}  # key -> newest Entry, removals too
+        self.revision = 0
+        self.term = 0
+        self.forgotten = 0
+        self.bytes = 0
+        self.entries = {}  # key -> newest Entry, removals included
         self.order = []  # (revision, key), rising; pairs that a newer entry outdated are skipped
         self.versions = {}  # key -> deque of Entry, oldest first, the newest included
-        self.digests = [0] * BUCKETS
-        self.bucket_keys = [set() for _ in range(BUCKETS)]  # live keys
-        self.live_count, self.live_bytes = 0, 0
-        self.removed = deque()  # (key, revision) of removals still held
-        self.forgotten = 0  # revision of the newest removal that is no longer held
+        self.history = []  # all versions in the order they came, some that are no longer kept among them
+        self.outdated = 0  # number of these
+        self.tombstones = deque()  # (key, revision) of the removals that are remembered
         self.requests = OrderedDict()  # request id -> revision
-        self.bytes = 0  # charged for all versions
-        self.kept = []  # all versions in the order they came, some that are no longer held among them
-        self.outdated = 0  # of these
+        self.digests = [0] * DIGEST_BUCKETS
+        self.bucket_keys = [set() for _ in range(DIGEST_BUCKETS)]  # live keys
+        self.live_count = 0
+        self.live_bytes = 0
 
     # ---- reading
 
@@ -63,64 +76,69 @@
     def digest(self):
         """64 bits over all that is in force."""
         total = 0
-        for part in self.digests:
-            total ^= part
+        for bucket_digest in self.digests:
+            total ^= bucket_digest
         return total
 
     def inventory(self, bucket):
-        """All live keys of a bucket, sorted by key."""
+        """All live keys of a bucket, as InventoryItems sorted by key."""
         entries = (self.entries[key] for key in sorted(self.bucket_keys[bucket]))
         return [InventoryItem(entry.key, entry.revision, entry.fingerprint) for entry in entries]
 
     # ---- writing
 
     def apply(self, entry):
-        """Takes an entry if it is newer than what is held for its key. True if it was."""
+        """Takes an entry if it is newer than its key's present one.
+
+        Returns:
+            Whether it was.
+        """
         if entry.request:
             self.remember([(entry.request, entry.revision)])
         if not entry.key:
             return False  # opens a term, changes no key
-        held = self.entries.get(entry.key)
-        if held is not None and held.revision >= entry.revision:
+        former = self.entries.get(entry.key)
+        if former is not None and former.revision >= entry.revision:
             return False
-        self._replace(held, entry)
+        self._replace(former, entry)
         self._keep_version(entry)
         return True
 
     def advance(self, revision, term=0):
         """Everything up to `revision` is included now."""
         if revision > self.revision:
-            self.revision, self.term = revision, term
+            self.revision = revision
+            self.term = term
 
     def forget(self, key):
-        """Drops what is held for a key, as if it had never been written: for repairs."""
+        """Drops all versions of a key, as if it had never been written: for repairs."""
         entry = self.entries.pop(key, None)
         if entry is None:
             return
         if entry.value is not None:
             self._uncount(entry)
-        for former in self.versions.pop(key, ()):
-            self.bytes -= former.size
+        for version in self.versions.pop(key, ()):
+            self.bytes -= version.size
             self.outdated += 1
 
     def remember(self, requests):
         """Takes (request id, revision) pairs of writes; the newest ones are kept."""
         for request, revision in requests:
             self.requests[request] = revision
-        while len(self.requests) > REQUESTS_KEPT:
+        while len(self.requests) > MAX_REQUEST_IDS:
             self.requests.popitem(last=False)
 
     # ---- inside
 
-    def _replace(self, held, entry):
-        if held is not None and held.value is not None:
-            self._uncount(held)
+    def _replace(self, former, entry):
+        if former is not None and former.value is not None:
+            self._uncount(former)
         self.entries[entry.key] = entry
         insort(self.order, (entry.revision, entry.key))
-        if len(self.order) > 2 * len(self.entries) + ORDER_SLACK:
-            self.order = sorted((one.revision, one.key) for one in self.entries.values())
+        if len(self.order) > 2 * len(self.entries) + COMPACTION_SLACK:
+            self.order = sorted((newest.revision, newest.key) for newest in self.entries.values())
         if entry.value is None:
-            self._keep_removal(entry)
+            self._keep_tombstone(entry)
         else:
             self._count(entry)
 
@@ -138,33 +156,45 @@
         self.live_count -= 1
         self.live_bytes -= entry.size
 
-    def _keep_removal(self, entry):
-        self.removed.append((entry.key, entry.revision))
-        while len(self.removed) > REMOVALS_KEPT:
-            key, revision = self.removed.popleft()
+    def _keep_tombstone(self, entry):
+        self.tombstones.append((entry.key, entry.revision))
+        while len(self.tombstones) > MAX_TOMBSTONES:
+            key, revision = self.tombstones.popleft()
             self.forgotten = max(self.forgotten, revision)
-            held = self.entries.get(key)
-            if held is not None and held.revision == revision:
+            newest = self.entries.get(key)
+            if newest is not None and newest.revision == revision:
                 self.forget(key)
 
-    def _drop_outdated(self):
-        self.outdated += 1
-        if self.outdated > len(self.kept) // 2 + ORDER_SLACK:
-            held = (entry for versions in self.versions.values() for entry in versions)
-            self.kept, self.outdated = sorted(held, key=lambda entry: entry.revision), 0
-
     def _keep_version(self, entry):
         versions = self.versions.setdefault(entry.key, deque())
         versions.append(entry)
-        self.kept.append(entry)
+        self.history.append(entry)
         self.bytes += entry.size
-        if len(versions) > HISTORY:
+        if len(versions) > MAX_VERSIONS_PER_KEY:
             self.bytes -= versions.popleft().size
             self._drop_outdated()
 
+    def _drop_outdated(self):
+        self.outdated += 1
+        if self.outdated > len(self.history) // 2 + COMPACTION_SLACK:
+            kept = (entry for versions in self.versions.values() for entry in versions)
+            self.history = sorted(kept, key=lambda entry: entry.revision)
+            self.outdated = 0
+
 
 def restore(revision, term, versions, requests, forgotten=0):
-    """A VersionedStore from what `export` gave."""
+    """Builds a VersionedStore anew.
+
+    Args:
+        revision: of the last entry that is included.
+        term: of that entry.
+        versions: what `export` returned.
+        requests: (request id, revision) pairs.
+        forgotten: revision of the newest removal that is no longer remembered.
+
+    Returns:
+        The VersionedStore.
+    """
     store = VersionedStore()
     for entry in sorted(versions, key=lambda entry: entry.revision):
         store.apply(entry)
@@ -175,5 +205,5 @@
 
 
 def export(store):
-    """All versions that a store holds, and some that it no longer does: what `restore` needs."""
-    return list(store.kept)
+    """All versions that a store keeps, and some that it no longer does: what `restore` needs."""
+    return list(store.history)
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -1,21 +1,14 @@
-"""Times, sizes and rates of the control plane, in one place: value, unit, reason."""
+"""Timeouts, intervals and rates of replicas, feeds and subscribers: value, unit, reason."""
 
 from dataclasses import dataclass
 
-MS, S = 10**6, 10**9
-
-KEYS_MOST = 16_384  # live keys; four times the target's routes: more is a client that runs away
-HISTORY = 8  # former versions kept for each key, so that a rollback finds them
-REMOVALS_KEPT = 1_024  # newest removals remembered; who lags further behind is repaired by digest
-REQUESTS_KEPT = 4_096  # newest request ids remembered against repeated calls
-STATE_BYTES_MOST = 8 << 20  # bytes of all versions kept; a write that would pass it is refused
-PROPOSALS_MOST = 64  # writes that wait for a majority; further ones are refused
-BUCKETS = 64  # parts of the key space that are compared by digest: 4,000 keys make 63 each
+MS = 10**6  # ns
+S = 10**9  # ns
 
 
 @dataclass(frozen=True)
 class ReplicaTiming:
-    """Times between replicas, ns."""
+    """Timing between replicas, ns."""
 
     heartbeat: int = 400 * MS  # of a leader: three fit into the shortest election timeout
     election_least: int = 1_500 * MS  # a follower waits so long for its leader at the least
@@ -23,18 +16,21 @@
     recovery_silence: int = 6_000 * MS  # a replica without its state votes for nobody: twice election_most
 
     @property
-    def quorum_within(self):
-        """A leader that no majority confirmed for so long takes no write."""
+    def quorum_timeout(self):
+        """ns; a leader that no majority confirmed for so long accepts no write."""
         return self.election_least
 
-    def election_timeout(self, chance):
-        """A timeout drawn from `chance`, a random.Random."""
-        return chance.randrange(self.election_least, self.election_most)
+    def election_timeout(self, rng):
+        """Draws a timeout in ns from `rng`, a random.Random."""
+        return rng.randrange(self.election_least, self.election_most)
 
 
 @dataclass(frozen=True)
 class FeedSettings:
-    """What a replica sends to its subscribers, and when. Times in ns, rates in bytes a second."""
+    """What a replica sends to its subscribers, and when.
+
+    Times in ns, sizes in bytes, rates in bytes a second.
+    """
 
     heartbeat: int = 1 * S  # to each subscriber; its age and digest let a subscriber judge what it holds
     retry_first: int = 1 * S  # an update that is not confirmed goes again, later each time
@@ -46,23 +42,26 @@
 
     @property
     def sustained(self):
-        """Refill rate of a subscriber's token bucket: with `burst`, ten seconds stay under the budget."""
+        """Refill rate of a subscriber's token bucket, bytes a second.
+
+        With `burst`, any ten seconds stay under the budget.
+        """
         return self.bytes_per_second * 3 // 4
 
     @property
     def burst(self):
-        """Capacity of a subscriber's token bucket, and the most that one update may carry."""
+        """Bytes: capacity of a subscriber's token bucket, and the most that one update may carry."""
         return self.bytes_per_second * 2
 
     @property
-    def value_most(self):
+    def max_value_bytes(self):
         """Bytes of a value that is accepted: one entry has to fit into one update."""
         return self.burst - 1_024
 
 
 @dataclass(frozen=True)
 class SubscriberTiming:
-    """A subscriber's times, ns."""
+    """Timing of a subscriber, ns."""
 
     dial: int = 1 * S  # until a connection that does not come up is given up
     silence: int = 3 * S  # a replica that says nothing for so long is left: three heartbeats
--- a/embertray/experiments/capacity/control.py
+++ b/embertray/experiments/capacity/control.py
@@ -2,8 +2,9 @@
 bounds that embertray/cluster/replication states. Measured slopes stand beside them.
 """
 
+from embertray.cluster.replication.codec import encode
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.messages import Confirm, Heartbeat, Update, encode
+from embertray.cluster.replication.messages import Confirm, Heartbeat, Update
 from embertray.cluster.replication.propagation_bounds import Bounds
 
 from . import reckon
--- a/embertray/experiments/measure/scale/control_role.py
+++ b/embertray/experiments/measure/scale/control_role.py
@@ -4,14 +4,13 @@
 
 import anyio
 
+from embertray.cluster.replication.exceptions import OutcomeUnknownError, WriteRejectedError
 from embertray.cluster.replication.link import (
     ReplicaServer,
     ReplicaSettings,
     SubscriberClient,
     SubscriberSettings,
 )
-from embertray.cluster.replication.link.pending_writes import OutcomeUnknown
-from embertray.cluster.replication.replica_types import WriteRejected
 from embertray.common.net.clock import LoopClock
 
 from .meter import Counters
@@ -54,7 +53,7 @@
             return False
         try:
             await self.server.put(key, value, request)
-        except (WriteRejected, OutcomeUnknown):
+        except (WriteRejectedError, OutcomeUnknownError):
             self.refused += 1
             return False
         return True
--- a/embertray/service/admin/control.py
+++ b/embertray/service/admin/control.py
@@ -1,9 +1,9 @@
 """Operators' HTTP of a control replica: status, reads and writes.
 
 GET /live /ready /metrics /control /control/key?key=K /control/versions?key=K;
-PUT /control/key?key=K&request=ID (the value is the body; expected=REVISION refuses it if the key is not at
+PUT /control/key?key=K&request=ID (the value is the body; expected=REVISION rejects it if the key is not at
 that), DELETE the same;
-POST /control/rollback?key=K&version=N&request=ID. Answers are JSON of control/operations.py.
+POST /control/rollback?key=K&version=N&request=ID. Answers are JSON of replication/api_messages.py.
 """
 
 from urllib.parse import parse_qs, urlsplit
@@ -20,31 +20,47 @@
     Versions,
     encode_answer,
 )
-from embertray.cluster.replication.link.pending_writes import OutcomeUnknown
-from embertray.cluster.replication.link.status import seconds
-from embertray.cluster.replication.replica_types import (
-    Conflict,
-    NoMajority,
-    NotLeader,
-    Overloaded,
-    WriteRejected,
+from embertray.cluster.replication.exceptions import (
+    ConflictError,
+    NoMajorityError,
+    NotLeaderError,
+    OutcomeUnknownError,
+    OverloadedError,
+    WriteRejectedError,
 )
+from embertray.cluster.replication.link.status import seconds
 
+from .control_metrics import replica_metrics
 from .server import serve_request, text
 
-BODY_MOST = 64 << 10  # bytes: a value that is too large for an update still gets a typed answer
-STATUS = {NotLeader: 421, NoMajority: 503, Overloaded: 503, Conflict: 409}  # of other refusals: 400
+MAX_BODY_BYTES = 64 << 10  # a value that is too large for an update still gets a typed answer
+MAX_DIGITS = 18  # of a number in a query: it fits into 63 bits
+
+BAD_REQUEST_STATUS = 400
+UNKNOWN_OUTCOME_STATUS = 504
+REJECTION_STATUS = {  # of other rejections: BAD_REQUEST_STATUS
+    NotLeaderError: 421,
+    NoMajorityError: 503,
+    OverloadedError: 503,
+    ConflictError: 409,
+}
 
 
-class BadCall(ValueError):
-    """A call without what it needs."""
+class InvalidQueryError(ValueError):
+    """A request lacks a parameter, or has one that can't be read."""
 
 
 class ReplicaAdmin:
-    """Pages of one ReplicaServer; `admins`: name of each replica -> its operators' address."""
+    """Pages of one replica.
+
+    Args:
+        server: the ReplicaServer.
+        admins: name of each replica -> its operators' address.
+    """
 
     def __init__(self, server, admins):
-        self.server, self.admins = server, admins
+        self.server = server
+        self.admins = admins
         self.routes = {
             "/live": {"GET": self._live},
             "/ready": {"GET": self._ready},
@@ -57,10 +73,18 @@
 
     async def serve(self, stream):
         """Answers one request."""
-        await serve_request(stream, self.answer, BODY_MOST)
+        await serve_request(stream, self.answer, MAX_BODY_BYTES)
 
     async def answer(self, request, body):
-        """(status, content type, body)"""
+        """Answers a request.
+
+        Args:
+            request: its head; `target` and `method` are bytes.
+            body: bytes.
+
+        Returns:
+            (status, content type, body).
+        """
         parts = urlsplit(request.target.decode("ascii", "replace"))
         methods = self.routes.get(parts.path)
         if methods is None:
@@ -71,10 +95,10 @@
         query = {name: values[0] for name, values in parse_qs(parts.query, keep_blank_values=True).items()}
         try:
             return await page(query, body)
-        except BadCall as wrong:
-            return _json(400, Rejected("BadCall", str(wrong)))
+        except InvalidQueryError as error:
+            return _json(BAD_REQUEST_STATUS, Rejected("BadCall", str(error)))
 
-    # ---- what is read
+    # ---- reads
 
     async def _live(self, query, body):
         return text("live\n")
@@ -98,19 +122,18 @@
 
     async def _versions(self, query, body):
         key = _key(query)
-        kept = [
-            Version(one.revision, None if one.value is None else len(one.value))
-            for one in self.server.versions(key)
+        versions = [
+            Version(entry.revision, None if entry.value is None else len(entry.value))
+            for entry in self.server.versions(key)
         ]
-        return _json(200, Versions(key, kept)) if kept else _json(404, Missing(key))
+        return _json(200, Versions(key, versions)) if versions else _json(404, Missing(key))
 
-    # ---- what is written
+    # ---- writes
 
     async def _put(self, query, body):
         expected = _number(query, "expected") if "expected" in query else None
-        return await self._write(
-            query, self.server.put(_key(query), body, query.get("request", ""), expected)
-        )
+        call = self.server.put(_key(query), body, query.get("request", ""), expected)
+        return await self._write(query, call)
 
     async def _remove(self, query, body):
         return await self._write(query, self.server.put(_key(query), None, query.get("request", "")))
@@ -120,83 +143,48 @@
         return await self._write(query, self.server.rollback(_key(query), version, query.get("request", "")))
 
     async def _write(self, query, call):
+        """Awaits a write and answers with its outcome."""
         try:
             return _json(200, Committed(query["key"], await call))
-        except WriteRejected as refused:
-            return _json(STATUS.get(type(refused), 400), self._refused(refused))
-        except OutcomeUnknown as unknown:
-            return _json(504, Unknown(str(unknown)))
+        except WriteRejectedError as error:
+            return _json(REJECTION_STATUS.get(type(error), BAD_REQUEST_STATUS), self._rejected(error))
+        except OutcomeUnknownError as error:
+            return _json(UNKNOWN_OUTCOME_STATUS, Unknown(str(error)))
 
-    def _refused(self, refused):
-        leader = self.admins.get(refused.leader, "") if isinstance(refused, NotLeader) else ""
-        return Rejected(type(refused).__name__, str(refused), leader)
+    def _rejected(self, error):
+        leader = self.admins.get(error.leader, "") if isinstance(error, NotLeaderError) else ""
+        return Rejected(error.reason, str(error), leader)
 
 
 def value_page(key, get, age_s):
-    """The answer to a GET of a key; `get(key)` gives its Entry or None."""
+    """The answer to a GET of a key.
+
+    Args:
+        key: its name.
+        get: get(key) returns its Entry, or None.
+        age_s: seconds, or None.
+
+    Returns:
+        (status, content type, body).
+    """
     entry = get(key)
     if entry is None:
         return _json(404, Missing(key))
     return _json(200, Value(key, entry.revision, entry.value, age_s))
 
 
-def replica_metrics(status):
-    """Lines of Prometheus' text format for a ReplicaStatus."""
-    gauges = {
-        "leads": int(status.has_majority),
-        "term": status.term,
-        "revision": status.revision,
-        "age_seconds": "NaN" if status.age_s is None else status.age_s,
-        "keys": status.keys,
-        "state_bytes": status.state_bytes,
-        "subscribers": status.subscribers,
-        "lowest_confirmed": status.lowest_confirmed,
-        "writes_waiting": status.writes_waiting,
-        "peers_connected": status.peers_connected,
-    }
-    counters = {
-        "saves": status.saves,
-        "steps": status.steps,
-        "update_retries": status.update_retries,
-        "silent_subscribers": status.silent_subscribers,
-        **msgspec.structs.asdict(status.traffic),
-    }
-    return metric_lines(gauges, counters)
-
-
-def subscriber_metrics(status):
-    """Lines of Prometheus' text format for a SubscriberStatus."""
-    gauges = {
-        "connected": int(status.connected),
-        "revision": status.revision,
-        "age_seconds": "NaN" if status.age_s is None else status.age_s,
-        "keys": status.keys,
-    }
-    return metric_lines(gauges, {**status.counted, **msgspec.structs.asdict(status.traffic)})
-
-
-def metric_lines(gauges, counters):
-    """One TYPE line and one value for each."""
-    rows = []
-    for kind, suffix, metrics in (("gauge", "", gauges), ("counter", "_total", counters)):
-        for name, value in metrics.items():
-            rows.append(f"# TYPE embertray_control_{name}{suffix} {kind}")
-            rows.append(f"embertray_control_{name}{suffix} {value}")
-    return rows
-
-
 def _json(status, answer):
     return status, "application/json", encode_answer(answer)
 
 
 def _key(query):
     if not query.get("key"):
-        raise BadCall("key: the name of a key is wanted")
+        raise InvalidQueryError("key: the name of a key is wanted")
     return query["key"]
 
 
 def _number(query, name):
     value = query.get(name, "")
-    if not value.isascii() or not value.isdigit() or len(value) > 18:
-        raise BadCall(f"{name}: a whole number is wanted")
+    if not value.isascii() or not value.isdigit() or len(value) > MAX_DIGITS:
+        raise InvalidQueryError(f"{name}: a whole number is wanted")
     return int(value)
--- a/embertray/service/admin/control_client.py
+++ b/embertray/service/admin/control_client.py
@@ -1,4 +1,4 @@
-"""Calls of `embertray control` to replicas: the leader is followed, and a write is repeated with its id."""
+"""Calls of `embertray control` to replicas: the leader is followed, and a write is repeated under its id."""
 
 import time
 
@@ -9,72 +9,110 @@
 from embertray.common.net.http import CallFailed, Talk
 from embertray.common.net.tcp import TcpNet
 
-S = 10**9
-DIAL_WITHIN, ASK_WITHIN = 1 * S, 5 * S  # ns
-ANSWER_WITHIN = 8 * S  # ns; a replica answers a write within 5 s, known or not
-ANSWER_MOST = 1 << 20  # bytes
-PAUSE = 0.3  # s before a try that is not sent to a leader that was just named
-MAY_CHANGE = ("NotLeader", "NoMajority", "Overloaded")  # refusals that may be over soon
+NS_PER_S = 10**9
+CONNECT_TIMEOUT_NS = 1 * NS_PER_S
+SEND_TIMEOUT_NS = 5 * NS_PER_S
+ANSWER_TIMEOUT_NS = 8 * NS_PER_S  # a replica answers a write within 5 s, known or not
+MAX_ANSWER_BYTES = 1 << 20
+RETRY_PAUSE_S = 0.3  # before an attempt that is not sent to a leader that was just named
+TRANSIENT_REASONS = ("NotLeader", "NoMajority", "Overloaded")  # rejections that may be over soon
+MAX_ERROR_TEXT = 200  # characters shown of an answer that is no typed one
 
 
-class Unreachable(Exception):
+class UnreachableError(Exception):
     """No replica could be asked."""
 
 
 async def ask(admin, method, target, body=b""):
-    """(status, body) of one request. Raises Unreachable."""
+    """Makes one request.
+
+    Args:
+        admin: operators' address of a replica.
+        method: HTTP method.
+        target: path and query.
+        body: bytes.
+
+    Returns:
+        (status, body).
+
+    Raises:
+        UnreachableError: there was no answer.
+    """
     try:
         return await call(admin, method, target, body)
-    except CallFailed as failed:
-        raise Unreachable(f"{admin}: {failed}") from None
+    except CallFailed as failure:
+        raise UnreachableError(f"{admin}: {failure}") from None
 
 
 async def call(admin, method, target, body=b""):
-    """(status, body) of one request. Raises CallFailed."""
-    talk = await Talk.dial(TcpNet(), admin, DIAL_WITHIN)
+    """The same, but raises CallFailed, which tells whether the request may have been received."""
+    connection = await Talk.dial(TcpNet(), admin, CONNECT_TIMEOUT_NS)
     try:
-        await talk.ask(method, target, ASK_WITHIN, body, "application/octet-stream")
-        return await talk.answer(ANSWER_WITHIN, ANSWER_MOST)
+        await connection.ask(method, target, SEND_TIMEOUT_NS, body, "application/octet-stream")
+        return await connection.answer(ANSWER_TIMEOUT_NS, MAX_ANSWER_BYTES)
     finally:
-        await talk.aclose()
+        await connection.aclose()
+
+
+async def write(admin, method, target, body, timeout):
+    """Makes a write: follows the leader, and tries again while that may help.
 
+    An attempt whose outcome is unknown may still be committed. So a later rejection that may be over soon
+    does not settle it, and the outcome stays unknown; any other answer under the same request id does.
 
-async def write(admin, method, target, body, within):
-    """Committed, Rejected or Unknown. Follows the leader, and tries again for `within` seconds while that may
-    help. Raises Unreachable if nobody ever took the call."""
-    ends_at, address, outcome, unsure = time.monotonic() + within, admin, None, None
+    Args:
+        admin: operators' address of the replica to ask first.
+        method: HTTP method.
+        target: path and query, with the request id.
+        body: bytes.
+        timeout: seconds in which further attempts begin.
+
+    Returns:
+        Committed, Rejected or Unknown.
+
+    Raises:
+        UnreachableError: no replica ever received the request.
+    """
+    ends_at = time.monotonic() + timeout
+    address = admin
+    unknown = None
     while True:
-        try:
-            outcome = read_outcome(*await call(address, method, target, body))
-        except CallFailed as failed:
-            outcome = Unknown(f"{address}: {failed}") if failed.sent else None
-            failure = f"{address}: {failed}"
+        outcome, failure = await _attempt(address, method, target, body)
         if isinstance(outcome, Unknown):
-            unsure = outcome
+            unknown = outcome
         if not may_change(outcome) or time.monotonic() > ends_at:
             break
         leader = outcome.leader if isinstance(outcome, Rejected) else ""
         if not leader or leader == address:
-            await anyio.sleep(PAUSE)
+            await anyio.sleep(RETRY_PAUSE_S)
         address = leader or admin
-    if unsure is not None and may_change(outcome):
-        return unsure  # a later refusal says nothing of the try before
+    if unknown is not None and may_change(outcome):
+        return unknown
     if outcome is None:
-        raise Unreachable(failure)
+        raise UnreachableError(failure)
     return outcome
 
 
+async def _attempt(address, method, target, body):
+    """(outcome, "") or, if the call failed, (Unknown or None if nothing was sent, reason)."""
+    try:
+        return read_outcome(*await call(address, method, target, body)), ""
+    except CallFailed as error:
+        failure = f"{address}: {error}"
+        return (Unknown(failure) if error.sent else None), failure
+
+
 def may_change(outcome):
-    """Whether the same call may end otherwise when it is made again."""
+    """Whether the same call may end otherwise when it is made again; `outcome` None: it was not received."""
     if isinstance(outcome, Rejected):
-        return outcome.reason in MAY_CHANGE
+        return outcome.reason in TRANSIENT_REASONS
     return outcome is None or isinstance(outcome, Unknown)
 
 
 def read_outcome(status, body):
-    """The typed outcome of a write's answer."""
+    """The typed outcome of a write's answer, given its HTTP status and body."""
     try:
         return decode_answer(body)
     except msgspec.DecodeError:
         text = body.decode("utf-8", "replace").strip()
-        return Rejected("BadCall", f"status {status}: {text[:200]}")
+        return Rejected("BadCall", f"status {status}: {text[:MAX_ERROR_TEXT]}")
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -148,7 +148,7 @@
         ):
             row(f"cluster_{key}_total", "counter", status[key])
     if service.control is not None:
-        from .control import subscriber_metrics
+        from .control_metrics import subscriber_metrics
 
         rows += subscriber_metrics(service.control.status())
     return text("\n".join(rows) + "\n")
--- a/embertray/service/daemon/control.py
+++ b/embertray/service/daemon/control.py
@@ -1,4 +1,4 @@
-"""The control plane in this program's processes: a replica of its own, and a controller's subscriber."""
+"""Replicated configuration in this program's processes: a replica of its own, a controller's subscriber."""
 
 import random
 from pathlib import Path
@@ -17,33 +17,55 @@
 
 
 class ReplicaProcess:
-    """`embertray control serve`: the replica `me` of a site's Control with its operators' HTTP."""
+    """`embertray control serve`: one replica of a site, with its operators' HTTP.
+
+    Args:
+        control: the site's Control.
+        me: the ReplicaAt to run.
+        clock: the process's clock.
+        net: listens and opens connections.
+        seed: whole number, the same for all processes of the site.
+        replica_timing: a ReplicaTiming, None for the default.
+        feed_settings: a FeedSettings, None for the site's.
+    """
 
     def __init__(self, control, me, clock, net, seed, replica_timing=None, feed_settings=None):
-        self.me, self.net = me, net
-        peers = {one.name: one.address for one in control.replicas}
+        self.me = me
+        self.net = net
         self.server = ReplicaServer(
-            ReplicaSettings(control.cluster, me.name, peers, me.listen),
+            ReplicaSettings(
+                cluster=control.cluster,
+                name=me.name,
+                peers={replica.name: replica.address for replica in control.replicas},
+                listen=me.listen,
+            ),
             clock,
-            chance_of_this_start(seed, me.name, clock),
-            net,
-            replica_timing,
-            feed_settings or FeedSettings(bytes_per_second=control.bytes_per_second),
-            replica_state_store(me.keep),
+            rng_of_this_start(seed, me.name, clock),
+            net=net,
+            replica_timing=replica_timing,
+            feed_settings=feed_settings or FeedSettings(bytes_per_second=control.bytes_per_second),
+            saved=replica_state_store(me.keep),
         )
-        self.pages = ReplicaAdmin(self.server, {one.name: one.admin for one in control.replicas})
+        admins = {replica.name: replica.admin for replica in control.replicas}
+        self.admin = ReplicaAdmin(self.server, admins)
 
     async def run(self):
-        """Until `stop`. Raises Locked, OSError, StateNotSaved."""
-        admin = await self.net.listen(self.me.admin)
+        """Runs until `stop`.
+
+        Raises:
+            Locked: another process uses the replica's folder.
+            OSError: an address or the folder can't be used.
+            StateNotSavedError: the disk failed or is full.
+        """
+        listener = await self.net.listen(self.me.admin)
         try:
             async with anyio.create_task_group() as group:
                 await group.start(self._run_server, group)
-                group.start_soon(admin.serve, self.pages.serve, group)
-                self.server.log.info("operators", admin=admin.address)
+                group.start_soon(listener.serve, self.admin.serve, group)
+                self.server.log.info("operators", admin=listener.address)
         finally:
             with anyio.CancelScope(shield=True):
-                await admin.aclose()
+                await listener.aclose()
 
     async def _run_server(self, group, *, task_status):
         await self.server.run(task_status=task_status)
@@ -54,24 +76,39 @@
         self.server.stop()
 
 
-def subscriber_client(site, me, clock, net, seed, log, pace=None):
-    """The SubscriberClient of the controller `me`."""
+def subscriber_client(site, me, clock, net, seed, log, timing=None):
+    """The subscriber of one controller.
+
+    Args:
+        site: the Site.
+        me: the controller's description.
+        clock: the process's clock.
+        net: opens connections.
+        seed: whole number, the same for all processes of the site.
+        log: a structlog logger.
+        timing: a SubscriberTiming, None for the default.
+
+    Returns:
+        A SubscriberClient.
+    """
     control = site.control
-    replicas = {one.name: one.listen for one in control.followed_by(me)}
-    saved = subscriber_state_store(Path(control.keep) / me.name) if control.keep else None
     return SubscriberClient(
-        SubscriberSettings(control.cluster, me.name, replicas),
+        SubscriberSettings(
+            cluster=control.cluster,
+            name=me.name,
+            replicas={replica.name: replica.listen for replica in control.followed_by(me)},
+        ),
         clock,
-        chance_of_this_start(seed, me.name, clock),
+        rng_of_this_start(seed, me.name, clock),
         lambda entries: log.info("configuration", keys=len(entries), revision=entries[-1].revision),
         net=net,
-        pace=pace,
-        saved=saved,
+        timing=timing,
+        saved=subscriber_state_store(Path(control.keep) / me.name) if control.keep else None,
         log=log,
         budget=FeedSettings(bytes_per_second=control.bytes_per_second),
     )
 
 
-def chance_of_this_start(seed, name, clock):
-    """A generator that differs at each start: a replica's nonces must never be drawn twice."""
+def rng_of_this_start(seed, name, clock):
+    """A random.Random that differs at each start: a replica's nonces must never be drawn twice."""
     return random.Random(f"{seed} {name} {clock.wall()}")
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -1,15 +1,15 @@
 """A replica under virtual time: its core, feed, disk and connections."""
 
+from embertray.cluster.replication.codec import decode_from_subscriber, decode_replica_message, encode
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.messages import (
-    MalformedMessage,
-    decode_from_subscriber,
-    decode_replica_message,
-    encode,
+from embertray.cluster.replication.exceptions import (
+    MalformedMessageError,
+    SubscriberRejectedError,
+    WriteRejectedError,
 )
 from embertray.cluster.replication.replica import Replica
-from embertray.cluster.replication.replica_types import ReplicaState, WriteRejected
-from embertray.cluster.replication.subscriber_feed import SubscriberFeed, SubscriberRejected
+from embertray.cluster.replication.replica_state import ReplicaState
+from embertray.cluster.replication.subscriber_feed import SubscriberFeed
 
 from .links import Stream
 from .process import FRAME_BYTES, Process
@@ -44,7 +44,7 @@
             settings.cluster, self.name, self.play.replica_names, now, chance, settings.replica, self.disk
         )
         self.feed = self.make_feed(settings.cluster, lambda: self.core.store, now, settings.feed)
-        self.core.subscribers = self.feed
+        self.core.feed = self.feed
         self.writes = {}  # request -> what is called with the committed Entry
         self.call(self.tick)
 
@@ -86,7 +86,7 @@
     def _receive_replica(self, data):
         try:
             message = decode_replica_message(data)
-        except MalformedMessage:
+        except MalformedMessageError:
             return
         self.core.receive(self.engine.time, message)
 
@@ -112,7 +112,7 @@
             self.connections[name] = connection
         try:
             self.feed.receive(self.engine.time, name, decode_from_subscriber(data))
-        except SubscriberRejected:
+        except SubscriberRejectedError:
             self.drop(connection)
 
     def hung_up(self, connection):
@@ -127,13 +127,13 @@
             self.feed.unsubscribe(name)
 
     def put(self, key, value, request, done, expected=None):
-        """A writer's call; `done(Entry or WriteRejected)` when it is known."""
+        """A writer's call; `done(Entry or WriteRejectedError)` when it is known."""
         self.call(self._put, key, value, request, done, expected)
 
     def _put(self, key, value, request, done, expected):
         try:
             revision = self.core.put(self.engine.time, key, value, request, expected)
-        except WriteRejected as refused:
+        except WriteRejectedError as refused:
             done(refused)
             return
         if revision <= self.core.store.revision:  # a repeated call whose first one was committed
--- a/embertray/simulation/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -2,8 +2,9 @@
 
 from collections import deque
 
-from embertray.cluster.replication.messages import decode_to_subscriber
-from embertray.cluster.replication.subscriber import CloseConnection, OpenConnection, SendMessage, Subscriber
+from embertray.cluster.replication.codec import decode_to_subscriber
+from embertray.cluster.replication.instructions import CloseConnection, OpenConnection, SendMessage
+from embertray.cluster.replication.subscriber import Subscriber
 
 from .process import FRAME_BYTES, Connection, Process
 
--- a/embertray/simulation/emulator/control/writer.py
+++ b/embertray/simulation/emulator/control/writer.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from embertray.cluster.replication.replica_types import NotLeader, WriteRejected
+from embertray.cluster.replication.exceptions import NotLeaderError, WriteRejectedError
 
 MS, S = 10**6, 10**9
 ANSWER_WITHIN = 3 * S  # ns until a call is made again, elsewhere
@@ -90,10 +90,10 @@
     def _known(self, call, attempt, name, outcome):
         if call.done:
             return
-        if not isinstance(outcome, WriteRejected):
+        if not isinstance(outcome, WriteRejectedError):
             self._acknowledge(call, outcome)
         elif call.attempts == attempt:
-            elsewhere = isinstance(outcome, NotLeader) and outcome.leader
+            elsewhere = isinstance(outcome, NotLeaderError) and outcome.leader
             target = outcome.leader if elsewhere else self.chance.choice(self.play.replica_names)
             self.play.engine.at(self.play.engine.time + PAUSE, self._attempt, call, target)
 
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -15,7 +15,7 @@
 from embertray.cluster.replication.api_messages import Committed
 from embertray.cluster.replication.entry import Entry
 from embertray.cluster.replication.link.entry_log import value_digest
-from embertray.service.admin.control_client import Unreachable, write
+from embertray.service.admin.control_client import UnreachableError, write
 from embertray.simulation.claims.control import ControlClaims
 
 S = 10**9
@@ -84,7 +84,7 @@
             outcome = anyio.run(
                 write, self.plane.admin(at), method, f"{path}?{urlencode(query)}", body, within
             )
-        except Unreachable:
+        except UnreachableError:
             outcome = None
         with self.lock:
             kind = "Unreachable" if outcome is None else type(outcome).__name__
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -7,15 +7,14 @@
 import anyio
 import structlog
 
+from embertray.cluster.replication.exceptions import NoMajorityError, NotLeaderError, OutcomeUnknownError
 from embertray.cluster.replication.link import (
-    OutcomeUnknown,
     ReplicaServer,
     ReplicaSettings,
     SubscriberClient,
     SubscriberSettings,
 )
 from embertray.cluster.replication.link.durable_state import replica_state_store, subscriber_state_store
-from embertray.cluster.replication.replica_types import NoMajority, NotLeader
 from embertray.cluster.replication.timing import MS, FeedSettings, ReplicaTiming, SubscriberTiming
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
@@ -106,7 +105,7 @@
             self.chance(name),
             applied.extend,
             net=net or TcpNet(),
-            pace=SUBSCRIBER_PACE,
+            timing=SUBSCRIBER_PACE,
             saved=saved,
         )
         self.subscribers[name] = client
@@ -132,7 +131,7 @@
                 leader = await self.leading()
                 try:
                     return await call(leader)
-                except (NotLeader, NoMajority, OutcomeUnknown):
+                except (NotLeaderError, NoMajorityError, OutcomeUnknownError):
                     await anyio.sleep(LOOK)
 
     async def put(self, key, value, request=None):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,32 +5,48 @@
 
 from hypothesis import given, settings, strategies as st
 
+from embertray.cluster.replication.codec import (
+    decode_from_subscriber,
+    decode_replica_message,
+    decode_to_subscriber,
+    encode,
+)
 from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.exceptions import (
+    ConflictError,
+    MalformedMessageError,
+    NoMajorityError,
+    NotLeaderError,
+    OverloadedError,
+    SubscriberRejectedError,
+)
 from embertray.cluster.replication.freshness import AGE_UNKNOWN, Freshness
+from embertray.cluster.replication.instructions import CloseConnection, OpenConnection, SendMessage
 from embertray.cluster.replication.messages import (
     VERSION,
     Confirm,
     Heartbeat,
     Inventory,
-    MalformedMessage,
     RecoverReply,
     Repair,
     Subscribe,
     Update,
     Vote,
     VoteRequest,
-    decode_from_subscriber,
-    decode_replica_message,
-    decode_to_subscriber,
-    encode,
 )
 from embertray.cluster.replication.propagation_bounds import Bounds
 from embertray.cluster.replication.replica import Replica
-from embertray.cluster.replication.replica_types import Conflict, NoMajority, NotLeader, Overloaded, Role
-from embertray.cluster.replication.store import VersionedStore, export, restore
-from embertray.cluster.replication.subscriber import CloseConnection, OpenConnection, SendMessage, Subscriber
-from embertray.cluster.replication.subscriber_feed import SubscriberFeed, SubscriberRejected
-from embertray.cluster.replication.timing import HISTORY, REMOVALS_KEPT, FeedSettings, SubscriberTiming
+from embertray.cluster.replication.replica_state import Role
+from embertray.cluster.replication.store import (
+    MAX_TOMBSTONES,
+    MAX_VERSIONS_PER_KEY,
+    VersionedStore,
+    export,
+    restore,
+)
+from embertray.cluster.replication.subscriber import Subscriber
+from embertray.cluster.replication.subscriber_feed import SubscriberFeed
+from embertray.cluster.replication.timing import FeedSettings, SubscriberTiming
 from embertray.cluster.replication.token_bucket import TokenBucket
 
 S = 10**9
@@ -107,17 +123,19 @@
         self.assertEqual((again.requests, again.bytes), (store.requests, store.bytes))
 
     def test_former_versions_are_kept_up_to_a_number(self):
-        store = store_of(entries_of([("a", bytes([n])) for n in range(3 * HISTORY)]))
-        self.assertEqual(len(store.versions["a"]), HISTORY)
+        store = store_of(entries_of([("a", bytes([n])) for n in range(3 * MAX_VERSIONS_PER_KEY)]))
+        self.assertEqual(len(store.versions["a"]), MAX_VERSIONS_PER_KEY)
         self.assertIsNone(store.version("a", 1))
-        self.assertEqual(store.version("a", 3 * HISTORY - 1).value, bytes([3 * HISTORY - 2]))
+        self.assertEqual(
+            store.version("a", 3 * MAX_VERSIONS_PER_KEY - 1).value, bytes([3 * MAX_VERSIONS_PER_KEY - 2])
+        )
         self.assertEqual(store.bytes, sum(entry.size for entry in store.versions["a"]))
 
     def test_the_oldest_removals_are_forgotten_and_that_is_known(self):
-        writes = [(f"k{n}", b"x") for n in range(REMOVALS_KEPT + 5)]
+        writes = [(f"k{n}", b"x") for n in range(MAX_TOMBSTONES + 5)]
         store = store_of(entries_of(writes + [(key, None) for key, _ in writes]))
         self.assertEqual(store.forgotten, len(writes) + 5)
-        self.assertEqual((len(store.entries), store.live_count, store.digest), (REMOVALS_KEPT, 0, 0))
+        self.assertEqual((len(store.entries), store.live_count, store.digest), (MAX_TOMBSTONES, 0, 0))
 
 
 class Budget(unittest.TestCase):
@@ -145,21 +163,21 @@
     def test_an_age_counts_once_the_revision_is_held(self):
         freshness = Freshness()
         self.assertIsNone(freshness.age(9 * S))
-        freshness.heard(10 * S, commit=5, age=1 * S, held=4)
+        freshness.observe_commit(10 * S, commit=5, age=1 * S, revision=4)
         self.assertIsNone(freshness.age(11 * S))
-        freshness.reached(5)
+        freshness.revision_reached(5)
         self.assertEqual(freshness.age(11 * S), 2 * S)
 
     def test_who_knows_nothing_tells_nothing(self):
         freshness = Freshness()
-        freshness.heard(10 * S, commit=1, age=AGE_UNKNOWN, held=1)
+        freshness.observe_commit(10 * S, commit=1, age=AGE_UNKNOWN, revision=1)
         self.assertIsNone(freshness.age(10 * S))
-        self.assertEqual(freshness.told_age(10 * S), AGE_UNKNOWN)
+        self.assertEqual(freshness.advertised_age(10 * S), AGE_UNKNOWN)
 
     def test_an_older_word_changes_nothing(self):
         freshness = Freshness()
-        freshness.heard(10 * S, commit=1, age=0, held=1)
-        freshness.heard(9 * S, commit=1, age=0, held=1)
+        freshness.observe_commit(10 * S, commit=1, age=0, revision=1)
+        freshness.observe_commit(9 * S, commit=1, age=0, revision=1)
         self.assertEqual(freshness.age(10 * S), 0)
 
 
@@ -168,12 +186,12 @@
         good = encode(Subscribe("c", VERSION, "s", 0, 0, 0))
         for data in (b"", b"\xc1", good[:-1], good + b"x", b"\x93\x01\x02\x03", encode(Confirm(1, 1))[1:]):
             for decode in (decode_from_subscriber, decode_to_subscriber, decode_replica_message):
-                self.assertRaises(MalformedMessage, decode, data)
-        self.assertRaises(MalformedMessage, decode_to_subscriber, good)
+                self.assertRaises(MalformedMessageError, decode, data)
+        self.assertRaises(MalformedMessageError, decode_to_subscriber, good)
         self.assertRaises(
-            MalformedMessage, decode_from_subscriber, encode(Subscribe("c", VERSION, "", 0, 0, 0))
+            MalformedMessageError, decode_from_subscriber, encode(Subscribe("c", VERSION, "", 0, 0, 0))
         )
-        self.assertRaises(MalformedMessage, decode_from_subscriber, encode(Confirm(-1, 0)))
+        self.assertRaises(MalformedMessageError, decode_from_subscriber, encode(Confirm(-1, 0)))
 
     def test_the_largest_numbers_pass(self):
         heartbeat = Heartbeat(2**62, 2**64 - 1, AGE_UNKNOWN, 2**62)
@@ -246,8 +264,8 @@
         self.assertEqual(total, 400)
         for begin, _ in spent:
             window = sum(size for at, size in spent if begin <= at < begin + 10 * S)
-            self.assertLessEqual(window, 10 * self.feed.pace.bytes_per_second)
-        self.assertLess(spent[-1][0] - spent[0][0], (400 * 160 // self.feed.pace.sustained + 2) * S)
+            self.assertLessEqual(window, 10 * self.feed.settings.bytes_per_second)
+        self.assertLess(spent[-1][0] - spent[0][0], (400 * 160 // self.feed.settings.sustained + 2) * S)
 
     def test_who_comes_back_brings_what_its_budget_still_allows(self):
         for n in range(100):
@@ -256,7 +274,7 @@
         self.assertEqual(self.updates(), [])
 
     def test_the_largest_value_goes_in_one_update(self):
-        self.write("large", bytes(self.feed.pace.value_most))
+        self.write("large", bytes(self.feed.settings.max_value_bytes))
         self.write("small", b"1")
         self.subscribe()
         found = []
@@ -269,7 +287,7 @@
     def test_the_silent_are_dropped_and_strangers_refused(self):
         self.subscribe()
         self.advance()
-        self.advance(self.feed.pace.silence + 2 * S)
+        self.advance(self.feed.settings.silence + 2 * S)
         self.assertEqual((self.silent, self.feed.count), (["s"], 0))
         for message in (
             Subscribe("other", VERSION, "x", 0, 0, 0),
@@ -277,10 +295,10 @@
             Subscribe("c", VERSION, "y", 0, 0, 0),
             Confirm(1, 1),
         ):
-            with self.assertRaises(SubscriberRejected):
+            with self.assertRaises(SubscriberRejectedError):
                 self.feed.receive(self.now, "x", message)
         self.subscribe("z")
-        with self.assertRaises(SubscriberRejected):
+        with self.assertRaises(SubscriberRejectedError):
             self.feed.receive(self.now, "z", Repair([0]))
 
     def test_a_look_costs_what_changed(self):
@@ -288,7 +306,7 @@
             self.subscribe(f"s{n}")
         self.advance()
         self.feed.receive(self.now, "s7", Confirm(0, self.now))
-        self.assertEqual(list(self.feed.touched), ["s7"])
+        self.assertEqual(list(self.feed.schedule.touched), ["s7"])
         self.assertEqual(self.feed._due(self.now), ["s7"])
 
     def test_a_spoilt_subscriber_is_repaired(self):
@@ -316,7 +334,7 @@
         subscriber.store.advance(self.store.revision)
         for n in range(20):
             self.write(f"old{n}", None)
-        for _ in range(REMOVALS_KEPT):
+        for _ in range(MAX_TOMBSTONES):
             self.write("other", b"1")
             self.write("other", None)
         self.assertGreater(self.store.forgotten, subscriber.revision)
@@ -569,7 +587,7 @@
             self.group.replicas[addressed.to].receive(self.group.now, addressed.message)
         self.group.run(S)
         revisions = {one.store.revision for one in self.group.replicas.values()}
-        self.assertEqual(revisions, {leader.last[1]})
+        self.assertEqual(revisions, {leader.last_revision})
 
     def test_a_repeated_request_has_one_effect(self):
         first = self.group.put("a", b"1", "q1")
@@ -584,9 +602,9 @@
     def test_a_write_that_expects_another_revision_is_refused(self):
         revision = self.group.put("a", b"1")
         leader = self.group.leader
-        with self.assertRaises(Conflict):
+        with self.assertRaises(ConflictError):
             leader.put(self.group.now, "a", b"2", "", expected=revision - 1)
-        with self.assertRaises(Conflict):
+        with self.assertRaises(ConflictError):
             leader.put(self.group.now, "new", b"2", "", expected=1)
         leader.put(self.group.now, "a", b"2", "", expected=revision)
         leader.put(self.group.now, "new", b"2", "", expected=0)
@@ -596,10 +614,10 @@
         self.group.put("a", b"1")
         self.group.cut = {leader.name}
         self.group.run(1_600 * MS)
-        with self.assertRaises(NoMajority):
+        with self.assertRaises(NoMajorityError):
             leader.put(self.group.now, "a", b"2", "")
         self.group.run(5 * S)
-        with self.assertRaises(NotLeader):
+        with self.assertRaises(NotLeaderError):
             leader.put(self.group.now, "a", b"2", "")
         self.assertEqual(leader.store.get("a").value, b"1")  # what is in force stays
         self.assertGreater(leader.age(self.group.now), 6 * S)
@@ -644,7 +662,7 @@
         self.group.cut = {second.name}
         self.group.put("gone", None)
         self.group.run(S)
-        for n in range(REMOVALS_KEPT + 1):
+        for n in range(MAX_TOMBSTONES + 1):
             self.group.put(f"k{n}", b"1")
             self.group.put(f"k{n}", None)
         self.assertGreater(self.group.leader.store.forgotten, second.store.revision)
@@ -676,7 +694,7 @@
         empty.receive(self.group.now, VoteRequest("c", empty.others[0], 9, 9, 9, preliminary=False))
         empty.receive(self.group.now, request)
         self.assertFalse([one for one in empty.poll().messages if isinstance(one.message, Vote)])
-        self.group.run(empty.pace.recovery_silence - S)
+        self.group.run(empty.timing.recovery_silence - S)
         self.assertTrue(empty.recovering)
         self.assertEqual(empty.store.get("a").value, b"1")  # it follows meanwhile
         self.group.run(3 * S)
@@ -688,7 +706,9 @@
         self.group.put("a", b"1")
         self.group.run(S)
         chance = random.Random(5)
-        again = Replica("c", lost, self.group.names, self.group.now, chance, saved=older, newest=False)
+        again = Replica(
+            "c", lost, self.group.names, self.group.now, chance, saved=older, saved_is_newest=False
+        )
         self.group.replicas[lost] = again
         candidate = VoteRequest("c", again.others[0], 99, 99, 99, preliminary=False)
         again.receive(self.group.now, candidate)
@@ -696,7 +716,7 @@
             again.receive(self.group.now, RecoverReply("c", other, 0, again.nonce, True))
         self.assertTrue(again.recovering)
         self.assertFalse([one for one in again.poll().messages if isinstance(one.message, Vote)])
-        self.group.run(again.pace.recovery_silence + 3 * S)
+        self.group.run(again.timing.recovery_silence + 3 * S)
         self.assertEqual((again.recovering, again.store.get("a").value), (False, b"1"))
 
     def test_with_one_dead_and_one_empty_nothing_is_written(self):
@@ -716,7 +736,7 @@
     def test_a_write_over_a_limit_is_refused(self):
         leader = self.group.leader
         self.group.cut = set(self.group.names)
-        with self.assertRaises(Overloaded):
+        with self.assertRaises(OverloadedError):
             for n in range(1_000):
                 leader.put(self.group.now, f"k{n}", b"1", "")
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -9,12 +9,20 @@
 import anyio
 from control_stage import MOST, Stage, until
 
+from embertray.cluster.replication.codec import encode
 from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.exceptions import (
+    BadKeyError,
+    BadRequestError,
+    ConflictError,
+    NotLeaderError,
+    TooLargeError,
+    VersionNotKeptError,
+)
 from embertray.cluster.replication.link.durable_state import replica_state_store
-from embertray.cluster.replication.link.pending_writes import BadKey, BadRequest, TooLarge, VersionNotKept
-from embertray.cluster.replication.messages import Confirm, Subscribe, Vote, encode
-from embertray.cluster.replication.replica_types import Conflict, NotLeader, ReplicaState, Role
-from embertray.cluster.replication.timing import STATE_BYTES_MOST
+from embertray.cluster.replication.messages import Confirm, Subscribe, Vote
+from embertray.cluster.replication.replica_core import MAX_STATE_BYTES
+from embertray.cluster.replication.replica_state import ReplicaState, Role
 from embertray.common.framing import Splitter, frame
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
@@ -66,17 +74,17 @@
 
     def test_what_is_refused(self):
         async def body(stage):
-            most = (await stage.leading()).feed_settings.value_most
+            most = (await stage.leading()).feed_settings.max_value_bytes
             revision = await stage.put("key", b"x" * most, "largest")
             cases = [
-                (TooLarge, lambda leader: leader.put("key", b"x" * (most + 1), "request")),
-                (BadKey, lambda leader: leader.put("", b"x", "request")),
-                (BadKey, lambda leader: leader.put("k" * 257, b"x", "request")),
-                (BadRequest, lambda leader: leader.put("key", b"x", "")),
-                (BadRequest, lambda leader: leader.put("key", b"x", "r" * 65)),
-                (Conflict, lambda leader: leader.put("key", b"x", "request", expected=revision + 1)),
-                (VersionNotKept, lambda leader: leader.rollback("key", revision + 1, "request")),
-                (VersionNotKept, lambda leader: leader.rollback("other", revision, "request")),
+                (TooLargeError, lambda leader: leader.put("key", b"x" * (most + 1), "request")),
+                (BadKeyError, lambda leader: leader.put("", b"x", "request")),
+                (BadKeyError, lambda leader: leader.put("k" * 257, b"x", "request")),
+                (BadRequestError, lambda leader: leader.put("key", b"x", "")),
+                (BadRequestError, lambda leader: leader.put("key", b"x", "r" * 65)),
+                (ConflictError, lambda leader: leader.put("key", b"x", "request", expected=revision + 1)),
+                (VersionNotKeptError, lambda leader: leader.rollback("key", revision + 1, "request")),
+                (VersionNotKeptError, lambda leader: leader.rollback("other", revision, "request")),
             ]
             for kind, call in cases:
                 with self.assertRaises(kind):
@@ -96,7 +104,7 @@
             await until(lambda: any(map(told, stage.replicas.values())), "a follower knows its leader")
             follower = next(filter(told, stage.replicas.values()))
             for call in (follower.put("key", b"y", "request"), follower.rollback("key", 99, "request")):
-                with self.assertRaises(NotLeader) as caught:
+                with self.assertRaises(NotLeaderError) as caught:
                     await call
                 self.assertIn(caught.exception.leader, stage.names)
 
@@ -158,7 +166,7 @@
         self.play(body)
 
     def test_a_whole_state_of_the_largest_size_travels_to_one_that_has_nothing(self):
-        count = STATE_BYTES_MOST // (6_000 + 64)
+        count = MAX_STATE_BYTES // (6_000 + 64)
         entries = [Entry(f"key-{n}", n + 1, 1, "", f"{n:06}".encode() * 1_000) for n in range(count)]
         state = ReplicaState(1, "", count, 1, 0, entries, [], [])
 
@@ -286,10 +294,10 @@
             disk.full = True
             with self.assertRaises(Exception) as caught:
                 await leader.put("key", b"1", "request")
-            self.assertEqual(type(caught.exception).__name__, "OutcomeUnknown")
+            self.assertEqual(type(caught.exception).__name__, "OutcomeUnknownError")
             _, ended = stage.scopes["r1"]
             await ended.wait()
-            self.assertEqual(type(leader.ended_by).__name__, "StateNotSaved")
+            self.assertEqual(type(leader.ended_by).__name__, "StateNotSavedError")
             disk.full = False
             server = await stage.up("r1")
             await stage.leading()
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -5,9 +5,10 @@
 import random
 import unittest
 
-from embertray.cluster.replication.messages import Heartbeat, encode
+from embertray.cluster.replication.codec import encode
+from embertray.cluster.replication.messages import Heartbeat
 from embertray.cluster.replication.replica import Replica
-from embertray.cluster.replication.replica_types import ReplicaState
+from embertray.cluster.replication.replica_state import ReplicaState
 from embertray.cluster.replication.subscriber import Subscriber
 from embertray.cluster.replication.subscriber_feed import SubscriberFeed
 from embertray.simulation.emulator.control import ControlPlay, Settings, draw_faults
@@ -209,7 +210,7 @@
     def _send_update(self, now, one, out):
         one.bucket.tokens = self.total.tokens = 10**9
         super()._send_update(now, one, out)
-        one.sent = None
+        one.in_flight = None
 
 
 class Unaware(SubscriberFeed):
