--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -3,19 +3,18 @@
 import json
 import signal
 import sys
-import uuid
 from pathlib import Path
-from urllib.parse import quote, urlencode
+from urllib.parse import quote
 
 import anyio
 import click
 
-from embertray.common.net.address import BadAddress, loopback
 from embertray.service.site import BadSite, load as load_site
 
+from .control_calls import REJECTED_EXIT_CODE, ask, body_text, parse_json, typed_answer, write
+from .control_status import describe
 from .standin import Bad
 
-REFUSED, UNKNOWN = 1, 3  # exit codes
 admin_option = click.option(
     "--admin", required=True, help="A replica's operators' address; the leader is found from any."
 )
@@ -48,10 +47,10 @@
     from embertray.common.snapshots import Locked
     from embertray.service.daemon.control import ReplicaProcess
 
-    description, me = _replica_of(site, name)
+    site_control, me = _replica_of(site, name)
 
     async def run():
-        process = ReplicaProcess(description, me, LoopClock(), TcpNet(), seed)
+        process = ReplicaProcess(site_control, me, LoopClock(), TcpNet(), seed)
         async with anyio.create_task_group() as group:
             group.start_soon(_stop_on_signal, process)
             await process.run()
@@ -59,10 +58,10 @@
 
     try:
         anyio.run(run, backend_options={"use_uvloop": True})
-    except* (OSError, Locked) as wrong:
-        raise Bad(f"{site}: {_first(wrong)}") from None
-    except* StateNotSavedError as wrong:
-        raise click.ClickException(f"the state can't be saved: {_first(wrong)}") from None
+    except* (OSError, Locked) as errors:
+        raise Bad(f"{site}: {_first(errors)}") from None
+    except* StateNotSavedError as errors:
+        raise click.ClickException(f"the state can't be saved: {_first(errors)}") from None
 
 
 @control.command()
@@ -70,11 +69,11 @@
 @click.option("--json", "as_json", is_flag=True)
 def status(admin, as_json):
     """What a replica, or a controller, says of the control plane."""
-    code, body = _ask(admin, "GET", "/control")
+    code, body = ask(admin, "GET", "/control")
     if code != 200:
-        raise Bad(f"{admin}: {body.decode('utf-8', 'replace').strip()}")
-    status = _json(admin, body)
-    click.echo(json.dumps(status) if as_json else "\n".join(describe(status)))
+        raise Bad(f"{admin}: {body_text(body)}")
+    answer = parse_json(admin, body)
+    click.echo(json.dumps(answer) if as_json else "\n".join(describe(answer)))
 
 
 @control.command()
@@ -85,18 +84,17 @@
 def get(key, admin, as_json, versions):
     """Print the value of KEY that is in force at a replica or a controller."""
     page = "versions" if versions else "key"
-    code, body = _ask(admin, "GET", f"/control/{page}?key={quote(key, safe='')}")
-    answer = _answer(admin, code, body)
+    code, body = ask(admin, "GET", f"/control/{page}?key={quote(key, safe='')}")
+    answer = typed_answer(admin, code, body)
     if answer["type"] == "missing":
         click.echo(f"{key}: there is no such key", err=True)
-        sys.exit(REFUSED)
+        sys.exit(REJECTED_EXIT_CODE)
     if as_json:
         click.echo(json.dumps(answer))
     elif versions:
-        for one in answer["versions"]:
-            click.echo(
-                f"{one['revision']} " + ("removed" if one["bytes"] is None else f"{one['bytes']} bytes")
-            )
+        for version in answer["versions"]:
+            size = "removed" if version["bytes"] is None else f"{version['bytes']} bytes"
+            click.echo(f"{version['revision']} {size}")
     else:
         from embertray.cluster.replication.api_messages import decode_answer
 
@@ -114,10 +112,10 @@
     """Write the bytes of FILE ('-': standard input) as KEY."""
     try:
         value = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
-    except OSError as wrong:
-        raise Bad(f"{file}: {wrong.strerror or wrong}") from None
-    more = {} if expected is None else {"expected": expected}
-    _write(admin, "PUT", "/control/key", key, request, within, more, value)
+    except OSError as error:
+        raise Bad(f"{file}: {error.strerror or error}") from None
+    parameters = {} if expected is None else {"expected": expected}
+    write(admin, "PUT", "/control/key", key, request, within, parameters, value)
 
 
 @control.command()
@@ -128,7 +126,7 @@
 @within_option
 def rollback(key, version, admin, request, within):
     """Write the value that KEY had at VERSION again, as its newest."""
-    _write(admin, "POST", "/control/rollback", key, request, within, {"version": version})
+    write(admin, "POST", "/control/rollback", key, request, within, {"version": version})
 
 
 @control.command()
@@ -138,43 +136,18 @@
 @within_option
 def remove(key, admin, request, within):
     """Remove KEY."""
-    _write(admin, "DELETE", "/control/key", key, request, within, {})
-
-
-def _write(admin, method, path, key, request, within, more, value=b""):
-    """Writes, says what came of it in one line, and ends with its exit code."""
-    from embertray.service.admin.control_client import UnreachableError, write
-
-    request = request or uuid.uuid4().hex
-    _check_address(admin)
-    target = f"{path}?{urlencode({'key': key, 'request': request, **more})}"
-    try:
-        outcome = anyio.run(write, admin, method, target, value, within)
-    except UnreachableError as wrong:
-        raise Bad(str(wrong)) from None
-    kind = type(outcome).__name__
-    if kind == "Committed":
-        click.echo(f"{key}: committed at revision {outcome.revision}")
-    elif kind == "Rejected":
-        click.echo(f"{key}: refused, nothing is written: {outcome.text} ({outcome.reason})", err=True)
-        sys.exit(REFUSED)
-    else:
-        click.echo(
-            f"{key}: unknown whether it is written: {outcome.text}; ask again with --request {request}",
-            err=True,
-        )
-        sys.exit(UNKNOWN)
+    write(admin, "DELETE", "/control/key", key, request, within, {})
 
 
 def _replica_of(site, name):
-    """(Control, ReplicaAt). Raises Bad."""
+    """The site's Control, and the ReplicaAt of that name. Raises Bad."""
     try:
-        control_site = load_site(site).control
-        if control_site is None:
+        site_control = load_site(site).control
+        if site_control is None:
             raise BadSite(f"{site}: the site has no <control>")
-        return control_site, control_site.replica(name)
-    except BadSite as wrong:
-        raise Bad(str(wrong)) from None
+        return site_control, site_control.replica(name)
+    except BadSite as error:
+        raise Bad(str(error)) from None
 
 
 async def _stop_on_signal(process):
@@ -183,70 +156,8 @@
             process.stop()
 
 
-def _check_address(admin):
-    try:
-        loopback(admin)
-    except BadAddress as wrong:
-        raise Bad(f"--admin: {wrong}") from None
-
-
-def _ask(admin, method, target):
-    """(status, body) of one request. Raises Bad."""
-    from embertray.service.admin.control_client import UnreachableError, ask
-
-    _check_address(admin)
-    try:
-        return anyio.run(ask, admin, method, target)
-    except UnreachableError as wrong:
-        raise Bad(str(wrong)) from None
-
-
-def _answer(admin, code, body):
-    """The typed answer as a dict. Raises Bad for what is none, or refuses what was asked."""
-    if code not in (200, 404) or not body.startswith(b"{"):
-        raise Bad(f"{admin}: {body.decode('utf-8', 'replace').strip()}")
-    return _json(admin, body)
-
-
-def _json(admin, body):
-    try:
-        return json.loads(body)
-    except ValueError:
-        raise Bad(f"{admin}: what it answers is no JSON") from None
-
-
 def _first(group):
     """The first exception that is no group."""
     while isinstance(group, BaseExceptionGroup):
         group = group.exceptions[0]
     return group
-
-
-def describe(status):
-    """Lines for people, of a ReplicaStatus or SubscriberStatus as JSON."""
-    age = "not known" if status["age_s"] is None else f"{status['age_s']:.1f} s"
-    if status["type"] == "subscriber":
-        how = "follows" if status["connected"] else "NOT CONNECTED, tries"
-        return [
-            f"{status['name']} in {status['cluster']}: {how} {status['replica']}",
-            f"revision {status['revision']}, {status['keys']} keys, age {age}",
-        ]
-    if status["recovering"]:
-        state = "recovering, does not vote"
-    elif status["role"] != "leader":
-        state = f"{status['role']}, " + (
-            f"{status['leader']} leads" if status["leader"] else "NO LEADER KNOWN"
-        )
-    else:
-        state = "leads" if status["has_majority"] else "leads WITHOUT A MAJORITY"
-    lines = [
-        f"{status['name']} in {status['cluster']}: {state}, term {status['term']}",
-        f"revision {status['revision']}, {status['keys']} keys, {status['state_bytes']} bytes, age {age}",
-        f"{status['subscribers']} subscribers here hold revision {status['lowest_confirmed']} at the least",
-    ]
-    if status["fleet_subscribers"] is not None:
-        lines.append(
-            f"{status['fleet_subscribers']} subscribers in all hold revision "
-            f"{status['fleet_lowest_confirmed']} at the least"
-        )
-    return lines
--- /dev/null
+++ b/embertray/cli/control_calls.py
@@ -0,0 +1,110 @@
+"""Calls of the `embertray control` commands, and what becomes of them: a line, and an exit code."""
+
+import json
+import sys
+import uuid
+from urllib.parse import urlencode
+
+import anyio
+import click
+
+from embertray.common.net.address import BadAddress, loopback
+
+from .standin import Bad
+
+REJECTED_EXIT_CODE = 1
+UNKNOWN_EXIT_CODE = 3  # 2 is bad input, or nobody could be asked
+
+
+def write(admin, method, path, key, request, within, parameters, value=b""):
+    """Makes a write, says in one line what came of it, and exits unless it is committed.
+
+    Args:
+        admin: operators' address of any replica.
+        method: HTTP method.
+        path: of the page.
+        key: name of the key.
+        request: id of the call; None for a new one.
+        within: seconds in which attempts begin.
+        parameters: further parameters of the query.
+        value: bytes.
+
+    Raises:
+        Bad: the address is none, or no replica could be asked.
+    """
+    from embertray.service.admin.control_client import UnreachableError, write as write_at_leader
+
+    request = request or uuid.uuid4().hex
+    _check_address(admin)
+    target = f"{path}?{urlencode({'key': key, 'request': request, **parameters})}"
+    try:
+        outcome = anyio.run(write_at_leader, admin, method, target, value, within)
+    except UnreachableError as error:
+        raise Bad(str(error)) from None
+    _report(key, request, outcome)
+
+
+def _report(key, request, outcome):
+    from embertray.cluster.replication.api_messages import Committed, Rejected
+
+    if isinstance(outcome, Committed):
+        click.echo(f"{key}: committed at revision {outcome.revision}")
+    elif isinstance(outcome, Rejected):
+        click.echo(f"{key}: refused, nothing is written: {outcome.text} ({outcome.reason})", err=True)
+        sys.exit(REJECTED_EXIT_CODE)
+    else:
+        click.echo(
+            f"{key}: unknown whether it is written: {outcome.text}; ask again with --request {request}",
+            err=True,
+        )
+        sys.exit(UNKNOWN_EXIT_CODE)
+
+
+def ask(admin, method, target):
+    """Makes one request.
+
+    Args:
+        admin: operators' address of a replica or controller.
+        method: HTTP method.
+        target: path and query.
+
+    Returns:
+        (status, body).
+
+    Raises:
+        Bad: the address is none, or there was no answer.
+    """
+    from embertray.service.admin.control_client import UnreachableError, ask as ask_replica
+
+    _check_address(admin)
+    try:
+        return anyio.run(ask_replica, admin, method, target)
+    except UnreachableError as error:
+        raise Bad(str(error)) from None
+
+
+def typed_answer(admin, status, body):
+    """The typed answer as a dict. Raises Bad for one that is none, or that refuses what was asked."""
+    if status not in (200, 404) or not body.startswith(b"{"):
+        raise Bad(f"{admin}: {body_text(body)}")
+    return parse_json(admin, body)
+
+
+def parse_json(admin, body):
+    """What a JSON body says. Raises Bad."""
+    try:
+        return json.loads(body)
+    except ValueError:
+        raise Bad(f"{admin}: what it answers is no JSON") from None
+
+
+def body_text(body):
+    """A body as text for people."""
+    return body.decode("utf-8", "replace").strip()
+
+
+def _check_address(admin):
+    try:
+        loopback(admin)
+    except BadAddress as error:
+        raise Bad(f"--admin: {error}") from None
