--- a/tests/control_stage.py
+++ b/tests/control_cluster.py
@@ -1,4 +1,4 @@
-"""Replicas and subscribers of a control plane in one event loop, on loopback, at a pace that suits tests."""
+"""Replicas and subscribers in one event loop, on loopback, with timing that suits tests."""
 
 import random
 from contextlib import asynccontextmanager
@@ -21,38 +21,45 @@
 from embertray.simulation.processes.ports import free_ports
 
 # elections that are won on a busy machine, too: a vote is two ways and two saves
-REPLICA_PACE = ReplicaTiming(80 * MS, 500 * MS, 1_500 * MS, 3_000 * MS)
-FEED_PACE = FeedSettings(heartbeat=50 * MS, retry_first=100 * MS, retry_most=400 * MS, silence=1_000 * MS)
-SUBSCRIBER_PACE = SubscriberTiming(
+REPLICA_TIMING = ReplicaTiming(80 * MS, 500 * MS, 1_500 * MS, 3_000 * MS)
+FEED_SETTINGS = FeedSettings(heartbeat=50 * MS, retry_first=100 * MS, retry_most=400 * MS, silence=1_000 * MS)
+SUBSCRIBER_TIMING = SubscriberTiming(
     dial=1_000 * MS, silence=800 * MS, stale=2_000 * MS, retry_first=20 * MS, retry_most=200 * MS
 )
-MOST = 60  # s that a wait takes before it fails
-LOOK = 0.005  # s between two looks; what is looked at decides
+MAX_WAIT_S = 60  # that a wait takes before it fails
+POLL_S = 0.005  # between two looks; what is looked at decides
 
 structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
 
 
 async def until(wanted, what):
-    """Waits until it holds; fails after MOST seconds."""
-    with anyio.move_on_after(MOST):
+    """Waits until it holds; fails after MAX_WAIT_S seconds."""
+    with anyio.move_on_after(MAX_WAIT_S):
         while not wanted():
-            await anyio.sleep(LOOK)
+            await anyio.sleep(POLL_S)
         return
-    raise AssertionError(f"not within {MOST} s: {what}")
+    raise AssertionError(f"not within {MAX_WAIT_S} s: {what}")
 
 
-class Stage:
+class ControlCluster:
     """Replicas r1 to rN, and subscribers that are started by name. `folder`: where states are kept, or
     None."""
 
-    def __init__(self, count, folder=None, feed_settings=FEED_PACE):
+    def __init__(self, count, folder=None, feed_settings=FEED_SETTINGS):
         ports = free_ports(2 * count)
         self.names = [f"r{n + 1}" for n in range(count)]
         self.peers = {name: f"127.0.0.1:{ports[2 * n]}" for n, name in enumerate(self.names)}
         self.listen = {name: f"127.0.0.1:{ports[2 * n + 1]}" for n, name in enumerate(self.names)}
-        self.folder, self.feed_settings, self.clock, self.starts = folder, feed_settings, LoopClock(), 0
-        self.replicas, self.subscribers, self.applied, self.scopes = {}, {}, {}, {}
-        self.group, self.disks = None, {}
+        self.folder = folder
+        self.feed_settings = feed_settings
+        self.clock = LoopClock()
+        self.starts = 0  # of processes and requests
+        self.replicas = {}  # name -> ReplicaServer that runs
+        self.subscribers = {}  # name -> SubscriberClient that runs
+        self.applied = {}  # name of a subscriber -> entries that it applied
+        self.scopes = {}  # name -> (cancel scope, event of its end)
+        self.group = None
+        self.disks = {}  # name -> Disk in place of the real one
 
     @asynccontextmanager
     async def running(self):
@@ -63,15 +70,15 @@
             yield self
             self.group.cancel_scope.cancel()
 
-    def chance(self, name):
+    def rng(self, name):
         self.starts += 1
         return random.Random(f"{name} {self.starts}")
 
     async def up(self, name):
         settings = ReplicaSettings("test", name, self.peers, self.listen[name])
         saved = self.folder and replica_state_store(Path(self.folder) / name, self.disks.get(name))
-        paces = {"replica_timing": REPLICA_PACE, "feed_settings": self.feed_settings}
-        server = ReplicaServer(settings, self.clock, self.chance(name), saved=saved, **paces)
+        timing = {"replica_timing": REPLICA_TIMING, "feed_settings": self.feed_settings}
+        server = ReplicaServer(settings, self.clock, self.rng(name), saved=saved, **timing)
         self.replicas[name] = server
         await self.group.start(self._run, name, server)
         return server
@@ -102,10 +109,10 @@
         client = SubscriberClient(
             settings,
             clock or self.clock,
-            self.chance(name),
+            self.rng(name),
             applied.extend,
             net=net or TcpNet(),
-            timing=SUBSCRIBER_PACE,
+            timing=SUBSCRIBER_TIMING,
             saved=saved,
         )
         self.subscribers[name] = client
@@ -126,13 +133,13 @@
     async def ask(self, call):
         """What call(leader) gives. Asked again, as clients do, while there is no leader that a majority
         confirms; a call has to carry a request id of its own."""
-        with anyio.fail_after(MOST):
+        with anyio.fail_after(MAX_WAIT_S):
             while True:
                 leader = await self.leading()
                 try:
                     return await call(leader)
                 except (NotLeaderError, NoMajorityError, OutcomeUnknownError):
-                    await anyio.sleep(LOOK)
+                    await anyio.sleep(POLL_S)
 
     async def put(self, key, value, request=None):
         self.starts += 1
@@ -142,8 +149,8 @@
     async def all_hold(self, key, value):
         """Until every subscriber holds it."""
 
-        def held(one):
-            entry = one.subscriber and one.get(key)
+        def holds(subscriber):
+            entry = subscriber.subscriber and subscriber.get(key)
             return (entry.value if entry else None) == value
 
-        await until(lambda: all(held(one) for one in self.subscribers.values()), f"{key} everywhere")
+        await until(lambda: all(holds(one) for one in self.subscribers.values()), f"{key} everywhere")
--- /dev/null
+++ b/tests/control_histories.py
@@ -0,0 +1,35 @@
+"""Histories of writes for the tests of replicated configuration."""
+
+from hypothesis import strategies as st
+
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.store import VersionedStore
+
+S = 10**9
+MS = 10**6
+
+WRITES = st.lists(
+    st.tuples(st.sampled_from(["a", "b", "c", "d"]), st.one_of(st.none(), st.binary(max_size=8))),
+    min_size=1,
+    max_size=40,
+)
+
+
+def entries_of(writes):
+    """Entries with rising revisions, as a history of writes."""
+    return [
+        Entry(key, revision, 1, f"q{revision}", value)
+        for revision, (key, value) in enumerate(writes, start=1)
+    ]
+
+
+def store_of(entries):
+    store = VersionedStore()
+    for entry in entries:
+        store.apply(entry)
+        store.advance(entry.revision, entry.term)
+    return store
+
+
+def in_force(store):
+    return {entry.key: entry for entry in store.live()}
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -68,8 +68,8 @@
             )
         versions = self.control("get", "limits/search", "--versions").stdout.splitlines()
         self.assertEqual([line.split()[1] for line in versions], ["3", "3", "3"])
-        told = json.loads(self.control("get", "limits/search", "--json").stdout)
-        self.assertEqual((told["type"], told["value"]), ("value", "MTAK"))
+        answer = json.loads(self.control("get", "limits/search", "--json").stdout)
+        self.assertEqual((answer["type"], answer["value"]), ("value", "MTAK"))
         done = self.control("remove", "limits/search")
         self.assertEqual(done.returncode, 0, done.stderr)
         for name in ("k1", "k2", "k3", "c1"):
@@ -179,8 +179,8 @@
         self.assertEqual(self.plane.ask(leader, "/ready")[0], 200)
         self.assertIn(b"embertray_control_leads 1", self.plane.ask(leader, "/metrics")[1])
         self.plane.wait(lambda: (self.plane.status("c1") or {}).get("connected"), "the controller follows")
-        told = self.plane.status("c1")
-        self.assertEqual((told["type"], told["cluster"]), ("subscriber", "pushed"))
+        status = self.plane.status("c1")
+        self.assertEqual((status["type"], status["cluster"]), ("subscriber", "pushed"))
         self.assertRegex(self.control("status", at="c1").stdout, "^c1 in pushed: follows k[123]\nrevision ")
         self.assertIn(b"embertray_control_connected 1", self.plane.ask("c1", "/metrics")[1])
 
--- /dev/null
+++ b/tests/test_control_feed.py
@@ -0,0 +1,178 @@
+"""Replicated configuration: what a replica sends to its subscribers, without I/O."""
+
+import random
+import unittest
+
+from control_histories import MS, S, in_force
+
+from embertray.cluster.replication.codec import decode_from_subscriber, decode_to_subscriber, encode
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.exceptions import SubscriberRejectedError
+from embertray.cluster.replication.instructions import SendMessage
+from embertray.cluster.replication.messages import VERSION, Confirm, Repair, Subscribe, Update
+from embertray.cluster.replication.store import MAX_TOMBSTONES, VersionedStore
+from embertray.cluster.replication.subscriber import Subscriber
+from embertray.cluster.replication.subscriber_feed import SubscriberFeed
+
+
+class FeedTests(unittest.TestCase):
+    def setUp(self):
+        self.store, self.now = VersionedStore(), 100 * S
+        self.feed = SubscriberFeed("c", lambda: self.store, self.now)
+
+    def write(self, key, value):
+        revision = self.store.revision + 1
+        self.store.apply(Entry(key, revision, 1, "", value))
+        self.store.advance(revision, 1)
+
+    def subscribe(self, name="s", revision=0):
+        self.feed.receive(self.now, name, Subscribe("c", VERSION, name, revision, self.now, 8_000))
+
+    def advance(self, span=0):
+        """Messages that go, decoded, by subscriber."""
+        self.now += span
+        out, self.silent = self.feed.advance(self.now, 0)
+        return [(one.subscriber, decode_to_subscriber(one.data)) for one in out]
+
+    def updates(self, span=0):
+        return [message for _, message in self.advance(span) if isinstance(message, Update)]
+
+    def test_only_the_newest_of_each_key_goes(self):
+        self.subscribe()
+        self.advance()
+        for n in range(5):
+            self.write("a", bytes([n]))
+        self.write("b", b"1")
+        [update] = self.updates()
+        self.assertEqual([(e.key, e.value) for e in update.entries], [("a", b"\x04"), ("b", b"1")])
+        self.assertEqual((update.since, update.upto), (0, 6))
+
+    def test_one_update_is_in_flight_and_is_retried_with_backoff(self):
+        self.subscribe()
+        self.write("a", b"1")
+        self.assertEqual(len(self.updates()), 1)
+        self.write("b", b"1")
+        self.assertEqual(self.updates(), [])  # the first is not confirmed
+        sent_at = []
+        for _ in range(3_000):
+            self.feed.receive(self.now, "s", Confirm(0, self.now))  # it lives, and has applied nothing
+            if self.updates(10 * MS):
+                sent_at.append(self.now)
+        gaps = [(later - former) // S for former, later in zip(sent_at, sent_at[1:], strict=False)]
+        self.assertEqual(gaps, [2, 4, 8, 8])
+        self.assertEqual(self.feed.retries, 5)
+        self.feed.receive(self.now, "s", Confirm(2, self.now))
+        self.assertEqual(self.updates(60 * MS), [])
+
+    def test_a_lot_is_paced_and_all_arrives(self):
+        for n in range(400):
+            self.write(f"k{n}", bytes(100))
+        self.subscribe()
+        total, confirmed, spent = 0, 0, []
+        while confirmed < self.store.revision:
+            for _, message in self.advance(10 * MS):
+                size = len(encode(message)) + 4
+                spent.append((self.now, size))
+                if isinstance(message, Update):
+                    self.assertEqual(message.since, confirmed)
+                    confirmed = message.upto
+                    total += len(message.entries)
+                    self.feed.receive(self.now, "s", Confirm(confirmed, self.now))
+        self.assertEqual(total, 400)
+        for begin, _ in spent:
+            window = sum(size for at, size in spent if begin <= at < begin + 10 * S)
+            self.assertLessEqual(window, 10 * self.feed.settings.bytes_per_second)
+        self.assertLess(spent[-1][0] - spent[0][0], (400 * 160 // self.feed.settings.sustained + 2) * S)
+
+    def test_a_returning_subscriber_brings_its_remaining_budget(self):
+        for n in range(100):
+            self.write(f"k{n}", bytes(100))
+        self.feed.receive(self.now, "s", Subscribe("c", VERSION, "s", 0, self.now, 0))
+        self.assertEqual(self.updates(), [])
+
+    def test_the_largest_value_goes_in_one_update(self):
+        self.write("large", bytes(self.feed.settings.max_value_bytes))
+        self.write("small", b"1")
+        self.subscribe()
+        found = []
+        for _ in range(1_000):
+            for update in self.updates(10 * MS):
+                found += update.entries
+                self.feed.receive(self.now, "s", Confirm(update.upto, self.now))
+        self.assertEqual([entry.key for entry in found], ["large", "small"])
+
+    def test_silent_subscribers_are_dropped_and_foreign_ones_rejected(self):
+        self.subscribe()
+        self.advance()
+        self.advance(self.feed.settings.silence + 2 * S)
+        self.assertEqual((self.silent, self.feed.count), (["s"], 0))
+        for message in (
+            Subscribe("other", VERSION, "x", 0, 0, 0),
+            Subscribe("c", VERSION + 1, "x", 0, 0, 0),
+            Subscribe("c", VERSION, "y", 0, 0, 0),
+            Confirm(1, 1),
+        ):
+            with self.assertRaises(SubscriberRejectedError):
+                self.feed.receive(self.now, "x", message)
+        self.subscribe("z")
+        with self.assertRaises(SubscriberRejectedError):
+            self.feed.receive(self.now, "z", Repair([0]))
+
+    def test_only_subscribers_with_events_are_looked_at(self):
+        for n in range(50):
+            self.subscribe(f"s{n}")
+        self.advance()
+        self.feed.receive(self.now, "s7", Confirm(0, self.now))
+        self.assertEqual(list(self.feed.schedule.touched), ["s7"])
+        self.assertEqual(self.feed._due(self.now), ["s7"])
+
+    def test_a_spoilt_subscriber_is_repaired(self):
+        for n in range(30):
+            self.write(f"k{n}", b"1")
+        self.write("k3", None)
+        subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
+        own = [entry for entry in self.store.live() if entry.key != "k5"]
+        own.append(Entry("stray", 2, 1, "", b"never removed here"))
+        own[4] = Entry(own[4].key, own[4].revision, 1, "", b"spoilt")
+        for entry in own:
+            subscriber.store.apply(entry)
+        subscriber.store.advance(self.store.revision)
+        self.converse(subscriber, 12 * S)
+        self.assertEqual(in_force(subscriber.store), in_force(self.store))
+        self.assertEqual(subscriber.store.digest, self.store.digest)
+        self.assertEqual(subscriber.counters["repairs"], 1)
+
+    def test_a_subscriber_behind_all_tombstones_is_repaired(self):
+        for n in range(20):
+            self.write(f"old{n}", b"1")
+        subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
+        for entry in self.store.live():
+            subscriber.store.apply(entry)
+        subscriber.store.advance(self.store.revision)
+        for n in range(20):
+            self.write(f"old{n}", None)
+        for _ in range(MAX_TOMBSTONES):
+            self.write("other", b"1")
+            self.write("other", None)
+        self.assertGreater(self.store.forgotten, subscriber.revision)
+        self.converse(subscriber, 15 * S)
+        self.assertEqual((in_force(subscriber.store), subscriber.store.digest), ({}, 0))
+        removed = {entry.key for entry in subscriber.applied if entry.value is None}
+        self.assertLessEqual({f"old{n}" for n in range(20)}, removed)
+
+    def converse(self, subscriber, span):
+        """Lets feed and subscriber talk with nothing lost."""
+        end = self.now + span
+        subscriber.advance(self.now)
+        subscriber.connection_opened(self.now, subscriber.connection_id)
+        while self.now < end:
+            for action in subscriber.actions:
+                if isinstance(action, SendMessage):
+                    self.feed.receive(self.now, "s", decode_from_subscriber(action.data))
+            subscriber.actions.clear()
+            for _, message in self.advance(20 * MS):
+                subscriber.receive(self.now, subscriber.connection_id, message, 100)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import anyio
-from control_stage import MOST, Stage, until
+from control_cluster import MAX_WAIT_S, ControlCluster, until
 
 from embertray.cluster.replication.codec import encode
 from embertray.cluster.replication.entry import Entry
@@ -31,51 +31,51 @@
 
 class Case(unittest.TestCase):
     def play(self, body, count=3, keep=False, **more):
-        """Runs body(stage) with all replicas up."""
+        """Runs body(cluster) with all replicas up."""
         with tempfile.TemporaryDirectory() as folder:
-            stage = Stage(count, folder if keep else None, **more)
+            cluster = ControlCluster(count, folder if keep else None, **more)
 
             async def run():
-                with anyio.fail_after(3 * MOST):
-                    async with stage.running():
-                        await body(stage)
+                with anyio.fail_after(3 * MAX_WAIT_S):
+                    async with cluster.running():
+                        await body(cluster)
 
             anyio.run(run)
 
 
 class Writes(Case):
     def test_a_write_is_in_force_at_all_subscribers_of_all_replicas(self):
-        async def body(stage):
-            for n, name in enumerate(stage.names):
-                await stage.subscribe(f"s{n}", [name])
-            first = await stage.put("limits/search", b"10")
-            await stage.all_hold("limits/search", b"10")
-            second = await stage.put("limits/search", b"20")
+        async def body(cluster):
+            for n, name in enumerate(cluster.names):
+                await cluster.subscribe(f"s{n}", [name])
+            first = await cluster.put("limits/search", b"10")
+            await cluster.all_hold("limits/search", b"10")
+            second = await cluster.put("limits/search", b"20")
             self.assertGreater(second, first)
-            await stage.all_hold("limits/search", b"20")
-            rolled = await stage.ask(lambda leader: leader.rollback("limits/search", first, "back"))
+            await cluster.all_hold("limits/search", b"20")
+            rolled = await cluster.ask(lambda leader: leader.rollback("limits/search", first, "back"))
             self.assertGreater(rolled, second)
-            await stage.all_hold("limits/search", b"10")
-            removed = await stage.put("limits/search", None, "remove")
-            await stage.all_hold("limits/search", None)
-            for applied in stage.applied.values():
+            await cluster.all_hold("limits/search", b"10")
+            removed = await cluster.put("limits/search", None, "remove")
+            await cluster.all_hold("limits/search", None)
+            for applied in cluster.applied.values():
                 self.assertEqual([entry.revision for entry in applied][-1], removed)
                 self.assertEqual(sorted({e.revision for e in applied}), [e.revision for e in applied])
 
         self.play(body)
 
     def test_a_repeated_request_writes_once(self):
-        async def body(stage):
-            first = await stage.put("key", b"1", "the-request")
-            self.assertEqual(await stage.put("key", b"1", "the-request"), first)
-            self.assertEqual(len((await stage.leading()).versions("key")), 1)
+        async def body(cluster):
+            first = await cluster.put("key", b"1", "the-request")
+            self.assertEqual(await cluster.put("key", b"1", "the-request"), first)
+            self.assertEqual(len((await cluster.leading()).versions("key")), 1)
 
         self.play(body)
 
     def test_what_is_refused(self):
-        async def body(stage):
-            most = (await stage.leading()).feed_settings.max_value_bytes
-            revision = await stage.put("key", b"x" * most, "largest")
+        async def body(cluster):
+            most = (await cluster.leading()).feed_settings.max_value_bytes
+            revision = await cluster.put("key", b"x" * most, "largest")
             cases = [
                 (TooLargeError, lambda leader: leader.put("key", b"x" * (most + 1), "request")),
                 (BadKeyError, lambda leader: leader.put("", b"x", "request")),
@@ -88,80 +88,82 @@
             ]
             for kind, call in cases:
                 with self.assertRaises(kind):
-                    await stage.ask(call)
-            leader = await stage.leading()
+                    await cluster.ask(call)
+            leader = await cluster.leading()
             self.assertEqual(leader.get("key").revision, revision)
 
         self.play(body)
 
     def test_a_follower_names_the_leader(self):
-        async def body(stage):
-            await stage.put("key", b"1")
+        async def body(cluster):
+            await cluster.put("key", b"1")
 
-            def told(one):
-                return one.replica.role is Role.FOLLOWER and one.replica.leader
+            def follows_a_leader(replica):
+                return replica.replica.role is Role.FOLLOWER and replica.replica.leader
 
-            await until(lambda: any(map(told, stage.replicas.values())), "a follower knows its leader")
-            follower = next(filter(told, stage.replicas.values()))
+            await until(
+                lambda: any(map(follows_a_leader, cluster.replicas.values())), "a follower knows its leader"
+            )
+            follower = next(filter(follows_a_leader, cluster.replicas.values()))
             for call in (follower.put("key", b"y", "request"), follower.rollback("key", 99, "request")):
                 with self.assertRaises(NotLeaderError) as caught:
                     await call
-                self.assertIn(caught.exception.leader, stage.names)
+                self.assertIn(caught.exception.leader, cluster.names)
 
         self.play(body)
 
     def test_a_single_replica_is_its_own_majority(self):
-        async def body(stage):
-            await stage.subscribe("s1")
-            await stage.put("key", b"1")
-            await stage.all_hold("key", b"1")
+        async def body(cluster):
+            await cluster.subscribe("s1")
+            await cluster.put("key", b"1")
+            await cluster.all_hold("key", b"1")
 
         self.play(body, count=1, keep=True)
 
 
 class Restarts(Case):
     def test_a_replica_ended_and_begun_again_with_its_folder(self):
-        async def body(stage):
-            await stage.put("before", b"1")
-            leader = await stage.leading()
+        async def body(cluster):
+            await cluster.put("before", b"1")
+            leader = await cluster.leading()
             name = leader.settings.name
-            await stage.down(name)
-            await until(lambda: stage.leader, "another leader")
-            await stage.put("while", b"2")
-            server = await stage.up(name)
+            await cluster.down(name)
+            await until(lambda: cluster.leader, "another leader")
+            await cluster.put("while", b"2")
+            server = await cluster.up(name)
             self.assertFalse(server.status().recovering)
             self.assertEqual(server.get("before").value, b"1")
             await until(lambda: server.get("while"), "it catches up")
-            await stage.put("after", b"3")
+            await cluster.put("after", b"3")
             await until(lambda: server.get("after"), "it follows")
 
         self.play(body, keep=True)
 
     def test_all_ended_at_once_and_begun_again(self):
-        async def body(stage):
-            revision = await stage.put("key", b"1", "the-request")
-            for name in stage.names:
-                await stage.down(name)
-            for name in stage.names:
-                await stage.up(name)
-            self.assertEqual(await stage.put("key", b"1", "the-request"), revision)
-            self.assertEqual((await stage.leading()).get("key").value, b"1")
+        async def body(cluster):
+            revision = await cluster.put("key", b"1", "the-request")
+            for name in cluster.names:
+                await cluster.down(name)
+            for name in cluster.names:
+                await cluster.up(name)
+            self.assertEqual(await cluster.put("key", b"1", "the-request"), revision)
+            self.assertEqual((await cluster.leading()).get("key").value, b"1")
 
         self.play(body, keep=True)
 
     def test_a_replica_begun_again_with_nothing_is_admitted_and_counts(self):
-        async def body(stage):
-            await stage.put("before", b"1")
-            leader = await stage.leading()
-            name = next(one for one in stage.names if one != leader.settings.name)
-            await stage.down(name)
-            server = await stage.up(name)
+        async def body(cluster):
+            await cluster.put("before", b"1")
+            leader = await cluster.leading()
+            name = next(one for one in cluster.names if one != leader.settings.name)
+            await cluster.down(name)
+            server = await cluster.up(name)
             self.assertTrue(server.status().recovering)
             await until(lambda: not server.status().recovering, "it is admitted")
             self.assertEqual(server.get("before").value, b"1")
-            other = next(one for one in stage.names if one not in (name, leader.settings.name))
-            await stage.down(other)
-            await stage.put("with its voice", b"2")
+            other = next(one for one in cluster.names if one not in (name, leader.settings.name))
+            await cluster.down(other)
+            await cluster.put("with its voice", b"2")
 
         self.play(body)
 
@@ -170,13 +172,13 @@
         entries = [Entry(f"key-{n}", n + 1, 1, "", f"{n:06}".encode() * 1_000) for n in range(count)]
         state = ReplicaState(1, "", count, 1, 0, entries, [], [])
 
-        async def body(stage):
-            server = stage.replicas["r3"]
+        async def body(cluster):
+            server = cluster.replicas["r3"]
             await until(lambda: server.replica.store.revision >= count, "it holds all")
             await until(lambda: not server.status().recovering, "it counts again")
-            kept = stage.replicas["r1"].replica.store
+            kept = cluster.replicas["r1"].replica.store
             self.assertEqual(server.replica.store.digest, kept.digest)
-            await stage.put("key-0", b"1")
+            await cluster.put("key-0", b"1")
 
         with tempfile.TemporaryDirectory() as folder:
             for name in ("r1", "r2"):
@@ -184,83 +186,83 @@
                 saved.open()
                 saved.save(state)
                 saved.close()
-            stage = Stage(3, folder)
+            cluster = ControlCluster(3, folder)
 
             async def run():
-                with anyio.fail_after(3 * MOST):
-                    async with stage.running():
-                        await body(stage)
+                with anyio.fail_after(3 * MAX_WAIT_S):
+                    async with cluster.running():
+                        await body(cluster)
 
             anyio.run(run)
 
     def test_after_a_majority_lost_its_disks_one_state_can_be_copied_to_all(self):
-        async def body(stage):
-            await stage.put("key", b"1")
-            kept = next(name for name in stage.names if stage.replicas[name].get("key"))
-            folders = {name: Path(stage.folder) / name for name in stage.names}
-            for name in stage.names:
-                await stage.down(name)
-            for name in stage.names:
+        async def body(cluster):
+            await cluster.put("key", b"1")
+            kept = next(name for name in cluster.names if cluster.replicas[name].get("key"))
+            folders = {name: Path(cluster.folder) / name for name in cluster.names}
+            for name in cluster.names:
+                await cluster.down(name)
+            for name in cluster.names:
                 if name != kept:
                     shutil.rmtree(folders[name])
                     shutil.copytree(folders[kept], folders[name])
-            for name in stage.names:
-                await stage.up(name)
-            await stage.put("other", b"2")
-            self.assertEqual((await stage.leading()).get("key").value, b"1")
+            for name in cluster.names:
+                await cluster.up(name)
+            await cluster.put("other", b"2")
+            self.assertEqual((await cluster.leading()).get("key").value, b"1")
 
         self.play(body, keep=True)
 
     def test_a_majority_without_disks_elects_nobody(self):
-        async def body(stage):
-            await stage.put("key", b"1")
-            leader = (await stage.leading()).settings.name
-            for name in stage.names:
-                await stage.down(name)
-            for name in stage.names:
+        async def body(cluster):
+            await cluster.put("key", b"1")
+            leader = (await cluster.leading()).settings.name
+            for name in cluster.names:
+                await cluster.down(name)
+            for name in cluster.names:
                 if name != leader:
-                    shutil.rmtree(Path(stage.folder) / name)
-                await stage.up(name)
-            kept = stage.replicas[leader]
+                    shutil.rmtree(Path(cluster.folder) / name)
+                await cluster.up(name)
+            kept = cluster.replicas[leader]
             await until(lambda: kept.replica.role is Role.CANDIDATE, "it asks for votes")
             asked = kept.traffic.messages_in
             await until(lambda: kept.traffic.messages_in > asked + 20, "the others speak, but do not vote")
-            self.assertIsNone(stage.leader)
+            self.assertIsNone(cluster.leader)
             self.assertEqual(kept.get("key").value, b"1")
 
         self.play(body, keep=True)
 
     def test_a_subscriber_follows_through_a_replicas_end(self):
-        async def body(stage):
-            client = await stage.subscribe("s1")
-            await stage.put("key", b"1")
-            await stage.all_hold("key", b"1")
-            await stage.down(client.subscriber.replica)
-            await until(lambda: stage.leader, "a leader")
-            await stage.put("key", b"2")
-            await stage.all_hold("key", b"2")
-            revisions = [entry.revision for entry in stage.applied["s1"]]
+        async def body(cluster):
+            client = await cluster.subscribe("s1")
+            await cluster.put("key", b"1")
+            await cluster.all_hold("key", b"1")
+            await cluster.down(client.subscriber.replica)
+            await until(lambda: cluster.leader, "a leader")
+            await cluster.put("key", b"2")
+            await cluster.all_hold("key", b"2")
+            revisions = [entry.revision for entry in cluster.applied["s1"]]
             self.assertEqual(revisions, sorted(set(revisions)))
 
         self.play(body, keep=True)
 
     def test_a_subscriber_begun_again_goes_on_from_what_it_kept(self):
-        async def body(stage):
+        async def body(cluster):
             with tempfile.TemporaryDirectory() as folder:
-                client = await stage.subscribe("s1", folder=folder)
-                await stage.put("key", b"1")
-                await stage.all_hold("key", b"1")
+                client = await cluster.subscribe("s1", folder=folder)
+                await cluster.put("key", b"1")
+                await cluster.all_hold("key", b"1")
                 await until(lambda: client.saves, "it is saved")
-                await stage.down("s1")
-                for name in stage.names:
-                    await stage.down(name)
-                client = await stage.subscribe("s1", folder=folder)
+                await cluster.down("s1")
+                for name in cluster.names:
+                    await cluster.down(name)
+                client = await cluster.subscribe("s1", folder=folder)
                 self.assertEqual(client.get("key").value, b"1")
                 self.assertEqual(client.revision, 2)
                 self.assertIsNotNone(client.age())
-                await stage.down("s1")
+                await cluster.down("s1")
                 clock = EarlierClock()
-                client = await stage.subscribe("s1", folder=folder, clock=clock)
+                client = await cluster.subscribe("s1", folder=folder, clock=clock)
                 self.assertEqual(client.get("key").value, b"1")
                 self.assertIsNone(client.age())  # the wall clock went backwards: nobody knows
 
@@ -288,40 +290,40 @@
 
 class Saving(Case):
     def test_a_replica_that_cannot_save_stops_and_acknowledges_nothing(self):
-        async def body(stage):
-            leader = await stage.leading()
+        async def body(cluster):
+            leader = await cluster.leading()
             revision = leader.replica.store.revision
             disk.full = True
             with self.assertRaises(Exception) as caught:
                 await leader.put("key", b"1", "request")
             self.assertEqual(type(caught.exception).__name__, "OutcomeUnknownError")
-            _, ended = stage.scopes["r1"]
+            _, ended = cluster.scopes["r1"]
             await ended.wait()
             self.assertEqual(type(leader.ended_by).__name__, "StateNotSavedError")
             disk.full = False
-            server = await stage.up("r1")
-            await stage.leading()
+            server = await cluster.up("r1")
+            await cluster.leading()
             self.assertIsNone(server.get("key"))
             self.assertGreaterEqual(server.replica.store.revision, revision)
 
         with tempfile.TemporaryDirectory() as folder:
-            stage, disk = Stage(1, folder), FullDisk()
-            stage.disks["r1"] = disk
+            cluster, disk = ControlCluster(1, folder), FullDisk()
+            cluster.disks["r1"] = disk
 
             async def run():
-                async with stage.running():
-                    await body(stage)
+                async with cluster.running():
+                    await body(cluster)
 
             anyio.run(run)
 
     def test_a_spoilt_state_is_passed_over_for_the_one_before(self):
-        async def body(stage):
-            await stage.put("key", b"1")
-            await stage.down("r1")
-            newest = sorted((Path(stage.folder) / "r1").glob("*.snap"))[-1]
+        async def body(cluster):
+            await cluster.put("key", b"1")
+            await cluster.down("r1")
+            newest = sorted((Path(cluster.folder) / "r1").glob("*.snap"))[-1]
             newest.write_bytes(newest.read_bytes()[:-3])
-            server = await stage.up("r1")
-            await stage.put("other", b"2")
+            server = await cluster.up("r1")
+            await cluster.put("other", b"2")
             self.assertEqual(server.get("other").value, b"2")
 
         self.play(body, count=1, keep=True)
@@ -329,15 +331,15 @@
 
 class Slow(Case):
     def test_a_subscriber_that_reads_nothing_is_dropped_and_costs_nobody(self):
-        async def body(stage):
-            await stage.subscribe("s1", ["r1"])
-            server = stage.replicas["r1"]
-            async with await TcpNet().dial(stage.listen["r1"]) as stream:
+        async def body(cluster):
+            await cluster.subscribe("s1", ["r1"])
+            server = cluster.replicas["r1"]
+            async with await TcpNet().dial(cluster.listen["r1"]) as stream:
                 await stream.send(frame(encode(Subscribe("test", 1, "slow", 0, 0, 8_000))))
                 await until(lambda: "slow" in server.feed.subscriptions, "it is taken")
                 connection = server.subscribers.by_name["slow"]
-                await stage.put("key", b"1")
-                await stage.all_hold("key", b"1")
+                await cluster.put("key", b"1")
+                await cluster.all_hold("key", b"1")
                 await until(lambda: "slow" not in server.feed.subscriptions, "it is dropped")
                 self.assertLessEqual(len(connection.queue), 2)
             self.assertEqual(server.status().silent_subscribers, 1)
@@ -349,7 +351,7 @@
 class BadInput(Case):
     """Each costs its sender only."""
 
-    async def ends(self, stage, address, data):
+    async def ends(self, cluster, address, data):
         """Sends it; until the replica has ended the connection."""
         async with await TcpNet().dial(address) as stream:
             try:
@@ -384,30 +386,30 @@
             "nothing": b"",
         }
 
-        async def body(stage):
-            await stage.subscribe("s1", ["r1"])
-            server = stage.replicas["r1"]
+        async def body(cluster):
+            await cluster.subscribe("s1", ["r1"])
+            server = cluster.replicas["r1"]
             async with anyio.create_task_group() as group:
                 for data in for_subscribers.values():
-                    group.start_soon(self.ends, stage, stage.listen["r1"], data)
+                    group.start_soon(self.ends, cluster, cluster.listen["r1"], data)
                 for data in for_replicas.values():
-                    group.start_soon(self.ends, stage, stage.peers["r1"], data)
+                    group.start_soon(self.ends, cluster, cluster.peers["r1"], data)
             await until(lambda: list(server.feed.subscriptions) == ["s1"], "no other is left")
             self.assertEqual(server.traffic.rejected, len(for_subscribers) + len(for_replicas))
             self.assertEqual((server.subscribers.unidentified, server.peers.unidentified), ({}, {}))
-            await stage.put("key", b"1")
-            await stage.all_hold("key", b"1")
+            await cluster.put("key", b"1")
+            await cluster.all_hold("key", b"1")
 
         self.play(body)
 
     def test_connections_that_only_connect_do_not_keep_others_out(self):
-        async def body(stage):
-            server, streams = stage.replicas["r1"], []
+        async def body(cluster):
+            server, streams = cluster.replicas["r1"], []
             for _ in range(300):
-                streams.append(await TcpNet().dial(stage.listen["r1"]))
-            await stage.subscribe("s1", ["r1"])
-            await stage.put("key", b"1")
-            await stage.all_hold("key", b"1")
+                streams.append(await TcpNet().dial(cluster.listen["r1"]))
+            await cluster.subscribe("s1", ["r1"])
+            await cluster.put("key", b"1")
+            await cluster.all_hold("key", b"1")
             self.assertLessEqual(len(server.subscribers.unidentified), 256)
             for stream in streams:
                 await stream.aclose()
@@ -415,19 +417,19 @@
         self.play(body)
 
     def test_a_subscriber_leaves_a_replica_that_it_cannot_read(self):
-        async def body(stage):
+        async def body(cluster):
             async def garbage(stream):
                 async with stream:
                     await stream.send(b"\xff\xff\xff\xff")
                     await anyio.sleep_forever()
 
             listener = await TcpNet().listen("127.0.0.1:0")
-            stage.listen["bad"] = listener.address
+            cluster.listen["bad"] = listener.address
             async with anyio.create_task_group() as group:
                 group.start_soon(listener.serve, garbage, group)
-                client = await stage.subscribe("s1", ["bad", "r1"])
-                await stage.put("key", b"1")
-                await stage.all_hold("key", b"1")
+                client = await cluster.subscribe("s1", ["bad", "r1"])
+                await cluster.put("key", b"1")
+                await cluster.all_hold("key", b"1")
                 self.assertGreaterEqual(client.status().traffic.rejected, 1)
                 group.cancel_scope.cancel()
             await listener.aclose()
@@ -435,14 +437,14 @@
         self.play(body)
 
     def test_the_younger_connection_of_a_name_stays(self):
-        async def body(stage):
-            server = stage.replicas["r1"]
+        async def body(cluster):
+            server = cluster.replicas["r1"]
             hello = frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
-            async with await TcpNet().dial(stage.listen["r1"]) as first:
+            async with await TcpNet().dial(cluster.listen["r1"]) as first:
                 await first.send(hello)
                 await until(lambda: "s1" in server.feed.subscriptions, "the first is taken")
                 older = server.subscribers.by_name["s1"]
-                async with await TcpNet().dial(stage.listen["r1"]) as second:
+                async with await TcpNet().dial(cluster.listen["r1"]) as second:
                     await second.send(hello)
                     await until(lambda: server.subscribers.by_name.get("s1") is not older, "replaced")
                     with self.assertRaises((anyio.EndOfStream, anyio.BrokenResourceError)):
@@ -458,12 +460,12 @@
 
 class Digests(Case):
     def test_subscribers_read_digests_of_all_64_bits(self):
-        async def body(stage):
-            client = await stage.subscribe("s1", ["r1"])
+        async def body(cluster):
+            client = await cluster.subscribe("s1", ["r1"])
             for n in range(8):  # some of these states have a digest over 2**62, some over 2**63
-                await stage.put(f"key-{n}", b"x")
-                await stage.all_hold(f"key-{n}", b"x")
-            digest = stage.replicas["r1"].replica.store.digest
+                await cluster.put(f"key-{n}", b"x")
+                await cluster.all_hold(f"key-{n}", b"x")
+            digest = cluster.replicas["r1"].replica.store.digest
             await until(lambda: client.subscriber.store.digest == digest, "the digests agree")
             self.assertEqual(client.status().traffic.rejected, 0)
 
@@ -472,32 +474,34 @@
 
 class Status(Case):
     def test_what_operators_see(self):
-        async def body(stage):
+        async def body(cluster):
             for n in range(4):
-                await stage.subscribe(f"s{n}", [stage.names[n % 3]])
-            revision = await stage.put("key", b"1")
-            await stage.all_hold("key", b"1")
+                await cluster.subscribe(f"s{n}", [cluster.names[n % 3]])
+            revision = await cluster.put("key", b"1")
+            await cluster.all_hold("key", b"1")
 
             def known():
-                told = stage.leader and stage.leader.status()
-                whole = told and told.peers_connected == 2 and told.age_s is not None
-                return whole and told.fleet_subscribers == 4 and told.fleet_lowest_confirmed >= revision
+                status = cluster.leader and cluster.leader.status()
+                complete = status and status.peers_connected == 2 and status.age_s is not None
+                return (
+                    complete and status.fleet_subscribers == 4 and status.fleet_lowest_confirmed >= revision
+                )
 
             await until(known, "the leader knows what all subscribers hold")
-            leader = await stage.leading()
-            told = leader.status()
-            self.assertEqual((told.role, told.leader, told.has_majority), ("leader", told.name, True))
-            self.assertEqual((told.keys, told.recovering), (1, False))
-            self.assertGreaterEqual(told.revision, revision)
-            self.assertEqual(told.peers_connected, 2)
-            self.assertLess(told.age_s, MOST)
-            self.assertGreater(min(told.traffic.bytes_in, told.traffic.bytes_out), 0)
-            others = [one for one in stage.replicas.values() if one is not leader]
-            await until(lambda: others[0].status().leader == told.name, "a follower knows it")
+            leader = await cluster.leading()
+            status = leader.status()
+            self.assertEqual((status.role, status.leader, status.has_majority), ("leader", status.name, True))
+            self.assertEqual((status.keys, status.recovering), (1, False))
+            self.assertGreaterEqual(status.revision, revision)
+            self.assertEqual(status.peers_connected, 2)
+            self.assertLess(status.age_s, MAX_WAIT_S)
+            self.assertGreater(min(status.traffic.bytes_in, status.traffic.bytes_out), 0)
+            others = [one for one in cluster.replicas.values() if one is not leader]
+            await until(lambda: others[0].status().leader == status.name, "a follower knows it")
             follower = others[0].status()
             self.assertEqual(follower.role, "follower")
             self.assertEqual((follower.fleet_subscribers, follower.fleet_lowest_confirmed), (None, None))
-            client = stage.subscribers["s0"]
+            client = cluster.subscribers["s0"]
             await until(lambda: client.status().age_s is not None, "it knows its age")
             seen = client.status()
             self.assertEqual((seen.replica, seen.connected, seen.keys), ("r1", True, 1))
--- a/tests/test_control_site.py
+++ b/tests/test_control_site.py
@@ -60,8 +60,8 @@
 
     def test_sizes_have_a_unit_down_to_bytes(self):
         for text, size in (("1000B", 1_000), ("4KiB", 4_096), ("1MiB", 1 << 20)):
-            told = WITH_CONTROL.replace("<control ", f'<control bytes-per-second="{text}" ', 1)
-            self.assertEqual(loaded(told).control.bytes_per_second, size)
+            site = WITH_CONTROL.replace("<control ", f'<control bytes-per-second="{text}" ', 1)
+            self.assertEqual(loaded(site).control.bytes_per_second, size)
 
     def test_errors_name_the_line_and_what_was_expected(self):
         for old, new, words in (
--- /dev/null
+++ b/tests/test_control_store.py
@@ -0,0 +1,149 @@
+"""Replicated configuration: the versioned store, byte budgets, ages and the wire, without I/O."""
+
+import random
+import unittest
+
+from control_histories import MS, WRITES, S, entries_of, in_force, store_of
+from hypothesis import given, settings, strategies as st
+
+from embertray.cluster.replication.codec import (
+    decode_from_subscriber,
+    decode_replica_message,
+    decode_to_subscriber,
+    encode,
+)
+from embertray.cluster.replication.exceptions import MalformedMessageError
+from embertray.cluster.replication.freshness import AGE_UNKNOWN, Freshness
+from embertray.cluster.replication.messages import VERSION, Confirm, Heartbeat, Subscribe
+from embertray.cluster.replication.store import (
+    MAX_TOMBSTONES,
+    MAX_VERSIONS_PER_KEY,
+    VersionedStore,
+    export,
+    restore,
+)
+from embertray.cluster.replication.timing import FeedSettings
+from embertray.cluster.replication.token_bucket import TokenBucket
+
+
+class Store(unittest.TestCase):
+    @settings(derandomize=True, max_examples=150, deadline=None)
+    @given(WRITES, st.randoms(use_true_random=False))
+    def test_entries_in_any_order_and_again_give_one_state(self, writes, rng):
+        entries = entries_of(writes)
+        whole = store_of(entries)
+        shuffled = entries * 2
+        rng.shuffle(shuffled)
+        other = VersionedStore()
+        for entry in shuffled:
+            other.apply(entry)
+        self.assertEqual(in_force(whole), in_force(other))
+        self.assertEqual(whole.digests, other.digests)
+        self.assertEqual(whole.live_count, len(in_force(other)))
+        self.assertEqual(whole.live_bytes, sum(entry.size for entry in in_force(other).values()))
+        self.assertEqual(
+            [one.revision for one in other.since(0)], sorted(one.revision for one in other.since(0))
+        )
+
+    @settings(derandomize=True, max_examples=100, deadline=None)
+    @given(WRITES, st.integers(0, 40))
+    def test_what_was_written_since_brings_a_former_state_up_to_date(self, writes, cut):
+        entries = entries_of(writes)
+        whole, former = store_of(entries), store_of(entries[:cut])
+        changes = list(whole.since(former.revision))
+        self.assertEqual(len({entry.key for entry in changes}), len(changes))  # of each key the newest
+        for entry in changes:
+            former.apply(entry)
+        self.assertEqual((in_force(former), former.digest), (in_force(whole), whole.digest))
+
+    @settings(derandomize=True, max_examples=100, deadline=None)
+    @given(WRITES)
+    def test_what_is_exported_is_restored(self, writes):
+        store = store_of(entries_of(writes))
+        again = restore(store.revision, store.term, export(store), store.requests.items(), store.forgotten)
+        self.assertEqual((again.revision, again.term), (store.revision, store.term))
+        self.assertEqual((again.entries, again.digests), (store.entries, store.digests))
+        self.assertEqual(
+            {key: list(versions) for key, versions in again.versions.items()},
+            {key: list(versions) for key, versions in store.versions.items()},
+        )
+        self.assertEqual((again.requests, again.bytes), (store.requests, store.bytes))
+
+    def test_former_versions_are_kept_up_to_a_number(self):
+        store = store_of(entries_of([("a", bytes([n])) for n in range(3 * MAX_VERSIONS_PER_KEY)]))
+        self.assertEqual(len(store.versions["a"]), MAX_VERSIONS_PER_KEY)
+        self.assertIsNone(store.version("a", 1))
+        self.assertEqual(
+            store.version("a", 3 * MAX_VERSIONS_PER_KEY - 1).value, bytes([3 * MAX_VERSIONS_PER_KEY - 2])
+        )
+        self.assertEqual(store.bytes, sum(entry.size for entry in store.versions["a"]))
+
+    def test_the_oldest_removals_are_forgotten_and_that_is_known(self):
+        writes = [(f"k{n}", b"x") for n in range(MAX_TOMBSTONES + 5)]
+        store = store_of(entries_of(writes + [(key, None) for key, _ in writes]))
+        self.assertEqual(store.forgotten, len(writes) + 5)
+        self.assertEqual((len(store.entries), store.live_count, store.digest), (MAX_TOMBSTONES, 0, 0))
+
+
+class Budget(unittest.TestCase):
+    def test_ten_seconds_never_spend_more_than_the_budget(self):
+        settings = FeedSettings()
+        bucket, spent, rng = TokenBucket(settings.sustained, settings.burst, 0), [], random.Random(1)
+        for now in range(0, 60 * S, 20 * MS):
+            size = rng.randrange(1, settings.burst)
+            if bucket.allows(now, size):
+                bucket.spend(size)
+                spent.append((now, size))
+        for begin, _ in spent:
+            within = sum(size for at, size in spent if begin <= at < begin + 10 * S)
+            self.assertLessEqual(within, 10 * settings.bytes_per_second)
+
+    def test_when_a_message_may_go_is_foretold(self):
+        bucket = TokenBucket(1_000, 2_000, 0)
+        bucket.spend(2_000)
+        when = bucket.ready_at(0, 500)
+        self.assertFalse(bucket.allows(when - 2, 500))
+        self.assertTrue(bucket.allows(when, 500))
+
+
+class Ages(unittest.TestCase):
+    def test_an_age_counts_once_the_revision_is_held(self):
+        freshness = Freshness()
+        self.assertIsNone(freshness.age(9 * S))
+        freshness.observe_commit(10 * S, commit=5, age=1 * S, revision=4)
+        self.assertIsNone(freshness.age(11 * S))
+        freshness.revision_reached(5)
+        self.assertEqual(freshness.age(11 * S), 2 * S)
+
+    def test_an_unknown_age_is_advertised_as_unknown(self):
+        freshness = Freshness()
+        freshness.observe_commit(10 * S, commit=1, age=AGE_UNKNOWN, revision=1)
+        self.assertIsNone(freshness.age(10 * S))
+        self.assertEqual(freshness.advertised_age(10 * S), AGE_UNKNOWN)
+
+    def test_an_older_observation_changes_nothing(self):
+        freshness = Freshness()
+        freshness.observe_commit(10 * S, commit=1, age=0, revision=1)
+        freshness.observe_commit(9 * S, commit=1, age=0, revision=1)
+        self.assertEqual(freshness.age(10 * S), 0)
+
+
+class Wire(unittest.TestCase):
+    def test_what_is_no_message_is_refused(self):
+        good = encode(Subscribe("c", VERSION, "s", 0, 0, 0))
+        for data in (b"", b"\xc1", good[:-1], good + b"x", b"\x93\x01\x02\x03", encode(Confirm(1, 1))[1:]):
+            for decode in (decode_from_subscriber, decode_to_subscriber, decode_replica_message):
+                self.assertRaises(MalformedMessageError, decode, data)
+        self.assertRaises(MalformedMessageError, decode_to_subscriber, good)
+        self.assertRaises(
+            MalformedMessageError, decode_from_subscriber, encode(Subscribe("c", VERSION, "", 0, 0, 0))
+        )
+        self.assertRaises(MalformedMessageError, decode_from_subscriber, encode(Confirm(-1, 0)))
+
+    def test_the_largest_numbers_pass(self):
+        heartbeat = Heartbeat(2**62, 2**64 - 1, AGE_UNKNOWN, 2**62)
+        self.assertEqual(decode_to_subscriber(encode(heartbeat)), heartbeat)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/test_control_subscriber.py
@@ -0,0 +1,165 @@
+"""Replicated configuration: the subscriber, without I/O."""
+
+import random
+import unittest
+
+from control_histories import WRITES, S, entries_of, in_force, store_of
+from hypothesis import given, settings, strategies as st
+
+from embertray.cluster.replication.codec import decode_from_subscriber
+from embertray.cluster.replication.entry import Entry
+from embertray.cluster.replication.instructions import CloseConnection, OpenConnection, SendMessage
+from embertray.cluster.replication.messages import Confirm, Heartbeat, Inventory, Subscribe, Update
+from embertray.cluster.replication.subscriber import Subscriber
+from embertray.cluster.replication.timing import SubscriberTiming
+
+
+class Subscribing(unittest.TestCase):
+    def setUp(self):
+        self.now = 100 * S
+        self.subscriber = Subscriber("c", "s", ["r1", "r2", "r3"], self.now, random.Random(1))
+
+    def until(self, kind):
+        """Lets time pass until the subscriber does something of a kind."""
+        for _ in range(100):
+            for action in self.take():
+                if isinstance(action, kind):
+                    return action
+            self.now = max(self.now, self.subscriber.next_at())
+            self.subscriber.advance(self.now)
+        self.fail(f"no {kind.__name__}")
+
+    def take(self):
+        actions, self.subscriber.actions = self.subscriber.actions, []
+        return actions
+
+    def connect(self):
+        self.subscriber.connection_opened(self.now, self.until(OpenConnection).connection_id)
+        self.take()
+
+    def hear(self, message):
+        self.subscriber.receive(self.now, self.subscriber.connection_id, message, 100)
+
+    def said(self):
+        return [decode_from_subscriber(one.data) for one in self.take() if isinstance(one, SendMessage)]
+
+    def test_a_gap_is_asked_for_and_not_applied(self):
+        self.connect()
+        self.hear(Update(0, 2, [Entry("a", 2, 1, "", b"2")]))
+        self.hear(Update(4, 5, [Entry("b", 5, 1, "", b"5")]))  # two were missed
+        self.assertEqual((self.subscriber.revision, self.subscriber.store.get("b")), (2, None))
+        self.assertEqual([type(one) for one in self.said()], [Confirm, Subscribe])
+
+    def test_twice_and_older_change_nothing(self):
+        self.connect()
+        new, old = Entry("a", 3, 1, "", b"new"), Entry("a", 2, 1, "", b"old")
+        self.hear(Update(0, 3, [new]))
+        self.hear(Update(0, 3, [new]))
+        self.hear(Update(0, 2, [old]))
+        self.assertEqual(self.subscriber.applied, [new])
+        self.assertEqual((self.subscriber.revision, self.subscriber.counters["duplicates"]), (3, 2))
+
+    def test_a_removal_that_overtakes_nothing_stays(self):
+        self.connect()
+        self.hear(Update(0, 4, [Entry("a", 4, 1, "", None)]))
+        self.hear(Update(0, 3, [Entry("a", 3, 1, "", b"before")]))
+        self.assertIsNone(self.subscriber.store.get("a"))
+
+    def test_what_a_former_connection_brings_is_dropped(self):
+        self.connect()
+        former = self.subscriber.connection_id
+        self.subscriber.connection_lost(self.now, former)
+        self.connect()
+        self.subscriber.receive(self.now, former, Update(0, 1, [Entry("a", 1, 1, "", b"1")]), 50)
+        self.assertEqual(self.subscriber.revision, 0)
+
+    def test_a_silent_replica_is_left_for_the_next(self):
+        self.connect()
+        began = self.now
+        self.until(CloseConnection)
+        self.assertEqual((self.now - began, self.subscriber.replica), (SubscriberTiming().silence, "r2"))
+
+    def test_a_replica_that_does_not_answer_the_dial_is_given_up(self):
+        dial = self.until(OpenConnection)
+        began = self.now
+        self.assertEqual(self.until(CloseConnection).connection_id, dial.connection_id)
+        self.assertEqual(self.now - began, SubscriberTiming().dial)
+
+    def test_when_none_answers_the_pauses_grow_to_a_bound(self):
+        dialled_at = []
+        for _ in range(40):
+            self.subscriber.connection_lost(self.now, self.until(OpenConnection).connection_id)
+            dialled_at.append(self.now)
+        rounds = [b - a for a, b in zip(dialled_at[::3], dialled_at[3::3], strict=False)]
+        self.assertGreater(rounds[-1], rounds[0])
+        timing = SubscriberTiming()
+        self.assertLessEqual(max(rounds), timing.retry_most + 3 * timing.retry_first)
+
+    def test_a_stale_replica_is_left_and_each_is_kept_a_while_once_all_are_stale(self):
+        stale = SubscriberTiming().stale
+        for name in ("r1", "r2", "r3"):
+            self.connect()
+            self.assertEqual(self.subscriber.replica, name)
+            self.hear(Heartbeat(0, 0, stale + 1, self.now))
+        self.connect()
+        self.hear(Heartbeat(0, 0, stale + 1, self.now))
+        self.assertTrue(self.subscriber.connected)
+        self.now += stale
+        self.hear(Heartbeat(0, 0, stale + 1, self.now))
+        self.assertFalse(self.subscriber.connected)
+
+    def test_it_goes_back_to_its_first_replica(self):
+        self.subscriber.connection_lost(self.now, self.until(OpenConnection).connection_id)
+        self.connect()
+        self.assertEqual(self.subscriber.replica, "r2")
+        began = self.now
+        while self.subscriber.replica != "r1":
+            self.now += S
+            self.hear(Heartbeat(0, 0, 0, self.now))
+            self.subscriber.advance(self.now)
+        self.assertEqual(self.now - began, SubscriberTiming().return_home)
+
+    def test_a_delayed_heartbeat_does_not_lower_the_age(self):
+        self.connect()
+        said_after = self.now
+        self.now += 30 * S  # the way was shut meanwhile
+        self.hear(Heartbeat(0, 0, 0, said_after))
+        self.assertEqual(self.subscriber.age(self.now), 30 * S)
+
+    def test_restored_entries_have_their_saved_age(self):
+        entry = Entry("a", 3, 1, "", b"kept")
+        again = Subscriber(
+            "c", "s", ["r"], 100 * S, random.Random(1), entries=[entry], revision=3, known_at=40 * S
+        )
+        self.assertEqual((again.store.get("a"), again.revision, again.age(100 * S)), (entry, 3, 60 * S))
+
+    @settings(derandomize=True, max_examples=150, deadline=None)
+    @given(WRITES, st.lists(st.tuples(st.integers(0, 40), st.integers(0, 40)), max_size=30))
+    def test_any_updates_lead_to_the_replicas_state_and_never_back(self, writes, spans):
+        whole = store_of(entries_of(writes))
+        subscriber = Subscriber("c", "s", ["r"], 0, random.Random(1))
+        subscriber.advance(0)
+        subscriber.connection_opened(0, subscriber.connection_id)
+        last = whole.revision
+        for since, upto in [*spans, (0, last)]:
+            since, upto = min(since, last), min(upto, last)
+            changes = [entry for entry in store_of(entries_of(writes[:upto])).since(since)]
+            subscriber.receive(0, subscriber.connection_id, Update(since, upto, changes), 10)
+        self.assertEqual((subscriber.revision, in_force(subscriber.store)), (last, in_force(whole)))
+        newest = {}
+        for entry in subscriber.applied:
+            self.assertGreater(entry.revision, newest.get(entry.key, 0))
+            newest[entry.key] = entry.revision
+
+    def test_an_inventory_removes_what_was_removed_and_asks_for_what_is_missing(self):
+        self.connect()
+        self.hear(Update(0, 2, [Entry("a", 1, 1, "", b"1"), Entry("b", 2, 1, "", b"2")]))
+        self.take()
+        bucket = next(n for n, keys in enumerate(self.subscriber.store.bucket_keys) if "a" in keys)
+        self.hear(Inventory(bucket, 2, []))
+        self.assertIsNone(self.subscriber.store.get("a"))
+        self.assertEqual(self.subscriber.applied[-1].value, None)
+
+
+if __name__ == "__main__":
+    unittest.main()
