--- a/embertray/cluster/replication/instructions.py
+++ b/embertray/cluster/replication/instructions.py
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True)
 class Envelope:
-    """Send `message` to the replica named `to`."""
+    """Send `message` to the replica named `recipient`."""
 
-    to: str
+    recipient: str
     message: object
 
 
--- a/embertray/cluster/replication/link/replica_loop.py
+++ b/embertray/cluster/replication/link/replica_loop.py
@@ -71,7 +71,7 @@
         if instructions.state is not None:
             await self._save(instructions.state)
         for envelope in instructions.messages:
-            self.links[envelope.to].put(encode(envelope.message))
+            self.links[envelope.recipient].put(encode(envelope.message))
         if instructions.committed:
             self.feed_at = self.clock.now()
             log_entries(self.log, "committed", instructions.committed)
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -5,22 +5,18 @@
 import anyio
 import structlog
 
-from embertray.cluster.replication.codec import decode_to_subscriber
-from embertray.cluster.replication.exceptions import MalformedMessageError
 from embertray.cluster.replication.instructions import CloseConnection, OpenConnection
 from embertray.cluster.replication.subscriber import Subscriber
-from embertray.common.framing import PREFIX, BadFrame, Splitter
-from embertray.common.net.address import BadAddress
 from embertray.common.net.tcp import TcpNet
 
-from .connection import CONNECTION_ERRORS, MAX_FRAME_TO_SUBSCRIBER, Connection, Overflow, Traffic
+from .connection import Traffic
 from .durable_state import open_and_load
 from .entry_log import log_entries
 from .status import subscriber_status
+from .subscriber_connection import SubscriberConnection
 from .subscriber_saver import SubscriberSaver, known_at, usable_state
 
 NS_PER_S = 10**9
-MAX_QUEUED = 64  # messages that wait for a replica that reads slowly: it is left as silent before they do
 
 
 @dataclass(frozen=True)
@@ -79,11 +75,11 @@
         self.log = (log or structlog.get_logger()).bind(subscriber=settings.name)
         self.budget = budget
         self.traffic = Traffic()
-        self.subscriber = None  # these two from `run` on
+        # made by `run`
+        self.subscriber = None
+        self.connection = None
         self.saver = None
         self.group = None
-        self.connection = None  # the Connection that `connection_id` names, once it is up
-        self.connection_id = 0
         self.poked = anyio.Event()  # the timer has to be set anew
         self.timer_at = 0  # ns
 
@@ -158,6 +154,15 @@
             self.budget,
             **former,
         )
+        self.connection = SubscriberConnection(
+            self.subscriber,
+            self.settings.replicas,
+            self.clock,
+            self.net,
+            self.traffic,
+            self._carry_out,
+            self.log,
+        )
         if self.saved is not None:
             self.saver = SubscriberSaver(self.subscriber, self.saved, self.clock, self.log)
         live = self.subscriber.store.live()
@@ -184,11 +189,11 @@
         self.subscriber.actions = []
         for action in actions:
             if isinstance(action, OpenConnection):
-                self.group.start_soon(self._connect, action.replica, action.connection_id)
+                self.group.start_soon(self.connection.open, action)
             elif isinstance(action, CloseConnection):
-                self._close(action)
-            elif self.connection is not None and action.connection_id == self.connection_id:
-                self.connection.put(action.data)
+                self.connection.close(action)
+            else:
+                self.connection.send(action)
         if self.subscriber.next_at() < self.timer_at:
             self.poked.set()
 
@@ -200,55 +205,3 @@
         log_entries(self.log, "applied", applied)
         if self.on_applied is not None:
             self.on_applied(applied)
-
-    def _close(self, action):
-        self.log.debug("replica left", reason=action.reason)
-        if self.connection is not None and action.connection_id == self.connection_id:
-            self.connection.close()
-            self.connection = None
-
-    # ---- one connection
-
-    async def _connect(self, replica, connection_id):
-        """Connects, and reads until the connection ends."""
-        try:
-            with anyio.fail_after(self.subscriber.timing.dial / NS_PER_S):
-                stream = await self.net.dial(self.settings.replicas[replica])
-        except (*CONNECTION_ERRORS, BadAddress):
-            self._lost(connection_id)
-            return
-        connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_NEWEST)
-        try:
-            async with stream:
-                with connection.scope:
-                    async with anyio.create_task_group() as group:
-                        group.start_soon(connection.write)
-                        await self._read(connection, connection_id)
-        except* CONNECTION_ERRORS:
-            pass
-        except* (BadFrame, MalformedMessageError) as errors:
-            self.traffic.rejected += 1
-            reason = str(errors.exceptions[0])
-            self.log.warning("replica sent a malformed message", replica=replica, reason=reason)
-        if self.connection is connection:
-            self.connection = None
-        self._lost(connection_id)
-
-    async def _read(self, connection, connection_id):
-        core = self.subscriber
-        splitter = Splitter(MAX_FRAME_TO_SUBSCRIBER)
-        core.connection_opened(self.clock.now(), connection_id)
-        if not core.connected or connection_id != core.connection_id:
-            return  # it was given up while it was opened
-        self.connection = connection
-        self.connection_id = connection_id
-        self._carry_out()
-        while True:
-            for data in await connection.read(splitter):
-                size = len(data) + PREFIX.size
-                core.receive(self.clock.now(), connection_id, decode_to_subscriber(data), size)
-            self._carry_out()
-
-    def _lost(self, connection_id):
-        self.subscriber.connection_lost(self.clock.now(), connection_id)
-        self._carry_out()
--- /dev/null
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -0,0 +1,94 @@
+"""A subscriber's connection to the replica that it follows."""
+
+import anyio
+
+from embertray.cluster.replication.codec import decode_to_subscriber
+from embertray.cluster.replication.exceptions import MalformedMessageError
+from embertray.common.framing import PREFIX, BadFrame, Splitter
+from embertray.common.net.address import BadAddress
+
+from .connection import CONNECTION_ERRORS, MAX_FRAME_TO_SUBSCRIBER, Connection, Overflow
+
+NS_PER_S = 10**9
+MAX_QUEUED = 64  # messages that wait for a replica that reads slowly: it is left as silent before they do
+
+
+class SubscriberConnection:
+    """Opens, reads and closes connections; at most one of them is in use.
+
+    Args:
+        subscriber: the Subscriber, notified of what happens.
+        addresses: name of a replica -> its address.
+        clock: the process's clock.
+        net: opens connections.
+        traffic: the Traffic to count in.
+        carry_out: carry_out() does what the Subscriber asks for after an event.
+        log: a structlog logger.
+    """
+
+    def __init__(self, subscriber, addresses, clock, net, traffic, carry_out, log):
+        self.subscriber = subscriber
+        self.addresses = addresses
+        self.clock = clock
+        self.net = net
+        self.traffic = traffic
+        self.carry_out = carry_out
+        self.log = log
+        self._connection = None  # the Connection in use
+        self._connection_id = 0  # its number
+
+    def send(self, action):
+        """Does a SendMessage; one for a connection that is no longer in use is dropped."""
+        if self._connection is not None and action.connection_id == self._connection_id:
+            self._connection.put(action.data)
+
+    def close(self, action):
+        """Does a CloseConnection."""
+        self.log.debug("replica left", reason=action.reason)
+        if self._connection is not None and action.connection_id == self._connection_id:
+            self._connection.close()
+            self._connection = None
+
+    async def open(self, action):
+        """Does an OpenConnection: connects, and reads until the connection ends."""
+        try:
+            with anyio.fail_after(self.subscriber.timing.dial / NS_PER_S):
+                stream = await self.net.dial(self.addresses[action.replica])
+        except (*CONNECTION_ERRORS, BadAddress):
+            self._lost(action.connection_id)
+            return
+        connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_NEWEST)
+        try:
+            async with stream:
+                with connection.scope:
+                    async with anyio.create_task_group() as group:
+                        group.start_soon(connection.write)
+                        await self._read(connection, action.connection_id)
+        except* CONNECTION_ERRORS:
+            pass
+        except* (BadFrame, MalformedMessageError) as errors:
+            self.traffic.rejected += 1
+            reason = str(errors.exceptions[0])
+            self.log.warning("replica sent a malformed message", replica=action.replica, reason=reason)
+        if self._connection is connection:
+            self._connection = None
+        self._lost(action.connection_id)
+
+    async def _read(self, connection, connection_id):
+        subscriber = self.subscriber
+        splitter = Splitter(MAX_FRAME_TO_SUBSCRIBER)
+        subscriber.connection_opened(self.clock.now(), connection_id)
+        if not subscriber.connected or connection_id != subscriber.connection_id:
+            return  # it was given up while it was opened
+        self._connection = connection
+        self._connection_id = connection_id
+        self.carry_out()
+        while True:
+            for data in await connection.read(splitter):
+                size = len(data) + PREFIX.size
+                subscriber.receive(self.clock.now(), connection_id, decode_to_subscriber(data), size)
+            self.carry_out()
+
+    def _lost(self, connection_id):
+        self.subscriber.connection_lost(self.clock.now(), connection_id)
+        self.carry_out()
--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -7,9 +7,9 @@
 
 from dataclasses import dataclass
 
-from .timing import MS, FeedSettings, NetworkAssumptions, ReplicaTiming, S, SubscriberTiming
+from .timing import MILLISECOND, SECOND, FeedSettings, NetworkAssumptions, ReplicaTiming, SubscriberTiming
 
-PROCESSING = 100 * MS  # ns until a process gets to a message
+PROCESSING = 100 * MILLISECOND  # ns until a process gets to a message
 
 
 @dataclass(frozen=True)
@@ -84,4 +84,4 @@
 
     def waiting(self, size):
         """Time in ns that a write waits behind `size` bytes, at a subscriber's sustained rate."""
-        return size * S // self.feed.sustained
+        return size * SECOND // self.feed.sustained
--- a/embertray/cluster/replication/replica_core.py
+++ b/embertray/cluster/replication/replica_core.py
@@ -128,5 +128,5 @@
             saved.revision, saved.committed_term, saved.versions, saved.requests, saved.forgotten
         )
 
-    def _send(self, to, message):
-        self.instructions.messages.append(Envelope(to, message))
+    def _send(self, recipient, message):
+        self.instructions.messages.append(Envelope(recipient, message))
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -12,12 +12,12 @@
 from .instructions import FeedInstructions, SubscriberMessage
 from .messages import VERSION, Confirm, Heartbeat, Inventory, Repair, Subscribe, Update
 from .subscription import Subscription
-from .timing import MS, FeedSettings
+from .timing import MILLISECOND, FeedSettings
 from .token_bucket import TokenBucket
 
 FRAME_BYTES = 4  # of a frame's length
 UPDATE_BYTES = 24  # an update's own numbers, at the most
-BUDGET_POLL = 50 * MS  # ns between two looks at a subscriber that waits for budget
+BUDGET_POLL = 50 * MILLISECOND  # ns between two looks at a subscriber that waits for budget
 
 
 class SubscriberFeed:
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -2,22 +2,32 @@
 
 from dataclasses import dataclass
 
-MS = 10**6  # ns
-S = 10**9  # ns
+MILLISECOND = 10**6  # ns
+SECOND = 10**9  # ns
 
 
 @dataclass(frozen=True)
 class ReplicaTiming:
-    """Timing between replicas, ns."""
+    """Timing between replicas, ns.
 
-    heartbeat: int = 400 * MS  # of a leader: three fit into the shortest election timeout
-    election_least: int = 1_500 * MS  # a follower waits so long for its leader at the least
-    election_most: int = 3_000 * MS  # and at the most; drawn anew each time, so that candidates rarely tie
-    recovery_silence: int = 6_000 * MS  # a replica without its state votes for nobody: twice election_most
+    Attributes:
+        heartbeat: of a leader; three fit into the shortest election timeout.
+        election_least: a follower waits so long for its leader at the least.
+        election_most: and at the most; drawn anew each time, so that candidates rarely tie.
+        recovery_silence: a replica without its state votes for nobody; twice election_most.
+    """
+
+    heartbeat: int = 400 * MILLISECOND
+    election_least: int = 1_500 * MILLISECOND
+    election_most: int = 3_000 * MILLISECOND
+    recovery_silence: int = 6_000 * MILLISECOND
 
     @property
     def quorum_timeout(self):
-        """ns; a leader that no majority confirmed for so long accepts no write."""
+        """Time in ns; a leader that no majority confirmed for so long accepts no write.
+
+        It is the shortest election timeout: before it is over, no other leader can have been elected.
+        """
         return self.election_least
 
     def election_timeout(self, rng):
@@ -29,16 +39,23 @@
 class FeedSettings:
     """What a replica sends to its subscribers, and when.
 
-    Times in ns, sizes in bytes, rates in bytes a second.
+    Attributes:
+        heartbeat: ns between two to a subscriber; age and digest let it judge what it holds.
+        retry_first: ns after which an update that is not confirmed is sent again, doubled each time.
+        retry_most: ns, the most that this becomes.
+        chunk: bytes of one update while more waits; small enough to be spread evenly over time.
+        silence: ns after which a subscriber that sends nothing is dropped.
+        bytes_per_second: of one subscriber, averaged over ten seconds; the operators' budget.
+        total_bytes_per_second: of one replica; a hundred subscribers at their full rate.
     """
 
-    heartbeat: int = 1 * S  # to each subscriber; its age and digest let a subscriber judge what it holds
-    retry_first: int = 1 * S  # an update that is not confirmed goes again, later each time
-    retry_most: int = 8 * S
-    chunk: int = 2_000  # bytes of one update while more waits: small enough to be paced evenly
-    silence: int = 10 * S  # a subscriber that says nothing for so long is dropped
-    bytes_per_second: int = 4_000  # of one subscriber, averaged over ten seconds: the operators' budget
-    total_bytes_per_second: int = 400_000  # of one replica: a hundred subscribers at their full rate
+    heartbeat: int = 1 * SECOND
+    retry_first: int = 1 * SECOND
+    retry_most: int = 8 * SECOND
+    chunk: int = 2_000
+    silence: int = 10 * SECOND
+    bytes_per_second: int = 4_000
+    total_bytes_per_second: int = 400_000
 
     @property
     def sustained(self):
@@ -50,30 +67,44 @@
 
     @property
     def burst(self):
-        """Bytes: capacity of a subscriber's token bucket, and the most that one update may carry."""
+        """Capacity of a subscriber's token bucket in bytes, and the most that one update may carry."""
         return self.bytes_per_second * 2
 
     @property
     def max_value_bytes(self):
-        """Bytes of a value that is accepted: one entry has to fit into one update."""
+        """Size of the largest value that is accepted: one entry has to fit into one update."""
         return self.burst - 1_024
 
 
 @dataclass(frozen=True)
 class SubscriberTiming:
-    """Timing of a subscriber, ns."""
+    """Timing of a subscriber, ns.
+
+    Attributes:
+        dial: after which an attempt to connect is given up.
+        silence: a replica that sends nothing for so long is left; three heartbeats.
+        stale: a replica apart from the majority for so long is left; an election takes under 5 s.
+        retry_first: pause before the next replica is tried, doubled each time all were tried.
+        retry_most: the most that this becomes.
+        return_home: after so long at another replica the first one is tried again.
+    """
 
-    dial: int = 1 * S  # until a connection that does not come up is given up
-    silence: int = 3 * S  # a replica that says nothing for so long is left: three heartbeats
-    stale: int = 6 * S  # a replica apart from the majority for so long is left: an election takes under 5
-    retry_first: int = 200 * MS  # pause before the next replica is tried, doubled each time all were tried
-    retry_most: int = 3 * S
-    return_home: int = 30 * S  # after so long at another replica the first one is tried again
+    dial: int = 1 * SECOND
+    silence: int = 3 * SECOND
+    stale: int = 6 * SECOND
+    retry_first: int = 200 * MILLISECOND
+    retry_most: int = 3 * SECOND
+    return_home: int = 30 * SECOND
 
 
 @dataclass(frozen=True)
 class NetworkAssumptions:
-    """What the stated bounds assume of links that are good, ns."""
+    """What the stated bounds assume of links that are good, ns.
+
+    Attributes:
+        one_way: a message's way, regions included.
+        save: until a replica's state is on disk.
+    """
 
-    one_way: int = 100 * MS  # a message's way, regions included
-    save: int = 200 * MS  # until a replica's state is on disk
+    one_way: int = 100 * MILLISECOND
+    save: int = 200 * MILLISECOND
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -186,17 +186,20 @@
         self.plan(min(self.core.next_at(), self.feed.next_at(now)))
 
     def _send_replica(self, addressed):
-        receiver = self.play.replicas[addressed.to]
+        receiver = self.play.replicas[addressed.recipient]
         if not receiver.alive:
             return
-        stream = self.peers.get(addressed.to)
+        stream = self.peers.get(addressed.recipient)
         if stream is None or stream.life != receiver.life:
             life = receiver.life
             stream = Stream(
-                self.play.links, self.name, addressed.to, lambda data: receiver.hears_replica(life, data)
+                self.play.links,
+                self.name,
+                addressed.recipient,
+                lambda data: receiver.hears_replica(life, data),
             )
             stream.life = life
-            self.peers[addressed.to] = stream
+            self.peers[addressed.recipient] = stream
         data = encode(addressed.message)
         self.bytes_out += len(data) + FRAME_BYTES
         while len(stream.held) >= HELD_MOST:
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -15,16 +15,25 @@
     SubscriberSettings,
 )
 from embertray.cluster.replication.link.durable_state import replica_state_store, subscriber_state_store
-from embertray.cluster.replication.timing import MS, FeedSettings, ReplicaTiming, SubscriberTiming
+from embertray.cluster.replication.timing import MILLISECOND, FeedSettings, ReplicaTiming, SubscriberTiming
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
 from embertray.simulation.processes.ports import free_ports
 
 # elections that are won on a busy machine, too: a vote is two ways and two saves
-REPLICA_TIMING = ReplicaTiming(80 * MS, 500 * MS, 1_500 * MS, 3_000 * MS)
-FEED_SETTINGS = FeedSettings(heartbeat=50 * MS, retry_first=100 * MS, retry_most=400 * MS, silence=1_000 * MS)
+REPLICA_TIMING = ReplicaTiming(80 * MILLISECOND, 500 * MILLISECOND, 1_500 * MILLISECOND, 3_000 * MILLISECOND)
+FEED_SETTINGS = FeedSettings(
+    heartbeat=50 * MILLISECOND,
+    retry_first=100 * MILLISECOND,
+    retry_most=400 * MILLISECOND,
+    silence=1_000 * MILLISECOND,
+)
 SUBSCRIBER_TIMING = SubscriberTiming(
-    dial=1_000 * MS, silence=800 * MS, stale=2_000 * MS, retry_first=20 * MS, retry_most=200 * MS
+    dial=1_000 * MILLISECOND,
+    silence=800 * MILLISECOND,
+    stale=2_000 * MILLISECOND,
+    retry_first=20 * MILLISECOND,
+    retry_most=200 * MILLISECOND,
 )
 MAX_WAIT_S = 60  # that a wait takes before it fails
 POLL_S = 0.005  # between two looks; what is looked at decides
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -49,11 +49,11 @@
                 if step.state is not None:
                     self.saved[name] = step.state
                 for addressed in step.messages:
-                    if {name, addressed.to} & self.cut or addressed.to not in self.replicas:
+                    if {name, addressed.recipient} & self.cut or addressed.recipient not in self.replicas:
                         continue
                     moved = True
                     message = decode_replica_message(encode(addressed.message))
-                    self.replicas[addressed.to].receive(self.now, message)
+                    self.replicas[addressed.recipient].receive(self.now, message)
 
     @property
     def leader(self):
@@ -96,10 +96,10 @@
         sent = {name: [] for name in leader.others}
         messages = leader.poll().messages
         for addressed in messages:
-            sent[addressed.to] += [entry.key for entry in addressed.message.entries]
+            sent[addressed.recipient] += [entry.key for entry in addressed.message.entries]
         self.assertEqual(sent, {name: [f"k{n}" for n in range(20)] for name in leader.others})
         for addressed in messages[:6]:  # the rest is lost, and goes again with the next heartbeat
-            self.group.replicas[addressed.to].receive(self.group.now, addressed.message)
+            self.group.replicas[addressed.recipient].receive(self.group.now, addressed.message)
         self.group.run(S)
         revisions = {one.store.revision for one in self.group.replicas.values()}
         self.assertEqual(revisions, {leader.last_revision})
