--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -9,6 +9,7 @@
 from .freshness import Freshness
 from .instructions import CloseConnection, OpenConnection, SendMessage
 from .messages import VERSION, Confirm, Heartbeat, Inventory, Repair, Subscribe, Update
+from .repair import compare
 from .replica_selector import ReplicaSelector
 from .store import VersionedStore
 from .timing import FeedSettings, SubscriberTiming
@@ -188,7 +189,7 @@
         self._send(Confirm(self.revision, now))
 
     def _check_digest(self, now, message):
-        """Asks for a repair if the same revision has another digest: something here or there is spoilt."""
+        """Asks for a repair if the same revision has another digest: an entry here or there is corrupt."""
         same_revision = message.commit == self.revision
         if same_revision and message.digest != self.store.digest and now >= self.repair_at:
             self.repair_at = now + self.timing.silence
@@ -216,21 +217,14 @@
         return newer
 
     def _on_inventory(self, now, message):
-        """Drops what was removed, and asks for what differs."""
-        listed = {item.key: item for item in message.items}
-        for own in self.store.inventory(message.bucket):
-            item = listed.get(own.key)
-            if item is None and own.revision <= message.upto:
-                self._apply(Entry(own.key, message.upto, 0, "", None))
-            elif item is not None and item.revision == own.revision and item != own:
-                self.store.forget(own.key)  # spoilt: the same revision with another value
-        missing = [item.revision for item in message.items if self._lacks(item)]
-        if missing:
-            self._subscribe(now, min(missing) - 1)
-
-    def _lacks(self, item):
-        entry = self.store.get(item.key)
-        return item.revision <= self.revision and (entry is None or entry.revision < item.revision)
+        """Drops what was removed or is corrupt, and asks for what is missing."""
+        difference = compare(self.store, message)
+        for key in difference.removed:
+            self._apply(Entry(key, message.upto, 0, "", None))
+        for key in difference.corrupt:
+            self.store.forget(key)
+        if difference.missing_from is not None:
+            self._subscribe(now, difference.missing_from - 1)
 
     def _subscribe(self, now, revision):
         allowance = max(0, int(self.bucket.available(now)))
