--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -9,7 +9,14 @@
 from embertray.cluster.replication.codec import decode_from_subscriber
 from embertray.cluster.replication.entry import Entry
 from embertray.cluster.replication.instructions import CloseConnection, OpenConnection, SendMessage
-from embertray.cluster.replication.messages import Confirm, Heartbeat, Inventory, Subscribe, Update
+from embertray.cluster.replication.messages import (
+    Confirm,
+    Heartbeat,
+    Inventory,
+    InventoryItem,
+    Subscribe,
+    Update,
+)
 from embertray.cluster.replication.subscriber import Subscriber
 from embertray.cluster.replication.timing import SubscriberTiming
 
@@ -160,6 +167,17 @@
         self.assertIsNone(self.subscriber.store.get("a"))
         self.assertEqual(self.subscriber.applied[-1].value, None)
 
+    def test_a_corrupt_entry_past_the_revision_is_not_asked_for(self):
+        self.connect()
+        entry = Entry("a", 5, 1, "", b"corrupt")
+        self.subscriber.store.apply(entry)
+        self.subscriber.store.advance(4)
+        bucket = next(n for n, keys in enumerate(self.subscriber.store.bucket_keys) if "a" in keys)
+        self.hear(Inventory(bucket, 5, [InventoryItem("a", 5, entry.fingerprint + 1)]))
+        self.assertEqual(
+            (self.subscriber.store.get("a"), self.said()), (None, [])
+        )  # the next update brings it
+
 
 if __name__ == "__main__":
     unittest.main()
