--- /dev/null
+++ b/embertray/cluster/replication/link/peer_link.py
@@ -0,0 +1,88 @@
+"""The outgoing connection to one other replica: it only sends. The other has a connection of its own."""
+
+import anyio
+
+from embertray.common.net.address import BadAddress
+
+from .connection import CONNECTION_ERRORS, Connection, Overflow
+
+NS_PER_S = 10**9
+CONNECT_TIMEOUT_S = 1
+FIRST_RETRY_S = 0.05  # pause between two attempts, doubled each time
+MAX_RETRY_S = 1.0  # less than an election takes
+MAX_QUEUED = 16  # messages; the newest are kept, as the replica repeats what matters
+PEER_SILENCE_NS = 5 * NS_PER_S  # without a message of the other replica; the connection is then renewed
+
+
+class PeerLink:
+    """Connects to the other replica, again and again.
+
+    Args:
+        address: returns where the other replica listens.
+        heard_at: returns the ns when it was last heard.
+        net: opens connections.
+        clock: the process's clock.
+        rng: a random.Random.
+        traffic: the Traffic to count in.
+    """
+
+    def __init__(self, address, heard_at, net, clock, rng, traffic):
+        self.address = address
+        self.heard_at = heard_at
+        self.net = net
+        self.clock = clock
+        self.rng = rng
+        self.traffic = traffic
+        self.connection = None
+        self.connected_at = 0
+
+    def put(self, data):
+        """Sends an encoded message, or drops it if there is no connection."""
+        if self.connection is None:
+            self.traffic.dropped += 1
+            return
+        # A peer that stopped, or a link that passes one way, leaves the stream full of outdated messages and
+        # nothing breaks it. Renewed, the connection starts with the newest ones.
+        now = self.clock.now()
+        if now - max(self.heard_at(), self.connected_at) > PEER_SILENCE_NS:
+            self.connection.close()
+        self.connection.put(data)
+
+    async def run(self):
+        """Connects, and connects again, until cancelled."""
+        pause = FIRST_RETRY_S
+        while True:
+            try:
+                with anyio.fail_after(CONNECT_TIMEOUT_S):
+                    stream = await self.net.dial(self.address())
+            except (*CONNECTION_ERRORS, BadAddress):
+                await self._pause(pause)
+                pause = min(2 * pause, MAX_RETRY_S)
+                continue
+            pause = FIRST_RETRY_S
+            async with stream:
+                await self._use(stream)
+            await self._pause(pause)
+
+    async def _pause(self, seconds):
+        await anyio.sleep(seconds * (0.5 + self.rng.random()))
+
+    async def _use(self, stream):
+        """Sends what is put, until the connection ends."""
+        self.connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_OLDEST)
+        self.connected_at = self.clock.now()
+        try:
+            with self.connection.scope:
+                async with anyio.create_task_group() as group:
+                    group.start_soon(self._until_end, stream)
+                    await self.connection.write()
+        except* CONNECTION_ERRORS:
+            pass
+        finally:
+            self.connection = None
+
+    @staticmethod
+    async def _until_end(stream):
+        """The other replica sends nothing on this connection: what comes is its end."""
+        await stream.receive()
+        raise anyio.BrokenResourceError
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -1,15 +1,15 @@
 """A replica under virtual time: its core, feed, disk and connections."""
 
+from embertray.cluster.replication.codec import decode_from_subscriber, decode_replica_message, encode
 from embertray.cluster.replication.entry import Entry
-from embertray.cluster.replication.feed import Feed, Refused
-from embertray.cluster.replication.messages import (
-    Unreadable,
-    decode_from_subscriber,
-    decode_replica_message,
-    encode,
+from embertray.cluster.replication.exceptions import (
+    MalformedMessageError,
+    SubscriberRejectedError,
+    WriteRejectedError,
 )
 from embertray.cluster.replication.replica import Replica
-from embertray.cluster.replication.replica_types import ReplicaState, WriteRefused
+from embertray.cluster.replication.replica_state import ReplicaState
+from embertray.cluster.replication.subscriber_feed import SubscriberFeed
 
 from .links import Stream
 from .process import FRAME_BYTES, Process
@@ -22,7 +22,7 @@
 class ReplicaProcess(Process):
     """A replica, its feed, its disk and its sockets. `make_core`, `make_feed`: for tests that spoil them."""
 
-    make_core, make_feed = Replica, Feed
+    make_core, make_feed = Replica, SubscriberFeed
 
     def __init__(self, play, name):
         super().__init__(play, name)
@@ -44,7 +44,7 @@
             settings.cluster, self.name, self.play.replica_names, now, chance, settings.replica, self.disk
         )
         self.feed = self.make_feed(settings.cluster, lambda: self.core.store, now, settings.feed)
-        self.core.subscribers = self.feed
+        self.core.feed = self.feed
         self.writes = {}  # request -> what is called with the committed Entry
         self.call(self.tick)
 
@@ -86,7 +86,7 @@
     def _receive_replica(self, data):
         try:
             message = decode_replica_message(data)
-        except Unreadable:
+        except MalformedMessageError:
             return
         self.core.receive(self.engine.time, message)
 
@@ -108,11 +108,11 @@
                 return
             if current is not None:
                 current.end()
-                self.feed.gone(name)
+                self.feed.unsubscribe(name)
             self.connections[name] = connection
         try:
             self.feed.receive(self.engine.time, name, decode_from_subscriber(data))
-        except Refused:
+        except SubscriberRejectedError:
             self.drop(connection)
 
     def hung_up(self, connection):
@@ -124,16 +124,16 @@
         name = connection.subscriber.name
         if self.connections.get(name) is connection:
             del self.connections[name]
-            self.feed.gone(name)
+            self.feed.unsubscribe(name)
 
     def put(self, key, value, request, done, expected=None):
-        """A writer's call; `done(Entry or WriteRefused)` when it is known."""
+        """A writer's call; `done(Entry or WriteRejectedError)` when it is known."""
         self.call(self._put, key, value, request, done, expected)
 
     def _put(self, key, value, request, done, expected):
         try:
             revision = self.core.put(self.engine.time, key, value, request, expected)
-        except WriteRefused as refused:
+        except WriteRejectedError as refused:
             done(refused)
             return
         if revision <= self.core.store.revision:  # a repeated call whose first one was committed
@@ -186,17 +186,20 @@
         self.plan(min(self.core.next_at(), self.feed.next_at(now)))
 
     def _send_replica(self, addressed):
-        receiver = self.play.replicas[addressed.to]
+        receiver = self.play.replicas[addressed.recipient]
         if not receiver.alive:
             return
-        stream = self.peers.get(addressed.to)
+        stream = self.peers.get(addressed.recipient)
         if stream is None or stream.life != receiver.life:
             life = receiver.life
             stream = Stream(
-                self.play.links, self.name, addressed.to, lambda data: receiver.hears_replica(life, data)
+                self.play.links,
+                self.name,
+                addressed.recipient,
+                lambda data: receiver.hears_replica(life, data),
             )
             stream.life = life
-            self.peers[addressed.to] = stream
+            self.peers[addressed.recipient] = stream
         data = encode(addressed.message)
         self.bytes_out += len(data) + FRAME_BYTES
         while len(stream.held) >= HELD_MOST:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -7,9 +7,9 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
-from embertray.cluster.replication.bounds import Bounds
-from embertray.cluster.replication.link.audit import value_digest
-from embertray.cluster.replication.operations import Committed
+from embertray.cluster.replication.api_messages import Committed
+from embertray.cluster.replication.link.entry_log import value_digest
+from embertray.cluster.replication.propagation_bounds import Bounds
 from embertray.experiments.capacity import target
 from embertray.simulation.processes.control import MOST
 from embertray.simulation.processes.control_play import play, recorded_plane
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from embertray.cluster.replication.link.saved import replica_state, subscriber_state
+from embertray.cluster.replication.link.durable_state import replica_state_store, subscriber_state_store
 from embertray.cluster.replication.replica import Replica
 from embertray.cluster.replication.subscriber import Subscriber
 from embertray.common.snapshots import DurableSnapshots
@@ -98,7 +98,7 @@
     PROPOSED = [["site", 7, 1, "q6", b"proposed"]]
 
     def reader(self):
-        return replica_state(self.folder)
+        return replica_state_store(self.folder)
 
     def read(self):
         self.place_snapshot(self.NAME)
@@ -117,7 +117,7 @@
     def test_a_replica_goes_on_from_it(self):
         replica = Replica("c1", "r1", ["r1", "r2", "r3"], 0, random.Random(1), saved=self.read())
         self.assertFalse(replica.recovering)
-        self.assertEqual(replica.last, (1, 7))
+        self.assertEqual(tuple(replica.last_position), (1, 7))
         self.assertEqual(replica.store.revision, 6)
         self.assertEqual([entry.key for entry in replica.store.live()], ["limits/search", "site"])
         self.assertEqual(replica.store.version("limits/search", 2).value, b"100")
@@ -136,7 +136,7 @@
     ]
 
     def reader(self):
-        return subscriber_state(self.folder)
+        return subscriber_state_store(self.folder)
 
     def read(self):
         self.place_snapshot(self.NAME)
