--- a/embertray/experiments/measure/wounds.py
+++ b/embertray/experiments/measure/wounds.py
@@ -10,7 +10,7 @@
 import anyio
 import click
 
-from embertray.simulation.processes.processes import PERIOD, Rigged
+from embertray.simulation.processes.cluster_members import PERIOD, LinkedClusterMembers
 
 
 def kill(site, n):
@@ -75,7 +75,7 @@
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for name in only:
         with tempfile.TemporaryDirectory() as folder:
-            site, found = Rigged(folder, members), []
+            site, found = LinkedClusterMembers(folder, members), []
 
             async def run():
                 async with anyio.create_task_group() as group:
--- a/embertray/simulation/processes/ways.py
+++ b/embertray/simulation/processes/cluster_links.py
@@ -15,13 +15,13 @@
 from embertray.simulation.models.web import Web
 
 from .ports import free_ports
-from .tube import Tube
+from .tcp_relay import TcpRelay
 
 
-class Ways(Web):
+class ClusterLinks(Web):
     """`at`: name -> the true cluster port of each member. `port(a, b)` is where a reaches b, `way(a, b)` what
     lies between. `to`: (from, to) -> a function that gives the address, for the ends that are no members;
-    `taps`: (from, to) -> Tube's tap."""
+    `taps`: (from, to) -> TcpRelay's tap."""
 
     def __init__(self, at, seed=1, ends=(), to=None, taps=None):
         super().__init__(list(at), seed, ends)
@@ -42,7 +42,7 @@
                 for (a, b), port in self.ports.items():
                     target = self.to.get((a, b)) or (lambda b=b: f"127.0.0.1:{self.at[b]}")
                     await group.start(
-                        Tube(
+                        TcpRelay(
                             port,
                             target,
                             self.ways[a, b],
--- a/embertray/simulation/processes/processes.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -12,17 +12,17 @@
 
 from embertray.service.site.site import HERE as SITES
 
+from .cluster_links import ClusterLinks
 from .described import describe
 from .ports import free_ports
 from .program import Program
-from .ways import Ways
 
 SAMPLE = SITES / "samples" / "pushed.xml"
 PERIOD = 200  # ms; a fifth of the default, so that a case takes seconds
 MOST = 30  # s that a wait takes before it fails
 
 
-class Members:
+class ClusterMembers:
     """Controllers c1 to cN of one site as processes of the program, with a cluster; no inventory answers,
     none is needed. Each wait is on what a process says of itself or of the others, with a limit."""
 
@@ -145,8 +145,8 @@
             program.ended()
 
 
-class Rigged(Members):
-    """As Members; each process is told of the others by its own links to them."""
+class LinkedClusterMembers(ClusterMembers):
+    """As ClusterMembers; each process is told of the others by its own links to them."""
 
     def __init__(self, folder, count, seed=1):
         super().__init__(folder, count)
@@ -155,7 +155,7 @@
             e.get("name"): [int(e.get(k).rpartition(":")[2]) for k in ("listen", "admin", "cluster")]
             for e in root.find("controllers")
         }
-        self.ways = Ways({name: three[2] for name, three in ports.items()}, seed)
+        self.ways = ClusterLinks({name: three[2] for name, three in ports.items()}, seed)
         self.files = {
             name: self.describe(
                 name,
--- a/embertray/simulation/processes/control_links.py
+++ b/embertray/simulation/processes/control_links.py
@@ -10,7 +10,7 @@
 from embertray.simulation.models.web import Web
 
 from .ports import free_ports
-from .tube import Tube
+from .tcp_relay import TcpRelay
 
 
 class ControlLinks(Web):
@@ -42,7 +42,7 @@
             for (a, b), port in self.ports.items():
                 address = f"127.0.0.1:{self.target(a, b)}"
                 ways, streams = (self.ways[a, b], self.ways[b, a]), self.streams[a, b]
-                await group.start(Tube(port, lambda address=address: address, *ways, streams).run)
+                await group.start(TcpRelay(port, lambda address=address: address, *ways, streams).run)
             task_status.started()
 
     # ---- faults
--- a/embertray/simulation/processes/held.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -14,14 +14,14 @@
 from embertray.simulation.claims.cluster import Claims
 from embertray.simulation.standins.aged import age_on_disk
 
+from .cluster_links import ClusterLinks
 from .described import describe
 from .ports import free_ports
 from .program import Program
 from .watch import SLACK, Watch
-from .ways import Ways
 
 
-class Processes:
+class ControllerProcesses:
     """Each controller `embertray serve` on loopback; killed, stopped and gone on with by its id."""
 
     clustered, links, used = False, None, None
@@ -139,7 +139,7 @@
             await anyio.to_thread.run_sync(program.ended)
 
 
-class Linked(Processes):
+class LinkedControllerProcesses(ControllerProcesses):
     """The same with a cluster (`clustered`), and with the rig's links between the processes, to the list and
     from the proxies.
     """
@@ -163,7 +163,7 @@
             to[name, "list"] = lambda: self.stage.inventory.address
             taps[name, "list"] = lambda name=name: partial(self.passed, name, Splitter())
             to["px", name] = lambda name=name: self.at[name].listen
-        self.links = Ways(
+        self.links = ClusterLinks(
             {name: int((at.cluster or "0:0").rpartition(":")[2]) for name, at in self.at.items()},
             self.seed,
             ("list", "px"),
--- a/embertray/simulation/processes/tube.py
+++ b/embertray/simulation/processes/tcp_relay.py
@@ -22,7 +22,7 @@
     return round(anyio.current_time() * 1e9)
 
 
-class Tube:
+class TcpRelay:
     """From `port` to `target()`, an address. `there`, `back`: the ways; `streams`: where what ends each
     stream is kept. `tap()`: for each stream a function that sees the bytes that came back, when they are
     passed on."""
--- a/embertray/simulation/processes/watch.py
+++ b/embertray/simulation/processes/watch.py
@@ -17,7 +17,7 @@
 
 
 class Watch:
-    """`held`: a rig's Linked that has started; `claims`: None without a cluster."""
+    """`held`: LinkedControllerProcesses that has started; `claims`: None without a cluster."""
 
     def __init__(self, held, net, clock, claims):
         self.held, self.net, self.clock, self.claims = held, net, clock, claims
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -179,16 +179,19 @@
 
         stage = run_virtual(main)
     else:
-        from embertray.simulation.processes.held import Linked, Processes
+        from embertray.simulation.processes.controller_processes import (
+            ControllerProcesses,
+            LinkedControllerProcesses,
+        )
 
         async def main():
             with tempfile.TemporaryDirectory() as folder:
                 folder = Path(logs or folder)
                 folder.mkdir(parents=True, exist_ok=True)
                 held = (
-                    Processes(seed, folder)
+                    ControllerProcesses(seed, folder)
                     if mode == "sockets"
-                    else Linked(seed, folder, day.fleet["cluster"] == "yes" and not alone)
+                    else LinkedControllerProcesses(seed, folder, day.fleet["cluster"] == "yes" and not alone)
                 )
                 stage = Stage(day, seed, TcpNet(), LoopClock(), held, progress)
                 if on_stage:
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -11,8 +11,8 @@
 from lxml import etree
 
 from embertray.cluster.membership import Pace
+from embertray.simulation.processes.cluster_members import PERIOD, ClusterMembers
 from embertray.simulation.processes.ports import free_ports
-from embertray.simulation.processes.processes import PERIOD, Members
 from embertray.simulation.processes.program import ROOT
 
 
@@ -25,7 +25,7 @@
         self.folder = folder.name
 
     def site(self, count, **more):
-        site = Members(self.folder, count, **more)
+        site = ClusterMembers(self.folder, count, **more)
         self.addCleanup(site.end)
         for name in site.names:
             site.up(name)
@@ -139,7 +139,7 @@
         from embertray.service.site import BadSite, load
 
         with tempfile.TemporaryDirectory() as folder:
-            site = Members(folder, 2)
+            site = ClusterMembers(folder, 2)
             self.assertEqual(load(site.path).cluster.period, PERIOD * 10**6)
             text = site.path.read_text()
             cut = (
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -7,14 +7,14 @@
 import anyio
 from test_cluster_processes import Held
 
-from embertray.simulation.processes.processes import Rigged
+from embertray.simulation.processes.cluster_members import LinkedClusterMembers
 
 
 class Links(Held):
     """Each case: three or four processes, all alive at all, then the wound, then its end."""
 
     def play(self, count, case):
-        site = Rigged(self.folder, count)
+        site = LinkedClusterMembers(self.folder, count)
         self.addCleanup(site.end)
 
         async def main():
