--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -55,7 +55,7 @@
     claims = simulation.play().claims
     for name, verdict in claims.verdicts().items():
         click.echo(
-            f"  {name:12} {verdict}, asked for {claims.held[name]} times"
+            f"  {name:12} {verdict}, asked for {claims.checks[name]} times"
             + "".join(f"\n    {text}" for text in claims.broken[name][:3])
         )
     probes, state = simulation.bytes()
--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -18,7 +18,7 @@
 
 def drawn(seed, members):
     claims = ClusterSimulation(notation.read(random_faults(seed, members)), seed).play().claims
-    return dict(claims.held), {name: len(why) for name, why in claims.broken.items()}, claims.worst
+    return dict(claims.checks), {name: len(why) for name, why in claims.broken.items()}, claims.worst
 
 
 class Moments(ClusterSimulation):
--- a/embertray/experiments/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -45,7 +45,7 @@
         "seconds": round(found.seconds, 1),
         "faults": {kind: sum(one.kind == kind for one in found.faults) for kind in kinds},
         "outcomes": found.outcomes,
-        "held": {claim: claims.held[claim] for claim in CLAIMS},
+        "held": {claim: claims.checks[claim] for claim in CLAIMS},
         "broken": {claim: claims.counts[claim] for claim in CLAIMS},
         "examples": [f"{one.claim}: {one.text}" for one in claims.broken],
         "took_s": {claim: shares_of(took) for claim, took in claims.took.items()},
--- a/embertray/experiments/measure/control_day.py
+++ b/embertray/experiments/measure/control_day.py
@@ -59,7 +59,7 @@
             "worst 10 s": round(max(one.worst_window for one in subscribers) / 10),
         },
         "replica_bytes_out_a_second": round(max(one.bytes_out for one in play.replicas.values()) / seconds),
-        "held": dict(claims.held),
+        "held": dict(claims.checks),
         "broken": dict(claims.counts),
         "examples": [one.text for one in claims.broken[:5]],
     }
--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -1,245 +1,173 @@
-"""What a cluster claims of itself, held against what its members said; no I/O. Fed by the rig with what true
-processes answer, and by the emulator with its members.
-
-seen    a member that nothing passes to or from is dead or left at all others within `death`
-wrong   a member that has been within reach for `whole` is not taken for dead
-fresh   what a member told is within the staleness bound at all that reach it directly, once they have for
-`whole` and the bound
-        (which grows by what exchanges with unreachable others take)
-young   what is held of a member that is out of reach is as old as its silence: no old entry passes for a new
-one. Its silence
-        begins when it was last in reach of anybody who was, later, in reach of the holder
-alone   a process that nothing passes to or from says within `death` that it is cut off; one in reach of
-others for `whole` does not
-
-Within reach: both ways, or by helpers, whichever are drawn. Poor ways (lost beyond LOSSY, late beyond a
-quarter of the period) are neither within reach nor out of it: nothing is claimed there.
+"""What a cluster claims of itself, checked against what its members say; no I/O.
+
+True processes and members under virtual time are judged alike.
+
+| claim | broken when |
+| --- | --- |
+| seen | a member that nothing passes to or from is not dead or left at another within the detection bound |
+| wrong | a member that has been within reach for the recovery bound is taken for dead |
+| fresh | an entry is older than the freshness bound at one that reaches its owner directly for long enough |
+| young | an entry of a member that is out of reach is younger than that member's silence |
+| alone | a process that nothing passes to or from does not say so within the detection bound, or one within
+reach of others for the recovery bound says it |
+
+The silence of a member begins when it was last in reach of anybody who was, later, in reach of the holder.
 """
 
+from dataclasses import dataclass
+
 from embertray.cluster.membership import Pace
-from embertray.cluster.state.exchange import bound
 
-S = 10**9
-NAMES = ("seen", "wrong", "fresh", "young", "alone")
-LOSSY = 0.3  # share lost both ways that the detector is made for (docs/measured/cluster.md)
-FACTS = S  # ns until an owner tells its facts anew
+from .bounds import detection_bound, freshness_bound, recovery_bound
+from .reachability import Reachability
+
+SECOND_NS = 10**9
+SEEN = "seen"
+WRONG = "wrong"
+FRESH = "fresh"
+YOUNG = "young"
+ALONE = "alone"
+NAMES = (SEEN, WRONG, FRESH, YOUNG, ALONE)
+TEXTS_KEPT = 10  # of each claim that is broken
+UNKNOWN_AGE_FACTOR = 99  # an entry that a member lacks counts as so many times the bound
+
 
+@dataclass(slots=True)
+class MemberView:
+    """What `holder` says of `member` at `now`: its state, and the age in ns of its entry (None: none)."""
 
-def death(members, period):
-    """ns: a probe in two rounds; a suspicion that nobody confirms; two rounds to tell; a probe of one's own
-    by who is told. Probes are stretched by one's own trouble."""
-    pace = Pace(period=period)
-    return (2 * (members - 1) + 2 * (pace.worst + 1) + 2 * members) * period + pace.wait(members, 0)
+    now: int
+    holder: str
+    member: str
+    state: str | None
+    age: int | None
+    in_reach_for: int
+    out_of_reach_for: int
 
 
-def whole(members, period):
-    """ns: a ping to one that is taken for dead, in its turn; what one knows to each other, in turns; and the
-    denials of who lives.
+class ClusterClaims:
+    """Told what happens to processes, through `reachability`, and what each of them says.
+
+    Read `broken` (claim -> texts), `checks` (claim -> how often it was checked), `looks`, and `worst`, the
+    greatest age over its bound.
+
+    Args:
+        links: a Web of the links between the members.
+        period: ns between two probes of one member, and between two exchanges.
+        exchange: ns that an exchange with an unreachable member takes until it is given up.
+        slack: ns that a look may be late.
     """
-    return (5 * -(-(members - 1) // Pace().helpers) + 5 * (members - 1) + 1 + 2 * members) * period
-
-
-class Claims:
-    """`web`: the ways; `slack`: ns that looking takes. Hand in what happens to processes and what each said;
-    read `broken`, `worst` (greatest age over its bound) and `looks`. No claim is made before `on_up` was told
-    of a process."""
-
-    def __init__(self, web, period, exchange, slack):
-        self.web, self.period, self.exchange, self.slack = web, period, exchange, slack
-        self.names, self.there, self.still = list(web.members), set(), set()
-        self.near, self.far = {}, {}  # (a, b) -> since when within reach, out of it
-        self.last = {
-            a: dict.fromkeys(self.names, 0) for a in self.names
-        }  # holder -> of whom -> when that was last in reach
-        self.groups, self.direct, self.helpers = (
-            {},
-            {},
-            Pace().helpers,
-        )  # (a, b) -> (since when, members that the better connected of the two misses)
-        self.broken, self.worst, self.looks, self.held = (
-            {name: [] for name in NAMES},
-            0.0,
-            0,
-            dict.fromkeys(NAMES, 0),
-        )
-        self.death, self.whole = death(len(self.names), period), whole(len(self.names), period)
-        self.fine, self.joined = self.seen_ways()
-        self.came, self.came_at = set(), 0  # who came up at that instant and is not taken up yet
-        web.watching.append(self.bent)
-
-    # ---- what happens
-
-    def on_up(self, at, name):
-        """Those that come up at one instant are taken up as one change: what follows from each is a part
-        of what follows from all, and a start of hundreds at once costs one look at all pairs."""
-        if at != self.came_at:
-            self.take_up()
-        self.came_at = at
-        self.came.add(name)
-
-    def take_up(self):
-        came, self.came = self.came, set()
-        if came:
-            self.there |= came
-            self.still -= came
-            self.changed(self.came_at, came)
-
-    def on_down(self, at, name):
-        self.take_up()
-        self.there.discard(name)
-        self.changed(at, {name})
-
-    def on_still(self, at, name):
-        self.take_up()
-        self.still.add(name)
-        self.changed(at, {name})
-
-    def on_go_on(self, at, name):
-        self.take_up()
-        self.still.discard(name)
-        self.changed(at, {name})
-
-    def bent(self, at):
-        """Ways of the web were bent, or made straight."""
-        self.take_up()
-        self.fine, self.joined = self.seen_ways()
-        self.changed(at)
-
-    def seen_ways(self):
-        """(name -> those to whom its messages pass well, name -> those to or from whom anything passes)"""
-        fine, joined = ({name: set() for name in self.names} for _ in range(2))
-        for a in self.names:
-            for b in self.names:
-                if a != b and self.is_fine(a, b):
-                    fine[a].add(b)
-                if a != b and self.web.way(a, b).open:
-                    joined[a].add(b)
-                    joined[b].add(a)
-        return fine, joined
-
-    def is_fine(self, a, b):
-        way = self.web.way(a, b)
-        return way.open and way.drop <= LOSSY and way.delay + way.jitter <= self.period // 4
-
-    def parts(self, living):
-        """Each living name's group: those that something passes between, directly or through others."""
-        group, left = {}, set(living)
-        while left:
-            first = left.pop()
-            found, edge = {first}, [first]
-            while edge:
-                one = edge.pop()
-                more = left & self.joined[one]
-                found |= more
-                left -= more
-                edge += more
-            group.update(dict.fromkeys(found, frozenset(found)))
-        return group
-
-    def changed(self, at, struck=frozenset()):
-        """Who reaches whom now, and since when; `struck`: all times of these begin anew."""
-        living = [name for name in self.names if name in self.there and name not in self.still]
-        there, fine = set(living), self.fine
-        good = {a: {b for b in fine[a] & there if a in fine[b]} for a in living}
-        self.settle(at)
-        any_way = self.groups = self.parts(living)
-        self.settle(at)
-        most, count = self.helpers, len(self.names)
-        for a in self.names:
-            ours = good.get(a, set())
-            for b in self.names:
-                if a == b:
-                    continue
-                theirs, near = good.get(b, set()), b in ours
-                if not near and a in good and b in good:  # by helpers, whichever are drawn
-                    near = count - 2 - len(ours & theirs) < min(most, count - 2)
-                direct = count - 1 - max(len(ours), len(theirs)) if b in ours else None
-                for since, holds in ((self.near, near), (self.far, b not in any_way.get(a, ()))):
-                    if not holds:
-                        since.pop((a, b), None)
-                    elif (a, b) not in since or a in struck or b in struck and since is not self.far:
-                        since[a, b] = at
-                if direct is None:
-                    self.direct.pop((a, b), None)
-                elif self.direct.get((a, b), (0, None))[1] != direct or a in struck or b in struck:
-                    self.direct[a, b] = at, direct
-
-    def settle(self, at):
-        """What each group's members may know by now, of each other and of those whom one of them met
-        before.
+
+    def __init__(self, links, period, exchange, slack):
+        self.reachability = Reachability(links, period, Pace().helpers)
+        self.names = self.reachability.names
+        self.period = period
+        self.exchange = exchange
+        self.slack = slack
+        self.detection = detection_bound(len(self.names), period)
+        self.recovery = recovery_bound(len(self.names), period)
+        self.broken = {name: [] for name in NAMES}
+        self.checks = dict.fromkeys(NAMES, 0)
+        self.worst = 0.0
+        self.looks = 0
+
+    def look(self, now, holder, states, ages, cut_off):
+        """Checks what one member says; whoever looks while a change is under way asks for nothing.
+
+        Args:
+            now: ns.
+            holder: the member that says it.
+            states: name of another member -> its state.
+            ages: name of another member -> ns since its entry was published, or None.
+            cut_off: whether the holder says that nobody reaches it.
         """
-        for group in set(self.groups.values()):
-            known, newest = [self.last[one] for one in group], dict.fromkeys(group, at)
-            for name in self.names:
-                if name not in newest:
-                    newest[name] = max(of[name] for of in known)
-            for one in group:
-                self.last[one] = dict(newest)
-
-    # ---- what they said
-
-    def breaks(self, claim, at, text):
-        if len(self.broken[claim]) < 10:
-            self.broken[claim].append(f"at {at / S:.2f} s: {text}")
-
-    def look(self, at, who, states, ages, cut_off):
-        """`states`: name -> word; `ages`: name -> ns or None, of what `who` holds of the others. Whoever
-        looks while a change is under way asks for nothing: all claims count from the change."""
-        self.take_up()
-        if who not in self.there or who in self.still:
+        reachability = self.reachability
+        reachability.apply_starts()
+        if not reachability.is_running(holder):
             return
         self.looks += 1
-        for other in [name for name in self.names if name != who]:
-            state, age = states.get(other), ages.get(other)
-            near, far = (at - since.get((who, other), at) for since in (self.near, self.far))
-            if far > self.death + self.slack:
-                self.held["seen"] += 1
-                if state not in ("dead", "left", None):
-                    self.breaks(
-                        "seen", at, f"{who} takes {other} for {state}, out of reach for {far / S:.1f} s"
-                    )
-            if near > self.whole + self.slack:
-                self.held["wrong"] += 1
-                if state not in ("alive", "suspect"):
-                    self.breaks(
-                        "wrong", at, f"{who} takes {other} for {state}, within reach for {near / S:.1f} s"
-                    )
-            if (who, other) in self.direct:
-                since, failing = self.direct[who, other]
-                most = bound(len(self.names), self.period, self.exchange, failing) + FACTS
-                if at - since > self.whole + most + self.slack:
-                    self.held["fresh"] += 1
-                    self.worst = max(self.worst, (age if age is not None else 99 * most) / most)
-                    if age is None or age > most + self.slack:
-                        self.breaks(
-                            "fresh",
-                            at,
-                            f"{who} holds of {other} what is "
-                            f"{'nothing' if age is None else f'{age / S:.2f} s old'}, "
-                            f"over {most / S:.2f} s",
-                        )
-            silent = at - self.last[who][other] if far else 0
-            if silent > self.exchange + self.slack and age is not None:
-                self.held["young"] += 1
-                if age < silent - self.exchange - self.slack:
-                    self.breaks(
-                        "young",
-                        at,
-                        f"{who} holds of {other} what is {age / S:.2f} s old, silent for {silent / S:.2f} s",
-                    )
-        others = [name for name in self.names if name != who]
-        if others and all(at - self.far.get((who, name), at) > self.death + self.slack for name in others):
-            self.held["alone"] += 1
-            if not cut_off:
-                self.breaks("alone", at, f"{who} does not say that it is cut off")
-        elif any(at - self.near.get((who, name), at) > self.whole + self.slack for name in others):
-            self.held["alone"] += 1
-            if cut_off:
-                self.breaks("alone", at, f"{who} says that it is cut off")
+        others = [name for name in self.names if name != holder]
+        for member in others:
+            in_reach_for = reachability.in_reach_for(now, holder, member)
+            out_of_reach_for = reachability.out_of_reach_for(now, holder, member)
+            view = MemberView(
+                now, holder, member, states.get(member), ages.get(member), in_reach_for, out_of_reach_for
+            )
+            self._check_seen(view)
+            self._check_wrong(view)
+            self._check_fresh(view)
+            self._check_young(view)
+        self._check_alone(now, holder, others, cut_off)
 
     def verdicts(self):
-        """claim -> kept, broken, or not met where no look came to ask for it."""
+        """Claim -> kept, broken, or not met where no look came to check it."""
         return {
-            name: "broken" if self.broken[name] else "kept" if self.held[name] else "not met"
+            name: "broken" if self.broken[name] else "kept" if self.checks[name] else "not met"
             for name in NAMES
         }
+
+    # ---- one claim each
+
+    def _check_seen(self, view):
+        if view.out_of_reach_for <= self.detection + self.slack:
+            return
+        self.checks[SEEN] += 1
+        if view.state not in ("dead", "left", None):
+            seconds = view.out_of_reach_for / SECOND_NS
+            text = f"{view.holder} takes {view.member} for {view.state}, out of reach for {seconds:.1f} s"
+            self._break(SEEN, view.now, text)
+
+    def _check_wrong(self, view):
+        if view.in_reach_for <= self.recovery + self.slack:
+            return
+        self.checks[WRONG] += 1
+        if view.state not in ("alive", "suspect"):
+            seconds = view.in_reach_for / SECOND_NS
+            text = f"{view.holder} takes {view.member} for {view.state}, within reach for {seconds:.1f} s"
+            self._break(WRONG, view.now, text)
+
+    def _check_fresh(self, view):
+        direct = self.reachability.direct.get((view.holder, view.member))
+        if direct is None:
+            return
+        since, unreachable = direct
+        most = freshness_bound(len(self.names), self.period, self.exchange, unreachable)
+        if view.now - since <= self.recovery + most + self.slack:
+            return
+        self.checks[FRESH] += 1
+        age = view.age if view.age is not None else UNKNOWN_AGE_FACTOR * most
+        self.worst = max(self.worst, age / most)
+        if view.age is None or view.age > most + self.slack:
+            old = "nothing" if view.age is None else f"{view.age / SECOND_NS:.2f} s old"
+            text = f"{view.holder} holds of {view.member} what is {old}, over {most / SECOND_NS:.2f} s"
+            self._break(FRESH, view.now, text)
+
+    def _check_young(self, view):
+        if not view.out_of_reach_for or view.age is None:
+            return
+        silent = view.now - self.reachability.last_contact[view.holder][view.member]
+        if silent <= self.exchange + self.slack:
+            return
+        self.checks[YOUNG] += 1
+        if view.age < silent - self.exchange - self.slack:
+            age = view.age / SECOND_NS
+            silence = silent / SECOND_NS
+            text = f"{view.holder} holds of {view.member} what is {age:.2f} s old, silent for {silence:.2f} s"
+            self._break(YOUNG, view.now, text)
+
+    def _check_alone(self, now, holder, others, cut_off):
+        reachability = self.reachability
+        apart = self.detection + self.slack
+        together = self.recovery + self.slack
+        if others and all(reachability.out_of_reach_for(now, holder, other) > apart for other in others):
+            self.checks[ALONE] += 1
+            if not cut_off:
+                self._break(ALONE, now, f"{holder} does not say that it is cut off")
+        elif any(reachability.in_reach_for(now, holder, other) > together for other in others):
+            self.checks[ALONE] += 1
+            if cut_off:
+                self._break(ALONE, now, f"{holder} says that it is cut off")
+
+    def _break(self, claim, now, text):
+        if len(self.broken[claim]) < TEXTS_KEPT:
+            self.broken[claim].append(f"at {now / SECOND_NS:.2f} s: {text}")
--- a/embertray/simulation/claims/control.py
+++ b/embertray/simulation/claims/control.py
@@ -17,7 +17,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-S = 10**9
+SECOND_NS = 10**9
 BROKEN_KEPT = 50  # texts that are kept; all are counted
 CLAIMS = ("history", "acknowledged", "request", "once", "committed", "age", "in force", "prompt", "alike")
 
@@ -45,10 +45,13 @@
     def __init__(self):
         self.history = {}  # revision -> Entry
         self.requests = {}  # request -> revision
-        self.acknowledged, self.newest = [], []  # in order; newest revision acknowledged so far
+        self.acknowledged = []  # in order
+        self.newest = []  # by position in `acknowledged`: the newest revision until then
         self.applied_at = {}  # (subscriber, key) -> revision
         self.checked = {}  # (claim, subscriber) -> position in `acknowledged` up to which all was in force
-        self.broken, self.counts, self.held = [], Counter(), Counter()
+        self.broken = []
+        self.counts = Counter()  # claim -> how often it was found broken
+        self.checks = Counter()  # claim -> how often it was checked
         # claim -> ns that each write took at each subscriber within reach, in steps of the looks
         self.took = {"in force": [], "prompt": []}
 
@@ -61,7 +64,7 @@
 
     def committed(self, now, replica, entry):
         """A replica committed an entry."""
-        self.held["history"] += 1
+        self.checks["history"] += 1
         known = self.history.setdefault(entry.revision, entry)
         if known != entry:
             self._break("history", now, f"{replica} committed {entry}, before it was {known}")
@@ -71,7 +74,7 @@
 
     def acknowledge(self, now, revision, key, value, durable, majority):
         """A writer was told that its write is committed; `durable` replicas have it on disk."""
-        self.held["acknowledged"] += 1
+        self.checks["acknowledged"] += 1
         entry = self.history.get(revision)
         if entry is None or (entry.key, entry.value) != (key, value):
             self._break("acknowledged", now, f"{key} at {revision} was acknowledged, committed is {entry}")
@@ -83,7 +86,7 @@
 
     def applied(self, now, subscriber, entry):
         """A subscriber applied an entry. A removal found by a repair has term 0."""
-        self.held["once"] += 1
+        self.checks["once"] += 1
         place = (subscriber, entry.key)
         before = self.applied_at.get(place, 0)
         if entry.revision <= before:
@@ -98,7 +101,7 @@
 
     def out_of_reach(self, now, subscriber):
         """Nothing is claimed of a subscriber now."""
-        self.held["out of reach"] += 1
+        self.checks["out of reach"] += 1
 
     # ---- what is looked at
 
@@ -106,19 +109,27 @@
         """A subscriber says the age of what it holds (None: it does not know)."""
         if age is None:
             return
-        self.held["age"] += 1
+        self.checks["age"] += 1
         position = bisect_right(self.acknowledged, now - age, key=lambda one: one.at)
         if position and self.newest[position - 1] > revision:
             late = self.newest[position - 1]
             self._break(
                 "age",
                 now,
-                f"{subscriber} at {revision} says {age / S:.2f} s, {late} was acknowledged by then",
+                f"{subscriber} at {revision} says {age / SECOND_NS:.2f} s, {late} was acknowledged by then",
             )
 
     def reach(self, now, subscriber, revision, since, bound, claim="in force"):
-        """A subscriber holds `revision`; since `since` it has been within reach (None: it is not), so that
-        each write is due `bound` after it or after its acknowledgement."""
+        """Checks which writes are in force at a subscriber that holds everything up to `revision`.
+
+        Args:
+            now: ns.
+            subscriber: its name.
+            revision: the newest that it holds.
+            since: ns from when it has been within reach of all it needs; None: it is not.
+            bound: ns after `since`, or after its acknowledgement, when a write is due.
+            claim: what is broken by a write that is late.
+        """
         place = (claim, subscriber)
         position = self.checked.get(place, 0)
         while position < len(self.acknowledged):
@@ -127,7 +138,9 @@
             if write.revision <= revision:
                 self._on_time(now, write, since, claim)
             elif late:
-                text = f"{subscriber} is at {revision}, {write.revision} was due after {bound / S:.1f} s"
+                text = (
+                    f"{subscriber} is at {revision}, {write.revision} was due after {bound / SECOND_NS:.1f} s"
+                )
                 self._break(claim, now, text)
             else:
                 break
@@ -135,15 +148,15 @@
         self.checked[place] = position
 
     def _on_time(self, now, write, since, claim):
-        self.held[claim] += 1
+        self.checks[claim] += 1
         if since is not None and since <= write.at:
             self.took[claim].append(now - write.at)
 
-    def alike(self, now, held):
-        """`held`: subscriber -> (revision, digest), at the end."""
+    def alike(self, now, final):
+        """`final`: subscriber -> (revision, digest), at the end."""
         by_revision = {}
-        for subscriber, (revision, digest) in sorted(held.items()):
-            self.held["alike"] += 1
+        for subscriber, (revision, digest) in sorted(final.items()):
+            self.checks["alike"] += 1
             first = by_revision.setdefault(revision, (subscriber, digest))
             if first[1] != digest:
                 self._break("alike", now, f"{subscriber} and {first[0]} differ at revision {revision}")
--- /dev/null
+++ b/embertray/simulation/claims/reachability.py
@@ -0,0 +1,196 @@
+"""Which members of a cluster reach each other, and since when; no I/O.
+
+Two members are within reach of each other over a good link both ways, or through any helpers that a probe
+may draw. They are out of reach when nothing passes between them at all, directly or through others. A poor
+link (one that loses more than LOSS_MOST, or is late by more than a quarter of the period) is neither.
+"""
+
+LOSS_MOST = 0.3  # share lost each way that the failure detector is made for (docs/measured/cluster.md)
+DELAY_SHARE_MOST = 4  # a good link is late by a period over this at the most
+
+
+class Reachability:
+    """Told of each change to links and processes, in the order of time.
+
+    Args:
+        links: a Web of the links between the members; its `watching` is subscribed to.
+        period: ns between two probes of one member.
+        helpers: members that an indirect probe asks.
+    """
+
+    def __init__(self, links, period, helpers):
+        self.links = links
+        self.period = period
+        self.helpers = helpers
+        self.names = list(links.members)
+        self.started = set()
+        self.paused = set()
+        self.in_reach_since = {}  # (a, b) -> ns
+        self.out_of_reach_since = {}  # (a, b) -> ns
+        self.direct = {}  # (a, b) -> (since, members that the better connected of the two does not reach)
+        self.last_contact = {name: dict.fromkeys(self.names, 0) for name in self.names}  # holder -> of -> ns
+        self.groups = {}  # running member -> all that something passes between
+        self._starting = set()
+        self._starting_at = 0
+        self._read_links()
+        links.watching.append(self.links_changed)
+
+    # ---- what happens
+
+    def process_started(self, now, name):
+        """Takes those that start at one instant as one change.
+
+        What follows from each start is a part of what follows from all, and hundreds that start at once cost
+        one look at all pairs.
+        """
+        if now != self._starting_at:
+            self.apply_starts()
+        self._starting_at = now
+        self._starting.add(name)
+
+    def apply_starts(self):
+        """Takes up the starts that were told of; has to be called before anything is read here."""
+        starting = self._starting
+        self._starting = set()
+        if starting:
+            self.started |= starting
+            self.paused -= starting
+            self._update(self._starting_at, starting)
+
+    def process_ended(self, now, name):
+        """A member's process is gone."""
+        self.apply_starts()
+        self.started.discard(name)
+        self._update(now, {name})
+
+    def process_paused(self, now, name):
+        """A member's process stands still."""
+        self.apply_starts()
+        self.paused.add(name)
+        self._update(now, {name})
+
+    def process_resumed(self, now, name):
+        """A member's process goes on, as if no time had passed."""
+        self.apply_starts()
+        self.paused.discard(name)
+        self._update(now, {name})
+
+    def links_changed(self, now):
+        """Links were made worse or good again."""
+        self.apply_starts()
+        self._read_links()
+        self._update(now)
+
+    # ---- what is asked
+
+    def is_running(self, name):
+        """Whether a member's process runs and does not stand still."""
+        return name in self.started and name not in self.paused
+
+    def in_reach_for(self, now, name, other):
+        """Ns for which `name` and `other` have been within reach of each other; 0 if they are not."""
+        return now - self.in_reach_since.get((name, other), now)
+
+    def out_of_reach_for(self, now, name, other):
+        """Ns for which nothing has passed between `name` and `other`; 0 if something does."""
+        return now - self.out_of_reach_since.get((name, other), now)
+
+    # ---- inside
+
+    def _read_links(self):
+        """Keeps to whom each member's messages pass well, and to or from whom anything passes."""
+        self._good_links = {name: set() for name in self.names}
+        self._open_links = {name: set() for name in self.names}
+        for name in self.names:
+            for other in self.names:
+                if name == other:
+                    continue
+                if self._is_good(name, other):
+                    self._good_links[name].add(other)
+                if self.links.way(name, other).open:
+                    self._open_links[name].add(other)
+                    self._open_links[other].add(name)
+
+    def _is_good(self, name, other):
+        link = self.links.way(name, other)
+        latest = link.delay + link.jitter
+        return link.open and link.drop <= LOSS_MOST and latest <= self.period // DELAY_SHARE_MOST
+
+    def _update(self, now, restarted=frozenset()):
+        """Sets who reaches whom; the times of `restarted` members begin anew."""
+        running = [name for name in self.names if self.is_running(name)]
+        present = set(running)
+        mutual = {
+            name: {other for other in self._good_links[name] & present if name in self._good_links[other]}
+            for name in running
+        }
+        self._note_contacts(now)  # of the groups until now
+        self.groups = self._connected_groups(running)
+        self._note_contacts(now)
+        for name in self.names:
+            for other in self.names:
+                if name != other:
+                    self._update_pair(now, (name, other), mutual, restarted)
+
+    def _update_pair(self, now, pair, mutual, restarted):
+        """Sets since when one member reaches, or does not reach, another one."""
+        name, other = pair
+        anew = name in restarted or other in restarted
+        _set_since(self.in_reach_since, pair, self._are_in_reach(name, other, mutual), now, anew)
+        # who lives on has been without the other one since before that restarted: its time goes on
+        apart = other not in self.groups.get(name, ())
+        _set_since(self.out_of_reach_since, pair, apart, now, name in restarted)
+        if other not in mutual.get(name, ()):
+            self.direct.pop(pair, None)
+            return
+        unreachable = len(self.names) - 1 - max(len(mutual[name]), len(mutual[other]))
+        if anew or self.direct.get(pair, (0, None))[1] != unreachable:
+            self.direct[pair] = (now, unreachable)
+
+    def _are_in_reach(self, name, other, mutual):
+        """Whether a probe between two comes through: directly, or by helpers, whichever are drawn."""
+        if name not in mutual or other not in mutual:
+            return False
+        if other in mutual[name]:
+            return True
+        candidates = len(self.names) - 2
+        useless = candidates - len(mutual[name] & mutual[other])
+        return useless < min(self.helpers, candidates)
+
+    def _connected_groups(self, running):
+        """Each running member's group: all that something passes between, directly or through others."""
+        groups = {}
+        left = set(running)
+        while left:
+            first = left.pop()
+            group = {first}
+            edge = [first]
+            while edge:
+                reached = left & self._open_links[edge.pop()]
+                group |= reached
+                left -= reached
+                edge += reached
+            groups.update(dict.fromkeys(group, frozenset(group)))
+        return groups
+
+    def _note_contacts(self, now):
+        """Keeps what each group's members may know by now.
+
+        They know each other as of now, and everybody else as of the last contact that any of them had.
+        """
+        for group in set(self.groups.values()):
+            contacts = [self.last_contact[name] for name in group]
+            newest = dict.fromkeys(group, now)
+            for name in self.names:
+                if name not in newest:
+                    newest[name] = max(contact[name] for contact in contacts)
+            for name in group:
+                self.last_contact[name] = dict(newest)
+
+
+def _set_since(since, pair, holds, now, anew):
+    """Keeps since when something holds of a pair; `anew`: the time begins now, though it held before."""
+    if not holds:
+        since.pop(pair, None)
+    elif anew or pair not in since:
+        since[pair] = now
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -11,7 +11,7 @@
 from embertray.cluster.membership import Membership, Pace
 from embertray.cluster.state import EntryStore, Exchange
 from embertray.service.site.site import time as span
-from embertray.simulation.claims.cluster import Claims
+from embertray.simulation.claims.cluster import ClusterClaims
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.models.web import Web
 from embertray.simulation.scenarios.troubles import Trouble
@@ -64,7 +64,7 @@
             Streams(seed),
             [],
         )
-        self.claims = Claims(self.links, period, EXCHANGE_WITHIN, 50 * MS)
+        self.claims = ClusterClaims(self.links, period, EXCHANGE_WITHIN, 50 * MS)
         # what troubles ask of a stage, its clock and what it holds
         self.clock, self.held, self.eyes, self.zero = self.engine, self, self, self.engine.time + S
 
@@ -85,7 +85,7 @@
             self.exchangers[name] = StateExchanger(
                 process, lambda: self.exchangers, self.membership.links, self.seed, *self.makes
             )
-            self.claims.on_up(self.engine.time, name)
+            self.claims.reachability.process_started(self.engine.time, name)
 
     async def all_up(self, names, still=0):
         for name in names:
@@ -97,7 +97,7 @@
         if self.exchangers.get(name) is not None:
             self.membership.kill(name)
             del self.exchangers[name]
-            self.claims.on_down(self.engine.time, name)
+            self.claims.reachability.process_ended(self.engine.time, name)
 
     async def restart(self, name):
         process = self.membership.at.get(name)
@@ -109,12 +109,12 @@
     def freeze(self, name):
         if self.exchangers.get(name) is not None:
             self.membership.at[name].stop()
-            self.claims.on_still(self.engine.time, name)
+            self.claims.reachability.process_paused(self.engine.time, name)
 
     def thaw(self, name):
         if self.exchangers.get(name) is not None and self.membership.at[name].stopped:
             self.membership.at[name].go_on()
-            self.claims.on_go_on(self.engine.time, name)
+            self.claims.reachability.process_resumed(self.engine.time, name)
 
     # ---- the day
 
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -11,7 +11,8 @@
 from embertray.common.framing import Splitter
 from embertray.controller.endpoint_list.messages import News, read_answer
 from embertray.service.site.site import time as span
-from embertray.simulation.claims.cluster import Claims
+from embertray.simulation.claims.cluster import ClusterClaims
+from embertray.simulation.claims.reachability import Reachability
 from embertray.simulation.standins.aged import age_on_disk
 
 from .cluster_links import ClusterLinks
@@ -76,7 +77,7 @@
             await anyio.sleep(still / 1e9)
             program.go_on()
         await program.listening()
-        self.notify("up", name)
+        self.notify(Reachability.process_started, name)
 
     async def all_up(self, names, still=0):
         """At once."""
@@ -86,10 +87,10 @@
 
     up_slowly = all_up
 
-    def notify(self, what, name):
-        """To whoever holds the processes against what they claim."""
+    def notify(self, change, name):
+        """Tells the claims of a member's process; `change`: a method of Reachability."""
         if self.claims is not None:
-            getattr(self.claims, "on_" + what)(self.stage.clock.now(), name)
+            change(self.claims.reachability, self.stage.clock.now(), name)
 
     def addresses(self):
         """Where proxies dial, in the controllers' order."""
@@ -102,14 +103,14 @@
         if name in self.running:
             self.still.discard(name)
             self.running.pop(name).kill()
-            self.notify("down", name)
+            self.notify(Reachability.process_ended, name)
 
     async def restart(self, name):
         """By SIGTERM, and up again once it has ended."""
         if name in self.running:
             program = self.running.pop(name)
             self.still.discard(name)
-            self.notify("down", name)
+            self.notify(Reachability.process_ended, name)
             program.ask_to_end()
             await anyio.to_thread.run_sync(program.ended)
         await self.up(name)
@@ -121,13 +122,13 @@
         if name in self.running:
             self.still.add(name)
             self.running[name].stop()
-            self.notify("still", name)
+            self.notify(Reachability.process_paused, name)
 
     def thaw(self, name):
         if name in self.running:
             self.running[name].go_on()
             self.still.discard(name)
-            self.notify("go_on", name)
+            self.notify(Reachability.process_resumed, name)
 
     async def closing(self):
         """The day is over, and all still run."""
@@ -173,7 +174,9 @@
         await self.stage.group.start(self.links.run)
         self.links.watching.append(self.bent)
         if self.clustered:
-            self.claims = Claims(self.links, span(self.stage.day.fleet["period"]), EXCHANGE_WITHIN, SLACK)
+            self.claims = ClusterClaims(
+                self.links, span(self.stage.day.fleet["period"]), EXCHANGE_WITHIN, SLACK
+            )
 
     def passed(self, name, splitter, data):
         """Bytes of the list that reach a controller."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -57,7 +57,7 @@
             with self.subTest(seed=seed):
                 claims = ClusterSimulation(notation.read(random_faults(seed, members)), seed).play().claims
                 self.assertEqual({claim: why for claim, why in claims.broken.items() if why}, {})
-                self.assertGreater(claims.held["wrong"], 1000)
+                self.assertGreater(claims.checks["wrong"], 1000)
 
     def test_every_claim_is_asked_for(self):
         self.assertEqual(
@@ -67,7 +67,8 @@
     def test_the_same_seed_is_the_same_run(self):
         one, two = (ClusterSimulation(notation.load("wounds"), 3).play() for _ in range(2))
         self.assertEqual(
-            (one.claims.held, one.claims.worst, one.bytes()), (two.claims.held, two.claims.worst, two.bytes())
+            (one.claims.checks, one.claims.worst, one.bytes()),
+            (two.claims.checks, two.claims.worst, two.bytes()),
         )
 
 
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -79,7 +79,7 @@
                     for name, one in play.subscribers.items():
                         play.claims.reach(play.engine.time, name, one.core.revision, died, bound, "prompt")
                 self.assertTrue(play.claims.kept, play.claims.broken)
-                self.assertGreater(play.claims.held["prompt"], 500)
+                self.assertGreater(play.claims.checks["prompt"], 500)
 
     def test_the_same_seed_gives_the_same_play(self):
         first, second = played(3), played(3)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -45,7 +45,7 @@
             claims = record.judge()
             self.assertEqual(claims.broken, [])
             for claim in ("history", "acknowledged", "once", "age", "in force", "alike"):
-                self.assertGreater(claims.held[claim], 0, claim)
+                self.assertGreater(claims.checks[claim], 0, claim)
 
     def put(self, record, key, value, at=None, request=None):
         """Its revision; it has to be committed."""
@@ -394,7 +394,7 @@
         self.assertEqual(found.claims.broken, [])
         self.assertEqual(sorted(one.kind for one in found.faults), ["kill", "split", "stop"])
         self.assertGreater(found.outcomes["Committed"], 0)
-        self.assertGreater(found.claims.held["prompt"], 0)
+        self.assertGreater(found.claims.checks["prompt"], 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -113,7 +113,7 @@
 
     with mock.patch.object(StateExchanger, "count", count):
         claims = simulation.play().claims
-    return datagrams.figures, state.figures, tuple(claims.held.values())
+    return datagrams.figures, state.figures, tuple(claims.checks.values())
 
 
 MEMBERSHIP = (11624, 1275768, "b38abda91d644fad", 2325)
