--- a/embertray/policy/__init__.py
+++ b/embertray/policy/__init__.py
@@ -5,6 +5,10 @@
 `endpoint_watch`, `channel_budget`, `update_queue`, `endpoint_removal`, `proxy_binding`. `weight_planner` and
 `publisher` run them in order. `interface` has the types of events and orders, `records` what is remembered.
 Nothing here does I/O, reads a clock or knows which deployment it serves; times are whole nanoseconds.
+
+A step is one call of `Controller.step`. A beat is a step at which all rules run, every 250 ms. A solve is a
+beat at which capacities are learnt and ejected backends recover, every 2 s. Load shedding looks once a
+second. A sweep, every 10 s, queues all tables anew.
 """
 
 from .controller import Controller
--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -8,7 +8,8 @@
 LONG_WINDOW = 8 * SECOND  # ns; some fifty answers of a backend, so that chance evens out
 SHORT_WINDOW = 4 * SECOND  # ns; the last reports, for health
 SPAN_MIN = SECOND // 4  # ns; a report span under a beat makes no rate
-LOAD_NAMES = ("busy", "waiting", "held")  # gauges of a report, the one to be preferred first
+# gauges of a report, the preferred first: busy share of the cores, requests that wait, requests in flight
+LOAD_NAMES = ("busy", "waiting", "held")
 
 
 class BackendState:
--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -21,8 +21,9 @@
 
 ACK_TIMEOUT_MIN = 1 * SECOND  # ns; a proxy stands still while it applies a large table
 ACK_DELAYS_KEPT = 8
-SLOWEST_FACTOR = 20  # the channel is taken to send at least its told rate divided by this
-SLOW_FACTOR_MAX = 2  # by which the share of removals and bindings falls at most in a slow channel
+RATE_SAFETY_DIVISOR = 20  # a stalled channel still counts as sending its rate divided by this
+NONCE_LINES = 1  # lines that a nonce adds to a message
+SHARE_DIVISOR_MAX = 2  # of removals and bindings in a slow channel; of updates while the list is silent
 
 
 @dataclass(frozen=True)
@@ -34,10 +35,14 @@
     yields: bool  # gets less the slower the channel, and while the endpoint list is silent
 
 
-REMOVAL = Priority(0.8, 1, yields=False)
-BINDING = Priority(0.6, 1, yields=False)
-URGENT_UPDATE = Priority(0.35, 4, yields=True)
-ORDINARY_UPDATE = Priority(0.25, 7, yields=True)
+# a removal's grace runs: it may use nearly all, but for what a late acknowledgement hides
+REMOVAL = Priority(pending_share=0.8, messages_spared=1, yields=False)
+# a crowd of bindings leaves room for removals that come meanwhile
+BINDING = Priority(pending_share=0.6, messages_spared=1, yields=False)
+# cuts, levels and retries leave room for the bindings of a restart
+URGENT_UPDATE = Priority(pending_share=0.35, messages_spared=4, yields=True)
+# learnt weights may wait for a beat at which little else is sent
+ORDINARY_UPDATE = Priority(pending_share=0.25, messages_spared=7, yields=True)
 
 
 class ChannelBudget:
@@ -70,7 +75,7 @@
             took: ns from the order to the answer.
         """
         self._ack_delays.append(took)
-        self.in_flight.answered(proxy, nonce, self.context.deployment.head + 1, self.context.now)
+        self.in_flight.answered(proxy, nonce, self.context.deployment.head + NONCE_LINES, self.context.now)
 
     def ordered(self, nonce):
         """All that is reserved goes out under this nonce."""
@@ -81,7 +86,7 @@
     def waiting_lines(self):
         """Lines that may still wait in the channel."""
         rate = self.context.deployment.channel_rate
-        return self.in_flight.waiting(self.context.now, rate, SLOWEST_FACTOR)
+        return self.in_flight.waiting(self.context.now, rate, RATE_SAFETY_DIVISOR)
 
     def ack_timeout(self):
         """After how many ns an open nonce counts as unanswered.
@@ -101,12 +106,12 @@
         it does while the endpoint list is silent: what that tells later comes all at once.
         """
         deployment = self.context.deployment
-        late = max(1, 2 * median(self._ack_delays or [0]) / (deployment.drain_grace or SECOND))
+        lateness_factor = max(1, 2 * median(self._ack_delays or [0]) / (deployment.drain_grace or SECOND))
         if priority.yields:
-            slow = max(late, SLOW_FACTOR_MAX if self.endpoint_watch.failures else 1)
+            share_divisor = max(lateness_factor, SHARE_DIVISOR_MAX if self.endpoint_watch.failures else 1)
         else:
-            slow = min(late, SLOW_FACTOR_MAX)
-        usable = priority.pending_share / slow * deployment.pending_max
+            share_divisor = min(lateness_factor, SHARE_DIVISOR_MAX)
+        usable = priority.pending_share / share_divisor * deployment.pending_max
         return usable - self.waiting_lines() - self.reserved_lines
 
     def reserve(self, proxies, wanted, priority, least=None):
@@ -122,7 +127,7 @@
             Lines for each: `wanted`, fewer but at least `least`, or 0 if there is no room.
         """
         deployment = self.context.deployment
-        overhead = (deployment.head + 1) * sum(proxy not in self.reserved for proxy in proxies)
+        overhead = (deployment.head + NONCE_LINES) * sum(proxy not in self.reserved for proxy in proxies)
         if deployment.pending_max and proxies:
             free = self.free_lines(priority) - overhead
             if free < wanted * len(proxies):
--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -14,7 +14,7 @@
 from .records.levels import FleetState
 
 BEATS_KEPT = 200  # mean latencies of beats
-BEATS_COMPARED = 9  # the newest beat against the one so many before it
+BEATS_COMPARED = 9  # the newest beat is compared with the oldest of so many
 WORK_SHARE_MAX = 0.35  # of the latency objective: more than that is no work, it is waiting
 FALLING_RATIO = 0.9  # of the earlier mean: the latency falls
 WAIT_LOW = 0.2  # of the latency objective: a wait under it is no queue
--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -103,7 +103,7 @@
         self._next_beat_at = self.context.now + BEAT_INTERVAL
         self.context.orders.append(interface.Wake(0, BEAT_INTERVAL))
         self._forget()
-        self.endpoint_watch.poll_if_due()
+        self.endpoint_watch.subscribe_if_due()
         state, wanted = self.weight_planner.plan()
         self.load_shedding.update(state)
         for zone, lines in wanted:
--- a/embertray/policy/endpoint_watch.py
+++ b/embertray/policy/endpoint_watch.py
@@ -1,9 +1,9 @@
 """Endpoint watch: follows the endpoint list, and polls it again with backoff after a failure.
 
 Rule: an update that names changes counts for the entries it names. One that is complete, or comes from a
-cache, also tells that every backend it does not name is gone. Where the list has to be asked for (polled
-discovery), a failure is followed by another subscription after a pause that doubles from 0.5 s to 4 s; the
-list known before stays in force meanwhile.
+cache, also tells that every backend it does not name is gone. A polled list is subscribed to at the start.
+After any failure the list is subscribed to again, after a backoff that doubles from 0.5 s to 4 s; the list
+known before stays in force meanwhile.
 
 Inputs: `interface.ListNews`. Decides: which backends stopped being ready (their lines are removed), and when
 to subscribe again.
@@ -16,9 +16,9 @@
 from .interface import Entry, Log, Subscribe
 from .units import MILLISECOND, SECOND
 
-POLL_BACKOFF_FIRST = 500 * MILLISECOND  # ns
-POLL_BACKOFF_MAX = 4 * SECOND  # ns
-POLL_DOUBLINGS_MAX = 6
+RESUBSCRIBE_BACKOFF_FIRST = 500 * MILLISECOND  # ns
+RESUBSCRIBE_BACKOFF_MAX = 4 * SECOND  # ns
+RESUBSCRIBE_DOUBLINGS_MAX = 6
 
 
 class EndpointWatch:
@@ -31,7 +31,7 @@
     def __init__(self, context):
         self.context = context
         self.failures = 0
-        self._poll_at = 0 if context.deployment.ask else None
+        self._subscribe_at = 0 if context.deployment.ask else None
 
     def update(self, updates):
         """Takes over updates of one step.
@@ -57,12 +57,15 @@
         return [(self._backend(entry.backend), entry) for entry in update.entries + missing]
 
     def _failed(self):
-        backoff = min(POLL_BACKOFF_MAX, POLL_BACKOFF_FIRST << min(self.failures, POLL_DOUBLINGS_MAX))
-        self._poll_at = self.context.now + backoff
+        backoff = min(
+            RESUBSCRIBE_BACKOFF_MAX,
+            RESUBSCRIBE_BACKOFF_FIRST << min(self.failures, RESUBSCRIBE_DOUBLINGS_MAX),
+        )
+        self._subscribe_at = self.context.now + backoff
         self.failures += 1
         self.context.orders.append(
             Log(
-                f"endpoint list: no answer, {self.failures} in a row; polled again in "
+                f"endpoint list: no answer, {self.failures} in a row; subscribed to again in "
                 f"{backoff // MILLISECOND} ms, the last list stays in force"
             )
         )
@@ -73,8 +76,8 @@
             self.context.backends.append(handle.actor)
         return handle.actor
 
-    def poll_if_due(self):
+    def subscribe_if_due(self):
         """Orders a subscription when one is due; to be called at each beat."""
-        if self._poll_at is not None and self.context.now >= self._poll_at:
-            self._poll_at = None
+        if self._subscribe_at is not None and self.context.now >= self._subscribe_at:
+            self._subscribe_at = None
             self.context.orders.append(Subscribe())
--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -1,6 +1,6 @@
 """Learned weights: each backend's capacity, from what proxies report of it.
 
-Rule (the design page's estimate): capacity is the served rate times the median latency of all reported
+Rule: capacity is the served rate times the median latency of all reported
 backends over the backend's own latency, each failed attempt counted as a client time-out, relative to the
 mean of all reported backends. It moves only when the estimate is more than 20% off, and by at most a quarter
 at each solve. Backends without enough reports keep their capacity, which starts at the average of 1.
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -35,7 +35,7 @@
 CALM_LOOKS = 5  # looks without a queue after which what came was done
 WAIT_HIGH = 0.38  # of the latency objective: requests are shed
 WAIT_LOW = 0.2  # of the latency objective: more are admitted
-LOOKS_UNTIL_SURE = 10  # looks after a start until the fleet's limits are known
+LOOKS_UNTIL_LIMITS_KNOWN = 10  # looks after a start
 ADMITTED_MIN = 0.3  # of the usual requests, at the least
 ADMITTED_MIN_AFTER_START = 0.6  # of the usual requests, until the limits are known
 CUT_MIN = 0.45  # of what can be done: the deepest cut
@@ -43,7 +43,7 @@
 GOAL_AFTER_QUEUE = 0.95  # of what can be done, as soon as the queue is over
 GOAL_AFTER_RELAPSE = 0.9  # of the former goal, if a queue builds up under it
 GROWTH = 1.015  # on the goal at each look
-GROWTH_OF_GUESS = 1.1  # on the goal at each look, while it is a guess
+GROWTH_OF_GUESS = 1.1  # on the goal at each look, while it rests on no measured capacity
 LOST_CAPACITY = 0.85  # of the most capacity lately: the fleet has shrunk
 SHRUNK_LIMIT = 1.3  # times the most that was done, for a fleet that has shrunk
 BUSY_AFTER_LOSS = 0.7  # mean reported busy share, of those left, under which nothing is shed ahead
@@ -51,7 +51,7 @@
 LEVEL_CHANGE_MIN = 0.08  # share by which a level moves at the least: each change costs lines of the channel
 PROXY_RATE_MIN = 0.01  # requests a second at a proxy, where levels are rates
 FAILED_SHARE_MAX = 0.3  # of all attempts: past it retries add to the fault
-ADMITTED_WHILE_WARY = 0.4  # of what comes, while most fail and some backends are cold
+ADMITTED_WHILE_FAILING = 0.4  # of what comes, while most fail and some backends are cold
 
 
 @dataclass(frozen=True)
@@ -165,8 +165,8 @@
         known = limits.done
         if self._goal is not None:
             known = GOAL_AFTER_RELAPSE * max(self._sustainable, self._goal)
-        is_sure = len(self._looks) > LOOKS_UNTIL_SURE
-        admitted_min = ADMITTED_MIN if is_sure else ADMITTED_MIN_AFTER_START
+        limits_known = len(self._looks) > LOOKS_UNTIL_LIMITS_KNOWN
+        admitted_min = ADMITTED_MIN if limits_known else ADMITTED_MIN_AFTER_START
         floor = admitted_min * min(demand.coming, demand.usual) / demand.unit
         self._unit_at_cut = demand.unit
         self._sustainable = max(known, floor)
@@ -197,7 +197,7 @@
         all of it; without a goal nothing else is shed ahead of a queue.
         """
         has_shrunk = (
-            len(self._looks) > LOOKS_UNTIL_SURE
+            len(self._looks) > LOOKS_UNTIL_LIMITS_KNOWN
             and state.capacity < LOST_CAPACITY * limits.capacity
             and state.busy * limits.capacity > BUSY_AFTER_LOSS * state.capacity
         )
@@ -205,8 +205,8 @@
         if limit is None:
             limit = SHRUNK_LIMIT * max(limits.done, limits.calm) if has_shrunk else UNLIMITED_RATE
         excess = demand.coming - limit * demand.unit
-        is_wary = state.has_cold and self.context.now < self._retries_at
-        return max(excess, (1 - ADMITTED_WHILE_WARY) * demand.coming if is_wary else 0.0)
+        is_failing_while_cold = state.has_cold and self.context.now < self._retries_at
+        return max(excess, (1 - ADMITTED_WHILE_FAILING) * demand.coming if is_failing_while_cold else 0.0)
 
     def _shed(self, proxies, excess):
         """Sheds so many requests a second, from the kinds of least priority weight first."""
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -1,12 +1,12 @@
 """Outlier detection: backends that fail far more than their peers are ejected, and recover step by step.
 
 Ejection rule: a backend whose share of failed attempts in the short window is more than 0.35 above the lower
-quartile of all reported backends is an outlier. Its weight is cut to the part that it answers, but not under
-6%, so that it is still heard of. At most 0.6 of the ready backends are ejected at a time. A general fault
-moves the quartile and ejects nobody. Harms where few peers are heard.
+quartile of all backends with 8 or more attempts, itself included, is an outlier. Its weight is cut to the
+part that it answers, but not under 6%, so that it is still heard of. At most 0.6 of the ready backends are
+ejected at a time. A general fault moves the quartile and ejects nobody. Harms where few peers are heard.
 
-Recovery rule: at each solve an ejected backend's weight doubles, once most of its few attempts were good, or
-nothing at all was heard of it for 12 s.
+Recovery rule: at each solve an ejected backend's weight doubles, once it had at least 2 attempts since the
+last change of its weight and at most a quarter of them failed, or none for 12 s. A restart heals at once.
 
 Inputs: `BackendFigures`. Decides: `BackendState.health`, a factor on the weight; 1 is healthy.
 
@@ -74,7 +74,8 @@
                 backend.set_health(max(HEALTH_MIN, backend.health * (1 - failed[backend])))
                 self.context.orders.append(
                     Log(
-                        f"backend {backend.handle.external_id} ejected: {failed[backend]:.0%} of attempts "
-                        f"failed, {usual:.0%} at its peers; {backend.health:.0%} of its weight is left"
+                        f"backend {backend.handle.external_id} ejected as an outlier: "
+                        f"{failed[backend]:.0%} of its attempts failed, {usual:.0%} at the lower quartile of its peers; "
+                        f"{backend.health:.0%} of its weight is left"
                     )
                 )
--- a/embertray/policy/proxy_binding.py
+++ b/embertray/policy/proxy_binding.py
@@ -1,8 +1,8 @@
 """Binding of proxies: gives each proxy that joins the table of its zone.
 
-Rule: a joiner is bound anew, whatever it held before. Who has waited longest goes first; a proxy that holds
-its standing table only counts as a quarter of the drain grace ahead, then the one with the most requests goes
-first.
+Rule: a proxy that joins is bound anew, whatever it held before. Who has waited longest goes first; a proxy
+that has its standing table only (the one it is installed with and uses until a controller binds it) counts as
+a quarter of the drain grace ahead, then the one with the most requests goes first.
 
 Inputs: joined proxies that are not bound, with the time of their joining (ns). Decides: `Binding`s.
 
@@ -12,10 +12,11 @@
 
 from typing import Any, NamedTuple
 
+from .channel_budget import NONCE_LINES
 from .units import SECOND
 
 AHEAD_MIN = SECOND // 4  # ns; a beat
-AHEAD_SHARE_OF_GRACE = 4  # a proxy with its standing table only is this part of the drain grace ahead
+AHEAD_GRACE_DIVISOR = 4  # a proxy with its standing table only is the drain grace divided by this ahead
 
 
 class Binding(NamedTuple):
@@ -73,7 +74,7 @@
         return bindings
 
     def _in_order(self, joined_before):
-        ahead = max(AHEAD_MIN, self.context.deployment.drain_grace // AHEAD_SHARE_OF_GRACE)
+        ahead = max(AHEAD_MIN, self.context.deployment.drain_grace // AHEAD_GRACE_DIVISOR)
         limit = joined_before or self.context.now + 1
         proxies = [proxy for proxy in self.waiting if proxy.joined and proxy.joined_at < limit]
 
@@ -85,5 +86,5 @@
     def _is_full(self, lines, priority):
         """Whether there is no room for the others either."""
         deployment = self.context.deployment
-        needed = lines + deployment.head + 1
+        needed = lines + deployment.head + NONCE_LINES
         return deployment.pending_max and self.budget.free_lines(priority) < needed
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -124,8 +124,8 @@
             member: `BackendState` or `ProxyState`.
 
         Returns:
-            Whether it could be forgotten: not while its removal is not out, a table still has its line, or an
-            unbound proxy holds it withdrawn (a binding clears that).
+            False while its removal waits, a table still has its line, or an unbound proxy holds it withdrawn
+            (a binding clears that); else True.
         """
         removal = self.removal
         is_withdrawn = member in removal.withdrawn and any(
--- a/embertray/policy/records/arrivals.py
+++ b/embertray/policy/records/arrivals.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-SECOND = 10**9  # ns
+from embertray.policy.units import SECOND
 
 
 class ArrivalSamples:
--- a/embertray/policy/records/backend.py
+++ b/embertray/policy/records/backend.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import Any, NamedTuple
 
-SECOND = 10**9  # ns
+from embertray.policy.units import SECOND
 
 
 class Sample(NamedTuple):
@@ -66,13 +66,13 @@
         """Forgets all reports."""
         self.rows.clear()
 
-    def totals(self, start, failed_latency, span_least):
+    def totals(self, start, failed_latency, span_min):
         """The sums of all reports since `start`.
 
         Args:
             start: ns.
             failed_latency: ns that a failed attempt counts as.
-            span_least: ns; the rate is that of each zone's reported spans, or of this if they are shorter.
+            span_min: ns; the rate is that of each zone's reported spans, or of this if they are shorter.
 
         Returns:
             `Totals`.
@@ -84,7 +84,7 @@
         spans = {}
         for row in rows:
             spans[row.zone] = spans.get(row.zone, 0) + row.span
-        rate = sum((row.attempts - row.failed) * SECOND / max(span_least, spans[row.zone]) for row in rows)
+        rate = sum((row.attempts - row.failed) * SECOND / max(span_min, spans[row.zone]) for row in rows)
         return Totals(attempts, failed, latency / attempts if attempts else 0, rate)
 
     def newest(self, start, failed_latency):
--- a/embertray/policy/records/messages.py
+++ b/embertray/policy/records/messages.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-SECOND = 10**9  # ns
+from embertray.policy.units import SECOND
 
 
 class ProxyMessages:
@@ -56,13 +56,13 @@
         """
         self.by_nonce[nonce] = [lines, total]
 
-    def answered(self, proxy, nonce, head, now):
+    def answered(self, proxy, nonce, overhead, now):
         """A proxy answered a nonce: those before it are through as well.
 
         Args:
             proxy: who answered.
             nonce: `interface.Nonce`.
-            head: lines that a message costs beyond its own.
+            overhead: lines that a message costs beyond its own.
             now: ns.
         """
         if nonce not in self.by_nonce:
@@ -71,7 +71,7 @@
             del self.by_nonce[first]
         lines = self.by_nonce[nonce][0].pop(proxy, 0)
         if lines:
-            self.by_nonce[nonce][1] -= lines + head
+            self.by_nonce[nonce][1] -= lines + overhead
             self.proof_at = now
 
     def restart(self, now):
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -5,7 +5,9 @@
 come to its proxies. A new backend goes to the table that lacks most; at each beat up to four lines move from
 the table that has most over to one that lacks more than a quarter. A proxy that joins gets the table with the
 fewest requests for what its lines can do. There are no more tables in use than one for five proxies: where
-that makes larger subsets needed, they are larger.
+that makes larger subsets needed, they are larger. Nor are there so many that a backend would stand in fewer
+than four used tables of all controllers: with 5 controllers of 20 used tables each there are at most 25
+subsets.
 
 Inputs: wanted weights, lines that a table may have (0: any number), usual requests a second of each table's
 proxies. Decides: `TableState.want` of each table, and the table of a joining proxy.
@@ -20,7 +22,7 @@
 
 LINES_MIN = 8  # lines of a table at the least
 PROXIES_PER_TABLE_MIN = 5  # so that tables are shared
-TABLES_PER_LINE_MIN = 4  # of all controllers' tables; fewer, and subsets are larger
+TABLES_PER_LINE_MIN = 4  # of all controllers; requests for one backend come by several tables
 GROWTH_TO_SPLIT = 1.5  # times the tables there are, until there are more
 IDLE_SHARE = 0.25  # of the mean requests, counted for each table, as proxies join
 LACK_TO_MOVE = 0.25  # share of its lines' weight that a table lacks until one moves to it
@@ -39,10 +41,10 @@
         deployment = context.deployment
         per_table = max(1, deployment.controllers * PROXIES_PER_TABLE_MIN * len(deployment.zones))
         self.tables = []
-        self._usable_max = max(1, deployment.proxies // per_table)
-        self._covered_max = self._usable_max * deployment.controllers // TABLES_PER_LINE_MIN
-        self._used = 1  # the first so many tables are in use
-        self._first = context.draw()  # each controller begins at another table
+        self._tables_max = max(1, deployment.proxies // per_table)
+        self._tables_max_with_coverage = self._tables_max * deployment.controllers // TABLES_PER_LINE_MIN
+        self._tables_in_use = 1  # the first so many tables are in use
+        self._first_table_draw = context.draw()  # each controller begins at another table
         self._table_of = {}  # backend -> the table its line stands in
 
     def assign(self, wanted, lines_max, rates):
@@ -75,18 +77,18 @@
 
     def _add_tables(self, lines, lines_max):
         needed = max(1, -(-lines // lines_max)) if lines_max else 1
-        if needed > self._covered_max:
-            needed = min(needed, self._usable_max)
+        if needed > self._tables_max_with_coverage:
+            needed = min(needed, self._tables_max)
         if needed > GROWTH_TO_SPLIT * len(self.tables):
             self.tables += [TableState(Table()) for _ in range(needed - len(self.tables))]
-            self._used = min(needed, self._usable_max)
+            self._tables_in_use = min(needed, self._tables_max)
 
     def _demand(self, rates):
         """Table -> requests a second, an idle part of the mean added to each.
 
         All are alike while most tables have no proxies.
         """
-        known = rates if self._used == len(self.tables) else {}
+        known = rates if self._tables_in_use == len(self.tables) else {}
         total = sum(known.get(table, 0.0) for table in self.tables) or 1.0
         idle = total / len(self.tables) * IDLE_SHARE
         return {table: known.get(table, 0.0) + idle for table in self.tables}
@@ -149,8 +151,8 @@
         Returns:
             `TableState`, or None if no table has lines yet.
         """
-        first = self._first % max(1, len(self.tables))
-        used = (self.tables[first:] + self.tables[:first])[: self._used]
+        first = self._first_table_draw % max(1, len(self.tables))
+        used = (self.tables[first:] + self.tables[:first])[: self._tables_in_use]
         weights = {
             table: sum(table.want.values())
             for table in used
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -1,11 +1,12 @@
 """Update queue: brings changed tables to their proxies, with acknowledgement and retry.
 
-Rule (the design page's queue): work is keyed by table and deduplicated. A table with changed lines goes once,
-as changed lines only with a nonce, to all its proxies, the furthest off first and as many as have room. It
-leaves the queue once no line differs and all its proxies answered. A proxy that leaves a nonce open past the
-acknowledgement timeout is bound to its table anew, and the table waits 1, 2, 4, then 8 s before it is looked
-at again. Every 10 s a sweep queues all tables. After an update that takes the channel long the next of that
-table waits three times as long, since each message costs overhead.
+Rule: work is keyed by table and deduplicated. A table with changed lines goes once, as changed lines only
+with a nonce, to all its proxies, the furthest off first and as many as have room. It leaves the queue once no
+line differs and all its proxies answered. A proxy that leaves a nonce open past the acknowledgement timeout
+is bound to its table anew, and the table waits 1, 2, 4, then 8 s before it is looked at again. Until that
+proxy answers no proxy of the table gets ordinary updates; urgent ones and removals still go. Every 10 s a
+sweep queues all tables at once, whatever they wait for. After an update that takes the channel long the next
+of that table waits three times as long, since each message costs overhead.
 
 Urgent updates go before the queue at every beat: a weight that more than halves tells of a restarted or
 ejected backend; a table with hardly any lines leaves its proxies without a backend to pick; levels shed load.
@@ -17,7 +18,7 @@
 good.
 """
 
-from .channel_budget import ORDINARY_UPDATE, REMOVAL, URGENT_UPDATE
+from .channel_budget import NONCE_LINES, ORDINARY_UPDATE, REMOVAL, URGENT_UPDATE
 from .learned_weights import SOLVE_INTERVAL
 from .subsetting import LINES_MIN
 from .units import SECOND
@@ -107,7 +108,7 @@
         self.writer.write_lines(table, changed[:lines])
         deployment = self.context.deployment
         rate = deployment.channel_rate or SECOND
-        took = len(proxies) * (lines + deployment.head + 1) * SECOND / rate
+        took = len(proxies) * (lines + deployment.head + NONCE_LINES) * SECOND / rate
         self.due_at[table] = self.context.now + min(SOLVE_INTERVAL, int(PAUSE_FACTOR * took))
 
     def send_urgent(self, table, proxies, removals_wait):
@@ -120,14 +121,21 @@
                 for proxies without any.
         """
         has_message = proxies and all(proxy in self.budget.reserved for proxy in proxies)
-        is_thin = proxies and len(table.sent) < min(LINES_MIN, len(table.want) / 2)
-        changed = [(backend, weight) for backend, weight in self.writer.changed_lines(table) if weight]
-        urgent = [
-            (backend, weight)
-            for backend, weight in changed
-            if is_thin or not removals_wait and weight < CUT_RATIO * table.sent.get(backend, 0)
-        ]
-        lines = self.budget.reserve(proxies, len(urgent), REMOVAL if is_thin else URGENT_UPDATE, least=1)
+        is_nearly_empty = proxies and len(table.sent) < min(LINES_MIN, len(table.want) / 2)
+        urgent = self._urgent_lines(table, is_nearly_empty, removals_wait)
+        priority = REMOVAL if is_nearly_empty else URGENT_UPDATE
+        lines = self.budget.reserve(proxies, len(urgent), priority, least=1)
         self.writer.write_lines(table, urgent[:lines])
         if has_message or not removals_wait:
             self.writer.write_levels(table, proxies, REMOVAL if has_message else URGENT_UPDATE)
+
+    def _urgent_lines(self, table, is_nearly_empty, removals_wait):
+        """Cuts, or all changed lines of a table that is nearly empty; lines to be removed are not among
+        them.
+        """
+        return [
+            (backend, weight)
+            for backend, weight in self.writer.changed_lines(table)
+            if weight
+            and (is_nearly_empty or not removals_wait and weight < CUT_RATIO * table.sent.get(backend, 0))
+        ]
