--- a/embertray/policy/endpoint_watch.py
+++ b/embertray/policy/endpoint_watch.py
@@ -57,10 +57,8 @@
         return [(self._backend(entry.backend), entry) for entry in update.entries + missing]
 
     def _failed(self):
-        backoff = min(
-            RESUBSCRIBE_BACKOFF_MAX,
-            RESUBSCRIBE_BACKOFF_FIRST << min(self.failures, RESUBSCRIBE_DOUBLINGS_MAX),
-        )
+        doublings = min(self.failures, RESUBSCRIBE_DOUBLINGS_MAX)
+        backoff = min(RESUBSCRIBE_BACKOFF_MAX, RESUBSCRIBE_BACKOFF_FIRST << doublings)
         self._subscribe_at = self.context.now + backoff
         self.failures += 1
         self.context.orders.append(
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -75,7 +75,8 @@
                 self.context.orders.append(
                     Log(
                         f"backend {backend.handle.external_id} ejected as an outlier: "
-                        f"{failed[backend]:.0%} of its attempts failed, {usual:.0%} at the lower quartile of its peers; "
+                        f"{failed[backend]:.0%} of its attempts failed, "
+                        f"{usual:.0%} at the lower quartile of its peers; "
                         f"{backend.health:.0%} of its weight is left"
                     )
                 )
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -130,9 +130,7 @@
             self.writer.write_levels(table, proxies, REMOVAL if has_message else URGENT_UPDATE)
 
     def _urgent_lines(self, table, is_nearly_empty, removals_wait):
-        """Cuts, or all changed lines of a table that is nearly empty; lines to be removed are not among
-        them.
-        """
+        """Cuts, or all changed lines of a table that is nearly empty; never removals."""
         return [
             (backend, weight)
             for backend, weight in self.writer.changed_lines(table)
