--- a/embertray/simulation/claims/__init__.py
+++ b/embertray/simulation/claims/__init__.py
@@ -1,1 +1,1 @@
-"""What a cluster and a control plane claim of themselves, held against what happened."""
+"""What a cluster and a control plane claim of themselves, judged by what happened."""
--- a/embertray/simulation/claims/control.py
+++ b/embertray/simulation/claims/control.py
@@ -1,4 +1,4 @@
-"""What the control plane claims, held against what its processes do; no I/O.
+"""What the control plane claims, judged by what its processes do; no I/O.
 
 | claim | broken when |
 | --- | --- |
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Acknowledged:
-    """A write whose writer was told that it is committed."""
+    """A write whose writer knows that it is committed."""
 
     at: int
     revision: int
@@ -73,7 +73,7 @@
             self._break("request", now, text)
 
     def acknowledge(self, now, revision, key, value, durable, majority):
-        """A writer was told that its write is committed; `durable` replicas have it on disk."""
+        """A writer got the answer that its write is committed; `durable` replicas have it on disk."""
         self.checks["acknowledged"] += 1
         entry = self.history.get(revision)
         if entry is None or (entry.key, entry.value) != (key, value):
--- a/embertray/simulation/claims/reachability.py
+++ b/embertray/simulation/claims/reachability.py
@@ -49,7 +49,7 @@
         self._starting.add(name)
 
     def apply_starts(self):
-        """Takes up the starts that were told of; has to be called before anything is read here."""
+        """Takes up the starts until now; has to be called before anything is read here."""
         starting = self._starting
         self._starting = set()
         if starting:
--- a/embertray/simulation/processes/cluster_links.py
+++ b/embertray/simulation/processes/cluster_links.py
@@ -1,7 +1,6 @@
-"""The links of true processes: for each ordered pair an address of its own, UDP and TCP, behind which the rig
-stands.
+"""The links of true processes: for each ordered pair an address of its own, UDP and TCP, that relays.
 
-A member knows the others by the addresses that it is told, and tells them on; so statements are rewritten on
+A member knows the others by the addresses that it hears, and passes them on; so statements are rewritten on
 the way: to each member, every other one lives behind that member's own link to it.
 """
 
@@ -19,21 +18,32 @@
 
 
 class ClusterLinks(Web):
-    """`at`: name -> the true cluster port of each member. `port(a, b)` is where a reaches b, `way(a, b)` what
-    lies between. `to`: (from, to) -> a function that gives the address, for the ends that are no members;
-    `taps`: (from, to) -> TcpRelay's tap."""
+    """`port(a, b)` is where a reaches b, `way(a, b)` what lies between.
+
+    Args:
+        at: name -> the true cluster port of each member.
+        seed: of what the links lose, delay and repeat.
+        ends: names that only members reach, and that reach members only.
+        to: (from, to) -> a function that gives the address, for the ends that are no members.
+        taps: (from, to) -> TcpRelay's tap.
+    """
 
     def __init__(self, at, seed=1, ends=(), to=None, taps=None):
         super().__init__(list(at), seed, ends)
-        self.at, self.to, self.taps, self.unreadable, self.out = at, dict(to or {}), dict(taps or {}), 0, None
-        self.ports = dict(
-            zip([*self.pairs(), *self.to], free_ports(len(self.pairs()) + len(self.to)), strict=False)
-        )
+        self.at = at
+        self.to = dict(to or {})
+        self.taps = dict(taps or {})
+        self.unreadable = 0
+        self.out = None
+        dialled = [*self.pairs(), *self.to]
+        self.ports = dict(zip(dialled, free_ports(len(dialled)), strict=True))
 
     def port(self, a, b):
+        """Where `a` is to dial to reach `b`."""
         return self.ports[a, b]
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
+        """Relays on all links until cancelled."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as self.out:
             self.out.setblocking(False)
             async with anyio.create_task_group() as group:
@@ -54,7 +64,9 @@
                 task_status.started()
 
     async def datagrams(self, pair, group, *, task_status):
-        way, receiver = self.ways[pair], pair[1]
+        """Relays the datagrams of one ordered pair, rewritten, as its link says."""
+        way = self.ways[pair]
+        receiver = pair[1]
         async with await anyio.create_udp_socket(
             family=socket.AF_INET, local_host="127.0.0.1", local_port=self.ports[pair]
         ) as udp:
@@ -72,10 +84,12 @@
                         self.deliver(data, receiver)
 
     async def later(self, data, receiver, wait):
+        """Delivers a datagram after `wait` ns."""
         await anyio.sleep(wait / 1e9)
         self.deliver(data, receiver)
 
     def deliver(self, data, receiver):
+        """Sends a datagram to a member's true port."""
         with suppress(OSError):  # lost, as it would be on a full way
             self.out.sendto(data, ("127.0.0.1", self.at[receiver]))
 
--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -1,6 +1,4 @@
-"""True processes of the program that form a cluster: started, asked, stopped, killed, ended by id; with the
-rig's links between them.
-"""
+"""True processes of the program that form a cluster, with or without links that break between them."""
 
 import json
 import time
@@ -23,11 +21,20 @@
 
 
 class ClusterMembers:
-    """Controllers c1 to cN of one site as processes of the program, with a cluster; no inventory answers,
-    none is needed. Each wait is on what a process says of itself or of the others, with a limit."""
+    """Controllers c1 to cN of one site; no endpoint list answers, none is needed.
+
+    Each wait is on what a process says of itself or of the others, with a limit.
+
+    Args:
+        folder: where descriptions and logs stand.
+        count: how many.
+        clustered: whether they form a cluster.
+    """
 
     def __init__(self, folder, count, clustered=True):
-        self.folder, self.names, self.running = Path(folder), [f"c{n + 1}" for n in range(count)], {}
+        self.folder = Path(folder)
+        self.names = [f"c{n + 1}" for n in range(count)]
+        self.running = {}
         ports = free_ports(3 * count)
         self.path = self.describe(
             "site", {name: ports[3 * n : 3 * n + 3] for n, name in enumerate(self.names)}, clustered
@@ -35,6 +42,7 @@
         self.admin = {name: f"127.0.0.1:{ports[3 * n + 1]}" for n, name in enumerate(self.names)}
 
     def describe(self, file, ports, clustered=True):
+        """Writes a description; `ports`: name -> those of listen, admin and cluster."""
         rows = [
             (
                 name,
@@ -53,9 +61,11 @@
         )
 
     def up(self, name, path=None, key=None):
+        """Starts a process; `key`: its name here and of its log, if that is another."""
         self.running[key or name] = Program(self.folder / f"{key or name}.log", path or self.path, name)
 
     def ask(self, name, page="/cluster"):
+        """The body of a page, or None if the process does not answer."""
         try:
             with urllib.request.urlopen(f"http://{self.admin[name]}{page}", timeout=5) as answer:
                 return answer.read()
@@ -65,15 +75,21 @@
             return None
 
     def status(self, name):
+        """What a process says of the cluster as a dict, or None."""
         said = self.ask(name)
         return json.loads(said) if said and said.startswith(b"{") else None
 
     def states(self, name):
-        told = self.status(name)
-        return told and {m["name"]: m["state"] for m in told["members"]}
+        """Name -> state, as a process takes the members, or None."""
+        status = self.status(name)
+        return status and {m["name"]: m["state"] for m in status["members"]}
 
     def wait(self, wanted, what, most=MOST):
-        """s until it holds."""
+        """Waits until `wanted()` holds, and gives the seconds that it took.
+
+        Raises:
+            AssertionError: it is not so within `most` s, or a process has ended.
+        """
         began = time.monotonic()
         while time.monotonic() < began + most:
             ended = [name for name, program in self.running.items() if program.over]
@@ -99,7 +115,7 @@
         return True
 
     def ages(self):
-        """How old what each running process holds of each living other is, s; None: nothing is held."""
+        """How old what each running process holds of each living other is, s; None: nothing."""
         return [
             m["told_s"]
             for n in self.running
@@ -113,12 +129,15 @@
         return self.status(next(n for n in self.names if n in self.running))["bound_s"] + 1
 
     def fresh(self):
-        ages, bound = self.ages(), self.bound()
+        """Whether each running process holds of each living other what is within the bound."""
+        ages = self.ages()
+        bound = self.bound()
         return bool(ages) and all(age is not None and age <= bound for age in ages)
 
     def oldest(self, looks=20):
-        """Looks again and again: (the greatest age at any of them, the bound), s. Something not held counts
-        as without end.
+        """Looks again and again, and gives the greatest age at any look and the bound, s.
+
+        Something that is lacking counts as infinitely old.
         """
         bound = self.bound()
         return max(
@@ -132,13 +151,16 @@
         self.running["stopped"].stop()
 
     def go_on(self, name):
+        """It goes on as if no time had passed."""
         self.running[name] = self.running.pop("stopped")
         self.running[name].go_on()
 
     def kill(self, name):
+        """Ends a process at once (SIGKILL)."""
         self.running.pop(name).kill()
 
     def end(self):
+        """Asks all that still run to end, and waits until they have."""
         for program in self.running.values():
             program.ask_to_end()
         for program in self.running.values():
@@ -146,7 +168,7 @@
 
 
 class LinkedClusterMembers(ClusterMembers):
-    """As ClusterMembers; each process is told of the others by its own links to them."""
+    """As ClusterMembers; each process knows the others by its own links to them."""
 
     def __init__(self, folder, count, seed=1):
         super().__init__(folder, count)
@@ -168,6 +190,7 @@
         }
 
     def up(self, name, path=None, key=None):
+        """Starts a process; `key`: its name here and of its log, if that is another."""
         super().up(name, path or self.files[name], key)
 
     def wounds(self):
--- a/embertray/simulation/processes/control.py
+++ b/embertray/simulation/processes/control.py
@@ -1,6 +1,4 @@
-"""A control plane of true processes on loopback: replicas and controllers that follow them, with the rig's
-links between each two of them.
-"""
+"""A control plane of true processes on loopback: replicas, controllers that follow them, links between."""
 
 import json
 import shutil
@@ -26,18 +24,28 @@
 
 
 class ControlPlane:
-    """Replicas k1 to kN and controllers c1 to cM, each started and ended by its name. `scale`: None runs the
-    program itself, a number the rig's own processes (control_process.py) at that scale; `rate`: the bytes a
-    second of a subscriber."""
+    """Replicas k1 to kN and controllers c1 to cM, each started and ended by its name.
+
+    Args:
+        folder: where descriptions, logs and saved states stand.
+        replicas: how many.
+        controllers: how many.
+        scale: None runs the program itself, a number the processes of control_process.py at that scale.
+        rate: the bytes a second of a subscriber, as in a description.
+    """
 
     def __init__(self, folder, replicas=3, controllers=0, scale=None, rate="4000B"):
-        self.folder, self.scale, self.rate, self.links = Path(folder), scale, rate, None
+        self.folder = Path(folder)
+        self.scale = scale
+        self.rate = rate
+        self.links = None
         self.replicas = [f"k{n + 1}" for n in range(replicas)]
         self.controllers = [f"c{n + 1}" for n in range(controllers)]
         ports = iter(free_ports(3 * (replicas + controllers)))
         self.ports = {name: [next(ports) for _ in range(3)] for name in self.replicas + self.controllers}
-        self.running, self.stopped = {}, set()
-        self.programs = {}  # name -> what runs in place of the rig's own process
+        self.running = {}
+        self.stopped = set()
+        self.programs = {}  # name -> what runs in place of control_process.py
 
     # ---- descriptions
 
@@ -75,13 +83,15 @@
             return path
         tree = etree.parse(str(path))
         root = tree.getroot()
-        held = {"keep": str(self.folder / "held"), "bytes-per-second": self.rate}
-        control = etree.Element("control", held)
+        attributes = {"keep": str(self.folder / "held"), "bytes-per-second": self.rate}
+        control = etree.Element("control", attributes)
         for one in self.replicas:
             if name in self.replicas:
-                address, listen = self.address(name, one), f"127.0.0.1:{self.ports[one][2]}"
+                address = self.address(name, one)
+                listen = f"127.0.0.1:{self.ports[one][2]}"
             else:
-                address, listen = f"127.0.0.1:{self.ports[one][0]}", self.address(name, one)
+                address = f"127.0.0.1:{self.ports[one][0]}"
+                listen = self.address(name, one)
             keep = str(self.folder / "kept" / one)
             attributes = {"address": address, "listen": listen, "admin": self.admin(one), "keep": keep}
             etree.SubElement(control, "replica", name=one, region=self.region(one), **attributes)
@@ -95,7 +105,8 @@
 
     def up(self, name):
         """Starts a process."""
-        log, path = self.folder / f"{name}.log", str(self.described(name))
+        log = self.folder / f"{name}.log"
+        path = str(self.described(name))
         self.running[name] = Program(log, None, name, command=self._command(name, path))
 
     def _command(self, name, path):
@@ -161,24 +172,28 @@
 
     def knows_age(self, name):
         """Whether a process answers, and can say how old what it holds is."""
-        told = self.status(name)
-        return told is not None and told["age_s"] is not None
+        status = self.status(name)
+        return status is not None and status["age_s"] is not None
 
     def votes(self, name):
         """Whether a replica answers, and counts in majorities: it does not recover."""
-        told = self.status(name)
-        return told is not None and not told["recovering"]
+        status = self.status(name)
+        return status is not None and not status["recovering"]
 
     def leader(self):
         """The name of the replica that leads with a majority, or None."""
         for name in self.replicas:
-            told = self.status(name) if name in self.asked else None
-            if told and told["has_majority"]:
+            status = self.status(name) if name in self.asked else None
+            if status and status["has_majority"]:
                 return name
         return None
 
     def wait(self, wanted, what, most=MOST):
-        """What `wanted()` gives, once that is true. Fails if a process has ended."""
+        """What `wanted()` gives, once that is true.
+
+        Raises:
+            AssertionError: it is not within `most` s, or a process has ended.
+        """
         began = time.monotonic()
         while time.monotonic() < began + most:
             ended = [name for name, program in self.running.items() if program.over]
--- a/embertray/simulation/processes/control_links.py
+++ b/embertray/simulation/processes/control_links.py
@@ -1,6 +1,4 @@
-"""The links of a control plane of true processes: each replica to each other one, each subscriber to each
-replica, on TCP addresses of the rig's.
-"""
+"""The links of a control plane of true processes: TCP relays among replicas and from subscribers."""
 
 from contextlib import contextmanager
 
@@ -14,12 +12,19 @@
 
 
 class ControlLinks(Web):
-    """`target(a, b)` gives the true port where `a` would reach the replica `b`. Runs in a thread of its own;
-    the methods here may be called from any other."""
+    """Runs in a thread of its own; the methods here may be called from any other.
+
+    Args:
+        replicas: their names.
+        subscribers: their names.
+        target: target(a, b) gives the true port where `a` would reach the replica `b`.
+        seed: of what the links do by chance.
+    """
 
     def __init__(self, replicas, subscribers, target, seed=1):
         super().__init__(replicas, seed, subscribers)
-        self.target, self.portal = target, None
+        self.target = target
+        self.portal = None
         dialled = [(a, b) for a in [*replicas, *subscribers] for b in replicas if a != b]
         self.ports = dict(zip(dialled, free_ports(len(dialled)), strict=True))
 
@@ -41,7 +46,8 @@
         async with anyio.create_task_group() as group:
             for (a, b), port in self.ports.items():
                 address = f"127.0.0.1:{self.target(a, b)}"
-                ways, streams = (self.ways[a, b], self.ways[b, a]), self.streams[a, b]
+                ways = (self.ways[a, b], self.ways[b, a])
+                streams = self.streams[a, b]
                 await group.start(TcpRelay(port, lambda address=address: address, *ways, streams).run)
             task_status.started()
 
--- a/embertray/simulation/processes/control_play.py
+++ b/embertray/simulation/processes/control_play.py
@@ -21,7 +21,8 @@
 CALM_SECONDS = 1.0  # between the end of one fault and the next one, at scale 1
 CALM_AT_END = 8.0  # of writes with nothing broken, after the bound on any faults, at scale 1
 KEYS = 20
-REMOVED, ROLLED_BACK = 0.1, 0.1  # shares of the writes
+REMOVED = 0.1  # share of the writes that remove a key
+ROLLED_BACK = 0.1  # share of the writes that go back to an earlier version
 FORGETFUL = 4  # each so many kills, one of a replica takes what it had on disk
 WRITE_PAUSE = 0.05  # s between two writes of one writer
 WRITERS = 2
@@ -29,7 +30,7 @@
 
 @dataclass
 class Struck:
-    """One fault, and the seconds from its end until all held all that was acknowledged."""
+    """One fault, and the seconds from its end until all had all that was acknowledged."""
 
     kind: str
     what: str
@@ -48,9 +49,17 @@
 
 @contextmanager
 def recorded_plane(folder, replicas=3, subscribers=2, scale=0.25, seed=1, programs=None, limits=None):
-    """A ControlRecord of a control plane with links that runs and has a leader, looked at all the while.
-    `programs`: name -> what runs in place of the rig's own process; `limits`: the TimeLimits to judge by,
-    those of the stated bounds if None."""
+    """A ControlRecord of a control plane that runs, with links and a leader, looked at all the while.
+
+    Args:
+        folder: where descriptions, logs and saved states stand.
+        replicas: how many.
+        subscribers: how many.
+        scale: of all times of the control plane.
+        seed: of what the links do by chance.
+        programs: name -> what runs in place of control_process.py.
+        limits: the TimeLimits to judge by; None: those of the stated bounds.
+    """
     plane = ControlPlane(folder, replicas, subscribers, scale)
     plane.programs.update(programs or {})
     bounds = Bounds(*scaled_paces(scale))
@@ -78,9 +87,13 @@
     """Strikes a ControlRecord's plane; all choices come from `seed`."""
 
     def __init__(self, record, scale, seed):
-        self.record, self.plane, self.scale = record, record.plane, scale
-        self.chance, self.kills = random.Random(f"{seed} faults"), 0
-        self.seed, self.strikes = seed, []
+        self.record = record
+        self.plane = record.plane
+        self.scale = scale
+        self.chance = random.Random(f"{seed} faults")
+        self.kills = 0
+        self.seed = seed
+        self.strikes = []
 
     def run(self, each, show=lambda text: None):
         """`each` faults of each kind, in a random order; a PlayResult."""
@@ -162,11 +175,15 @@
 
     def _keep_writing(self, number):
         """Writes keys, removes some, and rolls some back to what this writer wrote before."""
-        chance, count, written = random.Random(f"{self.seed} writer {number}"), 0, {}
+        chance = random.Random(f"{self.seed} writer {number}")
+        count = 0
+        written = {}  # key -> (revision, value) that this writer wrote last
         while not self.record.ending.wait(WRITE_PAUSE):
             count += 1
-            key, at = f"key-{chance.randrange(KEYS)}", chance.choice(self.plane.replicas)
-            request, kind = f"{self.seed}-{number}-{count}", chance.random()
+            key = f"key-{chance.randrange(KEYS)}"
+            at = chance.choice(self.plane.replicas)
+            request = f"{self.seed}-{number}-{count}"
+            kind = chance.random()
             value = f"{number} {count}".encode() * chance.randrange(1, 20)
             if kind < REMOVED:
                 value = None
@@ -180,19 +197,23 @@
 
     def _settle(self):
         """Seconds until all hold all that was acknowledged until now."""
-        began, revision = time.monotonic(), self.record.newest
+        began = time.monotonic()
+        revision = self.record.newest
         most = (2 * self.record.bounds.any_fault) / S
 
         def reached():
-            told = [self.plane.status(name) for name in self.plane.running]
-            return None not in told and min(one["revision"] for one in told) >= revision
+            statuses = [self.plane.status(name) for name in self.plane.running]
+            return None not in statuses and min(one["revision"] for one in statuses) >= revision
 
         self.plane.wait(reached, f"all hold revision {revision}", most)
         return time.monotonic() - began
 
 
 def play(faults, seed, scale, replicas=3, subscribers=6, folder=None, show=lambda text: None, limits=None):
-    """A PlayResult. `folder`: where logs and states stay, a temporary one if None; `limits` as above."""
+    """Plays `faults` of each kind, and gives a PlayResult.
+
+    `folder` is where logs and states stay, a temporary one if None; the others are those of recorded_plane.
+    """
     with tempfile.TemporaryDirectory() as temporary:
         where = folder or temporary
         with recorded_plane(where, replicas, subscribers, scale, seed, limits=limits) as record:
--- a/embertray/simulation/processes/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -1,5 +1,6 @@
-"""One process of a control plane whose times are shorter by a factor, for tests and plays: a control replica,
-or a subscriber alone, without a controller round it.
+"""One process of a control plane whose times are shorter by a factor, for tests and plays.
+
+It is a control replica, or a subscriber alone, without a controller round it.
 
 `python -m embertray.simulation.processes.control_process SITE.xml replica|subscriber NAME --scale 0.2`
 """
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -1,4 +1,4 @@
-"""What happens to a control plane of true processes, written down and held against its claims at the end.
+"""What happens to a control plane of true processes, recorded, and judged by its claims at the end.
 
 Entries that were committed, saved, applied or restored come from the processes' logs; acknowledged writes and
 looks at subscribers are added here. All times are of the machine's wall clock, ns.
@@ -18,39 +18,21 @@
 from embertray.service.admin.control_client import Unreachable, write
 from embertray.simulation.claims.control import ControlClaims
 
-S = 10**9
-LOOK_EVERY = 0.1  # s between two looks at a subscriber
-LATE = 1 * S  # ns that a look, or a process on a busy machine, may be late
+from .time_limits import limits_by_bounds
+
+SECOND_NS = 10**9
+LOOK_PERIOD_S = 0.1  # between two looks at a subscriber
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 
 
 @dataclass(frozen=True)
-class TimeLimits:
-    """Within how many ns a write has to be in force at a subscriber that is within reach.
+class Look:
+    """What a subscriber said.
 
-    `in_force`: counted from the write's acknowledgement or the end of the last fault, whichever is later;
-    `prompt`: the same long after the last fault, when all links are good.
+    `since`: ns from when it was within reach of all it needs, None: it was not; `calm`: the same, from when
+    the bound for good links counts.
     """
 
-    in_force: int
-    prompt: int
-
-
-def limits_by_bounds(bounds):
-    """The TimeLimits that a Bounds states, for processes that this busy machine may run late."""
-    return TimeLimits(in_force=bounds.any_fault + LATE, prompt=bounds.good + LATE)
-
-
-def limits_by_objective(within):
-    """The TimeLimits of an objective that holds everywhere, ns: a late process is no excuse."""
-    return TimeLimits(in_force=within, prompt=within)
-
-
-@dataclass(frozen=True)
-class Look:
-    """A subscriber said so. `since`: from when it was within reach of all it needs, None: it was not;
-    `calm`: the same, from when the bound for good links counts."""
-
     subscriber: str
     revision: int
     age: int | None
@@ -68,14 +50,23 @@
 
 
 class ControlRecord:
-    """Of one ControlPlane that runs; `bounds`: control.bounds.Bounds at its scale; `limits`: the TimeLimits
-    to judge by, those of the bounds if None."""
+    """A record of one ControlPlane that runs.
+
+    Args:
+        plane: the ControlPlane.
+        bounds: the replication's Bounds at the plane's scale.
+        limits: the TimeLimits to judge by; None: those of the bounds.
+    """
 
     def __init__(self, plane, bounds, limits=None):
-        self.plane, self.bounds = plane, bounds
+        self.plane = plane
+        self.bounds = bounds
         self.limits = limits or limits_by_bounds(bounds)
-        self.events, self.since, self.outcomes = [], {}, {}
-        self.ending, self.lock = threading.Event(), threading.Lock()
+        self.events = []  # (ns, what) of writers and looks
+        self.since = {}  # subscriber -> ns from when it is within reach, None: it is not
+        self.outcomes = {}  # kind of a write's outcome -> how many
+        self.ending = threading.Event()
+        self.lock = threading.Lock()
         self.fault_over("start")
 
     # ---- faults
@@ -133,32 +124,34 @@
         for name in self.plane.controllers:
             if name not in self.plane.asked:
                 continue
-            since, now = self.since[name], time.time_ns()
-            told = self.plane.status(name)
-            if told is None or since != self.since[name]:
+            since = self.since[name]
+            now = time.time_ns()
+            status = self.plane.status(name)
+            if status is None or since != self.since[name]:
                 continue
-            age = None if told["age_s"] is None else round(told["age_s"] * S)
+            age = None if status["age_s"] is None else round(status["age_s"] * SECOND_NS)
             calm = None if since is None else since + self.bounds.any_fault
             with self.lock:
-                self.events.append((now, Look(name, told["revision"], age, since, calm)))
+                self.events.append((now, Look(name, status["revision"], age, since, calm)))
 
     def keep_looking(self):
         """Until `ending` is set; for a thread of its own."""
-        while not self.ending.wait(LOOK_EVERY):
+        while not self.ending.wait(LOOK_PERIOD_S):
             self.look()
 
     def all_at(self, revision):
         """Whether all replicas and subscribers hold everything up to there, and nothing else."""
-        told = [self.plane.status(name) for name in self.plane.running]
-        if None in told or min(one["revision"] for one in told) < revision:
+        statuses = [self.plane.status(name) for name in self.plane.running]
+        if None in statuses or min(one["revision"] for one in statuses) < revision:
             return False
-        return len({(one["revision"], one["digest"]) for one in told}) == 1
+        return len({(one["revision"], one["digest"]) for one in statuses}) == 1
 
     # ---- verdict
 
     def judge(self):
         """The ControlClaims after all that happened."""
-        claims, plane = ControlClaims(), self.plane
+        claims = ControlClaims()
+        plane = self.plane
         majority = len(plane.replicas) // 2 + 1
         saved = dict.fromkeys(plane.replicas, 0)
         for now, name, said in sorted(self._all_events(), key=lambda event: event[0]):
@@ -176,9 +169,9 @@
                 claims.forgets(name)
             else:
                 claims.applied(now, name, entry_of(said))
-        held = {name: plane.status(name) for name in plane.controllers if name in plane.asked}
-        held = {name: (told["revision"], told["digest"]) for name, told in held.items() if told}
-        claims.alike(time.time_ns(), held)
+        statuses = {name: plane.status(name) for name in plane.controllers if name in plane.asked}
+        final = {name: (one["revision"], one["digest"]) for name, one in statuses.items() if one}
+        claims.alike(time.time_ns(), final)
         return claims
 
     def _judge_look(self, claims, now, look):
@@ -202,7 +195,7 @@
 
 
 def time_of(row):
-    """ns of a log line."""
+    """When a log line was written, ns."""
     microseconds = (datetime.fromisoformat(row["timestamp"]) - EPOCH) // timedelta(microseconds=1)
     return microseconds * 1_000
 
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -1,39 +1,40 @@
-"""A day's controllers as true processes of the program, with or without the rig's links round them. What days
-strike acts on these.
+"""A day's controllers as true processes of the program.
+
+The faults of a day act on these.
 """
 
 from dataclasses import replace
-from functools import partial
 
 import anyio
 
-from embertray.cluster.link.link import EXCHANGE_WITHIN
-from embertray.common.framing import Splitter
-from embertray.controller.endpoint_list.messages import News, read_answer
-from embertray.service.site.site import time as span
-from embertray.simulation.claims.cluster import ClusterClaims
 from embertray.simulation.claims.reachability import Reachability
 from embertray.simulation.standins.aged import age_on_disk
 
-from .cluster_links import ClusterLinks
 from .described import describe
 from .ports import free_ports
 from .program import Program
-from .watch import SLACK, Watch
 
 
 class ControllerProcesses:
     """Each controller `embertray serve` on loopback; killed, stopped and gone on with by its id."""
 
-    clustered, links, used = False, None, None
+    clustered = False
+    links = None
+    used = None  # what each process used, once the day is over
 
     def __init__(self, seed, folder):
-        self.seed, self.folder = seed, folder
-        self.stage, self.running, self.at, self.still, self.claims = None, {}, {}, set(), None
+        self.seed = seed
+        self.folder = folder
+        self.stage = None
+        self.running = {}  # name -> Program
+        self.at = {}  # name -> its ControllerAt, with the addresses of this run
+        self.still = set()  # names of those that stand still
+        self.claims = None
 
     async def start(self, stage):
         """All at once."""
-        self.stage, chosen = stage, stage.site.controllers[: int(stage.day.fleet["controllers"])]
+        self.stage = stage
+        chosen = stage.site.controllers[: int(stage.day.fleet["controllers"])]
         ports = iter(free_ports(3 * len(chosen)))
         for me in chosen:
             listen, admin, cluster = (f"127.0.0.1:{next(ports)}" for _ in range(3))
@@ -59,6 +60,7 @@
         )
 
     def inventory(self, name):
+        """Where `name` finds the endpoint list."""
         return self.stage.site.inventory
 
     def seen(self, name, other):
@@ -66,7 +68,7 @@
         return other.cluster
 
     async def up(self, name, still=0):
-        """Starts it, unless another trouble has done so already; `still`: ns that it stands still first."""
+        """Starts it, unless another fault has done so already; `still`: ns that it stands still first."""
         if name in self.running:
             return
         self.running[name] = program = Program(
@@ -97,9 +99,11 @@
         return [at.listen for at in self.at.values()]
 
     def admin(self, name):
+        """Where operators reach a process."""
         return self.at[name].admin
 
     def kill(self, name):
+        """Ends a process at once (SIGKILL), if it runs."""
         if name in self.running:
             self.still.discard(name)
             self.running.pop(name).kill()
@@ -116,15 +120,18 @@
         await self.up(name)
 
     def age(self, name, by, from_start):
+        """Makes what a process has on disk older."""
         age_on_disk(self.folder / f"{name}.list", by, from_start)
 
     def freeze(self, name):
+        """A process stands still (SIGSTOP) until `thaw`."""
         if name in self.running:
             self.still.add(name)
             self.running[name].stop()
             self.notify(Reachability.process_paused, name)
 
     def thaw(self, name):
+        """A process goes on (SIGCONT) as if no time had passed."""
         if name in self.running:
             self.running[name].go_on()
             self.still.discard(name)
@@ -134,73 +141,8 @@
         """The day is over, and all still run."""
 
     async def stop(self):
+        """Asks all to end, and waits until they have."""
         for program in self.running.values():
             program.ask_to_end()
         for program in self.running.values():
             await anyio.to_thread.run_sync(program.ended)
-
-
-class LinkedControllerProcesses(ControllerProcesses):
-    """The same with a cluster (`clustered`), and with the rig's links between the processes, to the list and
-    from the proxies.
-    """
-
-    def __init__(self, seed, folder, clustered=True):
-        super().__init__(seed, folder)
-        self.clustered, self.poor = clustered, set()
-
-    async def start(self, stage):
-        await super().start(stage)
-        self.watch = Watch(self, stage.net, stage.clock, self.claims)
-        stage.group.start_soon(self.watch.run)
-
-    async def closing(self):
-        self.used = await self.watch.used()
-
-    async def prepare(self):
-        to, taps = {}, {}
-        self.stage.inventory.on_news = None  # what passed the link counts
-        for name in self.at:
-            to[name, "list"] = lambda: self.stage.inventory.address
-            taps[name, "list"] = lambda name=name: partial(self.passed, name, Splitter())
-            to["px", name] = lambda name=name: self.at[name].listen
-        self.links = ClusterLinks(
-            {name: int((at.cluster or "0:0").rpartition(":")[2]) for name, at in self.at.items()},
-            self.seed,
-            ("list", "px"),
-            to,
-            taps,
-        )
-        await self.stage.group.start(self.links.run)
-        self.links.watching.append(self.bent)
-        if self.clustered:
-            self.claims = ClusterClaims(
-                self.links, span(self.stage.day.fleet["period"]), EXCHANGE_WITHIN, SLACK
-            )
-
-    def passed(self, name, splitter, data):
-        """Bytes of the list that reach a controller."""
-        for payload in splitter.feed(data):
-            if isinstance(news := read_answer(payload), News):
-                self.stage.eyes.told(self.stage.clock.now(), name, news)
-
-    def bent(self, at):
-        """Proxies are not heard, or hear nothing, or late: what they do then is not their controller's
-        doing.
-        """
-        for name in self.at:
-            poor = not (self.links.way(name, "px").straight and self.links.way("px", name).straight)
-            if poor != (name in self.poor):
-                (self.poor.add if poor else self.poor.discard)(name)
-                self.stage.eyes.note(at, "unheard" if poor else "heard", name)
-
-    def inventory(self, name):
-        return f"127.0.0.1:{self.links.port(name, 'list')}"
-
-    def seen(self, name, other):
-        return other.cluster and (
-            other.cluster if name == other.name else f"127.0.0.1:{self.links.port(name, other.name)}"
-        )
-
-    def addresses(self):
-        return [f"127.0.0.1:{self.links.port('px', name)}" for name in self.at]
--- a/embertray/simulation/processes/described.py
+++ b/embertray/simulation/processes/described.py
@@ -1,4 +1,4 @@
-"""A site's description as each process of a rig is given it: a sample with other addresses and facts."""
+"""A site's description as each process is given it: a sample with other addresses and facts."""
 
 from lxml import etree
 
@@ -12,20 +12,29 @@
 
 
 def describe(sample, path, controllers, inventory, keep=None, period=None, facts=None):
-    """Writes it to `path`. `controllers`: rows of name, zone and addresses (listen, admin, cluster or None);
-    `period`: of the cluster, as in the description; none without."""
+    """Writes a description.
+
+    Args:
+        sample: path of the description to begin with.
+        path: where it is written; also returned.
+        controllers: rows of name, zone and addresses (listen, admin, cluster or None).
+        inventory: address of the endpoint list.
+        keep: folder of the snapshots, None for the sample's.
+        period: of the cluster, as in the description; None: there is no cluster.
+        facts: name -> value of the PLACES to change.
+    """
     tree = etree.parse(str(sample))
     root = tree.getroot()
-    at = root.find("inventory")
-    at.set("address", inventory)
+    list_element = root.find("inventory")
+    list_element.set("address", inventory)
     if keep is not None:
-        at.set("keep", str(keep))
-    there = root.find("controllers")
-    for old in list(there):
-        there.remove(old)
+        list_element.set("keep", str(keep))
+    parent = root.find("controllers")
+    for old in list(parent):
+        parent.remove(old)
     for name, zone, listen, admin, cluster in controllers:
         etree.SubElement(
-            there,
+            parent,
             "controller",
             name=name,
             zone=zone,
@@ -36,7 +45,7 @@
     if (old := root.find("cluster")) is not None:
         root.remove(old)
     if period:
-        there.addprevious(etree.Element("cluster", period=period))
+        parent.addprevious(etree.Element("cluster", period=period))
     for key, value in (facts or {}).items():
         for element in root.iter():
             if PLACES.get(key, (None, None))[0] == element.tag:
--- /dev/null
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -0,0 +1,93 @@
+"""A day's controllers as true processes of the program, with links around them that break.
+
+The links lie between the processes, to the endpoint list and from the proxies; the cluster's claims are
+judged all the while.
+"""
+
+from functools import partial
+
+from embertray.cluster.link.link import EXCHANGE_WITHIN
+from embertray.common.framing import Splitter
+from embertray.controller.endpoint_list.messages import News, read_answer
+from embertray.service.site.site import time as span
+from embertray.simulation.claims.cluster import ClusterClaims
+
+from .cluster_links import ClusterLinks
+from .controller_processes import ControllerProcesses
+from .watch import SLACK, Watch
+
+
+class LinkedControllerProcesses(ControllerProcesses):
+    """ControllerProcesses with links between the processes, to the endpoint list and from the proxies.
+
+    `clustered`: whether they form a cluster.
+    """
+
+    def __init__(self, seed, folder, clustered=True):
+        super().__init__(seed, folder)
+        self.clustered = clustered
+        self.poor = set()  # controllers whose links from or to the proxies are not good
+
+    async def start(self, stage):
+        """As ControllerProcesses; looks at the processes all the while."""
+        await super().start(stage)
+        self.watch = Watch(self, stage.net, stage.clock, self.claims)
+        stage.group.start_soon(self.watch.run)
+
+    async def closing(self):
+        """Keeps what each process used."""
+        self.used = await self.watch.used()
+
+    async def prepare(self):
+        """Makes the links, and what the cluster's claims are judged by."""
+        to = {}
+        taps = {}
+        self.stage.inventory.on_news = None  # what passed the link counts
+        for name in self.at:
+            to[name, "list"] = lambda: self.stage.inventory.address
+            taps[name, "list"] = lambda name=name: partial(self.passed, name, Splitter())
+            to["px", name] = lambda name=name: self.at[name].listen
+        self.links = ClusterLinks(
+            {name: int((at.cluster or "0:0").rpartition(":")[2]) for name, at in self.at.items()},
+            self.seed,
+            ("list", "px"),
+            to,
+            taps,
+        )
+        await self.stage.group.start(self.links.run)
+        self.links.watching.append(self.bent)
+        if self.clustered:
+            self.claims = ClusterClaims(
+                self.links, span(self.stage.day.fleet["period"]), EXCHANGE_WITHIN, SLACK
+            )
+
+    def passed(self, name, splitter, data):
+        """Bytes of the list that reach a controller."""
+        for payload in splitter.feed(data):
+            if isinstance(news := read_answer(payload), News):
+                self.stage.eyes.told(self.stage.clock.now(), name, news)
+
+    def bent(self, at):
+        """Notes controllers whose proxies are not heard, or hear nothing, or late.
+
+        What such proxies do is not their controller's doing.
+        """
+        for name in self.at:
+            poor = not (self.links.way(name, "px").straight and self.links.way("px", name).straight)
+            if poor != (name in self.poor):
+                (self.poor.add if poor else self.poor.discard)(name)
+                self.stage.eyes.note(at, "unheard" if poor else "heard", name)
+
+    def inventory(self, name):
+        """Where `name` finds the endpoint list: behind its own link."""
+        return f"127.0.0.1:{self.links.port(name, 'list')}"
+
+    def seen(self, name, other):
+        """Where `name` finds `other`'s cluster address: behind its own link."""
+        return other.cluster and (
+            other.cluster if name == other.name else f"127.0.0.1:{self.links.port(name, other.name)}"
+        )
+
+    def addresses(self):
+        """Where proxies dial, in the controllers' order: behind the links."""
+        return [f"127.0.0.1:{self.links.port('px', name)}" for name in self.at]
--- a/embertray/simulation/processes/ports.py
+++ b/embertray/simulation/processes/ports.py
@@ -4,30 +4,34 @@
 import os
 import socket
 
-FIRST, COUNT = (
-    20_000,
-    12_000,
-)  # under the range from which the system takes ports for calls: none is taken between now and the start
-given = itertools.count(os.getpid() * 131)  # tests that run beside each other begin elsewhere
+# under the range from which the system takes ports for calls: none is taken between now and the start
+FIRST = 20_000
+COUNT = 12_000
+START_STEP = 131  # tests that run beside each other begin elsewhere, by their process ids
+given = itertools.count(os.getpid() * START_STEP)
 
 
 def free(port):
+    """Whether nobody listens on a port, for UDP and TCP."""
     try:
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-            with socket.socket(socket.AF_INET, kind) as one:
-                one.bind(("127.0.0.1", port))
+            with socket.socket(socket.AF_INET, kind) as probe:
+                probe.bind(("127.0.0.1", port))
         return True
     except OSError:
         return False
 
 
 def free_ports(count):
-    """Ports that nobody listens on now, for UDP and TCP, and that were not given before. Raises OSError if
-    there are not so many.
+    """Ports that nobody listens on now, and that were not given before.
+
+    Raises:
+        OSError: there are not so many.
     """
     found = []
-    for n in itertools.islice(given, COUNT):
-        if free(port := FIRST + n % COUNT):
+    for number in itertools.islice(given, COUNT):
+        port = FIRST + number % COUNT
+        if free(port):
             found.append(port)
             if len(found) == count:
                 return found
--- a/embertray/simulation/processes/program.py
+++ b/embertray/simulation/processes/program.py
@@ -8,9 +8,9 @@
 import psutil
 
 ROOT = Path(__file__).resolve().parents[3]
-START_WITHIN = 30  # s until it listens
-END_WITHIN = 10  # s that an asked end may take
-LOOK = 0.02  # s between two looks at its log
+START_TIMEOUT_S = 30  # until it listens
+END_TIMEOUT_S = 10  # that an asked end may take
+POLL_S = 0.02  # between two looks at its log
 
 
 def embertray(*arguments, level="info"):
@@ -22,7 +22,8 @@
     """`embertray serve` of one description, or another `command`. `log`: a file that is added to."""
 
     def __init__(self, log, path, name, seed=1, command=None):
-        self.name, self.log = name, Path(log)
+        self.name = name
+        self.log = Path(log)
         self.from_ = self.log.stat().st_size if self.log.exists() else 0
         command = command or embertray("serve", str(path), "--controller", name, "--seed", str(seed))
         with open(self.log, "ab") as out:
@@ -36,18 +37,21 @@
         return [json.loads(line) for line in lines if line.startswith(b"{")]
 
     async def listening(self):
-        """What it says of its addresses once it listens. Raises RuntimeError if it ends or does not come to
-        it.
+        """What it says of its addresses once it listens.
+
+        Raises:
+            RuntimeError: it ends, or does not listen in time.
         """
-        with anyio.move_on_after(START_WITHIN):
+        with anyio.move_on_after(START_TIMEOUT_S):
             while self.process.poll() is None:
                 if found := next((row for row in self.said() if row["event"] == "listening"), None):
                     return found
-                await anyio.sleep(LOOK)
+                await anyio.sleep(POLL_S)
         raise RuntimeError(f"{self.name} does not listen: {self.log.read_text()[-400:]}")
 
     @property
     def over(self):
+        """Whether it has ended."""
         return self.process.poll() is not None
 
     def stop(self):
@@ -55,13 +59,16 @@
         self.process.suspend()
 
     def go_on(self):
+        """It goes on (SIGCONT) as if no time had passed."""
         self.process.resume()
 
     def kill(self):
+        """It ends at once (SIGKILL)."""
         self.process.kill()
-        self.process.wait(END_WITHIN)
+        self.process.wait(END_TIMEOUT_S)
 
     def ask_to_end(self):
+        """It is asked to end (SIGTERM), if it has not."""
         if not self.over:
             self.process.resume()
             self.process.terminate()
@@ -69,7 +76,7 @@
     def ended(self):
         """Its exit code, once it has ended; it is killed if it does not end when asked."""
         try:
-            return self.process.wait(END_WITHIN)
+            return self.process.wait(END_TIMEOUT_S)
         except psutil.TimeoutExpired:
             self.process.kill()
             return self.process.wait()
--- a/embertray/simulation/processes/watch.py
+++ b/embertray/simulation/processes/watch.py
@@ -1,6 +1,4 @@
-"""Asks each of a rig's processes again and again what it says of the cluster, and what it uses; hands it to
-the claims.
-"""
+"""Asks each process again and again what it says of the cluster and what it uses, and tells the claims."""
 
 import anyio
 import h11
@@ -10,51 +8,62 @@
 from embertray.service.admin.client import ask
 from embertray.simulation.standins.parts import BROKEN
 
-S = 10**9
-EVERY = S // 4  # ns between two looks at a process
-WITHIN = 1.0  # s for an answer: one that stands still gives none
-SLACK = S  # ns that a look may be late: processes and rig share this machine's cores
+SECOND_NS = 10**9
+LOOK_PERIOD_NS = SECOND_NS // 4  # between two looks at a process
+ANSWER_TIMEOUT_S = 1.0  # one that stands still gives no answer
+SLACK = SECOND_NS  # ns that a look may be late: processes and their links share this machine's cores
 
 
 class Watch:
-    """`held`: LinkedControllerProcesses that has started; `claims`: None without a cluster."""
+    """Follows processes until it is cancelled.
 
-    def __init__(self, held, net, clock, claims):
-        self.held, self.net, self.clock, self.claims = held, net, clock, claims
-        self.last, self.began = (
-            {},
-            clock.now(),
-        )  # (name, log, where it begins in it) -> what that life used so far
+    Args:
+        processes: the LinkedControllerProcesses, started.
+        net: by which they are asked.
+        clock: of the claims.
+        claims: the ClusterClaims; None without a cluster.
+    """
+
+    def __init__(self, processes, net, clock, claims):
+        self.processes = processes
+        self.net = net
+        self.clock = clock
+        self.claims = claims
+        self.last = {}  # (name, log, where a life begins in it) -> what that life used so far
+        self.began = clock.now()
 
     async def run(self):
+        """Looks at all, each in a task of its own."""
         async with anyio.create_task_group() as group:
-            for name in self.held.at:
+            for name in self.processes.at:
                 group.start_soon(self.follow, name)
 
     async def follow(self, name):
+        """Looks at one process again and again."""
         while True:
             now = self.clock.now()
-            program = self.held.running.get(name)
-            if program is not None and name not in self.held.still:
+            program = self.processes.running.get(name)
+            if program is not None and name not in self.processes.still:
                 await self.look(now, name, program)
-            await self.clock.sleep_until(now + EVERY)
+            await self.clock.sleep_until(now + LOOK_PERIOD_NS)
 
     async def page(self, name, page):
         """A body, or None: it is down, starting or standing still."""
-        with anyio.move_on_after(WITHIN):
+        with anyio.move_on_after(ANSWER_TIMEOUT_S):
             try:
-                code, body = await ask(self.net, self.held.admin(name), "GET", page)
+                code, body = await ask(self.net, self.processes.admin(name), "GET", page)
                 return body if code == 200 else None
             except (*BROKEN, ValueError, h11.RemoteProtocolError):
                 return None  # it went while it answered
 
     async def look(self, now, name, program):
+        """Takes what a process uses, and what it says of the cluster."""
         if (used := program.used()) is not None:
             self.last[name, program.log, program.from_] = used
         if (
             self.claims is None
             or (body := await self.page(name, "/cluster")) is None
-            or self.held.running.get(name) is not program
+            or self.processes.running.get(name) is not program
         ):
             return
         said = msgspec.json.decode(body)
@@ -62,16 +71,23 @@
             now,
             name,
             {m["name"]: m["state"] for m in said["members"]},
-            {m["name"]: None if m["told_s"] is None else round(m["told_s"] * S) for m in said["members"]},
+            {
+                m["name"]: None if m["told_s"] is None else round(m["told_s"] * SECOND_NS)
+                for m in said["members"]
+            },
             said["cut_off"],
         )
 
     async def used(self):
-        """name -> {cpu: s of CPU a second, rss: bytes now, sent: bytes a second of the cluster by its last
-        life}.
+        """What each running process used until now.
+
+        Returns:
+            name -> {cpu: s of processor a second, rss: bytes now, sent: bytes a second of its last life for
+            the cluster}.
         """
-        span, found = (self.clock.now() - self.began) / S, {}
-        for name, _program in self.held.running.items():
+        span = (self.clock.now() - self.began) / SECOND_NS
+        found = {}
+        for name, _program in self.processes.running.items():
             body = await self.page(name, "/metrics")
             sent = next(
                 (
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -179,10 +179,8 @@
 
         stage = run_virtual(main)
     else:
-        from embertray.simulation.processes.controller_processes import (
-            ControllerProcesses,
-            LinkedControllerProcesses,
-        )
+        from embertray.simulation.processes.controller_processes import ControllerProcesses
+        from embertray.simulation.processes.linked_controller_processes import LinkedControllerProcesses
 
         async def main():
             with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -13,13 +13,8 @@
 from embertray.experiments.capacity import target
 from embertray.simulation.processes.control import MOST
 from embertray.simulation.processes.control_play import play, recorded_plane
-from embertray.simulation.processes.control_record import (
-    LATE,
-    Acknowledgement,
-    ControlRecord,
-    Look,
-    limits_by_objective,
-)
+from embertray.simulation.processes.control_record import Acknowledgement, ControlRecord, Look
+from embertray.simulation.processes.time_limits import LATE, limits_by_objective
 
 HERE = Path(__file__).resolve().parent
 SCALE = 0.4  # of all times, so that a case takes seconds, and an election is won on a busy machine
