--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -8,7 +8,7 @@
 
 from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
 from embertray.common.framing import Splitter
-from embertray.controller.endpoint_list.messages import decode_response
+from embertray.controller.endpoint_list.messages import WatchEvent, decode_response
 from embertray.service.site.site import time as span
 from embertray.simulation.claims.cluster import ClusterClaims
 
