--- a/embertray/controller/core/__init__.py
+++ b/embertray/controller/core/__init__.py
@@ -1,8 +1,8 @@
 """One controller without I/O: the decision module with its identifiers, outbox, channel and intake, and the
-desk before it.
+frontend before it.
 """
 
-from .desk import Desk
-from .instance import Instance
+from .controller_core import ControllerCore
+from .frontend import ControllerFrontend
 
-__all__ = ["Desk", "Instance"]
+__all__ = ["ControllerFrontend", "ControllerCore"]
--- a/embertray/controller/core/instance.py
+++ b/embertray/controller/core/controller_core.py
@@ -20,7 +20,7 @@
 from embertray.controller.runner import Runner
 from embertray.policy import interface as i
 
-from .holdings import collections
+from .memory_collections import collections
 
 S = 10**9
 # -- constants: value, unit, reason
@@ -43,7 +43,7 @@
     change: object = None  # degradation.LevelChange: another level of service
 
 
-class Instance(Runner):
+class ControllerCore(Runner):
     """`site` is a site.Site, `me` one of its controllers; `chance` gives numbers from 0 to 1. The first thing
     to tell it is the list that it starts with: `news(now, "cached", ...)`, empty if there is none.
     """
@@ -57,7 +57,7 @@
             Pacer(site.channel_rate, now),
             Intake(site.reports_rate, now, site.report_cycle),
         )
-        self.reduced = DegradationLadder(site.kinds, site.report_cycle, site.levels == "rate", now)
+        self.ladder = DegradationLadder(site.kinds, site.report_cycle, site.levels == "rate", now)
         self.outbox.unlimited_level = self.module.context.unlimited if site.levels != "none" else 0.0
         self.stamps = {}
         self.open, self.refs, self.probing, self.tidy_at = {}, {}, {}, now + TIDY
@@ -99,7 +99,7 @@
         self.outbox.proxy_left(proxy)
         self.pacer.drop_proxy(now, proxy)
         self.intake.left(proxy)
-        self.reduced.loss_meter.proxy_left(proxy)
+        self.ladder.loss_meter.proxy_left(proxy)
         for nonce in self.open.pop(name, ()):
             self.settled(nonce)
         self.pending_events.append(i.Left(proxy))
@@ -129,7 +129,7 @@
         )
         for came in message.came:
             if (kind := self.kinds.get(came.kind)) is not None:
-                self.reduced.loss_meter.observe(
+                self.ladder.loss_meter.observe(
                     now,
                     proxy,
                     kind,
@@ -151,11 +151,11 @@
         """One step if anything happened or is due; then what leaves the channel by now."""
         step = Step()
         self.stall_watch.is_steady(now)
-        if (change := self.reduced.evaluate_if_due(now)) is not None:
+        if (change := self.ladder.evaluate_if_due(now)) is not None:
             step.change = change
             self.outbox.retry_after, self.outbox.retry_limit = (
-                self.reduced.retry_after,
-                self.reduced.retry_limit,
+                self.ladder.retry_after,
+                self.ladder.retry_limit,
             )
         if orders := self.run_step(now, self.intake.due(now)):
             for proxy, message, nonce in self.outbox.build_messages(now, orders):
@@ -179,7 +179,7 @@
                 if (
                     self.accounts.any_at_cap("probes")
                     or len(self.probing) >= PROBES_IN_FLIGHT_MAX
-                    or self.reduced.gives_up("probes")
+                    or self.ladder.gives_up("probes")
                 ):
                     self.skipped += 1
                     self.accounts.by_purpose["probes"].action_count += 1
--- a/embertray/controller/core/desk.py
+++ b/embertray/controller/core/frontend.py
@@ -9,46 +9,46 @@
 from embertray.controller.trust import BackendAttempts, Trust
 from embertray.controller.trust.snapshot_age import time_since
 
-from .instance import Instance
+from .controller_core import ControllerCore
 
 S = 10**9
 
 
-class Desk:
+class ControllerFrontend:
     """`times`: the clocks as DurableSnapshots.clock_reading gives them; `snapshot`: the newest, or None."""
 
     def __init__(
-        self, site, me, seed, now, chance, snapshot=None, times=(0, "", 0), core=Instance, trust=Trust
+        self, site, me, seed, now, chance, snapshot=None, times=(0, "", 0), core=ControllerCore, trust=Trust
     ):
         self.admission, self.trust = Admission(chance), trust(site.drain_grace, site.dropped_bind)
-        self.instance = core(site, me, seed, now, chance)
+        self.core = core(site, me, seed, now, chance)
         self.held, self.told = {}, False  # proxies that are left with their tables: name -> Hello
         verdict = self.trust.start(now, snapshot, times)
         clock = snapshot.inventory_clock + (time_since(snapshot, times) or 0) if snapshot else 0
         self.heard_clock = clock, now
-        self.instance.news(now, "cached", clock, verdict.entries)
+        self.core.news(now, "cached", clock, verdict.entries)
 
     # ---- proxies
 
     def hello(self, now, name):
         """None, or a Rejection: turned away."""
-        return self.admission.admit(now, name, self.instance.turn_away())
+        return self.admission.admit(now, name, self.core.turn_away())
 
     def joined(self, now, hello):
         if self.trust.keeps_tables(now, hello.fresh, hello.proxy):
             self.held[hello.proxy] = hello
         else:
-            self.instance.join(hello)
+            self.core.join(hello)
 
     def left(self, now, name):
         self.trust.proxy_left(name)
         if self.held.pop(name, None) is None:
-            self.instance.left(now, name)
+            self.core.left(now, name)
 
     def take(self, now, hello, message):
         """Sums or an Answer of a joined proxy."""
         if not isinstance(message, LoadReport):
-            self.instance.answered(now, hello.proxy, message.nonce)
+            self.core.answered(now, hello.proxy, message.nonce)
             return
         entries = self.trust.observe(
             now,
@@ -60,7 +60,7 @@
         if entries:
             self.hand_on(now, "changes", entries)
         if hello.proxy not in self.held:
-            self.instance.sums(now, hello.proxy, hello.zone, message)
+            self.core.sums(now, hello.proxy, hello.zone, message)
 
     # ---- the list
 
@@ -74,7 +74,7 @@
 
     def hand_on(self, now, how, entries):
         clock, at = self.heard_clock
-        self.instance.news(now, how, clock + now - at, entries)
+        self.core.news(now, how, clock + now - at, entries)
 
     def snapshot(self, now, times):
         clock, at = self.heard_clock
@@ -89,15 +89,15 @@
         if self.held:
             all_now = self.trust.is_settled(now)
             for name in [n for n in self.held if all_now or n in self.trust.retention.failing_proxies]:
-                self.instance.join(self.held.pop(name))
+                self.core.join(self.held.pop(name))
         if entries := self.trust.apply_timers(now):
             self.hand_on(now, "changes", entries)
-        step = self.instance.advance(now)
-        if self.instance.accounts.any_at_cap("list"):
+        step = self.core.advance(now)
+        if self.core.accounts.any_at_cap("list"):
             self.trust.shed_memory()
         return step
 
     def next_at(self):
         """When to advance again if nothing happens before, ns or None."""
-        times = [t for t in (self.instance.next_at(), self.trust.next_timer()) if t is not None]
+        times = [t for t in (self.core.next_at(), self.trust.next_timer()) if t is not None]
         return min(times, default=None)
--- a/embertray/controller/core/holdings.py
+++ b/embertray/controller/core/memory_collections.py
@@ -10,7 +10,7 @@
 
 
 def collections(it):
-    """Purpose -> collections of an Instance, without its streams (those are the daemon's)."""
+    """Purpose -> collections of an ControllerCore, without its streams (those are the daemon's)."""
     module, box, identifiers = it.module, it.outbox, it.identifiers
     tables, ordered = module.publisher.tables.all, list(box.tables.values())
     lines = [table.lines for table in ordered] + [
@@ -71,9 +71,9 @@
             ),
             Collection(
                 "demand",
-                it.reduced.loss_meter.load_count(),
-                lists(*it.reduced.loss_meter.loads.values()),
-                list(it.reduced.loss_meter.loads.values()),
+                it.ladder.loss_meter.load_count(),
+                lists(*it.ladder.loss_meter.loads.values()),
+                list(it.ladder.loss_meter.loads.values()),
                 HANDLES,
             ),
             Collection(
--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -1,7 +1,8 @@
 """The decision module with its identifiers, its timers and the mapping of backends' start times.
 
-What happens is put to `pending_events`; `run_step(now)` hands it over. Whoever builds on it (core.Instance
-for the daemon, platform.protocol.PlatformController for the platform) carries the orders on.
+What happens is put to `pending_events`; `run_step(now)` hands it over. Whoever builds on it
+(core.ControllerCore for the daemon, platform.protocol.PlatformController for the platform) carries the
+orders on.
 """
 
 import heapq
--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -1,13 +1,13 @@
 """Baselines to compare the module with; none of them is on the product's path.
 
-Each stands in the place of the decision module inside core.Instance, so that identifiers, channel and
+Each stands in the place of the decision module inside core.ControllerCore, so that identifiers, channel and
 protocol are the same. They follow the list and order tables, and guard no rule: no ledger, no pace for cold
 ones, no levels.
 """
 
 import numpy as np
 
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.policy import interface as i
 
 S = 10**9
@@ -17,7 +17,7 @@
 
 
 class Baseline:
-    """What core.Instance needs of a module. `table_of(px)` names a proxy's table, `want(key)` its lines."""
+    """What ControllerCore needs of a module. `table_of(px)` names its table, `want(key)` its lines."""
 
     def __init__(self, seed, site, now):
         self.site, self.now, self.born, self.beat_at = site, now, now, 0
@@ -151,12 +151,12 @@
 
 
 def core(name):
-    """The core.Instance with that policy; None for the module itself."""
+    """The core.ControllerCore with that policy; None for the module itself."""
     policy = POLICIES[name]
     if policy is None:
         return None
 
-    class Core(Instance):
+    class Core(ControllerCore):
         def __init__(self, site, me, seed, now, *rest):
             super().__init__(site, me, seed, now, *rest)
             self.module = policy(seed, site, now)
--- a/embertray/experiments/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -10,11 +10,11 @@
 
 from embertray.common.memory import MemoryAccounts
 from embertray.common.net.process import resident
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.simulation.emulator import churn
 
 
-class NoAccounts(Instance):
+class NoAccounts(ControllerCore):
     """Memory is not looked at."""
 
     def mind(self, now, step):
@@ -67,7 +67,7 @@
     )
     found = {}
 
-    class Traced(Instance):
+    class Traced(ControllerCore):
         def __init__(self, *rest):
             gc.collect()
             found["start"], found["rss"] = tracemalloc.get_traced_memory()[0], resident()
--- a/embertray/experiments/measure/pauses.py
+++ b/embertray/experiments/measure/pauses.py
@@ -5,7 +5,7 @@
 import gc
 import time
 
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.simulation.emulator import churn
 
 WAYS = {
@@ -30,7 +30,7 @@
             else:
                 pauses.append((time.perf_counter() - began[0], info["generation"]))
 
-        class Set(Instance):
+        class Set(ControllerCore):
             done = False
 
             def advance(self, now):
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -52,7 +52,7 @@
             "known": len(trust.backends),
             "refuted": sorted(b for b, k in trust.backends.items() if k.refuted),
             "missing": list(trust.losses.missing),
-            "left_with_their_tables": sorted(service.desk.held),
+            "left_with_their_tables": sorted(service.frontend.held),
             "saves": service.counted["saves"],
             "save_fails": service.counted["save_fails"],
         }
@@ -88,7 +88,7 @@
 
 def metrics(service, _):
     """Prometheus' text format."""
-    it, rows = service.instance, []
+    it, rows = service.core, []
 
     def row(name, kind, value, labels=""):
         if not labels or not any(r.startswith(f"# TYPE embertray_{name} ") for r in rows):
@@ -114,9 +114,9 @@
         row("memory_cap_done_total", "counter", account["done"], labels)
     for key in ("resident", "at_start", "unaccounted"):
         row(f"memory_{key}_bytes", "gauge", held[key])
-    row("service_level", "gauge", it.reduced.level)
-    row("service_level_changes_total", "counter", it.reduced.changes)
-    row("lost_credit_share", "gauge", "NaN" if it.reduced.lost is None else round(it.reduced.lost, 4))
+    row("service_level", "gauge", it.ladder.level)
+    row("service_level_changes_total", "counter", it.ladder.changes)
+    row("lost_credit_share", "gauge", "NaN" if it.ladder.lost is None else round(it.ladder.lost, 4))
     row("report_lines_unknown_total", "counter", it.intake.unknown)
     row("report_lines_dropped_total", "counter", it.intake.dropped)
     for name, count in service.counted.items():
@@ -170,13 +170,13 @@
                     for kind, (level, again) in tab.levels.items()
                 },
             }
-            for table, tab in service.instance.outbox.tables.items()
+            for table, tab in service.core.outbox.tables.items()
         ]
     )
 
 
 def channel(service, _):
-    pacer = service.instance.pacer
+    pacer = service.core.pacer
     return json(
         {
             "lines_waiting": pacer.lines_waiting,
@@ -210,17 +210,17 @@
 
 
 def level(service, _):
-    return json(service.instance.reduced.status(service.clock.now()))
+    return json(service.core.ladder.status(service.clock.now()))
 
 
 def set_level(service, query):
     """pin=NAME, release=, forbid=NAME, allow=NAME"""
-    reduced = service.instance.reduced
+    ladder = service.core.ladder
     acts = {
-        "pin": reduced.pin,
-        "release": lambda _: reduced.release(),
-        "forbid": reduced.forbid,
-        "allow": lambda name: reduced.forbid(name, False),
+        "pin": ladder.pin,
+        "release": lambda _: ladder.release(),
+        "forbid": ladder.forbid,
+        "allow": lambda name: ladder.forbid(name, False),
     }
     if not query or any(name not in acts for name in query):
         return text(f"one of {', '.join(acts)} is wanted\n", 400)
@@ -235,11 +235,11 @@
 
 def pace(service, query):
     try:
-        service.instance.pacer.set_pace(service.clock.now(), float(query.get("share", [""])[0]))
+        service.core.pacer.set_pace(service.clock.now(), float(query.get("share", [""])[0]))
     except ValueError:
         return text("share: a number over 0 and 1 at most is wanted\n", 400)
     service.poke()
-    return text(f"pace {service.instance.pacer.pace}\n")
+    return text(f"pace {service.core.pacer.pace}\n")
 
 
 ROUTES = {
--- a/embertray/service/daemon/proxies.py
+++ b/embertray/service/daemon/proxies.py
@@ -37,7 +37,7 @@
 
 
 class Proxies:
-    """Of one `host`, a Service: joined streams by name. Tells its desk who joins, leaves and says what."""
+    """Of a `host`, a Service: joined streams by name. Tells the frontend who joins, leaves and says what."""
 
     def __init__(self, host):
         self.host, self.by_name = host, {}
@@ -54,7 +54,7 @@
 
     def look_after(self, now):
         """Slow proxies are cut, a drain goes on; when to look again, ns or None."""
-        if self.host.instance.stall_watch.is_steady(now):
+        if self.host.core.stall_watch.is_steady(now):
             for stream in [s for s in self.by_name.values() if s.send_buffer.overdue_reason(now)]:
                 self.end(now, stream, stream.send_buffer.overdue_reason(now))
         count, again = self.host.admission.streams_to_close(now, len(self.by_name))
@@ -107,7 +107,7 @@
                     await self.refuse(conn, "-", ProtocolError("hello", "no hello in time"))
                 return
             now = self.host.clock.now()
-            verdict = self.host.desk.hello(now, session.hello.proxy)
+            verdict = self.host.frontend.hello(now, session.hello.proxy)
             if verdict:
                 await self.turn_away(conn, verdict)
                 return
@@ -124,7 +124,7 @@
         self.host.counted["joins"] += 1
         conn.put(session.welcome(self.host.me.name, [kind.external_id for kind in self.host.site.kinds]))
         stream.send_buffer.sent(self.host.clock.now(), 0)
-        self.host.desk.joined(self.host.clock.now(), stream.hello)
+        self.host.frontend.joined(self.host.clock.now(), stream.hello)
         self.host.poke()
         self.host.log.debug("proxy joined", proxy=stream.name, zone=stream.hello.zone)
         try:
@@ -155,7 +155,7 @@
         now = self.host.clock.now()
         for message in messages:
             if not isinstance(message, Hello):
-                self.host.desk.take(now, stream.hello, message)
+                self.host.frontend.take(now, stream.hello, message)
         if messages:
             self.host.poke()
 
@@ -164,7 +164,7 @@
         if self.by_name.get(stream.name) is stream:
             del self.by_name[stream.name]
             self.host.counted["leaves"] += 1
-            self.host.desk.left(self.host.clock.now(), stream.name)
+            self.host.frontend.left(self.host.clock.now(), stream.name)
             self.host.poke()
 
     async def refuse(self, conn, name, wrong):
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -2,7 +2,7 @@
 
 Jobs side by side: the pump (core, timers, channel) here, the streams of proxies (`proxies`), the list
 (`inventory`), what is kept (`snapshots`), the operators' HTTP. All that is decided comes from the core (the
-module, the desk), from channel/send_buffer.py and endpoint_list/follower.py.
+module, the frontend), from channel/send_buffer.py and endpoint_list/follower.py.
 """
 
 import anyio
@@ -15,7 +15,7 @@
 from embertray.common.net.process import resident
 from embertray.controller.channel.budget import channel_budget
 from embertray.controller.channel.timeouts import PROBE_TIMEOUT_NS
-from embertray.controller.core import Desk, Instance
+from embertray.controller.core import ControllerCore, ControllerFrontend
 from embertray.controller.trust import Trust
 
 from .broken import BROKEN, S
@@ -27,7 +27,7 @@
 class Service:
     """`me` is a ControllerAt of `site`; `kept` a DurableSnapshots; `chance` gives numbers from 0 to 1."""
 
-    def __init__(self, site, me, clock, net, kept, seed, chance, log=None, core=Instance, trust=Trust):
+    def __init__(self, site, me, clock, net, kept, seed, chance, log=None, core=ControllerCore, trust=Trust):
         self.site, self.me, self.clock, self.net, self.kept, self.seed = site, me, clock, net, kept, seed
         self.log = (log or structlog.get_logger()).bind(controller=me.name)
         self.chance, self.proxies, self.list, self.snapshots = (
@@ -38,7 +38,7 @@
         )
         self.stopping, self.poked = anyio.Event(), anyio.Event()
         self.listen = self.admin = None
-        self.make, self.desk, self.instance, self.trust, self.admission = (core, trust), *[None] * 4
+        self.make, self.frontend, self.core, self.trust, self.admission = (core, trust), *[None] * 4
         self.counted = dict.fromkeys(
             (
                 "joins",
@@ -71,12 +71,12 @@
         for name, why in passed:
             self.log.error("a snapshot can't be used", file=name, why=why)
         now = self.clock.now()
-        self.desk = desk = Desk(
+        self.frontend = frontend = ControllerFrontend(
             self.site, self.me, self.seed, now, self.chance, snapshot, self.kept.clock_reading(), *self.make
         )
-        self.instance, self.trust, self.admission = desk.instance, desk.trust, desk.admission
+        self.core, self.trust, self.admission = frontend.core, frontend.trust, frontend.admission
         self.log.info("started", list=self.trust.describe(now))
-        self.instance.more = self.collections
+        self.core.more = self.collections
         self.began_with = resident()
         listener = await self.net.listen(self.me.listen)
         admin = await self.net.listen(self.me.admin)
@@ -165,7 +165,7 @@
         while True:
             self.poked = anyio.Event()
             now = self.clock.now()
-            step = self.desk.advance(now)
+            step = self.frontend.advance(now)
             for name, orders in step.leave:
                 self.proxies.send(now, name, orders)
             for text in step.said:
@@ -174,7 +174,7 @@
                 self.list.asked(step.ask)
             self.mind(now, step)
             look = self.proxies.look_after(now)
-            times = [t for t in (self.desk.next_at(), look) if t is not None]
+            times = [t for t in (self.frontend.next_at(), look) if t is not None]
             if times:
                 with anyio.move_on_after(max(0, min(times) - self.clock.now()) / 1e9):
                     await self.poked.wait()
@@ -197,7 +197,7 @@
         for name, why in step.cut:
             if name in self.streams:
                 self.proxies.end(now, self.streams[name], why)
-        if self.cluster and (account := self.instance.accounts.by_purpose.get("cluster")):
+        if self.cluster and (account := self.core.accounts.by_purpose.get("cluster")):
             account.action_count = self.cluster.close(account.at_cap)
         if step.relist:
             self.list.asked(True)
@@ -249,14 +249,14 @@
     def memory(self):
         """The accounts, and the process as the system sees it; bytes."""
         now = resident()
-        purposes = self.instance.accounts.rows()
+        purposes = self.core.accounts.rows()
         held = sum(row["bytes"] for row in purposes)
         return {
             "purposes": purposes,
             "resident": now,
             "at_start": self.began_with,
             "unaccounted": now - self.began_with - held,
-            "held_back": self.instance.held_back,
+            "held_back": self.core.held_back,
         }
 
     async def probe(self, backend):
@@ -268,7 +268,7 @@
                     answered = True
             except (*BROKEN, BadAddress):
                 pass
-        self.instance.probed(self.clock.now(), backend, answered)
+        self.core.probed(self.clock.now(), backend, answered)
         self.poke()
 
     def drain(self):
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -19,7 +19,7 @@
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import InMemorySnapshots
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.service.admin.client import ask
 from embertray.service.daemon import Service
 from embertray.service.site import load
@@ -52,7 +52,7 @@
     facts: dict = field(default_factory=dict)
 
 
-class NeverTidies(Instance):
+class NeverTidies(ControllerCore):
     """A leak on purpose: ids of who is gone for good are kept."""
 
     def tidy(self):
@@ -157,7 +157,7 @@
                     seed,
                     churn.streams.of("cuts").random,
                     quiet(),
-                    core or Instance,
+                    core or ControllerCore,
                 )
                 churn.service = service
                 listen, _ = await group.start(service.run)
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -1,12 +1,12 @@
-"""A day without streams: the daemon's desk and core, proxies, clients and backends as models round one event
-heap.
+"""A day without streams: the daemon's frontend and core, proxies, clients and backends as models round one
+event heap.
 
 The same day's text, the same troubles, the same models as on sockets; a message is a planned call, not bytes.
-What needs true streams (half a message, strangers' noise) is refused. Controllers are core.Desk, with
-`policy/` inside.
+What needs true streams (half a message, strangers' noise) is refused. Controllers are
+core.ControllerFrontend, with `policy/` inside.
 """
 
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.controller.trust import Trust
 from embertray.service.site.site import time as span
 from embertray.simulation.models.backend import Backend
@@ -52,7 +52,7 @@
                 "processes: play it with --processes"
             )
         super().__init__(day, seed)
-        self.seed, self.make, self.watched = seed, (core or Instance, trust or Trust), watched
+        self.seed, self.make, self.watched = seed, (core or ControllerCore, trust or Trust), watched
         self.engine = self.clock = self.agenda = Engine(START)
         self.eyes = Observer() if watched else Unseen()
         self.by_name, self.cross, self.numbers = {}, span(day.fleet["cross"]), 0
@@ -83,7 +83,7 @@
         con = self.held.running.get(name)
         if con is None:
             raise ConnectionRefusedError(name)
-        con.desk.instance.pacer.set_pace(self.engine.time, float(target.partition("=")[2]))
+        con.frontend.core.pacer.set_pace(self.engine.time, float(target.partition("=")[2]))
         con.poke()
 
     async def run(self):
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -8,7 +8,7 @@
 import anyio
 
 from embertray.common.snapshots import InMemorySnapshots
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.controller.trust import Trust
 from embertray.service.daemon import Service
 from embertray.simulation.standins.aged import age_in_memory
@@ -21,7 +21,7 @@
     """Each controller a Service in a cancel scope, with a gate that shuts while it stands still."""
 
     def __init__(self, net, clock, seed, log, core=None, trust=None):
-        self.net, self.clock, self.seed, self.log, self.core = net, clock, seed, log, core or Instance
+        self.net, self.clock, self.seed, self.log, self.core = net, clock, seed, log, core or ControllerCore
         self.trust = trust or Trust
         self.stage, self.running, self.lives, self.kept, self.at, self.chance = None, {}, {}, {}, {}, {}
 
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -155,7 +155,7 @@
 def play(
     day, mode="virtual", seed=1, progress=None, core=None, trust=None, on_stage=None, alone=False, logs=None
 ):
-    """Plays a Day and gives its Result. `core`, `trust`: other classes in place of core.Instance and
+    """Plays a Day and gives its Result. `core`, `trust`: other classes in place of core.ControllerCore and
     trust.Trust (virtual only). `on_stage(stage)` before it begins. With processes: `alone`, without the
     cluster that the day asks for; `logs`, a folder where descriptions and logs stay. Raises BadDay."""
     began = time.monotonic()
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -2,12 +2,12 @@
 
 from dataclasses import replace
 
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.controller.stream.messages import Bind, Line, Orders
 from embertray.policy import interface as i
 
 
-class DropsRemovals(Instance):
+class DropsRemovals(ControllerCore):
     """Removals and withdrawals never leave."""
 
     def advance(self, now):
@@ -24,7 +24,7 @@
     return Orders(message.stamp, message.cost, do, message.nonce)
 
 
-class BindsNothing(Instance):
+class BindsNothing(ControllerCore):
     """Proxies are bound to tables without lines, which come too late: never."""
 
     def advance(self, now):
@@ -46,7 +46,7 @@
         return step
 
 
-class RepeatsAll(Instance):
+class RepeatsAll(ControllerCore):
     """Whatever fails is tried twice more, also what must not run twice."""
 
     def advance(self, now):
@@ -69,7 +69,7 @@
         return step
 
 
-class TrustsTheCold(Instance):
+class TrustsTheCold(ControllerCore):
     """The module is told that nothing starts cold, and a cold one gets a hundred times its part."""
 
     def __init__(self, site, *rest):
@@ -100,7 +100,7 @@
     return do
 
 
-class NoLedger(Instance):
+class NoLedger(ControllerCore):
     """Orders every table anew on each step, whatever waits."""
 
     def advance(self, now):
@@ -111,7 +111,7 @@
         return super().advance(now)
 
 
-class TooManyMessages(Instance):
+class TooManyMessages(ControllerCore):
     """A message for each beat to each proxy."""
 
     def advance(self, now):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -225,7 +225,7 @@
                 group.start_soon(bound, peer)
         cost = 1000 * (4 + 1 + 1 + 3)
         self.assertLess(max(at for at, _ in seen) / S, 1.5 * cost / 1200)
-        self.assertLessEqual(room.service.instance.pacer.lines_peak, room.service.site.pending_max)
+        self.assertLessEqual(room.service.core.pacer.lines_peak, room.service.site.pending_max)
 
     @virtual
     async def test_one_that_reads_but_answers_no_mark_is_cut_in_the_end(self, room):
@@ -233,7 +233,7 @@
         self.assertIsNone(await mute.until(Fault, answer=False))
         self.assertEqual(room.service.counted["cuts"], 1)
         self.assertTrue(60 < room.clock.now() / S - START < 80)
-        self.assertEqual((room.service.instance.refs, room.service.instance.identifiers.nonces), ({}, {}))
+        self.assertEqual((room.service.core.refs, room.service.core.identifiers.nonces), ({}, {}))
 
     @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
     @given(
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings, strategies as st
 from test_daemon import virtual
 
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.controller.degradation import DegradationLadder
 from embertray.controller.degradation.ladder import CALM_PERIOD_NS, ENTER_EVALUATIONS
 from embertray.controller.degradation.levels import LEVEL_NAMES, LEVELS
@@ -232,12 +232,12 @@
             "pin.day",
         )
 
-        class Pinned(Instance):
+        class Pinned(ControllerCore):
             def __init__(self, *args):
                 super().__init__(*args)
-                self.reduced.pin("survival")
+                self.ladder.pin("survival")
 
-        free, pinned = (play(day, 2, core=core) for core in (Instance, Pinned))
+        free, pinned = (play(day, 2, core=core) for core in (ControllerCore, Pinned))
         self.assertFalse([why for why in pinned.rules.values() if why])
         cost = [sum(e.rest[0].cost for e in result.events if e.what == "orders") for result in (free, pinned)]
         self.assertEqual(*cost)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -17,7 +17,7 @@
 from embertray.common.memory.caps import CAP_BYTES_MIN, MEMBER_BYTES, default_caps
 from embertray.common.memory.purposes import ACTIONS
 from embertray.common.memory.sizing import deep_size, measure_entry_bytes
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.controller.stream.messages import BackendTotals, Fault, Line, LoadReport, Orders, Welcome
 from embertray.service.site import load
 from embertray.service.site.site import HERE as SITES, Cluster
@@ -105,7 +105,7 @@
         self.assertEqual(set(ACTIONS) - set(small), {"cluster"})  # nothing of it without the element
         told = Cluster("c", S, 8 << 20, 1 << 16)
         self.assertEqual(default_caps(site.at(cluster=told))["cluster"], 2 * (8 << 20) + 2 * MEMBER_BYTES)
-        it = Instance(site.at(caps={"reports": 123}), site.controllers[0], 1, 0)
+        it = ControllerCore(site.at(caps={"reports": 123}), site.controllers[0], 1, 0)
         self.assertEqual(it.accounts.by_purpose["reports"].cap, 123)
 
 
@@ -149,7 +149,7 @@
         for n in range(40):
             room.inventory.list(f"127.0.1.{n + 1}:9000", "north")
             await anyio.sleep(0.3)
-        it = room.service.instance
+        it = room.service.core
         self.assertTrue(it.accounts.by_purpose["list"].at_cap)
         self.assertLess(len(it.state), 43)
         self.assertGreater(it.accounts.by_purpose["list"].action_count, 0)
@@ -176,7 +176,7 @@
                 )
             )
             await anyio.sleep(1)
-        it = room.service.instance
+        it = room.service.core
         self.assertGreater(it.intake.dropped, 0)
         self.assertEqual(it.accounts.by_purpose["reports"].action_count, it.intake.dropped)
 
@@ -197,13 +197,13 @@
                 peer.end.pack(LoadReport(S, [BackendTotals(f"ghost-{k}-{n}", 1) for n in range(2000)]))
             )
             await anyio.sleep(0.1)
-        it = room.service.instance
+        it = room.service.core
         self.assertEqual(it.intake.unknown, 100_000)
         self.assertEqual((len(it.identifiers.backends), len(it.intake.waiting)), (3, 0))
 
     @virtual
     async def test_proxies_and_backends_that_are_gone_are_forgotten_everywhere(self, room):
-        it = room.service.instance
+        it = room.service.core
         stay = await room.peer("stay")
         await stay.until(Orders)
 
@@ -248,7 +248,7 @@
 
 class Rules(unittest.TestCase):
     def test_caps_of_several_purposes_during_a_drain_wave_keep_the_rules(self):
-        class Tight(Instance):
+        class Tight(ControllerCore):
             def __init__(self, site, *rest):
                 super().__init__(
                     site.at(caps={"reports": 40_000, "list": 2000, "streams": 20_000, "names": 20_000}), *rest
