--- a/embertray/controller/core/__init__.py
+++ b/embertray/controller/core/__init__.py
@@ -1,8 +1,7 @@
-"""One controller without I/O: the decision module with its identifiers, outbox, channel and intake, and the
-frontend before it.
-"""
+"""One controller without I/O: the policy with its parts, and the frontend that its transports talk to."""
 
 from .controller_core import ControllerCore
 from .frontend import ControllerFrontend
+from .step import ProxyOrders, Step, StreamCut
 
-__all__ = ["ControllerFrontend", "ControllerCore"]
+__all__ = ["ControllerCore", "ControllerFrontend", "ProxyOrders", "Step", "StreamCut"]
--- a/embertray/controller/core/frontend.py
+++ b/embertray/controller/core/frontend.py
@@ -1,9 +1,10 @@
-"""One controller behind its transports: the core, how far the list is trusted, which proxies are bound. No
-I/O.
+"""One controller behind its transports: admission of proxies, trust in the endpoint list, the core; no I/O.
 
-The daemon carries its verdicts over sockets, the emulator through an event heap: both run the same text.
+The daemon's sockets and the emulator's event heap both carry messages to it.
 """
 
+from typing import NamedTuple
+
 from embertray.controller.channel.admission import Admission
 from embertray.controller.stream.messages import LoadReport
 from embertray.controller.trust import BackendAttempts, Trust
@@ -11,93 +12,183 @@
 
 from .controller_core import ControllerCore
 
-S = 10**9
+NO_CLOCK_READING = (0, "", 0)  # as of a controller without snapshots
+
+
+class InventoryClock(NamedTuple):
+    """A reading of the inventory's clock.
+
+    Attributes:
+        inventory: The inventory's clock, ns.
+        local: This process's clock at the same time, ns.
+    """
+
+    inventory: int
+    local: int
+
+    def at(self, now):
+        """Returns the inventory's clock at `now` (ns of this process's clock)."""
+        return self.inventory + now - self.local
 
 
 class ControllerFrontend:
-    """`times`: the clocks as DurableSnapshots.clock_reading gives them; `snapshot`: the newest, or None."""
+    """What the transports of one controller call as things happen.
+
+    Attributes:
+        admission: The Admission.
+        trust: The Trust.
+        core: The ControllerCore.
+        deferred_joins: Name -> Hello of the proxies that keep their own tables until the list can be trusted.
+    """
 
     def __init__(
-        self, site, me, seed, now, chance, snapshot=None, times=(0, "", 0), core=ControllerCore, trust=Trust
+        self,
+        site,
+        me,
+        seed,
+        now,
+        chance,
+        snapshot=None,
+        clocks=NO_CLOCK_READING,
+        core_class=ControllerCore,
+        trust_class=Trust,
     ):
-        self.admission, self.trust = Admission(chance), trust(site.drain_grace, site.dropped_bind)
-        self.core = core(site, me, seed, now, chance)
-        self.held, self.told = {}, False  # proxies that are left with their tables: name -> Hello
-        verdict = self.trust.start(now, snapshot, times)
-        clock = snapshot.inventory_clock + (time_since(snapshot, times) or 0) if snapshot else 0
-        self.heard_clock = clock, now
-        self.core.news(now, "cached", clock, verdict.entries)
+        """Make a controller that starts with the list of a snapshot.
+
+        Args:
+            site: The Site.
+            me: Its ControllerAt that this is.
+            seed: For the policy's random numbers.
+            now: ns.
+            chance: A function that gives numbers from 0 to 1.
+            snapshot: The newest Snapshot, or None.
+            clocks: The ClockReading of now.
+            core_class: Makes the core.
+            trust_class: Makes the trust.
+        """
+        self.admission = Admission(chance)
+        self.trust = trust_class(site.drain_grace, site.dropped_bind)
+        self.core = core_class(site, me, seed, now, chance)
+        self.deferred_joins = {}
+        decision = self.trust.start(now, snapshot, clocks)
+        inventory_clock = snapshot.inventory_clock + (time_since(snapshot, clocks) or 0) if snapshot else 0
+        self._inventory_clock = InventoryClock(inventory_clock, now)
+        self.core.news(now, "cached", inventory_clock, decision.entries)
 
     # ---- proxies
 
-    def hello(self, now, name):
-        """None, or a Rejection: turned away."""
-        return self.admission.admit(now, name, self.core.turn_away())
+    def admit_proxy(self, now, name):
+        """Admits a proxy that said hello at `now` (ns); returns None, or the Rejection."""
+        return self.admission.admit(now, name, self.core.join_delay())
+
+    def proxy_joined(self, now, hello):
+        """Records that a proxy has joined.
 
-    def joined(self, now, hello):
+        Against an old list at a restart: a proxy whose own table is newer than the list keeps it, and is
+        bound once the list can be trusted (`advance`).
+
+        Args:
+            now: ns.
+            hello: Its Hello.
+        """
         if self.trust.keeps_tables(now, hello.fresh, hello.proxy):
-            self.held[hello.proxy] = hello
+            self.deferred_joins[hello.proxy] = hello
         else:
             self.core.join(hello)
 
-    def left(self, now, name):
+    def proxy_left(self, now, name):
+        """Records that a joined proxy has left at `now` (ns)."""
         self.trust.proxy_left(name)
-        if self.held.pop(name, None) is None:
-            self.core.left(now, name)
+        if self.deferred_joins.pop(name, None) is None:
+            self.core.proxy_left(now, name)
 
-    def take(self, now, hello, message):
-        """Sums or an Answer of a joined proxy."""
-        if not isinstance(message, LoadReport):
-            self.core.answered(now, hello.proxy, message.nonce)
-            return
-        entries = self.trust.observe(
-            now,
-            hello.proxy,
-            hello.fresh,
-            [BackendAttempts(m.backend, m.tries, m.failed) for m in message.met],
-            sum(c.requests for c in message.came),
-        )
+    def receive(self, now, hello, message):
+        """Takes in a message of a joined proxy.
+
+        Args:
+            now: ns.
+            hello: Who it is: has proxy, zone and fresh, as Hello.
+            message: A LoadReport or an Acknowledgement.
+        """
+        if isinstance(message, LoadReport):
+            self._receive_report(now, hello, message)
+        else:
+            self.core.acknowledged(now, hello.proxy, message.nonce)
+
+    def _receive_report(self, now, hello, report):
+        outcomes = [BackendAttempts(totals.backend, totals.tries, totals.failed) for totals in report.met]
+        requests = sum(totals.requests for totals in report.came)
+        entries = self.trust.observe(now, hello.proxy, hello.fresh, outcomes, requests)
         if entries:
-            self.hand_on(now, "changes", entries)
-        if hello.proxy not in self.held:
-            self.core.sums(now, hello.proxy, hello.zone, message)
+            self.forward_entries(now, "changes", entries)
+        if hello.proxy not in self.deferred_joins:
+            self.core.add_report(now, hello.proxy, hello.zone, report)
+
+    # ---- the endpoint list
 
-    # ---- the list
+    def receive_update(self, now, kind, epoch, inventory_clock, entries):
+        """Takes in an update of the endpoint list.
 
-    def news(self, now, how, epoch, clock, entries):
-        """What inventory/follow.py made of a message; True if the whole is to be asked for again."""
-        verdict = self.trust.receive_update(now, how, epoch, entries)
-        if how != "failed":
-            self.heard_clock, self.told = (clock, now), True
-        self.hand_on(now, verdict.kind, verdict.entries)
-        return verdict.request_complete
+        Args:
+            now: ns.
+            kind: The UpdateKind.
+            epoch: Of the list.
+            inventory_clock: The inventory's clock when it sent it, ns.
+            entries: EndpointEntry items.
 
-    def hand_on(self, now, how, entries):
-        clock, at = self.heard_clock
-        self.core.news(now, how, clock + now - at, entries)
+        Returns:
+            Whether the complete list is to be requested again.
+        """
+        decision = self.trust.receive_update(now, kind, epoch, entries)
+        if kind != "failed":
+            self._inventory_clock = InventoryClock(inventory_clock, now)
+        self.forward_entries(now, decision.kind, decision.entries)
+        return decision.request_complete
+
+    def forward_entries(self, now, kind, entries):
+        """Forwards entries of the list to the core.
+
+        Args:
+            now: ns.
+            kind: The UpdateKind.
+            entries: EndpointEntry items.
+        """
+        self.core.news(now, kind, self._inventory_clock.at(now), entries)
 
-    def snapshot(self, now, times):
-        clock, at = self.heard_clock
-        return self.trust.make_snapshot(now, clock + now - at, times)
+    def make_snapshot(self, now, clocks):
+        """Returns the Snapshot of `now` (ns) at a ClockReading."""
+        return self.trust.make_snapshot(now, self._inventory_clock.at(now), clocks)
 
     # ---- time
 
     def advance(self, now):
-        """The core's step. Who was left with its tables is bound when the list is good enough; who is missing
-        is gone in the end.
+        """Runs the core's step, after what the trust in the list lets happen by now.
+
+        Args:
+            now: ns.
+
+        Returns:
+            The Step.
         """
-        if self.held:
-            all_now = self.trust.is_settled(now)
-            for name in [n for n in self.held if all_now or n in self.trust.retention.failing_proxies]:
-                self.core.join(self.held.pop(name))
-        if entries := self.trust.apply_timers(now):
-            self.hand_on(now, "changes", entries)
+        self._join_deferred(now)
+        entries = self.trust.apply_timers(now)
+        if entries:
+            self.forward_entries(now, "changes", entries)
         step = self.core.advance(now)
         if self.core.accounts.any_at_cap("list"):
             self.trust.shed_memory()
         return step
 
+    def _join_deferred(self, now):
+        """Joins proxies that kept their tables: all once the list is settled, before that those that fail."""
+        if not self.deferred_joins:
+            return
+        settled = self.trust.is_settled(now)
+        failing = self.trust.retention.failing_proxies
+        for name in [name for name in self.deferred_joins if settled or name in failing]:
+            self.core.join(self.deferred_joins.pop(name))
+
     def next_at(self):
-        """When to advance again if nothing happens before, ns or None."""
-        times = [t for t in (self.core.next_at(), self.trust.next_timer()) if t is not None]
-        return min(times, default=None)
+        """Returns when to advance again if nothing happens before, ns; None: not at all."""
+        times = (self.core.next_at(), self.trust.next_timer())
+        return min((time for time in times if time is not None), default=None)
--- a/embertray/controller/core/memory_collections.py
+++ b/embertray/controller/core/memory_collections.py
@@ -1,4 +1,8 @@
-"""What a controller's parts hold, by purpose: the collections that the accounts count. Changes nothing."""
+"""What the parts of a controller store, by purpose: the collections that the memory accounts count.
+
+Nothing is changed here. A walk over an entry stops at handles and at the policy's states, which are counted
+once, under "names".
+"""
 
 from embertray.common.memory.sizing import Collection
 from embertray.policy import interface as i
@@ -7,125 +11,136 @@
 
 STATES = (BackendState, ProxyState)
 HANDLES = (i.Handle, i.RequestKind, *STATES)
+# Attributes of a state that other collections count.
+COUNTED_ELSEWHERE = ("context", "samples", "messages", "handle", "table")
 
 
-def collections(it):
-    """Purpose -> collections of an ControllerCore, without its streams (those are the daemon's)."""
-    module, box, identifiers = it.module, it.outbox, it.identifiers
-    tables, ordered = module.publisher.tables.all, list(box.tables.values())
-    lines = [table.lines for table in ordered] + [
-        book for table in tables for book in (table.want, table.sent)
-    ]
-    proxies, backends = module.proxies, module.backends
-
-    def samples():
-        for part in [*backends, *proxies]:
-            yield from part.samples.rows
+def memory_collections(core):
+    """Lists what a controller's parts store, without its streams (those are the daemon's).
 
-    def lists(*books):
-        return lambda: (item for book in books for item in book.items())
+    Args:
+        core: The MemoryBoundRunner.
 
-    users = [table.proxies for table in ordered]
-    informed = list(box.withdrawn.values())
-    held = [proxy.messages.open for proxy in proxies] + [proxy.messages.written for proxy in proxies]
+    Returns:
+        Purpose -> Collections.
+    """
     return {
-        "tables": [
-            Collection("lines", sum(map(len, lines)), lists(*lines), lines, HANDLES),
-            Collection(
-                "levels",
-                sum(len(table.levels) for table in ordered),
-                lists(*(t.levels for t in ordered)),
-                (),
-                HANDLES,
-            ),
-            Collection(
-                "users",
-                sum(map(len, users)) + len(box.bound),
-                lists(*users, box.bound),
-                [*users, box.bound],
-                HANDLES,
-            ),
-            Collection(
-                "withdrawn",
-                sum(map(len, informed)) + len(module.publisher.removal.withdrawn),
-                lists(*informed, module.publisher.removal.withdrawn),
-                [*informed, box.withdrawn],
-                HANDLES,
-            ),
-        ],
+        "tables": _tables(core),
         "list": [
             Collection(
-                "starts", len(it.start_times), it.start_times.items, [it.start_times, it.state], HANDLES
-            )
-        ],
-        "reports": [
-            Collection(
-                "waiting", len(it.intake.waiting), it.intake.waiting.items, [it.intake.waiting], HANDLES
-            ),
-            Collection(
-                "rounds",
-                sum(len(r.lines) + len(r.spans) for r in it.intake.rounds.values()),
-                lists(*(book for r in it.intake.rounds.values() for book in (r.lines, r.spans))),
-                (),
-                HANDLES,
-            ),
-            Collection(
-                "demand",
-                it.ladder.loss_meter.load_count(),
-                lists(*it.ladder.loss_meter.loads.values()),
-                list(it.ladder.loss_meter.loads.values()),
-                HANDLES,
-            ),
-            Collection(
-                "samples", sum(len(p.samples.rows) for p in (*backends, *proxies)), samples, (), HANDLES
-            ),
-        ],
-        "channel": [
-            Collection("messages", len(it.pacer.queue), lambda: it.pacer.queue, [it.pacer.queue], HANDLES),
-            Collection(
-                "nonces",
-                len(identifiers.nonces) + len(it.stamps),
-                lists(identifiers.nonces, it.stamps),
-                [identifiers.nonces, it.stamps],
-                (i.RequestKind, *STATES),
-            ),
-            Collection(
-                "open", sum(map(len, held)), lambda: (item for book in held for item in book), held, HANDLES
-            ),
-            Collection(
-                "open here", sum(map(len, it.open.values())), lambda: it.open.values(), [it.open], HANDLES
-            ),
-            Collection(
-                "flights",
-                sum(len(sent) for sent, _ in module.publisher.budget.in_flight.by_nonce.values()),
-                lambda: (
-                    item
-                    for sent, _ in module.publisher.budget.in_flight.by_nonce.values()
-                    for item in sent.items()
-                ),
-                [
-                    module.publisher.budget.in_flight.by_nonce,
-                    *(sent for sent, _ in module.publisher.budget.in_flight.by_nonce.values()),
-                ],
+                "starts",
+                len(core.start_times),
+                core.start_times.items,
+                [core.start_times, core.state],
                 HANDLES,
-            ),
-        ],
-        "names": [
-            Collection(
-                "handles",
-                len(identifiers.backends) + len(identifiers.proxies) + len(identifiers.zones),
-                lists(identifiers.backends, identifiers.proxies, identifiers.zones),
-                [identifiers.backends, identifiers.proxies, identifiers.zones],
-                STATES,
-            ),
-            Collection(
-                "actors",
-                len(backends) + len(proxies),
-                lambda: iter([*backends, *proxies]),
-                [backends, proxies],
-                (i.Handle, i.RequestKind),
-                ("context", "samples", "messages", "handle", "table"),
-            ),
+            )
         ],
-        "probes": [Collection("under way", len(it.probing), it.probing.items, [it.probing], HANDLES)],
+        "reports": _reports(core),
+        "channel": _channel(core),
+        "names": _names(core),
+        "probes": [_dict_collection("under way", core.probes_in_flight)],
     }
+
+
+def _items(dicts):
+    """Returns a function that gives the items of all the dicts."""
+    return lambda: (item for one in dicts for item in one.items())
+
+
+def _dict_collection(name, entries):
+    return Collection(name, len(entries), entries.items, [entries], HANDLES)
+
+
+def _total(containers):
+    return sum(len(container) for container in containers)
+
+
+def _tables(core):
+    policy = core.module
+    ordered = list(core.outbox.tables.values())
+    lines = [table.lines for table in ordered]
+    for table in policy.publisher.tables.all:
+        lines += [table.want, table.sent]
+    levels = [table.levels for table in ordered]
+    users = [table.proxies for table in ordered]
+    informed = list(core.outbox.withdrawn.values())
+    withdrawn = policy.publisher.removal.withdrawn
+    bound = core.outbox.bound
+    return [
+        Collection("lines", _total(lines), _items(lines), lines, HANDLES),
+        Collection("levels", _total(levels), _items(levels), (), HANDLES),
+        Collection("users", _total([*users, bound]), _items([*users, bound]), [*users, bound], HANDLES),
+        Collection(
+            "withdrawn",
+            _total([*informed, withdrawn]),
+            _items([*informed, withdrawn]),
+            [*informed, core.outbox.withdrawn],
+            HANDLES,
+        ),
+    ]
+
+
+def _reports(core):
+    rounds = []
+    for open_round in core.intake.rounds.values():
+        rounds += [open_round.reports, open_round.spans]
+    meter = core.ladder.loss_meter
+    loads = list(meter.loads.values())
+    samples = [state.samples.rows for state in (*core.module.backends, *core.module.proxies)]
+    return [
+        _dict_collection("waiting", core.intake.waiting),
+        Collection("rounds", _total(rounds), _items(rounds), (), HANDLES),
+        Collection("demand", meter.load_count(), _items(loads), loads, HANDLES),
+        Collection(
+            "samples", _total(samples), lambda: (row for rows in samples for row in rows), (), HANDLES
+        ),
+    ]
+
+
+def _channel(core):
+    queue = core.pacer.queue
+    nonces = core.identifiers.nonces
+    sent_at = core.nonces.sent_at
+    by_proxy = core.nonces.by_proxy
+    proxies = core.module.proxies
+    unacknowledged = [proxy.messages.open for proxy in proxies]
+    unacknowledged += [proxy.messages.written for proxy in proxies]
+    by_nonce = core.module.publisher.budget.in_flight.by_nonce
+    in_flight = [sent for sent, _ in by_nonce.values()]
+    return [
+        Collection("messages", len(queue), lambda: queue, [queue], HANDLES),
+        Collection(
+            "nonces",
+            len(nonces) + len(sent_at),
+            _items([nonces, sent_at]),
+            [nonces, sent_at],
+            (i.RequestKind, *STATES),
+        ),
+        Collection(
+            "open",
+            _total(unacknowledged),
+            lambda: (item for one in unacknowledged for item in one),
+            unacknowledged,
+            HANDLES,
+        ),
+        Collection("open here", _total(by_proxy.values()), lambda: by_proxy.values(), [by_proxy], HANDLES),
+        Collection("flights", _total(in_flight), _items(in_flight), [by_nonce, *in_flight], HANDLES),
+    ]
+
+
+def _names(core):
+    identifiers = core.identifiers
+    handles = [identifiers.backends, identifiers.proxies, identifiers.zones]
+    backends = core.module.backends
+    proxies = core.module.proxies
+    return [
+        Collection("handles", _total(handles), _items(handles), handles, STATES),
+        Collection(
+            "actors",
+            len(backends) + len(proxies),
+            lambda: iter([*backends, *proxies]),
+            [backends, proxies],
+            (i.Handle, i.RequestKind),
+            COUNTED_ELSEWHERE,
+        ),
+    ]
--- /dev/null
+++ b/embertray/controller/core/nonce_ledger.py
@@ -0,0 +1,92 @@
+"""Which nonces the proxies have not acknowledged yet, without I/O."""
+
+from collections import deque
+from typing import NamedTuple
+
+from embertray.controller.channel.timeouts import NONCE_TIMEOUT_NS
+from embertray.policy import interface as i
+
+
+class Acknowledged(NamedTuple):
+    """A nonce that a proxy has acknowledged.
+
+    Attributes:
+        nonce: The policy's nonce.
+        elapsed: Time since it was ordered, ns.
+    """
+
+    nonce: i.Nonce
+    elapsed: int
+
+
+class NonceLedger:
+    """The open nonces of one controller.
+
+    Args:
+        identifiers: The Identifiers, whose `nonces` are deleted once nobody owes an acknowledgement.
+
+    Attributes:
+        by_proxy: Proxy's name -> deque of ids of the nonces that it has not acknowledged, the oldest first.
+        sent_at: Id of a nonce -> when it was ordered, ns.
+        owed: Id of a nonce -> how many proxies have not acknowledged it.
+    """
+
+    def __init__(self, identifiers):
+        self.by_proxy = {}
+        self.sent_at = {}
+        self.owed = {}
+        self._identifiers = identifiers
+
+    def proxy_joined(self, name):
+        """Begins the account of a proxy."""
+        self.by_proxy[name] = deque()
+
+    def proxy_left(self, name):
+        """Forgets what a proxy owes: it will acknowledge nothing any more."""
+        for nonce_id in self.by_proxy.pop(name, ()):
+            self._release(nonce_id)
+
+    def record_sent(self, now, name, nonce_id):
+        """Records that a proxy is sent a nonce at `now` (ns)."""
+        self.sent_at[nonce_id] = now
+        self.owed[nonce_id] = self.owed.get(nonce_id, 0) + 1
+        self.by_proxy[name].append(nonce_id)
+
+    def acknowledge(self, now, name, nonce_id):
+        """Records that a proxy has applied the message with this nonce, and all before it.
+
+        Args:
+            now: ns.
+            name: The proxy's name.
+            nonce_id: The nonce's id on the wire.
+
+        Returns:
+            Acknowledged, or None if the proxy does not owe this nonce.
+        """
+        open_nonces = self.by_proxy.get(name, ())
+        nonce = self._identifiers.nonces.get(nonce_id)
+        if nonce is None or nonce_id not in open_nonces:
+            return None
+        acknowledged = Acknowledged(nonce, now - self.sent_at[nonce_id])
+        while open_nonces:
+            oldest = open_nonces.popleft()
+            self._release(oldest)
+            if oldest == nonce_id:
+                break
+        return acknowledged
+
+    def overdue_proxies(self, now):
+        """Returns the names of proxies that owe a nonce for over NONCE_TIMEOUT_NS at `now` (ns)."""
+        return [
+            name
+            for name, open_nonces in self.by_proxy.items()
+            if open_nonces and now - self.sent_at[open_nonces[0]] > NONCE_TIMEOUT_NS
+        ]
+
+    def _release(self, nonce_id):
+        """One proxy less owes this nonce; it is forgotten when nobody does."""
+        self.owed[nonce_id] -= 1
+        if not self.owed[nonce_id]:
+            del self.owed[nonce_id]
+            del self.sent_at[nonce_id]
+            del self._identifiers.nonces[nonce_id]
--- a/embertray/controller/report_intake.py
+++ b/embertray/controller/report_intake.py
@@ -1,174 +1,191 @@
-"""Proxies' sums become what the module hears: one line for a zone and backend, and one for a proxy and
-request kind.
+"""Merges the proxies' load reports into the events that the policy receives, at a limited rate, without I/O.
 
-No I/O. The sums of a zone's proxies are gathered until each has reported once, a report cycle at most: their
-counts add up, and the time that they cover counts once, not once a proxy, so that a line's rate is the
-zone's. At most `rate` lines a second get through, the oldest first; what waits is merged exactly: counts,
-latency sums and spans add up, the newest load report stays. With rate 0 all goes through at once.
+The policy gets one event for a zone and backend, and one for a proxy and request kind. The reports of a
+zone's proxies are gathered in a round until each has reported once, for a report cycle at most: their counts
+add up, and the time that they cover counts once, not once a proxy, so that an event's rate is the zone's. At
+most `rate` events a second are released, the oldest first. What waits is merged exactly: counts, latency sums
+and spans add up, and the newest load values stay. With rate 0 everything is released at once.
 """
 
-from embertray.policy import interface as i
+from .pending_reports import PendingArrivals, PendingReport, ReportRound
 
-S = 10**9
-# -- constants: value, unit, reason
-BURST = 0.25  # s of the rate that may come at once: what one beat of the module can use; one line at least
-SILENT = 3  # report cycles after which a proxy that said nothing is not waited for
+NS_PER_SECOND = 10**9
+BURST_SECONDS = 0.25  # of the rate that may be released at once: what one step of the policy can use
+BURST_MIN = 1.0  # events that may be released at once all the same: below one nothing would ever be
+SILENT_CYCLES = 3  # report cycles after which a round no longer waits for a silent proxy
 
 
-class Met:
-    """One line's sums. `span`: ns that they cover."""
+class ReportIntake:
+    """The load reports of one controller's proxies on their way to the policy.
 
-    __slots__ = ("tries", "failed", "latency", "load", "span")
+    Args:
+        rate: Events released a second at most; 0: no limit.
+        now: ns.
+        cycle: The proxies' report cycle, ns.
 
-    def __init__(self):
-        self.tries = self.failed = self.latency = self.span = 0
-        self.load = {}
-
-
-class Came:
-    __slots__ = ("requests", "lost", "span")
-
-    def __init__(self):
-        self.requests = self.lost = self.span = 0
-
-
-class Round:
-    """What a zone's proxies have told since it was opened, each once: proxy -> span, backend -> Met."""
-
-    __slots__ = ("opened", "spans", "lines")
-
-    def __init__(self, now):
-        self.opened, self.spans, self.lines = now, {}, {}
-
-
-class Intake:
-    """Merged lines in the order in which they began to wait. `cycle`: the report cycle, ns."""
+    Attributes:
+        waiting: (backend, zone) -> PendingReport and (proxy, kind) -> PendingArrivals, the oldest first.
+        rounds: Zone -> the open ReportRound.
+        merged: How often something was added to an event that waited already.
+        passed: Events that were released.
+        unknown: Parts of reports that were skipped, since they name what no list had.
+        dropped: Events that were dropped for lack of memory.
+    """
 
     def __init__(self, rate, now=0, cycle=0):
-        self.rate, self.cycle, self.waiting, self.room, self.at = rate, cycle, {}, rate * BURST, now
-        self.rounds, self.heard = {}, {}  # by zone: the open Round; proxy -> when it last told
-        self.merged = self.passed = self.unknown = self.dropped = 0
-
-    def sums(self, now, proxy, zone, message, find_backend, find_kind):
-        """Takes in one Sums message of a proxy; `find_backend` and `find_kind` turn names into objects, or
-        give None for a name that no list had and the site does not have: such a line is skipped and counted.
+        self.rate = rate
+        self.cycle = cycle
+        self.waiting = {}
+        self.rounds = {}
+        self.merged = 0
+        self.passed = 0
+        self.unknown = 0
+        self.dropped = 0
+        self._tokens = rate * BURST_SECONDS  # events that may be released now
+        self._tokens_at = now  # ns
+        self._reported_at = {}  # zone -> proxy -> when it last reported, ns
+
+    def add_report(self, now, proxy, zone, report, find_backend, find_kind):
+        """Takes in a proxy's load report.
+
+        Args:
+            now: ns.
+            proxy: The proxy's handle.
+            zone: The handle of its zone.
+            report: The LoadReport.
+            find_backend: Gives the handle of a backend's name; None: no list had it, its counts are skipped.
+            find_kind: Gives the RequestKind of a name; None: the site has none, its counts are skipped.
         """
-        self.close_late(now)
-        found = self.rounds.get(zone)
-        # its next report: the round is over, whoever is missing
-        if found is not None and proxy in found.spans:
-            self.close(zone)
-            found = None
-        if found is None:
-            found = self.rounds[zone] = Round(now)
-        for met in message.met:
-            if (backend := find_backend(met.backend)) is None:
+        self._close_overdue_rounds(now)
+        self._add_attempts(now, proxy, zone, report, find_backend)
+        self._add_arrivals(proxy, report, find_kind)
+
+    def _add_attempts(self, now, proxy, zone, report, find_backend):
+        current = self._round_for(now, proxy, zone)
+        for totals in report.met:
+            backend = find_backend(totals.backend)
+            if backend is None:
                 self.unknown += 1
                 continue
-            line = found.lines.get(backend)
-            if line is None:
-                line = found.lines[backend] = Met()
-            line.tries += met.tries
-            line.failed += met.failed
-            line.latency += met.latency
-            line.load = met.load or line.load
-        found.spans[proxy] = message.span
-        heard = self.heard.setdefault(zone, {})
-        heard[proxy] = now
-        if len(found.spans) >= len(heard):
-            self.close(zone)
-        for came in message.came:
-            if (known := find_kind(came.kind)) is None:
+            if backend not in current.reports:
+                current.reports[backend] = PendingReport()
+            current.reports[backend].add(totals.tries, totals.failed, totals.latency, totals.load)
+        current.spans[proxy] = report.span
+        reported_at = self._reported_at.setdefault(zone, {})
+        reported_at[proxy] = now
+        if len(current.spans) >= len(reported_at):
+            self._close_round(zone)
+
+    def _round_for(self, now, proxy, zone):
+        """Returns the zone's open round.
+
+        A proxy's second report ends the round, whoever is missing: each report counts once in a round.
+        """
+        if zone in self.rounds and proxy in self.rounds[zone].spans:
+            self._close_round(zone)
+        if zone not in self.rounds:
+            self.rounds[zone] = ReportRound(now)
+        return self.rounds[zone]
+
+    def _add_arrivals(self, proxy, report, find_kind):
+        for totals in report.came:
+            kind = find_kind(totals.kind)
+            if kind is None:
                 self.unknown += 1
-            else:
-                line = self.line((proxy, known), Came)
-                line.requests += came.requests
-                line.lost += came.lost
-                line.span += message.span
-
-    def close(self, zone):
-        """The zone's round becomes lines that wait."""
-        found = self.rounds.pop(zone)
-        span = sum(found.spans.values()) // len(found.spans)
-        for backend, met in found.lines.items():
-            line = self.line((backend, zone), Met)
-            line.tries += met.tries
-            line.failed += met.failed
-            line.latency += met.latency
-            line.load = met.load or line.load
-            line.span += span
-
-    def close_late(self, now):
-        """Rounds that have waited for a cycle are closed; who has been silent for long is not waited for
-        again.
+                continue
+            self._pending((proxy, kind), PendingArrivals).add(totals.requests, totals.lost, report.span)
+
+    def _close_round(self, zone):
+        """Moves the zone's round to the events that wait."""
+        closed = self.rounds.pop(zone)
+        span = closed.mean_span()
+        for backend, report in closed.reports.items():
+            pending = self._pending((backend, zone), PendingReport)
+            pending.add(report.attempts, report.failed, report.latency, report.load)
+            pending.span += span
+
+    def _close_overdue_rounds(self, now):
+        """Closes rounds that have waited for a cycle.
+
+        Against a proxy that falls silent without leaving: its zone's reports would wait for it for ever. It
+        is not waited for again once it has been silent for SILENT_CYCLES, so later rounds close at once.
         """
-        for zone in [zone for zone, found in self.rounds.items() if now - found.opened >= self.cycle]:
-            self.close(zone)
-            self.heard[zone] = {
-                proxy: at for proxy, at in self.heard[zone].items() if now - at <= SILENT * self.cycle
+        overdue = [
+            zone for zone, open_round in self.rounds.items() if now - open_round.opened_at >= self.cycle
+        ]
+        for zone in overdue:
+            self._close_round(zone)
+            self._reported_at[zone] = {
+                proxy: reported_at
+                for proxy, reported_at in self._reported_at[zone].items()
+                if now - reported_at <= SILENT_CYCLES * self.cycle
             }
 
-    def line(self, key, make):
+    def _pending(self, key, pending_type):
         if key in self.waiting:
             self.merged += 1
         else:
-            self.waiting[key] = make()
+            self.waiting[key] = pending_type()
         return self.waiting[key]
 
-    def due(self, now):
-        """Events for the module, as many as have room now."""
-        if self.rate:
-            self.room = min(max(1.0, self.rate * BURST), self.room + (now - self.at) * self.rate / S)
-        self.at = now
-        self.close_late(now)
+    def release_due(self, now):
+        """Releases as many events as the rate allows at `now` (ns).
+
+        Returns:
+            Events for the policy.
+        """
+        self._refill_tokens(now)
+        self._close_overdue_rounds(now)
         events = []
-        while self.waiting and (not self.rate or self.room >= 1):
-            (thing, second), line = next(iter(self.waiting.items()))
-            del self.waiting[(thing, second)]
-            self.room -= 1
-            if isinstance(line, Came):
-                events.append(i.Arrivals(thing, second, line.requests, line.lost, line.span))
-            elif line.tries:
-                done = line.tries - line.failed
-                events.append(
-                    i.Heard(
-                        thing,
-                        second,
-                        line.tries,
-                        line.failed,
-                        line.latency // done if done else 0,
-                        line.span,
-                        line.load,
-                    )
-                )
+        while self.waiting and (not self.rate or self._tokens >= 1):
+            key = next(iter(self.waiting))
+            event = self.waiting.pop(key).event(*key)
+            self._tokens -= 1
+            if event is not None:
+                events.append(event)
         self.passed += len(events)
         return events
 
-    def next_at(self):
-        """When the next line has room or a round is to be closed, ns; None when nothing waits."""
-        late = min((found.opened + self.cycle for found in self.rounds.values()), default=None)
+    def _refill_tokens(self, now):
+        if self.rate:
+            most = max(BURST_MIN, self.rate * BURST_SECONDS)
+            refill = (now - self._tokens_at) * self.rate / NS_PER_SECOND
+            self._tokens = min(most, self._tokens + refill)
+        self._tokens_at = now
+
+    def next_release(self):
+        """Returns when the next event may be released or a round is to be closed, ns; None: nothing waits."""
+        close_at = min((opened.opened_at + self.cycle for opened in self.rounds.values()), default=None)
         if not self.waiting:
-            return late
-        room = (
-            self.at if not self.rate or self.room >= 1 else self.at + int((1 - self.room) * S / self.rate) + 1
-        )
-        return room if late is None else min(room, late)
+            return close_at
+        release_at = self._tokens_at
+        if self.rate and self._tokens < 1:
+            release_at += int((1 - self._tokens) * NS_PER_SECOND / self.rate) + 1
+        return release_at if close_at is None else min(release_at, close_at)
 
-    def backends(self):
-        """Those of whom something waits here."""
-        return {key[0] for key in self.waiting}.union(*(found.lines for found in self.rounds.values()))
+    def waiting_backends(self):
+        """Returns the set of handles that something waits for, backends among them."""
+        in_rounds = (open_round.reports for open_round in self.rounds.values())
+        return {handle for handle, _ in self.waiting}.union(*in_rounds)
 
     def drop_oldest(self, count):
-        """Drops so many of the lines that wait, the oldest first; how many there were."""
-        gone = list(self.waiting)[:count]
-        for key in gone:
+        """Drops the oldest events that wait.
+
+        Args:
+            count: How many at most.
+
+        Returns:
+            How many were dropped.
+        """
+        oldest = list(self.waiting)[:count]
+        for key in oldest:
             del self.waiting[key]
-        self.dropped += len(gone)
-        return len(gone)
+        self.dropped += len(oldest)
+        return len(oldest)
 
-    def left(self, proxy):
-        """What came to a proxy that has left says nothing of what will come."""
+    def proxy_left(self, proxy):
+        """Forgets a proxy's arrivals: they tell nothing of what will come."""
         for key in [key for key in self.waiting if key[0] is proxy]:
             del self.waiting[key]
-        for heard in self.heard.values():
-            heard.pop(proxy, None)
+        for reported_at in self._reported_at.values():
+            reported_at.pop(proxy, None)
--- a/embertray/experiments/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -17,10 +17,10 @@
 class NoAccounts(ControllerCore):
     """Memory is not looked at."""
 
-    def mind(self, now, step):
-        if now >= self.tidy_at:
-            self.tidy_at = now + 10**10
-            self.tidy()
+    def enforce_memory_caps(self, now, step):
+        if now >= self.forget_at:
+            self.forget_at = now + 10**10
+            self.forget_unused()
 
 
 def cpu(way):
@@ -74,8 +74,8 @@
             super().__init__(*rest)
             found["it"] = self
 
-        def mind(self, now, step):
-            super().mind(now, step)
+        def enforce_memory_caps(self, now, step):
+            super().enforce_memory_caps(now, step)
             if now - self.module.context.started_at > 60 * 10**9 and "held" not in found:
                 gc.collect()
                 found["held"] = tracemalloc.get_traced_memory()[0] - found["start"]
@@ -89,6 +89,7 @@
                             "controller/identifiers.py",
                             "controller/channel/*",
                             "controller/report_intake.py",
+                            "controller/pending_reports.py",
                         )
                     ]
                 )
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -52,7 +52,7 @@
             "known": len(trust.backends),
             "refuted": sorted(b for b, k in trust.backends.items() if k.refuted),
             "missing": list(trust.losses.missing),
-            "left_with_their_tables": sorted(service.frontend.held),
+            "left_with_their_tables": sorted(service.frontend.deferred_joins),
             "saves": service.counted["saves"],
             "save_fails": service.counted["save_fails"],
         }
--- a/embertray/service/daemon/inventory.py
+++ b/embertray/service/daemon/inventory.py
@@ -38,7 +38,7 @@
             self.host.counted["list_breaks"] += 1
             wait = self.follower.connection_failed()
             if self.host.site.ask:  # the module decides when to ask again
-                self.host.frontend.hand_on(self.host.clock.now(), "failed", [])
+                self.host.frontend.forward_entries(self.host.clock.now(), "failed", [])
                 self.host.poke()
                 self.calls.clear()
                 self.ask_again = anyio.Event()
@@ -64,7 +64,7 @@
                         continue
                     self.host.counted["list_news"] += 1
                     now = self.host.clock.now()
-                    again = self.host.frontend.news(
+                    again = self.host.frontend.receive_update(
                         now, update.kind, update.epoch, update.inventory_clock, update.entries
                     )
                     self.host.poke()
--- a/embertray/service/daemon/proxies.py
+++ b/embertray/service/daemon/proxies.py
@@ -107,7 +107,7 @@
                     await self.refuse(conn, "-", ProtocolError("hello", "no hello in time"))
                 return
             now = self.host.clock.now()
-            verdict = self.host.frontend.hello(now, session.hello.proxy)
+            verdict = self.host.frontend.admit_proxy(now, session.hello.proxy)
             if verdict:
                 await self.turn_away(conn, verdict)
                 return
@@ -124,7 +124,7 @@
         self.host.counted["joins"] += 1
         conn.put(session.welcome(self.host.me.name, [kind.external_id for kind in self.host.site.kinds]))
         stream.send_buffer.sent(self.host.clock.now(), 0)
-        self.host.frontend.joined(self.host.clock.now(), stream.hello)
+        self.host.frontend.proxy_joined(self.host.clock.now(), stream.hello)
         self.host.poke()
         self.host.log.debug("proxy joined", proxy=stream.name, zone=stream.hello.zone)
         try:
@@ -155,7 +155,7 @@
         now = self.host.clock.now()
         for message in messages:
             if not isinstance(message, Hello):
-                self.host.frontend.take(now, stream.hello, message)
+                self.host.frontend.receive(now, stream.hello, message)
         if messages:
             self.host.poke()
 
@@ -164,7 +164,7 @@
         if self.by_name.get(stream.name) is stream:
             del self.by_name[stream.name]
             self.host.counted["leaves"] += 1
-            self.host.frontend.left(self.host.clock.now(), stream.name)
+            self.host.frontend.proxy_left(self.host.clock.now(), stream.name)
             self.host.poke()
 
     async def refuse(self, conn, name, wrong):
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -76,7 +76,7 @@
         )
         self.core, self.trust, self.admission = frontend.core, frontend.trust, frontend.admission
         self.log.info("started", list=self.trust.describe(now))
-        self.core.more = self.collections
+        self.core.extra_collections = self.collections
         self.began_with = resident()
         listener = await self.net.listen(self.me.listen)
         admin = await self.net.listen(self.me.admin)
@@ -166,12 +166,12 @@
             self.poked = anyio.Event()
             now = self.clock.now()
             step = self.frontend.advance(now)
-            for name, orders in step.leave:
+            for name, orders in step.outgoing:
                 self.proxies.send(now, name, orders)
-            for text in step.said:
+            for text in step.log_lines:
                 self.log.info("decision", says=text)
-            if step.subscribe is not None or step.ask:
-                self.list.asked(step.ask)
+            if step.subscribe is not None or step.poll_list:
+                self.list.asked(step.poll_list)
             self.mind(now, step)
             look = self.proxies.look_after(now)
             times = [t for t in (self.frontend.next_at(), look) if t is not None]
@@ -184,7 +184,7 @@
 
     def mind(self, now, step):
         """What memory asks for, and probes."""
-        if (change := step.change) is not None:
+        if (change := step.level_change) is not None:
             self.log.warning("level of service", old=change.old, new=change.new, why=change.reason)
         for notice in step.notices:
             self.log.warning(
@@ -194,14 +194,14 @@
                 cap=notice.cap,
                 action=notice.action,
             )
-        for name, why in step.cut:
+        for name, why in step.cuts:
             if name in self.streams:
                 self.proxies.end(now, self.streams[name], why)
         if self.cluster and (account := self.core.accounts.by_purpose.get("cluster")):
             account.action_count = self.cluster.close(account.at_cap)
-        if step.relist:
+        if step.refetch_list:
             self.list.asked(True)
-        for backend in step.probe:
+        for backend in step.probes:
             self.group.start_soon(self.probe, backend)
 
     def collections(self):
@@ -256,7 +256,7 @@
             "resident": now,
             "at_start": self.began_with,
             "unaccounted": now - self.began_with - held,
-            "held_back": self.core.held_back,
+            "held_back": self.core.deferred_entries,
         }
 
     async def probe(self, backend):
@@ -268,7 +268,7 @@
                     answered = True
             except (*BROKEN, BadAddress):
                 pass
-        self.core.probed(self.clock.now(), backend, answered)
+        self.core.probe_finished(self.clock.now(), backend, answered)
         self.poke()
 
     def drain(self):
--- a/embertray/service/daemon/snapshots.py
+++ b/embertray/service/daemon/snapshots.py
@@ -20,7 +20,7 @@
             if not self.host.list.connected or not self.host.trust.discovery_answered:
                 continue
             now = self.host.clock.now()
-            snapshot = self.host.frontend.snapshot(now, self.host.kept.clock_reading())
+            snapshot = self.host.frontend.make_snapshot(now, self.host.kept.clock_reading())
             try:
                 if self.host.kept.blocking:
                     await anyio.to_thread.run_sync(self.host.kept.save, snapshot)
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -55,7 +55,7 @@
 class NeverTidies(ControllerCore):
     """A leak on purpose: ids of who is gone for good are kept."""
 
-    def tidy(self):
+    def forget_unused(self):
         pass
 
 
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -71,20 +71,20 @@
             return
         now = self.ran = self.simulation.engine.time
         step = self.frontend.advance(now)
-        if step.change is not None:
-            self.simulation.ladder.append((now, self.name, step.change))
-        for name, orders in step.leave:
+        if step.level_change is not None:
+            self.simulation.ladder.append((now, self.name, step.level_change))
+        for name, orders in step.outgoing:
             if name in self.streams:
                 self.streams[name].on_orders(self, orders)
-        if step.subscribe is not None or step.ask:
-            self.ask_list(step.ask)
-        if step.relist:
+        if step.subscribe is not None or step.poll_list:
+            self.ask_list(step.poll_list)
+        if step.refetch_list:
             self.ask_list(True)
-        for name, _ in step.cut:
+        for name, _ in step.cuts:
             if name in self.streams:
                 self.frontend.admission.record_cut(now, name)
                 self.streams[name].break_stream()
-        for backend in step.probe:
+        for backend in step.probes:
             model = self.simulation.models.get(backend)
             up = model is not None and model.state != "dead"
             self.simulation.engine.after(
@@ -94,34 +94,34 @@
             self.plan(max(later, now))
 
     def probed(self, backend, answered):
-        self.frontend.core.probed(self.simulation.engine.time, backend, answered)
+        self.frontend.core.probe_finished(self.simulation.engine.time, backend, answered)
         self.poke()
 
     # ---- proxies
 
     def join(self, proxy, hello):
         """ns to stay away, or None: it has joined."""
-        verdict = self.frontend.hello(self.simulation.engine.time, proxy.name)
+        verdict = self.frontend.admit_proxy(self.simulation.engine.time, proxy.name)
         if verdict:
             return verdict.retry_after
         if (old := self.streams.get(proxy.name)) is not None and old is not proxy:
             old.break_stream()
         elif old is proxy:
-            self.frontend.left(self.simulation.engine.time, proxy.name)
+            self.frontend.proxy_left(self.simulation.engine.time, proxy.name)
         self.streams[proxy.name] = proxy
-        self.frontend.joined(self.simulation.engine.time, hello)
+        self.frontend.proxy_joined(self.simulation.engine.time, hello)
         self.poke()
         return None
 
     def left(self, proxy):
         if self.streams.get(proxy.name) is proxy:
             del self.streams[proxy.name]
-            self.frontend.left(self.simulation.engine.time, proxy.name)
+            self.frontend.proxy_left(self.simulation.engine.time, proxy.name)
             self.poke()
 
     def take(self, proxy, session, message):
         if self.streams.get(proxy.name) is proxy and proxy.session is session:
-            self.frontend.take(self.simulation.engine.time, session, message)
+            self.frontend.receive(self.simulation.engine.time, session, message)
             self.poke()
 
     # ---- the list
@@ -143,7 +143,7 @@
         self.simulation.inventory.followers.pop(self, None)
         wait = self.follower.connection_failed()
         if self.simulation.site.ask:  # the module decides when to ask again
-            self.frontend.hand_on(self.simulation.engine.time, "failed", [])
+            self.frontend.forward_entries(self.simulation.engine.time, "failed", [])
             self.poke()
         else:
             self.simulation.engine.at(self.simulation.engine.time + wait, self.dial_list)
@@ -161,7 +161,9 @@
         if update.kind is UpdateKind.GAP:
             self.ask_list(True)
             return
-        again = self.frontend.news(now, update.kind, update.epoch, update.inventory_clock, update.entries)
+        again = self.frontend.receive_update(
+            now, update.kind, update.epoch, update.inventory_clock, update.entries
+        )
         self.poke()
         if update.kind is not UpdateKind.FAILED:
             self.plan_save(max(now, self.saved + SNAPSHOT_PERIOD_NS))
@@ -178,6 +180,6 @@
             return
         now, self.save_at = self.simulation.engine.time, None
         if self.line is not None and self.frontend.trust.discovery_answered and not self.frozen:
-            self.kept.save(self.frontend.snapshot(now, self.kept.clock_reading()))
+            self.kept.save(self.frontend.make_snapshot(now, self.kept.clock_reading()))
             self.saved = now
         self.plan_save(now + CONFIRMATION_PERIOD_NS)
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -12,7 +12,9 @@
 
     def advance(self, now):
         step = super().advance(now)
-        step.leave = [(name, replace_do(m, [do for do in m.do if not removes(do)])) for name, m in step.leave]
+        step.outgoing = [
+            (name, replace_do(m, [do for do in m.do if not removes(do)])) for name, m in step.outgoing
+        ]
         return step
 
 
@@ -29,7 +31,7 @@
 
     def advance(self, now):
         step = super().advance(now)
-        step.leave = [
+        step.outgoing = [
             (
                 name,
                 replace_do(
@@ -41,7 +43,7 @@
                     ],
                 ),
             )
-            for name, m in step.leave
+            for name, m in step.outgoing
         ]
         return step
 
@@ -51,7 +53,7 @@
 
     def advance(self, now):
         step = super().advance(now)
-        step.leave = [
+        step.outgoing = [
             (
                 name,
                 replace_do(
@@ -64,7 +66,7 @@
                     ],
                 ),
             )
-            for name, m in step.leave
+            for name, m in step.outgoing
         ]
         return step
 
@@ -83,7 +85,7 @@
             for backend in self.identifiers.backends.values()
             if backend.actor and backend.actor.started > 0
         }
-        step.leave = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.leave]
+        step.outgoing = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.outgoing]
         return step
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -233,7 +233,7 @@
         self.assertIsNone(await mute.until(Fault, answer=False))
         self.assertEqual(room.service.counted["cuts"], 1)
         self.assertTrue(60 < room.clock.now() / S - START < 80)
-        self.assertEqual((room.service.core.refs, room.service.core.identifiers.nonces), ({}, {}))
+        self.assertEqual((room.service.core.nonces.owed, room.service.core.identifiers.nonces), ({}, {}))
 
     @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
     @given(
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -25,7 +25,7 @@
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, RequestFailed, WatchEvent
 from embertray.controller.identifiers import Identifiers
-from embertray.controller.report_intake import Intake
+from embertray.controller.report_intake import ReportIntake
 from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import (
@@ -319,7 +319,7 @@
 
 class Reports(unittest.TestCase):
     def test_merging_loses_no_count_and_the_oldest_goes_first(self):
-        identifiers, intake = Identifiers(), Intake(4.0)
+        identifiers, intake = Identifiers(), ReportIntake(4.0)
         proxy, zone, kind = (
             identifiers.proxy("p"),
             identifiers.zone("z"),
@@ -329,7 +329,7 @@
             now = (n + 1) * S // 100
             for name in "ab":
                 identifiers.backend(name)
-            intake.sums(
+            intake.add_report(
                 now,
                 proxy,
                 zone,
@@ -342,8 +342,8 @@
                 {"view": kind}.get,
             )
         events, at = [], 0
-        while (at := intake.next_at()) is not None:
-            events += intake.due(at)
+        while (at := intake.next_release()) is not None:
+            events += intake.release_due(at)
         self.assertEqual([type(e).__name__ for e in events], ["Heard", "Heard", "Arrivals"])
         self.assertEqual(
             (events[0].tries, events[0].failed, events[0].latency, events[0].load["busy"]), (12, 3, 100, 1.0)
@@ -352,13 +352,13 @@
 
     def test_the_time_that_a_zone_s_proxies_cover_counts_once(self):
         """Three proxies at their own phases: tries over spans is the zone's rate, and a cycle is one line."""
-        identifiers, intake, events = Identifiers(), Intake(0.0, 0, S), []
+        identifiers, intake, events = Identifiers(), ReportIntake(0.0, 0, S), []
         zone = identifiers.zone("z")
         for tenth in range(100):
             now = tenth * S // 10
             for n in range(3):
                 if tenth % 10 == n * 2:
-                    intake.sums(
+                    intake.add_report(
                         now,
                         identifiers.proxy(f"p{n}"),
                         zone,
@@ -366,19 +366,19 @@
                         identifiers.backend,
                         {}.get,
                     )
-            events += intake.due(now)
-        events += intake.due(20 * S)
+            events += intake.release_due(now)
+        events += intake.release_due(20 * S)
         self.assertEqual((sum(e.tries for e in events), sum(e.failed for e in events)), (300, 30))
         self.assertEqual(len(events), 11)  # the first round knew one proxy only
         late = events[1:-1]
         self.assertAlmostEqual(sum(e.tries for e in late) * S / sum(e.span for e in late), 30)
 
     def test_nobody_is_waited_for_longer_than_a_cycle_nor_again_once_silent(self):
-        identifiers, intake = Identifiers(), Intake(0.0, 0, S)
+        identifiers, intake = Identifiers(), ReportIntake(0.0, 0, S)
         zone, at = identifiers.zone("z"), []
 
         def tell(now, name):
-            intake.sums(
+            intake.add_report(
                 now,
                 identifiers.proxy(name),
                 zone,
@@ -389,15 +389,15 @@
 
         for name in "pq":
             tell(0, name)
-        self.assertEqual(len(intake.due(0)), 1)
+        self.assertEqual(len(intake.release_due(0)), 1)
         for cycle in range(1, 8):  # q says nothing any more
             tell(cycle * S, "p")
             for tenth in range(10):
                 now = cycle * S + tenth * S // 10
-                at += [now] * len(intake.due(now))
+                at += [now] * len(intake.release_due(now))
         self.assertEqual(at, [n * S for n in range(1, 8)])
         self.assertEqual(
-            (intake.rounds, intake.next_at()), ({}, None)
+            (intake.rounds, intake.next_release()), ({}, None)
         )  # the last closed at once: nobody else is there
 
     @settings(max_examples=60, deadline=None, derandomize=True)
@@ -409,10 +409,10 @@
         st.sampled_from([0.0, 3.0, 50.0]),
     )
     def test_no_try_is_lost_or_counted_twice(self, told, rate):
-        identifiers, intake, events, now = Identifiers(), Intake(rate, 0, S), [], 0
+        identifiers, intake, events, now = Identifiers(), ReportIntake(rate, 0, S), [], 0
         for gap, proxy, backend, tries in told:
             now += gap * S // 100
-            intake.sums(
+            intake.add_report(
                 now,
                 identifiers.proxy(f"p{proxy}"),
                 identifiers.zone(f"z{proxy % 2}"),
@@ -420,10 +420,10 @@
                 identifiers.backend,
                 {"view": "view"}.get,
             )
-            events += intake.due(now)
-        while (at := intake.next_at()) is not None:
+            events += intake.release_due(now)
+        while (at := intake.next_release()) is not None:
             now = max(now, at)
-            events += intake.due(now)
+            events += intake.release_due(now)
         heard = [e for e in events if isinstance(e, i.Heard)]
         self.assertEqual(sum(e.tries for e in heard), sum(t[3] for t in told))
         self.assertEqual(sum(e.failed for e in heard), len(told))
@@ -432,8 +432,8 @@
         )
 
     def test_lines_a_second(self):
-        identifiers, intake = Identifiers(), Intake(10.0)
-        intake.sums(
+        identifiers, intake = Identifiers(), ReportIntake(10.0)
+        intake.add_report(
             0,
             identifiers.proxy("p"),
             identifiers.zone("z"),
@@ -441,7 +441,7 @@
             identifiers.backend,
             {}.get,
         )
-        count = sum(len(intake.due(t * S // 100)) for t in range(201))
+        count = sum(len(intake.release_due(t * S // 100)) for t in range(201))
         self.assertTrue(20 <= count <= 23, count)
 
 
