--- a/embertray/experiments/measure/timed.py
+++ b/embertray/experiments/measure/timed.py
@@ -15,7 +15,7 @@
 from embertray.common.snapshots import InMemorySnapshots
 from embertray.controller.stream.session import ControllerSession
 from embertray.policy import Controller
-from embertray.service.daemon import proxies as streams
+from embertray.service.daemon import proxy_streams
 from embertray.service.daemon.service import Service
 from embertray.service.site import load
 from embertray.simulation.scenarios.player import quiet
@@ -60,7 +60,7 @@
 def main():
     spent, site = Spent(), load(sys.argv[1])
     Controller.step = spent.timing("module", Controller.step)
-    streams.encode = spent.timing("codec", streams.encode)
+    proxy_streams.encode = spent.timing("codec", proxy_streams.encode)
     ControllerSession.receive = spent.timing("codec", ControllerSession.receive)
     anyio.run(run, site, sys.argv[2], backend_options={"use_uvloop": True})
     used = resource.getrusage(resource.RUSAGE_SELF)
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -53,8 +53,8 @@
             "refuted": sorted(b for b, k in trust.backends.items() if k.refuted),
             "missing": list(trust.losses.missing),
             "left_with_their_tables": sorted(service.frontend.deferred_joins),
-            "saves": service.counted["saves"],
-            "save_fails": service.counted["save_fails"],
+            "saves": service.counters.saves,
+            "save_fails": service.counters.save_fails,
         }
     )
 
@@ -119,7 +119,7 @@
     row("lost_credit_share", "gauge", "NaN" if it.ladder.lost is None else round(it.ladder.lost, 4))
     row("report_lines_unknown_total", "counter", it.intake.unknown)
     row("report_lines_dropped_total", "counter", it.intake.dropped)
-    for name, count in service.counted.items():
+    for name, count in service.counters.by_name().items():
         row(f"{name}_total", "counter", count)
     for code, count in sorted(service.faults.items()):
         row("faults_total", "counter", count, f'{{code="{code}"}}')
@@ -229,7 +229,7 @@
             acts[name](values[0])
     except ValueError as wrong:
         return text(f"{wrong}\n", 400)
-    service.poke()
+    service.wake()
     return level(service, query)
 
 
@@ -238,7 +238,7 @@
         service.core.pacer.set_pace(service.clock.now(), float(query.get("share", [""])[0]))
     except ValueError:
         return text("share: a number over 0 and 1 at most is wanted\n", 400)
-    service.poke()
+    service.wake()
     return text(f"pace {service.core.pacer.pace}\n")
 
 
--- a/embertray/service/daemon/__init__.py
+++ b/embertray/service/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The running controller: task groups round the core, its streams, its list, its operators' HTTP."""
+"""The running controller: tasks for its steps, its proxies' streams, its endpoint list and its HTTP."""
 
 from .service import Service
 
--- /dev/null
+++ b/embertray/service/daemon/exceptions.py
@@ -0,0 +1,6 @@
+"""Errors by which the daemon learns that a connection is gone."""
+
+import anyio
+
+# What reading, writing or dialling raises when the peer or the network ends a connection.
+CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
--- /dev/null
+++ b/embertray/service/daemon/optional_tasks.py
@@ -0,0 +1,65 @@
+"""The cluster's and the control plane's tasks, on sites that have them. Neither may end what proxies need.
+
+Their packages are imported here, when they run: a site without them does not pay for their code.
+"""
+
+import msgspec
+
+FACTS_KEY = "facts"  # of the gossiped facts; other processes read it
+ALONE = "this process goes on alone"
+
+
+async def run_cluster(service):
+    """Takes part in the cluster until the service stops.
+
+    It ends the process when a younger process has its name. Any other end or error is logged only: proxies
+    are served without the cluster, too.
+
+    Args:
+        service: The Service, whose `cluster` is set.
+    """
+    from embertray.cluster.link import ClusterLink
+
+    site = service.site
+    peers = [controller.cluster for controller in site.controllers if controller.name != service.me.name]
+    service.cluster = ClusterLink(
+        site.cluster, service.me, peers, service.clock, service.seed, lambda: _facts(service), service.log
+    )
+    try:
+        reason = await service.cluster.run()
+    except OSError as error:
+        service.log.error(f"the cluster's address can't be used; {ALONE}", why=str(error))
+        return
+    except Exception as error:  # a fault of the cluster's code must not cancel the proxies' streams
+        service.log.error(f"the cluster failed; {ALONE}", exc_info=error)
+        return
+    if not service.stopping.is_set():
+        service.log.error("ended", why=reason)
+        service.stop()
+
+
+async def follow_control(service):
+    """Follows the control plane until the service stops.
+
+    Args:
+        service: The Service, whose `control` is set.
+    """
+    from .control import subscriber_client
+
+    service.control = subscriber_client(
+        service.site, service.me, service.clock, service.net, service.seed, service.log
+    )
+    try:
+        await service.control.run()
+    except Exception as error:  # a fault of the control plane's code must not cancel the proxies' streams
+        service.log.error(f"following the control plane failed; {ALONE}", exc_info=error)
+
+
+def _facts(service):
+    """What the other members get to know of this controller: key -> bytes."""
+    facts = {
+        "proxies": len(service.streams),
+        "list": service.trust.epoch,
+        "draining": service.admission.draining is not None,
+    }
+    return {FACTS_KEY: msgspec.json.encode(facts)}
--- /dev/null
+++ b/embertray/service/daemon/proxy_stream.py
@@ -0,0 +1,51 @@
+"""The stream of one proxy that has joined."""
+
+import anyio
+
+from embertray.common.framing import frame
+from embertray.controller.channel.send_buffer import SendBuffer
+from embertray.controller.stream.messages import Fault, encode
+
+CLOSED_BY_PEER = "closed by the peer"
+
+
+class ProxyStream:
+    """A joined proxy's stream.
+
+    Args:
+        conn: The Conn.
+        session: The ControllerSession, which has received the Hello.
+
+    Attributes:
+        send_buffer: The SendBuffer: what the transport has not taken.
+        hello: The proxy's Hello.
+        scope: Cancelled when the stream is cut.
+        end_reason: Why it ended, for the log.
+    """
+
+    def __init__(self, conn, session):
+        self.conn = conn
+        self.session = session
+        self.send_buffer = SendBuffer()
+        self.hello = session.hello
+        self.scope = anyio.CancelScope()
+        self.end_reason = CLOSED_BY_PEER
+        conn.on_taken = self.send_buffer.taken
+
+    @property
+    def name(self):
+        """The proxy's name."""
+        return self.hello.proxy
+
+    def cut(self, reason, code=None):
+        """Ends the stream.
+
+        Args:
+            reason: Why, for the log and the peer.
+            code: Code of the Fault that the peer is sent, as far as it takes it at once; None: none is sent.
+        """
+        self.end_reason = reason
+        if code:
+            self.conn.put(frame(encode(Fault(code, reason))))
+            self.send_buffer.sent(0, 0)
+        self.scope.cancel()
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -142,7 +142,7 @@
         self.assertEqual((await first.until(Fault)).code, "replaced")
         self.assertEqual([type(do) for do in (await second.until(Orders)).do], [Bind])
         await anyio.sleep(3)
-        self.assertEqual((len(room.service.streams), room.service.counted["leaves"]), (1, 1))
+        self.assertEqual((len(room.service.streams), room.service.counters.leaves), (1, 1))
 
     @virtual
     async def test_each_bad_peer_gets_one_clear_error_and_nobody_else_is_touched(self, room):
@@ -204,7 +204,7 @@
             self.assertIsNotNone(await quick.until(Orders))
             await anyio.sleep(1.5)
         await anyio.sleep(UNSENT_AGE_MAX_NS / 1e9)
-        self.assertEqual((room.service.counted["cuts"], list(room.service.streams)), (1, ["quick"]))
+        self.assertEqual((room.service.counters.cuts, list(room.service.streams)), (1, ["quick"]))
         self.assertIsNotNone(slow)
         again = await room.peer("slow")
         fault = await again.until((Fault, Welcome))
@@ -231,7 +231,7 @@
     async def test_one_that_reads_but_answers_no_mark_is_cut_in_the_end(self, room):
         mute = await room.peer("mute")
         self.assertIsNone(await mute.until(Fault, answer=False))
-        self.assertEqual(room.service.counted["cuts"], 1)
+        self.assertEqual(room.service.counters.cuts, 1)
         self.assertTrue(60 < room.clock.now() / S - START < 80)
         self.assertEqual((room.service.core.nonces.owed, room.service.core.identifiers.nonces), ({}, {}))
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -184,8 +184,8 @@
     async def test_the_channel_cuts_the_proxy_with_the_most_lines_waiting(self, room):
         peers = [await room.peer(f"p{n}") for n in range(30)]
         await anyio.sleep(6)
-        self.assertGreater(room.service.counted["cuts"], 0)
-        self.assertLess(room.service.counted["cuts"], 30)
+        self.assertGreater(room.service.counters.cuts, 0)
+        self.assertLess(room.service.counters.cuts, 30)
         self.assertEqual(len(peers), 30)
 
     @virtual
