--- a/embertray/cli/operators.py
+++ b/embertray/cli/operators.py
@@ -3,16 +3,16 @@
 import anyio
 
 from embertray.common.net.tcp import TcpNet
-from embertray.service.admin.client import ask
+from embertray.service.admin.client import send_request
 
 
 async def asked(address, method, path):
     """(status, body) of one request at the operators' address."""
     with anyio.fail_after(5):
-        return await ask(TcpNet(), address, method, path)
+        return await send_request(TcpNet(), address, method, path)
 
 
 async def page(address, path):
     """The body of one operators' page."""
     with anyio.fail_after(5):
-        return (await ask(TcpNet(), address, "GET", path))[1]
+        return (await send_request(TcpNet(), address, "GET", path))[1]
--- a/embertray/service/daemon/exceptions.py
+++ b/embertray/common/net/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors by which the daemon learns that a connection is gone."""
+"""Errors of the transports."""
 
 import anyio
 
--- a/embertray/service/admin/client.py
+++ b/embertray/service/admin/client.py
@@ -1,29 +1,45 @@
-"""The other end of the operators' HTTP: one request, for the command line and for days."""
+"""Sends one request to the operators' HTTP, for the command line and for simulated days."""
 
 import anyio
 import h11
 
 
-async def ask(net, address, method, target):
-    """(status, body) of one request. Raises OSError when nobody listens, h11.RemoteProtocolError on a bad
-    answer.
+async def send_request(net, address, method, target):
+    """Sends a request on a connection of its own.
+
+    Args:
+        net: Has dial, as TcpNet.
+        address: The operators' address.
+        method: GET or POST.
+        target: Path and query.
+
+    Returns:
+        (status, body).
+
+    Raises:
+        OSError: Nobody listens.
+        h11.RemoteProtocolError: The response is malformed.
     """
-    conn, body, status = h11.Connection(h11.CLIENT), b"", 0
+    connection = h11.Connection(h11.CLIENT)
+    status = 0
+    body = b""
     async with await net.dial(address) as stream:
-        await stream.send(
-            conn.send(h11.Request(method=method, target=target, headers=[("Host", "admin")]))
-            + conn.send(h11.EndOfMessage())
-        )
+        request = h11.Request(method=method, target=target, headers=[("Host", "admin")])
+        await stream.send(connection.send(request) + connection.send(h11.EndOfMessage()))
         while True:
-            event = conn.next_event()
+            event = connection.next_event()
             if event is h11.NEED_DATA:
-                try:
-                    conn.receive_data(await stream.receive())
-                except anyio.EndOfStream:
-                    conn.receive_data(b"")
+                connection.receive_data(await _receive(stream))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             else:
                 return status, body
+
+
+async def _receive(stream):
+    try:
+        return await stream.receive()
+    except anyio.EndOfStream:
+        return b""  # h11's mark of the end
--- a/embertray/service/admin/server.py
+++ b/embertray/service/admin/server.py
@@ -1,79 +1,132 @@
-"""One HTTP/1.1 request a connection, by h11: read with limits, answered, closed."""
+"""Serves one HTTP/1.1 request a connection, with h11: read within limits, answered, closed."""
 
 import inspect
+from contextlib import suppress
+from typing import NamedTuple
 
 import anyio
 import h11
+import msgspec
 
-BODY, HEAD_WITHIN = 4096, 5  # bytes, s: no request is larger or takes longer, unless its server says so
+from embertray.common.net.exceptions import CONNECTION_ERRORS
 
+BODY_MAX_BYTES = 4096  # of a request's head, and of its body unless the server says so
+TIMEOUT_S = 5  # for reading the request, and for writing the response
 
-async def serve_request(stream, answer, body_most=BODY):
-    """Answers one request by answer(request, body) -> (status, content type, body), which may be a coroutine.
-    A malformed one gets 400 and one line."""
-    conn = h11.Connection(h11.SERVER, max_incomplete_event_size=BODY)
+JSON = "application/json"
+PLAIN = "text/plain"
+PLAIN_UTF8 = "text/plain; charset=utf-8"
+BAD_REQUEST = 400
+
+
+class Response(NamedTuple):
+    """An HTTP response.
+
+    Attributes:
+        status: The status code.
+        content_type: Value of its Content-Type header.
+        body: Bytes.
+    """
+
+    status: int
+    content_type: str
+    body: bytes
+
+
+def text(body, status=200):
+    """Returns a Response in plain text."""
+    return Response(status, PLAIN_UTF8, body.encode())
+
+
+def json_response(content):
+    """Returns a Response with a JSON document."""
+    return Response(200, JSON, msgspec.json.encode(content) + b"\n")
+
+
+async def serve_request(stream, answer, body_max=BODY_MAX_BYTES):
+    """Answers one request and closes the stream.
+
+    A malformed request gets status 400 and one line. A peer that closes or hangs costs its own connection
+    only: it is closed without a word, at the latest after TIMEOUT_S for each direction.
+
+    Args:
+        stream: The byte stream.
+        answer: A function (request, body) -> Response, or a coroutine function of that kind.
+        body_max: Most bytes of the request's body.
+    """
+    connection = h11.Connection(h11.SERVER, max_incomplete_event_size=BODY_MAX_BYTES)
     async with stream:
         try:
-            found = None
-            with anyio.move_on_after(HEAD_WITHIN):
-                found = await read_request(conn, stream, body_most)
-            if found:
-                said = answer(*found)
-                if inspect.isawaitable(said):
-                    said = await said
-                with anyio.move_on_after(HEAD_WITHIN):
-                    await reply(conn, stream, *said)
-        except h11.RemoteProtocolError as wrong:
-            await refuse(conn, stream, wrong)
-        except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            pass
-
-
-async def read_request(conn, stream, body_most):
-    """(h11.Request, body), or None if the connection ends before. Raises h11.RemoteProtocolError."""
-    request, body = None, bytearray()
+            await _answer_request(connection, stream, answer, body_max)
+        except h11.RemoteProtocolError as error:
+            await _send_bad_request(connection, stream, error)
+        except CONNECTION_ERRORS:
+            pass  # nobody is there any more to be answered
+
+
+async def _answer_request(connection, stream, answer, body_max):
+    request = None
+    with anyio.move_on_after(TIMEOUT_S):
+        request = await _read_request(connection, stream, body_max)
+    if not request:
+        return
+    response = answer(*request)
+    if inspect.isawaitable(response):
+        response = await response
+    with anyio.move_on_after(TIMEOUT_S):
+        await _send_response(connection, stream, Response(*response))
+
+
+async def _read_request(connection, stream, body_max):
+    """Reads a request.
+
+    Returns:
+        (h11.Request, body), or None if the connection ends before.
+
+    Raises:
+        h11.RemoteProtocolError: It is malformed or too large.
+    """
+    request = None
+    body = bytearray()
     while True:
-        event = conn.next_event()
+        event = connection.next_event()
         if event is h11.NEED_DATA:
-            try:
-                data = await stream.receive()
-            except anyio.EndOfStream:
-                data = b""
-            conn.receive_data(data)
+            connection.receive_data(await _receive(stream))
         elif isinstance(event, h11.Request):
             request = event
         elif isinstance(event, h11.Data):
             body += event.data
-            if len(body) > body_most:
-                raise h11.RemoteProtocolError(f"a body of over {body_most} bytes")
+            if len(body) > body_max:
+                raise h11.RemoteProtocolError(f"a body of over {body_max} bytes")
         elif isinstance(event, h11.EndOfMessage):
             return request, bytes(body)
         else:
             return None
 
 
-async def refuse(conn, stream, wrong):
-    """Says what is wrong with a request, if it can still be said."""
+async def _receive(stream):
     try:
-        with anyio.move_on_after(HEAD_WITHIN):
-            await reply(conn, stream, 400, "text/plain", f"{wrong}\n".encode())
-    except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-        pass
+        return await stream.receive()
+    except anyio.EndOfStream:
+        return b""  # h11's mark of the end
 
 
-async def reply(conn, stream, status, kind, body):
-    """Sends a whole answer, unless one was begun."""
-    if conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-        return
-    data = conn.send(
-        h11.Response(
-            status_code=status,
-            headers=[("Content-Type", kind), ("Content-Length", str(len(body))), ("Connection", "close")],
-        )
-    )
-    await stream.send(data + conn.send(h11.Data(data=body)) + (conn.send(h11.EndOfMessage()) or b""))
+async def _send_bad_request(connection, stream, error):
+    """Sends what is wrong with a request, if the peer still takes it."""
+    with suppress(*CONNECTION_ERRORS), anyio.move_on_after(TIMEOUT_S):
+        await _send_response(connection, stream, Response(BAD_REQUEST, PLAIN, f"{error}\n".encode()))
 
 
-def text(body, status=200):
-    """A plain answer."""
-    return status, "text/plain; charset=utf-8", body.encode()
+async def _send_response(connection, stream, response):
+    """Sends a complete Response, unless one was begun."""
+    if connection.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+        return
+    headers = [
+        ("Content-Type", response.content_type),
+        ("Content-Length", str(len(response.body))),
+        ("Connection", "close"),
+    ]
+    data = connection.send(h11.Response(status_code=response.status, headers=headers))
+    data += connection.send(h11.Data(data=response.body))
+    data += connection.send(h11.EndOfMessage()) or b""
+    await stream.send(data)
--- a/embertray/service/daemon/endpoint_list_client.py
+++ b/embertray/service/daemon/endpoint_list_client.py
@@ -4,11 +4,10 @@
 import msgspec
 
 from embertray.common.framing import BadFrame, Splitter, frame
+from embertray.common.net.exceptions import CONNECTION_ERRORS
 from embertray.controller.endpoint_list import EndpointListFollower, UpdateKind
 from embertray.controller.endpoint_list.messages import decode_response, encode as encode_request
 
-from .exceptions import CONNECTION_ERRORS
-
 NS_PER_SECOND = 10**9
 TIMEOUT_CHECK_PERIOD_NS = 1 * NS_PER_SECOND
 
--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -6,12 +6,12 @@
 
 from embertray.common.framing import frame
 from embertray.common.net.conn import Conn
+from embertray.common.net.exceptions import CONNECTION_ERRORS
 from embertray.controller.channel.admission import HANDSHAKE_TIMEOUT_NS
 from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.messages import Fault, Hello, encode
 from embertray.controller.stream.session import ControllerSession
 
-from .exceptions import CONNECTION_ERRORS
 from .proxy_stream import ProxyStream
 
 NS_PER_SECOND = 10**9
--- a/embertray/service/daemon/step_loop.py
+++ b/embertray/service/daemon/step_loop.py
@@ -3,10 +3,9 @@
 import anyio
 
 from embertray.common.net.address import BadAddress
+from embertray.common.net.exceptions import CONNECTION_ERRORS
 from embertray.controller.channel.timeouts import PROBE_TIMEOUT_NS
 
-from .exceptions import CONNECTION_ERRORS
-
 NS_PER_SECOND = 10**9
 
 
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -20,7 +20,7 @@
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import InMemorySnapshots
 from embertray.controller.core import ControllerCore
-from embertray.service.admin.client import ask
+from embertray.service.admin.client import send_request
 from embertray.service.daemon import Service
 from embertray.service.site import load
 from embertray.service.site.site import HERE as SITES
@@ -214,7 +214,7 @@
                 address = await churn.prepare(group, where)
 
                 async def look():
-                    return json.loads((await ask(churn.net, churn.admin, "GET", "/memory"))[1])
+                    return json.loads((await send_request(churn.net, churn.admin, "GET", "/memory"))[1])
 
                 try:
                     await churn.play(group, address, look)
--- a/embertray/simulation/processes/watch.py
+++ b/embertray/simulation/processes/watch.py
@@ -7,7 +7,7 @@
 import msgspec
 from prometheus_client.parser import text_string_to_metric_families as families
 
-from embertray.service.admin.client import ask
+from embertray.service.admin.client import send_request
 from embertray.simulation.standins.parts import BROKEN
 
 S = 10**9
@@ -43,7 +43,7 @@
         """A body, or None: it is down, starting or standing still."""
         with anyio.move_on_after(WITHIN):
             try:
-                code, body = await ask(self.net, self.held.admin(name), "GET", page)
+                code, body = await send_request(self.net, self.held.admin(name), "GET", page)
                 return body if code == 200 else None
             except (*BROKEN, ValueError, h11.RemoteProtocolError):
                 return None  # it went while it answered
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -17,7 +17,7 @@
 
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.service.admin.client import ask
+from embertray.service.admin.client import send_request
 from embertray.service.site.site import time as span
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.standins.backend import StandinBackend
@@ -142,7 +142,7 @@
 
     async def admin(self, name, method, target):
         """(status, body) of one request at a controller's operators' address, over its socket."""
-        return await ask(self.net, self.held.admin(name), method, target)
+        return await send_request(self.net, self.held.admin(name), method, target)
 
 
 def quiet():
