--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -11,7 +11,7 @@
 import click
 
 from embertray.common.net.address import BadAddress, loopback
-from embertray.service.site import BadSite, load as load_site
+from embertray.service.site import SiteError, load as load_site
 
 from .standin import Bad
 
@@ -167,13 +167,13 @@
 
 
 def _replica_of(site, name):
-    """(Control, ReplicaAt). Raises Bad."""
+    """(Control, SiteReplica). Raises Bad."""
     try:
         control_site = load_site(site).control
         if control_site is None:
-            raise BadSite(f"{site}: the site has no <control>")
+            raise SiteError(f"{site}: the site has no <control>")
         return control_site, control_site.replica(name)
-    except BadSite as wrong:
+    except SiteError as wrong:
         raise Bad(str(wrong)) from None
 
 
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -13,7 +13,7 @@
 from embertray.common.memory.collector import COLLECTOR_THRESHOLDS
 from embertray.common.net.address import BadAddress
 from embertray.controller.channel.budget import channel_budget
-from embertray.service.site import BadSite, load as load_site
+from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.emulator.play import play as play_emulated
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.scenarios import notation, player
@@ -59,7 +59,7 @@
     description = read_site(site)
     try:
         me = description.controller(name or description.controllers[0].name)
-    except BadSite as wrong:
+    except SiteError as wrong:
         raise Bad(str(wrong)) from None
     gc.freeze()  # what was imported lives as long as we do
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
@@ -119,7 +119,7 @@
         description = read_site(site)
         try:
             admin = description.controller(name or description.controllers[0].name).admin
-        except BadSite as wrong:
+        except SiteError as wrong:
             raise Bad(str(wrong)) from None
     try:
         held = json.loads(anyio.run(page, admin, "/memory"))
@@ -214,7 +214,7 @@
             result = play_emulated(script, seed, "flows" if mode == "flows" else "reqs", progress=show)
         else:
             result = player.play(script, mode, seed, show, alone=alone, logs=logs)
-    except (notation.BadDay, BadSite) as wrong:
+    except (notation.BadDay, SiteError) as wrong:
         raise Bad(str(wrong)) from None
     found = result.as_json()
     if as_json:
@@ -252,5 +252,5 @@
 def read_site(path):
     try:
         return load_site(path)
-    except BadSite as wrong:
+    except SiteError as wrong:
         raise Bad(str(wrong)) from None
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -8,7 +8,7 @@
 from embertray.common.net.address import BadAddress
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.service.site import BadSite, load as load_site
+from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.models.backend import Backend, Shape
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.standins.backend import StandinBackend
@@ -109,7 +109,7 @@
     """A plain proxy of SITE.xml with clients of its own; tells what they got each second."""
     try:
         description = load_site(site)
-    except BadSite as wrong:
+    except SiteError as wrong:
         raise Bad(str(wrong)) from None
 
     async def main():
--- a/embertray/controller/core/memory_bound_runner.py
+++ b/embertray/controller/core/memory_bound_runner.py
@@ -53,7 +53,7 @@
 
         Args:
             site: The Site.
-            me: Its ControllerAt that this is.
+            me: Its SiteController that this is.
             seed: For the policy's random numbers.
             now: ns.
             chance: A function that gives numbers from 0 to 1.
--- a/embertray/experiments/lab/hunt.py
+++ b/embertray/experiments/lab/hunt.py
@@ -6,7 +6,7 @@
 import numpy as np
 
 from embertray.service.site import load as load_site
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.emulator.play import play as play_emulated
 from embertray.simulation.scenarios import notation, player
 
--- a/embertray/experiments/measure/capacity/picks.py
+++ b/embertray/experiments/measure/capacity/picks.py
@@ -7,7 +7,7 @@
 from embertray.controller.stream.messages import Bind, Line, Orders
 from embertray.experiments.measure.fleet import part
 from embertray.service.site import load
-from embertray.service.site.site import HERE
+from embertray.service.site.schema import SITE_FOLDER
 from embertray.simulation.models.proxy import Proxy
 
 PICKS, CHANGES = 5000, 300  # counted; picks right after a changed line
@@ -15,7 +15,7 @@
 
 
 def proxy(picks, lines):
-    site = load(HERE / "samples" / "pushed.xml").at(picks=picks)
+    site = load(SITE_FOLDER / "samples" / "pushed.xml").at(picks=picks)
     made = Proxy(site, np.random.default_rng(1))
     made.apply(Orders(0, 0, [Bind(1, [(f"b{number}", 1.0 + number % 7) for number in range(lines)])]))
     return made
--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -24,7 +24,7 @@
     Orders,
 )
 from embertray.controller.stream.session import ProxySession
-from embertray.service.site.made import describe
+from embertray.service.site.sample_site import write_sample_site
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.parts import BROKEN, Agenda
 
@@ -94,7 +94,11 @@
                     sys.executable,
                     "-m",
                     "embertray.experiments.measure.timed",
-                    str(describe(folder, inventory.address, **{"backends": max(500, backends)} | changes)),
+                    str(
+                        write_sample_site(
+                            folder, inventory.address, **{"backends": max(500, backends)} | changes
+                        )
+                    ),
                     "c1",
                 ],
                 stdout=subprocess.PIPE,
--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -4,7 +4,7 @@
 
 from embertray.cluster.link import ClusterLink
 from embertray.common.net.clock import LoopClock
-from embertray.service.site.site import Cluster
+from embertray.service.site import ClusterSettings
 
 from .meter import Counters
 
@@ -26,7 +26,7 @@
         addresses, unlimited = self.plan.all_addresses, UNLIMITED
         peers = [address for other, address in addresses.items() if other != self.name]
         self.link = ClusterLink(
-            Cluster("scale", self.plan.period, unlimited, unlimited),
+            ClusterSettings("scale", self.plan.period, unlimited, unlimited),
             Me(self.name, addresses[self.name]),
             peers,
             self.clock,
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -30,7 +30,7 @@
 
     Attributes:
         site: The Site.
-        me: Its ControllerAt that this is.
+        me: Its SiteController that this is.
         clock: Has now, wall and sleep_until, as LoopClock.
         net: Has listen and dial, as TcpNet.
         snapshot_store: Holds the snapshots, as DurableSnapshots.
@@ -66,7 +66,7 @@
 
         Args:
             site: The Site.
-            me: Its ControllerAt that this is.
+            me: Its SiteController that this is.
             clock: Has now, wall and sleep_until, as LoopClock.
             net: Has listen and dial, as TcpNet.
             snapshot_store: Holds the snapshots, as DurableSnapshots.
--- a/embertray/service/site/__init__.py
+++ b/embertray/service/site/__init__.py
@@ -1,8 +1,8 @@
-"""The description of a deployment: XML, its schema, and the loader. Facts only, no tuned value of the
-decisions.
-"""
+"""The description of a deployment: XML, its schema, and the loader."""
 
-from .site import ControllerAt, Site, load
-from .values import BadSite
+from .exceptions import SiteError
+from .loader import load
+from .model import ClusterSettings, Site, SiteController
+from .schema import SITE_FOLDER
 
-__all__ = ["BadSite", "ControllerAt", "Site", "load"]
+__all__ = ["SITE_FOLDER", "ClusterSettings", "Site", "SiteController", "SiteError", "load"]
--- a/embertray/service/site/control.py
+++ b/embertray/service/site/control.py
@@ -4,16 +4,23 @@
 
 import xxhash
 
-from .values import BadSite, size
+from .exceptions import SiteError
 
 FOLLOWED = 3  # replicas that a controller knows: one to follow, two to turn to
-BYTES_PER_SECOND_LEAST = 1_000  # a value has to fit into what two seconds give, less 1,024 bytes
+BYTES_PER_SECOND_MIN = 1_000  # a value has to fit into what two seconds give, less 1,024 bytes
 
 
 @dataclass(frozen=True)
-class ReplicaAt:
-    """One control replica: where the others, subscribers and operators reach it; `keep`: its state's
-    folder.
+class SiteReplica:
+    """One control replica.
+
+    Attributes:
+        name: Its name.
+        region: Its region's name.
+        address: Where the other replicas reach it.
+        listen: Where subscribers reach it.
+        admin: Where operators reach it.
+        keep: Folder of its state.
     """
 
     name: str
@@ -25,80 +32,65 @@
 
 
 @dataclass(frozen=True)
-class Control:
-    """The control plane of a site. `keep`: folder in which each controller keeps what it holds, "" for
-    none.
+class ControlSettings:
+    """The control plane of a site.
+
+    Attributes:
+        cluster: The site's name, by which the processes know each other.
+        bytes_per_second: For updates to one subscriber.
+        keep: Folder in which each controller stores its configuration; empty: none.
+        replicas: The SiteReplicas.
     """
 
     cluster: str
     bytes_per_second: int
     keep: str
-    replicas: tuple
+    replicas: tuple[SiteReplica, ...]
 
     def replica(self, name):
-        """Raises BadSite for a name that is not there."""
-        for one in self.replicas:
-            if one.name == name:
-                return one
-        there = ", ".join(one.name for one in self.replicas)
-        raise BadSite(f"{self.cluster}: no replica '{name}' (there are {there})")
+        """Returns the SiteReplica of a name.
+
+        Raises:
+            SiteError: There is none.
+        """
+        for replica in self.replicas:
+            if replica.name == name:
+                return replica
+        known = ", ".join(replica.name for replica in self.replicas)
+        raise SiteError(f"{self.cluster}: no replica '{name}' (there are {known})")
 
     def followed_by(self, controller):
-        """The ReplicaAts that a ControllerAt follows, in the order of preference."""
+        """Returns the SiteReplicas that a SiteController follows, in the order of preference."""
         return replica_order(controller.name, controller.region, self.replicas)
 
 
 def replica_order(controller, region, replicas):
-    """FOLLOWED of the replicas, or all if there are fewer: those of the region first, but at least one of
-    another region, then of regions as different as can be. Within these rules by rendezvous hashing, so that
-    controllers spread evenly and most keep their replicas when one is added or removed."""
-    ranked = sorted(replicas, key=lambda one: (_score(controller, one.name), one.name))
-    near = [one for one in ranked if one.region == region]
-    far = [one for one in ranked if one.region != region]
+    """Chooses the replicas that a controller follows.
+
+    Those of its region come first, but at least one is of another region; then of regions as different as can
+    be. Within these rules rendezvous hashing decides, so that controllers spread evenly and most stay with
+    their replicas when one is added or removed.
+
+    Args:
+        controller: The controller's name.
+        region: Its region.
+        replicas: The SiteReplicas.
+
+    Returns:
+        FOLLOWED of them, or all if there are fewer, in the order of preference.
+    """
+    ranked = sorted(replicas, key=lambda replica: (_score(controller, replica.name), replica.name))
+    near = [replica for replica in ranked if replica.region == region]
+    far = [replica for replica in ranked if replica.region != region]
     chosen = near[: FOLLOWED - 1] if far else near[:FOLLOWED]
     regions = set()
-    for one in far:
-        if len(chosen) < FOLLOWED and one.region not in regions:
-            regions.add(one.region)
-            chosen.append(one)
-    rest = [one for one in [*far, *near] if one not in chosen]
+    for replica in far:
+        if len(chosen) < FOLLOWED and replica.region not in regions:
+            regions.add(replica.region)
+            chosen.append(replica)
+    rest = [replica for replica in [*far, *near] if replica not in chosen]
     return chosen + rest[: FOLLOWED - len(chosen)]
 
 
 def _score(controller, replica):
     return xxhash.xxh64_intdigest(f"{controller}\0{replica}".encode())
-
-
-def read_control(root, path, defaults, addresses):
-    """The Control of a description, or None if it has no <control>. Raises BadSite."""
-    element = root.find("control")
-    if element is None:
-        return None
-    attributes = {**defaults["control"], **element.attrib}
-    rate = size(attributes["bytes-per-second"])
-    if rate < BYTES_PER_SECOND_LEAST:
-        raise BadSite(
-            f"{path}:{element.sourceline}: control: bytes-per-second of {BYTES_PER_SECOND_LEAST}B at least "
-            "is expected"
-        )
-    replicas, folders = [], set()
-    for one in element.iterfind("replica"):
-        replica = ReplicaAt(
-            *(one.get(key) for key in ("name", "region", "address", "listen", "admin", "keep"))
-        )
-        _check_addresses(one, replica, path, addresses)
-        if not replica.keep or replica.keep in folders:
-            raise BadSite(f"{path}:{one.sourceline}: replica {replica.name}: a folder of its own is expected")
-        folders.add(replica.keep)
-        replicas.append(replica)
-    return Control(root.get("name"), rate, attributes["keep"], tuple(replicas))
-
-
-def _check_addresses(element, replica, path, addresses):
-    for address in (replica.address, replica.listen, replica.admin):
-        addresses.take(element, address)
-    for address in (replica.address, replica.listen):
-        if address.endswith(":0"):
-            raise BadSite(
-                f"{path}:{element.sourceline}: replica {replica.name}: a port that others know is expected"
-            )
--- /dev/null
+++ b/embertray/service/site/exceptions.py
@@ -0,0 +1,5 @@
+"""Errors of a site's description."""
+
+
+class SiteError(ValueError):
+    """The description can't be used; the text names file, line and what was expected."""
--- /dev/null
+++ b/embertray/service/site/model.py
@@ -0,0 +1,193 @@
+"""What a description says of a deployment: facts only, no tuned value of the policy."""
+
+from dataclasses import dataclass, field, replace
+
+from embertray.policy import interface as i
+
+from .control import ControlSettings
+from .exceptions import SiteError
+
+
+@dataclass(frozen=True)
+class SiteController:
+    """One controller.
+
+    Attributes:
+        name: Its name.
+        zone: Its zone's name.
+        listen: Where proxies reach it.
+        admin: Where operators reach it.
+        cluster: Where other controllers reach it; empty: the site has no cluster.
+        region: Region whose control replicas it follows first.
+    """
+
+    name: str
+    zone: str
+    listen: str
+    admin: str
+    cluster: str = ""
+    region: str = ""
+
+
+@dataclass(frozen=True)
+class ClusterSettings:
+    """The cluster of a site.
+
+    Attributes:
+        name: The site's name, by which members know each other.
+        period: Time between two probes, ns.
+        state: Most bytes of shared state.
+        rate: Bytes a second for it.
+    """
+
+    name: str
+    period: int
+    state: int
+    rate: int
+
+
+@dataclass(frozen=True, eq=False)
+class Site:
+    """A deployment's facts.
+
+    Attributes:
+        name: Its name.
+        tick: Least time between two steps of a controller, ns.
+        zones: Names of the zones.
+        kinds: The interface.RequestKinds, their names at `external_id`.
+        late_credit: Kind -> share of its credit that a late response earns.
+        windows: Kind -> time for which a repeated request of a deduplicated kind is recognised, ns.
+        proxies: How many are expected.
+        picks: How proxies pick a backend: weighted, round or two.
+        levels: What ordered admission levels are: share, rate or none.
+        standing: Lines of a proxy's standing table.
+        base_retry: Further attempts that proxies make without an order.
+        per_try: Share of a kind's latency objective that one attempt may take.
+        eject_after: Failures in a row after which a proxy ejects a backend; 0: never.
+        bare_limit: How long a proxy may be without a usable backend, ns; 0: no limit.
+        channel_rate: Lines a second of the channel.
+        pending_max: Most lines that may wait in it.
+        head: Lines that a message counts beyond its parts.
+        way_mean: Mean time of a message to its proxy, ns.
+        way_most: Longest such time, ns.
+        messages_max: Most messages to a proxy within `messages_window`; 0: no limit.
+        messages_window: ns.
+        report_cycle: The proxies' report cycle, ns.
+        reports_rate: Merged report lines a second for the policy; 0: no limit.
+        cold_from: Share of its capacity that a backend has at its start.
+        warm_after: Time until it has all of it, ns.
+        fall_multiple: Multiple of its capacity at which an overloaded backend falls; 0: none does.
+        fall_after: Time at that load until it falls, ns.
+        drain_grace: Time that a draining backend still serves, ns.
+        dropped_bind: Whether a backend that a complete list lacks counts as removed.
+        full_may_have_run: Whether a request that a full backend rejected may have run.
+        probes: Whether controllers may probe backends.
+        cross_cost: Cost of a request that crosses zones, as a share of its credit.
+        inventory: The inventory's address.
+        ask: Whether the list is polled; else the inventory sends each change.
+        ask_within: Time within which a poll is answered, ns.
+        keep: Folder of the snapshots; empty: none are written.
+        controllers: The SiteControllers.
+        backends: How many are expected.
+        caps: Purpose -> bytes, where the description sets them.
+        cluster: The ClusterSettings, or None.
+        control: The ControlSettings, or None.
+    """
+
+    name: str
+    tick: int
+    zones: tuple[str, ...]
+    kinds: tuple
+    late_credit: dict
+    windows: dict
+    proxies: int
+    picks: str
+    levels: str
+    standing: int
+    base_retry: int
+    per_try: float
+    eject_after: int
+    bare_limit: int
+    channel_rate: float
+    pending_max: float
+    head: float
+    way_mean: int
+    way_most: int
+    messages_max: int
+    messages_window: int
+    report_cycle: int
+    reports_rate: float
+    cold_from: float
+    warm_after: int
+    fall_multiple: float
+    fall_after: int
+    drain_grace: int
+    dropped_bind: bool
+    full_may_have_run: bool
+    probes: bool
+    cross_cost: float
+    inventory: str
+    ask: bool
+    ask_within: int
+    keep: str
+    controllers: tuple[SiteController, ...]
+    backends: int = 64
+    caps: dict = field(default_factory=dict)
+    cluster: ClusterSettings | None = None
+    control: ControlSettings | None = None
+
+    def controller(self, name):
+        """Returns the SiteController of a name.
+
+        Raises:
+            SiteError: There is none.
+        """
+        for controller in self.controllers:
+            if controller.name == name:
+                return controller
+        known = ", ".join(controller.name for controller in self.controllers)
+        raise SiteError(f"{self.name}: no controller '{name}' (there are {known})")
+
+    def at(self, **other):
+        """Returns this site with other facts, as for ports that are known once something listens."""
+        return replace(self, **other)
+
+    def deployment(self, me, identifiers):
+        """Returns what a controller's policy gets to know at its start.
+
+        Args:
+            me: The SiteController.
+            identifiers: The Identifiers, which give the zones' handles.
+
+        Returns:
+            The interface.Deployment.
+        """
+        return i.Deployment(
+            kinds=list(self.kinds),
+            zones=[identifiers.zone(name) for name in self.zones],
+            home=identifiers.zone(me.zone),
+            controllers=len(self.controllers),
+            proxies=self.proxies,
+            ask=self.ask,
+            ask_within=self.ask_within,
+            may_probe=self.probes,
+            throttle=self.levels,
+            pick=self.picks,
+            retry_base=self.base_retry,
+            bare_limit=self.bare_limit,
+            pending_max=self.pending_max,
+            channel_rate=self.channel_rate,
+            head=self.head,
+            way_mean=self.way_mean,
+            way_max=self.way_most,
+            messages_max=self.messages_max,
+            messages_window=self.messages_window,
+            report_cycle=self.report_cycle,
+            cold_from=self.cold_from,
+            warm_after=self.warm_after,
+            fall_multiple=self.fall_multiple,
+            fall_after=self.fall_after,
+            drain_grace=self.drain_grace,
+            cross_fee=self.cross_cost,
+            drops_bind=self.dropped_bind,
+        )
--- /dev/null
+++ b/embertray/service/site/sample_site.py
@@ -0,0 +1,40 @@
+"""Writes descriptions made from a sample: one controller at addresses of the system's choice."""
+
+from pathlib import Path
+
+from lxml import etree
+
+from .schema import SITE_FOLDER
+
+SAMPLE = SITE_FOLDER / "samples" / "pushed.xml"
+ANY_FREE_PORT = "127.0.0.1:0"
+WIDE_CHANNEL = 10**6  # lines a second: wide enough to be no limit
+WIDE_QUEUE = 2 * 10**6  # lines
+
+
+def write_sample_site(folder, inventory, **changes):
+    """Writes the sample 'pushed' with other sizes.
+
+    Args:
+        folder: Where the file is written.
+        inventory: The inventory's address.
+        changes: rate and waiting (lines of the channel), proxies, backends (how many), reports (lines a
+            second).
+
+    Returns:
+        Path of the file.
+    """
+    tree = etree.parse(str(SAMPLE))
+    root = tree.getroot()
+    root.find("inventory").set("address", inventory)
+    root.find("channel").set("lines-per-second", str(changes.get("rate", WIDE_CHANNEL)))
+    root.find("channel").set("lines-waiting", str(changes.get("waiting", WIDE_QUEUE)))
+    root.find("proxies").set("expected", str(changes.get("proxies", 1000)))
+    root.find("backends").set("expected", str(changes.get("backends", 500)))
+    root.find("reports").set("lines-per-second", str(changes.get("reports", 0)))
+    for element in root.find("controllers"):
+        element.set("listen", ANY_FREE_PORT)
+        element.set("admin", ANY_FREE_PORT)
+    path = Path(folder) / "site.xml"
+    tree.write(str(path))
+    return path
--- /dev/null
+++ b/embertray/service/site/schema.py
@@ -0,0 +1,43 @@
+"""The schema of site descriptions, and what is read from it: defaults, and words for its patterns."""
+
+from functools import cache
+from pathlib import Path
+
+from lxml import etree
+
+SITE_FOLDER = Path(__file__).resolve().parent  # has the schema, and samples/ with descriptions
+SCHEMA_PATH = SITE_FOLDER / "site.xsd"
+TAG = "{http://www.w3.org/2001/XMLSchema}"
+
+
+@cache
+def site_schema():
+    """Returns the etree.XMLSchema."""
+    return etree.XMLSchema(etree.parse(SCHEMA_PATH))
+
+
+@cache
+def pattern_meanings():
+    """Returns what each pattern stands for, in words: pattern -> its type's documentation."""
+    meanings = {}
+    for simple_type in etree.parse(SCHEMA_PATH).iter(TAG + "simpleType"):
+        pattern = simple_type.find(f".//{TAG}pattern")
+        if pattern is not None:
+            meanings[pattern.get("value")] = simple_type.findtext(f".//{TAG}documentation")
+    return meanings
+
+
+@cache
+def attribute_defaults():
+    """Returns the defaults that the schema states: element's name -> attribute -> text.
+
+    They stand in the schema only. lxml fills them in while it validates, but not for elements that are left
+    out.
+    """
+    defaults = {}
+    for element in etree.parse(SCHEMA_PATH).iter(TAG + "element"):
+        for attribute in element.iterfind(f"./{TAG}complexType/{TAG}attribute"):
+            default = attribute.get("default")
+            if default is not None:
+                defaults.setdefault(element.get("name"), {})[attribute.get("name")] = default
+    return defaults
--- a/embertray/service/site/values.py
+++ b/embertray/service/site/values.py
@@ -1,48 +1,39 @@
-"""Values of a site's description: read from their text, and checked where the schema can't."""
+"""Values of a site's description, read from their text; the schema has checked their form."""
 
-from embertray.common.net.address import BadAddress, loopback
+SIZE_UNITS = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "B": 1}  # bytes; B last: all end with it
+TIME_UNITS = {"us": 10**3, "ms": 10**6, "min": 60 * 10**9, "s": 10**9}  # ns; s after those that end with it
 
-SIZES = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "B": 1}
-UNITS = {"us": 10**3, "ms": 10**6, "min": 60 * 10**9, "s": 10**9}
 
+def parse_duration(text):
+    """Reads a time as '2.5s'.
 
-class BadSite(ValueError):
-    """The description can't be used; the text names file, line and what was expected."""
+    Returns:
+        ns.
 
-
-def time(text):
-    """'2.5s' in ns; the schema has checked its form."""
-    for unit, worth in UNITS.items():
+    Raises:
+        ValueError: It has no known unit or is no number.
+    """
+    for unit, nanoseconds in TIME_UNITS.items():
         if text.endswith(unit):
-            return round(float(text[: -len(unit)]) * worth)
+            return round(float(text[: -len(unit)]) * nanoseconds)
     raise ValueError(text)
 
 
-def size(text):
-    """'16MiB' in bytes; the schema has checked its form."""
-    for unit, worth in SIZES.items():
-        if text.endswith(unit):
-            return int(text[: -len(unit)]) * worth
-    raise ValueError(text)
-
+def parse_size(text):
+    """Reads a size as '16MiB'.
 
-class Addresses:
-    """The addresses of one description: on loopback, and each used once."""
+    Returns:
+        Bytes.
 
-    def __init__(self, path):
-        self.path, self.lines = path, {}
+    Raises:
+        ValueError: It has no known unit or is no whole number.
+    """
+    for unit, size in SIZE_UNITS.items():
+        if text.endswith(unit):
+            return int(text[: -len(unit)]) * size
+    raise ValueError(text)
 
-    def check(self, element, address):
-        """Raises BadSite if it is not on loopback."""
-        try:
-            loopback(address)
-        except BadAddress as wrong:
-            raise BadSite(f"{self.path}:{element.sourceline}: {wrong}") from None
 
-    def take(self, element, address):
-        """Raises BadSite also if another element has it; port 0 is any free one."""
-        self.check(element, address)
-        if not address.endswith(":0") and address in self.lines:
-            line = self.lines[address]
-            raise BadSite(f"{self.path}:{element.sourceline}: {address} is taken by line {line} already")
-        self.lines[address] = element.sourceline
+def parse_boolean(text):
+    """Reads an xs:boolean."""
+    return text in ("true", "1")
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -23,7 +23,7 @@
 from embertray.service.admin.client import send_request
 from embertray.service.daemon import Service
 from embertray.service.site import load
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
@@ -182,7 +182,7 @@
 
 def sockets(plan, seed=1):
     """The same over loopback sockets and in real time, the controller a process of its own."""
-    from embertray.service.site.made import describe
+    from embertray.service.site.sample_site import write_sample_site
 
     async def main():
         churn = Churn(plan, TcpNet(), LoopClock(), seed)
@@ -190,7 +190,7 @@
             async with anyio.create_task_group() as group:
 
                 async def where(churn):
-                    path = describe(
+                    path = write_sample_site(
                         folder,
                         churn.site.inventory,
                         rate=20000,
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -10,7 +10,7 @@
 from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
 from embertray.cluster.membership import Membership, MembershipConfig
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.claims.cluster import Claims
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.models.web import Web
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -8,7 +8,7 @@
 
 from embertray.controller.core import ControllerCore
 from embertray.controller.trust import Trust
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.models.client import Clients
 from embertray.simulation.scenarios.ground import SETTLE, START_AFTER, Ground
--- a/embertray/simulation/processes/control.py
+++ b/embertray/simulation/processes/control.py
@@ -12,7 +12,7 @@
 
 from lxml import etree
 
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site.schema import SITE_FOLDER as SITES
 
 from .control_links import ControlLinks
 from .described import describe
--- a/embertray/simulation/processes/held.py
+++ b/embertray/simulation/processes/held.py
@@ -10,7 +10,7 @@
 from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
 from embertray.common.framing import Splitter
 from embertray.controller.endpoint_list.messages import WatchEvent, decode_response
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.claims.cluster import Claims
 from embertray.simulation.standins.aged import age_on_disk
 
--- a/embertray/simulation/processes/processes.py
+++ b/embertray/simulation/processes/processes.py
@@ -10,7 +10,7 @@
 
 from lxml import etree
 
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site.schema import SITE_FOLDER as SITES
 
 from .described import describe
 from .ports import free_ports
--- a/embertray/simulation/scenarios/ground.py
+++ b/embertray/simulation/scenarios/ground.py
@@ -8,7 +8,8 @@
 from hdrh.histogram import HdrHistogram
 
 from embertray.service.site import load as load_site
-from embertray.service.site.site import HERE as SITES, time as span
+from embertray.service.site.schema import SITE_FOLDER as SITES
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.models.backend import Shape
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.models.load import Bursts, Poisson, Varying, flash, wave
--- a/embertray/simulation/scenarios/notation.py
+++ b/embertray/simulation/scenarios/notation.py
@@ -10,7 +10,7 @@
 from lark import Lark, Transformer, UnexpectedInput, v_args
 from lark.exceptions import VisitError
 
-from embertray.service.site.site import time
+from embertray.service.site.values import parse_duration
 
 from .words import FLEET, LINKS, LOAD, TROUBLES, ends, kind_of
 
@@ -68,13 +68,13 @@
         return name, value
 
     def lasts(self, text):
-        return "lasts", time(str(text))
+        return "lasts", parse_duration(str(text))
 
     def times(self, text):
         return "times", float(text)
 
     def delay(self, text):
-        return "by", time(str(text))
+        return "by", parse_duration(str(text))
 
     def target(self, token):
         return float(token[:-1]) / 100 if token.endswith("%") else str(token)
@@ -96,7 +96,7 @@
         self.day.fleet.update(self.known(pairs, FLEET, "fleet"))
 
     def load(self, rate, lasts, *pairs):
-        self.day.rate, self.day.lasts = float(rate[:-2]), time(str(lasts))
+        self.day.rate, self.day.lasts = float(rate[:-2]), parse_duration(str(lasts))
         self.day.load.update(self.known(pairs, LOAD, "load"))
 
     def judge(self, *pairs):
@@ -106,7 +106,7 @@
         strikes = TROUBLES.get(str(name))
         if strikes is None:
             self.wrong(name, f"no trouble '{name}'; there are {', '.join(TROUBLES)}")
-        found = Trouble(time(str(at)), str(name), [], line=name.line)
+        found = Trouble(parse_duration(str(at)), str(name), [], line=name.line)
         for one in rest:
             if isinstance(one, tuple):
                 if one[0] in ("lasts", "times", "by"):
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -18,7 +18,7 @@
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
 from embertray.service.admin.client import send_request
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
--- a/embertray/simulation/scenarios/troubles/backends.py
+++ b/embertray/simulation/scenarios/troubles/backends.py
@@ -1,6 +1,6 @@
 """Backends that die, hang, err, lie, drain, come cold."""
 
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 
 from .base import S, Struck
 
--- a/embertray/simulation/scenarios/troubles/base.py
+++ b/embertray/simulation/scenarios/troubles/base.py
@@ -1,6 +1,6 @@
 """What every kind of trouble has: the stage, its line of the day, times and who is struck."""
 
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 
 S = 10**9
 
--- a/embertray/simulation/scenarios/troubles/controllers.py
+++ b/embertray/simulation/scenarios/troubles/controllers.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.standins.parts import BROKEN
 
 from .base import Struck, share
--- a/embertray/simulation/scenarios/troubles/links.py
+++ b/embertray/simulation/scenarios/troubles/links.py
@@ -2,7 +2,7 @@
 processes have them.
 """
 
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.scenarios.words import ordered
 
 from .base import Struck, share
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -136,7 +136,7 @@
 
 class Described(unittest.TestCase):
     def test_a_cluster_needs_its_members_addresses(self):
-        from embertray.service.site import BadSite, load
+        from embertray.service.site import SiteError, load
 
         with tempfile.TemporaryDirectory() as folder:
             site = Members(folder, 2)
@@ -147,7 +147,7 @@
                 + text[text.index(" cluster=") + len(' cluster="127.0.0.1:') + 5 + 1 :]
             )
             site.path.write_text(cut)
-            with self.assertRaisesRegex(BadSite, "a cluster needs its address"):
+            with self.assertRaisesRegex(SiteError, "a cluster needs its address"):
                 load(site.path)
 
 
--- a/tests/test_control_site.py
+++ b/tests/test_control_site.py
@@ -7,9 +7,9 @@
 
 from hypothesis import given, settings, strategies as st
 
-from embertray.service.site import BadSite, load
-from embertray.service.site.control import FOLLOWED, ReplicaAt, replica_order
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site import SiteError, load
+from embertray.service.site.control import FOLLOWED, SiteReplica, replica_order
+from embertray.service.site.schema import SITE_FOLDER as SITES
 
 SAMPLE = (SITES / "samples" / "pushed.xml").read_text()
 CONTROL = """
@@ -34,7 +34,7 @@
 
 def replicas(regions):
     """One for each named region, in order."""
-    return [ReplicaAt(f"k{n}", region, "", "", "", "") for n, region in enumerate(regions)]
+    return [SiteReplica(f"k{n}", region, "", "", "", "") for n, region in enumerate(regions)]
 
 
 class Described(unittest.TestCase):
@@ -45,12 +45,12 @@
         self.assertEqual(control.keep, "/var/lib/control")
         self.assertEqual(
             control.replica("k2"),
-            ReplicaAt("k2", "east", "127.0.0.1:7202", "127.0.0.1:7302", "127.0.0.1:7402", "/k2"),
+            SiteReplica("k2", "east", "127.0.0.1:7202", "127.0.0.1:7302", "127.0.0.1:7402", "/k2"),
         )
         self.assertEqual([one.region for one in site.controllers], ["west", ""])
         followed = control.followed_by(site.controllers[0])
         self.assertEqual((followed[0].name, len(followed)), ("k3", 3))
-        with self.assertRaisesRegex(BadSite, "no replica 'k9' .there are k1, k2, k3"):
+        with self.assertRaisesRegex(SiteError, "no replica 'k9' .there are k1, k2, k3"):
             control.replica("k9")
 
     def test_a_site_without_control_is_as_before(self):
@@ -81,7 +81,7 @@
             ('region="west" ', "", ("region",)),
         ):
             with self.subTest(new=new):
-                with self.assertRaises(BadSite) as caught:
+                with self.assertRaises(SiteError) as caught:
                     loaded(WITH_CONTROL.replace(old, new, 1))
                 for word in ("site.xml:", *words):
                     self.assertIn(word, str(caught.exception))
@@ -97,7 +97,7 @@
 
         self.assertEqual(len(loaded(described(16)).control.replicas), 16)
         for count in (0, 17):
-            with self.assertRaisesRegex(BadSite, "site.xml"):
+            with self.assertRaisesRegex(SiteError, "site.xml"):
                 loaded(described(count))
 
     def test_4096_controllers_and_no_more(self):
@@ -112,7 +112,7 @@
             return f"{head}<controllers>{rows}</controllers>{tail}"
 
         self.assertEqual(len(loaded(described(4096)).controllers), 4096)
-        with self.assertRaisesRegex(BadSite, "site.xml"):
+        with self.assertRaisesRegex(SiteError, "site.xml"):
             loaded(described(4097))
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -22,7 +22,7 @@
 from embertray.controller.stream.session import ProxySession
 from embertray.service.daemon import Service
 from embertray.service.site import load
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.parts import Agenda
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -19,8 +19,7 @@
 from embertray.common.memory.sizing import deep_size, measure_entry_bytes
 from embertray.controller.core import ControllerCore
 from embertray.controller.stream.messages import BackendTotals, Fault, Line, LoadReport, Orders, Welcome
-from embertray.service.site import load
-from embertray.service.site.site import HERE as SITES, Cluster
+from embertray.service.site import SITE_FOLDER as SITES, ClusterSettings, load
 from embertray.simulation.emulator import churn
 from embertray.simulation.scenarios import notation, player
 
@@ -103,7 +102,7 @@
         small, large = default_caps(site), default_caps(site.at(proxies=1000, backends=1000))
         self.assertTrue(all(small[p] >= CAP_BYTES_MIN and large[p] >= small[p] for p in small))
         self.assertEqual(set(ACTIONS) - set(small), {"cluster"})  # nothing of it without the element
-        told = Cluster("c", S, 8 << 20, 1 << 16)
+        told = ClusterSettings("c", S, 8 << 20, 1 << 16)
         self.assertEqual(default_caps(site.at(cluster=told))["cluster"], 2 * (8 << 20) + 2 * MEMBER_BYTES)
         it = ControllerCore(site.at(caps={"reports": 123}), site.controllers[0], 1, 0)
         self.assertEqual(it.accounts.by_purpose["reports"].cap, 123)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -42,8 +42,8 @@
 )
 from embertray.controller.stream.session import ControllerSession, ProxySession
 from embertray.policy import interface as i
-from embertray.service.site import BadSite, load
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site import SiteError, load
+from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.models.backend import Backend, Shape
 
 S = 10**9
@@ -487,7 +487,7 @@
             with self.subTest(new=new), tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "site.xml"
                 path.write_text(good.replace(old, new, 1))
-                with self.assertRaises(BadSite) as caught:
+                with self.assertRaises(SiteError) as caught:
                     load(path)
                 for word in ("site.xml:", *words):
                     self.assertIn(word, str(caught.exception))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,7 +31,7 @@
     Timetable,
 )
 from embertray.experiments.measure.scale.meter import Counters, Meter
-from embertray.service.site.site import Cluster
+from embertray.service.site import ClusterSettings
 from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
 from embertray.simulation.emulator.gossip import MS, START, MembershipSimulation, S
 from embertray.simulation.emulator.random_faults import random_faults
@@ -199,7 +199,7 @@
     links, served = [], anyio.Event()
     for name, owners, port in zip(("a", "b"), KNOWN, free_ports(2), strict=True):
         me = Me(name, f"127.0.0.1:{port}")
-        link = ClusterLink(Cluster("c", S, 1 << 20, 1 << 20), me, [], FixedClock(START), 1, dict)
+        link = ClusterLink(ClusterSettings("c", S, 1 << 20, 1 << 20), me, [], FixedClock(START), 1, dict)
         filled(link.store, START, owners)
         links.append(link)
 
