--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -9,7 +9,7 @@
 import anyio
 import click
 
-from embertray.service.site import BadSite, load as load_site
+from embertray.service.site import SiteError, load as load_site
 
 from .control_calls import REJECTED_EXIT_CODE, ask, body_text, parse_json, typed_answer, write
 from .control_status import describe
@@ -140,13 +140,13 @@
 
 
 def _replica_of(site, name):
-    """The site's Control, and the ReplicaAt of that name. Raises Bad."""
+    """The site's Control, and the SiteReplica of that name. Raises Bad."""
     try:
         site_control = load_site(site).control
         if site_control is None:
-            raise BadSite(f"{site}: the site has no <control>")
+            raise SiteError(f"{site}: the site has no <control>")
         return site_control, site_control.replica(name)
-    except BadSite as error:
+    except SiteError as error:
         raise Bad(str(error)) from None
 
 
--- a/embertray/service/daemon/control.py
+++ b/embertray/service/daemon/control.py
@@ -21,7 +21,7 @@
 
     Args:
         control: the site's Control.
-        me: the ReplicaAt to run.
+        me: the SiteReplica to run.
         clock: the process's clock.
         net: listens and opens connections.
         seed: whole number, the same for all processes of the site.
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -19,11 +19,11 @@
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import InMemorySnapshots
-from embertray.controller.core import Instance
-from embertray.service.admin.client import ask
+from embertray.controller.core import ControllerCore
+from embertray.service.admin.client import send_request
 from embertray.service.daemon import Service
 from embertray.service.site import load
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
@@ -52,10 +52,10 @@
     facts: dict = field(default_factory=dict)
 
 
-class NeverTidies(Instance):
+class NeverTidies(ControllerCore):
     """A leak on purpose: ids of who is gone for good are kept."""
 
-    def tidy(self):
+    def forget_unused(self):
         pass
 
 
@@ -157,7 +157,7 @@
                     seed,
                     churn.streams.of("cuts").random,
                     quiet(),
-                    core or Instance,
+                    core or ControllerCore,
                 )
                 churn.service = service
                 listen, _ = await group.start(service.run)
@@ -182,7 +182,7 @@
 
 def sockets(plan, seed=1):
     """The same over loopback sockets and in real time, the controller a process of its own."""
-    from embertray.service.site.made import describe
+    from embertray.service.site.sample_site import write_sample_site
 
     async def main():
         churn = Churn(plan, TcpNet(), LoopClock(), seed)
@@ -190,7 +190,7 @@
             async with anyio.create_task_group() as group:
 
                 async def where(churn):
-                    path = describe(
+                    path = write_sample_site(
                         folder,
                         churn.site.inventory,
                         rate=20000,
@@ -214,7 +214,7 @@
                 address = await churn.prepare(group, where)
 
                 async def look():
-                    return json.loads((await ask(churn.net, churn.admin, "GET", "/memory"))[1])
+                    return json.loads((await send_request(churn.net, churn.admin, "GET", "/memory"))[1])
 
                 try:
                     await churn.play(group, address, look)
--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -8,7 +8,7 @@
 
 from lxml import etree
 
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site.schema import SITE_FOLDER as SITES
 
 from .cluster_links import ClusterLinks
 from .described import describe
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -27,7 +27,7 @@
         self.folder = folder
         self.stage = None
         self.running = {}  # name -> Program
-        self.at = {}  # name -> its ControllerAt, with the addresses of this run
+        self.at = {}  # name -> its SiteController, with the addresses of this run
         self.still = set()  # names of those that stand still
         self.claims = None
 
--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -9,7 +9,7 @@
 from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
 from embertray.common.framing import Splitter
 from embertray.controller.endpoint_list.messages import WatchEvent, decode_response
-from embertray.service.site.site import time as span
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.claims.cluster import ClusterClaims
 
 from .cluster_links import ClusterLinks
--- a/embertray/simulation/processes/watch.py
+++ b/embertray/simulation/processes/watch.py
@@ -5,7 +5,7 @@
 import msgspec
 from prometheus_client.parser import text_string_to_metric_families as families
 
-from embertray.service.admin.client import ask
+from embertray.service.admin.client import send_request
 from embertray.simulation.standins.parts import BROKEN
 
 SECOND_NS = 10**9
@@ -51,7 +51,7 @@
         """A body, or None: it is down, starting or standing still."""
         with anyio.move_on_after(ANSWER_TIMEOUT_S):
             try:
-                code, body = await ask(self.net, self.processes.admin(name), "GET", page)
+                code, body = await send_request(self.net, self.processes.admin(name), "GET", page)
                 return body if code == 200 else None
             except (*BROKEN, ValueError, h11.RemoteProtocolError):
                 return None  # it went while it answered
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -17,8 +17,8 @@
 
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
-from embertray.service.admin.client import ask
-from embertray.service.site.site import time as span
+from embertray.service.admin.client import send_request
+from embertray.service.site.values import parse_duration as span
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
@@ -142,7 +142,7 @@
 
     async def admin(self, name, method, target):
         """(status, body) of one request at a controller's operators' address, over its socket."""
-        return await ask(self.net, self.held.admin(name), method, target)
+        return await send_request(self.net, self.held.admin(name), method, target)
 
 
 def quiet():
@@ -155,7 +155,7 @@
 def play(
     day, mode="virtual", seed=1, progress=None, core=None, trust=None, on_stage=None, alone=False, logs=None
 ):
-    """Plays a Day and gives its Result. `core`, `trust`: other classes in place of core.Instance and
+    """Plays a Day and gives its Result. `core`, `trust`: other classes in place of core.ControllerCore and
     trust.Trust (virtual only). `on_stage(stage)` before it begins. With processes: `alone`, without the
     cluster that the day asks for; `logs`, a folder where descriptions and logs stay. Raises BadDay."""
     began = time.monotonic()
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -2,17 +2,19 @@
 
 from dataclasses import replace
 
-from embertray.controller.core import Instance
+from embertray.controller.core import ControllerCore
 from embertray.controller.stream.messages import Bind, Line, Orders
 from embertray.policy import interface as i
 
 
-class DropsRemovals(Instance):
+class DropsRemovals(ControllerCore):
     """Removals and withdrawals never leave."""
 
     def advance(self, now):
         step = super().advance(now)
-        step.leave = [(name, replace_do(m, [do for do in m.do if not removes(do)])) for name, m in step.leave]
+        step.outgoing = [
+            (name, replace_do(m, [do for do in m.do if not removes(do)])) for name, m in step.outgoing
+        ]
         return step
 
 
@@ -24,12 +26,12 @@
     return Orders(message.stamp, message.cost, do, message.nonce)
 
 
-class BindsNothing(Instance):
+class BindsNothing(ControllerCore):
     """Proxies are bound to tables without lines, which come too late: never."""
 
     def advance(self, now):
         step = super().advance(now)
-        step.leave = [
+        step.outgoing = [
             (
                 name,
                 replace_do(
@@ -41,17 +43,17 @@
                     ],
                 ),
             )
-            for name, m in step.leave
+            for name, m in step.outgoing
         ]
         return step
 
 
-class RepeatsAll(Instance):
+class RepeatsAll(ControllerCore):
     """Whatever fails is tried twice more, also what must not run twice."""
 
     def advance(self, now):
         step = super().advance(now)
-        step.leave = [
+        step.outgoing = [
             (
                 name,
                 replace_do(
@@ -64,12 +66,12 @@
                     ],
                 ),
             )
-            for name, m in step.leave
+            for name, m in step.outgoing
         ]
         return step
 
 
-class TrustsTheCold(Instance):
+class TrustsTheCold(ControllerCore):
     """The module is told that nothing starts cold, and a cold one gets a hundred times its part."""
 
     def __init__(self, site, *rest):
@@ -83,7 +85,7 @@
             for backend in self.identifiers.backends.values()
             if backend.actor and backend.actor.started > 0
         }
-        step.leave = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.leave]
+        step.outgoing = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.outgoing]
         return step
 
 
@@ -100,7 +102,7 @@
     return do
 
 
-class NoLedger(Instance):
+class NoLedger(ControllerCore):
     """Orders every table anew on each step, whatever waits."""
 
     def advance(self, now):
@@ -111,7 +113,7 @@
         return super().advance(now)
 
 
-class TooManyMessages(Instance):
+class TooManyMessages(ControllerCore):
     """A message for each beat to each proxy."""
 
     def advance(self, now):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -22,7 +22,7 @@
 from embertray.controller.stream.session import ProxySession
 from embertray.service.daemon import Service
 from embertray.service.site import load
-from embertray.service.site.site import HERE as SITES
+from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.parts import Agenda
@@ -142,7 +142,7 @@
         self.assertEqual((await first.until(Fault)).code, "replaced")
         self.assertEqual([type(do) for do in (await second.until(Orders)).do], [Bind])
         await anyio.sleep(3)
-        self.assertEqual((len(room.service.streams), room.service.counted["leaves"]), (1, 1))
+        self.assertEqual((len(room.service.streams), room.service.counters.leaves), (1, 1))
 
     @virtual
     async def test_each_bad_peer_gets_one_clear_error_and_nobody_else_is_touched(self, room):
@@ -204,7 +204,7 @@
             self.assertIsNotNone(await quick.until(Orders))
             await anyio.sleep(1.5)
         await anyio.sleep(UNSENT_AGE_MAX_NS / 1e9)
-        self.assertEqual((room.service.counted["cuts"], list(room.service.streams)), (1, ["quick"]))
+        self.assertEqual((room.service.counters.cuts, list(room.service.streams)), (1, ["quick"]))
         self.assertIsNotNone(slow)
         again = await room.peer("slow")
         fault = await again.until((Fault, Welcome))
@@ -225,15 +225,15 @@
                 group.start_soon(bound, peer)
         cost = 1000 * (4 + 1 + 1 + 3)
         self.assertLess(max(at for at, _ in seen) / S, 1.5 * cost / 1200)
-        self.assertLessEqual(room.service.instance.pacer.lines_peak, room.service.site.pending_max)
+        self.assertLessEqual(room.service.core.pacer.lines_peak, room.service.site.pending_max)
 
     @virtual
     async def test_one_that_reads_but_answers_no_mark_is_cut_in_the_end(self, room):
         mute = await room.peer("mute")
         self.assertIsNone(await mute.until(Fault, answer=False))
-        self.assertEqual(room.service.counted["cuts"], 1)
+        self.assertEqual(room.service.counters.cuts, 1)
         self.assertTrue(60 < room.clock.now() / S - START < 80)
-        self.assertEqual((room.service.instance.refs, room.service.instance.identifiers.nonces), ({}, {}))
+        self.assertEqual((room.service.core.nonces.owed, room.service.core.identifiers.nonces), ({}, {}))
 
     @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
     @given(
