--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -25,8 +25,9 @@
 )
 from embertray.controller.stream.session import ProxySession
 from embertray.service.site.made import describe
+from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.inventory import StandinInventory
-from embertray.simulation.standins.parts import BROKEN, Agenda
+from embertray.simulation.standins.link import STREAM_ERRORS
 
 S = 10**9
 
@@ -64,7 +65,7 @@
                             self.saw(self.name, now, message, len(data))
                             if message.nonce:
                                 await self.send(self.end.pack(Acknowledgement(message.nonce)))
-        except BROKEN:
+        except STREAM_ERRORS:
             pass
 
     async def send(self, data):
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -26,8 +26,8 @@
 from embertray.service.site.site import HERE as SITES
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.inventory import StandinInventory
-from embertray.simulation.standins.parts import Agenda
 from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
 
 from .flows import FlowFleet
--- a/embertray/simulation/emulator/flows.py
+++ b/embertray/simulation/emulator/flows.py
@@ -19,7 +19,7 @@
 )
 from embertray.controller.stream.session import ProxySession
 from embertray.simulation.models.backend import Backend, Shape
-from embertray.simulation.standins.parts import BROKEN
+from embertray.simulation.standins.link import STREAM_ERRORS
 
 S = 10**9
 CORES = 2  # of a backend
@@ -41,7 +41,7 @@
                 wait = S // 2
                 try:
                     wait = max(wait, await self.stay())
-                except* (*BROKEN, ProtocolError):
+                except* (*STREAM_ERRORS, ProtocolError):
                     pass
                 await self.fleet.clock.sleep_until(self.fleet.clock.now() + wait)
 
--- a/embertray/simulation/processes/watch.py
+++ b/embertray/simulation/processes/watch.py
@@ -8,7 +8,7 @@
 from prometheus_client.parser import text_string_to_metric_families as families
 
 from embertray.service.admin.client import ask
-from embertray.simulation.standins.parts import BROKEN
+from embertray.simulation.standins.link import STREAM_ERRORS
 
 S = 10**9
 EVERY = S // 4  # ns between two looks at a process
@@ -45,7 +45,7 @@
             try:
                 code, body = await ask(self.net, self.held.admin(name), "GET", page)
                 return body if code == 200 else None
-            except (*BROKEN, ValueError, h11.RemoteProtocolError):
+            except (*STREAM_ERRORS, ValueError, h11.RemoteProtocolError):
                 return None  # it went while it answered
 
     async def look(self, now, name, program):
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -20,10 +20,10 @@
 from embertray.service.admin.client import ask
 from embertray.service.site.site import time as span
 from embertray.simulation.models.backend import Backend
+from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
 from embertray.simulation.standins.inventory import StandinInventory
-from embertray.simulation.standins.parts import Agenda
 from embertray.simulation.standins.proxy import StandinProxy
 from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
 
--- a/embertray/simulation/scenarios/troubles/controllers.py
+++ b/embertray/simulation/scenarios/troubles/controllers.py
@@ -3,7 +3,7 @@
 import anyio
 
 from embertray.service.site.site import time as span
-from embertray.simulation.standins.parts import BROKEN
+from embertray.simulation.standins.link import STREAM_ERRORS
 
 from .base import Struck, share
 
@@ -94,7 +94,7 @@
         """By the operators' HTTP, unless the controller is down."""
         try:
             await self.stage.admin(name, "POST", f"/pace?share={part:.6f}")
-        except BROKEN:
+        except STREAM_ERRORS:
             return
         self.note("pace", name, part)
 
--- a/embertray/simulation/standins/backend.py
+++ b/embertray/simulation/standins/backend.py
@@ -2,8 +2,8 @@
 
 import anyio
 
+from .link import Link
 from .messages import End, Req, encode, read
-from .parts import Link
 
 
 class StandinBackend:
--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -7,8 +7,8 @@
 from embertray.simulation.models.client import Clients
 from embertray.simulation.models.load import Poisson
 
+from .link import Link
 from .messages import End, Req, encode, read
-from .parts import Link
 
 S = 10**9
 
--- a/embertray/simulation/standins/inventory.py
+++ b/embertray/simulation/standins/inventory.py
@@ -5,7 +5,7 @@
 from embertray.controller.endpoint_list.messages import RequestFailed, WatchRequest, decode_request, encode
 from embertray.simulation.models.inventory import Inventory
 
-from .parts import Link
+from .link import Link
 
 
 class StandinInventory(Inventory):
--- /dev/null
+++ b/embertray/simulation/standins/link.py
@@ -0,0 +1,75 @@
+"""A link: typed messages both ways over one stream."""
+
+import anyio
+
+from embertray.common.framing import BadFrame, Splitter, frame
+from embertray.common.net.conn import Conn
+
+# How a stream tells that it cannot be opened or has ended.
+STREAM_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+
+
+class Link:
+    """Messages both ways over one stream.
+
+    Args:
+        stream: the byte stream.
+        encode: message -> payload of a frame.
+        decode: payload of a frame -> message.
+        on_message: called with each message that comes.
+        on_end: called once, when the link is over.
+
+    Attributes:
+        over: no message goes out any more.
+    """
+
+    def __init__(self, stream, encode, decode, on_message, on_end=None):
+        self.conn = Conn(stream)
+        self.encode = encode
+        self.decode = decode
+        self.on_message = on_message
+        self.on_end = on_end
+        self.scope = anyio.CancelScope()
+        self.over = False
+
+    def put(self, message):
+        """Queue a message to be sent; it is dropped when the link is over.
+
+        Args:
+            message: what `encode` takes.
+        """
+        if not self.over:
+            self.conn.put(frame(self.encode(message)))
+
+    def cut(self):
+        """End the link at once; what is queued is lost."""
+        self.over = True
+        self.scope.cancel()
+
+    async def run(self):
+        """Read and write until the stream ends, a frame is unreadable or `cut` is called."""
+        try:
+            async with self.conn.stream:
+                with self.scope:
+                    async with anyio.create_task_group() as group:
+                        group.start_soon(self._write)
+                        await self._read()
+                        group.cancel_scope.cancel()
+        except BadFrame:  # what a faulty peer sends ends its own link only
+            pass
+        finally:
+            self.over = True
+            if self.on_end:
+                self.on_end()
+
+    async def _read(self):
+        splitter = Splitter()
+        while data := await self.conn.read():
+            for payload in splitter.feed(data):
+                self.on_message(self.decode(payload))
+
+    async def _write(self):
+        try:
+            await self.conn.write()
+        except STREAM_ERRORS:
+            self.scope.cancel()
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -11,8 +11,8 @@
 from embertray.controller.stream.session import ProxySession
 from embertray.simulation.models.proxy import Proxy, StandsStill
 
+from .link import STREAM_ERRORS, Link
 from .messages import End, Req, encode, read
-from .parts import BROKEN, Link
 
 S = 10**9
 REDIAL = (S // 5, 2 * S)  # ns; delay before the next dial, first and longest
@@ -67,7 +67,7 @@
                 try:
                     asked = await self.stay(self.controllers[at % len(self.controllers)])
                     wait, tries = REDIAL[0], 0
-                except* (*BROKEN, ProtocolError):
+                except* (*STREAM_ERRORS, ProtocolError):
                     pass
             at += 1
             tries += 1
@@ -139,7 +139,7 @@
     async def write(conn, scope):
         try:
             await conn.write()
-        except BROKEN:
+        except STREAM_ERRORS:
             scope.cancel()
 
     def break_stream(self):
@@ -202,7 +202,7 @@
                 link = target.link = Link(
                     stream, encode, read, self.on_end, lambda: self.on_broken(name, target, link)
                 )
-        except BROKEN:
+        except STREAM_ERRORS:
             pass
         target.dialling = False
         waiting, target.waiting = target.waiting, []
--- a/embertray/simulation/standins/relay.py
+++ b/embertray/simulation/standins/relay.py
@@ -1,148 +1,214 @@
-"""The platform's relay on sockets, written from the protocol's page."""
+"""A stand-in of the platform's relay over HTTP, written from its protocol alone."""
 
+from enum import StrEnum
 from urllib.parse import parse_qs
 
 import anyio
 import h11
 
-from .platform import Party
+from .http_server import HttpServer
+from .relay_state import RelayState
 
+CALL_PATH = "/api/"
+STREAM_PATH = "/api/stream"
+KEEP_ALIVE_S = 1
+KEEP_ALIVE = b":\n"  # a comment line of an event stream
+ERROR_BODY = "<Response><Errors><Error><Code>{}</Code></Error></Errors></Response>"
+UNREADABLE_BODY = b"<Response><items><it\xff"
 
-class StandinRelay(Party):
-    """Takes calls and tells news. `mood`: what it does with the next calls, one word each: ok | lose (no
-    answer, not carried out) | mute (carried out, no answer) | spoil (carried out, unreadable answer) | cut
-    (carried out, the answer broken off) | stall (carried out, silent) | slow (a byte at a time) | throttled.
-    `refuse(order)`: whether an order is refused; `spoils(order)`: whether a call with it is no call."""
 
-    def __init__(self, net, answers=True):
+class CallFault(StrEnum):
+    """What happens to a call, and to its answer."""
+
+    NONE = "ok"
+    LOST = "lose"  # not carried out, no answer
+    ANSWER_LOST = "mute"  # carried out, no answer
+    ANSWER_UNREADABLE = "spoil"  # carried out
+    ANSWER_CUT = "cut"  # carried out, closed within the answer's body
+    ANSWER_STALLED = "stall"  # carried out, silent after the headers
+    ANSWER_SLOW = "slow"  # carried out, answered a byte at a time
+    THROTTLED = "throttled"  # not carried out, answered by an error
+
+
+class StandinRelay(HttpServer):
+    """Carries out calls and sends events.
+
+    Attributes:
+        state: its RelayState.
+        event_queues: one list of unsent events for each open event stream.
+        next_faults: values of CallFault for the next calls.
+        calls: (fault, orders) of each call.
+        rejects: called with an order's text; True: it is rejected, and the call ends there.
+        is_malformed: called with an order's text; True: the whole call is invalid.
+        acknowledges: whether nonces are answered by `done` events.
+    """
+
+    def __init__(self, net, acknowledges=True):
         super().__init__(net)
-        self.joined, self.tables, self.bound, self.out, self.mood, self.calls = {}, {}, {}, set(), [], []
-        self.answers, self.streams, self.levels = answers, [], {}
-        self.refuse = self.spoils = lambda order: False
+        self.state = RelayState()
+        self.event_queues = []
+        self.next_faults = []
+        self.calls = []
+        self.acknowledges = acknowledges
+        self.rejects = lambda order: False
+        self.is_malformed = lambda order: False
+
+    @property
+    def attached(self):
+        """Node -> the text of its `attach` event."""
+        return self.state.attached
+
+    @property
+    def tables(self):
+        """Table -> backend -> weight."""
+        return self.state.tables
+
+    @property
+    def bound(self):
+        """Node -> its table."""
+        return self.state.bound
 
     # ---- proxies
 
     def attach(self, node, zone, rate=1.0, cold=1):
-        self.joined[node] = f"node={node}&locality={zone}&w={rate}&cold={cold}"
-        self.tell("attach", self.joined[node])
+        """Attach a proxy and tell the controller.
+
+        Args:
+            node: the proxy's number.
+            zone: its zone.
+            rate: its share of the requests.
+            cold: 1 while it has no table.
+        """
+        self.attached[node] = f"node={node}&locality={zone}&w={rate}&cold={cold}"
+        self.send_event("attach", self.attached[node])
 
     def detach(self, node):
-        self.joined.pop(node, None)
+        """Detach a proxy and tell the controller.
+
+        Args:
+            node: the proxy's number.
+        """
+        self.attached.pop(node, None)
         self.bound.pop(node, None)
-        self.tell("detach", f"node={node}")
+        self.send_event("detach", f"node={node}")
+
+    def send_event(self, kind, data):
+        """Queue an event on all event streams.
 
-    def tell(self, kind, data):
-        for queue in self.streams:
-            queue.append(f"event: {kind}\ndata: {data}\n\n".encode())
-        self.happened()
+        Args:
+            kind: the event's name.
+            data: its data line.
+        """
+        for queue in self.event_queues:
+            queue.append(_event(kind, data))
+        self.notify_changed()
 
     def lines(self, node):
-        """What a proxy picks from: backend -> weight."""
-        return {
-            backend: w
-            for backend, w in self.tables.get(self.bound.get(node), {}).items()
-            if backend not in self.out
-        }
+        """What a proxy picks from.
+
+        Args:
+            node: the proxy's number.
+
+        Returns:
+            Backend -> weight, without withdrawn backends.
+        """
+        return self.state.lines(node)
 
     # ---- connections
 
-    async def serve(self, side):
-        while (call := await side.request()) is not None:
-            method, path, body = call
-            if (method, path) == ("GET", "/api/stream"):
-                await self.stream(side)
+    async def serve(self, connection):
+        """Answer calls, or send events, until the connection ends or a fault closes it.
+
+        Args:
+            connection: an HttpConnection.
+        """
+        while (request := await connection.request()) is not None:
+            method, path, body = request
+            if (method, path) == ("GET", STREAM_PATH):
+                await self._send_events(connection)
                 return
-            got = parse_qs(body.decode())
-            orders = got.get("orders", [""])[0].split(";")
-            known = (method, path, got.get("Action")) == ("POST", "/api/", ["CommitChanges"])
-            if not known or any(self.spoils(order) for order in orders):
-                await side.answer(
-                    b"<Response><Errors><Error><Code>invalid</Code></Error></Errors></Response>", status=400
-                )
+            form = parse_qs(body.decode())
+            orders = form.get("orders", [""])[0].split(";")
+            known = (method, path, form.get("Action")) == ("POST", CALL_PATH, ["CommitChanges"])
+            if not known or any(self.is_malformed(order) for order in orders):
+                await connection.answer(ERROR_BODY.format("invalid").encode(), status=400)
                 continue
-            mood = self.mood.pop(0) if self.mood else "ok"
-            self.calls.append((mood, orders))
-            count = self.carry_out(orders) if mood not in ("lose", "throttled") else 0
-            self.happened()
-            if mood == "throttled":
-                await side.answer(
-                    b"<Response><Errors><Error><Code>throttled</Code></Error></Errors></Response>", status=503
-                )
-            elif mood in ("lose", "mute"):
+            if not await self._call(connection, orders):
                 return
-            else:
-                body = b"<Response><items><it\xff"
-                if mood != "spoil":
-                    item = f"<item><ok_count>{count}</ok_count></item>"
-                    body = f"<Response><items>{item}</items></Response>".encode()
-                await side.answer(body, upto={"cut": len(body) // 2, "stall": 0, "slow": 0}.get(mood))
-                for byte in body if mood == "slow" else ():
-                    await side.stream.send(bytes([byte]))
-                if mood == "stall":
-                    await anyio.sleep_forever()
-                if mood == "cut":
-                    return
-
-    async def stream(self, side):
-        queue = [f"event: attach\ndata: {text}\n\n".encode() for text in self.joined.values()]
-        self.streams.append(queue)
-        self.happened()
+
+    async def _call(self, connection, orders):
+        """Carry out one call and answer it; returns whether the connection goes on."""
+        fault = self.next_faults.pop(0) if self.next_faults else CallFault.NONE
+        self.calls.append((fault, orders))
+        count = 0
+        if fault not in (CallFault.LOST, CallFault.THROTTLED):
+            count = self._carry_out(orders)
+        self.notify_changed()
+        if fault in (CallFault.LOST, CallFault.ANSWER_LOST):
+            return False
+        if fault == CallFault.THROTTLED:
+            await connection.answer(ERROR_BODY.format("throttled").encode(), status=503)
+            return True
+        await self._answer_count(connection, count, fault)
+        return fault != CallFault.ANSWER_CUT
+
+    @staticmethod
+    async def _answer_count(connection, count, fault):
+        """Answer how many orders were carried out, as far as the fault lets it."""
+        body = UNREADABLE_BODY
+        if fault != CallFault.ANSWER_UNREADABLE:
+            item = f"<item><ok_count>{count}</ok_count></item>"
+            body = f"<Response><items>{item}</items></Response>".encode()
+        body_bytes_max = {
+            CallFault.ANSWER_CUT: len(body) // 2,
+            CallFault.ANSWER_STALLED: 0,
+            CallFault.ANSWER_SLOW: 0,
+        }
+        await connection.answer(body, body_bytes_max=body_bytes_max.get(fault))
+        if fault == CallFault.ANSWER_SLOW:
+            await connection.send_slowly(body)
+        if fault == CallFault.ANSWER_STALLED:
+            await anyio.sleep_forever()
+
+    async def _send_events(self, connection):
+        """Send all attached proxies, then each event as it comes."""
+        queue = [_event("attach", text) for text in self.attached.values()]
+        self.event_queues.append(queue)
+        self.notify_changed()
+        headers = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
+        response = h11.Response(status_code=200, headers=headers)
         try:
-            await side.stream.send(
-                side.state.send(
-                    h11.Response(
-                        status_code=200,
-                        headers=[("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")],
-                    )
-                )
-            )
+            await connection.stream.send(connection.state.send(response))
             while True:
-                data, queue[:] = b"".join(queue) or b":\n", []
-                await side.stream.send(side.state.send(h11.Data(data=data)))
-                with anyio.move_on_after(1):
-                    await self.until(lambda: queue)
+                data = b"".join(queue) or KEEP_ALIVE
+                queue.clear()
+                await connection.stream.send(connection.state.send(h11.Data(data=data)))
+                with anyio.move_on_after(KEEP_ALIVE_S):
+                    await self.wait_until(lambda: queue)
         finally:
-            self.streams = [one for one in self.streams if one is not queue]
+            self.event_queues = [one for one in self.event_queues if one is not queue]
 
     # ---- orders
 
-    def carry_out(self, orders):
+    def _carry_out(self, orders):
+        """Carry out orders up to the first that is rejected; returns how many were."""
         reached = set()
         for count, order in enumerate(orders):
             try:
-                if self.refuse(order):
-                    raise KeyError(order)
-                self.carry(order.split(","), reached)
-            except (KeyError, ValueError, IndexError):
+                if self.rejects(order):
+                    return count
+                nonce = self.state.carry_out(order, reached)
+            except (KeyError, ValueError, IndexError):  # an unknown table, proxy or verb, or a bad number
                 return count
+            if nonce is not None and self.acknowledges:
+                self._acknowledge(nonce, reached)
         return len(orders)
 
-    def carry(self, order, reached):
-        verb, args = order[0], order[1:]
-        if verb == "SET":
-            table = self.tables.setdefault(args[0], {})
-            table[args[1]] = float(args[2])
-            if not table[args[1]]:
-                del table[args[1]]
-            reached.update(node for node, bound in self.bound.items() if bound == args[0])
-        elif verb == "USE":
-            if int(args[0]) not in self.joined:
-                raise KeyError(args[0])
-            self.bound[int(args[0])] = args[1]
-            self.joined[int(args[0])] = self.joined[int(args[0])].replace(
-                "cold=1", "cold=0"
-            )  # what stands is told as it is now
-            reached.add(int(args[0]))
-        elif verb in ("OUT", "IN"):
-            (self.out.add if verb == "OUT" else self.out.discard)(args[0])
-            reached.update(self.joined)
-        elif verb == "LIMIT":
-            self.levels[args[0], args[1]] = float(args[2]), int(args[3])
-            reached.update(node for node, bound in self.bound.items() if bound == args[0])
-        elif verb == "SYNC":
-            for node in (
-                sorted(self.joined if args[1] == "1" else reached & set(self.joined)) if self.answers else ()
-            ):
-                self.tell("done", f"node={node}&nonce={args[0]}&latency=12.5")
-        else:
-            raise ValueError(verb)
+    def _acknowledge(self, nonce, reached):
+        """Send the `done` events of a nonce for the proxies that it reached."""
+        for node in sorted(self.attached if nonce.to_all else reached & set(self.attached)):
+            self.send_event("done", f"node={node}&nonce={nonce.text}&latency=12.5")
+
+
+def _event(kind, data):
+    return f"event: {kind}\ndata: {data}\n\n".encode()
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -14,7 +14,7 @@
 from embertray.platform.protocol.inbound import BackendReport, InboundConnection, TrafficReport
 from embertray.platform.run.service import Service
 from embertray.simulation.scenarios.player import quiet
-from embertray.simulation.standins.platform import StandinDiscovery
+from embertray.simulation.standins.discovery import StandinDiscovery
 from embertray.simulation.standins.relay import StandinRelay
 
 HERE = Path(__file__).resolve().parent
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -24,8 +24,8 @@
 from embertray.service.site import load
 from embertray.service.site.site import HERE as SITES
 from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.inventory import StandinInventory
-from embertray.simulation.standins.parts import Agenda
 from embertray.simulation.standins.virtual import START, MemoryNet, VirtualClock, run
 
 HERE = Path(__file__).resolve().parent
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -31,7 +31,7 @@
 from embertray.platform.protocol.exceptions import ConfigurationError
 from embertray.platform.protocol.platform_controller import PlatformController
 from embertray.platform.protocol.wire import HEARTBEAT_REPLY
-from embertray.simulation.standins.platform import StandinDiscovery
+from embertray.simulation.standins.discovery import StandinDiscovery
 from embertray.simulation.standins.relay import StandinRelay
 
 
@@ -133,19 +133,19 @@
             async with stage() as (_, relay, discovery):
                 for node in range(3):
                     relay.attach(node, "north")
-                await relay.until(lambda: all("be-1" in relay.lines(node) for node in range(3)))
+                await relay.wait_until(lambda: all("be-1" in relay.lines(node) for node in range(3)))
                 discovery.change("be-1", phase="draining")
-                await relay.until(lambda: all(set(relay.lines(node)) == {"be-2"} for node in range(3)))
+                await relay.wait_until(lambda: all(set(relay.lines(node)) == {"be-2"} for node in range(3)))
 
         anyio.run(play)
 
     def test_calls_that_are_lost_muted_spoilt_or_throttled_end_up_carried_out(self):
         async def play():
             async with stage() as (service, relay, discovery):
-                await relay.until(lambda: relay.calls)
+                await relay.wait_until(lambda: relay.calls)
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))
-                for mood, times in (
+                await relay.wait_until(lambda: relay.lines(1))
+                for fault, times in (
                     ("lose", 2),
                     ("mute", 1),
                     ("spoil", 1),
@@ -154,15 +154,15 @@
                     ("slow", 1),
                     ("throttled", 2),
                 ):
-                    relay.mood, name, before = [mood] * times, f"new-{mood}", len(relay.calls)
+                    relay.next_faults, name, before = [fault] * times, f"new-{fault}", len(relay.calls)
                     discovery.change(name, locality="north", up_since_ms=0)
-                    await relay.until(lambda: name in relay.lines(1) and not relay.mood)
+                    await relay.wait_until(lambda: name in relay.lines(1) and not relay.next_faults)
                     # evidence spares a call that was carried out its repeat
                     first = relay.calls[before][1]
                     repeats = sum(orders == first for _, orders in relay.calls[before + 1 :])
-                    self.assertEqual(repeats, times if mood in ("lose", "throttled") else 0)
+                    self.assertEqual(repeats, times if fault in ("lose", "throttled") else 0)
                     discovery.change(name, phase="gone")
-                    await relay.until(lambda: name not in relay.lines(1))
+                    await relay.wait_until(lambda: name not in relay.lines(1))
                 self.assertEqual(service.controller.order_caller.orders_given_up, 0)
 
         anyio.run(play)
@@ -171,7 +171,7 @@
         async def play():
             async with stage() as (service, relay, discovery):
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))
+                await relay.wait_until(lambda: relay.lines(1))
                 for place in range(3):
                     names, seen = [f"new-{place}-{k}" for k in range(3)], []
 
@@ -181,12 +181,12 @@
                             return len(seen) == place + 1
                         return False
 
-                    relay.refuse = refuse
+                    relay.rejects = refuse
                     for name in names:
                         discovery.members[name] = member(name)
-                        discovery.log.append((discovery.revision + 1, name))
+                        discovery.change_log.append((discovery.revision + 1, name))
                     discovery.change(names[0])
-                    await relay.until(
+                    await relay.wait_until(
                         lambda: (
                             len(service.controller.order_caller.refused_orders) == place + 1
                             and service.controller.order_caller.idle
@@ -201,22 +201,22 @@
         async def play():
             async with stage() as (service, relay, discovery):
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))
+                await relay.wait_until(lambda: relay.lines(1))
                 names = [f"new-{k}" for k in range(3)]
-                relay.spoils = lambda order: ",new-1," in order
+                relay.is_malformed = lambda order: ",new-1," in order
                 for name in names:
                     discovery.members[name] = member(name)
-                    discovery.log.append((discovery.revision + 1, name))
+                    discovery.change_log.append((discovery.revision + 1, name))
                 with structlog.testing.capture_logs() as told:
                     service.relay.log = structlog.get_logger()
                     discovery.change(names[0])
-                    await relay.until(lambda: {"new-0", "new-2"} <= set(relay.lines(1)))
+                    await relay.wait_until(lambda: {"new-0", "new-2"} <= set(relay.lines(1)))
                     while not service.controller.order_caller.orders_given_up:
                         await anyio.sleep(0.02)
                 self.assertTrue(any("given up: invalid: SET," in line.get("why", "") for line in told), told)
-                relay.spoils = lambda order: False
+                relay.is_malformed = lambda order: False
                 discovery.change("be-3", **member("be-3"))
-                await relay.until(lambda: "be-3" in relay.lines(1))  # it goes on
+                await relay.wait_until(lambda: "be-3" in relay.lines(1))  # it goes on
 
         anyio.run(play)
 
@@ -224,16 +224,23 @@
         async def play():
             with mock.patch("embertray.platform.protocol.order_caller.ORDERS_MAX_BYTES", 150):
                 async with stage() as (service, relay, _):
-                    await relay.until(lambda: len(relay.streams) == limits.EVENT_STREAMS and relay.calls)
+                    await relay.wait_until(
+                        lambda: len(relay.event_queues) == limits.EVENT_STREAMS and relay.calls
+                    )
                     while (
                         service.controller.module.publisher.queue.due_at
                         or not service.controller.order_caller.idle
                     ):
                         await anyio.sleep(0.05)
-                    relay.mood, before = ["lose", "ok", "mute", "spoil", "lose", "lose"], len(relay.calls)
+                    relay.next_faults, before = (
+                        ["lose", "ok", "mute", "spoil", "lose", "lose"],
+                        len(relay.calls),
+                    )
                     for node in range(24):
                         relay.attach(node, "north")
-                    await relay.until(lambda: all(relay.lines(node) for node in range(24)) and not relay.mood)
+                    await relay.wait_until(
+                        lambda: all(relay.lines(node) for node in range(24)) and not relay.next_faults
+                    )
                     self.assertFalse(
                         any(order.startswith("SYNC") for order in relay.calls[before][1])
                     )  # a part was lost
@@ -255,16 +262,16 @@
             async with stage(
                 lambda relay, discovery: (
                     setattr(discovery, "down", True),
-                    relay.mood.extend(["throttled"] * 9),
+                    relay.next_faults.extend(["throttled"] * 9),
                 )
             ) as (service, relay, _):
                 alive = await client(service, b'{"@type":"hb"}\n')
                 self.assertEqual(await alive.receive(), HEARTBEAT_REPLY)
                 relay.attach(1, "north")
-                await relay.until(
+                await relay.wait_until(
                     lambda: set(relay.lines(1)) == {"be-1", "be-2"}
                 )  # by the list that it was told at its start
-                self.assertEqual(relay.mood, [])
+                self.assertEqual(relay.next_faults, [])
                 await alive.aclose()
 
         anyio.run(play)
@@ -273,10 +280,14 @@
         async def play():
             async with stage() as (service, relay, _):
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1) and len(relay.streams) == limits.EVENT_STREAMS)
-                await anyio.aclose_forcefully(relay.open[0])
+                await relay.wait_until(
+                    lambda: relay.lines(1) and len(relay.event_queues) == limits.EVENT_STREAMS
+                )
+                await anyio.aclose_forcefully(relay.connections[0])
                 relay.attach(2, "north")
-                await relay.until(lambda: relay.lines(2) and len(relay.streams) == limits.EVENT_STREAMS)
+                await relay.wait_until(
+                    lambda: relay.lines(2) and len(relay.event_queues) == limits.EVENT_STREAMS
+                )
                 self.assertEqual(set(service.controller.proxies.joined), {1, 2})
 
         anyio.run(play)
@@ -286,7 +297,7 @@
             async with stage() as (service, relay, discovery):
                 for node in range(3):
                     relay.attach(node, "north")
-                await relay.until(lambda: all(len(relay.lines(node)) == 2 for node in range(3)))
+                await relay.wait_until(lambda: all(len(relay.lines(node)) == 2 for node in range(3)))
                 old, tables = service.controller.module, set(relay.tables)
 
                 def fault(*_):
@@ -294,11 +305,11 @@
 
                 old.weight_planner.plan = fault  # in the middle of a step: some parts have acted, some not
                 discovery.change("be-3", **member("be-3"))
-                await relay.until(lambda: all(len(relay.lines(node)) == 3 for node in range(3)))
+                await relay.wait_until(lambda: all(len(relay.lines(node)) == 3 for node in range(3)))
                 self.assertIsNot(service.controller.module, old)
                 self.assertFalse({relay.bound[node] for node in range(3)} & tables)
                 discovery.change("be-1", phase="draining")
-                await relay.until(
+                await relay.wait_until(
                     lambda: all(set(relay.lines(node)) == {"be-2", "be-3"} for node in range(3))
                 )
                 for part, name, poke in (
@@ -324,7 +335,7 @@
                     setattr(part, name, once)
                     poke()
                     await faulty.wait()
-                await relay.until(lambda: all("be-4" in relay.lines(node) for node in range(4)))
+                await relay.wait_until(lambda: all("be-4" in relay.lines(node) for node in range(4)))
 
         anyio.run(play)
 
@@ -332,10 +343,10 @@
         async def play():
             async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))
+                await relay.wait_until(lambda: relay.lines(1))
                 net = TcpNet()
                 other, elsewhere = StandinRelay(net), StandinDiscovery(net, discovery.members)
-                other.joined, other.tables, other.bound = relay.joined, relay.tables, relay.bound
+                other.state = relay.state  # the same proxies and tables behind another address
                 await group.start(other.run)
                 await group.start(elsewhere.run)
                 service.load_configuration = lambda: read_configuration(b"{")
@@ -347,12 +358,12 @@
                     configured(other.address, elsewhere.address)
                 )
                 service.reload()
-                await other.until(lambda: other.streams)
-                for stream in list(relay.open):
+                await other.wait_until(lambda: other.event_queues)
+                for stream in list(relay.connections):
                     await anyio.aclose_forcefully(stream)
                 elsewhere.change("be-3", **member("be-3"))
-                await other.until(
-                    lambda: "be-3" in other.lines(1) and len(other.streams) == limits.EVENT_STREAMS
+                await other.wait_until(
+                    lambda: "be-3" in other.lines(1) and len(other.event_queues) == limits.EVENT_STREAMS
                 )
                 group.cancel_scope.cancel()
 
@@ -362,7 +373,7 @@
         async def play():
             async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))
+                await relay.wait_until(lambda: relay.lines(1))
                 faults = [KeyError("a"), TypeError("b"), RecursionError("c"), MemoryError()]
                 old, rest, been = service.configuration, list(faults), anyio.Event()
 
@@ -383,7 +394,7 @@
                     self.assertEqual([line["event"] for line in told], ["internal error"] * len(faults))
                 self.assertIs(service.configuration, old)
                 discovery.change("be-3", **member("be-3"))
-                await relay.until(lambda: "be-3" in relay.lines(1))
+                await relay.wait_until(lambda: "be-3" in relay.lines(1))
                 group.cancel_scope.cancel()
 
         anyio.run(play)
@@ -392,14 +403,14 @@
         async def play():
             async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))
+                await relay.wait_until(lambda: relay.lines(1))
                 other = StandinRelay(TcpNet())
-                other.joined, other.tables, other.bound = relay.joined, relay.tables, relay.bound
+                other.state = relay.state  # the same proxies and tables behind another address
                 await group.start(other.run)
                 for there, here, name in ((other, relay, "be-3"), (relay, other, "be-4")):
-                    here.mood, before = ["lose"], len(here.calls)
+                    here.next_faults, before = ["lose"], len(here.calls)
                     discovery.change(name, **member(name))
-                    await here.until(lambda: len(here.calls) > before)
+                    await here.wait_until(lambda: len(here.calls) > before)
                     for address in (
                         here.address,
                         there.address,
@@ -410,10 +421,10 @@
                             configured(address, discovery.address)
                         )
                         service.reload()
-                    await there.until(lambda: name in there.lines(1))
-                    for stream in list(here.open):
+                    await there.wait_until(lambda: name in there.lines(1))
+                    for stream in list(here.connections):
                         await anyio.aclose_forcefully(stream)
-                    await there.until(lambda: len(there.streams) == limits.EVENT_STREAMS)
+                    await there.wait_until(lambda: len(there.event_queues) == limits.EVENT_STREAMS)
                 group.cancel_scope.cancel()
 
         anyio.run(play)
--- a/tests/test_platform_address.py
+++ b/tests/test_platform_address.py
@@ -218,7 +218,7 @@
                 )
                 late = await joined(STATS)
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))  # a call had its descriptor
+                await relay.wait_until(lambda: relay.lines(1))  # a call had its descriptor
                 for stream in (collector, late):
                     await stream.send(STATS + b'{"@type":"hb"}\n')
                     self.assertEqual(await stream.receive(), HEARTBEAT_REPLY)
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -110,14 +110,14 @@
         async def play():
             async with stage() as (_, relay, discovery):
                 relay.attach(1, "north")
-                await relay.until(lambda: len(relay.lines(1)) == 2)
-                for mood in (["head"], ["half"], ["hold"], ["last"], ["slow"], ["head", "half", "head"]):
-                    discovery.mood = list(mood)
+                await relay.wait_until(lambda: len(relay.lines(1)) == 2)
+                for faults in (["head"], ["half"], ["hold"], ["last"], ["slow"], ["head", "half", "head"]):
+                    discovery.next_faults = list(faults)
                     discovery.change("be-1", phase="draining")
-                    await relay.until(lambda: set(relay.lines(1)) == {"be-2"})
-                    self.assertEqual(discovery.mood, [])
+                    await relay.wait_until(lambda: set(relay.lines(1)) == {"be-2"})
+                    self.assertEqual(discovery.next_faults, [])
                     discovery.change("be-1", phase="ready", up_since_ms=discovery.revision)
-                    await relay.until(lambda: len(relay.lines(1)) == 2)
+                    await relay.wait_until(lambda: len(relay.lines(1)) == 2)
 
         anyio.run(play)
 
@@ -125,14 +125,14 @@
         async def play():
             async with stage() as (service, relay, discovery):
                 relay.attach(1, "north")
-                await relay.until(lambda: len(relay.lines(1)) == 2)
+                await relay.wait_until(lambda: len(relay.lines(1)) == 2)
                 members = dict(discovery.members)
                 for told in ({}, members):
                     discovery.members, discovery.revision = told, discovery.revision + 1
                     service.controller.list_watch.on_address_change()  # the next answer is a whole list
-                    for stream in list(discovery.open):
+                    for stream in list(discovery.connections):
                         await anyio.aclose_forcefully(stream)
-                    await relay.until(lambda: set(relay.lines(1)) == set(told))
+                    await relay.wait_until(lambda: set(relay.lines(1)) == set(told))
 
         anyio.run(play)
 
@@ -141,7 +141,7 @@
 
         async def play():
             async with stage() as (service, relay, discovery):
-                await relay.until(lambda: relay.calls)
+                await relay.wait_until(lambda: relay.calls)
 
                 async def slowly(side):
                     while (await side.request()) is not None:
@@ -155,11 +155,11 @@
                         await anyio.sleep_forever()
 
                 discovery.serve = slowly
-                for stream in list(discovery.open):
+                for stream in list(discovery.connections):
                     await anyio.aclose_forcefully(stream)
                 service.controller.list_watch.on_address_change()
                 relay.attach(1, "north")
-                await relay.until(lambda: set(relay.lines(1)) == {"be-9"})
+                await relay.wait_until(lambda: set(relay.lines(1)) == {"be-9"})
 
         anyio.run(play)
 
@@ -168,11 +168,11 @@
             async with stage() as (service, _, discovery):
 
                 async def asked(more):
-                    while len(discovery.asked) < before + more:
+                    while len(discovery.request_targets) < before + more:
                         await anyio.sleep(0.01)
 
-                discovery.eager, before = True, len(discovery.asked)
-                for stream in list(discovery.open):  # the watch that waits
+                discovery.answers_watches_at_once, before = True, len(discovery.request_targets)
+                for stream in list(discovery.connections):  # the watch that waits
                     await anyio.aclose_forcefully(stream)
                 await asked(2)
                 first = service.clock.now()
@@ -184,7 +184,7 @@
     def test_an_answer_of_the_old_address_in_the_wake_up_of_a_new_one_counts_for_nothing(self):
         async def play():
             async with stage() as (service, relay, _):
-                await relay.until(lambda: relay.calls)
+                await relay.wait_until(lambda: relay.calls)
                 held = service.controller.list_watch.revision
 
                 class Answered:
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -25,18 +25,18 @@
 
 
 class Backends(unittest.TestCase):
-    def play(self, mood, *facts):
-        """A backend is added by a call that ends by `mood`; `facts` of it come once that call is there, one
+    def play(self, fault, *facts):
+        """A backend is added by a call that ends by `fault`; `facts` of it come once that call is there, one
         after the other. Its weight at the proxy in the end, or None."""
 
         async def played():
             async with stage() as (service, relay, discovery):
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))
+                await relay.wait_until(lambda: relay.lines(1))
                 await calm(service, relay)
-                relay.mood, before = [mood], len(relay.calls)
+                relay.next_faults, before = [fault], len(relay.calls)
                 discovery.change("new", **member("new"))
-                await relay.until(lambda: len(relay.calls) > before)
+                await relay.wait_until(lambda: len(relay.calls) > before)
                 for fact in facts:
                     discovery.change("new", **fact)
                 revision = discovery.revision
@@ -48,37 +48,39 @@
         return anyio.run(played)
 
     def test_one_that_ends_while_its_first_line_is_on_its_way_is_in_no_table(self):
-        for mood in ("ok", "lose", "mute", "cut", "stall"):
+        for fault in ("ok", "lose", "mute", "cut", "stall"):
             for facts in (
                 [{"phase": "draining"}],
                 [{"phase": "gone"}],
                 [{"phase": "draining"}, {"phase": "gone"}],
             ):
-                with self.subTest(mood=mood, facts=facts):
-                    self.assertIsNone(self.play(mood, *facts))
+                with self.subTest(fault=fault, facts=facts):
+                    self.assertIsNone(self.play(fault, *facts))
 
     def test_one_that_is_back_while_its_removal_is_on_its_way_stays(self):
-        for mood in ("ok", "lose", "mute"):
-            with self.subTest(mood=mood):
+        for fault in ("ok", "lose", "mute"):
+            with self.subTest(fault=fault):
                 self.assertTrue(
-                    self.play(mood, {"phase": "draining"}, {"phase": "ready", "up_since_ms": 1000})
+                    self.play(fault, {"phase": "draining"}, {"phase": "ready", "up_since_ms": 1000})
                 )
 
 
 class Proxies(unittest.TestCase):
     def test_one_that_leaves_and_comes_back_during_its_bind_is_bound(self):
         async def play():
-            for mood in ("ok", "lose", "mute", "stall"):
+            for fault in ("ok", "lose", "mute", "stall"):
                 async with stage() as (service, relay, _):
-                    await relay.until(lambda: relay.calls and len(relay.streams) == limits.EVENT_STREAMS)
+                    await relay.wait_until(
+                        lambda: relay.calls and len(relay.event_queues) == limits.EVENT_STREAMS
+                    )
                     await calm(service, relay)
-                    relay.mood, before = [mood], len(relay.calls)
+                    relay.next_faults, before = [fault], len(relay.calls)
                     relay.attach(1, "north")
-                    await relay.until(lambda: len(relay.calls) > before)
+                    await relay.wait_until(lambda: len(relay.calls) > before)
                     self.assertTrue(any(order.startswith("USE,1,") for order in relay.calls[before][1]))
                     relay.detach(1)
                     relay.attach(1, "south")
-                    await relay.until(lambda: relay.lines(1))
+                    await relay.wait_until(lambda: relay.lines(1))
                     await calm(service, relay)
                     self.assertTrue(relay.lines(1))
 
@@ -87,20 +89,20 @@
     def test_an_answer_from_before_a_stay_proves_nothing_of_it(self):
         async def play():
             async with stage() as (service, relay, _):
-                relay.answers = False
+                relay.acknowledges = False
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1))
+                await relay.wait_until(lambda: relay.lines(1))
                 late = max(service.controller.identifiers.nonces)
                 relay.detach(1)
                 relay.attach(1, "north")
-                await relay.until(
+                await relay.wait_until(
                     lambda: (
                         sum(order.startswith("USE,1,") for _, orders in relay.calls for order in orders) > 1
                     )
                 )
-                relay.tell("done", f"node=1&nonce={late}&latency=5")
+                relay.send_event("done", f"node=1&nonce={late}&latency=5")
                 relay.attach(2, "north")  # told behind it
-                await relay.until(lambda: relay.lines(2))
+                await relay.wait_until(lambda: relay.lines(2))
                 known = {proxy.handle.external_id: proxy for proxy in service.controller.module.proxies}
                 self.assertTrue(known[1].messages.open)  # its own answer is still owed
                 self.assertNotIn(late, [nonce.external_id for nonce, _ in known[1].messages.open])
@@ -112,12 +114,12 @@
             async with stage() as (service, relay, discovery):
                 for node in (1, 2):
                     relay.attach(node, "north")
-                await relay.until(lambda: relay.lines(1) and relay.lines(2))
+                await relay.wait_until(lambda: relay.lines(1) and relay.lines(2))
                 await calm(service, relay)
                 before = len(relay.calls)
                 del relay.bound[2]  # what is sent to its table does not reach it: it answers nothing
                 discovery.change("be-3", **member("be-3"))
-                await relay.until(lambda: "be-3" in relay.lines(2))
+                await relay.wait_until(lambda: "be-3" in relay.lines(2))
                 binds = [
                     order.split(",")[1]
                     for _, orders in relay.calls[before:]
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -237,17 +237,19 @@
         async def play():
             async with stage() as (service, relay, _):
                 relay.attach(1, "north")
-                await relay.until(lambda: relay.lines(1) and len(relay.streams) == limits.EVENT_STREAMS)
+                await relay.wait_until(
+                    lambda: relay.lines(1) and len(relay.event_queues) == limits.EVENT_STREAMS
+                )
                 relay.attach(2, "north")
-                while any(relay.streams):  # until the relay has sent it; nobody else has run since
+                while any(relay.event_queues):  # until the relay has sent it; nobody else has run since
                     await anyio.lowlevel.checkpoint()
-                del relay.joined[2]  # it is told once, by the last bytes
-                for stream in list(relay.open):
+                del relay.attached[2]  # it is told once, by the last bytes
+                for stream in list(relay.connections):
                     await anyio.aclose_forcefully(stream)
-                await relay.until(
+                await relay.wait_until(
                     lambda: any(order.startswith("USE,2,") for _, orders in relay.calls for order in orders)
                 )
-                await relay.until(lambda: len(relay.streams) == limits.EVENT_STREAMS)
+                await relay.wait_until(lambda: len(relay.event_queues) == limits.EVENT_STREAMS)
                 while 2 in service.controller.proxies.joined:
                     await anyio.sleep(0.02)  # and is known to have left once what stands was told
 
@@ -258,11 +260,13 @@
             async with stage() as (service, relay, _):
                 for node in (1, 2):
                     relay.attach(node, "north")
-                await relay.until(
-                    lambda: relay.lines(1) and relay.lines(2) and len(relay.streams) == limits.EVENT_STREAMS
+                await relay.wait_until(
+                    lambda: (
+                        relay.lines(1) and relay.lines(2) and len(relay.event_queues) == limits.EVENT_STREAMS
+                    )
                 )
                 while (
-                    relay.joined[1].endswith("1")
+                    relay.attached[1].endswith("1")
                     or service.controller.module.publisher.queue.due_at
                     or any(proxy.messages.open for proxy in service.controller.module.proxies)
                 ):
@@ -270,11 +274,13 @@
                 at = dict(service.controller.proxies.joined_at)
                 binds = sum(order.startswith("USE,2,") for _, orders in relay.calls for order in orders)
                 del relay.bound[1]  # nobody is told
-                relay.joined[1] = relay.joined[1].replace("cold=0", "cold=1")
-                for stream in list(relay.open):
+                relay.attached[1] = relay.attached[1].replace("cold=0", "cold=1")
+                for stream in list(relay.connections):
                     await anyio.aclose_forcefully(stream)
                 # by the news, not by the next mark that it misses: that may be long in coming
-                await relay.until(lambda: service.controller.proxies.joined_at[1] > at[1] and relay.lines(1))
+                await relay.wait_until(
+                    lambda: service.controller.proxies.joined_at[1] > at[1] and relay.lines(1)
+                )
                 self.assertEqual(service.controller.proxies.joined_at[2], at[2])
                 self.assertEqual(
                     sum(order.startswith("USE,2,") for _, orders in relay.calls for order in orders), binds
