--- a/embertray/experiments/measure/capacity/decisions.py
+++ b/embertray/experiments/measure/capacity/decisions.py
@@ -84,17 +84,17 @@
     fleet = Fleet(timed, backends, proxies, **load.channel)
     fleet.run(11 * S, beat)
     fleet.join(fleet.proxies, lambda _: fleet.backends[:5])
-    kind = fleet.site.kinds[0]
+    kind = fleet.deployment.kinds[0]
     for second in range(SETTLE + seconds):
         if second == SETTLE:
             timed.steps.clear()
         for number, backend in enumerate(load.heard(fleet, chance)):
             zone = fleet.zones[number % len(fleet.zones)]
-            fleet.todo.append(
+            fleet.pending_events.append(
                 i.Heard(backend, zone, 10 if load.everyone else 1, 0, 250 * MS, S, {"waiting": 0})
             )
         if not load.silent:
-            fleet.todo += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.proxies]
+            fleet.pending_events += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.proxies]
         fleet.run(fleet.now + S, beat)
     memory, steps = resident() - before, list(timed.steps)
     return Cost(
@@ -114,7 +114,7 @@
         ):
             fleet.run(fleet.now + S, BEAT)
             steps.clear()
-            fleet.list(how, backends, state)
+            fleet.change_list(how, backends, state)
             fleet.run(fleet.now + BETWEEN, BETWEEN)
             costs.append(sum(steps))
     return [median(changed), median(whole)]
--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -128,22 +128,24 @@
 
     fleet = Fleet(made, backends, proxies)
     fleet.run(11 * S)
-    kinds = fleet.site.kinds
+    kinds = fleet.deployment.kinds
     for second in range(30):
         if second < 4:
             fleet.join(
                 fleet.proxies[second::4], lambda proxy: fleet.backends[proxy.external_id % 5 * 20 :][:20]
             )
         if second in (3, 5, 7):
-            fleet.list("changes", fleet.backends[second * 10 - 30 :][:20], "draining")
+            fleet.change_list("changes", fleet.backends[second * 10 - 30 :][:20], "draining")
             new = [i.Backend(f"be-{1000 + second * 20 + k}") for k in range(20)]
-            fleet.list("changes", new, "ready", fleet.now)
+            fleet.change_list("changes", new, "ready", fleet.now)
         for n, backend in enumerate(fleet.backends[second % 2 :: 2]):
             bad = 9 if n % 11 == 0 and second > 12 else 0
             slow = (250 + 40 * (n % 7) + (600 if 15 < second < 24 else 0)) * MS
-            fleet.todo.append(i.Heard(backend, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5}))
+            fleet.pending_events.append(
+                i.Heard(backend, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5})
+            )
         for proxy in fleet.proxies[second % 4 :: 4]:
-            fleet.todo.append(
+            fleet.pending_events.append(
                 i.Arrivals(proxy, kinds[proxy.external_id % 2], 2 + proxy.external_id % 3, 0, 2 * S)
             )
         fleet.run(fleet.now + S)
@@ -179,9 +181,9 @@
 
             def deliver(self):
                 super().deliver()
-                self.todo = [
+                self.pending_events = [
                     event
-                    for event in self.todo
+                    for event in self.pending_events
                     if not (isinstance(event, i.Answered) and event.proxy in silent)
                 ]
 
@@ -209,7 +211,7 @@
         getattr(self, "draw_" + event, lambda: None)()
 
     def ready(self):
-        return [backend for backend in self.fleet.backends if self.fleet.state[backend] == "ready"]
+        return [backend for backend in self.fleet.backends if self.fleet.backend_states[backend] == "ready"]
 
     def draw_fault(self):
         ready, count = self.ready(), self.chance.choice((2, 3, 3, 100))
@@ -227,22 +229,22 @@
         fleet, count = self.fleet, self.chance.randint(1, 5)
         ready = self.ready()
         if len(ready) > 6:
-            fleet.list("changes", ready[:count], self.chance.choice(("draining", "gone")))
+            fleet.change_list("changes", ready[:count], self.chance.choice(("draining", "gone")))
         new = [i.Backend(f"be-{self.made_backends + k}") for k in range(count)]
         self.made_backends += count
         fleet.backends = [*fleet.backends, *new]
-        fleet.list("changes", new, "ready", fleet.now)
+        fleet.change_list("changes", new, "ready", fleet.now)
 
     def draw_return(self):
         """All that left lately are back, cold."""
-        gone = [backend for backend, state in self.fleet.state.items() if state != "ready"]
-        self.fleet.list("changes", gone[-3:], "ready", self.fleet.now)
+        gone = [backend for backend, state in self.fleet.backend_states.items() if state != "ready"]
+        self.fleet.change_list("changes", gone[-3:], "ready", self.fleet.now)
 
     def draw_zone(self):
         fleet = self.fleet
         lost = [backend for backend in self.ready() if int(backend.external_id[3:]) % len(fleet.zones) == 0]
         if len(lost) < len(self.ready()):
-            fleet.list("changes", lost, "gone")
+            fleet.change_list("changes", lost, "gone")
 
     def draw_burst(self):
         self.burst = self.chance.choice((0.3, 1.0, 1.0, 2.5, 5.0))
@@ -259,9 +261,9 @@
             else:
                 self.away.add(proxy)
                 fleet.bound.pop(proxy, None)
-                fleet.held.pop(proxy, None)
-                fleet.since.pop(proxy, None)
-                fleet.todo.append(i.Left(proxy))
+                fleet.lines.pop(proxy, None)
+                fleet.joined_at.pop(proxy, None)
+                fleet.pending_events.append(i.Left(proxy))
 
     def draw_silence(self):
         """Proxies that leave their nonces unanswered for a while."""
@@ -271,13 +273,13 @@
     def draw_list(self):
         fleet, how = self.fleet, self.chance.choice(("failed", "failed", "whole", "cached"))
         if how == "failed":
-            fleet.todo.append(i.ListNews("failed"))
+            fleet.pending_events.append(i.ListNews("failed"))
         else:
-            fleet.list(how, self.ready(), "ready")
+            fleet.change_list(how, self.ready(), "ready")
 
     def report(self):
         fleet, chance = self.fleet, self.chance
-        load = ("busy", "waiting", "held")[fleet.site.controllers % 3]
+        load = ("busy", "waiting", "held")[fleet.deployment.controllers % 3]
         for number, backend in enumerate(self.ready()):
             fault = self.faults.get(backend)
             if fault == "silent" or chance.random() < 0.2:
@@ -288,12 +290,12 @@
             latency = int(slow * max(1.0, self.burst) * (0.8 + 0.4 * chance.random()))
             told = {load: (9.0 if fault == "busy" else 0.2 + 0.3 * self.burst * chance.random())}
             zone = chance.choice(fleet.zones)
-            fleet.todo.append(i.Heard(backend, zone, tries, failed, latency, 2 * S, told))
+            fleet.pending_events.append(i.Heard(backend, zone, tries, failed, latency, 2 * S, told))
         for proxy in fleet.proxies:
             if proxy not in self.away and chance.random() < 0.5:
-                kind = chance.choice(fleet.site.kinds)
+                kind = chance.choice(fleet.deployment.kinds)
                 count = max(1, int(chance.choice((1, 2, 4)) * self.burst))
-                fleet.todo.append(i.Arrivals(proxy, kind, count, 0, 2 * S))
+                fleet.pending_events.append(i.Arrivals(proxy, kind, count, 0, 2 * S))
 
 
 def drawn(made, seed):
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -28,7 +28,8 @@
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.inventory import StandinInventory
-from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
+from embertray.simulation.standins.memory_net import MemoryNet
+from embertray.simulation.standins.virtual_time import VirtualClock, run as run_virtual
 
 from .flows import FlowFleet
 
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -12,7 +12,7 @@
 from embertray.controller.trust import Trust
 from embertray.service.daemon import Service
 from embertray.simulation.standins.aged import age_in_memory
-from embertray.simulation.standins.virtual import Gate, GatedClock, GatedNet
+from embertray.simulation.standins.process_gate import GatedClock, GatedNet, ProcessGate
 
 from .starts import Starts
 
@@ -36,7 +36,7 @@
         """Starts it, unless another trouble has done so already."""
         if name in self.running:
             return
-        gate, life = Gate(), self.lives.get(name, 0)
+        gate, life = ProcessGate(), self.lives.get(name, 0)
         self.lives[name] = life + 1
         net = GatedNet(self.net, gate)
         service = Service(
@@ -72,7 +72,7 @@
             return
         _, scope, gate, net = self.running.pop(name)
         net.kill()
-        gate.release()
+        gate.go_on()
         scope.cancel()
 
     def age(self, name, by, from_start):
@@ -80,16 +80,16 @@
 
     def freeze(self, name):
         if name in self.running:
-            self.running[name][2].shut()
+            self.running[name][2].stop()
 
     def thaw(self, name):
         if name in self.running:
-            self.running[name][2].release()
+            self.running[name][2].go_on()
 
     async def closing(self):
         """The day is over, and all still run."""
 
     async def stop(self):
         for _name, (service, _, gate, _) in self.running.items():
-            gate.release()
+            gate.go_on()
             service.stop()
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -24,8 +24,9 @@
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
 from embertray.simulation.standins.inventory import StandinInventory
+from embertray.simulation.standins.memory_net import MemoryNet
 from embertray.simulation.standins.proxy import StandinProxy
-from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
+from embertray.simulation.standins.virtual_time import VirtualClock, run as run_virtual
 
 from . import controllers
 from .ground import SETTLE, START_AFTER, Ground
--- a/embertray/simulation/standins/fleet.py
+++ b/embertray/simulation/standins/fleet.py
@@ -1,135 +1,226 @@
-"""The relay's channel and a fleet behind it, without streams: paced, in order, one message a proxy. For one
-decision module, which is handed in: a stand-in knows no controller."""
+"""A fleet of proxies without streams for one decision module, behind a stand-in of the relay's channel."""
 
-from collections import defaultdict, deque
+from collections import defaultdict
 
 from embertray.policy import interface as i
 
-MS, S = 10**6, 10**9
+from .fleet_channel import FleetChannel, MessageBatch
+
+MS = 10**6  # ns
+S = 10**9  # ns
+
+START_NS = 10 * S  # the time at which a fleet begins
+STEP_PERIOD_NS = 100 * MS
+GRACE_MARGIN_NS = 300 * MS  # past the drain's grace, for the way of the last message
+BACKEND_NAME_PREFIX = "be-"
+
+
+def default_deployment(zones, proxies, **changes):
+    """The deployment that a fleet has where nothing else is asked for.
+
+    Args:
+        zones: the handles of the zones.
+        proxies: how many proxies there are; the channel's rate and bounds follow from it.
+        **changes: fields of i.Deployment that differ.
+
+    Returns:
+        An i.Deployment.
+    """
+    kinds = [
+        i.RequestKind(800 * MS, 2 * S),
+        i.RequestKind(S, 3 * S, 2.0, "non-replayable"),
+    ]
+    fields = {
+        "controllers": 5,
+        "proxies": proxies,
+        "throttle": "share",
+        "pick": "two",
+        "bare_limit": 15 * S,
+        "head": 6.0,
+        "way_mean": 180 * MS,
+        "channel_rate": 3 * proxies,
+        "pending_max": 24 * proxies,
+        "way_max": 450 * MS,
+        "messages_max": 20,
+        "messages_window": 10 * S,
+        "report_cycle": 2 * S,
+        "cold_from": 0.2,
+        "warm_after": 10 * S,
+        "fall_multiple": 4.0,
+        "fall_after": 3 * S,
+        "drain_grace": 9500 * MS,
+        "cross_fee": 0.01,
+    }
+    return i.Deployment(kinds, zones, **fields | changes)
 
 
 class Fleet:
-    """`controller(seed, deployment, now)` makes the module. Proxies apply messages and answer nonces; bound
-    ones hold their table's lines, loose ones what they brought. `late`: (proxy, backend) still held past the
-    grace; `bare`: ns without any line; `written`: when each proxy's messages left the channel; `most`: lines
-    that waited there."""
-
-    def __init__(self, controller, backends, proxies, zones=2, seed=1, **site):
-        self.zones = [i.Zone(f"zone-{k}") for k in range(zones)]
-        self.backends = [i.Backend(f"be-{k}") for k in range(backends)]
-        self.proxies = [i.Proxy(k) for k in range(proxies)]
-        kinds = [i.RequestKind(800 * MS, 2 * S), i.RequestKind(S, 3 * S, 2.0, "non-replayable")]
-        given = (
-            dict(
-                controllers=5,
-                proxies=proxies,
-                throttle="share",
-                pick="two",
-                bare_limit=15 * S,
-                head=6.0,
-                way_mean=180 * MS,
-                channel_rate=3 * proxies,
-                pending_max=24 * proxies,
-                way_max=450 * MS,
-                messages_max=20,
-                messages_window=10 * S,
-                report_cycle=2 * S,
-                cold_from=0.2,
-                warm_after=10 * S,
-                fall_multiple=4.0,
-                fall_after=3 * S,
-                drain_grace=9500 * MS,
-                cross_fee=0.01,
-            )
-            | site
-        )
-        self.site, self.now, self.todo, self.channel = (
-            i.Deployment(kinds, self.zones, **given),
-            10 * S,
-            [],
-            deque(),
-        )
-        self.module = controller(seed, self.site, self.now)
-        self.state, self.told, self.held, self.bound, self.since = {}, {}, defaultdict(dict), {}, {}
-        self.tables, self.free_at, self.most, self.late, self.bare = defaultdict(dict), 0, 0.0, {}, {}
-        self.written = defaultdict(list)
-        self.list("cached", self.backends, "ready")
-
-    def list(self, how, backends, state, started=0):
-        entries = [
-            i.Entry(backend, self.zones[int(backend.external_id[3:]) % len(self.zones)], state, started)
-            for backend in backends
-        ]
-        self.state.update((backend, state) for backend in backends)
-        self.told.update(
-            (backend, self.now) for backend in backends if state != "ready" and backend not in self.told
-        )
-        self.todo.append(i.ListNews(how, entries))
-
-    def join(self, proxies, holds):
+    """Steps a decision module and keeps what its orders make of the proxies.
+
+    Proxies apply messages and answer nonces. Those that are bound have their table's lines, those that are
+    not have the lines that they brought.
+
+    Args:
+        controller: called with (seed, deployment, now); makes the decision module.
+        backends: number of backends that are listed at the start.
+        proxies: number of proxies; they join by `join`.
+        zones: number of zones.
+        seed: the module's seed.
+        **deployment: fields of i.Deployment that differ from the defaults.
+
+    Attributes:
+        now: ns.
+        pending_events: events for the module's next step.
+        backend_states: backend -> state that the list says.
+        removed_at: backend -> ns since when it is listed as not ready.
+        lines: proxy -> backend -> weight.
+        bound: proxy -> table.
+        joined_at: proxy -> ns.
+        tables: table -> backend -> weight, as ordered.
+        overdue: (proxy, backend) that had a line past the drain's grace -> ns when last seen.
+        without_lines_ns: proxy -> ns that it was without a line to a listed backend.
+        channel: the FleetChannel.
+    """
+
+    def __init__(self, controller, backends, proxies, zones=2, seed=1, **deployment):
+        self.zones = [i.Zone(f"zone-{number}") for number in range(zones)]
+        self.backends = [i.Backend(f"{BACKEND_NAME_PREFIX}{number}") for number in range(backends)]
+        self.proxies = [i.Proxy(number) for number in range(proxies)]
+        self.deployment = default_deployment(self.zones, proxies, **deployment)
+        self.now = START_NS
+        self.module = controller(seed, self.deployment, self.now)
+        self.pending_events = []
+        self.backend_states = {}
+        self.removed_at = {}
+        self.lines = defaultdict(dict)
+        self.bound = {}
+        self.joined_at = {}
+        self.tables = defaultdict(dict)
+        self.overdue = {}
+        self.without_lines_ns = {}
+        self.channel = FleetChannel(self.deployment)
+        self.change_list("cached", self.backends, "ready")
+
+    def change_list(self, how, backends, state, started=0):
+        """Have a part of the list come to the module with its next step.
+
+        Args:
+            how: the kind of i.ListNews.
+            backends: handles of the backends that are listed.
+            state: the state of them all.
+            started: ns when their processes started; 0: long ago.
+        """
+        entries = [i.Entry(backend, self._zone_of(backend), state, started) for backend in backends]
+        for backend in backends:
+            self.backend_states[backend] = state
+            if state != "ready":
+                self.removed_at.setdefault(backend, self.now)
+        self.pending_events.append(i.ListNews(how, entries))
+
+    def _zone_of(self, backend):
+        number = int(backend.external_id.removeprefix(BACKEND_NAME_PREFIX))
+        return self.zones[number % len(self.zones)]
+
+    def join(self, proxies, lines_of):
+        """Let proxies join.
+
+        Args:
+            proxies: their handles.
+            lines_of: proxy -> the backends to which it brings lines.
+        """
         for proxy in proxies:
-            self.held[proxy], self.since[proxy] = dict.fromkeys(holds(proxy), 1.0), self.now
-            self.todo.append(i.Joined(proxy, self.zones[proxy.external_id % len(self.zones)], 1.0, True))
+            self.lines[proxy] = dict.fromkeys(lines_of(proxy), 1.0)
+            self.joined_at[proxy] = self.now
+            zone = self.zones[proxy.external_id % len(self.zones)]
+            self.pending_events.append(i.Joined(proxy, zone, 1.0, True))
+
+    def run(self, until, period=STEP_PERIOD_NS):
+        """Step the module.
 
-    def run(self, until, beat=100 * MS):
+        Args:
+            until: ns at which to end.
+            period: ns between two steps.
+        """
         while self.now < until:
-            self.now += beat
+            self.now += period
             self.deliver()
-            todo, self.todo = self.todo, []
-            self.send(self.module.step(self.now, todo))
-            self.judge()
+            events = self.pending_events
+            self.pending_events = []
+            self.send(self.module.step(self.now, events))
+            self._check_lines()
 
     def deliver(self):
-        while self.channel and self.channel[0][0] <= self.now:
-            _, proxy, change, nonce, sent = self.channel.popleft()
-            for backend, weight in change.items():
-                if backend is None:
-                    self.held[proxy] = dict(weight)
-                elif weight:
-                    self.held[proxy][backend] = weight
-                else:
-                    self.held[proxy].pop(backend, None)
-            if nonce:
-                self.todo.append(i.Answered(proxy, nonce, self.now - sent))
+        """Apply the messages that have come to their proxies, which answer them."""
+        for update in self.channel.arrived(self.now):
+            if update.table is not None:
+                self.lines[update.proxy] = dict(update.table)
+            self._apply_changes(self.lines[update.proxy], update.changes)
+            if update.nonce:
+                answer = i.Answered(update.proxy, update.nonce, self.now - update.sent_at)
+                self.pending_events.append(answer)
+
+    @staticmethod
+    def _apply_changes(lines, changes):
+        for backend, weight in changes.items():
+            if weight:
+                lines[backend] = weight
+            else:
+                lines.pop(backend, None)
+
+    # ---- orders
 
     def send(self, orders):
-        """Orders of a step become one message a proxy; they leave the channel at its pace, in order."""
-        messages, cost, nonce = defaultdict(dict), defaultdict(float), None
+        """Make a step's orders messages and put them on the channel.
+
+        Args:
+            orders: what `step` of the module returned.
+        """
+        batch = MessageBatch()
+        users = self._users_of_tables()
+        for order in orders:
+            if isinstance(order, i.SetLine):
+                self._set_line(order, users, batch)
+            elif isinstance(order, i.SetLevel):
+                for proxy in users[order.table]:
+                    batch.set_level(proxy)
+            elif isinstance(order, i.Bind):
+                self._bind(order, batch)
+            elif isinstance(order, i.Withdraw):
+                self._withdraw(order, batch)
+            elif isinstance(order, i.PutNonce):
+                batch.nonce = order.nonce
+        self.channel.send(batch, self.now)
+
+    def _users_of_tables(self):
         users = defaultdict(list)
         for proxy, table in self.bound.items():
             users[table].append(proxy)
-        for one in orders:
-            if isinstance(one, (i.SetLine, i.SetLevel)):
-                for proxy in users[one.table]:
-                    cost[proxy] += 1
-                    if isinstance(one, i.SetLine):
-                        messages[proxy][one.backend] = one.weight
-                if isinstance(one, i.SetLine):
-                    self.tables[one.table][one.backend] = one.weight
-            elif isinstance(one, i.Bind):
-                self.bound[one.proxy] = one.table
-                lines = {backend: w for backend, w in self.tables[one.table].items() if w}
-                messages[one.proxy], cost[one.proxy] = {None: lines}, 3 + len(lines)
-            elif isinstance(one, i.Withdraw):
-                for proxy in self.since:
-                    if self.held[proxy].get(one.backend):
-                        messages[proxy][one.backend], cost[proxy] = 0, cost[proxy] + 1
-            elif isinstance(one, i.PutNonce):
-                nonce = one.nonce
-        for proxy in cost:
-            self.free_at = max(self.free_at, self.now) + int(
-                (cost[proxy] + self.site.head + 1) * S / self.site.channel_rate
-            )
-            self.written[proxy].append(self.free_at)
-            self.channel.append((self.free_at + self.site.way_mean, proxy, messages[proxy], nonce, self.now))
-        self.most = max(self.most, (self.free_at - self.now) * self.site.channel_rate / S)
-
-    def judge(self):
-        grace = self.site.drain_grace + 300 * MS
-        for proxy, since in self.since.items():
-            gone = [backend for backend in self.held[proxy] if backend in self.told]
-            for backend in gone:
-                if self.now > max(self.told[backend], since) + grace:
-                    self.late[proxy, backend] = self.now
-            if len(gone) == len(self.held[proxy]):
-                self.bare[proxy] = self.bare.get(proxy, 0) + 100 * MS
+        return users
+
+    def _set_line(self, order, users, batch):
+        for proxy in users[order.table]:
+            batch.set_line(proxy, order.backend, order.weight)
+        self.tables[order.table][order.backend] = order.weight
+
+    def _bind(self, order, batch):
+        self.bound[order.proxy] = order.table
+        lines = {backend: weight for backend, weight in self.tables[order.table].items() if weight}
+        batch.bind(order.proxy, lines)
+
+    def _withdraw(self, order, batch):
+        for proxy in self.joined_at:
+            if self.lines[proxy].get(order.backend):
+                batch.set_line(proxy, order.backend, 0)
+
+    # ---- what must not be
+
+    def _check_lines(self):
+        """Note lines that are there past the drain's grace, and proxies without a usable line."""
+        grace = self.deployment.drain_grace + GRACE_MARGIN_NS
+        for proxy, joined_at in self.joined_at.items():
+            removed = [backend for backend in self.lines[proxy] if backend in self.removed_at]
+            for backend in removed:
+                if self.now > max(self.removed_at[backend], joined_at) + grace:
+                    self.overdue[proxy, backend] = self.now
+            if len(removed) == len(self.lines[proxy]):
+                self.without_lines_ns[proxy] = self.without_lines_ns.get(proxy, 0) + STEP_PERIOD_NS
--- /dev/null
+++ b/embertray/simulation/standins/fleet_channel.py
@@ -0,0 +1,134 @@
+"""The relay's channel without streams: messages leave at a pace, in order, one for each proxy and step."""
+
+from collections import defaultdict, deque
+from typing import NamedTuple
+
+from embertray.policy import interface as i
+
+NS_PER_S = 10**9
+BIND_LINES = 3  # lines that a bind costs beside those of its table
+MESSAGE_LINES = 1  # lines that a message costs beside its content and its head
+
+
+class TableUpdate(NamedTuple):
+    """One message as it comes to a proxy.
+
+    Attributes:
+        arrives_at: ns.
+        proxy: the proxy's handle.
+        table: backend -> weight that replaces all that it had; None where only `changes` come.
+        changes: backend -> weight; 0 removes the line.
+        nonce: the nonce to answer, or None.
+        sent_at: ns of the step that ordered it.
+    """
+
+    arrives_at: int
+    proxy: object
+    table: dict | None
+    changes: dict
+    nonce: object
+    sent_at: int
+
+
+class MessageBatch:
+    """The messages that a step's orders become: one for each proxy concerned.
+
+    Attributes:
+        tables: proxy -> backend -> weight, for a proxy that was bound in this step.
+        changes: proxy -> backend -> weight.
+        lines: proxy -> lines that its message takes of the channel.
+        nonce: the step's nonce, or None.
+    """
+
+    def __init__(self):
+        self.tables = {}
+        self.changes = defaultdict(dict)
+        self.lines = defaultdict(float)
+        self.nonce = None
+
+    def set_line(self, proxy, backend, weight):
+        """Add a line to a proxy's message.
+
+        Args:
+            proxy: the proxy's handle.
+            backend: the backend's handle.
+            weight: its weight; 0 removes the line.
+        """
+        self.changes[proxy][backend] = weight
+        self.lines[proxy] += 1
+
+    def set_level(self, proxy):
+        """Add an admission level to a proxy's message; only its cost counts here.
+
+        Args:
+            proxy: the proxy's handle.
+        """
+        self.lines[proxy] += 1
+
+    def bind(self, proxy, table):
+        """Make a proxy's message one that carries a complete table.
+
+        Args:
+            proxy: the proxy's handle.
+            table: backend -> weight.
+        """
+        self.tables[proxy] = table
+        self.changes[proxy] = {}
+        self.lines[proxy] = BIND_LINES + len(table)
+
+
+class FleetChannel:
+    """Carries messages at the deployment's pace.
+
+    Args:
+        deployment: an i.Deployment.
+
+    Attributes:
+        free_at: ns when all that was sent has left.
+        pending_lines_max: the most lines that waited at any time.
+        sent_at: proxy -> ns at which each of its messages left.
+    """
+
+    def __init__(self, deployment: i.Deployment):
+        self.deployment = deployment
+        self.updates = deque()
+        self.free_at = 0
+        self.pending_lines_max = 0.0
+        self.sent_at = defaultdict(list)
+
+    def send(self, batch, now):
+        """Queue a step's messages.
+
+        Args:
+            batch: a MessageBatch.
+            now: ns.
+        """
+        deployment = self.deployment
+        for proxy, lines in batch.lines.items():
+            lines_in_all = lines + deployment.head + MESSAGE_LINES
+            self.free_at = max(self.free_at, now) + int(lines_in_all * NS_PER_S / deployment.channel_rate)
+            self.sent_at[proxy].append(self.free_at)
+            self.updates.append(
+                TableUpdate(
+                    self.free_at + deployment.way_mean,
+                    proxy,
+                    batch.tables.get(proxy),
+                    batch.changes[proxy],
+                    batch.nonce,
+                    now,
+                )
+            )
+        pending_lines = (self.free_at - now) * deployment.channel_rate / NS_PER_S
+        self.pending_lines_max = max(self.pending_lines_max, pending_lines)
+
+    def arrived(self, now):
+        """Take out what has arrived.
+
+        Args:
+            now: ns.
+
+        Yields:
+            TableUpdate, in the order in which they were sent.
+        """
+        while self.updates and self.updates[0].arrives_at <= now:
+            yield self.updates.popleft()
--- /dev/null
+++ b/embertray/simulation/standins/virtual_time.py
@@ -0,0 +1,84 @@
+"""Virtual time: the same service and stand-ins, a day in the time that its work takes.
+
+The loop is asyncio's own, first in first out; where it would wait, its clock jumps to the next timer instead.
+So the same day with the same seed is the same run. docs/design/controller.md compares this with other ways.
+"""
+
+import asyncio
+import selectors
+
+import anyio
+
+from embertray.common.net.clock import LoopClock
+
+from .exceptions import StalledError
+
+START_S = 1000.0  # s of the virtual clock at the start: what started "long ago" lies before it
+WALL_OFFSET_NS = 1_700_000_000 * 10**9  # ns by which the wall clock is ahead of the loop's
+
+
+class _JumpingSelector(selectors.DefaultSelector):
+    """Moves the loop's clock where it would wait.
+
+    Raises:
+        StalledError: from `select`, where no timer is left to jump to.
+    """
+
+    loop = None
+
+    def select(self, timeout=None):
+        ready = super().select(0)
+        if not ready and (timeout is None or timeout > 0):
+            if timeout is None:
+                raise StalledError("nothing is left that could happen")
+            self.loop.time_s += timeout
+        return ready
+
+
+class VirtualLoop(asyncio.SelectorEventLoop):
+    """An event loop whose time passes only where nothing is left to run.
+
+    Attributes:
+        time_s: the loop's time, s.
+    """
+
+    def __init__(self):
+        self.time_s = START_S
+        selector = _JumpingSelector()
+        selector.loop = self
+        super().__init__(selector)
+
+    def time(self):
+        """The loop's time, s."""
+        return self.time_s
+
+
+def run(main, *arguments):
+    """Run a coroutine function in virtual time, as `anyio.run` does in real time.
+
+    Args:
+        main: the coroutine function.
+        *arguments: its arguments.
+
+    Returns:
+        What it returns.
+
+    Raises:
+        StalledError: it waits for something that can no longer happen.
+    """
+    return anyio.run(main, *arguments, backend_options={"loop_factory": VirtualLoop})
+
+
+class VirtualClock(LoopClock):
+    """The loop's clock, with a wall clock that can be set.
+
+    Attributes:
+        wall_offset: ns by which the wall clock is ahead.
+    """
+
+    def __init__(self):
+        self.wall_offset = WALL_OFFSET_NS
+
+    def wall(self):
+        """The wall clock's time, ns."""
+        return self.now() + self.wall_offset
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -20,7 +20,9 @@
     fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
     for _second in range(8):
         for n, backend in enumerate(fleet.backends):
-            fleet.todo.append(i.Heard(backend, fleet.zones[n % 2], 10, 0, 250 * MS, 2 * S, {"waiting": 0}))
+            fleet.pending_events.append(
+                i.Heard(backend, fleet.zones[n % 2], 10, 0, 250 * MS, 2 * S, {"waiting": 0})
+            )
         fleet.run(fleet.now + S)
     return fleet
 
@@ -39,7 +41,7 @@
 
     fleet.now += wait
     fleet.deliver()
-    events, fleet.todo = fleet.todo + events, []
+    events, fleet.pending_events = fleet.pending_events + events, []
     sys.settrace(begin)
     try:
         orders = fleet.module.step(fleet.now, events)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -26,7 +26,8 @@
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.inventory import StandinInventory
-from embertray.simulation.standins.virtual import START, MemoryNet, VirtualClock, run
+from embertray.simulation.standins.memory_net import MemoryNet
+from embertray.simulation.standins.virtual_time import START_S, VirtualClock, run
 
 HERE = Path(__file__).resolve().parent
 S = 10**9
@@ -198,9 +199,9 @@
         quick, slow = await room.peer("quick"), await room.peer("slow")
         await quick.until(Orders)
         stream = room.service.streams["slow"]
-        stream.conn.stream.peer.held = 1 << 20  # its socket's buffers are full, and it does not read
+        stream.conn.stream.peer.buffered = 1 << 20  # its socket's buffers are full, and it does not read
         for n in range(5):
-            room.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START * 1e9))
+            room.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START_S * 1e9))
             self.assertIsNotNone(await quick.until(Orders))
             await anyio.sleep(1.5)
         await anyio.sleep(UNSENT_AGE_MAX_NS / 1e9)
@@ -232,7 +233,7 @@
         mute = await room.peer("mute")
         self.assertIsNone(await mute.until(Fault, answer=False))
         self.assertEqual(room.service.counted["cuts"], 1)
-        self.assertTrue(60 < room.clock.now() / S - START < 80)
+        self.assertTrue(60 < room.clock.now() / S - START_S < 80)
         self.assertEqual((room.service.instance.refs, room.service.instance.identifiers.nonces), ({}, {}))
 
     @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,9 +22,9 @@
         fleet.run(fleet.now + 100 * MS)
     for wave in range(3):
         fleet.run(fleet.now + 1500 * MS)
-        fleet.list("changes", fleet.backends[wave * 40 :][:40], "draining")
+        fleet.change_list("changes", fleet.backends[wave * 40 :][:40], "draining")
         new = [i.Backend(f"be-{1000 + wave * 40 + k}") for k in range(40)]
-        fleet.list("changes", new, "ready", fleet.now)
+        fleet.change_list("changes", new, "ready", fleet.now)
     fleet.run(fleet.now + 14 * S)
     return fleet
 
@@ -32,16 +32,16 @@
 class Crowd(unittest.TestCase):
     def test_all_come_with_removals_and_all_are_out_in_time(self):
         fleet = crowd(1600)
-        self.assertEqual(len(fleet.late), 0, "lines held past the grace")
+        self.assertEqual(len(fleet.overdue), 0, "lines held past the grace")
         self.assertEqual(len(fleet.bound), 1600)
-        self.assertLessEqual(fleet.most, fleet.site.pending_max)
-        self.assertLess(max(fleet.bare.values(), default=0), fleet.site.bare_limit)
+        self.assertLessEqual(fleet.channel.pending_lines_max, fleet.deployment.pending_max)
+        self.assertLess(max(fleet.without_lines_ns.values(), default=0), fleet.deployment.bare_limit)
         self.assertLess(len(set(fleet.bound.values())), 1600 / 5)  # shared tables still
 
     def test_whole_tables_are_not_in_time(self):
         """The stand-in tells a controller that fails: one whose tables all hold the whole list."""
         with mock.patch.object(RoutingTables, "lines_max", lambda self: 0):
-            self.assertGreater(len(crowd(400).late), 1000)
+            self.assertGreater(len(crowd(400).overdue), 1000)
 
     def test_no_table_is_left_without_a_line_while_few_are_warm(self):
         """In a jam cold backends get no lines: the few that do must stand in every part."""
@@ -90,14 +90,15 @@
         fleet.run(10500 * MS)
         fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
         fleet.run(12 * S)
-        fleet.free_at = fleet.now + 9 * S  # the channel stands still, then writes what has waited at once
+        # The channel stands still, then writes at once what has waited.
+        fleet.channel.free_at = fleet.now + 9 * S
         for second in range(25):
-            fleet.list("changes", [fleet.backends[second % 6 - 1]], "ready", 1)
-            fleet.list("changes", [fleet.backends[second % 6]], "draining")
+            fleet.change_list("changes", [fleet.backends[second % 6 - 1]], "ready", 1)
+            fleet.change_list("changes", [fleet.backends[second % 6]], "draining")
             fleet.run(fleet.now + S)
-        for times in fleet.written.values():
+        for times in fleet.channel.sent_at.values():
             most = max(sum(at - 10 * S < t <= at for t in times) for at in times)
-            self.assertLessEqual(most, fleet.site.messages_max)
+            self.assertLessEqual(most, fleet.deployment.messages_max)
 
     def test_joins_between_beats_solve_nothing(self):
         fleet = Fleet(Controller, 30, 100, pending_max=10**5)
@@ -116,7 +117,7 @@
         fleet.run(10500 * MS)
         fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
         fleet.run(14 * S)
-        self.assertTrue(all(len(fleet.held[proxy]) == 30 for proxy in fleet.proxies))
+        self.assertTrue(all(len(fleet.lines[proxy]) == 30 for proxy in fleet.proxies))
         self.assertEqual(len(set(fleet.bound.values())), 2)
 
 
