--- a/embertray/simulation/processes/watch.py
+++ b/embertray/simulation/processes/watch.py
@@ -6,7 +6,7 @@
 from prometheus_client.parser import text_string_to_metric_families as families
 
 from embertray.service.admin.client import send_request
-from embertray.simulation.standins.parts import BROKEN
+from embertray.simulation.standins.link import STREAM_ERRORS
 
 SECOND_NS = 10**9
 LOOK_PERIOD_NS = SECOND_NS // 4  # between two looks at a process
@@ -53,7 +53,7 @@
             try:
                 code, body = await send_request(self.net, self.processes.admin(name), "GET", page)
                 return body if code == 200 else None
-            except (*BROKEN, ValueError, h11.RemoteProtocolError):
+            except (*STREAM_ERRORS, ValueError, h11.RemoteProtocolError):
                 return None  # it went while it answered
 
     async def look(self, now, name, program):
