--- a/embertray/experiments/measure/emulated.py
+++ b/embertray/experiments/measure/emulated.py
@@ -37,7 +37,7 @@
     )
     wall = time.monotonic() - began
     engine = stages[0].engine
-    steps = sum(con.desk.instance.steps for con in stages[0].held.running.values())
+    steps = sum(controller.frontend.instance.steps for controller in stages[0].held.running.values())
     return {
         "events": engine.done,
         "wall": wall,
--- a/embertray/simulation/emulator/backend.py
+++ b/embertray/simulation/emulator/backend.py
@@ -8,7 +8,7 @@
         self.simulation, self.model, self.draw = simulation, model, draw
         self.links, self.out, self.bad_for, self.planned = {}, {}, set(), None
 
-    def on_req(self, proxy, under, attempt, kind, work, until):
+    def on_request(self, proxy, under, attempt, kind, work, until):
         """A try has come here; its end goes back to `px.ended`."""
         now, model = self.simulation.engine.time, self.model
         if proxy not in self.links:
@@ -22,9 +22,9 @@
         if proxy.name in self.bad_for:
             self.end(under, attempt, "error", {})
             return
-        how = model.offer(now, (under, attempt), kind, work, until, self.draw())
-        if how:
-            self.end(under, attempt, how, model.report(now))
+        outcome = model.offer(now, (under, attempt), kind, work, until, self.draw())
+        if outcome:
+            self.end(under, attempt, outcome, model.report(now))
         self.plan()
 
     def plan(self):
@@ -41,18 +41,18 @@
             self.end(under, attempt, "done", self.model.report(now))
         self.plan()
 
-    def end(self, under, attempt, how, load):
+    def end(self, under, attempt, outcome, load):
         found = self.out.get(under)
         if found is None or found[1] != attempt:
             return
         proxy = self.out.pop(under)[0]
         way = self.simulation.between(proxy.zone, self.model.zone)
         if way:
-            self.simulation.engine.after(way, proxy.ended, under, attempt, how, load)
+            self.simulation.engine.after(way, proxy.ended, under, attempt, outcome, load)
         else:
-            proxy.ended(under, attempt, how, load)
+            proxy.ended(under, attempt, outcome, load)
 
-    def gave_up(self, under):
+    def cancel(self, under):
         self.out.pop(under, None)
 
     def break_links(self):
--- a/embertray/simulation/emulator/clients.py
+++ b/embertray/simulation/emulator/clients.py
@@ -33,14 +33,14 @@
             self.simulation.eyes.ended(engine.time, ask.at, ask.kind, "lost", 0)
             return
         ask.timer = engine.after(within, self.heard, ask.ident, ask.tries, "timeout")
-        self.proxy.on_req(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries), self.back)
+        self.proxy.on_request(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries), self.back)
 
-    def back(self, req, how, stay=0):
-        self.heard(req.ident, req.attempt, how, stay)
+    def back(self, req, outcome, stay=0):
+        self.heard(req.ident, req.attempt, outcome, stay)
 
-    def heard(self, ident, tries, how, stay=0):
+    def heard(self, ident, tries, outcome, stay=0):
         engine = self.simulation.engine
-        found = self.model.heard(engine.time, ident, tries, how, stay)
+        found = self.model.heard(engine.time, ident, tries, outcome, stay)
         if found is None:
             return
         ask, verdict, took = found
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,4 +1,4 @@
-"""A controller without streams: the daemon's desk, its pump and the list's client as planned calls."""
+"""A controller without streams: the daemon's frontend, its pump and the list's client as planned calls."""
 
 from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
 from embertray.controller.channel.timeouts import PROBE_TIMEOUT_NS
@@ -7,13 +7,13 @@
 
 
 class SimulatedController:
-    """One life of a controller: a desk, with the pump and the list's client as planned calls."""
+    """One life of a controller: a frontend, with the pump and the list's client as planned calls."""
 
     def __init__(self, simulation, name, me, life, kept):
         self.simulation, self.name, self.kept, now = simulation, name, kept, simulation.engine.time
         chance = simulation.chance.of("cuts", name, life).random
         snapshot, _ = kept.load()
-        self.desk = Desk(
+        self.frontend = Desk(
             simulation.site,
             me,
             simulation.seed * 1000 + life,
@@ -36,7 +36,7 @@
         self.plan_save(now + CONFIRMATION_PERIOD_NS)
         if not simulation.site.ask:
             simulation.engine.at(
-                now + self.follower.initial_delay(bool(self.desk.trust.backends)), self.dial_list
+                now + self.follower.initial_delay(bool(self.frontend.trust.backends)), self.dial_list
             )
 
     def when_awake(self, what, *args):
@@ -70,7 +70,7 @@
         if self.frozen:
             return
         now = self.ran = self.simulation.engine.time
-        step = self.desk.advance(now)
+        step = self.frontend.advance(now)
         if step.change is not None:
             self.simulation.ladder.append((now, self.name, step.change))
         for name, orders in step.leave:
@@ -82,7 +82,7 @@
             self.ask_list(True)
         for name, _ in step.cut:
             if name in self.streams:
-                self.desk.admission.record_cut(now, name)
+                self.frontend.admission.record_cut(now, name)
                 self.streams[name].break_stream()
         for backend in step.probe:
             model = self.simulation.models.get(backend)
@@ -90,38 +90,38 @@
             self.simulation.engine.after(
                 0 if up else PROBE_TIMEOUT_NS, self.when_awake, self.probed, backend, up
             )
-        if (later := self.desk.next_at()) is not None:
+        if (later := self.frontend.next_at()) is not None:
             self.plan(max(later, now))
 
     def probed(self, backend, answered):
-        self.desk.instance.probed(self.simulation.engine.time, backend, answered)
+        self.frontend.instance.probed(self.simulation.engine.time, backend, answered)
         self.poke()
 
     # ---- proxies
 
     def join(self, proxy, hello):
         """ns to stay away, or None: it has joined."""
-        verdict = self.desk.hello(self.simulation.engine.time, proxy.name)
+        verdict = self.frontend.hello(self.simulation.engine.time, proxy.name)
         if verdict:
             return verdict.retry_after
         if (old := self.streams.get(proxy.name)) is not None and old is not proxy:
             old.break_stream()
         elif old is proxy:
-            self.desk.left(self.simulation.engine.time, proxy.name)
+            self.frontend.left(self.simulation.engine.time, proxy.name)
         self.streams[proxy.name] = proxy
-        self.desk.joined(self.simulation.engine.time, hello)
+        self.frontend.joined(self.simulation.engine.time, hello)
         self.poke()
         return None
 
     def left(self, proxy):
         if self.streams.get(proxy.name) is proxy:
             del self.streams[proxy.name]
-            self.desk.left(self.simulation.engine.time, proxy.name)
+            self.frontend.left(self.simulation.engine.time, proxy.name)
             self.poke()
 
     def take(self, proxy, session, message):
         if self.streams.get(proxy.name) is proxy and proxy.session is session:
-            self.desk.take(self.simulation.engine.time, session, message)
+            self.frontend.take(self.simulation.engine.time, session, message)
             self.poke()
 
     # ---- the list
@@ -143,7 +143,7 @@
         self.simulation.inventory.followers.pop(self, None)
         wait = self.follower.connection_failed()
         if self.simulation.site.ask:  # the module decides when to ask again
-            self.desk.hand_on(self.simulation.engine.time, "failed", [])
+            self.frontend.hand_on(self.simulation.engine.time, "failed", [])
             self.poke()
         else:
             self.simulation.engine.at(self.simulation.engine.time + wait, self.dial_list)
@@ -161,7 +161,7 @@
         if update.kind is UpdateKind.GAP:
             self.ask_list(True)
             return
-        again = self.desk.news(now, update.kind, update.epoch, update.inventory_clock, update.entries)
+        again = self.frontend.news(now, update.kind, update.epoch, update.inventory_clock, update.entries)
         self.poke()
         if update.kind is not UpdateKind.FAILED:
             self.plan_save(max(now, self.saved + SNAPSHOT_PERIOD_NS))
@@ -177,7 +177,7 @@
         if self.save_at != when or not self.alive:
             return
         now, self.save_at = self.simulation.engine.time, None
-        if self.line is not None and self.desk.trust.discovery_answered and not self.frozen:
-            self.kept.save(self.desk.snapshot(now, self.kept.clock_reading()))
+        if self.line is not None and self.frontend.trust.discovery_answered and not self.frozen:
+            self.kept.save(self.frontend.snapshot(now, self.kept.clock_reading()))
             self.saved = now
         self.plan_save(now + CONFIRMATION_PERIOD_NS)
--- a/embertray/simulation/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -30,11 +30,11 @@
             )
 
     def kill(self, name):
-        con = self.running.pop(name, None)
-        if con is not None:
-            con.alive, con.line = False, None
-            self.simulation.inventory.followers.pop(con, None)
-            for proxy in list(con.streams.values()):
+        controller = self.running.pop(name, None)
+        if controller is not None:
+            controller.alive, controller.line = False, None
+            self.simulation.inventory.followers.pop(controller, None)
+            for proxy in list(controller.streams.values()):
                 proxy.break_stream()
 
     def age(self, name, by, from_start):
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -1,5 +1,5 @@
-"""A day without streams: the daemon's desk and core, proxies, clients and backends as models round one event
-heap.
+"""A day without streams: the daemon's frontend and core, with proxies, clients and backends as models round
+one event heap.
 
 The same day's text, the same troubles, the same models as on sockets; a message is a planned call, not bytes.
 What needs true streams (half a message, strangers' noise) is refused. Controllers are core.Desk, with
@@ -19,11 +19,11 @@
 from .backend import SimulatedBackend
 from .clients import SimulatedClients
 from .controllers import SimulatedControllers
-from .engine import Engine, S
-from .inventory import SimulatedInventory
+from .endpoint_list import SimulatedEndpointList
+from .engine import NS_PER_SECOND, Engine
 from .proxy import SimulatedProxy
 
-START = 1000 * S  # what started "long ago" lies before it
+START = 1000 * NS_PER_SECOND  # what started "long ago" lies before it
 STREAMS_ONLY = ("half-message", "twice", "garbage")
 
 
@@ -57,7 +57,7 @@
         self.eyes = Observer() if watched else Unseen()
         self.by_name, self.cross, self.numbers = {}, span(day.fleet["cross"]), 0
         self.ladder = []  # (ns, controller, degrade.Change)
-        self.inventory = SimulatedInventory(self, span(day.fleet["answers"]))
+        self.inventory = SimulatedEndpointList(self, span(day.fleet["answers"]))
         self.held = SimulatedControllers(self)
 
     def between(self, here, there):
@@ -80,11 +80,11 @@
 
     async def admin(self, name, method, target):
         """The one request that troubles make of a controller: the channel's pace."""
-        con = self.held.running.get(name)
-        if con is None:
+        controller = self.held.running.get(name)
+        if controller is None:
             raise ConnectionRefusedError(name)
-        con.desk.instance.pacer.set_pace(self.engine.time, float(target.partition("=")[2]))
-        con.poke()
+        controller.frontend.instance.pacer.set_pace(self.engine.time, float(target.partition("=")[2]))
+        controller.poke()
 
     async def run(self):
         """The day, as a process of the engine."""
@@ -142,8 +142,12 @@
         patience = max(kind.client_timeout for kind in self.site.kinds)
         end = self.zero + self.day.lasts
         while engine.time < end + patience + SETTLE:
-            engine.run(min(engine.time + S, end + patience + SETTLE))
+            engine.run(min(engine.time + NS_PER_SECOND, end + patience + SETTLE))
             if progress:
-                progress((engine.time - self.zero) / S, (end - self.zero) / S, len(self.eyes.reqs))
+                progress(
+                    (engine.time - self.zero) / NS_PER_SECOND,
+                    (end - self.zero) / NS_PER_SECOND,
+                    len(self.eyes.reqs),
+                )
         self.eyes.end(engine.time)
         return self
--- a/embertray/simulation/emulator/engine.py
+++ b/embertray/simulation/emulator/engine.py
@@ -7,11 +7,11 @@
 import heapq
 from collections import deque
 
-S = 10**9
+NS_PER_SECOND = 10**9
 SPANS = 64  # spans that have a line of their own; what has a rarer one goes to the heap
 
 
-class Stuck(RuntimeError):
+class StuckClockError(RuntimeError):
     """Time stands still."""
 
 
@@ -37,7 +37,7 @@
 
 class Engine:
     """Things happen in the order of their times, and those of one time in the order of their planning. Raises
-    Stuck after too many events at one instant."""
+    StuckClockError after too many events at one instant."""
 
     MOST_AT_ONCE = 1_000_000
 
@@ -85,7 +85,7 @@
                 continue
             same = same + 1 if when == self.time else 0
             if same > self.MOST_AT_ONCE:
-                raise Stuck(f"{same} events at {when} ns: time stands still")
+                raise StuckClockError(f"{same} events at {when} ns: time stands still")
             self.time = when
             timer.what(*timer.args)
             self.done += 1
--- a/embertray/simulation/emulator/fluid.py
+++ b/embertray/simulation/emulator/fluid.py
@@ -16,10 +16,10 @@
 from embertray.simulation.standins.messages import Req
 
 from .day_simulation import DaySimulation
-from .engine import S
+from .engine import NS_PER_SECOND
 from .proxy import SimulatedProxy
 
-STEP = S // 20  # ns; a quarter of the shortest beat that the module knows
+STEP = NS_PER_SECOND // 20  # ns; a quarter of the shortest beat that the module knows
 
 
 class FluidProxy(SimulatedProxy):
@@ -35,8 +35,8 @@
         super().break_stream()
         self.simulation.changed.add(self.place)
 
-    def on_joined(self, con):
-        super().on_joined(con)
+    def on_joined(self, controller):
+        super().on_joined(controller)
         self.simulation.forget(self.place)
 
     def report(self):
@@ -157,7 +157,7 @@
         self.read()
         if now < until:
             rates = np.array([rate(now) for rate in self.rates])
-            fresh = (np.maximum(0.0, rates) * (STEP / S))[:, None] * self.parts
+            fresh = (np.maximum(0.0, rates) * (STEP / NS_PER_SECOND))[:, None] * self.parts
             for k, (kind, _, _) in enumerate(self.mixed):
                 self.outcome[kind][0] += fresh[:, k].sum()
             self.pour(now, fresh, 1)
@@ -174,7 +174,7 @@
         if attempt > 1:
             self.further += mass
         if self.site.levels == "rate":
-            spent = self.levels * (STEP / S)
+            spent = self.levels * (STEP / NS_PER_SECOND)
             part = np.divide(np.minimum(mass, spent), mass, out=np.ones_like(mass), where=mass > 0)
         else:
             part = np.minimum(1.0, self.levels)
@@ -228,10 +228,10 @@
             if back.any():
                 more = np.zeros_like(mass)
                 more[:, k] = back
-                self.waiting.append((now + S // 5, more, attempt + 1))
+                self.waiting.append((now + NS_PER_SECOND // 5, more, attempt + 1))
 
     def note(self, now, kind, asked, done, late):
-        second = self.seconds.setdefault((now - self.zero) // S, [0.0, 0.0])
+        second = self.seconds.setdefault((now - self.zero) // NS_PER_SECOND, [0.0, 0.0])
         second[0] += kind.credit * asked
         second[1] += kind.credit * (done + late * self.site.late_credit[kind])
 
@@ -295,7 +295,14 @@
                     now,
                     proxy.name,
                     model.name,
-                    Req(self.numbers, self.mixed[0][0].external_id, int(mass * work), S, 1, proxy.name),
+                    Req(
+                        self.numbers,
+                        self.mixed[0][0].external_id,
+                        int(mass * work),
+                        NS_PER_SECOND,
+                        1,
+                        proxy.name,
+                    ),
                     (self.numbers, 1),
                 )
 
--- a/embertray/simulation/emulator/gossip.py
+++ b/embertray/simulation/emulator/gossip.py
@@ -9,7 +9,7 @@
 from embertray.cluster.membership import DEFAULT_CONFIG, Membership
 from embertray.cluster.membership.messages import UnreadableMessageError, decode, encode
 
-from .engine import Engine, S
+from .engine import NS_PER_SECOND as S, Engine
 
 MS = 10**6
 START = 100_000 * S  # clocks may be hours off
--- a/embertray/simulation/emulator/limits.py
+++ b/embertray/simulation/emulator/limits.py
@@ -6,7 +6,7 @@
 from embertray.cluster.limits import DEFAULT_CONFIG, Limits
 from embertray.simulation.models.web import Web
 
-from .engine import Engine, S
+from .engine import NS_PER_SECOND as S, Engine
 
 MS = 10**6
 PUSH = 100 * MS  # ns from a member's order to its effect at a proxy
--- a/embertray/simulation/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -19,7 +19,7 @@
             way,
         )
         self.model, self.first, self.fresh = Proxy(simulation.site, rng, standing), list(standing), True
-        self.con = self.session = None
+        self.controller = self.session = None
         self.home = self.at = self.tries = self.lag = self.last_due = 0
         self.wait, self.still, self.cut_off, self.reading = REDIAL[0], False, False, True
         self.held_back, self.unread, self.bad = [], [], set()
@@ -35,18 +35,18 @@
     def dial(self):
         asked, names = 0, list(self.simulation.held.at)
         name = names[self.at % len(names)]
-        con = self.simulation.held.running.get(name)
-        if con is not None and not self.cut_off:
-            if con.frozen:
-                con.waiting.append((self.dial_at, (con,)))
+        controller = self.simulation.held.running.get(name)
+        if controller is not None and not self.cut_off:
+            if controller.frozen:
+                controller.waiting.append((self.dial_at, (controller,)))
                 return
-            asked = con.join(self, Hello(1, self.name, self.zone, self.rate, self.fresh))
+            asked = controller.join(self, Hello(1, self.name, self.zone, self.rate, self.fresh))
             if asked is None:
-                self.on_joined(con)
+                self.on_joined(controller)
                 return
         self.redial(asked)
 
-    def dial_at(self, con):
+    def dial_at(self, controller):
         """A controller that stood still when we dialled takes us in now."""
         self.dial()
 
@@ -58,20 +58,20 @@
             self.wait = min(REDIAL[1], self.wait * 2)
         self.simulation.engine.at(self.simulation.engine.time + pause, self.dial)
 
-    def on_joined(self, con):
+    def on_joined(self, controller):
         now = self.simulation.engine.time
-        self.con, self.session = con, Hello(1, self.name, self.zone, self.rate, self.fresh)
+        self.controller, self.session = controller, Hello(1, self.name, self.zone, self.rate, self.fresh)
         self.fresh, self.wait, self.tries = False, REDIAL[0], 0
         self.model.joined(now)
-        self.simulation.eyes.joined(now, self.name, con.name)
+        self.simulation.eyes.joined(now, self.name, controller.name)
 
     def break_stream(self):
-        con, self.con, self.session = self.con, None, None
-        if con is None:
+        controller, self.controller, self.session = self.controller, None, None
+        if controller is None:
             return
         self.model.left()
         self.simulation.eyes.left(self.simulation.engine.time, self.name)
-        con.when_awake(con.left, self)
+        controller.when_awake(controller.left, self)
         self.unread.clear()
         self.redial()
 
@@ -82,20 +82,20 @@
     @deaf.setter
     def deaf(self, is_deaf):
         self.reading, unread, self.unread = not is_deaf, self.unread, []
-        for con, orders in unread:
-            self.take(con, orders)
+        for controller, orders in unread:
+            self.take(controller, orders)
 
-    def on_orders(self, con, orders):
+    def on_orders(self, controller, orders):
         """They have come to its socket; one that does not read finds them there later."""
-        if con is self.con:
+        if controller is self.controller:
             self.simulation.eyes.orders(self.simulation.engine.time, self.name, orders)
-            self.take(con, orders)
+            self.take(controller, orders)
 
-    def take(self, con, orders):
-        if con is not self.con:
+    def take(self, controller, orders):
+        if controller is not self.controller:
             return
         if not self.reading:
-            self.unread.append((con, orders))
+            self.unread.append((controller, orders))
             return
         now = self.simulation.engine.time
         self.last_due = max(self.last_due + 1, now + self.way())
@@ -114,7 +114,7 @@
 
     def say(self, session, message):
         if session is self.session and session is not None:
-            self.con.when_awake(self.con.take, self, session, message)
+            self.controller.when_awake(self.controller.take, self, session, message)
 
     def report(self):
         now = self.simulation.engine.time
@@ -128,9 +128,9 @@
 
     # ---- reqs
 
-    def on_req(self, req, back):
+    def on_request(self, req, back):
         if self.still:
-            self.held_back.append((self.on_req, req, back))
+            self.held_back.append((self.on_request, req, back))
             return
         under = self.model.arrive(self.simulation.engine.time, req, back)
         if under is None:
@@ -140,9 +140,9 @@
 
     def attempt(self, under):
         engine = self.simulation.engine
-        how = self.model.attempt(engine.time, under)
-        if how:
-            under.back(under.req, how)
+        outcome = self.model.attempt(engine.time, under)
+        if outcome:
+            under.back(under.req, outcome)
             return
         under.timer = engine.after(under.within, self.timed_out, under, under.attempt)
         req, backend = under.req, self.simulation.by_name[under.backend]
@@ -166,23 +166,23 @@
             return
         way = self.simulation.between(self.zone, backend.model.zone)
         if way:
-            engine.after(way, backend.on_req, self, under, under.attempt, req.kind, req.work, under.until)
+            engine.after(way, backend.on_request, self, under, under.attempt, req.kind, req.work, under.until)
         else:
-            backend.on_req(self, under, under.attempt, req.kind, req.work, under.until)
+            backend.on_request(self, under, under.attempt, req.kind, req.work, under.until)
 
     def timed_out(self, under, attempt):
         if under.attempt == attempt and under.backend is not None:
-            self.simulation.by_name[under.backend].gave_up(under)
+            self.simulation.by_name[under.backend].cancel(under)
             self.ended(under, attempt, "timeout", {})
 
-    def ended(self, under, attempt, how, load):
+    def ended(self, under, attempt, outcome, load):
         now, name = self.simulation.engine.time, under.backend
-        verdict = self.model.ended(now, under, attempt, how, load)
+        verdict = self.model.ended(now, under, attempt, outcome, load)
         if verdict is None:
             return
         under.timer.cancel()
-        if how != "done" and self.simulation.watched:
-            self.simulation.eyes.failed(now, self.name, name, (under.req.ident, under.req.attempt), how)
+        if outcome != "done" and self.simulation.watched:
+            self.simulation.eyes.failed(now, self.name, name, (under.req.ident, under.req.attempt), outcome)
         if verdict == "again":
             self.attempt(under)
         else:
--- a/embertray/simulation/emulator/queues.py
+++ b/embertray/simulation/emulator/queues.py
@@ -11,7 +11,7 @@
 
 from embertray.simulation.models.backend import Backend, Shape
 
-from .engine import Engine, S
+from .engine import NS_PER_SECOND as S, Engine
 
 
 class Farm:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,7 +10,7 @@
 
 from embertray.experiments.lab import experiment, hunt, policies, report, run
 from embertray.experiments.lab.results import Results
-from embertray.simulation.emulator.engine import Engine, Stuck
+from embertray.simulation.emulator.engine import Engine, StuckClockError
 from embertray.simulation.emulator.queues import (
     batch_interval,
     erlang_c,
@@ -72,7 +72,7 @@
 
         again()
         engine.MOST_AT_ONCE = 1000
-        with self.assertRaises(Stuck):
+        with self.assertRaises(StuckClockError):
             engine.run()
 
 
