--- a/embertray/simulation/emulator/backend.py
+++ b/embertray/simulation/emulator/backend.py
@@ -1,73 +1,138 @@
-"""A backend without streams: tries come and end as planned calls."""
+"""A backend without sockets: attempts arrive and end as scheduled calls."""
+
+# Simulated backends get addresses in 127.0.0.0/8: the last two octets count in this base.
+OCTET_VALUES = 255
+
+
+def backend_address(number):
+    """The address of a simulated backend.
+
+    Args:
+        number: Its number, from 0.
+
+    Returns:
+        Its IP address and port.
+    """
+    high, rest = divmod(number, OCTET_VALUES**2)
+    middle, low = divmod(rest, OCTET_VALUES)
+    return f"127.{high + 1}.{middle}.{low + 1}:80"
 
 
 class SimulatedBackend:
-    """model.Backend with the connections that proxies have to it."""
+    """A backend model with the connections that proxies have to it.
+
+    Args:
+        simulation: The DaySimulation.
+        model: The Backend.
+        draw: A function that gives numbers from 0 to 1, for failures.
+
+    Attributes:
+        bad_for: Names of proxies whose requests fail here.
+    """
 
     def __init__(self, simulation, model, draw):
-        self.simulation, self.model, self.draw = simulation, model, draw
-        self.links, self.out, self.bad_for, self.planned = {}, {}, set(), None
-
-    def on_request(self, proxy, under, attempt, kind, work, until):
-        """A try has come here; its end goes back to `px.ended`."""
-        now, model = self.simulation.engine.time, self.model
-        if proxy not in self.links:
-            if model.state == "dead" or model.state == "up" and not model.connect(now):
-                proxy.ended(under, attempt, "broken", {})
+        self.simulation = simulation
+        self.model = model
+        self.draw = draw
+        self.bad_for = set()
+        self._connected = set()  # proxies
+        self._in_flight = {}  # Underway -> (proxy, attempt)
+        self._next_end_at = None  # ns; None: no end is scheduled
+
+    def on_request(self, proxy, underway, attempt, kind, work, until):
+        """Handles an attempt; its end goes back to `proxy.on_attempt_ended`.
+
+        Args:
+            proxy: The SimulatedProxy that sent it.
+            underway: The request's Underway.
+            attempt: The attempt's number.
+            kind: External id of the request's kind.
+            work: ns of a core of speed 1.
+            until: When the client gives up, ns.
+        """
+        now = self.simulation.engine.time
+        if proxy not in self._connected:
+            if self._refuses_connection(now):
+                proxy.on_attempt_ended(underway, attempt, "broken", {})
                 return
-            self.links[proxy] = None
-        self.out[under] = proxy, attempt
-        if model.state != "up":
+            self._connected.add(proxy)
+        self._in_flight[underway] = proxy, attempt
+        if self.model.state != "up":  # the process hangs: the attempt ends by its timeout
             return
         if proxy.name in self.bad_for:
-            self.end(under, attempt, "error", {})
+            self._end(underway, attempt, "error", {})
             return
-        outcome = model.offer(now, (under, attempt), kind, work, until, self.draw())
+        outcome = self.model.offer(now, (underway, attempt), kind, work, until, self.draw())
         if outcome:
-            self.end(under, attempt, outcome, model.report(now))
-        self.plan()
+            self._end(underway, attempt, outcome, self.model.report(now))
+        self._schedule_end()
 
-    def plan(self):
+    def _refuses_connection(self, now):
+        if self.model.state == "dead":
+            return True
+        return self.model.state == "up" and not self.model.connect(now)
+
+    def _schedule_end(self):
+        """Schedules the next end of work, if it is sooner than the one that is scheduled."""
         when = self.model.next_at()
-        if when is not None and (self.planned is None or when < self.planned):
-            self.planned = when
-            self.simulation.engine.at(max(when, self.simulation.engine.time), self.due, when)
+        if when is not None and (self._next_end_at is None or when < self._next_end_at):
+            self._next_end_at = when
+            self.simulation.engine.at(max(when, self.simulation.engine.time), self._advance, when)
 
-    def due(self, when):
-        if self.planned != when:
+    def _advance(self, when):
+        if self._next_end_at != when:
             return
-        self.planned, now = None, self.simulation.engine.time
-        for under, attempt in self.model.advance(now):
-            self.end(under, attempt, "done", self.model.report(now))
-        self.plan()
-
-    def end(self, under, attempt, outcome, load):
-        found = self.out.get(under)
-        if found is None or found[1] != attempt:
+        self._next_end_at = None
+        now = self.simulation.engine.time
+        for underway, attempt in self.model.advance(now):
+            self._end(underway, attempt, "done", self.model.report(now))
+        self._schedule_end()
+
+    def _end(self, underway, attempt, outcome, load):
+        found = self._in_flight.get(underway)
+        if found is None or found[1] != attempt:  # the proxy gave it up
             return
-        proxy = self.out.pop(under)[0]
-        way = self.simulation.between(proxy.zone, self.model.zone)
-        if way:
-            self.simulation.engine.after(way, proxy.ended, under, attempt, outcome, load)
+        proxy, _ = self._in_flight.pop(underway)
+        delay = self.simulation.network_delay(proxy.zone, self.model.zone)
+        if delay:
+            engine = self.simulation.engine
+            engine.after(delay, proxy.on_attempt_ended, underway, attempt, outcome, load)
         else:
-            proxy.ended(under, attempt, outcome, load)
+            proxy.on_attempt_ended(underway, attempt, outcome, load)
 
-    def cancel(self, under):
-        self.out.pop(under, None)
+    def cancel(self, underway):
+        """Forgets an attempt that its proxy gave up; its work is done all the same.
+
+        Args:
+            underway: The request's Underway.
+        """
+        self._in_flight.pop(underway, None)
 
     def break_links(self):
-        self.links.clear()
-        out, self.out = self.out, {}
-        for under, (proxy, attempt) in out.items():
-            proxy.ended(under, attempt, "broken", {})
+        """Breaks all connections; attempts in flight end as broken."""
+        self._connected.clear()
+        in_flight = self._in_flight
+        self._in_flight = {}
+        for underway, (proxy, attempt) in in_flight.items():
+            proxy.on_attempt_ended(underway, attempt, "broken", {})
 
     def die(self, silent=False):
+        """Ends the process.
+
+        Args:
+            silent: Whether its connections stay open without answers, as when a machine is gone.
+        """
         self.model.die(silent)
-        self.planned = None
+        self._next_end_at = None
         if not silent:
             self.break_links()
 
     def start(self, cold=True):
+        """Starts a process.
+
+        Args:
+            cold: Whether it needs to warm up.
+        """
         self.model.start(self.simulation.engine.time, cold)
-        self.planned = None
+        self._next_end_at = None
         self.break_links()
--- a/embertray/simulation/emulator/clients.py
+++ b/embertray/simulation/emulator/clients.py
@@ -1,51 +1,65 @@
-"""The clients of a proxy without streams."""
+"""The clients of a proxy without sockets: their requests are scheduled calls."""
 
 from embertray.simulation.standins.messages import Req
 
 
 class SimulatedClients:
-    """model.Clients of one proxy."""
+    """The clients of one proxy.
+
+    Args:
+        simulation: The DaySimulation.
+        model: The Clients, which decide what to ask and whether to retry.
+        source: When requests come: `next(now, rng, until)` gives (ns or None, kind or None, work).
+        proxy: Their SimulatedProxy.
+        rng: Their random generator.
+        until: When the load ends, ns.
+    """
 
     def __init__(self, simulation, model, source, proxy, rng, until):
-        self.simulation, self.model, self.source, self.proxy, self.rng, self.until = (
-            simulation,
-            model,
-            source,
-            proxy,
-            rng,
-            until,
-        )
-
-    def plan(self):
+        self.simulation = simulation
+        self.model = model
+        self.source = source
+        self.proxy = proxy
+        self.rng = rng
+        self.until = until
+
+    def schedule_next(self):
+        """Schedules the next request, if there is one before the load's end."""
         when, kind, work = self.source.next(self.simulation.engine.time, self.rng, self.until)
         if when is not None:
-            self.simulation.engine.at(when, self.send, kind, work)
+            self.simulation.engine.at(when, self._send_new, kind, work)
+
+    def _send_new(self, kind, work):
+        now = self.simulation.engine.time
+        self._attempt(self._new_ask(now, kind, work))
+        self.schedule_next()
 
-    def send(self, kind, work):
-        now, model = self.simulation.engine.time, self.model
-        self.put(model.draw(now) if kind is None else model.ask(now, model.kinds[kind], work))
-        self.plan()
+    def _new_ask(self, now, kind, work):
+        if kind is None:  # the source gives times only
+            return self.model.draw(now)
+        return self.model.ask(now, self.model.kinds[kind], work)
 
-    def put(self, ask):
+    def _attempt(self, ask):
         engine = self.simulation.engine
         within = self.model.attempt(engine.time, ask)
         if within is None:
             self.simulation.eyes.ended(engine.time, ask.at, ask.kind, "lost", 0)
             return
-        ask.timer = engine.after(within, self.heard, ask.ident, ask.tries, "timeout")
-        self.proxy.on_request(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries), self.back)
+        ask.timer = engine.after(within, self._on_ended, ask.ident, ask.tries, "timeout")
+        request = Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries)
+        self.proxy.on_request(request, self._on_response)
 
-    def back(self, req, outcome, stay=0):
-        self.heard(req.ident, req.attempt, outcome, stay)
+    def _on_response(self, request, outcome, retry_after=0):
+        self._on_ended(request.ident, request.attempt, outcome, retry_after)
 
-    def heard(self, ident, tries, outcome, stay=0):
+    def _on_ended(self, ident, attempt, outcome, retry_after=0):
         engine = self.simulation.engine
-        found = self.model.heard(engine.time, ident, tries, outcome, stay)
-        if found is None:
+        found = self.model.heard(engine.time, ident, attempt, outcome, retry_after)
+        if found is None:  # the attempt was over already
             return
-        ask, verdict, took = found
+        ask, verdict, duration = found
         ask.timer.cancel()
         if verdict == "again":
-            engine.at(engine.time + took, self.put, ask)
+            engine.at(engine.time + duration, self._attempt, ask)
         else:
-            self.simulation.eyes.ended(engine.time, ask.at, ask.kind, verdict, took)
+            self.simulation.eyes.ended(engine.time, ask.at, ask.kind, verdict, duration)
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,183 +1,185 @@
-"""A controller without streams: the daemon's frontend, its pump and the list's client as planned calls."""
+"""A controller without sockets: its main loop and its streams to proxies are scheduled calls."""
 
-from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
+from embertray.common.snapshots import CONFIRMATION_PERIOD_NS
 from embertray.controller.channel.timeouts import PROBE_TIMEOUT_NS
 from embertray.controller.core import Desk
-from embertray.controller.endpoint_list import EndpointListFollower, UpdateKind
 
+from .endpoint_list_client import EndpointListClient
+from .snapshot_saver import SnapshotSaver
 
-class SimulatedController:
-    """One life of a controller: a frontend, with the pump and the list's client as planned calls."""
 
-    def __init__(self, simulation, name, me, life, kept):
-        self.simulation, self.name, self.kept, now = simulation, name, kept, simulation.engine.time
-        chance = simulation.chance.of("cuts", name, life).random
-        snapshot, _ = kept.load()
+class SimulatedController:
+    """One incarnation of a controller: the production frontend, driven by the engine.
+
+    Args:
+        simulation: The DaySimulation.
+        name: The controller's name.
+        description: The site's description of it.
+        incarnation: How many incarnations it had before.
+        snapshots: Its InMemorySnapshots, which survive the process.
+
+    Attributes:
+        frontend: The production frontend, with the policy inside.
+        streams: Joined proxies by name.
+        alive: Whether the process runs; a frozen process is alive.
+        frozen: Whether the process is stopped.
+    """
+
+    def __init__(self, simulation, name, description, incarnation, snapshots):
+        now = simulation.engine.time
+        random = simulation.chance.of("cuts", name, incarnation).random
+        snapshot, _ = snapshots.load()
+        self.simulation = simulation
+        self.name = name
         self.frontend = Desk(
             simulation.site,
-            me,
-            simulation.seed * 1000 + life,
+            description,
+            simulation.seed * 1000 + incarnation,
             now,
-            chance,
+            random,
             snapshot,
-            kept.clock_reading(),
-            *simulation.make,
-        )
-        self.follower, self.line, self.streams = EndpointListFollower(name, chance), None, {}
-        self.alive, self.frozen, self.waiting, self.planned, self.ran = (
-            True,
-            False,
-            [],
-            None,
-            now - simulation.site.tick,
+            snapshots.clock_reading(),
+            *simulation.controller_types,
         )
-        self.save_at, self.saved = None, now - SNAPSHOT_PERIOD_NS
-        self.poke()
-        self.plan_save(now + CONFIRMATION_PERIOD_NS)
-        if not simulation.site.ask:
-            simulation.engine.at(
-                now + self.follower.initial_delay(bool(self.frontend.trust.backends)), self.dial_list
-            )
-
-    def when_awake(self, what, *args):
-        """Now, or when the process goes on; never if it is killed before."""
+        self.streams = {}
+        self.alive = True
+        self.frozen = False
+        self._deferred = []  # (callback, args) that arrived while frozen
+        self._next_step_at = None  # ns; None: no step is scheduled
+        self._last_step_at = now - simulation.site.tick
+        self.saver = SnapshotSaver(self, snapshots)
+        self.list_client = EndpointListClient(self, random)
+        self.wake()
+        self.saver.schedule(now + CONFIRMATION_PERIOD_NS)
+        self.list_client.start()
+
+    def when_awake(self, callback, *args):
+        """Calls now, or when the process continues; never if it is killed before.
+
+        Args:
+            callback: What to call.
+            *args: Its arguments.
+        """
         if self.frozen:
-            self.waiting.append((what, args))
+            self._deferred.append((callback, args))
         elif self.alive:
-            what(*args)
+            callback(*args)
 
     def thaw(self):
-        self.frozen, waiting, self.waiting = False, self.waiting, []
-        for what, args in waiting:
-            self.when_awake(what, *args)
-        self.poke()
-
-    # ---- the pump
-
-    def poke(self):
-        self.plan(self.simulation.engine.time)
-
-    def plan(self, when):
-        when = max(when, self.ran + self.simulation.site.tick)
-        if self.planned is None or when < self.planned:
-            self.planned = when
-            self.simulation.engine.at(when, self.pump, when)
-
-    def pump(self, when):
-        if self.planned != when or not self.alive:
+        """Continues a frozen process: it handles all that arrived meanwhile, in that order."""
+        self.frozen = False
+        deferred = self._deferred
+        self._deferred = []
+        for callback, args in deferred:
+            self.when_awake(callback, *args)
+        self.wake()
+
+    def kill(self):
+        """Ends the process; its streams break."""
+        self.alive = False
+        self.list_client.disconnect()
+        for proxy in list(self.streams.values()):
+            proxy.break_stream()
+
+    # ---- main loop
+
+    def wake(self):
+        """Schedules a step as soon as the site's tick allows: something has happened."""
+        self._schedule_step(self.simulation.engine.time)
+
+    def _schedule_step(self, when):
+        when = max(when, self._last_step_at + self.simulation.site.tick)
+        if self._next_step_at is None or when < self._next_step_at:
+            self._next_step_at = when
+            self.simulation.engine.at(when, self._step, when)
+
+    def _step(self, when):
+        # An earlier step was scheduled after this one, or the process is gone: this call is void.
+        if self._next_step_at != when or not self.alive:
             return
-        self.planned = None
+        self._next_step_at = None
         if self.frozen:
             return
-        now = self.ran = self.simulation.engine.time
-        step = self.frontend.advance(now)
+        now = self.simulation.engine.time
+        self._last_step_at = now
+        self._carry_out(now, self.frontend.advance(now))
+        later = self.frontend.next_at()
+        if later is not None:
+            self._schedule_step(max(later, now))
+
+    def _carry_out(self, now, step):
+        """Does what a step of the core asks for, in the daemon's order."""
         if step.change is not None:
             self.simulation.ladder.append((now, self.name, step.change))
         for name, orders in step.leave:
             if name in self.streams:
                 self.streams[name].on_orders(self, orders)
         if step.subscribe is not None or step.ask:
-            self.ask_list(step.ask)
+            self.list_client.request(step.ask)
         if step.relist:
-            self.ask_list(True)
+            self.list_client.request(True)
         for name, _ in step.cut:
             if name in self.streams:
                 self.frontend.admission.record_cut(now, name)
                 self.streams[name].break_stream()
         for backend in step.probe:
-            model = self.simulation.models.get(backend)
-            up = model is not None and model.state != "dead"
-            self.simulation.engine.after(
-                0 if up else PROBE_TIMEOUT_NS, self.when_awake, self.probed, backend, up
-            )
-        if (later := self.frontend.next_at()) is not None:
-            self.plan(max(later, now))
-
-    def probed(self, backend, answered):
-        self.frontend.instance.probed(self.simulation.engine.time, backend, answered)
-        self.poke()
+            self._probe(backend)
+
+    def _probe(self, backend):
+        """Checks a backend's health: one that is dead is known as such when the probe times out."""
+        model = self.simulation.models.get(backend)
+        healthy = model is not None and model.state != "dead"
+        delay = 0 if healthy else PROBE_TIMEOUT_NS
+        self.simulation.engine.after(delay, self.when_awake, self._on_probe_result, backend, healthy)
+
+    def _on_probe_result(self, backend, healthy):
+        self.frontend.instance.probed(self.simulation.engine.time, backend, healthy)
+        self.wake()
 
     # ---- proxies
 
     def join(self, proxy, hello):
-        """ns to stay away, or None: it has joined."""
-        verdict = self.frontend.hello(self.simulation.engine.time, proxy.name)
-        if verdict:
-            return verdict.retry_after
-        if (old := self.streams.get(proxy.name)) is not None and old is not proxy:
-            old.break_stream()
-        elif old is proxy:
+        """Admits a proxy that has dialled, or rejects it.
+
+        Args:
+            proxy: The SimulatedProxy.
+            hello: Its Hello.
+
+        Returns:
+            ns after which it may dial again, or None: it has joined.
+        """
+        rejection = self.frontend.hello(self.simulation.engine.time, proxy.name)
+        if rejection:
+            return rejection.retry_after
+        old = self.streams.get(proxy.name)
+        if old is proxy:
             self.frontend.left(self.simulation.engine.time, proxy.name)
+        elif old is not None:
+            old.break_stream()
         self.streams[proxy.name] = proxy
         self.frontend.joined(self.simulation.engine.time, hello)
-        self.poke()
+        self.wake()
         return None
 
-    def left(self, proxy):
+    def on_stream_closed(self, proxy):
+        """Handles the end of a proxy's stream.
+
+        Args:
+            proxy: The SimulatedProxy.
+        """
         if self.streams.get(proxy.name) is proxy:
             del self.streams[proxy.name]
             self.frontend.left(self.simulation.engine.time, proxy.name)
-            self.poke()
+            self.wake()
+
+    def on_message(self, proxy, session, message):
+        """Handles a proxy's message, unless its stream has broken since.
 
-    def take(self, proxy, session, message):
+        Args:
+            proxy: The SimulatedProxy.
+            session: The Hello of the stream that carried it.
+            message: A LoadReport or an Acknowledgement.
+        """
         if self.streams.get(proxy.name) is proxy and proxy.session is session:
             self.frontend.take(self.simulation.engine.time, session, message)
-            self.poke()
-
-    # ---- the list
-
-    def dial_list(self):
-        if not self.alive or self.line is not None:
-            return
-        if self.frozen:
-            self.waiting.append((self.dial_list, ()))
-        elif self.simulation.inventory.down:
-            self.list_broke()
-        else:
-            self.line = object()
-            self.simulation.inventory.followers[self] = False
-            self.simulation.inventory.call(self, self.follower.connected(self.simulation.engine.time))
-
-    def list_broke(self):
-        self.line = None
-        self.simulation.inventory.followers.pop(self, None)
-        wait = self.follower.connection_failed()
-        if self.simulation.site.ask:  # the module decides when to ask again
-            self.frontend.hand_on(self.simulation.engine.time, "failed", [])
-            self.poke()
-        else:
-            self.simulation.engine.at(self.simulation.engine.time + wait, self.dial_list)
-
-    def ask_list(self, whole):
-        if self.line is None:
-            if self.simulation.site.ask:
-                self.dial_list()
-        elif call := self.follower.next_request(self.simulation.engine.time, whole):
-            self.simulation.inventory.call(self, call)
-
-    def heard(self, message):
-        now = self.simulation.engine.time
-        update = self.follower.receive(message)
-        if update.kind is UpdateKind.GAP:
-            self.ask_list(True)
-            return
-        again = self.frontend.news(now, update.kind, update.epoch, update.inventory_clock, update.entries)
-        self.poke()
-        if update.kind is not UpdateKind.FAILED:
-            self.plan_save(max(now, self.saved + SNAPSHOT_PERIOD_NS))
-        if again:
-            self.ask_list(True)
-
-    def plan_save(self, when):
-        if self.save_at is None or when < self.save_at:
-            self.save_at = when
-            self.simulation.engine.at(when, self.save, when)
-
-    def save(self, when):
-        if self.save_at != when or not self.alive:
-            return
-        now, self.save_at = self.simulation.engine.time, None
-        if self.line is not None and self.frontend.trust.discovery_answered and not self.frozen:
-            self.kept.save(self.frontend.snapshot(now, self.kept.clock_reading()))
-            self.saved = now
-        self.plan_save(now + CONFIRMATION_PERIOD_NS)
+            self.wake()
--- a/embertray/simulation/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -1,4 +1,4 @@
-"""The controllers of a day by name."""
+"""The controllers of a simulated day by name."""
 
 from embertray.common.snapshots import InMemorySnapshots
 from embertray.simulation.scenarios.starts import Starts
@@ -7,43 +7,107 @@
 from .controller import SimulatedController
 
 
+class SnapshotClock:
+    """The clocks by which snapshots are dated: both are simulated time.
+
+    Args:
+        engine: The Engine.
+    """
+
+    def __init__(self, engine):
+        self.engine = engine
+
+    def now(self):
+        """The monotonic clock.
+
+        Returns:
+            ns.
+        """
+        return self.engine.time
+
+    def wall(self):
+        """The wall clock.
+
+        Returns:
+            ns.
+        """
+        return self.engine.time
+
+
 class SimulatedControllers(Starts):
-    """All controllers by name: what troubles kill, freeze and start again."""
+    """All controllers by name: what faults kill, freeze and start again.
 
-    def __init__(self, simulation):
-        self.simulation, self.at, self.running, self.lives, self.kept = simulation, {}, {}, {}, {}
-        self.clock, clock = simulation.clock, self
+    Args:
+        simulation: The DaySimulation.
 
-        class Wall:
-            now = staticmethod(lambda: clock.simulation.engine.time)
-            wall = staticmethod(lambda: clock.simulation.engine.time)
+    Attributes:
+        at: Each controller's description in the site, by name.
+        running: SimulatedController by name, those that run.
+        incarnations: How often each was started, by name.
+        snapshots: InMemorySnapshots by name; they survive a process.
+        clock: The clock that faults wait by.
+    """
 
-        for me in simulation.site.controllers[: int(simulation.day.fleet["controllers"])]:
-            self.at[me.name], self.kept[me.name] = me, InMemorySnapshots(Wall)
+    def __init__(self, simulation):
+        self.simulation = simulation
+        self.clock = simulation.clock
+        self.at = {}
+        self.running = {}
+        self.incarnations = {}
+        self.snapshots = {}
+        snapshot_clock = SnapshotClock(simulation.engine)
+        for description in simulation.site.controllers[: int(simulation.day.fleet["controllers"])]:
+            self.at[description.name] = description
+            self.snapshots[description.name] = InMemorySnapshots(snapshot_clock)
 
     async def up(self, name):
-        if name not in self.running:
-            life = self.lives.get(name, 0)
-            self.lives[name] = life + 1
-            self.running[name] = SimulatedController(
-                self.simulation, name, self.at[name], life, self.kept[name]
-            )
+        """Starts a controller, unless it runs.
+
+        Args:
+            name: Its name.
+        """
+        if name in self.running:
+            return
+        incarnation = self.incarnations.get(name, 0)
+        self.incarnations[name] = incarnation + 1
+        self.running[name] = SimulatedController(
+            self.simulation, name, self.at[name], incarnation, self.snapshots[name]
+        )
 
     def kill(self, name):
+        """Kills a controller, if it runs.
+
+        Args:
+            name: Its name.
+        """
         controller = self.running.pop(name, None)
         if controller is not None:
-            controller.alive, controller.line = False, None
-            self.simulation.inventory.followers.pop(controller, None)
-            for proxy in list(controller.streams.values()):
-                proxy.break_stream()
+            controller.kill()
 
     def age(self, name, by, from_start):
-        age_in_memory(self.kept[name], by, from_start)
+        """Makes a controller's snapshot older than it is.
+
+        Args:
+            name: The controller's name.
+            by: How much older, ns.
+            from_start: Whether the first snapshot counts, not the newest.
+        """
+        age_in_memory(self.snapshots[name], by, from_start)
 
     def freeze(self, name):
+        """Stops a controller's process, if it runs; what arrives waits.
+
+        Args:
+            name: Its name.
+        """
         if name in self.running:
             self.running[name].frozen = True
 
     def thaw(self, name):
+        """Continues a controller's process, if it is frozen.
+
+        Args:
+            name: Its name.
+        """
         if name in self.running and self.running[name].frozen:
             self.running[name].thaw()
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -1,75 +1,101 @@
-"""A day without streams: the daemon's frontend and core, with proxies, clients and backends as models round
-one event heap.
+"""A day without sockets: production controllers, and models of all else, round one event heap.
 
-The same day's text, the same troubles, the same models as on sockets; a message is a planned call, not bytes.
-What needs true streams (half a message, strangers' noise) is refused. Controllers are core.Desk, with
-`policy/` inside.
+The same scenario text, faults and models as on sockets; a message is a scheduled call, not bytes. What needs
+byte streams (half a message, garbage) is rejected.
 """
 
 from embertray.controller.core import Instance
 from embertray.controller.trust import Trust
-from embertray.service.site.site import time as span
+from embertray.service.site.site import time as parse_duration
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.models.client import Clients
 from embertray.simulation.scenarios.ground import SETTLE, START_AFTER, Ground
-from embertray.simulation.scenarios.notation import BadDay
 from embertray.simulation.scenarios.observer import Observer
 from embertray.simulation.scenarios.troubles import Trouble
 
-from .backend import SimulatedBackend
+from .backend import SimulatedBackend, backend_address
 from .clients import SimulatedClients
 from .controllers import SimulatedControllers
 from .endpoint_list import SimulatedEndpointList
 from .engine import NS_PER_SECOND, Engine
+from .outcome_observer import OutcomeObserver
+from .playable import check_playable
 from .proxy import SimulatedProxy
 
-START = 1000 * NS_PER_SECOND  # what started "long ago" lies before it
-STREAMS_ONLY = ("half-message", "twice", "garbage")
-
-
-class Unseen(Observer):
-    """For runs whose rules nobody judges: outcomes are kept, events are not."""
-
-    def note(self, at, what, who, *rest):
-        pass
+# Where time begins, ns: what started "long ago" lies before it.
+START_NS = 1000 * NS_PER_SECOND
 
 
 class DaySimulation(Ground):
-    """All that a day has on it. `watched`: whether events are kept, for the rules' judgement."""
+    """All that takes part in a day.
+
+    Args:
+        day: The Day.
+        seed: Of all random draws.
+        core: Type of the controllers' core; None: the production one.
+        trust: Type of their judgement of the endpoint list; None: the production one.
+        watched: Whether events are recorded, for the rules' judgement.
+
+    Attributes:
+        engine: The Engine; also the clock and agenda that faults use.
+        eyes: The Observer.
+        backends_by_name: SimulatedBackend by name.
+        cross_zone_delay: Time of a message between zones, ns.
+        ladder: (ns, controller name, LevelChange) of each change of the service level.
+        inventory: The SimulatedEndpointList.
+        held: The SimulatedControllers.
+
+    Raises:
+        BadDay: The day can't be played here.
+    """
 
     proxy = SimulatedProxy
 
     def __init__(self, day, seed, core=None, trust=None, watched=True):
-        for trouble in day.troubles:
-            if trouble.name in STREAMS_ONLY:
-                raise BadDay(
-                    f"{day.name}:{trouble.line}: '{trouble.name}' needs true streams: play it on "
-                    "sockets or in memory"
-                )
-        if day.linked:
-            raise BadDay(
-                f"{day.name}:{day.linked.line}: '{day.linked.name}' strikes links between "
-                "processes: play it with --processes"
-            )
+        check_playable(day)
         super().__init__(day, seed)
-        self.seed, self.make, self.watched = seed, (core or Instance, trust or Trust), watched
-        self.engine = self.clock = self.agenda = Engine(START)
-        self.eyes = Observer() if watched else Unseen()
-        self.by_name, self.cross, self.numbers = {}, span(day.fleet["cross"]), 0
-        self.ladder = []  # (ns, controller, degrade.Change)
-        self.inventory = SimulatedEndpointList(self, span(day.fleet["answers"]))
+        self.seed = seed
+        self.controller_types = (core or Instance, trust or Trust)
+        self.watched = watched
+        self.engine = Engine(START_NS)
+        self.clock = self.engine
+        self.agenda = self.engine
+        self.eyes = Observer() if watched else OutcomeObserver()
+        self.backends_by_name = {}
+        self.cross_zone_delay = parse_duration(day.fleet["cross"])
+        self.ladder = []
+        self.inventory = SimulatedEndpointList(self, parse_duration(day.fleet["answers"]))
         self.held = SimulatedControllers(self)
 
-    def between(self, here, there):
-        """ns from a proxy to a backend, and back again."""
-        return self.cross if here != there else 0
+    def network_delay(self, zone, other_zone):
+        """Time of a message between a proxy and a backend, one way.
+
+        Args:
+            zone: The zone of one.
+            other_zone: The zone of the other.
+
+        Returns:
+            ns.
+        """
+        return self.cross_zone_delay if zone != other_zone else 0
 
     async def add(self, number, zone, speed, cold, listed=True):
-        model = Backend(
-            f"127.{number // 65025 + 1}.{number // 255 % 255}.{number % 255 + 1}:80", zone, self.shape(speed)
-        )
+        """Starts a new backend.
+
+        Args:
+            number: Its number, from 0.
+            zone: Its zone.
+            speed: Work done a second by one of its cores.
+            cold: Whether it starts now and needs to warm up; otherwise it started long ago.
+            listed: Whether the endpoint list has it at once.
+
+        Returns:
+            The SimulatedBackend.
+        """
+        model = Backend(backend_address(number), zone, self.shape(speed))
         backend = SimulatedBackend(self, model, self.chance.of("failing", number).random)
-        self.models[model.name], self.by_name[model.name] = model, backend
+        self.models[model.name] = model
+        self.backends_by_name[model.name] = backend
         self.backends.append(backend)
         backend.start(cold)
         if cold:
@@ -79,74 +105,98 @@
         return backend
 
     async def admin(self, name, method, target):
-        """The one request that troubles make of a controller: the channel's pace."""
+        """Makes the one admin request that faults make of a controller: its channel's pace.
+
+        Args:
+            name: The controller's name.
+            method: The HTTP method, which does not matter here.
+            target: The request's target; after `=` stands the pace.
+
+        Raises:
+            ConnectionRefusedError: The controller does not run.
+        """
         controller = self.held.running.get(name)
         if controller is None:
             raise ConnectionRefusedError(name)
         controller.frontend.instance.pacer.set_pace(self.engine.time, float(target.partition("=")[2]))
-        controller.poke()
+        controller.wake()
 
     async def run(self):
-        """The day, as a process of the engine."""
-        engine, day = self.engine, self.day
-        for n, zone, speed in self.machines():
-            await self.add(n, zone, speed, cold=False)
+        """Plays the day, as a process of the engine."""
+        for number, zone, speed in self.machines():
+            await self.add(number, zone, speed, cold=False)
         for name in self.held.at:
             await self.held.up(name)
-        await engine.sleep_until(engine.time + START_AFTER)
-        self.zero = engine.time
-        ready, shares = [backend.model for backend in self.backends], self.shares()
-        spread = span(day.fleet["spread"])
-        for n in range(self.count):
-            rng, zone = self.chance.of("proxy", n), self.site.zones[n % len(self.site.zones)]
-            proxy = self.proxy(
-                self,
-                f"p{n + 1}",
-                zone,
-                day.rate * shares[n],
-                rng,
-                self.standing(rng, zone, ready),
-                self.way(n),
-            )
-            proxy.home = n % len(self.held.at)
-            self.proxies.append(proxy)
-            engine.at(self.zero + spread * n // max(1, self.count), proxy.start)
+        await self.engine.sleep_until(self.engine.time + START_AFTER)
+        self.zero = self.engine.time
+        shares = self.shares()
+        spread = parse_duration(self.day.fleet["spread"])
+        self._add_proxies(shares, spread)
         self.prepare(shares)
-        await engine.sleep_until(self.zero + spread)
-        self.load(shares, self.zero + day.lasts)
-        for trouble in day.troubles:
-            engine.start(Trouble(self, trouble).run())
+        await self.engine.sleep_until(self.zero + spread)
+        self.load(shares, self.zero + self.day.lasts)
+        for fault in self.day.troubles:
+            self.engine.start(Trouble(self, fault).run())
+
+    def _add_proxies(self, shares, spread):
+        """Adds all proxies; their first dials are spread evenly over `spread` ns."""
+        ready = [backend.model for backend in self.backends]
+        for index in range(self.count):
+            proxy = self._make_proxy(index, self.day.rate * shares[index], ready)
+            proxy.home = index % len(self.held.at)
+            self.proxies.append(proxy)
+            self.engine.at(self.zero + spread * index // max(1, self.count), proxy.start)
+
+    def _make_proxy(self, index, rate, ready):
+        rng = self.chance.of("proxy", index)
+        zone = self.site.zones[index % len(self.site.zones)]
+        initial_backends = self.standing(rng, zone, ready)
+        return self.proxy(self, f"p{index + 1}", zone, rate, rng, initial_backends, self.way(index))
 
     def prepare(self, shares):
-        """The proxies are there, none has dialled yet."""
+        """Hook: the proxies exist and none has dialled yet.
+
+        Args:
+            shares: Each proxy's share of the requests.
+        """
 
     def load(self, shares, until):
-        """Reqs one by one."""
-        mix, retries = self.mix(), int(self.day.load["retries"])
-        for n, proxy in enumerate(self.proxies):
-            rng = self.chance.of("clients", n)
-            SimulatedClients(
-                self,
-                Clients(n + 1, mix, rng, retries),
-                self.source(n, self.day.rate * shares[n]),
-                proxy,
-                rng,
-                until,
-            ).plan()
+        """Starts the clients, who send requests one by one.
+
+        Args:
+            shares: Each proxy's share of the requests.
+            until: When the load ends, ns.
+        """
+        mix = self.mix()
+        retries = int(self.day.load["retries"])
+        for index, proxy in enumerate(self.proxies):
+            rng = self.chance.of("clients", index)
+            model = Clients(index + 1, mix, rng, retries)
+            source = self.source(index, self.day.rate * shares[index])
+            SimulatedClients(self, model, source, proxy, rng, until).schedule_next()
 
     def play(self, progress=None):
-        """The day, from its start to some seconds after the last req."""
+        """Plays the day, from its start until the last requests must have ended.
+
+        Args:
+            progress: Called each simulated second with the seconds played, the seconds of the day and the
+                count of requests that have ended; or None.
+
+        Returns:
+            The simulation itself.
+        """
         engine = self.engine
         engine.start(self.run())
-        engine.run(START + START_AFTER)
-        patience = max(kind.client_timeout for kind in self.site.kinds)
-        end = self.zero + self.day.lasts
-        while engine.time < end + patience + SETTLE:
-            engine.run(min(engine.time + NS_PER_SECOND, end + patience + SETTLE))
+        engine.run(START_NS + START_AFTER)
+        longest_timeout = max(kind.client_timeout for kind in self.site.kinds)
+        load_end = self.zero + self.day.lasts
+        end = load_end + longest_timeout + SETTLE
+        while engine.time < end:
+            engine.run(min(engine.time + NS_PER_SECOND, end))
             if progress:
                 progress(
                     (engine.time - self.zero) / NS_PER_SECOND,
-                    (end - self.zero) / NS_PER_SECOND,
+                    self.day.lasts / NS_PER_SECOND,
                     len(self.eyes.reqs),
                 )
         self.eyes.end(engine.time)
--- a/embertray/simulation/emulator/endpoint_list.py
+++ b/embertray/simulation/emulator/endpoint_list.py
@@ -1,48 +1,76 @@
-"""The inventory without streams: news and answers are planned calls."""
+"""The endpoint list without sockets: watch events and answers are scheduled calls."""
 
 from embertray.controller.endpoint_list.messages import RequestFailed, WatchRequest
 from embertray.simulation.models.inventory import Inventory
 
 
 class SimulatedEndpointList(Inventory):
-    """The list, with the controllers that follow it."""
+    """The list, with the controllers that are connected to it.
 
-    def __init__(self, simulation, answers):
+    Args:
+        simulation: The DaySimulation.
+        answer_delay: Time to the answer of a request, ns.
+
+    Attributes:
+        subscriptions: EndpointListClient -> whether it watches.
+    """
+
+    def __init__(self, simulation, answer_delay):
         super().__init__()
-        self.simulation, self.answers, self.followers = simulation, answers, {}
+        self.simulation = simulation
+        self.answer_delay = answer_delay
+        self.subscriptions = {}
 
     def list(self, name, zone, state="ready", started=0):
+        """Changes a backend's entry and notifies those that watch.
+
+        Args:
+            name: The backend's name.
+            zone: Its zone.
+            state: "ready", "draining" or "gone".
+            started: When it started, ns; 0: long ago.
+        """
         entry = self.change(name, zone, state, started)
-        if not self.down:
-            for controller, watches in list(self.followers.items()):
-                if watches:
-                    self.tell(controller, self.news(self.simulation.engine.time, self.epoch - 1, [entry]))
-
-    def call(self, controller, call):
-        self.simulation.engine.at(
-            self.simulation.engine.time + self.answers, self.reply, controller, controller.line, call
-        )
-
-    def reply(self, controller, line, call):
-        if controller.line is not line or line is None:
+        if self.down:
+            return
+        for client, watches in list(self.subscriptions.items()):
+            if watches:
+                event = self.news(self.simulation.engine.time, self.epoch - 1, [entry])
+                self._send(client, event)
+
+    def call(self, client, request):
+        """Takes a request, to be answered later.
+
+        Args:
+            client: The EndpointListClient.
+            request: A ListRequest or a WatchRequest.
+        """
+        engine = self.simulation.engine
+        engine.at(engine.time + self.answer_delay, self._answer, client, client.connection, request)
+
+    def _answer(self, client, connection, request):
+        if client.connection is not connection or connection is None:  # it broke since the request
             return
         if self.down:
-            controller.when_awake(controller.heard, RequestFailed("down"))
+            client.controller.when_awake(client.on_message, RequestFailed("down"))
             return
-        if isinstance(call, WatchRequest):
-            self.followers[controller] = call.enabled
-        if (news := self.answer(self.simulation.engine.time, call)) is not None:
-            self.tell(controller, news)
+        if isinstance(request, WatchRequest):
+            self.subscriptions[client] = request.enabled
+        event = self.answer(self.simulation.engine.time, request)
+        if event is not None:
+            self._send(client, event)
 
-    def tell(self, controller, news):
-        self.simulation.eyes.told(self.simulation.engine.time, controller.name, news)
-        controller.when_awake(controller.heard, news)
+    def _send(self, client, event):
+        self.simulation.eyes.told(self.simulation.engine.time, client.controller.name, event)
+        client.controller.when_awake(client.on_message, event)
 
     def go_down(self):
+        """Makes the list unreachable: its connections break."""
         self.down = True
-        for controller in list(self.followers):
-            controller.when_awake(controller.list_broke)
-        self.followers.clear()
+        for client in list(self.subscriptions):
+            client.controller.when_awake(client.on_connection_lost)
+        self.subscriptions.clear()
 
     def come_back(self):
+        """Makes the list reachable again; controllers connect by themselves."""
         self.down = False
--- a/embertray/simulation/emulator/fluid.py
+++ b/embertray/simulation/emulator/fluid.py
@@ -44,9 +44,9 @@
         if self.session is not None and not self.still:
             sums = simulation.sums(self.place)
             if self.lag:
-                simulation.engine.at(now + self.lag, self.say, self.session, sums)
+                simulation.engine.at(now + self.lag, self.send, self.session, sums)
             else:
-                self.say(self.session, sums)
+                self.send(self.session, sums)
         else:
             simulation.forget(self.place)
         simulation.engine.after(simulation.site.report_cycle, self.report)
@@ -62,6 +62,7 @@
     def prepare(self, shares):
         many, site = self.count, self.site
         self.changed, self.names, self.places = set(range(many)), [], {}
+        self.numbers = 0
         self.mixed, self.retries = self.mix(), int(self.day.load["retries"])
         kinds = len(self.mixed)
         self.parts = np.array([part for _, part, _ in self.mixed])
--- /dev/null
+++ b/embertray/simulation/emulator/playable.py
@@ -0,0 +1,27 @@
+"""Which days can be played without sockets."""
+
+from embertray.simulation.scenarios.notation import BadDay
+
+# Faults that need byte streams.
+STREAM_FAULTS = ("half-message", "twice", "garbage")
+
+
+def check_playable(day):
+    """Rejects a day with faults that this simulation does not have.
+
+    Args:
+        day: The Day.
+
+    Raises:
+        BadDay: The day needs byte streams, or links between processes.
+    """
+    for fault in day.troubles:
+        if fault.name in STREAM_FAULTS:
+            raise BadDay(
+                f"{day.name}:{fault.line}: '{fault.name}' needs true streams: play it on sockets or in memory"
+            )
+    if day.linked:
+        raise BadDay(
+            f"{day.name}:{day.linked.line}: '{day.linked.name}' strikes links between "
+            "processes: play it with --processes"
+        )
--- /dev/null
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -0,0 +1,204 @@
+"""A proxy's stream to a controller as scheduled calls: dials, orders, acknowledgements, load reports."""
+
+from embertray.controller.stream.messages import Acknowledgement, Hello
+from embertray.simulation.models.proxy import Proxy, StandsStill
+from embertray.simulation.standins.proxy import REDIAL
+
+PROTOCOL_VERSION = 1
+# The pause before the next dial: the first, and the longest that the backoff grows to.
+FIRST_REDIAL_NS, LONGEST_REDIAL_NS = REDIAL
+
+
+class ProxyStream(StandsStill):
+    """A proxy as the controllers see it.
+
+    Args:
+        simulation: The DaySimulation.
+        name: The proxy's name.
+        zone: Its zone.
+        rate: Requests a second that its clients send on average.
+        rng: Its random generator.
+        initial_backends: Names that it sends to before any controller has spoken.
+        order_delay: A function that gives ns from an order's arrival to its effect.
+
+    Attributes:
+        model: The plain proxy without sockets.
+        first: The initial backends.
+        fresh: Whether it has never joined a controller.
+        controller: The SimulatedController that it has joined, or None.
+        session: The Hello of the present stream, or None.
+        home: Index of the controller that it dials first.
+        lag: ns that its load reports are under way.
+        cut_off: Whether it can reach no controller.
+    """
+
+    def __init__(self, simulation, name, zone, rate, rng, initial_backends, order_delay):
+        self.simulation = simulation
+        self.name = name
+        self.zone = zone
+        self.rate = rate
+        self.rng = rng
+        self.order_delay = order_delay
+        self.model = Proxy(simulation.site, rng, initial_backends)
+        self.first = list(initial_backends)
+        self.fresh = True
+        self.controller = None
+        self.session = None
+        self.home = 0
+        self.lag = 0
+        self.still = False
+        self.cut_off = False
+        self.held_back = []
+        self._next_controller = 0
+        self._failed_dials = 0
+        self._backoff = FIRST_REDIAL_NS
+        self._last_effect_at = 0  # ns; orders take effect one after the other
+        self._reading = True
+        self._unread = []  # (controller, orders) that wait in its socket
+
+    # ---- dialling
+
+    def start(self):
+        """Starts the proxy: it dials, and reports its load from now on."""
+        engine = self.simulation.engine
+        self._next_controller = self.home
+        self.model.joined(engine.time)
+        engine.after(self.simulation.site.report_cycle, self.report)
+        self.dial()
+
+    def dial(self):
+        """Dials the next controller; one that does not answer or rejects is followed by another, later."""
+        names = list(self.simulation.held.at)
+        name = names[self._next_controller % len(names)]
+        controller = self.simulation.held.running.get(name)
+        if controller is None or self.cut_off:
+            self._redial(0)
+            return
+        if controller.frozen:  # its socket accepts, and it answers when it runs again
+            controller.when_awake(self.dial)
+            return
+        retry_after = controller.join(self, self._hello())
+        if retry_after is None:
+            self.on_joined(controller)
+        else:
+            self._redial(retry_after)
+
+    def _hello(self):
+        return Hello(PROTOCOL_VERSION, self.name, self.zone, self.rate, self.fresh)
+
+    def _redial(self, retry_after):
+        """Dials again after a backoff with jitter, which grows once all controllers were tried."""
+        self._next_controller += 1
+        self._failed_dials += 1
+        pause = max(retry_after, int(self._backoff * (0.5 + self.rng.random())))
+        if self._failed_dials % len(self.simulation.held.at) == 0:
+            self._backoff = min(LONGEST_REDIAL_NS, self._backoff * 2)
+        self.simulation.engine.at(self.simulation.engine.time + pause, self.dial)
+
+    def on_joined(self, controller):
+        """Handles an accepted dial.
+
+        Args:
+            controller: The SimulatedController.
+        """
+        now = self.simulation.engine.time
+        self.controller = controller
+        self.session = self._hello()
+        self.fresh = False
+        self._backoff = FIRST_REDIAL_NS
+        self._failed_dials = 0
+        self.model.joined(now)
+        self.simulation.eyes.joined(now, self.name, controller.name)
+
+    def break_stream(self):
+        """Breaks the stream, if there is one; the proxy dials again."""
+        controller = self.controller
+        self.controller = None
+        self.session = None
+        if controller is None:
+            return
+        self.model.left()
+        self.simulation.eyes.left(self.simulation.engine.time, self.name)
+        controller.when_awake(controller.on_stream_closed, self)
+        self._unread.clear()
+        self._redial(0)
+
+    # ---- orders
+
+    @property
+    def deaf(self):
+        """Whether the proxy leaves what arrives in its socket unread."""
+        return not self._reading
+
+    @deaf.setter
+    def deaf(self, is_deaf):
+        self._reading = not is_deaf
+        unread = self._unread
+        self._unread = []
+        for controller, orders in unread:
+            self._read(controller, orders)
+
+    def on_orders(self, controller, orders):
+        """Handles orders that have arrived in the proxy's socket.
+
+        Args:
+            controller: The SimulatedController that sent them.
+            orders: The Orders.
+        """
+        if controller is self.controller:
+            self.simulation.eyes.orders(self.simulation.engine.time, self.name, orders)
+            self._read(controller, orders)
+
+    def _read(self, controller, orders):
+        if controller is not self.controller:
+            return
+        if not self._reading:
+            self._unread.append((controller, orders))
+            return
+        now = self.simulation.engine.time
+        self._last_effect_at = max(self._last_effect_at + 1, now + self.order_delay())
+        self.simulation.engine.at(self._last_effect_at, self.apply, self.session, orders)
+
+    def apply(self, session, orders):
+        """Puts orders into effect and acknowledges them, unless their stream broke meanwhile.
+
+        Args:
+            session: The Hello of the stream that carried them.
+            orders: The Orders.
+        """
+        if session is not self.session:
+            return
+        if self.still:
+            self.held_back.append((self.apply, session, orders))
+            return
+        self.model.apply(orders)
+        self.simulation.eyes.applied(self.simulation.engine.time, self.name, orders)
+        if orders.nonce is not None:
+            self.send(session, Acknowledgement(orders.nonce))
+
+    # ---- reports
+
+    def send(self, session, message):
+        """Sends a message to the controller, unless the stream broke meanwhile.
+
+        Args:
+            session: The Hello of the stream that is to carry it.
+            message: A LoadReport or an Acknowledgement.
+        """
+        if session is self.session and session is not None:
+            self.controller.when_awake(self.controller.on_message, self, session, message)
+
+    def report(self):
+        """Sends a load report and schedules the next."""
+        # Taken even if it can't be sent: totals are those of one report cycle.
+        load_report = self.model.sums(self.simulation.engine.time)
+        if self.session is not None and not self.still:
+            self._send_report(load_report)
+        self.simulation.engine.after(self.simulation.site.report_cycle, self.report)
+
+    def _send_report(self, load_report):
+        if self.lag:
+            engine = self.simulation.engine
+            engine.at(engine.time + self.lag, self.send, self.session, load_report)
+        else:
+            self.send(self.session, load_report)
