--- a/embertray/simulation/scenarios/budgets.py
+++ b/embertray/simulation/scenarios/budgets.py
@@ -1,70 +1,94 @@
-"""Two of the five rules that are sums over time: what a cold backend is brought, and what waits in and leaves
-by a channel.
+"""Two of the five rules that are sums over time: `failback` and `backlog`.
+
+`failback` is what a cold backend is brought, `backlog` what waits in a channel and leaves by it.
 """
 
 from collections import deque
 
-S = 10**9
-SLACK = 1.15  # x on cold loads and on the pace: chance in what is drawn, jitter of timers
+SECOND_NS = 10**9
+SLACK = 1.15  # x on cold loads and on the rate: chance in what is drawn, jitter of timers
 
 
-class Budgets:
-    """Also has `site`, `cold`, `backends` and `breaks(rule, at, text)`."""
+class BudgetRules:
+    """The checker also has `site`, `cold_starts`, `backends` and `add_violation(rule, at, text)`."""
 
     def on_started(self, at, backend):
-        if backend in self.cold:
-            self.failback(backend, *self.cold[backend])
-        self.cold[backend] = at, []
+        """A backend started cold; what an earlier start of it was brought is judged now."""
+        if backend in self.cold_starts:
+            self.check_cold_backend(backend, *self.cold_starts[backend])
+        self.cold_starts[backend] = at, []
 
-    def failback(self, backend, start, sends):
-        """A budget: what any span of fall_after brings must stay under multiple x capacity x span."""
-        site, shape = self.site, self.backends[backend].shape
-        if not site.fall_multiple or not site.fall_after:
-            return
+    def check_cold_backend(self, backend, start, sends):
+        """Rule `failback`: what any span of fall_after brings stays under fall_multiple x capacity x span.
 
-        def capacity(at):
-            part = min(1.0, (at - start) / shape.warm_after) if shape.warm_after else 1.0
-            return shape.cores * shape.speed * (shape.cold_from + (1 - shape.cold_from) * part)
+        Only loads of which two thirds come from proxies that know of the start count against the controller.
 
-        first, total, known = 0, 0, 0
+        Args:
+            backend: its name.
+            start: when it started, ns.
+            sends: [(at ns, work ns, whether the proxy's orders knew of the start)].
+        """
+        site = self.site
+        shape = self.backends[backend].shape
+        if not site.fall_multiple or not site.fall_after:
+            return
+        first = 0
+        total = 0
+        known = 0
         for at, work, knows in sends:
             if at > start + shape.warm_after + site.fall_after:
                 break
-            total, known = total + work, known + work * knows
+            total += work
+            known += work * knows
             while sends[first][0] <= at - site.fall_after:
-                total, known = total - sends[first][1], known - sends[first][1] * sends[first][2]
+                total -= sends[first][1]
+                known -= sends[first][1] * sends[first][2]
                 first += 1
             middle = max(start, at - site.fall_after / 2)
-            bears = site.fall_multiple * capacity(middle) * site.fall_after * SLACK
-            if total > bears and known * 3 >= total * 2:
-                self.breaks(
+            capacity = capacity_after(shape, middle - start)
+            bearable = site.fall_multiple * capacity * site.fall_after * SLACK
+            if total > bearable and known * 3 >= total * 2:
+                self.add_violation(
                     "failback",
                     at,
-                    f"{backend}, cold for {(at - start) / S:.1f} s, was brought "
-                    f"{total / bears * SLACK:.2f} times what it bears",
+                    f"{backend}, cold for {(at - start) / SECOND_NS:.1f} s, was brought "
+                    f"{total / bearable * SLACK:.2f} times what it bears",
                 )
                 return
 
-    # ---- the channel
+    def check_channel(self, controller):
+        """Rule `backlog`: lines that wait, and lines that leave in a second, stay under their limits."""
+        self.check_waiting_lines(controller)
+        self.check_lines_per_second(controller)
 
-    def channel(self, con):
-        """Lines between their order and their arrival wait; and no second carries more than the pace."""
-        turns = sorted(
-            [(stamp, 1, cost) for stamp, _, cost in con.messages]
-            + [(seen, 0, -cost) for _, seen, cost in con.messages]
-        )
+    def check_waiting_lines(self, controller):
+        """Lines between their order and their arrival wait; no more may than `pending_max`."""
+        ordered = [(stamp, 1, cost) for stamp, _, cost in controller.messages]
+        arrived = [(seen, 0, -cost) for _, seen, cost in controller.messages]
         waiting = 0
-        for at, _, cost in turns:
+        for at, _, cost in sorted(ordered + arrived):
             waiting += cost
             if self.site.pending_max and waiting > self.site.pending_max:
-                self.breaks("backlog", at, f"{waiting:.0f} lines wait")
+                self.add_violation("backlog", at, f"{waiting:.0f} lines wait")
                 break
-        span, lines, largest = deque(), 0, 0
-        for _, seen, cost in sorted(con.messages, key=lambda m: m[1]):
+
+    def check_lines_per_second(self, controller):
+        """No second carries more lines than the channel's rate, but for one message that is larger."""
+        span = deque()
+        lines = 0
+        largest = 0
+        for _, seen, cost in sorted(controller.messages, key=lambda message: message[1]):
             span.append((seen, cost))
-            lines, largest = lines + cost, max(largest, cost)
-            while span[0][0] <= seen - S:
+            lines += cost
+            largest = max(largest, cost)
+            while span[0][0] <= seen - SECOND_NS:
                 lines -= span.popleft()[1]
             if lines > self.site.channel_rate * SLACK + largest:
-                self.breaks("backlog", seen, f"{lines:.0f} lines left within a second")
+                self.add_violation("backlog", seen, f"{lines:.0f} lines left within a second")
                 break
+
+
+def capacity_after(shape, age):
+    """What a backend of that shape can do `age` ns after its cold start, ns of work each ns."""
+    warmth = min(1.0, age / shape.warm_after) if shape.warm_after else 1.0
+    return shape.cores * shape.speed * (shape.cold_from + (1 - shape.cold_from) * warmth)
--- /dev/null
+++ b/embertray/simulation/scenarios/controller_events.py
@@ -0,0 +1,101 @@
+"""What a rule checker notes of controllers: their incarnations, stand-stills, pace and endpoint lists."""
+
+from .observed import BackendNotice, ObservedController
+
+
+class ControllerEvents:
+    """The handlers of events that name a controller.
+
+    The checker also has `site`, `controllers` (name -> ObservedController), `ended_controllers`, `proxies`,
+    `unreachable` (names of controllers), `epochs` (name -> newest epoch of a list),
+    `check_has_line(at, proxy)` and `on_back(at, proxy)`.
+    """
+
+    def controller(self, name, at=0):
+        """The running incarnation of a controller; a new one, first seen at `at` ns, if there is none."""
+        if name not in self.controllers:
+            self.controllers[name] = ObservedController(at)
+        return self.controllers[name]
+
+    def on_killed(self, at, name):
+        """The incarnation ended; what was seen of it is judged at the end of the day."""
+        self.ended_controllers.append(self.controllers.pop(name, ObservedController(at)))
+
+    def on_frozen(self, at, name):
+        """The controller stands still from `at` ns."""
+        controller = self.controller(name)
+        controller.frozen = True
+        controller.frozen_at = at
+
+    def on_thawed(self, at, name):
+        """The controller goes on: graces that had begun stood still with it, and deferred lists arrive."""
+        controller = self.controller(name)
+        controller.frozen = False
+        for notice in controller.notices.values():
+            if self.grace_was_running(controller, notice):
+                notice.notified_at += at - controller.frozen_at
+        deferred = controller.deferred_news
+        controller.deferred_news = []
+        for news in deferred:
+            self.on_told(at, name, news)
+
+    def grace_was_running(self, controller, notice):
+        """Whether a drain's grace had begun, and not run out, when the controller came to stand still."""
+        elapsed = controller.frozen_at - notice.notified_at
+        return notice.state != "ready" and elapsed < self.site.drain_grace
+
+    def on_unheard(self, at, name):
+        """Its proxies reach it late or not at all, nor does it reach them, though streams stand."""
+        self.unreachable.add(name)
+
+    def on_heard(self, at, name):
+        """Proxies and controller reach each other again; its proxies get time to catch up."""
+        self.unreachable.discard(name)
+        for proxy in self.proxies.values():
+            if proxy.controller is not None and proxy.controller is self.controllers.get(name):
+                self.on_back(at, proxy)
+
+    def on_pace(self, at, name, share):
+        """The controller's channel runs at `share` of its rate from now on."""
+        controller = self.controller(name)
+        if share >= 1:
+            controller.slowest_factor = 1 / controller.pace
+            controller.slow_until = at
+        else:
+            controller.slowest_factor = 1 / share
+        controller.pace = share
+
+    def on_told(self, at, name, news):
+        """The inventory answered the controller with an endpoint list or with changes to one."""
+        controller = self.controller(name, at)
+        if controller.frozen:
+            controller.deferred_news.append(news)
+            return
+        for proxy in self.proxies.values():
+            if proxy.controller is controller:
+                self.check_has_line(at, proxy)
+        entries = [(entry.backend, entry.state, entry.started) for entry in news.entries]
+        newest = self.epochs.get(name, 0)
+        self.epochs[name] = max(newest, news.epoch)
+        if not news.since and news.epoch >= newest:  # absence from a list older than one seen says nothing
+            named = {entry.backend for entry in news.entries}
+            entries += [(backend, "gone", 0) for backend in controller.notices if backend not in named]
+        for backend, state, started in entries:
+            self.note_backend(at, controller, backend, state, started)
+
+    def note_backend(self, at, controller, backend, state, started):
+        """Notes a state that the controller was notified of, and which proxies must now drop the backend."""
+        known = controller.notices.get(backend)
+        if known and (known.state, known.started) == (state, started):
+            return
+        if known and known.state != "ready" and state != "ready":
+            known.state = state  # draining, then gone: the clock runs from the first
+            return
+        same_start = known is not None and started == known.started
+        start_known_at = known.start_known_at if same_start else at
+        controller.notices[backend] = BackendNotice(state, started, at, start_known_at)
+        if state == "ready":
+            return
+        for proxy in self.proxies.values():
+            if proxy.controller is controller and backend in proxy.holding.picks():
+                proxy.awaited[backend] = at
--- a/embertray/simulation/scenarios/result.py
+++ b/embertray/simulation/scenarios/result.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .rules import NAMES, Checker
+from .rules import RULES, RuleChecker
 
 
 @dataclass
@@ -36,7 +36,7 @@
         return not any(self.rules.values()) and "broken" not in (self.claims or {}).values()
 
     def verdicts(self):
-        return {name: "broken" if self.rules[name] else "kept" for name in NAMES}
+        return {name: "broken" if self.rules[name] else "kept" for name in RULES}
 
     def as_json(self):
         ranked = sorted(self.spread)
@@ -74,8 +74,8 @@
 def judge(stage, mode, seed, wall):
     site, eyes = stage.site, stage.eyes
     standing = {proxy.name: proxy.first for proxy in stage.proxies}
-    checker = Checker(site, standing, eyes.events, stage.models)
-    rules = checker.judge()
+    checker = RuleChecker(site, standing, eyes.events, stage.models)
+    rules = checker.check()
     asked, got, by, reqs = 0.0, 0.0, {}, 0
     for kind, (came, done, late, _) in stage.outcomes().items():
         if came:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -13,7 +13,7 @@
 import sabotage
 
 from embertray.simulation.scenarios import notation, player
-from embertray.simulation.scenarios.rules import NAMES
+from embertray.simulation.scenarios.rules import RULES
 
 HERE = Path(__file__).resolve().parent
 
@@ -69,7 +69,7 @@
 
     def test_the_main_job(self):
         result = player.play(notation.load("first"), mode="sockets")
-        self.assertEqual(result.verdicts(), dict.fromkeys(NAMES, "kept"))
+        self.assertEqual(result.verdicts(), dict.fromkeys(RULES, "kept"))
         self.assertGreater(result.credit, 0.95)
 
     def test_killed_and_stopped_controllers_and_a_drain(self):
