--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 import anyio
-from test_daemon import START, virtual
+from test_daemon import START_S, virtual
 
 from embertray.common.memory import Collection, MemoryAccounts
 from embertray.common.memory.account import NOTICE_SHARE
@@ -212,7 +212,7 @@
 
         room.group.start_soon(keep_answering)
         for n in range(40):
-            room.inventory.list(f"127.0.1.{n + 1}:9000", "north", "ready", int(START * 1e9) + n)
+            room.inventory.list(f"127.0.1.{n + 1}:9000", "north", "ready", int(START_S * 1e9) + n)
             peer = await room.peer(f"px-{n}")
             await peer.until(Orders)
             await anyio.sleep(2)
