--- a/embertray/cli/cluster.py
+++ b/embertray/cli/cluster.py
@@ -6,7 +6,7 @@
 import click
 import h11
 
-from embertray.common.net.address import BadAddress
+from embertray.common.net.exceptions import AddressError
 
 from .operators import asked
 from .standin import Bad
@@ -29,7 +29,7 @@
         if code != 200:
             raise Bad(said.decode().strip())
         status = json.loads(said)
-    except (OSError, BadAddress, ValueError, h11.RemoteProtocolError) as wrong:
+    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
         raise Bad(f"{admin}: {wrong or type(wrong).__name__}") from None
     if as_json:
         click.echo(json.dumps(status))
--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -10,7 +10,8 @@
 import anyio
 import click
 
-from embertray.common.net.address import BadAddress, loopback
+from embertray.common.net.address import parse_loopback
+from embertray.common.net.exceptions import AddressError
 from embertray.service.site import SiteError, load as load_site
 
 from .standin import Bad
@@ -185,8 +186,8 @@
 
 def _check_address(admin):
     try:
-        loopback(admin)
-    except BadAddress as wrong:
+        parse_loopback(admin)
+    except AddressError as wrong:
         raise Bad(f"--admin: {wrong}") from None
 
 
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -11,7 +11,7 @@
 
 from embertray.common import logs
 from embertray.common.memory.collector import COLLECTOR_THRESHOLDS
-from embertray.common.net.address import BadAddress
+from embertray.common.net.exceptions import AddressError
 from embertray.controller.channel.budget import channel_budget
 from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.emulator.play import play as play_emulated
@@ -123,7 +123,7 @@
             raise Bad(str(wrong)) from None
     try:
         held = json.loads(anyio.run(page, admin, "/memory"))
-    except (OSError, BadAddress, ValueError, h11.RemoteProtocolError) as wrong:
+    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
         raise Bad(f"{admin}: {wrong or type(wrong).__name__}") from None
     if as_json:
         click.echo(json.dumps(held))
@@ -158,7 +158,7 @@
             if code != 200:
                 raise Bad(said.decode().strip())
         status, ready = json.loads(anyio.run(page, admin, "/level")), anyio.run(page, admin, "/ready")
-    except (OSError, BadAddress, ValueError, h11.RemoteProtocolError) as wrong:
+    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
         raise Bad(f"{admin}: {wrong or type(wrong).__name__}") from None
     lost = "not known" if status["lost_credit"] is None else f"{status['lost_credit']:.1%}"
     click.echo(ready.decode().strip())
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -5,8 +5,8 @@
 import anyio
 import click
 
-from embertray.common.net.address import BadAddress
 from embertray.common.net.clock import LoopClock
+from embertray.common.net.exceptions import AddressError
 from embertray.common.net.tcp import TcpNet
 from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.models.backend import Backend, Shape
@@ -29,7 +29,7 @@
         anyio.run(main)
     except* KeyboardInterrupt:
         pass
-    except* (OSError, BadAddress) as wrong:
+    except* (OSError, AddressError) as wrong:
         raise Bad(str(wrong.exceptions[0])) from None
 
 
--- a/embertray/cluster/link/gossip_socket.py
+++ b/embertray/cluster/link/gossip_socket.py
@@ -6,7 +6,8 @@
 
 from embertray.cluster.membership import UnreadableMessageError
 from embertray.cluster.membership.messages import decode, encode
-from embertray.common.net.address import BadAddress, loopback
+from embertray.common.net.address import parse_loopback
+from embertray.common.net.exceptions import AddressError
 
 SECOND_NS = 10**9
 MAX_SLEEP_NS = SECOND_NS // 2  # so that a clock that jumps is noticed soon
@@ -63,8 +64,8 @@
             data = encode(message)
             self.counters.on_datagram_sent(len(data))
             # A datagram that cannot be sent is as good as lost on the way.
-            with suppress(OSError, BadAddress, anyio.ClosedResourceError):
-                await udp.sendto(data, *loopback(address))
+            with suppress(OSError, AddressError, anyio.ClosedResourceError):
+                await udp.sendto(data, *parse_loopback(address))
 
     async def listen(self, udp):
         """Hand what comes to the membership, until cancelled.
--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -8,7 +8,7 @@
 
 from embertray.cluster.membership import Membership, MembershipConfig
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
-from embertray.common.net.address import loopback
+from embertray.common.net.address import parse_loopback
 
 from .counters import LinkCounters
 from .gossip_socket import GossipSocket
@@ -96,7 +96,7 @@
         Raises:
             OSError: The address is taken.
         """
-        host, port = loopback(self.controller.cluster)
+        host, port = parse_loopback(self.controller.cluster)
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         async with (
             listener,
--- a/embertray/cluster/link/state_exchange.py
+++ b/embertray/cluster/link/state_exchange.py
@@ -9,7 +9,8 @@
 
 from embertray.cluster.state import Delta, Offer, StoreFullError, staleness_bound_ns
 from embertray.common.framing import BadFrame
-from embertray.common.net.address import BadAddress, loopback
+from embertray.common.net.address import parse_loopback
+from embertray.common.net.exceptions import AddressError
 
 from .exceptions import LinkError
 from .state_stream import StateStream
@@ -20,7 +21,7 @@
 LOOKS_PER_PERIOD = 20  # how often, at most, the loop looks whether something is due
 
 STREAM_BROKE = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
-EXCHANGE_ERRORS = (*STREAM_BROKE, BadFrame, BadAddress, LinkError, msgspec.DecodeError)
+EXCHANGE_ERRORS = (*STREAM_BROKE, BadFrame, AddressError, LinkError, msgspec.DecodeError)
 
 
 class StateExchange:
@@ -130,12 +131,12 @@
             address: The other member's address, as host:port.
 
         Raises:
-            BadAddress: It is no address on loopback.
+            AddressError: It is no address on loopback.
             LinkError, BadFrame, msgspec.DecodeError: What came is not what is due.
             OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream
                 broke, or ended.
         """
-        host, port = loopback(address)
+        host, port = parse_loopback(address)
         async with await anyio.connect_tcp(host, port) as stream:
             peer = StateStream(stream, self.counters, self.bucket)
             await peer.send(self.exchange.offer())
--- a/embertray/cluster/replication/link/peer.py
+++ b/embertray/cluster/replication/link/peer.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.common.net.address import BadAddress
+from embertray.common.net.exceptions import AddressError
 
 from .connection import BROKEN, Connection, Overflow
 
@@ -40,7 +40,7 @@
             try:
                 with anyio.fail_after(DIAL_WITHIN):
                     stream = await self.net.dial(self.address())
-            except (*BROKEN, BadAddress):
+            except (*BROKEN, AddressError):
                 await anyio.sleep(pause * (0.5 + self.chance.random()))
                 pause = min(2 * pause, RETRY_MOST)
                 continue
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -8,7 +8,7 @@
 from embertray.cluster.replication.messages import Unreadable, decode_to_subscriber
 from embertray.cluster.replication.subscriber import Dial, Hang, Subscriber
 from embertray.common.framing import PREFIX, BadFrame, Splitter
-from embertray.common.net.address import BadAddress
+from embertray.common.net.exceptions import AddressError
 from embertray.common.net.tcp import TcpNet
 
 from .audit import log_entries
@@ -193,7 +193,7 @@
         try:
             with anyio.fail_after(pace.dial / S):
                 stream = await self.net.dial(self.settings.replicas[replica])
-        except (*BROKEN, BadAddress):
+        except (*BROKEN, AddressError):
             self._lost(number)
             return
         connection = Connection(stream, self.traffic, QUEUED_MOST, Overflow.DROP_NEWEST)
--- a/embertray/common/net/__init__.py
+++ b/embertray/common/net/__init__.py
@@ -1,1 +1,1 @@
-"""Transports: loopback addresses, TCP on them, framed connections, and a clock. Nothing is decided here."""
+"""Transports: addresses, TCP, queued connections, HTTP calls, and a clock. Nothing is decided here."""
--- a/embertray/common/net/address.py
+++ b/embertray/common/net/address.py
@@ -1,40 +1,70 @@
-"""Addresses: host:port, on loopback only."""
+"""Addresses as host:port."""
 
 import ipaddress
 
+from .exceptions import AddressError
 
-class BadAddress(ValueError):
-    pass
+PORT_MAX = 65535
+LOCALHOST = "localhost"
+LOCALHOST_ADDRESS = "127.0.0.1"
 
 
-def plain(text):
-    """(host, port) of 'host:port', the host an IP address of any machine. Raises BadAddress."""
-    host, colon, port = text.rpartition(":")
-    try:
-        good = colon and port.isdigit() and int(port) <= 65535 and ipaddress.ip_address(host.strip("[]"))
-    except ValueError:
-        good = False
-    if not good:
-        raise BadAddress(f"'{text}' is no address:port")
-    return host.strip("[]"), int(port)
+def parse_address(text):
+    """Reads the address of any machine.
+
+    Args:
+        text: 'address:port', an IPv6 address in brackets.
+
+    Returns:
+        (host, port).
+
+    Raises:
+        AddressError: It has another form.
+    """
+    host, port = _split(text)
+    host = host.strip("[]")
+    if port is None or _parse_ip(host) is None:
+        raise AddressError(f"'{text}' is no address:port")
+    return host, port
+
+
+def parse_loopback(text):
+    """Reads an address of this machine's loopback.
+
+    Args:
+        text: 'host:port', the host localhost or an address of loopback, an IPv6 one in brackets.
 
+    Returns:
+        (host, port).
 
-def loopback(text):
-    """(host, port) of 'host:port'. Raises BadAddress for any other form, and for a host that is not
-    loopback.
+    Raises:
+        AddressError: It has another form, or its host is not on loopback.
     """
+    host, port = _split(text)
+    if port is None:
+        raise AddressError(f"'{text}' is no host:port")
+    host = LOCALHOST_ADDRESS if host == LOCALHOST else host.strip("[]")
+    ip_address = _parse_ip(host)
+    if ip_address is None or not ip_address.is_loopback:
+        raise AddressError(f"'{text}' is not a loopback address: nothing else is listened on or dialled")
+    return host, port
+
+
+def format_address(host, port):
+    """Returns host:port, an IPv6 address in brackets."""
+    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+
+
+def _split(text):
+    """Returns (host, port); the port is None if there is none that can be used."""
     host, colon, port = text.rpartition(":")
-    if not colon or not port.isdigit() or int(port) > 65535:
-        raise BadAddress(f"'{text}' is no host:port")
-    host = "127.0.0.1" if host == "localhost" else host.strip("[]")
-    try:
-        good = ipaddress.ip_address(host).is_loopback
-    except ValueError:
-        good = False
-    if not good:
-        raise BadAddress(f"'{text}' is not a loopback address: nothing else is listened on or dialled")
+    if not colon or not port.isdecimal() or int(port) > PORT_MAX:
+        return host, None
     return host, int(port)
 
 
-def joined(host, port):
-    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+def _parse_ip(host):
+    try:
+        return ipaddress.ip_address(host)
+    except ValueError:
+        return None
--- a/embertray/common/net/clock.py
+++ b/embertray/common/net/clock.py
@@ -1,21 +1,26 @@
-"""The clock that is handed to whatever needs the time: whole nanoseconds of the event loop's clock."""
+"""The clock that is handed to whatever needs the time."""
 
 import time
 
 import anyio
 
+NS_PER_SECOND = 1e9
+
 
 class LoopClock:
-    """now() never goes back; wall() is ns since 1970 and may jump."""
+    """The event loop's clock, in whole nanoseconds."""
 
     @staticmethod
     def now():
-        return round(anyio.current_time() * 1e9)
+        """Returns ns that never go back."""
+        return round(anyio.current_time() * NS_PER_SECOND)
 
     @staticmethod
     def wall():
+        """Returns ns since 1970, which may jump."""
         return time.time_ns()
 
     async def sleep_until(self, when):
-        while (rest := when - self.now()) > 0:
-            await anyio.sleep(rest / 1e9)
+        """Returns once `now()` has reached `when` (ns)."""
+        while (remaining := when - self.now()) > 0:
+            await anyio.sleep(remaining / NS_PER_SECOND)
--- a/embertray/common/net/process.py
+++ b/embertray/common/net/process.py
@@ -1,13 +1,20 @@
-"""What the system says of this process."""
+"""What the system measures of a process."""
 
 import os
 import resource
 from pathlib import Path
 
+BYTES_PER_KIB = 1024
+RESIDENT_PAGES_FIELD = 1  # of /proc/PID/statm
+
 
 def resident(pid="self"):
-    """Bytes in memory; where /proc is not there, the most ever (ru_maxrss, KiB)."""
+    """Returns the bytes that a process takes in memory.
+
+    Where /proc is not there: the most that this process ever took.
+    """
     try:
-        return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
+        fields = Path(f"/proc/{pid}/statm").read_text().split()
+        return int(fields[RESIDENT_PAGES_FIELD]) * os.sysconf("SC_PAGE_SIZE")
     except OSError:
-        return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
+        return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * BYTES_PER_KIB
--- a/embertray/platform/run/__main__.py
+++ b/embertray/platform/run/__main__.py
@@ -14,8 +14,9 @@
 import structlog
 
 from embertray.common.logs import set_up
-from embertray.common.net.address import BadAddress, plain
+from embertray.common.net.address import parse_address
 from embertray.common.net.clock import LoopClock
+from embertray.common.net.exceptions import AddressError
 from embertray.common.net.tcp import TcpNet
 from embertray.controller.exceptions import SettingsError
 from embertray.platform.protocol.configuration import read_configuration
@@ -40,7 +41,7 @@
 
 async def serve(path):
     """Run the controller that the file configures. Raises what Service and `load` raise."""
-    service = Service(load(path), LoopClock(), TcpNet(plain), lambda: load(path))
+    service = Service(load(path), LoopClock(), TcpNet(parse_address), lambda: load(path))
     await service.run(early_signals=EARLY_SIGNALS)
 
 
@@ -55,7 +56,7 @@
     exit_code = EXIT_OK
     try:
         anyio.run(serve, path)
-    except* (ConfigurationError, SettingsError, BadAddress, OSError) as group:
+    except* (ConfigurationError, SettingsError, AddressError, OSError) as group:
         exit_code = EXIT_UNUSABLE
         log.error("ended", why=[str(error) for error in group.exceptions])
     return exit_code
--- a/embertray/platform/run/list_connection.py
+++ b/embertray/platform/run/list_connection.py
@@ -2,7 +2,8 @@
 
 import anyio
 
-from embertray.common.net.http import CallFailed, Talk
+from embertray.common.net.exceptions import CallError
+from embertray.common.net.http_client import HttpConnection
 from embertray.platform.protocol.exceptions import UnreadableListError
 from embertray.platform.protocol.limits import (
     CONNECT_TIMEOUT_NS,
@@ -47,12 +48,12 @@
 
     async def run_connection(self):
         """Open a connection and follow the list on it until it breaks or is closed in good order."""
-        talk = None
+        connection = None
         try:
             address = self.address()
-            talk = await Talk.dial(self.net, address, CONNECT_TIMEOUT_NS)
-            await self.send_requests(talk, address)
-        except (CallFailed, UnreadableListError) as error:
+            connection = await HttpConnection.dial(self.net, address, CONNECT_TIMEOUT_NS)
+            await self.send_requests(connection, address)
+        except (CallError, UnreadableListError) as error:
             if self.list_watch.failures < LIST_FAILURES_LOGGED:
                 self.log.info("endpoint list request failed", why=str(error))
             await anyio.sleep(self.list_watch.on_failure() / NS_PER_S)
@@ -61,27 +62,29 @@
             self.list_watch.on_address_change()
             raise
         finally:
-            if talk:
-                await talk.aclose()
+            if connection:
+                await connection.aclose()
 
-    async def send_requests(self, talk, address):
+    async def send_requests(self, connection, address):
         """Send requests until the connection can take no more.
 
         Raises:
-            CallFailed: it broke.
+            CallError: it broke.
             UnreadableListError: it went on with what is no list.
         """
         while True:
-            await self.request_list(talk, address)
+            await self.request_list(connection, address)
             await anyio.sleep(self.list_watch.pause() / NS_PER_S)
-            if not talk.again():
+            if not connection.start_next():
                 return
 
-    async def request_list(self, talk, address):
+    async def request_list(self, connection, address):
         """Send one request and hand on what its answer tells. Raises what `send_requests` does."""
         request = self.list_watch.next_request(self.clock.now())
-        await talk.ask("GET", request.path, SEND_TIMEOUT_NS)
-        status, body = await talk.answer(request.first_byte_timeout, LIST_MAX_BYTES, LIST_TRANSFER_TIMEOUT_NS)
+        await connection.send_request("GET", request.path, SEND_TIMEOUT_NS)
+        status, body = await connection.read_response(
+            request.first_byte_timeout, LIST_MAX_BYTES, LIST_TRANSFER_TIMEOUT_NS
+        )
         if self.address() != address:
             # against an answer that comes in the same wake-up as another address: the scope is cancelled, but
             # this task goes on to its next wait first
--- a/embertray/platform/run/listener.py
+++ b/embertray/platform/run/listener.py
@@ -4,8 +4,8 @@
 
 import anyio
 
-from embertray.common.net.conn import Conn
-from embertray.common.net.http import BROKEN
+from embertray.common.net.exceptions import CONNECTION_ERRORS
+from embertray.common.net.queued_connection import QueuedConnection
 from embertray.platform.protocol.limits import (
     LAST_REPLY_TIMEOUT_NS,
     LINGER_MAX_BYTES,
@@ -62,7 +62,7 @@
                     invalid_reports=connection.invalid_reports,
                     last_invalid=connection.last_invalid,
                 )
-        except BROKEN:
+        except CONNECTION_ERRORS:
             pass
         except (
             Exception
@@ -76,8 +76,8 @@
                 await stream.aclose()
 
     async def serve(self, connection, stream):
-        """Read until the connection is to be closed. Raises BROKEN errors of the stream."""
-        reader = Conn(stream)
+        """Read until the connection is to be closed. Raises one of CONNECTION_ERRORS."""
+        reader = QueuedConnection(stream)
         while not connection.close_reason:
             data = None
             with anyio.move_on_after(self.time_to_join(connection)):
@@ -131,7 +131,7 @@
         A close over unread bytes is a reset, which can destroy the last reply before the peer has read it.
         """
         size = 0
-        with suppress(*BROKEN), anyio.move_on_after(LINGER_TIMEOUT_NS / NS_PER_S):
+        with suppress(*CONNECTION_ERRORS), anyio.move_on_after(LINGER_TIMEOUT_NS / NS_PER_S):
             await stream.send_eof()
             while size < LINGER_MAX_BYTES:
                 size += len(await stream.receive())
--- a/embertray/platform/run/relay_connections.py
+++ b/embertray/platform/run/relay_connections.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.common.net.http import CallFailed
+from embertray.common.net.exceptions import CallError
 from embertray.platform.protocol.exceptions import UnreadableEventStreamError
 from embertray.platform.protocol.limits import (
     ANSWER_MAX_BYTES,
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, controller, clock, dial, wake, log):
-        """`dial()` gives a Talk with the relay; `wake()` is called when events wait for a step."""
+        """`dial()` gives an HttpConnection with the relay; `wake()` is called when events wait for a step."""
         self.controller = controller
         self.clock = clock
         self.dial = dial
@@ -66,7 +66,7 @@
             try:
                 status, body = await self.send_call(call)
                 failure = caller.on_answer(self.clock.now(), status, body)
-            except CallFailed as error:
+            except CallError as error:
                 failure = caller.on_failure(self.clock.now(), error.sent, str(error))
             if failure and is_logged(caller.failures):
                 self.log.info(
@@ -97,17 +97,17 @@
             HTTP status and body.
 
         Raises:
-            CallFailed: no whole answer came.
+            CallError: no whole answer came.
         """
-        talk = await self.dial()
+        connection = await self.dial()
         answered = False
         try:
-            await talk.ask("POST", CALLS_PATH, SEND_TIMEOUT_NS, call.body(), CALL_CONTENT_TYPE)
-            answer = await talk.answer(ANSWER_TIMEOUT_NS, ANSWER_MAX_BYTES)
+            await connection.send_request("POST", CALLS_PATH, SEND_TIMEOUT_NS, call.body(), CALL_CONTENT_TYPE)
+            answer = await connection.read_response(ANSWER_TIMEOUT_NS, ANSWER_MAX_BYTES)
             answered = True
             return answer
         finally:
-            await talk.aclose(not answered)
+            await connection.aclose(not answered)
 
     # ---- event streams
 
@@ -121,7 +121,7 @@
                 self.stream_scopes[name] = scope
                 try:
                     await self.read_event_stream(name)
-                except (CallFailed, UnreadableEventStreamError) as error:
+                except (CallError, UnreadableEventStreamError) as error:
                     if is_logged(failures):
                         self.log.info("event stream broken", stream=name, why=str(error))
                 finally:
@@ -138,38 +138,38 @@
         """Read one connection until it breaks.
 
         Raises:
-            CallFailed: it did not come up, ended or fell silent.
+            CallError: it did not come up, ended or fell silent.
             UnreadableEventStreamError: it went on with what can't be read.
         """
         proxies = self.controller.proxies
         parser = self.controller.event_stream()
-        talk = await self.dial()
+        connection = await self.dial()
         try:
-            await talk.ask("GET", EVENTS_PATH, SEND_TIMEOUT_NS)
+            await connection.send_request("GET", EVENTS_PATH, SEND_TIMEOUT_NS)
             proxies.stream_opened(self.clock.now(), name)
             status = None
             while True:
                 data = None
                 with anyio.move_on_after(self.silence_check_wait()):
-                    if status is None and (status := await talk.begin()) != 200:
-                        raise CallFailed(f"status {status}", True)
-                    data = await talk.data()
+                    if status is None and (status := await connection.read_status()) != 200:
+                        raise CallError(f"status {status}", True)
+                    data = await connection.read_body_part()
                     if data is None:
-                        raise CallFailed("ended", True)
+                        raise CallError("ended", True)
                 now = self.clock.now()
                 if data is not None:
                     self.add_events(proxies.received(now, name, parser.receive(data)))
                 else:
                     self.check_silence(now, name)
         finally:
-            await talk.aclose()
+            await connection.aclose()
 
     def check_silence(self, now, name):
-        """A stream brought nothing for a while. Raises CallFailed if it is to be given up."""
+        """A stream brought nothing for a while. Raises CallError if it is to be given up."""
         proxies = self.controller.proxies
         self.add_events(proxies.elect_leader(now))
         if why := proxies.silence_reason(now, name):
-            raise CallFailed(why, True)
+            raise CallError(why, True)
 
     def silence_check_wait(self):
         """Seconds until a stream that brings nothing is looked at again."""
--- a/embertray/platform/run/service.py
+++ b/embertray/platform/run/service.py
@@ -8,8 +8,8 @@
 import anyio
 import structlog
 
-from embertray.common.net.address import BadAddress
-from embertray.common.net.http import Talk
+from embertray.common.net.exceptions import AddressError
+from embertray.common.net.http_client import HttpConnection
 from embertray.platform.protocol.exceptions import ConfigurationError
 from embertray.platform.protocol.limits import (
     CONNECT_TIMEOUT_NS,
@@ -62,8 +62,8 @@
         self.address = None
 
     def dial_relay(self):
-        """A new connection with the relay, as an awaitable Talk."""
-        return Talk.dial(self.net, self.configuration.relay.address, CONNECT_TIMEOUT_NS)
+        """A new connection with the relay, as an awaitable HttpConnection."""
+        return HttpConnection.dial(self.net, self.configuration.relay.address, CONNECT_TIMEOUT_NS)
 
     def discovery_address(self):
         """Where discovery is now, as host:port."""
@@ -81,7 +81,7 @@
 
         Raises:
             OSError: the address can't be listened on.
-            BadAddress: an address of the configuration is none.
+            AddressError: an address of the configuration is none.
         """
         self.check_addresses(self.configuration)
         listener = await self.net.listen(self.configuration.listen)
@@ -138,7 +138,7 @@
             self.log.error("internal error", task="reload", exc_info=error)
 
     def check_addresses(self, configuration):
-        """Check that the addresses to dial can be parsed. Returns `configuration`. Raises BadAddress."""
+        """Check that the addresses to dial can be parsed. Returns `configuration`. Raises AddressError."""
         for address in (configuration.discovery, configuration.relay.address):
             self.net.parse(address)
         return configuration
@@ -147,7 +147,7 @@
         """Take over the addresses in a new configuration; one that can't be used changes nothing."""
         try:
             new = self.check_addresses(self.load_configuration())
-        except (ConfigurationError, BadAddress) as error:
+        except (ConfigurationError, AddressError) as error:
             self.log.error("the new configuration can't be used", why=str(error))
             return
         old = self.configuration
--- a/embertray/service/admin/control_client.py
+++ b/embertray/service/admin/control_client.py
@@ -6,7 +6,8 @@
 import msgspec
 
 from embertray.cluster.replication.operations import Refused, Unknown, decode_answer
-from embertray.common.net.http import CallFailed, Talk
+from embertray.common.net.exceptions import CallError
+from embertray.common.net.http_client import HttpConnection
 from embertray.common.net.tcp import TcpNet
 
 S = 10**9
@@ -25,18 +26,18 @@
     """(status, body) of one request. Raises Unreachable."""
     try:
         return await call(admin, method, target, body)
-    except CallFailed as failed:
+    except CallError as failed:
         raise Unreachable(f"{admin}: {failed}") from None
 
 
 async def call(admin, method, target, body=b""):
-    """(status, body) of one request. Raises CallFailed."""
-    talk = await Talk.dial(TcpNet(), admin, DIAL_WITHIN)
+    """(status, body) of one request. Raises CallError."""
+    connection = await HttpConnection.dial(TcpNet(), admin, DIAL_WITHIN)
     try:
-        await talk.ask(method, target, ASK_WITHIN, body, "application/octet-stream")
-        return await talk.answer(ANSWER_WITHIN, ANSWER_MOST)
+        await connection.send_request(method, target, ASK_WITHIN, body, "application/octet-stream")
+        return await connection.read_response(ANSWER_WITHIN, ANSWER_MOST)
     finally:
-        await talk.aclose()
+        await connection.aclose()
 
 
 async def write(admin, method, target, body, within):
@@ -46,7 +47,7 @@
     while True:
         try:
             outcome = read_outcome(*await call(address, method, target, body))
-        except CallFailed as failed:
+        except CallError as failed:
             outcome = Unknown(f"{address}: {failed}") if failed.sent else None
             failure = f"{address}: {failed}"
         if isinstance(outcome, Unknown):
--- a/embertray/service/daemon/proxy_stream.py
+++ b/embertray/service/daemon/proxy_stream.py
@@ -13,7 +13,7 @@
     """A joined proxy's stream.
 
     Args:
-        conn: The Conn.
+        conn: The QueuedConnection.
         session: The ControllerSession, which has received the Hello.
 
     Attributes:
--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -5,8 +5,8 @@
 import anyio
 
 from embertray.common.framing import frame
-from embertray.common.net.conn import Conn
 from embertray.common.net.exceptions import CONNECTION_ERRORS
+from embertray.common.net.queued_connection import QueuedConnection
 from embertray.controller.channel.admission import HANDSHAKE_TIMEOUT_NS
 from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.messages import Fault, Hello, encode
@@ -107,7 +107,7 @@
         only: the listener's task group would else cancel all others.
         """
         try:
-            await self._serve(Conn(raw_stream), raw_stream)
+            await self._serve(QueuedConnection(raw_stream), raw_stream)
         except* CONNECTION_ERRORS:
             pass
         except* Exception as errors:
@@ -230,10 +230,10 @@
 
         Not behind a frame that was begun and not ended: the peer would read the Fault as a part of it.
         """
-        if conn.midway:
+        if conn.mid_send:
             return
         with anyio.move_on_after(self._service.site.tick / NS_PER_SECOND, shield=True):
-            conn.end()
+            conn.finish()
             conn.on_taken = None
             with contextlib.suppress(CONNECTION_ERRORS):
                 await conn.write()
--- a/embertray/service/daemon/step_loop.py
+++ b/embertray/service/daemon/step_loop.py
@@ -2,8 +2,7 @@
 
 import anyio
 
-from embertray.common.net.address import BadAddress
-from embertray.common.net.exceptions import CONNECTION_ERRORS
+from embertray.common.net.exceptions import CONNECTION_ERRORS, AddressError
 from embertray.controller.channel.timeouts import PROBE_TIMEOUT_NS
 
 NS_PER_SECOND = 10**9
@@ -97,7 +96,7 @@
             try:
                 async with await self._service.net.dial(backend):
                     answered = True
-            except (*CONNECTION_ERRORS, BadAddress):
+            except (*CONNECTION_ERRORS, AddressError):
                 pass  # a backend that is down or named wrongly has not answered
         self._service.core.probe_finished(self._service.clock.now(), backend, answered)
         self.wake()
--- a/embertray/service/site/addresses.py
+++ b/embertray/service/site/addresses.py
@@ -1,6 +1,7 @@
-"""The addresses of one description: on loopback, and each used once."""
+"""The addresses of one description: on parse_loopback, and each used once."""
 
-from embertray.common.net.address import BadAddress, loopback
+from embertray.common.net.address import parse_loopback
+from embertray.common.net.exceptions import AddressError
 
 from .exceptions import SiteError
 
@@ -25,15 +26,15 @@
             SiteError: It is not on loopback.
         """
         try:
-            loopback(address)
-        except BadAddress as error:
+            parse_loopback(address)
+        except AddressError as error:
             raise SiteError(f"{self._path}:{element.sourceline}: {error}") from None
 
     def use(self, element, address):
         """Checks an address and records its use.
 
         Raises:
-            SiteError: It is not on loopback, or another element uses it.
+            SiteError: It is not on parse_loopback, or another element uses it.
         """
         self.check(element, address)
         if not address.endswith(ANY_FREE_PORT) and address in self._lines:
--- a/embertray/simulation/emulator/flows.py
+++ b/embertray/simulation/emulator/flows.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from embertray.common.net.conn import Conn
+from embertray.common.net.queued_connection import QueuedConnection
 from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import (
@@ -51,7 +51,7 @@
             await self.fleet.net.dial(self.fleet.address) as stream,
             anyio.create_task_group() as group,
         ):
-            conn = Conn(stream)
+            conn = QueuedConnection(stream)
             conn.put(self.end.start())
             group.start_soon(conn.write)
             try:
--- a/embertray/simulation/standins/parts.py
+++ b/embertray/simulation/standins/parts.py
@@ -5,7 +5,7 @@
 import anyio
 
 from embertray.common.framing import BadFrame, Splitter, frame
-from embertray.common.net.conn import Conn
+from embertray.common.net.queued_connection import QueuedConnection
 
 BROKEN = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
@@ -30,7 +30,7 @@
     """Messages both ways over one stream. `on_message(message)` for each; `on_end()` once."""
 
     def __init__(self, stream, encode, read, on_message, on_end=None):
-        self.conn, self.encode, self.read = Conn(stream), encode, read
+        self.conn, self.encode, self.read = QueuedConnection(stream), encode, read
         self.on_message, self.on_end, self.scope, self.over = on_message, on_end, anyio.CancelScope(), False
 
     def put(self, message):
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from embertray.common.net.conn import Conn
+from embertray.common.net.queued_connection import QueuedConnection
 from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.messages import Acknowledgement, Orders
 from embertray.controller.stream.session import ProxySession
@@ -83,7 +83,7 @@
         self.scope = anyio.CancelScope()
         with self.scope:
             async with stream, anyio.create_task_group() as group:
-                self.conn = Conn(stream)
+                self.conn = QueuedConnection(stream)
                 self.conn.put(end.start())
                 group.start_soon(self.write, self.conn, self.scope)
                 try:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -13,7 +13,8 @@
 import anyio
 from hypothesis import HealthCheck, given, settings, strategies as st
 
-from embertray.common.net.address import BadAddress, loopback
+from embertray.common.net.address import parse_loopback
+from embertray.common.net.exceptions import AddressError
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import DurableSnapshots, InMemorySnapshots, Snapshot, SnapshotEntry
 from embertray.controller.channel.send_buffer import UNSENT_AGE_MAX_NS
@@ -302,12 +303,12 @@
 
     def test_loopback_only(self):
         for bad in ("10.0.0.1:1", "0.0.0.0:1", "example.org:1", "127.0.0.1", "127.0.0.1:70000", ":1"):
-            with self.assertRaises(BadAddress):
-                loopback(bad)
-        self.assertEqual(loopback("[::1]:5"), ("::1", 5))
+            with self.assertRaises(AddressError):
+                parse_loopback(bad)
+        self.assertEqual(parse_loopback("[::1]:5"), ("::1", 5))
 
         async def main():
-            with self.assertRaises(BadAddress):
+            with self.assertRaises(AddressError):
                 await TcpNet().listen("0.0.0.0:0")
 
         anyio.run(main)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,7 +6,8 @@
 
 import anyio
 
-from embertray.common.net.http import CallFailed, Talk
+from embertray.common.net.exceptions import CallError
+from embertray.common.net.http_client import HttpConnection
 from embertray.common.net.tcp import TcpNet
 
 MS = 10**6
@@ -44,15 +45,17 @@
 
         async def asked():
             with silent() as listening:
-                talk = await Talk.dial(TcpNet(), f"127.0.0.1:{listening.getsockname()[1]}", 1000 * MS)
+                connection = await HttpConnection.dial(
+                    TcpNet(), f"127.0.0.1:{listening.getsockname()[1]}", 1000 * MS
+                )
                 failed, before = None, len(os.listdir("/proc/self/fd"))
                 with anyio.fail_after(20):
                     try:
-                        await talk.ask("POST", "/api/", within, body, "text/plain")
-                        await talk.answer(within, 100)
-                    except CallFailed as wrong:
+                        await connection.send_request("POST", "/api/", within, body, "text/plain")
+                        await connection.read_response(within, 100)
+                    except CallError as wrong:
                         failed = wrong
-                    await talk.aclose(reset)
+                    await connection.aclose(reset)
                     await anyio.sleep(
                         0
                     )  # a transport that was told to end closes its socket in the next round
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,7 +20,8 @@
 import structlog
 from platform_stage import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, stage
 
-from embertray.common.net.address import BadAddress, plain
+from embertray.common.net.address import parse_address
+from embertray.common.net.exceptions import AddressError
 from embertray.common.net.tcp import TcpNet
 from embertray.controller.exceptions import SettingsError
 from embertray.controller.identifiers import Identifiers
@@ -71,9 +72,9 @@
             with self.assertRaises(ConfigurationError):
                 read_configuration(data)
         for address in ("host:80", "10.0.0.4", "10.0.0.4:99999", "10.0.0.4:-1"):
-            with self.assertRaises(BadAddress):
-                plain(address)
-        self.assertEqual(plain("10.0.0.4:8000"), ("10.0.0.4", 8000))
+            with self.assertRaises(AddressError):
+                parse_address(address)
+        self.assertEqual(parse_address("10.0.0.4:8000"), ("10.0.0.4", 8000))
 
     def test_a_known_list_that_cannot_be_read_is_none(self):
         for known in (
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -188,10 +188,10 @@
                 held = service.controller.list_watch.revision
 
                 class Answered:
-                    async def ask(self, *_):
+                    async def send_request(self, *_):
                         pass
 
-                    async def answer(self, *_):
+                    async def read_response(self, *_):
                         service.load_configuration = lambda: read_configuration(
                             configured(relay.address, "127.0.0.1:1")
                         )
