--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon by its sockets: strangers, slow readers, names that come twice, operators, signals."""
+"""The daemon through its streams: protocol errors, slow readers, duplicate names, operators, signals."""
 
 import json
 import os
@@ -33,7 +33,7 @@
 S = 10**9
 
 
-class Peer:
+class ScriptedProxy:
     """A scripted proxy's stream."""
 
     def __init__(self, stream, name, zone="north"):
@@ -59,7 +59,7 @@
             self.got += self.end.receive(data)
 
 
-class Room:
+class RunningDaemon:
     """One Service in virtual time with an inventory of three backends."""
 
     def __init__(self, **facts):
@@ -96,7 +96,7 @@
         return await self.net.dial(self.service.listen)
 
     async def peer(self, name):
-        return await Peer(await self.dial(), name).hello()
+        return await ScriptedProxy(await self.dial(), name).hello()
 
     async def ask(self, text):
         async with await self.net.dial(self.service.admin) as stream:
@@ -114,11 +114,11 @@
         return int(head.split()[1]), body.decode()
 
 
-def virtual(test, **facts):
+def with_daemon(test, **facts):
     def runs(self, *args):
         async def main():
-            async with Room(**facts) as room:
-                await test(self, room, *args)
+            async with RunningDaemon(**facts) as daemon:
+                await test(self, daemon, *args)
 
         run(main)
 
@@ -127,27 +127,27 @@
 
 
 class Streams(unittest.TestCase):
-    @virtual
-    async def test_a_joiner_is_bound_with_all_lines(self, room):
-        peer = await room.peer("p1")
+    @with_daemon
+    async def test_a_joined_proxy_is_bound_to_a_table_with_all_lines(self, daemon):
+        peer = await daemon.peer("p1")
         self.assertEqual((await peer.until(Welcome)).kinds, ["view", "post"])
         orders = await peer.until(Orders)
         self.assertEqual([type(do) for do in orders.do], [Bind])
         self.assertEqual(len(orders.do[0].lines), 3)
 
-    @virtual
-    async def test_the_same_name_twice_the_newer_stays(self, room):
-        first = await room.peer("p1")
+    @with_daemon
+    async def test_a_second_stream_of_one_name_replaces_the_first(self, daemon):
+        first = await daemon.peer("p1")
         await first.until(Orders)
-        second = await room.peer("p1")
+        second = await daemon.peer("p1")
         self.assertEqual((await first.until(Fault)).code, "replaced")
         self.assertEqual([type(do) for do in (await second.until(Orders)).do], [Bind])
         await anyio.sleep(3)
-        self.assertEqual((len(room.service.streams), room.service.counters.leaves), (1, 1))
+        self.assertEqual((len(daemon.service.streams), daemon.service.counters.leaves), (1, 1))
 
-    @virtual
-    async def test_each_bad_peer_gets_one_clear_error_and_nobody_else_is_touched(self, room):
-        good = await room.peer("good")
+    @with_daemon
+    async def test_each_protocol_error_gets_one_fault_and_other_streams_go_on(self, daemon):
+        good = await daemon.peer("good")
         await good.until(Orders)
         for data, code in (
             (b"\xff\xff\xff\xff", "oversized"),
@@ -159,7 +159,7 @@
             (b"", "hello"),
         ):
             with self.subTest(data=data):
-                stream = await room.dial()
+                stream = await daemon.dial()
                 if data:
                     await stream.send(data)
                 if code is None:
@@ -173,68 +173,68 @@
                     pass
                 self.assertEqual([type(m) for m in found], [Fault])
                 self.assertEqual(found[0].code, code or "cut")
-        room.inventory.list("127.0.0.1:9000", "north", "draining")
+        daemon.inventory.list("127.0.0.1:9000", "north", "draining")
         self.assertIsNotNone(await good.until(Orders))
-        self.assertEqual(len(room.service.streams), 1)
+        self.assertEqual(len(daemon.service.streams), 1)
 
-    @virtual
-    async def test_an_answer_to_no_open_mark_ends_that_stream(self, room):
-        peer = await room.peer("p1")
+    @with_daemon
+    async def test_an_acknowledgement_of_no_open_nonce_ends_that_stream(self, daemon):
+        peer = await daemon.peer("p1")
         orders = await peer.until(Orders)
         await peer.stream.send(peer.end.pack(Acknowledgement(orders.nonce)))
         self.assertEqual((await peer.until(Fault)).code, "order")
 
-    @virtual
-    async def test_a_mark_answered_after_its_proxy_left_moves_nothing(self, room):
-        peer = await room.peer("p1")
+    @with_daemon
+    async def test_a_nonce_of_a_former_stream_can_not_be_acknowledged(self, daemon):
+        peer = await daemon.peer("p1")
         orders = await peer.until(Orders, answer=False)
         await peer.stream.aclose()
-        again = await room.peer("p1")
+        again = await daemon.peer("p1")
         await again.until(Orders, answer=False)
         await again.stream.send(again.end.pack(Acknowledgement(orders.nonce)))
         self.assertEqual((await again.until(Fault, answer=False)).code, "order")
 
-    @virtual
-    async def test_a_proxy_that_never_reads_is_cut_and_told_to_wait(self, room):
-        quick, slow = await room.peer("quick"), await room.peer("slow")
+    @with_daemon
+    async def test_a_proxy_that_never_reads_is_cut_and_rejected_for_a_while(self, daemon):
+        quick, slow = await daemon.peer("quick"), await daemon.peer("slow")
         await quick.until(Orders)
-        stream = room.service.streams["slow"]
+        stream = daemon.service.streams["slow"]
         stream.conn.stream.peer.held = 1 << 20  # its socket's buffers are full, and it does not read
         for n in range(5):
-            room.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START * 1e9))
+            daemon.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START * 1e9))
             self.assertIsNotNone(await quick.until(Orders))
             await anyio.sleep(1.5)
         await anyio.sleep(UNSENT_AGE_MAX_NS / 1e9)
-        self.assertEqual((room.service.counters.cuts, list(room.service.streams)), (1, ["quick"]))
+        self.assertEqual((daemon.service.counters.cuts, list(daemon.service.streams)), (1, ["quick"]))
         self.assertIsNotNone(slow)
-        again = await room.peer("slow")
+        again = await daemon.peer("slow")
         fault = await again.until((Fault, Welcome))
         self.assertTrue(isinstance(fault, Welcome) or fault.code == "later" and fault.wait > 0)
 
-    @partial(virtual, proxies=1000)
-    async def test_a_thousand_dial_at_once_and_all_are_bound_within_the_pace(self, room):
-        began = room.clock.now()
-        peers = [await room.peer(f"p{n}") for n in range(1000)]
+    @partial(with_daemon, proxies=1000)
+    async def test_a_thousand_proxies_that_dial_at_once_are_bound_within_the_channel_rate(self, daemon):
+        began = daemon.clock.now()
+        peers = [await daemon.peer(f"p{n}") for n in range(1000)]
         seen = []
 
         async def bound(peer):
             orders = await peer.until(Orders)
-            seen.append((room.clock.now() - began, len(orders.do)))
+            seen.append((daemon.clock.now() - began, len(orders.do)))
 
         async with anyio.create_task_group() as group:
             for peer in peers:
                 group.start_soon(bound, peer)
         cost = 1000 * (4 + 1 + 1 + 3)
         self.assertLess(max(at for at, _ in seen) / S, 1.5 * cost / 1200)
-        self.assertLessEqual(room.service.core.pacer.lines_peak, room.service.site.pending_max)
+        self.assertLessEqual(daemon.service.core.pacer.lines_peak, daemon.service.site.pending_max)
 
-    @virtual
-    async def test_one_that_reads_but_answers_no_mark_is_cut_in_the_end(self, room):
-        mute = await room.peer("mute")
-        self.assertIsNone(await mute.until(Fault, answer=False))
-        self.assertEqual(room.service.counters.cuts, 1)
-        self.assertTrue(60 < room.clock.now() / S - START < 80)
-        self.assertEqual((room.service.core.nonces.owed, room.service.core.identifiers.nonces), ({}, {}))
+    @with_daemon
+    async def test_a_proxy_that_acknowledges_no_nonce_is_cut_after_the_timeout(self, daemon):
+        silent = await daemon.peer("silent")
+        self.assertIsNone(await silent.until(Fault, answer=False))
+        self.assertEqual(daemon.service.counters.cuts, 1)
+        self.assertTrue(60 < daemon.clock.now() / S - START < 80)
+        self.assertEqual((daemon.service.core.nonces.owed, daemon.service.core.identifiers.nonces), ({}, {}))
 
     @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
     @given(
@@ -245,12 +245,12 @@
             max_size=6,
         )
     )
-    def test_noise_on_a_live_listener(self, pieces):
+    def test_random_bytes_on_the_listener_leave_no_handshake_and_no_internal_fault(self, pieces):
         self.noise(pieces)
 
-    @virtual
-    async def noise(self, room, pieces):
-        stream = await room.dial()
+    @with_daemon
+    async def noise(self, daemon, pieces):
+        stream = await daemon.dial()
         try:
             for piece in pieces:
                 await stream.send(piece)
@@ -259,49 +259,51 @@
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         await anyio.sleep(6)
-        good = await room.peer("good")
+        good = await daemon.peer("good")
         self.assertIsNotNone(await good.until(Orders))
-        self.assertEqual((room.service.admission.handshakes, room.service.faults.get("internal", 0)), (0, 0))
+        self.assertEqual(
+            (daemon.service.admission.handshakes, daemon.service.faults.get("internal", 0)), (0, 0)
+        )
 
 
 class Operators(unittest.TestCase):
-    @virtual
-    async def test_pages(self, room):
-        peer = await room.peer("p1")
+    @with_daemon
+    async def test_pages_answer_with_their_status(self, daemon):
+        peer = await daemon.peer("p1")
         await peer.until(Orders)
-        self.assertEqual(await room.page("GET", "/ready"), (200, "ready: discovery has spoken\n"))
-        self.assertIn("embertray_proxies 1\n", (await room.page("GET", "/metrics"))[1])
-        tables = json.loads((await room.page("GET", "/tables"))[1])
+        self.assertEqual(await daemon.page("GET", "/ready"), (200, "ready: discovery has spoken\n"))
+        self.assertIn("embertray_proxies 1\n", (await daemon.page("GET", "/metrics"))[1])
+        tables = json.loads((await daemon.page("GET", "/tables"))[1])
         self.assertEqual(sum(len(t["lines"]) for t in tables if t["proxies"] == ["p1"]), 3)
-        self.assertEqual(json.loads((await room.page("GET", "/proxies"))[1])[0]["proxy"], "p1")
-        self.assertEqual((await room.page("POST", "/pace?share=0.5"))[0], 200)
-        self.assertEqual(json.loads((await room.page("GET", "/channel"))[1])["pace"], 0.5)
+        self.assertEqual(json.loads((await daemon.page("GET", "/proxies"))[1])[0]["proxy"], "p1")
+        self.assertEqual((await daemon.page("POST", "/pace?share=0.5"))[0], 200)
+        self.assertEqual(json.loads((await daemon.page("GET", "/channel"))[1])["pace"], 0.5)
         for method, path, status in (
             ("POST", "/pace?share=7", 400),
             ("POST", "/pace", 400),
             ("GET", "/drain", 405),
             ("GET", "/nowhere", 404),
         ):
-            self.assertEqual((await room.page(method, path))[0], status)
-        self.assertIn(b" 400 ", await room.ask(b"nonsense\r\n\r\n"))
+            self.assertEqual((await daemon.page(method, path))[0], status)
+        self.assertIn(b" 400 ", await daemon.ask(b"nonsense\r\n\r\n"))
 
-    @virtual
-    async def test_a_drain_sends_proxies_away_step_by_step(self, room):
-        peers = [await room.peer(f"p{n}") for n in range(5)]
+    @with_daemon
+    async def test_a_graceful_shutdown_closes_streams_step_by_step_and_rejects_joins(self, daemon):
+        peers = [await daemon.peer(f"p{n}") for n in range(5)]
         for peer in peers:
             await peer.until(Orders)
-        self.assertEqual((await room.page("POST", "/drain"))[0], 202)
+        self.assertEqual((await daemon.page("POST", "/drain"))[0], 202)
         self.assertEqual({(await peer.until(Fault)).code for peer in peers}, {"draining"})
-        self.assertEqual((await room.page("GET", "/ready"))[0], 503)
-        turned = await (await room.peer("late")).until(Fault)
-        self.assertEqual(turned.code, "draining")
-        self.assertGreater(turned.wait, 0)
+        self.assertEqual((await daemon.page("GET", "/ready"))[0], 503)
+        rejected = await (await daemon.peer("late")).until(Fault)
+        self.assertEqual(rejected.code, "draining")
+        self.assertGreater(rejected.wait, 0)
 
 
 class Process(unittest.TestCase):
     """The program itself."""
 
-    def test_loopback_only(self):
+    def test_only_loopback_addresses_are_accepted(self):
         for bad in ("10.0.0.1:1", "0.0.0.0:1", "example.org:1", "127.0.0.1", "127.0.0.1:70000", ":1"):
             with self.assertRaises(AddressError):
                 parse_loopback(bad)
@@ -313,7 +315,7 @@
 
         anyio.run(main)
 
-    def test_serves_from_its_last_list_without_an_inventory_and_stops_on_sigterm(self):
+    def test_a_start_without_inventory_serves_from_the_snapshot_and_stops_on_sigterm(self):
         with tempfile.TemporaryDirectory() as folder:
             folder = Path(folder)
             kept = DurableSnapshots(folder / "list")
@@ -355,7 +357,7 @@
 
                 async def main():
                     with anyio.fail_after(20):
-                        peer = await Peer(await TcpNet().dial(listen), "p1").hello()
+                        peer = await ScriptedProxy(await TcpNet().dial(listen), "p1").hello()
                         orders = await peer.until(Orders)
                         self.assertEqual(orders.do[0].lines[0][0], "127.0.0.1:9000")
                         program.send_signal(signal.SIGTERM)
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 from hypothesis import given, settings, strategies as st
-from test_daemon import virtual
+from test_daemon import with_daemon
 
 from embertray.controller.core import ControllerCore
 from embertray.controller.degradation import DegradationLadder
@@ -249,14 +249,14 @@
         self.assertTrue(any(do.wait for do in self.seen(result)))
 
     def test_operators_see_and_pin_it(self):
-        @virtual
-        async def main(_, room):
-            ask = room.page
+        @with_daemon
+        async def main(_, daemon):
+            ask = daemon.page
             status, body = await ask("GET", "/level")
             self.assertEqual((status, json.loads(body)["level"]), (200, "normal"))
             status, body = await ask("POST", "/set-level?pin=essential")
             self.assertEqual(status, 200)
-            await room.clock.sleep_until(room.clock.now() + 2 * S)
+            await daemon.clock.sleep_until(daemon.clock.now() + 2 * S)
             told = json.loads((await ask("GET", "/level"))[1])
             self.assertEqual(
                 (told["level"], told["pinned"], told["gives_up"]),
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 import anyio
-from test_daemon import START, virtual
+from test_daemon import START, with_daemon
 
 from embertray.common.memory import Collection, MemoryAccounts
 from embertray.common.memory.account import NOTICE_SHARE
@@ -104,69 +104,69 @@
         self.assertEqual(set(ACTIONS) - set(small), {"cluster"})  # nothing of it without the element
         told = ClusterSettings("c", S, 8 << 20, 1 << 16)
         self.assertEqual(default_caps(site.at(cluster=told))["cluster"], 2 * (8 << 20) + 2 * MEMBER_BYTES)
-        it = ControllerCore(site.at(caps={"reports": 123}), site.controllers[0], 1, 0)
-        self.assertEqual(it.accounts.by_purpose["reports"].cap, 123)
+        core = ControllerCore(site.at(caps={"reports": 123}), site.controllers[0], 1, 0)
+        self.assertEqual(core.accounts.by_purpose["reports"].cap, 123)
 
 
 class Caps(unittest.TestCase):
     """Each cap driven to its action in the true daemon."""
 
-    @partial(virtual, caps={"streams": 60_000})
-    async def test_joins_are_rejected_at_the_cap_and_joined_proxies_served(self, room):
-        first = [await room.peer(f"p{n}") for n in range(25)]
+    @partial(with_daemon, caps={"streams": 60_000})
+    async def test_joins_are_rejected_at_the_cap_and_joined_proxies_served(self, daemon):
+        first = [await daemon.peer(f"p{n}") for n in range(25)]
         for peer in first:
             self.assertIsInstance(await peer.until((Welcome, Fault)), Welcome)
         await anyio.sleep(2)
-        late = await (await room.peer("late")).until((Welcome, Fault))
+        late = await (await daemon.peer("late")).until((Welcome, Fault))
         self.assertEqual(late.code, "later")
         self.assertTrue(JOIN_DELAY_NS <= late.wait <= JOIN_DELAY_NS + JOIN_DELAY_JITTER_NS)
-        room.inventory.list("127.0.0.1:9000", "north", "draining")
+        daemon.inventory.list("127.0.0.1:9000", "north", "draining")
         for peer in first:
             while not any(isinstance(do, Line) and do.weight == 0 for do in (await peer.until(Orders)).do):
                 pass
         for peer in first[5:]:
             await peer.stream.aclose()
         await anyio.sleep(2)
-        self.assertIsInstance(await (await room.peer("late")).until((Welcome, Fault)), Welcome)
+        self.assertIsInstance(await (await daemon.peer("late")).until((Welcome, Fault)), Welcome)
 
-    @virtual
-    async def test_a_fleet_of_twice_the_named_size_meets_no_cap(self, room):
-        for n in range(2 * room.service.site.backends):
-            room.inventory.list(f"127.0.1.{n + 1}:9000", "north")
-        peers = [await room.peer(f"p{n}") for n in range(2 * room.service.site.proxies)]
+    @with_daemon
+    async def test_a_fleet_of_twice_the_named_size_meets_no_cap(self, daemon):
+        for n in range(2 * daemon.service.site.backends):
+            daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north")
+        peers = [await daemon.peer(f"p{n}") for n in range(2 * daemon.service.site.proxies)]
         for peer in peers:
             self.assertIsInstance(await peer.until((Welcome, Fault)), Welcome)
         await anyio.sleep(5)
-        rows = room.service.memory()["purposes"]
+        rows = daemon.service.memory()["purposes"]
         self.assertEqual([row["purpose"] for row in rows if row["acts"]], [])
         self.assertTrue(all(row["bytes"] > 0 for row in rows if row["purpose"] not in ("probes", "reports")))
 
-    @partial(virtual, caps={"list": 3000, "tables": 10**7})
-    async def test_new_backends_wait_at_the_cap_and_removals_pass(self, room):
-        peer = await room.peer("p1")
+    @partial(with_daemon, caps={"list": 3000, "tables": 10**7})
+    async def test_new_backends_wait_at_the_cap_and_removals_pass(self, daemon):
+        peer = await daemon.peer("p1")
         await peer.until(Orders)
         for n in range(40):
-            room.inventory.list(f"127.0.1.{n + 1}:9000", "north")
+            daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north")
             await anyio.sleep(0.3)
-        it = room.service.core
-        self.assertTrue(it.accounts.by_purpose["list"].at_cap)
-        self.assertLess(len(it.state), 43)
-        self.assertGreater(it.accounts.by_purpose["list"].action_count, 0)
-        room.inventory.list("127.0.0.1:9000", "north", "draining")
+        core = daemon.service.core
+        self.assertTrue(core.accounts.by_purpose["list"].at_cap)
+        self.assertLess(len(core.state), 43)
+        self.assertGreater(core.accounts.by_purpose["list"].action_count, 0)
+        daemon.inventory.list("127.0.0.1:9000", "north", "draining")
         while not any(isinstance(do, Line) and do.weight == 0 for do in (await peer.until(Orders)).do):
             pass
         for n in range(40):
-            room.inventory.list(f"127.0.1.{n + 1}:9000", "north", "gone")
-        room.inventory.list("127.0.2.1:9000", "north")
+            daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north", "gone")
+        daemon.inventory.list("127.0.2.1:9000", "north")
         await anyio.sleep(100)
-        self.assertFalse(it.accounts.by_purpose["list"].at_cap, it.accounts.rows())
-        self.assertIn("127.0.2.1:9000", it.state)  # asked for again when there was room
+        self.assertFalse(core.accounts.by_purpose["list"].at_cap, core.accounts.rows())
+        self.assertIn("127.0.2.1:9000", core.state)  # requested again when there was capacity
 
-    @partial(virtual, caps={"reports": 20_000}, reports_rate=5.0)
-    async def test_reports_drop_the_oldest_and_say_so(self, room):
+    @partial(with_daemon, caps={"reports": 20_000}, reports_rate=5.0)
+    async def test_reports_drop_the_oldest_and_say_so(self, daemon):
         for n in range(60):
-            room.inventory.list(f"127.0.1.{n + 1}:9000", "north")
-        peer = await room.peer("p1")
+            daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north")
+        peer = await daemon.peer("p1")
         await peer.until(Orders)
         for _ in range(30):
             await peer.stream.send(
@@ -175,57 +175,57 @@
                 )
             )
             await anyio.sleep(1)
-        it = room.service.core
-        self.assertGreater(it.intake.dropped, 0)
-        self.assertEqual(it.accounts.by_purpose["reports"].action_count, it.intake.dropped)
+        core = daemon.service.core
+        self.assertGreater(core.intake.dropped, 0)
+        self.assertEqual(core.accounts.by_purpose["reports"].action_count, core.intake.dropped)
 
-    @partial(virtual, caps={"channel": 3000}, channel_rate=20.0)
-    async def test_the_channel_cuts_the_proxy_with_the_most_lines_waiting(self, room):
-        peers = [await room.peer(f"p{n}") for n in range(30)]
+    @partial(with_daemon, caps={"channel": 3000}, channel_rate=20.0)
+    async def test_the_channel_cuts_the_proxy_with_the_most_lines_waiting(self, daemon):
+        peers = [await daemon.peer(f"p{n}") for n in range(30)]
         await anyio.sleep(6)
-        self.assertGreater(room.service.counters.cuts, 0)
-        self.assertLess(room.service.counters.cuts, 30)
+        self.assertGreater(daemon.service.counters.cuts, 0)
+        self.assertLess(daemon.service.counters.cuts, 30)
         self.assertEqual(len(peers), 30)
 
-    @virtual
-    async def test_a_million_names_that_no_list_had_leave_nothing(self, room):
-        peer = await room.peer("p1")
+    @with_daemon
+    async def test_a_million_names_that_no_list_had_leave_nothing(self, daemon):
+        peer = await daemon.peer("p1")
         await peer.until(Orders)
         for k in range(50):
             await peer.stream.send(
                 peer.end.pack(LoadReport(S, [BackendTotals(f"ghost-{k}-{n}", 1) for n in range(2000)]))
             )
             await anyio.sleep(0.1)
-        it = room.service.core
-        self.assertEqual(it.intake.unknown, 100_000)
-        self.assertEqual((len(it.identifiers.backends), len(it.intake.waiting)), (3, 0))
-
-    @virtual
-    async def test_proxies_and_backends_that_are_gone_are_forgotten_everywhere(self, room):
-        it = room.service.core
-        stay = await room.peer("stay")
+        core = daemon.service.core
+        self.assertEqual(core.intake.unknown, 100_000)
+        self.assertEqual((len(core.identifiers.backends), len(core.intake.waiting)), (3, 0))
+
+    @with_daemon
+    async def test_proxies_and_backends_that_are_gone_are_forgotten_everywhere(self, daemon):
+        core = daemon.service.core
+        stay = await daemon.peer("stay")
         await stay.until(Orders)
 
         async def keep_answering():
             while await stay.until(Orders):
                 pass
 
-        room.group.start_soon(keep_answering)
+        daemon.group.start_soon(keep_answering)
         for n in range(40):
-            room.inventory.list(f"127.0.1.{n + 1}:9000", "north", "ready", int(START * 1e9) + n)
-            peer = await room.peer(f"px-{n}")
+            daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north", "ready", int(START * 1e9) + n)
+            peer = await daemon.peer(f"px-{n}")
             await peer.until(Orders)
             await anyio.sleep(2)
-            room.inventory.list(f"127.0.1.{n + 1}:9000", "north", "gone")
+            daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north", "gone")
             await peer.stream.aclose()
         await anyio.sleep(120)
-        self.assertEqual((len(it.identifiers.backends), len(it.identifiers.proxies)), (3, 1))
-        self.assertEqual((len(it.module.backends), len(it.module.proxies)), (3, 1))
+        self.assertEqual((len(core.identifiers.backends), len(core.identifiers.proxies)), (3, 1))
+        self.assertEqual((len(core.module.backends), len(core.module.proxies)), (3, 1))
         self.assertEqual(
-            (len(it.start_times), len(it.outbox.withdrawn), len(it.module.publisher.removal.withdrawn)),
+            (len(core.start_times), len(core.outbox.withdrawn), len(core.module.publisher.removal.withdrawn)),
             (0, 0, 0),
         )
-        self.assertLessEqual(len(it.identifiers.nonces), 3)
+        self.assertLessEqual(len(core.identifiers.nonces), 3)
 
 
 class Churn(unittest.TestCase):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,10 +1,8 @@
-"""The parts without I/O: frames, sessions, outbox, pacer, admission, intake, the list's follower, the
+"""The parts without I/O: frames, sessions, outbox, pacer, admission, the list's follower, the
 site.
 """
 
-import tempfile
 import unittest
-from pathlib import Path
 
 import msgspec
 from hypothesis import given, settings, strategies as st
@@ -25,12 +23,10 @@
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, RequestFailed, WatchEvent
 from embertray.controller.identifiers import Identifiers
-from embertray.controller.report_intake import ReportIntake
 from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import (
     Acknowledgement,
-    ArrivalTotals,
     BackendTotals,
     Bind,
     Hello,
@@ -42,7 +38,7 @@
 )
 from embertray.controller.stream.session import ControllerSession, ProxySession
 from embertray.policy import interface as i
-from embertray.service.site import SiteError, load
+from embertray.service.site import load
 from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.models.backend import Backend, Shape
 
@@ -317,134 +313,6 @@
         self.assertIn("can hardly be bound", channel_budget(site.at(pending_max=80.0)).warnings[-1])
 
 
-class Reports(unittest.TestCase):
-    def test_merging_loses_no_count_and_the_oldest_goes_first(self):
-        identifiers, intake = Identifiers(), ReportIntake(4.0)
-        proxy, zone, kind = (
-            identifiers.proxy("p"),
-            identifiers.zone("z"),
-            i.RequestKind(1, 2, external_id="view"),
-        )
-        for n in range(3):
-            now = (n + 1) * S // 100
-            for name in "ab":
-                identifiers.backend(name)
-            intake.add_report(
-                now,
-                proxy,
-                zone,
-                LoadReport(
-                    S,
-                    [BackendTotals("a", 4, 1, 300, {"busy": n / 2}), BackendTotals("b", 2)],
-                    [ArrivalTotals("view", 5, 1), ArrivalTotals("strange", 9)],
-                ),
-                identifiers.backends.get,
-                {"view": kind}.get,
-            )
-        events, at = [], 0
-        while (at := intake.next_release()) is not None:
-            events += intake.release_due(at)
-        self.assertEqual([type(e).__name__ for e in events], ["Heard", "Heard", "Arrivals"])
-        self.assertEqual(
-            (events[0].tries, events[0].failed, events[0].latency, events[0].load["busy"]), (12, 3, 100, 1.0)
-        )
-        self.assertEqual((events[2].requests, events[2].lost), (15, 3))
-
-    def test_the_time_that_a_zone_s_proxies_cover_counts_once(self):
-        """Three proxies at their own phases: tries over spans is the zone's rate, and a cycle is one line."""
-        identifiers, intake, events = Identifiers(), ReportIntake(0.0, 0, S), []
-        zone = identifiers.zone("z")
-        for tenth in range(100):
-            now = tenth * S // 10
-            for n in range(3):
-                if tenth % 10 == n * 2:
-                    intake.add_report(
-                        now,
-                        identifiers.proxy(f"p{n}"),
-                        zone,
-                        LoadReport(S, [BackendTotals("a", 10, 1)]),
-                        identifiers.backend,
-                        {}.get,
-                    )
-            events += intake.release_due(now)
-        events += intake.release_due(20 * S)
-        self.assertEqual((sum(e.tries for e in events), sum(e.failed for e in events)), (300, 30))
-        self.assertEqual(len(events), 11)  # the first round knew one proxy only
-        late = events[1:-1]
-        self.assertAlmostEqual(sum(e.tries for e in late) * S / sum(e.span for e in late), 30)
-
-    def test_nobody_is_waited_for_longer_than_a_cycle_nor_again_once_silent(self):
-        identifiers, intake = Identifiers(), ReportIntake(0.0, 0, S)
-        zone, at = identifiers.zone("z"), []
-
-        def tell(now, name):
-            intake.add_report(
-                now,
-                identifiers.proxy(name),
-                zone,
-                LoadReport(S, [BackendTotals("a", 1)]),
-                identifiers.backend,
-                {}.get,
-            )
-
-        for name in "pq":
-            tell(0, name)
-        self.assertEqual(len(intake.release_due(0)), 1)
-        for cycle in range(1, 8):  # q says nothing any more
-            tell(cycle * S, "p")
-            for tenth in range(10):
-                now = cycle * S + tenth * S // 10
-                at += [now] * len(intake.release_due(now))
-        self.assertEqual(at, [n * S for n in range(1, 8)])
-        self.assertEqual(
-            (intake.rounds, intake.next_release()), ({}, None)
-        )  # the last closed at once: nobody else is there
-
-    @settings(max_examples=60, deadline=None, derandomize=True)
-    @given(
-        st.lists(
-            st.tuples(st.integers(0, 400), st.integers(0, 3), st.integers(0, 2), st.integers(1, 9)),
-            max_size=40,
-        ),
-        st.sampled_from([0.0, 3.0, 50.0]),
-    )
-    def test_no_try_is_lost_or_counted_twice(self, told, rate):
-        identifiers, intake, events, now = Identifiers(), ReportIntake(rate, 0, S), [], 0
-        for gap, proxy, backend, tries in told:
-            now += gap * S // 100
-            intake.add_report(
-                now,
-                identifiers.proxy(f"p{proxy}"),
-                identifiers.zone(f"z{proxy % 2}"),
-                LoadReport(S, [BackendTotals(f"b{backend}", tries, 1, 7)], [ArrivalTotals("view", tries)]),
-                identifiers.backend,
-                {"view": "view"}.get,
-            )
-            events += intake.release_due(now)
-        while (at := intake.next_release()) is not None:
-            now = max(now, at)
-            events += intake.release_due(now)
-        heard = [e for e in events if isinstance(e, i.Heard)]
-        self.assertEqual(sum(e.tries for e in heard), sum(t[3] for t in told))
-        self.assertEqual(sum(e.failed for e in heard), len(told))
-        self.assertEqual(
-            sum(e.requests for e in events if isinstance(e, i.Arrivals)), sum(t[3] for t in told)
-        )
-
-    def test_lines_a_second(self):
-        identifiers, intake = Identifiers(), ReportIntake(10.0)
-        intake.add_report(
-            0,
-            identifiers.proxy("p"),
-            identifiers.zone("z"),
-            LoadReport(S, [BackendTotals(f"b{n}", 1) for n in range(100)]),
-            identifiers.backend,
-            {}.get,
-        )
-        count = sum(len(intake.release_due(t * S // 100)) for t in range(201))
-        self.assertTrue(20 <= count <= 23, count)
-
-
 class List(unittest.TestCase):
     def test_a_gap_is_never_applied(self):
         follower = EndpointListFollower()
@@ -461,46 +329,6 @@
         self.assertEqual(follower.receive(RequestFailed()).kind, "failed")
 
 
-class Sites(unittest.TestCase):
-    def test_samples_load(self):
-        sites = {p.stem: load(p) for p in (SITES / "samples").glob("*.xml")}
-        self.assertEqual(sorted(sites), ["asked", "pushed", "sealed"])
-        self.assertEqual(
-            (sites["asked"].ask, sites["pushed"].levels, sites["sealed"].messages_max), (True, "rate", 20)
-        )
-        deployment = sites["sealed"].deployment(sites["sealed"].controllers[0], Identifiers())
-        self.assertEqual(deployment.kinds[1].again, "non-replayable")
-        self.assertEqual(sites["asked"].kinds[1].again, "deduplicated")
-
-    def test_errors_name_the_line_and_what_was_expected(self):
-        good = (SITES / "samples" / "pushed.xml").read_text()
-        for old, new, words in (
-            ('"800ms"', '"800"', ("time", ":6:")),
-            ('zone="north" listen', 'zone="moon" listen', ("moon",)),
-            ("127.0.0.1:7001", "10.0.0.1:7001", ("address",)),
-            ("</zones>", "", ("not well-formed",)),
-            ('picks="round"', 'picks="best"', ("best",)),
-            ("127.0.0.1:7002", "127.0.0.1:7001", ("taken",)),
-            ('response-target="800ms"', 'response-target="9s"', ("under",)),
-            ('"127.0.0.1:7100"', '"127.0.0.1:99999"', ("99999",)),
-        ):
-            with self.subTest(new=new), tempfile.TemporaryDirectory() as folder:
-                path = Path(folder) / "site.xml"
-                path.write_text(good.replace(old, new, 1))
-                with self.assertRaises(SiteError) as caught:
-                    load(path)
-                for word in ("site.xml:", *words):
-                    self.assertIn(word, str(caught.exception))
-
-    def test_the_former_word_for_deduplicated_is_read(self):
-        text = (SITES / "samples" / "asked.xml").read_text()
-        self.assertIn('"deduplicated"', text)
-        with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder, "site.xml")
-            path.write_text(text.replace('"deduplicated"', '"uniqued"'))
-            self.assertEqual(load(path).kinds[1].again, "deduplicated")
-
-
 class Models(unittest.TestCase):
     def test_a_backend_queues_fills_and_warms(self):
         backend = Backend("a", "z", Shape(cores=1, queue=1, cold_from=0.5, warm_after=10 * S))
