--- a/tests/test_report_intake.py
+++ b/tests/test_report_intake.py
@@ -46,7 +46,7 @@
         self.assertEqual((events[2].requests, events[2].lost), (15, 3))
 
     def test_the_time_that_proxies_of_a_zone_cover_counts_once(self):
-        """Three proxies at their own phases: attempts over spans are the zone's rate, a cycle is one event."""
+        """Three proxies at their own phases: attempts over spans are the zone's rate."""
         identifiers, intake, events = Identifiers(), ReportIntake(0.0, 0, S), []
         zone = identifiers.zone("z")
         for tenth in range(100):
