--- a/embertray/cli/control_calls.py
+++ b/embertray/cli/control_calls.py
@@ -8,7 +8,8 @@
 import anyio
 import click
 
-from embertray.common.net.address import BadAddress, loopback
+from embertray.common.net.address import parse_loopback
+from embertray.common.net.exceptions import AddressError
 
 from .standin import Bad
 
@@ -105,6 +106,6 @@
 
 def _check_address(admin):
     try:
-        loopback(admin)
-    except BadAddress as error:
+        parse_loopback(admin)
+    except AddressError as error:
         raise Bad(f"--admin: {error}") from None
--- a/embertray/cluster/replication/link/peer_link.py
+++ b/embertray/cluster/replication/link/peer_link.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.common.net.address import BadAddress
+from embertray.common.net.exceptions import AddressError
 
 from .connection import CONNECTION_ERRORS, Connection, Overflow
 
@@ -55,7 +55,7 @@
             try:
                 with anyio.fail_after(CONNECT_TIMEOUT_S):
                     stream = await self.net.dial(self.address())
-            except (*CONNECTION_ERRORS, BadAddress):
+            except (*CONNECTION_ERRORS, AddressError):
                 await self._pause(pause)
                 pause = min(2 * pause, MAX_RETRY_S)
                 continue
--- a/embertray/cluster/replication/link/subscriber_connection.py
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -5,7 +5,7 @@
 from embertray.cluster.replication.codec import decode_to_subscriber
 from embertray.cluster.replication.exceptions import MalformedMessageError
 from embertray.common.framing import PREFIX, BadFrame, Splitter
-from embertray.common.net.address import BadAddress
+from embertray.common.net.exceptions import AddressError
 
 from .connection import CONNECTION_ERRORS, MAX_FRAME_TO_SUBSCRIBER, Connection, Overflow
 
@@ -54,7 +54,7 @@
         try:
             with anyio.fail_after(self.subscriber.timing.dial / NS_PER_S):
                 stream = await self.net.dial(self.addresses[action.replica])
-        except (*CONNECTION_ERRORS, BadAddress):
+        except (*CONNECTION_ERRORS, AddressError):
             self._lost(action.connection_id)
             return
         connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_NEWEST)
--- a/embertray/service/admin/control_client.py
+++ b/embertray/service/admin/control_client.py
@@ -6,7 +6,8 @@
 import msgspec
 
 from embertray.cluster.replication.api_messages import Rejected, Unknown, decode_answer
-from embertray.common.net.http import CallFailed, Talk
+from embertray.common.net.exceptions import CallError
+from embertray.common.net.http_client import HttpConnection
 from embertray.common.net.tcp import TcpNet
 
 NS_PER_S = 10**9
@@ -40,16 +41,16 @@
     """
     try:
         return await call(admin, method, target, body)
-    except CallFailed as failure:
+    except CallError as failure:
         raise UnreachableError(f"{admin}: {failure}") from None
 
 
 async def call(admin, method, target, body=b""):
-    """The same, but raises CallFailed, which tells whether the request may have been received."""
-    connection = await Talk.dial(TcpNet(), admin, CONNECT_TIMEOUT_NS)
+    """The same, but raises CallError, which tells whether the request may have been received."""
+    connection = await HttpConnection.dial(TcpNet(), admin, CONNECT_TIMEOUT_NS)
     try:
-        await connection.ask(method, target, SEND_TIMEOUT_NS, body, "application/octet-stream")
-        return await connection.answer(ANSWER_TIMEOUT_NS, MAX_ANSWER_BYTES)
+        await connection.send_request(method, target, SEND_TIMEOUT_NS, body, "application/octet-stream")
+        return await connection.read_response(ANSWER_TIMEOUT_NS, MAX_ANSWER_BYTES)
     finally:
         await connection.aclose()
 
@@ -97,7 +98,7 @@
     """(outcome, "") or, if the call failed, (Unknown or None if nothing was sent, reason)."""
     try:
         return read_outcome(*await call(address, method, target, body)), ""
-    except CallFailed as error:
+    except CallError as error:
         failure = f"{address}: {error}"
         return (Unknown(failure) if error.sent else None), failure
 
--- a/embertray/simulation/standins/link.py
+++ b/embertray/simulation/standins/link.py
@@ -3,7 +3,7 @@
 import anyio
 
 from embertray.common.framing import BadFrame, Splitter, frame
-from embertray.common.net.conn import Conn
+from embertray.common.net.queued_connection import QueuedConnection
 
 # How a stream tells that it cannot be opened or has ended.
 STREAM_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, stream, encode, decode, on_message, on_end=None):
-        self.conn = Conn(stream)
+        self.conn = QueuedConnection(stream)
         self.encode = encode
         self.decode = decode
         self.on_message = on_message
