--- a/embertray/policy/endpoint_removal.py
+++ b/embertray/policy/endpoint_removal.py
@@ -41,7 +41,7 @@
 
     def drop_returned(self):
         """Backends that are ready again need no removal."""
-        self.due = {backend: at for backend, at in self.due.items() if backend.state != "ready"}
+        self.due = {backend: time for backend, time in self.due.items() if backend.state != "ready"}
 
     def oldest(self):
         """When the list told of the removal that has waited longest, ns; None if none waits."""
--- a/embertray/policy/records/arrivals.py
+++ b/embertray/policy/records/arrivals.py
@@ -15,9 +15,9 @@
     def __init__(self, keep):
         self.rows = deque(maxlen=keep)
 
-    def add(self, at, arrivals):
-        """Keeps a report that came at `at`, ns."""
-        self.rows.append((at, arrivals))
+    def add(self, time, arrivals):
+        """Keeps a report that came at `time`, ns."""
+        self.rows.append((time, arrivals))
 
     def rate(self, kind, start, default):
         """Requests of a kind a second, by the reports since `start` and those that came last.
@@ -27,7 +27,7 @@
             start: ns.
             default: what is returned if nothing was reported of the kind.
         """
-        known = [(at, report) for at, report in self.rows if report.kind is kind]
-        rows = [report for at, report in known if at > start or at == known[-1][0]]
+        known = [(time, report) for time, report in self.rows if report.kind is kind]
+        rows = [report for time, report in known if time > start or time == known[-1][0]]
         span = sum(report.span for report in rows)
         return sum(report.requests for report in rows) * SECOND / span if span else default
--- a/embertray/policy/records/backend.py
+++ b/embertray/policy/records/backend.py
@@ -7,9 +7,9 @@
 
 
 class Sample(NamedTuple):
-    """One report: what the proxies of a zone met within `span` ns before `at`, ns."""
+    """One report: what the proxies of a zone met within `span` ns before `time`, ns."""
 
-    at: int
+    time: int  # ns
     attempts: int
     failed: int
     latency: int  # ns; mean of the attempts that were answered
@@ -57,9 +57,9 @@
     def __init__(self, keep):
         self.rows = deque(maxlen=keep)
 
-    def add(self, at, report, load):
-        """Keeps a report that came at `at`, ns, with the load that it tells or None."""
-        row = Sample(at, report.tries, report.failed, report.latency, load, report.zone, report.span)
+    def add(self, time, report, load):
+        """Keeps a report that came at `time`, ns, with the load that it tells or None."""
+        row = Sample(time, report.tries, report.failed, report.latency, load, report.zone, report.span)
         self.rows.append(row)
 
     def clear(self):
@@ -77,7 +77,7 @@
         Returns:
             `Totals`.
         """
-        rows = [row for row in self.rows if row.at > start]
+        rows = [row for row in self.rows if row.time > start]
         attempts = sum(row.attempts for row in rows)
         failed = sum(row.failed for row in rows)
         latency = sum(latency_sum(row, failed_latency) for row in rows)
@@ -96,12 +96,12 @@
         return tuple(
             NewestReport(row.attempts, latency_sum(row, failed_latency), row.load)
             for row in self.rows
-            if row.at > start
+            if row.time > start
         )
 
     def mean_load(self, start):
         """Mean reported load since `start`, ns; None if none was reported."""
-        loads = [row.load for row in self.rows if row.load is not None and row.at > start]
+        loads = [row.load for row in self.rows if row.load is not None and row.time > start]
         return sum(loads) / len(loads) if loads else None
 
 
--- a/embertray/policy/records/messages.py
+++ b/embertray/policy/records/messages.py
@@ -12,18 +12,18 @@
         self.open = deque()  # (nonce, ns at which it was ordered)
         self.written = deque()  # ns
 
-    def ordered(self, nonce, at):
-        """A message with this nonce was ordered at `at`, ns."""
-        self.open.append((nonce, at))
+    def ordered(self, nonce, time):
+        """A message with this nonce was ordered at `time`, ns."""
+        self.open.append((nonce, time))
 
-    def answered(self, nonce, at):
+    def answered(self, nonce, time):
         """The nonce and all before it are answered.
 
-        They count as written at `at`, ns: a channel that lags writes late and at once.
+        They count as written at `time`, ns: a channel that lags writes late and at once.
         """
         while any(nonce is each for each, _ in self.open):
             self.open.popleft()
-            self.written.append(at)
+            self.written.append(time)
 
     def open_before(self, time):
         """Whether a nonce that was ordered before `time`, ns, is open."""
@@ -36,7 +36,7 @@
         """
         while self.written and self.written[0] <= since:
             self.written.popleft()
-        return len(self.written) + sum(at > open_since for _, at in self.open)
+        return len(self.written) + sum(time > open_since for _, time in self.open)
 
 
 class LinesInFlight:
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -66,7 +66,7 @@
 
     def due_tables(self):
         """The tables whose turn it is, in the order of the queue."""
-        return [table for table, at in self.due_at.items() if self.context.now >= at]
+        return [table for table, time in self.due_at.items() if self.context.now >= time]
 
     def update(self, table, proxies):
         """One turn of a table: bind unanswered proxies anew, or send changed lines, or leave the queue.
