--- a/embertray/experiments/measure/cluster.py
+++ b/embertray/experiments/measure/cluster.py
@@ -10,7 +10,8 @@
 
 from embertray.cluster.membership import DEAD, Membership
 from embertray.simulation.emulator.detectors import Heartbeats, Phi
-from embertray.simulation.emulator.gossip import MembershipSimulation, S
+from embertray.simulation.emulator.engine import NS_PER_SECOND as S
+from embertray.simulation.emulator.gossip import MembershipSimulation
 
 MAKES = {"swim": Membership, "heartbeats": Heartbeats, "phi": Phi}
 
@@ -41,9 +42,9 @@
     for _second in range(0, calm, 20):
         if pause:
             who = simulation.at[f"m{chance.randrange(members)}"]
-            who.stop()
+            who.pause()
             simulation.run(pause)
-            who.go_on()
+            who.resume()
         simulation.run(20 * S - pause)
     span = (simulation.engine.time - began) / S
     rate, wrong, took = (
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -1,8 +1,7 @@
-"""The faults of a day on the members of a cluster under virtual time: the same words, the same claims as true
-processes are held against.
+"""A day's faults on the members of a cluster under virtual time, held against the cluster's claims.
 
-Only what strikes controllers and links is played (kill, stall, restart, slow-start, and the links' words):
-there is no fleet here.
+The faults and claims are those of true processes. Only what strikes controllers and links is played: there is
+no fleet here.
 """
 
 import random
@@ -10,7 +9,7 @@
 from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
 from embertray.cluster.membership import Membership, MembershipConfig
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
-from embertray.service.site.site import time as span
+from embertray.service.site.site import time as parse_duration
 from embertray.simulation.claims.cluster import ClusterClaims
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.models.web import Web
@@ -18,34 +17,44 @@
 from embertray.simulation.scenarios.words import LINKS
 
 from .collector import rare_collections
-from .gossip import Links, MembershipSimulation
+from .engine import NS_PER_MS, NS_PER_SECOND
+from .gossip import MembershipSimulation
 from .state_exchanger import StateExchanger
-
-MS, S = 10**6, 10**9
-WORDS = {"kill", "stall", "restart", "slow-start", *LINKS} - {"reset"}
-START = S // 2  # ns that a process takes to come up
-SETTLE = 4 * S  # ns after the day's end, as days have it
-
-
-class WebLinks(Links):
-    """The links of members that are a web's ways."""
-
-    def __init__(self, chance, web):
-        super().__init__(chance)
-        self.web = web
-
-    def ways(self, a, b, data):
-        for late in self.web.way(a, b).copies():
-            yield self.chance.randint(*self.delay) + late, data
-
-    def hold(self, a, b):
-        """ns for a part of a stream, or None while the way is silent."""
-        way = self.web.way(a, b)
-        return self.chance.randint(*self.delay) + way.hold() if way.open else None
+from .web_links import WebLinks
+
+# Faults that are played here; there are no streams that "reset" could end.
+FAULTS = {"kill", "stall", "restart", "slow-start", *LINKS} - {"reset"}
+# Ends of links that days may name besides members; nothing is sent to or from them here.
+OTHER_ENDS = ("list", "px")
+# Time that a process takes to start.
+START_TIME_NS = NS_PER_SECOND // 2
+# Time from the first member's start to the day's beginning.
+WARM_UP_NS = NS_PER_SECOND
+# Time that the simulation goes on after the day, as days have it.
+SETTLE_NS = 4 * NS_PER_SECOND
+# The claims' allowance for the time between an event and its record.
+CLAIMS_MARGIN_NS = 50 * NS_PER_MS
 
 
 class ClusterSimulation:
-    """`members`: more of them than the day says; `look`: ns between two looks at each. Read `claims`."""
+    """The members of one cluster, with the state that they replicate, and the faults of a day.
+
+    Args:
+        day: The Day.
+        seed: Of all random draws.
+        members: How many members; None: as many as the day has controllers.
+        make: Type of the members' membership core.
+        exchange: Type of their state exchange.
+        store: Type of their store.
+        look: Time between two observations of each member, ns.
+
+    Attributes:
+        claims: The ClusterClaims, which say what was broken.
+        membership: The MembershipSimulation.
+        exchangers: StateExchanger by address; None: the process is starting.
+        links: The Web.
+        clock, held, eyes, proxies, zero: What faults ask of the stage that they are played on.
+    """
 
     def __init__(
         self,
@@ -55,60 +64,95 @@
         make=Membership,
         exchange=AntiEntropyExchange,
         store=EntryStore,
-        look=S // 4,
+        look=NS_PER_SECOND // 4,
     ):
-        self.day, self.seed, self.makes, self.look_every = day, seed, (exchange, store), look
         names = [f"c{n + 1}" for n in range(members or int(day.fleet["controllers"]))]
-        period = span(day.fleet["period"])
-        self.links = Web(names, seed, ("list", "px"))  # nothing passes on the latter two here
-        self.membership = MembershipSimulation(
-            seed,
-            MembershipConfig.for_period(period),
-            make,
-        )
+        period = parse_duration(day.fleet["period"])
+        self.day = day
+        self.seed = seed
+        self.state_types = (exchange, store)
+        self.look_period = look
+        self.links = Web(names, seed, OTHER_ENDS)
+        self.membership = MembershipSimulation(seed, MembershipConfig.for_period(period), make)
         self.membership.links = WebLinks(random.Random(f"{seed} links"), self.links)
-        self.engine, self.exchangers, self.chance, self.proxies = (
-            self.membership.engine,
-            {},
-            Streams(seed),
-            [],
-        )
-        self.claims = ClusterClaims(self.links, period, EXCHANGE_TIMEOUT_NS, 50 * MS)
-        # what troubles ask of a stage, its clock and what it holds
-        self.clock, self.held, self.eyes, self.zero = self.engine, self, self, self.engine.time + S
+        self.engine = self.membership.engine
+        self.exchangers = {}
+        self.chance = Streams(seed)
+        self.claims = ClusterClaims(self.links, period, EXCHANGE_TIMEOUT_NS, CLAIMS_MARGIN_NS)
+        self.clock = self.engine
+        self.held = self
+        self.eyes = self
+        self.proxies = []
+        self.zero = self.engine.time + WARM_UP_NS
 
     def note(self, *_):
-        pass
+        """Drops an event that a fault records: the claims are told directly."""
 
     def strike(self, targets, things):
-        order = self.chance.of("strike", len(things)).permutation(len(things))
-        return [things[k] for t in targets for k in order[: max(1, round(t * len(things)))]]
+        """Draws who is struck.
 
-    # ---- what troubles do to members
+        Args:
+            targets: Parts of the things, 0 to 1.
+            things: What may be struck.
 
-    async def up(self, name, still=0):
-        if name not in self.exchangers:
-            self.exchangers[name] = None
-            await self.engine.sleep_until(self.engine.time + START + still)
-            process = self.membership.up(name, [other for other in self.links.members if other != name])
-            self.exchangers[name] = StateExchanger(
-                process, lambda: self.exchangers, self.membership.links, self.seed, *self.makes
-            )
-            self.claims.reachability.process_started(self.engine.time, name)
+        Returns:
+            Those that are.
+        """
+        order = self.chance.of("strike", len(things)).permutation(len(things))
+        return [things[k] for part in targets for k in order[: max(1, round(part * len(things)))]]
+
+    # ---- what faults do to members
+
+    async def up(self, name, delay=0):
+        """Starts a member's process, unless it runs or is starting.
+
+        Args:
+            name: The member's name.
+            delay: ns that the start takes longer.
+        """
+        if name in self.exchangers:
+            return
+        self.exchangers[name] = None
+        await self.engine.sleep_until(self.engine.time + START_TIME_NS + delay)
+        peers = [other for other in self.links.members if other != name]
+        self.exchangers[name] = StateExchanger(
+            self.membership.up(name, peers),
+            lambda: self.exchangers,
+            self.membership.links,
+            self.seed,
+            *self.state_types,
+        )
+        self.claims.reachability.process_started(self.engine.time, name)
+
+    async def all_up(self, names, delay=0):
+        """Starts members at once.
 
-    async def all_up(self, names, still=0):
+        Args:
+            names: Their names.
+            delay: ns that each start takes longer.
+        """
         for name in names:
-            self.engine.start(self.up(name, still))
+            self.engine.start(self.up(name, delay))
 
     up_slowly = all_up
 
     def kill(self, name):
+        """Kills a member's process, if it runs.
+
+        Args:
+            name: The member's name.
+        """
         if self.exchangers.get(name) is not None:
             self.membership.kill(name)
             del self.exchangers[name]
             self.claims.reachability.process_ended(self.engine.time, name)
 
     async def restart(self, name):
+        """Shuts a member's process down gracefully, if it runs, and starts another.
+
+        Args:
+            name: The member's name.
+        """
         process = self.membership.at.get(name)
         if self.exchangers.get(name) is not None:
             self.membership.send(process, process.core.leave(self.engine.time))
@@ -116,49 +160,62 @@
         await self.up(name)
 
     def freeze(self, name):
+        """Stops a member's process, if it runs.
+
+        Args:
+            name: The member's name.
+        """
         if self.exchangers.get(name) is not None:
-            self.membership.at[name].stop()
+            self.membership.at[name].pause()
             self.claims.reachability.process_paused(self.engine.time, name)
 
     def thaw(self, name):
-        if self.exchangers.get(name) is not None and self.membership.at[name].stopped:
-            self.membership.at[name].go_on()
+        """Continues a member's process, if it is stopped.
+
+        Args:
+            name: The member's name.
+        """
+        if self.exchangers.get(name) is not None and self.membership.at[name].paused:
+            self.membership.at[name].resume()
             self.claims.reachability.process_resumed(self.engine.time, name)
 
     # ---- the day
 
-    def look(self):
+    def _observe(self):
+        """Shows the claims what each running member takes the others for, and how old their facts are."""
         now = self.engine.time
         for name, exchanger in self.exchangers.items():
-            if exchanger is not None and not exchanger.process.stopped:
-                core = exchanger.process.core
-                ages = {known.owner: known.age_ns for known in exchanger.store.freshest(now, "facts")}
-                self.claims.look(
-                    now,
-                    name,
-                    {m.name: m.state.word for m in core.members.values()},
-                    ages,
-                    core.cut_off(now),
-                )
-        self.engine.at(now + self.look_every, self.look)
+            if exchanger is None or exchanger.process.paused:
+                continue
+            core = exchanger.process.core
+            states = {member.name: member.state.word for member in core.members.values()}
+            ages = {known.owner: known.age_ns for known in exchanger.store.freshest(now, "facts")}
+            self.claims.look(now, name, states, ages, core.cut_off(now))
+        self.engine.at(now + self.look_period, self._observe)
 
     def play(self):
+        """Plays the day.
+
+        Returns:
+            The simulation itself.
+        """
         self.engine.start(self.all_up(self.links.members))
-        self.engine.at(self.zero, self.look)
-        for told in self.day.troubles:
-            if told.name in WORDS:
-                self.engine.start(Trouble(self, told).run())
+        self.engine.at(self.zero, self._observe)
+        for fault in self.day.troubles:
+            if fault.name in FAULTS:
+                self.engine.start(Trouble(self, fault).run())
         with rare_collections():
-            self.engine.run(self.zero + self.day.lasts + SETTLE)
+            self.engine.run(self.zero + self.day.lasts + SETTLE_NS)
         return self
 
     def bytes(self):
-        """Bytes a second that a member sent: (probes, state)."""
-        span_s, living = (
-            (self.engine.time - self.zero) / S,
-            [s for s in self.exchangers.values() if s is not None],
-        )
-        return (
-            sum(self.membership.bytes.values()) / span_s / len(self.links.members),
-            sum(s.bytes for s in living) / span_s / max(1, len(living)),
-        )
+        """Mean traffic of a member since the day began.
+
+        Returns:
+            Bytes a second of (membership, state).
+        """
+        seconds = (self.engine.time - self.zero) / NS_PER_SECOND
+        running = [exchanger for exchanger in self.exchangers.values() if exchanger is not None]
+        membership = sum(self.membership.bytes.values()) / seconds / len(self.links.members)
+        state = sum(exchanger.bytes for exchanger in running) / seconds / max(1, len(running))
+        return membership, state
--- a/embertray/simulation/emulator/engine.py
+++ b/embertray/simulation/emulator/engine.py
@@ -12,6 +12,7 @@
 
 from .exceptions import PastEventError, StuckClockError
 
+NS_PER_MS = 10**6
 NS_PER_SECOND = 10**9
 # Delays that have a queue of their own. A rarer delay goes to the heap, so that many one-off delays do not
 # leave many empty queues behind.
--- a/embertray/simulation/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -1,6 +1,4 @@
-"""Exchanges of state under virtual time: the true stores and exchanges, over streams that links hold
-back, silence or end.
-"""
+"""State exchanges under virtual time: production stores and exchanges, over streams that links break."""
 
 import random
 
@@ -9,27 +7,57 @@
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.common.framing import PREFIX
 
-MS = 10**6
-LOOK = 20 * MS  # ns between two looks at a silent way, as the rig's streams take
+from .engine import NS_PER_MS
+
+# Time between two looks at a link that carries nothing, or at a process that is paused.
+POLL_PERIOD_NS = 20 * NS_PER_MS
+# Looks at what is due, for each probe period.
+STEPS_PER_PROBE_PERIOD = 20
 
 
 def timestamp_facts(now):
-    """Facts that say nothing but when they were told."""
+    """Facts that say nothing but when they were written.
+
+    Args:
+        now: ns.
+
+    Returns:
+        bytes.
+    """
     return str(now).encode()
 
 
 class StateExchanger:
-    """Beside one gossip.Process: its store, its facts told anew each second, one exchange at a time.
-    `others()`: address -> StateExchanger; `facts(now)`: what is told, bytes. `bytes`: what it sent, in its
-    own exchanges and in others', with the frames' lengths, as a link counts.
+    """A member's replicated state: its store, its own facts written each second, one exchange at a time.
+
+    Args:
+        process: The MemberProcess that it belongs to.
+        others: A function that gives the StateExchanger items by address.
+        links: The Links.
+        seed: Of the choice of peers.
+        make: Type of the exchange.
+        store: Type of the store.
+        facts: A function that gives the facts to write, bytes, for a time in ns.
+
+    Attributes:
+        store: The EntryStore.
+        exchange: The AntiEntropyExchange.
+        facts_at: When the facts are written next, ns.
+        bytes: Bytes that it sent, in its own exchanges and in others', with the frames' lengths.
+        made: Exchanges begun.
+        failed: Exchanges that failed.
     """
 
     def __init__(
         self, process, others, links, seed, make=AntiEntropyExchange, store=EntryStore, facts=timestamp_facts
     ):
+        core = process.core
+        self.engine = process.simulation.engine
+        now = self.engine.time
+        self.process = process
+        self.others = others
+        self.links = links
         self.facts = facts
-        self.process, self.others, self.links, self.engine = process, others, links, process.simulation.engine
-        core, now = process.core, process.simulation.engine.time
         self.store = store(core.local.name, core.local.incarnation)
         self.exchange = make(
             self.store,
@@ -37,104 +65,155 @@
             now,
             core.config.probe_period,
         )
-        self.facts_at, self.turn, self.bytes, self.failed, self.made = now, 0, 0, 0, 0
-        self.engine.at(now, self.tick)
+        self.facts_at = now
+        self.bytes = 0
+        self.failed = 0
+        self.made = 0
+        self._number = 0  # of the exchange under way; what belongs to an older one is void
+        self._step_period = core.config.probe_period // STEPS_PER_PROBE_PERIOD  # ns
+        self.engine.at(now, self._step)
 
     @property
     def running(self):
+        """Whether the process runs; a paused one does."""
         return self.process.alive and not self.process.core.ended
 
-    def tick(self):
-        now, core = self.engine.time, self.process.core
+    # ---- what is due
+
+    def _step(self):
+        """Does what is due; begins an exchange, or schedules the next step."""
         if not self.running:
             return
-        if self.process.stopped:
-            self.engine.at(now + LOOK, self.tick)
+        now = self.engine.time
+        if self.process.paused:
+            self.engine.at(now + POLL_PERIOD_NS, self._step)
             return
+        self._maintain_store(now)
+        addresses = self._peer_addresses() if now >= self.exchange.next_at else {}
+        peer = self.exchange.next_peer(now, addresses)
+        if peer is None:
+            due = min(self.exchange.next_at, self.facts_at)
+            self.engine.at(max(now + self._step_period, due), self._step)
+        else:
+            self._begin(now, addresses[peer])
+
+    def _maintain_store(self, now):
+        core = self.process.core
         self.store.expire(now, core.members.departed)
         if core.local.incarnation != self.store.incarnation:
             self.store.adopt_incarnation(core.local.incarnation)
         if now >= self.facts_at:
             self.facts_at = now + FACTS_PERIOD_NS
             self.store.put(now, "facts", self.facts(now))
-        here = {m.name: m.address for m in core.active_members} if now >= self.exchange.next_at else {}
-        if (name := self.exchange.next_peer(now, here)) is None:
-            self.engine.at(
-                max(now + core.config.probe_period // 20, min(self.exchange.next_at, self.facts_at)),
-                self.tick,
-            )
-            return
-        self.turn += 1
+
+    def _peer_addresses(self):
+        return {member.name: member.address for member in self.process.core.active_members}
+
+    # ---- an exchange: connection, its acceptance, the offer, what each lacks
+
+    def _begin(self, now, address):
+        self._number += 1
         self.made += 1
-        self.engine.at(now + EXCHANGE_TIMEOUT_NS, self.give_up, self.turn)
-        turn, address = self.turn, here[name]
-        # a call and its answer, the offer, what each lacks
-        self.pass_message(
-            turn,
-            address,
-            True,
-            lambda: self.pass_message(turn, address, False, lambda: self.send_offer(turn, address)),
-        )
+        number = self._number
+        self.engine.at(now + EXCHANGE_TIMEOUT_NS, self._on_timeout, number)
+
+        def on_connected():
+            self._pass_message(number, address, False, lambda: self.send_offer(number, address))
+
+        self._pass_message(number, address, True, on_connected)
+
+    def _on_timeout(self, number):
+        if number == self._number and self.running:
+            self._fail()
 
-    def give_up(self, turn):
-        if turn == self.turn and self.running:
-            self.failed += 1
-            self.finish()
+    def _fail(self):
+        self.failed += 1
+        self._finish()
 
-    def finish(self):
-        self.turn += 1
-        self.engine.at(self.engine.time + self.process.core.config.probe_period // 20, self.tick)
+    def _finish(self):
+        self._number += 1
+        self.engine.at(self.engine.time + self._step_period, self._step)
 
-    def pass_message(self, turn, address, there, then):
-        """One message of the stream; it waits on a silent way, or for one that stands still, until the
-        exchange is given up.
+    def _pass_message(self, number, address, outgoing, then):
+        """Passes one message of an exchange's stream on.
+
+        A message waits on a silent link, or for a paused process, until the exchange times out.
+
+        Args:
+            number: The exchange's number.
+            address: The peer's address.
+            outgoing: Whether the message goes to the peer, not from it.
+            then: Called when it arrives.
         """
-        if turn != self.turn or not self.running:
+        if number != self._number or not self.running:
             return
-        a, b = (
-            (self.process.core.local.address, address)
-            if there
-            else (address, self.process.core.local.address)
-        )
-        to = self.others().get(address)
-        if to is None or not to.running:
-            self.failed += 1
-            self.finish()
-        elif to.process.stopped or self.process.stopped or (hold := self.links.hold(a, b)) is None:
-            self.engine.at(self.engine.time + LOOK, self.pass_message, turn, address, there, then)
+        peer = self.others().get(address)
+        if peer is None or not peer.running:
+            self._fail()
+            return
+        delay = None if self._is_stalled(peer) else self._stream_delay(address, outgoing)
+        if delay is None:
+            self.engine.at(
+                self.engine.time + POLL_PERIOD_NS, self._pass_message, number, address, outgoing, then
+            )
         else:
-            self.engine.at(self.engine.time + hold, self.deliver, turn, address, then)
+            self.engine.at(self.engine.time + delay, self._deliver, number, address, then)
+
+    def _is_stalled(self, peer):
+        return peer.process.paused or self.process.paused
 
-    def deliver(self, turn, address, then):
-        """Either may have been stopped since the message was passed on."""
-        to = self.others().get(address)
-        if turn == self.turn and self.running and to is not None and to.running:
-            if to.process.stopped or self.process.stopped:
-                self.engine.at(self.engine.time + LOOK, self.deliver, turn, address, then)
-            else:
-                then()
+    def _stream_delay(self, address, outgoing):
+        here = self.process.core.local.address
+        if outgoing:
+            return self.links.stream_delay(here, address)
+        return self.links.stream_delay(address, here)
+
+    def _deliver(self, number, address, then):
+        """Hands a message over; either process may have been paused or killed since it was sent."""
+        peer = self.others().get(address)
+        if number != self._number or not self.running or peer is None or not peer.running:
+            return
+        if self._is_stalled(peer):
+            self.engine.at(self.engine.time + POLL_PERIOD_NS, self._deliver, number, address, then)
+        else:
+            then()
 
     def count(self, message):
+        """Counts a message's bytes.
+
+        Args:
+            message: A state message that is sent now.
+
+        Returns:
+            The message.
+        """
         self.bytes += len(encode_state_message(message)) + PREFIX.size
         return message
 
-    def send_offer(self, turn, address):
-        offer, to = self.count(self.exchange.offer()), self.others()[address]
+    def send_offer(self, number, address):
+        """Sends the offer of an exchange whose stream is open.
 
-        def at_other_end():
-            delta = to.count(to.exchange.on_offer(self.engine.time, offer))
-            self.pass_message(turn, address, False, lambda: self.on_answer(turn, address, to, delta))
+        Args:
+            number: The exchange's number.
+            address: The peer's address.
+        """
+        offer = self.count(self.exchange.offer())
+        peer = self.others()[address]
+
+        def on_offer():
+            delta = peer.count(peer.exchange.on_offer(self.engine.time, offer))
+            self._pass_message(number, address, False, lambda: self._on_delta(number, address, peer, delta))
 
-        self.pass_message(turn, address, True, at_other_end)
+        self._pass_message(number, address, True, on_offer)
 
-    def on_answer(self, turn, address, to, delta):
+    def _on_delta(self, number, address, peer, delta):
         answer, _ = self.exchange.on_delta(self.engine.time, delta)
-        if answer is not None:
-            self.count(answer)
-            self.pass_message(turn, address, True, lambda: self.on_last_message(to, answer))
-        else:
-            self.finish()
+        if answer is None:
+            self._finish()
+            return
+        self.count(answer)
+        self._pass_message(number, address, True, lambda: self._on_last_message(peer, answer))
 
-    def on_last_message(self, to, answer):
-        to.exchange.on_delta(self.engine.time, answer)
-        self.finish()
+    def _on_last_message(self, peer, answer):
+        peer.exchange.on_delta(self.engine.time, answer)
+        self._finish()
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -21,7 +21,8 @@
     decode,
     encode,
 )
-from embertray.simulation.emulator.gossip import MS, MembershipSimulation, S
+from embertray.simulation.emulator.engine import NS_PER_MS as MS, NS_PER_SECOND as S
+from embertray.simulation.emulator.gossip import MembershipSimulation
 
 CONFIG = MembershipConfig()
 
@@ -108,9 +109,9 @@
 class Pauses(unittest.TestCase):
     def wake(self, make, seed):
         simulation = MembershipSimulation(seed, make=make).gather(5)
-        simulation.at["m4"].stop()
+        simulation.at["m4"].pause()
         simulation.run(10 * S)
-        simulation.at["m4"].go_on()
+        simulation.at["m4"].resume()
         simulation.run(15 * S)
         return simulation
 
@@ -286,11 +287,11 @@
 
     def test_damaged_and_repeated_messages_for_a_minute(self):
         simulation = MembershipSimulation(13).gather(5)
-        simulation.links.spoil = 0.05
-        simulation.links.again = 0.2
+        simulation.links.corruption = 0.05
+        simulation.links.duplication = 0.2
         simulation.links.loss = 0.05
         simulation.run(60 * S)
-        simulation.links.spoil = simulation.links.again = simulation.links.loss = 0.0
+        simulation.links.corruption = simulation.links.duplication = simulation.links.loss = 0.0
         self.assertGreater(simulation.unreadable, 0)
         self.assertIsNotNone(simulation.until(simulation.agree, 30 * S))
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -33,7 +33,8 @@
 from embertray.experiments.measure.scale.meter import Counters, Meter
 from embertray.service.site.site import Cluster
 from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
-from embertray.simulation.emulator.gossip import MS, START, MembershipSimulation, S
+from embertray.simulation.emulator.engine import NS_PER_MS as MS, NS_PER_SECOND as S
+from embertray.simulation.emulator.gossip import START_NS, MembershipSimulation
 from embertray.simulation.emulator.random_faults import random_faults
 from embertray.simulation.emulator.state_exchanger import StateExchanger, encode_state_message
 from embertray.simulation.processes.ports import free_ports
@@ -88,12 +89,12 @@
     simulation = MembershipSimulation(7)
     traffic = Traffic().watch(simulation)
     simulation.gather(12)
-    simulation.links.loss, simulation.links.again, simulation.links.spoil = 0.2, 0.1, 0.05
+    simulation.links.loss, simulation.links.duplication, simulation.links.corruption = 0.2, 0.1, 0.05
     simulation.run(30 * S)
     simulation.kill("m3")
-    simulation.at["m5"].stop()
+    simulation.at["m5"].pause()
     simulation.run(20 * S)
-    simulation.at["m5"].go_on()
+    simulation.at["m5"].resume()
     simulation.up("m3", ["m0"], clock=5 * MS)
     simulation.links.split([f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 12)])
     simulation.run(40 * S)
@@ -186,8 +187,8 @@
         exchangers[name] = exchanger = StateExchanger(
             simulation.up(name, []), lambda: exchangers, simulation.links, 1, facts=lambda _: b"f" * 60
         )
-        exchanger.facts_at, exchanger.exchange.next_at = 10 * START, 10 * START
-        filled(exchanger.store, START, owners)
+        exchanger.facts_at, exchanger.exchange.next_at = 10 * START_NS, 10 * START_NS
+        filled(exchanger.store, START_NS, owners)
     simulation.run(0)
     exchangers["a"].send_offer(0, "b")
     simulation.run(0)
@@ -199,8 +200,8 @@
     links, served = [], anyio.Event()
     for name, owners, port in zip(("a", "b"), KNOWN, free_ports(2), strict=True):
         me = Me(name, f"127.0.0.1:{port}")
-        link = ClusterLink(Cluster("c", S, 1 << 20, 1 << 20), me, [], FixedClock(START), 1, dict)
-        filled(link.store, START, owners)
+        link = ClusterLink(Cluster("c", S, 1 << 20, 1 << 20), me, [], FixedClock(START_NS), 1, dict)
+        filled(link.store, START_NS, owners)
         links.append(link)
 
     async def serve(stream):
