--- a/embertray/experiments/measure/limits.py
+++ b/embertray/experiments/measure/limits.py
@@ -7,7 +7,8 @@
 
 import click
 
-from embertray.simulation.emulator.limits import LimitsSimulation, S
+from embertray.simulation.emulator.engine import NS_PER_SECOND as S
+from embertray.simulation.emulator.limits import LimitsSimulation
 
 
 def wounded(seed):
--- /dev/null
+++ b/embertray/simulation/emulator/limits_faults.py
@@ -0,0 +1,96 @@
+"""Faults on members that hold limits, and on their links."""
+
+from .limits_member import LimitsMember
+
+FAULTS = ("kill", "stop", "split", "oneway", "lossy", "move")
+# Part of the messages that a lossy link loses.
+LOSS = 0.5
+
+
+class LimitsFaults:
+    """What can be done to the members, proxies and links of a LimitsSimulation, which inherits this."""
+
+    def kill(self, name):
+        """Kills a member's process, if it runs; its proxies join others.
+
+        Args:
+            name: The member's name.
+        """
+        member = self.members[name]
+        if not member.alive:
+            return
+        member.alive = False
+        for proxy in [proxy for proxy, home in self.home.items() if home is member]:
+            self.home[proxy] = None
+            self.join_later(proxy)
+
+    def up(self, name):
+        """Starts a member's process, unless it runs.
+
+        Args:
+            name: The member's name.
+        """
+        if not self.members[name].alive:
+            self.members[name] = LimitsMember(self, name, False)
+
+    def pause(self, name):
+        """Stops a member's process.
+
+        Args:
+            name: The member's name.
+        """
+        self.members[name].pause()
+
+    def resume(self, name):
+        """Continues a member's process, if it is stopped.
+
+        Args:
+            name: The member's name.
+        """
+        if self.members[name].paused:
+            self.members[name].resume()
+
+    def strike(self, duration):
+        """Draws one fault and whom it strikes, and schedules its end.
+
+        Args:
+            duration: Time until its end, ns.
+
+        Returns:
+            The fault's name, one of FAULTS.
+        """
+        names = self.chance.sample(self.names, self.chance.randint(1, max(1, len(self.names) // 2)))
+        fault = self.chance.choice(FAULTS)
+        if fault == "kill":
+            self._strike_members(names, self.kill, self.up, duration)
+        elif fault == "stop":
+            self._strike_members(names, self.pause, self.resume, duration)
+        elif fault == "move":
+            self._move_proxies()
+        else:
+            self._strike_links(fault, names, duration)
+        return fault
+
+    def _strike_members(self, names, begin, end, duration):
+        for name in names:
+            begin(name)
+            self.engine.after(duration, end, name)
+
+    def _move_proxies(self):
+        """Breaks the streams of half of the proxies."""
+        for proxy in self.chance.sample(sorted(self.home), len(self.home) // 2):
+            if self.home[proxy] is not None:
+                self.leave(proxy)
+
+    def _strike_links(self, fault, names, duration):
+        """Partitions the members named from the rest, or bends links that are drawn."""
+        pairs = self.web.pairs()
+        if fault == "split":
+            pairs = self.web.parted([names, [name for name in self.names if name not in names]])
+        else:
+            pairs = self.chance.sample(pairs, self.chance.randint(1, len(pairs)))
+        change = {"drop": LOSS} if fault == "lossy" else {"open": False}
+        now = self.engine.time
+        self.web.bend(now, pairs, **change)
+        # `now` stays the time of the strike: nothing here reads when a link was healed.
+        self.engine.after(duration, self.web.straight, now, pairs, tuple(change))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,7 +18,8 @@
 from embertray.cluster.limits.quota_holder import QuotaHolder
 from embertray.experiments.measure.explore import Found, explore, walk
 from embertray.experiments.measure.models import LeaderModel, LoansModel
-from embertray.simulation.emulator.limits import LimitsSimulation, S
+from embertray.simulation.emulator.engine import NS_PER_SECOND as S
+from embertray.simulation.emulator.limits import LimitsSimulation
 
 
 def play(seed, make=Limits, drift=0.01, wounds=10):
@@ -138,7 +139,7 @@
     def test_the_same_seed_is_the_same_run(self):
         one = play(7, wounds=4)
         two = play(7, wounds=4)
-        self.assertEqual((one.used, one.parts), (two.used, two.parts))
+        self.assertEqual((one.used, one.quotas), (two.used, two.quotas))
 
 
 class Sabotaged(unittest.TestCase):
