--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -171,8 +171,8 @@
 
             await churn.play(group, address, look)
             churn.left = {
-                "backends ever": churn.fleet.numbers["be"],
-                "proxies ever": churn.fleet.numbers["px"],
+                "backends ever": churn.fleet.backends_added,
+                "proxies ever": churn.fleet.proxies_added,
             }
             group.cancel_scope.cancel()
         return churn
@@ -222,8 +222,8 @@
                     churn.program.terminate()
                     churn.program.wait()
                 churn.left = {
-                    "backends ever": churn.fleet.numbers["be"],
-                    "proxies ever": churn.fleet.numbers["px"],
+                    "backends ever": churn.fleet.backends_added,
+                    "proxies ever": churn.fleet.proxies_added,
                 }
                 group.cancel_scope.cancel()
         return churn
@@ -272,7 +272,8 @@
     print(
         "\n"
         + ", ".join(f"{name} {n}" for name, n in churn.left.items())
-        + f"; reqs {churn.fleet.reqs}, errored {churn.fleet.errored}, without a line {churn.fleet.nowhere}",
+        + f"; reqs {churn.fleet.requests}, errored {churn.fleet.failures}"
+        + f", without a line {churn.fleet.unrouted}",
         file=file,
     )
     return all(verdict != "GREW" for _, _, verdict in found.values())
--- /dev/null
+++ b/embertray/simulation/emulator/flow_proxy.py
@@ -0,0 +1,102 @@
+"""A proxy whose requests are counts: a real peer of the controller on a stream."""
+
+import anyio
+
+from embertray.common.net.conn import Conn
+from embertray.controller.stream.exceptions import ProtocolError
+from embertray.controller.stream.holding import Holding
+from embertray.controller.stream.messages import Acknowledgement, Orders
+from embertray.controller.stream.session import ProxySession
+from embertray.simulation.standins.parts import BROKEN
+
+# The least pause before the next dial.
+REDIAL_NS = 10**9 // 2
+
+
+class FlowProxy:
+    """One proxy's stream to the controller, and the tables that it was given.
+
+    Args:
+        name: The proxy's name.
+        zone: Its zone.
+        rate: Requests a second.
+        fleet: The FlowFleet that it belongs to.
+
+    Attributes:
+        holding: Its tables.
+        orders: Orders received so far.
+    """
+
+    def __init__(self, name, zone, rate, fleet):
+        self.name = name
+        self.zone = zone
+        self.rate = rate
+        self.fleet = fleet
+        self.holding = Holding()
+        self.orders = 0
+        self._session = None
+        self._connection = None  # a Conn; None: not joined
+        self._scope = anyio.CancelScope()
+
+    async def run(self):
+        """Stays joined, dialling again after a break, until `leave`."""
+        clock = self.fleet.clock
+        with self._scope:
+            while True:
+                pause = REDIAL_NS
+                try:
+                    pause = max(pause, await self._join())
+                except* (*BROKEN, ProtocolError):
+                    # The controller closed the stream or can't be reached: dialling again after the pause is
+                    # all that a proxy can do.
+                    pass
+                await clock.sleep_until(clock.now() + pause)
+
+    async def _join(self):
+        """Joins, and handles what the controller sends until the stream is over.
+
+        Returns:
+            ns that a rejected proxy is to stay away, else 0.
+        """
+        self._session = ProxySession(self.name, self.zone, self.rate, True)
+        retry_after = 0
+        async with (
+            await self.fleet.net.dial(self.fleet.address) as stream,
+            anyio.create_task_group() as group,
+        ):
+            connection = Conn(stream)
+            connection.put(self._session.start())
+            group.start_soon(connection.write)
+            try:
+                while not self._session.over:
+                    for message in self._session.receive(await connection.read()):
+                        if isinstance(message, Orders):
+                            self._apply(message, connection)
+                        elif self._session.over:
+                            retry_after = message.wait
+                        else:
+                            self._connection = connection
+            finally:
+                self._connection = None
+                self.holding.left()
+                group.cancel_scope.cancel()
+        return retry_after
+
+    def _apply(self, orders, connection):
+        self.orders += 1
+        self.holding.apply(orders)
+        if orders.nonce:
+            connection.put(self._session.pack(Acknowledgement(orders.nonce)))
+
+    def report(self, load_report):
+        """Sends a load report, if the proxy is joined.
+
+        Args:
+            load_report: The LoadReport.
+        """
+        if self._connection is not None:
+            self._connection.put(self._session.pack(load_report))
+
+    def leave(self):
+        """Leaves for good; also before `run` has started."""
+        self._scope.cancel()
--- a/embertray/simulation/emulator/flows.py
+++ b/embertray/simulation/emulator/flows.py
@@ -1,147 +1,189 @@
-"""Proxies and backends as flows: a second's reqs of a proxy are one draw, and a req is no object.
+"""Proxies and backends as flows: a second's requests of a proxy are one draw, and a request is no object.
 
-The proxies are real peers of the controller: they dial, hold tables, answer marks and send sums. What they
-met is drawn each report cycle: reqs by Poisson, their spread over lines by the weights; the backends are
-model.Backend, by `pour`.
+The proxies are real peers of the controller: they dial, hold tables, acknowledge orders and send load
+reports. What they met is drawn each report cycle: requests by Poisson, their spread over the backends by the
+weights. The backends are model.Backend, by `pour`.
 """
 
-import anyio
-
-from embertray.common.net.conn import Conn
-from embertray.controller.stream.exceptions import ProtocolError
-from embertray.controller.stream.holding import Holding
-from embertray.controller.stream.messages import (
-    Acknowledgement,
-    ArrivalTotals,
-    BackendTotals,
-    LoadReport,
-    Orders,
-)
-from embertray.controller.stream.session import ProxySession
+from dataclasses import dataclass
+
+from embertray.controller.stream.messages import ArrivalTotals, BackendTotals, LoadReport
 from embertray.simulation.models.backend import Backend, Shape
-from embertray.simulation.standins.parts import BROKEN
-
-S = 10**9
-CORES = 2  # of a backend
-PATIENCE = 2 * S  # ns until a req is given up
-
-
-class FlowProxy:
-    """One proxy's stream and what it holds."""
-
-    def __init__(self, name, zone, rate, fleet):
-        self.name, self.zone, self.rate, self.fleet = name, zone, rate, fleet
-        self.holding, self.end, self.conn, self.scope = Holding(), None, None, anyio.CancelScope()
-        self.orders = 0
-
-    async def run(self):
-        """Stays joined, dialling again after a break, until `leave`."""
-        with self.scope:
-            while True:
-                wait = S // 2
-                try:
-                    wait = max(wait, await self.stay())
-                except* (*BROKEN, ProtocolError):
-                    pass
-                await self.fleet.clock.sleep_until(self.fleet.clock.now() + wait)
-
-    async def stay(self):
-        self.end, wait = ProxySession(self.name, self.zone, self.rate, True), 0
-        async with (
-            await self.fleet.net.dial(self.fleet.address) as stream,
-            anyio.create_task_group() as group,
-        ):
-            conn = Conn(stream)
-            conn.put(self.end.start())
-            group.start_soon(conn.write)
-            try:
-                while not self.end.over:
-                    for message in self.end.receive(await conn.read()):
-                        if isinstance(message, Orders):
-                            self.orders += 1
-                            self.holding.apply(message)
-                            if message.nonce:
-                                conn.put(self.end.pack(Acknowledgement(message.nonce)))
-                        elif self.end.over:
-                            wait = message.wait
-                        else:
-                            self.conn = conn
-            finally:
-                self.conn = None
-                self.holding.left()
-                group.cancel_scope.cancel()
-        return wait
-
-    def leave(self):
-        self.scope.cancel()  # before it has started, too
 
+from .engine import NS_PER_SECOND
+from .flow_proxy import FlowProxy
 
-class FlowFleet:
-    """Backends and proxies round one controller's address. `tick` plays one report cycle of all."""
+# Cores of a backend.
+CORES = 2
+# Time until a request is given up.
+CLIENT_TIMEOUT_NS = 2 * NS_PER_SECOND
+# Backend addresses count through the second and third octets, and ports, in these.
+ADDRESS_OCTET_VALUES = 250
+ADDRESS_PORTS = 1000
+
+
+def flow_backend_address(number):
+    """The address of a backend.
+
+    Args:
+        number: Its number, from 1.
+
+    Returns:
+        Its IP address and port.
+    """
+    high = number // ADDRESS_OCTET_VALUES**2 % ADDRESS_OCTET_VALUES
+    middle = number // ADDRESS_OCTET_VALUES % ADDRESS_OCTET_VALUES
+    low = number % ADDRESS_OCTET_VALUES + 1
+    return f"127.{high}.{middle}.{low}:9{number % ADDRESS_PORTS:03}"
+
+
+@dataclass
+class ProxyCycle:
+    """One proxy's requests in one report cycle.
+
+    Attributes:
+        proxy: The FlowProxy.
+        requests: How many came.
+        attempts: How many of them each backend got, by name; empty: the proxy has no tables.
+    """
 
-    def __init__(self, net, clock, address, rng, inventory, kinds, cycle=S, work=S // 8):
-        self.net, self.clock, self.address, self.rng, self.inventory = net, clock, address, rng, inventory
-        self.kinds, self.cycle, self.work = kinds, cycle, work
-        self.backends, self.proxies, self.group = {}, {}, None
-        self.reqs = self.errored = self.nowhere = 0
-        self.numbers = {"be": 0, "px": 0}
-        self.failed = set()
+    proxy: FlowProxy
+    requests: int
+    attempts: dict
 
-    def new(self, what):
-        self.numbers[what] += 1
-        return self.numbers[what]
+
+class FlowFleet:
+    """Backends and proxies round one controller's address.
+
+    Args:
+        net: Where streams are dialled.
+        clock: The clock.
+        address: The controller's address.
+        rng: The generator of requests.
+        inventory: The endpoint list that has the backends.
+        kinds: External ids of the request kinds.
+        cycle: A report cycle, ns.
+        work: Mean work of a request, ns of a core of speed 1.
+
+    Attributes:
+        backends: Backend by name.
+        proxies: FlowProxy by name.
+        group: The task group of the proxies; set before the first is added.
+        requests: Requests that came so far.
+        failures: Requests that failed at a backend.
+        unrouted: Requests that came to a proxy without tables.
+        backends_added: Backends added so far.
+        proxies_added: Proxies added so far.
+    """
+
+    def __init__(
+        self, net, clock, address, rng, inventory, kinds, cycle=NS_PER_SECOND, work=NS_PER_SECOND // 8
+    ):
+        self.net = net
+        self.clock = clock
+        self.address = address
+        self.rng = rng
+        self.inventory = inventory
+        self.kinds = kinds
+        self.cycle = cycle
+        self.work = work
+        self.backends = {}
+        self.proxies = {}
+        self.group = None
+        self.requests = 0
+        self.failures = 0
+        self.unrouted = 0
+        self.backends_added = 0
+        self.proxies_added = 0
 
     def add_backend(self, zone, capacity, started=0, cold_from=1.0, warm_after=0):
-        n = self.new("be")
-        name = f"127.{n // 62500 % 250}.{n // 250 % 250}.{n % 250 + 1}:9{n % 1000:03}"
-        shape = Shape(CORES, capacity * self.work / (CORES * S), cold_from=cold_from, warm_after=warm_after)
-        backend = self.backends[name] = Backend(name, zone, shape)
+        """Starts a backend under a new name, and lists it.
+
+        Args:
+            zone: Its zone.
+            capacity: Requests a second that it can do.
+            started: When it started, ns; 0: long ago, so it is warm.
+            cold_from: Its speed at the start, as a part of its full speed.
+            warm_after: Time until its full speed, ns.
+
+        Returns:
+            Its name.
+        """
+        self.backends_added += 1
+        name = flow_backend_address(self.backends_added)
+        speed = capacity * self.work / (CORES * NS_PER_SECOND)
+        backend = Backend(name, zone, Shape(CORES, speed, cold_from=cold_from, warm_after=warm_after))
+        self.backends[name] = backend
         backend.start(started, cold=bool(started))
         self.inventory.list(name, zone, "ready", started)
         return name
 
     def add_proxy(self, zone, rate):
-        proxy = FlowProxy(f"px-{self.new('px')}", zone, rate, self)
+        """Starts a proxy under a new name.
+
+        Args:
+            zone: Its zone.
+            rate: Requests a second.
+
+        Returns:
+            The FlowProxy.
+        """
+        self.proxies_added += 1
+        proxy = FlowProxy(f"px-{self.proxies_added}", zone, rate, self)
         self.proxies[proxy.name] = proxy
         self.group.start_soon(proxy.run)
         return proxy
 
     async def tick(self):
-        """One cycle: every proxy's reqs are drawn, every backend is settled, every joined proxy sends its
-        sums.
-        """
-        now, drawn, came = self.clock.now(), [], {}
-        for proxy in self.proxies.values():
-            count = int(self.rng.poisson(proxy.rate * self.cycle / S))
-            picks = proxy.holding.picks()
-            self.reqs += count
-            if not picks:
-                self.nowhere += count
-                drawn.append((proxy, count, {}))
-                continue
-            names, total = list(picks), sum(picks.values())
-            spread = self.rng.multinomial(count, [w / total for w in picks.values()])
-            tries = {name: int(n) for name, n in zip(names, spread, strict=False) if n}
-            for name, n in tries.items():
-                came[name] = came.get(name, 0) + n
-            drawn.append((proxy, count, tries))
-        met_at = {
-            name: backend.pour(now, self.cycle, came.get(name, 0), self.work, PATIENCE)
+        """Plays one report cycle: draws all requests, settles all backends, sends all load reports."""
+        now = self.clock.now()
+        cycles = [self._draw(proxy) for proxy in self.proxies.values()]
+        arrivals = self._arrivals(cycles)
+        results = {
+            name: backend.pour(now, self.cycle, arrivals.get(name, 0), self.work, CLIENT_TIMEOUT_NS)
             for name, backend in self.backends.items()
         }
         loads = {name: backend.report(now) for name, backend in self.backends.items()}
-        for proxy, count, tries in drawn:
-            met, lost = [], 0
-            for name, n in tries.items():
-                got = met_at.get(name)
-                bad = n if got is None else round(n * (1 - got.done))
-                lost += bad
-                met.append(
-                    BackendTotals(name, n, bad, (n - bad) * (got.took if got else 0), loads.get(name, {}))
-                )
-            self.errored += lost
-            if proxy.conn is not None:
-                share = [count // len(self.kinds)] * len(self.kinds)
-                share[0] += count - sum(share)
-                came = [ArrivalTotals(kind, part, 0) for kind, part in zip(self.kinds, share, strict=False)]
-                proxy.conn.put(proxy.end.pack(LoadReport(self.cycle, met, came)))
+        for cycle in cycles:
+            met = [
+                self._backend_totals(name, count, results.get(name), loads.get(name, {}))
+                for name, count in cycle.attempts.items()
+            ]
+            self.failures += sum(totals.failed for totals in met)
+            cycle.proxy.report(LoadReport(self.cycle, met, self._arrival_totals(cycle.requests)))
+
+    def _draw(self, proxy):
+        """Draws a proxy's requests, and their spread by the weights of its tables."""
+        count = int(self.rng.poisson(proxy.rate * self.cycle / NS_PER_SECOND))
+        weights = proxy.holding.picks()
+        self.requests += count
+        if not weights:
+            self.unrouted += count
+            return ProxyCycle(proxy, count, {})
+        total = sum(weights.values())
+        spread = self.rng.multinomial(count, [weight / total for weight in weights.values()])
+        attempts = {name: int(part) for name, part in zip(weights, spread, strict=True) if part}
+        return ProxyCycle(proxy, count, attempts)
+
+    @staticmethod
+    def _arrivals(cycles):
+        """Requests that each backend got, by name."""
+        arrivals = {}
+        for cycle in cycles:
+            for name, count in cycle.attempts.items():
+                arrivals[name] = arrivals.get(name, 0) + count
+        return arrivals
+
+    @staticmethod
+    def _backend_totals(name, count, result, load):
+        """What a proxy met at one backend; without a result all failed, since the backend is gone."""
+        if result is None:
+            return BackendTotals(name, count, count, 0, load)
+        failed = round(count * (1 - result.done))
+        return BackendTotals(name, count, failed, (count - failed) * result.took, load)
+
+    def _arrival_totals(self, requests):
+        """Spreads requests evenly over the kinds; the first gets what remains."""
+        counts = [requests // len(self.kinds)] * len(self.kinds)
+        counts[0] += requests - sum(counts)
+        return [ArrivalTotals(kind, count, 0) for kind, count in zip(self.kinds, counts, strict=True)]
