--- a/embertray/simulation/emulator/fluid.py
+++ b/embertray/simulation/emulator/fluid.py
@@ -1,324 +1,289 @@
-"""The same day as flows: reqs are masses that are poured by the tables each STEP, so a run costs by proxies x
-backends and not by reqs. Controllers, tables, channel and list are those of day_simulation.py; backends are
-model.Backend, by `pour`.
+"""The same day as flows: requests are masses that are poured by the tables each step.
 
-What is approximated: a req's second try goes to the average backend, not to another; a wait's spread is
-exponential; a client gives up on the mean, so time-outs are all or nothing for a kind and backend in a step.
-Picks in rounds and of two go by weight. docs/measured/emulator.md says how far that is from req by req.
+A run costs by proxies x backends and not by requests. Controllers, tables, channel and endpoint list are
+those of day_simulation.py; backends are model.Backend, by `pour`.
+
+What is approximated: a request's second attempt goes to the average backend, not to another; a wait's spread
+is exponential; a client gives up on the mean, so timeouts are all or nothing for a kind and backend in a
+step. Round robin and power of two choices go by weight. docs/measured/emulator.md says how far that is from
+request by request.
 """
 
 from collections import deque
+from dataclasses import dataclass
 
 import numpy as np
 
-from embertray.controller.stream.messages import ArrivalTotals, BackendTotals, LoadReport
-from embertray.simulation.scenarios.ground import LONGEST, histogram
 from embertray.simulation.standins.messages import Req
 
 from .day_simulation import DaySimulation
 from .engine import NS_PER_SECOND
-from .proxy import SimulatedProxy
-
-STEP = NS_PER_SECOND // 20  # ns; a quarter of the shortest beat that the module knows
-
-
-class FluidProxy(SimulatedProxy):
-    """A proxy whose reqs are masses; `place` is its row in the simulation's arrays."""
-
-    place = 0
-
-    def apply(self, session, orders):
-        super().apply(session, orders)
-        self.simulation.changed.add(self.place)
-
-    def break_stream(self):
-        super().break_stream()
-        self.simulation.changed.add(self.place)
+from .fluid_backends import FluidBackends
+from .fluid_outcomes import FluidOutcomes, second_of
+from .fluid_proxy import FluidProxy
+from .fluid_tables import FluidTables, append_columns
+from .fluid_totals import FluidTotals
+
+# A quarter of the shortest period that the policy knows.
+STEP_NS = NS_PER_SECOND // 20
+STEP_S = STEP_NS / NS_PER_SECOND
+# Time from a failed attempt to the client's next one.
+CLIENT_BACKOFF_NS = NS_PER_SECOND // 5
+# From this retry level on a proxy retries what failed; one above it, all of it.
+RETRY_LEVEL = 1
+
+
+@dataclass
+class ClientRetry:
+    """Requests that clients send again.
+
+    Attributes:
+        when: ns.
+        mass: Requests; proxies x kinds.
+        attempt: 2 for the first retry.
+    """
 
-    def on_joined(self, controller):
-        super().on_joined(controller)
-        self.simulation.forget(self.place)
-
-    def report(self):
-        simulation, now = self.simulation, self.simulation.engine.time
-        if self.session is not None and not self.still:
-            sums = simulation.sums(self.place)
-            if self.lag:
-                simulation.engine.at(now + self.lag, self.send, self.session, sums)
-            else:
-                self.send(self.session, sums)
-        else:
-            simulation.forget(self.place)
-        simulation.engine.after(simulation.site.report_cycle, self.report)
+    when: int
+    mass: np.ndarray
+    attempt: int
 
 
 class FluidSimulation(DaySimulation):
-    """`tries`, `errored` and `took_sum` (ns) are proxies x backends since each proxy's last sums; `came`:
-    proxies x kinds.
+    """A day whose requests are masses.
+
+    Attributes:
+        tables: The FluidTables.
+        totals: The FluidTotals, since each proxy's last load report.
     """
 
     proxy = FluidProxy
 
     def prepare(self, shares):
-        many, site = self.count, self.site
-        self.changed, self.names, self.places = set(range(many)), [], {}
-        self.numbers = 0
-        self.mixed, self.retries = self.mix(), int(self.day.load["retries"])
-        kinds = len(self.mixed)
-        self.parts = np.array([part for _, part, _ in self.mixed])
-        self.works = np.array([work for _, _, work in self.mixed], float)
-        self.weights = np.zeros((many, 0))
-        self.tries, self.errored, self.took_sum, self.small = (np.zeros((many, 0)) for _ in range(4))
-        self.left_over = np.zeros((0, kinds))
-        self.came, self.lost, self.further = (np.zeros((many, kinds)) for _ in range(3))
-        self.levels = np.full((many, kinds), np.inf if site.levels == "rate" else 1.0)
-        self.again = np.full((many, kinds), site.base_retry)
-        self.since = np.full(many, self.engine.time)
-        self.waiting = deque()
-        self.rng = self.chance.of("flows")
-        self.rates = [self.rate(n, self.day.rate * share) for n, share in enumerate(shares)]
-        self.seconds, self.times = {}, histogram()
-        self.outcome = {kind: [0.0, 0.0, 0.0, 0.0] for kind, _, _ in self.mixed}  # asked, done, late, lost
-        for n, proxy in enumerate(self.proxies):
-            proxy.place = n
-
-    # ---- what the proxies hold
-
-    def grow(self):
-        """Columns for backends that are new."""
-        new = [backend.model.name for backend in self.backends[len(self.names) :]]
-        if new:
-            self.places.update((name, len(self.names) + k) for k, name in enumerate(new))
-            self.names += new
-            more = np.zeros((self.count, len(new)))
-            self.left_over = np.vstack([self.left_over, np.zeros((len(new), len(self.mixed)))])
-            self.weights, self.tries, self.errored, self.took_sum, self.small = (
-                np.hstack([book, more])
-                for book in (self.weights, self.tries, self.errored, self.took_sum, self.small)
-            )
-
-    def read(self):
-        """Rows of proxies whose tables have changed."""
-        self.grow()
-        for place in sorted(self.changed):
-            holding, row = self.proxies[place].model.holding, self.weights[place]
-            row[:] = 0.0
-            for name, weight in holding.picks().items():
-                row[self.places[name]] = weight
-            if (total := row.sum()) > 0:
-                row /= total
-            for k, (kind, _, _) in enumerate(self.mixed):
-                free = np.inf if self.site.levels == "rate" else 1.0
-                level, again = holding.levels.get(kind.external_id, (free, self.site.base_retry))
-                self.levels[place, k] = free if self.site.levels == "none" else level
-                self.again[place, k] = again
-        self.changed.clear()
-
-    def forget(self, place):
-        for book in (self.tries, self.errored, self.took_sum, self.came, self.lost, self.further):
-            book[place] = 0.0
-        self.since[place] = self.engine.time
-
-    def sums(self, place):
-        """Whole numbers, drawn so that their means are the masses: as many as Poisson arrivals would have
-        been.
+        """Makes the arrays: the proxies exist and none has dialled yet.
+
+        Args:
+            shares: Each proxy's share of the requests.
         """
-        met, tries, errored, took = [], self.tries[place], self.errored[place], self.took_sum[place]
-        cols = np.flatnonzero(tries > 1e-9)
-        for col, n in zip(cols.tolist(), self.rng.poisson(tries[cols]).tolist(), strict=False):
-            if n:
-                bad = (
-                    int(self.rng.binomial(n, min(1.0, errored[col] / tries[col]))) if errored[col] > 0 else 0
-                )
-                model = self.backends[col].model
-                load = model.report(self.engine.time) if model.state == "up" else {}
-                mean = took[col] / max(1e-9, tries[col] - errored[col])
-                met.append(BackendTotals(self.names[col], n, bad, int(mean * (n - bad)), load))
-        came = []
-        for k, (kind, _, _) in enumerate(self.mixed):
-            first, further, lost = self.rng.poisson(
-                [
-                    max(0.0, self.came[place, k] - self.further[place, k]),
-                    self.further[place, k],
-                    self.lost[place, k],
-                ]
-            ).tolist()
-            came.append(ArrivalTotals(kind.external_id, first + further, lost, further))
-        length = int(self.engine.time - self.since[place])
-        self.forget(place)
-        return LoadReport(length, met, [c for c in came if c.requests])
-
-    # ---- a step
+        mix = self.mix()
+        self.kinds = [kind for kind, _, _ in mix]
+        self.retries = int(self.day.load["retries"])
+        self.tables = FluidTables(self.count, self.kinds, self.site)
+        self.totals = FluidTotals(self.count, self.kinds, self.engine.time)
+        self._outcomes = FluidOutcomes(self.kinds, self.site.late_credit)
+        self._pourer = FluidBackends(mix, self.retries, STEP_NS)
+        self._kind_shares = np.array([share for _, share, _ in mix])
+        self._unrecorded = np.zeros((self.count, 0))  # requests to restricted backends, see _record
+        self._recorded = 0
+        self._client_retries = deque()
+        self._rng = self.chance.of("flows")
+        self._rates = [self.rate(n, self.day.rate * share) for n, share in enumerate(shares)]
+        for place, proxy in enumerate(self.proxies):
+            proxy.place = place
+
+    def draw_report(self, place):
+        """Draws a proxy's load report and clears its totals.
+
+        Args:
+            place: The proxy's row.
+
+        Returns:
+            The LoadReport.
+        """
+        return self.totals.draw_report(place, self.engine.time, self._rng, self.backends)
 
     def load(self, shares, until):
-        self.step(until)
+        """Starts the steps.
+
+        Args:
+            shares: Each proxy's share of the requests.
+            until: When the load ends, ns.
+        """
+        self._step(until)
 
-    def step(self, until):
+    def _step(self, until):
         now = self.engine.time
-        self.read()
+        self._add_columns()
+        self.tables.refresh(self.proxies)
         if now < until:
-            rates = np.array([rate(now) for rate in self.rates])
-            fresh = (np.maximum(0.0, rates) * (STEP / NS_PER_SECOND))[:, None] * self.parts
-            for k, (kind, _, _) in enumerate(self.mixed):
-                self.outcome[kind][0] += fresh[:, k].sum()
-            self.pour(now, fresh, 1)
-        while self.waiting and self.waiting[0][0] <= now:
-            _, mass, attempt = self.waiting.popleft()
-            self.pour(now, mass, attempt)
-        if now < until or self.waiting:
-            self.engine.after(STEP, self.step, until)
-
-    def pour(self, now, mass, attempt):
-        """Masses (proxies x kinds) reach their proxies, are admitted, spread, and meet the backends."""
-        still = np.array([proxy.still for proxy in self.proxies])
-        self.came += mass
+            self._pour_new(now)
+        while self._client_retries and self._client_retries[0].when <= now:
+            retry = self._client_retries.popleft()
+            self._pour(now, retry.mass, retry.attempt)
+        if now < until or self._client_retries:
+            self.engine.after(STEP_NS, self._step, until)
+
+    def _add_columns(self):
+        """Adds the backends that are new to all arrays."""
+        new = [backend.model.name for backend in self.backends[len(self.tables.columns) :]]
+        if new:
+            self.tables.add_columns(new)
+            self.totals.add_columns(len(new))
+            self._outcomes.add_rows(len(new))
+            self._unrecorded = append_columns(self._unrecorded, len(new))
+
+    def _pour_new(self, now):
+        rates = np.array([rate(now) for rate in self._rates])
+        mass = (np.maximum(0.0, rates) * STEP_S)[:, None] * self._kind_shares
+        for k, kind in enumerate(self.kinds):
+            self._outcomes.counts[kind][0] += mass[:, k].sum()
+        self._pour(now, mass, 1)
+
+    # ---- one mass
+
+    def _pour(self, now, mass, attempt):
+        """Has masses (proxies x kinds) arrive, be admitted, spread, and meet the backends."""
+        self.totals.arrivals += mass
         if attempt > 1:
-            self.further += mass
-        if self.site.levels == "rate":
-            spent = self.levels * (STEP / NS_PER_SECOND)
-            part = np.divide(np.minimum(mass, spent), mass, out=np.ones_like(mass), where=mass > 0)
+            self.totals.retries += mass
+        paused = np.array([proxy.still for proxy in self.proxies])
+        admitted = mass * self.tables.admitted_part(mass, paused, STEP_S)
+        by_backend = self.tables.weights.T @ admitted
+        results = self._pourer.pour(
+            now,
+            self.backends,
+            by_backend,
+            lambda column, backend, work: self._record(now, column, backend, by_backend[column], work),
+        )
+        failed_part = self.tables.weights @ results.failed  # proxies x kinds, of what was admitted
+        failing = self._failing_pairs()
+        for k in range(len(self.kinds)):
+            if failing is not None:
+                failed_part[:, k] += self._add_pair_failures(k, admitted, results, failing)
+            self._add_attempts(k, admitted, results)
+            self._settle(now, k, mass, admitted, results, failed_part[:, k], attempt)
+            answered = by_backend[:, k] * (1 - results.failed[:, k])
+            self._outcomes.add_durations(k, answered, results.latency[:, k])
+
+    def _add_pair_failures(self, k, admitted, results, failing):
+        """Counts attempts that fail for one proxy alone.
+
+        Returns:
+            Their part of what was admitted, by proxy.
+        """
+        each = self.tables.weights * admitted[:, k : k + 1]
+        answered_part = 1 - results.failed[:, k]
+        self.totals.failures += each * failing * answered_part
+        return (self.tables.weights * failing * answered_part).sum(axis=1)
+
+    def _add_attempts(self, k, admitted, results):
+        each = self.tables.weights * admitted[:, k : k + 1]
+        self.totals.attempts += each
+        self.totals.failures += each * results.failed[:, k]
+        self.totals.latency += each * ((1 - results.failed[:, k]) * results.latency[:, k])
+
+    def _settle(self, now, k, mass, admitted, results, failed_part, attempt):
+        """Counts what became of the masses of one kind, and schedules what its clients send again."""
+        kind = self.kinds[k]
+        admitted_k = admitted[:, k]
+        failed = admitted_k * failed_part
+        retried_well = 0.0
+        retried = self._retried_by_proxies(k, failed)
+        if attempt == 1 and retried.any():
+            failed = failed - retried * (1 - failed_part)
+            retried_well = (retried * (1 - failed_part)).sum()
+        self.totals.lost[:, k] += failed
+        answered = admitted_k * (1 - failed_part)
+        in_time_part = self.tables.weights @ ((1 - results.failed[:, k]) * (1 - results.late[:, k]))
+        in_time = np.minimum(admitted_k * in_time_part, answered)
+        done = in_time.sum() + retried_well
+        late = max(0.0, (answered - in_time).sum())
+        rejected = mass[:, k] - admitted_k
+        lost, sent_again = self._split_unsuccessful(kind, rejected, failed, attempt)
+        asked = mass[:, k].sum() if attempt == 1 else 0.0
+        self._outcomes.add(second_of(now, self.zero), kind, asked, done, late, lost)
+        if sent_again.any():
+            again = np.zeros_like(mass)
+            again[:, k] = sent_again
+            self._client_retries.append(ClientRetry(now + CLIENT_BACKOFF_NS, again, attempt + 1))
+
+    def _retried_by_proxies(self, k, failed):
+        """The failed requests that proxies retry by themselves, by proxy."""
+        level = self.tables.retry_levels[:, k]
+        part = np.minimum(1.0, level - RETRY_LEVEL)
+        return np.where(level >= RETRY_LEVEL + 1, failed * part, 0.0)
+
+    def _split_unsuccessful(self, kind, rejected, failed, attempt):
+        """Splits requests without an answer into those lost and those that clients send again.
+
+        Rejected requests never ran, so they may be sent again whatever their kind.
+
+        Returns:
+            (requests lost, requests sent again by proxy).
+        """
+        if kind.again == "non-replayable":
+            lost = failed.sum()
+            sent_again = rejected + 0.0
         else:
-            part = np.minimum(1.0, self.levels)
-        bare = self.weights.sum(axis=1) <= 0
-        part = np.where((bare | still)[:, None], 0.0, part)
-        let_in = mass * part
-        denied = mass - let_in
-        by_backend = self.weights.T @ let_in  # backends x kinds
-        bad, took, late = self.meet(now, by_backend)
-        proxies_bad = self.weights @ bad  # proxies x kinds: part of what was let in
-        sided = self.sided()  # proxies x backends where all errs, or None
-        for k, (kind, _, _) in enumerate(self.mixed):
-            each = self.weights * let_in[:, k : k + 1]
-            self.tries += each
-            if sided is not None:
-                proxies_bad[:, k] += (self.weights * sided * (1 - bad[:, k])).sum(axis=1)
-                self.errored += each * sided * (1 - bad[:, k])
-            self.errored += each * bad[:, k]
-            self.took_sum += each * ((1 - bad[:, k]) * took[:, k])
-            failed = let_in[:, k] * proxies_bad[:, k]
-            again = np.where(self.again[:, k] >= 2, failed * np.minimum(1.0, self.again[:, k] - 1), 0.0)
-            if attempt == 1 and again.any():  # the proxy's own further try
-                failed = failed - again * (1 - proxies_bad[:, k])
-                good_again = (again * (1 - proxies_bad[:, k])).sum()
-            else:
-                good_again = 0.0
-            self.lost[:, k] += failed
-            on_time = let_in[:, k] * (self.weights @ ((1 - bad[:, k]) * (1 - late[:, k])))
-            on_time = np.minimum(on_time, let_in[:, k] * (1 - proxies_bad[:, k]))
-            after = let_in[:, k] * (1 - proxies_bad[:, k]) - on_time
-            counts = self.outcome[kind]
-            counts[1] += on_time.sum() + good_again
-            counts[2] += max(0.0, after.sum())
-            back = denied[:, k] + (failed if kind.again != "non-replayable" else 0.0)
-            gone = failed.sum() if kind.again == "non-replayable" else 0.0
-            if attempt > self.retries:
-                gone, back = gone + back.sum(), 0.0 * back
-            counts[3] += gone
-            self.note(
-                now,
-                kind,
-                mass[:, k].sum() if attempt == 1 else 0.0,
-                on_time.sum() + good_again,
-                max(0.0, after.sum()),
-            )
-            for col in np.flatnonzero(by_backend[:, k] > 0):
-                self.left_over[col, k] += by_backend[col, k] * (1 - bad[col, k])
-                if whole := int(self.left_over[col, k]):
-                    self.left_over[col, k] -= whole
-                    self.times.record_value(max(1, min(LONGEST, int(took[col, k]) // 1000)), whole)
-            if back.any():
-                more = np.zeros_like(mass)
-                more[:, k] = back
-                self.waiting.append((now + NS_PER_SECOND // 5, more, attempt + 1))
-
-    def note(self, now, kind, asked, done, late):
-        second = self.seconds.setdefault((now - self.zero) // NS_PER_SECOND, [0.0, 0.0])
-        second[0] += kind.credit * asked
-        second[1] += kind.credit * (done + late * self.site.late_credit[kind])
-
-    def sided(self):
-        """1 where a backend fails for that proxy alone."""
-        struck = [(col, backend) for col, backend in enumerate(self.backends) if backend.bad_for]
+            lost = 0.0
+            sent_again = rejected + failed
+        if attempt > self.retries:
+            return lost + sent_again.sum(), 0.0 * sent_again
+        return lost, sent_again
+
+    def _failing_pairs(self):
+        """1 where a backend fails for that proxy alone, proxies x backends; None if it is nowhere so."""
+        struck = [(column, backend) for column, backend in enumerate(self.backends) if backend.bad_for]
         if not struck:
             return None
-        found = np.zeros_like(self.weights)
-        for col, backend in struck:
+        failing = np.zeros_like(self.tables.weights)
+        for column, backend in struck:
             for place, proxy in enumerate(self.proxies):
-                found[place, col] = proxy.name in backend.bad_for
-        return found
-
-    def meet(self, now, masses):
-        """Parts that fail, ns that the rest takes, parts of it that come late: backends x kinds."""
-        bad, took, late = (np.zeros_like(masses) for _ in range(3))
-        loads = masses.sum(axis=1)
-        for col, backend in enumerate(self.backends):
-            reqs = loads[col]
-            model = backend.model
-            work = float(masses[col] @ self.works / reqs) if reqs > 0 else float(self.works.mean())
-            if reqs <= 0 and model.waits <= 0:
-                continue
-            patience = min(kind.client_timeout for kind, _, _ in self.mixed) // (2 if self.retries else 1)
-            met = model.pour(now, STEP, reqs, work, patience)
-            one = model.shape.cores / max(1e-9, model.capacity(now))
-            wait = max(0.0, met.took - work * one)
-            for k, (kind, _, _) in enumerate(self.mixed):
-                service = self.works[k] * one
-                took[col, k] = wait + service
-                left = kind.response_target - service
-                late[col, k] = 1.0 if left <= 0 else float(np.exp(-left / wait)) if wait > 0 else 0.0
-                bad[col, k] = 1 - met.done
-                if kind.external_id in model.ills.kinds:
-                    bad[col, k] = 1.0
-            self.watch(now, col, backend, masses[col], work)
-        return bad, took, late
-
-    def watch(self, now, col, backend, masses, work):
-        """What goes to a backend that is cold, draining or gone is told to the rules, once it makes a whole
-        req.
-        """
-        if not self.watched:
-            return
-        model = backend.model
-        entry = self.inventory.entries.get(model.name)
-        cold = model.started and now - model.started < model.shape.warm_after + self.site.fall_after
-        if entry is not None and entry.state == "ready" and not cold:
+                failing[place, column] = proxy.name in backend.bad_for
+        return failing
+
+    # ---- events for the rules
+
+    def _record(self, now, column, backend, masses, work):
+        """Records requests to a backend that is warming up, draining or gone, once they make whole ones."""
+        if not self.watched or not self._is_restricted(now, backend.model):
             return
-        column = self.weights[:, col]
-        if (total := masses.sum()) <= 0:
+        total = masses.sum()
+        if total <= 0:
             return
-        self.small[:, col] += column / column.sum() * total
-        for place in np.flatnonzero((self.small[:, col] >= 1) & (column > 0)):
-            proxy, mass = self.proxies[place], int(self.small[place, col])
-            self.small[place, col] -= mass
+        weights = self.tables.weights[:, column]
+        unrecorded = self._unrecorded[:, column]
+        unrecorded += weights / weights.sum() * total
+        for place in np.flatnonzero((unrecorded >= 1) & (weights > 0)):
+            proxy = self.proxies[place]
+            whole = int(unrecorded[place])
+            unrecorded[place] -= whole
             if not proxy.still:
-                self.numbers += 1
-                self.eyes.sent(
-                    now,
-                    proxy.name,
-                    model.name,
-                    Req(
-                        self.numbers,
-                        self.mixed[0][0].external_id,
-                        int(mass * work),
-                        NS_PER_SECOND,
-                        1,
-                        proxy.name,
-                    ),
-                    (self.numbers, 1),
-                )
+                self._record_one(now, proxy, backend.model, int(whole * work))
+
+    def _is_restricted(self, now, model):
+        entry = self.inventory.entries.get(model.name)
+        warm_up = model.shape.warm_after + self.site.fall_after
+        warming_up = model.started and now - model.started < warm_up
+        return entry is None or entry.state != "ready" or bool(warming_up)
+
+    def _record_one(self, now, proxy, model, work):
+        self._recorded += 1
+        number = self._recorded
+        request = Req(number, self.kinds[0].external_id, work, NS_PER_SECOND, 1, proxy.name)
+        self.eyes.sent(now, proxy.name, model.name, request, (number, 1))
+
+    # ---- results
 
     def outcomes(self):
-        return {kind: tuple(counts) for kind, counts in self.outcome.items()}
+        """What became of the requests.
+
+        Returns:
+            kind -> (asked, done, late, lost).
+        """
+        return {kind: tuple(counts) for kind, counts in self._outcomes.counts.items()}
 
     def took(self):
-        """By each step's mean at each backend."""
-        return self.times
+        """How long requests took, by each step's mean at each backend.
+
+        Returns:
+            A histogram, us.
+        """
+        return self._outcomes.durations
 
     def line(self):
-        """By when reqs met a backend: a second's further tries count in the second of the try."""
-        return [
-            round(min(1.0, got / asked), 4) if asked else None
-            for asked, got in (
-                self.seconds.get(n, (0.0, 0.0)) for n in range(max(self.seconds, default=-1) + 1)
-            )
-        ]
+        """Credit by when requests met a backend: retries count in the second of the retry.
+
+        Returns:
+            Credit earned of credit asked, or None where nothing was asked, for each second.
+        """
+        return self._outcomes.earned_by_second()
--- /dev/null
+++ b/embertray/simulation/emulator/fluid_backends.py
@@ -0,0 +1,89 @@
+"""The backends of a FluidSimulation: what becomes of the masses that reach them."""
+
+from dataclasses import dataclass
+
+import numpy as np
+
+# Least capacity that is divided by, cores.
+LEAST_CAPACITY = 1e-9
+
+
+@dataclass
+class BackendResults:
+    """What became of masses; arrays of backends x kinds.
+
+    Attributes:
+        failed: Parts that failed.
+        latency: ns that the rest took.
+        late: Parts of the rest that came too late.
+    """
+
+    failed: np.ndarray
+    latency: np.ndarray
+    late: np.ndarray
+
+
+class FluidBackends:
+    """Pours masses into the backends' models.
+
+    Args:
+        mix: (RequestKind, share, mean work in ns) items.
+        retries: Attempts of a client after the first.
+        step: Length of a step, ns.
+    """
+
+    def __init__(self, mix, retries, step):
+        self.step = step
+        self.kinds = [kind for kind, _, _ in mix]
+        self.works = np.array([work for _, _, work in mix], float)
+        # A client that retries gives the first attempt half of its time.
+        self._timeout = min(kind.client_timeout for kind in self.kinds) // (2 if retries else 1)
+
+    def pour(self, now, backends, masses, on_poured):
+        """Pours one step's masses.
+
+        Args:
+            now: ns.
+            backends: The SimulatedBackends.
+            masses: Requests; backends x kinds.
+            on_poured: Called with (column, backend, mean work in ns) after each that got any or was busy.
+
+        Returns:
+            The BackendResults.
+        """
+        results = BackendResults(np.zeros_like(masses), np.zeros_like(masses), np.zeros_like(masses))
+        loads = masses.sum(axis=1)
+        for column, backend in enumerate(backends):
+            requests = loads[column]
+            if requests <= 0 and backend.model.waits <= 0:
+                continue
+            work = float(masses[column] @ self.works / requests) if requests > 0 else float(self.works.mean())
+            self._pour_one(now, column, backend.model, requests, work, results)
+            on_poured(column, backend, work)
+        return results
+
+    def _pour_one(self, now, column, model, requests, work, results):
+        poured = model.pour(now, self.step, requests, work, self._timeout)
+        slowdown = model.shape.cores / max(LEAST_CAPACITY, model.capacity(now))
+        wait = max(0.0, poured.took - work * slowdown)
+        for k, kind in enumerate(self.kinds):
+            service = self.works[k] * slowdown
+            results.latency[column, k] = wait + service
+            results.late[column, k] = late_part(wait, kind.response_target - service)
+            fails = kind.external_id in model.ills.kinds
+            results.failed[column, k] = 1.0 if fails else 1 - poured.done
+
+
+def late_part(mean_wait, allowed):
+    """The part of requests that wait too long, if waits spread exponentially.
+
+    Args:
+        mean_wait: ns.
+        allowed: The longest wait that is in time, ns.
+
+    Returns:
+        A part, 0 to 1.
+    """
+    if allowed <= 0:
+        return 1.0
+    return float(np.exp(-allowed / mean_wait)) if mean_wait > 0 else 0.0
--- /dev/null
+++ b/embertray/simulation/emulator/fluid_proxy.py
@@ -0,0 +1,46 @@
+"""A simulated proxy whose requests are masses."""
+
+from .proxy import SimulatedProxy
+
+
+class FluidProxy(SimulatedProxy):
+    """A proxy of a FluidSimulation, which keeps its tables and totals in arrays.
+
+    Attributes:
+        place: Its row in the simulation's arrays.
+    """
+
+    place = 0
+
+    def apply(self, session, orders):
+        """Puts orders into effect, as SimulatedProxy does.
+
+        Args:
+            session: The Hello of the stream that carried them.
+            orders: The Orders.
+        """
+        super().apply(session, orders)
+        self.simulation.tables.changed.add(self.place)
+
+    def break_stream(self):
+        """Breaks the stream, if there is one; its tables may change by that."""
+        super().break_stream()
+        self.simulation.tables.changed.add(self.place)
+
+    def on_joined(self, controller):
+        """Handles an accepted dial: a new controller hears only what is met from now on.
+
+        Args:
+            controller: The SimulatedController.
+        """
+        super().on_joined(controller)
+        self.simulation.totals.clear(self.place, self.simulation.engine.time)
+
+    def report(self):
+        """Sends a load report, if it can, and schedules the next."""
+        simulation = self.simulation
+        if self.session is not None and not self.still:
+            self._send_report(simulation.draw_report(self.place))
+        else:
+            simulation.totals.clear(self.place, simulation.engine.time)
+        simulation.engine.after(simulation.site.report_cycle, self.report)
--- /dev/null
+++ b/embertray/simulation/emulator/fluid_tables.py
@@ -0,0 +1,100 @@
+"""The tables of all proxies of a FluidSimulation as arrays."""
+
+import numpy as np
+
+
+class FluidTables:
+    """What the proxies' tables say, a row for each proxy.
+
+    Args:
+        proxies: How many proxies.
+        kinds: The RequestKinds.
+        site: The Site.
+
+    Attributes:
+        columns: Column of each backend, by name.
+        weights: Parts of a proxy's requests that go to each backend; proxies x backends.
+        levels: Admission: requests a second or a part, as the site has it; proxies x kinds.
+        retry_levels: How the proxy retries; proxies x kinds.
+        changed: Rows that are out of date.
+    """
+
+    def __init__(self, proxies, kinds, site):
+        self.kinds = kinds
+        self.site = site
+        self.columns = {}
+        self.weights = np.zeros((proxies, 0))
+        self._free_level = np.inf if site.levels == "rate" else 1.0
+        self.levels = np.full((proxies, len(kinds)), self._free_level)
+        self.retry_levels = np.full((proxies, len(kinds)), site.base_retry)
+        self.changed = set(range(proxies))
+
+    def add_columns(self, names):
+        """Adds backends.
+
+        Args:
+            names: Their names.
+        """
+        first = len(self.columns)
+        self.columns.update((name, first + offset) for offset, name in enumerate(names))
+        self.weights = append_columns(self.weights, len(names))
+
+    def refresh(self, proxies):
+        """Reads the tables of the proxies whose rows are out of date.
+
+        Args:
+            proxies: All FluidProxy items, by row.
+        """
+        for place in sorted(self.changed):
+            holding = proxies[place].model.holding
+            self._read_weights(place, holding)
+            self._read_levels(place, holding)
+        self.changed.clear()
+
+    def _read_weights(self, place, holding):
+        row = self.weights[place]
+        row[:] = 0.0
+        for name, weight in holding.picks().items():
+            row[self.columns[name]] = weight
+        total = row.sum()
+        if total > 0:
+            row /= total
+
+    def _read_levels(self, place, holding):
+        default = (self._free_level, self.site.base_retry)
+        for k, kind in enumerate(self.kinds):
+            level, retry_level = holding.levels.get(kind.external_id, default)
+            self.levels[place, k] = self._free_level if self.site.levels == "none" else level
+            self.retry_levels[place, k] = retry_level
+
+    def admitted_part(self, mass, paused, step_s):
+        """The part of the arriving requests that the proxies admit.
+
+        Args:
+            mass: Requests that arrive; proxies x kinds.
+            paused: Which proxies' processes are stopped.
+            step_s: Length of a step, seconds.
+
+        Returns:
+            Parts, 0 to 1; proxies x kinds.
+        """
+        if self.site.levels == "rate":
+            quota = self.levels * step_s
+            part = np.divide(np.minimum(mass, quota), mass, out=np.ones_like(mass), where=mass > 0)
+        else:
+            part = np.minimum(1.0, self.levels)
+        without_backends = self.weights.sum(axis=1) <= 0
+        return np.where((without_backends | paused)[:, None], 0.0, part)
+
+
+def append_columns(array, count):
+    """Appends columns of zeros.
+
+    Args:
+        array: An array of two dimensions.
+        count: How many columns.
+
+    Returns:
+        A new array.
+    """
+    return np.hstack([array, np.zeros((len(array), count))])
--- /dev/null
+++ b/embertray/simulation/emulator/fluid_totals.py
@@ -0,0 +1,105 @@
+"""What the proxies of a FluidSimulation have met since their last load reports."""
+
+import numpy as np
+
+from embertray.controller.stream.messages import ArrivalTotals, BackendTotals, LoadReport
+
+from .fluid_tables import append_columns
+
+# Masses below this are rounding errors of sums, requests.
+LEAST_MASS = 1e-9
+
+
+class FluidTotals:
+    """Masses since each proxy's last load report.
+
+    Args:
+        proxies: How many proxies.
+        kinds: The RequestKinds.
+        now: ns.
+
+    Attributes:
+        attempts, failures: Requests; proxies x backends.
+        latency: Sum over the attempts that were answered, ns; proxies x backends.
+        arrivals, retries, lost: Requests that came, those of them that came again, those lost; proxies x
+            kinds.
+    """
+
+    def __init__(self, proxies, kinds, now):
+        self.kinds = kinds
+        self.attempts = np.zeros((proxies, 0))
+        self.failures = np.zeros((proxies, 0))
+        self.latency = np.zeros((proxies, 0))
+        self.arrivals = np.zeros((proxies, len(kinds)))
+        self.retries = np.zeros((proxies, len(kinds)))
+        self.lost = np.zeros((proxies, len(kinds)))
+        self._since = np.full(proxies, now)
+
+    def add_columns(self, count):
+        """Adds backends.
+
+        Args:
+            count: How many.
+        """
+        self.attempts = append_columns(self.attempts, count)
+        self.failures = append_columns(self.failures, count)
+        self.latency = append_columns(self.latency, count)
+
+    def clear(self, place, now):
+        """Forgets what a proxy has met.
+
+        Args:
+            place: The proxy's row.
+            now: ns.
+        """
+        for array in (self.attempts, self.failures, self.latency, self.arrivals, self.retries, self.lost):
+            array[place] = 0.0
+        self._since[place] = now
+
+    def draw_report(self, place, now, rng, backends):
+        """Draws a load report and clears the proxy's totals.
+
+        Its whole numbers have the masses as their means, and spread as those of Poisson arrivals.
+
+        Args:
+            place: The proxy's row.
+            now: ns.
+            rng: The random generator.
+            backends: The SimulatedBackends, by column.
+
+        Returns:
+            The LoadReport.
+        """
+        met = self._draw_backend_totals(place, now, rng, backends)
+        arrivals = [self._draw_arrivals(place, k, kind, rng) for k, kind in enumerate(self.kinds)]
+        duration = int(now - self._since[place])
+        self.clear(place, now)
+        return LoadReport(duration, met, [totals for totals in arrivals if totals.requests])
+
+    def _draw_backend_totals(self, place, now, rng, backends):
+        attempts = self.attempts[place]
+        columns = np.flatnonzero(attempts > LEAST_MASS)
+        counts = rng.poisson(attempts[columns])
+        met = []
+        for column, count in zip(columns.tolist(), counts.tolist(), strict=True):
+            if count:
+                failed = self._draw_failures(place, column, count, rng)
+                answered = max(LEAST_MASS, attempts[column] - self.failures[place, column])
+                mean_latency = self.latency[place, column] / answered
+                model = backends[column].model
+                load = model.report(now) if model.state == "up" else {}
+                latency = int(mean_latency * (count - failed))
+                met.append(BackendTotals(model.name, count, failed, latency, load))
+        return met
+
+    def _draw_failures(self, place, column, count, rng):
+        failures = self.failures[place, column]
+        if failures <= 0:
+            return 0
+        return int(rng.binomial(count, min(1.0, failures / self.attempts[place, column])))
+
+    def _draw_arrivals(self, place, k, kind, rng):
+        retries = self.retries[place, k]
+        first = max(0.0, self.arrivals[place, k] - retries)
+        first, retries, lost = rng.poisson([first, retries, self.lost[place, k]]).tolist()
+        return ArrivalTotals(kind.external_id, first + retries, lost, retries)
