--- a/embertray/simulation/emulator/control/process.py
+++ b/embertray/simulation/emulator/control/process.py
@@ -41,7 +41,7 @@
     def plan(self, when):
         """`tick` is called at `when`; an earlier plan is replaced."""
         if self.planned is not None:
-            if self.planned.when == when and self.planned.what is not None:
+            if self.planned.when == when and not self.planned.cancelled:
                 return
             self.planned.cancel()
         self.planned = self.engine.at(max(when, self.engine.time), self._wake, self.life)
--- a/embertray/simulation/emulator/engine.py
+++ b/embertray/simulation/emulator/engine.py
@@ -37,6 +37,11 @@
         self.callback = callback
         self.args = args
 
+    @property
+    def cancelled(self):
+        """Whether the call was dropped."""
+        return self.callback is None
+
     def cancel(self):
         """Drops the call, and the references to all that it would have used."""
         self.callback = None
