--- a/embertray/simulation/emulator/control/__init__.py
+++ b/embertray/simulation/emulator/control/__init__.py
@@ -1,5 +1,7 @@
-"""The control plane under virtual time: the cores that processes run, with links that delay, close and hold,
-and processes that are killed, stopped, restarted and lose their state. Messages travel as bytes.
+"""The control plane under virtual time, on production cores.
+
+Links delay, close and queue; processes are killed, stopped, restarted and lose their state. Messages travel
+as bytes.
 """
 
 from .faults import draw_faults
--- a/embertray/simulation/emulator/control/day.py
+++ b/embertray/simulation/emulator/control/day.py
@@ -1,22 +1,30 @@
-"""A day of the control plane at the size of a target, with its changes, restarts and failures at the target's
-rates, compressed: all of a day's events fall into a part of it, which is harsher than the day.
+"""A day of the control plane at the size of the operators' target, with its changes, restarts and failures.
+
+It is compressed: all of a day's events fall into a part of it, which is harsher than the day.
 """
 
 from bisect import bisect_right
 from dataclasses import dataclass
 
 from embertray.simulation.claims.control import ControlClaims
+from embertray.simulation.emulator.engine import NS_PER_SECOND
 
 from .play import ControlPlay, Settings
 
-S = 10**9
-DAY = 86_400 * S
-MACHINE_DOWN = 300 * S  # ns until a failed machine is replaced
-RESTART_DOWN = (3 * S, 15 * S)  # ns that a restart takes
-RACK_DOWN, ZONE_DOWN = 300 * S, 600 * S
-BUNCH = 47  # controllers that a rollout restarts within BUNCH_WITHIN
-BUNCH_WITHIN = 10 * S
-BUNCHED = 3  # one restart in so many comes in bunches
+DAY_NS = 86_400 * NS_PER_SECOND
+# Time until a failed machine is replaced, and until a rack and a zone are back.
+MACHINE_DOWN_NS = 300 * NS_PER_SECOND
+RACK_DOWN_NS = 300 * NS_PER_SECOND
+ZONE_DOWN_NS = 600 * NS_PER_SECOND
+# The least and the most time that a restart takes.
+RESTART_DOWN_NS = (3 * NS_PER_SECOND, 15 * NS_PER_SECOND)
+# Controllers that a rollout restarts together, and within which time.
+BATCH_SIZE = 47
+BATCH_SPREAD_NS = 10 * NS_PER_SECOND
+# One restart in so many comes in batches.
+BATCHED_RESTARTS = 3
+# Time from the start to the day's first event.
+WARM_UP_NS = 30 * NS_PER_SECOND
 
 
 @dataclass(frozen=True)
@@ -36,26 +44,41 @@
     rack: int = 24
     zones_lost: int = 1
     regions_apart: int = 1
-    apart: int = 300 * S
+    apart: int = 300 * NS_PER_SECOND  # ns
     compress: int = 24
     seed: int = 1
 
     @property
     def span(self):
-        """ns that the play lasts."""
-        return DAY // self.compress
+        """The play's duration, ns."""
+        return DAY_NS // self.compress
 
 
 class TimedClaims(ControlClaims):
-    """Also keeps how long writes took: at subscribers that were within reach all the while, and at others
-    from their return. A write that a newer one of its key overtook is not counted."""
+    """Also records how long writes took.
+
+    A write that a newer one of its key overtook is not counted.
+
+    Attributes:
+        reached_since: When each subscriber was last within reach again, ns.
+        while_reached: ns from acknowledgement to effect, where the subscriber was within reach meanwhile.
+        after_return: ns from a subscriber's return to the effect, for the others.
+    """
 
     def __init__(self):
         super().__init__()
         self.reached_since = {}
-        self.while_reached, self.after_return = [], []
+        self.while_reached = []
+        self.after_return = []
 
     def applied(self, now, subscriber, entry):
+        """Records that a subscriber applied a write.
+
+        Args:
+            now: ns.
+            subscriber: Its name.
+            entry: The Entry.
+        """
         super().applied(now, subscriber, entry)
         at = self._acknowledged_at(entry.revision)
         if at is None:
@@ -67,6 +90,12 @@
             self.after_return.append(now - since)
 
     def out_of_reach(self, now, subscriber):
+        """Records that a subscriber reaches no majority now.
+
+        Args:
+            now: ns.
+            subscriber: Its name.
+        """
         super().out_of_reach(now, subscriber)
         self.reached_since[subscriber] = now
 
@@ -78,7 +107,17 @@
 
 
 class ControlDay:
-    """Plays a DayPlan."""
+    """Plays a DayPlan.
+
+    Args:
+        plan: The DayPlan.
+
+    Attributes:
+        claims: The TimedClaims.
+        play: The ControlPlay.
+        counts: Events by kind.
+        apart: Machines of the region that is cut off now.
+    """
 
     def __init__(self, plan):
         self.plan = plan
@@ -97,11 +136,20 @@
         self.play = ControlPlay(settings, self.claims)
         self.chance = self.play.draw("day")
         self.machines = [*self.play.replicas.values(), *self.play.subscribers.values()]
-        self.counts, self.apart = {}, []
+        self.counts = {}
+        self.apart = []
+
+    def run(self, warm=WARM_UP_NS):
+        """Plays the whole day, and checks what has to hold after it.
 
-    def run(self, warm=30 * S):
-        """The whole day, and what has to hold after it."""
-        play, plan = self.play, self.plan
+        Args:
+            warm: Time before the day's first event, ns.
+
+        Returns:
+            The ControlDay itself.
+        """
+        play = self.play
+        plan = self.plan
         play.start()
         play.run(warm)
         for one in play.subscribers.values():
@@ -117,33 +165,33 @@
     def _plan_events(self, start):
         plan = self.plan
         self._spread(start, plan.machines_failing, "machine", self._fail_machine)
-        bunches = plan.restarts // BUNCHED // BUNCH
-        self._spread(start, plan.restarts - bunches * BUNCH, "restart", self._restart_one)
-        self._spread(start, bunches, "bunch of restarts", self._restart_bunch)
-        self._spread(start, plan.racks, "rack", lambda: self._fail_together(plan.rack, RACK_DOWN))
+        batches = plan.restarts // BATCHED_RESTARTS // BATCH_SIZE
+        self._spread(start, plan.restarts - batches * BATCH_SIZE, "restart", self._restart_one)
+        self._spread(start, batches, "bunch of restarts", self._restart_batch)
+        self._spread(start, plan.racks, "rack", lambda: self._fail_together(plan.rack, RACK_DOWN_NS))
         zone = len(self.machines) // plan.zones
-        self._spread(start, plan.zones_lost, "zone", lambda: self._fail_together(zone, ZONE_DOWN))
+        self._spread(start, plan.zones_lost, "zone", lambda: self._fail_together(zone, ZONE_DOWN_NS))
         self._spread(start, plan.regions_apart, "region apart", self._part_region)
 
-    def _spread(self, start, count, name, what):
+    def _spread(self, start, count, name, callback):
         self.counts[name] = count
         engine = self.play.engine
         for _ in range(count):
-            engine.at(start + self.chance.randrange(self.plan.span), what)
+            engine.at(start + self.chance.randrange(self.plan.span), callback)
 
     # ---- events
 
     def _fail_machine(self):
-        self._down(self.chance.choice(self.machines), MACHINE_DOWN, silent=True)
+        self._down(self.chance.choice(self.machines), MACHINE_DOWN_NS, silent=True)
 
     def _restart_one(self):
-        self._down(self.chance.choice(self.machines), self.chance.randint(*RESTART_DOWN), silent=False)
+        self._down(self.chance.choice(self.machines), self.chance.randint(*RESTART_DOWN_NS), silent=False)
 
-    def _restart_bunch(self):
+    def _restart_batch(self):
         engine = self.play.engine
-        for machine in self.chance.sample(list(self.play.subscribers.values()), BUNCH):
-            when = engine.time + self.chance.randrange(BUNCH_WITHIN)
-            engine.at(when, self._down, machine, self.chance.randint(*RESTART_DOWN), False)
+        for machine in self.chance.sample(list(self.play.subscribers.values()), BATCH_SIZE):
+            when = engine.time + self.chance.randrange(BATCH_SPREAD_NS)
+            engine.at(when, self._down, machine, self.chance.randint(*RESTART_DOWN_NS), False)
 
     def _fail_together(self, count, lasts):
         """Machines that stand together: neighbours in the order of their numbers in one region."""
@@ -183,7 +231,8 @@
         self.play.engine.at(self.play.engine.time + self.plan.apart, self._join_regions)
 
     def _join_regions(self):
-        apart, self.apart = self.apart, []
+        apart = self.apart
+        self.apart = []
         if not apart:
             return
         self.play.links.heal()
--- a/embertray/simulation/emulator/control/faults.py
+++ b/embertray/simulation/emulator/control/faults.py
@@ -2,12 +2,22 @@
 
 from dataclasses import dataclass
 
-S = 10**9
+from embertray.simulation.emulator.engine import NS_PER_SECOND
+
+# The least and the most time that a drawn fault lasts.
+LEAST_DURATION_NS = 1 * NS_PER_SECOND
+LONGEST_DURATION_NS = 14 * NS_PER_SECOND
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault: what fails, and for how many ns."""
+    """One fault.
+
+    Attributes:
+        kind: One of KINDS.
+        targets: Names of the processes that it strikes.
+        lasts: How long, ns.
+    """
 
     kind: str
     targets: tuple
@@ -27,8 +37,20 @@
 )
 
 
-def draw_faults(chance, play, count, kinds=KINDS, least=1 * S, most=14 * S):
-    """`count` faults among the processes of a play."""
+def draw_faults(chance, play, count, kinds=KINDS, least=LEAST_DURATION_NS, most=LONGEST_DURATION_NS):
+    """Draws faults among the processes of a play.
+
+    Args:
+        chance: A random.Random.
+        play: The ControlPlay.
+        count: How many.
+        kinds: What kinds, of KINDS.
+        least: The least time that one lasts, ns.
+        most: The most, ns.
+
+    Returns:
+        A list of Faults.
+    """
     faults = []
     for _ in range(count):
         kind = chance.choice(kinds)
@@ -49,7 +71,12 @@
 
 
 def strike(play, fault):
-    """Makes a fault happen now."""
+    """Makes a fault happen now.
+
+    Args:
+        play: The ControlPlay.
+        fault: The Fault.
+    """
     first = fault.targets[0]
     play.change(*([first] if fault.kind.endswith(" subscriber") else []))
     process = play.replicas.get(first) or play.subscribers[first]
@@ -74,7 +101,14 @@
 
 
 def play_faults(play, faults, pause, together=1):
-    """Strikes `together` faults at a time, heals, and pauses."""
+    """Plays faults, each group of them followed by a time without any.
+
+    Args:
+        play: The ControlPlay.
+        faults: The Faults.
+        pause: Time without faults after each group, ns.
+        together: How many make a group.
+    """
     for start in range(0, len(faults), together):
         group = faults[start : start + together]
         for fault in group:
--- a/embertray/simulation/emulator/control/links.py
+++ b/embertray/simulation/emulator/control/links.py
@@ -2,53 +2,112 @@
 
 from collections import deque
 
-MS = 10**6
+from embertray.simulation.emulator.engine import NS_PER_MS
 
+# The least and the most time of a message within a region, and between regions.
+NEAR_DELAY_NS = (1 * NS_PER_MS, 3 * NS_PER_MS)
+FAR_DELAY_NS = (20 * NS_PER_MS, 80 * NS_PER_MS)
 
-class Links:
-    """`region`: machine -> region. A closed pair carries nothing; what a stream holds for it goes when it
-    opens again, as TCP sends again."""
 
-    def __init__(self, engine, chance, region, near=(1 * MS, 3 * MS), far=(20 * MS, 80 * MS)):
-        self.engine, self.chance, self.region = engine, chance, region
-        self.near, self.far = near, far
-        self.closed = set()  # (from, to)
-        self.groups = {}  # machine -> group; machines of different groups don't reach each other
-        self.streams = {}  # (from, to) -> set of Stream that hold something
+class Links:
+    """All links of a play.
+
+    A closed pair carries nothing; what a stream queues for it leaves when it opens again, as TCP retransmits.
+
+    Args:
+        engine: The Engine.
+        chance: A random.Random.
+        region: Machine -> region.
+        near: The least and the most time of a message within a region, ns.
+        far: The same between regions, ns.
+
+    Attributes:
+        closed: (sender, receiver) pairs that carry nothing.
+        groups: Machine -> group; machines of different groups don't reach each other.
+        streams: (sender, receiver) -> the Streams that queue something, in the order of their first message.
+    """
+
+    def __init__(self, engine, chance, region, near=NEAR_DELAY_NS, far=FAR_DELAY_NS):
+        self.engine = engine
+        self.chance = chance
+        self.region = region
+        self.near = near
+        self.far = far
+        self.closed = set()
+        self.groups = {}
+        self.streams = {}  # the values are dicts, as ordered sets: runs of one seed must be alike
 
     def open(self, sender, receiver):
-        """Whether a message passes now."""
+        """Whether a message passes now.
+
+        Args:
+            sender: A machine.
+            receiver: A machine.
+
+        Returns:
+            Whether it does.
+        """
         if (sender, receiver) in self.closed:
             return False
         return self.groups.get(sender, 0) == self.groups.get(receiver, 0)
 
     def both_ways(self, one, other):
-        """Whether messages pass in both directions."""
+        """Whether messages pass in both directions.
+
+        Args:
+            one: A machine.
+            other: A machine.
+
+        Returns:
+            Whether they do.
+        """
         return self.open(one, other) and self.open(other, one)
 
     def delay(self, sender, receiver):
-        """ns that a message takes."""
+        """Draws the time of a message.
+
+        Args:
+            sender: A machine.
+            receiver: A machine.
+
+        Returns:
+            ns.
+        """
         near = self.region.get(sender) == self.region.get(receiver)
         return self.chance.randint(*(self.near if near else self.far))
 
     # ---- faults
 
     def split(self, *groups):
-        """Machines of different groups don't reach each other; who is in none is in the first."""
+        """Partitions the network.
+
+        Args:
+            *groups: The machines of each side; who is in none is in the first.
+        """
         self.groups = {name: number for number, group in enumerate(groups) for name in group}
         self._release()
 
     def close(self, sender, receiver):
-        """Closes one direction."""
+        """Closes one direction.
+
+        Args:
+            sender: A machine.
+            receiver: A machine.
+        """
         self.closed.add((sender, receiver))
 
     def heal(self):
         """Opens everything."""
-        self.closed, self.groups = set(), {}
+        self.closed = set()
+        self.groups = {}
         self._release()
 
-    def hold(self, stream):
-        """A stream waits for its way to open."""
+    def enqueue(self, stream):
+        """Has a stream resumed when its link opens.
+
+        Args:
+            stream: The Stream.
+        """
         self.streams.setdefault((stream.sender, stream.receiver), {})[stream] = True
 
     def _release(self):
@@ -58,35 +117,57 @@
 
 
 class Stream:
-    """Bytes in one direction, in order. `deliver(data)` is called for each message that arrives."""
+    """Messages in one direction, in order.
+
+    Args:
+        links: The Links.
+        sender: A machine.
+        receiver: A machine.
+        deliver: Called with the bytes of each message that arrives.
+
+    Attributes:
+        queued: Messages that wait for the link to open.
+        ended: Whether nothing is delivered any more.
+    """
 
     def __init__(self, links, sender, receiver, deliver):
-        self.links, self.sender, self.receiver, self.deliver = links, sender, receiver, deliver
-        self.held, self.arrives_at, self.ended = deque(), 0, False
+        self.links = links
+        self.sender = sender
+        self.receiver = receiver
+        self.deliver = deliver
+        self.queued = deque()
+        self.ended = False
+        self._last_arrival_at = 0  # ns
 
     def send(self, data):
-        """Sends a message, or holds it while the way is closed."""
+        """Sends a message, or queues it while the link is closed.
+
+        Args:
+            data: bytes.
+        """
         if self.ended:
             return
-        if self.held or not self.links.open(self.sender, self.receiver):
-            self.held.append(data)
-            self.links.hold(self)
+        if self.queued or not self.links.open(self.sender, self.receiver):
+            self.queued.append(data)
+            self.links.enqueue(self)
             return
         engine = self.links.engine
         delay = self.links.delay(self.sender, self.receiver)
-        self.arrives_at = max(self.arrives_at + 1, engine.time + delay)
-        engine.at(self.arrives_at, self._arrive, data)
+        # One ns after the message before it at least: a stream keeps its order.
+        self._last_arrival_at = max(self._last_arrival_at + 1, engine.time + delay)
+        engine.at(self._last_arrival_at, self._arrive, data)
 
     def resume(self):
-        """The way is open again."""
-        held, self.held = self.held, deque()
-        for data in held:
+        """Sends what is queued: the link is open again."""
+        queued = self.queued
+        self.queued = deque()
+        for data in queued:
             self.send(data)
 
     def end(self):
-        """Nothing is delivered any more."""
+        """Drops what is queued; what is under way is not delivered."""
         self.ended = True
-        self.held.clear()
+        self.queued.clear()
 
     def _arrive(self, data):
         if not self.ended:
--- a/embertray/simulation/emulator/control/play.py
+++ b/embertray/simulation/emulator/control/play.py
@@ -1,6 +1,4 @@
-"""A play of the control plane: replicas, subscribers, writers and faults on one engine, held against its
-claims.
-"""
+"""A play of the control plane: replicas, subscribers and a writer on one engine, held against claims."""
 
 import random
 from dataclasses import dataclass, field
@@ -9,16 +7,19 @@
 from embertray.cluster.replication.propagation_bounds import Bounds
 from embertray.cluster.replication.timing import FeedSettings, ReplicaTiming, SubscriberTiming
 from embertray.simulation.claims.control import ControlClaims
-from embertray.simulation.emulator.engine import Engine
+from embertray.simulation.emulator.engine import NS_PER_MS, NS_PER_SECOND, Engine
 
 from .links import Links
 from .replica_process import ReplicaProcess
 from .subscriber_process import SubscriberProcess
 from .writer import Writer
 
-MS, S = 10**6, 10**9
-LOOK_EVERY = 250 * MS  # ns between two looks at what every subscriber says
-LISTED = 3  # replicas that a subscriber may follow
+# Where time begins, ns.
+START_NS = 1_000 * NS_PER_SECOND
+# Time between two observations of every subscriber.
+LOOK_PERIOD_NS = 250 * NS_PER_MS
+# Replicas that a subscriber may follow.
+LISTED_REPLICAS = 3
 
 
 @dataclass(frozen=True)
@@ -31,7 +32,7 @@
     regions: int = 1
     keys: int = 40
     value: tuple = (20, 400)  # bytes, least and most
-    write_every: int = 2 * S
+    write_every: int = 2 * NS_PER_SECOND  # ns, the mean
     cluster: str = "play"
     prefilled: int = 0  # keys that everybody holds at the start
     keep: bool = False  # subscribers have a disk, and start with what they held
@@ -41,11 +42,27 @@
 
 
 class ControlPlay:
-    """Everything of one play. `run` lets time pass; faults are methods, and are undone by others."""
+    """All that takes part in one play.
+
+    Args:
+        settings: The Settings.
+        claims: The ControlClaims that are held against it; None: new ones.
+        replica_process: Type of the replicas; None: ReplicaProcess.
+        subscriber_process: Type of the subscribers; None: SubscriberProcess.
+
+    Attributes:
+        replicas: ReplicaProcess by name.
+        subscribers: SubscriberProcess by name.
+        links: The Links.
+        bounds: The Bounds that the claims go by.
+        changed_at: When something last changed that concerns a subscriber, ns, by its name.
+    """
 
     def __init__(self, settings, claims=None, replica_process=None, subscriber_process=None):
-        self.settings, self.engine = settings, Engine(1_000 * S)
-        self.claims, self.chance = claims or ControlClaims(), self.draw("play")
+        self.settings = settings
+        self.engine = Engine(START_NS)
+        self.claims = claims or ControlClaims()
+        self.chance = self.draw("play")
         self.bounds = Bounds(settings.replica, settings.feed, settings.subscriber)
         self.replica_names = [f"r{number}" for number in range(settings.replicas)]
         names = [f"s{number:03d}" for number in range(settings.subscribers)]
@@ -72,32 +89,43 @@
         return entries
 
     def draw(self, purpose):
-        """A generator of its own for each purpose."""
+        """Makes the random generator of a purpose.
+
+        Args:
+            purpose: Its name.
+
+        Returns:
+            A random.Random.
+        """
         return random.Random(f"{self.settings.seed} {purpose}")
 
     def _listed(self, name, region):
         """Replicas of the own region first, then others, in an order of the subscriber's own."""
         order = self.draw(f"order {name}").sample(self.replica_names, len(self.replica_names))
-        return sorted(order, key=lambda replica: region[replica] != region[name])[:LISTED]
+        return sorted(order, key=lambda replica: region[replica] != region[name])[:LISTED_REPLICAS]
 
     # ---- time
 
     def start(self):
-        """Everything starts at once."""
+        """Starts all processes at once, and the writer."""
         for process in [*self.replicas.values(), *self.subscribers.values()]:
             process.start()
-        self.engine.at(self.engine.time + LOOK_EVERY, self._look)
+        self.engine.at(self.engine.time + LOOK_PERIOD_NS, self._look)
         self.writer.start()
 
     def run(self, span):
-        """Lets `span` ns pass."""
+        """Lets time pass.
+
+        Args:
+            span: ns.
+        """
         self.engine.run(self.engine.time + span)
 
     def settle(self):
         """Heals everything, stops writing, and lets the longest bound pass."""
         self.writer.stop()
         self.heal()
-        self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog) + 4 * LOOK_EVERY)
+        self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog) + 4 * LOOK_PERIOD_NS)
         self.claims.alike(
             self.engine.time,
             {name: (one.core.revision, one.core.store.digest) for name, one in self.subscribers.items()},
@@ -116,8 +144,13 @@
     # ---- connections
 
     def dial(self, connection):
-        """A subscriber opens a connection: it comes up, is refused, or nothing answers."""
-        subscriber, replica = connection.subscriber, connection.replica
+        """Opens a subscriber's connection: it comes up, is refused, or nothing answers.
+
+        Args:
+            connection: The Connection.
+        """
+        subscriber = connection.subscriber
+        replica = connection.replica
         if not self.links.both_ways(subscriber.name, replica.name):
             return
         there = self.links.delay(subscriber.name, replica.name)
@@ -133,13 +166,21 @@
             connection.subscriber.reset(connection.number)
 
     def hang_up(self, connection):
-        """The subscriber closed it; the replica hears of it if the way is open."""
+        """Has a replica notice that a subscriber closed a connection, if the link is open.
+
+        Args:
+            connection: The Connection.
+        """
         if self.links.open(connection.subscriber.name, connection.replica.name):
             when = self.engine.time + self.links.delay(connection.subscriber.name, connection.replica.name)
             self.engine.at(when, connection.replica.hung_up, connection)
 
     def reset(self, connection):
-        """The replica's end is gone; the subscriber hears of it if the way is open."""
+        """Has a subscriber notice that a replica's end is gone, if the link is open.
+
+        Args:
+            connection: The Connection.
+        """
         if self.links.open(connection.replica.name, connection.subscriber.name):
             when = self.engine.time + self.links.delay(connection.replica.name, connection.subscriber.name)
             self.engine.at(when, connection.subscriber.reset, connection.number)
@@ -147,12 +188,16 @@
     # ---- faults
 
     def change(self, *subscribers):
-        """Something failed, or works again: bounds count from now, for these subscribers or for all."""
+        """Has bounds count from now: something failed, or works again.
+
+        Args:
+            *subscribers: Names of those whom it concerns; none: all.
+        """
         for name in subscribers or self.subscribers:
             self.changed_at[name] = self.engine.time
 
     def heal(self):
-        """All links are open, all processes run."""
+        """Opens all links, and has all processes run."""
         self.links.heal()
         for process in [*self.replicas.values(), *self.subscribers.values()]:
             if not process.alive:
@@ -164,8 +209,13 @@
     # ---- what holds
 
     def majority_group(self):
-        """Replicas that run, are not recovering, and all reach each other, if they are a majority; else none.
-        Where some reach each other in one direction only, nothing is claimed."""
+        """The replicas that run, have recovered and all reach each other, if they are a majority.
+
+        Where some reach each other in one direction only, nothing is claimed.
+
+        Returns:
+            A set of names; empty: there is no such majority.
+        """
         able = [one.name for one in self.living if not one.core.recovering]
         for name in able:
             near = [other for other in able if self.links.open(name, other) or self.links.open(other, name)]
@@ -181,7 +231,7 @@
         for name, process in self.subscribers.items():
             if process.alive and not process.stopped:
                 self._look_at(now, name, process, group, waiting)
-        self.engine.at(now + LOOK_EVERY, self._look)
+        self.engine.at(now + LOOK_PERIOD_NS, self._look)
 
     def _look_at(self, now, name, process, group, waiting):
         core = process.core
@@ -192,8 +242,8 @@
         since = self.changed_at[name] if reached else None
         if not reached:
             self.claims.out_of_reach(now, name)
-        late = self.bounds.any_fault + waiting + LOOK_EVERY
+        late = self.bounds.any_fault + waiting + LOOK_PERIOD_NS
         self.claims.reach(now, name, core.revision, since, late)
         calm = None if since is None else since + late
-        prompt = self.bounds.good + self.bounds.waiting(self.writer.burst_bytes) + LOOK_EVERY
+        prompt = self.bounds.good + self.bounds.waiting(self.writer.burst_bytes) + LOOK_PERIOD_NS
         self.claims.reach(now, name, core.revision, calm, prompt, "prompt")
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -10,23 +10,44 @@
 from embertray.cluster.replication.replica import Replica
 from embertray.cluster.replication.replica_state import ReplicaState
 from embertray.cluster.replication.subscriber_feed import SubscriberFeed
+from embertray.simulation.emulator.engine import NS_PER_MS
 
 from .links import Stream
 from .process import FRAME_BYTES, Process
 
-MS = 10**6
-SAVE = (2 * MS, 20 * MS)  # ns until a state is on disk
-HELD_MOST = 64  # messages to another replica that a closed way holds; the oldest are dropped
+# The least and the most time until a state is on disk.
+SAVE_NS = (2 * NS_PER_MS, 20 * NS_PER_MS)
+# Messages to another replica that a closed link queues; the oldest are dropped.
+MAX_QUEUED_MESSAGES = 64
 
 
 class ReplicaProcess(Process):
-    """A replica, its feed, its disk and its sockets. `make_core`, `make_feed`: for tests that spoil them."""
+    """A replica, its feed, its disk and its connections.
 
-    make_core, make_feed = Replica, SubscriberFeed
+    Args:
+        play: The ControlPlay.
+        name: Its name.
+
+    Attributes:
+        make_core: Type of its core; tests replace it by faulty ones.
+        make_feed: Type of its feed; the same.
+        core: The Replica.
+        feed: The SubscriberFeed.
+        disk: The ReplicaState on its disk, or None.
+        lost_disks: What was on the disks that it lost.
+        connections: Connection by subscriber.
+        peers: Stream to each other replica, by its name.
+    """
+
+    make_core = Replica
+    make_feed = SubscriberFeed
 
     def __init__(self, play, name):
         super().__init__(play, name)
-        self.disk, self.lost_disks, self.connections, self.peers = self._first_disk(), [], {}, {}
+        self.disk = self._first_disk()
+        self.lost_disks = []
+        self.connections = {}
+        self.peers = {}
 
     def _first_disk(self):
         """None, as before a first start, or what is prefilled."""
@@ -34,10 +55,13 @@
         return ReplicaState(1, "", len(entries), 1, 0, list(entries), [], []) if entries else None
 
     def start(self):
-        """Begins a life with what is on disk."""
-        now, settings = self.engine.time, self.play.settings
+        """Starts a process with what is on its disk."""
+        now = self.engine.time
+        settings = self.play.settings
         self.life += 1
-        self.alive, self.stopped, self.busy = True, False, False
+        self.alive = True
+        self.stopped = False
+        self.busy = False
         self.waiting.clear()
         chance = self.play.draw(f"{self.name} {self.life}")
         self.core = self.make_core(
@@ -49,7 +73,11 @@
         self.call(self.tick)
 
     def kill(self, silent=False):
-        """Ends at once. `silent`: as a machine that vanishes, whose peers get no sign."""
+        """Kills the process.
+
+        Args:
+            silent: Whether its connections stay open, as when a machine is gone.
+        """
         self.alive = False
         self.life += 1
         for connection in list(self.connections.values()):
@@ -62,23 +90,36 @@
         self.peers = {}
 
     def lose_disk(self):
-        """What it saved is gone."""
+        """Loses what was saved."""
         self.lost_disks.append(self.disk)
         self.disk = None
 
     def has_saved(self, revision):
-        """Whether the write at a revision has ever been on its disk."""
+        """Whether a write has ever been on its disk.
+
+        Args:
+            revision: The write's revision.
+
+        Returns:
+            Whether it has.
+        """
         return any(disk is not None and holds(disk, revision) for disk in (self.disk, *self.lost_disks))
 
     # ---- calls
 
     def tick(self):
+        """Advances the core, if it is due."""
         now = self.engine.time
         if now >= self.core.next_at():
             self.core.advance(now)
 
     def hears_replica(self, life, data):
-        """Bytes from another replica."""
+        """Handles a message from another replica.
+
+        Args:
+            life: The incarnation that it was sent to.
+            data: bytes.
+        """
         if life == self.life:
             self.bytes_in += len(data) + FRAME_BYTES
             self.call(self._receive_replica, data)
@@ -91,11 +132,21 @@
         self.core.receive(self.engine.time, message)
 
     def accepts(self, connection):
-        """A subscriber's connection is up."""
+        """Marks a subscriber's connection as accepted.
+
+        Args:
+            connection: The Connection.
+        """
         connection.accepted = True
 
     def hears(self, connection, life, data):
-        """Bytes from a subscriber."""
+        """Handles a message from a subscriber.
+
+        Args:
+            connection: The Connection that carried it.
+            life: The incarnation that it was sent to.
+            data: bytes.
+        """
         if life == self.life:
             self.bytes_in += len(data) + FRAME_BYTES
             self.call(self._receive_subscriber, connection, data)
@@ -116,25 +167,41 @@
             self.drop(connection)
 
     def hung_up(self, connection):
-        """A subscriber closed its connection."""
+        """Handles a connection that its subscriber closed.
+
+        Args:
+            connection: The Connection.
+        """
         self.call(self.drop, connection)
 
     def drop(self, connection):
-        """Forgets a connection."""
+        """Forgets a connection.
+
+        Args:
+            connection: The Connection.
+        """
         name = connection.subscriber.name
         if self.connections.get(name) is connection:
             del self.connections[name]
             self.feed.unsubscribe(name)
 
     def put(self, key, value, request, done, expected=None):
-        """A writer's call; `done(Entry or WriteRejectedError)` when it is known."""
+        """Takes a write.
+
+        Args:
+            key: Its key.
+            value: bytes; None removes the key.
+            request: Its idempotency key.
+            done: Called with the committed Entry or a WriteRejectedError, once it is known.
+            expected: The revision that the key must have; None: any.
+        """
         self.call(self._put, key, value, request, done, expected)
 
     def _put(self, key, value, request, done, expected):
         try:
             revision = self.core.put(self.engine.time, key, value, request, expected)
-        except WriteRejectedError as refused:
-            done(refused)
+        except WriteRejectedError as error:
+            done(error)
             return
         if revision <= self.core.store.revision:  # a repeated call whose first one was committed
             done(Entry(key, revision, 0, request, value))
@@ -144,10 +211,11 @@
     # ---- what follows
 
     def settle(self):
+        """Saves the core's state, if it changed, and then does what the core asks for."""
         step = self.core.poll()
         if step.state is not None:
             self.busy = True
-            delay = self.play.chance.randint(*SAVE)
+            delay = self.play.chance.randint(*SAVE_NS)
             self.engine.at(self.engine.time + delay, self._saved, self.life, step)
         else:
             self._carry_out(step)
@@ -155,7 +223,8 @@
     def _saved(self, life, step):
         if life != self.life:
             return  # it died before the state was on disk
-        self.disk, self.busy = step.state, False
+        self.disk = step.state
+        self.busy = False
         self._carry_out(step)
         self.drain()
 
@@ -171,8 +240,8 @@
 
     def _feed(self):
         now = self.engine.time
-        out, silent = self.feed.advance(now, self.core.age(now))
-        for outgoing in out:
+        messages, silent = self.feed.advance(now, self.core.age(now))
+        for outgoing in messages:
             connection = self.connections.get(outgoing.subscriber)
             if connection is not None:
                 self.bytes_out += len(outgoing.data) + FRAME_BYTES
@@ -202,11 +271,19 @@
             self.peers[addressed.recipient] = stream
         data = encode(addressed.message)
         self.bytes_out += len(data) + FRAME_BYTES
-        while len(stream.held) >= HELD_MOST:
-            stream.held.popleft()
+        while len(stream.queued) >= MAX_QUEUED_MESSAGES:
+            stream.queued.popleft()
         stream.send(data)
 
 
 def holds(disk, revision):
-    """Whether a saved ReplicaState includes the write at a revision."""
+    """Whether a saved state includes a write.
+
+    Args:
+        disk: The ReplicaState.
+        revision: The write's revision.
+
+    Returns:
+        Whether it does.
+    """
     return disk.revision >= revision or any(entry.revision == revision for entry in disk.uncommitted)
--- a/embertray/simulation/emulator/control/writer.py
+++ b/embertray/simulation/emulator/control/writer.py
@@ -1,19 +1,33 @@
-"""A writer: puts, removes and rolls back keys, and repeats a call under its request until it is known."""
+"""A writer: puts, removes and rolls back keys, and retries a call under its idempotency key."""
 
 from dataclasses import dataclass
 
 from embertray.cluster.replication.exceptions import NotLeaderError, WriteRejectedError
+from embertray.simulation.emulator.engine import NS_PER_MS, NS_PER_SECOND
 
-MS, S = 10**6, 10**9
-ANSWER_WITHIN = 3 * S  # ns until a call is made again, elsewhere
-PAUSE = 300 * MS  # ns after a refusal
-REMOVED, ROLLED_BACK = 0.1, 0.1  # shares of the writes
-ATTEMPTS_MOST = 20
+# Time until a call without an answer is made again, elsewhere.
+ANSWER_TIMEOUT_NS = 3 * NS_PER_SECOND
+# Time until a call that was rejected is made again.
+RETRY_PAUSE_NS = 300 * NS_PER_MS
+# Parts of the writes that remove a key, and that restore its former value.
+REMOVED = 0.1
+ROLLED_BACK = 0.1
+MAX_ATTEMPTS = 20
+# Bytes of a write besides its value, at the most.
+WRITE_OVERHEAD_BYTES = 300
 
 
 @dataclass
 class Call:
-    """One write, and its attempts."""
+    """One write.
+
+    Attributes:
+        key: Its key.
+        value: bytes; None removes the key.
+        request: Its idempotency key.
+        attempts: Attempts made.
+        done: Whether its result is known, or it was given up.
+    """
 
     key: str
     value: bytes | None
@@ -23,20 +37,36 @@
 
 
 class Writer:
-    """Writes to one replica after the other until the leader takes it."""
+    """Writes to one replica after the other until the leader takes it.
+
+    Args:
+        play: The ControlPlay.
+        settings: Its Settings.
+
+    Attributes:
+        count: Writes begun.
+        acknowledged: Writes that are known to be committed.
+        given_up: Writes that were tried too often.
+        burst_bytes: The size of a write that others may wait behind.
+    """
 
     def __init__(self, play, settings):
-        self.play, self.settings, self.chance = play, settings, play.draw("writer")
-        self.count, self.acknowledged, self.given_up, self.running = 0, 0, 0, False
-        self.burst_bytes = settings.value[1] + 300  # of a write that others wait behind
+        self.play = play
+        self.settings = settings
+        self.chance = play.draw("writer")
+        self.count = 0
+        self.acknowledged = 0
+        self.given_up = 0
+        self.running = False
+        self.burst_bytes = settings.value[1] + WRITE_OVERHEAD_BYTES
 
     def start(self):
-        """Writes from now on."""
+        """Starts writing."""
         self.running = True
         self._plan()
 
     def stop(self):
-        """No further writes begin."""
+        """Stops writing; what has begun goes on."""
         self.running = False
 
     def _plan(self):
@@ -65,13 +95,17 @@
         return versions[0].value if versions else None
 
     def begin(self, call):
-        """Makes the first attempt."""
+        """Makes the first attempt of a write.
+
+        Args:
+            call: The Call.
+        """
         self._attempt(call, self.chance.choice(self.play.replica_names))
 
     def _attempt(self, call, name):
         if call.done:
             return
-        if call.attempts >= ATTEMPTS_MOST:
+        if call.attempts >= MAX_ATTEMPTS:
             self.given_up += 1
             call.done = True
             return
@@ -81,7 +115,7 @@
         replica.put(
             call.key, call.value, call.request, lambda outcome: self._known(call, attempt, name, outcome)
         )
-        self.play.engine.at(self.play.engine.time + ANSWER_WITHIN, self._overdue, call, attempt)
+        self.play.engine.at(self.play.engine.time + ANSWER_TIMEOUT_NS, self._overdue, call, attempt)
 
     def _overdue(self, call, attempt):
         if not call.done and call.attempts == attempt:
@@ -95,12 +129,13 @@
         elif call.attempts == attempt:
             elsewhere = isinstance(outcome, NotLeaderError) and outcome.leader
             target = outcome.leader if elsewhere else self.chance.choice(self.play.replica_names)
-            self.play.engine.at(self.play.engine.time + PAUSE, self._attempt, call, target)
+            self.play.engine.at(self.play.engine.time + RETRY_PAUSE_NS, self._attempt, call, target)
 
     def _acknowledge(self, call, entry):
         call.done = True
         self.acknowledged += 1
-        now, replicas = self.play.engine.time, self.play.replicas.values()
+        now = self.play.engine.time
+        replicas = self.play.replicas.values()
         durable = sum(replica.has_saved(entry.revision) for replica in replicas)
         majority = len(replicas) // 2 + 1
         self.play.claims.acknowledge(now, entry.revision, call.key, call.value, durable, majority)
