--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -148,7 +148,7 @@
         path = Path(out) / f"hunt-{seed}-{n + 1}.day"
         path.write_text(text)
         click.echo(f"{path}: {text.splitlines()[0][7:-1]}")
-        for rule, why in result.rules.items():
+        for rule, why in result.violations.items():
             if why:
                 click.echo(f"  {rule}: {why[0]}")
     click.echo(f"{tries} days, {0 if credit else len(found)} with a broken rule")
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -229,10 +229,13 @@
         spread = found["spread_ms"]
         if spread["count"]:
             click.echo(f"  changed tables: {spread['count']}, p50 {spread['p50']} ms, max {spread['max']} ms")
-        for said, wrong in ((found["rules"], result.rules), (result.claims or {}, result.wrong)):
+        for said, wrong in (
+            (found["rules"], result.violations),
+            (result.claims or {}, result.claim_violations),
+        ):
             for rule, verdict in said.items():
                 click.echo(f"  {rule:12} {verdict}" + "".join(f"\n    {text}" for text in wrong[rule][:3]))
-        for name, used in (result.used or {}).items():
+        for name, used in (result.process_usage or {}).items():
             click.echo(
                 f"  {name}: CPU {used['cpu']:.1%}, {used['rss'] / 2**20:.0f} MiB, cluster "
                 f"{used['sent']} bytes/s"
--- a/embertray/experiments/lab/hunt.py
+++ b/embertray/experiments/lab/hunt.py
@@ -95,7 +95,7 @@
     gone on with, or spread over processes."""
     lines = draw(sites[n % len(sites)], np.random.default_rng([seed, n]))
     result = play(lines, n + 1, core, way)
-    return n, lines, sorted(rule for rule, why in result.rules.items() if why), result.credit
+    return n, lines, sorted(rule for rule, why in result.violations.items() if why), result.credit
 
 
 def hunt(sites, tries, seed=1, rules=True, core=None, on_progress=lambda *_: None, way="emulated", jobs=1):
@@ -120,7 +120,7 @@
     for n, lines, names, _ in done:
         if names:
             lines = shrink(
-                lines, n + 1, lambda r, names=names: any(r.rules[name] for name in names), core, way
+                lines, n + 1, lambda r, names=names: any(r.violations[name] for name in names), core, way
             )
             found.append((text(lines, n + 1, f"breaks {', '.join(names)}"), play(lines, n + 1, core, way)))
     return found
--- a/embertray/experiments/lab/one.py
+++ b/embertray/experiments/lab/one.py
@@ -30,7 +30,10 @@
     told = experiment.read(job["text"])
     run = next(run for run in told.runs() if run.key == job["key"])
     result = play(told, run)
-    json.dump({**result.as_json(), "took": result.took.encode().decode(), "line": result.line}, sys.stdout)
+    json.dump(
+        {**result.as_json(), "took": result.latencies.encode().decode(), "line": result.credit_by_second},
+        sys.stdout,
+    )
 
 
 if __name__ == "__main__":
--- a/embertray/experiments/measure/emulated.py
+++ b/embertray/experiments/measure/emulated.py
@@ -42,7 +42,7 @@
         "events": engine.done,
         "wall": wall,
         "virtual": (engine.time - stages[0].zero) / S,
-        "reqs": result.reqs,
+        "reqs": result.requests,
         "credit": result.credit,
         "steps": steps,
         "MiB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -11,9 +11,9 @@
 from embertray.service.site.site import time as span
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.models.client import Clients
-from embertray.simulation.scenarios.ground import SETTLE, START_AFTER, Ground
 from embertray.simulation.scenarios.notation import BadDay
 from embertray.simulation.scenarios.observer import Observer
+from embertray.simulation.scenarios.setup import SETTLE, START_AFTER, ScenarioSetup
 from embertray.simulation.scenarios.troubles import Trouble
 
 from .backend import SimulatedBackend
@@ -34,7 +34,7 @@
         pass
 
 
-class DaySimulation(Ground):
+class DaySimulation(ScenarioSetup):
     """All that a day has on it. `watched`: whether events are kept, for the rules' judgement."""
 
     proxy = SimulatedProxy
@@ -144,6 +144,6 @@
         while engine.time < end + patience + SETTLE:
             engine.run(min(engine.time + S, end + patience + SETTLE))
             if progress:
-                progress((engine.time - self.zero) / S, (end - self.zero) / S, len(self.eyes.reqs))
+                progress((engine.time - self.zero) / S, (end - self.zero) / S, len(self.eyes.outcomes))
         self.eyes.end(engine.time)
         return self
--- a/embertray/simulation/emulator/fluid.py
+++ b/embertray/simulation/emulator/fluid.py
@@ -12,7 +12,7 @@
 import numpy as np
 
 from embertray.controller.stream.messages import ArrivalTotals, BackendTotals, LoadReport
-from embertray.simulation.scenarios.ground import LONGEST, histogram
+from embertray.simulation.scenarios.outcome_summary import LONGEST, histogram
 from embertray.simulation.standins.messages import Req
 
 from .day_simulation import DaySimulation
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -28,16 +28,16 @@
 from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
 
 from . import controllers
-from .ground import SETTLE, START_AFTER, Ground
 from .notation import BadDay
 from .observer import Observer
 from .result import judge
+from .setup import SETTLE, START_AFTER, ScenarioSetup
 from .troubles import Trouble
 
 S = 10**9
 
 
-class Stage(Ground):
+class Stage(ScenarioSetup):
     """All that a day has on it, on sockets or streams in memory. Troubles (troubles.py) act on this and on
     nothing else.
     """
@@ -137,7 +137,7 @@
     async def show(self, end):
         while True:
             now = self.clock.now()
-            self.progress((now - self.zero) / S, (end - self.zero) / S, len(self.eyes.reqs))
+            self.progress((now - self.zero) / S, (end - self.zero) / S, len(self.eyes.outcomes))
             await self.clock.sleep_until(now + S)
 
     async def admin(self, name, method, target):
--- a/embertray/simulation/scenarios/result.py
+++ b/embertray/simulation/scenarios/result.py
@@ -1,106 +1,162 @@
-"""What a day gave, judged by what the sockets carried, and by what the processes of a cluster said of each
-other.
+"""What a day gave.
+
+It is judged by what the sockets carried, and by what the processes of a cluster said of each other.
 """
 
 from dataclasses import dataclass
 
 from .rules import RULES, RuleChecker
 
+PERCENTILES = (50, 90, 99, 99.9)
+
 
 @dataclass
 class Result:
-    """What a day gave. `rules`: rule -> what broke it (empty: kept); `spread`: ns from the inventory's news
-    of a drain or an end to each proxy's changed table."""
+    """What a day gave.
+
+    Attributes:
+        day: the day's name.
+        mode: how it was played: virtual, sockets, processes, emulated or flows.
+        seed: what it was drawn from.
+        violations: rule -> what broke it; empty if the rule was kept.
+        credit: credit earned, of credit asked.
+        credit_by_kind: the same for each request kind, by its external identifier.
+        requests: how many requests came.
+        spread: ns from the inventory's notice of a drain or an end to each proxy's changed table.
+        wall_s: how long the play took, s of the wall clock.
+        events: the Observer's events.
+        latencies: HdrHistogram of what done and late requests took, us.
+        credit_by_second: credit earned of credit asked, by second; None where none came.
+        claims: claim -> kept, broken or not met; None without processes that form a cluster.
+        claim_violations: claim -> what broke it; None as above.
+        process_usage: process -> what it used; None without processes.
+        worst_age: greatest age of what members knew of each other, of its bound.
+    """
 
     day: str
     mode: str
     seed: int
-    rules: dict
+    violations: dict
     credit: float
-    by_kind: dict
-    reqs: int
+    credit_by_kind: dict
+    requests: int
     spread: list
-    wall: float
+    wall_s: float
     events: list
-    took: object  # HdrHistogram, us of done and late requests
-    line: list  # credit earned of credit asked, by second
-    claims: dict | None = (
-        None  # with processes that form a cluster: days.claims by name, kept, broken or not met
-    )
-    wrong: dict | None = None  # what broke them
-    used: dict | None = None  # with processes: what each one used (rig/watch.py)
-    age: float = 0.0  # greatest age of what members told, of its bound
+    latencies: object
+    credit_by_second: list
+    claims: dict | None = None
+    claim_violations: dict | None = None
+    process_usage: dict | None = None
+    worst_age: float = 0.0
 
     @property
     def kept(self):
-        return not any(self.rules.values()) and "broken" not in (self.claims or {}).values()
+        """Whether every rule and every claim was kept."""
+        return not any(self.violations.values()) and "broken" not in (self.claims or {}).values()
 
     def verdicts(self):
-        return {name: "broken" if self.rules[name] else "kept" for name in RULES}
+        """Rule -> kept or broken."""
+        return {name: "broken" if self.violations[name] else "kept" for name in RULES}
 
     def as_json(self):
-        ranked = sorted(self.spread)
-
-        def at(part):
-            return round(ranked[min(len(ranked) - 1, int(part * len(ranked)))] / 1e6, 1) if ranked else None
-
-        return {
+        """The result as `--json` prints it; other programs read its keys."""
+        found = {
             "day": self.day,
             "mode": self.mode,
             "seed": self.seed,
             "rules": self.verdicts(),
-            "broken": {k: v for k, v in self.rules.items() if v},
+            "broken": {rule: texts for rule, texts in self.violations.items() if texts},
             "credit": round(self.credit, 4),
-            "credit_by_kind": {k: round(v, 4) for k, v in self.by_kind.items()},
-            "reqs": self.reqs,
-            "spread_ms": {"count": len(ranked), "p50": at(0.5), "p99": at(0.99), "max": at(1.0)},
+            "credit_by_kind": {kind: round(credit, 4) for kind, credit in self.credit_by_kind.items()},
+            "reqs": self.requests,
+            "spread_ms": self._spread_ms(),
             "took_ms": {
-                f"p{part:g}": self.took.get_value_at_percentile(part) / 1000 for part in (50, 90, 99, 99.9)
+                f"p{percent:g}": self.latencies.get_value_at_percentile(percent) / 1000
+                for percent in PERCENTILES
             },
-            "wall_s": round(self.wall, 2),
-            **(
-                {
-                    "claims": self.claims,
-                    "broken_claims": {k: v for k, v in self.wrong.items() if v},
-                    "age_of_bound": round(self.age, 3),
-                }
-                if self.claims
-                else {}
-            ),
-            **({"used": self.used} if self.used else {}),
+            "wall_s": round(self.wall_s, 2),
         }
+        if self.claims:
+            found["claims"] = self.claims
+            found["broken_claims"] = {claim: texts for claim, texts in self.claim_violations.items() if texts}
+            found["age_of_bound"] = round(self.worst_age, 3)
+        if self.process_usage:
+            found["used"] = self.process_usage
+        return found
 
+    def _spread_ms(self):
+        """Count and ranks of the spread, ms; None for the ranks of an empty one."""
+        ranked = sorted(self.spread)
 
-def judge(stage, mode, seed, wall):
-    site, eyes = stage.site, stage.eyes
-    standing = {proxy.name: proxy.first for proxy in stage.proxies}
-    checker = RuleChecker(site, standing, eyes.events, stage.models)
-    rules = checker.check()
-    asked, got, by, reqs = 0.0, 0.0, {}, 0
-    for kind, (came, done, late, _) in stage.outcomes().items():
-        if came:
-            earned = kind.credit * (done + late * site.late_credit[kind])
-            by[kind.external_id] = earned / (kind.credit * came)
-            asked, got, reqs = asked + kind.credit * came, got + earned, reqs + round(came)
+        def rank(part):
+            if not ranked:
+                return None
+            return round(ranked[min(len(ranked) - 1, int(part * len(ranked)))] / 1e6, 1)
+
+        return {"count": len(ranked), "p50": rank(0.5), "p99": rank(0.99), "max": rank(1.0)}
+
+
+def judge(stage, mode, seed, wall_s):
+    """Judges a day that was played.
+
+    Args:
+        stage: the Stage or DaySimulation on which it was played.
+        mode: how it was played, as in Result.
+        seed: what it was drawn from.
+        wall_s: how long the play took, s of the wall clock.
+
+    Returns:
+        Its Result.
+    """
+    standing_tables = {proxy.name: proxy.first for proxy in stage.proxies}
+    checker = RuleChecker(stage.site, standing_tables, stage.eyes.events, stage.models)
+    violations = checker.check()
+    credit, credit_by_kind, requests = earned_credit(stage)
     return Result(
-        stage.day.name,
-        mode,
-        seed,
-        rules,
-        got / asked if asked else 0.0,
-        dict(sorted(by.items())),
-        reqs,
-        checker.spread,
-        wall,
-        eyes.events,
-        stage.took(),
-        stage.line(),
-        *of_cluster(stage.held),
+        day=stage.day.name,
+        mode=mode,
+        seed=seed,
+        violations=violations,
+        credit=credit,
+        credit_by_kind=credit_by_kind,
+        requests=requests,
+        spread=checker.spread,
+        wall_s=wall_s,
+        events=stage.eyes.events,
+        latencies=stage.took(),
+        credit_by_second=stage.line(),
+        **cluster_fields(stage.held),
     )
 
 
-def of_cluster(held):
-    """The last fields of a Result, where the controllers were processes."""
-    claims = getattr(held, "claims", None)
-    claimed = (claims.verdicts(), claims.broken) if claims else (None, None)
-    return *claimed, getattr(held, "used", None), claims.worst if claims else 0.0
+def earned_credit(stage):
+    """Sums up what the requests of a day earned.
+
+    Returns:
+        (credit earned of credit asked, the same by kind's external identifier, number of requests)
+    """
+    asked = 0.0
+    earned = 0.0
+    by_kind = {}
+    requests = 0
+    for kind, (came, done, late, _) in stage.outcomes().items():
+        if not came:
+            continue
+        earned_by_kind = kind.credit * (done + late * stage.site.late_credit[kind])
+        by_kind[kind.external_id] = earned_by_kind / (kind.credit * came)
+        asked += kind.credit * came
+        earned += earned_by_kind
+        requests += round(came)
+    return earned / asked if asked else 0.0, dict(sorted(by_kind.items())), requests
+
+
+def cluster_fields(controllers):
+    """The fields of a Result that only controllers in processes of their own fill."""
+    claims = getattr(controllers, "claims", None)
+    fields = {"process_usage": getattr(controllers, "used", None)}
+    if claims:
+        fields["claims"] = claims.verdicts()
+        fields["claim_violations"] = claims.broken
+        fields["worst_age"] = claims.worst
+    return fields
--- /dev/null
+++ b/embertray/simulation/scenarios/setup.py
@@ -0,0 +1,214 @@
+"""What a day says of its fleet, its load and who is struck, however it is played.
+
+Each purpose draws from a generator of its own, so that a change to one leaves the draws of the others as
+they were.
+"""
+
+from dataclasses import replace
+from pathlib import Path
+
+from embertray.service.site import load as load_site
+from embertray.service.site.site import HERE as SITES, time as span
+from embertray.simulation.models.backend import Shape
+from embertray.simulation.models.chance import Streams
+from embertray.simulation.models.load import Bursts, Poisson, Varying, flash, wave
+
+from .notation import BadDay
+from .outcome_summary import OutcomeSummary
+
+SECOND_NS = 10**9
+SETTLE = 4 * SECOND_NS  # ns after the last request that a day goes on: rules still count there
+START_AFTER = SECOND_NS // 5  # ns between the controllers' start and the proxies'
+LEAST_NEAR_BACKENDS = 3  # in a proxy's zone; with fewer its standing table is drawn from all zones
+
+
+class ScenarioSetup(OutcomeSummary):
+    """The site, the fleet and the load of a day; the base of each way to play it.
+
+    Attributes:
+        site: the day's site, with its facts and its controllers.
+        sample: the site's file.
+        backends: the stand-ins or simulated backends, in order of their numbers.
+        proxies: the same of proxies.
+        models: backend -> its model.
+        count: how many proxies there are.
+        zero: when the proxies come, ns.
+        factors: proxy number -> what faults multiply its load by.
+        shifted: zone -> what faults multiply the load of its proxies by.
+
+    Args:
+        day: the Day to play.
+        seed: what everything is drawn from.
+    """
+
+    def __init__(self, day, seed):
+        self.day = day
+        self.chance = Streams(seed)
+        self.sample = Path(day.site)
+        if not self.sample.suffix:
+            self.sample = SITES / "samples" / f"{day.site}.xml"
+        self.site = with_controllers(
+            with_facts(load_site(self.sample), day.facts), int(day.fleet["controllers"])
+        )
+        self.backends = []
+        self.proxies = []
+        self.models = {}
+        self.zero = 0
+        self.factors = {}
+        self.shifted = {}
+        self.count = int(day.fleet["proxies"])
+
+    def machines(self):
+        """Yields (number, zone, speed) of each backend that is there from the start."""
+        draw = self.chance.of("machines")
+        low, _, high = self.day.fleet["speed"].partition("..")
+        zones = self.site.zones
+        for n in range(int(self.day.fleet["backends"])):
+            yield n, zones[n % len(zones)], float(low) + (float(high or low) - float(low)) * draw.random()
+
+    def shape(self, speed):
+        """The Shape of a backend of that speed (1.0: as fast as the kinds' work was measured)."""
+        fleet = self.day.fleet
+        return Shape(
+            int(fleet["cores"]),
+            speed,
+            int(fleet["queue"]),
+            int(fleet["cap"]),
+            self.site.cold_from,
+            self.site.warm_after,
+            sharing=fleet["sharing"] == "yes",
+            thrash=float(fleet["thrash"]),
+        )
+
+    def shares(self):
+        """Each proxy's share of the requests."""
+        skew = float(self.day.load["skew"])
+        draw = self.chance.of("shares")
+        shares = [(1 + skew * (2 * draw.random() - 1)) for _ in range(self.count)]
+        total = sum(shares)
+        return [share / total for share in shares]
+
+    def mix(self):
+        """[(RequestKind, share of the requests, mean work in ns)]."""
+        works = self.by_kind(self.day.load["work"], lambda kind: kind.response_target // 10, span)
+        weights = self.by_kind(self.day.load["share"], lambda kind: 1.0, read_percent)
+        total = sum(weights.values())
+        return [(kind, weights[kind] / total, works[kind]) for kind in self.site.kinds]
+
+    def by_kind(self, text, default, read):
+        """A value for each request kind.
+
+        Args:
+            text: values by a kind's external identifier, as 'view:80ms,post:50ms'.
+            default: gives the value of a kind that the text does not name.
+            read: reads a value of the text.
+        """
+        given = dict(part.split(":") for part in text.split(",") if part)
+        return {
+            kind: read(given[kind.external_id]) if kind.external_id in given else default(kind)
+            for kind in self.site.kinds
+        }
+
+    def standing(self, rng, zone, models):
+        """The names in the table of a proxy of that zone before any controller has spoken."""
+        near = [model.name for model in models if model.zone == zone] or [model.name for model in models]
+        enough = len(near) >= min(LEAST_NEAR_BACKENDS, self.site.standing)
+        pool = near if enough else [model.name for model in models]
+        return [str(name) for name in rng.permutation(pool)[: self.site.standing]]
+
+    def way(self, n):
+        """Draws the delay from proxy n's socket to an order's effect.
+
+        Returns:
+            A function that gives ns: about the site's mean, never past its most.
+        """
+        rng = self.chance.of("way", n)
+        site = self.site
+        return lambda: min(site.way_most, int(site.way_mean * (0.5 + rng.random())))
+
+    def rate(self, n, usual):
+        """The rate of proxy n's clients by time.
+
+        Args:
+            n: the proxy's number, from 0.
+            usual: its rate when nothing changes it, requests a second.
+
+        Returns:
+            A function of the time in ns that gives requests a second.
+        """
+        ramp = span(self.day.load["ramp"])
+        profile = self.profile(n)
+
+        def rate_at(now):
+            part = min(1.0, (now - self.zero) / ramp) if ramp else 1.0
+            if profile:
+                part *= profile(now)
+            return usual * part * self.factors.get(n, 1.0) * self.shifted.get(self.proxies[n].zone, 1.0)
+
+        return rate_at
+
+    def profile(self, n):
+        """How proxy n's load changes by itself: a factor by time in ns, or None. Raises BadDay."""
+        load = self.day.load
+        name = load["source"]
+        times = float(load["times"])
+        period = span(load["period"])
+        if name == "poisson":
+            return None
+        if name == "wave":
+            return wave((times - 1) / (times + 1), period, self.zero)
+        if name == "flash":
+            return flash(times, self.zero + span(load["at"]), period // 10, period, period // 4)
+        if name == "bursty":
+            return Bursts(times, period * 4 // 5, period // 5, self.chance.of("bursts", n), self.zero)
+        raise BadDay(f"load has no source '{name}'; there are poisson, wave, flash, bursty")
+
+    def source(self, n, usual):
+        """The arrivals of proxy n's clients, `usual` requests a second when nothing changes them."""
+        arrivals = Poisson if self.day.load["source"] == "poisson" else Varying
+        return arrivals(self.rate(n, usual))
+
+    def strike(self, targets, things):
+        """The things that a fault's targets name.
+
+        Args:
+            targets: names, as b2 for the second, and shares as floats: of an order that is drawn, the first.
+            things: all of the kind that is struck, in order of their numbers.
+        """
+        found = []
+        for target in targets:
+            if isinstance(target, float):
+                order = self.chance.of("strike", len(things)).permutation(len(things))
+                found += [things[k] for k in order[: max(1, round(target * len(things)))]]
+            else:
+                found.append(things[int(target[1:]) - 1])
+        return found
+
+
+def with_facts(site, facts):
+    """The site with a day's own values, each read as the type of the site's.
+
+    Args:
+        site: the site as its file has it.
+        facts: field -> text.
+    """
+    changes = {}
+    for name, text in facts.items():
+        value = getattr(site, name)
+        changes[name] = text if isinstance(value, str) else type(value)(float(text))
+    return site.at(**changes)
+
+
+def with_controllers(site, wanted):
+    """The site with `wanted` controllers at least; those past its own are like them, zone by zone."""
+    own = site.controllers
+    more = [
+        replace(own[n % len(own)], name=f"c{n + 1}", zone=site.zones[n % len(site.zones)])
+        for n in range(len(own), wanted)
+    ]
+    return site.at(controllers=(*own, *more))
+
+
+def read_percent(text):
+    """A share as a float: 0.3 of '30%'."""
+    return float(text.rstrip("%")) / 100
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -112,15 +112,15 @@
     def test_true_processes_and_virtual_time_give_the_same_verdicts(self):
         day = notation.load("wounds")
         result = player.play(day, mode="processes")
-        self.assertEqual({k: v for k, v in {**result.rules, **result.wrong}.items() if v}, {})
+        self.assertEqual({k: v for k, v in {**result.violations, **result.claim_violations}.items() if v}, {})
         emulated = ClusterSimulation(day).play().claims.verdicts()
         self.assertEqual(
             {k: v for k, v in result.claims.items() if "not met" not in (v, emulated[k])},
             {k: v for k, v in emulated.items() if "not met" not in (v, result.claims[k])},
         )
         self.assertGreater(result.credit, 0.9)
-        self.assertLessEqual(result.age, 1.0)
-        self.assertEqual(set(result.used), {"c1", "c2", "c3"})
+        self.assertLessEqual(result.worst_age, 1.0)
+        self.assertEqual(set(result.process_usage), {"c1", "c2", "c3"})
 
     def test_links_are_for_processes_only(self):
         with self.assertRaisesRegex(notation.BadDay, "play it with --processes"):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -26,7 +26,7 @@
 
 def verdict(name):
     result = player.play(notation.load(name), seed=2)
-    return name, result.rules, result.credit, result.reqs
+    return name, result.violations, result.credit, result.requests
 
 
 def day(text):
@@ -80,7 +80,7 @@
             "at 8s garbage c1\nat 9s half-message p1\nat 9s twice p2"
         )
         result = player.play(rough, mode="sockets")
-        self.assertEqual({k: v for k, v in result.rules.items() if v}, {})
+        self.assertEqual({k: v for k, v in result.violations.items() if v}, {})
         self.assertGreater(result.credit, 0.8)
         self.assertGreater(len(result.spread), 5)
 
@@ -91,8 +91,8 @@
     def broken(self, text, core):
         told = day(text)
         honest, spoilt = player.play(told), player.play(told, core=core)
-        self.assertEqual({k: v for k, v in honest.rules.items() if v}, {})
-        return {rule for rule, why in spoilt.rules.items() if why}
+        self.assertEqual({k: v for k, v in honest.violations.items() if v}, {})
+        return {rule for rule, why in spoilt.violations.items() if why}
 
     def test_lost(self):
         self.assertIn(
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -215,7 +215,7 @@
     def test_a_spike_raises_and_lowers_the_level_and_breaks_no_rule(self):
         stages = []
         result = play(notation.read(SPIKE, "spike.day"), 4, on_stage=stages.append)
-        self.assertFalse([why for why in result.rules.values() if why])
+        self.assertFalse([why for why in result.violations.values() if why])
         names = [change.new for _, _, change in stages[0].ladder]
         self.assertTrue({"essential", "survival"} & set(names), names)
         self.assertEqual(names[-1], "normal")
@@ -238,14 +238,14 @@
                 self.reduced.pin("survival")
 
         free, pinned = (play(day, 2, core=core) for core in (Instance, Pinned))
-        self.assertFalse([why for why in pinned.rules.values() if why])
+        self.assertFalse([why for why in pinned.violations.values() if why])
         cost = [sum(e.rest[0].cost for e in result.events if e.what == "orders") for result in (free, pinned)]
         self.assertEqual(*cost)
         self.assertEqual(free.credit, pinned.credit)
 
     def test_rejected_clients_get_a_retry_after_over_streams(self):
         result = player.play(notation.read(SPIKE.replace("110s", "20s"), "spike.day"), seed=3)
-        self.assertFalse([why for why in result.rules.values() if why])
+        self.assertFalse([why for why in result.violations.values() if why])
         self.assertTrue(any(do.wait for do in self.seen(result)))
 
     def test_operators_see_and_pin_it(self):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -43,7 +43,7 @@
 
 
 def broken(result):
-    return {rule: why for rule, why in result.rules.items() if why}
+    return {rule: why for rule, why in result.violations.items() if why}
 
 
 def day(text):
@@ -82,7 +82,7 @@
         for text in (plain, plain + "at 5s reconnect p2\n"):
             play(day(text), 7, on_stage=stages.append)
         first, second = (
-            {at: kind.external_id for at, kind, _, _ in stage.eyes.reqs if at < stage.zero + 4 * S}
+            {at: kind.external_id for at, kind, _, _ in stage.eyes.outcomes if at < stage.zero + 4 * S}
             for stage in stages
         )
         self.assertGreater(len(first), 100)
@@ -111,7 +111,9 @@
         text = "site pushed\nfleet backends=6 proxies=6 cross={}\nload 30/s for 10s\n"
         for policy, least in (("even", 35_000), ("module", 0)):  # two of three backends are in another zone
             near, far = (
-                play(day(text.format(way)), 4, core=policies.core(policy)).took.get_value_at_percentile(50)
+                play(day(text.format(way)), 4, core=policies.core(policy)).latencies.get_value_at_percentile(
+                    50
+                )
                 for way in ("0ms", "40ms")
             )
             self.assertGreater(far, near + least)
@@ -129,7 +131,7 @@
             "at=6s period=4s\n"
         )
         for fidelity in ("reqs", "flows"):
-            line = play(day(text), 1, fidelity).line
+            line = play(day(text), 1, fidelity).credit_by_second
             self.assertGreater(min(x for x in line[1:5] if x is not None), 0.97)
             self.assertLess(min(line[6:11]), 0.9)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -259,7 +259,7 @@
             "at 6s deploy 50% batch=5 drain=5s\nat 14s reconnect 30%\nat 16s add times 6"
         )
         result = player.play(day, core=Tight)
-        self.assertEqual({rule: why for rule, why in result.rules.items() if why}, {})
+        self.assertEqual({rule: why for rule, why in result.violations.items() if why}, {})
         self.assertGreater(result.credit, 0.8)
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -447,7 +447,7 @@
 
         day = notation.load("old-list-behind-tables")
         ours, fully = player.play(day), player.play(day, trust=Fully)
-        self.assertEqual({k: v for k, v in ours.rules.items() if v}, {})
+        self.assertEqual({k: v for k, v in ours.violations.items() if v}, {})
         self.assertGreater(ours.credit, fully.credit + 0.02)
 
 
