--- a/embertray/experiments/lab/experiment.py
+++ b/embertray/experiments/lab/experiment.py
@@ -45,7 +45,7 @@
     way: str = "virtual"  # how days are played: virtual | emulated | flows
 
     def runs(self):
-        """All runs; the same seed in every arm, so that arms meet the same requests and troubles."""
+        """All runs; the same seed in every arm, so that arms meet the same requests and faults."""
         for levels in itertools.product(
             *(tuple((name, level) for level in found) for name, found in self.factors)
         ):
--- a/embertray/experiments/lab/hunt.py
+++ b/embertray/experiments/lab/hunt.py
@@ -10,7 +10,7 @@
 from embertray.simulation.emulator.play import play as play_emulated
 from embertray.simulation.scenarios import notation, player
 
-# trouble -> how a line of it may be drawn
+# fault -> how a line of it may be drawn
 SHAPES = {
     "crash": "{b} for {s}s",
     "vanish": "{b} for {s}s",
@@ -39,7 +39,7 @@
 
 
 def draw(site, rng):
-    """A day's text: fleet, load, one to four troubles."""
+    """A day's text: fleet, load, one to four faults."""
     backends, proxies = int(rng.integers(4, 11)), int(rng.integers(2, 11))
     lines = [
         f"site {site}",
@@ -77,17 +77,17 @@
 
 
 def shrink(lines, seed, still, core=None, way="emulated"):
-    """Takes out one trouble after the other for as long as `still(result)` holds."""
-    head, troubles = lines[:3], lines[3:]
+    """Takes out one fault after the other for as long as `still(result)` holds."""
+    head, faults = lines[:3], lines[3:]
     again = True
     while again:
         again = False
-        for n in range(len(troubles)):
-            fewer = head + troubles[:n] + troubles[n + 1 :]
+        for n in range(len(faults)):
+            fewer = head + faults[:n] + faults[n + 1 :]
             if still(play(fewer, seed, core, way)):
-                troubles, again = troubles[:n] + troubles[n + 1 :], True
+                faults, again = faults[:n] + faults[n + 1 :], True
                 break
-    return head + troubles
+    return head + faults
 
 
 def attempt(sites, seed, core, way, n):
--- a/embertray/experiments/lab/report.py
+++ b/embertray/experiments/lab/report.py
@@ -200,7 +200,7 @@
 
 
 def lines_chart(experiment, results, path):
-    """Credit by second, a line an arm (mean over seeds), one panel a cell, with the day's troubles shaded;
+    """Credit by second, a line an arm (mean over seeds), one panel a cell, with the day's faults shaded;
     False if no row has one.
     """
     import matplotlib
@@ -217,9 +217,9 @@
         day = experiment.day_of(
             replace(first, levels=tuple((n, dict(levels)[n]) for n, _ in experiment.factors))
         )
-        for trouble in day.troubles:
-            axis.axvspan(trouble.at / 1e9, (trouble.at + trouble.lasts) / 1e9, color="grey", alpha=0.15)
-            axis.text(trouble.at / 1e9, 0.02, trouble.name, fontsize=6, rotation=90)
+        for fault in day.faults:
+            axis.axvspan(fault.at / 1e9, (fault.at + fault.lasts) / 1e9, color="grey", alpha=0.15)
+            axis.text(fault.at / 1e9, 0.02, fault.name, fontsize=6, rotation=90)
         for arm, *_ in experiment.arms:
             rows = [row["line"] for row in by_arm[arm]]
             if rows:
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -14,7 +14,7 @@
 from embertray.simulation.claims.cluster import ClusterClaims
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.models.web import Web
-from embertray.simulation.scenarios.troubles import Trouble
+from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.words import LINKS
 
 from .collector import rare_collections
@@ -74,7 +74,7 @@
             [],
         )
         self.claims = ClusterClaims(self.links, period, EXCHANGE_TIMEOUT_NS, 50 * MS)
-        # what troubles ask of a stage, its clock and what it holds
+        # what faults ask of a stage, its clock and what it holds
         self.clock, self.held, self.eyes, self.zero = self.engine, self, self, self.engine.time + S
 
     def note(self, *_):
@@ -84,7 +84,7 @@
         order = self.chance.of("strike", len(things)).permutation(len(things))
         return [things[k] for t in targets for k in order[: max(1, round(t * len(things)))]]
 
-    # ---- what troubles do to members
+    # ---- what faults do to members
 
     async def up(self, name, still=0):
         if name not in self.exchangers:
@@ -145,9 +145,9 @@
     def play(self):
         self.engine.start(self.all_up(self.links.members))
         self.engine.at(self.zero, self.look)
-        for told in self.day.troubles:
+        for told in self.day.faults:
             if told.name in WORDS:
-                self.engine.start(Trouble(self, told).run())
+                self.engine.start(Fault(self, told).run())
         with rare_collections():
             self.engine.run(self.zero + self.day.lasts + SETTLE)
         return self
--- a/embertray/simulation/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -8,7 +8,7 @@
 
 
 class SimulatedControllers(Starts):
-    """All controllers by name: what troubles kill, freeze and start again."""
+    """All controllers by name: what faults kill, freeze and start again."""
 
     def __init__(self, simulation):
         self.simulation, self.at, self.running, self.lives, self.kept = simulation, {}, {}, {}, {}
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -1,7 +1,7 @@
 """A day without streams: the daemon's desk and core, proxies, clients and backends as models round one event
 heap.
 
-The same day's text, the same troubles, the same models as on sockets; a message is a planned call, not bytes.
+The same day's text, the same faults, the same models as on sockets; a message is a planned call, not bytes.
 What needs true streams (half a message, strangers' noise) is refused. Controllers are core.Desk, with
 `policy/` inside.
 """
@@ -11,10 +11,10 @@
 from embertray.service.site.site import time as span
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.models.client import Clients
+from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.notation import BadDay
 from embertray.simulation.scenarios.observer import Observer
 from embertray.simulation.scenarios.setup import SETTLE, START_AFTER, ScenarioSetup
-from embertray.simulation.scenarios.troubles import Trouble
 
 from .backend import SimulatedBackend
 from .clients import SimulatedClients
@@ -40,10 +40,10 @@
     proxy = SimulatedProxy
 
     def __init__(self, day, seed, core=None, trust=None, watched=True):
-        for trouble in day.troubles:
-            if trouble.name in STREAMS_ONLY:
+        for fault in day.faults:
+            if fault.name in STREAMS_ONLY:
                 raise BadDay(
-                    f"{day.name}:{trouble.line}: '{trouble.name}' needs true streams: play it on "
+                    f"{day.name}:{fault.line}: '{fault.name}' needs true streams: play it on "
                     "sockets or in memory"
                 )
         if day.linked:
@@ -79,7 +79,7 @@
         return backend
 
     async def admin(self, name, method, target):
-        """The one request that troubles make of a controller: the channel's pace."""
+        """The one request that faults make of a controller: the channel's pace."""
         con = self.held.running.get(name)
         if con is None:
             raise ConnectionRefusedError(name)
@@ -114,8 +114,8 @@
         self.prepare(shares)
         await engine.sleep_until(self.zero + spread)
         self.load(shares, self.zero + day.lasts)
-        for trouble in day.troubles:
-            engine.start(Trouble(self, trouble).run())
+        for fault in day.faults:
+            engine.start(Fault(self, fault).run())
 
     def prepare(self, shares):
         """The proxies are there, none has dialled yet."""
--- a/embertray/simulation/emulator/engine.py
+++ b/embertray/simulation/emulator/engine.py
@@ -1,7 +1,7 @@
 """A lean event loop: a heap of times, first planned first done; time-outs of equal spans wait in line,
 outside the heap.
 
-Processes are coroutines that await `sleep_until`: the days' troubles run in it as they run in an event loop.
+Processes are coroutines that await `sleep_until`: the days' faults run in it as they run in an event loop.
 """
 
 import heapq
--- a/embertray/simulation/models/chance.py
+++ b/embertray/simulation/models/chance.py
@@ -1,4 +1,4 @@
-"""Random numbers: one seeded generator a purpose, so that changing one trouble does not redraw the others."""
+"""Random numbers: one seeded generator a purpose, so that changing one fault does not redraw the others."""
 
 import zlib
 
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -66,7 +66,7 @@
         return other.cluster
 
     async def up(self, name, still=0):
-        """Starts it, unless another trouble has done so already; `still`: ns that it stands still first."""
+        """Starts it, unless another fault has done so already; `still`: ns that it stands still first."""
         if name in self.running:
             return
         self.running[name] = program = Program(
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -33,7 +33,7 @@
             await self.up(me.name)
 
     async def up(self, name):
-        """Starts it, unless another trouble has done so already."""
+        """Starts it, unless another fault has done so already."""
         if name in self.running:
             return
         gate, life = Gate(), self.lives.get(name, 0)
--- a/embertray/simulation/scenarios/troubles/__init__.py
+++ b/embertray/simulation/scenarios/faults/__init__.py
@@ -7,7 +7,7 @@
 from .proxies import Proxies
 
 
-class Trouble(Backends, Proxies, Controllers, Lists, Links):
+class Fault(Backends, Proxies, Controllers, Lists, Links):
     """One line of a day, by its word. `stage` is a player.Stage or the emulator's, `told` a
-    notation.Trouble.
+    notation.FaultSpec.
     """
--- a/embertray/simulation/scenarios/troubles/base.py
+++ b/embertray/simulation/scenarios/faults/base.py
@@ -1,4 +1,4 @@
-"""What every kind of trouble has: the stage, its line of the day, times and who is struck."""
+"""What every kind of fault has: the stage, its line of the day, times and who is struck."""
 
 from embertray.service.site.site import time as span
 
--- a/embertray/simulation/scenarios/troubles/links.py
+++ b/embertray/simulation/scenarios/faults/links.py
@@ -9,7 +9,7 @@
 
 
 class Links(Struck):
-    """`stage.held.links` is a rig's Web. Two troubles on one link at once: the later one's values hold, its
+    """`stage.held.links` is a rig's Web. Two faults on one link at once: the later one's values hold, its
     end is the end of both.
     """
 
--- a/embertray/simulation/scenarios/notation.py
+++ b/embertray/simulation/scenarios/notation.py
@@ -12,7 +12,7 @@
 
 from embertray.service.site.site import time
 
-from .words import FLEET, LINKS, LOAD, TROUBLES, ends, kind_of
+from .words import FAULTS, FLEET, LINKS, LOAD, ends, kind_of
 
 HERE = Path(__file__).resolve().parent
 S = 10**9
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Trouble:
+class FaultSpec:
     """`targets`: names (b1, p2, c1), links (c1>c2, c1<>list), or shares of all as floats."""
 
     at: int
@@ -46,13 +46,13 @@
     rate: float = 50.0
     lasts: int = 20 * S
     load: dict = field(default_factory=dict)
-    troubles: list = field(default_factory=list)
+    faults: list = field(default_factory=list)
     expect: dict = field(default_factory=dict)
 
     @property
     def linked(self):
-        """The first trouble that strikes links between processes, or None."""
-        return next((trouble for trouble in self.troubles if trouble.name in LINKS), None)
+        """The first fault that strikes links between processes, or None."""
+        return next((fault for fault in self.faults if fault.name in LINKS), None)
 
 
 @v_args(inline=True)
@@ -103,10 +103,10 @@
         self.day.expect.update((str(k), str(v)) for k, v in pairs)
 
     def trouble(self, at, name, *rest):
-        strikes = TROUBLES.get(str(name))
+        strikes = FAULTS.get(str(name))
         if strikes is None:
-            self.wrong(name, f"no trouble '{name}'; there are {', '.join(TROUBLES)}")
-        found = Trouble(time(str(at)), str(name), [], line=name.line)
+            self.wrong(name, f"no trouble '{name}'; there are {', '.join(FAULTS)}")
+        found = FaultSpec(time(str(at)), str(name), [], line=name.line)
         for one in rest:
             if isinstance(one, tuple):
                 if one[0] in ("lasts", "times", "by"):
@@ -119,7 +119,7 @@
                 found.targets.append(one)
         if strikes != "-" and not found.targets:
             self.wrong(name, f"'{name}' must name what it strikes, as b1, p2, c1, c1>c2 or 20%")
-        self.day.troubles.append(found)
+        self.day.faults.append(found)
 
 
 @cache
@@ -154,35 +154,33 @@
     def there(name):
         return name in ("list", "px") or 1 <= int(name[1:]) <= counts[name[0]]
 
-    for trouble in day.troubles:
-        shares = [part for part in trouble.options.get("groups", "").split("/") if "%" in part]
-        shares += [trouble.options["share"]] if trouble.name in LINKS and "share" in trouble.options else []
+    for fault in day.faults:
+        shares = [part for part in fault.options.get("groups", "").split("/") if "%" in part]
+        shares += [fault.options["share"]] if fault.name in LINKS and "share" in fault.options else []
         if bad := next((part for part in shares if not re.fullmatch(r"(\d{1,2}(\.\d+)?|100)%", part)), None):
-            raise BadDay(f"{path}:{trouble.line}:1: '{bad}' is no share; 30% is one")
+            raise BadDay(f"{path}:{fault.line}:1: '{bad}' is no share; 30% is one")
         groups = (
-            trouble.options.get("groups", "").replace("/", ",").split(",")
-            if "groups" in trouble.options
-            else []
+            fault.options.get("groups", "").replace("/", ",").split(",") if "groups" in fault.options else []
         )
-        if "%" in trouble.options.get("groups", ""):
+        if "%" in fault.options.get("groups", ""):
             groups = []  # shares, drawn
-        elif trouble.name == "split" and (missing := {f"c{n + 1}" for n in range(counts["c"])} - set(groups)):
+        elif fault.name == "split" and (missing := {f"c{n + 1}" for n in range(counts["c"])} - set(groups)):
             raise BadDay(
-                f"{path}:{trouble.line}:1: groups= must name every controller; "
+                f"{path}:{fault.line}:1: groups= must name every controller; "
                 f"{', '.join(sorted(missing))} is missing"
             )
-        for target in [t for t in trouble.targets if isinstance(t, str)] + groups:
+        for target in [t for t in fault.targets if isinstance(t, str)] + groups:
             try:
                 bad = next((name for name in ends(target) if not there(name)), None)
             except (ValueError, KeyError, IndexError):
                 bad = target
             if bad is not None:
-                raise BadDay(f"{path}:{trouble.line}:1: there is no {bad}")
+                raise BadDay(f"{path}:{fault.line}:1: there is no {bad}")
             if kind_of(target) == "l" and (
                 len(set(ends(target))) < 2 or not any(name[0] == "c" for name in ends(target))
             ):
                 raise BadDay(
-                    f"{path}:{trouble.line}:1: there is no link {target}: one end at least is a controller"
+                    f"{path}:{fault.line}:1: there is no link {target}: one end at least is a controller"
                 )
 
 
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -1,4 +1,4 @@
-"""Plays a day: fleet, load and troubles round true controllers, and judges it by what the sockets carried.
+"""Plays a day: fleet, load and faults round true controllers, and judges it by what the sockets carried.
 
 Three ways with the same stand-ins and the same daemon: `virtual` (streams in memory, a clock that jumps; the
 same seed is the same run), `sockets` (loopback TCP in real time, each controller a process of its own) and
@@ -28,17 +28,17 @@
 from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
 
 from . import controllers
+from .faults import Fault
 from .notation import BadDay
 from .observer import Observer
 from .result import judge
 from .setup import SETTLE, START_AFTER, ScenarioSetup
-from .troubles import Trouble
 
 S = 10**9
 
 
 class Stage(ScenarioSetup):
-    """All that a day has on it, on sockets or streams in memory. Troubles (troubles.py) act on this and on
+    """All that a day has on it, on sockets or streams in memory. Faults (faults) act on this and on
     nothing else.
     """
 
@@ -122,8 +122,8 @@
                 async with anyio.create_task_group() as load:
                     for clients, address in self.clients:
                         load.start_soon(clients.run, address, end)
-                    for trouble in self.day.troubles:
-                        self.group.start_soon(Trouble(self, trouble).run)
+                    for fault in self.day.faults:
+                        self.group.start_soon(Fault(self, fault).run)
                     if self.progress:
                         self.group.start_soon(self.show, end)
                 await self.clock.sleep_until(self.clock.now() + SETTLE)
--- a/embertray/simulation/scenarios/words.py
+++ b/embertray/simulation/scenarios/words.py
@@ -1,8 +1,8 @@
-"""The words of the days' notation: troubles and what they strike, what fleet and load take."""
+"""The words of the days' notation: faults and what they strike, what fleet and load take."""
 
-# trouble -> what it strikes: b backends, p proxies, c controllers, l links (played with processes), - nothing
+# fault -> what it strikes: b backends, p proxies, c controllers, l links (played with processes), - nothing
 # named
-TROUBLES = {
+FAULTS = {
     "crash": "b",
     "vanish": "b",
     "slow": "b",
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -76,7 +76,7 @@
             self.assertTrue(one)
             self.assertEqual(one, two)
 
-    def test_one_more_trouble_redraws_nothing_else(self):
+    def test_one_more_fault_redraws_nothing_else(self):
         plain = "site pushed\nfleet backends=6 proxies=4\nload 40/s for 12s\nat 3s slow 30% for 4s times 4\n"
         stages = []
         for text in (plain, plain + "at 5s reconnect p2\n"):
