--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -10,86 +10,135 @@
 from embertray.controller.core import Instance
 from embertray.policy import interface as i
 
-S = 10**9
-BEAT = S // 4
+SECOND_NS = 10**9
+WAKE_PERIOD_NS = SECOND_NS // 4  # between two wakes that a baseline asks for
 SUBSET = 5  # backends a proxy in the random subset
-LOAD_EVERY = 2 * S  # ns between moves by reported load
+LOAD_PERIOD_NS = 2 * SECOND_NS  # between two moves by reported load
+REORDER_SHARE = 0.1  # a weight is ordered again if it is off by more than this share of itself
+LEAST_LOAD = 0.1  # added to a reported load, so that an idle backend's weight is bounded
+UNKNOWN_LOAD = 0.5  # of a backend that has reported none
+ORACLE_MOST_FAILURES = 0.5  # share of failures from which the oracle leaves a backend out
+
+
+class JoinedProxy:
+    """A proxy that joined.
+
+    Args:
+        zone: its zone.
+    """
+
+    def __init__(self, zone):
+        self.zone = zone
+        self.bound_key = None  # key of the table that it was bound to
 
 
 class Baseline:
-    """What core.Instance needs of a module. `table_of(px)` names a proxy's table, `want(key)` its lines."""
+    """What core.Instance needs of a module: every proxy gets all ready backends, evenly.
+
+    Policies override `key`, which names a proxy's table, and `want`, which gives the table's weights.
+
+    Args:
+        seed: what the policy draws from.
+        site: the site's description.
+        now: the time, ns.
+    """
 
     def __init__(self, seed, site, now):
-        self.site, self.now, self.born, self.beat_at = site, now, now, 0
-        self.rng, self.ready, self.proxies, self.tables, self.ordered = (
-            np.random.default_rng(seed),
-            {},
-            {},
-            {},
-            {},
-        )
-        self.loads, self.moved_at, self.backends = {}, 0, []
+        self.site = site
+        self.now = now
+        self.born = now
+        self.wake_at = 0
+        self.rng = np.random.default_rng(seed)
+        self.ready = {}  # backend -> its entry of the list
+        self.proxies = {}  # proxy -> JoinedProxy
+        self.tables = {}  # key -> Table
+        self.ordered = {}  # key -> {backend: weight} as last ordered
+        self.loads = {}  # backend -> reported share of its cores that is busy
+        self.moved_at = 0
+        self.backends = []
 
     def step(self, now, events):
+        """Takes in events at `now` ns and returns the orders that follow from them."""
         self.now = now
         for event in events:
-            if isinstance(event, i.ListNews) and event.how != "failed":
-                named = {e.backend for e in event.entries}
-                if event.how != "changes":
-                    self.ready = {backend: e for backend, e in self.ready.items() if backend in named}
-                for entry in event.entries:
-                    if entry.state == "ready":
-                        self.ready[entry.backend] = entry
-                    else:
-                        self.ready.pop(entry.backend, None)
-            elif isinstance(event, i.Joined):
-                self.proxies[event.proxy] = [event.zone, None]
-            elif isinstance(event, i.Left):
-                self.proxies.pop(event.proxy, None)
-            elif isinstance(event, i.Heard) and "busy" in event.load:
-                self.loads[event.backend] = event.load["busy"]
+            self.take_in(event)
         orders = []
-        for key in dict.fromkeys(self.key(proxy, zone) for proxy, (zone, _) in self.proxies.items()):
+        keys = dict.fromkeys(self.key(proxy, joined.zone) for proxy, joined in self.proxies.items())
+        for key in keys:
             orders += self.update(key)
-        for proxy, held in self.proxies.items():
-            key = self.key(proxy, held[0])
-            if held[1] != key and self.ordered.get(key):
-                held[1] = key
-                orders.append(i.Bind(proxy, self.tables[key]))
-        if now >= self.beat_at:
-            self.beat_at = now + BEAT
-            orders.append(i.Wake(0, BEAT))
+        orders += self.bind_proxies()
+        if now >= self.wake_at:
+            self.wake_at = now + WAKE_PERIOD_NS
+            orders.append(i.Wake(0, WAKE_PERIOD_NS))
         return orders
 
+    def take_in(self, event):
+        """Notes what an event says of the list, of a proxy or of a backend's load."""
+        if isinstance(event, i.ListNews):
+            if event.how != "failed":
+                self.take_in_list(event)
+        elif isinstance(event, i.Joined):
+            self.proxies[event.proxy] = JoinedProxy(event.zone)
+        elif isinstance(event, i.Left):
+            self.proxies.pop(event.proxy, None)
+        elif isinstance(event, i.Heard) and "busy" in event.load:
+            self.loads[event.backend] = event.load["busy"]
+
+    def take_in_list(self, news):
+        """Notes which backends are ready, from a complete list or from changes to it."""
+        if news.how != "changes":
+            named = {entry.backend for entry in news.entries}
+            self.ready = {backend: entry for backend, entry in self.ready.items() if backend in named}
+        for entry in news.entries:
+            if entry.state == "ready":
+                self.ready[entry.backend] = entry
+            else:
+                self.ready.pop(entry.backend, None)
+
     def update(self, key):
-        table, ordered, want = (
-            self.tables.setdefault(key, i.Table()),
-            self.ordered.setdefault(key, {}),
-            self.want(key),
-        )
+        """The orders that bring a table from what was ordered to what is wanted."""
+        table = self.tables.setdefault(key, i.Table())
+        ordered = self.ordered.setdefault(key, {})
+        want = self.want(key)
         orders = [
-            i.SetLine(table, backend, w)
-            for backend, w in want.items()
-            if abs(ordered.get(backend, 0) - w) > 0.1 * w
+            i.SetLine(table, backend, weight)
+            for backend, weight in want.items()
+            if abs(ordered.get(backend, 0) - weight) > REORDER_SHARE * weight
         ]
         orders += [i.SetLine(table, backend, 0) for backend in ordered if backend not in want]
         if orders:
             self.ordered[key] = dict(want)
         return orders
 
+    def bind_proxies(self):
+        """The bindings of proxies to tables that have lines, where they are not bound to them."""
+        orders = []
+        for proxy, joined in self.proxies.items():
+            key = self.key(proxy, joined.zone)
+            if joined.bound_key != key and self.ordered.get(key):
+                joined.bound_key = key
+                orders.append(i.Bind(proxy, self.tables[key]))
+        return orders
+
     def key(self, proxy, zone):
+        """What names the table of a proxy of that zone; proxies of one key share a table."""
         return "all"
 
     def want(self, key):
+        """The weights of a table: {backend: weight}."""
         return dict.fromkeys(self.ready, 1.0)
 
 
 class ZoneLocal(Baseline):
+    """Each proxy the ready backends of its zone, evenly; all, if its zone has none."""
+
     def key(self, proxy, zone):
+        """One table a zone."""
         return zone
 
     def want(self, key):
-        near = [backend for backend, e in self.ready.items() if e.zone is key]
+        """The ready backends of the zone, or all."""
+        near = [backend for backend, entry in self.ready.items() if entry.zone is key]
         return dict.fromkeys(near or self.ready, 1.0)
 
 
@@ -97,47 +146,57 @@
     """Each proxy its own few, drawn; who goes is replaced."""
 
     def key(self, proxy, zone):
+        """One table a proxy."""
         return proxy
 
     def want(self, key):
-        held = [backend for backend in self.ordered.get(key, {}) if backend in self.ready]
-        rest = [backend for backend in self.ready if backend not in held]
-        need = min(SUBSET - len(held), len(rest))
-        if need > 0:
-            held += [rest[int(n)] for n in self.rng.choice(len(rest), need, replace=False)]
-        return dict.fromkeys(held, 1.0)
+        """Those of the proxy's few that are still ready, and others drawn in place of the rest."""
+        chosen = [backend for backend in self.ordered.get(key, {}) if backend in self.ready]
+        others = [backend for backend in self.ready if backend not in chosen]
+        missing = min(SUBSET - len(chosen), len(others))
+        if missing > 0:
+            chosen += [others[int(n)] for n in self.rng.choice(len(others), missing, replace=False)]
+        return dict.fromkeys(chosen, 1.0)
 
 
 class LeastLoad(Baseline):
     """By inverse reported load, moved now and then."""
 
     def want(self, key):
+        """The weights of the last move; 1 for backends that came after it."""
         if self.now >= self.moved_at:
-            self.moved_at = self.now + LOAD_EVERY
-            self.weights = {backend: 1 / (0.1 + self.loads.get(backend, 0.5)) for backend in self.ready}
+            self.moved_at = self.now + LOAD_PERIOD_NS
+            self.weights = {
+                backend: 1 / (LEAST_LOAD + self.loads.get(backend, UNKNOWN_LOAD)) for backend in self.ready
+            }
         return {backend: self.weights.get(backend, 1.0) for backend in self.ready}
 
 
 class Oracle(Baseline):
-    """Sees the truth of every backend at once: what it can do now, whether it answers. An upper mark, no
-    policy.
+    """Sees the truth of every backend at once: what it can do now, whether it answers.
+
+    An upper mark, no policy.
     """
 
     truth = staticmethod(dict)  # name -> model.backend.Backend; whoever plays sets it
 
     def want(self, key):
-        found, models = {}, self.truth()
+        """Each backend that answers, by its capacity; all evenly, if none does."""
+        models = self.truth()
+        capacities = {}
         for backend in self.ready:
             model = models.get(backend.external_id)
-            if (
-                model
-                and model.state == "up"
-                and not model.ills.hang
-                and model.ills.fails < 0.5
-                and not model.ills.kinds
-            ):
-                found[backend] = model.capacity(self.now)
-        return found or dict.fromkeys(self.ready, 1.0)
+            if model and self.answers(model):
+                capacities[backend] = model.capacity(self.now)
+        return capacities or dict.fromkeys(self.ready, 1.0)
+
+    @staticmethod
+    def answers(model):
+        """Whether a backend answers most requests of every kind."""
+        ills = model.ills
+        if model.state != "up" or ills.hang:
+            return False
+        return ills.fails < ORACLE_MOST_FAILURES and not ills.kinds
 
 
 POLICIES = {
@@ -157,11 +216,14 @@
         return None
 
     class Core(Instance):
+        """A core whose decision module is the policy."""
+
         def __init__(self, site, me, seed, now, *rest):
             super().__init__(site, me, seed, now, *rest)
             self.module = policy(seed, site, now)
 
         def collections(self):
+            """None: a baseline keeps nothing whose size is watched."""
             return {}
 
     return Core
