--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -50,7 +50,7 @@
 
     try:
         simulation = ClusterSimulation(notation.load(day), seed, members)
-    except notation.BadDay as wrong:
+    except notation.DayError as wrong:
         raise Bad(str(wrong)) from None
     claims = simulation.play().claims
     for name, verdict in claims.verdicts().items():
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -214,7 +214,7 @@
             result = play_emulated(script, seed, "flows" if mode == "flows" else "reqs", progress=show)
         else:
             result = player.play(script, mode, seed, show, alone=alone, logs=logs)
-    except (notation.BadDay, BadSite) as wrong:
+    except (notation.DayError, BadSite) as wrong:
         raise Bad(str(wrong)) from None
     found = result.as_json()
     if as_json:
--- a/embertray/experiments/lab/experiment.py
+++ b/embertray/experiments/lab/experiment.py
@@ -54,7 +54,7 @@
                     yield Run(levels, arm, policy, facts, seed)
 
     def day_of(self, run):
-        """The Day of a run. Raises notation.BadDay."""
+        """The Day of a run. Raises notation.DayError."""
         text = string.Template(self.day).substitute(dict(run.levels))
         if run.facts:
             facts = string.Template(run.facts).substitute(dict(run.levels))
@@ -108,6 +108,6 @@
         for run in found.runs():
             if run.seed == first:
                 found.day_of(run)
-    except (notation.BadDay, KeyError, ValueError) as wrong:
+    except (notation.DayError, KeyError, ValueError) as wrong:
         raise BadExperiment(f"{path}:{root.find('day').sourceline}: the day can't be used: {wrong}") from None
     return found
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -11,8 +11,8 @@
 from embertray.service.site.site import time as span
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.models.client import Clients
+from embertray.simulation.scenarios.exceptions import DayError
 from embertray.simulation.scenarios.faults import Fault
-from embertray.simulation.scenarios.notation import BadDay
 from embertray.simulation.scenarios.observer import Observer
 from embertray.simulation.scenarios.setup import SETTLE, START_AFTER, ScenarioSetup
 
@@ -42,12 +42,12 @@
     def __init__(self, day, seed, core=None, trust=None, watched=True):
         for fault in day.faults:
             if fault.name in STREAMS_ONLY:
-                raise BadDay(
+                raise DayError(
                     f"{day.name}:{fault.line}: '{fault.name}' needs true streams: play it on "
                     "sockets or in memory"
                 )
         if day.linked:
-            raise BadDay(
+            raise DayError(
                 f"{day.name}:{day.linked.line}: '{day.linked.name}' strikes links between "
                 "processes: play it with --processes"
             )
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -28,8 +28,8 @@
 from embertray.simulation.standins.virtual import MemoryNet, VirtualClock, run as run_virtual
 
 from . import controllers
+from .exceptions import DayError
 from .faults import Fault
-from .notation import BadDay
 from .observer import Observer
 from .result import judge
 from .setup import SETTLE, START_AFTER, ScenarioSetup
@@ -48,7 +48,7 @@
         self.agenda, self.eyes, self.clients, self.group = Agenda(clock), Observer(), [], None
         self.inventory = StandinInventory(net, self.agenda, span(day.fleet["answers"]), self.eyes.told)
         if span(day.fleet["cross"]):
-            raise BadDay(f"{day.name}: ways between zones (cross) are emulated only")
+            raise DayError(f"{day.name}: ways between zones (cross) are emulated only")
 
     async def build(self):
         await self.group.start(self.inventory.run, "127.0.0.1:0")
@@ -157,10 +157,10 @@
 ):
     """Plays a Day and gives its Result. `core`, `trust`: other classes in place of core.Instance and
     trust.Trust (virtual only). `on_stage(stage)` before it begins. With processes: `alone`, without the
-    cluster that the day asks for; `logs`, a folder where descriptions and logs stay. Raises BadDay."""
+    cluster that the day asks for; `logs`, a folder where descriptions and logs stay. Raises DayError."""
     began = time.monotonic()
     if mode != "processes" and (found := day.linked):
-        raise BadDay(
+        raise DayError(
             f"{day.name}: line {found.line}: '{found.name}' strikes links between processes: play "
             "it with --processes"
         )
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -13,7 +13,7 @@
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.models.load import Bursts, Poisson, Varying, flash, wave
 
-from .notation import BadDay
+from .exceptions import DayError
 from .outcome_summary import OutcomeSummary
 
 SECOND_NS = 10**9
@@ -148,7 +148,7 @@
         return rate_at
 
     def profile(self, n):
-        """How proxy n's load changes by itself: a factor by time in ns, or None. Raises BadDay."""
+        """How proxy n's load changes by itself: a factor by time in ns, or None. Raises DayError."""
         load = self.day.load
         name = load["source"]
         times = float(load["times"])
@@ -161,7 +161,7 @@
             return flash(times, self.zero + span(load["at"]), period // 10, period, period // 4)
         if name == "bursty":
             return Bursts(times, period * 4 // 5, period // 5, self.chance.of("bursts", n), self.zero)
-        raise BadDay(f"load has no source '{name}'; there are poisson, wave, flash, bursty")
+        raise DayError(f"load has no source '{name}'; there are poisson, wave, flash, bursty")
 
     def source(self, n, usual):
         """The arrivals of proxy n's clients, `usual` requests a second when nothing changes them."""
--- a/embertray/simulation/scenarios/words.py
+++ b/embertray/simulation/scenarios/words.py
@@ -87,5 +87,5 @@
 
 def ordered(target):
     """A link as ordered pairs: c1>c2 one way, c1<>c2 both."""
-    a, b = ends(target)
-    return [(a, b), (b, a)] if "<>" in target else [(a, b)]
+    first, second = ends(target)
+    return [(first, second), (second, first)] if "<>" in target else [(first, second)]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -123,7 +123,7 @@
         self.assertEqual(set(result.process_usage), {"c1", "c2", "c3"})
 
     def test_links_are_for_processes_only(self):
-        with self.assertRaisesRegex(notation.BadDay, "play it with --processes"):
+        with self.assertRaisesRegex(notation.DayError, "play it with --processes"):
             player.play(notation.read("fleet controllers=2\nat 1s silent c1>c2"))
         for text, words in (
             ("fleet controllers=2\nat 1s silent c1>c3", "there is no c3"),
@@ -133,7 +133,7 @@
             ("fleet controllers=2\nat 1s split groups=x%/50%", "'x%' is no share"),
             ("fleet controllers=2\nat 1s lossy c1>c2 share=most", "'most' is no share"),
         ):
-            with self.subTest(text=text), self.assertRaisesRegex(notation.BadDay, words):
+            with self.subTest(text=text), self.assertRaisesRegex(notation.DayError, words):
                 notation.read(text)
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -179,7 +179,7 @@
             ("at two crash b1", (":1:4",)),
             ("at 2s crash", ("must name what it strikes",)),
         ):
-            with self.subTest(text=text), self.assertRaises(notation.BadDay) as caught:
+            with self.subTest(text=text), self.assertRaises(notation.DayError) as caught:
                 day(text)
             for word in words:
                 self.assertIn(word, str(caught.exception))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -102,9 +102,9 @@
 
     def test_what_needs_streams_is_refused_by_line(self):
         text = "site pushed\nload 10/s for 5s\nat 2s half-message p1\n"
-        with self.assertRaisesRegex(notation.BadDay, "here:3: 'half-message' needs true streams"):
+        with self.assertRaisesRegex(notation.DayError, "here:3: 'half-message' needs true streams"):
             play(day(text))
-        with self.assertRaisesRegex(notation.BadDay, "emulated only"):
+        with self.assertRaisesRegex(notation.DayError, "emulated only"):
             player.play(day("site pushed\nfleet cross=4ms\nload 10/s for 5s\n"))
 
     def test_ways_between_zones_take_their_time(self):
