--- a/embertray/simulation/scenarios/__init__.py
+++ b/embertray/simulation/scenarios/__init__.py
@@ -1,3 +1,4 @@
-"""Bad days: their notation, the player that runs them through the true controller, the observer and the
-rules.
+"""Scenarios: days of faults, played through the true controller and judged by five rules.
+
+Here are their notation, the player, the observer and the rules.
 """
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -1,9 +1,11 @@
-"""The true controllers of a day in memory, under the virtual clock; as processes of their own:
-rig/held.py.
+"""The true controllers of a day in memory, under the virtual clock.
+
+Controllers in processes of their own are those of simulation/processes/controller_processes.py.
 """
 
 from dataclasses import replace
 from functools import partial
+from typing import NamedTuple
 
 import anyio
 
@@ -16,80 +18,125 @@
 
 from .starts import Starts
 
+SEEDS_PER_DAY = 1000  # incarnations of a controller that get a seed of their own, a day's seed
+
+
+class RunningController(NamedTuple):
+    """A controller that runs.
+
+    Attributes:
+        service: its Service.
+        scope: the cancel scope that it runs in.
+        gate: shut while it stands still.
+        net: its net, through the gate.
+    """
+
+    service: Service
+    scope: anyio.CancelScope
+    gate: Gate
+    net: GatedNet
+
+
+class InMemoryControllers(Starts):
+    """Each controller a Service in a cancel scope, with a gate that shuts while it stands still.
 
-class InMemory(Starts):
-    """Each controller a Service in a cancel scope, with a gate that shuts while it stands still."""
+    Args:
+        net: the net in memory.
+        clock: the virtual clock.
+        seed: the day's seed.
+        log: the controllers' logger.
+        core: a class in place of core.Instance.
+        trust: a class in place of trust.Trust.
+    """
 
     def __init__(self, net, clock, seed, log, core=None, trust=None):
-        self.net, self.clock, self.seed, self.log, self.core = net, clock, seed, log, core or Instance
+        self.net = net
+        self.clock = clock
+        self.seed = seed
+        self.log = log
+        self.core = core or Instance
         self.trust = trust or Trust
-        self.stage, self.running, self.lives, self.kept, self.at, self.chance = None, {}, {}, {}, {}, {}
+        self.stage = None
+        self.running = {}  # name -> RunningController
+        self.incarnations = {}  # name -> how often it was started
+        self.snapshots = {}  # name -> InMemorySnapshots
+        self.at = {}  # name -> its entry of the site, with the addresses that it listens on
 
     async def start(self, stage):
+        """Starts the controllers of a stage."""
         self.stage = stage
         for me in stage.site.controllers[: int(stage.day.fleet["controllers"])]:
             self.at[me.name] = replace(me, listen="127.0.0.1:0", admin="127.0.0.1:0")
-            self.kept[me.name] = InMemorySnapshots(self.clock)
+            self.snapshots[me.name] = InMemorySnapshots(self.clock)
             await self.up(me.name)
 
     async def up(self, name):
-        """Starts it, unless another fault has done so already."""
+        """Starts a controller, unless another fault has done so already."""
         if name in self.running:
             return
-        gate, life = Gate(), self.lives.get(name, 0)
-        self.lives[name] = life + 1
+        incarnation = self.incarnations.get(name, 0)
+        self.incarnations[name] = incarnation + 1
+        gate = Gate()
         net = GatedNet(self.net, gate)
         service = Service(
             self.stage.site,
             self.at[name],
             GatedClock(self.clock, gate),
             net,
-            self.kept[name],
-            self.seed * 1000 + life,
-            self.stage.chance.of("cuts", name, life).random,
+            self.snapshots[name],
+            self.seed * SEEDS_PER_DAY + incarnation,
+            self.stage.chance.of("cuts", name, incarnation).random,
             self.log,
             self.core,
             self.trust,
         )
         scope = anyio.CancelScope()
-        listen, admin = await self.stage.group.start(partial(self.live, service, scope))
+        listen, admin = await self.stage.group.start(partial(self.run_in_scope, service, scope))
         self.at[name] = replace(self.at[name], listen=listen, admin=admin)
-        self.running[name] = service, scope, gate, net
+        self.running[name] = RunningController(service, scope, gate, net)
 
     @staticmethod
-    async def live(service, scope, task_status):
+    async def run_in_scope(service, scope, task_status):
+        """Runs a Service until it ends or its scope is cancelled."""
         with scope:
             await service.run(task_status=task_status)
 
     def addresses(self):
+        """The addresses that proxies dial, in the controllers' order."""
         return [at.listen for at in self.at.values()]
 
     def admin(self, name):
+        """A controller's operators' address."""
         return self.at[name].admin
 
     def kill(self, name):
+        """Ends a controller at once; its streams break."""
         if name not in self.running:
             return
-        _, scope, gate, net = self.running.pop(name)
-        net.kill()
-        gate.release()
-        scope.cancel()
+        controller = self.running.pop(name)
+        controller.net.kill()
+        controller.gate.release()
+        controller.scope.cancel()
 
     def age(self, name, by, from_start):
-        age_in_memory(self.kept[name], by, from_start)
+        """Makes a controller's snapshot `by` ns older; `from_start`: its first one."""
+        age_in_memory(self.snapshots[name], by, from_start)
 
     def freeze(self, name):
+        """A controller that runs stands still from now on."""
         if name in self.running:
-            self.running[name][2].shut()
+            self.running[name].gate.shut()
 
     def thaw(self, name):
+        """A controller that stands still goes on."""
         if name in self.running:
-            self.running[name][2].release()
+            self.running[name].gate.release()
 
     async def closing(self):
         """The day is over, and all still run."""
 
     async def stop(self):
-        for _name, (service, _, gate, _) in self.running.items():
-            gate.release()
-            service.stop()
+        """Ends all that run, in good order."""
+        for controller in self.running.values():
+            controller.gate.release()
+            controller.service.stop()
--- /dev/null
+++ b/embertray/simulation/scenarios/stage.py
@@ -0,0 +1,173 @@
+"""The stage of a day on sockets or streams in memory: inventory, backends, controllers, proxies, clients."""
+
+import anyio
+
+from embertray.service.admin.client import ask
+from embertray.service.site.site import time as span
+from embertray.simulation.models.backend import Backend
+from embertray.simulation.standins.backend import StandinBackend
+from embertray.simulation.standins.client import StandinClients
+from embertray.simulation.standins.inventory import StandinInventory
+from embertray.simulation.standins.parts import Agenda
+from embertray.simulation.standins.proxy import StandinProxy
+
+from .exceptions import DayError
+from .faults import Fault
+from .observer import Observer
+from .setup import SETTLE, START_AFTER, ScenarioSetup
+
+SECOND_NS = 10**9
+PROGRESS_PERIOD_NS = SECOND_NS
+
+
+class Stage(ScenarioSetup):
+    """All that a day has on it; faults act on this and on nothing else.
+
+    Args:
+        day: the Day.
+        seed: what everything is drawn from.
+        net: TcpNet or MemoryNet.
+        clock: its clock.
+        held: the controllers: InMemoryControllers or those in processes.
+        progress: called with (seconds played, seconds of the load, requests ended), or None.
+
+    Raises:
+        DayError: the day has what only the emulator plays.
+    """
+
+    def __init__(self, day, seed, net, clock, held, progress=None):
+        super().__init__(day, seed)
+        self.net = net
+        self.clock = clock
+        self.held = held
+        self.progress = progress
+        self.agenda = Agenda(clock)
+        self.eyes = Observer()
+        self.clients = []  # (StandinClients, address of its proxy)
+        self.group = None
+        self.inventory = StandinInventory(net, self.agenda, span(day.fleet["answers"]), self.eyes.told)
+        if span(day.fleet["cross"]):
+            raise DayError(f"{day.name}: ways between zones (cross) are emulated only")
+
+    async def build(self):
+        """Starts everything but the load."""
+        await self.group.start(self.inventory.run, "127.0.0.1:0")
+        for n, zone, speed in self.machines():
+            await self.add(n, zone, speed, cold=False)
+        self.site = self.site.at(inventory=self.inventory.address)
+        await self.held.start(self)
+        await self.clock.sleep_until(self.clock.now() + START_AFTER)
+        await self.start_proxies()
+
+    async def add(self, number, zone, speed, cold, listed=True):
+        """Starts one more backend; its name is the address that it listens on.
+
+        Args:
+            number: of its draws.
+            zone: its zone.
+            speed: of its cores, 1.0 the usual one.
+            cold: whether it warms up from now on.
+            listed: whether the inventory lists it as ready at once.
+
+        Returns:
+            The StandinBackend.
+        """
+        model = Backend("127.0.0.1:0", zone, self.shape(speed))
+        backend = StandinBackend(model, self.net, self.agenda, self.chance.of("failing", number).random)
+        await self.group.start(backend.run)
+        self.models[model.name] = model
+        self.backends.append(backend)
+        backend.start(cold)
+        if cold:
+            self.eyes.note(self.clock.now(), "started", model.name)
+        if listed:
+            self.inventory.list(model.name, zone, "ready", self.clock.now() if cold else 0)
+        return backend
+
+    async def start_proxies(self):
+        """Starts the proxies, one after the other, and makes their clients."""
+        now = self.clock.now()
+        self.zero = now
+        ready = [backend.model for backend in self.backends]
+        shares = self.shares()
+        mix = self.mix()
+        addresses = self.held.addresses()
+        spread = span(self.day.fleet["spread"])
+        for n in range(self.count):
+            self.proxies.append(self.make_proxy(n, shares[n], addresses, ready))
+        for n, proxy in enumerate(self.proxies):
+            address = await self.group.start(proxy.run)
+            self.clients.append((self.make_clients(n, shares[n], mix), address))
+            if spread and self.count > 1:
+                await self.clock.sleep_until(now + spread * (n + 1) // self.count)
+
+    def make_proxy(self, n, share, addresses, ready):
+        """Proxy n, which has `share` of the requests and dials the n-th of the controllers' addresses."""
+        rng = self.chance.of("proxy", n)
+        zone = self.site.zones[n % len(self.site.zones)]
+        proxy = StandinProxy(
+            f"p{n + 1}",
+            zone,
+            self.site,
+            addresses,
+            self.net,
+            self.agenda,
+            rng,
+            self.day.rate * share,
+            self.standing(rng, zone, ready),
+            self.eyes,
+            self.way(n),
+        )
+        proxy.home = n % len(addresses)
+        return proxy
+
+    def make_clients(self, n, share, mix):
+        """The clients of proxy n."""
+        return StandinClients(
+            n + 1,
+            mix,
+            self.source(n, self.day.rate * share),
+            self.net,
+            self.agenda,
+            self.chance.of("clients", n),
+            int(self.day.load["retries"]),
+            ended=self.eyes.ended,
+        )
+
+    async def play(self):
+        """The day itself, from the first request to some seconds after the last."""
+        async with anyio.create_task_group() as self.group:
+            try:
+                await self.build()
+                await self.run_load()
+                await self.clock.sleep_until(self.clock.now() + SETTLE)
+                self.eyes.end(self.clock.now())
+                await self.held.closing()
+            finally:
+                with anyio.CancelScope(shield=True):  # a cancelled day ends its controllers all the same
+                    await self.held.stop()
+                self.group.cancel_scope.cancel()
+
+    async def run_load(self):
+        """Runs clients and faults until the last client has ended."""
+        end = self.zero + self.day.lasts
+        async with anyio.create_task_group() as load:
+            for clients, address in self.clients:
+                load.start_soon(clients.run, address, end)
+            for fault in self.day.faults:
+                self.group.start_soon(Fault(self, fault).run)
+            if self.progress:
+                self.group.start_soon(self.show_progress, end)
+
+    async def show_progress(self, end):
+        """Calls `progress` once a second; the load ends at `end` ns."""
+        while True:
+            now = self.clock.now()
+            self.progress(
+                (now - self.zero) / SECOND_NS, (end - self.zero) / SECOND_NS, len(self.eyes.outcomes)
+            )
+            await self.clock.sleep_until(now + PROGRESS_PERIOD_NS)
+
+    async def admin(self, name, method, target):
+        """(status, body) of one request at a controller's operators' address, over its socket."""
+        return await ask(self.net, self.held.admin(name), method, target)
