--- a/embertray/simulation/scenarios/faults/__init__.py
+++ b/embertray/simulation/scenarios/faults/__init__.py
@@ -8,6 +8,4 @@
 
 
 class Fault(Backends, Proxies, Controllers, Lists, Links):
-    """One line of a day, by its word. `stage` is a player.Stage or the emulator's, `told` a
-    notation.FaultSpec.
-    """
+    """One line of a day, by its word."""
--- a/embertray/simulation/scenarios/faults/backends.py
+++ b/embertray/simulation/scenarios/faults/backends.py
@@ -2,11 +2,14 @@
 
 from embertray.service.site.site import time as span
 
-from .base import S, Struck
+from .base import SECOND_NS, Struck
 
 
 class Backends(Struck):
+    """The faults of backends."""
+
     async def do_crash(self):
+        """They die, the list learns of it after `notice`; after `for` they come back cold."""
         for backend in (struck := self.backends()):
             backend.die()
             self.list(backend, "gone", span(self.fleet["notice"]))
@@ -15,6 +18,7 @@
             self.come_back(backend)
 
     async def do_vanish(self):
+        """They die without a reset of their streams; the list learns of it after `silent-notice`."""
         for backend in (struck := self.backends()):
             backend.die(silent=True)
             self.list(backend, "gone", span(self.fleet["silent-notice"]))
@@ -23,6 +27,7 @@
             self.come_back(backend)
 
     async def ills(self, **ills):
+        """Sets fields of the struck backends' ills for the fault's length, then their defaults again."""
         for backend in (struck := self.backends()):
             for name, value in ills.items():
                 setattr(backend.model.ills, name, value)
@@ -32,21 +37,27 @@
                 setattr(backend.model.ills, name, type(backend.model.ills)().__getattribute__(name))
 
     async def do_slow(self):
+        """Their work takes `times` as long."""
         await self.ills(slow=self.spec.times)
 
     async def do_hang(self):
+        """They take requests and answer none."""
         await self.ills(hang=True)
 
     async def do_errors(self):
+        """They fail a `share` of requests, all by default."""
         await self.ills(fails=float(self.spec.options.get("share", "1")))
 
     async def do_kind_fails(self):
+        """They fail all requests of the kinds in `kind`."""
         await self.ills(kinds=set(self.spec.options["kind"].split(",")))
 
     async def do_false_reports(self):
+        """They report `times` their load; a tenth by default."""
         await self.ills(lies=self.spec.times if self.spec.times != 1 else 0.1)
 
     async def do_flap(self):
+        """They die and come back `times` over, `by` down and `by` up."""
         for _ in range(max(1, int(self.spec.times))):
             for backend in (struck := self.backends()):
                 backend.die()
@@ -71,7 +82,8 @@
 
     async def do_deploy(self):
         """By batches: drain, stop, start anew, cold."""
-        struck, batch = self.backends(), int(self.spec.options.get("batch", "1"))
+        struck = self.backends()
+        batch = int(self.spec.options.get("batch", "1"))
         drain = span(self.spec.options.get("drain", "4s"))
         for first in range(0, len(struck), batch):
             for backend in struck[first : first + batch]:
@@ -80,14 +92,15 @@
             for backend in struck[first : first + batch]:
                 backend.die()
                 self.list(backend, "gone", span(self.fleet["notice"]) // 2)
-            await self.wait(S)
+            await self.wait(SECOND_NS)
             for backend in struck[first : first + batch]:
                 self.come_back(backend)
             await self.wait(self.spec.by)
 
     async def do_preempt(self):
         """In waves: a short warning, then gone for good; replacements come cold under new addresses."""
-        struck, batch = self.backends(), int(self.spec.options.get("batch", "1"))
+        struck = self.backends()
+        batch = int(self.spec.options.get("batch", "1"))
         warning = span(self.spec.options.get("drain", "3s"))
         for first in range(0, len(struck), batch):
             wave = struck[first : first + batch]
@@ -118,6 +131,7 @@
             backend.die()
             backend.start(cold=True)
             self.note("started", backend.model.name)
-            inventory, model = self.stage.inventory, backend.model
+            inventory = self.stage.inventory
+            model = backend.model
             inventory.list(model.name, model.zone, "gone")
             inventory.list(model.name, model.zone, "ready", model.started)
--- a/embertray/simulation/scenarios/faults/base.py
+++ b/embertray/simulation/scenarios/faults/base.py
@@ -2,55 +2,69 @@
 
 from embertray.service.site.site import time as span
 
-S = 10**9
+SECOND_NS = 10**9
 
 
 def share(text):
+    """A share as a float: 0.3 of '30%'."""
     return float(text.rstrip("%")) / 100
 
 
 class Struck:
-    """`do_...` methods of the kinds strike, wait and make it good again; `run` calls the one that the line
-    names.
+    """One fault of a day: its `do_...` methods strike, wait and make it good again.
+
+    Args:
+        stage: a stage.Stage, or the emulator's simulation of a day.
+        spec: the notation.FaultSpec.
     """
 
     def __init__(self, stage, spec):
-        self.stage, self.spec = stage, spec
+        self.stage = stage
+        self.spec = spec
         self.fleet = stage.day.fleet
 
     async def run(self):
+        """Waits until the fault's time and calls the method that its word names."""
         await self.at(self.stage.zero + self.spec.at)
         await getattr(self, "do_" + self.spec.name.replace("-", "_"))()
 
     async def at(self, when):
+        """Waits until `when`, ns."""
         await self.stage.clock.sleep_until(when)
 
     async def wait(self, time):
+        """Waits for `time` ns."""
         await self.at(self.stage.clock.now() + time)
 
     def backends(self):
+        """The backends that are struck."""
         return self.stage.strike(self.spec.targets, self.stage.backends)
 
     def proxies(self):
+        """The proxies that are struck."""
         return self.stage.strike(self.spec.targets, self.stage.proxies)
 
     def controllers(self):
+        """The names of the controllers that are struck."""
         return [t for t in self.spec.targets if isinstance(t, str) and t[0] == "c"]
 
     def note(self, what, who, *rest):
+        """Notes an event of the fault with the observer."""
         self.stage.eyes.note(self.stage.clock.now(), what, who, *rest)
 
     def later(self, time, what, *args):
+        """Calls `what` with its arguments `time` ns from now."""
         self.stage.agenda.after(time, what, *args)
 
     def list(self, backend, state, late):
-        """The inventory learns of it so much later."""
+        """The inventory learns of a backend's state `late` ns from now."""
         started = backend.model.started
         self.later(
             late, lambda: self.stage.inventory.list(backend.model.name, backend.model.zone, state, started)
         )
 
     def come_back(self, backend):
+        """Starts a backend that died, cold and well; the list learns of it after `notice`."""
         backend.start(cold=True)
         backend.model.ills.__init__()
         self.note("started", backend.model.name)
--- a/embertray/simulation/scenarios/faults/controllers.py
+++ b/embertray/simulation/scenarios/faults/controllers.py
@@ -9,7 +9,10 @@
 
 
 class Controllers(Struck):
+    """The faults of controllers, and those that strike controllers and proxies alike."""
+
     async def do_kill(self):
+        """They are killed, and started again after `for`."""
         for name in (struck := self.controllers()):
             self.note("killed", name)
             self.stage.held.kill(name)
@@ -31,10 +34,15 @@
         await self.stage.held.up_slowly(struck, self.spec.by)
 
     async def do_old_list(self):
-        """Killed; the list is down for `down`; meanwhile a share is replaced by cold ones under other
-        addresses, a share of the rest anew under its own. `for` later it starts from what it kept, now `age`
-        older (`kept=first`: from what it kept first, before all that)."""
-        stage, options = self.stage, self.spec.options
+        """They are killed while the list is down and the fleet changes, and start from an old snapshot.
+
+        The list is down for `down`; meanwhile a share (`replaced`) of the backends is replaced by cold ones
+        under other addresses, a share (`anew`) of the rest starts anew under its own. `for` later the
+        controllers start from their snapshots, now `age` older (`kept=first`: from their first ones, taken
+        before all that).
+        """
+        stage = self.stage
+        options = self.spec.options
         stage.inventory.go_down()
         for name in self.controllers():
             self.note("killed", name)
@@ -84,6 +92,7 @@
             await self.wait(self.spec.by)
 
     async def do_slow_channel(self):
+        """Their channels run at 1/`times` of the rate for `for`."""
         for name in (struck := self.controllers()):
             await self.pace(name, 1 / self.spec.times)
         await self.wait(self.spec.lasts)
@@ -99,8 +108,9 @@
         self.note("pace", name, part)
 
     async def do_garbage(self):
-        """Strangers at the proxies' address: noise, half frames, a gigabyte announced, a hello that never
-        comes.
+        """Strangers dial the proxies' address.
+
+        They send noise, half frames, a gigabyte announced, a hello that never comes.
         """
         for name in self.controllers():
             at = dict(zip(self.stage.held.at, self.stage.held.addresses(), strict=False))[name]
@@ -115,6 +125,7 @@
                 self.stage.group.start_soon(self.babble, stream, data)
 
     async def babble(self, stream, data):
+        """Sends bytes on a stream and reads until the other side ends it, 20 s at most."""
         async with stream:
             try:
                 if data:
--- a/embertray/simulation/scenarios/faults/links.py
+++ b/embertray/simulation/scenarios/faults/links.py
@@ -1,5 +1,6 @@
-"""Links between processes that lose, repeat, delay, fall silent, flutter, are reset, or part. Only true
-processes have them.
+"""Links between processes that lose, repeat, delay, fall silent, flutter, are reset, or part.
+
+Only true processes have them.
 """
 
 from embertray.service.site.site import time as span
@@ -9,12 +10,15 @@
 
 
 class Links(Struck):
-    """`stage.held.links` is a rig's Web. Two faults on one link at once: the later one's values hold, its
-    end is the end of both.
+    """The faults of links; `stage.held.links` is the process harness's Web.
+
+    Two faults on one link at once: the later one's values hold, its end is the end of both.
     """
 
     def pairs(self):
-        web, found = self.stage.held.links, []
+        """The ordered pairs of processes whose links the targets name."""
+        web = self.stage.held.links
+        found = []
         for target in self.spec.targets:
             if isinstance(target, float):
                 found += self.stage.strike([target], web.pairs())
@@ -23,16 +27,19 @@
         return found
 
     async def bend(self, pairs, **how):
-        """Values of the ways struck, for a while."""
-        web, now = self.stage.held.links, self.stage.clock.now
+        """Sets properties of links (`how`) for the fault's length."""
+        web = self.stage.held.links
+        now = self.stage.clock.now
         web.bend(now(), pairs, **how)
         await self.wait(self.spec.lasts)
         web.straight(now(), pairs, how)
 
     async def do_lossy(self):
+        """Datagrams are lost: a `share` of them, 30% by default."""
         await self.bend(self.pairs(), drop=share(self.spec.options.get("share", "30%")))
 
     async def do_repeated(self):
+        """Datagrams come twice: a `share` of them, 10% by default."""
         await self.bend(self.pairs(), again=share(self.spec.options.get("share", "10%")))
 
     async def do_lagged(self):
@@ -40,11 +47,14 @@
         await self.bend(self.pairs(), delay=self.spec.by, jitter=span(self.spec.options.get("jitter", "0ms")))
 
     async def do_silent(self):
+        """Nothing passes for `for`."""
         await self.bend(self.pairs(), open=False)
 
     async def do_flutter(self):
         """Silent and open in turns of `by`, `times` so often."""
-        pairs, web, now = self.pairs(), self.stage.held.links, self.stage.clock.now
+        pairs = self.pairs()
+        web = self.stage.held.links
+        now = self.stage.clock.now
         for _ in range(max(1, int(self.spec.times))):
             web.bend(now(), pairs, open=False)
             await self.wait(self.spec.by)
@@ -57,12 +67,15 @@
             self.stage.held.links.reset(*pair)
 
     async def do_split(self):
-        """groups=c1,c2,list/c3, or shares as 30%/70%: only those of one group reach each other; who is in no
-        group reaches all.
+        """Only those of one group reach each other; who is in no group reaches all.
+
+        Groups are groups=c1,c2,list/c3, or shares as 30%/70%.
         """
-        web, parts = self.stage.held.links, self.spec.options["groups"].split("/")
+        web = self.stage.held.links
+        parts = self.spec.options["groups"].split("/")
         if "%" in parts[0]:
-            rest, groups = list(self.stage.strike([1.0], web.members)), []
+            rest = list(self.stage.strike([1.0], web.members))
+            groups = []
             for part in parts:
                 size = max(1, round(share(part) * len(web.members)))
                 groups.append(rest[:size])
--- a/embertray/simulation/scenarios/faults/lists.py
+++ b/embertray/simulation/scenarios/faults/lists.py
@@ -6,7 +6,10 @@
 
 
 class Lists(Struck):
+    """The faults of the inventory."""
+
     async def do_list_down(self):
+        """It answers nothing for `for`."""
         self.stage.inventory.go_down()
         await self.wait(self.spec.lasts)
         self.stage.inventory.come_back()
@@ -14,13 +17,12 @@
     async def do_short_list(self):
         """A broken inventory: for a while every call is answered with the first few only (`keep=`)."""
         inventory = self.stage.inventory
-        true, inventory.entries = (
-            inventory.entries,
-            dict(list(inventory.entries.items())[: int(self.spec.options.get("keep", "2"))]),
-        )
+        true_entries = inventory.entries
+        kept = int(self.spec.options.get("keep", "2"))
+        inventory.entries = dict(list(true_entries.items())[:kept])
         self.break_list()
         await self.wait(self.spec.lasts)
-        inventory.entries = true
+        inventory.entries = true_entries
         self.break_list()
 
     def break_list(self):
@@ -32,19 +34,24 @@
         inventory.come_back()
 
     async def do_lagging_list(self):
-        """For a while a replica answers whose list is as old as the day: what has gone since is listed
-        there.
+        """For a while a replica answers whose list is as old as the day.
+
+        What has gone since is listed there.
         """
         inventory = self.stage.inventory
-        true, epoch = inventory.entries, inventory.epoch
+        true_entries = inventory.entries
+        true_epoch = inventory.epoch
         inventory.entries = {
             backend.model.name: EndpointEntry(backend.model.name, backend.model.zone)
             for backend in self.stage.backends[: int(self.fleet["backends"])]
         }
-        inventory.epoch, inventory.log = 1, {}
+        inventory.epoch = 1
+        inventory.log = {}
         inventory.go_down()
         inventory.come_back()
         await self.wait(self.spec.lasts)
-        inventory.entries, inventory.epoch, inventory.log = true, epoch, {}
+        inventory.entries = true_entries
+        inventory.epoch = true_epoch
+        inventory.log = {}
         inventory.go_down()
         inventory.come_back()
--- a/embertray/simulation/scenarios/faults/proxies.py
+++ b/embertray/simulation/scenarios/faults/proxies.py
@@ -9,7 +9,10 @@
 
 
 class Proxies(Struck):
+    """The faults of proxies and of their load."""
+
     async def do_reconnect(self):
+        """Their streams break once; they dial again."""
         for proxy in self.proxies():
             proxy.break_stream()
 
@@ -22,6 +25,7 @@
                 proxy.break_stream()
 
     async def do_cut_off(self):
+        """Their streams break, and they reach no controller for `for`."""
         for proxy in (struck := self.proxies()):
             proxy.cut_off = True
             proxy.break_stream()
@@ -30,6 +34,7 @@
             proxy.cut_off = False
 
     async def do_deaf(self):
+        """They read nothing from their streams for `for`."""
         for proxy in (struck := self.proxies()):
             proxy.deaf = True
             self.note("out", proxy.name)
@@ -39,6 +44,7 @@
             self.note("back", proxy.name)
 
     async def do_late_reports(self):
+        """Their load reports leave `by` late."""
         for proxy in (struck := self.proxies()):
             proxy.lag = self.spec.by
         await self.wait(self.spec.lasts)
@@ -46,6 +52,7 @@
             proxy.lag = 0
 
     async def do_hot(self):
+        """Their load is multiplied by `times`."""
         struck = [n for n, proxy in enumerate(self.stage.proxies) if proxy in self.proxies()]
         for n in struck:
             self.stage.factors[n] = self.spec.times
@@ -54,6 +61,7 @@
             self.stage.factors[n] = 1.0
 
     async def do_shift(self):
+        """The load of a zone's proxies is multiplied by `times`."""
         zone = self.spec.options["zone"]
         self.stage.shifted[zone] = self.spec.times
         await self.wait(self.spec.lasts)
