--- a/embertray/simulation/scenarios/faults/controllers.py
+++ b/embertray/simulation/scenarios/faults/controllers.py
@@ -47,27 +47,37 @@
         for name in self.controllers():
             self.note("killed", name)
             stage.held.kill(name)
+        await self.replace_backends(share(options.get("replaced", "0%")), share(options.get("anew", "0%")))
+        await self.wait(self.spec.lasts)
+        for name in self.controllers():
+            stage.held.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
+            await stage.held.up(name)
+        await self.wait(span(options.get("down", "10s")))
+        stage.inventory.come_back()
+
+    async def replace_backends(self, replaced, anew):
+        """Replaces some backends by cold ones under other addresses, and starts others anew under their own.
+
+        Args:
+            replaced: the share of those that are up that is replaced.
+            anew: the share of the rest that starts anew.
+        """
+        stage = self.stage
         order = [
             stage.backends[k]
             for k in stage.chance.of("replaced").permutation(len(stage.backends))
             if stage.backends[k].model.state == "up"
         ]
-        cut = round(len(order) * share(options.get("replaced", "0%")))
+        cut = round(len(order) * replaced)
         for backend in order[:cut]:
             backend.die()
             stage.inventory.list(backend.model.name, backend.model.zone, "gone")
             await stage.add(len(stage.backends), backend.model.zone, backend.model.shape.speed, cold=True)
-        for backend in order[cut : cut + round((len(order) - cut) * share(options.get("anew", "0%")))]:
+        for backend in order[cut : cut + round((len(order) - cut) * anew)]:
             backend.die()
             backend.start(cold=True)
             self.note("started", backend.model.name)
             stage.inventory.list(backend.model.name, backend.model.zone, "ready", backend.model.started)
-        await self.wait(self.spec.lasts)
-        for name in self.controllers():
-            stage.held.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
-            await stage.held.up(name)
-        await self.wait(span(options.get("down", "10s")))
-        stage.inventory.come_back()
 
     async def do_stall(self):
         """Stands still for `for`, as often as `times`, with `by` between."""
