--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -13,7 +13,7 @@
 from embertray.simulation.claims.cluster import ClusterClaims
 from embertray.simulation.models.chance import Streams
 from embertray.simulation.models.web import Web
-from embertray.simulation.scenarios.troubles import Trouble
+from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.words import LINKS
 
 from .collector import rare_collections
@@ -201,9 +201,9 @@
         """
         self.engine.start(self.all_up(self.links.members))
         self.engine.at(self.zero, self._observe)
-        for fault in self.day.troubles:
+        for fault in self.day.faults:
             if fault.name in FAULTS:
-                self.engine.start(Trouble(self, fault).run())
+                self.engine.start(Fault(self, fault).run())
         with rare_collections():
             self.engine.run(self.zero + self.day.lasts + SETTLE_NS)
         return self
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -9,9 +9,9 @@
 from embertray.service.site.values import parse_duration
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.models.client import Clients
-from embertray.simulation.scenarios.ground import SETTLE, START_AFTER, Ground
+from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.observer import Observer
-from embertray.simulation.scenarios.troubles import Trouble
+from embertray.simulation.scenarios.setup import SETTLE, START_AFTER, ScenarioSetup
 
 from .backend import SimulatedBackend, backend_address
 from .clients import SimulatedClients
@@ -26,7 +26,7 @@
 START_NS = 1000 * NS_PER_SECOND
 
 
-class DaySimulation(Ground):
+class DaySimulation(ScenarioSetup):
     """All that takes part in a day.
 
     Args:
@@ -46,7 +46,7 @@
         held: The SimulatedControllers.
 
     Raises:
-        BadDay: The day can't be played here.
+        DayError: The day can't be played here.
     """
 
     proxy = SimulatedProxy
@@ -135,8 +135,8 @@
         self.prepare(shares)
         await self.engine.sleep_until(self.zero + spread)
         self.load(shares, self.zero + self.day.lasts)
-        for fault in self.day.troubles:
-            self.engine.start(Trouble(self, fault).run())
+        for fault in self.day.faults:
+            self.engine.start(Fault(self, fault).run())
 
     def _add_proxies(self, shares, spread):
         """Adds all proxies; their first dials are spread evenly over `spread` ns."""
@@ -197,7 +197,7 @@
                 progress(
                     (engine.time - self.zero) / NS_PER_SECOND,
                     self.day.lasts / NS_PER_SECOND,
-                    len(self.eyes.reqs),
+                    len(self.eyes.outcomes),
                 )
         self.eyes.end(engine.time)
         return self
--- a/embertray/simulation/emulator/fluid_outcomes.py
+++ b/embertray/simulation/emulator/fluid_outcomes.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from embertray.simulation.scenarios.ground import LONGEST, histogram
+from embertray.simulation.scenarios.outcome_summary import LONGEST, histogram
 
 from .engine import NS_PER_SECOND
 
--- a/embertray/simulation/emulator/playable.py
+++ b/embertray/simulation/emulator/playable.py
@@ -1,6 +1,6 @@
 """Which days can be played without sockets."""
 
-from embertray.simulation.scenarios.notation import BadDay
+from embertray.simulation.scenarios.exceptions import DayError
 
 # Faults that need byte streams.
 STREAM_FAULTS = ("half-message", "twice", "garbage")
@@ -13,15 +13,15 @@
         day: The Day.
 
     Raises:
-        BadDay: The day needs byte streams, or links between processes.
+        DayError: The day needs byte streams, or links between processes.
     """
-    for fault in day.troubles:
+    for fault in day.faults:
         if fault.name in STREAM_FAULTS:
-            raise BadDay(
+            raise DayError(
                 f"{day.name}:{fault.line}: '{fault.name}' needs true streams: play it on sockets or in memory"
             )
     if day.linked:
-        raise BadDay(
+        raise DayError(
             f"{day.name}:{day.linked.line}: '{day.linked.name}' strikes links between "
             "processes: play it with --processes"
         )
--- a/embertray/simulation/scenarios/troubles/controllers.py
+++ b/embertray/simulation/scenarios/faults/controllers.py
@@ -9,7 +9,10 @@
 
 
 class Controllers(Struck):
+    """The faults of controllers, and those that strike controllers and proxies alike."""
+
     async def do_kill(self):
+        """They are killed, and started again after `for`."""
         for name in (struck := self.controllers()):
             self.note("killed", name)
             self.stage.held.kill(name)
@@ -31,35 +34,50 @@
         await self.stage.held.up_slowly(struck, self.spec.by)
 
     async def do_old_list(self):
-        """Killed; the list is down for `down`; meanwhile a share is replaced by cold ones under other
-        addresses, a share of the rest anew under its own. `for` later it starts from what it kept, now `age`
-        older (`kept=first`: from what it kept first, before all that)."""
-        stage, options = self.stage, self.spec.options
+        """They are killed while the list is down and the fleet changes, and start from an old snapshot.
+
+        The list is down for `down`; meanwhile a share (`replaced`) of the backends is replaced by cold ones
+        under other addresses, a share (`anew`) of the rest starts anew under its own. `for` later the
+        controllers start from their snapshots, now `age` older (`kept=first`: from their first ones, taken
+        before all that).
+        """
+        stage = self.stage
+        options = self.spec.options
         stage.inventory.go_down()
         for name in self.controllers():
             self.note("killed", name)
             stage.held.kill(name)
+        await self.replace_backends(share(options.get("replaced", "0%")), share(options.get("anew", "0%")))
+        await self.wait(self.spec.lasts)
+        for name in self.controllers():
+            stage.held.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
+            await stage.held.up(name)
+        await self.wait(span(options.get("down", "10s")))
+        stage.inventory.come_back()
+
+    async def replace_backends(self, replaced, anew):
+        """Replaces some backends by cold ones under other addresses, and starts others anew under their own.
+
+        Args:
+            replaced: the share of those that are up that is replaced.
+            anew: the share of the rest that starts anew.
+        """
+        stage = self.stage
         order = [
             stage.backends[k]
             for k in stage.chance.of("replaced").permutation(len(stage.backends))
             if stage.backends[k].model.state == "up"
         ]
-        cut = round(len(order) * share(options.get("replaced", "0%")))
+        cut = round(len(order) * replaced)
         for backend in order[:cut]:
             backend.die()
             stage.inventory.list(backend.model.name, backend.model.zone, "gone")
             await stage.add(len(stage.backends), backend.model.zone, backend.model.shape.speed, cold=True)
-        for backend in order[cut : cut + round((len(order) - cut) * share(options.get("anew", "0%")))]:
+        for backend in order[cut : cut + round((len(order) - cut) * anew)]:
             backend.die()
             backend.start(cold=True)
             self.note("started", backend.model.name)
             stage.inventory.list(backend.model.name, backend.model.zone, "ready", backend.model.started)
-        await self.wait(self.spec.lasts)
-        for name in self.controllers():
-            stage.held.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
-            await stage.held.up(name)
-        await self.wait(span(options.get("down", "10s")))
-        stage.inventory.come_back()
 
     async def do_stall(self):
         """Stands still for `for`, as often as `times`, with `by` between."""
@@ -84,6 +102,7 @@
             await self.wait(self.spec.by)
 
     async def do_slow_channel(self):
+        """Their channels run at 1/`times` of the rate for `for`."""
         for name in (struck := self.controllers()):
             await self.pace(name, 1 / self.spec.times)
         await self.wait(self.spec.lasts)
@@ -99,8 +118,9 @@
         self.note("pace", name, part)
 
     async def do_garbage(self):
-        """Strangers at the proxies' address: noise, half frames, a gigabyte announced, a hello that never
-        comes.
+        """Strangers dial the proxies' address.
+
+        They send noise, half frames, a gigabyte announced, a hello that never comes.
         """
         for name in self.controllers():
             at = dict(zip(self.stage.held.at, self.stage.held.addresses(), strict=False))[name]
@@ -115,6 +135,7 @@
                 self.stage.group.start_soon(self.babble, stream, data)
 
     async def babble(self, stream, data):
+        """Sends bytes on a stream and reads until the other side ends it, 20 s at most."""
         async with stream:
             try:
                 if data:
--- a/embertray/simulation/scenarios/words.py
+++ b/embertray/simulation/scenarios/words.py
@@ -1,8 +1,8 @@
-"""The words of the days' notation: troubles and what they strike, what fleet and load take."""
+"""The words of the days' notation: faults and what they strike, what fleet and load take."""
 
-# trouble -> what it strikes: b backends, p proxies, c controllers, l links (played with processes), - nothing
+# fault -> what it strikes: b backends, p proxies, c controllers, l links (played with processes), - nothing
 # named
-TROUBLES = {
+FAULTS = {
     "crash": "b",
     "vanish": "b",
     "slow": "b",
@@ -87,5 +87,5 @@
 
 def ordered(target):
     """A link as ordered pairs: c1>c2 one way, c1<>c2 both."""
-    a, b = ends(target)
-    return [(a, b), (b, a)] if "<>" in target else [(a, b)]
+    first, second = ends(target)
+    return [(first, second), (second, first)] if "<>" in target else [(first, second)]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -112,18 +112,18 @@
     def test_true_processes_and_virtual_time_give_the_same_verdicts(self):
         day = notation.load("wounds")
         result = player.play(day, mode="processes")
-        self.assertEqual({k: v for k, v in {**result.rules, **result.wrong}.items() if v}, {})
+        self.assertEqual({k: v for k, v in {**result.violations, **result.claim_violations}.items() if v}, {})
         emulated = ClusterSimulation(day).play().claims.verdicts()
         self.assertEqual(
             {k: v for k, v in result.claims.items() if "not met" not in (v, emulated[k])},
             {k: v for k, v in emulated.items() if "not met" not in (v, result.claims[k])},
         )
         self.assertGreater(result.credit, 0.9)
-        self.assertLessEqual(result.age, 1.0)
-        self.assertEqual(set(result.used), {"c1", "c2", "c3"})
+        self.assertLessEqual(result.worst_age, 1.0)
+        self.assertEqual(set(result.process_usage), {"c1", "c2", "c3"})
 
     def test_links_are_for_processes_only(self):
-        with self.assertRaisesRegex(notation.BadDay, "play it with --processes"):
+        with self.assertRaisesRegex(notation.DayError, "play it with --processes"):
             player.play(notation.read("fleet controllers=2\nat 1s silent c1>c2"))
         for text, words in (
             ("fleet controllers=2\nat 1s silent c1>c3", "there is no c3"),
@@ -133,7 +133,7 @@
             ("fleet controllers=2\nat 1s split groups=x%/50%", "'x%' is no share"),
             ("fleet controllers=2\nat 1s lossy c1>c2 share=most", "'most' is no share"),
         ):
-            with self.subTest(text=text), self.assertRaisesRegex(notation.BadDay, words):
+            with self.subTest(text=text), self.assertRaisesRegex(notation.DayError, words):
                 notation.read(text)
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -43,7 +43,7 @@
 
 
 def broken(result):
-    return {rule: why for rule, why in result.rules.items() if why}
+    return {rule: why for rule, why in result.violations.items() if why}
 
 
 def day(text):
@@ -76,13 +76,13 @@
             self.assertTrue(one)
             self.assertEqual(one, two)
 
-    def test_one_more_trouble_redraws_nothing_else(self):
+    def test_one_more_fault_redraws_nothing_else(self):
         plain = "site pushed\nfleet backends=6 proxies=4\nload 40/s for 12s\nat 3s slow 30% for 4s times 4\n"
         stages = []
         for text in (plain, plain + "at 5s reconnect p2\n"):
             play(day(text), 7, on_stage=stages.append)
         first, second = (
-            {at: kind.external_id for at, kind, _, _ in stage.eyes.reqs if at < stage.zero + 4 * S}
+            {at: kind.external_id for at, kind, _, _ in stage.eyes.outcomes if at < stage.zero + 4 * S}
             for stage in stages
         )
         self.assertGreater(len(first), 100)
@@ -102,16 +102,18 @@
 
     def test_what_needs_streams_is_refused_by_line(self):
         text = "site pushed\nload 10/s for 5s\nat 2s half-message p1\n"
-        with self.assertRaisesRegex(notation.BadDay, "here:3: 'half-message' needs true streams"):
+        with self.assertRaisesRegex(notation.DayError, "here:3: 'half-message' needs true streams"):
             play(day(text))
-        with self.assertRaisesRegex(notation.BadDay, "emulated only"):
+        with self.assertRaisesRegex(notation.DayError, "emulated only"):
             player.play(day("site pushed\nfleet cross=4ms\nload 10/s for 5s\n"))
 
     def test_ways_between_zones_take_their_time(self):
         text = "site pushed\nfleet backends=6 proxies=6 cross={}\nload 30/s for 10s\n"
         for policy, least in (("even", 35_000), ("module", 0)):  # two of three backends are in another zone
             near, far = (
-                play(day(text.format(way)), 4, core=policies.core(policy)).took.get_value_at_percentile(50)
+                play(day(text.format(way)), 4, core=policies.core(policy)).latencies.get_value_at_percentile(
+                    50
+                )
                 for way in ("0ms", "40ms")
             )
             self.assertGreater(far, near + least)
@@ -129,7 +131,7 @@
             "at=6s period=4s\n"
         )
         for fidelity in ("reqs", "flows"):
-            line = play(day(text), 1, fidelity).line
+            line = play(day(text), 1, fidelity).credit_by_second
             self.assertGreater(min(x for x in line[1:5] if x is not None), 0.97)
             self.assertLess(min(line[6:11]), 0.9)
 
