--- a/embertray/simulation/emulator/__init__.py
+++ b/embertray/simulation/emulator/__init__.py
@@ -1,3 +1,1 @@
-"""Whole fleets as flows: proxies whose reqs are counts, so that hours of a fleet take minutes. Grows with its
-issue.
-"""
+"""Simulations under virtual time: days, clusters, limits and the control plane, as models round production cores."""
--- a/embertray/simulation/emulator/play.py
+++ b/embertray/simulation/emulator/play.py
@@ -1,4 +1,4 @@
-"""Plays a day without streams, req by req or as flows."""
+"""Plays a day without sockets, request by request or as flows."""
 
 import time
 
@@ -9,8 +9,20 @@
 
 
 def play(day, seed=1, fidelity="reqs", core=None, trust=None, on_stage=None, watched=True, progress=None):
-    """Plays a Day and gives its Result, as days.player.play does. `fidelity`: reqs, each an object, or
-    flows.
+    """Plays a day, as scenarios.player.play does on sockets.
+
+    Args:
+        day: The Day.
+        seed: Of all random draws.
+        fidelity: "reqs": each request is an object; "flows": they are masses.
+        core: Type of the controllers' core; None: the production one.
+        trust: Type of their judgement of the endpoint list; None: the production one.
+        on_stage: Called with the simulation before it begins; or None.
+        watched: Whether events are recorded, for the rules' judgement.
+        progress: As DaySimulation.play has it.
+
+    Returns:
+        The Result.
     """
     began = time.monotonic()
     simulation = {"reqs": DaySimulation, "flows": FluidSimulation}[fidelity](day, seed, core, trust, watched)
--- a/embertray/simulation/emulator/queues.py
+++ b/embertray/simulation/emulator/queues.py
@@ -11,7 +11,7 @@
 
 from embertray.simulation.models.backend import Backend, Shape
 
-from .engine import NS_PER_SECOND as S, Engine
+from .engine import NS_PER_SECOND, Engine
 
 
 class Farm:
@@ -20,27 +20,48 @@
     """
 
     def __init__(self, engine, servers, cores, pick, work, rng, sharing=False):
-        self.engine, self.pick, self.work, self.rng = engine, pick, work, rng
-        self.backends, self.waits, self.sent, self.planned = [], [], {}, {}
+        self.engine = engine
+        self.pick = pick
+        self.work = work
+        self.rng = rng
+        self.backends = []
+        self.waits = []
+        self.sent = {}  # request -> (when it came, its work), ns
+        self.planned = {}  # backend name -> when its next end is scheduled, ns, or None
         for n in range(servers):
             backend = Backend(str(n), "z", Shape(cores=cores, queue=10**9, cap=10**9, sharing=sharing))
             backend.start(0, cold=False)
             self.backends.append(backend)
 
     def arrive(self, ident):
+        """Handles a new request.
+
+        Args:
+            ident: The request.
+        """
         backend, work = self.pick(self.backends), int(self.work())
         self.sent[ident] = self.engine.time, work
         backend.offer(self.engine.time, ident, "req", work, None)
         self.plan(backend)
 
     def plan(self, backend):
-        """Only an end sooner than the one that is planned needs a call."""
+        """Schedules a backend's next end of work, if it is sooner than the one that is scheduled.
+
+        Args:
+            backend: The Backend.
+        """
         when = backend.next_at()
         if when is not None and (self.planned.get(backend.name) is None or when < self.planned[backend.name]):
             self.planned[backend.name] = when
             self.engine.at(max(when, self.engine.time), self.end, backend, when)
 
     def end(self, backend, when):
+        """Handles the end of work at a backend.
+
+        Args:
+            backend: The Backend.
+            when: When it was scheduled, ns; a later plan makes it void.
+        """
         if self.planned[backend.name] != when:
             return
         self.planned[backend.name] = None
@@ -61,14 +82,14 @@
             (backends[int(n)] for n in drawn), key=lambda backend: len(backend.queue) + len(backend.busy)
         )
 
-    work = (lambda: rng.exponential(S)) if service == "exp" else (lambda: S)
+    work = (lambda: rng.exponential(NS_PER_SECOND)) if service == "exp" else (lambda: NS_PER_SECOND)
     farm = Farm(engine, servers, cores, pick, work, rng, sharing)
     at = 0
     for ident in range(reqs):
-        at += int(rng.exponential(S / (load * servers * cores)))
+        at += int(rng.exponential(NS_PER_SECOND / (load * servers * cores)))
         engine.at(at, farm.arrive, ident)
     engine.run()
-    return np.array(farm.waits[reqs // 10 :]) / S  # the first tenth warms up
+    return np.array(farm.waits[reqs // 10 :]) / NS_PER_SECOND  # the first tenth warms up
 
 
 def batch_interval(values, batches=20, sure=3.0):
--- a/embertray/simulation/emulator/random_faults.py
+++ b/embertray/simulation/emulator/random_faults.py
@@ -1,12 +1,23 @@
-"""Days of faults drawn by seed: what strikes members and links of a cluster, several at once, for the
-emulator and for true processes.
-"""
+"""Days of faults drawn by seed, for the emulator and for true processes."""
 
 import random
 
 
 def random_faults(seed, members, lasts=120, count=4, extra=""):
-    """A day's text. Faults begin in its first half, so that all claims are asked for after them too."""
+    """Draws faults on members and links of a cluster, several at once.
+
+    They begin in the day's first half, so that all claims are checked after them too.
+
+    Args:
+        seed: Of the draws.
+        members: How many members.
+        lasts: The day's duration, seconds.
+        count: How many faults.
+        extra: More settings of the fleet.
+
+    Returns:
+        The day's text.
+    """
     draw = random.Random(f"wounds {seed}")
     names = [f"c{n + 1}" for n in range(members)]
     lines = [
