--- a/embertray/simulation/emulator/queues.py
+++ b/embertray/simulation/emulator/queues.py
@@ -1,6 +1,6 @@
-"""Queues by themselves, to hold the backend's model and the engine to theory; and two engines to compare.
+"""Queues by themselves, to hold the backend's model and the engine to theory.
 
-`wait_of` runs reqs through model.backend.Backend with an event loop of its own; theory: Erlang's C,
+`wait_of` runs requests through model.backend.Backend with an event loop of its own; theory: Erlang's C,
 Pollaczek-Khinchine, and the fluid limit of the shortest of two queues. Times in the model are whole ns; a
 mean service here is 1e9 ns.
 """
@@ -11,36 +11,68 @@
 
 from embertray.simulation.models.backend import Backend, Shape
 
-from .engine import NS_PER_SECOND as S, Engine
+from .engine import NS_PER_SECOND, Engine
 
 
 class Farm:
-    """Backends behind one picker. `pick(backends)` chooses; waits are from arrival to the start of
-    service.
+    """Backends behind one picker.
+
+    Args:
+        engine: The Engine.
+        servers: How many backends.
+        cores: Cores of each.
+        pick: A function that chooses one of a list of Backends.
+        work: A function that draws a request's work, ns.
+        rng: The random generator.
+        sharing: Whether the backends share their processors.
+
+    Attributes:
+        waits: ns from each request's arrival to the start of its service.
     """
 
     def __init__(self, engine, servers, cores, pick, work, rng, sharing=False):
-        self.engine, self.pick, self.work, self.rng = engine, pick, work, rng
-        self.backends, self.waits, self.sent, self.planned = [], [], {}, {}
+        self.engine = engine
+        self.pick = pick
+        self.work = work
+        self.rng = rng
+        self.backends = []
+        self.waits = []
+        self.sent = {}  # request -> (when it came, its work), ns
+        self.planned = {}  # backend name -> when its next end is scheduled, ns, or None
         for n in range(servers):
             backend = Backend(str(n), "z", Shape(cores=cores, queue=10**9, cap=10**9, sharing=sharing))
             backend.start(0, cold=False)
             self.backends.append(backend)
 
     def arrive(self, ident):
+        """Handles a new request.
+
+        Args:
+            ident: The request.
+        """
         backend, work = self.pick(self.backends), int(self.work())
         self.sent[ident] = self.engine.time, work
         backend.offer(self.engine.time, ident, "req", work, None)
         self.plan(backend)
 
     def plan(self, backend):
-        """Only an end sooner than the one that is planned needs a call."""
+        """Schedules a backend's next end of work, if it is sooner than the one that is scheduled.
+
+        Args:
+            backend: The Backend.
+        """
         when = backend.next_at()
         if when is not None and (self.planned.get(backend.name) is None or when < self.planned[backend.name]):
             self.planned[backend.name] = when
             self.engine.at(max(when, self.engine.time), self.end, backend, when)
 
     def end(self, backend, when):
+        """Handles the end of work at a backend.
+
+        Args:
+            backend: The Backend.
+            when: When it was scheduled, ns; a later plan makes it void.
+        """
         if self.planned[backend.name] != when:
             return
         self.planned[backend.name] = None
@@ -50,9 +82,22 @@
         self.plan(backend)
 
 
-def wait_of(servers, cores, load, reqs, rng, service="exp", choices=1, sharing=False):
-    """Waits (s, a numpy array) of `reqs` reqs that come by Poisson at `load` of what all can do. service: exp
-    | fixed. With `sharing` a wait is what a req took beyond its work."""
+def wait_of(servers, cores, load, requests, rng, service="exp", choices=1, sharing=False):
+    """Measures the waits of requests that come by Poisson.
+
+    Args:
+        servers: How many backends.
+        cores: Cores of each.
+        load: Part of what all can do.
+        requests: How many come.
+        rng: The random generator.
+        service: "exp" or "fixed".
+        choices: Backends drawn for each request; the shortest queue gets it.
+        sharing: Whether the backends share their processors; a wait is what a request took beyond its work.
+
+    Returns:
+        Waits, seconds, as a numpy array.
+    """
     engine = Engine()
 
     def pick(backends):
@@ -61,14 +106,14 @@
             (backends[int(n)] for n in drawn), key=lambda backend: len(backend.queue) + len(backend.busy)
         )
 
-    work = (lambda: rng.exponential(S)) if service == "exp" else (lambda: S)
+    work = (lambda: rng.exponential(NS_PER_SECOND)) if service == "exp" else (lambda: NS_PER_SECOND)
     farm = Farm(engine, servers, cores, pick, work, rng, sharing)
     at = 0
-    for ident in range(reqs):
-        at += int(rng.exponential(S / (load * servers * cores)))
+    for ident in range(requests):
+        at += int(rng.exponential(NS_PER_SECOND / (load * servers * cores)))
         engine.at(at, farm.arrive, ident)
     engine.run()
-    return np.array(farm.waits[reqs // 10 :]) / S  # the first tenth warms up
+    return np.array(farm.waits[requests // 10 :]) / NS_PER_SECOND  # the first tenth warms up
 
 
 def batch_interval(values, batches=20, sure=3.0):
@@ -91,14 +136,13 @@
 
 
 def shared(cores, load):
-    """Mean of what M/G/c with processor sharing takes beyond the work, for any service (insensitive); as
-    Erlang's C.
+    """Mean of what M/G/c with processor sharing takes beyond the work.
+
+    It is Erlang's C for any distribution of the service (insensitivity).
     """
     return erlang_c(cores, load)
 
 
 def two_choices(load, choices=2):
-    """Mean time in system of many queues with the shortest of d drawn, at the fluid limit, less one
-    service.
-    """
+    """Mean wait of many queues with the shortest of those drawn, at the fluid limit."""
     return sum(load ** ((choices**n - choices) / (choices - 1)) for n in range(1, 40)) - 1
