--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -82,10 +82,8 @@
 def play_on_sockets(day, mode, seed, progress, on_stage, alone, logs):
     """Plays a day in real time and returns its Stage; arguments as of `play`."""
     # imported here, as plays in memory need no processes
-    from embertray.simulation.processes.controller_processes import (
-        ControllerProcesses,
-        LinkedControllerProcesses,
-    )
+    from embertray.simulation.processes.controller_processes import ControllerProcesses
+    from embertray.simulation.processes.linked_controller_processes import LinkedControllerProcesses
 
     async def main():
         with tempfile.TemporaryDirectory() as temporary:
