--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -54,7 +54,7 @@
         state = values.get("state", wire.STATE_READY)
         if state not in wire.STATES:
             raise WireError(f"{wire.LIST_ENTRY}: {state} is no good value for {wire.STATE.key}")
-        return i.Entry(
+        return i.Endpoint(
             self.backend(values["backend"]),
             self.zone(values.get("zone", "")),
             wire.STATES[state],
@@ -67,29 +67,29 @@
         kind = values["kind"]
         if kind not in wire.LIST_KINDS:
             raise WireError(f"{wire.LIST_NEWS}: {kind} is no good value for {wire.LIST_KIND.key}")
-        return i.ListNews(wire.LIST_KINDS[kind])
+        return i.EndpointListUpdate(wire.LIST_KINDS[kind])
 
     def timer_due(self, values):
         """A timer is due."""
-        return i.WakeDue(values["label"])
+        return i.TimerFired(values["label"])
 
     def health_check_done(self, values):
         """A health check was answered or not."""
         answered = values["outcome"] == wire.HEALTH_CHECK_ANSWERED
         latency = values.get("latency", 0)
-        return i.ProbeDone(self.backend(values["backend"]), answered, latency, self.load(values))
+        return i.ProbeResult(self.backend(values["backend"]), answered, latency, self.load(values))
 
     def peer_note(self, values):
         """A note of another controller."""
         data = values.get("data", wire.NO_DATA)
         try:
-            return i.PeerNote(values["sender"], b"" if data == wire.NO_DATA else bytes.fromhex(data))
+            return i.PeerMessage(values["sender"], b"" if data == wire.NO_DATA else bytes.fromhex(data))
         except ValueError:
             raise WireError(f"{wire.PEER_NOTE}: '{data}' is no good value for {wire.DATA.key}") from None
 
     def proxy_joined(self, values):
         """A proxy has joined."""
-        return i.Joined(
+        return i.ProxyJoined(
             self.proxy(values["proxy"]),
             self.zone(values["zone"]),
             values.get("rate", 0.0),
@@ -98,11 +98,11 @@
 
     def proxy_left(self, values):
         """A proxy has left."""
-        return i.Left(self.proxy(values["proxy"]))
+        return i.ProxyLeft(self.proxy(values["proxy"]))
 
     def backend_report(self, values):
         """What the proxies of a zone saw of a backend."""
-        return i.Heard(
+        return i.BackendReport(
             self.backend(values["backend"]),
             self.zone(values.get("zone", "")),
             values["attempts"],
@@ -114,7 +114,7 @@
 
     def traffic_report(self, values):
         """The requests of a kind that reached a proxy."""
-        return i.Arrivals(
+        return i.ArrivalReport(
             self.proxy(values["proxy"]),
             self.request_kind(values),
             values["requests"],
@@ -134,7 +134,7 @@
 
     def slice_leased(self, values):
         """A slice was leased to this controller or taken from it."""
-        return i.SliceGiven(self.slice_table(values["table"]), values["ours"])
+        return i.SliceAssigned(self.slice_table(values["table"]), values["ours"])
 
     def slice_line(self, values):
         """A line that a slice's table has already."""
@@ -144,7 +144,7 @@
     def mark_applied(self, values):
         """A proxy answered a nonce; None if it is not open any more."""
         nonce = self.nonces.get(values["nonce"])
-        return nonce and i.Answered(self.proxy(values["proxy"]), nonce, values.get("apply_time", 0))
+        return nonce and i.NonceAcknowledged(self.proxy(values["proxy"]), nonce, values.get("apply_time", 0))
 
     # ---- steps
 
@@ -173,12 +173,12 @@
         return wire.bind(order.proxy.external_id, self.table_id(order.table))
 
     def write_level(self, order):
-        """The line of an interface.SetLevel."""
+        """The line of an interface.SetAdmission."""
         kinds = sum(1 << kind.external_id for kind in order.kinds)
         return wire.set_level(self.table_id(order.table), kinds, order.level, order.retry)
 
     def write_mark(self, order):
-        """The line of an interface.PutNonce."""
+        """The line of an interface.RequestAcknowledgement."""
         return wire.mark(self.nonce_id(order.nonce))
 
 
@@ -203,11 +203,11 @@
     i.SetLine: BenchController.write_line,
     i.Bind: BenchController.write_bind,
     i.Withdraw: lambda _, order: wire.eject(order.backend.external_id, order.out),
-    i.SetLevel: BenchController.write_level,
-    i.PutNonce: BenchController.write_mark,
-    i.Wake: lambda _, order: wire.set_timer(order.label, order.after),
+    i.SetAdmission: BenchController.write_level,
+    i.RequestAcknowledgement: BenchController.write_mark,
+    i.SetTimer: lambda _, order: wire.set_timer(order.label, order.after),
     i.Subscribe: lambda _, order: wire.subscribe(order.on),
-    i.AskList: lambda _, _order: wire.request_list(),
+    i.PollEndpointList: lambda _, _order: wire.request_list(),
     i.Probe: lambda _, order: wire.check_health(order.backend.external_id),
     i.Log: lambda _, order: wire.log(order.text),
 }
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -36,7 +36,7 @@
 
 STATES = {0: "draining", 1: "gone", 2: "ready"}  # of a list's entry
 STATE_READY = 2
-LIST_KINDS = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}  # as in interface.ListNews
+LIST_KINDS = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}  # as in interface.EndpointListUpdate
 HEALTH_CHECK_ANSWERED = 1
 NO_DATA = "-"
 
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -55,7 +55,7 @@
     async def main():
         agenda = Agenda(LoopClock())
         backend = StandinBackend(
-            Backend(listen, "", Shape(cores, speed, warm_after=int(warm * S))),
+            Backend(listen, "", Shape(cores, speed, warm_up_time=int(warm * S))),
             TcpNet(),
             agenda,
             Streams(1).of("failing").random,
@@ -128,7 +128,7 @@
         def ended(_, __, ___, how, ____):
             counts[how] += 1
 
-        mix = [(kind, 1 / len(description.kinds), kind.response_target // 10) for kind in description.kinds]
+        mix = [(kind, 1 / len(description.kinds), kind.latency_objective // 10) for kind in description.kinds]
         clients = StandinClients(1, mix, lambda _: rate, TcpNet(), agenda, streams.of("clients"), ended=ended)
         async with anyio.create_task_group() as group:
             address = await group.start(proxy.run)
--- a/embertray/controller/channel/budget.py
+++ b/embertray/controller/channel/budget.py
@@ -49,12 +49,12 @@
 
 def _removal_warnings(site, removal, lines):
     allowed = site.drain_grace * REMOVAL_SHARE
-    if removal + site.way_most <= allowed:
+    if removal + site.channel_delay_max <= allowed:
         return []
-    needed_rate = lines * NS_PER_SECOND / max(1.0, allowed - site.way_most)
+    needed_rate = lines * NS_PER_SECOND / max(1.0, allowed - site.channel_delay_max)
     return [
         f"telling {site.proxies} proxies of one drain takes {removal / NS_PER_SECOND:.2f} s of the channel "
-        f"and {site.way_most / NS_PER_SECOND:.2f} s of way, of a grace of "
+        f"and {site.channel_delay_max / NS_PER_SECOND:.2f} s of way, of a grace of "
         f"{site.drain_grace / NS_PER_SECOND:.2f} s: {needed_rate:.0f} lines a second would leave room"
     ]
 
--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -101,7 +101,7 @@
             for proxy, part, cost in self._parts_of(order):
                 parts.setdefault(proxy, []).append(part)
                 costs[proxy] = costs.get(proxy, 0) + cost
-            if isinstance(order, i.PutNonce):
+            if isinstance(order, i.RequestAcknowledgement):
                 nonce = order.nonce
         nonce_id = self.identifiers.nonce_id(nonce) if nonce and parts else None
         messages = []
@@ -138,7 +138,7 @@
                 return self._bind(order)
             case i.Withdraw():
                 return self._withdraw(order) if order.out else self._restore(order)
-            case i.SetLevel():
+            case i.SetAdmission():
                 return self._set_level(order)
         return []
 
--- a/embertray/controller/core/controller_core.py
+++ b/embertray/controller/core/controller_core.py
@@ -31,7 +31,7 @@
         zone = self.identifiers.zone(hello.zone)
         self.outbox.proxy_joined(proxy)
         self.nonces.proxy_joined(hello.proxy)
-        self.pending_events.append(i.Joined(proxy, zone, hello.rate, hello.fresh))
+        self.pending_events.append(i.ProxyJoined(proxy, zone, hello.rate, hello.fresh))
 
     def proxy_left(self, now, name):
         """Records that a joined proxy has left at `now` (ns)."""
@@ -41,14 +41,14 @@
         self.intake.proxy_left(proxy)
         self.ladder.loss_meter.proxy_left(proxy)
         self.nonces.proxy_left(name)
-        self.pending_events.append(i.Left(proxy))
+        self.pending_events.append(i.ProxyLeft(proxy))
 
     def acknowledged(self, now, name, nonce_id):
         """Records that the proxy has applied this nonce's message at `now` (ns), and all before it."""
         found = self.nonces.acknowledge(now, name, nonce_id)
         if found is not None:
             proxy = self.identifiers.proxy(name)
-            self.pending_events.append(i.Answered(proxy, found.nonce, found.elapsed))
+            self.pending_events.append(i.NonceAcknowledged(proxy, found.nonce, found.elapsed))
 
     def add_report(self, now, name, zone, report):
         """Takes in a proxy's load report.
@@ -82,7 +82,7 @@
         """
         elapsed = now - self.probes_in_flight.pop(backend, now)
         handle = self.identifiers.backend(backend)
-        self.pending_events.append(i.ProbeDone(handle, answered, elapsed, load or {}))
+        self.pending_events.append(i.ProbeResult(handle, answered, elapsed, load or {}))
 
     # ---- time
 
@@ -135,7 +135,7 @@
         for order in orders:
             if isinstance(order, i.Subscribe):
                 step.subscribe = order.on
-            elif isinstance(order, i.AskList):
+            elif isinstance(order, i.PollEndpointList):
                 step.poll_list = True
             elif isinstance(order, i.Probe):
                 self._begin_probe(now, order.backend.external_id, step)
--- a/embertray/controller/core/frontend.py
+++ b/embertray/controller/core/frontend.py
@@ -67,7 +67,7 @@
             trust_class: Makes the trust.
         """
         self.admission = Admission(chance)
-        self.trust = trust_class(site.drain_grace, site.dropped_bind)
+        self.trust = trust_class(site.drain_grace, site.omission_removes)
         self.core = core_class(site, me, seed, now, chance)
         self.deferred_joins = {}
         decision = self.trust.start(now, snapshot, clocks)
--- a/embertray/controller/core/memory_bound_runner.py
+++ b/embertray/controller/core/memory_bound_runner.py
@@ -64,8 +64,8 @@
         self.outbox = Outbox(self.identifiers, site.head, {kind: kind.external_id for kind in site.kinds})
         self.outbox.unlimited_level = self.module.context.unlimited if site.levels != "none" else 0.0
         self.pacer = Pacer(site.channel_rate, now)
-        self.intake = ReportIntake(site.reports_rate, now, site.report_cycle)
-        self.ladder = DegradationLadder(site.kinds, site.report_cycle, site.levels == "rate", now)
+        self.intake = ReportIntake(site.reports_rate, now, site.report_interval)
+        self.ladder = DegradationLadder(site.kinds, site.report_interval, site.levels == "rate", now)
         self.accounts = MemoryAccounts({**default_caps(site), **site.caps}, chance)
         self.nonces = NonceLedger(self.identifiers)
         self.stall_watch = StallWatch(now)
--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -40,7 +40,7 @@
 
     Args:
         kinds: The RequestKinds.
-        report_cycle: The proxies' report cycle, ns.
+        report_interval: The proxies' report cycle, ns.
         levels_are_rates: Whether ordered admission levels are requests a second; else shares of what comes.
         now: ns.
 
@@ -53,8 +53,8 @@
         forbidden: Indices of the levels that an operator forbids.
     """
 
-    def __init__(self, kinds, report_cycle, levels_are_rates, now):
-        self.loss_meter = LossMeter(kinds, report_cycle, levels_are_rates)
+    def __init__(self, kinds, report_interval, levels_are_rates, now):
+        self.loss_meter = LossMeter(kinds, report_interval, levels_are_rates)
         self.level = 0
         self.changes = 0
         self.lost = None
--- a/embertray/controller/degradation/loss_meter.py
+++ b/embertray/controller/degradation/loss_meter.py
@@ -33,7 +33,7 @@
 
     Args:
         kinds: The RequestKinds.
-        report_cycle: The proxies' report cycle, ns.
+        report_interval: The proxies' report cycle, ns.
         levels_are_rates: Whether ordered admission levels are requests a second; else shares of what comes.
 
     Attributes:
@@ -41,9 +41,9 @@
         demand: Request kind -> FirstDemand.
     """
 
-    def __init__(self, kinds, report_cycle, levels_are_rates):
+    def __init__(self, kinds, report_interval, levels_are_rates):
         self.kinds = kinds
-        self.report_cycle = report_cycle
+        self.report_interval = report_interval
         self.levels_are_rates = levels_are_rates
         self.loads = {kind: {} for kind in kinds}
         self.demand = {kind: FirstDemand() for kind in kinds}
@@ -116,10 +116,10 @@
         """Time since the last measurement, in periods of SMOOTHING_CYCLES; 0 at the first."""
         if self._measured_at is None:
             return 0.0
-        return (now - self._measured_at) / (SMOOTHING_CYCLES * self.report_cycle)
+        return (now - self._measured_at) / (SMOOTHING_CYCLES * self.report_interval)
 
     def _recent_loads(self, now, kind):
-        oldest = now - STALE_CYCLES * self.report_cycle
+        oldest = now - STALE_CYCLES * self.report_interval
         return [load for load in self.loads[kind].values() if load.reported_at > oldest]
 
     def _rates(self, kind, loads, span):
--- a/embertray/controller/pending_reports.py
+++ b/embertray/controller/pending_reports.py
@@ -36,7 +36,7 @@
             return None
         answered = self.attempts - self.failed
         mean_latency = self.latency // answered if answered else 0
-        return i.Heard(backend, zone, self.attempts, self.failed, mean_latency, self.span, self.load)
+        return i.BackendReport(backend, zone, self.attempts, self.failed, mean_latency, self.span, self.load)
 
 
 class PendingArrivals:
@@ -63,7 +63,7 @@
 
     def event(self, proxy, kind):
         """Returns the policy's event."""
-        return i.Arrivals(proxy, kind, self.requests, self.lost, self.span)
+        return i.ArrivalReport(proxy, kind, self.requests, self.lost, self.span)
 
 
 class ReportRound:
--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -51,7 +51,7 @@
         self.events = 0
 
     def entry(self, now, clock, listed):
-        """The interface.Entry of a backend on the list.
+        """The interface.Endpoint of a backend on the list.
 
         Its start is mapped to this process's clock once, when it is first named: it must not wander with the
         list's delays.
@@ -69,7 +69,7 @@
             self.state.pop(listed.backend, None)
         else:
             self.state[listed.backend] = listed.state
-        return i.Entry(
+        return i.Endpoint(
             self.identifiers.backend(listed.backend),
             self.identifiers.zone(listed.zone),
             listed.state,
@@ -82,13 +82,15 @@
 
         Args:
             now: ns by this process's clock.
-            how: changes | whole | cached | failed, as in interface.ListNews.
+            how: changes | whole | cached | failed, as in interface.EndpointListUpdate.
             clock: ns by the list's clock, at the same time.
             entries: Listed backends, as `entry` takes them.
         """
         if how == "whole":
             self.state = {}
-        self.pending_events.append(i.ListNews(how, [self.entry(now, clock, listed) for listed in entries]))
+        self.pending_events.append(
+            i.EndpointListUpdate(how, [self.entry(now, clock, listed) for listed in entries])
+        )
 
     def run_step(self, now, late=()):
         """Run one step if anything happened or a timer is due.
@@ -101,7 +103,7 @@
             The module's orders, less those that set timers.
         """
         while self.timers and self.timers[0][0] <= now:
-            self.pending_events.append(i.WakeDue(heapq.heappop(self.timers)[2]))
+            self.pending_events.append(i.TimerFired(heapq.heappop(self.timers)[2]))
         self.pending_events += late
         if not self.pending_events:
             return []
@@ -111,7 +113,7 @@
         self.events += len(events)
         orders = []
         for order in self.module.step(now, events):
-            if isinstance(order, i.Wake):
+            if isinstance(order, i.SetTimer):
                 self.timers_set += 1
                 heapq.heappush(self.timers, (now + max(1, order.after), self.timers_set, order.label))
             else:
--- a/embertray/experiments/lab/hunt.py
+++ b/embertray/experiments/lab/hunt.py
@@ -47,7 +47,7 @@
         f"speed=0.{int(rng.integers(6, 10))}..1.{int(rng.integers(1, 5))}",
     ]
     work = (
-        np.mean([kind.response_target / 10 for kind in load_site(SITES / "samples" / f"{site}.xml").kinds])
+        np.mean([kind.latency_objective / 10 for kind in load_site(SITES / "samples" / f"{site}.xml").kinds])
         / 1e9
     )
     able = backends * 2 / work
--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -69,19 +69,19 @@
         orders += self.bind_proxies()
         if now >= self.wake_at:
             self.wake_at = now + WAKE_PERIOD_NS
-            orders.append(i.Wake(0, WAKE_PERIOD_NS))
+            orders.append(i.SetTimer(0, WAKE_PERIOD_NS))
         return orders
 
     def take_in(self, event):
         """Notes what an event says of the list, of a proxy or of a backend's load."""
-        if isinstance(event, i.ListNews):
+        if isinstance(event, i.EndpointListUpdate):
             if event.how != "failed":
                 self.take_in_list(event)
-        elif isinstance(event, i.Joined):
+        elif isinstance(event, i.ProxyJoined):
             self.proxies[event.proxy] = JoinedProxy(event.zone)
-        elif isinstance(event, i.Left):
+        elif isinstance(event, i.ProxyLeft):
             self.proxies.pop(event.proxy, None)
-        elif isinstance(event, i.Heard) and "busy" in event.load:
+        elif isinstance(event, i.BackendReport) and "busy" in event.load:
             self.loads[event.backend] = event.load["busy"]
 
     def take_in_list(self, news):
--- a/embertray/experiments/measure/capacity/decisions.py
+++ b/embertray/experiments/measure/capacity/decisions.py
@@ -91,10 +91,10 @@
         for number, backend in enumerate(load.heard(fleet, chance)):
             zone = fleet.zones[number % len(fleet.zones)]
             fleet.pending_events.append(
-                i.Heard(backend, zone, 10 if load.everyone else 1, 0, 250 * MS, S, {"waiting": 0})
+                i.BackendReport(backend, zone, 10 if load.everyone else 1, 0, 250 * MS, S, {"waiting": 0})
             )
         if not load.silent:
-            fleet.pending_events += [i.Arrivals(proxy, kind, 1, 0, S) for proxy in fleet.proxies]
+            fleet.pending_events += [i.ArrivalReport(proxy, kind, 1, 0, S) for proxy in fleet.proxies]
         fleet.run(fleet.now + S, beat)
     memory, steps = resident() - before, list(timed.steps)
     return Cost(
--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -20,7 +20,45 @@
 
 from embertray.policy import Controller, interface as i
 
-KINDS = {kind.__name__: kind for kind in vars(i).values() if isinstance(kind, type)}
+# types and fields of the interface as the recorded files name them: written before they were renamed
+RECORDED_TYPES = {
+    "BackendReport": "Heard",
+    "ArrivalReport": "Arrivals",
+    "ProxyJoined": "Joined",
+    "ProxyLeft": "Left",
+    "EndpointListUpdate": "ListNews",
+    "Endpoint": "Entry",
+    "NonceAcknowledged": "Answered",
+    "TimerFired": "WakeDue",
+    "SetTimer": "Wake",
+    "RequestAcknowledgement": "PutNonce",
+    "SetAdmission": "SetLevel",
+    "ProbeResult": "ProbeDone",
+    "PeerMessage": "PeerNote",
+    "SliceAssigned": "SliceGiven",
+    "PollEndpointList": "AskList",
+}
+RECORDED_FIELDS = {
+    "channel_delay_mean": "way_mean",
+    "channel_delay_max": "way_max",
+    "cold_speed": "cold_from",
+    "warm_up_time": "warm_after",
+    "overload_multiple": "fall_multiple",
+    "overload_time": "fall_after",
+    "cross_zone_cost": "cross_fee",
+    "no_backend_limit": "bare_limit",
+    "omission_removes": "drops_bind",
+    "report_interval": "report_cycle",
+}
+FIELDS = {recorded: field for field, recorded in RECORDED_FIELDS.items()}
+
+
+def recorded_name(kind):
+    """The name of a type of the interface in recorded files."""
+    return RECORDED_TYPES.get(kind.__name__, kind.__name__)
+
+
+KINDS = {recorded_name(kind): kind for kind in vars(i).values() if isinstance(kind, type)}
 MS, S = 10**6, 10**9
 
 
@@ -39,8 +77,9 @@
                 self.things[name, n] = thing
             return {"at": self.numbers[thing]}
         if dataclasses.is_dataclass(thing):
-            return {"of": type(thing).__name__} | {
-                field.name: self.row(getattr(thing, field.name)) for field in dataclasses.fields(thing)
+            return {"of": recorded_name(type(thing))} | {
+                RECORDED_FIELDS.get(field.name, field.name): self.row(getattr(thing, field.name))
+                for field in dataclasses.fields(thing)
             }
         if isinstance(thing, (list, tuple)):
             return [self.row(one) for one in thing]
@@ -57,13 +96,14 @@
                 self.counts[name] = max(n, self.counts.get(name, 0))
             return self.things[name, n]
         if isinstance(row, dict) and "of" in row:
-            return KINDS[row["of"]](**{key: self.thing(value) for key, value in row.items() if key != "of"})
+            fields = {FIELDS.get(key, key): self.thing(value) for key, value in row.items() if key != "of"}
+            return KINDS[row["of"]](**fields)
         return row
 
     def start(self, seed, site, now):
         """A start's row; request kinds stand there whole, later by number."""
         kinds = [
-            [kind.response_target, kind.client_timeout, kind.credit, kind.again, kind.group]
+            [kind.latency_objective, kind.client_timeout, kind.credit, kind.again, kind.group]
             for kind in site.kinds
         ]
         return {"seed": seed, "now": now, "kinds": kinds, "site": self.row(site)}
@@ -142,17 +182,17 @@
             bad = 9 if n % 11 == 0 and second > 12 else 0
             slow = (250 + 40 * (n % 7) + (600 if 15 < second < 24 else 0)) * MS
             fleet.pending_events.append(
-                i.Heard(backend, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5})
+                i.BackendReport(backend, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5})
             )
         for proxy in fleet.proxies[second % 4 :: 4]:
             fleet.pending_events.append(
-                i.Arrivals(proxy, kinds[proxy.external_id % 2], 2 + proxy.external_id % 3, 0, 2 * S)
+                i.ArrivalReport(proxy, kinds[proxy.external_id % 2], 2 + proxy.external_id % 3, 0, 2 * S)
             )
         fleet.run(fleet.now + S)
 
 
 DRAWN_SITES = (  # settings that lead to decisions which the scripted days do not reach
-    {"throttle": "rate", "pick": "weighted", "cross_fee": 0.0},
+    {"throttle": "rate", "pick": "weighted", "cross_zone_cost": 0.0},
     {"throttle": "share", "ask": True, "messages_max": 0},
     {"throttle": "rate", "channel_rate": 60.0, "pending_max": 480.0, "messages_max": 6},
     {"throttle": "share", "controllers": 1, "channel_rate": 120.0, "pending_max": 900.0},
@@ -184,7 +224,7 @@
                 self.pending_events = [
                     event
                     for event in self.pending_events
-                    if not (isinstance(event, i.Answered) and event.proxy in silent)
+                    if not (isinstance(event, i.NonceAcknowledged) and event.proxy in silent)
                 ]
 
         zones = self.chance.randint(2, 3)
@@ -263,7 +303,7 @@
                 fleet.bound.pop(proxy, None)
                 fleet.lines.pop(proxy, None)
                 fleet.joined_at.pop(proxy, None)
-                fleet.pending_events.append(i.Left(proxy))
+                fleet.pending_events.append(i.ProxyLeft(proxy))
 
     def draw_silence(self):
         """Proxies that leave their nonces unanswered for a while."""
@@ -273,7 +313,7 @@
     def draw_list(self):
         fleet, how = self.fleet, self.chance.choice(("failed", "failed", "whole", "cached"))
         if how == "failed":
-            fleet.pending_events.append(i.ListNews("failed"))
+            fleet.pending_events.append(i.EndpointListUpdate("failed"))
         else:
             fleet.change_list(how, self.ready(), "ready")
 
@@ -290,12 +330,12 @@
             latency = int(slow * max(1.0, self.burst) * (0.8 + 0.4 * chance.random()))
             told = {load: (9.0 if fault == "busy" else 0.2 + 0.3 * self.burst * chance.random())}
             zone = chance.choice(fleet.zones)
-            fleet.pending_events.append(i.Heard(backend, zone, tries, failed, latency, 2 * S, told))
+            fleet.pending_events.append(i.BackendReport(backend, zone, tries, failed, latency, 2 * S, told))
         for proxy in fleet.proxies:
             if proxy not in self.away and chance.random() < 0.5:
                 kind = chance.choice(fleet.deployment.kinds)
                 count = max(1, int(chance.choice((1, 2, 4)) * self.burst))
-                fleet.pending_events.append(i.Arrivals(proxy, kind, count, 0, 2 * S))
+                fleet.pending_events.append(i.ArrivalReport(proxy, kind, count, 0, 2 * S))
 
 
 def drawn(made, seed):
--- a/embertray/platform/protocol/endpoint_list.py
+++ b/embertray/platform/protocol/endpoint_list.py
@@ -31,7 +31,7 @@
 
 
 class ListUpdate(NamedTuple):
-    """What an answer tells: `kind` is "whole" or "changes", as in interface.ListNews; wire.Endpoint each."""
+    """What an answer tells: `kind` is "whole" or "changes", as in the policy; wire.Endpoint each."""
 
     kind: str
     endpoints: list
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -49,7 +49,7 @@
         self.seed = configuration.numeric_seed
         super().__init__(self.seed, self.settings.deployment, now)
         self.translator = Translator(self.identifiers, self.settings.request_kinds)
-        self.order_caller = OrderCaller(self.module.context.deployment.way_max)
+        self.order_caller = OrderCaller(self.module.context.deployment.channel_delay_max)
         self.proxies = ProxyRegistry()
         known = configuration.known_list()
         self.list_watch = EndpointListWatch(known.revision)
@@ -83,7 +83,11 @@
         Against a relay that takes no call for hours: no step runs meanwhile, and reports alone would fill the
         memory. Removals, joins and leaves stay; old reports tell nothing any more.
         """
-        kept = [event for event in self.pending_events if not isinstance(event, (i.Heard, i.Arrivals))]
+        kept = [
+            event
+            for event in self.pending_events
+            if not isinstance(event, (i.BackendReport, i.ArrivalReport))
+        ]
         self.dropped_reports += len(self.pending_events) - len(kept)
         self.pending_events = kept
 
@@ -123,7 +127,7 @@
         The new one's tables get new numbers, so that no line of the former ones is left to any bound proxy.
         """
         listed = [
-            i.Entry(backend.handle, backend.zone, backend.state, backend.started)
+            i.Endpoint(backend.handle, backend.zone, backend.state, backend.started)
             for backend in self.module.backends
             if backend.state not in (None, "gone")
         ]
@@ -135,7 +139,7 @@
         self.timers = []
         self.identifiers.nonces = {}
         joined = map(self.translator.proxy_event, self.proxies.joined.values())
-        self.pending_events = [i.ListNews("cached", listed), *joined]
+        self.pending_events = [i.EndpointListUpdate("cached", listed), *joined]
 
     def clean_up(self):
         """Forget who is long gone, and nonces that nobody owes an answer to."""
--- a/embertray/platform/protocol/translation.py
+++ b/embertray/platform/protocol/translation.py
@@ -40,7 +40,7 @@
         """A BackendReport or TrafficReport as an event; None if no list or event ever named its subject."""
         if type(report) is BackendReport:
             backend = self.identifiers.backends.get(report.backend)
-            return backend and i.Heard(
+            return backend and i.BackendReport(
                 backend,
                 self.identifiers.zone(report.zone),
                 report.attempts,
@@ -50,7 +50,7 @@
                 report.load,
             )
         proxy = self.identifiers.proxies.get(report.proxy)
-        return proxy and i.Arrivals(
+        return proxy and i.ArrivalReport(
             proxy,
             self.request_kinds[report.request_kind],
             report.requests,
@@ -62,11 +62,11 @@
         """A ProxyJoined, ProxyLeft or MarkApplied as an event; None for a mark that is not open any more."""
         proxy = self.identifiers.proxy(event.proxy)
         if isinstance(event, ProxyJoined):
-            return i.Joined(proxy, self.identifiers.zone(event.zone), event.rate, event.without_table)
+            return i.ProxyJoined(proxy, self.identifiers.zone(event.zone), event.rate, event.without_table)
         if isinstance(event, ProxyLeft):
-            return i.Left(proxy)
+            return i.ProxyLeft(proxy)
         nonce = self.identifiers.nonces.get(event.nonce)
-        return nonce and i.Answered(proxy, nonce, event.apply_time)
+        return nonce and i.NonceAcknowledged(proxy, nonce, event.apply_time)
 
     def step_orders(self, orders):
         """The StepOrders of a step's orders. Tables and nonces that are ordered first get their numbers."""
@@ -83,9 +83,9 @@
                 texts.append(f"{BIND},{order.proxy.external_id},{table_id(order.table)},{ALL_KINDS}")
             elif isinstance(order, i.Withdraw):
                 texts.append(f"{EJECT if order.out else READMIT},{order.backend.external_id}")
-            elif isinstance(order, i.SetLevel):
+            elif isinstance(order, i.SetAdmission):
                 texts.append(self.level_text(order))
-            elif isinstance(order, i.PutNonce):
+            elif isinstance(order, i.RequestAcknowledgement):
                 nonce = self.identifiers.nonce_id(order.nonce)
                 mark = f"{MARK},{nonce},{{}}".format
             elif isinstance(order, i.Log):
@@ -93,7 +93,7 @@
         return StepOrders(texts, nonce, mark, log_texts)
 
     def level_text(self, order):
-        """The text of an interface.SetLevel."""
+        """The text of an interface.SetAdmission."""
         kinds = KIND_SEPARATOR.join(self.kind_names[kind] for kind in order.kinds) or ALL_KINDS
         table = self.identifiers.table_id(order.table)
         return f"{SET_LEVEL},{table},{kinds},{figure(order.level)},{order.retry}"
--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -39,7 +39,7 @@
         """Takes over what the endpoint list says of it.
 
         Args:
-            entry: `interface.Entry`.
+            entry: `interface.Endpoint`.
 
         Returns:
             Whether it has just stopped being ready, so that its lines are to be removed.
@@ -59,14 +59,14 @@
         self.health = 1.0
         self.health_since = self.context.now
         self.reports_ignored_until = 0
-        self.learnt_since = started + self.context.deployment.warm_after
+        self.learnt_since = started + self.context.deployment.warm_up_time
         self.samples.clear()
 
     def add_report(self, report):
         """Keeps a report, unless it began before an ejection.
 
         Args:
-            report: `interface.Heard`, the sums of one zone's proxies.
+            report: `interface.BackendReport`, the sums of one zone's proxies.
         """
         context = self.context
         context.reported_spans.append(report.span)
@@ -86,10 +86,10 @@
         """
         context = self.context
         now = context.now
-        slow_reports = 2 * context.report_interval
+        slow_reports = 2 * context.observed_report_interval
         long_start = max(now - max(LONG_WINDOW, slow_reports), self.learnt_since)
         short_start = now - max(SHORT_WINDOW, slow_reports)
-        newest_start = now - context.deployment.report_cycle * 3 // 2
+        newest_start = now - context.deployment.report_interval * 3 // 2
         return BackendFigures(
             self,
             self._totals(long_start),
@@ -103,7 +103,7 @@
     def _totals(self, start):
         context = self.context
         # spans without any attempt are not reported: the window less one interval is covered at least
-        covered = context.now - max(start, context.started_at) - context.report_interval
+        covered = context.now - max(start, context.started_at) - context.observed_report_interval
         return self.samples.totals(start, context.client_timeout, max(SPAN_MIN, covered))
 
     def set_capacity(self, capacity):
@@ -119,9 +119,11 @@
         context = self.context
         deployment = context.deployment
         if health < self.health:
-            self.reports_ignored_until = context.now + deployment.report_cycle + deployment.way_max
+            self.reports_ignored_until = (
+                context.now + deployment.report_interval + deployment.channel_delay_max
+            )
             self.samples.clear()
         if health != self.health:
             self.health_since = context.now
-            self.learnt_since = context.now + (deployment.report_cycle if health >= 1 else 0)
+            self.learnt_since = context.now + (deployment.report_interval if health >= 1 else 0)
         self.health = health
--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -97,7 +97,7 @@
         deployment = self.context.deployment
         ahead = int(self.waiting_lines() * SECOND / (deployment.channel_rate or 1))
         slowest = max(self._ack_delays, default=0)
-        return ACK_TIMEOUT_MIN + deployment.way_max + 2 * slowest + 2 * ahead
+        return ACK_TIMEOUT_MIN + deployment.channel_delay_max + 2 * slowest + 2 * ahead
 
     def free_lines(self, priority):
         """Lines that messages of a priority may still use.
--- a/embertray/policy/context.py
+++ b/embertray/policy/context.py
@@ -29,12 +29,12 @@
         self.backends = []
         self.proxies = []
         self.reported_spans = deque(maxlen=REPORTS_KEPT)
-        self.report_interval = deployment.report_cycle
+        self.observed_report_interval = deployment.report_interval
         self.reports_tell_busy = False
         self.client_timeout = max((kind.client_timeout for kind in deployment.kinds), default=SECOND)
         weights = sum(kind.credit for kind in deployment.kinds) or 1
         self.latency_objective = (
-            sum(kind.credit * kind.response_target for kind in deployment.kinds) / weights
+            sum(kind.credit * kind.latency_objective for kind in deployment.kinds) / weights
         )
         self.unlimited = UNLIMITED_RATE if deployment.throttle == "rate" else 1.0
         self.admission = {
@@ -53,7 +53,7 @@
         self._draws += 1
         return crc32(f"{self._seed}:{self._draws}".encode())
 
-    def update_report_interval(self):
+    def update_observed_report_interval(self):
         """Sets the ns between reports on one backend: longer than told where report lines are capped."""
         spans = self.reported_spans or [0]
-        self.report_interval = max(self.deployment.report_cycle, median(spans))
+        self.observed_report_interval = max(self.deployment.report_interval, median(spans))
--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -59,7 +59,7 @@
         context.now = now
         context.orders = []
         self._take(events)
-        context.update_report_interval()
+        context.update_observed_report_interval()
         if now >= self._next_beat_at:
             self._beat()
         elif self.publisher.is_urgent:
@@ -70,20 +70,20 @@
         """Takes over the events, endpoint lists last: what a step's reports tell is of the list before."""
         updates = []
         for event in events:
-            if isinstance(event, interface.Heard):
+            if isinstance(event, interface.BackendReport):
                 if event.backend.actor:
                     event.backend.actor.add_report(event)
-            elif isinstance(event, interface.Arrivals):
+            elif isinstance(event, interface.ArrivalReport):
                 self._proxy(event.proxy).add_arrivals(event)
-            elif isinstance(event, interface.Answered):
+            elif isinstance(event, interface.NonceAcknowledged):
                 self._take_acknowledgement(event)
-            elif isinstance(event, interface.Joined):
+            elif isinstance(event, interface.ProxyJoined):
                 proxy = self._proxy(event.proxy)
                 proxy.join(event)
                 self.publisher.proxy_joined(proxy)
-            elif isinstance(event, interface.Left):
+            elif isinstance(event, interface.ProxyLeft):
                 self._proxy(event.proxy).leave()
-            elif isinstance(event, interface.ListNews):
+            elif isinstance(event, interface.EndpointListUpdate):
                 updates.append(event)
         for backend in self.endpoint_watch.update(updates):
             self.publisher.backend_left(backend)
@@ -101,7 +101,7 @@
 
     def _beat(self):
         self._next_beat_at = self.context.now + BEAT_INTERVAL
-        self.context.orders.append(interface.Wake(0, BEAT_INTERVAL))
+        self.context.orders.append(interface.SetTimer(0, BEAT_INTERVAL))
         self._forget()
         self.endpoint_watch.subscribe_if_due()
         state, wanted = self.weight_planner.plan()
--- a/embertray/policy/endpoint_watch.py
+++ b/embertray/policy/endpoint_watch.py
@@ -5,15 +5,15 @@
 After any failure the list is subscribed to again, after a backoff that doubles from 0.5 s to 4 s; the list
 known before stays in force meanwhile.
 
-Inputs: `interface.ListNews`. Decides: which backends stopped being ready (their lines are removed), and when
-to subscribe again.
+Inputs: `interface.EndpointListUpdate`. Decides: which backends stopped being ready (their lines are removed),
+and when to subscribe again.
 
 Guards against a list service that is down or restarts: a controller neither hammers it nor drops the backends
 that it knows.
 """
 
 from .backend import BackendState
-from .interface import Entry, Log, Subscribe
+from .interface import Endpoint, Log, Subscribe
 from .units import MILLISECOND, SECOND
 
 RESUBSCRIBE_BACKOFF_FIRST = 500 * MILLISECOND  # ns
@@ -37,7 +37,7 @@
         """Takes over updates of one step.
 
         Args:
-            updates: `interface.ListNews`, in the order in which they came.
+            updates: `interface.EndpointListUpdate`, in the order in which they came.
 
         Returns:
             The `BackendState`s whose lines are to be removed.
@@ -53,7 +53,7 @@
         self.failures = 0
         named = {entry.backend for entry in update.entries}
         known = self.context.backends if update.how in ("whole", "cached") else []
-        missing = [Entry(one.handle, one.zone, "gone") for one in known if one.handle not in named]
+        missing = [Endpoint(one.handle, one.zone, "gone") for one in known if one.handle not in named]
         return [(self._backend(entry.backend), entry) for entry in update.entries + missing]
 
     def _failed(self):
--- a/embertray/policy/interface.py
+++ b/embertray/policy/interface.py
@@ -46,7 +46,7 @@
 class RequestKind:
     """One request kind: its latency objective, its weight, and whether a request may run again."""
 
-    response_target: int  # ns; the latency objective
+    latency_objective: int  # ns; the latency objective
     client_timeout: int  # ns
     credit: float = 1.0  # priority weight of a request
     again: str = "replayable"  # replayable (idempotent) | deduplicated (by a key) | non-replayable
@@ -70,29 +70,29 @@
     pick: str = "weighted"  # how proxies pick a line: weighted | round (robin) | two (the idler of two)
     retry_base: int = 0  # how proxies retry where no level says so
     slices: int = 0  # how many slices the tables belong to; 0: tables belong to zones
-    bare_limit: int = 0  # ns that a proxy may be without a usable backend; 0: no limit
+    no_backend_limit: int = 0  # ns that a proxy may be without a usable backend; 0: no limit
     pending_max: float = 0.0  # lines that may wait in the channel
     channel_rate: float = 0.0  # lines a second
     head: float = 0.0  # lines a message costs beyond its own
-    way_mean: int = 0  # ns from the channel to a proxy
-    way_max: int = 0  # ns from the channel to a proxy
+    channel_delay_mean: int = 0  # ns from the channel to a proxy
+    channel_delay_max: int = 0  # ns from the channel to a proxy
     messages_max: int = 0  # messages to one proxy within messages_window; 0: no limit
     messages_window: int = 0  # ns
-    report_cycle: int = 0  # ns between two load reports
-    cold_from: float = 1.0  # share of its speed that a backend starts with
-    warm_after: int = 0  # ns from its start until it has its full speed
-    fall_multiple: float = 0.0  # times what a cold backend can do, under which it falls over
-    fall_after: int = 0  # ns of such a load until it falls over
+    report_interval: int = 0  # ns between two load reports
+    cold_speed: float = 1.0  # share of its speed that a backend starts with
+    warm_up_time: int = 0  # ns from its start until it has its full speed
+    overload_multiple: float = 0.0  # times what a cold backend can do, under which it falls over
+    overload_time: int = 0  # ns of such a load until it falls over
     drain_grace: int = 0  # ns from a drain's notice within which proxies have to stop sending there
-    cross_fee: float = 0.0  # cost of a request that crosses zones
-    drops_bind: bool = True  # a backend that the list leaves out counts as gone for the drain rule
+    cross_zone_cost: float = 0.0  # cost of a request that crosses zones
+    omission_removes: bool = True  # a backend that the list leaves out counts as gone for the drain rule
 
 
 # ---- what happens
 
 
 @dataclass(eq=False)
-class Entry:
+class Endpoint:
     """One backend as the endpoint list has it."""
 
     backend: Backend
@@ -103,7 +103,7 @@
 
 
 @dataclass(eq=False)
-class ListNews:
+class EndpointListUpdate:
     """What the endpoint list said, or that it did not answer."""
 
     how: str  # changes | whole | cached | failed
@@ -111,14 +111,14 @@
 
 
 @dataclass(eq=False)
-class WakeDue:
+class TimerFired:
     """A timer that was ordered is due."""
 
     label: int
 
 
 @dataclass(eq=False)
-class ProbeDone:
+class ProbeResult:
     """The result of a health check."""
 
     backend: Backend
@@ -128,7 +128,7 @@
 
 
 @dataclass(eq=False)
-class Joined:
+class ProxyJoined:
     """A proxy's stream stands."""
 
     proxy: Proxy
@@ -138,14 +138,14 @@
 
 
 @dataclass(eq=False)
-class Left:
+class ProxyLeft:
     """A proxy's stream broke."""
 
     proxy: Proxy
 
 
 @dataclass(eq=False)
-class Heard:
+class BackendReport:
     """A load report: what the proxies of a zone met at a backend within `span`."""
 
     backend: Backend
@@ -158,7 +158,7 @@
 
 
 @dataclass(eq=False)
-class Arrivals:
+class ArrivalReport:
     """Requests of a kind that reached a proxy within `span`, retries and rejected ones included."""
 
     proxy: Proxy
@@ -180,7 +180,7 @@
 
 
 @dataclass(eq=False)
-class SliceGiven:
+class SliceAssigned:
     """Whether a slice is this controller's."""
 
     table: Table
@@ -197,7 +197,7 @@
 
 
 @dataclass(eq=False)
-class Answered:
+class NonceAcknowledged:
     """A proxy has applied the message that carried the nonce, and all before it."""
 
     proxy: Proxy
@@ -206,7 +206,7 @@
 
 
 @dataclass(eq=False)
-class PeerNote:
+class PeerMessage:
     """A message of another controller."""
 
     sender: int
@@ -242,7 +242,7 @@
 
 
 @dataclass(eq=False)
-class SetLevel:
+class SetAdmission:
     """Sets how much of some request kinds a table's proxies admit, and how they retry them."""
 
     table: Table
@@ -252,14 +252,14 @@
 
 
 @dataclass(eq=False)
-class PutNonce:
+class RequestAcknowledgement:
     """All orders of this step carry a nonce, which each proxy concerned acknowledges."""
 
     nonce: Nonce
 
 
 @dataclass(eq=False)
-class Wake:
+class SetTimer:
     """Orders a timer."""
 
     label: int
@@ -274,7 +274,7 @@
 
 
 @dataclass(eq=False)
-class AskList:
+class PollEndpointList:
     """Polls the endpoint list once."""
 
 
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -84,7 +84,7 @@
         self.context = context
         deployment = context.deployment
         # whether most attempts fail is not known before the first reports
-        self._retries_at = context.now + context.client_timeout + deployment.report_cycle
+        self._retries_at = context.now + context.client_timeout + deployment.report_interval
         self._next_look_at = 0
         self._next_cut_at = 0
         self._goal = None  # requests a second per unit; None: all are admitted
@@ -174,7 +174,9 @@
         depth = max(CUT_MIN, CUT_AT_WAIT_HIGH * WAIT_HIGH * context.latency_objective / state.wait)
         self._goal = depth * self._sustainable
         # the effect of a cut is seen once clients gave up and a round of reports came
-        effect = context.client_timeout + context.deployment.report_cycle + context.report_interval
+        effect = (
+            context.client_timeout + context.deployment.report_interval + context.observed_report_interval
+        )
         self._next_cut_at = context.now + effect
         admitted = self._goal * demand.unit
         context.orders.append(
--- a/embertray/policy/locality.py
+++ b/embertray/policy/locality.py
@@ -59,7 +59,7 @@
             capacity: zone -> part of all capacity.
             spare: zone -> part of all capacity that its own requests leave over.
         """
-        kept = HOME_SHARE if self.context.deployment.cross_fee > 0 else 0.0
+        kept = HOME_SHARE if self.context.deployment.cross_zone_cost > 0 else 0.0
         home = min(share, capacity.get(zone, 0.0))
         spare_elsewhere = sum(part for other, part in spare.items() if other is not zone)
         factors = {}
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -51,7 +51,7 @@
                 and row.long.failed <= row.long.attempts * RECOVERY_FAILED_SHARE_MAX
             )
             silent = not row.long.attempts and now - backend.health_since > SILENT_RECOVERY_AFTER
-            heard_since = now > backend.reports_ignored_until + self.context.report_interval
+            heard_since = now > backend.reports_ignored_until + self.context.observed_report_interval
             if (does_well or silent) and backend.health < 1 and heard_since:
                 backend.set_health(min(1.0, backend.health * RECOVERY_FACTOR))
 
--- a/embertray/policy/proxy.py
+++ b/embertray/policy/proxy.py
@@ -37,7 +37,7 @@
         """Its stream stands: whatever it held before, it is bound anew.
 
         Args:
-            event: `interface.Joined`.
+            event: `interface.ProxyJoined`.
         """
         self.zone = event.zone
         self.usual_rate = event.rate
@@ -59,7 +59,7 @@
         self.messages.answered(nonce, self.context.now)
 
     def add_arrivals(self, report):
-        """Keeps `interface.Arrivals`, the requests of one kind that reached it."""
+        """Keeps `interface.ArrivalReport`, the requests of one kind that reached it."""
         self.samples.add(self.context.now, report)
 
     def update_rates(self):
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -7,7 +7,7 @@
 
 from .channel_budget import BINDING, REMOVAL, ChannelBudget
 from .endpoint_removal import EndpointRemoval
-from .interface import Bind, Nonce, PutNonce
+from .interface import Bind, Nonce, RequestAcknowledgement
 from .proxy_binding import Binding, ProxyBinding
 from .subsetting import RoutingTables
 from .table_writer import TableWriter
@@ -112,7 +112,7 @@
         if not self.budget.reserved:
             return
         nonce = Nonce()
-        self.context.orders.append(PutNonce(nonce))
+        self.context.orders.append(RequestAcknowledgement(nonce))
         for proxy in self.budget.reserved:
             proxy.messages.ordered(nonce, self.context.now)
         self.budget.ordered(nonce)
--- a/embertray/policy/records/arrivals.py
+++ b/embertray/policy/records/arrivals.py
@@ -6,7 +6,7 @@
 
 
 class ArrivalSamples:
-    """The last reports of a proxy (`interface.Arrivals`), by the time at which they came.
+    """The last reports of a proxy (`interface.ArrivalReport`), by the time at which they came.
 
     Args:
         keep: reports that are kept.
--- a/embertray/policy/records/levels.py
+++ b/embertray/policy/records/levels.py
@@ -6,7 +6,7 @@
 
 
 class AdmissionLevel(NamedTuple):
-    """How much of a request kind proxies admit, and how they may retry it (`interface.SetLevel`)."""
+    """How much of a request kind proxies admit, and how they may retry it (`interface.SetAdmission`)."""
 
     admitted: float  # share, or requests a second at each proxy
     retry: int  # 1: only after proof that the first attempt never ran
--- a/embertray/policy/slow_start.py
+++ b/embertray/policy/slow_start.py
@@ -29,11 +29,11 @@
         A factor, 1.0 for a warm backend.
     """
     age = max(0, now - started_at)
-    if started_at <= 0 or age >= deployment.warm_after:
+    if started_at <= 0 or age >= deployment.warm_up_time:
         return 1.0
-    speed = deployment.cold_from + (1 - deployment.cold_from) * age / deployment.warm_after
+    speed = deployment.cold_speed + (1 - deployment.cold_speed) * age / deployment.warm_up_time
     preferred = TWO_CHOICES_FACTOR if deployment.pick == "two" else 1.0
-    return min(COLD_FACTOR_MAX, speed * (PART_OF_OVERLOAD * deployment.fall_multiple * preferred or 1))
+    return min(COLD_FACTOR_MAX, speed * (PART_OF_OVERLOAD * deployment.overload_multiple * preferred or 1))
 
 
 def backends_with_weight(figures, congested):
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -207,7 +207,7 @@
         send to a backend that left.
         """
         deployment = self.context.deployment
-        limits = [limit for limit in (deployment.drain_grace, deployment.bare_limit) if limit]
+        limits = [limit for limit in (deployment.drain_grace, deployment.no_backend_limit) if limit]
         time = min(limits, default=0)
         lines = GRACE_SHARE * deployment.channel_rate * time / SECOND / (deployment.proxies or 1)
         return max(LINES_MIN, int(lines - deployment.head - 2 - len(deployment.kinds))) if lines else 0
--- a/embertray/policy/table_writer.py
+++ b/embertray/policy/table_writer.py
@@ -1,6 +1,6 @@
 """Orders lines and levels of tables within one step, and keeps what was sent of each table."""
 
-from .interface import SetLevel, SetLine
+from .interface import SetAdmission, SetLine
 from .learned_weights import MOVE_THRESHOLD
 
 BIND_LINES = 2  # lines that a binding costs beyond the table's own
@@ -43,7 +43,7 @@
         for kind, level in self.levels.items():
             if table.levels.get(kind) != level and self.budget.reserve(proxies, 1, priority):
                 table.levels[kind] = level
-                self.orders.append(SetLevel(table.handle, [kind], level.admitted, level.retry))
+                self.orders.append(SetAdmission(table.handle, [kind], level.admitted, level.retry))
 
     def bind_lines(self, table):
         """Lines of the channel that binding a proxy to a table costs."""
--- a/embertray/service/site/model.py
+++ b/embertray/service/site/model.py
@@ -64,25 +64,25 @@
         base_retry: Further attempts that proxies make without an order.
         per_try: Share of a kind's latency objective that one attempt may take.
         eject_after: Failures in a row after which a proxy ejects a backend; 0: never.
-        bare_limit: How long a proxy may be without a usable backend, ns; 0: no limit.
+        no_backend_limit: How long a proxy may be without a usable backend, ns; 0: no limit.
         channel_rate: Lines a second of the channel.
         pending_max: Most lines that may wait in it.
         head: Lines that a message counts beyond its parts.
-        way_mean: Mean time of a message to its proxy, ns.
-        way_most: Longest such time, ns.
+        channel_delay_mean: Mean time of a message to its proxy, ns.
+        channel_delay_max: Longest such time, ns.
         messages_max: Most messages to a proxy within `messages_window`; 0: no limit.
         messages_window: ns.
-        report_cycle: The proxies' report cycle, ns.
+        report_interval: The proxies' report cycle, ns.
         reports_rate: Merged report lines a second for the policy; 0: no limit.
-        cold_from: Share of its capacity that a backend has at its start.
-        warm_after: Time until it has all of it, ns.
-        fall_multiple: Multiple of its capacity at which an overloaded backend falls; 0: none does.
-        fall_after: Time at that load until it falls, ns.
+        cold_speed: Share of its capacity that a backend has at its start.
+        warm_up_time: Time until it has all of it, ns.
+        overload_multiple: Multiple of its capacity at which an overloaded backend falls; 0: none does.
+        overload_time: Time at that load until it falls, ns.
         drain_grace: Time that a draining backend still serves, ns.
-        dropped_bind: Whether a backend that a complete list lacks counts as removed.
+        omission_removes: Whether a backend that a complete list lacks counts as removed.
         full_may_have_run: Whether a request that a full backend rejected may have run.
         probes: Whether controllers may probe backends.
-        cross_cost: Cost of a request that crosses zones, as a share of its credit.
+        cross_zone_cost: Cost of a request that crosses zones, as a share of its credit.
         inventory: The inventory's address.
         ask: Whether the list is polled; else the inventory sends each change.
         ask_within: Time within which a poll is answered, ns.
@@ -107,25 +107,25 @@
     base_retry: int
     per_try: float
     eject_after: int
-    bare_limit: int
+    no_backend_limit: int
     channel_rate: float
     pending_max: float
     head: float
-    way_mean: int
-    way_most: int
+    channel_delay_mean: int
+    channel_delay_max: int
     messages_max: int
     messages_window: int
-    report_cycle: int
+    report_interval: int
     reports_rate: float
-    cold_from: float
-    warm_after: int
-    fall_multiple: float
-    fall_after: int
+    cold_speed: float
+    warm_up_time: int
+    overload_multiple: float
+    overload_time: int
     drain_grace: int
-    dropped_bind: bool
+    omission_removes: bool
     full_may_have_run: bool
     probes: bool
-    cross_cost: float
+    cross_zone_cost: float
     inventory: str
     ask: bool
     ask_within: int
@@ -174,20 +174,20 @@
             throttle=self.levels,
             pick=self.picks,
             retry_base=self.base_retry,
-            bare_limit=self.bare_limit,
+            no_backend_limit=self.no_backend_limit,
             pending_max=self.pending_max,
             channel_rate=self.channel_rate,
             head=self.head,
-            way_mean=self.way_mean,
-            way_max=self.way_most,
+            channel_delay_mean=self.channel_delay_mean,
+            channel_delay_max=self.channel_delay_max,
             messages_max=self.messages_max,
             messages_window=self.messages_window,
-            report_cycle=self.report_cycle,
-            cold_from=self.cold_from,
-            warm_after=self.warm_after,
-            fall_multiple=self.fall_multiple,
-            fall_after=self.fall_after,
+            report_interval=self.report_interval,
+            cold_speed=self.cold_speed,
+            warm_up_time=self.warm_up_time,
+            overload_multiple=self.overload_multiple,
+            overload_time=self.overload_time,
             drain_grace=self.drain_grace,
-            cross_fee=self.cross_cost,
-            drops_bind=self.dropped_bind,
+            cross_zone_cost=self.cross_zone_cost,
+            omission_removes=self.omission_removes,
         )
--- a/embertray/service/site/reader.py
+++ b/embertray/service/site/reader.py
@@ -90,7 +90,7 @@
             attributes["group"],
             attributes["name"],
         )
-        if kind.client_timeout < kind.response_target:
+        if kind.client_timeout < kind.latency_objective:
             raise self._error(element, f"kind {kind.external_id}: client-timeout is under response-target")
         return kind
 
@@ -104,7 +104,7 @@
             "base_retry": int(proxies["base-retry"]),
             "per_try": float(proxies["per-try"]),
             "eject_after": int(proxies["eject-after"]),
-            "bare_limit": parse_duration(proxies["bare-limit"]),
+            "no_backend_limit": parse_duration(proxies["bare-limit"]),
         }
 
     def _channel(self):
@@ -116,8 +116,8 @@
             "channel_rate": rate,
             "pending_max": float(channel["lines-waiting"]),
             "head": float(channel["head"]),
-            "way_mean": parse_duration(channel["way-mean"]),
-            "way_most": parse_duration(channel["way-most"]),
+            "channel_delay_mean": parse_duration(channel["way-mean"]),
+            "channel_delay_max": parse_duration(channel["way-most"]),
             "messages_max": int(channel["messages"]),
             "messages_window": parse_duration(channel["messages-within"]),
         }
@@ -125,7 +125,7 @@
     def _reports(self):
         reports = self._part("reports")
         return {
-            "report_cycle": parse_duration(reports["cycle"]),
+            "report_interval": parse_duration(reports["cycle"]),
             "reports_rate": float(reports["lines-per-second"]),
         }
 
@@ -133,15 +133,15 @@
         backends = self._part("backends")
         return {
             "backends": int(backends["expected"]),
-            "cold_from": float(backends["cold-from"]),
-            "warm_after": parse_duration(backends["warm-after"]),
-            "fall_multiple": float(backends["fall-multiple"]),
-            "fall_after": parse_duration(backends["fall-after"]),
+            "cold_speed": float(backends["cold-from"]),
+            "warm_up_time": parse_duration(backends["warm-after"]),
+            "overload_multiple": float(backends["fall-multiple"]),
+            "overload_time": parse_duration(backends["fall-after"]),
             "drain_grace": parse_duration(backends["drain-grace"]),
-            "dropped_bind": parse_boolean(backends["dropped-bind"]),
+            "omission_removes": parse_boolean(backends["dropped-bind"]),
             "full_may_have_run": parse_boolean(backends["full-may-have-run"]),
             "probes": parse_boolean(backends["probes"]),
-            "cross_cost": float(backends["cross-zone-cost"]),
+            "cross_zone_cost": float(backends["cross-zone-cost"]),
         }
 
     def _inventory(self):
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -135,8 +135,8 @@
             backend.zone,
             each * (0.7 + 0.6 * self.rng.random()),
             self.clock.now(),
-            site.cold_from,
-            site.warm_after,
+            site.cold_speed,
+            site.warm_up_time,
         )
 
 
--- a/embertray/simulation/emulator/flows.py
+++ b/embertray/simulation/emulator/flows.py
@@ -96,15 +96,15 @@
         self.backends_added = 0
         self.proxies_added = 0
 
-    def add_backend(self, zone, capacity, started=0, cold_from=1.0, warm_after=0):
+    def add_backend(self, zone, capacity, started=0, cold_speed=1.0, warm_up_time=0):
         """Starts a backend under a new name, and lists it.
 
         Args:
             zone: Its zone.
             capacity: Requests a second that it can do.
             started: When it started, ns; 0: long ago, so it is warm.
-            cold_from: Its speed at the start, as a part of its full speed.
-            warm_after: Time until its full speed, ns.
+            cold_speed: Its speed at the start, as a part of its full speed.
+            warm_up_time: Time until its full speed, ns.
 
         Returns:
             Its name.
@@ -112,7 +112,7 @@
         self.backends_added += 1
         name = flow_backend_address(self.backends_added)
         speed = capacity * self.work / (CORES * NS_PER_SECOND)
-        backend = Backend(name, zone, Shape(CORES, speed, cold_from=cold_from, warm_after=warm_after))
+        backend = Backend(name, zone, Shape(CORES, speed, cold_speed=cold_speed, warm_up_time=warm_up_time))
         self.backends[name] = backend
         backend.start(started, cold=bool(started))
         self.inventory.list(name, zone, "ready", started)
--- a/embertray/simulation/emulator/fluid.py
+++ b/embertray/simulation/emulator/fluid.py
@@ -252,7 +252,7 @@
 
     def _is_restricted(self, now, model):
         entry = self.inventory.entries.get(model.name)
-        warm_up = model.shape.warm_after + self.site.fall_after
+        warm_up = model.shape.warm_up_time + self.site.overload_time
         warming_up = model.started and now - model.started < warm_up
         return entry is None or entry.state != "ready" or bool(warming_up)
 
--- a/embertray/simulation/emulator/fluid_backends.py
+++ b/embertray/simulation/emulator/fluid_backends.py
@@ -69,7 +69,7 @@
         for k, kind in enumerate(self.kinds):
             service = self.works[k] * slowdown
             results.latency[column, k] = wait + service
-            results.late[column, k] = late_part(wait, kind.response_target - service)
+            results.late[column, k] = late_part(wait, kind.latency_objective - service)
             fails = kind.external_id in model.ills.kinds
             results.failed[column, k] = 1.0 if fails else 1 - poured.done
 
--- a/embertray/simulation/emulator/fluid_proxy.py
+++ b/embertray/simulation/emulator/fluid_proxy.py
@@ -43,4 +43,4 @@
             self._send_report(simulation.draw_report(self.place))
         else:
             simulation.totals.clear(self.place, simulation.engine.time)
-        simulation.engine.after(simulation.site.report_cycle, self.report)
+        simulation.engine.after(simulation.site.report_interval, self.report)
--- a/embertray/simulation/emulator/proxy_stream.py
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -63,7 +63,7 @@
         engine = self.simulation.engine
         self._next_controller = self.home
         self.model.joined(engine.time)
-        engine.after(self.simulation.site.report_cycle, self.report)
+        engine.after(self.simulation.site.report_interval, self.report)
         self.dial()
 
     def dial(self):
@@ -194,7 +194,7 @@
         load_report = self.model.sums(self.simulation.engine.time)
         if self.session is not None and not self.still:
             self._send_report(load_report)
-        self.simulation.engine.after(self.simulation.site.report_cycle, self.report)
+        self.simulation.engine.after(self.simulation.site.report_interval, self.report)
 
     def _send_report(self, load_report):
         if self.lag:
--- a/embertray/simulation/models/backend.py
+++ b/embertray/simulation/models/backend.py
@@ -24,8 +24,8 @@
     speed: float = 1.0
     queue: int = 24
     cap: int = 300
-    cold_from: float = 0.2
-    warm_after: int = 12 * S
+    cold_speed: float = 0.2
+    warm_up_time: int = 12 * S
     connect_work: int = 2 * 10**6  # ns of work that a new connection costs
     sharing: bool = False  # processor sharing: nothing waits, all run at once, slower
     thrash: float = 0.0  # part of its speed lost for each queue's length that waits
@@ -84,10 +84,11 @@
         self.clear()
 
     def warmth(self, now):
-        if not self.started or now - self.started >= self.shape.warm_after:
+        if not self.started or now - self.started >= self.shape.warm_up_time:
             return 1.0
         return (
-            self.shape.cold_from + (1 - self.shape.cold_from) * (now - self.started) / self.shape.warm_after
+            self.shape.cold_speed
+            + (1 - self.shape.cold_speed) * (now - self.started) / self.shape.warm_up_time
         )
 
     def capacity(self, now):
--- a/embertray/simulation/models/client.py
+++ b/embertray/simulation/models/client.py
@@ -60,7 +60,7 @@
         if how == "done":
             del self.open[ident]
             took = now - ask.at
-            return ask, "done" if took <= ask.kind.response_target else "late", took
+            return ask, "done" if took <= ask.kind.latency_objective else "late", took
         if ask.tries <= self.retries and (how == "denied" or ask.kind.again != "non-replayable"):
             return ask, "again", int(max(self.wait, stay) * (0.5 + self.rng.random()))
         del self.open[ident]
--- a/embertray/simulation/models/proxy.py
+++ b/embertray/simulation/models/proxy.py
@@ -185,7 +185,7 @@
         under.within = under.until - now
         if under.again >= 2 and under.left:
             under.within = min(
-                under.within, int(self.site.per_try * self.kinds[under.req.kind].response_target)
+                under.within, int(self.site.per_try * self.kinds[under.req.kind].latency_objective)
             )
         return None
 
--- a/embertray/simulation/scenarios/budgets.py
+++ b/embertray/simulation/scenarios/budgets.py
@@ -19,7 +19,7 @@
         self.cold_starts[backend] = at, []
 
     def check_cold_backend(self, backend, start, sends):
-        """Rule `failback`: what any span of fall_after brings stays under fall_multiple x capacity x span.
+        """Rule `failback`: any span of overload_time brings less than overload_multiple x capacity x span.
 
         Only loads of which two thirds come from proxies that know of the start count against the controller.
 
@@ -30,23 +30,23 @@
         """
         site = self.site
         shape = self.backends[backend].shape
-        if not site.fall_multiple or not site.fall_after:
+        if not site.overload_multiple or not site.overload_time:
             return
         first = 0
         total = 0
         known = 0
         for at, work, knows in sends:
-            if at > start + shape.warm_after + site.fall_after:
+            if at > start + shape.warm_up_time + site.overload_time:
                 break
             total += work
             known += work * knows
-            while sends[first][0] <= at - site.fall_after:
+            while sends[first][0] <= at - site.overload_time:
                 total -= sends[first][1]
                 known -= sends[first][1] * sends[first][2]
                 first += 1
-            middle = max(start, at - site.fall_after / 2)
+            middle = max(start, at - site.overload_time / 2)
             capacity = capacity_after(shape, middle - start)
-            bearable = site.fall_multiple * capacity * site.fall_after * SLACK
+            bearable = site.overload_multiple * capacity * site.overload_time * SLACK
             if total > bearable and known * 3 >= total * 2:
                 self.add_violation(
                     "failback",
@@ -90,5 +90,5 @@
 
 def capacity_after(shape, age):
     """What a backend of that shape can do `age` ns after its cold start, ns of work each ns."""
-    warmth = min(1.0, age / shape.warm_after) if shape.warm_after else 1.0
-    return shape.cores * shape.speed * (shape.cold_from + (1 - shape.cold_from) * warmth)
+    warmth = min(1.0, age / shape.warm_up_time) if shape.warm_up_time else 1.0
+    return shape.cores * shape.speed * (shape.cold_speed + (1 - shape.cold_speed) * warmth)
--- a/embertray/simulation/scenarios/proxy_events.py
+++ b/embertray/simulation/scenarios/proxy_events.py
@@ -102,16 +102,16 @@
     def check_has_line(self, at, proxy):
         """Rule `lost`: while a backend is ready and warm, a joined proxy has a line to pick.
 
-        Being without one is a violation past the limit `bare_limit`.
+        Being without one is a violation past the limit `no_backend_limit`.
         """
         if proxy.without_line_since is None or proxy.controller is None or self.is_out_of_reach(proxy):
             return
         ready = [
-            max(notice.notified_at, notice.started + self.site.warm_after if notice.started else 0)
+            max(notice.notified_at, notice.started + self.site.warm_up_time if notice.started else 0)
             for notice in proxy.controller.notices.values()
             if notice.state == "ready"
         ]
         since = max(proxy.without_line_since, min(ready, default=at), proxy.joined_at)
-        if at - since > self.site.bare_limit * proxy.controller.time_factor(since):
+        if at - since > self.site.no_backend_limit * proxy.controller.time_factor(since):
             waited = (at - since) / SECOND_NS
             self.add_violation("lost", at, f"{proxy.name} had no line to pick for {waited:.2f} s")
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -75,8 +75,8 @@
             speed,
             int(fleet["queue"]),
             int(fleet["cap"]),
-            self.site.cold_from,
-            self.site.warm_after,
+            self.site.cold_speed,
+            self.site.warm_up_time,
             sharing=fleet["sharing"] == "yes",
             thrash=float(fleet["thrash"]),
         )
@@ -91,7 +91,7 @@
 
     def mix(self):
         """[(RequestKind, share of the requests, mean work in ns)]."""
-        works = self.by_kind(self.day.load["work"], lambda kind: kind.response_target // 10, span)
+        works = self.by_kind(self.day.load["work"], lambda kind: kind.latency_objective // 10, span)
         weights = self.by_kind(self.day.load["share"], lambda kind: 1.0, read_percent)
         total = sum(weights.values())
         return [(kind, weights[kind] / total, works[kind]) for kind in self.site.kinds]
@@ -125,7 +125,7 @@
         """
         rng = self.chance.of("way", n)
         site = self.site
-        return lambda: min(site.way_most, int(site.way_mean * (0.5 + rng.random())))
+        return lambda: min(site.channel_delay_max, int(site.channel_delay_mean * (0.5 + rng.random())))
 
     def rate(self, n, usual):
         """The rate of proxy n's clients by time.
--- a/embertray/simulation/standins/fleet.py
+++ b/embertray/simulation/standins/fleet.py
@@ -35,21 +35,21 @@
         "proxies": proxies,
         "throttle": "share",
         "pick": "two",
-        "bare_limit": 15 * S,
+        "no_backend_limit": 15 * S,
         "head": 6.0,
-        "way_mean": 180 * MS,
+        "channel_delay_mean": 180 * MS,
         "channel_rate": 3 * proxies,
         "pending_max": 24 * proxies,
-        "way_max": 450 * MS,
+        "channel_delay_max": 450 * MS,
         "messages_max": 20,
         "messages_window": 10 * S,
-        "report_cycle": 2 * S,
-        "cold_from": 0.2,
-        "warm_after": 10 * S,
-        "fall_multiple": 4.0,
-        "fall_after": 3 * S,
+        "report_interval": 2 * S,
+        "cold_speed": 0.2,
+        "warm_up_time": 10 * S,
+        "overload_multiple": 4.0,
+        "overload_time": 3 * S,
         "drain_grace": 9500 * MS,
-        "cross_fee": 0.01,
+        "cross_zone_cost": 0.01,
     }
     return i.Deployment(kinds, zones, **fields | changes)
 
@@ -105,17 +105,17 @@
         """Have a part of the list come to the module with its next step.
 
         Args:
-            how: the kind of i.ListNews.
+            how: the kind of i.EndpointListUpdate.
             backends: handles of the backends that are listed.
             state: the state of them all.
             started: ns when their processes started; 0: long ago.
         """
-        entries = [i.Entry(backend, self._zone_of(backend), state, started) for backend in backends]
+        entries = [i.Endpoint(backend, self._zone_of(backend), state, started) for backend in backends]
         for backend in backends:
             self.backend_states[backend] = state
             if state != "ready":
                 self.removed_at.setdefault(backend, self.now)
-        self.pending_events.append(i.ListNews(how, entries))
+        self.pending_events.append(i.EndpointListUpdate(how, entries))
 
     def _zone_of(self, backend):
         number = int(backend.external_id.removeprefix(BACKEND_NAME_PREFIX))
@@ -132,7 +132,7 @@
             self.lines[proxy] = dict.fromkeys(lines_of(proxy), 1.0)
             self.joined_at[proxy] = self.now
             zone = self.zones[proxy.external_id % len(self.zones)]
-            self.pending_events.append(i.Joined(proxy, zone, 1.0, True))
+            self.pending_events.append(i.ProxyJoined(proxy, zone, 1.0, True))
 
     def run(self, until, period=STEP_PERIOD_NS):
         """Step the module.
@@ -156,7 +156,7 @@
                 self.lines[update.proxy] = dict(update.table)
             self._apply_changes(self.lines[update.proxy], update.changes)
             if update.nonce:
-                answer = i.Answered(update.proxy, update.nonce, self.now - update.sent_at)
+                answer = i.NonceAcknowledged(update.proxy, update.nonce, self.now - update.sent_at)
                 self.pending_events.append(answer)
 
     @staticmethod
@@ -180,14 +180,14 @@
         for order in orders:
             if isinstance(order, i.SetLine):
                 self._set_line(order, users, batch)
-            elif isinstance(order, i.SetLevel):
+            elif isinstance(order, i.SetAdmission):
                 for proxy in users[order.table]:
                     batch.set_level(proxy)
             elif isinstance(order, i.Bind):
                 self._bind(order, batch)
             elif isinstance(order, i.Withdraw):
                 self._withdraw(order, batch)
-            elif isinstance(order, i.PutNonce):
+            elif isinstance(order, i.RequestAcknowledgement):
                 batch.nonce = order.nonce
         self.channel.send(batch, self.now)
 
--- a/embertray/simulation/standins/fleet_channel.py
+++ b/embertray/simulation/standins/fleet_channel.py
@@ -110,7 +110,7 @@
             self.sent_at[proxy].append(self.free_at)
             self.updates.append(
                 TableUpdate(
-                    self.free_at + deployment.way_mean,
+                    self.free_at + deployment.channel_delay_mean,
                     proxy,
                     batch.tables.get(proxy),
                     batch.changes[proxy],
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -149,7 +149,7 @@
     async def report(self):
         """Sums each cycle to whom it is joined to; `lag` ns late."""
         while True:
-            await anyio.sleep(self.site.report_cycle / 1e9)
+            await anyio.sleep(self.site.report_interval / 1e9)
             end, sums = self.joined, self.model.sums(self.agenda.now())
             if end and not self.still:
                 self.agenda.after(self.lag, self.say, end, sums)
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -75,7 +75,7 @@
     """The module is told that nothing starts cold, and a cold one gets a hundred times its part."""
 
     def __init__(self, site, *rest):
-        super().__init__(site.at(cold_from=1.0, warm_after=0, fall_multiple=0.0), *rest)
+        super().__init__(site.at(cold_speed=1.0, warm_up_time=0, overload_multiple=0.0), *rest)
         self.cold = {}
 
     def advance(self, now):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -30,7 +30,7 @@
     def __init__(self):
         self.things, self.now, self.orders, self.todo = {}, 10 * UNITS["s"], [], []
         self.site, self.module, self.steady, self.answers = {}, None, {}, 0
-        both = dict(response_target=8 * 10**8, client_timeout=2 * 10**9)
+        both = dict(latency_objective=8 * 10**8, client_timeout=2 * 10**9)
         self.kinds = {
             "view": i.RequestKind(**both, credit=1, external_id="view"),
             "pay": i.RequestKind(**both, credit=3, again="non-replayable", external_id="pay"),
@@ -47,11 +47,11 @@
     def do_start(self, seed="1"):
         given = (
             dict(
-                report_cycle=10**9,
-                way_max=3 * 10**8,
-                warm_after=10**10,
-                cold_from=0.2,
-                fall_multiple=4.0,
+                report_interval=10**9,
+                channel_delay_max=3 * 10**8,
+                warm_up_time=10**10,
+                cold_speed=0.2,
+                overload_multiple=4.0,
                 pending_max=1500.0,
                 channel_rate=1000.0,
                 head=4.0,
@@ -73,18 +73,18 @@
         for row in rows:
             name, zone, state, started = (row.split(":") + ["north", "ready", "0"][row.count(":") :])[:4]
             began = self.now - value(started) if started != "0" else 0
-            entries.append(i.Entry(self.thing(i.Backend, name), self.thing(i.Zone, zone), state, began))
-        self.todo.append(i.ListNews(how, entries))
+            entries.append(i.Endpoint(self.thing(i.Backend, name), self.thing(i.Zone, zone), state, began))
+        self.todo.append(i.EndpointListUpdate(how, entries))
 
     def do_join(self, name, zone="north", *flags):
         self.bound.pop(name, None)
         self.todo.append(
-            i.Joined(self.thing(i.Proxy, name), self.thing(i.Zone, zone), 10.0, "fresh" in flags)
+            i.ProxyJoined(self.thing(i.Proxy, name), self.thing(i.Zone, zone), 10.0, "fresh" in flags)
         )
 
     def do_left(self, name):
         self.open.pop(name, None)
-        self.todo.append(i.Left(self.thing(i.Proxy, name)))
+        self.todo.append(i.ProxyLeft(self.thing(i.Proxy, name)))
 
     def do_answers(self, how):
         self.answers = {"on": 0, "off": 10**18}.get(how, value(how))
@@ -114,12 +114,14 @@
                         continue
                     if isinstance(key, tuple):
                         self.todo.append(
-                            i.Arrivals(self.thing(i.Proxy, key[0]), self.kinds[key[1]], what, span=UNITS["s"])
+                            i.ArrivalReport(
+                                self.thing(i.Proxy, key[0]), self.kinds[key[1]], what, span=UNITS["s"]
+                            )
                         )
                     else:
                         load = {k: what[k] for k in ("busy", "waiting", "held") if k in what}
                         self.todo.append(
-                            i.Heard(
+                            i.BackendReport(
                                 self.thing(i.Backend, key),
                                 self.thing(i.Zone, "north"),
                                 what["tries"],
@@ -134,7 +136,7 @@
     def step(self):
         for name, nonces in self.open.items():
             due = [(m, self.now - at) for m, at in nonces if self.now - at >= self.answers]
-            self.todo += [i.Answered(self.thing(i.Proxy, name), m, took + 10**8) for m, took in due]
+            self.todo += [i.NonceAcknowledged(self.thing(i.Proxy, name), m, took + 10**8) for m, took in due]
             del nonces[: len(due)]
         todo, self.todo = self.todo, []
         orders = self.module.step(self.now, todo)
@@ -147,7 +149,7 @@
             if isinstance(o, i.SetLine):
                 self.tables.setdefault(o.table, {})[o.backend.external_id] = o.weight
                 touched |= {p for p, t in self.bound.items() if t is o.table}
-            elif isinstance(o, i.SetLevel):
+            elif isinstance(o, i.SetAdmission):
                 self.levels.update({k.external_id: (o.level, o.retry) for k in o.kinds})
                 touched |= {p for p, t in self.bound.items() if t is o.table}
             elif isinstance(o, i.Bind):
@@ -156,7 +158,7 @@
             elif isinstance(o, i.Withdraw):
                 (self.out.add if o.out else self.out.discard)(o.backend.external_id)
                 touched |= set(self.bound)
-            elif isinstance(o, i.PutNonce):
+            elif isinstance(o, i.RequestAcknowledgement):
                 for name in touched:
                     self.open.setdefault(name, []).append((o.nonce, self.now))
         self.messages += [(self.now, name) for name in touched]
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -21,7 +21,7 @@
     for _second in range(8):
         for n, backend in enumerate(fleet.backends):
             fleet.pending_events.append(
-                i.Heard(backend, fleet.zones[n % 2], 10, 0, 250 * MS, 2 * S, {"waiting": 0})
+                i.BackendReport(backend, fleet.zones[n % 2], 10, 0, 250 * MS, 2 * S, {"waiting": 0})
             )
         fleet.run(fleet.now + S)
     return fleet
@@ -68,8 +68,8 @@
         for fleet in (self.small, self.large):
             proxy = fleet.proxies[7]
             lines(fleet, [])
-            left = lines(fleet, [i.Left(proxy)], 5 * MS)
-            joined = lines(fleet, [i.Joined(proxy, fleet.zones[1], 1.0, False)], 5 * MS)
+            left = lines(fleet, [i.ProxyLeft(proxy)], 5 * MS)
+            joined = lines(fleet, [i.ProxyJoined(proxy, fleet.zones[1], 1.0, False)], 5 * MS)
             self.assertLess(left, 200)
             self.assertLess(joined, 20 * len(fleet.proxies))
             self.assertGreater(lines(fleet, []), 3 * joined)  # the count sees what a beat does
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -226,7 +226,7 @@
 
 class Models(unittest.TestCase):
     def backend(self, **shape):
-        backend = Backend("b", "z", Shape(cores=2, queue=10, cap=99, warm_after=0, **shape))
+        backend = Backend("b", "z", Shape(cores=2, queue=10, cap=99, warm_up_time=0, **shape))
         backend.start(0, cold=False)
         return backend
 
@@ -265,7 +265,7 @@
         self.assertAlmostEqual(full, 10, delta=1.5)
 
     def proxy(self, lines, **site):
-        kind = SimpleNamespace(external_id="view", response_target=S, client_timeout=2 * S)
+        kind = SimpleNamespace(external_id="view", latency_objective=S, client_timeout=2 * S)
         facts = {
             "kinds": [kind],
             "picks": "weighted",
@@ -317,7 +317,7 @@
 
     def test_clients_ask_again_only_what_may_run_twice(self):
         kind = SimpleNamespace(
-            external_id="post", again="non-replayable", response_target=S, client_timeout=2 * S
+            external_id="post", again="non-replayable", latency_objective=S, client_timeout=2 * S
         )
         clients = Clients(1, [(kind, 1.0, S // 10)], np.random.default_rng(2))
         for how, verdict in (("error", "lost"), ("timeout", "lost"), ("denied", "again")):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,7 +35,7 @@
         self.assertEqual(len(fleet.overdue), 0, "lines held past the grace")
         self.assertEqual(len(fleet.bound), 1600)
         self.assertLessEqual(fleet.channel.pending_lines_max, fleet.deployment.pending_max)
-        self.assertLess(max(fleet.without_lines_ns.values(), default=0), fleet.deployment.bare_limit)
+        self.assertLess(max(fleet.without_lines_ns.values(), default=0), fleet.deployment.no_backend_limit)
         self.assertLess(len(set(fleet.bound.values())), 1600 / 5)  # shared tables still
 
     def test_whole_tables_are_not_in_time(self):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -147,9 +147,9 @@
     def test_one_message_a_proxy_and_its_cost(self):
         got = self.post(
             i.SetLine(self.table, self.a, 1.0),
-            i.SetLevel(self.table, [], 0.5, 1),
+            i.SetAdmission(self.table, [], 0.5, 1),
             i.Bind(self.p, self.table),
-            i.PutNonce(self.nonce),
+            i.RequestAcknowledgement(self.nonce),
         )
         self.assertEqual(list(got), ["p"])
         self.assertEqual(got["p"].cost, 4 + 1 + 1 + 1 + 1)  # head, bind, a line, a level, the nonce
@@ -331,7 +331,7 @@
 
 class Models(unittest.TestCase):
     def test_a_backend_queues_fills_and_warms(self):
-        backend = Backend("a", "z", Shape(cores=1, queue=1, cold_from=0.5, warm_after=10 * S))
+        backend = Backend("a", "z", Shape(cores=1, queue=1, cold_speed=0.5, warm_up_time=10 * S))
         backend.start(0, cold=False)
         self.assertEqual([backend.offer(0, n, "view", S, None) for n in range(3)], [None, None, "full"])
         self.assertEqual((backend.next_at(), backend.advance(S), backend.advance(2 * S)), (S, [0], [1]))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -105,7 +105,7 @@
             controller.dropped_reports + len(controller.pending_events) - before,
             3 * limits.PENDING_EVENTS_MAX + 1,
         )
-        self.assertIn("Joined", [type(event).__name__ for event in controller.pending_events])
+        self.assertIn("ProxyJoined", [type(event).__name__ for event in controller.pending_events])
 
     def test_run_imports_nothing_that_it_leaves_off(self):
         code = (
--- a/tests/test_report_intake.py
+++ b/tests/test_report_intake.py
@@ -39,7 +39,7 @@
         events, at = [], 0
         while (at := intake.next_release()) is not None:
             events += intake.release_due(at)
-        self.assertEqual([type(e).__name__ for e in events], ["Heard", "Heard", "Arrivals"])
+        self.assertEqual([type(e).__name__ for e in events], ["BackendReport", "BackendReport", "ArrivalReport"])
         self.assertEqual(
             (events[0].tries, events[0].failed, events[0].latency, events[0].load["busy"]), (12, 3, 100, 1.0)
         )
@@ -119,11 +119,11 @@
         while (at := intake.next_release()) is not None:
             now = max(now, at)
             events += intake.release_due(now)
-        heard = [e for e in events if isinstance(e, i.Heard)]
+        heard = [e for e in events if isinstance(e, i.BackendReport)]
         self.assertEqual(sum(e.tries for e in heard), sum(t[3] for t in reports))
         self.assertEqual(sum(e.failed for e in heard), len(reports))
         self.assertEqual(
-            sum(e.requests for e in events if isinstance(e, i.Arrivals)), sum(t[3] for t in reports)
+            sum(e.requests for e in events if isinstance(e, i.ArrivalReport)), sum(t[3] for t in reports)
         )
 
     def test_the_rate_limits_released_events(self):
