--- a/tests/test_report_intake.py
+++ b/tests/test_report_intake.py
@@ -39,7 +39,9 @@
         events, at = [], 0
         while (at := intake.next_release()) is not None:
             events += intake.release_due(at)
-        self.assertEqual([type(e).__name__ for e in events], ["BackendReport", "BackendReport", "ArrivalReport"])
+        self.assertEqual(
+            [type(e).__name__ for e in events], ["BackendReport", "BackendReport", "ArrivalReport"]
+        )
         self.assertEqual(
             (events[0].tries, events[0].failed, events[0].latency, events[0].load["busy"]), (12, 3, 100, 1.0)
         )
