--- a/embertray/experiments/capacity/control.py
+++ b/embertray/experiments/capacity/control.py
@@ -95,7 +95,7 @@
             "controllers / control machines x what a subscriber gets, without the other replicas",
             each * (beats * heartbeat_bytes() + target.changes_a_second * update),
         ),
-        "control/feed: heartbeats and updates",
+        "replication/subscriber_feed: heartbeats and updates",
         worst=reckoned("changes-in-worst-10s", each * (beats * heartbeat_bytes() + bunched * update)),
         designs=REPLICAS,
     )
@@ -103,7 +103,7 @@
         Part.REPLICATION,
         Quantity.STATE,
         reckoned("(services + routes) x entry-bytes, newest versions alone", snapshot_bytes(target)),
-        "control/store",
+        "replication/store",
         designs=REPLICAS,
     )
     return table.rows
@@ -133,7 +133,7 @@
             Part.CONFIGURATION,
             Quantity.IN_FORCE,
             reckoned(formula, value / S),
-            "control/bounds: the stated bound",
+            "replication/propagation_bounds: the stated bound",
             designs=REPLICAS,
         )
         found += table.rows
--- a/embertray/experiments/capacity/controller.py
+++ b/embertray/experiments/capacity/controller.py
@@ -78,7 +78,7 @@
             list_changes_a_second(target),
             slopes.at("change-bytes", target.backends),
         ),
-        "endpoint_list/follow: one News a change",
+        "endpoint_list/follower: one News a change",
         worst=derived(
             "one change in 10 s", lambda size: size / 10, slopes.at("change-bytes", target.backends)
         ),
@@ -137,7 +137,7 @@
         Part.STREAMS,
         Quantity.STATE,
         of_streams(target, slopes, "streams-memory"),
-        "daemon/proxies: streams, queues, and what the module keeps for them",
+        "daemon/proxy_streams: streams, queues, and what the module keeps for them",
         readings=ONLY_ALL,
     )
 
@@ -164,7 +164,7 @@
             slopes.at("streams-processor-by-backends", FEW_BACKENDS),
             slopes.at(f"decisions-processor-{MEASURED_PROXIES}-silent", FEW_BACKENDS),
         ),
-        "daemon/proxies, channel/: streams, outbox, timers",
+        "daemon/proxy_streams, channel/: streams, outbox, timers",
         readings=ONLY_ALL,
     )
     rows.add(
@@ -194,7 +194,7 @@
         Part.LIST,
         Quantity.PROCESSOR,
         change,
-        "endpoint_list/follow and one step of the module",
+        "endpoint_list/follower and one step of the module",
         readings=ONLY_ALL,
         adds_up=True,
     )
@@ -202,7 +202,7 @@
         Part.LIST,
         Quantity.STATE,
         slopes.at("list-memory", target.backends),
-        "endpoint_list/follow: all entries",
+        "endpoint_list/follower: all entries",
         readings=ONLY_ALL,
     )
 
--- a/embertray/experiments/capacity/failures.py
+++ b/embertray/experiments/capacity/failures.py
@@ -54,7 +54,7 @@
             lambda size: loss.backends * size / reckon.WORST,
             change,
         ),
-        "endpoint_list/follow: the entries that leave, worst 10 s",
+        "endpoint_list/follower: the entries that leave, worst 10 s",
         readings=ONLY_ALL,
     )
     table.add(
@@ -85,7 +85,7 @@
             lambda cost: joins * cost / reckon.WORST,
             slopes.at("join-processor", target.backends),
         ),
-        "daemon/proxies: joins and first tables, worst 10 s",
+        "daemon/proxy_streams: joins and first tables, worst 10 s",
         readings=ONLY_ALL,
     )
     table.add(
@@ -96,7 +96,7 @@
             lambda size: joins * size / reckon.WORST,
             slopes.at("join-bytes", target.backends),
         ),
-        "daemon/proxies: first tables, worst 10 s",
+        "daemon/proxy_streams: first tables, worst 10 s",
         readings=ONLY_ALL,
     )
 
@@ -188,7 +188,7 @@
             lambda size: list_missed * size / reckon.WORST,
             slopes.at("change-bytes", target.backends),
         ),
-        "endpoint_list/follow: what is new since the epoch held, worst 10 s",
+        "endpoint_list/follower: what is new since the epoch held, worst 10 s",
         readings=ONLY_ALL,
     )
     return [*during.rows, *after.rows]
@@ -203,7 +203,7 @@
         Part.LIST,
         Quantity.BYTES_IN,
         derived("list-bytes / 10 s", lambda size: size / reckon.WORST, whole),
-        "endpoint_list/follow: the whole list once, worst 10 s",
+        "endpoint_list/follower: the whole list once, worst 10 s",
         readings=ONLY_ALL,
     )
     table.add(
@@ -215,7 +215,7 @@
             slopes.at("list-processor", target.backends),
             slopes.at("list-apply-processor-68", target.backends),
         ),
-        "endpoint_list/follow and one step of the module, worst 10 s",
+        "endpoint_list/follower and one step of the module, worst 10 s",
         readings=ONLY_ALL,
     )
     for quantity, slope in ((Quantity.PROCESSOR, "join-processor"), (Quantity.BYTES_OUT, "join-bytes")):
@@ -227,7 +227,7 @@
                 lambda cost: joins * cost / reckon.WORST,
                 slopes.at(slope, target.backends),
             ),
-            "daemon/proxies: joins and first tables, worst 10 s",
+            "daemon/proxy_streams: joins and first tables, worst 10 s",
             readings=ONLY_ALL,
         )
     table.add(
--- a/embertray/experiments/capacity/others.py
+++ b/embertray/experiments/capacity/others.py
@@ -65,7 +65,7 @@
         Part.FIRST_TABLE,
         Quantity.DELAY,
         wait,
-        "daemon/proxies: from the dial to the first orders, the channel not paced",
+        "daemon/proxy_streams: from the dial to the first orders, the channel not paced",
     )
     rows.add(
         Part.FIRST_TABLE,
