--- a/embertray/cluster/replication/__init__.py
+++ b/embertray/cluster/replication/__init__.py
@@ -6,13 +6,15 @@
 generator. Sockets and files are in `link/`.
 
 Who may write: only the leader of the current term (`leader`), and only while a majority has confirmed it
-within an election timeout. A write is committed, and its caller notified, once a majority has it on disk.
+within the shortest election timeout (1.5 s, `timing`). A write is committed, and its caller notified, once a
+majority has it on disk.
 
-If the leader dies: its followers hear no heartbeat for an election timeout (`follower`), one of them becomes
-a candidate (`candidate`), and wins the next term if a majority grants it votes; they grant none to a
-candidate whose log lacks a committed write. Until then no write is accepted, and subscribers keep what they
-hold while its age grows. A caller whose write was neither committed nor rejected repeats it under its request
-id, which takes effect once. A replica that lost its disk has to be readmitted before it votes (`recovery`).
+If the leader dies: its followers hear no heartbeat for a drawn election timeout (1.5 to 3 s, `follower`), one
+of them becomes a candidate (`candidate`), and wins the next term if a majority grants it votes; they grant
+none to a candidate whose log lacks a committed write. Until then no write is accepted, and subscribers keep
+what they hold while its age grows. A caller whose write was neither committed nor rejected repeats it under
+its request id, which takes effect once. A replica that lost its disk has to be readmitted before it votes
+(`recovery`).
 
-docs/design/control.md
+Design: docs/design/control.md
 """
--- a/embertray/cluster/replication/entry.py
+++ b/embertray/cluster/replication/entry.py
@@ -6,7 +6,7 @@
 import xxhash
 from msgspec import Meta
 
-MAX_KEY_BYTES = 256  # keys are names such as "limits/search"; longer ones are mistakes
+MAX_KEY_BYTES = 256  # names such as "limits/search"; bytes are checked where a client writes
 ENTRY_OVERHEAD = 24  # bytes that an entry is charged beyond its key, request and value: numbers and framing
 
 Count = Annotated[int, Meta(ge=0, le=2**62)]
--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -1,7 +1,7 @@
 """What a leader does: accepts writes, replicates them in rounds, and commits what a majority has on disk.
 
-A leader is confirmed by the newest round that a majority answered. Without one for an election timeout it
-accepts no write, and after the longest election timeout it steps down.
+A leader is confirmed by the newest round that a majority answered. Without one for the shortest
+election timeout it accepts no write, and after the longest election timeout it steps down.
 """
 
 from dataclasses import dataclass
--- a/embertray/cluster/replication/link/client_writes.py
+++ b/embertray/cluster/replication/link/client_writes.py
@@ -7,7 +7,9 @@
 
 from .pending_writes import PendingWrite, PendingWrites, check_write
 
-WRITE_TIMEOUT_S = 5.0  # that a client waits for a majority: an election and a round
+WRITE_TIMEOUT_S = (
+    5.0  # that a client waits for a majority: most elections and a round; then its outcome is unknown
+)
 
 
 class ClientWrites:
--- a/embertray/cluster/replication/replica_core.py
+++ b/embertray/cluster/replication/replica_core.py
@@ -11,7 +11,7 @@
 from .store import VersionedStore, export, restore
 from .timing import ReplicaTiming
 
-MAX_LIVE_KEYS = 16_384  # four times the target's routes: more is a client that runs away
+MAX_LIVE_KEYS = 16_384  # four times the routes of the capacity target; more is a faulty client
 MAX_STATE_BYTES = 8 << 20  # bytes of all versions; a write that would pass it is rejected
 MAX_PENDING_PROPOSALS = 64  # writes that wait for a majority; further ones are rejected
 
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -83,7 +83,8 @@
     Attributes:
         dial: after which an attempt to connect is given up.
         silence: a replica that sends nothing for so long is left; three heartbeats.
-        stale: a replica apart from the majority for so long is left; an election takes under 5 s.
+        stale: a replica apart from the majority for so long is left. Most elections end sooner; the bound
+            is `Bounds.election`.
         retry_first: pause before the next replica is tried, doubled each time all were tried.
         retry_most: the most that this becomes.
         return_home: after so long at another replica the first one is tried again.
--- a/embertray/controller/core/controller_core.py
+++ b/embertray/controller/core/controller_core.py
@@ -96,7 +96,7 @@
             The Step.
         """
         step = Step()
-        self.stall_watch.is_steady(now)
+        self.stall_watch.is_steady(now)  # each look keeps its clock; the result matters elsewhere
         self._evaluate_degradation(now, step)
         orders = self.run_step(now, self.intake.release_due(now))
         if orders:
--- a/embertray/policy/__init__.py
+++ b/embertray/policy/__init__.py
@@ -1,9 +1,10 @@
-"""All of embertray's decisions: make one `Controller` for each instance and step it with batches of events.
+"""All routing decisions: make one `Controller` for each instance and step it with batches of events.
 
 Each rule has its module, which opens with the rule, its inputs and the failure that it guards against:
 `learned_weights`, `slow_start`, `outlier_detection`, `congestion`, `locality`, `subsetting`, `load_shedding`,
 `endpoint_watch`, `channel_budget`, `update_queue`, `endpoint_removal`, `proxy_binding`. `weight_planner` and
-`publisher` run them in order. `interface` has the types of events and orders, `records` what is remembered.
+`publisher` run them in order. `context`, `backend`, `proxy` and `table_writer` are what the rules share,
+`interface` has the types of events and orders, `records` what is remembered.
 Nothing here does I/O, reads a clock or knows which deployment it serves; times are whole nanoseconds.
 
 A step is one call of `Controller.step`. A beat is a step at which all rules run, every 250 ms. A solve is a
--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -32,7 +32,9 @@
 
     pending_share: float  # of the lines that may wait
     messages_spared: int  # of the messages a proxy may be sent, left to more urgent ones
-    yields: bool  # gets less the slower the channel, and while the endpoint list is silent
+    yields: (
+        bool  # gets ever less the slower the channel, and half while the list is silent; others half at least
+    )
 
 
 # a removal's grace runs: it may use nearly all, but for what a late acknowledgement hides
--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -1,8 +1,9 @@
 """Congestion: how long requests wait in the backends' queues, and what the fleet can do.
 
-Rule: the mean latency of the newest reports, less the least mean of the last beats (or 0.35 of the latency
-objective, if that is less), is taken for time in queues. It counts only once at least half of the ready
-backends were heard of lately: the first reports after a start tell of few backends, and of those by chance.
+Rule: the mean latency of the newest reports, less the least mean of the last 200 beats (or 0.35 of the
+latency objective, if that is less), is taken for time in queues. It counts only once at least half of the
+ready backends were heard of lately: the first reports after a start tell of few backends, and of those by
+chance.
 
 Inputs: `BackendFigures` of all ready backends at each beat. Decides: `FleetState`, on which load shedding
 acts, and whether cold backends have to wait (`is_congested`).
--- a/embertray/policy/interface.py
+++ b/embertray/policy/interface.py
@@ -88,7 +88,7 @@
     omission_removes: bool = True  # a backend that the list leaves out counts as gone for the drain rule
 
 
-# ---- what happens
+# ---- what happens; TimerFired, ProbeResult, PeerMessage and the events of slices are used by no rule today
 
 
 @dataclass(eq=False)
@@ -213,7 +213,7 @@
     data: bytes = b""
 
 
-# ---- what is ordered
+# ---- what is ordered; Probe and PollEndpointList are ordered by no rule today
 
 
 @dataclass(eq=False)
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -74,7 +74,7 @@
 
 
 class LoadShedding:
-    """Sets the admission levels at each beat.
+    """Sets what is admitted once a second, and whether retries are allowed at each beat.
 
     Args:
         context: `Context` of the controller.
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -1,5 +1,7 @@
 """Outlier detection: backends that fail far more than their peers are ejected, and recover step by step.
 
+Ejected means that its weight is cut, never to 0.
+
 Ejection rule: a backend whose share of failed attempts in the short window is more than 0.35 above the lower
 quartile of all backends with 8 or more attempts, itself included, is an outlier. Its weight is cut to the
 part that it answers, but not under 6%, so that it is still heard of. At most 0.6 of the ready backends are
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -6,7 +6,7 @@
 is bound to its table anew, and the table waits 1, 2, 4, then 8 s before it is looked at again. Until that
 proxy answers no proxy of the table gets ordinary updates; urgent ones and removals still go. Every 10 s a
 sweep queues all tables at once, whatever they wait for. After an update that takes the channel long the next
-of that table waits three times as long, since each message costs overhead.
+of that table waits three times as long, 2 s at most, since each message costs overhead.
 
 Urgent updates go before the queue at every beat: a weight that more than halves tells of a restarted or
 ejected backend; a table with hardly any lines leaves its proxies without a backend to pick; levels shed load.
