--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -9,7 +9,6 @@
 
 import dataclasses
 import hashlib
-import random
 import sys
 from pathlib import Path
 from unittest import mock
@@ -20,6 +19,8 @@
 
 from embertray.policy import Controller, interface as i
 
+from .recorded_fleets import crowd, drawn
+
 # types and fields of the interface as the recorded files name them: written before they were renamed
 RECORDED_TYPES = {
     "BackendReport": "Heard",
@@ -160,188 +161,6 @@
     return hashlib.sha256(b"\n".join(orders(rows, made, with_logs=False))).hexdigest()
 
 
-def crowd(made, backends=100, proxies=400):
-    """All proxies come at once in the middle of a replacement, with sums of what they meet; then 30 s of
-    it.
-    """
-    from embertray.simulation.standins.fleet import Fleet
-
-    fleet = Fleet(made, backends, proxies)
-    fleet.run(11 * S)
-    kinds = fleet.deployment.kinds
-    for second in range(30):
-        if second < 4:
-            fleet.join(
-                fleet.proxies[second::4], lambda proxy: fleet.backends[proxy.external_id % 5 * 20 :][:20]
-            )
-        if second in (3, 5, 7):
-            fleet.change_list("changes", fleet.backends[second * 10 - 30 :][:20], "draining")
-            new = [i.Backend(f"be-{1000 + second * 20 + k}") for k in range(20)]
-            fleet.change_list("changes", new, "ready", fleet.now)
-        for n, backend in enumerate(fleet.backends[second % 2 :: 2]):
-            bad = 9 if n % 11 == 0 and second > 12 else 0
-            slow = (250 + 40 * (n % 7) + (600 if 15 < second < 24 else 0)) * MS
-            fleet.pending_events.append(
-                i.BackendReport(backend, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5})
-            )
-        for proxy in fleet.proxies[second % 4 :: 4]:
-            fleet.pending_events.append(
-                i.ArrivalReport(proxy, kinds[proxy.external_id % 2], 2 + proxy.external_id % 3, 0, 2 * S)
-            )
-        fleet.run(fleet.now + S)
-
-
-DRAWN_SITES = (  # settings that lead to decisions which the scripted days do not reach
-    {"throttle": "rate", "pick": "weighted", "cross_zone_cost": 0.0},
-    {"throttle": "share", "ask": True, "messages_max": 0},
-    {"throttle": "rate", "channel_rate": 60.0, "pending_max": 480.0, "messages_max": 6},
-    {"throttle": "share", "controllers": 1, "channel_rate": 120.0, "pending_max": 900.0},
-    {"throttle": "none", "ask": True, "pending_max": 10.0**6, "channel_rate": 10.0**6, "drain_grace": 0},
-)
-DRAWN_PROXIES = 60
-DRAWN_SECONDS = 110  # past the time after which those that left are forgotten
-
-
-class _DrawnDay:
-    """A small fleet under settings and faults that a seed draws: releases with cold successors, backends that
-    fail, hang and recover, a lost zone, bursts, proxies that leave, come back or do not answer, and lists
-    that fail, come whole or name changes only.
-    """
-
-    def __init__(self, made, seed):
-        from embertray.simulation.standins.fleet import Fleet
-
-        self.chance = random.Random(seed)
-        given = DRAWN_SITES[seed % len(DRAWN_SITES)]
-        self.faults, self.away, self.silent = {}, set(), set()
-        silent = self.silent
-
-        class LossyFleet(Fleet):
-            """Answers of silent proxies are lost."""
-
-            def deliver(self):
-                super().deliver()
-                self.pending_events = [
-                    event
-                    for event in self.pending_events
-                    if not (isinstance(event, i.NonceAcknowledged) and event.proxy in silent)
-                ]
-
-        zones = self.chance.randint(2, 3)
-        self.fleet = LossyFleet(made, self.chance.randint(10, 24), DRAWN_PROXIES, zones=zones, **given)
-        self.burst = 1.0
-        self.made_backends = len(self.fleet.backends)
-
-    def play(self):
-        fleet = self.fleet
-        fleet.run(10 * S + 500 * MS, 250 * MS)
-        fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
-        for second in range(DRAWN_SECONDS):
-            if second > 6:
-                self.draw_event()
-            self.report()
-            fleet.run(fleet.now + S, 250 * MS)
-
-    def draw_event(self):
-        chance = self.chance
-        event = chance.choices(
-            ("none", "fault", "recover", "release", "return", "zone", "burst", "proxies", "silence", "list"),
-            (4, 4, 3, 3, 2, 1, 2, 2, 2, 3),
-        )[0]
-        getattr(self, "draw_" + event, lambda: None)()
-
-    def ready(self):
-        return [backend for backend in self.fleet.backends if self.fleet.backend_states[backend] == "ready"]
-
-    def draw_fault(self):
-        ready, count = self.ready(), self.chance.choice((2, 3, 3, 100))
-        for backend in self.chance.sample(ready, min(count, len(ready))):
-            every = count > len(ready)
-            self.faults[backend] = (
-                "fails" if every else self.chance.choice(("fails", "slow", "silent", "busy"))
-            )
-
-    def draw_recover(self):
-        for backend in list(self.faults)[:4]:
-            del self.faults[backend]
-
-    def draw_release(self):
-        fleet, count = self.fleet, self.chance.randint(1, 5)
-        ready = self.ready()
-        if len(ready) > 6:
-            fleet.change_list("changes", ready[:count], self.chance.choice(("draining", "gone")))
-        new = [i.Backend(f"be-{self.made_backends + k}") for k in range(count)]
-        self.made_backends += count
-        fleet.backends = [*fleet.backends, *new]
-        fleet.change_list("changes", new, "ready", fleet.now)
-
-    def draw_return(self):
-        """All that left lately are back, cold."""
-        gone = [backend for backend, state in self.fleet.backend_states.items() if state != "ready"]
-        self.fleet.change_list("changes", gone[-3:], "ready", self.fleet.now)
-
-    def draw_zone(self):
-        fleet = self.fleet
-        lost = [backend for backend in self.ready() if int(backend.external_id[3:]) % len(fleet.zones) == 0]
-        if len(lost) < len(self.ready()):
-            fleet.change_list("changes", lost, "gone")
-
-    def draw_burst(self):
-        self.burst = self.chance.choice((0.3, 1.0, 1.0, 2.5, 5.0))
-
-    def draw_proxies(self):
-        fleet, chance = self.fleet, self.chance
-        count = chance.choice((5, 40))
-        if count > 5:  # removals while many are not bound yet
-            self.draw_release()
-        for proxy in chance.sample(fleet.proxies, count):
-            if proxy in self.away:
-                self.away.discard(proxy)
-                fleet.join([proxy], lambda _: self.ready()[:5])
-            else:
-                self.away.add(proxy)
-                fleet.bound.pop(proxy, None)
-                fleet.lines.pop(proxy, None)
-                fleet.joined_at.pop(proxy, None)
-                fleet.pending_events.append(i.ProxyLeft(proxy))
-
-    def draw_silence(self):
-        """Proxies that leave their nonces unanswered for a while."""
-        self.silent.clear()
-        self.silent.update(self.chance.sample(self.fleet.proxies, self.chance.choice((0, 3, 10))))
-
-    def draw_list(self):
-        fleet, how = self.fleet, self.chance.choice(("failed", "failed", "whole", "cached"))
-        if how == "failed":
-            fleet.pending_events.append(i.EndpointListUpdate("failed"))
-        else:
-            fleet.change_list(how, self.ready(), "ready")
-
-    def report(self):
-        fleet, chance = self.fleet, self.chance
-        load = ("busy", "waiting", "held")[fleet.deployment.controllers % 3]
-        for number, backend in enumerate(self.ready()):
-            fault = self.faults.get(backend)
-            if fault == "silent" or chance.random() < 0.2:
-                continue
-            tries = max(1, int(12 * self.burst))
-            failed = int(tries * 0.8) if fault == "fails" else int(chance.random() < 0.1)
-            slow = 900 * MS if fault == "slow" else 120 * MS * (1 + number % 4)
-            latency = int(slow * max(1.0, self.burst) * (0.8 + 0.4 * chance.random()))
-            told = {load: (9.0 if fault == "busy" else 0.2 + 0.3 * self.burst * chance.random())}
-            zone = chance.choice(fleet.zones)
-            fleet.pending_events.append(i.BackendReport(backend, zone, tries, failed, latency, 2 * S, told))
-        for proxy in fleet.proxies:
-            if proxy not in self.away and chance.random() < 0.5:
-                kind = chance.choice(fleet.deployment.kinds)
-                count = max(1, int(chance.choice((1, 2, 4)) * self.burst))
-                fleet.pending_events.append(i.ArrivalReport(proxy, kind, count, 0, 2 * S))
-
-
-def drawn(made, seed):
-    _DrawnDay(made, seed).play()
-
-
 def day(name, made, seed=1):
     from embertray.simulation.emulator.play import play
     from embertray.simulation.scenarios import notation
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -9,7 +9,7 @@
 from .endpoint_removal import EndpointRemoval
 from .interface import Bind, Nonce, RequestAcknowledgement
 from .proxy_binding import Binding, ProxyBinding
-from .subsetting import RoutingTables
+from .routing_tables import RoutingTables
 from .table_writer import TableWriter
 from .update_queue import UpdateQueue
 
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -18,7 +18,6 @@
 
 from .interface import Table
 from .records.tables import TableState
-from .units import SECOND
 
 LINES_MIN = 8  # lines of a table at the least
 PROXIES_PER_TABLE_MIN = 5  # so that tables are shared
@@ -27,7 +26,6 @@
 IDLE_SHARE = 0.25  # of the mean requests, counted for each table, as proxies join
 LACK_TO_MOVE = 0.25  # share of its lines' weight that a table lacks until one moves to it
 MOVES_MAX = 4  # lines of a zone moved at a beat: each costs lines of the channel
-GRACE_SHARE = 0.7  # of the drain grace, within which all proxies have to be bound
 
 
 class ZoneTables:
@@ -163,64 +161,3 @@
             for table, weight in weights.items()
         }
         return min(loads, key=loads.get, default=None)
-
-
-class RoutingTables:
-    """All tables of a controller, by zone.
-
-    Args:
-        context: `Context` of the controller.
-    """
-
-    def __init__(self, context):
-        self.context = context
-        self.zones = {}
-
-    @property
-    def all(self):
-        """All `TableState`s, zone by zone."""
-        return [table for zone in self.zones.values() for table in zone.tables]
-
-    @property
-    def are_subsets(self):
-        """Whether some zone has more than one table."""
-        return any(len(zone.tables) > 1 for zone in self.zones.values())
-
-    def set_wanted(self, zone, wanted):
-        """Sets a zone's wanted lines.
-
-        Args:
-            zone: `interface.Zone`.
-            wanted: `BackendState` -> weight.
-
-        Returns:
-            The zone's tables.
-        """
-        if zone not in self.zones:
-            self.zones[zone] = ZoneTables(self.context)
-        return self.zones[zone].assign(wanted, self.lines_max(), self.usual_rates())
-
-    def lines_max(self):
-        """Lines of a table that the channel brings to all proxies in time; 0: any number.
-
-        All proxies may come to one controller at once, and one that is not bound within the grace may still
-        send to a backend that left.
-        """
-        deployment = self.context.deployment
-        limits = [limit for limit in (deployment.drain_grace, deployment.no_backend_limit) if limit]
-        time = min(limits, default=0)
-        lines = GRACE_SHARE * deployment.channel_rate * time / SECOND / (deployment.proxies or 1)
-        return max(LINES_MIN, int(lines - deployment.head - 2 - len(deployment.kinds))) if lines else 0
-
-    def usual_rates(self):
-        """Table -> usual requests a second of the proxies bound to it."""
-        rates = dict.fromkeys(self.all, 0.0)
-        for proxy in self.context.proxies:
-            if proxy.table is not None:
-                rates[proxy.table] += proxy.usual_rate
-        return rates
-
-    def table_for(self, proxy, rates, removals_wait):
-        """The table for a proxy that joins, or None (see `ZoneTables.table_for`)."""
-        zone = self.zones.get(proxy.zone)
-        return zone and zone.table_for(proxy, rates, removals_wait)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 from embertray.policy import Controller, interface as i
 from embertray.policy.channel_budget import ChannelBudget
-from embertray.policy.subsetting import RoutingTables
+from embertray.policy.routing_tables import RoutingTables
 from embertray.policy.weight_planner import WeightPlanner
 from embertray.simulation.standins.fleet import Fleet
 
