--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -33,7 +33,7 @@
 @click.version_option(package_name=None, version="0.2.0", prog_name="embertray")
 def main(log_format, log_level):
     """embertray publishes routing tables to a fleet of plain proxies."""
-    logs.set_up(log_format, log_level)
+    logs.configure_logging(log_format, log_level)
 
 
 main.add_command(stand_in)
--- a/embertray/common/logs.py
+++ b/embertray/common/logs.py
@@ -6,11 +6,11 @@
 import structlog
 
 
-def set_up(form, level):
-    """`form`: json | console; `level`: a name of logging."""
-    last = (
+def configure_logging(output_format, level):
+    """`output_format`: json | console; `level`: a name of logging."""
+    renderer = (
         structlog.processors.JSONRenderer()
-        if form == "json"
+        if output_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
@@ -18,7 +18,7 @@
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
--- a/embertray/platform/run/__main__.py
+++ b/embertray/platform/run/__main__.py
@@ -13,7 +13,7 @@
 import anyio
 import structlog
 
-from embertray.common.logs import set_up
+from embertray.common.logs import configure_logging
 from embertray.common.net.address import parse_address
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.exceptions import AddressError
@@ -47,7 +47,7 @@
 
 def main():
     """Run until a signal ends the process. Returns the exit code if it can't go on."""
-    set_up("json", os.environ.get(LOG_LEVEL_VARIABLE, "info"))
+    configure_logging("json", os.environ.get(LOG_LEVEL_VARIABLE, "info"))
     log = structlog.get_logger()
     path = os.environ.get(CONFIGURATION_VARIABLE)
     if not path:
--- a/embertray/simulation/processes/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -30,7 +30,7 @@
 @click.option("--scale", type=float, default=1.0, show_default=True)
 def main(site, role, name, scale):
     """One process of a control plane, until SIGTERM."""
-    logs.set_up("json", "debug")
+    logs.configure_logging("json", "debug")
     run = run_replica if role == "replica" else run_subscriber
     anyio.run(run, load(site), name, scale, backend_options={"use_uvloop": True})
 
