--- a/embertray/cluster/link/state_exchange.py
+++ b/embertray/cluster/link/state_exchange.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from embertray.cluster.state import Delta, Offer, StoreFullError, staleness_bound_ns
-from embertray.common.framing import BadFrame
+from embertray.common.framing import FrameError
 from embertray.common.net.address import parse_loopback
 from embertray.common.net.exceptions import AddressError
 
@@ -21,7 +21,7 @@
 LOOKS_PER_PERIOD = 20  # how often, at most, the loop looks whether something is due
 
 STREAM_BROKE = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
-EXCHANGE_ERRORS = (*STREAM_BROKE, BadFrame, AddressError, LinkError, msgspec.DecodeError)
+EXCHANGE_ERRORS = (*STREAM_BROKE, FrameError, AddressError, LinkError, msgspec.DecodeError)
 
 
 class StateExchange:
@@ -132,7 +132,7 @@
 
         Raises:
             AddressError: It is no address on loopback.
-            LinkError, BadFrame, msgspec.DecodeError: What came is not what is due.
+            LinkError, FrameError, msgspec.DecodeError: What came is not what is due.
             OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream
                 broke, or ended.
         """
--- a/embertray/cluster/link/state_stream.py
+++ b/embertray/cluster/link/state_stream.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from embertray.cluster.state import Delta, Offer
-from embertray.common.framing import Splitter, frame
+from embertray.common.framing import FrameDecoder, encode_frame
 
 from .exceptions import UnexpectedMessageError
 
@@ -25,7 +25,7 @@
         self.stream = stream
         self.counters = counters
         self.bucket = bucket
-        self.splitter = Splitter()
+        self.decoder = FrameDecoder()
 
     async def send(self, message):
         """Send a message.
@@ -34,10 +34,10 @@
             message: An Offer or Delta.
 
         Raises:
-            BadFrame: It is too large for a frame.
+            FrameError: It is too large for a frame.
             OSError, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream broke.
         """
-        data = frame(encode_state_message(message))
+        data = encode_frame(encode_state_message(message))
         self.bucket.take(len(data))
         self.counters.on_state_sent(len(data))
         await self.stream.send(data)
@@ -49,7 +49,7 @@
             expected: The class that it has to be of.
 
         Raises:
-            BadFrame: What came is no frame.
+            FrameError: What came is no frame.
             msgspec.DecodeError: It is no message.
             UnexpectedMessageError: It is a message of another class.
             OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream
@@ -59,7 +59,7 @@
         while not payloads:
             data = await self.stream.receive()
             self.counters.on_state_received(len(data))
-            payloads = self.splitter.feed(data)
+            payloads = self.decoder.feed(data)
         message = decode_state_message(payloads[0])
         if not isinstance(message, expected):
             raise UnexpectedMessageError(type(message), expected)
--- a/embertray/cluster/replication/link/connection.py
+++ b/embertray/cluster/replication/link/connection.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from embertray.common.framing import frame
+from embertray.common.framing import encode_frame
 
 CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 SEND_TIMEOUT_S = 10  # for one message; a peer that takes nothing for so long is gone
@@ -102,29 +102,29 @@
             self.traffic.dropped += len(self.queue)
 
     async def _write_next(self):
-        data = frame(self.queue.popleft(), MAX_REPLICA_FRAME)
+        data = encode_frame(self.queue.popleft(), MAX_REPLICA_FRAME)
         with anyio.fail_after(SEND_TIMEOUT_S):
             await self.stream.send(data)
         self.traffic.bytes_out += len(data)
         self.traffic.messages_out += 1
 
-    async def read(self, splitter):
+    async def read(self, decoder):
         """Reads the next messages.
 
         Args:
-            splitter: a Splitter with the size limit of this connection.
+            decoder: a FrameDecoder with the size limit of this connection.
 
         Returns:
             At least one message, not yet decoded.
 
         Raises:
-            BadFrame: what came is no frame, or too large.
+            FrameError: what came is no frame, or too large.
             OSError: or another of CONNECTION_ERRORS; the stream broke.
         """
         while True:
             data = await self.stream.receive(READ_BYTES)
             self.traffic.bytes_in += len(data)
-            payloads = splitter.feed(data)
+            payloads = decoder.feed(data)
             if payloads:
                 self.traffic.messages_in += len(payloads)
                 return payloads
--- a/embertray/cluster/replication/link/inbound_connections.py
+++ b/embertray/cluster/replication/link/inbound_connections.py
@@ -7,7 +7,7 @@
 import anyio
 
 from embertray.cluster.replication.exceptions import ConnectionRejectedError, MalformedMessageError
-from embertray.common.framing import BadFrame, Splitter
+from embertray.common.framing import FrameDecoder, FrameError
 
 from .connection import CONNECTION_ERRORS, Connection, Overflow
 
@@ -61,7 +61,7 @@
                         await self._read(connection)
         except* CONNECTION_ERRORS:
             pass
-        except* (BadFrame, MalformedMessageError, ConnectionRejectedError) as errors:
+        except* (FrameError, MalformedMessageError, ConnectionRejectedError) as errors:
             self.traffic.rejected += 1
             reason = str(errors.exceptions[0])
             self.log.info("inbound connection rejected", peer=connection.name, reason=reason)
@@ -84,8 +84,8 @@
         self.unidentified[connection] = True
 
     async def _read(self, connection):
-        splitter = Splitter(self.max_frame)
-        messages = await self._read_first(connection, splitter)
+        decoder = FrameDecoder(self.max_frame)
+        messages = await self._read_first(connection, decoder)
         name = self.identify(messages[0])
         del self.unidentified[connection]
         self.close(name)  # an older connection: the process behind it has restarted
@@ -93,11 +93,11 @@
         connection.name = name
         while True:
             await self.deliver(name, connection, messages)
-            messages = [self.decode(data) for data in await connection.read(splitter)]
+            messages = [self.decode(data) for data in await connection.read(decoder)]
 
-    async def _read_first(self, connection, splitter):
+    async def _read_first(self, connection, decoder):
         with anyio.move_on_after(IDENTIFY_TIMEOUT_S):
-            return [self.decode(data) for data in await connection.read(splitter)]
+            return [self.decode(data) for data in await connection.read(decoder)]
         raise ConnectionRejectedError(f"it said nothing for {IDENTIFY_TIMEOUT_S} s")
 
     def _remove(self, connection):
--- a/embertray/cluster/replication/link/subscriber_connection.py
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -4,7 +4,7 @@
 
 from embertray.cluster.replication.codec import decode_to_subscriber
 from embertray.cluster.replication.exceptions import MalformedMessageError
-from embertray.common.framing import PREFIX, BadFrame, Splitter
+from embertray.common.framing import PREFIX, FrameDecoder, FrameError
 from embertray.common.net.exceptions import AddressError
 
 from .connection import CONNECTION_ERRORS, MAX_FRAME_TO_SUBSCRIBER, Connection, Overflow
@@ -66,7 +66,7 @@
                         await self._read(connection, action.connection_id)
         except* CONNECTION_ERRORS:
             pass
-        except* (BadFrame, MalformedMessageError) as errors:
+        except* (FrameError, MalformedMessageError) as errors:
             self.traffic.rejected += 1
             reason = str(errors.exceptions[0])
             self.log.warning("replica sent a malformed message", replica=action.replica, reason=reason)
@@ -76,7 +76,7 @@
 
     async def _read(self, connection, connection_id):
         subscriber = self.subscriber
-        splitter = Splitter(MAX_FRAME_TO_SUBSCRIBER)
+        decoder = FrameDecoder(MAX_FRAME_TO_SUBSCRIBER)
         subscriber.connection_opened(self.clock.now(), connection_id)
         if not subscriber.connected or connection_id != subscriber.connection_id:
             return  # it was given up while it was opened
@@ -84,7 +84,7 @@
         self._connection_id = connection_id
         self.carry_out()
         while True:
-            for data in await connection.read(splitter):
+            for data in await connection.read(decoder):
                 size = len(data) + PREFIX.size
                 subscriber.receive(self.clock.now(), connection_id, decode_to_subscriber(data), size)
             self.carry_out()
--- a/embertray/common/framing.py
+++ b/embertray/common/framing.py
@@ -6,10 +6,10 @@
 import struct
 
 PREFIX = struct.Struct(">I")
-MOST = 1 << 20  # bytes; a whole table of 5,000 lines takes a fifth of it, so more is garbage
+MAX_FRAME_BYTES = 1 << 20  # bytes; a whole table of 5,000 lines takes a fifth of it, so more is garbage
 
 
-class BadFrame(ValueError):
+class FrameError(ValueError):
     """What came can't be a frame; `code` is the word for counters and for the peer."""
 
     def __init__(self, code, text):
@@ -17,39 +17,40 @@
         self.code = code
 
 
-def frame(payload, most=MOST):
-    """One frame's bytes. Raises BadFrame if the payload is over `most` bytes."""
-    if len(payload) > most:
-        raise BadFrame("oversized", f"a frame of {len(payload)} bytes, {most} at most")
+def encode_frame(payload, max_bytes=MAX_FRAME_BYTES):
+    """One frame's bytes. Raises FrameError if the payload is over `most` bytes."""
+    if len(payload) > max_bytes:
+        raise FrameError("oversized", f"a frame of {len(payload)} bytes, {max_bytes} at most")
     return PREFIX.pack(len(payload)) + payload
 
 
-class Splitter:
+class FrameDecoder:
     """Cuts a byte stream into frames; holds at most one unfinished frame."""
 
-    def __init__(self, most=MOST):
-        self.most, self.held = most, bytearray()
+    def __init__(self, max_bytes=MAX_FRAME_BYTES):
+        self.max_bytes, self.buffer = max_bytes, bytearray()
 
     def feed(self, data):
-        """The frames (bytes) that `data` completes. Raises BadFrame as soon as a length is announced that no
-        frame may have, before anything of it is kept."""
-        self.held += data
+        """The frames (bytes) that `data` completes. Raises FrameError as soon as a length is announced that
+        no frame may have, before anything of it is kept."""
+        self.buffer += data
         found, at = [], 0
-        while len(self.held) - at >= PREFIX.size:
-            (size,) = PREFIX.unpack_from(self.held, at)
-            if not 0 < size <= self.most:
-                raise BadFrame(
-                    "oversized" if size else "empty", f"a frame of {size} bytes, 1 to {self.most} allowed"
+        while len(self.buffer) - at >= PREFIX.size:
+            (size,) = PREFIX.unpack_from(self.buffer, at)
+            if not 0 < size <= self.max_bytes:
+                raise FrameError(
+                    "oversized" if size else "empty",
+                    f"a frame of {size} bytes, 1 to {self.max_bytes} allowed",
                 )
-            if len(self.held) - at - PREFIX.size < size:
+            if len(self.buffer) - at - PREFIX.size < size:
                 break
             at += PREFIX.size
-            found.append(bytes(self.held[at : at + size]))
+            found.append(bytes(self.buffer[at : at + size]))
             at += size
-        del self.held[:at]
+        del self.buffer[:at]
         return found
 
     def end(self):
-        """To be called at the stream's end: raises BadFrame if it stopped within a frame."""
-        if self.held:
-            raise BadFrame("cut", f"the stream ended {len(self.held)} bytes into a frame")
+        """To be called at the stream's end: raises FrameError if it stopped within a frame."""
+        if self.buffer:
+            raise FrameError("cut", f"the stream ended {len(self.buffer)} bytes into a frame")
--- a/embertray/controller/stream/exceptions.py
+++ b/embertray/controller/stream/exceptions.py
@@ -1,6 +1,6 @@
 """Errors of a stream between a proxy and a controller."""
 
-from embertray.common.framing import frame
+from embertray.common.framing import encode_frame
 
 from .messages import Fault, encode
 
@@ -21,4 +21,4 @@
 
     def fault(self):
         """Returns the bytes of the one clear error that the peer gets."""
-        return frame(encode(Fault(self.code, str(self)[:FAULT_TEXT_MAX])))
+        return encode_frame(encode(Fault(self.code, str(self)[:FAULT_TEXT_MAX])))
--- a/embertray/controller/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from embertray.common.framing import BadFrame, Splitter, frame
+from embertray.common.framing import FrameDecoder, FrameError, encode_frame
 
 from .exceptions import ProtocolError
 from .messages import (
@@ -35,7 +35,7 @@
 
     def __init__(self, read):
         self.read = read
-        self.splitter = Splitter()
+        self.decoder = FrameDecoder()
         self.over = False
 
     def receive(self, data):
@@ -61,10 +61,10 @@
         try:
             if not data:
                 self.over = True
-                self.splitter.end()
+                self.decoder.end()
                 return []
-            return [self.read(payload) for payload in self.splitter.feed(data)]
-        except BadFrame as error:
+            return [self.read(payload) for payload in self.decoder.feed(data)]
+        except FrameError as error:
             self.reject(error.code, str(error))
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             self.reject("malformed", str(error))
@@ -127,7 +127,7 @@
 
     def welcome(self, controller, kinds):
         """Returns the bytes of the welcome: the controller's name and the names of its request kinds."""
-        return frame(encode(Welcome(VERSION, controller, kinds)))
+        return encode_frame(encode(Welcome(VERSION, controller, kinds)))
 
     def sent(self, nonce):
         """A message goes out on this stream: its nonce, if it has one, may be acknowledged from now on."""
@@ -152,7 +152,7 @@
 
     def start(self):
         """Returns the bytes of the hello."""
-        return frame(encode(self.hello))
+        return encode_frame(encode(self.hello))
 
     def check(self, message):
         """Checks a message of the controller. Raises ProtocolError."""
@@ -168,4 +168,4 @@
     @staticmethod
     def pack(message):
         """Returns the bytes of a message's frame."""
-        return frame(encode(message))
+        return encode_frame(encode(message))
--- a/embertray/experiments/measure/capacity/entries.py
+++ b/embertray/experiments/measure/capacity/entries.py
@@ -4,7 +4,7 @@
 import time
 from statistics import median
 
-from embertray.common.framing import frame
+from embertray.common.framing import encode_frame
 from embertray.common.memory.sizing import deep_size
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, WatchEvent, decode_response, encode
@@ -44,10 +44,10 @@
         change = encode(WatchEvent(2 + turn, 1 + turn, 2**60, [entries[turn % count]]))
         change_costs.append(reading(follower, change))
     return {
-        "list-bytes": len(frame(whole)),
+        "list-bytes": len(encode_frame(whole)),
         "list-processor": median(whole_costs),
         "list-memory": deep_size(follower.entries),
-        "change-bytes": len(frame(change)),
+        "change-bytes": len(encode_frame(change)),
         "change-read-processor": median(change_costs),
     }
 
--- a/embertray/service/daemon/endpoint_list_client.py
+++ b/embertray/service/daemon/endpoint_list_client.py
@@ -3,7 +3,7 @@
 import anyio
 import msgspec
 
-from embertray.common.framing import BadFrame, Splitter, frame
+from embertray.common.framing import FrameDecoder, FrameError, encode_frame
 from embertray.common.net.exceptions import CONNECTION_ERRORS
 from embertray.controller.endpoint_list import EndpointListFollower, UpdateKind
 from embertray.controller.endpoint_list.messages import decode_response, encode as encode_request
@@ -73,7 +73,7 @@
             stream = await self._service.net.dial(self._service.site.inventory)
             async with stream:
                 await self._follow(stream)
-        except* (*CONNECTION_ERRORS, BadFrame, msgspec.DecodeError) as errors:
+        except* (*CONNECTION_ERRORS, FrameError, msgspec.DecodeError) as errors:
             error = first_error(errors)
             self._service.log.warning("inventory broke", why=str(error) or type(error).__name__)
 
@@ -86,16 +86,18 @@
         await self._requested.wait()
 
     async def _follow(self, stream):
-        splitter = Splitter()
+        decoder = FrameDecoder()
         async with anyio.create_task_group() as group:
             self._requests.clear()
-            await stream.send(frame(encode_request(self.follower.connected(self._service.clock.now()))))
+            await stream.send(
+                encode_frame(encode_request(self.follower.connected(self._service.clock.now())))
+            )
             self.connected = True
             group.start_soon(self._send_requests, stream)
             group.start_soon(self._watch_timeout)
             while True:
                 data = await stream.receive()
-                for payload in splitter.feed(data):
+                for payload in decoder.feed(data):
                     self._receive(decode_response(payload))
 
     def _receive(self, response):
@@ -125,7 +127,7 @@
             if requests:
                 request = self.follower.next_request(self._service.clock.now(), any(requests))
                 if request:
-                    await stream.send(frame(encode_request(request)))
+                    await stream.send(encode_frame(encode_request(request)))
             await self._requested.wait()
 
     async def _watch_timeout(self):
--- a/embertray/service/daemon/proxy_stream.py
+++ b/embertray/service/daemon/proxy_stream.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.common.framing import frame
+from embertray.common.framing import encode_frame
 from embertray.controller.channel.send_buffer import SendBuffer
 from embertray.controller.stream.messages import Fault, encode
 
@@ -46,6 +46,6 @@
         """
         self.end_reason = reason
         if code:
-            self.conn.put(frame(encode(Fault(code, reason))))
+            self.conn.put(encode_frame(encode(Fault(code, reason))))
             self.send_buffer.sent(0, 0)
         self.scope.cancel()
--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from embertray.common.framing import frame
+from embertray.common.framing import encode_frame
 from embertray.common.net.exceptions import CONNECTION_ERRORS
 from embertray.common.net.queued_connection import QueuedConnection
 from embertray.controller.channel.admission import HANDSHAKE_TIMEOUT_NS
@@ -40,7 +40,7 @@
         stream = self.by_name.get(name)
         if stream is None:
             return
-        data = frame(encode(orders))
+        data = encode_frame(encode(orders))
         stream.session.sent(orders.nonce)
         stream.send_buffer.sent(now, len(data))
         stream.conn.put(data)
@@ -222,7 +222,7 @@
     async def _reject(self, conn, rejection):
         """Ends a stream that is not admitted: the peer is sent for how long to stay away."""
         self._service.count_fault(rejection.code)
-        conn.put(frame(encode(Fault(rejection.code, rejection.text, rejection.retry_after))))
+        conn.put(encode_frame(encode(Fault(rejection.code, rejection.text, rejection.retry_after))))
         await self._flush(conn)
 
     async def _flush(self, conn):
--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from embertray.cluster.link.state_exchange import EXCHANGE_TIMEOUT_NS
-from embertray.common.framing import Splitter
+from embertray.common.framing import FrameDecoder
 from embertray.controller.endpoint_list.messages import WatchEvent, decode_response
 from embertray.service.site.values import parse_duration as span
 from embertray.simulation.claims.cluster import ClusterClaims
@@ -45,7 +45,7 @@
         self.stage.inventory.on_news = None  # what passed the link counts
         for name in self.at:
             to[name, "list"] = lambda: self.stage.inventory.address
-            taps[name, "list"] = lambda name=name: partial(self.passed, name, Splitter())
+            taps[name, "list"] = lambda name=name: partial(self.passed, name, FrameDecoder())
             to["px", name] = lambda name=name: self.at[name].listen
         self.links = ClusterLinks(
             {name: int((at.cluster or "0:0").rpartition(":")[2]) for name, at in self.at.items()},
@@ -61,9 +61,9 @@
                 self.links, span(self.stage.day.fleet["period"]), EXCHANGE_TIMEOUT_NS, SLACK
             )
 
-    def passed(self, name, splitter, data):
+    def passed(self, name, decoder, data):
         """Bytes of the list that reach a controller."""
-        for payload in splitter.feed(data):
+        for payload in decoder.feed(data):
             if isinstance(news := decode_response(payload), WatchEvent):
                 self.stage.eyes.told(self.stage.clock.now(), name, news)
 
--- a/embertray/simulation/scenarios/faults/proxies.py
+++ b/embertray/simulation/scenarios/faults/proxies.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.common.framing import frame
+from embertray.common.framing import encode_frame
 from embertray.controller.stream.session import ProxySession
 
 from .base import Struck
@@ -20,7 +20,7 @@
         """A stream that breaks with a message half written, the other half never comes."""
         for proxy in self.proxies():
             if proxy.conn is not None:
-                proxy.conn.put(frame(b"x" * 40)[:17])
+                proxy.conn.put(encode_frame(b"x" * 40)[:17])
                 await anyio.sleep(0.01)
                 proxy.break_stream()
 
--- a/embertray/simulation/standins/link.py
+++ b/embertray/simulation/standins/link.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from embertray.common.framing import BadFrame, Splitter, frame
+from embertray.common.framing import FrameDecoder, FrameError, encode_frame
 from embertray.common.net.queued_connection import QueuedConnection
 
 # How a stream tells that it cannot be opened or has ended.
@@ -39,7 +39,7 @@
             message: what `encode` takes.
         """
         if not self.over:
-            self.conn.put(frame(self.encode(message)))
+            self.conn.put(encode_frame(self.encode(message)))
 
     def cut(self):
         """End the link at once; what is queued is lost."""
@@ -55,7 +55,7 @@
                         group.start_soon(self._write)
                         await self._read()
                         group.cancel_scope.cancel()
-        except BadFrame:  # what a faulty peer sends ends its own link only
+        except FrameError:  # what a faulty peer sends ends its own link only
             pass
         finally:
             self.over = True
@@ -63,9 +63,9 @@
                 self.on_end()
 
     async def _read(self):
-        splitter = Splitter()
+        decoder = FrameDecoder()
         while data := await self.conn.read():
-            for payload in splitter.feed(data):
+            for payload in decoder.feed(data):
                 self.on_message(self.decode(payload))
 
     async def _write(self):
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -26,7 +26,7 @@
 from embertray.cluster.replication.messages import Confirm, Subscribe, Vote
 from embertray.cluster.replication.replica_core import MAX_STATE_BYTES
 from embertray.cluster.replication.replica_state import ReplicaState, Role
-from embertray.common.framing import Splitter, frame
+from embertray.common.framing import FrameDecoder, encode_frame
 from embertray.common.net.clock import LoopClock
 from embertray.common.net.tcp import TcpNet
 from embertray.common.snapshots import Disk
@@ -413,7 +413,7 @@
             await cluster.subscribe("s1", ["r1"])
             server = cluster.replicas["r1"]
             async with await TcpNet().dial(cluster.listen["r1"]) as stream:
-                await stream.send(frame(encode(Subscribe("test", 1, "slow", 0, 0, 8_000))))
+                await stream.send(encode_frame(encode(Subscribe("test", 1, "slow", 0, 0, 8_000))))
                 await until(lambda: "slow" in server.feed.subscriptions, "it is taken")
                 connection = server.subscribers.by_name["slow"]
                 await cluster.put("key", b"1")
@@ -443,23 +443,24 @@
         subscribe = encode(Subscribe("test", 1, "s9", 0, 0, 8_000))
         vote = {"term_asked": 1, "granted": True, "preliminary": False}
         for_subscribers = {
-            "unreadable": frame(b"\xff\xff\xff"),
-            "no such message": frame(b"\x91\xa4nope"),
+            "unreadable": encode_frame(b"\xff\xff\xff"),
+            "no such message": encode_frame(b"\x91\xa4nope"),
             "an empty frame": b"\0\0\0\0",
             "oversized": b"\x00\x01\x00\x01" + b"x" * 100,
-            "other cluster": frame(encode(Subscribe("other", 1, "s9", 0, 0, 8_000))),
-            "other version": frame(encode(Subscribe("test", 2, "s9", 0, 0, 8_000))),
-            "not subscribed": frame(encode(Confirm(1, 0))),
-            "a name that changes": frame(subscribe) + frame(encode(Subscribe("test", 1, "s8", 0, 0, 8_000))),
-            "unreadable later": frame(subscribe) + frame(b"\xc1"),
-            "a replica's message": frame(encode(Vote("test", "r2", 1, **vote))),
+            "other cluster": encode_frame(encode(Subscribe("other", 1, "s9", 0, 0, 8_000))),
+            "other version": encode_frame(encode(Subscribe("test", 2, "s9", 0, 0, 8_000))),
+            "not subscribed": encode_frame(encode(Confirm(1, 0))),
+            "a name that changes": encode_frame(subscribe)
+            + encode_frame(encode(Subscribe("test", 1, "s8", 0, 0, 8_000))),
+            "unreadable later": encode_frame(subscribe) + encode_frame(b"\xc1"),
+            "a replica's message": encode_frame(encode(Vote("test", "r2", 1, **vote))),
             "nothing": b"",
         }
         for_replicas = {
-            "unreadable": frame(b"\xff\xff\xff"),
-            "other cluster": frame(encode(Vote("other", "r2", 1, **vote))),
-            "no replica": frame(encode(Vote("test", "r9", 1, **vote))),
-            "itself": frame(encode(Vote("test", "r1", 1, **vote))),
+            "unreadable": encode_frame(b"\xff\xff\xff"),
+            "other cluster": encode_frame(encode(Vote("other", "r2", 1, **vote))),
+            "no replica": encode_frame(encode(Vote("test", "r9", 1, **vote))),
+            "itself": encode_frame(encode(Vote("test", "r1", 1, **vote))),
             "oversized": b"\x00\xc0\x00\x01" + b"x" * 100,
             "nothing": b"",
         }
@@ -517,7 +518,7 @@
     def test_the_younger_connection_of_a_name_stays(self):
         async def body(cluster):
             server = cluster.replicas["r1"]
-            hello = frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
+            hello = encode_frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
             async with await TcpNet().dial(cluster.listen["r1"]) as first:
                 await first.send(hello)
                 await until(lambda: "s1" in server.feed.subscriptions, "the first is taken")
@@ -528,8 +529,8 @@
                     with self.assertRaises((anyio.EndOfStream, anyio.BrokenResourceError)):
                         while True:
                             await first.receive()
-                    splitter = Splitter()
-                    while not splitter.feed(await second.receive()):
+                    decoder = FrameDecoder()
+                    while not decoder.feed(await second.receive()):
                         pass
                     self.assertIn("s1", server.feed.subscriptions)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,7 +7,7 @@
 import msgspec
 from hypothesis import given, settings, strategies as st
 
-from embertray.common.framing import MOST, BadFrame, Splitter, frame
+from embertray.common.framing import MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
 from embertray.controller.channel.admission import (
     CUT_BACKOFF_FIRST_NS,
     CUT_BACKOFF_MAX_NS,
@@ -53,20 +53,20 @@
         st.lists(st.binary(min_size=1, max_size=300), max_size=12), st.lists(st.integers(1, 90), max_size=40)
     )
     def test_frames_survive_any_cutting(self, payloads, cuts):
-        data, splitter, found = b"".join(map(frame, payloads)), Splitter(), []
+        data, decoder, found = b"".join(map(encode_frame, payloads)), FrameDecoder(), []
         for size in [*cuts, len(data)]:
-            found += splitter.feed(data[:size])
+            found += decoder.feed(data[:size])
             data = data[size:]
         self.assertEqual(found, payloads)
-        splitter.end()
+        decoder.end()
 
     def test_a_gigabyte_announced_is_refused_before_it_is_kept(self):
-        splitter = Splitter()
-        with self.assertRaises(BadFrame) as caught:
-            splitter.feed(b"\x40\x00\x00\x00" + b"x" * 100)
+        decoder = FrameDecoder()
+        with self.assertRaises(FrameError) as caught:
+            decoder.feed(b"\x40\x00\x00\x00" + b"x" * 100)
         self.assertEqual(caught.exception.code, "oversized")
-        with self.assertRaises(BadFrame):
-            frame(b"x" * (MOST + 1))
+        with self.assertRaises(FrameError):
+            encode_frame(b"x" * (MAX_FRAME_BYTES + 1))
 
     @given(st.binary(max_size=400))
     def test_noise_never_raises_anything_but_refused(self, noise):
@@ -90,10 +90,10 @@
         end = ControllerSession()
         payload = msgspec.msgpack.encode([tag, *inner] if isinstance(inner, list) else [tag, inner])
         try:
-            end.receive(frame(payload))
+            end.receive(encode_frame(payload))
         except ProtocolError:
             with self.assertRaises(ProtocolError):
-                end.receive(frame(encode(Hello(1, "p", "z"))))
+                end.receive(encode_frame(encode(Hello(1, "p", "z"))))
 
 
 class Sessions(unittest.TestCase):
@@ -104,7 +104,7 @@
 
     def refused(self, end, message):
         with self.assertRaises(ProtocolError) as caught:
-            end.receive(frame(encode(message)))
+            end.receive(encode_frame(encode(message)))
         return caught.exception.code
 
     def test_order_of_messages(self):
@@ -118,13 +118,13 @@
         end = self.end()
         for nonce in (1, 2, 3):
             end.sent(nonce)
-        self.assertEqual(len(end.receive(frame(encode(Acknowledgement(2))))), 1)
+        self.assertEqual(len(end.receive(encode_frame(encode(Acknowledgement(2))))), 1)
         self.assertEqual(list(end.open), [3])
         self.assertEqual(self.refused(end, Acknowledgement(1)), "order")
 
     def test_a_stream_cut_within_a_frame(self):
         end = self.end()
-        end.receive(frame(encode(Acknowledgement(1)))[:3])
+        end.receive(encode_frame(encode(Acknowledgement(1)))[:3])
         with self.assertRaises(ProtocolError) as caught:
             end.receive(b"")
         self.assertEqual(caught.exception.code, "cut")
