--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -141,7 +141,8 @@
         while True:
             await anyio.sleep(1)
             say(
-                f"{'joined' if proxy.joined else 'alone'}, {len(proxy.holding.picks())} lines, "
+                f"{'joined' if proxy.joined else 'alone'}, "
+                f"{len(proxy.routing_state.routable_lines())} lines, "
                 + ", ".join(f"{how} {n}" for how, n in counts.items())
             )
 
--- a/embertray/controller/stream/holding.py
+++ b/embertray/controller/stream/routing_state.py
@@ -6,7 +6,7 @@
 from .messages import Bind, Level, Line, Withdrawal
 
 
-class Holding:
+class RoutingState:
     """A proxy's lines, withdrawals and levels.
 
     Before a binding its standing table counts; no stream changes that.
@@ -19,8 +19,8 @@
         self.table = None
         self.lines = dict.fromkeys(standing, 1.0)
         self.levels = {}  # request kind -> (level, retry)
-        self.waits = {}  # request kind -> ns that a rejected client is asked to stay away
-        self.out = set()  # withdrawn backends
+        self.retry_after = {}  # request kind -> ns that a rejected client is asked to stay away
+        self.withdrawn = set()  # withdrawn backends
 
     def apply(self, orders):
         """Applies one `Orders` message; lines and levels of tables that it is not bound to change nothing."""
@@ -30,10 +30,10 @@
             elif isinstance(order, Bind):
                 self._bind(order)
             elif isinstance(order, Withdrawal):
-                (self.out.add if order.out else self.out.discard)(order.backend)
+                (self.withdrawn.add if order.out else self.withdrawn.discard)(order.backend)
             elif isinstance(order, Level) and order.table == self.table:
                 self.levels.update({kind: (order.level, order.again) for kind in order.kinds})
-                self.waits.update(dict.fromkeys(order.kinds, order.wait))
+                self.retry_after.update(dict.fromkeys(order.kinds, order.wait))
 
     def _set_line(self, order):
         if order.table != self.table:
@@ -47,13 +47,13 @@
         self.table = order.table
         self.lines = {name: weight for name, weight in order.lines if weight > 0}
         self.levels = {kind: (level, retry) for kind, level, retry in order.levels}
-        self.waits = {}
-        self.out = set(order.out)  # a bound proxy follows only this controller's withdrawals
+        self.retry_after = {}
+        self.withdrawn = set(order.out)  # a bound proxy follows only this controller's withdrawals
 
-    def left(self):
+    def disconnected(self):
         """The stream broke: the proxy keeps what it holds, but no table of the next controller's numbers."""
         self.table = None
 
-    def picks(self):
+    def routable_lines(self):
         """Lines that may be picked: backend -> weight."""
-        return {name: weight for name, weight in self.lines.items() if name not in self.out}
+        return {name: weight for name, weight in self.lines.items() if name not in self.withdrawn}
--- a/embertray/simulation/emulator/flow_proxy.py
+++ b/embertray/simulation/emulator/flow_proxy.py
@@ -4,8 +4,8 @@
 
 from embertray.common.net.queued_connection import QueuedConnection
 from embertray.controller.stream.exceptions import ProtocolError
-from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import Acknowledgement, Orders
+from embertray.controller.stream.routing_state import RoutingState
 from embertray.controller.stream.session import ProxySession
 from embertray.simulation.standins.link import STREAM_ERRORS
 
@@ -23,7 +23,7 @@
         fleet: The FlowFleet that it belongs to.
 
     Attributes:
-        holding: Its tables.
+        routing_state: Its tables.
         orders: Orders received so far.
     """
 
@@ -32,7 +32,7 @@
         self.zone = zone
         self.rate = rate
         self.fleet = fleet
-        self.holding = Holding()
+        self.routing_state = RoutingState()
         self.orders = 0
         self._session = None
         self._connection = None  # a Conn; None: not joined
@@ -78,13 +78,13 @@
                             self._connection = connection
             finally:
                 self._connection = None
-                self.holding.left()
+                self.routing_state.disconnected()
                 group.cancel_scope.cancel()
         return retry_after
 
     def _apply(self, orders, connection):
         self.orders += 1
-        self.holding.apply(orders)
+        self.routing_state.apply(orders)
         if orders.nonce:
             connection.put(self._session.pack(Acknowledgement(orders.nonce)))
 
--- a/embertray/simulation/emulator/flows.py
+++ b/embertray/simulation/emulator/flows.py
@@ -155,7 +155,7 @@
     def _draw(self, proxy):
         """Draws a proxy's requests, and their spread by the weights of its tables."""
         count = int(self.rng.poisson(proxy.rate * self.cycle / NS_PER_SECOND))
-        weights = proxy.holding.picks()
+        weights = proxy.routing_state.routable_lines()
         self.requests += count
         if not weights:
             self.unrouted += count
--- a/embertray/simulation/emulator/fluid_tables.py
+++ b/embertray/simulation/emulator/fluid_tables.py
@@ -46,24 +46,24 @@
             proxies: All FluidProxy items, by row.
         """
         for place in sorted(self.changed):
-            holding = proxies[place].model.holding
-            self._read_weights(place, holding)
-            self._read_levels(place, holding)
+            routing_state = proxies[place].model.routing_state
+            self._read_weights(place, routing_state)
+            self._read_levels(place, routing_state)
         self.changed.clear()
 
-    def _read_weights(self, place, holding):
+    def _read_weights(self, place, routing_state):
         row = self.weights[place]
         row[:] = 0.0
-        for name, weight in holding.picks().items():
+        for name, weight in routing_state.routable_lines().items():
             row[self.columns[name]] = weight
         total = row.sum()
         if total > 0:
             row /= total
 
-    def _read_levels(self, place, holding):
+    def _read_levels(self, place, routing_state):
         default = (self._free_level, self.site.base_retry)
         for k, kind in enumerate(self.kinds):
-            level, retry_level = holding.levels.get(kind.external_id, default)
+            level, retry_level = routing_state.levels.get(kind.external_id, default)
             self.levels[place, k] = self._free_level if self.site.levels == "none" else level
             self.retry_levels[place, k] = retry_level
 
--- a/embertray/simulation/models/proxy.py
+++ b/embertray/simulation/models/proxy.py
@@ -11,8 +11,8 @@
 
 import numpy as np
 
-from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import ArrivalTotals, BackendTotals, LoadReport
+from embertray.controller.stream.routing_state import RoutingState
 
 S = 10**9
 EJECT = 3 * S  # ns that an ejected backend is left alone
@@ -75,7 +75,7 @@
     """`site` tells how it picks, what levels mean and how it tries again; `rng` is its own."""
 
     def __init__(self, site, rng, standing=()):
-        self.site, self.rng, self.holding = site, rng, Holding(standing)
+        self.site, self.rng, self.routing_state = site, rng, RoutingState(standing)
         self.kinds = {kind.external_id: kind for kind in site.kinds}
         self.heard, self.came, self.buckets, self.since, self.serial = {}, {}, {}, 0, 0
         self.out, self.fails, self.ejected, self.current = {}, {}, {}, {}
@@ -84,12 +84,12 @@
     # ---- orders
 
     def apply(self, orders):
-        self.holding.apply(orders)
+        self.routing_state.apply(orders)
         self.forget_book()
 
     def left(self):
         """Its stream broke."""
-        self.holding.left()
+        self.routing_state.disconnected()
 
     def forget_book(self):
         if self.book:
@@ -99,7 +99,7 @@
 
     def read_book(self):
         if self.book is None:
-            lines = self.holding.picks()
+            lines = self.routing_state.routable_lines()
             names, weights = list(lines), list(lines.values())
             weighed = np.array(weights, float)
             if (
@@ -129,7 +129,7 @@
             came = self.came[req.kind] = [0, 0, 0]
         came[0] += 1
         came[2] += req.attempt > 1
-        level, again = self.holding.levels.get(req.kind, (None, self.site.base_retry))
+        level, again = self.routing_state.levels.get(req.kind, (None, self.site.base_retry))
         return Underway(req, back, now, again) if self.admits(now, req.kind, level) else None
 
     def admits(self, now, kind, level):
@@ -223,7 +223,7 @@
 
     def wait_of(self, kind):
         """ns that a denied client of this kind is asked to stay away."""
-        return self.holding.waits.get(kind, 0)
+        return self.routing_state.retry_after.get(kind, 0)
 
     # ---- sums
 
--- a/embertray/simulation/scenarios/controller_events.py
+++ b/embertray/simulation/scenarios/controller_events.py
@@ -97,5 +97,5 @@
         if state == "ready":
             return
         for proxy in self.proxies.values():
-            if proxy.controller is controller and backend in proxy.holding.picks():
+            if proxy.controller is controller and backend in proxy.routing_state.routable_lines():
                 proxy.awaited[backend] = at
--- a/embertray/simulation/scenarios/observed.py
+++ b/embertray/simulation/scenarios/observed.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from embertray.controller.stream.holding import Holding
+from embertray.controller.stream.routing_state import RoutingState
 
 
 class BackendNotice:
@@ -58,7 +58,7 @@
 
     def __init__(self, name, standing):
         self.name = name
-        self.holding = Holding(standing)
+        self.routing_state = RoutingState(standing)
         self.controller = None  # the ObservedController that it joined, or None
         self.joined_at = 0
         self.without_line_since = None  # ns; None while it has a line to pick
--- a/embertray/simulation/scenarios/proxy_events.py
+++ b/embertray/simulation/scenarios/proxy_events.py
@@ -33,7 +33,7 @@
         """The proxy's stream ended."""
         proxy = self.proxies[name]
         self.check_has_line(at, proxy)
-        proxy.holding.left()
+        proxy.routing_state.disconnected()
         proxy.controller = None
         proxy.without_line_since = None
         proxy.awaited.clear()
@@ -83,14 +83,14 @@
     def on_applied(self, at, name, orders):
         """The proxy applied a message."""
         proxy = self.proxies[name]
-        proxy.holding.apply(orders)
+        proxy.routing_state.apply(orders)
         if proxy.controller:
             proxy.newest_stamp = max(proxy.newest_stamp, orders.stamp)
         self.note_table_changed(at, proxy)
 
     def note_table_changed(self, at, proxy):
         """Notes which backends the proxy dropped, and whether it still has a line to pick."""
-        picks = proxy.holding.picks()
+        picks = proxy.routing_state.routable_lines()
         for backend in [backend for backend in proxy.awaited if backend not in picks]:
             self.spread.append(at - proxy.awaited.pop(backend))
         if picks:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -24,7 +24,6 @@
 from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, RequestFailed, WatchEvent
 from embertray.controller.identifiers import Identifiers
 from embertray.controller.stream.exceptions import ProtocolError
-from embertray.controller.stream.holding import Holding
 from embertray.controller.stream.messages import (
     Acknowledgement,
     BackendTotals,
@@ -36,6 +35,7 @@
     encode,
     read_to_proxy,
 )
+from embertray.controller.stream.routing_state import RoutingState
 from embertray.controller.stream.session import ControllerSession, ProxySession
 from embertray.policy import interface as i
 from embertray.service.site import load
@@ -185,7 +185,7 @@
         withdrawn.
         """
         self.setUp()
-        held = {"p": Holding(), "q": Holding()}
+        held = {"p": RoutingState(), "q": RoutingState()}
         for backend, what, proxy in steps:
             backend, proxy = self.identifiers.backend(backend), self.identifiers.proxy(proxy)
             order = {
@@ -197,7 +197,7 @@
             }.get(what)
             if order is None:
                 self.box.proxy_joined(proxy)
-                held[proxy.external_id] = Holding()
+                held[proxy.external_id] = RoutingState()
                 continue
             for name, message in self.post(order).items():
                 held[name].apply(read_to_proxy(encode(message)))
@@ -208,7 +208,7 @@
             }
             for proxy, table in self.box.bound.items():
                 if table is not None:
-                    self.assertEqual(set(held[proxy.external_id].picks()), lines)
+                    self.assertEqual(set(held[proxy.external_id].routable_lines()), lines)
 
     @given(st.lists(st.tuples(st.integers(0, 3 * 10**8), st.integers(1, 80)), min_size=1, max_size=60))
     def test_the_channel_never_runs_faster_than_its_rate(self, puts):
