--- a/embertray/controller/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -36,7 +36,7 @@
     def __init__(self, read):
         self.read = read
         self.decoder = FrameDecoder()
-        self.over = False
+        self.ended = False
 
     def receive(self, data):
         """Takes bytes of the stream.
@@ -50,7 +50,7 @@
         Raises:
             ProtocolError: the peer broke the protocol, or bytes came after the end of the session.
         """
-        if self.over:
+        if self.ended:
             raise ProtocolError("order", "bytes after the end of the session")
         messages = self._decode(data)
         for message in messages:
@@ -60,7 +60,7 @@
     def _decode(self, data):
         try:
             if not data:
-                self.over = True
+                self.ended = True
                 self.decoder.end()
                 return []
             return [self.read(payload) for payload in self.decoder.feed(data)]
@@ -75,7 +75,7 @@
 
     def reject(self, code, text):
         """Ends the session. Raises ProtocolError."""
-        self.over = True
+        self.ended = True
         raise ProtocolError(code, text) from None
 
 
@@ -163,7 +163,7 @@
         elif isinstance(message, Orders) and not self.welcomed:
             self.reject("order", "orders before the welcome")
         elif isinstance(message, Fault):
-            self.over = True
+            self.ended = True
 
     @staticmethod
     def pack(message):
--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -129,7 +129,7 @@
             finally:
                 self._service.admission.handshake_ended()
             if not messages:
-                if not session.over:
+                if not session.ended:
                     await self._refuse(conn, UNKNOWN_PROXY, ProtocolError("hello", "no hello in time"))
                 return
             rejection = self._service.frontend.admit_proxy(self._service.clock.now(), session.hello.proxy)
@@ -149,7 +149,7 @@
         """
         messages = []
         with anyio.move_on_after(HANDSHAKE_TIMEOUT_NS / NS_PER_SECOND):
-            while not messages and not session.over:
+            while not messages and not session.ended:
                 messages = session.receive(await conn.read())
         return messages
 
@@ -161,7 +161,7 @@
                 async with anyio.create_task_group() as group:
                     group.start_soon(self._write, stream)
                     self._receive(stream, messages)
-                    while not stream.session.over:
+                    while not stream.session.ended:
                         self._receive(stream, stream.session.receive(await stream.conn.read()))
                     group.cancel_scope.cancel()
         except* ProtocolError as errors:
--- a/embertray/simulation/emulator/flow_proxy.py
+++ b/embertray/simulation/emulator/flow_proxy.py
@@ -68,11 +68,11 @@
             connection.put(self._session.start())
             group.start_soon(connection.write)
             try:
-                while not self._session.over:
+                while not self._session.ended:
                     for message in self._session.receive(await connection.read()):
                         if isinstance(message, Orders):
                             self._apply(message, connection)
-                        elif self._session.over:
+                        elif self._session.ended:
                             retry_after = message.wait
                         else:
                             self._connection = connection
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -87,13 +87,13 @@
                 self.conn.put(end.start())
                 group.start_soon(self.write, self.conn, self.scope)
                 try:
-                    while not end.over:
+                    while not end.ended:
                         while self.deaf:  # it does not read: its sockets fill up
                             await anyio.sleep(0.05)
                         for message in end.receive(await self.conn.read()):
                             if isinstance(message, Orders):
                                 self.on_orders(end, message)
-                            elif end.over:
+                            elif end.ended:
                                 asked = message.wait
                             else:
                                 self.on_joined(end, address, message)
