--- a/embertray/controller/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -90,7 +90,7 @@
         super().__init__(read_from_proxy)
         self.hello = None
         self.zones = zones
-        self.open = deque()  # nonces that were sent and are not acknowledged
+        self.open_nonces = deque()  # nonces that were sent and are not acknowledged
 
     def check(self, message):
         """Checks a message of the proxy. Raises ProtocolError."""
@@ -113,10 +113,10 @@
         self.hello = hello
 
     def _check_acknowledgement(self, message):
-        if message.nonce not in self.open:
+        if message.nonce not in self.open_nonces:
             self.reject("order", f"an answer to nonce {message.nonce}, which is not open here")
         # the channel keeps order: the nonces before it are acknowledged as well
-        while self.open.popleft() != message.nonce:
+        while self.open_nonces.popleft() != message.nonce:
             pass
 
     def _check_report(self, report):
@@ -132,7 +132,7 @@
     def sent(self, nonce):
         """A message goes out on this stream: its nonce, if it has one, may be acknowledged from now on."""
         if nonce is not None:
-            self.open.append(nonce)
+            self.open_nonces.append(nonce)
 
 
 class ProxySession(Session):
--- a/embertray/service/admin/pages.py
+++ b/embertray/service/admin/pages.py
@@ -104,7 +104,7 @@
             {
                 "proxy": stream.name,
                 "zone": stream.hello.zone,
-                "open_marks": len(stream.session.open),
+                "open_marks": len(stream.session.open_nonces),
                 "untaken_bytes": stream.send_buffer.bytes,
             }
             for stream in service.streams.values()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -119,7 +119,7 @@
         for nonce in (1, 2, 3):
             end.sent(nonce)
         self.assertEqual(len(end.receive(encode_frame(encode(Acknowledgement(2))))), 1)
-        self.assertEqual(list(end.open), [3])
+        self.assertEqual(list(end.open_nonces), [3])
         self.assertEqual(self.refused(end, Acknowledgement(1)), "order")
 
     def test_a_stream_cut_within_a_frame(self):
