--- a/embertray/controller/stream/messages.py
+++ b/embertray/controller/stream/messages.py
@@ -134,5 +134,5 @@
 ToProxy = Welcome | Orders | Fault
 
 encode = msgspec.msgpack.Encoder().encode
-read_from_proxy = msgspec.msgpack.Decoder(FromProxy).decode
-read_to_proxy = msgspec.msgpack.Decoder(ToProxy).decode
+decode_from_proxy = msgspec.msgpack.Decoder(FromProxy).decode
+decode_to_proxy = msgspec.msgpack.Decoder(ToProxy).decode
--- a/embertray/controller/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -20,9 +20,9 @@
     LoadReport,
     Orders,
     Welcome,
+    decode_from_proxy,
+    decode_to_proxy,
     encode,
-    read_from_proxy,
-    read_to_proxy,
 )
 
 
@@ -30,11 +30,11 @@
     """What both ends share: frames become messages; the first error ends the session.
 
     Args:
-        read: bytes of one frame -> message; raises msgspec.DecodeError.
+        decode: bytes of one frame -> message; raises msgspec.DecodeError.
     """
 
-    def __init__(self, read):
-        self.read = read
+    def __init__(self, decode):
+        self.decode = decode
         self.decoder = FrameDecoder()
         self.ended = False
 
@@ -52,18 +52,18 @@
         """
         if self.ended:
             raise ProtocolError("order", "bytes after the end of the session")
-        messages = self._decode(data)
+        messages = self._decode_messages(data)
         for message in messages:
             self.check(message)
         return messages
 
-    def _decode(self, data):
+    def _decode_messages(self, data):
         try:
             if not data:
                 self.ended = True
                 self.decoder.end()
                 return []
-            return [self.read(payload) for payload in self.decoder.feed(data)]
+            return [self.decode(payload) for payload in self.decoder.feed(data)]
         except FrameError as error:
             self.reject(error.code, str(error))
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -87,7 +87,7 @@
     """
 
     def __init__(self, zones=None):
-        super().__init__(read_from_proxy)
+        super().__init__(decode_from_proxy)
         self.hello = None
         self.zones = zones
         self.open_nonces = deque()  # nonces that were sent and are not acknowledged
@@ -146,7 +146,7 @@
     """
 
     def __init__(self, proxy, zone, rate, fresh):
-        super().__init__(read_to_proxy)
+        super().__init__(decode_to_proxy)
         self.hello = Hello(VERSION, proxy, zone, rate, fresh)
         self.welcomed = None
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -32,8 +32,8 @@
     Line,
     LoadReport,
     Withdrawal,
+    decode_to_proxy,
     encode,
-    read_to_proxy,
 )
 from embertray.controller.stream.routing_state import RoutingState
 from embertray.controller.stream.session import ControllerSession, ProxySession
@@ -200,7 +200,7 @@
                 held[proxy.external_id] = RoutingState()
                 continue
             for name, message in self.post(order).items():
-                held[name].apply(read_to_proxy(encode(message)))
+                held[name].apply(decode_to_proxy(encode(message)))
             lines = {
                 one.external_id
                 for one in self.box.ordered_table(self.table).lines
