--- a/embertray/controller/core/controller_core.py
+++ b/embertray/controller/core/controller_core.py
@@ -1,8 +1,8 @@
 """One controller without I/O: events go to the policy, its orders leave as paced messages.
 
 Whoever runs it (the daemon, or a simulation) calls `join`, `proxy_left`, `acknowledged`, `add_report` and
-`news` as things happen, then `advance(now)` at once or at `next_at()`, and does what the Step asks for.
-Events between two advances are one step.
+`receive_list_update` as things happen, then `advance(now)` at once or at `next_at()`, and does what the Step
+asks for. Events between two advances are one step.
 """
 
 from embertray.common.memory.caps import PROBES_IN_FLIGHT_MAX
@@ -16,7 +16,8 @@
 class ControllerCore(MemoryBoundRunner):
     """One controller: the policy with its channel, load reports, degradation levels and memory accounts.
 
-    Its first event is the list that it starts with: `news(now, "cached", ...)`, empty if there is none.
+    Its first event is the list that it starts with: `receive_list_update(now, "cached", ...)`, empty if there
+    is none.
     """
 
     # ---- proxies
--- a/embertray/controller/core/frontend.py
+++ b/embertray/controller/core/frontend.py
@@ -73,7 +73,7 @@
         decision = self.trust.start(now, snapshot, clocks)
         inventory_clock = snapshot.inventory_clock + (time_since(snapshot, clocks) or 0) if snapshot else 0
         self._inventory_clock = InventoryClock(inventory_clock, now)
-        self.core.news(now, "cached", inventory_clock, decision.entries)
+        self.core.receive_list_update(now, "cached", inventory_clock, decision.entries)
 
     # ---- proxies
 
@@ -153,7 +153,7 @@
             kind: The UpdateKind.
             entries: EndpointEntry items.
         """
-        self.core.news(now, kind, self._inventory_clock.at(now), entries)
+        self.core.receive_list_update(now, kind, self._inventory_clock.at(now), entries)
 
     def make_snapshot(self, now, clocks):
         """Returns the Snapshot of `now` (ns) at a ClockReading."""
--- a/embertray/controller/core/memory_bound_runner.py
+++ b/embertray/controller/core/memory_bound_runner.py
@@ -78,8 +78,8 @@
 
     # ---- the endpoint list
 
-    def news(self, now, how, clock=0, entries=()):
-        """Takes in an update of the endpoint list, as Runner.news does.
+    def receive_list_update(self, now, how, clock=0, entries=()):
+        """Takes in an update of the endpoint list, as Runner.receive_list_update does.
 
         Against a list that outgrows the memory: at the cap new backends are deferred. Known ones and removals
         pass, so that the rules for what is in service hold; the complete list is requested later.
@@ -92,7 +92,7 @@
             self.deferred_entries += deferred
             self.accounts.by_purpose["list"].action_count += deferred
             entries = known
-        super().news(now, how, clock, entries)
+        super().receive_list_update(now, how, clock, entries)
 
     # ---- memory
 
--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -19,8 +19,8 @@
 class Runner:
     """Runs one decision module.
 
-    Its first event is the list that it starts with: `news(now, "cached", ...)`, empty if there is
-    none.
+    Its first event is the list that it starts with: `receive_list_update(now, "cached", ...)`, empty if there
+    is none.
 
     Attributes:
         identifiers: The Identifiers of all that the module was notified of.
@@ -77,7 +77,7 @@
             listed.nominal,
         )
 
-    def news(self, now, how, clock=0, entries=()):
+    def receive_list_update(self, now, how, clock=0, entries=()):
         """What the list tells waits for the next step.
 
         Args:
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -57,7 +57,7 @@
         self.unknown_reports = 0
         self.dropped_reports = 0
         self.admission = ConnectionAdmission(configuration.limits.descriptors)
-        self.news(now, "cached", wall_clock, known.endpoints)
+        self.receive_list_update(now, "cached", wall_clock, known.endpoints)
 
     def inbound_connection(self, now):
         """The InboundConnection of a peer that connected at `now`, ns."""
--- a/embertray/platform/protocol/wire.py
+++ b/embertray/platform/protocol/wire.py
@@ -71,7 +71,7 @@
 
 
 class Endpoint(msgspec.Struct):
-    """One backend of the list; its fields are those that Runner.news reads."""
+    """One backend of the list; its fields are those that Runner.receive_list_update reads."""
 
     backend: Name = field(name="id")
     zone: Name = field(name="locality", default="")
--- a/embertray/platform/run/list_connection.py
+++ b/embertray/platform/run/list_connection.py
@@ -91,5 +91,5 @@
             return
         now = self.clock.now()
         if update := self.list_watch.on_answer(now, status, body):
-            self.controller.news(now, update.kind, self.clock.wall(), update.endpoints)
+            self.controller.receive_list_update(now, update.kind, self.clock.wall(), update.endpoints)
             self.wake()
