--- a/embertray/platform/protocol/event_stream.py
+++ b/embertray/platform/protocol/event_stream.py
@@ -23,7 +23,7 @@
     proxy: int
 
 
-class MarkApplied(NamedTuple):
+class NonceAcknowledged(NamedTuple):
     """A proxy has applied all up to the mark with this nonce, which took it `apply_time`, ns."""
 
     proxy: int
@@ -95,9 +95,11 @@
                 return self.read_join(proxy, fields)
             if kind == wire.EVENT_PROXY_LEFT:
                 return ProxyLeft(proxy)
-            if kind == wire.EVENT_MARK_APPLIED:
+            if kind == wire.EVENT_NONCE_ACKNOWLEDGED:
                 apply_time = float(fields.get(wire.KEY_APPLY_TIME, 0))
-                return MarkApplied(proxy, int(fields[wire.KEY_NONCE]), max(0, round(apply_time * NS_PER_MS)))
+                return NonceAcknowledged(
+                    proxy, int(fields[wire.KEY_NONCE]), max(0, round(apply_time * NS_PER_MS))
+                )
         except (KeyError, ValueError, OverflowError):
             pass
         return None
--- a/embertray/platform/protocol/limits.py
+++ b/embertray/platform/protocol/limits.py
@@ -40,7 +40,7 @@
 # orders in one call, by the protocol
 ORDERS_MAX_BYTES = 60_000
 # of those, kept free for the order of a mark
-MARK_MAX_BYTES = 64
+ACKNOWLEDGEMENT_REQUEST_MAX_BYTES = 64
 # a connection on the same network that takes longer does not come up
 CONNECT_TIMEOUT_NS = 300 * NS_PER_MS
 # for a request to be taken: a call has 100 kB at most, on the same network
--- a/embertray/platform/protocol/order_call.py
+++ b/embertray/platform/protocol/order_call.py
@@ -2,15 +2,15 @@
 
 from urllib.parse import urlencode
 
-from .wire import CALL_ACTION, CALL_ORDERS, MARK_ALL, ORDER_SEPARATOR
+from .wire import ACKNOWLEDGED_BY_ALL, CALL_ACTION, CALL_ORDERS, ORDER_SEPARATOR
 
 
-def ask_all_proxies(mark):
+def ask_all_proxies(acknowledgement_request):
     """The text of a mark's order, changed so that all proxies answer it.
 
     Proxies that got an earlier part of the step are to answer, too.
     """
-    return f"{mark.rpartition(',')[0]},{MARK_ALL}"
+    return f"{acknowledgement_request.rpartition(',')[0]},{ACKNOWLEDGED_BY_ALL}"
 
 
 class OrderCall:
--- a/embertray/platform/protocol/order_caller.py
+++ b/embertray/platform/protocol/order_caller.py
@@ -8,12 +8,12 @@
 from .answers import CallRejected, read_answer
 from .exceptions import UnreadableAnswerError
 from .limits import (
+    ACKNOWLEDGEMENT_REQUEST_MAX_BYTES,
     ACKNOWLEDGEMENT_WAIT_NS,
     BACKOFF_DOUBLINGS_MAX,
     BACKOFF_FIRST_NS,
     BACKOFF_MAX_NS,
     LOGGED_ORDER_MAX_CHARACTERS,
-    MARK_MAX_BYTES,
     ORDERS_MAX_BYTES,
     REJECTED_RETRIES_MAX,
 )
@@ -55,27 +55,28 @@
         """Whether no call waits or is in flight."""
         return not self.queue
 
-    def enqueue(self, orders, nonce=None, mark=None):
+    def enqueue(self, orders, nonce=None, build_acknowledgement_request=None):
         """Put a step's orders into as few calls as the relay's limit allows.
 
         Args:
             orders: Texts, in order.
-            nonce: The number of the step's mark, or None.
-            mark: Builds the text of the mark's order from MARK_BOUND or MARK_ALL, or None.
+            nonce: The nonce that proxies acknowledge, or None.
+            build_acknowledgement_request: Formats the order that requests acknowledgements, given
+                ACKNOWLEDGED_BY_BOUND or ACKNOWLEDGED_BY_ALL; None if none are requested.
         """
         part = []
         size = 0
         for order in orders:
             order_size = len(order.encode()) + 1  # the relay counts bytes: names may have longer characters
-            if part and size + order_size > ORDERS_MAX_BYTES - MARK_MAX_BYTES:
+            if part and size + order_size > ORDERS_MAX_BYTES - ACKNOWLEDGEMENT_REQUEST_MAX_BYTES:
                 self.queue.append(OrderCall(part))
                 part = []
                 size = 0
             part.append(order)
             size += order_size
-        if mark:
+        if build_acknowledgement_request:
             # in several calls the last one's answer stands for all: it goes to every proxy
-            part.append(mark(int(len(orders) > len(part))))
+            part.append(build_acknowledgement_request(int(len(orders) > len(part))))
         if part:
             self.queue.append(OrderCall(part, nonce))
 
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -11,7 +11,7 @@
 from .admission import ConnectionAdmission
 from .configuration import unsupported_permissions
 from .endpoint_list import EndpointListWatch
-from .event_stream import EventStreamParser, MarkApplied
+from .event_stream import EventStreamParser, NonceAcknowledged
 from .inbound import InboundConnection
 from .limits import CLEANUP_PERIOD_NS, PENDING_EVENTS_MAX
 from .order_caller import OrderCaller
@@ -99,7 +99,7 @@
         """
         answered = False
         for event in events:
-            if isinstance(event, MarkApplied):
+            if isinstance(event, NonceAcknowledged):
                 answered = self.order_caller.acknowledge(event.nonce) or answered
             if (translated := self.translator.proxy_event(event)) is not None:
                 self.pending_events.append(translated)
@@ -116,7 +116,7 @@
             self.clean_up()
         if self.order_caller.idle and (orders := self.run_step(now)):
             step = self.translator.step_orders(orders)
-            self.order_caller.enqueue(step.texts, step.nonce, step.mark)
+            self.order_caller.enqueue(step.texts, step.nonce, step.build_acknowledgement_request)
             self.log_texts += step.log_texts
         return not self.order_caller.idle
 
--- a/embertray/platform/protocol/proxy_registry.py
+++ b/embertray/platform/protocol/proxy_registry.py
@@ -4,7 +4,7 @@
 they come. When it is lost another one takes over, and the difference of the two is passed on.
 """
 
-from .event_stream import MarkApplied, ProxyJoined, ProxyLeft
+from .event_stream import NonceAcknowledged, ProxyJoined, ProxyLeft
 from .limits import JOIN_TIME_TOLERANCE_NS, SILENCE_MAX_BESIDE_OTHER_NS, SILENCE_MAX_NS, SYNC_TIME_NS
 
 
@@ -77,7 +77,7 @@
         found = []
         for event in events:
             view.apply(now, event)
-            if isinstance(event, MarkApplied):
+            if isinstance(event, NonceAcknowledged):
                 if event.proxy in self.joined:
                     found.append(event)
             elif stream is self.leader:
--- a/embertray/platform/protocol/translation.py
+++ b/embertray/platform/protocol/translation.py
@@ -10,7 +10,16 @@
 
 from .event_stream import ProxyJoined, ProxyLeft
 from .inbound import BackendReport
-from .wire import ALL_KINDS, BIND, EJECT, KIND_SEPARATOR, MARK, READMIT, SET_LEVEL, SET_LINE
+from .wire import (
+    ACKNOWLEDGEMENT_REQUEST,
+    ALL_KINDS,
+    BIND,
+    EJECT,
+    KIND_SEPARATOR,
+    READMIT,
+    SET_LEVEL,
+    SET_LINE,
+)
 
 
 def figure(value):
@@ -23,7 +32,8 @@
 
     texts: list
     nonce: int | None
-    mark: Callable | None  # builds the text of the mark's order from wire.MARK_BOUND or wire.MARK_ALL
+    # formats the order that requests acknowledgements; takes ACKNOWLEDGED_BY_BOUND or ACKNOWLEDGED_BY_ALL
+    build_acknowledgement_request: Callable | None
     log_texts: list
 
 
@@ -59,7 +69,7 @@
         )
 
     def proxy_event(self, event):
-        """A ProxyJoined, ProxyLeft or MarkApplied as an event; None for a mark that is not open any more."""
+        """Converts a proxy event to a policy event; None if its nonce is no longer in use."""
         proxy = self.identifiers.proxy(event.proxy)
         if isinstance(event, ProxyJoined):
             return i.ProxyJoined(proxy, self.identifiers.zone(event.zone), event.rate, event.without_table)
@@ -72,7 +82,7 @@
         """The StepOrders of a step's orders. Tables and nonces that are ordered first get their numbers."""
         texts = []
         nonce = None
-        mark = None
+        build_acknowledgement_request = None
         log_texts = []
         table_id = self.identifiers.table_id
         for order in orders:
@@ -87,10 +97,10 @@
                 texts.append(self.level_text(order))
             elif isinstance(order, i.RequestAcknowledgement):
                 nonce = self.identifiers.nonce_id(order.nonce)
-                mark = f"{MARK},{nonce},{{}}".format
+                build_acknowledgement_request = f"{ACKNOWLEDGEMENT_REQUEST},{nonce},{{}}".format
             elif isinstance(order, i.Log):
                 log_texts.append(order.text)
-        return StepOrders(texts, nonce, mark, log_texts)
+        return StepOrders(texts, nonce, build_acknowledgement_request, log_texts)
 
     def level_text(self, order):
         """The text of an interface.SetAdmission."""
--- a/tests/test_platform_generated.py
+++ b/tests/test_platform_generated.py
@@ -25,7 +25,12 @@
 from embertray.platform.protocol.answers import CallRejected, OrdersAccepted, read_answer
 from embertray.platform.protocol.configuration import read_configuration
 from embertray.platform.protocol.endpoint_list import EndpointListWatch
-from embertray.platform.protocol.event_stream import EventStreamParser, MarkApplied, ProxyJoined, ProxyLeft
+from embertray.platform.protocol.event_stream import (
+    EventStreamParser,
+    NonceAcknowledged,
+    ProxyJoined,
+    ProxyLeft,
+)
 from embertray.platform.protocol.exceptions import (
     ConfigurationError,
     UnreadableAnswerError,
@@ -195,7 +200,7 @@
             self.assertEqual(*told)
         for event in told[0] or ():
             self.assertTrue(
-                isinstance(event, (ProxyJoined, ProxyLeft, MarkApplied)) and 0 <= event.proxy < 40
+                isinstance(event, (ProxyJoined, ProxyLeft, NonceAcknowledged)) and 0 <= event.proxy < 40
             )
 
     @ANY
@@ -227,7 +232,7 @@
                 events = {
                     "in": [ProxyJoined(proxy, "north", 1.0, True)],
                     "out": [ProxyLeft(proxy)],
-                    "done": [MarkApplied(proxy, 1, 1)],
+                    "done": [NonceAcknowledged(proxy, 1, 1)],
                 }.get(act, [])
                 found = registry.received(now, conn, events)
             for event in found:
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -7,7 +7,12 @@
 
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.answers import CallRejected, OrdersAccepted, read_answer
-from embertray.platform.protocol.event_stream import EventStreamParser, MarkApplied, ProxyJoined, ProxyLeft
+from embertray.platform.protocol.event_stream import (
+    EventStreamParser,
+    NonceAcknowledged,
+    ProxyJoined,
+    ProxyLeft,
+)
 from embertray.platform.protocol.exceptions import UnreadableAnswerError, UnreadableEventStreamError
 from embertray.platform.protocol.order_caller import OrderCaller
 from embertray.platform.protocol.proxy_registry import ProxyRegistry
@@ -152,7 +157,7 @@
             b"event: attach\ndata: node=40&locality=north&w=1&cold=0\n\nevent: attach\ndata: "
             b"node=x\n\nevent: detach\ndata: node=17\n\n"
         )
-        told = [ProxyJoined(17, "north", 21.5, True), MarkApplied(17, 905, 310_400_000), ProxyLeft(17)]
+        told = [ProxyJoined(17, "north", 21.5, True), NonceAcknowledged(17, 905, 310_400_000), ProxyLeft(17)]
         news, bits = EventStreamParser(["north"], 40), EventStreamParser(["north"], 40)
         self.assertEqual(news.receive(data), told)
         self.assertEqual([one for k in range(len(data)) for one in bits.receive(data[k : k + 1])], told)
@@ -192,8 +197,8 @@
     def test_answers_to_marks_count_from_either(self):
         registry, _, _ = self.registry()
         self.assertEqual(
-            registry.received(2 * S, "b", [MarkApplied(1, 7, 5), MarkApplied(9, 7, 5)]),
-            [MarkApplied(1, 7, 5)],
+            registry.received(2 * S, "b", [NonceAcknowledged(1, 7, 5), NonceAcknowledged(9, 7, 5)]),
+            [NonceAcknowledged(1, 7, 5)],
         )
 
     def test_a_silent_connection_is_given_up_sooner_beside_a_lively_one(self):
