--- a/embertray/platform/protocol/proxy_registry.py
+++ b/embertray/platform/protocol/proxy_registry.py
@@ -74,29 +74,29 @@
         view.last_byte_at = now
         if view.first_byte_at is None:
             view.first_byte_at = now
-        found = []
+        new_events = []
         for event in events:
             view.apply(now, event)
             if isinstance(event, NonceAcknowledged):
                 if event.proxy in self.joined:
-                    found.append(event)
+                    new_events.append(event)
             elif stream is self.leader:
-                found += self.record(now, event)
-        return found + self.elect_leader(now)
+                new_events += self.apply_event(now, event)
+        return new_events + self.elect_leader(now)
 
-    def record(self, now, event):
+    def apply_event(self, now, event):
         """A proxy joined or left. Returns the events to pass on: one that joins anew has left before."""
-        found = []
+        new_events = []
         if event.proxy in self.joined:
             del self.joined[event.proxy]
-            found.append(ProxyLeft(event.proxy))
+            new_events.append(ProxyLeft(event.proxy))
         if isinstance(event, ProxyJoined):
             self.joined[event.proxy] = event
             self.joined_at[event.proxy] = now
-            found.append(event)
+            new_events.append(event)
         else:
             self.joined_at.pop(event.proxy, None)
-        return found
+        return new_events
 
     def stream_lost(self, now, stream):
         """A stream broke at `now`, ns. Returns new events."""
@@ -114,9 +114,9 @@
         if not synced:
             return []
         self.leader = min(synced, key=lambda stream: self.views[stream].first_byte_at)
-        return self.adopt(now, self.views[self.leader])
+        return self.reconcile(now, self.views[self.leader])
 
-    def adopt(self, now, view):
+    def reconcile(self, now, view):
         """Pass on what the new leader's view differs in.
 
         A proxy that is joined in both may have left and come back. The view shows it if it came back on that
@@ -124,16 +124,16 @@
         back too, or was not bound yet; either way it has to be bound. One that kept its table is found by the
         mark that it leaves unanswered.
         """
-        found = []
+        new_events = []
         gap = view.first_byte_at > self.leaderless_since
         for proxy in [proxy for proxy in self.joined if proxy not in view.joined]:
-            found += self.record(now, ProxyLeft(proxy))
+            new_events += self.apply_event(now, ProxyLeft(proxy))
         for proxy, event in view.joined.items():
             known = self.joined.get(proxy)
             came_back = view.joined_at[proxy] > self.joined_at.get(proxy, 0) + JOIN_TIME_TOLERANCE_NS
             if known is None or known.zone != event.zone or came_back or (gap and event.without_table):
-                found += self.record(now, event)
-        return found
+                new_events += self.apply_event(now, event)
+        return new_events
 
     def next_sync_at(self):
         """When a stream is synchronized and may lead, ns; None if one leads or none has brought a byte."""
