--- a/embertray/platform/protocol/event_stream.py
+++ b/embertray/platform/protocol/event_stream.py
@@ -60,7 +60,7 @@
         self.buffer = lines.pop()
         if len(self.buffer) + len(self.event_data) > EVENT_MAX_BYTES:
             raise UnreadableEventStreamError("an event without end")
-        found = []
+        events = []
         for line in lines:
             try:
                 name, _, value = line.rstrip(b"\r").decode().partition(":")
@@ -72,27 +72,27 @@
             elif name == wire.EVENT_DATA:
                 self.event_data += "&" * bool(self.event_data) + value
             elif not name and not value and (self.event_kind or self.event_data):
-                self.end_event(found)
-        return found
+                self.finish_event(events)
+        return events
 
-    def end_event(self, found):
+    def finish_event(self, events):
         """An empty line ended an event, which is put to `found` or skipped."""
-        event = self.read_event(self.event_kind, dict(parse_qsl(self.event_data)))
+        event = self.parse_event(self.event_kind, dict(parse_qsl(self.event_data)))
         self.event_kind = ""
         self.event_data = ""
         if event:
-            found.append(event)
+            events.append(event)
         else:
             self.skipped += 1
 
-    def read_event(self, kind, fields):
+    def parse_event(self, kind, fields):
         """The event of a kind and its fields, both words of the wire; None if it means nothing here."""
         try:
             proxy = int(fields[wire.KEY_PROXY])
             if not 0 <= proxy < self.proxies:
                 return None
             if kind == wire.EVENT_PROXY_JOINED:
-                return self.read_join(proxy, fields)
+                return self.parse_join(proxy, fields)
             if kind == wire.EVENT_PROXY_LEFT:
                 return ProxyLeft(proxy)
             if kind == wire.EVENT_NONCE_ACKNOWLEDGED:
@@ -104,7 +104,7 @@
             pass
         return None
 
-    def read_join(self, proxy, fields):
+    def parse_join(self, proxy, fields):
         """The ProxyJoined of an event's fields, or None. Raises KeyError, ValueError."""
         rate = float(fields.get(wire.KEY_RATE, 0))
         zone = fields[wire.KEY_ZONE]
