--- a/embertray/platform/protocol/endpoint_list.py
+++ b/embertray/platform/protocol/endpoint_list.py
@@ -9,10 +9,10 @@
 
 from .exceptions import UnreadableListError
 from .limits import (
-    AT_ONCE_NS,
     BACKOFF_DOUBLINGS_MAX,
     BACKOFF_FIRST_NS,
     BACKOFF_MAX_NS,
+    IMMEDIATE_ANSWER_NS,
     LIST_FIRST_BYTE_TIMEOUT_NS,
     LIST_MAX_BYTES,
     NS_PER_MS,
@@ -71,7 +71,7 @@
         """
         self.needs_whole_list = True
 
-    def pause(self):
+    def request_delay(self):
         """How long to wait before the next request, ns.
 
         Against an agent that answers each request at once with what is cached: without a pause, following it
@@ -93,7 +93,7 @@
         """
         answer = self.decode(status, body)
         self.failures = 0
-        unchanged = answer.revision <= self.revision and now < self.requested_at + AT_ONCE_NS
+        unchanged = answer.revision <= self.revision and now < self.requested_at + IMMEDIATE_ANSWER_NS
         self.unchanged_answers = self.unchanged_answers + 1 if unchanged else 0
         if not answer.complete and self.needs_whole_list:
             raise UnreadableListError("changes where the whole list was asked for")
--- a/embertray/platform/protocol/limits.py
+++ b/embertray/platform/protocol/limits.py
@@ -95,7 +95,7 @@
 # that a watch may wait; an agent that went silent is noticed this much later
 WATCH_HOLD_NS = 2000 * NS_PER_MS
 # an answer that tells nothing new and comes sooner came at once
-AT_ONCE_NS = WATCH_HOLD_NS // 2
+IMMEDIATE_ANSWER_NS = WATCH_HOLD_NS // 2
 # beyond the hold for an answer to begin: it comes from the same machine
 LIST_FIRST_BYTE_TIMEOUT_NS = 700 * NS_PER_MS
 # from its beginning for all of it: on a slow connection it counts as notified that long after the hold
--- a/embertray/platform/run/list_connection.py
+++ b/embertray/platform/run/list_connection.py
@@ -74,7 +74,7 @@
         """
         while True:
             await self.request_list(connection, address)
-            await anyio.sleep(self.list_watch.pause() / NS_PER_S)
+            await anyio.sleep(self.list_watch.request_delay() / NS_PER_S)
             if not connection.start_next():
                 return
 
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -64,7 +64,7 @@
         watch = EndpointListWatch()
         watch.next_request(0)
         watch.on_answer(0, 200, self.body(43, True, member("be-1")))
-        self.assertEqual(watch.pause(), 0)
+        self.assertEqual(watch.request_delay(), 0)
         pauses = []
         for old in (
             self.body(43, False),
@@ -75,7 +75,7 @@
         ):
             watch.next_request(S)
             watch.on_answer(S, 200, old)
-            pauses.append(watch.pause())
+            pauses.append(watch.request_delay())
         self.assertEqual(
             pauses,
             [20 * MS, 40 * MS, 80 * MS, limits.UNCHANGED_BACKOFF_MAX_NS, limits.UNCHANGED_BACKOFF_MAX_NS],
@@ -85,10 +85,10 @@
         )  # a watch goes on if it is asked again within that
         watch.next_request(2 * S)
         watch.on_answer(2 * S + limits.WATCH_HOLD_NS, 200, self.body(43, False))
-        self.assertEqual(watch.pause(), 0)
+        self.assertEqual(watch.request_delay(), 0)
         watch.next_request(9 * S)
         watch.on_answer(9 * S, 200, self.body(44, False))
-        self.assertEqual(watch.pause(), 0)
+        self.assertEqual(watch.request_delay(), 0)
 
     def test_what_is_no_list_is_asked_for_again(self):
         watch = EndpointListWatch()
--- a/tests/test_platform_generated.py
+++ b/tests/test_platform_generated.py
@@ -293,7 +293,7 @@
                     )
             except UnreadableListError:
                 self.assertEqual((watch.revision, watch.needs_whole_list), (3, True))
-            self.assertLessEqual(max(watch.pause(), watch.on_failure()), limits.BACKOFF_MAX_NS)
+            self.assertLessEqual(max(watch.request_delay(), watch.on_failure()), limits.BACKOFF_MAX_NS)
 
     @ANY
     @given(
