--- a/embertray/platform/protocol/limits.py
+++ b/embertray/platform/protocol/limits.py
@@ -85,7 +85,7 @@
 RECONNECT_FIRST_NS = 100 * NS_PER_MS
 RECONNECT_MAX_NS = 500 * NS_PER_MS
 # a connection that lasted so long has worked: its reconnects start over
-WORKING_STREAM_NS = 2 * SILENCE_MAX_BESIDE_OTHER_NS
+STABLE_STREAM_NS = 2 * SILENCE_MAX_BESIDE_OTHER_NS
 
 # ---- discovery
 
--- a/embertray/platform/run/relay_connections.py
+++ b/embertray/platform/run/relay_connections.py
@@ -13,7 +13,7 @@
     RECONNECT_MAX_NS,
     SEND_TIMEOUT_NS,
     SILENCE_CHECK_PERIOD_NS,
-    WORKING_STREAM_NS,
+    STABLE_STREAM_NS,
 )
 from embertray.platform.protocol.wire import CALL_CONTENT_TYPE, CALLS_PATH, EVENTS_PATH
 
@@ -126,7 +126,7 @@
                         self.log.info("event stream broken", stream=name, why=str(error))
                 finally:
                     self.add_events(self.controller.proxies.stream_lost(self.clock.now(), name))
-            if self.clock.now() - began > WORKING_STREAM_NS:
+            if self.clock.now() - began > STABLE_STREAM_NS:
                 wait = RECONNECT_FIRST_NS
                 failures = 0
             else:
