--- a/embertray/platform/protocol/configuration.py
+++ b/embertray/platform/protocol/configuration.py
@@ -8,7 +8,7 @@
 from .exceptions import ConfigurationError
 from .wire import configuration_decoder
 
-UNUSED_PERMISSIONS = (
+UNSUPPORTED_PERMISSIONS = (
     ("probes", PROBES_KEY),
     ("notes to peers", PEER_NOTES_KEY),
 )  # what the settings may permit, by which key, that the platform's protocol can't carry
@@ -45,6 +45,6 @@
         raise SettingsError(f"{SLICES_KEY}: the platform's protocol has no words for slices")
     return [
         f"the settings permit {what}: the platform's protocol has no words for them, none are sent"
-        for what, key in UNUSED_PERMISSIONS
+        for what, key in UNSUPPORTED_PERMISSIONS
         if settings.flag(key)
     ]
--- a/embertray/platform/protocol/translation.py
+++ b/embertray/platform/protocol/translation.py
@@ -22,7 +22,7 @@
 )
 
 
-def figure(value):
+def format_number(value):
     """A number as text without exponent: six places, no trailing zeros."""
     return f"{value:.6f}".rstrip("0").rstrip(".")
 
@@ -88,13 +88,13 @@
         for order in orders:
             if isinstance(order, i.SetLine):
                 table = table_id(order.table)
-                texts.append(f"{SET_LINE},{table},{order.backend.external_id},{figure(order.weight)}")
+                texts.append(f"{SET_LINE},{table},{order.backend.external_id},{format_number(order.weight)}")
             elif isinstance(order, i.Bind):
                 texts.append(f"{BIND},{order.proxy.external_id},{table_id(order.table)},{ALL_KINDS}")
             elif isinstance(order, i.Withdraw):
                 texts.append(f"{EJECT if order.out else READMIT},{order.backend.external_id}")
             elif isinstance(order, i.SetAdmission):
-                texts.append(self.level_text(order))
+                texts.append(self.admission_text(order))
             elif isinstance(order, i.RequestAcknowledgement):
                 nonce = self.identifiers.nonce_id(order.nonce)
                 build_acknowledgement_request = f"{ACKNOWLEDGEMENT_REQUEST},{nonce},{{}}".format
@@ -102,8 +102,8 @@
                 log_texts.append(order.text)
         return StepOrders(texts, nonce, build_acknowledgement_request, log_texts)
 
-    def level_text(self, order):
+    def admission_text(self, order):
         """The text of an interface.SetAdmission."""
         kinds = KIND_SEPARATOR.join(self.kind_names[kind] for kind in order.kinds) or ALL_KINDS
         table = self.identifiers.table_id(order.table)
-        return f"{SET_LEVEL},{table},{kinds},{figure(order.level)},{order.retry}"
+        return f"{SET_LEVEL},{table},{kinds},{format_number(order.level)},{order.retry}"
