--- a/embertray/platform/run/list_connection.py
+++ b/embertray/platform/run/list_connection.py
@@ -23,13 +23,13 @@
         scope: The cancel scope of the connection, or None.
     """
 
-    def __init__(self, controller, clock, net, address, wake, log):
-        """`address()` gives discovery's as it is now; `wake()` is called when news wait for a step."""
+    def __init__(self, controller, clock, net, address, request_step, log):
+        """`address()` returns the current discovery address; `request_step()` schedules a step."""
         self.controller = controller
         self.clock = clock
         self.net = net
         self.address = address
-        self.wake = wake
+        self.request_step = request_step
         self.log = log
         self.list_watch = controller.list_watch
         self.scope = None
@@ -92,4 +92,4 @@
         now = self.clock.now()
         if update := self.list_watch.on_answer(now, status, body):
             self.controller.receive_list_update(now, update.kind, self.clock.wall(), update.endpoints)
-            self.wake()
+            self.request_step()
--- a/embertray/platform/run/listener.py
+++ b/embertray/platform/run/listener.py
@@ -24,11 +24,11 @@
         scopes: InboundConnection -> the cancel scope of its task.
     """
 
-    def __init__(self, controller, clock, wake, log):
-        """`controller`: the PlatformController; `wake()` is called when reports wait for a step."""
+    def __init__(self, controller, clock, request_step, log):
+        """`controller`: the PlatformController; `request_step()` schedules a step."""
         self.controller = controller
         self.clock = clock
-        self.wake = wake
+        self.request_step = request_step
         self.log = log
         self.slot_freed = anyio.Event()  # set when one fewer has not joined
         self.unjoined = set()
@@ -102,7 +102,7 @@
         if reports:
             self.controller.admission.reported(connection)
             self.controller.add_reports(reports)
-            self.wake()
+            self.request_step()
 
     def joined(self, connection):
         """The peer is a collector now; another one may have to go for it."""
--- a/embertray/platform/run/relay_connections.py
+++ b/embertray/platform/run/relay_connections.py
@@ -18,7 +18,7 @@
 from embertray.platform.protocol.wire import CALL_CONTENT_TYPE, CALLS_PATH, EVENTS_PATH
 
 
-def is_logged(failures):
+def should_log_failure(failures):
     """Whether a failure after so many in a row is logged: of an outage the 1st, 2nd, 4th, 8th and so on."""
     return not failures & (failures - 1)
 
@@ -31,12 +31,12 @@
         stream_scopes: Event stream -> the cancel scope of its connection.
     """
 
-    def __init__(self, controller, clock, dial, wake, log):
-        """`dial()` gives an HttpConnection with the relay; `wake()` is called when events wait for a step."""
+    def __init__(self, controller, clock, dial, request_step, log):
+        """`dial()` gives an HttpConnection with the relay; `request_step()` schedules a step."""
         self.controller = controller
         self.clock = clock
         self.dial = dial
-        self.wake = wake
+        self.request_step = request_step
         self.log = log
         self.call_ready = anyio.Event()
         self.stream_scopes = {}
@@ -68,7 +68,7 @@
                 failure = caller.on_answer(self.clock.now(), status, body)
             except CallError as error:
                 failure = caller.on_failure(self.clock.now(), error.sent, str(error))
-            if failure and is_logged(caller.failures):
+            if failure and should_log_failure(caller.failures):
                 self.log.info(
                     "order call failed",
                     why=failure,
@@ -81,7 +81,7 @@
         """Wait until a call may go out; if none waits, let the module run a step, which may order one."""
         caller = self.controller.order_caller
         if caller.idle:
-            self.wake()
+            self.request_step()
             await self.call_ready.wait()
             return
         with anyio.move_on_after(max(0, caller.next_call_at - now) / NS_PER_S):
@@ -122,7 +122,7 @@
                 try:
                     await self.read_event_stream(name)
                 except (CallError, UnreadableEventStreamError) as error:
-                    if is_logged(failures):
+                    if should_log_failure(failures):
                         self.log.info("event stream broken", stream=name, why=str(error))
                 finally:
                     self.add_events(self.controller.proxies.stream_lost(self.clock.now(), name))
@@ -183,4 +183,4 @@
         if events:
             if self.controller.add_proxy_events(events):
                 self.call_ready.set()
-            self.wake()
+            self.request_step()
--- a/embertray/platform/run/service.py
+++ b/embertray/platform/run/service.py
@@ -53,11 +53,11 @@
         self.load_configuration = load_configuration
         self.log = (log or structlog.get_logger()).bind(controller=configuration.name)
         self.controller = PlatformController(configuration, clock.now(), clock.wall())
-        self.woken = anyio.Event()  # something waits for a step
-        self.listener = ConnectionListener(self.controller, clock, self.wake, self.log)
-        self.relay = RelayConnections(self.controller, clock, self.dial_relay, self.wake, self.log)
+        self.step_requested = anyio.Event()  # something waits for a step
+        self.listener = ConnectionListener(self.controller, clock, self.request_step, self.log)
+        self.relay = RelayConnections(self.controller, clock, self.dial_relay, self.request_step, self.log)
         self.discovery = ListConnection(
-            self.controller, clock, net, self.discovery_address, self.wake, self.log
+            self.controller, clock, net, self.discovery_address, self.request_step, self.log
         )
         self.address = None
 
@@ -161,14 +161,14 @@
 
     # ---- steps
 
-    def wake(self):
+    def request_step(self):
         """Something waits for a step."""
-        self.woken.set()
+        self.step_requested.set()
 
     async def run_steps(self):
         """Run steps for ever; events of one wake-up are one step."""
         while True:
-            self.woken = anyio.Event()
+            self.step_requested = anyio.Event()
             now = self.clock.now()
             try:
                 if self.controller.advance(now):
@@ -180,10 +180,10 @@
             self.log_decisions()
             due = self.controller.next_step_at()
             if due is None:
-                await self.woken.wait()
+                await self.step_requested.wait()
             else:
                 with anyio.move_on_after(max(0, due - self.clock.now()) / NS_PER_S):
-                    await self.woken.wait()
+                    await self.step_requested.wait()
             await self.clock.sleep_until(now + STEP_INTERVAL_NS)
 
     def log_decisions(self):
