--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -4,7 +4,7 @@
 
 from embertray.controller.exceptions import SettingsError
 from embertray.controller.identifiers import Identifiers
-from embertray.controller.settings import StartSettings, number
+from embertray.controller.settings import StartSettings, parse_float
 from embertray.policy import Controller, interface as i
 
 from . import wire
@@ -35,7 +35,7 @@
         if "load" not in values:
             return {}
         try:
-            figures = [number(text) for text in values["load"].split(",")]
+            figures = [parse_float(text) for text in values["load"].split(",")]
         except ValueError:
             raise WireError(f"'{values['load']}' is no good load report") from None
         return dict(zip(self.load_metrics, figures, strict=False))
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from embertray.controller.settings import NS_PER_US, number
+from embertray.controller.settings import NS_PER_US, parse_float
 
 from .exceptions import WireError
 
@@ -92,7 +92,7 @@
     LIST_ENTRY: (
         BACKEND,
         Field("ready-at-us", "started", microseconds),
-        Field("share", "nominal", number),
+        Field("share", "nominal", parse_float),
         STATE,
         ZONE,
     ),
@@ -102,7 +102,7 @@
     PROXY_JOINED: (
         PROXY,
         ZONE._replace(needed=True),
-        Field("share", "rate", number),
+        Field("share", "rate", parse_float),
         Field("set", "without_table", boolean),
     ),
     PROXY_LEFT: (PROXY,),
@@ -110,7 +110,7 @@
     TRAFFIC_REPORT: (REQUESTS, INTERVAL, PROXY, REQUEST_KIND, FAILURES),
     SLICE_TRAFFIC_REPORT: (TABLE, REQUEST_KIND, REQUESTS, FAILURES, INTERVAL),
     SLICE_LEASED: (TABLE, Field("set", "ours", boolean, True)),
-    SLICE_LINE: (TABLE, BACKEND, Field("share", "weight", number)),
+    SLICE_LINE: (TABLE, BACKEND, Field("share", "weight", parse_float)),
     MARK_APPLIED: (APPLY_TIME, PROXY, Field("epoch", "nonce", int, True)),
 }
 
--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -80,7 +80,7 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def number(text):
+def parse_float(text):
     """The finite float in a text.
 
     Raises:
@@ -110,10 +110,10 @@
         self.raw = raw
         self.load_metrics = [LOAD_METRICS.get(name, name) for name in self.names("feedback.fields")]
         self.zones = self.names("zones")
-        self.proxies = int(self.figure("specifics.agents"))
+        self.proxies = int(self.float_value("specifics.agents"))
         self.tick = self.time("tick")
         self.request_kinds = {}
-        for place in range(int(self.figure("profiles.count"))):
+        for place in range(int(self.float_value("profiles.count"))):
             name = self.text(f"profiles.{place}.name", str(place))
             self.request_kinds[name] = self.request_kind(place)
 
@@ -127,7 +127,7 @@
         return i.RequestKind(
             self.time(f"profiles.{place}.aim"),
             self.time(f"profiles.{place}.deadline"),
-            self.figure(f"profiles.{place}.worth", 1.0),
+            self.float_value(f"profiles.{place}.worth", 1.0),
             IDEMPOTENCY.get(self.text(f"profiles.{place}.effect"), NOT_IDEMPOTENT),
             self.text(f"profiles.{place}.group", "all"),
             place,
@@ -149,7 +149,7 @@
             kinds=list(self.request_kinds.values()),
             zones=[identifiers.zone(name) for name in self.zones],
             home=identifiers.zone(self.text("az")),
-            controllers=int(self.figure("balancers", 1)),
+            controllers=int(self.float_value("balancers", 1)),
             proxies=self.proxies,
             ask=self.text("discovery") == "ask",
             ask_within=self.time("contract.must-ask-in"),
@@ -158,23 +158,23 @@
                 self.text("specifics.throttle-by"), self.text("specifics.throttle-by", "none")
             ),
             pick=self.text("specifics.selects-by", "weighted"),
-            retry_base=int(self.figure("specifics.base-mode")),
-            slices=int(self.figure(SLICES_KEY)),
+            retry_base=int(self.float_value("specifics.base-mode")),
+            slices=int(self.float_value(SLICES_KEY)),
             no_backend_limit=self.time("specifics.blackhole"),
-            pending_max=self.figure("specifics.pending-max"),
-            channel_rate=self.figure("specifics.channel-rate"),
-            head=self.figure("specifics.head"),
+            pending_max=self.float_value("specifics.pending-max"),
+            channel_rate=self.float_value("specifics.channel-rate"),
+            head=self.float_value("specifics.head"),
             channel_delay_mean=self.time("specifics.push-delay"),
             channel_delay_max=self.time("specifics.push-delay-max"),
-            messages_max=int(self.figure("specifics.messages-most")),
+            messages_max=int(self.float_value("specifics.messages-most")),
             messages_window=self.time("specifics.update-window"),
             report_interval=self.time("specifics.cycle"),
-            cold_speed=self.figure("contract.cold-from", 1.0),
+            cold_speed=self.float_value("contract.cold-from", 1.0),
             warm_up_time=self.time("contract.warm-after"),
-            overload_multiple=self.figure("contract.fall-multiple"),
+            overload_multiple=self.float_value("contract.fall-multiple"),
             overload_time=self.time("contract.fall"),
             drain_grace=self.time("contract.drain-grace"),
-            cross_zone_cost=self.figure("fees.cross-zone"),
+            cross_zone_cost=self.float_value("fees.cross-zone"),
             omission_removes=not self.flag("contract.dropped-stay-open"),
         )
 
@@ -186,16 +186,16 @@
         """The texts of a key, which commas part; empty ones are left out."""
         return [name for name in self.text(key).split(",") if name]
 
-    def figure(self, key, default=0.0):
+    def float_value(self, key, default=0.0):
         """The finite number of a key. Raises SettingsError."""
         try:
-            return number(self.raw[key]) if key in self.raw else default
+            return parse_float(self.raw[key]) if key in self.raw else default
         except ValueError:
             raise SettingsError(f"'{self.raw[key]}' is no good value for {key}") from None
 
     def time(self, key):
         """The time of a key less its unit's ending, ns. Raises SettingsError."""
-        return int(self.figure(key + "-us") * NS_PER_US)
+        return int(self.float_value(key + "-us") * NS_PER_US)
 
     def flag(self, key):
         """Whether a key's value is true."""
--- a/embertray/platform/protocol/configuration.py
+++ b/embertray/platform/protocol/configuration.py
@@ -41,7 +41,7 @@
     Raises:
         SettingsError: tables belong to slices, and then nothing can be served without words for them.
     """
-    if settings.figure(SLICES_KEY):
+    if settings.float_value(SLICES_KEY):
         raise SettingsError(f"{SLICES_KEY}: the platform's protocol has no words for slices")
     return [
         f"the settings permit {what}: the platform's protocol has no words for them, none are sent"
