--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -118,7 +118,7 @@
             self.request_kinds[name] = self.request_kind(place)
 
     @classmethod
-    def nested(cls, settings):
+    def from_nested(cls, settings):
         """From the JSON object of a platform's configuration. Raises SettingsError."""
         return cls(flatten(settings))
 
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -44,7 +44,7 @@
         Raises:
             SettingsError: a setting can't be read, or needs what the protocol can't carry.
         """
-        self.settings = StartSettings.nested(configuration.settings)
+        self.settings = StartSettings.from_nested(configuration.settings)
         self.log_texts = unsupported_permissions(self.settings)
         self.seed = configuration.numeric_seed
         super().__init__(self.seed, self.settings.deployment, now)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -52,7 +52,7 @@
             pairs.update({f"profiles.{k}.{name}": str(v) for name, v in kind.items()})
         nested, flat = (
             vars(one.deployment(Identifiers()))
-            for one in (StartSettings.nested(SETTINGS), StartSettings(pairs))
+            for one in (StartSettings.from_nested(SETTINGS), StartSettings(pairs))
         )
         for told in (nested, flat):
             told["kinds"] = [vars(kind) for kind in told["kinds"]]
