--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -40,7 +40,7 @@
 # keys that others than StartSettings ask for
 SLICES_KEY = "specifics.partitions-n"  # how many slices the tables belong to
 PROBES_KEY = "caps.probes"  # whether health checks are permitted
-PEER_NOTES_KEY = "caps.peer-messages"  # whether notes to other controllers are permitted
+PEER_MESSAGES_KEY = "caps.peer-messages"  # whether notes to other controllers are permitted
 
 
 def flatten(nested, path=""):
--- a/embertray/platform/protocol/configuration.py
+++ b/embertray/platform/protocol/configuration.py
@@ -3,14 +3,14 @@
 import msgspec
 
 from embertray.controller.exceptions import SettingsError
-from embertray.controller.settings import PEER_NOTES_KEY, PROBES_KEY, SLICES_KEY
+from embertray.controller.settings import PEER_MESSAGES_KEY, PROBES_KEY, SLICES_KEY
 
 from .exceptions import ConfigurationError
 from .wire import configuration_decoder
 
 UNSUPPORTED_PERMISSIONS = (
     ("probes", PROBES_KEY),
-    ("notes to peers", PEER_NOTES_KEY),
+    ("notes to peers", PEER_MESSAGES_KEY),
 )  # what the settings may permit, by which key, that the platform's protocol can't carry
 
 
