--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -68,10 +68,10 @@
 def flatten_objects(objects, key):
     """The pairs of a list of objects. Raises SettingsError if it has others."""
     pairs = {key + ".count": str(len(objects))}
-    for place, value in enumerate(objects):
+    for index, value in enumerate(objects):
         if not isinstance(value, dict):
             raise SettingsError(f"'{value}' among the objects of {key}")
-        pairs.update(flatten(value, f"{key}.{place}."))
+        pairs.update(flatten(value, f"{key}.{index}."))
     return pairs
 
 
@@ -98,7 +98,7 @@
 
     Attributes:
         raw: Key -> text.
-        request_kinds: Name -> interface.RequestKind, whose `external_id` is its place.
+        request_kinds: Name -> interface.RequestKind, whose `external_id` is its index.
         load_metrics: Names of a load report's values, in their order.
         zones: Names.
         proxies: How many there are.
@@ -113,24 +113,24 @@
         self.proxies = int(self.float_value("specifics.agents"))
         self.tick = self.time("tick")
         self.request_kinds = {}
-        for place in range(int(self.float_value("profiles.count"))):
-            name = self.text(f"profiles.{place}.name", str(place))
-            self.request_kinds[name] = self.request_kind(place)
+        for index in range(int(self.float_value("profiles.count"))):
+            name = self.text(f"profiles.{index}.name", str(index))
+            self.request_kinds[name] = self.request_kind(index)
 
     @classmethod
     def from_nested(cls, settings):
         """From the JSON object of a platform's configuration. Raises SettingsError."""
         return cls(flatten(settings))
 
-    def request_kind(self, place):
+    def request_kind(self, index):
         """The interface.RequestKind at a place of the settings. Raises SettingsError."""
         return i.RequestKind(
-            self.time(f"profiles.{place}.aim"),
-            self.time(f"profiles.{place}.deadline"),
-            self.float_value(f"profiles.{place}.worth", 1.0),
-            IDEMPOTENCY.get(self.text(f"profiles.{place}.effect"), NOT_IDEMPOTENT),
-            self.text(f"profiles.{place}.group", "all"),
-            place,
+            self.time(f"profiles.{index}.aim"),
+            self.time(f"profiles.{index}.deadline"),
+            self.float_value(f"profiles.{index}.worth", 1.0),
+            IDEMPOTENCY.get(self.text(f"profiles.{index}.effect"), NOT_IDEMPOTENT),
+            self.text(f"profiles.{index}.group", "all"),
+            index,
         )
 
     def deployment(self, identifiers):
