--- a/embertray/controller/core/controller_core.py
+++ b/embertray/controller/core/controller_core.py
@@ -148,7 +148,7 @@
         if (
             self.accounts.any_at_cap("probes")
             or len(self.probes_in_flight) >= PROBES_IN_FLIGHT_MAX
-            or self.ladder.gives_up(PROBES)
+            or self.ladder.disables(PROBES)
         ):
             self.skipped_probes += 1
             self.accounts.by_purpose["probes"].action_count += 1
--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -104,7 +104,7 @@
             "level": self.name,
             "for_s": round((now - self._changed_at) / NS_PER_SECOND, 1),
             "lost_credit": self.lost,
-            "gives_up": list(LEVELS[self.level].gives_up),
+            "gives_up": list(LEVELS[self.level].disabled_features),
             "wait_ms": self.retry_after // NS_PER_MS,
             "changes": self.changes,
             "pinned": None if self.pinned is None else LEVEL_NAMES[self.pinned],
@@ -198,6 +198,6 @@
         """Most further attempts of a request kind that is partly rejected."""
         return LEVELS[self.level].retry_limit
 
-    def gives_up(self, what):
+    def disables(self, feature):
         """Whether the level gives up PROBES or RETRIES (levels.py)."""
-        return what in LEVELS[self.level].gives_up
+        return feature in LEVELS[self.level].disabled_features
--- a/embertray/controller/degradation/levels.py
+++ b/embertray/controller/degradation/levels.py
@@ -24,7 +24,7 @@
             swing around an objective is a tenth.
         retry_after: How long a rejected client is asked to stay away, ns; some clients' timeouts at most.
         retry_limit: Most further attempts of a request kind that is partly rejected.
-        gives_up: What is not done at this level.
+        disabled_features: What is not done at this level.
     """
 
     name: str
@@ -32,7 +32,7 @@
     leave_below: float
     retry_after: int
     retry_limit: int
-    gives_up: tuple[str, ...]
+    disabled_features: tuple[str, ...]
 
 
 NORMAL = DegradationLevel("normal", 0.0, 0.0, 0, ANY_RETRIES, ())
