--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -48,7 +48,7 @@
         loss_meter: The LossMeter, which the load reports go to.
         level: Index in LEVELS.
         changes: How often the level changed.
-        lost: Lost share of credit at the last evaluation, 0 to 1; None: not known.
+        lost_share: Lost share of credit at the last evaluation, 0 to 1; None: not known.
         pinned: Index of the level that an operator holds, or None.
         forbidden: Indices of the levels that an operator forbids.
     """
@@ -57,7 +57,7 @@
         self.loss_meter = LossMeter(kinds, report_interval, levels_are_rates)
         self.level = 0
         self.changes = 0
-        self.lost = None
+        self.lost_share = None
         self.pinned = None
         self.forbidden = set()
         self._changed_at = now  # ns
@@ -103,7 +103,7 @@
         return {
             "level": self.name,
             "for_s": round((now - self._changed_at) / NS_PER_SECOND, 1),
-            "lost_credit": self.lost,
+            "lost_credit": self.lost_share,
             "gives_up": list(LEVELS[self.level].disabled_features),
             "wait_ms": self.retry_after // NS_PER_MS,
             "changes": self.changes,
@@ -129,10 +129,10 @@
         if now < self._evaluate_at:
             return None
         self._evaluate_at = now + EVALUATION_PERIOD_NS
-        self.lost = self.loss_meter.lost_share(now)
+        self.lost_share = self.loss_meter.lost_share(now)
         if self.pinned is not None:
             return self._change(now, self.pinned, "pinned by an operator")
-        if self.lost is None:  # without a load report the level stands, and calm does not count
+        if self.lost_share is None:  # without a load report the level stands, and calm does not count
             self._calm_since = now
             return None
         return self._evaluate(now)
@@ -140,11 +140,11 @@
     def _evaluate(self, now):
         wanted = self._level_to_enter()
         if wanted > self.level and self._may_rise(now, wanted):
-            return self._change(now, wanted, f"{self.lost:.0%} of the credit is lost")
-        if self.lost >= LEVELS[self.level].leave_below:
+            return self._change(now, wanted, f"{self.lost_share:.0%} of the credit is lost")
+        if self.lost_share >= LEVELS[self.level].leave_below:
             self._calm_since = now
         elif self.level and now - self._calm_since >= CALM_PERIOD_NS:
-            reason = f"{self.lost:.0%} of the credit is lost, for {CALM_PERIOD_NS // NS_PER_SECOND} s"
+            reason = f"{self.lost_share:.0%} of the credit is lost, for {CALM_PERIOD_NS // NS_PER_SECOND} s"
             return self._change(now, self._level_after_calm(), reason)
         if self.level in self.forbidden:
             return self._change(now, self.level, "forbidden by an operator")
@@ -154,7 +154,7 @@
         """The highest level above whose mark the loss has stood for long enough."""
         wanted = 0
         for index in range(1, len(LEVELS)):
-            above = self.lost > LEVELS[index].enter_above
+            above = self.lost_share > LEVELS[index].enter_above
             self._evaluations_above[index] = self._evaluations_above[index] + 1 if above else 0
             if self._evaluations_above[index] >= ENTER_EVALUATIONS:
                 wanted = index
@@ -166,7 +166,7 @@
     def _level_after_calm(self):
         """The highest level below this one that the loss does not let go of."""
         milder = range(1, self.level)
-        return max((index for index in milder if self.lost >= LEVELS[index].leave_below), default=0)
+        return max((index for index in milder if self.lost_share >= LEVELS[index].leave_below), default=0)
 
     def _change(self, now, index, reason):
         """Goes to a level, or to the next milder one that is allowed."""
--- a/embertray/service/admin/metrics.py
+++ b/embertray/service/admin/metrics.py
@@ -86,7 +86,9 @@
 def _add_degradation(metrics, ladder):
     metrics.gauge("service_level", ladder.level)
     metrics.counter("service_level_changes_total", ladder.changes)
-    metrics.gauge("lost_credit_share", NOT_KNOWN if ladder.lost is None else round(ladder.lost, 4))
+    metrics.gauge(
+        "lost_credit_share", NOT_KNOWN if ladder.lost_share is None else round(ladder.lost_share, 4)
+    )
 
 
 def _add_counters(metrics, service):
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -96,7 +96,7 @@
             proxy = ReportingProxy(habit)
             for second in range(90):
                 proxy.second(100, 200 if second < 15 else 90)
-            found[habit] = proxy.ladder.name, proxy.ladder.lost
+            found[habit] = proxy.ladder.name, proxy.ladder.lost_share
         names, lost = zip(*found.values(), strict=False)
         self.assertEqual(len(set(names)), 1, found)
         self.assertLess(
