--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from .exceptions import NormalLevelError
-from .levels import LEVEL_NAMES, LEVELS, index_of
+from .levels import LEVEL_NAMES, LEVELS, level_index
 from .loss_meter import LossMeter
 
 NS_PER_SECOND = 10**9
@@ -18,7 +18,7 @@
 # Time below the mark before a level is left, and between two changes unless to the highest level, ns: at most
 # one change a minute at a load that swings around a mark or between two.
 CALM_PERIOD_NS = 60 * NS_PER_SECOND
-HIGHEST = len(LEVELS) - 1
+HIGHEST_LEVEL = len(LEVELS) - 1
 
 
 class LevelChange(NamedTuple):
@@ -73,7 +73,7 @@
         Raises:
             UnknownLevelError: There is no level of that name.
         """
-        self.pinned = index_of(name)
+        self.pinned = level_index(name)
 
     def release(self):
         """Ends a pin."""
@@ -90,7 +90,7 @@
             UnknownLevelError: There is no level of that name.
             NormalLevelError: It is the normal one.
         """
-        index = index_of(name)
+        index = level_index(name)
         if not index:
             raise NormalLevelError("normal can't be forbidden")
         if forbidden:
@@ -161,7 +161,7 @@
         return wanted
 
     def _may_rise(self, now, wanted):
-        return not self.changes or now - self._changed_at >= CALM_PERIOD_NS or wanted == HIGHEST
+        return not self.changes or now - self._changed_at >= CALM_PERIOD_NS or wanted == HIGHEST_LEVEL
 
     def _level_after_calm(self):
         """The highest level below this one that the loss does not let go of."""
--- a/embertray/controller/degradation/levels.py
+++ b/embertray/controller/degradation/levels.py
@@ -44,7 +44,7 @@
 LEVEL_NAMES = tuple(level.name for level in LEVELS)
 
 
-def index_of(name):
+def level_index(name):
     """Finds a level by its name.
 
     Args:
