--- a/embertray/controller/degradation/first_demand.py
+++ b/embertray/controller/degradation/first_demand.py
@@ -11,7 +11,7 @@
 RISE_SHARE = (
     0.002  # a span that it may grow under losses: 12% a minute at spans of 1 s, a usual ramp of a day
 )
-CROWD_LOSS_FACTOR = 2  # times the loss that is taken off what comes, to tell a crowd from repeats
+SURGE_LOSS_FACTOR = 2  # times the loss that is taken off what comes, to tell a crowd from repeats
 
 
 class FirstDemand:
@@ -43,4 +43,4 @@
             self.rate = arriving
         else:
             slow_rise = self.rate * (1 + RISE_SHARE * span)
-            self.rate = min(arriving, max(slow_rise, arriving - CROWD_LOSS_FACTOR * lost))
+            self.rate = min(arriving, max(slow_rise, arriving - SURGE_LOSS_FACTOR * lost))
