--- a/embertray/controller/degradation/loss_meter.py
+++ b/embertray/controller/degradation/loss_meter.py
@@ -94,13 +94,13 @@
         wanted = 0.0
         served = 0.0
         any_load = False
-        span = self._span_since_last(now)
+        periods = self._periods_since_last(now)
         for kind in self.kinds:
             loads = self._recent_loads(now, kind)
             if not loads:
                 continue
             any_load = True
-            wanted_rate, served_rate = self._rates(kind, loads, span)
+            wanted_rate, served_rate = self._rates(kind, loads, periods)
             wanted += kind.credit * wanted_rate
             served += kind.credit * served_rate
         if not any_load:
@@ -112,7 +112,7 @@
         """Returns how many loads are kept."""
         return sum(map(len, self.loads.values()))
 
-    def _span_since_last(self, now):
+    def _periods_since_last(self, now):
         """Time since the last measurement, in periods of SMOOTHING_CYCLES; 0 at the first."""
         if self._measured_at is None:
             return 0.0
@@ -122,13 +122,13 @@
         oldest = now - STALE_CYCLES * self.report_interval
         return [load for load in self.loads[kind].values() if load.reported_at > oldest]
 
-    def _rates(self, kind, loads, span):
+    def _rates(self, kind, loads, periods):
         """(first demand, what of it is served) of a request kind, requests a second."""
         arriving = sum(load.arriving for load in loads)
         served = sum(load.admitted - load.failed for load in loads)
         all_marked = all(load.marked is not None for load in loads)
         marked = sum(load.marked for load in loads) if all_marked else None
         demand = self.demand[kind]
-        demand.update(span, arriving, arriving - served, marked)
+        demand.update(periods, arriving, arriving - served, marked)
         wanted = min(demand.rate, arriving)  # what no longer comes is not lost
         return wanted, min(served, wanted)
