--- a/embertray/controller/report_intake.py
+++ b/embertray/controller/report_intake.py
@@ -27,7 +27,7 @@
         waiting: (backend, zone) -> PendingReport and (proxy, kind) -> PendingArrivals, the oldest first.
         rounds: Zone -> the open ReportRound.
         merged: How often something was added to an event that waited already.
-        passed: Events that were released.
+        released: Events that were released.
         unknown: Parts of reports that were skipped, since they name what no list had.
         dropped: Events that were dropped for lack of memory.
     """
@@ -38,7 +38,7 @@
         self.waiting = {}
         self.rounds = {}
         self.merged = 0
-        self.passed = 0
+        self.released = 0
         self.unknown = 0
         self.dropped = 0
         self._tokens = rate * BURST_SECONDS  # events that may be released now
@@ -143,7 +143,7 @@
             self._tokens -= 1
             if event is not None:
                 events.append(event)
-        self.passed += len(events)
+        self.released += len(events)
         return events
 
     def _refill_tokens(self, now):
--- a/embertray/service/admin/metrics.py
+++ b/embertray/service/admin/metrics.py
@@ -68,7 +68,7 @@
     metrics.counter("steps_total", core.steps)
     metrics.counter("events_total", core.events)
     metrics.gauge("report_lines_waiting", len(core.intake.waiting))
-    metrics.counter("report_lines_total", core.intake.passed)
+    metrics.counter("report_lines_total", core.intake.released)
     metrics.counter("report_lines_merged_total", core.intake.merged)
 
 
