--- a/embertray/controller/report_intake.py
+++ b/embertray/controller/report_intake.py
@@ -10,7 +10,7 @@
 from .pending_reports import PendingArrivals, PendingReport, ReportRound
 
 NS_PER_SECOND = 10**9
-BURST_SECONDS = 0.25  # of the rate that may be released at once: what one step of the policy can use
+BURST_S = 0.25  # of the rate that may be released at once: what one step of the policy can use
 BURST_MIN = 1.0  # events that may be released at once all the same: below one nothing would ever be
 SILENT_CYCLES = 3  # report cycles after which a round no longer waits for a silent proxy
 
@@ -41,7 +41,7 @@
         self.released = 0
         self.unknown = 0
         self.dropped = 0
-        self._tokens = rate * BURST_SECONDS  # events that may be released now
+        self._tokens = rate * BURST_S  # events that may be released now
         self._tokens_at = now  # ns
         self._reported_at = {}  # zone -> proxy -> when it last reported, ns
 
@@ -148,7 +148,7 @@
 
     def _refill_tokens(self, now):
         if self.rate:
-            most = max(BURST_MIN, self.rate * BURST_SECONDS)
+            most = max(BURST_MIN, self.rate * BURST_S)
             refill = (now - self._tokens_at) * self.rate / NS_PER_SECOND
             self._tokens = min(most, self._tokens + refill)
         self._tokens_at = now
