--- a/embertray/controller/core/nonce_ledger.py
+++ b/embertray/controller/core/nonce_ledger.py
@@ -28,13 +28,13 @@
     Attributes:
         by_proxy: Proxy's name -> deque of ids of the nonces that it has not acknowledged, the oldest first.
         sent_at: Id of a nonce -> when it was ordered, ns.
-        owed: Id of a nonce -> how many proxies have not acknowledged it.
+        outstanding: Id of a nonce -> how many proxies have not acknowledged it.
     """
 
     def __init__(self, identifiers):
         self.by_proxy = {}
         self.sent_at = {}
-        self.owed = {}
+        self.outstanding = {}
         self._identifiers = identifiers
 
     def proxy_joined(self, name):
@@ -49,7 +49,7 @@
     def record_sent(self, now, name, nonce_id):
         """Records that a proxy is sent a nonce at `now` (ns)."""
         self.sent_at[nonce_id] = now
-        self.owed[nonce_id] = self.owed.get(nonce_id, 0) + 1
+        self.outstanding[nonce_id] = self.outstanding.get(nonce_id, 0) + 1
         self.by_proxy[name].append(nonce_id)
 
     def acknowledge(self, now, name, nonce_id):
@@ -85,8 +85,8 @@
 
     def _release(self, nonce_id):
         """One proxy less owes this nonce; it is forgotten when nobody does."""
-        self.owed[nonce_id] -= 1
-        if not self.owed[nonce_id]:
-            del self.owed[nonce_id]
+        self.outstanding[nonce_id] -= 1
+        if not self.outstanding[nonce_id]:
+            del self.outstanding[nonce_id]
             del self.sent_at[nonce_id]
             del self._identifiers.nonces[nonce_id]
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -237,7 +237,9 @@
         self.assertIsNone(await silent.until(Fault, answer=False))
         self.assertEqual(daemon.service.counters.cuts, 1)
         self.assertTrue(60 < daemon.clock.now() / S - START_S < 80)
-        self.assertEqual((daemon.service.core.nonces.owed, daemon.service.core.identifiers.nonces), ({}, {}))
+        self.assertEqual(
+            (daemon.service.core.nonces.outstanding, daemon.service.core.identifiers.nonces), ({}, {})
+        )
 
     @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
     @given(
--- a/tests/test_nonce_ledger.py
+++ b/tests/test_nonce_ledger.py
@@ -28,9 +28,11 @@
 
     def test_a_nonce_is_forgotten_once_no_proxy_owes_it(self):
         self.ledger.acknowledge(10, "p", self.ids[2])
-        self.assertEqual(self.ledger.owed, dict.fromkeys(self.ids, 1))
+        self.assertEqual(self.ledger.outstanding, dict.fromkeys(self.ids, 1))
         self.ledger.proxy_left("q")
-        self.assertEqual((self.ledger.owed, self.ledger.sent_at, self.identifiers.nonces), ({}, {}, {}))
+        self.assertEqual(
+            (self.ledger.outstanding, self.ledger.sent_at, self.identifiers.nonces), ({}, {}, {})
+        )
 
     def test_a_proxy_is_overdue_by_its_oldest_nonce(self):
         self.ledger.acknowledge(10, "p", self.ids[0])
