--- a/embertray/controller/channel/send_buffer.py
+++ b/embertray/controller/channel/send_buffer.py
@@ -39,12 +39,12 @@
         self.unsent = deque()
         self.bytes = 0
 
-    def sent(self, now, size):
+    def message_queued(self, now, size):
         """Records that a message of `size` bytes was handed to the transport at `now` (ns)."""
         self.unsent.append(UnsentMessage(now, size))
         self.bytes += size
 
-    def taken(self):
+    def message_written(self):
         """Records that the transport has taken the oldest message."""
         self.bytes -= self.unsent.popleft().size
 
--- a/embertray/service/daemon/proxy_stream.py
+++ b/embertray/service/daemon/proxy_stream.py
@@ -30,7 +30,7 @@
         self.hello = session.hello
         self.scope = anyio.CancelScope()
         self.end_reason = CLOSED_BY_PEER
-        conn.on_taken = self.send_buffer.taken
+        conn.on_taken = self.send_buffer.message_written
 
     @property
     def name(self):
@@ -47,5 +47,5 @@
         self.end_reason = reason
         if code:
             self.conn.put(encode_frame(encode(Fault(code, reason))))
-            self.send_buffer.sent(0, 0)
+            self.send_buffer.message_queued(0, 0)
         self.scope.cancel()
--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -42,7 +42,7 @@
             return
         data = encode_frame(encode(orders))
         stream.session.sent(orders.nonce)
-        stream.send_buffer.sent(now, len(data))
+        stream.send_buffer.message_queued(now, len(data))
         stream.conn.put(data)
         self._service.counters.messages += 1
 
@@ -183,7 +183,7 @@
         stream.conn.put(
             stream.session.welcome(service.me.name, [kind.external_id for kind in service.site.kinds])
         )
-        stream.send_buffer.sent(service.clock.now(), 0)
+        stream.send_buffer.message_queued(service.clock.now(), 0)
         service.frontend.proxy_joined(service.clock.now(), stream.hello)
         service.wake()
         service.log.debug("proxy joined", proxy=stream.name, zone=stream.hello.zone)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -254,11 +254,11 @@
 
     def test_slow_readers_are_cut_by_bytes_and_by_age(self):
         send_buffer = SendBuffer()
-        send_buffer.sent(0, UNSENT_BYTES_MAX + 1)
+        send_buffer.message_queued(0, UNSENT_BYTES_MAX + 1)
         self.assertIsNone(send_buffer.overdue_reason(0))  # one large table alone is no fault
-        send_buffer.sent(0, 1)
+        send_buffer.message_queued(0, 1)
         self.assertIn("bytes", send_buffer.overdue_reason(0))
-        send_buffer.taken()
+        send_buffer.message_written()
         self.assertIsNone(send_buffer.overdue_reason(UNSENT_AGE_MAX_NS))
         self.assertIn("not taken", send_buffer.overdue_reason(UNSENT_AGE_MAX_NS + 1))
 
