--- a/embertray/controller/core/frontend.py
+++ b/embertray/controller/core/frontend.py
@@ -91,7 +91,7 @@
             now: ns.
             hello: Its Hello.
         """
-        if self.trust.keeps_tables(now, hello.fresh, hello.proxy):
+        if self.trust.retains_tables(now, hello.fresh, hello.proxy):
             self.deferred_joins[hello.proxy] = hello
         else:
             self.core.join(hello)
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -104,7 +104,7 @@
 
     # ---- which proxies keep their tables
 
-    def keeps_tables(self, now, fresh, proxy):
+    def retains_tables(self, now, fresh, proxy):
         """Whether a joined proxy is left with its tables for now.
 
         Args:
--- a/embertray/experiments/measure/start.py
+++ b/embertray/experiments/measure/start.py
@@ -32,7 +32,7 @@
         super().start(now, None, clocks)
         return TrustDecision(UpdateKind.CACHED, [])
 
-    def keeps_tables(self, now, fresh, name):
+    def retains_tables(self, now, fresh, name):
         return not self.discovery_answered
 
     def is_settled(self, now):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -227,7 +227,7 @@
         trust, verdict = self.begin(FRESH_AGE_NS)
         self.assertEqual([e.started for e in verdict.entries], [0, 0, 0, 0])
         self.assertTrue(trust.is_settled(0))
-        self.assertFalse(trust.keeps_tables(0, False, "p"))
+        self.assertFalse(trust.retains_tables(0, False, "p"))
 
     def test_unheard_candidates_of_an_old_list_are_handed_on_as_just_started(self):
         trust, verdict = self.begin(3600 * S)
@@ -242,8 +242,8 @@
             [("c", 4100 * S + VERIFICATION_PERIOD_NS), ("d", 4100 * S + VERIFICATION_PERIOD_NS)],
         )
         self.assertEqual((trust.apply_timers(VERIFICATION_PERIOD_NS + S), trust.next_timer()), ([], None))
-        self.assertTrue(trust.keeps_tables(0, False, "p"))
-        self.assertFalse(trust.keeps_tables(0, True, "p"))  # it has nothing better
+        self.assertTrue(trust.retains_tables(0, False, "p"))
+        self.assertFalse(trust.retains_tables(0, True, "p"))  # it has nothing better
         self.assertIn("3600 s old", trust.describe(0))
 
     def test_an_entry_keeps_its_age_through_several_starts(self):
@@ -255,7 +255,7 @@
         back = Trust(4 * S)
         back.start(0, snapshot(), ClockReading(10 * S, "other boot", 0))
         self.assertIsNone(back.age)
-        self.assertTrue(back.keeps_tables(0, False, "p"))  # not known is as old
+        self.assertTrue(back.retains_tables(0, False, "p"))  # not known is as old
         same = Trust(4 * S)
         same.start(
             0, snapshot(), ClockReading(10 * S, "boot", 105 * S)
@@ -285,16 +285,16 @@
         trust.observe(S, "p", False, [("x", 10, 10)])
         trust.observe(S, "q", False, [("a", 10, 3)])
         trust.observe(S, "r", False, [], requests=4)
-        self.assertEqual([trust.keeps_tables(S, False, proxy) for proxy in "pqr"], [False, True, False])
-        self.assertFalse(trust.keeps_tables(TABLE_RETENTION_NS, False, "q"))
+        self.assertEqual([trust.retains_tables(S, False, proxy) for proxy in "pqr"], [False, True, False])
+        self.assertFalse(trust.retains_tables(TABLE_RETENTION_NS, False, "q"))
 
     def test_tables_newer_than_the_list_are_retained_longer(self):
         trust, _ = self.begin(3600 * S)
         trust.observe(S, "p", False, [("a", 5, 0), ("b", 5, 0), ("c", 5, 0), ("newer", 5, 0)])
-        self.assertTrue(trust.keeps_tables(TABLE_RETENTION_NS, False, "p"))
-        self.assertFalse(trust.keeps_tables(TABLE_RETENTION_UNLISTED_NS, False, "p"))
+        self.assertTrue(trust.retains_tables(TABLE_RETENTION_NS, False, "p"))
+        self.assertFalse(trust.retains_tables(TABLE_RETENTION_UNLISTED_NS, False, "p"))
         trust.receive_update(TABLE_RETENTION_NS, "whole", 9, listed(["a", "newer"]))
-        self.assertFalse(trust.keeps_tables(TABLE_RETENTION_NS, False, "p"))
+        self.assertFalse(trust.retains_tables(TABLE_RETENTION_NS, False, "p"))
 
     def test_a_known_drain_shortens_table_retention(self):
         trust = Trust(4 * S)
