--- a/embertray/controller/trust/known_backend.py
+++ b/embertray/controller/trust/known_backend.py
@@ -20,7 +20,7 @@
         failures: Attempts that failed since the last success.
         answered_at: When an attempt last succeeded, ns; 0: never.
         refuted: Nothing but failures came from it.
-        handed_on: The policy knows it.
+        forwarded: The policy knows it.
     """
 
     __slots__ = (
@@ -30,7 +30,7 @@
         "confirmed_at",
         "entry",
         "failures",
-        "handed_on",
+        "forwarded",
         "refuted",
         "successes",
     )
@@ -44,7 +44,7 @@
         self.failures = 0
         self.answered_at = 0
         self.refuted = False
-        self.handed_on = not candidate
+        self.forwarded = not candidate
 
     @property
     def proven(self):
@@ -52,9 +52,9 @@
         return self.candidate and self.successes >= PROVEN_SUCCESSES
 
     @property
-    def unheard(self):
+    def undecided(self):
         """Whether it is a candidate about which nothing is decided yet."""
-        return not self.handed_on and not self.refuted
+        return not self.forwarded and not self.refuted
 
     def removal(self):
         """Returns the EndpointEntry that says that it is gone."""
@@ -91,17 +91,17 @@
         return self._refute() if may_refute else None
 
     def _prove(self):
-        if self.handed_on or not self.proven:
+        if self.forwarded or not self.proven:
             return None
         self.refuted = False
-        self.handed_on = True
+        self.forwarded = True
         return self.entry
 
     def _refute(self):
         if not self.candidate or self.refuted or self.successes or self.failures < REFUTED_FAILURES:
             return None
         self.refuted = True
-        if not self.handed_on:
+        if not self.forwarded:
             return None
-        self.handed_on = False
+        self.forwarded = False
         return self.removal()
--- a/embertray/controller/trust/verification.py
+++ b/embertray/controller/trust/verification.py
@@ -27,7 +27,7 @@
 
     def is_waiting(self, backends):
         """Whether a candidate is not decided yet; `backends` is name -> KnownBackend."""
-        return not self.over and any(backend.unheard for backend in backends.values())
+        return not self.over and any(backend.undecided for backend in backends.values())
 
     def is_due(self, now, backends):
         """Whether `release_rest` is to be called at `now` (ns); `backends` is name -> KnownBackend."""
@@ -48,11 +48,11 @@
             Their EndpointEntry items, as started just now.
         """
         self.over = True
-        unheard = [backend for backend in backends.values() if backend.unheard]
-        for backend in unheard:
-            backend.handed_on = True
+        undecided = [backend for backend in backends.values() if backend.undecided]
+        for backend in undecided:
+            backend.forwarded = True
         inventory_clock = self.inventory_clock + now - self.started_at
-        return [started_at(backend.entry, inventory_clock) for backend in unheard]
+        return [started_at(backend.entry, inventory_clock) for backend in undecided]
 
 
 def started_at(entry, inventory_clock):
--- a/embertray/experiments/measure/start.py
+++ b/embertray/experiments/measure/start.py
@@ -21,7 +21,7 @@
         self.retention.candidate_count = 0
         for known in self.backends.values():
             known.candidate = False
-            known.handed_on = True
+            known.forwarded = True
         return TrustDecision(UpdateKind.CACHED, [known.entry for known in self.backends.values()])
 
 
