--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -183,7 +183,7 @@
             for which a second answer was waited for too long, as gone.
         """
         if self.verification.is_due(now, self.backends):
-            return self.verification.release_rest(now, self.backends)
+            return self.verification.forward_undecided(now, self.backends)
         return self.catalog.remove(now, self.losses.expired(now, self.backends))
 
     def next_timer(self):
--- a/embertray/controller/trust/verification.py
+++ b/embertray/controller/trust/verification.py
@@ -30,14 +30,14 @@
         return not self.over and any(backend.undecided for backend in backends.values())
 
     def is_due(self, now, backends):
-        """Whether `release_rest` is to be called at `now` (ns); `backends` is name -> KnownBackend."""
+        """Whether `forward_undecided` is to be called at `now` (ns); `backends` is name -> KnownBackend."""
         return self.is_waiting(backends) and now >= self.next_timer()
 
     def next_timer(self):
         """When the rest is to be handed on, ns."""
         return self.started_at + VERIFICATION_PERIOD_NS
 
-    def release_rest(self, now, backends):
+    def forward_undecided(self, now, backends):
         """Hands on the candidates about which nothing was heard.
 
         Args:
