--- a/embertray/controller/trust/table_retention.py
+++ b/embertray/controller/trust/table_retention.py
@@ -20,20 +20,20 @@
 
     Attributes:
         candidate_count: Backends on the list that were to be proven at the start; 0: nothing is retained.
-        patience: How long tables are retained, ns.
+        retention_period: How long tables are retained, ns.
         unlisted_answering: Proxies report backends that answer and are not on the list.
         failing_proxies: Names of proxies that hold tables in which nothing answers.
     """
 
     def __init__(self):
         self.candidate_count = 0
-        self.patience = TABLE_RETENTION_NS
+        self.retention_period = TABLE_RETENTION_NS
         self.unlisted_answering = False
         self.failing_proxies = set()
 
     def limit_by_drain(self, drain_grace):
         """Shortens the retention: the list knows of a drain. `drain_grace` is in ns."""
-        self.patience = min(TABLE_RETENTION_NS, drain_grace // DRAIN_GRACE_DIVISOR)
+        self.retention_period = min(TABLE_RETENTION_NS, drain_grace // DRAIN_GRACE_DIVISOR)
 
     def observe_proxy(self, proxy, attempts, failed, requests):
         """Judges one load report of a proxy that holds tables of a former controller.
@@ -63,10 +63,10 @@
         if not self.candidate_count:
             return True
         if self.unlisted_answering:
-            return elapsed >= self._patience_unlisted()
-        return elapsed >= self.patience or proven_count >= PROVEN_SHARE * self.candidate_count
+            return elapsed >= self._unlisted_retention_period()
+        return elapsed >= self.retention_period or proven_count >= PROVEN_SHARE * self.candidate_count
 
-    def _patience_unlisted(self):
-        if self.patience == TABLE_RETENTION_NS:
+    def _unlisted_retention_period(self):
+        if self.retention_period == TABLE_RETENTION_NS:
             return TABLE_RETENTION_UNLISTED_NS
-        return self.patience  # a drain is known: it limits this, too
+        return self.retention_period  # a drain is known: it limits this, too
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -299,7 +299,7 @@
     def test_a_known_drain_shortens_table_retention(self):
         trust = Trust(4 * S)
         trust.start(0, snapshot(state="draining"), ClockReading(5000 * S, "x", 0))
-        self.assertEqual(trust.retention.patience, 2 * S)
+        self.assertEqual(trust.retention.retention_period, 2 * S)
 
     def test_without_a_list_proxies_keep_their_tables(self):
         trust = Trust(4 * S)
