--- a/embertray/controller/trust/catalog.py
+++ b/embertray/controller/trust/catalog.py
@@ -79,7 +79,7 @@
         former = self.backends.get(entry.backend)
         backend = KnownBackend(entry)
         if former:
-            backend.take_evidence_of(former)
+            backend.copy_evidence_from(former)
         self.backends[entry.backend] = backend
         self.tombstones.discard(entry.backend)
 
--- a/embertray/controller/trust/known_backend.py
+++ b/embertray/controller/trust/known_backend.py
@@ -60,7 +60,7 @@
         """Returns the EndpointEntry that says that it is gone."""
         return EndpointEntry(self.entry.backend, self.entry.zone, "gone")
 
-    def take_evidence_of(self, former):
+    def copy_evidence_from(self, former):
         """Keeps what was met at the backend while it was known by a `former` entry (a KnownBackend)."""
         self.successes = former.successes
         self.failures = former.failures
