--- a/embertray/controller/trust/loss_confirmation.py
+++ b/embertray/controller/trust/loss_confirmation.py
@@ -21,16 +21,16 @@
 
     Args:
         drain_grace: The site's drain grace, ns.
-        removal_binds: Whether a backend that a complete list lacks counts as removed. Else it stays for as
+        omission_removes: Whether a backend that a complete list lacks counts as removed. Else it stays for as
             long as it answers.
 
     Attributes:
         missing: Names of the missing backends, a tuple.
     """
 
-    def __init__(self, drain_grace, removal_binds):
+    def __init__(self, drain_grace, omission_removes):
         self.missing = ()
-        self._removal_binds = removal_binds
+        self._omission_removes = omission_removes
         self._timeout = CONFIRMATION_SHARE * drain_grace  # ns
         self._missing_since = 0  # ns
 
@@ -69,7 +69,7 @@
         """
         if not self.missing or now - self._missing_since < self._timeout:
             return []
-        kept = () if self._removal_binds else self._still_answering(now, backends)
+        kept = () if self._omission_removes else self._still_answering(now, backends)
         gone = [name for name in self.missing if name not in kept]
         self.missing = kept
         if kept:
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -25,7 +25,7 @@
 
     Args:
         drain_grace: The site's drain grace, ns.
-        removal_binds: Whether a backend that a complete list lacks counts as removed.
+        omission_removes: Whether a backend that a complete list lacks counts as removed.
 
     Attributes:
         catalog: The BackendCatalog.
@@ -36,9 +36,9 @@
         age: How old the oldest entry of the list on disk was at the start, ns; None: not known, or no list.
     """
 
-    def __init__(self, drain_grace, removal_binds=True):
+    def __init__(self, drain_grace, omission_removes=True):
         self.catalog = BackendCatalog()
-        self.losses = LossConfirmation(drain_grace, removal_binds)
+        self.losses = LossConfirmation(drain_grace, omission_removes)
         self.discovery = DiscoveryMerge(self.catalog, self.losses)
         self.retention = TableRetention()
         self.verification = Verification()
