--- a/embertray/controller/trust/discovery.py
+++ b/embertray/controller/trust/discovery.py
@@ -66,7 +66,7 @@
         absent = set(missing)
         answering = [name for name, backend in self._catalog.backends.items() if is_answering(backend, now)]
         lost = [name for name in answering if name in absent]
-        request_complete = self._losses.judge(now, lost, len(answering))
+        request_complete = self._losses.evaluate(now, lost, len(answering))
         accepted = self._accept(now, entries, outdated=False)
         if request_complete:
             removed = self._catalog.remove(now, [name for name in missing if name not in lost])
@@ -76,5 +76,5 @@
 
     def _accept(self, now, entries, outdated):
         accepted = self._catalog.accept(now, entries, outdated)
-        self._losses.listed({entry.backend for entry in accepted if entry.state != "gone"})
+        self._losses.record_listed({entry.backend for entry in accepted if entry.state != "gone"})
         return accepted
--- a/embertray/controller/trust/loss_confirmation.py
+++ b/embertray/controller/trust/loss_confirmation.py
@@ -34,7 +34,7 @@
         self._timeout = CONFIRMATION_SHARE * drain_grace  # ns
         self._missing_since = 0  # ns
 
-    def judge(self, now, lost, answering_count):
+    def evaluate(self, now, lost, answering_count):
         """Judges a complete list that is not older than what is known.
 
         Args:
@@ -53,11 +53,11 @@
         self.missing = ()  # nothing suspicious, or the second answer that says so
         return False
 
-    def listed(self, names):
+    def record_listed(self, names):
         """Records that backends are listed; `names` is a set."""
         self.missing = tuple(name for name in self.missing if name not in names)
 
-    def expired(self, now, backends):
+    def expire(self, now, backends):
         """Gives up waiting for the second answer.
 
         Args:
@@ -77,7 +77,7 @@
         return [name for name in gone if name in backends]
 
     def next_timer(self):
-        """When `expired` is to be asked again, ns; None: nothing is missing."""
+        """When `expire` is to be asked again, ns; None: nothing is missing."""
         return self._missing_since + int(self._timeout) if self.missing else None
 
     def _still_answering(self, now, backends):
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -184,7 +184,7 @@
         """
         if self.verification.is_due(now, self.backends):
             return self.verification.forward_undecided(now, self.backends)
-        return self.catalog.remove(now, self.losses.expired(now, self.backends))
+        return self.catalog.remove(now, self.losses.expire(now, self.backends))
 
     def next_timer(self):
         """Returns when `apply_timers` is to be called, ns; None: nothing is waited for."""
