--- a/embertray/controller/trust/catalog.py
+++ b/embertray/controller/trust/catalog.py
@@ -40,7 +40,7 @@
             if entry.state == "gone":
                 self._forget(now, entry.backend)
             else:
-                self._take(entry)
+                self._store(entry)
         return accepted
 
     def remove(self, now, names):
@@ -75,7 +75,7 @@
         drains = known.entry.state == "draining" and known.entry.started == entry.started
         return known.entry.started > entry.started or drains
 
-    def _take(self, entry):
+    def _store(self, entry):
         former = self.backends.get(entry.backend)
         backend = KnownBackend(entry)
         if former:
