--- a/embertray/controller/trust/verification.py
+++ b/embertray/controller/trust/verification.py
@@ -17,17 +17,17 @@
     Attributes:
         started_at: When the controller started, ns.
         inventory_clock: The inventory's clock at that time, ns, as far as the snapshot tells.
-        over: The rest has been handed on.
+        finished: The rest has been handed on.
     """
 
     def __init__(self):
         self.started_at = 0
         self.inventory_clock = 0
-        self.over = False
+        self.finished = False
 
     def is_waiting(self, backends):
         """Whether a candidate is not decided yet; `backends` is name -> KnownBackend."""
-        return not self.over and any(backend.undecided for backend in backends.values())
+        return not self.finished and any(backend.undecided for backend in backends.values())
 
     def is_due(self, now, backends):
         """Whether `forward_undecided` is to be called at `now` (ns); `backends` is name -> KnownBackend."""
@@ -47,7 +47,7 @@
         Returns:
             Their EndpointEntry items, as started just now.
         """
-        self.over = True
+        self.finished = True
         undecided = [backend for backend in backends.values() if backend.undecided]
         for backend in undecided:
             backend.forwarded = True
