--- a/embertray/cluster/membership/statements.py
+++ b/embertray/cluster/membership/statements.py
@@ -37,8 +37,8 @@
         if member is None:
             self.add_member(now, statement)
         elif statement.rank > member.statement.rank:
-            if self.is_hearsay_death(member, statement):
-                self.death_reported(now, member, statement)
+            if self.is_unconfirmed_death(member, statement):
+                self.verify_reported_death(now, member, statement)
             else:
                 self.restate(now, member, statement)
                 self.accept(member, statement)
--- a/embertray/cluster/membership/suspicion.py
+++ b/embertray/cluster/membership/suspicion.py
@@ -79,9 +79,9 @@
         if self.local.name in member.suspected_by:
             self.apply(now, death)
         else:
-            self.death_reported(now, member, death)
+            self.verify_reported_death(now, member, death)
 
-    def is_hearsay_death(self, member, statement):
+    def is_unconfirmed_death(self, member, statement):
         """Return whether a statement declares a member dead that this member has not missed itself.
 
         Args:
@@ -95,7 +95,7 @@
             and self.local.name not in member.suspected_by
         )
 
-    def death_reported(self, now, member, statement):
+    def verify_reported_death(self, now, member, statement):
         """Probe a member that others declare dead before its death is believed.
 
         Guards against the other side of a network partition that ends, which has taken this side's members
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -20,7 +20,7 @@
 class BelievesHearsay(Membership):
     """A sabotaged member: whoever says that another is dead is believed."""
 
-    def death_reported(self, now, member, statement):
+    def verify_reported_death(self, now, member, statement):
         member.suspected_by.add(self.local.name)
         self.apply(now, statement)
 
