--- a/embertray/cluster/membership/member_table.py
+++ b/embertray/cluster/membership/member_table.py
@@ -36,7 +36,7 @@
         self[member.name] = member
         self._index(member)
 
-    def restate(self, member, statement):
+    def replace_statement(self, member, statement):
         """Put a newer statement about a member in the place of the former.
 
         Args:
--- a/embertray/cluster/membership/statements.py
+++ b/embertray/cluster/membership/statements.py
@@ -40,7 +40,7 @@
             if self.is_unconfirmed_death(member, statement):
                 self.verify_reported_death(now, member, statement)
             else:
-                self.restate(now, member, statement)
+                self.replace_statement(now, member, statement)
                 self.accept(member, statement)
         elif self.adds_suspicion(member, statement):
             self.accept(member, statement)
@@ -79,10 +79,10 @@
         if statement.state in (DEAD, LEFT):
             return
         self.probe_order.add(statement.name)
-        self.note_change(statement)
+        self.record_change(statement)
         self.accept(member, statement)
 
-    def restate(self, now, member, statement):
+    def replace_statement(self, now, member, statement):
         """Put a statement of higher rank in the place of the former one.
 
         Args:
@@ -91,13 +91,13 @@
             statement: The Statement.
         """
         old = member.statement
-        self.members.restate(member, statement)
+        self.members.replace_statement(member, statement)
         if (statement.state, statement.incarnation) == (old.state, old.incarnation):
             return
         member.enter_state(now)
         if old.state in (DEAD, LEFT) and member.active:
-            self.on_return(member)
-        self.note_change(statement)
+            self.on_member_returned(member)
+        self.record_change(statement)
 
     def accept(self, member, statement):
         """Gossip a statement that holds now; a suspicion is counted.
@@ -110,7 +110,7 @@
             self.add_suspicion(member, statement.reported_by)
         self.gossip.put(statement)
 
-    def on_return(self, member):
+    def on_member_returned(self, member):
         """Ask a member that was taken for dead for all that it knows: a partition may have ended.
 
         Args:
@@ -119,7 +119,7 @@
         self.probe_order.add(member.name)
         self.send_to_member(member, Join, self.next_sequence(), first=False)
 
-    def note_change(self, statement):
+    def record_change(self, statement):
         """Add the event of a member's new state.
 
         Args:
