--- a/embertray/cluster/membership/core.py
+++ b/embertray/cluster/membership/core.py
@@ -41,7 +41,7 @@
         """
         if self.ended:
             return []
-        self.check_pause(now)
+        self.detect_pause(now)
         self.outgoing = []
         self.check_probes(now)
         self.check_members(now)
@@ -66,7 +66,7 @@
             elif member.state in (DEAD, LEFT) and now - member.state_since > self.config.departed_retention:
                 self.members.remove(member.name)
 
-    def check_pause(self, now):
+    def detect_pause(self, now):
         """Notice that this process stood still (stopped, or without a processor).
 
         Guards against blaming others for answers that this process could not take: it would show as all
@@ -103,14 +103,14 @@
         """
         if self.ended:
             return []
-        self.check_pause(now)
+        self.detect_pause(now)
         self.outgoing = []
-        if self.is_for_us(address, message) and self.is_from_latest(now, address, message):
+        if self.accepts_header(address, message) and self.accepts_sender(now, address, message):
             self.apply_all(now, message.gossip)
             self.handle(now, message)
         return self.outgoing
 
-    def is_for_us(self, address, message):
+    def accepts_header(self, address, message):
         """Return whether a message is for this cluster, version and incarnation; it is rejected if not.
 
         What is for another incarnation is a replay, or its sender does not know yet that this one is new:
@@ -137,7 +137,7 @@
             self.send(Recipient(sender.address, sender.incarnation, sender.name), Ping, self.next_sequence())
         return False
 
-    def is_from_latest(self, now, address, message):
+    def accepts_sender(self, now, address, message):
         """Return whether a message is of its sender's latest incarnation, or asks to join.
 
         A former one is a replay, or an older process of that name: that one learns of the younger by an Ack.
