--- a/embertray/cluster/membership/member.py
+++ b/embertray/cluster/membership/member.py
@@ -63,7 +63,7 @@
         """
         return (self.incarnation, self.state == LEFT, self.refutations, self.state)
 
-    def repeats(self, other):
+    def subsumes(self, other):
         """Return whether another statement about the same member adds nothing to this one.
 
         A suspicion always adds who suspects.
--- a/embertray/cluster/membership/statements.py
+++ b/embertray/cluster/membership/statements.py
@@ -20,7 +20,7 @@
         """
         for statement in statements:
             member = self.members.get(statement.name)
-            if member is None or not member.statement.repeats(statement):
+            if member is None or not member.statement.subsumes(statement):
                 self.apply(now, statement)
 
     def apply(self, now, statement):
