--- a/embertray/cluster/membership/prober.py
+++ b/embertray/cluster/membership/prober.py
@@ -51,7 +51,7 @@
             now: The time, ns.
         """
         for sequence, probe in list(self.probes.items()):
-            if probe.may_go_indirect and now >= probe.indirect_at:
+            if probe.may_request_indirect and now >= probe.indirect_at:
                 self.request_indirect_probes(sequence, probe)
             if now >= probe.ends_at:
                 self.probe_failed(now, sequence, probe)
@@ -66,7 +66,7 @@
             sequence: Sequence number of the probe.
             probe: The Probe.
         """
-        probe.indirect = True
+        probe.indirect_requested = True
         target = self.members.get(probe.target)
         if target is None:
             return
--- a/embertray/cluster/membership/probes.py
+++ b/embertray/cluster/membership/probes.py
@@ -23,7 +23,7 @@
         "requester",
         "requester_sequence",
         "nacks_due",
-        "indirect",
+        "indirect_requested",
     )
 
     def __init__(self, target, incarnation, indirect_at, ends_at, requester="", requester_sequence=0):
@@ -34,14 +34,14 @@
         self.requester = requester
         self.requester_sequence = requester_sequence
         self.nacks_due = 0
-        self.indirect = False
+        self.indirect_requested = False
 
     @property
-    def may_go_indirect(self):
+    def may_request_indirect(self):
         """Whether indirect probes are still to be requested for it."""
-        return not self.requester and not self.indirect
+        return not self.requester and not self.indirect_requested
 
     @property
     def next_at(self):
         """When something is due for it, ns."""
-        return self.indirect_at if self.may_go_indirect else self.ends_at
+        return self.indirect_at if self.may_request_indirect else self.ends_at
