--- a/embertray/cluster/membership/probes.py
+++ b/embertray/cluster/membership/probes.py
@@ -12,7 +12,7 @@
         requester: Name of the member that requested it as an indirect probe; "" if it is this member's own.
         requester_sequence: The sequence number under which it was requested.
         nacks_due: Members that owe a Nack.
-        indirect: Whether indirect probes were requested.
+        indirect_requested: Whether indirect probes were requested.
     """
 
     __slots__ = (
