--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -22,7 +22,7 @@
         "life": membership.local.incarnation,
         "joined": membership.joined,
         "cut_off": membership.cut_off(now),
-        "health": membership.health.steps,
+        "health": membership.health.score,
         "ended": membership.ended,
         "members": member_rows(link, now),
         "bound_s": seconds(link.state_exchange.staleness_bound_ns()),
--- a/embertray/cluster/membership/config.py
+++ b/embertray/cluster/membership/config.py
@@ -24,7 +24,7 @@
         confirmations: Suspicions by others that bring the timeout down to the least.
         retransmit_multiplier: How often a statement is gossiped, times log2 of the members.
         gossip_bytes: Bytes of statements in a message: with the header it fits a datagram of 1,400 bytes.
-        max_health_steps: Steps by which a member that is slow itself stretches its timeouts, at most.
+        max_health_score: Steps by which a member that is slow itself stretches its timeouts, at most.
         reconnect_period: Between two attempts to reach seeds and dead members, which is how the sides of a
             network partition find each other again.
         departed_retention: How long a member that is dead or has left is remembered: longer than partitions
@@ -41,7 +41,7 @@
     confirmations: int = 3
     retransmit_multiplier: float = 4.0
     gossip_bytes: int = 1100
-    max_health_steps: int = 8
+    max_health_score: int = 8
     reconnect_period: int = 5 * SECOND_NS
     departed_retention: int = 600 * SECOND_NS
     pause_threshold: int = 2 * SECOND_NS
--- a/embertray/cluster/membership/core.py
+++ b/embertray/cluster/membership/core.py
@@ -80,7 +80,7 @@
         self.last_run_at = now
         if pause <= self.config.pause_threshold + self.config.probe_period:
             return
-        self.health.degrade(self.config.max_health_steps)
+        self.health.degrade(self.config.max_health_score)
         self.probes.clear()
         self.last_heard_at += pause
         for member in self.members.not_alive.values():
--- a/embertray/cluster/membership/health.py
+++ b/embertray/cluster/membership/health.py
@@ -9,34 +9,34 @@
     Reason: a member that is slow itself sees no answers in time, and would take healthy members for dead.
 
     Attributes:
-        steps: From 0 to the most steps.
+        score: From 0 to the most steps.
     """
 
-    def __init__(self, max_steps):
+    def __init__(self, max_score):
         """Begin healthy.
 
         Args:
-            max_steps: The most steps.
+            max_score: The most steps.
         """
-        self.max_steps = max_steps
-        self.steps = 0
+        self.max_score = max_score
+        self.score = 0
 
     def improve(self):
         """Take one step off: a probe was answered in time."""
-        self.steps = max(0, self.steps - 1)
+        self.score = max(0, self.score - 1)
 
-    def degrade(self, steps=1):
+    def degrade(self, amount=1):
         """Add steps: a probe failed, a helper did not send its Nack, or a suspicion had to be refuted.
 
         Args:
-            steps: How many.
+            amount: How many.
         """
-        self.steps = min(self.max_steps, self.steps + steps)
+        self.score = min(self.max_score, self.score + amount)
 
-    def stretch(self, span):
+    def scale_timeout(self, timeout):
         """Return a timeout as it is to be used now.
 
         Args:
-            span: The timeout of a healthy member, ns.
+            timeout: The timeout of a healthy member, ns.
         """
-        return span * (self.steps + 1)
+        return timeout * (self.score + 1)
--- a/embertray/cluster/membership/prober.py
+++ b/embertray/cluster/membership/prober.py
@@ -23,8 +23,8 @@
         self.probes[sequence] = Probe(
             name,
             member.statement.incarnation,
-            indirect_at=now + self.health.stretch(self.config.probe_timeout),
-            ends_at=now + self.health.stretch(self.config.probe_period),
+            indirect_at=now + self.health.scale_timeout(self.config.probe_timeout),
+            ends_at=now + self.health.scale_timeout(self.config.probe_period),
         )
         self.send_to_member(member, Ping, sequence)
 
--- a/embertray/cluster/membership/state.py
+++ b/embertray/cluster/membership/state.py
@@ -48,7 +48,7 @@
         self.local = Statement(name, address, wall_time, 0, ALIVE)
         self.members = MemberTable()
         self.gossip = GossipQueue()
-        self.health = LocalHealth(config.max_health_steps)
+        self.health = LocalHealth(config.max_health_score)
         self.joined = not self.seeds
         self.ended = ""
         self.events = []
--- a/embertray/simulation/claims/bounds.py
+++ b/embertray/simulation/claims/bounds.py
@@ -18,7 +18,7 @@
         period: ns between two probes of one member.
     """
     config = MembershipConfig(probe_period=period)
-    periods = 2 * (members - 1) + 2 * (config.max_health_steps + 1) + 2 * members
+    periods = 2 * (members - 1) + 2 * (config.max_health_score + 1) + 2 * members
     return periods * period + config.suspicion_timeout(members, 0)
 
 
