--- a/embertray/cluster/membership/core.py
+++ b/embertray/cluster/membership/core.py
@@ -27,7 +27,7 @@
         """Return when to call `advance` at the latest, ns."""
         times = [self.next_probe_at, self.next_reconnect_at]
         times += [probe.next_at for probe in self.probes.values()]
-        times += self.members.suspicion_ends()
+        times += self.members.suspicion_deadlines()
         return min(times)
 
     def advance(self, now):
@@ -60,8 +60,8 @@
         Args:
             now: The time, ns.
         """
-        for member in self.members.unsettled():
-            if member.suspicion_ends_at is not None and now >= member.suspicion_ends_at:
+        for member in self.members.not_alive_in_order():
+            if member.suspicion_deadline is not None and now >= member.suspicion_deadline:
                 self.on_suspicion_timeout(now, member)
             elif member.state in (DEAD, LEFT) and now - member.state_since > self.config.departed_retention:
                 self.members.remove(member.name)
@@ -84,8 +84,8 @@
         self.probes.clear()
         self.last_heard_at += pause
         for member in self.members.not_alive.values():
-            if member.suspicion_ends_at is not None:
-                member.suspicion_ends_at += pause
+            if member.suspicion_deadline is not None:
+                member.suspicion_deadline += pause
 
     # ---- messages
 
--- a/embertray/cluster/membership/member.py
+++ b/embertray/cluster/membership/member.py
@@ -98,7 +98,7 @@
         state_since: When its state was taken, ns.
         last_heard_at: When something last came from it, ns.
         suspected_by: Names of the members that suspect it.
-        suspicion_ends_at: When its suspicion ends in death, ns; None if it does not by time alone.
+        suspicion_deadline: When its suspicion ends in death, ns; None if it does not by time alone.
         reported_death: Another member's Statement that it is dead, while this one probes it; else None.
         position: Its place in the order in which members were added.
     """
@@ -108,7 +108,7 @@
         "state_since",
         "last_heard_at",
         "suspected_by",
-        "suspicion_ends_at",
+        "suspicion_deadline",
         "reported_death",
         "position",
     )
@@ -133,7 +133,7 @@
         """
         self.state_since = now
         self.suspected_by = set()
-        self.suspicion_ends_at = None
+        self.suspicion_deadline = None
         self.reported_death = None
 
     @property
--- a/embertray/cluster/membership/member_table.py
+++ b/embertray/cluster/membership/member_table.py
@@ -63,14 +63,14 @@
             else:
                 index.pop(member.name, None)
 
-    def unsettled(self):
+    def not_alive_in_order(self):
         """Return the members whose state may change by time alone, in the order in which they were added."""
         return sorted(self.not_alive.values(), key=lambda member: member.position)
 
-    def suspicion_ends(self):
+    def suspicion_deadlines(self):
         """Return the times at which suspicions end in death, ns."""
         return [
-            member.suspicion_ends_at
+            member.suspicion_deadline
             for member in self.not_alive.values()
-            if member.suspicion_ends_at is not None
+            if member.suspicion_deadline is not None
         ]
--- a/embertray/cluster/membership/suspicion.py
+++ b/embertray/cluster/membership/suspicion.py
@@ -40,10 +40,10 @@
         """
         member.suspected_by.add(suspected_by)
         if member.reported_death:
-            member.suspicion_ends_at = None  # this member's own probe decides
+            member.suspicion_deadline = None  # this member's own probe decides
             return
         timeout = self.config.suspicion_timeout(self.members.active_count + 1, len(member.suspected_by) - 1)
-        member.suspicion_ends_at = member.state_since + timeout
+        member.suspicion_deadline = member.state_since + timeout
 
     def adds_suspicion(self, member, statement):
         """Return whether a statement confirms the suspicion that holds.
@@ -113,7 +113,7 @@
             self.apply(now, statement.with_state(SUSPECT, statement.reported_by))
         self.gossip.put(statement)
         member.reported_death = statement
-        member.suspicion_ends_at = None
+        member.suspicion_deadline = None
         self.probe(now, member.name)
 
     def refute(self, statement):
