--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -126,7 +126,7 @@
         events = self.membership.events
         for event in events:
             self.log.info(
-                "member changed state", name=event.name, state=event.state.word, address=event.address
+                "member changed state", name=event.name, state=event.state.label, address=event.address
             )
         events.clear()
         self.store.expire(now, self.membership.members.departed)
--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -52,7 +52,7 @@
         {
             "name": member.name,
             "address": member.address,
-            "state": member.state.word,
+            "state": member.state.label,
             "heard_s": seconds(now - member.last_heard_at),
             "told_s": facts_age_s.get(member.name),
         }
--- a/embertray/cluster/membership/member.py
+++ b/embertray/cluster/membership/member.py
@@ -10,7 +10,7 @@
 
 Count = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
-STATE_WORDS = ("alive", "suspect", "dead", "left")  # by the number of the state
+STATE_LABELS = ("alive", "suspect", "dead", "left")  # by the number of the state
 
 
 class MemberState(IntEnum):
@@ -22,9 +22,9 @@
     LEFT = 3
 
     @property
-    def word(self):
+    def label(self):
         """The state as operators read it in the status and in log lines."""
-        return STATE_WORDS[self]
+        return STATE_LABELS[self]
 
 
 # The states by themselves, as every message asks for them.
