--- a/embertray/cluster/membership/gossip_queue.py
+++ b/embertray/cluster/membership/gossip_queue.py
@@ -32,8 +32,8 @@
     def __init__(self):
         self.by_name = {}  # name -> QueuedStatement
         self.order = []  # (transmissions, order, name), sorted
-        self.puts = 0
-        self.smallest = 0  # bytes that no statement in the queue is below
+        self.put_count = 0
+        self.min_size_bytes = 0  # bytes that no statement in the queue is below
 
     def __len__(self):
         return len(self.by_name)
@@ -46,16 +46,16 @@
         """
         if statement.name in self.by_name:
             self._remove(statement.name)
-        self.puts += 1
+        self.put_count += 1
         size = statement_size(statement)
-        self.smallest = min(self.smallest, size) if self.by_name else size
-        self._insert(QueuedStatement(0, -self.puts, statement, size))
+        self.min_size_bytes = min(self.min_size_bytes, size) if self.by_name else size
+        self._insert(QueuedStatement(0, -self.put_count, statement, size))
 
-    def pick(self, room, transmissions, receiver=None):
+    def pick(self, max_bytes, transmissions, receiver=None):
         """Take the statements for one message.
 
         Args:
-            room: Bytes that they may take.
+            max_bytes: Bytes that they may take.
             transmissions: How often a statement is gossiped in all.
             receiver: Name of the receiver: a statement about itself goes first, so that it can refute it.
 
@@ -64,11 +64,11 @@
         """
         picked = []
         for name in self._candidates(receiver):
-            if room < self.smallest:
+            if max_bytes < self.min_size_bytes:
                 break
             queued = self.by_name[name]
-            if queued.size <= room:
-                room -= queued.size
+            if queued.size <= max_bytes:
+                max_bytes -= queued.size
                 picked.append(queued)
         for queued in picked:
             self._remove(queued.statement.name)
