--- a/embertray/cluster/membership/config.py
+++ b/embertray/cluster/membership/config.py
@@ -83,12 +83,12 @@
         Returns:
             The timeout, ns.
         """
-        least = self.min_suspicion_timeout(members)
-        wanted = min(self.confirmations, members - 2)
-        if wanted <= 0:
-            return least
-        confirmed_share = log2(min(others, wanted) + 1) / log2(wanted + 1)
-        return int(least * (self.unconfirmed_factor - (self.unconfirmed_factor - 1) * confirmed_share))
+        min_timeout = self.min_suspicion_timeout(members)
+        needed_confirmations = min(self.confirmations, members - 2)
+        if needed_confirmations <= 0:
+            return min_timeout
+        confirmed_share = log2(min(others, needed_confirmations) + 1) / log2(needed_confirmations + 1)
+        return int(min_timeout * (self.unconfirmed_factor - (self.unconfirmed_factor - 1) * confirmed_share))
 
     def retransmissions(self, members):
         """Return how often a statement is gossiped.
