--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -31,7 +31,7 @@
         next_request_at: When to send the next QuotaRequest, ns.
     """
 
-    def __init__(self, name, names, totals, now, chance, config=DEFAULT_CONFIG, first=False, incarnation=0):
+    def __init__(self, name, names, totals, now, rng, config=DEFAULT_CONFIG, first=False, incarnation=0):
         """Begin an incarnation.
 
         Args:
@@ -39,13 +39,13 @@
             names: All members that the site names, this one included.
             totals: limit -> units that all members may use together.
             now: The time, ns.
-            chance: A seeded random.Random.
+            rng: A seeded random.Random.
             config: A LimitsConfig.
             first: Whether no member has run before.
             incarnation: Later in each; also the base of this incarnation's sequence numbers.
         """
-        self.next_request_at = now + chance.randrange(config.request_period)
-        super().__init__(name, sorted(names), now, chance, config, first)
+        self.next_request_at = now + rng.randrange(config.request_period)
+        super().__init__(name, sorted(names), now, rng, config, first)
         count = len(self.names)
         floors = {limit: int(total * config.floor_share) // count for limit, total in totals.items()}
         self.pools = {limit: total - floors[limit] * count for limit, total in totals.items()}
--- a/embertray/cluster/limits/election.py
+++ b/embertray/cluster/limits/election.py
@@ -17,27 +17,27 @@
         next_election_at: When to try next, ns.
     """
 
-    def __init__(self, name, names, now, chance, config, first):
+    def __init__(self, name, names, now, rng, config, first):
         """Begin an incarnation.
 
         Args:
             name: Name of this member.
             names: All members, sorted.
             now: The time, ns.
-            chance: A seeded random.Random.
+            rng: A seeded random.Random.
             config: A LimitsConfig.
             first: Whether no member has run before.
         """
         self.name = name
         self.names = names
         self.config = config
-        self.chance = chance
+        self.rng = rng
         self.acceptor = Acceptor(config, now, first)
         self.proposer = Proposer(name, names.index(name), len(names), config)
         self.history = RequestHistory(name, len(names), first)
         self.highest_ballot = 0
         self.leader_heard_at = now
-        self.next_election_at = now + chance.randrange(config.request_period)
+        self.next_election_at = now + rng.randrange(config.request_period)
 
     @abstractmethod
     def receive(self, now, sender, message):
@@ -71,7 +71,7 @@
         if not self.leads(now):
             if now - self.leader_heard_at <= half_term:
                 return []
-            self.next_election_at += self.chance.randrange(half_term)
+            self.next_election_at += self.rng.randrange(half_term)
         highest_seen = max(self.highest_ballot, self.acceptor.promised_ballot)
         return self.to_all(now, self.proposer.start(highest_seen))
 
--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -45,7 +45,7 @@
         self.controller = controller
         self.clock = clock
         self.log = (log or structlog.get_logger()).bind(member=controller.name)
-        chance = random.Random(f"{seed} {controller.name} {clock.wall()}")
+        rng = random.Random(f"{seed} {controller.name} {clock.wall()}")
         now = clock.now()
         incarnation = clock.wall()
 
@@ -53,10 +53,10 @@
         self.bucket = TokenBucket(cluster.rate, now)
         config = MembershipConfig.for_period(cluster.period)
         self.membership = Membership(
-            cluster.name, controller.name, controller.cluster, incarnation, now, chance, peers, config
+            cluster.name, controller.name, controller.cluster, incarnation, now, rng, peers, config
         )
         self.store = EntryStore(controller.name, incarnation, cluster.state)
-        self.exchange = AntiEntropyExchange(self.store, chance, now, cluster.period)
+        self.exchange = AntiEntropyExchange(self.store, rng, now, cluster.period)
         self.gossip_socket = GossipSocket(self.membership, clock, self.counters, self.on_advance)
         self.state_exchange = StateExchange(
             self.exchange, self.membership, facts, clock, cluster.period, self.bucket, self.counters, self.log
--- a/embertray/cluster/membership/core.py
+++ b/embertray/cluster/membership/core.py
@@ -191,7 +191,7 @@
         self.local = self.local.with_state(LEFT, self.local.name)
         self.gossip.put(self.local)
         names = sorted(self.active_names())
-        for name in self.chance.sample(names, min(2 * self.config.indirect_probes, len(names))):
+        for name in self.rng.sample(names, min(2 * self.config.indirect_probes, len(names))):
             self.send_to_member(self.members[name], Ping, self.next_sequence())
         self.ended = "left"
         return self.outgoing
--- a/embertray/cluster/membership/prober.py
+++ b/embertray/cluster/membership/prober.py
@@ -71,7 +71,7 @@
         if target is None:
             return
         others = sorted(name for name in self.active_names() if name != probe.target)
-        for name in self.chance.sample(others, min(self.config.indirect_probes, len(others))):
+        for name in self.rng.sample(others, min(self.config.indirect_probes, len(others))):
             probe.nacks_due += 1
             self.send_to_member(self.members[name], PingRequest, sequence, target=target.statement)
 
--- a/embertray/cluster/membership/reconnector.py
+++ b/embertray/cluster/membership/reconnector.py
@@ -49,6 +49,6 @@
         Args:
             seeds: Addresses at which no active member is known.
         """
-        chosen = self.chance.sample(seeds, 1) if self.joined else seeds
+        chosen = self.rng.sample(seeds, 1) if self.joined else seeds
         for address in chosen:
             self.send(Recipient(address, 0, ""), Join, self.next_sequence(), first=not self.joined)
--- a/embertray/cluster/membership/round_robin.py
+++ b/embertray/cluster/membership/round_robin.py
@@ -8,13 +8,13 @@
     Reason: independent draws would spread the load alike, but leave no bound on how long one waits.
     """
 
-    def __init__(self, chance):
+    def __init__(self, rng):
         """Begin with an empty round.
 
         Args:
-            chance: A seeded random.Random.
+            rng: A seeded random.Random.
         """
-        self.chance = chance
+        self.rng = rng
         self.remaining = []
 
     def next_name(self, names):
@@ -31,7 +31,7 @@
             if (name := self.remaining.pop()) in present:
                 return name
         self.remaining = sorted(present)
-        self.chance.shuffle(self.remaining)
+        self.rng.shuffle(self.remaining)
         return self.remaining.pop() if self.remaining else None
 
     def add(self, name):
@@ -40,4 +40,4 @@
         Args:
             name: The member.
         """
-        self.remaining.insert(self.chance.randrange(len(self.remaining) + 1), name)
+        self.remaining.insert(self.rng.randrange(len(self.remaining) + 1), name)
--- a/embertray/cluster/membership/state.py
+++ b/embertray/cluster/membership/state.py
@@ -27,7 +27,7 @@
         last_heard_at: When a message of another member last came, ns.
     """
 
-    def __init__(self, cluster, name, address, wall_time, now, chance, seeds=(), config=DEFAULT_CONFIG):
+    def __init__(self, cluster, name, address, wall_time, now, rng, seeds=(), config=DEFAULT_CONFIG):
         """Begin an incarnation.
 
         Args:
@@ -36,13 +36,13 @@
             address: Where others reach it, as host:port.
             wall_time: ns by this process's wall clock: its incarnation.
             now: The time, ns.
-            chance: A seeded random.Random.
+            rng: A seeded random.Random.
             seeds: Addresses of members to join by.
             config: A MembershipConfig.
         """
         self.cluster = cluster
         self.config = config
-        self.chance = chance
+        self.rng = rng
         self.seeds = [seed for seed in seeds if seed != address]
 
         self.local = Statement(name, address, wall_time, 0, ALIVE)
@@ -55,15 +55,15 @@
         self.rejected = Counter()
 
         self.probes = {}  # sequence number -> Probe
-        self.probe_order = ShuffledRoundRobin(chance)
-        self.reconnect_order = ShuffledRoundRobin(chance)
-        self.sync_order = ShuffledRoundRobin(chance)
+        self.probe_order = ShuffledRoundRobin(rng)
+        self.reconnect_order = ShuffledRoundRobin(rng)
+        self.sync_order = ShuffledRoundRobin(rng)
         self.last_sequence = 0
         self.outgoing = []
 
         self.last_run_at = now
         self.last_heard_at = now
-        self.next_probe_at = now + chance.randrange(config.probe_period)
+        self.next_probe_at = now + rng.randrange(config.probe_period)
         self.next_reconnect_at = now
 
     @property
--- a/embertray/cluster/state/exchange.py
+++ b/embertray/cluster/state/exchange.py
@@ -48,19 +48,19 @@
         next_at: When the next exchange is due, ns.
     """
 
-    def __init__(self, store, chance, now, period=DEFAULT_PERIOD_NS):
+    def __init__(self, store, rng, now, period=DEFAULT_PERIOD_NS):
         """Begin at a random time within the first period.
 
         Args:
             store: The EntryStore.
-            chance: A seeded random.Random.
+            rng: A seeded random.Random.
             now: The time, ns.
             period: Time between two exchanges, ns.
         """
         self.store = store
         self.period = period
-        self.order = ShuffledRoundRobin(chance)
-        self.next_at = now + chance.randrange(period)
+        self.order = ShuffledRoundRobin(rng)
+        self.next_at = now + rng.randrange(period)
 
     def next_peer(self, now, names):
         """Return the member to begin an exchange with now.
