--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -45,7 +45,7 @@
         link: The ClusterLink.
         now: The time, ns.
     """
-    known = link.store.freshest(now, FACTS_KEY)
+    known = link.store.latest_values(now, FACTS_KEY)
     facts_age_s = {entry.owner: seconds(entry.age_ns) for entry in known}
     members = sorted(link.membership.members.values(), key=lambda member: member.name)
     return [
--- a/embertray/cluster/state/store.py
+++ b/embertray/cluster/state/store.py
@@ -132,7 +132,7 @@
 
     # ---- reading
 
-    def freshest(self, now, key):
+    def latest_values(self, now, key):
         """Return what each owner last wrote under a key, however old.
 
         Args:
@@ -149,7 +149,7 @@
         ]
         return sorted(found, key=lambda known: (known.age_ns, known.owner))
 
-    def no_older_than(self, now, key, age_ns):
+    def values_within_age(self, now, key, age_ns):
         """Return what each owner last wrote under a key, unless it may not hold any more.
 
         Args:
@@ -160,7 +160,7 @@
         Returns:
             KnownValues, the youngest first.
         """
-        return [known for known in self.freshest(now, key) if known.age_ns <= age_ns]
+        return [known for known in self.latest_values(now, key) if known.age_ns <= age_ns]
 
     # ---- exchanging
 
--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -47,7 +47,7 @@
         """Greatest age that anybody holds of anybody, s; None while something is not held."""
         now, count = self.engine.time, len(self.exchangers)
         rows = [
-            [known.age_ns for known in exchanger.store.freshest(now, "facts")]
+            [known.age_ns for known in exchanger.store.latest_values(now, "facts")]
             for exchanger in self.exchangers.values()
         ]
         return max(map(max, rows)) / S if all(len(ages) == count for ages in rows) else None
--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -58,7 +58,7 @@
 
     def oldest(self, now):
         """ns; None if it lacks a member's facts."""
-        ages = [known.age_ns for known in self.link.store.freshest(now, "facts")]
+        ages = [known.age_ns for known in self.link.store.latest_values(now, "facts")]
         return max(ages) if len(ages) >= self.seen() else None
 
     def failures(self):
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -81,7 +81,8 @@
         """s; None if something is missing somewhere."""
         now, size = self.engine.time, len(self.addresses)
         ages = [
-            [known.age_ns for known in one.store.freshest(now, "facts")] for one in self.exchangers.values()
+            [known.age_ns for known in one.store.latest_values(now, "facts")]
+            for one in self.exchangers.values()
         ]
         return max(map(max, ages)) / S if all(len(row) == size for row in ages) else None
 
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -189,7 +189,7 @@
                 continue
             core = exchanger.process.core
             states = {member.name: member.state.label for member in core.members.values()}
-            ages = {known.owner: known.age_ns for known in exchanger.store.freshest(now, "facts")}
+            ages = {known.owner: known.age_ns for known in exchanger.store.latest_values(now, "facts")}
             self.claims.look(now, name, states, ages, core.cut_off(now))
         self.engine.at(now + self.look_period, self._observe)
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -41,8 +41,8 @@
             type(row)(row.owner, row.key, row.incarnation, row.version, 0, row.value) for row in rows
         ], ahead
 
-    def freshest(self, now, key):
-        return [known._replace(age_ns=0) for known in super().freshest(now, key)]
+    def latest_values(self, now, key):
+        return [known._replace(age_ns=0) for known in super().latest_values(now, key)]
 
 
 def broken(simulation):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -86,19 +86,19 @@
         one.merge(NOW, [Entry("a", "k", 5, 9, 0, b"old"), Entry("a", "only", 5, 10, 0, b"old")])
         one.merge(NOW, [Entry("a", "k", 6, 1, 0, b"new")])
         one.merge(NOW, [Entry("a", "only", 5, 10, 0, b"old")])  # a replay
-        self.assertEqual([known.value for known in one.freshest(NOW, "k")], [b"new"])
-        self.assertEqual(one.freshest(NOW, "only"), [])
+        self.assertEqual([known.value for known in one.latest_values(NOW, "k")], [b"new"])
+        self.assertEqual(one.latest_values(NOW, "only"), [])
 
     def test_own_entries_are_written_by_their_owner_alone(self):
         one = EntryStore("me", 1)
         one.put(NOW, "k", b"mine")
         one.merge(NOW, [Entry("me", "k", 9, 9, 0, b"not mine")])
-        self.assertEqual(one.freshest(NOW, "k")[0].value, b"mine")
+        self.assertEqual(one.latest_values(NOW, "k")[0].value, b"mine")
         one.adopt_incarnation(10)
         other = EntryStore("you", 1)
         other.merge(NOW, [Entry("me", "k", 9, 9, 0, b"a former incarnation")])
         other.merge(NOW, one.missing_entries(NOW, {})[0])
-        self.assertEqual(other.freshest(NOW, "k")[0].value, b"mine")
+        self.assertEqual(other.latest_values(NOW, "k")[0].value, b"mine")
 
 
 class Ages(unittest.TestCase):
@@ -112,23 +112,23 @@
             entries, complete_up_to = source.missing_entries(sent_at, receiver.digest())
             receiver.merge(received_at, entries)
             receiver.mark_complete(complete_up_to)
-        self.assertEqual(third.freshest(NOW - 3599 * S, "k")[0].age_ns, 6 * S)
+        self.assertEqual(third.latest_values(NOW - 3599 * S, "k")[0].age_ns, 6 * S)
 
     def test_readers_of_both_kinds(self):
         one = EntryStore("a", 1)
         one.merge(NOW, [Entry("b", "k", 1, 1, 4 * S, b"b"), Entry("c", "k", 1, 1, S, b"c")])
         self.assertEqual(
-            [(known.owner, known.age_ns) for known in one.freshest(NOW, "k")], [("c", S), ("b", 4 * S)]
+            [(known.owner, known.age_ns) for known in one.latest_values(NOW, "k")], [("c", S), ("b", 4 * S)]
         )
-        self.assertEqual([known.owner for known in one.no_older_than(NOW, "k", 2 * S)], ["c"])
-        self.assertEqual(one.no_older_than(NOW + 60 * S, "k", 2 * S), [])
+        self.assertEqual([known.owner for known in one.values_within_age(NOW, "k", 2 * S)], ["c"])
+        self.assertEqual(one.values_within_age(NOW + 60 * S, "k", 2 * S), [])
 
     def test_entries_of_a_departed_owner_and_tombstones_expire(self):
         one = EntryStore("a", 1, retention_ns=10 * S)
         one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"b")])
         one.put(NOW, "mine", b"x")
         one.delete(NOW, "mine")
-        self.assertEqual(one.freshest(NOW, "mine"), [])
+        self.assertEqual(one.latest_values(NOW, "mine"), [])
         one.expire(NOW, {"b"})
         one.expire(NOW + 9 * S, {"b"})
         self.assertEqual(len(one.entries), 2)
@@ -144,7 +144,7 @@
         self.assertLessEqual(one.size_bytes, 10_000)
         self.assertGreater(one.shed["big"], 0)
         self.assertTrue(one.apply(NOW, Entry("small", "k", 1, 1, 0, b"y" * 100)))
-        self.assertEqual(one.freshest(NOW, "mine")[0].value, b"x" * 100)
+        self.assertEqual(one.latest_values(NOW, "mine")[0].value, b"x" * 100)
         with self.assertRaises(StoreFullError):
             one.put(NOW, "more", b"x" * 9_000)
         self.assertLessEqual(one.size_bytes, 10_000)
@@ -161,7 +161,7 @@
                 Entry("c", "k", 1, 1, 0, b"x"),
             ],
         )
-        self.assertEqual([(k.owner, k.value) for k in one.freshest(NOW, "k")], [("b", b"new")])
+        self.assertEqual([(k.owner, k.value) for k in one.latest_values(NOW, "k")], [("b", b"new")])
         self.assertEqual(dict(one.shed), {"b": 1, "c": 1})
 
     def test_shed_entries_are_sent_again_when_there_is_room(self):
@@ -201,7 +201,7 @@
                         ends[other].on_delta(now, answer)
             if now > NOW + staleness_bound_ns(count, S, S):
                 for name in names:
-                    known = {k.owner: k.age_ns for k in stores[name].freshest(now, "k")}
+                    known = {k.owner: k.age_ns for k in stores[name].latest_values(now, "k")}
                     for other in names:
                         if split is None or split(name) == split(other):
                             worst = max(worst, known.get(other, 10**18))
