--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -73,16 +73,16 @@
         """Return what the cluster holds, for the memory accounts."""
         return collections(self)
 
-    def close(self, closed):
+    def set_growth_blocked(self, blocked):
         """Take no entry that needs more memory, or take them again.
 
         Args:
-            closed: Whether memory is at its cap.
+            blocked: Whether memory is at its cap.
 
         Returns:
             How many entries were shed so far.
         """
-        self.store.closed = closed
+        self.store.growth_blocked = blocked
         return sum(self.store.shed.values())
 
     # ---- tasks
--- a/embertray/cluster/state/store.py
+++ b/embertray/cluster/state/store.py
@@ -23,7 +23,7 @@
 
     Attributes:
         shed: owner -> how many of its entries were left out or evicted for lack of room.
-        closed: Whether nothing is taken that needs more bytes than are stored now.
+        growth_blocked: Whether nothing is taken that needs more bytes than are stored now.
         incarnations: owner -> the latest incarnation that was heard of.
         complete_up_to: owner -> (incarnation, version) up to which all of its entries are known.
         departed_at: owner -> when it was first seen to be dead or to have left, ns.
@@ -42,7 +42,7 @@
         super().__init__(name, incarnation, cap_bytes)
         self.retention_ns = retention_ns
         self.shed = Counter()
-        self.closed = False
+        self.growth_blocked = False
         self.incarnations = {}
         self.complete_up_to = {}
         self.departed_at = {}
@@ -114,7 +114,7 @@
             owner: Name of the entry's owner.
             growth: Bytes by which the entry makes the store grow.
         """
-        if self.closed and growth > 0:
+        if self.growth_blocked and growth > 0:
             return False
         while self.size_bytes + growth > self.cap_bytes:
             largest = self.largest_owner()
--- a/embertray/service/daemon/step_loop.py
+++ b/embertray/service/daemon/step_loop.py
@@ -87,7 +87,7 @@
         """Closes the cluster's store to new facts while its memory cap is in force."""
         account = self._service.core.accounts.by_purpose.get("cluster")
         if self._service.cluster and account:
-            account.action_count = self._service.cluster.close(account.at_cap)
+            account.action_count = self._service.cluster.set_growth_blocked(account.at_cap)
 
     async def _probe(self, backend):
         """Probes a backend: whether it accepts a connection, and how soon."""
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -152,7 +152,7 @@
     def test_a_closed_store_renews_known_entries_and_takes_no_new_ones(self):
         one = EntryStore("a", 1)
         one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"old")])
-        one.closed = True
+        one.growth_blocked = True
         one.merge(
             NOW,
             [
