--- a/embertray/cluster/link/state_exchange.py
+++ b/embertray/cluster/link/state_exchange.py
@@ -18,10 +18,10 @@
 SECOND_NS = 10**9
 EXCHANGE_TIMEOUT_NS = 2 * SECOND_NS  # then it is given up: the member's turn comes again
 FACTS_PERIOD_NS = 1 * SECOND_NS  # between two writes of this member's own entries
-LOOKS_PER_PERIOD = 20  # how often, at most, the loop looks whether something is due
+MAX_CHECKS_PER_PERIOD = 20  # how often, at most, the loop looks whether something is due
 
-STREAM_BROKE = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
-EXCHANGE_ERRORS = (*STREAM_BROKE, FrameError, AddressError, LinkError, msgspec.DecodeError)
+STREAM_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+EXCHANGE_ERRORS = (*STREAM_ERRORS, FrameError, AddressError, LinkError, msgspec.DecodeError)
 
 
 class StateExchange:
@@ -75,7 +75,9 @@
                 self.write_facts(now)
             await self.begin_exchange(now)
             next_at = min(self.exchange.next_at, self.next_facts_at)
-            await self.clock.sleep_until(max(self.clock.now() + self.period // LOOKS_PER_PERIOD, next_at))
+            await self.clock.sleep_until(
+                max(self.clock.now() + self.period // MAX_CHECKS_PER_PERIOD, next_at)
+            )
 
     def write_facts(self, now):
         """Write this member's own entries.
