--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -71,12 +71,12 @@
     """
     membership = link.membership
     store = link.store
-    store_boxes = [store.entries, store.order_by_owner, store.complete_up_to, store.incarnations]
+    store_containers = [store.entries, store.order_by_owner, store.complete_up_to, store.incarnations]
     return [
-        Collection("entries", len(store.entries), store.entries.items, store_boxes),
+        Collection("entries", len(store.entries), store.entries.items, store_containers),
         *(
-            Collection(name, len(box), box.items, [box])
-            for name, box in (
+            Collection(name, len(container), container.items, [container])
+            for name, container in (
                 ("members", membership.members),
                 ("refused", membership.rejected),
                 ("probes", membership.probes),
