--- a/embertray/cluster/limits/config.py
+++ b/embertray/cluster/limits/config.py
@@ -25,7 +25,7 @@
     floor_share: float = 0.05
 
     @property
-    def outer_term(self):
+    def drift_adjusted_term(self):
         """The time, ns by any member's clock, in which another's term has surely ended.
 
         That member's clock may be slow, and the one by which this is measured fast.
--- a/embertray/cluster/limits/lease.py
+++ b/embertray/cluster/limits/lease.py
@@ -37,7 +37,7 @@
         self.promised_ballot = 0
         self.holder = ""
         self.lease_ends_at = 0
-        self.silent_until = now if first else now + config.outer_term
+        self.silent_until = now if first else now + config.drift_adjusted_term
 
     def current_holder(self, now):
         """Return whose lease was accepted and may still run; "" if none.
@@ -77,7 +77,7 @@
             return None
         self.promised_ballot = message.ballot
         self.holder = sender
-        self.lease_ends_at = now + self.config.outer_term
+        self.lease_ends_at = now + self.config.drift_adjusted_term
         return Accepted(message.ballot)
 
     def may_answer(self, now, message):
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -47,7 +47,7 @@
             name: The member.
         """
         before = self.remembered.get(name)
-        if before is None or now - self.began_at <= self.config.outer_term:
+        if before is None or now - self.began_at <= self.config.drift_adjusted_term:
             return None
         if self.is_behind(name, before.sequence) or self.unclaimed_proxies(name, before):
             return None
@@ -93,7 +93,7 @@
             name: The member.
             record: Its IncarnationRecord.
         """
-        if now - record.heard_at <= self.config.outer_term:
+        if now - record.heard_at <= self.config.drift_adjusted_term:
             return True
         latest = self.accounts[name].request
         return (
@@ -137,7 +137,8 @@
         account.former_incarnations = [
             record
             for record in account.former_incarnations
-            if now - record.heard_at <= self.config.outer_term or self.unclaimed_proxies(name, record.request)
+            if now - record.heard_at <= self.config.drift_adjusted_term
+            or self.unclaimed_proxies(name, record.request)
         ]
         return amounts
 
@@ -152,7 +153,7 @@
         demand = {
             other: account.request.demand.get(limit, 0)
             for other, account in self.accounts.items()
-            if account.request is not None and now - account.heard_at <= self.config.outer_term
+            if account.request is not None and now - account.heard_at <= self.config.drift_adjusted_term
         }
         former_charges = [
             self.charge_of_incarnation(now, name, limit, record)
--- a/embertray/experiments/measure/models/ticks.py
+++ b/embertray/experiments/measure/models/ticks.py
@@ -4,4 +4,4 @@
 class Ticks:
     """A pace in whole ticks."""
 
-    lease_term, outer_term, request_period = 2, 3, 1
+    lease_term, drift_adjusted_term, request_period = 2, 3, 1
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -87,7 +87,7 @@
 
     def on_propose(self, now, message, sender):
         answer = super().on_propose(now, message, sender)
-        self.lease_ends_at -= self.config.outer_term - self.config.lease_term
+        self.lease_ends_at -= self.config.drift_adjusted_term - self.config.lease_term
         return answer
 
 
