--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -26,7 +26,7 @@
     Attributes:
         quota_holder: The QuotaHolder.
         ledger: The Ledger while this member leads, else None.
-        tenure: Ballot of the latest leader that is known.
+        leader_ballot: Ballot of the latest leader that is known.
         leader: Name of that leader, or None.
         next_request_at: When to send the next QuotaRequest, ns.
     """
@@ -51,7 +51,7 @@
         self.pools = {limit: total - floors[limit] * count for limit, total in totals.items()}
         self.quota_holder = QuotaHolder(name, floors, config, incarnation)
         self.ledger = None
-        self.tenure = 0
+        self.leader_ballot = 0
         self.leader = None
 
     def next_at(self):
@@ -85,7 +85,7 @@
             now: The time, ns.
         """
         self.next_request_at = now + self.config.request_period
-        request = self.quota_holder.make_request(now, self.tenure, self.leads(now))
+        request = self.quota_holder.make_request(now, self.leader_ballot, self.leads(now))
         self.history.record(self.name, request)
         outgoing = self.to_all_others(request)
         if self.ledger is not None:
@@ -116,7 +116,7 @@
             case QuotaRequest():
                 return self.on_request(now, sender, message)
             case QuotaGrant():
-                self.quota_holder.apply_grant(now, message, self.tenure)
+                self.quota_holder.apply_grant(now, message, self.leader_ballot)
             case HistoryRequest():
                 return [OutgoingMessage(sender, HistoryReply(self.history.requests_by_member()))]
             case HistoryReply():
@@ -131,8 +131,8 @@
         Args:
             now: The time, ns.
         """
-        if self.ledger is None or self.tenure != self.proposer.tenure:
-            self.tenure = self.proposer.tenure
+        if self.ledger is None or self.leader_ballot != self.proposer.leader_ballot:
+            self.leader_ballot = self.proposer.leader_ballot
             self.leader = self.name
             self.ledger = Ledger(
                 self.names,
@@ -162,8 +162,8 @@
         self.quota_holder.on_peer_request(sender, request)
         self.highest_ballot = max(self.highest_ballot, request.ballot)
         self.proposer.highest_known = max(self.proposer.highest_known, request.ballot)
-        if request.leading and request.ballot >= self.tenure:
-            self.tenure = request.ballot
+        if request.leading and request.ballot >= self.leader_ballot:
+            self.leader_ballot = request.ballot
             self.leader = sender
             self.leader_heard_at = now
         return self.lend(now, sender, request)
@@ -179,7 +179,7 @@
         Returns:
             OutgoingMessages.
         """
-        if self.ledger is None or not self.leads(now) or request.ballot != self.proposer.tenure:
+        if self.ledger is None or not self.leads(now) or request.ballot != self.proposer.leader_ballot:
             return []
         if not self.ledger.record_request(now, borrower, request):
             return []
--- a/embertray/cluster/limits/lease.py
+++ b/embertray/cluster/limits/lease.py
@@ -95,7 +95,7 @@
 
     Attributes:
         lease_ends_at: Until when this member holds the lease, ns by its clock.
-        tenure: The ballot under which it leads. An unbroken row of renewals keeps it, unless a later ballot
+        leader_ballot: The ballot under which it leads. An unbroken row of renewals keeps it, unless a later ballot
             is known: to whoever knows that one, this member would pass for a former leader.
         highest_known: The highest ballot of a leader that this member has heard of.
     """
@@ -118,7 +118,7 @@
         self.votes = set()
         self.proposed = False
         self.proposed_at = 0
-        self.tenure = 0
+        self.leader_ballot = 0
         self.lease_ends_at = 0
         self.highest_known = 0
 
@@ -187,7 +187,7 @@
         ends_at = self.proposed_at + self.config.lease_term
         if not self.has_majority() or ends_at <= max(now, self.lease_ends_at):
             return False
-        if not self.holds_lease(now) or self.tenure < self.highest_known:
-            self.tenure = self.ballot
+        if not self.holds_lease(now) or self.leader_ballot < self.highest_known:
+            self.leader_ballot = self.ballot
         self.lease_ends_at = ends_at
         return True
--- a/embertray/cluster/limits/quota_holder.py
+++ b/embertray/cluster/limits/quota_holder.py
@@ -13,12 +13,12 @@
 
     Attributes:
         sent_at: When it was sent, ns; the term of its grant runs from there.
-        tenure: Ballot of the leader that was asked.
+        leader_ballot: Ballot of the leader that was asked.
         proxies: The proxies that it listed, as keys.
     """
 
     sent_at: int
-    tenure: int
+    leader_ballot: int
     proxies: dict
 
 
@@ -50,12 +50,12 @@
         self.sent_requests = {}
         self.last_heard = {}
 
-    def make_request(self, now, tenure, leading):
+    def make_request(self, now, leader_ballot, leading):
         """Return the next QuotaRequest; it counts as sent.
 
         Args:
             now: The time, ns.
-            tenure: Ballot of the leader that is asked.
+            leader_ballot: Ballot of the leader that is asked.
             leading: Whether this member is the leader itself.
         """
         self.sequence += 1
@@ -71,11 +71,11 @@
         self.sent_requests = {
             sequence: sent for sequence, sent in self.sent_requests.items() if sequence > oldest
         }
-        self.sent_requests[self.sequence] = SentRequest(now, tenure, dict.fromkeys(sorted(proxies)))
+        self.sent_requests[self.sequence] = SentRequest(now, leader_ballot, dict.fromkeys(sorted(proxies)))
         return QuotaRequest(
             self.incarnation,
             self.sequence,
-            tenure,
+            leader_ballot,
             leading,
             self.applied,
             dict(self.demand),
@@ -99,13 +99,13 @@
             if listed_since is not None and request.last_heard.get(self.name, 0) >= listed_since:
                 self.forget_proxy(proxy)
 
-    def apply_grant(self, now, grant, tenure):
+    def apply_grant(self, now, grant, leader_ballot):
         """Apply a grant if it is later than the one in force, of this leader, and its term still runs.
 
         Args:
             now: The time, ns.
             grant: The QuotaGrant.
-            tenure: Ballot of the leader that is known.
+            leader_ballot: Ballot of the leader that is known.
 
         Returns:
             Whether it was applied.
@@ -113,7 +113,7 @@
         sent = self.sent_requests.get(grant.sequence)
         if sent is None or grant.sequence <= self.applied:
             return False
-        if grant.ballot != tenure or sent.tenure != tenure:
+        if grant.ballot != leader_ballot or sent.leader_ballot != leader_ballot:
             return False
         if now >= sent.sent_at + self.config.lease_term:
             return False
--- a/embertray/experiments/measure/models/leader.py
+++ b/embertray/experiments/measure/models/leader.py
@@ -42,7 +42,15 @@
                 for a in self.acceptors.values()
             ),
             tuple(
-                (p.round, p.ballot, frozenset(p.votes), p.proposed, p.proposed_at, p.tenure, p.lease_ends_at)
+                (
+                    p.round,
+                    p.ballot,
+                    frozenset(p.votes),
+                    p.proposed,
+                    p.proposed_at,
+                    p.leader_ballot,
+                    p.lease_ends_at,
+                )
                 for p in self.proposers.values()
             ),
             tuple(self.clock.values()),
