--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -31,7 +31,9 @@
         next_request_at: When to send the next QuotaRequest, ns.
     """
 
-    def __init__(self, name, names, totals, now, rng, config=DEFAULT_CONFIG, first=False, incarnation=0):
+    def __init__(
+        self, name, names, totals, now, rng, config=DEFAULT_CONFIG, new_cluster=False, incarnation=0
+    ):
         """Begin an incarnation.
 
         Args:
@@ -41,11 +43,11 @@
             now: The time, ns.
             rng: A seeded random.Random.
             config: A LimitsConfig.
-            first: Whether no member has run before.
+            new_cluster: Whether no member has run before.
             incarnation: Later in each; also the base of this incarnation's sequence numbers.
         """
         self.next_request_at = now + rng.randrange(config.request_period)
-        super().__init__(name, sorted(names), now, rng, config, first)
+        super().__init__(name, sorted(names), now, rng, config, new_cluster)
         count = len(self.names)
         floors = {limit: int(total * config.floor_share) // count for limit, total in totals.items()}
         self.pools = {limit: total - floors[limit] * count for limit, total in totals.items()}
--- a/embertray/cluster/limits/election.py
+++ b/embertray/cluster/limits/election.py
@@ -17,7 +17,7 @@
         next_election_at: When to try next, ns.
     """
 
-    def __init__(self, name, names, now, rng, config, first):
+    def __init__(self, name, names, now, rng, config, new_cluster):
         """Begin an incarnation.
 
         Args:
@@ -26,15 +26,15 @@
             now: The time, ns.
             rng: A seeded random.Random.
             config: A LimitsConfig.
-            first: Whether no member has run before.
+            new_cluster: Whether no member has run before.
         """
         self.name = name
         self.names = names
         self.config = config
         self.rng = rng
-        self.acceptor = Acceptor(config, now, first)
+        self.acceptor = Acceptor(config, now, new_cluster)
         self.proposer = Proposer(name, names.index(name), len(names), config)
-        self.history = RequestHistory(name, len(names), first)
+        self.history = RequestHistory(name, len(names), new_cluster)
         self.highest_ballot = 0
         self.leader_heard_at = now
         self.next_election_at = now + rng.randrange(config.request_period)
--- a/embertray/cluster/limits/history.py
+++ b/embertray/cluster/limits/history.py
@@ -17,19 +17,19 @@
         complete: Whether this member may lead.
     """
 
-    def __init__(self, name, count, first):
+    def __init__(self, name, count, new_cluster):
         """Begin with no requests.
 
         Args:
             name: Name of this member.
             count: How many members there are, this one included.
-            first: Whether no member has run before.
+            new_cluster: Whether no member has run before.
         """
         self.name = name
         self.count = count
         self.by_member = {}  # member -> incarnation -> QuotaRequest
         self.replied = set()
-        self.complete = first
+        self.complete = new_cluster
 
     def record(self, name, request):
         """Remember a request.
--- a/embertray/cluster/limits/lease.py
+++ b/embertray/cluster/limits/lease.py
@@ -22,7 +22,7 @@
         lease_ends_at: When that has ended, ns by this member's clock.
     """
 
-    def __init__(self, config, now, first=False):
+    def __init__(self, config, now, new_cluster=False):
         """Begin without any promise.
 
         Guards against a restart that forgets an accepted lease, which would show as two leaders: whoever
@@ -31,13 +31,13 @@
         Args:
             config: A LimitsConfig.
             now: The time, ns.
-            first: Whether no member has run before, so that there is nothing to forget.
+            new_cluster: Whether no member has run before, so that there is nothing to forget.
         """
         self.config = config
         self.promised_ballot = 0
         self.holder = ""
         self.lease_ends_at = 0
-        self.silent_until = now if first else now + config.drift_adjusted_term
+        self.silent_until = now if new_cluster else now + config.drift_adjusted_term
 
     def current_holder(self, now):
         """Return whose lease was accepted and may still run; "" if none.
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -34,8 +34,8 @@
     """Limits whose holder or ledger is another class."""
 
     class Sabotaged(Limits):
-        def __init__(self, me, names, totals, now, chance, config, first=False, incarnation=0):
-            super().__init__(me, names, totals, now, chance, config, first, incarnation)
+        def __init__(self, me, names, totals, now, chance, config, new_cluster=False, incarnation=0):
+            super().__init__(me, names, totals, now, chance, config, new_cluster, incarnation)
             if "holder" in parts:
                 self.quota_holder = parts["holder"](me, self.quota_holder.floors, config, incarnation)
 
@@ -94,7 +94,7 @@
 class SpeaksAtOnce(Acceptor):
     """Does not wait after a start."""
 
-    def __init__(self, config, now, first=False):
+    def __init__(self, config, now, new_cluster=False):
         super().__init__(config, now, True)
 
 
@@ -211,7 +211,7 @@
             self.assertTrue(all(found[other] <= found[name] + 1 for other in demand))
 
     def test_a_replayed_or_late_grant_is_not_taken(self):
-        limits = Limits("a", ["a", "b", "c"], {"l": 100}, 0, random.Random(1), first=True)
+        limits = Limits("a", ["a", "b", "c"], {"l": 100}, 0, random.Random(1), new_cluster=True)
         holder = limits.quota_holder
         first = holder.make_request(10, 7, False)
         second = holder.make_request(20, 7, False)
