--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -89,7 +89,7 @@
         self.next_request_at = now + self.config.request_period
         request = self.quota_holder.make_request(now, self.leader_ballot, self.leads(now))
         self.history.record(self.name, request)
-        outgoing = self.to_all_others(request)
+        outgoing = self.broadcast_to_others(request)
         if self.ledger is not None:
             self.lend(now, self.name, request)
         return outgoing
--- a/embertray/cluster/limits/election.py
+++ b/embertray/cluster/limits/election.py
@@ -66,14 +66,14 @@
         """
         self.next_election_at = now + self.config.request_period
         if not self.history.complete:
-            return self.to_all_others(HistoryRequest())
+            return self.broadcast_to_others(HistoryRequest())
         half_term = self.config.lease_term // 2
         if not self.leads(now):
             if now - self.leader_heard_at <= half_term:
                 return []
             self.next_election_at += self.rng.randrange(half_term)
         highest_seen = max(self.highest_ballot, self.acceptor.promised_ballot)
-        return self.to_all(now, self.proposer.start(highest_seen))
+        return self.broadcast(now, self.proposer.start(highest_seen))
 
     def on_ballot(self, now, sender, message):
         """Let the acceptor answer a proposer.
@@ -100,12 +100,12 @@
         """
         if isinstance(message, Promise):
             propose = self.proposer.on_promise(now, message, sender)
-            return [] if propose is None else self.to_all(now, propose)
+            return [] if propose is None else self.broadcast(now, propose)
         if self.proposer.on_accepted(now, message, sender):
             self.on_elected(now)
         return []
 
-    def to_all_others(self, message):
+    def broadcast_to_others(self, message):
         """Return OutgoingMessages that take a message to all other members.
 
         Args:
@@ -113,7 +113,7 @@
         """
         return [OutgoingMessage(name, message) for name in self.names if name != self.name]
 
-    def to_all(self, now, message):
+    def broadcast(self, now, message):
         """Send a message to all members; this one takes it at once.
 
         Args:
@@ -123,7 +123,7 @@
         Returns:
             OutgoingMessages.
         """
-        return self.to_all_others(message) + self.receive(now, self.name, message)
+        return self.broadcast_to_others(message) + self.receive(now, self.name, message)
 
     def reply(self, now, receiver, message):
         """Send an answer; if it is this member's own, it takes it at once.
