--- a/embertray/cluster/limits/lease.py
+++ b/embertray/cluster/limits/lease.py
@@ -95,8 +95,8 @@
 
     Attributes:
         lease_ends_at: Until when this member holds the lease, ns by its clock.
-        leader_ballot: The ballot under which it leads. An unbroken row of renewals keeps it, unless a later ballot
-            is known: to whoever knows that one, this member would pass for a former leader.
+        leader_ballot: The ballot under which it leads. Renewals without a gap keep it, unless a later ballot
+            is known: members that know the later one would take this member for a former leader.
         highest_known: The highest ballot of a leader that this member has heard of.
     """
 
