--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -71,7 +71,7 @@
         Returns:
             OutgoingMessages.
         """
-        if self.ledger is not None and not self.leads(now):
+        if self.ledger is not None and not self.is_leader(now):
             self.ledger = None  # the lease has ended: nothing more is lent
         outgoing = []
         if now >= self.next_election_at:
@@ -87,7 +87,7 @@
             now: The time, ns.
         """
         self.next_request_at = now + self.config.request_period
-        request = self.quota_holder.make_request(now, self.leader_ballot, self.leads(now))
+        request = self.quota_holder.make_request(now, self.leader_ballot, self.is_leader(now))
         self.history.record(self.name, request)
         outgoing = self.broadcast_to_others(request)
         if self.ledger is not None:
@@ -181,7 +181,7 @@
         Returns:
             OutgoingMessages.
         """
-        if self.ledger is None or not self.leads(now) or request.ballot != self.proposer.leader_ballot:
+        if self.ledger is None or not self.is_leader(now) or request.ballot != self.proposer.leader_ballot:
             return []
         if not self.ledger.record_request(now, borrower, request):
             return []
--- a/embertray/cluster/limits/election.py
+++ b/embertray/cluster/limits/election.py
@@ -47,7 +47,7 @@
     def on_elected(self, now):
         """Begin or go on to lead (Limits)."""
 
-    def leads(self, now):
+    def is_leader(self, now):
         """Return whether this member holds the lease, and so may lend.
 
         Args:
@@ -68,7 +68,7 @@
         if not self.history.complete:
             return self.broadcast_to_others(HistoryRequest())
         half_term = self.config.lease_term // 2
-        if not self.leads(now):
+        if not self.is_leader(now):
             if now - self.leader_heard_at <= half_term:
                 return []
             self.next_election_at += self.rng.randrange(half_term)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -44,8 +44,8 @@
             if "ledger" in parts and type(self.ledger) is Ledger:
                 self.ledger.__class__ = parts["ledger"]
 
-        def leads(self, now):
-            return parts.get("leads", Limits.leads)(self, now)
+        def is_leader(self, now):
+            return parts.get("is_leader", Limits.is_leader)(self, now)
 
     return Sabotaged
 
@@ -126,7 +126,7 @@
         simulation = LimitsSimulation(3, 5, 20).run(30 * S)
         before = simulation.used[-1]
         leader = next(
-            name for name, member in simulation.members.items() if member.core.leads(member.clock.now())
+            name for name, member in simulation.members.items() if member.core.is_leader(member.clock.now())
         )
         simulation.kill(next(name for name in simulation.names if name != leader))
         simulation.run(int(simulation.pace.lease_term) + S)
@@ -156,7 +156,7 @@
         self.assertGreater(self.over(15, 45, 97, ledger=ForgetsFormerIncarnations), 0)
 
     def test_a_leader_that_ignores_the_end_of_its_lease(self):
-        self.assertGreater(self.over(leads=leads_for_ever), 0)
+        self.assertGreater(self.over(is_leader=leads_for_ever), 0)
 
 
 class Every(unittest.TestCase):
