--- a/embertray/cluster/limits/accounts.py
+++ b/embertray/cluster/limits/accounts.py
@@ -5,7 +5,7 @@
 from .messages import QuotaRequest
 
 
-class Loan(NamedTuple):
+class Grant(NamedTuple):
     """Units that were granted and may still be applied.
 
     Attributes:
@@ -22,12 +22,12 @@
 
     Attributes:
         request: Its last QuotaRequest.
-        loans: Sequence number of the request -> Loan; None if another leader granted them.
+        grants: Sequence number of the request -> Loan; None if another leader granted them.
         heard_at: When it was last heard; of a former incarnation, when a later one was first heard of. ns.
     """
 
     request: QuotaRequest
-    loans: dict | None
+    grants: dict | None
     heard_at: int
 
 
@@ -37,7 +37,7 @@
     Attributes:
         request: Its last QuotaRequest, None if this leader has not heard it.
         heard_at: When that came, ns.
-        loans: Sequence number of the request -> Loan, of those that may still be applied.
+        grants: Sequence number of the request -> Loan, of those that may still be applied.
         former_incarnations: IncarnationRecords, in their order.
     """
 
@@ -46,13 +46,13 @@
     def __init__(self):
         self.request = None
         self.heard_at = None
-        self.loans = {}
+        self.grants = {}
         self.former_incarnations = []
 
     @property
     def current(self):
         """The IncarnationRecord of the incarnation that was heard last."""
-        return IncarnationRecord(self.request, self.loans, self.heard_at)
+        return IncarnationRecord(self.request, self.grants, self.heard_at)
 
 
 class Accounts:
@@ -101,13 +101,13 @@
         former = account.request if heard else self.remembered.get(name)
         if former is not None and former.incarnation < request.incarnation:
             # Its proxies keep the quota that the former incarnation sent them.
-            loans = account.loans if heard else None
-            account.former_incarnations.append(IncarnationRecord(former, loans, now))
-            account.loans = {}
+            grants = account.grants if heard else None
+            account.former_incarnations.append(IncarnationRecord(former, grants, now))
+            account.grants = {}
         account.request = request
         account.heard_at = now
-        account.loans = {
-            sequence: loan for sequence, loan in account.loans.items() if sequence >= request.applied
+        account.grants = {
+            sequence: grant for sequence, grant in account.grants.items() if sequence >= request.applied
         }
         return True
 
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -12,7 +12,7 @@
   over and none of its proxies is unclaimed.
 """
 
-from .accounts import Accounts, Loan
+from .accounts import Accounts, Grant
 from .divide import divide
 
 
@@ -68,19 +68,19 @@
         Returns:
             Units beyond the floor; None as in `charge`.
         """
-        request, loans, _ = record
+        request, grants, _ = record
         allotments = request.allotments.get(limit, {})
         floor = self.floors[limit]
         if self.may_raise_proxies(now, name, record):
-            if loans is None:
+            if grants is None:
                 return None
-            lent = [loan.amounts[limit] for loan in loans.values()]
+            lent = [grant.amounts[limit] for grant in grants.values()]
             return max([sum(allotments.values()) - floor, *lent, 0])
         unclaimed = self.unclaimed_proxies(name, request)
-        if loans is None:
+        if grants is None:
             return None if unclaimed else 0
         most_each = max(
-            ((floor + loan.amounts[limit]) // loan.proxies for loan in loans.values() if loan.proxies),
+            ((floor + grant.amounts[limit]) // grant.proxies for grant in grants.values() if grant.proxies),
             default=0,
         )
         return max(0, sum(max(allotments.get(proxy, 0), most_each) for proxy in unclaimed) - floor)
@@ -133,7 +133,7 @@
         account = self.accounts[name]
         amounts = {limit: self.amount_due(now, name, limit) for limit in self.pools}
         proxies = len(next(iter(account.request.allotments.values()), ()))
-        account.loans[account.request.sequence] = Loan(amounts, proxies)
+        account.grants[account.request.sequence] = Grant(amounts, proxies)
         account.former_incarnations = [
             record
             for record in account.former_incarnations
--- a/embertray/experiments/measure/models/loans.py
+++ b/embertray/experiments/measure/models/loans.py
@@ -44,10 +44,10 @@
         other.ledger.accounts = {}
         for name, line in self.ledger.accounts.items():
             mine = other.ledger.accounts[name] = type(line)()
-            mine.request, mine.heard_at, mine.loans, mine.former_incarnations = (
+            mine.request, mine.heard_at, mine.grants, mine.former_incarnations = (
                 line.request,
                 line.heard_at,
-                line.loans.copy(),
+                line.grants.copy(),
                 line.former_incarnations.copy(),
             )
         return other
@@ -57,7 +57,7 @@
             (
                 row.request and (row.request.incarnation, row.request.sequence),
                 row.heard_at,
-                repr(row.loans),
+                repr(row.grants),
                 tuple((g[0].sequence, g[2]) for g in row.former_incarnations),
             )
             for row in self.ledger.accounts.values()
