--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -91,7 +91,7 @@
         self.history.record(self.name, request)
         outgoing = self.broadcast_to_others(request)
         if self.ledger is not None:
-            self.lend(now, self.name, request)
+            self.grant_quota(now, self.name, request)
         return outgoing
 
     # ---- messages
@@ -168,14 +168,14 @@
             self.leader_ballot = request.ballot
             self.leader = sender
             self.leader_heard_at = now
-        return self.lend(now, sender, request)
+        return self.grant_quota(now, sender, request)
 
-    def lend(self, now, borrower, request):
+    def grant_quota(self, now, requester, request):
         """Answer a QuotaRequest with a grant, if this member is the leader that it asks.
 
         Args:
             now: The time, ns.
-            borrower: Name of the member that asks.
+            requester: Name of the member that asks.
             request: Its QuotaRequest.
 
         Returns:
@@ -183,7 +183,7 @@
         """
         if self.ledger is None or not self.is_leader(now) or request.ballot != self.proposer.leader_ballot:
             return []
-        if not self.ledger.record_request(now, borrower, request):
+        if not self.ledger.record_request(now, requester, request):
             return []
-        amounts = self.ledger.make_grant(now, borrower)
-        return self.reply(now, borrower, QuotaGrant(request.sequence, request.ballot, amounts))
+        amounts = self.ledger.make_grant(now, requester)
+        return self.reply(now, requester, QuotaGrant(request.sequence, request.ballot, amounts))
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -104,20 +104,20 @@
 
     # ---- loans
 
-    def free_units(self, now, limit, borrower):
+    def free_units(self, now, limit, requester):
         """Return the units that nobody but a member may use.
 
         Args:
             now: The time, ns.
             limit: The limit.
-            borrower: The member.
+            requester: The member.
 
         Returns:
             Units of the pool; where another member's charge is not known, what the member has already.
         """
-        charges = [self.charge(now, name, limit) for name in self.names if name != borrower]
+        charges = [self.charge(now, name, limit) for name in self.names if name != requester]
         if None in charges:
-            return self.charge(now, borrower, limit) or 0
+            return self.charge(now, requester, limit) or 0
         return max(0, self.pools[limit] - sum(charges))
 
     def make_grant(self, now, name):
