--- a/embertray/cluster/limits/proxy_quotas.py
+++ b/embertray/cluster/limits/proxy_quotas.py
@@ -33,8 +33,8 @@
     (`proxy_acknowledged`), and sends what `quota_updates` returns.
 
     Attributes:
-        loan: limit -> units lent by the grant in force.
-        loan_ends_at: Until when proxies may be raised by it, ns.
+        granted: limit -> units lent by the grant in force.
+        grant_expires_at: Until when proxies may be raised by it, ns.
         divided_among: The proxies that it is divided among, as keys.
         sequence: Sequence number of this member's last request.
         connected: proxy -> sequence number of the last request when it joined.
@@ -52,8 +52,8 @@
             sequence: What its requests are numbered from.
         """
         self.floors = floors
-        self.loan = dict.fromkeys(floors, 0)
-        self.loan_ends_at = 0
+        self.granted = dict.fromkeys(floors, 0)
+        self.grant_expires_at = 0
         self.divided_among = {}
         self.sequence = sequence
         self.connected = {}
@@ -147,7 +147,7 @@
         """
         allowed = self.allowed[limit]
         last_sent = self.last_sent[limit]
-        share = self.floors[limit] + self.loan[limit]
+        share = self.floors[limit] + self.granted[limit]
         part = share // len(self.divided_among)
         room = share - sum(allowed.values())
         updates = []
@@ -189,8 +189,8 @@
             rise: Units by which it is above what the proxy may act on already.
             room: Units of the share that are not allotted.
         """
-        loan_ended = now >= self.loan_ends_at
-        if rise > 0 and (loan_ended or rise > room):
+        grant_expired = now >= self.grant_expires_at
+        if rise > 0 and (grant_expired or rise > room):
             return False
         # One that does not act on our word keeps what another member sent it once the loan has ended.
-        return proxy in self.acknowledged or not loan_ended
+        return proxy in self.acknowledged or not grant_expired
--- a/embertray/cluster/limits/quota_holder.py
+++ b/embertray/cluster/limits/quota_holder.py
@@ -118,7 +118,7 @@
         if now >= sent.sent_at + self.config.lease_term:
             return False
         self.applied = grant.sequence
-        self.loan_ends_at = sent.sent_at + self.config.lease_term
-        self.loan = dict(grant.amounts)
+        self.grant_expires_at = sent.sent_at + self.config.lease_term
+        self.granted = dict(grant.amounts)
         self.divided_among = sent.proxies
         return True
--- a/embertray/experiments/measure/explore.py
+++ b/embertray/experiments/measure/explore.py
@@ -11,7 +11,7 @@
         self.path = path
 
 
-def clone(thing, fresh=("here", "acted", "away", "asks", "listed", "loan", "wants", "heard", "voices")):
+def clone(thing, fresh=("here", "acted", "away", "asks", "listed", "granted", "wants", "heard", "voices")):
     """A copy of a core whose containers hold what never changes; those named in `fresh` are copied, dicts of
     dicts two deep.
     """
--- a/embertray/experiments/measure/models/loans.py
+++ b/embertray/experiments/measure/models/loans.py
@@ -66,10 +66,10 @@
             (
                 h.sequence,
                 h.applied,
-                h.loan_ends_at,
+                h.grant_expires_at,
                 repr(
                     (
-                        h.loan,
+                        h.granted,
                         h.allowed,
                         h.last_sent,
                         h.connected,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -223,7 +223,7 @@
         self.assertFalse(
             holder.apply_grant(40 + limits.config.lease_term, QuotaGrant(third.sequence, 7, {"l": 50}), 7)
         )
-        self.assertEqual(holder.loan, {"l": 9})
+        self.assertEqual(holder.granted, {"l": 9})
 
     def test_run_and_adapter_load_none_of_it(self):
         code = (
