--- a/embertray/cluster/limits/proxy_quotas.py
+++ b/embertray/cluster/limits/proxy_quotas.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-PATIENCE_REQUESTS = (
+FULL_SHARE_WAIT_REQUESTS = (
     2  # requests that a proxy which joined waits for its whole part; then it takes what is left
 )
 
@@ -90,7 +90,7 @@
         else:
             self.forget_proxy(proxy)
 
-    def proxy_gone(self, proxy):
+    def proxy_removed(self, proxy):
         """Note that a proxy is no more, by the word of operators or of the list of proxies.
 
         Args:
@@ -148,21 +148,21 @@
         allowed = self.allowed[limit]
         last_sent = self.last_sent[limit]
         share = self.floors[limit] + self.granted[limit]
-        part = share // len(self.divided_among)
-        room = share - sum(allowed.values())
+        equal_share = share // len(self.divided_among)
+        unallotted = share - sum(allowed.values())
         updates = []
         for proxy in sorted(self.connected.keys() & self.divided_among.keys()):
             current = allowed.get(proxy, 0)
-            units = self.units_for(proxy, part, current, room)
-            if units == last_sent.get(proxy) or not self.may_send(now, proxy, units - current, room):
+            units = self.units_for(proxy, equal_share, current, unallotted)
+            if units == last_sent.get(proxy) or not self.may_send(now, proxy, units - current, unallotted):
                 continue
-            room -= max(0, units - current)
+            unallotted -= max(0, units - current)
             allowed[proxy] = max(current, units)
             last_sent[proxy] = units
             updates.append(QuotaUpdate(limit, proxy, units))
         return updates
 
-    def units_for(self, proxy, part, current, room):
+    def units_for(self, proxy, equal_share, current, unallotted):
         """Return the quota that a proxy is to have.
 
         Guards against two members that have exchanged proxies, each waiting for the other to claim its own,
@@ -171,26 +171,26 @@
 
         Args:
             proxy: The proxy.
-            part: Its equal part of the share, units.
+            equal_share: Its equal part of the share, units.
             current: The most that it may act on by our word already, units.
-            room: Units of the share that are not allotted.
+            unallotted: Units of the share that are not allotted.
         """
-        waited = self.sequence - self.connected[proxy] >= PATIENCE_REQUESTS
+        waited = self.sequence - self.connected[proxy] >= FULL_SHARE_WAIT_REQUESTS
         if proxy not in self.acknowledged and waited:
-            return min(part, current + max(0, room))
-        return part
+            return min(equal_share, current + max(0, unallotted))
+        return equal_share
 
-    def may_send(self, now, proxy, rise, room):
+    def may_send(self, now, proxy, increase, unallotted):
         """Return whether a quota may be sent now.
 
         Args:
             now: The time, ns.
             proxy: The proxy.
-            rise: Units by which it is above what the proxy may act on already.
-            room: Units of the share that are not allotted.
+            increase: Units by which it is above what the proxy may act on already.
+            unallotted: Units of the share that are not allotted.
         """
         grant_expired = now >= self.grant_expires_at
-        if rise > 0 and (grant_expired or rise > room):
+        if increase > 0 and (grant_expired or increase > unallotted):
             return False
         # One that does not act on our word keeps what another member sent it once the loan has ended.
         return proxy in self.acknowledged or not grant_expired
