--- a/embertray/cluster/limits/accounts.py
+++ b/embertray/cluster/limits/accounts.py
@@ -58,7 +58,7 @@
 class Accounts:
     """The accounts of all members under one leader's tenure, and which proxies each has claimed."""
 
-    def __init__(self, names, pools, floors, config, now, former_requests=None):
+    def __init__(self, names, pools, floors, config, now, earlier_requests=None):
         """Begin a tenure.
 
         Args:
@@ -67,18 +67,18 @@
             floors: limit -> units that each member has anyway.
             config: A LimitsConfig.
             now: The time, ns.
-            former_requests: member -> the last QuotaRequest of each of its incarnations that was heard of
+            earlier_requests: member -> the last QuotaRequest of each of its incarnations that was heard of
                 before, in their order.
         """
-        former_requests = former_requests or {}
+        earlier_requests = earlier_requests or {}
         self.names = names
         self.pools = pools
         self.floors = floors
         self.config = config
         self.began_at = now
         self.accounts = {name: MemberAccount() for name in names}
-        self.remembered = {name: requests[-1] for name, requests in former_requests.items()}
-        for name, requests in former_requests.items():
+        self.inherited_requests = {name: requests[-1] for name, requests in earlier_requests.items()}
+        for name, requests in earlier_requests.items():
             self.accounts[name].former_incarnations = [
                 IncarnationRecord(request, None, now) for request in requests[:-1]
             ]
@@ -98,7 +98,7 @@
         heard = account.request is not None
         if heard and request.sequence <= account.request.sequence:
             return False
-        former = account.request if heard else self.remembered.get(name)
+        former = account.request if heard else self.inherited_requests.get(name)
         if former is not None and former.incarnation < request.incarnation:
             # Its proxies keep the quota that the former incarnation sent them.
             grants = account.grants if heard else None
@@ -134,7 +134,7 @@
                 unclaimed -= claim.acknowledged
         return unclaimed
 
-    def is_behind(self, name, sequence):
+    def has_missed_request(self, name, sequence):
         """Return whether another member has heard a later request of a member than the leader has.
 
         Proxies may then have been given up to that member unseen.
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -46,10 +46,10 @@
             now: The time, ns.
             name: The member.
         """
-        before = self.remembered.get(name)
+        before = self.inherited_requests.get(name)
         if before is None or now - self.began_at <= self.config.drift_adjusted_term:
             return None
-        if self.is_behind(name, before.sequence) or self.unclaimed_proxies(name, before):
+        if self.has_missed_request(name, before.sequence) or self.unclaimed_proxies(name, before):
             return None
         former = self.accounts[name].former_incarnations
         if any(self.unclaimed_proxies(name, record.request) for record in former):
@@ -71,7 +71,7 @@
         request, grants, _ = record
         allotments = request.allotments.get(limit, {})
         floor = self.floors[limit]
-        if self.may_raise_proxies(now, name, record):
+        if self.may_raise_quotas(now, name, record):
             if grants is None:
                 return None
             lent = [grant.amounts[limit] for grant in grants.values()]
@@ -85,7 +85,7 @@
         )
         return max(0, sum(max(allotments.get(proxy, 0), most_each) for proxy in unclaimed) - floor)
 
-    def may_raise_proxies(self, now, name, record):
+    def may_raise_quotas(self, now, name, record):
         """Return whether an incarnation may still raise proxies, or have given some up unseen.
 
         Args:
@@ -99,7 +99,7 @@
         return (
             latest is not None
             and record.request.incarnation == latest.incarnation
-            and self.is_behind(name, record.request.sequence)
+            and self.has_missed_request(name, record.request.sequence)
         )
 
     # ---- loans
