--- a/embertray/cluster/limits/accounts.py
+++ b/embertray/cluster/limits/accounts.py
@@ -41,7 +41,7 @@
         former_incarnations: IncarnationRecords, in their order.
     """
 
-    __slots__ = ("request", "heard_at", "loans", "former_incarnations")
+    __slots__ = ("request", "heard_at", "grants", "former_incarnations")
 
     def __init__(self):
         self.request = None
