--- a/embertray/cluster/__init__.py
+++ b/embertray/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""Processes of one site that form a cluster: membership, shared entries, limits, replicated configuration.
+"""The controllers of one site as a cluster: membership, shared state, limits, replicated configuration.
 
-Nothing of it is loaded without a <cluster> or <control> in the site.
+These packages are not loaded unless the site has a <cluster> or <control> element.
 """
--- a/embertray/cluster/membership/__init__.py
+++ b/embertray/cluster/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Cluster membership: a gossip failure detector (SWIM with Lifeguard's local health) without I/O.
+"""Cluster membership: a gossip-based failure detector (SWIM with Lifeguard's local health) without I/O.
 
-`Membership` is a state machine: it is handed the time and the messages that came, and returns the messages
-to send. The design is in docs/design/cluster.md.
+`Membership` is a state machine: its input is the time and the received messages, its output the messages to
+send. The design is in docs/design/cluster.md.
 """
 
 from .config import DEFAULT_CONFIG, MembershipConfig
--- a/embertray/cluster/membership/config.py
+++ b/embertray/cluster/membership/config.py
@@ -1,4 +1,4 @@
-"""Times and sizes of the failure detector, and the timeouts that follow from them."""
+"""Periods, timeouts and sizes of the failure detector."""
 
 from dataclasses import dataclass
 from math import ceil, log2, log10
@@ -6,31 +6,32 @@
 MS_NS = 10**6
 SECOND_NS = 10**9
 
-RECONNECT_PERIODS = 5  # probe periods between two attempts to reach lost members
+RECONNECT_PERIODS = 5  # probe periods between two reconnection attempts
 
 
 @dataclass(frozen=True)
 class MembershipConfig:
-    """Times are ns. The defaults fit the machines of one site on one network.
+    """Settings of the failure detector; times are ns. The defaults fit one site on one network.
 
     Attributes:
-        probe_period: Between two probes.
-        probe_timeout: For the answer to a direct probe, before indirect probes are requested: longer than a
-            pause of a garbage collector or of a scheduler.
-        indirect_probes: Members that are asked to probe in this one's place.
-        suspicion_multiplier: The least suspicion timeout, in probe periods times log10 of the members.
-        unconfirmed_factor: The suspicion timeout as long as nobody else suspects, in least timeouts: a fault
-            of the observer must not look like one of the observed.
-        confirmations: Suspicions by others that bring the timeout down to the least.
-        retransmit_multiplier: How often a statement is gossiped, times log2 of the members.
-        gossip_bytes: Bytes of statements in a message: with the header it fits a datagram of 1,400 bytes.
-        max_health_score: Steps by which a member that is slow itself stretches its timeouts, at most.
-        reconnect_period: Between two attempts to reach seeds and dead members, which is how the sides of a
-            network partition find each other again.
-        departed_retention: How long a member that is dead or has left is remembered: longer than partitions
+        probe_period: Time between two probes.
+        probe_timeout: Time until indirect probes are requested for a direct probe without an Ack. Longer than
+            a pause of a garbage collector or of the scheduler.
+        indirect_probes: Number of members that are asked for an indirect probe.
+        suspicion_multiplier: The minimum suspicion timeout is this, times log10 of the number of members,
+            probe periods.
+        unconfirmed_factor: The suspicion timeout without confirmations, in minimum suspicion timeouts. It is
+            longer so that a fault of the suspecting member does not pass for one of the suspected member.
+        confirmations: Number of suspicions by others at which the timeout reaches its minimum.
+        retransmit_multiplier: A statement is gossiped this, times log2 of the number of members, times.
+        gossip_bytes: Bytes of statements in a message; with the header it fits a datagram of 1,400 bytes.
+        max_health_score: Maximum of the local health score, by which a slow member extends its timeouts.
+        reconnect_period: Time between two attempts to reach seeds and dead members; these attempts rejoin
+            the sides of a network partition.
+        departed_retention: How long a member that is dead or has left is remembered. Longer than partitions
             that heal by themselves.
-        pause_threshold: A step that is later than this, and a probe period, means that this process stood
-            still.
+        pause_threshold: A step that is later than this plus a probe period means that this process was
+            paused.
     """
 
     probe_period: int = 1 * SECOND_NS
@@ -48,10 +49,10 @@
 
     @classmethod
     def for_period(cls, probe_period):
-        """Return a configuration whose timeouts follow from its probe period.
+        """Return a configuration whose timeouts are scaled to a probe period.
 
         Args:
-            probe_period: Between two probes, ns.
+            probe_period: Time between two probes, ns.
         """
         return cls(
             probe_period=probe_period,
@@ -60,10 +61,10 @@
         )
 
     def min_suspicion_timeout(self, members):
-        """Return the suspicion timeout when enough others suspect, too.
+        """Return the suspicion timeout with enough confirmations.
 
         Args:
-            members: Active members, this one included.
+            members: Number of active members, this one included.
 
         Returns:
             The timeout, ns.
@@ -71,14 +72,14 @@
         return int(self.suspicion_multiplier * max(1.0, log10(max(1, members))) * self.probe_period)
 
     def suspicion_timeout(self, members, others):
-        """Return the time from a suspicion until the member is taken for dead.
+        """Return the time from a suspicion until the member is declared dead.
 
-        Rule: it shrinks with the logarithm of the confirmations, from `unconfirmed_factor` least timeouts to
-        one, as in Lifeguard.
+        As in Lifeguard it decreases with the logarithm of the number of confirmations, from
+        `unconfirmed_factor` minimum timeouts to one.
 
         Args:
-            members: Active members, this one included.
-            others: Members that suspect it beside this one.
+            members: Number of active members, this one included.
+            others: Number of other members that suspect it.
 
         Returns:
             The timeout, ns.
@@ -91,10 +92,10 @@
         return int(min_timeout * (self.unconfirmed_factor - (self.unconfirmed_factor - 1) * confirmed_share))
 
     def retransmissions(self, members):
-        """Return how often a statement is gossiped.
+        """Return how many times a statement is gossiped.
 
         Args:
-            members: Active members, this one included.
+            members: Number of active members, this one included.
         """
         return ceil(self.retransmit_multiplier * log2(members + 1))
 
--- a/embertray/cluster/membership/core.py
+++ b/embertray/cluster/membership/core.py
@@ -1,37 +1,38 @@
-"""The state machine of one member: time and messages in, messages and events out."""
+"""The failure detector's state machine: its input is time and messages, its output messages and events."""
 
 from .handlers import MessageHandlers
 from .member import DEAD, LEFT
 from .messages import VERSION, Ack, Join, Ping
 from .outbox import Recipient
 
-MAX_REJECTED_ADDRESSES = 2048  # addresses by which rejected messages are counted
+MAX_REJECTED_ADDRESSES = 2048  # (reason, address) pairs that are counted separately
 
-# Reasons of rejection, as the status shows them.
+# Reasons for rejecting a message, as the status shows them.
 OTHER_CLUSTER = "cluster"
 OTHER_VERSION = "version"
 FORMER_INCARNATION = "former life"
-OTHER_ADDRESSES = "others"  # in place of an address, past the most that are counted
+OTHER_ADDRESSES = "others"  # stands for all addresses beyond MAX_REJECTED_ADDRESSES
 
 
 class Membership(MessageHandlers):
-    """The failure detector of one member (arguments and attributes: MembershipState).
+    """The failure detector of one member (for arguments and attributes see MembershipState).
 
-    Hand in what came (`receive`) and the time (`advance`, at `next_at` at the latest). Both return
-    OutgoingMessages; `events` collects MemberChanged, and `ended` says why this process has to end, if so.
+    The caller passes received messages to `receive` and the time to `advance`, no later than `next_at`. Both
+    return OutgoingMessages; `events` collects MemberChanged, and `ended` is set to a reason when this process
+    has to end.
     """
 
     # ---- time
 
     def next_at(self):
-        """Return when to call `advance` at the latest, ns."""
+        """Return the latest time at which `advance` has to be called, ns."""
         times = [self.next_probe_at, self.next_reconnect_at]
         times += [probe.next_at for probe in self.probes.values()]
         times += self.members.suspicion_deadlines()
         return min(times)
 
     def advance(self, now):
-        """Do what is due.
+        """Run the timers that are due.
 
         Args:
             now: The time, ns.
@@ -55,7 +56,7 @@
         return self.outgoing
 
     def check_members(self, now):
-        """End suspicions that were not refuted, and forget members that departed long ago.
+        """Handle suspicions that timed out, and remove members that departed `departed_retention` ago.
 
         Args:
             now: The time, ns.
@@ -67,11 +68,11 @@
                 self.members.remove(member.name)
 
     def detect_pause(self, now):
-        """Notice that this process stood still (stopped, or without a processor).
+        """Detect that this process was paused (stopped, or not scheduled), and compensate for the pause.
 
-        Guards against blaming others for answers that this process could not take: it would show as all
-        others being suspect, or dead, when it goes on. Probes are dropped, and suspicions go on for as long
-        as it stood still.
+        Acknowledgements that arrived during a pause were not processed, so without this check all other
+        members would become suspect or dead when the process resumes. Probes in flight are dropped, and
+        suspicion deadlines are moved by the length of the pause.
 
         Args:
             now: The time, ns.
@@ -90,12 +91,12 @@
     # ---- messages
 
     def receive(self, now, address, message):
-        """Take a message.
+        """Handle a received message.
 
         Args:
             now: The time, ns.
-            address: Where it came from, for the counts of rejected ones. Answers go to the address that the
-                sender states about itself.
+            address: The source address; only used to count rejected messages. Replies go to the address in
+                the message's `sender`.
             message: The Message.
 
         Returns:
@@ -111,13 +112,13 @@
         return self.outgoing
 
     def accepts_header(self, address, message):
-        """Return whether a message is for this cluster, version and incarnation; it is rejected if not.
+        """Return whether a message is for this cluster, protocol version and incarnation; reject it if not.
 
-        What is for another incarnation is a replay, or its sender does not know yet that this one is new:
-        it learns that by a Ping.
+        A message for another incarnation is a replay, or its sender does not know this incarnation yet: a
+        Ping informs it.
 
         Args:
-            address: Where it came from.
+            address: The source address.
             message: The Message.
         """
         if message.cluster != self.cluster:
@@ -127,7 +128,7 @@
             self.reject(OTHER_VERSION, address)
             return False
         if message.target_incarnation == self.local.incarnation:
-            self.joined = True  # the sender knows this very incarnation
+            self.joined = True  # the sender knows this incarnation
             return True
         if message.target_incarnation == 0:
             return True
@@ -138,13 +139,14 @@
         return False
 
     def accepts_sender(self, now, address, message):
-        """Return whether a message is of its sender's latest incarnation, or asks to join.
+        """Return whether a message is from its sender's latest known incarnation, or is a Join.
 
-        A former one is a replay, or an older process of that name: that one learns of the younger by an Ack.
+        A message from a former incarnation is a replay, or comes from an older process of that name: the Ack
+        informs that process of the newer one.
 
         Args:
             now: The time, ns.
-            address: Where it came from.
+            address: The source address.
             message: The Message.
         """
         sender = message.sender
@@ -163,14 +165,14 @@
         return True
 
     def reject(self, reason, address):
-        """Count a message that is not taken, by reason and address.
+        """Count a rejected message by reason and address.
 
-        Guards against strangers that send from ever new ports, which would show as memory that grows: past
-        so many addresses they share one count.
+        Beyond MAX_REJECTED_ADDRESSES all addresses share one count, so that messages from ever new ports
+        cannot make the counter grow without bound.
 
         Args:
-            reason: Why, one of the constants above.
-            address: Where it came from.
+            reason: One of the reasons above.
+            address: The source address.
         """
         if (reason, address) not in self.rejected and len(self.rejected) >= MAX_REJECTED_ADDRESSES:
             address = OTHER_ADDRESSES
@@ -179,7 +181,7 @@
     # ---- leaving
 
     def leave(self, now):
-        """Tell some members that this one leaves. The process may end once the messages are sent.
+        """Announce to some members that this one leaves. The process may end once the messages are sent.
 
         Args:
             now: The time, ns.
--- a/embertray/cluster/membership/events.py
+++ b/embertray/cluster/membership/events.py
@@ -1,4 +1,4 @@
-"""What the state machine hands out: messages to send, and changes of members."""
+"""Output of the state machine: messages to send, and changes of members."""
 
 from typing import NamedTuple
 
@@ -10,8 +10,8 @@
     """A message to send.
 
     Attributes:
-        address: Where to, as host:port.
-        message: The message.
+        address: Destination, host:port.
+        message: The Message.
     """
 
     address: str
@@ -22,9 +22,9 @@
     """A member's state or incarnation has changed, in this member's view.
 
     Attributes:
-        name: The member.
-        state: Its state from now on.
-        address: Its address, as host:port.
+        name: Name of the member.
+        state: Its new state.
+        address: Its address, host:port.
     """
 
     name: str
--- a/embertray/cluster/membership/exceptions.py
+++ b/embertray/cluster/membership/exceptions.py
@@ -6,4 +6,4 @@
 
 
 class UnreadableMessageError(MembershipError, ValueError):
-    """A datagram is no message of this protocol: cut short, damaged, or something else."""
+    """A datagram is not a valid message of this protocol: truncated, damaged or foreign."""
--- a/embertray/cluster/membership/gossip_queue.py
+++ b/embertray/cluster/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Statements that are to be gossiped, each so many times: the least gossiped first, of these the newest."""
+"""Queue of statements to gossip, ordered by number of transmissions, then newest first."""
 
 from bisect import bisect_left, insort
 from typing import NamedTuple
@@ -11,10 +11,10 @@
     """A statement in the queue.
 
     Attributes:
-        transmissions: How often it was gossiped.
-        order: Lower for one that was put later.
+        transmissions: How many times it was gossiped.
+        order: Tie-breaker, lower for statements queued later.
         statement: The Statement.
-        size: Bytes that it takes in a message.
+        size: Its encoded size, bytes.
     """
 
     transmissions: int
@@ -24,22 +24,22 @@
 
 
 class GossipQueue:
-    """Statements in the order in which they are gossiped, one for each member that they are about.
+    """Statements in the order in which they are gossiped, at most one per member.
 
-    What a message takes moves back in the order, and the rest stays where it is.
+    A statement that a message takes moves back in the order; the others keep their places.
     """
 
     def __init__(self):
         self.by_name = {}  # name -> QueuedStatement
         self.order = []  # (transmissions, order, name), sorted
         self.put_count = 0
-        self.min_size_bytes = 0  # bytes that no statement in the queue is below
+        self.min_size_bytes = 0  # lower bound of the statements' sizes, bytes
 
     def __len__(self):
         return len(self.by_name)
 
     def put(self, statement):
-        """Queue a statement in the place of a former one about the same member.
+        """Queue a statement; it replaces a queued one about the same member.
 
         Args:
             statement: The Statement.
@@ -52,12 +52,13 @@
         self._insert(QueuedStatement(0, -self.put_count, statement, size))
 
     def pick(self, max_bytes, transmissions, receiver=None):
-        """Take the statements for one message.
+        """Select the statements for one message, and count their transmission.
 
         Args:
-            max_bytes: Bytes that they may take.
-            transmissions: How often a statement is gossiped in all.
-            receiver: Name of the receiver: a statement about itself goes first, so that it can refute it.
+            max_bytes: Maximum total size of the statements, bytes.
+            transmissions: How many times a statement is gossiped before it is dropped.
+            receiver: Name of the receiver. A statement about the receiver goes first, so that it can refute
+                it.
 
         Returns:
             The Statements.
--- a/embertray/cluster/membership/handlers.py
+++ b/embertray/cluster/membership/handlers.py
@@ -1,15 +1,15 @@
-"""What follows from each message of a member that was let through."""
+"""Handlers of the messages that passed the checks of `Membership`."""
 
 from .member import ALIVE, Statement
 from .messages import Ack, FullState, Join, Nack, Ping, PingRequest
 from .outbox import Recipient
 from .reconnector import Reconnector
 
-FULL_STATE_STATEMENTS = 12  # statements in one FullState: a datagram's worth
+FULL_STATE_STATEMENTS = 12  # statements in one FullState; they fit into one datagram
 
 
 class MessageHandlers(Reconnector):
-    """One handler for each class of message."""
+    """One handler for each message class."""
 
     def handle(self, now, message):
         """Call the handler of a message.
@@ -38,7 +38,7 @@
                 raise TypeError(f"no handler for {type(message).__name__}")
 
     def on_ack(self, message):
-        """End a probe that was answered; whoever requested it gets an Ack, too.
+        """End the acknowledged probe; the requester of an indirect probe is sent an Ack, too.
 
         Args:
             message: The Ack.
@@ -52,7 +52,7 @@
             self.send_to_member(self.members[probe.requester], Ack, probe.requester_sequence)
 
     def on_ping_request(self, now, message):
-        """Probe a member in the sender's place, and say by a Nack that the request has come.
+        """Probe a member on behalf of the sender, and confirm by a Nack that the request has arrived.
 
         Args:
             now: The time, ns.
@@ -68,7 +68,7 @@
         self.reply(message, Nack)
 
     def on_nack(self, message):
-        """Note that a helper has heard the request.
+        """Record that a member has received the request for an indirect probe.
 
         Args:
             message: The Nack.
@@ -78,7 +78,7 @@
             probe.nacks_due = max(0, probe.nacks_due - 1)
 
     def on_join(self, message):
-        """Send all that is known, in as many messages as it takes.
+        """Send the full state, in as many messages as necessary.
 
         Args:
             message: The Join.
@@ -97,14 +97,14 @@
             )
 
     def on_full_state(self, now, message):
-        """Note that this member has joined; its incarnation has to be the latest of its name.
+        """Record that this member has joined, and make sure that its incarnation is the latest of its name.
 
-        Guards against a wall clock that is behind the one of a former process of this name: peers would
-        reject all messages of this one. It takes the incarnation after the one that they remember.
+        If the wall clock is behind the incarnation of a former process of this name, peers would reject all
+        messages of this one. It therefore takes the incarnation that follows the one they remember.
 
         Args:
             now: The time, ns.
-            message: The FullState; its statements were applied.
+            message: The FullState; its statements are already applied.
         """
         if message.remembered_incarnation > self.local.incarnation:
             if self.joined:
--- a/embertray/cluster/membership/health.py
+++ b/embertray/cluster/membership/health.py
@@ -1,40 +1,40 @@
-"""Local health (Lifeguard): how far this member trusts its own judgement of others."""
+"""Local health (Lifeguard): how far a member's own probe results can be trusted."""
 
 
 class LocalHealth:
-    """Stretches this member's timeouts while it seems to be slow itself.
+    """Extends this member's timeouts while it seems to be slow itself.
 
-    Rule: each sign that this member is slow adds a step, each probe that is answered in time takes one off;
-    timeouts are stretched by the steps plus one.
-    Reason: a member that is slow itself sees no answers in time, and would take healthy members for dead.
+    Each sign that this member is slow raises the score, each probe that is answered in time lowers it by one;
+    timeouts are multiplied by the score plus one. A slow member does not process acknowledgements in time
+    and would otherwise declare healthy members dead.
 
     Attributes:
-        score: From 0 to the most steps.
+        score: From 0 (healthy) to `max_score`.
     """
 
     def __init__(self, max_score):
-        """Begin healthy.
+        """Start with score 0.
 
         Args:
-            max_score: The most steps.
+            max_score: Maximum of the score.
         """
         self.max_score = max_score
         self.score = 0
 
     def improve(self):
-        """Take one step off: a probe was answered in time."""
+        """Lower the score by one: a probe was answered in time."""
         self.score = max(0, self.score - 1)
 
     def degrade(self, amount=1):
-        """Add steps: a probe failed, a helper did not send its Nack, or a suspicion had to be refuted.
+        """Raise the score, after a failed probe, a missing Nack, a refuted suspicion or a pause.
 
         Args:
-            amount: How many.
+            amount: By how much.
         """
         self.score = min(self.max_score, self.score + amount)
 
     def scale_timeout(self, timeout):
-        """Return a timeout as it is to be used now.
+        """Return a timeout multiplied by the score plus one, ns.
 
         Args:
             timeout: The timeout of a healthy member, ns.
--- a/embertray/cluster/membership/member.py
+++ b/embertray/cluster/membership/member.py
@@ -1,4 +1,4 @@
-"""Members, and the statements that are made about them."""
+"""Members, and the statements that members exchange about each other."""
 
 from enum import IntEnum
 from typing import Annotated
@@ -10,11 +10,14 @@
 
 Count = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
-STATE_LABELS = ("alive", "suspect", "dead", "left")  # by the number of the state
+STATE_LABELS = ("alive", "suspect", "dead", "left")  # indexed by MemberState
 
 
 class MemberState(IntEnum):
-    """State of a member; on the wire a number. Of one incarnation and refutation the higher holds."""
+    """State of a member, a number on the wire.
+
+    Of two statements with the same incarnation and refutations the one with the higher state prevails.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -23,11 +26,11 @@
 
     @property
     def label(self):
-        """The state as operators read it in the status and in log lines."""
+        """The state's name in the status and in log lines."""
         return STATE_LABELS[self]
 
 
-# The states by themselves, as every message asks for them.
+# Module-level aliases, because the handling of every message uses the states.
 ALIVE = MemberState.ALIVE
 SUSPECT = MemberState.SUSPECT
 DEAD = MemberState.DEAD
@@ -35,16 +38,17 @@
 
 
 class Statement(msgspec.Struct, array_like=True, frozen=True):
-    """What a member says about a member. Field order is the wire's.
+    """A statement about a member's state. The field order is the order on the wire.
 
     Attributes:
-        name: The member that it is about.
-        address: That member's address, as host:port.
-        incarnation: That member's incarnation: ns by its wall clock when it began, or one more than the
-            latest that its peers remember.
+        name: Name of the member that it is about.
+        address: That member's address, host:port.
+        incarnation: That member's incarnation: its wall clock at start, ns, or one more than the latest
+            incarnation that its peers remember.
         refutations: How often that member has refuted a suspicion or death in this incarnation.
         state: Its state.
-        reported_by: Who says so; "" if the member does itself. A suspicion counts once for each.
+        reported_by: Name of the member that reported it; "" if the member itself did. Each reporter counts
+            once as a confirmation of a suspicion.
     """
 
     name: Name
@@ -56,17 +60,17 @@
 
     @property
     def rank(self):
-        """Of two statements about a member the one of higher rank holds, at every member, in any order.
+        """The statement's precedence: of those about a member the one with the highest rank prevails.
 
-        The later incarnation comes first, then the later refutation, then the worse state. A member that has
-        left stays so until its next incarnation.
+        Members therefore agree in whatever order statements arrive. The rank compares the incarnation, then
+        the refutations, then the state; LEFT outranks all refutations, so it is final for its incarnation.
         """
         return (self.incarnation, self.state == LEFT, self.refutations, self.state)
 
     def subsumes(self, other):
-        """Return whether another statement about the same member adds nothing to this one.
+        """Return whether another statement about the same member adds no information to this one.
 
-        A suspicion always adds who suspects.
+        A suspicion always adds information: the member that reported it.
 
         Args:
             other: The other Statement.
@@ -81,25 +85,26 @@
         )
 
     def with_state(self, state, reported_by):
-        """Return the statement that the member, as it is stated here, is in another state.
+        """Return a copy of this statement with another state.
 
         Args:
             state: The MemberState.
-            reported_by: Who says so.
+            reported_by: Name of the member that reports it.
         """
         return Statement(self.name, self.address, self.incarnation, self.refutations, state, reported_by)
 
 
 class Member:
-    """Another member as it is known here.
+    """This member's view of another member.
 
     Attributes:
-        statement: The Statement that holds.
-        state_since: When its state was taken, ns.
-        last_heard_at: When something last came from it, ns.
+        statement: The Statement that prevails.
+        state_since: When it entered its state, ns.
+        last_heard_at: When the last message from it arrived, ns.
         suspected_by: Names of the members that suspect it.
-        suspicion_deadline: When its suspicion ends in death, ns; None if it does not by time alone.
-        reported_death: Another member's Statement that it is dead, while this one probes it; else None.
+        suspicion_deadline: When an unrefuted suspicion turns into death, ns; None if there is no timeout.
+        reported_death: Another member's Statement that it is dead, while this member verifies it by a probe;
+            else None.
         position: Its place in the order in which members were added.
     """
 
@@ -114,7 +119,7 @@
     )
 
     def __init__(self, statement, now):
-        """Begin with a first statement.
+        """Create the member from the first statement about it.
 
         Args:
             statement: The Statement.
@@ -126,7 +131,7 @@
         self.enter_state(now)
 
     def enter_state(self, now):
-        """Note that its state or incarnation is a new one, which nobody has suspected yet.
+        """Reset the suspicion data, because the member's state or incarnation has changed.
 
         Args:
             now: The time, ns.
@@ -143,7 +148,7 @@
 
     @property
     def address(self):
-        """Its address, as host:port."""
+        """Its address, host:port."""
         return self.statement.address
 
     @property
@@ -153,5 +158,5 @@
 
     @property
     def active(self):
-        """Whether it is taken to be running: alive or suspect."""
+        """Whether it is considered running: alive or suspect."""
         return self.statement.state in (ALIVE, SUSPECT)
--- a/embertray/cluster/membership/member_table.py
+++ b/embertray/cluster/membership/member_table.py
@@ -1,13 +1,13 @@
-"""All other members by name, with indices of those that are not plainly alive.
+"""All other members by name, with indexes of those that are not alive.
 
-By the indices the cost of a message does not grow with the members that are alive.
+With the indexes the cost of handling a message does not depend on the number of alive members.
 """
 
 from .member import ALIVE
 
 
 class MemberTable(dict):
-    """name -> Member. Members are added, restated and removed by its methods, which keep the indices.
+    """name -> Member. Use its methods to add, update and remove members: they maintain the indexes.
 
     Attributes:
         not_alive: name -> Member that is suspect, dead or has left.
@@ -22,11 +22,11 @@
 
     @property
     def active_count(self):
-        """How many members are alive or suspect."""
+        """The number of members that are alive or suspect."""
         return len(self) - len(self.departed)
 
     def add(self, member):
-        """Add a member that is new.
+        """Add a new member.
 
         Args:
             member: The Member.
@@ -37,7 +37,7 @@
         self._index(member)
 
     def replace_statement(self, member, statement):
-        """Put a newer statement about a member in the place of the former.
+        """Replace the statement about a member by a newer one.
 
         Args:
             member: The Member.
@@ -47,7 +47,7 @@
         self._index(member)
 
     def remove(self, name):
-        """Forget a member.
+        """Remove a member.
 
         Args:
             name: Its name.
@@ -64,11 +64,11 @@
                 index.pop(member.name, None)
 
     def not_alive_in_order(self):
-        """Return the members whose state may change by time alone, in the order in which they were added."""
+        """Return the members that are not alive, in the order in which they were added."""
         return sorted(self.not_alive.values(), key=lambda member: member.position)
 
     def suspicion_deadlines(self):
-        """Return the times at which suspicions end in death, ns."""
+        """Return the suspicion deadlines of all members that have one, ns."""
         return [
             member.suspicion_deadline
             for member in self.not_alive.values()
--- a/embertray/cluster/membership/messages.py
+++ b/embertray/cluster/membership/messages.py
@@ -1,7 +1,7 @@
-"""Messages between members: msgpack arrays with a tag, after four bytes of checksum.
+"""Messages between members: tagged msgpack arrays, preceded by a CRC-32 checksum of four bytes.
 
-The header names the cluster and the protocol's version, so that a message of a stranger is distinguished
-from a damaged one. The checksum guards against bytes changed on the way, which would pass for a statement.
+The header names the cluster and the protocol version, so that messages of other clusters can be told from
+damaged ones. Without the checksum, bytes changed in transit could pass for a valid statement.
 """
 
 from zlib import crc32
@@ -16,16 +16,16 @@
 
 
 class Message(msgspec.Struct, tag_field="is", array_like=True, frozen=True):
-    """Header of every message. Field order is the wire's.
+    """Header of every message. The field order is the order on the wire.
 
     Attributes:
         cluster: Name of the cluster.
-        version: Version of the protocol.
-        sender: What the sender states about itself.
-        target_incarnation: The receiver's incarnation that is meant, 0 for any. What was meant for a former
-            incarnation is not for this one.
-        sequence: Number of the probe, or of the message that is answered.
-        gossip: Statements that are passed on.
+        version: Protocol version.
+        sender: The sender's Statement about itself.
+        target_incarnation: The receiver's incarnation that the message is for, 0 for any. Other incarnations
+            reject it.
+        sequence: Sequence number; a reply has that of the message it answers.
+        gossip: Piggybacked Statements.
     """
 
     cluster: str
@@ -37,42 +37,42 @@
 
 
 class Ping(Message, tag="ping", frozen=True):
-    """A direct probe: asks for an Ack."""
+    """A direct probe, answered by an Ack."""
 
 
 class Ack(Message, tag="ack", frozen=True):
-    """Answers a Ping, under its sequence number."""
+    """Answers a Ping, with the Ping's sequence number."""
 
 
 class PingRequest(Message, tag="help", frozen=True):
-    """An indirect probe: asks to ping another member.
+    """Requests an indirect probe: asks the receiver to ping another member.
 
     Attributes:
-        target: What the sender knows of the member to ping.
+        target: The sender's Statement about the member to ping.
     """
 
     target: Statement
 
 
 class Nack(Message, tag="nack", frozen=True):
-    """Answers a PingRequest at once: the helper has heard it, and has no Ack of the target yet."""
+    """Answers a PingRequest at once: it has arrived, and the target has not sent an Ack yet."""
 
 
 class Join(Message, tag="join", frozen=True):
-    """Asks for all that the receiver knows.
+    """Requests the receiver's full state.
 
     Attributes:
-        first: Whether this incarnation has never been a member.
+        first: Whether this incarnation has not joined yet.
     """
 
     first: bool
 
 
 class FullState(Message, tag="all", frozen=True):
-    """Answers a Join: a part of all that is known, in `gossip`.
+    """Answers a Join: a part of the sender's full state, in `gossip`.
 
     Attributes:
-        remembered_incarnation: The latest incarnation known of the asker's name, 0 if none.
+        remembered_incarnation: The latest known incarnation of the member that sent the Join, 0 if none.
     """
 
     remembered_incarnation: int
@@ -83,7 +83,7 @@
 
 
 def encode(message):
-    """Return a message as bytes.
+    """Encode a message as a datagram.
 
     Args:
         message: The Message.
@@ -93,20 +93,20 @@
 
 
 def decode(data):
-    """Return the message that bytes stand for.
+    """Decode a datagram.
 
     Args:
-        data: The bytes.
+        data: Its bytes.
 
     Returns:
         The Message.
 
     Raises:
-        UnreadableMessageError: They stand for none.
+        UnreadableMessageError: The bytes are not a valid message.
     """
     body = data[CHECKSUM_BYTES:]
     if not body or crc32(body) != int.from_bytes(data[:CHECKSUM_BYTES], "big"):
-        raise UnreadableMessageError("cut short or damaged")
+        raise UnreadableMessageError("datagram truncated or checksum mismatch")
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as error:
@@ -114,7 +114,7 @@
 
 
 def statement_size(statement):
-    """Return the bytes that a statement takes in a message.
+    """Return the encoded size of a statement, bytes.
 
     Args:
         statement: The Statement.
--- a/embertray/cluster/membership/outbox.py
+++ b/embertray/cluster/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Messages on their way out, and the gossip that goes along with each."""
+"""Outgoing messages with their piggybacked gossip."""
 
 from typing import NamedTuple
 
@@ -9,12 +9,12 @@
 
 
 class Recipient(NamedTuple):
-    """To whom a message goes.
+    """The destination of a message.
 
     Attributes:
-        address: Its address, as host:port.
-        incarnation: The incarnation that the message is meant for; 0 for whichever is there.
-        name: Its name; "" if it is not known.
+        address: The address, host:port.
+        incarnation: The receiver's incarnation that the message is for; 0 for any.
+        name: The receiver's name; "" if it is not known.
     """
 
     address: str
@@ -23,10 +23,10 @@
 
 
 class Outbox(MembershipState):
-    """Composes messages. They are collected in `outgoing`, which each step begins anew."""
+    """Builds messages. They are collected in `outgoing`, which each step starts empty."""
 
     def next_sequence(self):
-        """Return a sequence number that was not used before."""
+        """Return a new sequence number."""
         self.last_sequence += 1
         return self.last_sequence
 
@@ -37,8 +37,8 @@
             recipient: The Recipient.
             message_type: Class of the message.
             sequence: Its sequence number.
-            gossip: Statements to pass on; None for those that are due.
-            **fields: What messages of this class have beside the header.
+            gossip: Statements to piggyback; None for those that are due.
+            **fields: Fields of this class in addition to the header.
         """
         if gossip is None:
             gossip = self.due_gossip(recipient.name)
@@ -48,7 +48,7 @@
         self.outgoing.append(OutgoingMessage(recipient.address, message))
 
     def send_to_member(self, member, message_type, sequence, **fields):
-        """Send a message to a member, as it is known here.
+        """Send a message to a known member, at its current address and incarnation.
 
         Args:
             member: The Member.
@@ -60,19 +60,20 @@
         self.send(recipient, message_type, sequence, **fields)
 
     def reply(self, message, message_type):
-        """Answer a message under its sequence number.
+        """Send a reply with the sequence number of the message that it answers.
 
         Args:
             message: The message that is answered.
-            message_type: Class of the answer.
+            message_type: Class of the reply.
         """
         sender = message.sender
         self.send(Recipient(sender.address, sender.incarnation, sender.name), message_type, message.sequence)
 
     def due_gossip(self, receiver):
-        """Return the statements that go along with a message.
+        """Return the statements to piggyback on a message.
 
-        A statement that the receiver is not alive always goes along, so that it can refute it at once.
+        If the receiver is not considered alive, the statement that says so is always included, so that the
+        receiver can refute it at once.
 
         Args:
             receiver: Name of the receiver; "" if it is not known.
--- a/embertray/cluster/membership/prober.py
+++ b/embertray/cluster/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probes: whom to probe, when to ask others to probe, and when a probe has failed."""
+"""Probing: selecting targets, requesting indirect probes, and detecting failed probes."""
 
 from .messages import Ping, PingRequest
 from .probes import Probe
@@ -6,14 +6,14 @@
 
 
 class Prober(StatementRules):
-    """Probes one member each period, in turns; directly, then by others."""
+    """Probes one member per period, in round-robin order: first directly, then through other members."""
 
     def probe(self, now, name=None):
         """Probe a member directly.
 
         Args:
             now: The time, ns.
-            name: The member; None for the one whose turn it is.
+            name: Name of the member; None for the next one in round-robin order.
         """
         name = name or self.probe_order.next_name(self.active_names())
         if name is None:
@@ -29,13 +29,13 @@
         self.send_to_member(member, Ping, sequence)
 
     def probe_for(self, now, member, requester, requester_sequence):
-        """Probe a member in another one's place.
+        """Probe a member on behalf of another member.
 
         Args:
             now: The time, ns.
             member: The Member to probe.
-            requester: Name of the member that asked for it.
-            requester_sequence: Sequence number under which it did.
+            requester: Name of the member that requested the indirect probe.
+            requester_sequence: Sequence number of its request.
         """
         sequence = self.next_sequence()
         ends_at = now + self.config.probe_period
@@ -45,7 +45,7 @@
         self.send_to_member(member, Ping, sequence)
 
     def check_probes(self, now):
-        """Request indirect probes where an answer is late, and end probes that have failed.
+        """Request indirect probes where an acknowledgement is late, and end probes that have failed.
 
         Args:
             now: The time, ns.
@@ -57,10 +57,10 @@
                 self.probe_failed(now, sequence, probe)
 
     def request_indirect_probes(self, sequence, probe):
-        """Ask other members, drawn at random, to probe the target.
+        """Ask randomly selected members to probe the target.
 
-        Guards against a broken link between this member and the target, which shows as a suspicion here
-        only: others reach it by other links.
+        They reach it over other links, so a broken link between this member and the target does not lead to
+        a false suspicion.
 
         Args:
             sequence: Sequence number of the probe.
@@ -76,7 +76,7 @@
             self.send_to_member(self.members[name], PingRequest, sequence, target=target.statement)
 
     def probe_failed(self, now, sequence, probe):
-        """End a probe that was not answered: the target is suspect, and so is this member's own health.
+        """End a probe that was not answered: suspect the target, and degrade this member's local health.
 
         Args:
             now: The time, ns.
@@ -85,8 +85,8 @@
         """
         del self.probes[sequence]
         if probe.requester:
-            return  # whoever requested it has a timeout of its own
-        # Helpers that owe a Nack are a sign that this member is slow, and not the target.
+            return  # the requester has a timeout of its own
+        # A missing Nack suggests that this member is slow, not the target (Lifeguard).
         self.health.degrade(1 + probe.nacks_due)
         member = self.members.get(probe.target)
         if member is not None and member.active and member.statement.incarnation == probe.incarnation:
--- a/embertray/cluster/membership/probes.py
+++ b/embertray/cluster/membership/probes.py
@@ -1,17 +1,17 @@
-"""Probes under way."""
+"""Probes in flight."""
 
 
 class Probe:
-    """A probe whose answer is still due.
+    """A probe that has not been acknowledged yet.
 
     Attributes:
-        target: Name of the member that is probed.
-        incarnation: Its incarnation that is meant.
+        target: Name of the probed member.
+        incarnation: Incarnation of the probed member.
         indirect_at: When indirect probes are requested, ns.
-        ends_at: When it has failed, ns.
+        ends_at: When it counts as failed, ns.
         requester: Name of the member that requested it as an indirect probe; "" if it is this member's own.
-        requester_sequence: The sequence number under which it was requested.
-        nacks_due: Members that owe a Nack.
+        requester_sequence: Sequence number of that request.
+        nacks_due: Number of Nacks that have not arrived yet.
         indirect_requested: Whether indirect probes were requested.
     """
 
@@ -38,10 +38,10 @@
 
     @property
     def may_request_indirect(self):
-        """Whether indirect probes are still to be requested for it."""
+        """Whether indirect probes have yet to be requested."""
         return not self.requester and not self.indirect_requested
 
     @property
     def next_at(self):
-        """When something is due for it, ns."""
+        """When the next action for this probe is due, ns."""
         return self.indirect_at if self.may_request_indirect else self.ends_at
--- a/embertray/cluster/membership/reconnector.py
+++ b/embertray/cluster/membership/reconnector.py
@@ -1,4 +1,4 @@
-"""Reaching members that were lost, so that the sides of a network partition find each other again."""
+"""Reconnecting to lost members, so that the sides of a healed network partition merge."""
 
 from .member import DEAD
 from .messages import Join, Ping
@@ -7,10 +7,10 @@
 
 
 class Reconnector(Prober):
-    """Pings dead members, joins by seeds, and asks active members for all that they know, each in turns."""
+    """Pings dead members, joins through seeds, and requests the full state of active members."""
 
     def reconnect(self):
-        """Do all three, once."""
+        """Run one round of all three."""
         dead = sorted(member.name for member in self.members.values() if member.state == DEAD)
         unknown_seeds = self.unknown_seeds()
         self.ping_dead_members(dead)
@@ -19,32 +19,32 @@
             self.join_by_seeds(unknown_seeds)
 
     def unknown_seeds(self):
-        """Return the addresses of seeds at which no active member is known."""
+        """Return the addresses of the seeds at which no active member is known."""
         known = {member.address for member in self.active_members}
         return [seed for seed in self.seeds if seed not in known]
 
     def ping_dead_members(self, dead):
-        """Ping some members that are taken for dead. By turns, how long one waits for a ping is bounded.
+        """Ping some dead members, in round-robin order, which bounds the time until each is pinged.
 
         Args:
-            dead: Their names, sorted.
+            dead: Names of the dead members, sorted.
         """
         for _ in range(min(self.config.indirect_probes, len(dead))):
             member = self.members[self.reconnect_order.next_name(dead)]
             self.send_to_member(member, Ping, self.next_sequence())
 
     def request_full_state(self):
-        """Ask one active member for all that it knows.
+        """Request the full state of one active member.
 
-        Guards against statements that were lost on their way to this member after they were gossiped often
-        enough: they show as members that disagree for good.
+        A statement that was lost in all of its transmissions to this member is not gossiped again; without
+        this exchange the members' views would differ for good.
         """
         name = self.sync_order.next_name(self.active_names())
         if name is not None:
             self.send_to_member(self.members[name], Join, self.next_sequence(), first=False)
 
     def join_by_seeds(self, seeds):
-        """Ask seeds to let this member join: all of them until it has joined, then one at random.
+        """Send a Join to the seeds: to all of them until this member has joined, then to a random one.
 
         Args:
             seeds: Addresses at which no active member is known.
--- a/embertray/cluster/membership/round_robin.py
+++ b/embertray/cluster/membership/round_robin.py
@@ -1,15 +1,15 @@
-"""Turns: every member once in each round, in an order that is drawn anew for each round."""
+"""Round-robin selection of members, reshuffled for each round."""
 
 
 class ShuffledRoundRobin:
-    """Takes members in turns, in a random order.
+    """Selects members in round-robin order, in a new random order for each round.
 
-    Rule: a member has its turn once in a round, so two of its turns are less than two rounds apart.
-    Reason: independent draws would spread the load alike, but leave no bound on how long one waits.
+    Each member is selected once per round, so two selections of a member are less than two rounds apart.
+    Independent random draws would spread the load equally well, but without a bound on the wait.
     """
 
     def __init__(self, rng):
-        """Begin with an empty round.
+        """Start with an empty round.
 
         Args:
             rng: A seeded random.Random.
@@ -18,10 +18,10 @@
         self.remaining = []
 
     def next_name(self, names):
-        """Return whose turn it is.
+        """Return the next member, starting a new round if the current one is finished.
 
         Args:
-            names: Members that may have a turn.
+            names: Names of the members that may be selected.
 
         Returns:
             One of `names`, or None if there are none.
@@ -35,9 +35,9 @@
         return self.remaining.pop() if self.remaining else None
 
     def add(self, name):
-        """Give a member that is new a turn within the current round.
+        """Insert a new member at a random place of the current round.
 
         Args:
-            name: The member.
+            name: Name of the member.
         """
         self.remaining.insert(self.rng.randrange(len(self.remaining) + 1), name)
--- a/embertray/cluster/membership/state.py
+++ b/embertray/cluster/membership/state.py
@@ -1,4 +1,4 @@
-"""The data of one member's failure detector, and what can be asked of it."""
+"""The data of one member's failure detector, and queries on it."""
 
 from collections import Counter
 
@@ -11,33 +11,33 @@
 
 
 class MembershipState:
-    """What one member knows of itself, of the others, and of its probes.
+    """What one member knows about itself, the other members and its probes.
 
-    The rules stand in the classes that derive from this one, each in its module: `Outbox` (what goes along
-    with a message), `SuspicionRules`, `StatementRules`, `Prober`, `Reconnector`, `MessageHandlers` and
-    `Membership`, which is what processes use.
+    The behaviour is in the subclasses, each in its own module: `Outbox` (messages with piggybacked gossip),
+    `SuspicionRules`, `StatementRules`, `Prober`, `Reconnector`, `MessageHandlers` and `Membership`, which is
+    the class that processes use.
 
     Attributes:
-        local: What this member states about itself.
-        members: MemberTable of all others.
-        events: MemberChanged, to be taken and cleared by the caller.
-        rejected: (reason, address) -> how many messages were rejected.
+        local: This member's Statement about itself.
+        members: MemberTable of all other members.
+        events: MemberChanged events; the caller reads and clears them.
+        rejected: (reason, address) -> number of rejected messages.
         joined: Whether a peer knows this incarnation.
-        ended: Why this process has to end; "" as long as it has not.
-        last_heard_at: When a message of another member last came, ns.
+        ended: Why this process has to end; "" while it runs.
+        last_heard_at: When the last message from another member arrived, ns.
     """
 
     def __init__(self, cluster, name, address, wall_time, now, rng, seeds=(), config=DEFAULT_CONFIG):
-        """Begin an incarnation.
+        """Start a new incarnation.
 
         Args:
             cluster: Name of the cluster.
             name: Name of this member.
-            address: Where others reach it, as host:port.
-            wall_time: ns by this process's wall clock: its incarnation.
+            address: The address at which others reach it, host:port.
+            wall_time: This process's wall clock, ns; used as the incarnation.
             now: The time, ns.
             rng: A seeded random.Random.
-            seeds: Addresses of members to join by.
+            seeds: Addresses of members to send a Join to, host:port.
             config: A MembershipConfig.
         """
         self.cluster = cluster
@@ -85,9 +85,10 @@
         return None if member is None else member.state
 
     def cut_off(self, now):
-        """Return whether this process believes that the network has cut it off.
+        """Return whether this process seems to be cut off from the network.
 
-        Rule: others were there, and none was heard for as long as it takes to declare one of them dead.
+        That is the case if other members are known and no message has arrived from any of them for the time
+        in which a member is declared dead.
 
         Args:
             now: The time, ns.
@@ -97,10 +98,10 @@
         return bool(known) and now - self.last_heard_at > longest_silence
 
     def end(self, reason):
-        """Stop for good: nothing is probed, sent or answered any more.
+        """Stop the state machine for good: no more probes, messages or replies.
 
         Args:
-            reason: Why, for the log.
+            reason: The reason, for the log.
         """
         self.ended = reason
         self.probes = {}
--- a/embertray/cluster/membership/statements.py
+++ b/embertray/cluster/membership/statements.py
@@ -1,4 +1,4 @@
-"""Which statements about members hold, and what follows from each."""
+"""Merging of statements about members, and the reactions to them."""
 
 from .events import MemberChanged
 from .member import ALIVE, DEAD, LEFT, SUSPECT, Member
@@ -7,12 +7,12 @@
 
 
 class StatementRules(SuspicionRules):
-    """Applies statements, from whomever they come: the statement of highest rank about a member holds."""
+    """Applies statements from any source: of those about a member the one with the highest rank prevails."""
 
     def apply_all(self, now, statements):
         """Apply the statements of a message.
 
-        Most repeat what is known, and cost a comparison only.
+        Most of them are already known and cost only a comparison.
 
         Args:
             now: The time, ns.
@@ -24,7 +24,7 @@
                 self.apply(now, statement)
 
     def apply(self, now, statement):
-        """Apply one statement. If it holds, it is gossiped.
+        """Apply one statement, and gossip it if it prevails.
 
         Args:
             now: The time, ns.
@@ -45,12 +45,13 @@
         elif self.adds_suspicion(member, statement):
             self.accept(member, statement)
         elif statement.rank < member.statement.rank and member.state != ALIVE:
-            # Guards against statements lost on links that were down: they show as a member that stays dead
-            # for good, as nobody tells it. Whoever repeats the older statement may reach the one to refute.
+            # The sender missed a newer statement, for example on a link that was down. Gossip that statement
+            # again: the sender may reach the member that has to refute it, and without a refutation the
+            # member would stay dead for good.
             self.gossip.put(member.statement)
 
     def apply_to_self(self, statement):
-        """Apply a statement about this member's name.
+        """Apply a statement about this member itself.
 
         Args:
             statement: The Statement.
@@ -66,9 +67,9 @@
             self.refute(statement)
 
     def add_member(self, now, statement):
-        """Add a member that was not known.
+        """Add a member that was not known before.
 
-        One that is dead or has left is remembered only, against an old statement that would make it new.
+        A member that is dead or has left is only stored, so that an older statement cannot add it as alive.
 
         Args:
             now: The time, ns.
@@ -83,7 +84,7 @@
         self.accept(member, statement)
 
     def replace_statement(self, now, member, statement):
-        """Put a statement of higher rank in the place of the former one.
+        """Replace a member's statement by one of higher rank.
 
         Args:
             now: The time, ns.
@@ -100,7 +101,7 @@
         self.record_change(statement)
 
     def accept(self, member, statement):
-        """Gossip a statement that holds now; a suspicion is counted.
+        """Gossip a statement that prevails, and count it if it is a suspicion.
 
         Args:
             member: The Member.
@@ -111,7 +112,7 @@
         self.gossip.put(statement)
 
     def on_member_returned(self, member):
-        """Ask a member that was taken for dead for all that it knows: a partition may have ended.
+        """Request the full state of a member that was considered dead: a network partition may have ended.
 
         Args:
             member: The Member.
@@ -120,9 +121,9 @@
         self.send_to_member(member, Join, self.next_sequence(), first=False)
 
     def record_change(self, statement):
-        """Add the event of a member's new state.
+        """Record a MemberChanged event.
 
         Args:
-            statement: The Statement that holds.
+            statement: The Statement that prevails.
         """
         self.events.append(MemberChanged(statement.name, statement.state, statement.address))
--- a/embertray/cluster/membership/suspicion.py
+++ b/embertray/cluster/membership/suspicion.py
@@ -1,8 +1,9 @@
-"""What may be done about a member under suspicion, and what that member may do itself.
+"""Suspicion, refutation and death of members.
 
-A member under suspicion is still active: it is probed, it counts, and it may refute. It becomes dead
-- when its suspicion timeout ends and this member suspects it, too,
-- or when it is reported dead, and does not answer this member's own probe either.
+A suspect member is still active: it is probed, counts as a member and may refute the suspicion. It becomes
+dead
+- when the suspicion times out and this member suspects it itself,
+- or when another member reports it dead and it does not answer this member's own probe either.
 """
 
 from abc import ABC, abstractmethod
@@ -12,7 +13,7 @@
 
 
 class SuspicionRules(Outbox, ABC):
-    """Rules of suspicion, refutation and death."""
+    """The rules of suspicion, refutation and death."""
 
     @abstractmethod
     def apply(self, now, statement):
@@ -23,7 +24,7 @@
         """Probe a member (Prober)."""
 
     def statement_about(self, member, state):
-        """Return this member's statement that another one is in a state.
+        """Return a statement, reported by this member, that another member is in a state.
 
         Args:
             member: The Member.
@@ -32,10 +33,10 @@
         return member.statement.with_state(state, self.local.name)
 
     def add_suspicion(self, member, suspected_by):
-        """Note who suspects a member: the suspicion timeout shrinks with each.
+        """Record a member that suspects another; each one shortens the suspicion timeout.
 
         Args:
-            member: The Member; its state is SUSPECT.
+            member: The suspected Member; its state is SUSPECT.
             suspected_by: Name of the member that suspects it.
         """
         member.suspected_by.add(suspected_by)
@@ -46,7 +47,7 @@
         member.suspicion_deadline = member.state_since + timeout
 
     def adds_suspicion(self, member, statement):
-        """Return whether a statement confirms the suspicion that holds.
+        """Return whether a statement adds a new confirmation to a member's current suspicion.
 
         Args:
             member: The Member.
@@ -59,7 +60,7 @@
         )
 
     def on_probe_failure(self, now, member):
-        """Suspect a member that did not answer; if it is also reported dead, it is dead.
+        """Suspect a member whose probe failed; if others also report it dead, declare it dead.
 
         Args:
             now: The time, ns.
@@ -69,7 +70,9 @@
         self.apply(now, self.statement_about(member, state))
 
     def on_suspicion_timeout(self, now, member):
-        """End a suspicion that was not refuted in time.
+        """Handle a suspicion that was not refuted in time.
+
+        The member is dead if this member suspects it itself; else it is probed first.
 
         Args:
             now: The time, ns.
@@ -82,7 +85,7 @@
             self.verify_reported_death(now, member, death)
 
     def is_unconfirmed_death(self, member, statement):
-        """Return whether a statement declares a member dead that this member has not missed itself.
+        """Return whether a statement declares a member dead that this member does not suspect itself.
 
         Args:
             member: The Member.
@@ -96,11 +99,11 @@
         )
 
     def verify_reported_death(self, now, member, statement):
-        """Probe a member that others declare dead before its death is believed.
+        """Probe a member that others declare dead before accepting its death.
 
-        Guards against the other side of a network partition that ends, which has taken this side's members
-        for dead, and against members that reach this one worse: both show as deaths of members that answer
-        us. Nobody is dead here that this member has not missed itself.
+        After a network partition the other side has declared this side's members dead, and a member with
+        worse links may declare others dead; without this check both would count as deaths of members that
+        still answer this one. A member is only dead here if this member has failed to reach it, too.
 
         Args:
             now: The time, ns.
@@ -117,9 +120,9 @@
         self.probe(now, member.name)
 
     def refute(self, statement):
-        """Refute that this member is suspect or dead, by a statement of higher rank.
+        """Refute a suspicion or death of this member by a statement of higher rank.
 
-        That it came to this is a sign that this member is slow.
+        That others suspect it is a sign that this member is slow, so its local health degrades.
 
         Args:
             statement: The Statement about this member.
