--- a/embertray/controller/channel/budget.py
+++ b/embertray/controller/channel/budget.py
@@ -13,7 +13,7 @@
 # Time in which a restarted controller should have bound all its proxies, ns: a usual report window and some.
 BIND_ALL_TARGET_NS = 30 * NS_PER_SECOND
 BIND_SHARE_MAX = 0.6  # of the lines that may wait; a larger bind can hardly ever be sent
-NONCE_AND_ONE = 2  # lines: a nonce, and the one line that a removal or the head of a bind counts
+FIXED_LINES = 2  # lines: a nonce, and the one line that a removal or the head of a bind counts
 
 
 class ChannelBudget(NamedTuple):
@@ -34,8 +34,8 @@
 
 def channel_budget(site):
     """Returns the ChannelBudget of one controller of a Site that serves all proxies: the others are gone."""
-    removal_lines = site.proxies * (site.head + NONCE_AND_ONE)
-    bind_lines = site.head + NONCE_AND_ONE + site.backends + len(site.kinds)
+    removal_lines = site.proxies * (site.head + FIXED_LINES)
+    bind_lines = site.head + FIXED_LINES + site.backends + len(site.kinds)
     removal = int(removal_lines * NS_PER_SECOND / site.channel_rate)
     bind_one = int(bind_lines * NS_PER_SECOND / site.channel_rate)
     bind_all = site.proxies * bind_one
