--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -12,7 +12,7 @@
 from .ordered_table import OrderedLevel, OrderedTable
 
 UNLIMITED_SHARE = 1.0  # an admission level, as a share, that admits all
-ANY_RETRIES = 3  # the protocol's mark for any number of further attempts
+UNLIMITED_RETRIES = 3  # the protocol's mark for any number of further attempts
 
 
 class MessagePart(NamedTuple):
@@ -68,7 +68,7 @@
         self.withdrawn = {}
         self.bound = {}
         self.unlimited_level = UNLIMITED_SHARE
-        self.retry_limit = ANY_RETRIES
+        self.retry_limit = UNLIMITED_RETRIES
         self.retry_after = 0
 
     def proxy_joined(self, proxy):
--- a/embertray/controller/degradation/levels.py
+++ b/embertray/controller/degradation/levels.py
@@ -8,7 +8,7 @@
 from .exceptions import UnknownLevelError
 
 NS_PER_SECOND = 10**9
-ANY_RETRIES = 3  # the protocol's mark for any number of further attempts
+UNLIMITED_RETRIES = 3  # the protocol's mark for any number of further attempts
 NO_RETRIES = 0
 PROBES = "probes"  # health checks of the controller's own
 RETRIES = "tries"  # further attempts by the proxies; operators read this word in /level
@@ -35,8 +35,8 @@
     disabled_features: tuple[str, ...]
 
 
-NORMAL = DegradationLevel("normal", 0.0, 0.0, 0, ANY_RETRIES, ())
-BROWNOUT = DegradationLevel("brownout", 0.05, 0.025, 1 * NS_PER_SECOND, ANY_RETRIES, (PROBES,))
+NORMAL = DegradationLevel("normal", 0.0, 0.0, 0, UNLIMITED_RETRIES, ())
+BROWNOUT = DegradationLevel("brownout", 0.05, 0.025, 1 * NS_PER_SECOND, UNLIMITED_RETRIES, (PROBES,))
 ESSENTIAL = DegradationLevel("essential", 0.25, 0.15, 2 * NS_PER_SECOND, NO_RETRIES, (PROBES, RETRIES))
 SURVIVAL = DegradationLevel("survival", 0.55, 0.40, 4 * NS_PER_SECOND, NO_RETRIES, (PROBES, RETRIES))
 
