--- a/embertray/controller/channel/admission.py
+++ b/embertray/controller/channel/admission.py
@@ -15,7 +15,7 @@
 CUT_BACKOFF_MAX_NS = 16 * NS_PER_SECOND
 CUT_DOUBLINGS_MAX = 10  # past the longest backoff already: keeps the shift small
 CUT_BACKOFF_FIXED_SHARE = 0.5  # of the backoff; the rest is random
-CUT_MEMORY_NS = 60 * NS_PER_SECOND  # without a cut, after which the count begins again
+CUT_HISTORY_NS = 60 * NS_PER_SECOND  # without a cut, after which the count begins again
 DRAIN_STEP_NS = NS_PER_SECOND // 20  # between two closed streams: each costs another controller a table
 DRAIN_RETRY_AFTER_NS = 30 * NS_PER_SECOND  # for which a draining controller asks a proxy to stay away
 
@@ -42,14 +42,14 @@
     """The cuts of one proxy.
 
     Attributes:
-        count: Cuts without a CUT_MEMORY_NS between them.
+        count: Cuts without a CUT_HISTORY_NS between them.
         cut_at: The last one, ns.
-        away_until: Until when the proxy is not admitted, ns.
+        rejected_until: Until when the proxy is not admitted, ns.
     """
 
     count: int
     cut_at: int
-    away_until: int
+    rejected_until: int
 
 
 class Admission:
@@ -103,25 +103,25 @@
             text = f"no memory for one more proxy, come back in {memory_delay / NS_PER_MS:.0f} ms"
             return Rejection(LATER, text, memory_delay)
         cut = self.cuts.get(name)
-        if cut is not None and now < cut.away_until:
-            remaining = cut.away_until - now
+        if cut is not None and now < cut.rejected_until:
+            remaining = cut.rejected_until - now
             return Rejection(LATER, f"cut lately, come back in {remaining / NS_PER_MS:.0f} ms", remaining)
         return None
 
     def record_cut(self, now, name):
         """Records that a proxy's stream was cut at `now` (ns): its next one has to wait."""
-        former = self.cuts.pop(name, None)
-        recent = former is not None and now - former.cut_at <= CUT_MEMORY_NS
-        count = former.count + 1 if recent else 1
+        previous = self.cuts.pop(name, None)
+        recent = previous is not None and now - previous.cut_at <= CUT_HISTORY_NS
+        count = previous.count + 1 if recent else 1
         backoff = min(CUT_BACKOFF_MAX_NS, CUT_BACKOFF_FIRST_NS << min(count - 1, CUT_DOUBLINGS_MAX))
         delay = backoff * (CUT_BACKOFF_FIXED_SHARE + (1 - CUT_BACKOFF_FIXED_SHARE) * self._random())
         self.cuts[name] = CutRecord(count, now, now + int(delay))
-        self._forget_old_cuts(now)
+        self._expire_old_cuts(now)
 
-    def _forget_old_cuts(self, now):
+    def _expire_old_cuts(self, now):
         while self.cuts:
             oldest = next(iter(self.cuts))
-            if now - self.cuts[oldest].cut_at <= CUT_MEMORY_NS:
+            if now - self.cuts[oldest].cut_at <= CUT_HISTORY_NS:
                 return
             del self.cuts[oldest]
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,7 +11,7 @@
 from embertray.controller.channel.admission import (
     CUT_BACKOFF_FIRST_NS,
     CUT_BACKOFF_MAX_NS,
-    CUT_MEMORY_NS,
+    CUT_HISTORY_NS,
     DRAIN_STEP_NS,
     HANDSHAKES_MAX,
     Admission,
@@ -273,7 +273,7 @@
             waits[:3], [CUT_BACKOFF_FIRST_NS, 2 * CUT_BACKOFF_FIRST_NS, 4 * CUT_BACKOFF_FIRST_NS]
         )
         self.assertEqual(waits[-1], CUT_BACKOFF_MAX_NS)
-        gate.record_cut(now + 2 * CUT_MEMORY_NS, "q")
+        gate.record_cut(now + 2 * CUT_HISTORY_NS, "q")
         self.assertEqual(list(gate.cuts), ["q"])  # p's cuts are forgotten
 
     def test_strangers_are_bounded_and_drains_go_step_by_step(self):
