--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -81,8 +81,8 @@
         table = self.bound.pop(proxy, None)
         if table is not None:
             self.tables[table].proxies.pop(proxy, None)
-        for informed in self.withdrawn.values():
-            informed.pop(proxy, None)
+        for notified in self.withdrawn.values():
+            notified.pop(proxy, None)
 
     def build_messages(self, now, orders):
         """Turns the orders of one step into messages.
@@ -98,7 +98,7 @@
         costs = {}
         nonce = None
         for order in orders:
-            for proxy, part, cost in self._parts_of(order):
+            for proxy, part, cost in self._message_parts(order):
                 parts.setdefault(proxy, []).append(part)
                 costs[proxy] = costs.get(proxy, 0) + cost
             if isinstance(order, i.RequestAcknowledgement):
@@ -129,7 +129,7 @@
             self.tables[table] = OrderedTable()
         return self.tables[table]
 
-    def _parts_of(self, order):
+    def _message_parts(self, order):
         """MessageParts for the proxies that an order reaches."""
         match order:
             case i.SetLine():
@@ -147,12 +147,12 @@
         backend = order.backend
         line = Line(self.identifiers.table_id(order.table), backend.external_id, order.weight)
         is_new = table.set_line(backend, order.weight)
-        informed = self.withdrawn.get(backend) if is_new else None
+        notified = self.withdrawn.get(backend) if is_new else None
         parts = []
         for proxy in table.proxies:
-            if informed is not None and proxy not in informed:
+            if notified is not None and proxy not in notified:
                 # the backend was withdrawn before it came into this table: it stays withdrawn
-                informed[proxy] = True
+                notified[proxy] = True
                 parts.append(MessagePart(proxy, Withdrawal(backend.external_id, True), 1))
             parts.append(MessagePart(proxy, line, 1))
         return parts
@@ -166,7 +166,7 @@
         self.bound[proxy] = order.table
         table.proxies[proxy] = True
         withdrawn = [backend for backend in table.lines if backend in self.withdrawn]
-        self._inform_of_bind(proxy, table)
+        self._notify_on_bind(proxy, table)
         bind = Bind(
             self.identifiers.table_id(order.table),
             [(backend.external_id, weight) for backend, weight in table.lines.items()],
@@ -175,12 +175,12 @@
         )
         return [MessagePart(proxy, bind, 1 + len(table.lines) + len(table.levels) + len(withdrawn))]
 
-    def _inform_of_bind(self, proxy, table):
+    def _notify_on_bind(self, proxy, table):
         """A bind notifies of the withdrawals in its table, and ends all others at the proxy."""
-        for backend, informed in self.withdrawn.items():
-            informed.pop(proxy, None)
+        for backend, notified in self.withdrawn.items():
+            notified.pop(proxy, None)
             if backend in table.lines:
-                informed[proxy] = True
+                notified[proxy] = True
 
     def _unbind(self, proxy):
         table = self.bound.get(proxy)
@@ -189,15 +189,15 @@
 
     def _withdraw(self, order):
         backend = order.backend
-        informed = self.withdrawn.setdefault(backend, {})
-        concerned = [
+        notified = self.withdrawn.setdefault(backend, {})
+        recipients = [
             proxy
             for proxy, table in self.bound.items()
-            if proxy not in informed and (table is None or backend in self.tables[table].lines)
+            if proxy not in notified and (table is None or backend in self.tables[table].lines)
         ]
-        informed.update(dict.fromkeys(concerned, True))
+        notified.update(dict.fromkeys(recipients, True))
         out = Withdrawal(backend.external_id, True)
-        return [MessagePart(proxy, out, 1) for proxy in concerned]
+        return [MessagePart(proxy, out, 1) for proxy in recipients]
 
     def _restore(self, order):
         back = Withdrawal(order.backend.external_id, False)
--- a/embertray/controller/core/memory_collections.py
+++ b/embertray/controller/core/memory_collections.py
@@ -63,7 +63,7 @@
         lines += [table.want, table.sent]
     levels = [table.levels for table in ordered]
     users = [table.proxies for table in ordered]
-    informed = list(core.outbox.withdrawn.values())
+    notified = list(core.outbox.withdrawn.values())
     withdrawn = policy.publisher.removal.withdrawn
     bound = core.outbox.bound
     return [
@@ -72,9 +72,9 @@
         Collection("users", _total([*users, bound]), _items([*users, bound]), [*users, bound], HANDLES),
         Collection(
             "withdrawn",
-            _total([*informed, withdrawn]),
-            _items([*informed, withdrawn]),
-            [*informed, core.outbox.withdrawn],
+            _total([*notified, withdrawn]),
+            _items([*notified, withdrawn]),
+            [*notified, core.outbox.withdrawn],
             HANDLES,
         ),
     ]
