--- a/embertray/controller/channel/pacer.py
+++ b/embertray/controller/channel/pacer.py
@@ -67,8 +67,10 @@
         self.lines_waiting = 0.0
         self.lines_peak = 0.0
         self.departed = 0
-        self._at = now  # ns up to which time is spent
-        self._owed = 0.0  # lines of the first message still to go; negative: time to spare for the next
+        self._accounted_until = now  # ns up to which time is spent
+        self._lines_remaining = (
+            0.0  # lines of the first message still to go; negative: time to spare for the next
+        )
 
     def enqueue(self, now, proxy, cost, message):
         """Takes a message that leaves by `dequeue` later.
@@ -80,8 +82,8 @@
             message: The message.
         """
         if not self.queue:
-            self._at = now
-            self._owed = cost
+            self._accounted_until = now
+            self._lines_remaining = cost
         self.queue.append(QueuedMessage(proxy, cost, message))
         self.lines_waiting += cost
         self.lines_peak = max(self.lines_peak, self.lines_waiting)
@@ -89,14 +91,14 @@
     def dequeue(self, now):
         """Returns the Departures up to `now` (ns), in order."""
         departures = []
-        self._spend_time(now)
-        while self.queue and (not self.rate or self._owed <= ROUNDING_LINES):
+        self._account_time(now)
+        while self.queue and (not self.rate or self._lines_remaining <= ROUNDING_LINES):
             first = self.queue.popleft()
             departures.append(Departure(first.proxy, first.message))
             self.lines_waiting -= first.cost
             self.departed += 1
-            spare = min(0.0, self._owed)
-            self._owed = spare + self.queue[0].cost if self.queue else 0.0
+            spare = min(0.0, self._lines_remaining)
+            self._lines_remaining = spare + self.queue[0].cost if self.queue else 0.0
         if not self.queue:
             self.lines_waiting = 0.0
         return departures
@@ -106,9 +108,11 @@
         if not self.queue:
             return None
         if not self.rate:
-            return self._at
+            return self._accounted_until
         # rounded up, so that the message has left at the time that is given
-        return self._at + max(0, -int(-self._owed * NS_PER_SECOND // (self.rate * self.pace)))
+        return self._accounted_until + max(
+            0, -int(-self._lines_remaining * NS_PER_SECOND // (self.rate * self.pace))
+        )
 
     def set_pace(self, now, pace):
         """Runs the channel at a part of its rate from now on.
@@ -122,7 +126,7 @@
         """
         if not 0 < pace <= 1:
             raise PaceOutOfRangeError(f"a pace of {pace}: over 0 and 1 at most is wanted")
-        self._spend_time(now)
+        self._account_time(now)
         self.pace = pace
 
     def heaviest_proxy(self):
@@ -139,22 +143,22 @@
             now: ns.
             proxy: The proxy.
         """
-        self._spend_time(now)
+        self._account_time(now)
         if self.queue and self.queue[0].proxy is proxy:
-            self._owed = 0.0
+            self._lines_remaining = 0.0
             while self.queue and self.queue[0].proxy is proxy:
                 self.lines_waiting -= self.queue.popleft().cost
             if self.queue:
-                self._owed = self.queue[0].cost
+                self._lines_remaining = self.queue[0].cost
         remaining = deque(queued for queued in self.queue if queued.proxy is not proxy)
         if len(remaining) != len(self.queue):
             self.queue = remaining
             self.lines_waiting = sum(queued.cost for queued in remaining)
 
-    def _spend_time(self, now):
+    def _account_time(self, now):
         """Spends the time up to `now` (ns) on the first message."""
         if self.queue and self.rate:
             rate = self.rate * self.pace
-            lines = (now - self._at) * rate / NS_PER_SECOND
-            self._owed = max(self._owed - lines, -BURST_S * rate)
-        self._at = now
+            lines = (now - self._accounted_until) * rate / NS_PER_SECOND
+            self._lines_remaining = max(self._lines_remaining - lines, -BURST_S * rate)
+        self._accounted_until = now
