--- a/embertray/controller/identifiers.py
+++ b/embertray/controller/identifiers.py
@@ -7,8 +7,8 @@
 from embertray.policy import interface as i
 
 # numbers in use: 1 to this, then anew from 1
-TABLE_NUMBERS = 65534
-NONCE_NUMBERS = 65535
+MAX_TABLE_NUMBER = 65534
+MAX_NONCE_NUMBER = 65535
 
 
 class Identifiers:
@@ -57,13 +57,13 @@
     def table_id(self, table):
         """The number of a table, a new one if it is ordered for the first time."""
         if table.external_id is None:
-            self.last_table_number = self.last_table_number % TABLE_NUMBERS + 1
+            self.last_table_number = self.last_table_number % MAX_TABLE_NUMBER + 1
             table.external_id = self.last_table_number
         return table.external_id
 
     def nonce_id(self, nonce):
         """A new number for a nonce that is ordered now; the oldest of the same number is forgotten."""
-        self.last_nonce_number = self.last_nonce_number % NONCE_NUMBERS + 1
+        self.last_nonce_number = self.last_nonce_number % MAX_NONCE_NUMBER + 1
         nonce.external_id = self.last_nonce_number
         self.nonces[self.last_nonce_number] = nonce
         return self.last_nonce_number
