--- a/embertray/controller/stream/messages.py
+++ b/embertray/controller/stream/messages.py
@@ -12,13 +12,13 @@
 from embertray.common.fields import Count, Message, Name, Time
 
 VERSION = 1
-MOST_LINES = 20_000  # lines in one message; the largest table known to us has a quarter of it
+MAX_LINES = 20_000  # lines in one message; the largest table known to us has a quarter of it
 
 Weight = Annotated[float, Meta(ge=0, le=1e12)]
 Share = Annotated[float, Meta(ge=0, le=1e12)]
 TableId = Annotated[int, Meta(ge=1, le=65534)]
 NonceId = Annotated[int, Meta(ge=1, le=65535)]
-Again = Annotated[int, Meta(ge=0, le=3)]
+RetryLimit = Annotated[int, Meta(ge=0, le=3)]
 
 
 # ---- from a proxy
@@ -64,7 +64,7 @@
     """What a proxy met and what came to it within `span`."""
 
     span: Time  # ns
-    met: Annotated[list[BackendTotals], Meta(max_length=MOST_LINES)] = []
+    met: Annotated[list[BackendTotals], Meta(max_length=MAX_LINES)] = []
     came: Annotated[list[ArrivalTotals], Meta(max_length=256)] = []
 
 
@@ -91,8 +91,8 @@
     """The whole table: what the proxy held of an earlier one is forgotten."""
 
     table: TableId
-    lines: Annotated[list[tuple[Name, Weight]], Meta(max_length=MOST_LINES)]
-    levels: list[tuple[Name, Share, Again]] = []
+    lines: Annotated[list[tuple[Name, Weight]], Meta(max_length=MAX_LINES)]
+    levels: list[tuple[Name, Share, RetryLimit]] = []
     out: list[Name] = []
 
 
@@ -109,7 +109,7 @@
     table: TableId
     kinds: list[Name]  # empty: all
     level: Share
-    again: Again
+    again: RetryLimit
     wait: Time = 0  # ns that who is denied is asked to stay away; 0: nothing is said
 
 
@@ -118,7 +118,7 @@
 
     stamp: Time  # the controller's clock when it ordered this
     cost: Share  # lines that the message counts in the channel, its head and mark included
-    do: Annotated[list[Line | Bind | Withdrawal | Level], Meta(max_length=MOST_LINES)]
+    do: Annotated[list[Line | Bind | Withdrawal | Level], Meta(max_length=MAX_LINES)]
     nonce: NonceId | None = None
 
 
