--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -44,13 +44,13 @@
         self.module = Controller(seed, deployment(self.identifiers), now)
         self.pending_events = []
         self.timers = []  # heap of (when due, number of the timer, label)
-        self.timers_set = 0
+        self.timer_count = 0
         self.start_times = {}
         self.state = {}
         self.steps = 0
         self.events = 0
 
-    def entry(self, now, clock, listed):
+    def to_endpoint(self, now, clock, listed):
         """The interface.Endpoint of a backend on the list.
 
         Its start is mapped to this process's clock once, when it is first named: it must not wander with the
@@ -84,27 +84,27 @@
             now: ns by this process's clock.
             how: changes | whole | cached | failed, as in interface.EndpointListUpdate.
             clock: ns by the list's clock, at the same time.
-            entries: Listed backends, as `entry` takes them.
+            entries: Listed backends, as `to_endpoint` takes them.
         """
         if how == "whole":
             self.state = {}
         self.pending_events.append(
-            i.EndpointListUpdate(how, [self.entry(now, clock, listed) for listed in entries])
+            i.EndpointListUpdate(how, [self.to_endpoint(now, clock, listed) for listed in entries])
         )
 
-    def run_step(self, now, late=()):
+    def run_step(self, now, extra_events=()):
         """Run one step if anything happened or a timer is due.
 
         Args:
             now: ns.
-            late: Further events, after those of the timers.
+            extra_events: Further events, after those of the timers.
 
         Returns:
             The module's orders, less those that set timers.
         """
         while self.timers and self.timers[0][0] <= now:
             self.pending_events.append(i.TimerFired(heapq.heappop(self.timers)[2]))
-        self.pending_events += late
+        self.pending_events += extra_events
         if not self.pending_events:
             return []
         events = self.pending_events
@@ -114,8 +114,8 @@
         orders = []
         for order in self.module.step(now, events):
             if isinstance(order, i.SetTimer):
-                self.timers_set += 1
-                heapq.heappush(self.timers, (now + max(1, order.after), self.timers_set, order.label))
+                self.timer_count += 1
+                heapq.heappush(self.timers, (now + max(1, order.after), self.timer_count, order.label))
             else:
                 orders.append(order)
         return orders
