--- a/embertray/controller/core/frontend.py
+++ b/embertray/controller/core/frontend.py
@@ -44,10 +44,10 @@
     def __init__(
         self,
         site,
-        me,
+        site_controller,
         seed,
         now,
-        chance,
+        random,
         snapshot=None,
         clocks=NO_CLOCK_READING,
         core_class=ControllerCore,
@@ -57,18 +57,18 @@
 
         Args:
             site: The Site.
-            me: Its SiteController that this is.
+            site_controller: Its SiteController that this is.
             seed: For the policy's random numbers.
             now: ns.
-            chance: A function that gives numbers from 0 to 1.
+            random: A function that gives numbers from 0 to 1.
             snapshot: The newest Snapshot, or None.
             clocks: The ClockReading of now.
             core_class: Makes the core.
             trust_class: Makes the trust.
         """
-        self.admission = Admission(chance)
+        self.admission = Admission(random)
         self.trust = trust_class(site.drain_grace, site.omission_removes)
-        self.core = core_class(site, me, seed, now, chance)
+        self.core = core_class(site, site_controller, seed, now, random)
         self.deferred_joins = {}
         decision = self.trust.start(now, snapshot, clocks)
         inventory_clock = snapshot.inventory_clock + (time_since(snapshot, clocks) or 0) if snapshot else 0
--- a/embertray/controller/core/memory_bound_runner.py
+++ b/embertray/controller/core/memory_bound_runner.py
@@ -25,7 +25,7 @@
 CHANNEL_AT_CAP = "the channel is at its memory cap, and most waits for this proxy"
 
 
-def _middle_chance():
+def _constant_half():
     return 0.5
 
 
@@ -48,17 +48,17 @@
         extra_collections: A function that gives purpose -> further Collections, of whoever runs this.
     """
 
-    def __init__(self, site, me, seed, now, chance=_middle_chance):
+    def __init__(self, site, site_controller, seed, now, random=_constant_half):
         """Make a controller.
 
         Args:
             site: The Site.
-            me: Its SiteController that this is.
+            site_controller: Its SiteController that this is.
             seed: For the policy's random numbers.
             now: ns.
-            chance: A function that gives numbers from 0 to 1.
+            random: A function that gives numbers from 0 to 1.
         """
-        super().__init__(seed, lambda identifiers: site.deployment(me, identifiers), now)
+        super().__init__(seed, lambda identifiers: site.deployment(site_controller, identifiers), now)
         self.site = site
         self.kinds = {kind.external_id: kind for kind in site.kinds}
         self.outbox = Outbox(self.identifiers, site.head, {kind: kind.external_id for kind in site.kinds})
@@ -66,7 +66,7 @@
         self.pacer = Pacer(site.channel_rate, now)
         self.intake = ReportIntake(site.reports_rate, now, site.report_interval)
         self.ladder = DegradationLadder(site.kinds, site.report_interval, site.levels == "rate", now)
-        self.accounts = MemoryAccounts({**default_caps(site), **site.caps}, chance)
+        self.accounts = MemoryAccounts({**default_caps(site), **site.caps}, random)
         self.nonces = NonceLedger(self.identifiers)
         self.stall_watch = StallWatch(now)
         self.probes_in_flight = {}
