--- a/embertray/controller/core/memory_collections.py
+++ b/embertray/controller/core/memory_collections.py
@@ -9,8 +9,8 @@
 from embertray.policy.backend import BackendState
 from embertray.policy.proxy import ProxyState
 
-STATES = (BackendState, ProxyState)
-HANDLES = (i.Handle, i.RequestKind, *STATES)
+STATE_TYPES = (BackendState, ProxyState)
+HANDLE_TYPES = (i.Handle, i.RequestKind, *STATE_TYPES)
 # Attributes of a state that other collections count.
 COUNTED_ELSEWHERE = ("context", "samples", "messages", "handle", "table")
 
@@ -32,7 +32,7 @@
                 len(core.start_times),
                 core.start_times.items,
                 [core.start_times, core.state],
-                HANDLES,
+                HANDLE_TYPES,
             )
         ],
         "reports": _reports(core),
@@ -48,7 +48,7 @@
 
 
 def _dict_collection(name, entries):
-    return Collection(name, len(entries), entries.items, [entries], HANDLES)
+    return Collection(name, len(entries), entries.items, [entries], HANDLE_TYPES)
 
 
 def _total(containers):
@@ -67,15 +67,15 @@
     withdrawn = policy.publisher.removal.withdrawn
     bound = core.outbox.bound
     return [
-        Collection("lines", _total(lines), _items(lines), lines, HANDLES),
-        Collection("levels", _total(levels), _items(levels), (), HANDLES),
-        Collection("users", _total([*users, bound]), _items([*users, bound]), [*users, bound], HANDLES),
+        Collection("lines", _total(lines), _items(lines), lines, HANDLE_TYPES),
+        Collection("levels", _total(levels), _items(levels), (), HANDLE_TYPES),
+        Collection("users", _total([*users, bound]), _items([*users, bound]), [*users, bound], HANDLE_TYPES),
         Collection(
             "withdrawn",
             _total([*notified, withdrawn]),
             _items([*notified, withdrawn]),
             [*notified, core.outbox.withdrawn],
-            HANDLES,
+            HANDLE_TYPES,
         ),
     ]
 
@@ -89,10 +89,10 @@
     samples = [state.samples.rows for state in (*core.module.backends, *core.module.proxies)]
     return [
         _dict_collection("waiting", core.intake.waiting),
-        Collection("rounds", _total(rounds), _items(rounds), (), HANDLES),
-        Collection("demand", meter.load_count(), _items(loads), loads, HANDLES),
+        Collection("rounds", _total(rounds), _items(rounds), (), HANDLE_TYPES),
+        Collection("demand", meter.load_count(), _items(loads), loads, HANDLE_TYPES),
         Collection(
-            "samples", _total(samples), lambda: (row for rows in samples for row in rows), (), HANDLES
+            "samples", _total(samples), lambda: (row for rows in samples for row in rows), (), HANDLE_TYPES
         ),
     ]
 
@@ -108,23 +108,25 @@
     by_nonce = core.module.publisher.budget.in_flight.by_nonce
     in_flight = [sent for sent, _ in by_nonce.values()]
     return [
-        Collection("messages", len(queue), lambda: queue, [queue], HANDLES),
+        Collection("messages", len(queue), lambda: queue, [queue], HANDLE_TYPES),
         Collection(
             "nonces",
             len(nonces) + len(sent_at),
             _items([nonces, sent_at]),
             [nonces, sent_at],
-            (i.RequestKind, *STATES),
+            (i.RequestKind, *STATE_TYPES),
         ),
         Collection(
             "open",
             _total(unacknowledged),
             lambda: (item for one in unacknowledged for item in one),
             unacknowledged,
-            HANDLES,
+            HANDLE_TYPES,
         ),
-        Collection("open here", _total(by_proxy.values()), lambda: by_proxy.values(), [by_proxy], HANDLES),
-        Collection("flights", _total(in_flight), _items(in_flight), [by_nonce, *in_flight], HANDLES),
+        Collection(
+            "open here", _total(by_proxy.values()), lambda: by_proxy.values(), [by_proxy], HANDLE_TYPES
+        ),
+        Collection("flights", _total(in_flight), _items(in_flight), [by_nonce, *in_flight], HANDLE_TYPES),
     ]
 
 
@@ -134,7 +136,7 @@
     backends = core.module.backends
     proxies = core.module.proxies
     return [
-        Collection("handles", _total(handles), _items(handles), handles, STATES),
+        Collection("handles", _total(handles), _items(handles), handles, STATE_TYPES),
         Collection(
             "actors",
             len(backends) + len(proxies),
