--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -64,7 +64,7 @@
 
     def _lead(self, now):
         """Sends the next heartbeat, or steps down when no majority answers any more."""
-        if now - self.quorum_at > self.timing.election_most:
+        if now - self.quorum_at > self.timing.election_timeout_max:
             self._step_down(self.term)
             self.leader = ""
             self._reset_election_timer(now)
@@ -81,7 +81,7 @@
 
     def _broadcast(self, now, resend=False):
         """Starts a round: all get new entries, or a heartbeat; with `resend` what is unconfirmed, too."""
-        self.heartbeat_at = now + self.timing.heartbeat
+        self.heartbeat_at = now + self.timing.heartbeat_interval
         self.round += 1
         self.round_began[self.round] = now
         if not self.others:
--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -49,7 +49,7 @@
         """From a leader's death until the next one has committed, ns; one election may have no winner."""
         rounds = 2 * (2 * self.message + self.network.save)
         opening = 2 * (self.message + self.network.save)
-        return 2 * self.replica.election_most + rounds + opening
+        return 2 * self.replica.election_timeout_max + rounds + opening
 
     @property
     def move(self):
@@ -69,7 +69,7 @@
             ns.
         """
         notice = self.subscriber.silence + min(dead, listed - 1) * self.move
-        return max(notice, self.election) + self.feed.heartbeat + self.good
+        return max(notice, self.election) + self.feed.heartbeat_interval + self.good
 
     @property
     def any_fault(self):
@@ -78,7 +78,7 @@
         A majority of the replicas reach each other, and the subscriber reaches one of them: elections, then a
         round of all replicas that were found stale.
         """
-        visit = self.subscriber.stale + self.feed.heartbeat + self.move
+        visit = self.subscriber.stale + self.feed.heartbeat_interval + self.move
         pause = self.subscriber.retry_most + self.move
         return self.election + visit + 2 * self.move + pause + self.feed.retry_most + self.good
 
--- a/embertray/cluster/replication/recovery.py
+++ b/embertray/cluster/replication/recovery.py
@@ -28,10 +28,10 @@
 
     def _begin_recovery(self, now):
         self.nonce = self.rng.randrange(1, NONCE_LIMIT)
-        self.silent_until = now + self.timing.recovery_silence
+        self.silent_until = now + self.timing.recovery_wait
 
     def _ask_whether_blank(self, now):
-        self.heartbeat_at = now + self.timing.heartbeat
+        self.heartbeat_at = now + self.timing.heartbeat_interval
         if self.silent_until and now >= self.silent_until:
             # a leader may have answered the first nonce before the silence was over: only an answer to a
             # nonce drawn after it proves a majority that did not count on votes of the former process
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -68,7 +68,7 @@
         """Time in ns by which `advance` has to be called."""
         if self.schedule.touched or self.seen_revision != self.store().revision:
             return now
-        return self.schedule.next_at(now + self.settings.heartbeat)
+        return self.schedule.next_at(now + self.settings.heartbeat_interval)
 
     # ---- received
 
@@ -179,7 +179,7 @@
         return subscription.confirmed < self.store().revision
 
     def _send_heartbeat(self, now, subscription, age, out):
-        subscription.heartbeat_at = now + self.settings.heartbeat
+        subscription.heartbeat_at = now + self.settings.heartbeat_interval
         store = self.store()
         advertised_age = AGE_UNKNOWN if age is None else min(age, AGE_UNKNOWN)
         heartbeat = Heartbeat(store.revision, store.digest, advertised_age, subscription.stamp)
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -11,16 +11,16 @@
     """Timing between replicas, ns.
 
     Attributes:
-        heartbeat: of a leader; three fit into the shortest election timeout.
-        election_least: a follower waits so long for its leader at the least.
-        election_most: and at the most; drawn anew each time, so that candidates rarely tie.
-        recovery_silence: a replica without its state votes for nobody; twice election_most.
+        heartbeat_interval: of a leader; three fit into the shortest election timeout.
+        election_timeout_min: a follower waits so long for its leader at the least.
+        election_timeout_max: and at the most; drawn anew each time, so that candidates rarely tie.
+        recovery_wait: a replica without its state votes for nobody; twice election_timeout_max.
     """
 
-    heartbeat: int = 400 * MILLISECOND
-    election_least: int = 1_500 * MILLISECOND
-    election_most: int = 3_000 * MILLISECOND
-    recovery_silence: int = 6_000 * MILLISECOND
+    heartbeat_interval: int = 400 * MILLISECOND
+    election_timeout_min: int = 1_500 * MILLISECOND
+    election_timeout_max: int = 3_000 * MILLISECOND
+    recovery_wait: int = 6_000 * MILLISECOND
 
     @property
     def quorum_timeout(self):
@@ -28,11 +28,11 @@
 
         It is the shortest election timeout: before it is over, no other leader can have been elected.
         """
-        return self.election_least
+        return self.election_timeout_min
 
     def election_timeout(self, rng):
         """Draws a timeout in ns from `rng`, a random.Random."""
-        return rng.randrange(self.election_least, self.election_most)
+        return rng.randrange(self.election_timeout_min, self.election_timeout_max)
 
 
 @dataclass(frozen=True)
@@ -40,7 +40,7 @@
     """What a replica sends to its subscribers, and when.
 
     Attributes:
-        heartbeat: ns between two to a subscriber; age and digest let it judge what it holds.
+        heartbeat_interval: ns between two to a subscriber; age and digest let it judge what it holds.
         retry_first: ns after which an update that is not confirmed is sent again, doubled each time.
         retry_most: ns, the most that this becomes.
         chunk: bytes of one update while more waits; small enough to be spread evenly over time.
@@ -49,7 +49,7 @@
         total_bytes_per_second: of one replica; a hundred subscribers at their full rate.
     """
 
-    heartbeat: int = 1 * SECOND
+    heartbeat_interval: int = 1 * SECOND
     retry_first: int = 1 * SECOND
     retry_most: int = 8 * SECOND
     chunk: int = 2_000
--- a/embertray/experiments/capacity/control.py
+++ b/embertray/experiments/capacity/control.py
@@ -50,7 +50,7 @@
         Rows(target, Role.CONTROLLER, Situation.PEAK),
         update_bytes(target.assumed("entry-bytes")),
     )
-    beats = S / Bounds().feed.heartbeat
+    beats = S / Bounds().feed.heartbeat_interval
     bunched = target.assumed("changes-in-worst-10s") / reckon.WORST
     table.add(
         Part.CONFIGURATION,
@@ -86,7 +86,7 @@
 
 def replica(target):
     table, update = Rows(target, Role.REPLICA, Situation.PEAK), update_bytes(target.assumed("entry-bytes"))
-    beats, each = S / Bounds().feed.heartbeat, target.controllers / target.control_machines
+    beats, each = S / Bounds().feed.heartbeat_interval, target.controllers / target.control_machines
     bunched = target.assumed("changes-in-worst-10s") / reckon.WORST
     table.add(
         Part.REPLICATION,
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -23,7 +23,7 @@
 # elections that are won on a busy machine, too: a vote is two ways and two saves
 REPLICA_TIMING = ReplicaTiming(80 * MILLISECOND, 500 * MILLISECOND, 1_500 * MILLISECOND, 3_000 * MILLISECOND)
 FEED_SETTINGS = FeedSettings(
-    heartbeat=50 * MILLISECOND,
+    heartbeat_interval=50 * MILLISECOND,
     retry_first=100 * MILLISECOND,
     retry_most=400 * MILLISECOND,
     silence=1_000 * MILLISECOND,
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -209,7 +209,7 @@
         empty.receive(self.group.now, VoteRequest("c", empty.others[0], 9, 9, 9, preliminary=False))
         empty.receive(self.group.now, request)
         self.assertFalse([one for one in empty.poll().messages if isinstance(one.message, Vote)])
-        self.group.run(empty.timing.recovery_silence - S)
+        self.group.run(empty.timing.recovery_wait - S)
         self.assertTrue(empty.recovering)
         self.assertEqual(empty.store.get("a").value, b"1")  # it follows meanwhile
         self.group.run(3 * S)
@@ -229,7 +229,7 @@
             again.receive(self.group.now, RecoverReply("c", other, 0, again.nonce, True))
         self.assertTrue(again.recovering)
         self.assertFalse([one for one in again.poll().messages if isinstance(one.message, Vote)])
-        self.group.run(again.timing.recovery_silence + 3 * S)
+        self.group.run(again.timing.recovery_wait + 3 * S)
         self.assertEqual((again.recovering, again.store.get("a").value), (False, b"1"))
 
     def test_with_one_dead_and_one_empty_nothing_is_written(self):
