--- a/embertray/cluster/replication/replica_selector.py
+++ b/embertray/cluster/replication/replica_selector.py
@@ -58,10 +58,10 @@
     def _backoff(self, rounds):
         """Time in ns to pause after all replicas have failed `rounds` times."""
         doublings = min(rounds - 1, MAX_BACKOFF_DOUBLINGS)
-        return min(self.timing.retry_first << doublings, self.timing.retry_most)
+        return min(self.timing.initial_retry_delay << doublings, self.timing.max_retry_delay)
 
     def _jitter(self):
-        return self.rng.randrange(self.timing.retry_first)
+        return self.rng.randrange(self.timing.initial_retry_delay)
 
     def leaves_stale(self, now):
         """Whether the current replica, which is cut off from the majority, is to be left.
--- a/embertray/cluster/replication/subscription.py
+++ b/embertray/cluster/replication/subscription.py
@@ -77,7 +77,7 @@
         doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
         self.in_flight = upto
         self.recent_is_next = True
-        self.retry_at = now + min(settings.retry_first << doublings, settings.retry_most)
+        self.retry_at = now + min(settings.initial_retry_delay << doublings, settings.max_retry_delay)
 
     def recent_update_sent(self, now, newest, settings):
         """Recent entries up to the revision `newest` are under way; what it missed goes next.
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -41,8 +41,8 @@
 
     Attributes:
         heartbeat_interval: ns between two to a subscriber; age and digest let it judge what it holds.
-        retry_first: ns after which an update that is not confirmed is sent again, doubled each time.
-        retry_most: ns, the most that this becomes.
+        initial_retry_delay: ns after which an update that is not confirmed is sent again, doubled each time.
+        max_retry_delay: ns, the most that this becomes.
         chunk: bytes of one update while more waits; small enough to be spread evenly over time.
         silence: ns after which a subscriber that sends nothing is dropped.
         bytes_per_second: of one subscriber, averaged over ten seconds; the operators' budget.
@@ -50,8 +50,8 @@
     """
 
     heartbeat_interval: int = 1 * SECOND
-    retry_first: int = 1 * SECOND
-    retry_most: int = 8 * SECOND
+    initial_retry_delay: int = 1 * SECOND
+    max_retry_delay: int = 8 * SECOND
     chunk: int = 2_000
     silence: int = 10 * SECOND
     bytes_per_second: int = 4_000
@@ -85,16 +85,16 @@
         silence: a replica that sends nothing for so long is left; three heartbeats.
         stale: a replica apart from the majority for so long is left. Most elections end sooner; the bound
             is `Bounds.election`.
-        retry_first: pause before the next replica is tried, doubled each time all were tried.
-        retry_most: the most that this becomes.
+        initial_retry_delay: pause before the next replica is tried, doubled each time all were tried.
+        max_retry_delay: the most that this becomes.
         return_home: after so long at another replica the first one is tried again.
     """
 
     dial: int = 1 * SECOND
     silence: int = 3 * SECOND
     stale: int = 6 * SECOND
-    retry_first: int = 200 * MILLISECOND
-    retry_most: int = 3 * SECOND
+    initial_retry_delay: int = 200 * MILLISECOND
+    max_retry_delay: int = 3 * SECOND
     return_home: int = 30 * SECOND
 
 
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -24,16 +24,16 @@
 REPLICA_TIMING = ReplicaTiming(80 * MILLISECOND, 500 * MILLISECOND, 1_500 * MILLISECOND, 3_000 * MILLISECOND)
 FEED_SETTINGS = FeedSettings(
     heartbeat_interval=50 * MILLISECOND,
-    retry_first=100 * MILLISECOND,
-    retry_most=400 * MILLISECOND,
+    initial_retry_delay=100 * MILLISECOND,
+    max_retry_delay=400 * MILLISECOND,
     silence=1_000 * MILLISECOND,
 )
 SUBSCRIBER_TIMING = SubscriberTiming(
     dial=1_000 * MILLISECOND,
     silence=800 * MILLISECOND,
     stale=2_000 * MILLISECOND,
-    retry_first=20 * MILLISECOND,
-    retry_most=200 * MILLISECOND,
+    initial_retry_delay=20 * MILLISECOND,
+    max_retry_delay=200 * MILLISECOND,
 )
 MAX_WAIT_S = 60  # that a wait takes before it fails
 POLL_S = 0.005  # between two looks; what is looked at decides
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -100,7 +100,7 @@
         rounds = [b - a for a, b in zip(dialled_at[::3], dialled_at[3::3], strict=False)]
         self.assertGreater(rounds[-1], rounds[0])
         timing = SubscriberTiming()
-        self.assertLessEqual(max(rounds), timing.retry_most + 3 * timing.retry_first)
+        self.assertLessEqual(max(rounds), timing.max_retry_delay + 3 * timing.initial_retry_delay)
 
     def test_a_stale_replica_is_left_and_each_is_kept_a_while_once_all_are_stale(self):
         stale = SubscriberTiming().stale
