--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -68,7 +68,7 @@
         Returns:
             ns.
         """
-        notice = self.subscriber.silence + min(dead, listed - 1) * self.move
+        notice = self.subscriber.silence_timeout + min(dead, listed - 1) * self.move
         return max(notice, self.election) + self.feed.heartbeat_interval + self.good
 
     @property
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -93,7 +93,7 @@
     def next_at(self):
         """Time in ns by which `advance` has to be called."""
         if self.connected:
-            return min(self.heard_at + self.timing.silence, self.selector.return_at)
+            return min(self.heard_at + self.timing.silence_timeout, self.selector.return_at)
         if self.connecting:
             return self.heard_at + self.timing.dial
         return self.selector.dial_at
@@ -103,7 +103,7 @@
     def advance(self, now):
         """Does what is due at the time `now`, ns."""
         if self.connected:
-            if now - self.heard_at >= self.timing.silence:
+            if now - self.heard_at >= self.timing.silence_timeout:
                 self._leave(now, "silent")
             elif now >= self.selector.return_at:
                 self._return_to_first(now)
@@ -192,7 +192,7 @@
         """Asks for a repair if the same revision has another digest: an entry here or there is corrupt."""
         same_revision = message.commit == self.revision
         if same_revision and message.digest != self.store.digest and now >= self.repair_at:
-            self.repair_at = now + self.timing.silence
+            self.repair_at = now + self.timing.silence_timeout
             self.counters["repairs"] += 1
             self._send(Repair(self.store.digests))
 
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -138,7 +138,7 @@
             subscription = self.subscriptions.get(name)
             if subscription is None:
                 continue
-            if now - subscription.heard_at > self.settings.silence:
+            if now - subscription.heard_at > self.settings.silence_timeout:
                 out.silent.append(name)
                 continue
             self._serve(now, subscription, age, out.messages)
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -44,7 +44,7 @@
         initial_retry_delay: ns after which an update that is not confirmed is sent again, doubled each time.
         max_retry_delay: ns, the most that this becomes.
         chunk: bytes of one update while more waits; small enough to be spread evenly over time.
-        silence: ns after which a subscriber that sends nothing is dropped.
+        silence_timeout: ns after which a subscriber that sends nothing is dropped.
         bytes_per_second: of one subscriber, averaged over ten seconds; the operators' budget.
         total_bytes_per_second: of one replica; a hundred subscribers at their full rate.
     """
@@ -53,7 +53,7 @@
     initial_retry_delay: int = 1 * SECOND
     max_retry_delay: int = 8 * SECOND
     chunk: int = 2_000
-    silence: int = 10 * SECOND
+    silence_timeout: int = 10 * SECOND
     bytes_per_second: int = 4_000
     total_bytes_per_second: int = 400_000
 
@@ -82,7 +82,7 @@
 
     Attributes:
         dial: after which an attempt to connect is given up.
-        silence: a replica that sends nothing for so long is left; three heartbeats.
+        silence_timeout: a replica that sends nothing for so long is left; three heartbeats.
         stale: a replica apart from the majority for so long is left. Most elections end sooner; the bound
             is `Bounds.election`.
         initial_retry_delay: pause before the next replica is tried, doubled each time all were tried.
@@ -91,7 +91,7 @@
     """
 
     dial: int = 1 * SECOND
-    silence: int = 3 * SECOND
+    silence_timeout: int = 3 * SECOND
     stale: int = 6 * SECOND
     initial_retry_delay: int = 200 * MILLISECOND
     max_retry_delay: int = 3 * SECOND
--- a/embertray/simulation/processes/control_pace.py
+++ b/embertray/simulation/processes/control_pace.py
@@ -4,7 +4,7 @@
 
 from embertray.cluster.replication.timing import FeedSettings, ReplicaTiming, SubscriberTiming
 
-FEED_TIMES = ("heartbeat_interval", "initial_retry_delay", "max_retry_delay", "silence")
+FEED_TIMES = ("heartbeat_interval", "initial_retry_delay", "max_retry_delay", "silence_timeout")
 
 
 def scaled_paces(scale, feed=None):
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -26,11 +26,11 @@
     heartbeat_interval=50 * MILLISECOND,
     initial_retry_delay=100 * MILLISECOND,
     max_retry_delay=400 * MILLISECOND,
-    silence=1_000 * MILLISECOND,
+    silence_timeout=1_000 * MILLISECOND,
 )
 SUBSCRIBER_TIMING = SubscriberTiming(
     dial=1_000 * MILLISECOND,
-    silence=800 * MILLISECOND,
+    silence_timeout=800 * MILLISECOND,
     stale=2_000 * MILLISECOND,
     initial_retry_delay=20 * MILLISECOND,
     max_retry_delay=200 * MILLISECOND,
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -163,7 +163,7 @@
     def test_silent_subscribers_are_dropped_and_foreign_ones_rejected(self):
         self.subscribe()
         self.advance()
-        self.advance(self.feed.settings.silence + 2 * S)
+        self.advance(self.feed.settings.silence_timeout + 2 * S)
         self.assertEqual((self.silent, self.feed.count), (["s"], 0))
         for message in (
             Subscribe("other", VERSION, "x", 0, 0, 0),
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -84,7 +84,9 @@
         self.connect()
         began = self.now
         self.until(CloseConnection)
-        self.assertEqual((self.now - began, self.subscriber.replica), (SubscriberTiming().silence, "r2"))
+        self.assertEqual(
+            (self.now - began, self.subscriber.replica), (SubscriberTiming().silence_timeout, "r2")
+        )
 
     def test_a_replica_that_does_not_answer_the_dial_is_given_up(self):
         dial = self.until(OpenConnection)
