--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -84,4 +84,4 @@
 
     def waiting(self, size):
         """Time in ns that a write waits behind `size` bytes, at a subscriber's sustained rate."""
-        return size * SECOND // self.feed.sustained
+        return size * SECOND // self.feed.sustained_bytes_per_second
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -63,7 +63,7 @@
         self.store.advance(revision)
         self.freshness = Freshness(known_at)
         budget = budget or FeedSettings()
-        self.bucket = TokenBucket(budget.sustained, budget.burst, now)
+        self.bucket = TokenBucket(budget.sustained_bytes_per_second, budget.burst_bytes, now)
         self.bucket.limit(now, 0)  # a former process may have just spent it all
         self.actions = []
         self.applied = []
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -107,7 +107,7 @@
             raise SubscriberRejectedError("its name changed")
         subscription = self.subscriptions.get(name)
         if subscription is None:
-            bucket = TokenBucket(self.settings.sustained, self.settings.burst, now)
+            bucket = TokenBucket(self.settings.sustained_bytes_per_second, self.settings.burst_bytes, now)
             subscription = Subscription(name, bucket, message.revision, now, now)
             self.subscriptions[name] = subscription
         subscription.subscribed(now, message, self.store().revision)
@@ -202,7 +202,7 @@
     def _send_missing(self, now, subscription, out):
         """Sends as much as the budget allows, unless that is less than a chunk and more waits."""
         room = self._room(now, subscription)
-        update = pack_missing(self.store(), subscription, room, self.settings.chunk)
+        update = pack_missing(self.store(), subscription, room, self.settings.min_update_bytes)
         if update is not None:
             subscription.update_sent(now, update.upto, self.settings)
             self._send(now, subscription, encode(update), out)
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -43,7 +43,7 @@
         heartbeat_interval: ns between two to a subscriber; age and digest let it judge what it holds.
         initial_retry_delay: ns after which an update that is not confirmed is sent again, doubled each time.
         max_retry_delay: ns, the most that this becomes.
-        chunk: bytes of one update while more waits; small enough to be spread evenly over time.
+        min_update_bytes: bytes of one update while more waits; small enough to be spread evenly over time.
         silence_timeout: ns after which a subscriber that sends nothing is dropped.
         bytes_per_second: of one subscriber, averaged over ten seconds; the operators' budget.
         total_bytes_per_second: of one replica; a hundred subscribers at their full rate.
@@ -52,28 +52,28 @@
     heartbeat_interval: int = 1 * SECOND
     initial_retry_delay: int = 1 * SECOND
     max_retry_delay: int = 8 * SECOND
-    chunk: int = 2_000
+    min_update_bytes: int = 2_000
     silence_timeout: int = 10 * SECOND
     bytes_per_second: int = 4_000
     total_bytes_per_second: int = 400_000
 
     @property
-    def sustained(self):
+    def sustained_bytes_per_second(self):
         """Refill rate of a subscriber's token bucket, bytes a second.
 
-        With `burst`, any ten seconds stay under the budget.
+        With `burst_bytes`, any ten seconds stay under the budget.
         """
         return self.bytes_per_second * 3 // 4
 
     @property
-    def burst(self):
+    def burst_bytes(self):
         """Capacity of a subscriber's token bucket in bytes, and the most that one update may carry."""
         return self.bytes_per_second * 2
 
     @property
     def max_value_bytes(self):
         """Size of the largest value that is accepted: one entry has to fit into one update."""
-        return self.burst - 1_024
+        return self.burst_bytes - 1_024
 
 
 @dataclass(frozen=True)
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -82,7 +82,9 @@
         for begin, _ in spent:
             window = sum(size for at, size in spent if begin <= at < begin + 10 * S)
             self.assertLessEqual(window, 10 * self.feed.settings.bytes_per_second)
-        self.assertLess(spent[-1][0] - spent[0][0], (400 * 160 // self.feed.settings.sustained + 2) * S)
+        self.assertLess(
+            spent[-1][0] - spent[0][0], (400 * 160 // self.feed.settings.sustained_bytes_per_second + 2) * S
+        )
 
     def test_a_new_write_does_not_wait_for_what_a_returning_subscriber_missed(self):
         """Guards against a write that is in force everywhere else and waits for another one's history."""
@@ -106,7 +108,8 @@
         self.assertEqual(subscriber.counters["repairs"], 0)
         self.assertLess(max(in_force_at[key] - written_at[key] for key in written_at), 3 * S)
         self.assertLess(
-            max(in_force_at.values()) - began, (415 * 160 // self.feed.settings.sustained + 3) * S
+            max(in_force_at.values()) - began,
+            (415 * 160 // self.feed.settings.sustained_bytes_per_second + 3) * S,
         )
 
     def test_a_removal_that_came_before_what_was_missed_is_not_applied_again_after_a_restart(self):
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -88,9 +88,13 @@
 class Budget(unittest.TestCase):
     def test_ten_seconds_never_spend_more_than_the_budget(self):
         settings = FeedSettings()
-        bucket, spent, rng = TokenBucket(settings.sustained, settings.burst, 0), [], random.Random(1)
+        bucket, spent, rng = (
+            TokenBucket(settings.sustained_bytes_per_second, settings.burst_bytes, 0),
+            [],
+            random.Random(1),
+        )
         for now in range(0, 60 * S, 20 * MS):
-            size = rng.randrange(1, settings.burst)
+            size = rng.randrange(1, settings.burst_bytes)
             if bucket.allows(now, size):
                 bucket.spend(size)
                 spent.append((now, size))
