--- a/embertray/cluster/replication/link/subscriber_connection.py
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -52,7 +52,7 @@
     async def open(self, action):
         """Does an OpenConnection: connects, and reads until the connection ends."""
         try:
-            with anyio.fail_after(self.subscriber.timing.dial / NS_PER_S):
+            with anyio.fail_after(self.subscriber.timing.connect_timeout / NS_PER_S):
                 stream = await self.net.dial(self.addresses[action.replica])
         except (*CONNECTION_ERRORS, AddressError):
             self._lost(action.connection_id)
--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -41,8 +41,8 @@
         for the confirmation of an update under way, or for a subscriber that returns to its first replica.
         """
         followers_saved = self.message + self.network.save
-        return_home = self.subscriber.initial_retry_delay + 3 * self.message
-        return followers_saved + 3 * self.message + return_home
+        failback_delay = self.subscriber.initial_retry_delay + 3 * self.message
+        return followers_saved + 3 * self.message + failback_delay
 
     @property
     def election(self):
@@ -54,7 +54,7 @@
     @property
     def move(self):
         """From leaving one replica to the first heartbeat of the next, ns."""
-        return self.subscriber.initial_retry_delay + self.subscriber.dial + 2 * self.message
+        return self.subscriber.initial_retry_delay + self.subscriber.connect_timeout + 2 * self.message
 
     def replicas_dead(self, dead, listed=3):
         """Some replicas are dead, among them the leader and the one that the subscriber follows.
@@ -78,7 +78,7 @@
         A majority of the replicas reach each other, and the subscriber reaches one of them: elections, then a
         round of all replicas that were found stale.
         """
-        visit = self.subscriber.stale + self.feed.heartbeat_interval + self.move
+        visit = self.subscriber.stale_after + self.feed.heartbeat_interval + self.move
         pause = self.subscriber.max_retry_delay + self.move
         return self.election + visit + 2 * self.move + pause + self.feed.max_retry_delay + self.good
 
--- a/embertray/cluster/replication/replica_selector.py
+++ b/embertray/cluster/replication/replica_selector.py
@@ -69,7 +69,7 @@
         Once all replicas were found stale, each is kept a while: moving on would only cost connections.
         """
         all_stale = self.stale_moves >= len(self.replicas)
-        if all_stale and now - self.connected_at < self.timing.stale:
+        if all_stale and now - self.connected_at < self.timing.stale_after:
             return False
         self.stale_moves += 1
         return True
@@ -77,7 +77,7 @@
     @property
     def return_at(self):
         """Time in ns when the first replica is tried again, if another one is followed."""
-        return self.connected_at + self.timing.return_home if self.index else NEVER
+        return self.connected_at + self.timing.failback_delay if self.index else NEVER
 
     def return_to_first(self, now):
         """Chooses the first replica again."""
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -95,7 +95,7 @@
         if self.connected:
             return min(self.heard_at + self.timing.silence_timeout, self.selector.return_at)
         if self.connecting:
-            return self.heard_at + self.timing.dial
+            return self.heard_at + self.timing.connect_timeout
         return self.selector.dial_at
 
     # ---- time and connections
@@ -108,7 +108,7 @@
             elif now >= self.selector.return_at:
                 self._return_to_first(now)
         elif self.connecting:
-            if now - self.heard_at >= self.timing.dial:
+            if now - self.heard_at >= self.timing.connect_timeout:
                 self._leave(now, "no connection")
         elif now >= self.selector.dial_at:
             self._connect(now)
@@ -178,7 +178,7 @@
     def _on_heartbeat(self, now, message):
         if 0 < message.echo <= now:
             self.freshness.observe_commit(message.echo, message.commit, message.age, self.revision)
-        if message.age > self.timing.stale:
+        if message.age > self.timing.stale_after:
             if self.selector.leaves_stale(now):
                 self._leave(now, "apart from the majority")
             else:
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -81,21 +81,21 @@
     """Timing of a subscriber, ns.
 
     Attributes:
-        dial: after which an attempt to connect is given up.
+        connect_timeout: after which an attempt to connect is given up.
         silence_timeout: a replica that sends nothing for so long is left; three heartbeats.
-        stale: a replica apart from the majority for so long is left. Most elections end sooner; the bound
-            is `Bounds.election`.
+        stale_after: a replica apart from the majority for so long is left. Most elections end sooner; the
+            bound is `Bounds.election`.
         initial_retry_delay: pause before the next replica is tried, doubled each time all were tried.
         max_retry_delay: the most that this becomes.
-        return_home: after so long at another replica the first one is tried again.
+        failback_delay: after so long at another replica the first one is tried again.
     """
 
-    dial: int = 1 * SECOND
+    connect_timeout: int = 1 * SECOND
     silence_timeout: int = 3 * SECOND
-    stale: int = 6 * SECOND
+    stale_after: int = 6 * SECOND
     initial_retry_delay: int = 200 * MILLISECOND
     max_retry_delay: int = 3 * SECOND
-    return_home: int = 30 * SECOND
+    failback_delay: int = 30 * SECOND
 
 
 @dataclass(frozen=True)
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -29,9 +29,9 @@
     silence_timeout=1_000 * MILLISECOND,
 )
 SUBSCRIBER_TIMING = SubscriberTiming(
-    dial=1_000 * MILLISECOND,
+    connect_timeout=1_000 * MILLISECOND,
     silence_timeout=800 * MILLISECOND,
-    stale=2_000 * MILLISECOND,
+    stale_after=2_000 * MILLISECOND,
     initial_retry_delay=20 * MILLISECOND,
     max_retry_delay=200 * MILLISECOND,
 )
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -92,7 +92,7 @@
         dial = self.until(OpenConnection)
         began = self.now
         self.assertEqual(self.until(CloseConnection).connection_id, dial.connection_id)
-        self.assertEqual(self.now - began, SubscriberTiming().dial)
+        self.assertEqual(self.now - began, SubscriberTiming().connect_timeout)
 
     def test_when_none_answers_the_pauses_grow_to_a_bound(self):
         dialled_at = []
@@ -105,7 +105,7 @@
         self.assertLessEqual(max(rounds), timing.max_retry_delay + 3 * timing.initial_retry_delay)
 
     def test_a_stale_replica_is_left_and_each_is_kept_a_while_once_all_are_stale(self):
-        stale = SubscriberTiming().stale
+        stale = SubscriberTiming().stale_after
         for name in ("r1", "r2", "r3"):
             self.connect()
             self.assertEqual(self.subscriber.replica, name)
@@ -126,7 +126,7 @@
             self.now += S
             self.hear(Heartbeat(0, 0, 0, self.now))
             self.subscriber.advance(self.now)
-        self.assertEqual(self.now - began, SubscriberTiming().return_home)
+        self.assertEqual(self.now - began, SubscriberTiming().failback_delay)
 
     def test_a_delayed_heartbeat_does_not_lower_the_age(self):
         self.connect()
