--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -1,8 +1,8 @@
 """The stated bounds: when a committed write is in force at a subscriber.
 
-All assume messages that arrive within `NetworkAssumptions.one_way` and saves within its `save`, once
-links are good. A bound counts from the write's acknowledgement or from the end of the last fault, whichever
-is later. Bytes that wait before a write add their time at the subscriber's sustained rate.
+All assume messages that arrive within `NetworkAssumptions.one_way_delay` and saves within its `save_delay`,
+once links are good. A bound counts from the write's acknowledgement or from the end of the last fault,
+whichever is later. Bytes that wait before a write add their time at the subscriber's sustained rate.
 """
 
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
     @property
     def message(self):
         """One message, from a process to what the next one does with it, ns."""
-        return self.network.one_way + PROCESSING
+        return self.network.one_way_delay + PROCESSING
 
     @property
     def good(self):
@@ -40,15 +40,15 @@
         The commit goes to the followers, who save it and send it to their subscribers. It may have to wait
         for the confirmation of an update under way, or for a subscriber that returns to its first replica.
         """
-        followers_saved = self.message + self.network.save
+        followers_saved = self.message + self.network.save_delay
         failback_delay = self.subscriber.initial_retry_delay + 3 * self.message
         return followers_saved + 3 * self.message + failback_delay
 
     @property
     def election(self):
         """From a leader's death until the next one has committed, ns; one election may have no winner."""
-        rounds = 2 * (2 * self.message + self.network.save)
-        opening = 2 * (self.message + self.network.save)
+        rounds = 2 * (2 * self.message + self.network.save_delay)
+        opening = 2 * (self.message + self.network.save_delay)
         return 2 * self.replica.election_timeout_max + rounds + opening
 
     @property
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -103,9 +103,9 @@
     """What the stated bounds assume of links that are good, ns.
 
     Attributes:
-        one_way: a message's way, regions included.
-        save: until a replica's state is on disk.
+        one_way_delay: a message's way, regions included.
+        save_delay: until a replica's state is on disk.
     """
 
-    one_way: int = 100 * MILLISECOND
-    save: int = 200 * MILLISECOND
+    one_way_delay: int = 100 * MILLISECOND
+    save_delay: int = 200 * MILLISECOND
