--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -9,7 +9,7 @@
 
 from .timing import MILLISECOND, SECOND, FeedSettings, NetworkAssumptions, ReplicaTiming, SubscriberTiming
 
-PROCESSING = 100 * MILLISECOND  # ns until a process gets to a message
+PROCESSING_DELAY_NS = 100 * MILLISECOND  # ns until a process gets to a message
 
 
 @dataclass(frozen=True)
@@ -29,9 +29,9 @@
     network: NetworkAssumptions = NetworkAssumptions()
 
     @property
-    def message(self):
+    def message_delay(self):
         """One message, from a process to what the next one does with it, ns."""
-        return self.network.one_way_delay + PROCESSING
+        return self.network.one_way_delay + PROCESSING_DELAY_NS
 
     @property
     def good(self):
@@ -40,21 +40,21 @@
         The commit goes to the followers, who save it and send it to their subscribers. It may have to wait
         for the confirmation of an update under way, or for a subscriber that returns to its first replica.
         """
-        followers_saved = self.message + self.network.save_delay
-        failback_delay = self.subscriber.initial_retry_delay + 3 * self.message
-        return followers_saved + 3 * self.message + failback_delay
+        followers_saved = self.message_delay + self.network.save_delay
+        failback = self.subscriber.initial_retry_delay + 3 * self.message_delay
+        return followers_saved + 3 * self.message_delay + failback
 
     @property
     def election(self):
         """From a leader's death until the next one has committed, ns; one election may have no winner."""
-        rounds = 2 * (2 * self.message + self.network.save_delay)
-        opening = 2 * (self.message + self.network.save_delay)
+        rounds = 2 * (2 * self.message_delay + self.network.save_delay)
+        opening = 2 * (self.message_delay + self.network.save_delay)
         return 2 * self.replica.election_timeout_max + rounds + opening
 
     @property
-    def move(self):
+    def replica_switch(self):
         """From leaving one replica to the first heartbeat of the next, ns."""
-        return self.subscriber.initial_retry_delay + self.subscriber.connect_timeout + 2 * self.message
+        return self.subscriber.initial_retry_delay + self.subscriber.connect_timeout + 2 * self.message_delay
 
     def replicas_dead(self, dead, listed=3):
         """Some replicas are dead, among them the leader and the one that the subscriber follows.
@@ -68,7 +68,7 @@
         Returns:
             ns.
         """
-        notice = self.subscriber.silence_timeout + min(dead, listed - 1) * self.move
+        notice = self.subscriber.silence_timeout + min(dead, listed - 1) * self.replica_switch
         return max(notice, self.election) + self.feed.heartbeat_interval + self.good
 
     @property
@@ -78,9 +78,9 @@
         A majority of the replicas reach each other, and the subscriber reaches one of them: elections, then a
         round of all replicas that were found stale.
         """
-        visit = self.subscriber.stale_after + self.feed.heartbeat_interval + self.move
-        pause = self.subscriber.max_retry_delay + self.move
-        return self.election + visit + 2 * self.move + pause + self.feed.max_retry_delay + self.good
+        visit = self.subscriber.stale_after + self.feed.heartbeat_interval + self.replica_switch
+        pause = self.subscriber.max_retry_delay + self.replica_switch
+        return self.election + visit + 2 * self.replica_switch + pause + self.feed.max_retry_delay + self.good
 
     def waiting(self, size):
         """Time in ns that a write waits behind `size` bytes, at a subscriber's sustained rate."""
