--- a/embertray/cluster/replication/follower.py
+++ b/embertray/cluster/replication/follower.py
@@ -92,7 +92,7 @@
         it leads. The removals themselves stay unknown here, so the store is marked as having forgotten them.
         """
         kept = set(live_keys)
-        for entry in [live for live in self.store.live() if live.key not in kept]:
+        for entry in [live for live in self.store.live_entries() if live.key not in kept]:
             self.store.forget(entry.key)
         self.store.forgotten = max(self.store.forgotten, commit)
 
--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -105,7 +105,7 @@
     def _install_message(self, previous):
         live_keys = None
         if previous < self.store.forgotten:
-            live_keys = [entry.key for entry in self.store.live()]
+            live_keys = [entry.key for entry in self.store.live_entries()]
         return Install(
             cluster=self.cluster,
             sender=self.name,
@@ -114,7 +114,7 @@
             since=previous,
             commit_term=self.store.term,
             commit=self.store.revision,
-            entries=list(self.store.since(previous)),
+            entries=list(self.store.entries_since(previous)),
             keys=live_keys,
             requests=[
                 (name, revision) for name, revision in self.store.requests.items() if revision > previous
--- a/embertray/cluster/replication/link/client_writes.py
+++ b/embertray/cluster/replication/link/client_writes.py
@@ -62,7 +62,7 @@
         Only the leader rejects a version that it does not keep: a follower may lack versions that the leader
         has, and is to name the leader instead. A repeated call writes nothing, so its version may be gone.
         """
-        entry = self.replica.store.version(key, version)
+        entry = self.replica.store.entry_at(key, version)
         repeated = write.request in self.replica.store.requests
         if entry is None and self.replica.role is Role.LEADER and not repeated:
             raise VersionNotKeptError(f"{key} is not kept at version {version}")
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -108,9 +108,9 @@
         """The Entry in force here, or None."""
         return self.subscriber.store.get(key)
 
-    def live(self):
+    def live_entries(self):
         """All entries in force here, by rising revision."""
-        return self.subscriber.store.live()
+        return self.subscriber.store.live_entries()
 
     def status(self):
         """The SubscriberStatus now."""
@@ -165,7 +165,7 @@
         )
         if self.saved is not None:
             self.saver = SubscriberSaver(self.subscriber, self.saved, self.clock, self.log)
-        live = self.subscriber.store.live()
+        live = self.subscriber.store.live_entries()
         log_entries(self.log, "restored", live)
         if live and self.on_restored is not None:
             self.on_restored(live)
--- a/embertray/cluster/replication/link/subscriber_saver.py
+++ b/embertray/cluster/replication/link/subscriber_saver.py
@@ -94,5 +94,5 @@
             revision=self.subscriber.revision,
             saved_at=wall,
             known_at=None if age is None else wall - age,
-            entries=list(self.subscriber.store.since(0)),
+            entries=list(self.subscriber.store.entries_since(0)),
         )
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -56,15 +56,15 @@
         entry = self.entries.get(key)
         return entry if entry is not None and entry.value is not None else None
 
-    def live(self):
+    def live_entries(self):
         """All entries that are in force, by rising revision."""
-        return [entry for entry in self.since(0) if entry.value is not None]
+        return [entry for entry in self.entries_since(0) if entry.value is not None]
 
-    def version(self, key, revision):
+    def entry_at(self, key, revision):
         """The Entry that a key had at exactly this revision, or None if it is not kept."""
         return next((entry for entry in self.versions.get(key, ()) if entry.revision == revision), None)
 
-    def since(self, revision):
+    def entries_since(self, revision):
         """Yields the newest entries written after `revision`, in order. Costs what is read of it."""
         for position in range(bisect_right(self.order, (revision, LAST_KEY)), len(self.order)):
             written, key = self.order[position]
--- a/embertray/cluster/replication/update_packing.py
+++ b/embertray/cluster/replication/update_packing.py
@@ -14,7 +14,7 @@
     Returns:
         An Update that confirms nothing new; None if no entry fits or none was written.
     """
-    entries, _ = _entries_that_fit(store.since(subscription.recent_sent), room)
+    entries, _ = _entries_that_fit(store.entries_since(subscription.recent_sent), room)
     return Update(subscription.confirmed, subscription.confirmed, entries) if entries else None
 
 
@@ -30,7 +30,7 @@
     Returns:
         An Update; None if it has to wait for more room.
     """
-    entries, too_large = _entries_that_fit(store.since(subscription.confirmed), room)
+    entries, too_large = _entries_that_fit(store.entries_since(subscription.confirmed), room)
     size = sum(entry.size for entry in entries)
     if too_large is not None and not entries:
         return None
--- a/embertray/simulation/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -74,7 +74,7 @@
         self.life += 1
         if self.play.settings.keep:
             store = self.core.store
-            self.kept = (list(store.since(0)), store.revision, self.core.freshness.known_at)
+            self.kept = (list(store.entries_since(0)), store.revision, self.core.freshness.known_at)
         if self.connection is not None:
             self._close(silent)
 
--- a/tests/control_histories.py
+++ b/tests/control_histories.py
@@ -32,4 +32,4 @@
 
 
 def in_force(store):
-    return {entry.key: entry for entry in store.live()}
+    return {entry.key: entry for entry in store.live_entries()}
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -123,7 +123,7 @@
         self.converse(subscriber, S)
         self.assertIn(("k99", None), [(entry.key, entry.value) for entry in subscriber.applied])
         self.assertLess(subscriber.revision, 100)
-        on_disk = list(subscriber.store.since(0))
+        on_disk = list(subscriber.store.entries_since(0))
         restarted = Subscriber(
             "c", "s", ["r"], self.now, random.Random(2), entries=on_disk, revision=subscriber.revision
         )
@@ -193,7 +193,7 @@
             self.write(f"k{n}", b"1")
         self.write("k3", None)
         subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
-        own = [entry for entry in self.store.live() if entry.key != "k5"]
+        own = [entry for entry in self.store.live_entries() if entry.key != "k5"]
         own.append(Entry("stray", 2, 1, "", b"never removed here"))
         own[4] = Entry(own[4].key, own[4].revision, 1, "", b"spoilt")
         for entry in own:
@@ -208,7 +208,7 @@
         for n in range(20):
             self.write(f"old{n}", b"1")
         subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
-        for entry in self.store.live():
+        for entry in self.store.live_entries():
             subscriber.store.apply(entry)
         subscriber.store.advance(self.store.revision)
         for n in range(20):
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -102,7 +102,7 @@
         play.run(3_600 * S)
         away = play.subscribers["s001"].core
         self.assertGreater(away.age(play.engine.time), 3_590 * S)
-        lacking = sum(entry.size for entry in play.replicas["r0"].core.store.since(away.revision))
+        lacking = sum(entry.size for entry in play.replicas["r0"].core.store.entries_since(away.revision))
         play.heal()
         limit = play.bounds.any_fault + play.bounds.waiting(lacking)
         play.run(limit)
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -42,7 +42,8 @@
         self.assertEqual(whole.live_count, len(in_force(other)))
         self.assertEqual(whole.live_bytes, sum(entry.size for entry in in_force(other).values()))
         self.assertEqual(
-            [one.revision for one in other.since(0)], sorted(one.revision for one in other.since(0))
+            [one.revision for one in other.entries_since(0)],
+            sorted(one.revision for one in other.entries_since(0)),
         )
 
     @settings(derandomize=True, max_examples=100, deadline=None)
@@ -50,7 +51,7 @@
     def test_what_was_written_since_brings_a_former_state_up_to_date(self, writes, cut):
         entries = entries_of(writes)
         whole, former = store_of(entries), store_of(entries[:cut])
-        changes = list(whole.since(former.revision))
+        changes = list(whole.entries_since(former.revision))
         self.assertEqual(len({entry.key for entry in changes}), len(changes))  # of each key the newest
         for entry in changes:
             former.apply(entry)
@@ -72,9 +73,9 @@
     def test_former_versions_are_kept_up_to_a_number(self):
         store = store_of(entries_of([("a", bytes([n])) for n in range(3 * MAX_VERSIONS_PER_KEY)]))
         self.assertEqual(len(store.versions["a"]), MAX_VERSIONS_PER_KEY)
-        self.assertIsNone(store.version("a", 1))
+        self.assertIsNone(store.entry_at("a", 1))
         self.assertEqual(
-            store.version("a", 3 * MAX_VERSIONS_PER_KEY - 1).value, bytes([3 * MAX_VERSIONS_PER_KEY - 2])
+            store.entry_at("a", 3 * MAX_VERSIONS_PER_KEY - 1).value, bytes([3 * MAX_VERSIONS_PER_KEY - 2])
         )
         self.assertEqual(store.bytes, sum(entry.size for entry in store.versions["a"]))
 
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -152,7 +152,7 @@
         last = whole.revision
         for since, upto in [*spans, (0, last)]:
             since, upto = min(since, last), min(upto, last)
-            changes = [entry for entry in store_of(entries_of(writes[:upto])).since(since)]
+            changes = [entry for entry in store_of(entries_of(writes[:upto])).entries_since(since)]
             subscriber.receive(0, subscriber.connection_id, Update(since, upto, changes), 10)
         self.assertEqual((subscriber.revision, in_force(subscriber.store)), (last, in_force(whole)))
         newest = {}
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -119,8 +119,8 @@
         self.assertFalse(replica.recovering)
         self.assertEqual(tuple(replica.last_position), (1, 7))
         self.assertEqual(replica.store.revision, 6)
-        self.assertEqual([entry.key for entry in replica.store.live()], ["limits/search", "site"])
-        self.assertEqual(replica.store.version("limits/search", 2).value, b"100")
+        self.assertEqual([entry.key for entry in replica.store.live_entries()], ["limits/search", "site"])
+        self.assertEqual(replica.store.entry_at("limits/search", 2).value, b"100")
         self.assertEqual(dict(replica.store.requests), dict(self.REQUESTS))
 
     def test_a_file_with_one_flipped_byte_is_refused(self):
@@ -154,7 +154,7 @@
             "c1", "s1", ["r1"], 0, random.Random(1), entries=state.entries, revision=state.revision
         )
         self.assertEqual(subscriber.revision, 6)
-        self.assertEqual([entry.key for entry in subscriber.store.live()], ["limits/search", "site"])
+        self.assertEqual([entry.key for entry in subscriber.store.live_entries()], ["limits/search", "site"])
 
     def test_a_file_with_one_flipped_byte_is_refused(self):
         self.assert_each_flipped_byte_is_refused(self.NAME, self.reader)
