--- a/embertray/cluster/replication/follower.py
+++ b/embertray/cluster/replication/follower.py
@@ -79,7 +79,7 @@
                 self.instructions.committed.append(entry)
         if message.keys is not None:
             self._remove_all_but(message.keys, message.commit)
-        self.store.remember(message.requests)
+        self.store.record_requests(message.requests)
         self.store.advance(message.commit, message.commit_term)
         self.uncommitted = remainder
         self.changed = True
@@ -93,7 +93,7 @@
         """
         kept = set(live_keys)
         for entry in [live for live in self.store.live_entries() if live.key not in kept]:
-            self.store.forget(entry.key)
+            self.store.discard(entry.key)
         self.store.forgotten = max(self.store.forgotten, commit)
 
     def _reply(self, now, message, accepted, last_revision=None):
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -94,7 +94,7 @@
             Whether it was.
         """
         if entry.request:
-            self.remember([(entry.request, entry.revision)])
+            self.record_requests([(entry.request, entry.revision)])
         if not entry.key:
             return False  # opens a term, changes no key
         former = self.entries.get(entry.key)
@@ -110,7 +110,7 @@
             self.revision = revision
             self.term = term
 
-    def forget(self, key):
+    def discard(self, key):
         """Drops all versions of a key, as if it had never been written: for repairs."""
         entry = self.entries.pop(key, None)
         if entry is None:
@@ -121,7 +121,7 @@
             self.bytes -= version.size
             self.outdated += 1
 
-    def remember(self, requests):
+    def record_requests(self, requests):
         """Takes (request id, revision) pairs of writes; the newest ones are kept."""
         for request, revision in requests:
             self.requests[request] = revision
@@ -163,7 +163,7 @@
             self.forgotten = max(self.forgotten, revision)
             newest = self.entries.get(key)
             if newest is not None and newest.revision == revision:
-                self.forget(key)
+                self.discard(key)
 
     def _keep_version(self, entry):
         versions = self.versions.setdefault(entry.key, deque())
@@ -198,7 +198,7 @@
     store = VersionedStore()
     for entry in sorted(versions, key=lambda entry: entry.revision):
         store.apply(entry)
-    store.remember(requests)
+    store.record_requests(requests)
     store.forgotten = max(store.forgotten, forgotten)
     store.advance(revision, term)
     return store
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -222,7 +222,7 @@
         for key in difference.removed:
             self._apply(Entry(key, message.upto, 0, "", None))
         for key in difference.corrupt:
-            self.store.forget(key)
+            self.store.discard(key)
         if difference.missing_from is not None:
             self._subscribe(now, difference.missing_from - 1)
 
--- a/tests/control_sabotage.py
+++ b/tests/control_sabotage.py
@@ -22,7 +22,7 @@
 
     def on_update(subscriber, now, message):
         for entry in message.entries:
-            subscriber.store.forget(entry.key)
+            subscriber.store.discard(entry.key)
             subscriber._apply(entry)
         true_update(subscriber, now, message)
 
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -186,7 +186,7 @@
     """Takes what it is sent, newer or not."""
 
     def _apply(self, entry):
-        self.store.forget(entry.key)
+        self.store.discard(entry.key)
         return super()._apply(entry)
 
 
