--- a/embertray/cluster/replication/replica_core.py
+++ b/embertray/cluster/replication/replica_core.py
@@ -8,7 +8,7 @@
 from .freshness import Freshness
 from .instructions import Envelope, ReplicaInstructions
 from .replica_state import ReplicaState, Role
-from .store import VersionedStore, export, restore
+from .store import VersionedStore, export_versions, restore_store
 from .timing import ReplicaTiming
 
 MAX_LIVE_KEYS = 16_384  # four times the routes of the capacity target; more is a faulty client
@@ -114,7 +114,7 @@
             revision=self.store.revision,
             committed_term=self.store.term,
             forgotten=self.store.forgotten,
-            versions=export(self.store),
+            versions=export_versions(self.store),
             requests=list(self.store.requests.items()),
             uncommitted=list(self.uncommitted),
         )
@@ -124,7 +124,7 @@
         self.term = saved.term
         self.voted_for = saved.voted_for
         self.uncommitted = list(saved.uncommitted)
-        self.store = restore(
+        self.store = restore_store(
             saved.revision, saved.committed_term, saved.versions, saved.requests, saved.forgotten
         )
 
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -182,13 +182,13 @@
             self.outdated = 0
 
 
-def restore(revision, term, versions, requests, forgotten=0):
+def restore_store(revision, term, versions, requests, forgotten=0):
     """Builds a VersionedStore anew.
 
     Args:
         revision: of the last entry that is included.
         term: of that entry.
-        versions: what `export` returned.
+        versions: what `export_versions` returned.
         requests: (request id, revision) pairs.
         forgotten: revision of the newest removal that is no longer remembered.
 
@@ -204,6 +204,6 @@
     return store
 
 
-def export(store):
-    """All versions that a store keeps, and some that it no longer does: what `restore` needs."""
+def export_versions(store):
+    """All versions that a store keeps, and some that it no longer does: what `restore_store` needs."""
     return list(store.history)
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -19,8 +19,8 @@
     MAX_TOMBSTONES,
     MAX_VERSIONS_PER_KEY,
     VersionedStore,
-    export,
-    restore,
+    export_versions,
+    restore_store,
 )
 from embertray.cluster.replication.timing import FeedSettings
 from embertray.cluster.replication.token_bucket import TokenBucket
@@ -61,7 +61,9 @@
     @given(WRITES)
     def test_what_is_exported_is_restored(self, writes):
         store = store_of(entries_of(writes))
-        again = restore(store.revision, store.term, export(store), store.requests.items(), store.forgotten)
+        again = restore_store(
+            store.revision, store.term, export_versions(store), store.requests.items(), store.forgotten
+        )
         self.assertEqual((again.revision, again.term), (store.revision, store.term))
         self.assertEqual((again.entries, again.digests), (store.entries, store.digests))
         self.assertEqual(
