--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -12,7 +12,7 @@
 MAX_REQUEST_IDS = 4_096  # newest request ids remembered against repeated calls
 DIGEST_BUCKETS = 64  # parts of the key space that are compared by digest: 4,000 keys make 63 each
 
-LAST_KEY = "\U0010ffff" * 2  # sorts after every key
+MAX_KEY = "\U0010ffff" * 2  # sorts after every key
 COMPACTION_SLACK = 256  # outdated items that a list may hold before it is built anew
 
 
@@ -38,7 +38,7 @@
         self.forgotten = 0
         self.bytes = 0
         self.entries = {}  # key -> newest Entry, removals included
-        self.order = []  # (revision, key), rising; pairs that a newer entry outdated are skipped
+        self.revision_index = []  # (revision, key), rising; pairs that a newer entry outdated are skipped
         self.versions = {}  # key -> deque of Entry, oldest first, the newest included
         self.history = []  # all versions in the order they came, some that are no longer kept among them
         self.outdated = 0  # number of these
@@ -66,8 +66,10 @@
 
     def entries_since(self, revision):
         """Yields the newest entries written after `revision`, in order. Costs what is read of it."""
-        for position in range(bisect_right(self.order, (revision, LAST_KEY)), len(self.order)):
-            written, key = self.order[position]
+        for position in range(
+            bisect_right(self.revision_index, (revision, MAX_KEY)), len(self.revision_index)
+        ):
+            written, key = self.revision_index[position]
             entry = self.entries.get(key)
             if entry is not None and entry.revision == written:
                 yield entry
@@ -101,7 +103,7 @@
         if former is not None and former.revision >= entry.revision:
             return False
         self._replace(former, entry)
-        self._keep_version(entry)
+        self._add_version(entry)
         return True
 
     def advance(self, revision, term=0):
@@ -116,7 +118,7 @@
         if entry is None:
             return
         if entry.value is not None:
-            self._uncount(entry)
+            self._remove_live(entry)
         for version in self.versions.pop(key, ()):
             self.bytes -= version.size
             self.outdated += 1
@@ -132,31 +134,31 @@
 
     def _replace(self, former, entry):
         if former is not None and former.value is not None:
-            self._uncount(former)
+            self._remove_live(former)
         self.entries[entry.key] = entry
-        insort(self.order, (entry.revision, entry.key))
-        if len(self.order) > 2 * len(self.entries) + COMPACTION_SLACK:
-            self.order = sorted((newest.revision, newest.key) for newest in self.entries.values())
+        insort(self.revision_index, (entry.revision, entry.key))
+        if len(self.revision_index) > 2 * len(self.entries) + COMPACTION_SLACK:
+            self.revision_index = sorted((newest.revision, newest.key) for newest in self.entries.values())
         if entry.value is None:
-            self._keep_tombstone(entry)
+            self._add_tombstone(entry)
         else:
-            self._count(entry)
+            self._add_live(entry)
 
-    def _count(self, entry):
+    def _add_live(self, entry):
         bucket = bucket_of(entry.key)
         self.digests[bucket] ^= entry.fingerprint
         self.bucket_keys[bucket].add(entry.key)
         self.live_count += 1
         self.live_bytes += entry.size
 
-    def _uncount(self, entry):
+    def _remove_live(self, entry):
         bucket = bucket_of(entry.key)
         self.digests[bucket] ^= entry.fingerprint
         self.bucket_keys[bucket].discard(entry.key)
         self.live_count -= 1
         self.live_bytes -= entry.size
 
-    def _keep_tombstone(self, entry):
+    def _add_tombstone(self, entry):
         self.tombstones.append((entry.key, entry.revision))
         while len(self.tombstones) > MAX_TOMBSTONES:
             key, revision = self.tombstones.popleft()
@@ -165,7 +167,7 @@
             if newest is not None and newest.revision == revision:
                 self.discard(key)
 
-    def _keep_version(self, entry):
+    def _add_version(self, entry):
         versions = self.versions.setdefault(entry.key, deque())
         versions.append(entry)
         self.history.append(entry)
