--- a/embertray/cluster/replication/candidate.py
+++ b/embertray/cluster/replication/candidate.py
@@ -97,7 +97,7 @@
     def _leader_is_alive(self, now):
         if self.role is Role.LEADER:
             return self.has_majority(now)
-        return now - self.leader_heard_at < self.timing.election_timeout_min
+        return now - self.leader_last_received_at < self.timing.election_timeout_min
 
     def _is_up_to_date(self, message):
         """Whether the sender's log ends no earlier than ours: then it has every committed entry."""
--- a/embertray/cluster/replication/follower.py
+++ b/embertray/cluster/replication/follower.py
@@ -10,7 +10,7 @@
 
     def __init__(self, cluster, name, names, now, *args, **kwargs):
         super().__init__(cluster, name, names, now, *args, **kwargs)
-        self.leader_heard_at = now - self.timing.election_timeout_max  # ns; no leader is heard yet
+        self.leader_last_received_at = now - self.timing.election_timeout_max  # ns; no leader is heard yet
 
     def _accept_leader(self, now, message):
         """Whether the sender leads in our term or a newer one; then it is our leader."""
@@ -20,7 +20,7 @@
         if message.term > self.term or self.role is not Role.FOLLOWER:
             self._step_down(message.term)
         self.leader = message.sender
-        self.leader_heard_at = now
+        self.leader_last_received_at = now
         self._reset_election_timer(now)
         return True
 
--- a/embertray/cluster/replication/link/inbound_peers.py
+++ b/embertray/cluster/replication/link/inbound_peers.py
@@ -19,14 +19,14 @@
         log: a structlog logger.
 
     Attributes:
-        heard_at: name of each other replica -> ns of its last message.
+        last_received_at: name of each other replica -> ns of its last message.
     """
 
     def __init__(self, replica, events, traffic, log):
         super().__init__(decode_replica_message, MAX_REPLICA_FRAME, traffic, log)
         self.replica = replica
         self.events = events
-        self.heard_at = {}
+        self.last_received_at = {}
 
     def identify(self, message):
         """The sender's name. Raises ConnectionRejectedError for strangers."""
@@ -41,7 +41,7 @@
         await self.events.submit_and_wait(partial(self._receive, name, messages))
 
     def _receive(self, name, messages, now):
-        self.heard_at[name] = now
+        self.last_received_at[name] = now
         for message in messages:
             if message.sender == name:
                 self.replica.receive(now, message)
--- a/embertray/cluster/replication/link/peer_link.py
+++ b/embertray/cluster/replication/link/peer_link.py
@@ -19,16 +19,16 @@
 
     Args:
         address: returns where the other replica listens.
-        heard_at: returns the ns when it was last heard.
+        last_received_at: returns the ns when it was last heard.
         net: opens connections.
         clock: the process's clock.
         rng: a random.Random.
         traffic: the Traffic to count in.
     """
 
-    def __init__(self, address, heard_at, net, clock, rng, traffic):
+    def __init__(self, address, last_received_at, net, clock, rng, traffic):
         self.address = address
-        self.heard_at = heard_at
+        self.last_received_at = last_received_at
         self.net = net
         self.clock = clock
         self.rng = rng
@@ -44,7 +44,7 @@
         # A peer that stopped, or a link that passes one way, leaves the stream full of outdated messages and
         # nothing breaks it. Renewed, the connection starts with the newest ones.
         now = self.clock.now()
-        if now - max(self.heard_at(), self.connected_at) > PEER_SILENCE_NS:
+        if now - max(self.last_received_at(), self.connected_at) > PEER_SILENCE_NS:
             self.connection.close()
         self.connection.put(data)
 
--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -148,7 +148,7 @@
     def _peer_link(self, name):
         return PeerLink(
             address=lambda: self.settings.peers[name],
-            heard_at=lambda: self.peers.heard_at.get(name, 0),
+            last_received_at=lambda: self.peers.last_received_at.get(name, 0),
             net=self.net,
             clock=self.clock,
             rng=self.rng,
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -70,7 +70,7 @@
         self.connection_id = 0
         self.connected = False
         self.connecting = False
-        self.heard_at = now  # ns of the last message, or of the connection attempt
+        self.last_received_at = now  # ns of the last message, or of the connection attempt
         self.repair_at = now  # ns before which no further repair is asked for
         self.counters = dict.fromkeys(("dials", "updates", "duplicates", "gaps", "repairs", "moves"), 0)
 
@@ -93,9 +93,9 @@
     def next_at(self):
         """Time in ns by which `advance` has to be called."""
         if self.connected:
-            return min(self.heard_at + self.timing.silence_timeout, self.selector.return_at)
+            return min(self.last_received_at + self.timing.silence_timeout, self.selector.return_at)
         if self.connecting:
-            return self.heard_at + self.timing.connect_timeout
+            return self.last_received_at + self.timing.connect_timeout
         return self.selector.dial_at
 
     # ---- time and connections
@@ -103,12 +103,12 @@
     def advance(self, now):
         """Does what is due at the time `now`, ns."""
         if self.connected:
-            if now - self.heard_at >= self.timing.silence_timeout:
+            if now - self.last_received_at >= self.timing.silence_timeout:
                 self._leave(now, "silent")
             elif now >= self.selector.return_at:
                 self._return_to_first(now)
         elif self.connecting:
-            if now - self.heard_at >= self.timing.connect_timeout:
+            if now - self.last_received_at >= self.timing.connect_timeout:
                 self._leave(now, "no connection")
         elif now >= self.selector.dial_at:
             self._connect(now)
@@ -119,7 +119,7 @@
             return
         self.connected = True
         self.connecting = False
-        self.heard_at = now
+        self.last_received_at = now
         self.selector.connected(now)
         self._subscribe(now, self.revision)
 
@@ -142,7 +142,7 @@
         self.bucket.spend(size)
         if connection_id != self.connection_id or not self.connected:
             return
-        self.heard_at = now
+        self.last_received_at = now
         if isinstance(message, Heartbeat):
             self._on_heartbeat(now, message)
         elif isinstance(message, Update):
@@ -153,7 +153,7 @@
     def _connect(self, now):
         self.connection_id += 1
         self.connecting = True
-        self.heard_at = now
+        self.last_received_at = now
         self.counters["dials"] += 1
         self.actions.append(OpenConnection(self.replica, self.connection_id))
 
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -113,7 +113,7 @@
         subscription.subscribed(now, message, self.store().revision)
 
     def _repair(self, now, subscription, message):
-        subscription.heard_at = now
+        subscription.last_received_at = now
         digests = self.store().digests
         if len(message.digests) != len(digests):
             raise SubscriberRejectedError(f"{len(digests)} digests are expected")
@@ -138,7 +138,7 @@
             subscription = self.subscriptions.get(name)
             if subscription is None:
                 continue
-            if now - subscription.heard_at > self.settings.silence_timeout:
+            if now - subscription.last_received_at > self.settings.silence_timeout:
                 out.silent.append(name)
                 continue
             self._serve(now, subscription, age, out.messages)
--- a/embertray/cluster/replication/subscription.py
+++ b/embertray/cluster/replication/subscription.py
@@ -19,7 +19,7 @@
         missed_up_to: the replica's revision when it subscribed: it catches up until it has confirmed that.
         recent_sent: newest revision that was sent to it before all that it missed.
         recent_is_next: whether recent entries go before more of what it missed.
-        heard_at: ns of its last message.
+        last_received_at: ns of its last message.
         heartbeat_at: ns when the next heartbeat is due.
         in_flight: revision that the update under way leads to; None if there is none.
         retry_at: ns when that update is given up.
@@ -33,7 +33,7 @@
     name: str
     bucket: TokenBucket
     confirmed: int
-    heard_at: int
+    last_received_at: int
     heartbeat_at: int
     missed_up_to: int = 0
     recent_sent: int = 0
@@ -57,7 +57,7 @@
         self.missed_up_to = revision
         self.recent_sent = revision
         self.recent_is_next = True
-        self.heard_at = now
+        self.last_received_at = now
         self.in_flight = None
         self.failures = 0
         self.stamp = message.stamp
@@ -65,7 +65,7 @@
 
     def confirm(self, now, message):
         """Takes a Confirm received at `now` (ns)."""
-        self.heard_at = now
+        self.last_received_at = now
         self.confirmed = max(self.confirmed, message.revision)
         self.stamp = max(self.stamp, message.stamp)
         if self.in_flight is not None and self.confirmed >= self.in_flight:
