--- a/embertray/cluster/replication/follower.py
+++ b/embertray/cluster/replication/follower.py
@@ -35,7 +35,7 @@
         self._commit(min(message.commit, matched))
         if 0 < message.echo <= now:  # an echo in the future is of a clock before this machine's boot
             self.freshness.observe_commit(message.echo, message.commit, message.age, self.store.revision)
-        if self.nonce and message.admitted == self.nonce and not self.silent_until:
+        if self.nonce and message.admitted == self.nonce and not self.prior_votes_expire_at:
             self._finish_recovery()
         self._reply(now, message, True, matched)
 
--- a/embertray/cluster/replication/recovery.py
+++ b/embertray/cluster/replication/recovery.py
@@ -18,7 +18,9 @@
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.nonce = 0  # not 0 while this replica recovers
-        self.silent_until = 0  # ns until which a vote of the former process could still elect a leader
+        self.prior_votes_expire_at = (
+            0  # ns until which a vote of the former process could still elect a leader
+        )
         self.blank_replies = set()  # names of replicas that never voted and hold nothing
 
     @property
@@ -28,15 +30,15 @@
 
     def _begin_recovery(self, now):
         self.nonce = self.rng.randrange(1, NONCE_LIMIT)
-        self.silent_until = now + self.timing.recovery_wait
+        self.prior_votes_expire_at = now + self.timing.recovery_wait
 
-    def _ask_whether_blank(self, now):
+    def _send_recover_requests(self, now):
         self.heartbeat_at = now + self.timing.heartbeat_interval
-        if self.silent_until and now >= self.silent_until:
+        if self.prior_votes_expire_at and now >= self.prior_votes_expire_at:
             # a leader may have answered the first nonce before the silence was over: only an answer to a
             # nonce drawn after it proves a majority that did not count on votes of the former process
             self.nonce = self.rng.randrange(1, NONCE_LIMIT)
-            self.silent_until = 0
+            self.prior_votes_expire_at = 0
             self.blank_replies = set()
         for other in self.others:
             self._send(other, RecoverRequest(self.cluster, self.name, self.term, self.nonce))
@@ -55,5 +57,5 @@
 
     def _finish_recovery(self):
         self.nonce = 0
-        self.silent_until = 0
+        self.prior_votes_expire_at = 0
         self.changed = True
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -127,7 +127,7 @@
     def advance(self, now):
         """Does what is due at the time `now`, ns."""
         if self.recovering and now >= self.heartbeat_at:
-            self._ask_whether_blank(now)
+            self._send_recover_requests(now)
         if self.role is Role.LEADER:
             self._lead(now)
         elif now >= self.election_at and not self.recovering:
