--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -22,7 +22,7 @@
         sent: the newest revision that was sent to it, confirmed or not.
         acknowledged: the newest round that it answered.
         nonce: of its recovery; 0 if its answers count.
-        nonce_at: ns when that nonce was first received.
+        nonce_received_at: ns when that nonce was first received.
         admitted: whether it was notified that its recovery is over.
         stamp: the newest time of its own clock that it sent, ns.
     """
@@ -32,7 +32,7 @@
     sent: int = 0
     acknowledged: int = 0
     nonce: int = 0
-    nonce_at: int = 0
+    nonce_received_at: int = 0
     admitted: bool = False
     stamp: int = 0
 
@@ -44,13 +44,13 @@
         super().__init__(cluster, name, names, now, *args, **kwargs)
         self.followers = {}  # name -> FollowerProgress, while this replica leads
         self.round = 0  # number of the newest round of this term
-        self.round_began = {}  # round -> ns, for rounds that no majority has answered yet
-        self.quorum_at = now  # ns when the newest round that a majority answered was sent
+        self.round_started_at = {}  # round -> ns, for rounds that no majority has answered yet
+        self.quorum_confirmed_at = now  # ns when the newest round that a majority answered was sent
         self.reports = {}  # name -> the last Appended of that replica
 
     def has_majority(self, now):
         """Whether this replica leads and a majority has confirmed that lately."""
-        return self.role is Role.LEADER and now - self.quorum_at <= self.timing.quorum_timeout
+        return self.role is Role.LEADER and now - self.quorum_confirmed_at <= self.timing.quorum_timeout
 
     def _become_leader(self, now):
         """Starts the term with an empty entry: only an entry of its own term lets a leader commit."""
@@ -58,13 +58,13 @@
         self.leader = self.name
         self.followers = {other: FollowerProgress(self.last_revision + 1) for other in self.others}
         self.round = 0
-        self.round_began = {}
-        self.quorum_at = now
+        self.round_started_at = {}
+        self.quorum_confirmed_at = now
         self._propose(now, Entry("", self.last_revision + 1, self.term, "", None))
 
     def _lead(self, now):
         """Sends the next heartbeat, or steps down when no majority answers any more."""
-        if now - self.quorum_at > self.timing.election_timeout_max:
+        if now - self.quorum_confirmed_at > self.timing.election_timeout_max:
             self._step_down(self.term)
             self.leader = ""
             self._reset_election_timer(now)
@@ -83,9 +83,9 @@
         """Starts a round: all get new entries, or a heartbeat; with `resend` what is unconfirmed, too."""
         self.heartbeat_at = now + self.timing.heartbeat_interval
         self.round += 1
-        self.round_began[self.round] = now
+        self.round_started_at[self.round] = now
         if not self.others:
-            self.quorum_at = now
+            self.quorum_confirmed_at = now
         for other in self.others:
             self._replicate_to(now, other, resend)
 
@@ -125,7 +125,7 @@
         # A recovering replica is readmitted once a majority has confirmed us after its nonce arrived. Its own
         # answers do not count while it recovers, so that majority does without it, and no vote that its
         # former process gave can elect a leader that lacks what was committed.
-        readmit = progress.nonce and self.quorum_at > progress.nonce_at
+        readmit = progress.nonce and self.quorum_confirmed_at > progress.nonce_received_at
         admitted = progress.nonce if readmit else 0
         progress.admitted = progress.admitted or bool(admitted)
         return Append(
@@ -165,7 +165,7 @@
         progress.stamp = max(progress.stamp, message.stamp)
         if message.nonce and message.nonce != progress.nonce:
             # it lost its state: what it confirmed before no longer counts
-            progress.nonce_at = now
+            progress.nonce_received_at = now
             progress.match = 0
             progress.acknowledged = 0
             progress.admitted = False
@@ -184,10 +184,10 @@
         """When the newest round that a majority answered was sent, this replica led for certain."""
         acknowledged = [progress.acknowledged for progress in self.followers.values()]
         confirmed = sorted([self.round, *acknowledged], reverse=True)[self.majority - 1]
-        if confirmed in self.round_began:
-            self.quorum_at = max(self.quorum_at, self.round_began[confirmed])
-            for outdated in [number for number in self.round_began if number < confirmed]:
-                del self.round_began[outdated]
+        if confirmed in self.round_started_at:
+            self.quorum_confirmed_at = max(self.quorum_confirmed_at, self.round_started_at[confirmed])
+            for outdated in [number for number in self.round_started_at if number < confirmed]:
+                del self.round_started_at[outdated]
 
     def _commit_on_majority(self, now):
         """Commits what a majority has, once that includes an entry of our own term.
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -77,7 +77,9 @@
     def _refresh_own_lead(self, now):
         """A leader that has committed in its own term holds all that is committed, as long as it leads."""
         if self.role is Role.LEADER and self.store.term == self.term:
-            self.freshness.observe_commit(self.quorum_at, self.store.revision, 0, self.store.revision)
+            self.freshness.observe_commit(
+                self.quorum_confirmed_at, self.store.revision, 0, self.store.revision
+            )
 
     def next_at(self):
         """Time in ns by which `advance` has to be called."""
