--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -18,9 +18,9 @@
 
     Attributes:
         next_revision: the first entry that it is to be sent.
-        match: it has everything up to this revision on disk.
-        sent: the newest revision that was sent to it, confirmed or not.
-        acknowledged: the newest round that it answered.
+        match_revision: it has everything up to this revision on disk.
+        sent_revision: the newest revision that was sent to it, confirmed or not.
+        acknowledged_round: the newest round that it answered.
         nonce: of its recovery; 0 if its answers count.
         nonce_received_at: ns when that nonce was first received.
         admitted: whether it was notified that its recovery is over.
@@ -28,9 +28,9 @@
     """
 
     next_revision: int
-    match: int = 0
-    sent: int = 0
-    acknowledged: int = 0
+    match_revision: int = 0
+    sent_revision: int = 0
+    acknowledged_round: int = 0
     nonce: int = 0
     nonce_received_at: int = 0
     admitted: bool = False
@@ -94,12 +94,12 @@
         progress = self.followers[other]
         previous = progress.next_revision - 1
         if not resend:
-            previous = max(previous, progress.sent)
+            previous = max(previous, progress.sent_revision)
         if previous < self.store.revision:
-            progress.sent = self.store.revision
+            progress.sent_revision = self.store.revision
             self._send(other, self._install_message(previous))
         else:
-            progress.sent = self.last_revision
+            progress.sent_revision = self.last_revision
             self._send(other, self._append_message(now, progress, previous))
 
     def _install_message(self, previous):
@@ -158,7 +158,7 @@
         self._confirm_leadership()
         if self._commit_on_majority(now):
             self._broadcast(now)
-        elif not message.accepted or progress.sent < self.last_revision:
+        elif not message.accepted or progress.sent_revision < self.last_revision:
             self._replicate_to(now, message.sender, resend=not message.accepted)
 
     def _update_progress(self, now, progress, message):
@@ -166,8 +166,8 @@
         if message.nonce and message.nonce != progress.nonce:
             # it lost its state: what it confirmed before no longer counts
             progress.nonce_received_at = now
-            progress.match = 0
-            progress.acknowledged = 0
+            progress.match_revision = 0
+            progress.acknowledged_round = 0
             progress.admitted = False
         progress.nonce = message.nonce
         if message.accepted:
@@ -176,13 +176,13 @@
             progress.next_revision = min(message.last_revision, self.last_revision) + 1
         if progress.nonce:
             return
-        progress.acknowledged = max(progress.acknowledged, message.round)
+        progress.acknowledged_round = max(progress.acknowledged_round, message.round)
         if message.accepted:
-            progress.match = max(progress.match, message.last_revision)
+            progress.match_revision = max(progress.match_revision, message.last_revision)
 
     def _confirm_leadership(self):
         """When the newest round that a majority answered was sent, this replica led for certain."""
-        acknowledged = [progress.acknowledged for progress in self.followers.values()]
+        acknowledged = [progress.acknowledged_round for progress in self.followers.values()]
         confirmed = sorted([self.round, *acknowledged], reverse=True)[self.majority - 1]
         if confirmed in self.round_started_at:
             self.quorum_confirmed_at = max(self.quorum_confirmed_at, self.round_started_at[confirmed])
@@ -198,7 +198,7 @@
         Returns:
             Whether anything was committed.
         """
-        matches = [progress.match for progress in self.followers.values()]
+        matches = [progress.match_revision for progress in self.followers.values()]
         revision = sorted([self.last_revision, *matches], reverse=True)[self.majority - 1]
         if revision <= self.store.revision or self._term_at(revision) != self.term:
             return False
