--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -62,7 +62,7 @@
         self.quorum_confirmed_at = now
         self._propose(now, Entry("", self.last_revision + 1, self.term, "", None))
 
-    def _lead(self, now):
+    def _advance_leader(self, now):
         """Sends the next heartbeat, or steps down when no majority answers any more."""
         if now - self.quorum_confirmed_at > self.timing.election_timeout_max:
             self._step_down(self.term)
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -66,15 +66,15 @@
             ns since it was certain that nothing newer than `store.revision` was committed; None if it never
             was.
         """
-        self._refresh_own_lead(now)
+        self._refresh_leader_freshness(now)
         return self.freshness.age(now)
 
     def advertised_age(self, now):
         """The age as it is sent to others: AGE_UNKNOWN in place of None."""
-        self._refresh_own_lead(now)
+        self._refresh_leader_freshness(now)
         return self.freshness.advertised_age(now)
 
-    def _refresh_own_lead(self, now):
+    def _refresh_leader_freshness(self, now):
         """A leader that has committed in its own term holds all that is committed, as long as it leads."""
         if self.role is Role.LEADER and self.store.term == self.term:
             self.freshness.observe_commit(
@@ -131,7 +131,7 @@
         if self.recovering and now >= self.heartbeat_at:
             self._send_recover_requests(now)
         if self.role is Role.LEADER:
-            self._lead(now)
+            self._advance_leader(now)
         elif now >= self.election_at and not self.recovering:
             self._start_preliminary_vote(now)
         elif now >= self.election_at:
