--- a/embertray/cluster/replication/candidate.py
+++ b/embertray/cluster/replication/candidate.py
@@ -35,7 +35,7 @@
         """Enters the next term and votes for itself."""
         self.term += 1
         self.voted_for = self.name
-        self.changed = True
+        self.state_changed = True
         self.preliminary = False
         self.votes = {self.name}
         self._reset_election_timer(now)
@@ -90,7 +90,7 @@
         if not self._is_up_to_date(message):
             return False
         self.voted_for = message.sender
-        self.changed = True
+        self.state_changed = True
         self._reset_election_timer(now)
         return True
 
@@ -108,7 +108,7 @@
         if term > self.term:
             self.term = term
             self.voted_for = ""
-            self.changed = True
+            self.state_changed = True
         self.role = Role.FOLLOWER
         self.followers = {}
         self.preliminary = False
--- a/embertray/cluster/replication/follower.py
+++ b/embertray/cluster/replication/follower.py
@@ -58,7 +58,7 @@
             if term is not None:
                 del self.uncommitted[entry.revision - self.store.revision - 1 :]
             self.uncommitted.append(entry)
-            self.changed = True
+            self.state_changed = True
 
     def _on_install(self, now, message):
         if not self._accept_leader(now, message):
@@ -82,7 +82,7 @@
         self.store.record_requests(message.requests)
         self.store.advance(message.commit, message.commit_term)
         self.uncommitted = remainder
-        self.changed = True
+        self.state_changed = True
         self.freshness.revision_reached(self.store.revision)
 
     def _remove_all_but(self, live_keys, commit):
--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -73,7 +73,7 @@
 
     def _propose(self, now, entry):
         self.uncommitted.append(entry)
-        self.changed = True
+        self.state_changed = True
         self._commit_on_majority(now)
         self._broadcast(now)
 
--- a/embertray/cluster/replication/recovery.py
+++ b/embertray/cluster/replication/recovery.py
@@ -58,4 +58,4 @@
     def _finish_recovery(self):
         self.nonce = 0
         self.prior_votes_expire_at = 0
-        self.changed = True
+        self.state_changed = True
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -147,7 +147,7 @@
         """Returns the ReplicaInstructions since the last call."""
         instructions = self.instructions
         self.instructions = ReplicaInstructions()
-        if self.changed:
+        if self.state_changed:
             instructions.state = self._durable_state()
-            self.changed = False
+            self.state_changed = False
         return instructions
--- a/embertray/cluster/replication/replica_core.py
+++ b/embertray/cluster/replication/replica_core.py
@@ -39,7 +39,7 @@
         self.voted_for = ""
         self.store = VersionedStore()
         self.uncommitted = []  # entries after store.revision, without gaps
-        self.changed = False  # the durable state differs from what was handed out last
+        self.state_changed = False  # the durable state differs from what was handed out last
         # every role
         self.role = Role.FOLLOWER
         self.leader = ""
@@ -82,7 +82,7 @@
             self.store.apply(entry)
             self.store.advance(entry.revision, entry.term)
             self.instructions.committed.append(entry)
-            self.changed = True
+            self.state_changed = True
         self.freshness.revision_reached(self.store.revision)
 
     def _newest_entry(self, key):
