--- a/embertray/cluster/replication/replica_selector.py
+++ b/embertray/cluster/replication/replica_selector.py
@@ -1,7 +1,7 @@
 """Which replica a subscriber follows, and when it tries the next one."""
 
 MAX_BACKOFF_DOUBLINGS = 8
-NEVER = 2**62  # ns
+NEVER_NS = 2**62  # ns
 
 
 class ReplicaSelector:
@@ -19,7 +19,7 @@
         timing: a SubscriberTiming.
 
     Attributes:
-        dial_at: ns when the replica is to be connected to.
+        connect_at: ns when the replica is to be connected to.
         connected_at: ns when the present connection came up.
     """
 
@@ -30,7 +30,7 @@
         self.index = 0
         self.failures = 0  # since a replica last answered and was fresh
         self.stale_moves = 0  # replicas left as stale since the last fresh one
-        self.dial_at = now
+        self.connect_at = now
         self.connected_at = now
 
     @property
@@ -38,22 +38,22 @@
         """Name of the replica that is followed or tried."""
         return self.replicas[self.index]
 
-    def connected(self, now):
+    def on_connected(self, now):
         """The connection to the current replica came up at `now` (ns)."""
         self.connected_at = now
 
-    def confirmed_fresh(self):
+    def mark_fresh(self):
         """The current replica is in contact with the majority."""
         self.failures = 0
         self.stale_moves = 0
 
-    def next_replica(self, now):
+    def select_next(self, now):
         """Chooses the next replica, and when to connect to it."""
         self.failures += 1
         self.index = (self.index + 1) % len(self.replicas)
         rounds, rest = divmod(self.failures, len(self.replicas))
         pause = 0 if rest else self._backoff(rounds)
-        self.dial_at = now + pause + self._jitter()
+        self.connect_at = now + pause + self._jitter()
 
     def _backoff(self, rounds):
         """Time in ns to pause after all replicas have failed `rounds` times."""
@@ -63,7 +63,7 @@
     def _jitter(self):
         return self.rng.randrange(self.timing.initial_retry_delay)
 
-    def leaves_stale(self, now):
+    def should_leave_stale(self, now):
         """Whether the current replica, which is cut off from the majority, is to be left.
 
         Once all replicas were found stale, each is kept a while: moving on would only cost connections.
@@ -75,11 +75,11 @@
         return True
 
     @property
-    def return_at(self):
+    def failback_at(self):
         """Time in ns when the first replica is tried again, if another one is followed."""
-        return self.connected_at + self.timing.failback_delay if self.index else NEVER
+        return self.connected_at + self.timing.failback_delay if self.index else NEVER_NS
 
-    def return_to_first(self, now):
+    def fail_back(self, now):
         """Chooses the first replica again."""
         self.index = 0
-        self.dial_at = now + self._jitter()
+        self.connect_at = now + self._jitter()
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -93,10 +93,10 @@
     def next_at(self):
         """Time in ns by which `advance` has to be called."""
         if self.connected:
-            return min(self.last_received_at + self.timing.silence_timeout, self.selector.return_at)
+            return min(self.last_received_at + self.timing.silence_timeout, self.selector.failback_at)
         if self.connecting:
             return self.last_received_at + self.timing.connect_timeout
-        return self.selector.dial_at
+        return self.selector.connect_at
 
     # ---- time and connections
 
@@ -105,12 +105,12 @@
         if self.connected:
             if now - self.last_received_at >= self.timing.silence_timeout:
                 self._leave(now, "silent")
-            elif now >= self.selector.return_at:
-                self._return_to_first(now)
+            elif now >= self.selector.failback_at:
+                self._fail_back(now)
         elif self.connecting:
             if now - self.last_received_at >= self.timing.connect_timeout:
                 self._leave(now, "no connection")
-        elif now >= self.selector.dial_at:
+        elif now >= self.selector.connect_at:
             self._connect(now)
 
     def connection_opened(self, now, connection_id):
@@ -120,7 +120,7 @@
         self.connected = True
         self.connecting = False
         self.last_received_at = now
-        self.selector.connected(now)
+        self.selector.on_connected(now)
         self._subscribe(now, self.revision)
 
     def connection_lost(self, now, connection_id):
@@ -165,13 +165,13 @@
         self.connected = False
         self.connecting = False
         self.counters["moves"] += 1
-        self.selector.next_replica(now)
+        self.selector.select_next(now)
 
-    def _return_to_first(self, now):
+    def _fail_back(self, now):
         self.actions.append(CloseConnection(self.connection_id, "back to the first replica"))
         self.connected = False
         self.counters["moves"] += 1
-        self.selector.return_to_first(now)
+        self.selector.fail_back(now)
 
     # ---- messages
 
@@ -179,12 +179,12 @@
         if 0 < message.echo <= now:
             self.freshness.observe_commit(message.echo, message.commit, message.age, self.revision)
         if message.age > self.timing.stale_after:
-            if self.selector.leaves_stale(now):
+            if self.selector.should_leave_stale(now):
                 self._leave(now, "apart from the majority")
             else:
                 self._send(Confirm(self.revision, now))
             return
-        self.selector.confirmed_fresh()
+        self.selector.mark_fresh()
         self._check_digest(now, message)
         self._send(Confirm(self.revision, now))
 
