--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -71,7 +71,7 @@
         self.connected = False
         self.connecting = False
         self.last_received_at = now  # ns of the last message, or of the connection attempt
-        self.repair_at = now  # ns before which no further repair is asked for
+        self.next_repair_at = now  # ns before which no further repair is asked for
         self.counters = dict.fromkeys(("dials", "updates", "duplicates", "gaps", "repairs", "moves"), 0)
 
     # ---- queries
@@ -104,12 +104,12 @@
         """Does what is due at the time `now`, ns."""
         if self.connected:
             if now - self.last_received_at >= self.timing.silence_timeout:
-                self._leave(now, "silent")
+                self._disconnect(now, "silent")
             elif now >= self.selector.failback_at:
                 self._fail_back(now)
         elif self.connecting:
             if now - self.last_received_at >= self.timing.connect_timeout:
-                self._leave(now, "no connection")
+                self._disconnect(now, "no connection")
         elif now >= self.selector.connect_at:
             self._connect(now)
 
@@ -157,7 +157,7 @@
         self.counters["dials"] += 1
         self.actions.append(OpenConnection(self.replica, self.connection_id))
 
-    def _leave(self, now, reason):
+    def _disconnect(self, now, reason):
         self.actions.append(CloseConnection(self.connection_id, reason))
         self._try_next(now)
 
@@ -180,7 +180,7 @@
             self.freshness.observe_commit(message.echo, message.commit, message.age, self.revision)
         if message.age > self.timing.stale_after:
             if self.selector.should_leave_stale(now):
-                self._leave(now, "apart from the majority")
+                self._disconnect(now, "apart from the majority")
             else:
                 self._send(Confirm(self.revision, now))
             return
@@ -191,8 +191,8 @@
     def _check_digest(self, now, message):
         """Asks for a repair if the same revision has another digest: an entry here or there is corrupt."""
         same_revision = message.commit == self.revision
-        if same_revision and message.digest != self.store.digest and now >= self.repair_at:
-            self.repair_at = now + self.timing.silence_timeout
+        if same_revision and message.digest != self.store.digest and now >= self.next_repair_at:
+            self.next_repair_at = now + self.timing.silence_timeout
             self.counters["repairs"] += 1
             self._send(Repair(self.store.digests))
 
