--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -110,7 +110,7 @@
             bucket = TokenBucket(self.settings.sustained_bytes_per_second, self.settings.burst_bytes, now)
             subscription = Subscription(name, bucket, message.revision, now, now)
             self.subscriptions[name] = subscription
-        subscription.subscribed(now, message, self.store().revision)
+        subscription.restart(now, message, self.store().revision)
 
     def _repair(self, now, subscription, message):
         subscription.last_received_at = now
@@ -186,7 +186,7 @@
         self._send(now, subscription, encode(heartbeat), out)
 
     def _send_update(self, now, subscription, out):
-        recent_first = subscription.catches_up and subscription.recent_is_next
+        recent_first = subscription.catching_up and subscription.recent_is_next
         if not (recent_first and self._send_recent(now, subscription, out)):
             self._send_missing(now, subscription, out)
 
--- a/embertray/cluster/replication/subscription.py
+++ b/embertray/cluster/replication/subscription.py
@@ -16,7 +16,7 @@
         name: of the subscriber.
         bucket: the bytes that it may be sent.
         confirmed: revision up to which it has applied everything.
-        missed_up_to: the replica's revision when it subscribed: it catches up until it has confirmed that.
+        catch_up_revision: the replica's revision when it subscribed; it catches up until that is confirmed.
         recent_sent: newest revision that was sent to it before all that it missed.
         recent_is_next: whether recent entries go before more of what it missed.
         last_received_at: ns of its last message.
@@ -35,7 +35,7 @@
     confirmed: int
     last_received_at: int
     heartbeat_at: int
-    missed_up_to: int = 0
+    catch_up_revision: int = 0
     recent_sent: int = 0
     recent_is_next: bool = True
     in_flight: int | None = None
@@ -47,14 +47,14 @@
     wake_at: int = 0
 
     @property
-    def catches_up(self):
+    def catching_up(self):
         """Whether it still lacks some of what was written before it subscribed."""
-        return self.confirmed < self.missed_up_to
+        return self.confirmed < self.catch_up_revision
 
-    def subscribed(self, now, message, revision):
+    def restart(self, now, message, revision):
         """Starts anew with a Subscribe received at `now` (ns), when the replica has reached `revision`."""
         self.confirmed = message.revision
-        self.missed_up_to = revision
+        self.catch_up_revision = revision
         self.recent_sent = revision
         self.recent_is_next = True
         self.last_received_at = now
