--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -45,7 +45,7 @@
         self.settings = settings or FeedSettings()
         self.subscriptions = {}
         total = self.settings.total_bytes_per_second
-        self.total = TokenBucket(total, total, now)
+        self.total_bucket = TokenBucket(total, total, now)
         self.schedule = FeedSchedule()
         self.seen_revision = 0  # of the store, when subscribers were last looked at
         self.retries = 0
@@ -142,7 +142,7 @@
                 out.silent.append(name)
                 continue
             self._serve(now, subscription, age, out.messages)
-            self._plan(now, subscription)
+            self._schedule_next(now, subscription)
         for name in out.silent:
             self.unsubscribe(name)
         self.silent += len(out.silent)
@@ -155,7 +155,7 @@
             self.schedule.touch(self.subscriptions)
         return self.schedule.due(now, self.subscriptions)
 
-    def _plan(self, now, subscription):
+    def _schedule_next(self, now, subscription):
         times = [subscription.heartbeat_at]
         if subscription.in_flight is not None:
             times.append(subscription.retry_at)
@@ -192,7 +192,7 @@
 
     def _send_recent(self, now, subscription, out):
         """Sends what was written since it subscribed, before all that it missed. Returns whether any went."""
-        update = pack_recent(self.store(), subscription, self._room(now, subscription))
+        update = pack_recent(self.store(), subscription, self._available_bytes(now, subscription))
         if update is None:
             return False
         subscription.recent_update_sent(now, update.entries[-1].revision, self.settings)
@@ -201,28 +201,28 @@
 
     def _send_missing(self, now, subscription, out):
         """Sends as much as the budget allows, unless that is less than a chunk and more waits."""
-        room = self._room(now, subscription)
+        room = self._available_bytes(now, subscription)
         update = pack_missing(self.store(), subscription, room, self.settings.min_update_bytes)
         if update is not None:
             subscription.update_sent(now, update.upto, self.settings)
             self._send(now, subscription, encode(update), out)
 
-    def _room(self, now, subscription):
+    def _available_bytes(self, now, subscription):
         """Bytes of entries that an update may have now."""
-        available = min(subscription.bucket.available(now), self.total.available(now))
+        available = min(subscription.bucket.available(now), self.total_bucket.available(now))
         return available - FRAME_BYTES - UPDATE_BYTES
 
     def _send_inventory(self, now, subscription, out):
         store = self.store()
         bucket = subscription.repairs[0]
         data = encode(Inventory(bucket, store.revision, store.inventory(bucket)))
-        if subscription.bucket.allows(now, len(data)) and self.total.allows(now, len(data)):
+        if subscription.bucket.allows(now, len(data)) and self.total_bucket.allows(now, len(data)):
             subscription.repairs.popleft()
             self._send(now, subscription, data, out)
 
     def _send(self, now, subscription, data, out):
         size = len(data) + FRAME_BYTES
-        for bucket in (subscription.bucket, self.total):
+        for bucket in (subscription.bucket, self.total_bucket):
             bucket.available(now)
             bucket.spend(size)
         subscription.bytes_sent += size
