--- a/embertray/cluster/replication/entry.py
+++ b/embertray/cluster/replication/entry.py
@@ -7,7 +7,9 @@
 from msgspec import Meta
 
 MAX_KEY_BYTES = 256  # names such as "limits/search"; bytes are checked where a client writes
-ENTRY_OVERHEAD = 24  # bytes that an entry is charged beyond its key, request and value: numbers and framing
+ENTRY_OVERHEAD_BYTES = (
+    24  # bytes that an entry is charged beyond its key, request and value: numbers and framing
+)
 
 Count = Annotated[int, Meta(ge=0, le=2**62)]
 Digest = Annotated[int, Meta(ge=0)]  # 64 bits
@@ -36,7 +38,7 @@
     @property
     def size(self):
         """Bytes that the entry is charged, on the wire and in the store."""
-        return len(self.key) + len(self.request) + len(self.value or b"") + ENTRY_OVERHEAD
+        return len(self.key) + len(self.request) + len(self.value or b"") + ENTRY_OVERHEAD_BYTES
 
     @property
     def fingerprint(self):
--- a/embertray/cluster/replication/link/connection.py
+++ b/embertray/cluster/replication/link/connection.py
@@ -10,12 +10,14 @@
 
 CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 SEND_TIMEOUT_S = 10  # for one message; a peer that takes nothing for so long is gone
-READ_BYTES = 64 << 10  # read at once
+READ_CHUNK_BYTES = 64 << 10  # read at once
 
 # bytes of the largest frame that is accepted
-MAX_REPLICA_FRAME = 12 << 20  # a whole state (replica_core.MAX_STATE_BYTES, 8 MiB) may travel, with framing
-MAX_FRAME_FROM_SUBSCRIBER = 64 << 10  # a Repair with all its digests takes 640
-MAX_FRAME_TO_SUBSCRIBER = 256 << 10  # an inventory of 256 keys of 256 bytes each takes 72 KiB
+MAX_REPLICA_FRAME_BYTES = (
+    12 << 20
+)  # a whole state (replica_core.MAX_STATE_BYTES, 8 MiB) may travel, with framing
+MAX_FRAME_FROM_SUBSCRIBER_BYTES = 64 << 10  # a Repair with all its digests takes 640
+MAX_FRAME_TO_SUBSCRIBER_BYTES = 256 << 10  # an inventory of 256 keys of 256 bytes each takes 72 KiB
 
 
 class Overflow(Enum):
@@ -102,7 +104,7 @@
             self.traffic.dropped += len(self.queue)
 
     async def _write_next(self):
-        data = encode_frame(self.queue.popleft(), MAX_REPLICA_FRAME)
+        data = encode_frame(self.queue.popleft(), MAX_REPLICA_FRAME_BYTES)
         with anyio.fail_after(SEND_TIMEOUT_S):
             await self.stream.send(data)
         self.traffic.bytes_out += len(data)
@@ -122,7 +124,7 @@
             OSError: or another of CONNECTION_ERRORS; the stream broke.
         """
         while True:
-            data = await self.stream.receive(READ_BYTES)
+            data = await self.stream.receive(READ_CHUNK_BYTES)
             self.traffic.bytes_in += len(data)
             payloads = decoder.feed(data)
             if payloads:
--- a/embertray/cluster/replication/link/inbound_connections.py
+++ b/embertray/cluster/replication/link/inbound_connections.py
@@ -13,7 +13,7 @@
 
 IDENTIFY_TIMEOUT_S = 2  # until a connection's first message
 MAX_UNIDENTIFIED = 256  # connections that have not said who they are; a further one ends the oldest
-MAX_QUEUED = 2  # messages that wait for a peer that reads slowly: an update and a heartbeat
+MAX_QUEUED_MESSAGES = 2  # messages that wait for a peer that reads slowly: an update and a heartbeat
 
 
 class InboundConnections:
@@ -51,7 +51,7 @@
 
     async def serve(self, stream):
         """Serves one connection until it ends."""
-        connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_NEWEST)
+        connection = Connection(stream, self.traffic, MAX_QUEUED_MESSAGES, Overflow.DROP_NEWEST)
         self._admit(connection)
         try:
             async with stream:
--- a/embertray/cluster/replication/link/inbound_peers.py
+++ b/embertray/cluster/replication/link/inbound_peers.py
@@ -5,7 +5,7 @@
 from embertray.cluster.replication.codec import decode_replica_message
 from embertray.cluster.replication.exceptions import ConnectionRejectedError
 
-from .connection import MAX_REPLICA_FRAME
+from .connection import MAX_REPLICA_FRAME_BYTES
 from .inbound_connections import InboundConnections
 
 
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, replica, events, traffic, log):
-        super().__init__(decode_replica_message, MAX_REPLICA_FRAME, traffic, log)
+        super().__init__(decode_replica_message, MAX_REPLICA_FRAME_BYTES, traffic, log)
         self.replica = replica
         self.events = events
         self.last_received_at = {}
--- a/embertray/cluster/replication/link/inbound_subscribers.py
+++ b/embertray/cluster/replication/link/inbound_subscribers.py
@@ -6,7 +6,7 @@
 from embertray.cluster.replication.exceptions import ConnectionRejectedError, SubscriberRejectedError
 from embertray.cluster.replication.messages import Subscribe
 
-from .connection import MAX_FRAME_FROM_SUBSCRIBER
+from .connection import MAX_FRAME_FROM_SUBSCRIBER_BYTES
 from .inbound_connections import InboundConnections
 
 
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, feed, events, traffic, log):
-        super().__init__(decode_from_subscriber, MAX_FRAME_FROM_SUBSCRIBER, traffic, log)
+        super().__init__(decode_from_subscriber, MAX_FRAME_FROM_SUBSCRIBER_BYTES, traffic, log)
         self.feed = feed
         self.events = events
 
--- a/embertray/cluster/replication/link/peer_link.py
+++ b/embertray/cluster/replication/link/peer_link.py
@@ -8,10 +8,12 @@
 
 NS_PER_S = 10**9
 CONNECT_TIMEOUT_S = 1
-FIRST_RETRY_S = 0.05  # pause between two attempts, doubled each time
-MAX_RETRY_S = 1.0  # less than an election takes
-MAX_QUEUED = 16  # messages; the newest are kept, as the replica repeats what matters
-PEER_SILENCE_NS = 5 * NS_PER_S  # without a message of the other replica; the connection is then renewed
+INITIAL_RETRY_DELAY_S = 0.05  # pause between two attempts, doubled each time
+MAX_RETRY_DELAY_S = 1.0  # less than an election takes
+MAX_QUEUED_MESSAGES = 16  # messages; the newest are kept, as the replica repeats what matters
+PEER_SILENCE_TIMEOUT_NS = (
+    5 * NS_PER_S
+)  # without a message of the other replica; the connection is then renewed
 
 
 class PeerLink:
@@ -44,22 +46,22 @@
         # A peer that stopped, or a link that passes one way, leaves the stream full of outdated messages and
         # nothing breaks it. Renewed, the connection starts with the newest ones.
         now = self.clock.now()
-        if now - max(self.last_received_at(), self.connected_at) > PEER_SILENCE_NS:
+        if now - max(self.last_received_at(), self.connected_at) > PEER_SILENCE_TIMEOUT_NS:
             self.connection.close()
         self.connection.put(data)
 
     async def run(self):
         """Connects, and connects again, until cancelled."""
-        pause = FIRST_RETRY_S
+        pause = INITIAL_RETRY_DELAY_S
         while True:
             try:
                 with anyio.fail_after(CONNECT_TIMEOUT_S):
                     stream = await self.net.dial(self.address())
             except (*CONNECTION_ERRORS, AddressError):
                 await self._pause(pause)
-                pause = min(2 * pause, MAX_RETRY_S)
+                pause = min(2 * pause, MAX_RETRY_DELAY_S)
                 continue
-            pause = FIRST_RETRY_S
+            pause = INITIAL_RETRY_DELAY_S
             async with stream:
                 await self._use(stream)
             await self._pause(pause)
@@ -69,7 +71,7 @@
 
     async def _use(self, stream):
         """Sends what is put, until the connection ends."""
-        self.connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_OLDEST)
+        self.connection = Connection(stream, self.traffic, MAX_QUEUED_MESSAGES, Overflow.DROP_OLDEST)
         self.connected_at = self.clock.now()
         try:
             with self.connection.scope:
--- a/embertray/cluster/replication/link/subscriber_connection.py
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -7,10 +7,12 @@
 from embertray.common.framing import PREFIX, FrameDecoder, FrameError
 from embertray.common.net.exceptions import AddressError
 
-from .connection import CONNECTION_ERRORS, MAX_FRAME_TO_SUBSCRIBER, Connection, Overflow
+from .connection import CONNECTION_ERRORS, MAX_FRAME_TO_SUBSCRIBER_BYTES, Connection, Overflow
 
 NS_PER_S = 10**9
-MAX_QUEUED = 64  # messages that wait for a replica that reads slowly: it is left as silent before they do
+MAX_QUEUED_MESSAGES = (
+    64  # messages that wait for a replica that reads slowly: it is left as silent before they do
+)
 
 
 class SubscriberConnection:
@@ -57,7 +59,7 @@
         except (*CONNECTION_ERRORS, AddressError):
             self._lost(action.connection_id)
             return
-        connection = Connection(stream, self.traffic, MAX_QUEUED, Overflow.DROP_NEWEST)
+        connection = Connection(stream, self.traffic, MAX_QUEUED_MESSAGES, Overflow.DROP_NEWEST)
         try:
             async with stream:
                 with connection.scope:
@@ -76,7 +78,7 @@
 
     async def _read(self, connection, connection_id):
         subscriber = self.subscriber
-        decoder = FrameDecoder(MAX_FRAME_TO_SUBSCRIBER)
+        decoder = FrameDecoder(MAX_FRAME_TO_SUBSCRIBER_BYTES)
         subscriber.connection_opened(self.clock.now(), connection_id)
         if not subscriber.connected or connection_id != subscriber.connection_id:
             return  # it was given up while it was opened
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -19,9 +19,9 @@
 from .token_bucket import TokenBucket
 from .update_packing import pack_missing, pack_recent
 
-FRAME_BYTES = 4  # of a frame's length
-UPDATE_BYTES = 24  # an update's own numbers, at the most
-BUDGET_POLL = 50 * MILLISECOND  # ns between two looks at a subscriber that waits for budget
+FRAME_HEADER_BYTES = 4  # of a frame's length
+UPDATE_HEADER_BYTES = 24  # an update's own numbers, at the most
+BUDGET_POLL_NS = 50 * MILLISECOND  # ns between two looks at a subscriber that waits for budget
 
 
 class SubscriberFeed:
@@ -160,7 +160,7 @@
         if subscription.in_flight is not None:
             times.append(subscription.retry_at)
         elif self._lacks_entries(subscription) or subscription.repairs:
-            times.append(now + BUDGET_POLL)
+            times.append(now + BUDGET_POLL_NS)
         self.schedule.wake(subscription, min(times))
 
     def _serve(self, now, subscription, age, out):
@@ -210,7 +210,7 @@
     def _available_bytes(self, now, subscription):
         """Bytes of entries that an update may have now."""
         available = min(subscription.bucket.available(now), self.total_bucket.available(now))
-        return available - FRAME_BYTES - UPDATE_BYTES
+        return available - FRAME_HEADER_BYTES - UPDATE_HEADER_BYTES
 
     def _send_inventory(self, now, subscription, out):
         store = self.store()
@@ -221,7 +221,7 @@
             self._send(now, subscription, data, out)
 
     def _send(self, now, subscription, data, out):
-        size = len(data) + FRAME_BYTES
+        size = len(data) + FRAME_HEADER_BYTES
         for bucket in (subscription.bucket, self.total_bucket):
             bucket.available(now)
             bucket.spend(size)
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -22,7 +22,7 @@
 )
 from embertray.cluster.replication.link.connection import Traffic
 from embertray.cluster.replication.link.durable_state import replica_state_store
-from embertray.cluster.replication.link.peer_link import PEER_SILENCE_NS, PeerLink
+from embertray.cluster.replication.link.peer_link import PEER_SILENCE_TIMEOUT_NS, PeerLink
 from embertray.cluster.replication.messages import Confirm, Subscribe, Vote
 from embertray.cluster.replication.replica_core import MAX_STATE_BYTES
 from embertray.cluster.replication.replica_state import ReplicaState, Role
@@ -81,7 +81,7 @@
                 link.put(b"taken")
                 await anyio.wait_all_tasks_blocked()
                 self.assertEqual((traffic.messages_out, traffic.dropped), (1, 0))
-                clock.time = PEER_SILENCE_NS + 1
+                clock.time = PEER_SILENCE_TIMEOUT_NS + 1
                 link.put(b"on a connection that is closed with it")
                 await anyio.wait_all_tasks_blocked()
                 self.assertEqual((traffic.messages_out, traffic.dropped), (1, 1))
