--- a/embertray/cluster/replication/link/replica_loop.py
+++ b/embertray/cluster/replication/link/replica_loop.py
@@ -56,11 +56,11 @@
                 self.feed_at = min(self.feed_at, now + FEED_INTERVAL_NS)
             if now >= self.replica.next_at():
                 self.replica.advance(now)
-            await self._carry_out()
+            await self._execute_instructions()
             self._serve_subscribers()
             await self.events.wait_until(min(self.replica.next_at(), self.feed_at))
 
-    async def _carry_out(self):
+    async def _execute_instructions(self):
         """Saves, then sends, then answers clients.
 
         Sent before it is saved, a vote or acknowledgement could be undone by a crash: two leaders in a term,
