--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -160,7 +160,7 @@
             self.clock,
             self.net,
             self.traffic,
-            self._carry_out,
+            self._execute_actions,
             self.log,
         )
         if self.saved is not None:
@@ -174,7 +174,7 @@
         while True:
             self.poked = anyio.Event()
             self.subscriber.advance(self.clock.now())
-            self._carry_out()
+            self._execute_actions()
             self.timer_at = self.subscriber.next_at()
             wait_s = (self.timer_at - self.clock.now()) / NS_PER_S
             with anyio.move_on_after(max(0, wait_s)):
@@ -182,7 +182,7 @@
 
     # ---- instructions
 
-    def _carry_out(self):
+    def _execute_actions(self):
         """Does what the state machine asks for."""
         self._report_applied()
         actions = self.subscriber.actions
--- a/embertray/cluster/replication/link/subscriber_connection.py
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -24,17 +24,17 @@
         clock: the process's clock.
         net: opens connections.
         traffic: the Traffic to count in.
-        carry_out: carry_out() does what the Subscriber asks for after an event.
+        execute_actions: execute_actions() does what the Subscriber asks for after an event.
         log: a structlog logger.
     """
 
-    def __init__(self, subscriber, addresses, clock, net, traffic, carry_out, log):
+    def __init__(self, subscriber, addresses, clock, net, traffic, execute_actions, log):
         self.subscriber = subscriber
         self.addresses = addresses
         self.clock = clock
         self.net = net
         self.traffic = traffic
-        self.carry_out = carry_out
+        self.execute_actions = execute_actions
         self.log = log
         self._connection = None  # the Connection in use
         self._connection_id = 0  # its number
@@ -84,13 +84,13 @@
             return  # it was given up while it was opened
         self._connection = connection
         self._connection_id = connection_id
-        self.carry_out()
+        self.execute_actions()
         while True:
             for data in await connection.read(decoder):
                 size = len(data) + PREFIX.size
                 subscriber.receive(self.clock.now(), connection_id, decode_to_subscriber(data), size)
-            self.carry_out()
+            self.execute_actions()
 
     def _lost(self, connection_id):
         self.subscriber.connection_lost(self.clock.now(), connection_id)
-        self.carry_out()
+        self.execute_actions()
