--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -80,7 +80,7 @@
         self.connection = None
         self.saver = None
         self.group = None
-        self.poked = anyio.Event()  # the timer has to be set anew
+        self.timer_changed = anyio.Event()  # the timer has to be set anew
         self.timer_at = 0  # ns
 
     # ---- queries
@@ -127,17 +127,17 @@
         """
         state, _ = open_and_load(self.saved, self.log)
         try:
-            self._begin(usable_state(state, self.settings.cluster, self.log))
+            self._create_subscriber(usable_state(state, self.settings.cluster, self.log))
             async with anyio.create_task_group() as self.group:
                 if self.saver is not None:
                     self.group.start_soon(self.saver.run)
                 task_status.started()
-                await self._keep_time()
+                await self._run_timer()
         finally:
             if self.saved is not None:
                 self.saved.close()
 
-    def _begin(self, state):
+    def _create_subscriber(self, state):
         """Makes the state machine from what a former process kept."""
         former = {}
         if state is not None:
@@ -170,15 +170,15 @@
         if live and self.on_restored is not None:
             self.on_restored(live)
 
-    async def _keep_time(self):
+    async def _run_timer(self):
         while True:
-            self.poked = anyio.Event()
+            self.timer_changed = anyio.Event()
             self.subscriber.advance(self.clock.now())
             self._execute_actions()
             self.timer_at = self.subscriber.next_at()
             wait_s = (self.timer_at - self.clock.now()) / NS_PER_S
             with anyio.move_on_after(max(0, wait_s)):
-                await self.poked.wait()
+                await self.timer_changed.wait()
 
     # ---- instructions
 
@@ -195,7 +195,7 @@
             else:
                 self.connection.send(action)
         if self.subscriber.next_at() < self.timer_at:
-            self.poked.set()
+            self.timer_changed.set()
 
     def _report_applied(self):
         applied = self.subscriber.applied
