--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -99,7 +99,7 @@
         """
         state, is_newest = open_and_load(self.saved, self.log)
         try:
-            self._begin(state, is_newest)
+            self._create_state_machines(state, is_newest)
             await self._serve(task_status)
         finally:
             if self.writes is not None:
@@ -111,7 +111,7 @@
         """Ends `run`."""
         self.stopping.set()
 
-    def _begin(self, state, is_newest):
+    def _create_state_machines(self, state, is_newest):
         """Makes the state machines from what was saved, and what connects them."""
         settings = self.settings
         now = self.clock.now()
