--- a/embertray/cluster/replication/link/inbound_connections.py
+++ b/embertray/cluster/replication/link/inbound_connections.py
@@ -46,7 +46,7 @@
         """Returns once the messages are handled: the next ones are read then."""
         raise NotImplementedError
 
-    def ended(self, name):
+    def on_disconnected(self, name):
         """The last connection of a name has ended."""
 
     async def serve(self, stream):
@@ -103,4 +103,4 @@
     def _remove(self, connection):
         if self.by_name.get(connection.name) is connection:
             del self.by_name[connection.name]
-            self.ended(connection.name)
+            self.on_disconnected(connection.name)
--- a/embertray/cluster/replication/link/inbound_subscribers.py
+++ b/embertray/cluster/replication/link/inbound_subscribers.py
@@ -35,7 +35,7 @@
         """Returns once the feed has handled the messages."""
         await self.events.submit_and_wait(partial(self._receive, name, connection, messages))
 
-    def ended(self, name):
+    def on_disconnected(self, name):
         """Ends the subscription, unless the subscriber has connected anew."""
         self.events.submit(partial(self._drop_subscription, name))
 
--- a/embertray/cluster/replication/link/peer_link.py
+++ b/embertray/cluster/replication/link/peer_link.py
@@ -63,20 +63,20 @@
                 continue
             pause = INITIAL_RETRY_DELAY_S
             async with stream:
-                await self._use(stream)
+                await self._send_until_closed(stream)
             await self._pause(pause)
 
     async def _pause(self, seconds):
         await anyio.sleep(seconds * (0.5 + self.rng.random()))
 
-    async def _use(self, stream):
+    async def _send_until_closed(self, stream):
         """Sends what is put, until the connection ends."""
         self.connection = Connection(stream, self.traffic, MAX_QUEUED_MESSAGES, Overflow.DROP_OLDEST)
         self.connected_at = self.clock.now()
         try:
             with self.connection.scope:
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self._until_end, stream)
+                    group.start_soon(self._wait_for_close, stream)
                     await self.connection.write()
         except* CONNECTION_ERRORS:
             pass
@@ -84,7 +84,7 @@
             self.connection = None
 
     @staticmethod
-    async def _until_end(stream):
+    async def _wait_for_close(stream):
         """The other replica sends nothing on this connection: what comes is its end."""
         await stream.receive()
         raise anyio.BrokenResourceError
