--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -53,7 +53,7 @@
         net: listens and opens connections; None for TCP.
         replica_timing: a ReplicaTiming, None for the default.
         feed_settings: a FeedSettings, None for the default.
-        saved: a StateStore of ReplicaState; None to keep nothing: such a replica recovers at each start.
+        state_store: a StateStore of ReplicaState; None to keep nothing; it then recovers at every start.
         log: a structlog logger, None for the default.
     """
 
@@ -65,7 +65,7 @@
         net=None,
         replica_timing=None,
         feed_settings=None,
-        saved=None,
+        state_store=None,
         log=None,
     ):
         self.settings = settings
@@ -74,7 +74,7 @@
         self.net = net or TcpNet()
         self.replica_timing = replica_timing
         self.feed_settings = feed_settings or FeedSettings()
-        self.saved = saved
+        self.state_store = state_store
         self.log = (log or structlog.get_logger()).bind(replica=settings.name)
         self.traffic = Traffic()
         self.stopping = anyio.Event()
@@ -97,15 +97,15 @@
             OSError: an address or the folder can't be used.
             StateNotSavedError: the disk failed or is full.
         """
-        state, is_newest = open_and_load(self.saved, self.log)
+        state, is_newest = open_and_load(self.state_store, self.log)
         try:
             self._create_state_machines(state, is_newest)
             await self._serve(task_status)
         finally:
             if self.writes is not None:
                 self.writes.pending.fail_all("the replica stops")
-            if self.saved is not None:
-                self.saved.close()
+            if self.state_store is not None:
+                self.state_store.close()
 
     def stop(self):
         """Ends `run`."""
@@ -137,7 +137,7 @@
             feed=self.feed,
             clock=self.clock,
             events=events,
-            state_store=self.saved,
+            state_store=self.state_store,
             links=self.links,
             subscribers=self.subscribers,
             pending=self.writes.pending,
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -46,7 +46,7 @@
         on_restored: on_restored(entries) is called first with what a former process kept, if anything.
         net: opens connections; None for TCP.
         timing: a SubscriberTiming, None for the default.
-        saved: a StateStore of SubscriberState; None to keep nothing.
+        state_store: a StateStore of SubscriberState; None to keep nothing.
         log: a structlog logger, None for the default.
         budget: the FeedSettings whose bytes a second this subscriber may be sent, None for the default.
     """
@@ -60,7 +60,7 @@
         on_restored=None,
         net=None,
         timing=None,
-        saved=None,
+        state_store=None,
         log=None,
         budget=None,
     ):
@@ -71,7 +71,7 @@
         self.on_restored = on_restored
         self.net = net or TcpNet()
         self.timing = timing
-        self.saved = saved
+        self.state_store = state_store
         self.log = (log or structlog.get_logger()).bind(subscriber=settings.name)
         self.budget = budget
         self.traffic = Traffic()
@@ -125,7 +125,7 @@
             FolderLockedError: another process uses the folder.
             OSError: the folder can't be used.
         """
-        state, _ = open_and_load(self.saved, self.log)
+        state, _ = open_and_load(self.state_store, self.log)
         try:
             self._create_subscriber(usable_state(state, self.settings.cluster, self.log))
             async with anyio.create_task_group() as self.group:
@@ -134,8 +134,8 @@
                 task_status.started()
                 await self._run_timer()
         finally:
-            if self.saved is not None:
-                self.saved.close()
+            if self.state_store is not None:
+                self.state_store.close()
 
     def _create_subscriber(self, state):
         """Makes the state machine from what a former process kept."""
@@ -163,8 +163,8 @@
             self._execute_actions,
             self.log,
         )
-        if self.saved is not None:
-            self.saver = SubscriberSaver(self.subscriber, self.saved, self.clock, self.log)
+        if self.state_store is not None:
+            self.saver = SubscriberSaver(self.subscriber, self.state_store, self.clock, self.log)
         live = self.subscriber.store.live_entries()
         log_entries(self.log, "restored", live)
         if live and self.on_restored is not None:
--- a/embertray/service/daemon/control.py
+++ b/embertray/service/daemon/control.py
@@ -44,7 +44,7 @@
             net=net,
             replica_timing=replica_timing,
             feed_settings=feed_settings or FeedSettings(bytes_per_second=control.bytes_per_second),
-            saved=replica_state_store(me.keep),
+            state_store=replica_state_store(me.keep),
         )
         admins = {replica.name: replica.admin for replica in control.replicas}
         self.admin = ReplicaAdmin(self.server, admins)
@@ -103,7 +103,7 @@
         lambda entries: log.info("configuration", keys=len(entries), revision=entries[-1].revision),
         net=net,
         timing=timing,
-        saved=subscriber_state_store(Path(control.keep) / me.name) if control.keep else None,
+        state_store=subscriber_state_store(Path(control.keep) / me.name) if control.keep else None,
         log=log,
         budget=FeedSettings(bytes_per_second=control.bytes_per_second),
     )
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -85,9 +85,9 @@
 
     async def up(self, name):
         settings = ReplicaSettings("test", name, self.peers, self.listen[name])
-        saved = self.folder and replica_state_store(Path(self.folder) / name, self.disks.get(name))
+        state_store = self.folder and replica_state_store(Path(self.folder) / name, self.disks.get(name))
         timing = {"replica_timing": REPLICA_TIMING, "feed_settings": self.feed_settings}
-        server = ReplicaServer(settings, self.clock, self.rng(name), saved=saved, **timing)
+        server = ReplicaServer(settings, self.clock, self.rng(name), state_store=state_store, **timing)
         self.replicas[name] = server
         await self.group.start(self._run, name, server)
         return server
@@ -114,7 +114,7 @@
         addresses = {replica: self.listen[replica] for replica in replicas or self.names}
         settings = SubscriberSettings("test", name, addresses)
         applied = self.applied.setdefault(name, [])
-        saved = folder and subscriber_state_store(folder)
+        state_store = folder and subscriber_state_store(folder)
         client = SubscriberClient(
             settings,
             clock or self.clock,
@@ -122,7 +122,7 @@
             applied.extend,
             net=net or TcpNet(),
             timing=SUBSCRIBER_TIMING,
-            saved=saved,
+            state_store=state_store,
         )
         self.subscribers[name] = client
         await self.group.start(self._run, name, client)
