--- a/embertray/controller/channel/__init__.py
+++ b/embertray/controller/channel/__init__.py
@@ -1,5 +1,6 @@
-"""What travels to proxies and when, without I/O.
+"""The channel: builds, paces and bounds the messages to the proxies, without I/O.
 
-`outbox` turns orders into messages, `pacer` lets them leave at the channel's rate, `send_buffer` and
-`stall_watch` bound slow proxies, `admission` admits their streams, `budget` reckons what a channel can carry.
+`outbox` turns orders into messages, `pacer` releases them at the channel's rate, `send_buffer` and
+`stall_watch` detect slow proxies, `admission` admits their streams, `budget` calculates what a channel can
+carry.
 """
--- a/embertray/controller/channel/admission.py
+++ b/embertray/controller/channel/admission.py
@@ -1,36 +1,36 @@
-"""Which streams are admitted: bounds for handshakes, backoff for cut proxies, graceful shutdown; no I/O.
+"""Admission of streams: limits handshakes, backs off cut proxies, drains at shutdown; without I/O.
 
-A cut proxy that connects at once and is cut again would cost a complete table each time. So it is asked to
-stay away for a time that doubles with each cut, half of it at random, so that proxies that were cut together
-do not come back together.
+A proxy that reconnects at once and is cut again costs a complete table each time. So each cut doubles the
+time for which the proxy is rejected; half of that time is random, so that proxies that were cut together do
+not reconnect together.
 """
 
 from typing import NamedTuple
 
 NS_PER_SECOND = 10**9
 NS_PER_MS = 10**6
-HANDSHAKE_TIMEOUT_NS = 5 * NS_PER_SECOND  # past any pause known of proxies (2 s) and a slow connection
-HANDSHAKES_MAX = 4096  # streams without a hello at once: four fleets that connect together; 64 KiB each
-CUT_BACKOFF_FIRST_NS = NS_PER_SECOND // 4  # after the first cut, at most
+HANDSHAKE_TIMEOUT_NS = 5 * NS_PER_SECOND  # the longest known pause of a proxy, 2 s, and a slow connection
+HANDSHAKES_MAX = 4096  # concurrent ones: four fleets that connect together; each takes 64 KiB
+CUT_BACKOFF_FIRST_NS = NS_PER_SECOND // 4  # upper bound after the first cut
 CUT_BACKOFF_MAX_NS = 16 * NS_PER_SECOND
-CUT_DOUBLINGS_MAX = 10  # past the longest backoff already: keeps the shift small
+CUT_DOUBLINGS_MAX = 10  # beyond CUT_BACKOFF_MAX_NS; keeps the shift small
 CUT_BACKOFF_FIXED_SHARE = 0.5  # of the backoff; the rest is random
-CUT_HISTORY_NS = 60 * NS_PER_SECOND  # without a cut, after which the count begins again
+CUT_HISTORY_NS = 60 * NS_PER_SECOND  # without a cut, after which the count restarts
 DRAIN_STEP_NS = NS_PER_SECOND // 20  # between two closed streams: each costs another controller a table
-DRAIN_RETRY_AFTER_NS = 30 * NS_PER_SECOND  # for which a draining controller asks a proxy to stay away
+DRAIN_RETRY_AFTER_NS = 30 * NS_PER_SECOND  # sent to proxies that a draining controller rejects
 
-# Codes of a rejection; they are on the wire.
+# Codes of a rejection, as sent to the proxy.
 LATER = "later"
 DRAINING = "draining"
 
 
 class Rejection(NamedTuple):
-    """A stream is not admitted.
+    """Why a stream is not admitted.
 
     Attributes:
-        code: The code that the peer is sent.
-        text: Why, in words.
-        retry_after: How long the peer is asked to stay away, ns.
+        code: The code that is sent to the peer.
+        text: The reason in words.
+        retry_after: How long the peer is asked to wait before it reconnects, ns.
     """
 
     code: str
@@ -39,12 +39,12 @@
 
 
 class CutRecord(NamedTuple):
-    """The cuts of one proxy.
+    """The recent cuts of one proxy.
 
     Attributes:
-        count: Cuts without a CUT_HISTORY_NS between them.
-        cut_at: The last one, ns.
-        rejected_until: Until when the proxy is not admitted, ns.
+        count: Consecutive cuts, each within CUT_HISTORY_NS of the one before.
+        cut_at: Time of the last one, ns.
+        rejected_until: Time from which the proxy is admitted again, ns.
     """
 
     count: int
@@ -56,12 +56,12 @@
     """Admits or rejects the streams of one controller.
 
     Args:
-        random: A function that gives numbers from 0 to 1.
+        random: A function that returns random numbers from 0 to 1.
 
     Attributes:
-        handshakes: Streams without a hello.
+        handshakes: Number of streams that have not sent their hello yet.
         cuts: Proxy name -> CutRecord, the oldest cut first.
-        draining: None, or the time to which the graceful shutdown has closed streams, ns.
+        draining: Time of the graceful shutdown's next step, ns; None: no shutdown.
     """
 
     def __init__(self, random):
@@ -77,39 +77,39 @@
             None, or the Rejection.
         """
         if self.handshakes >= HANDSHAKES_MAX:
-            text = f"{HANDSHAKES_MAX} streams wait for their hello already"
+            text = f"too many streams without a hello: limit {HANDSHAKES_MAX}"
             return Rejection(LATER, text, CUT_BACKOFF_FIRST_NS)
         self.handshakes += 1
         return None
 
     def handshake_ended(self):
-        """Records the end of a handshake, whatever came of it."""
+        """Records the end of a handshake, successful or not."""
         self.handshakes -= 1
 
     def admit(self, now, name, memory_delay=None):
-        """Admits a proxy that said hello.
+        """Admits or rejects a proxy that has sent its hello.
 
         Args:
             now: ns.
-            name: Its name.
-            memory_delay: ns that it has to stay away for lack of memory; None: there is memory.
+            name: The proxy's name.
+            memory_delay: Retry delay if memory is short, ns; None: there is enough memory.
 
         Returns:
             None, or the Rejection.
         """
         if self.draining is not None:
-            return Rejection(DRAINING, "this controller is being drained", DRAIN_RETRY_AFTER_NS)
+            return Rejection(DRAINING, "this controller is draining", DRAIN_RETRY_AFTER_NS)
         if memory_delay is not None:
-            text = f"no memory for one more proxy, come back in {memory_delay / NS_PER_MS:.0f} ms"
+            text = f"no memory for another proxy, retry in {memory_delay / NS_PER_MS:.0f} ms"
             return Rejection(LATER, text, memory_delay)
         cut = self.cuts.get(name)
         if cut is not None and now < cut.rejected_until:
             remaining = cut.rejected_until - now
-            return Rejection(LATER, f"cut lately, come back in {remaining / NS_PER_MS:.0f} ms", remaining)
+            return Rejection(LATER, f"cut recently, retry in {remaining / NS_PER_MS:.0f} ms", remaining)
         return None
 
     def record_cut(self, now, name):
-        """Records that a proxy's stream was cut at `now` (ns): its next one has to wait."""
+        """Records that a proxy's stream was cut at `now` (ns), and starts its backoff."""
         previous = self.cuts.pop(name, None)
         recent = previous is not None and now - previous.cut_at <= CUT_HISTORY_NS
         count = previous.count + 1 if recent else 1
@@ -126,19 +126,19 @@
             del self.cuts[oldest]
 
     def drain(self, now):
-        """Begins a graceful shutdown at `now` (ns): joins are rejected, streams closed one by one."""
+        """Begins a graceful shutdown at `now` (ns): rejects joins and closes the streams one by one."""
         if self.draining is None:
             self.draining = now
 
     def streams_to_close(self, now, streams):
-        """Paces a graceful shutdown.
+        """Returns how many streams a graceful shutdown closes now.
 
         Args:
             now: ns.
-            streams: How many are open.
+            streams: Number of open streams.
 
         Returns:
-            (how many of them are to be closed now, when to ask again in ns or None: never).
+            (number of streams to close now, time of the next call in ns or None: no further call).
         """
         if self.draining is None or not streams:
             return 0, None
--- a/embertray/controller/channel/exceptions.py
+++ b/embertray/controller/channel/exceptions.py
@@ -2,4 +2,4 @@
 
 
 class PaceOutOfRangeError(ValueError):
-    """An operator asked for a channel pace that is not over 0 and 1 at most."""
+    """An operator asked for a channel pace that is not above 0 and at most 1."""
--- a/embertray/controller/channel/ordered_table.py
+++ b/embertray/controller/channel/ordered_table.py
@@ -1,4 +1,4 @@
-"""A routing table as it was ordered so far."""
+"""A routing table as the policy has ordered it so far."""
 
 from typing import NamedTuple
 
@@ -7,8 +7,8 @@
     """The admission level of a request kind.
 
     Attributes:
-        level: What is admitted: a share, or requests a second at each proxy.
-        retry: The order's mark for further attempts.
+        level: What is admitted: a share of the requests, or requests a second at each proxy.
+        retry: Most retries, as the protocol encodes them.
     """
 
     level: float
@@ -16,12 +16,12 @@
 
 
 class OrderedTable:
-    """A routing table as ordered, by the policy's objects.
+    """A routing table as ordered, keyed by the policy's handles.
 
     Attributes:
-        lines: Backend -> weight, in the order in which the lines came.
+        lines: Backend -> weight, in the order in which the lines were ordered.
         levels: Request kind -> OrderedLevel.
-        proxies: The bound proxies, as keys.
+        proxies: The bound proxies, as keys of a dict that keeps their order.
     """
 
     def __init__(self):
@@ -30,7 +30,7 @@
         self.proxies = {}
 
     def set_line(self, backend, weight):
-        """Takes a line into the table, or out of it.
+        """Sets or removes a line.
 
         Args:
             backend: The backend.
--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -1,7 +1,8 @@
-"""Turns the orders of one step into one message for each proxy concerned, with what it costs in lines.
+"""Turns the orders of one step into one message for each affected proxy, with its cost in lines.
 
-Knows what was ordered so far: tables, which proxy is bound to which, and who was notified of which
-withdrawal. A joined proxy that is not bound may have any line (its standing table), so it is notified of all.
+It keeps what was ordered so far: the tables, which proxy is bound to which, and which proxies were notified
+of which withdrawal. A joined proxy that is not bound yet may use any backend (its standing table), so it is
+notified of all withdrawals.
 """
 
 from typing import Any, NamedTuple
@@ -11,8 +12,8 @@
 
 from .ordered_table import OrderedLevel, OrderedTable
 
-UNLIMITED_SHARE = 1.0  # an admission level, as a share, that admits all
-UNLIMITED_RETRIES = 3  # the protocol's mark for any number of further attempts
+UNLIMITED_SHARE = 1.0  # an admission level, as a share, that admits all requests
+UNLIMITED_RETRIES = 3  # the protocol's value for no limit
 
 
 class MessagePart(NamedTuple):
@@ -21,7 +22,7 @@
     Attributes:
         proxy: The receiver.
         part: A Bind, Level, Line or Withdrawal.
-        cost: Lines that it counts.
+        cost: Its cost in lines.
     """
 
     proxy: Any
@@ -35,7 +36,7 @@
     Attributes:
         proxy: The receiver.
         orders: The Orders.
-        nonce: The policy's nonce that its answer stands for, or None.
+        nonce: The policy's nonce that the proxy acknowledges with it, or None.
     """
 
     proxy: Any
@@ -47,17 +48,17 @@
     """Turns orders into messages.
 
     Args:
-        identifiers: The Identifiers: ids of tables and nonces on the wire.
-        head: Lines that a message counts beyond its parts.
+        identifiers: The Identifiers, which number tables and nonces on the wire.
+        head: Cost of a message beyond its parts, in lines.
         kinds: Request kind -> its name.
 
     Attributes:
         tables: The policy's table -> OrderedTable.
         withdrawn: Withdrawn backend -> proxies that were notified, as keys.
         bound: Joined proxy -> the policy's table, or None.
-        unlimited_level: An admission level from which on nothing is rejected.
-        retry_limit: Most further attempts that go with a level below that.
-        retry_after: How long rejected clients are asked to stay away at such a level, ns.
+        unlimited_level: Admission level at and above which no request is rejected.
+        retry_limit: Most retries, as the protocol encodes them, at a level below that.
+        retry_after: How long rejected clients are asked to wait at such a level, ns.
     """
 
     def __init__(self, identifiers, head, kinds):
@@ -77,7 +78,7 @@
         self.bound[proxy] = None
 
     def proxy_left(self, proxy):
-        """Forgets a proxy: no order concerns it any more."""
+        """Forgets a proxy; no further message is built for it."""
         table = self.bound.pop(proxy, None)
         if table is not None:
             self.tables[table].proxies.pop(proxy, None)
@@ -92,7 +93,7 @@
             orders: The policy's orders.
 
         Returns:
-            OutgoingMessages, in the order in which the proxies were first concerned.
+            OutgoingMessages, in the order in which the orders first affect the proxies.
         """
         parts = {}
         costs = {}
@@ -112,11 +113,7 @@
         return messages
 
     def ordered_level(self, proxy, kind):
-        """What a joined proxy was ordered to admit of a request kind.
-
-        Returns:
-            The level; None: all.
-        """
+        """Returns the admission level of a request kind at a joined proxy; None: no limit."""
         table = self.bound.get(proxy)
         ordered = self.tables[table].levels.get(kind) if table is not None else None
         if ordered is None or ordered.level >= self.unlimited_level:
@@ -124,13 +121,13 @@
         return ordered.level
 
     def ordered_table(self, table):
-        """Returns the OrderedTable of the policy's table; a new one is empty."""
+        """Returns the OrderedTable of the policy's table, an empty one if the table is new."""
         if table not in self.tables:
             self.tables[table] = OrderedTable()
         return self.tables[table]
 
     def _message_parts(self, order):
-        """MessageParts for the proxies that an order reaches."""
+        """Returns the MessageParts that an order needs, for all affected proxies."""
         match order:
             case i.SetLine():
                 return self._set_line(order)
@@ -151,7 +148,7 @@
         parts = []
         for proxy in table.proxies:
             if notified is not None and proxy not in notified:
-                # the backend was withdrawn before it came into this table: it stays withdrawn
+                # the backend was withdrawn before it was added to this table, and stays withdrawn
                 notified[proxy] = True
                 parts.append(MessagePart(proxy, Withdrawal(backend.external_id, True), 1))
             parts.append(MessagePart(proxy, line, 1))
@@ -176,7 +173,7 @@
         return [MessagePart(proxy, bind, 1 + len(table.lines) + len(table.levels) + len(withdrawn))]
 
     def _notify_on_bind(self, proxy, table):
-        """A bind notifies of the withdrawals in its table, and ends all others at the proxy."""
+        """Records that a bind notifies the proxy of its table's withdrawals and ends all others."""
         for backend, notified in self.withdrawn.items():
             notified.pop(proxy, None)
             if backend in table.lines:
@@ -209,7 +206,7 @@
         retry = order.retry
         retry_after = 0
         if order.level < self.unlimited_level:
-            # what the degradation level reduces rides along: by itself it is no reason for a line
+            # the degradation level's limits go out with a line that is sent anyway and never cause one
             retry = min(retry, self.retry_limit)
             retry_after = self.retry_after
         table.levels.update({kind: OrderedLevel(order.level, retry) for kind in kinds})
--- a/embertray/controller/channel/pacer.py
+++ b/embertray/controller/channel/pacer.py
@@ -1,7 +1,7 @@
-"""Paces the channel: messages leave one after the other at so many lines a second, without I/O.
+"""Paces the channel: releases messages one after the other at a rate in lines a second, without I/O.
 
-Every line that was ordered and has not left yet counts as waiting, message heads included. A message leaves
-when the last of its lines has had its time; the one under way counts in full.
+Every line that was ordered and not released yet counts as waiting, message heads included. A message is
+released when the time of its last line has passed; until then it counts as waiting in full.
 """
 
 from collections import deque
@@ -10,19 +10,19 @@
 from .exceptions import PaceOutOfRangeError
 
 NS_PER_SECOND = 10**9
-# Seconds of the rate that are made up for after a late wake-up, at most: timers are late by some ms, but a
-# process that stood still must not send its whole queue at once.
+# Most seconds of the rate that are released at once after a late wake-up: timers are late by some ms, but a
+# process that was stopped must not send its whole queue at once.
 BURST_S = 0.02
-ROUNDING_LINES = 1e-6  # lines that count as none: the rest of a float that time was taken from
+ROUNDING_LINES = 1e-6  # remaining lines up to this are rounding errors of floats
 
 
 class QueuedMessage:
-    """A message in the channel.
+    """A message that waits in the channel.
 
     Args:
         proxy: Its receiver.
-        cost: Lines that it counts.
-        message: What leaves.
+        cost: Its cost in lines.
+        message: The message.
     """
 
     __slots__ = ("cost", "message", "proxy")
@@ -34,7 +34,7 @@
 
 
 class Departure(NamedTuple):
-    """A message that has left the channel.
+    """A message that the channel has released.
 
     Attributes:
         proxy: Its receiver.
@@ -46,18 +46,18 @@
 
 
 class Pacer:
-    """The channel of one controller.
+    """The rate limiter of one controller's channel.
 
     Args:
         rate: Lines a second; 0: no limit.
         now: ns.
 
     Attributes:
-        pace: Part of the rate that is in force, over 0 and 1 at most.
-        queue: QueuedMessage items, the next to leave first.
-        lines_waiting: Lines that have not left yet.
-        lines_peak: The most that ever waited.
-        departed: Messages that left.
+        pace: Share of the rate that is in force, above 0 and at most 1.
+        queue: QueuedMessage items, the next to be released first.
+        lines_waiting: Lines that are not released yet.
+        lines_peak: The largest value of lines_waiting so far.
+        departed: Number of released messages.
     """
 
     def __init__(self, rate, now=0):
@@ -67,18 +67,17 @@
         self.lines_waiting = 0.0
         self.lines_peak = 0.0
         self.departed = 0
-        self._accounted_until = now  # ns up to which time is spent
-        self._lines_remaining = (
-            0.0  # lines of the first message still to go; negative: time to spare for the next
-        )
+        self._accounted_until = now  # ns up to which the channel's time is used
+        # Lines of the first message that still need time; negative: time left over for the next message.
+        self._lines_remaining = 0.0
 
     def enqueue(self, now, proxy, cost, message):
-        """Takes a message that leaves by `dequeue` later.
+        """Queues a message, which `dequeue` returns later.
 
         Args:
             now: ns.
             proxy: Its receiver.
-            cost: Lines that it counts.
+            cost: Its cost in lines.
             message: The message.
         """
         if not self.queue:
@@ -89,7 +88,7 @@
         self.lines_peak = max(self.lines_peak, self.lines_waiting)
 
     def dequeue(self, now):
-        """Returns the Departures up to `now` (ns), in order."""
+        """Removes the messages that are due at `now` (ns) and returns them as Departures, in order."""
         departures = []
         self._account_time(now)
         while self.queue and (not self.rate or self._lines_remaining <= ROUNDING_LINES):
@@ -104,40 +103,40 @@
         return departures
 
     def next_departure(self):
-        """Returns when the first message leaves, ns; None: nothing waits."""
+        """Returns when the first message is due, ns; None: the queue is empty."""
         if not self.queue:
             return None
         if not self.rate:
             return self._accounted_until
-        # rounded up, so that the message has left at the time that is given
+        # rounded up, so that the message is due at the returned time
         return self._accounted_until + max(
             0, -int(-self._lines_remaining * NS_PER_SECOND // (self.rate * self.pace))
         )
 
     def set_pace(self, now, pace):
-        """Runs the channel at a part of its rate from now on.
+        """Runs the channel at a share of its rate from now on.
 
         Args:
             now: ns.
-            pace: The part.
+            pace: The share.
 
         Raises:
-            PaceOutOfRangeError: It is not over 0 and 1 at most.
+            PaceOutOfRangeError: The pace is not above 0 and at most 1.
         """
         if not 0 < pace <= 1:
-            raise PaceOutOfRangeError(f"a pace of {pace}: over 0 and 1 at most is wanted")
+            raise PaceOutOfRangeError(f"pace {pace} is out of range: it must be above 0 and at most 1")
         self._account_time(now)
         self.pace = pace
 
     def heaviest_proxy(self):
-        """Returns the proxy with the most lines waiting; None: nothing waits."""
+        """Returns the proxy with the most waiting lines; None: the queue is empty."""
         lines = {}
         for queued in self.queue:
             lines[queued.proxy] = lines.get(queued.proxy, 0) + queued.cost
         return max(lines, key=lines.get, default=None)
 
     def drop_proxy(self, now, proxy):
-        """Drops what waits for a proxy whose stream ended: it takes no more of the channel's time.
+        """Drops the waiting messages of a proxy whose stream ended, so that they take no channel time.
 
         Args:
             now: ns.
@@ -156,7 +155,7 @@
             self.lines_waiting = sum(queued.cost for queued in remaining)
 
     def _account_time(self, now):
-        """Spends the time up to `now` (ns) on the first message."""
+        """Accounts the time up to `now` (ns) to the first message."""
         if self.queue and self.rate:
             rate = self.rate * self.pace
             lines = (now - self._accounted_until) * rate / NS_PER_SECOND
--- a/embertray/controller/channel/send_buffer.py
+++ b/embertray/controller/channel/send_buffer.py
@@ -1,26 +1,26 @@
-"""Bounds what waits in the send buffer of a slow proxy, without I/O.
+"""Bounds the unsent data of a slow proxy, without I/O.
 
-A proxy that does not read must not take memory that others need: what has left the channel and was not taken
-by its transport is bounded in bytes and in age, and past either bound its stream is cut. The proxy keeps its
-tables and connects again when admission.py lets it.
+A proxy that does not read must not take up memory that others need: what the channel has released and the
+proxy's transport has not written is bounded in bytes and in age, and a stream past either bound is cut. The
+proxy keeps its tables and reconnects when admission.py admits it.
 """
 
 from collections import deque
 from typing import NamedTuple
 
 NS_PER_SECOND = 10**9
-# Four complete tables of 1,000 lines: more than is ever outstanding for a proxy that reads.
+# Four complete tables of 1,000 lines: more than a proxy that reads ever has outstanding.
 UNSENT_BYTES_MAX = 256 * 1024
-# Over any pause known of proxies (2 s), and under the age at which orders are of no use, ns.
+# Longer than the longest known pause of a proxy (2 s), shorter than the age at which orders are useless.
 UNSENT_AGE_MAX_NS = 5 * NS_PER_SECOND
 
 
 class UnsentMessage(NamedTuple):
-    """A message that the transport has not taken.
+    """A message that the transport has not written yet.
 
     Attributes:
-        queued_at: When it was handed to the transport, ns.
-        size: Bytes.
+        queued_at: When it was passed to the transport, ns.
+        size: Its size in bytes.
     """
 
     queued_at: int
@@ -28,11 +28,11 @@
 
 
 class SendBuffer:
-    """What one stream's transport has not taken yet.
+    """The messages that one stream's transport has not written yet.
 
     Attributes:
         unsent: UnsentMessage items, the oldest first.
-        bytes: Their size.
+        bytes: Their total size.
     """
 
     def __init__(self):
@@ -40,28 +40,28 @@
         self.bytes = 0
 
     def message_queued(self, now, size):
-        """Records that a message of `size` bytes was handed to the transport at `now` (ns)."""
+        """Records that a message of `size` bytes was passed to the transport at `now` (ns)."""
         self.unsent.append(UnsentMessage(now, size))
         self.bytes += size
 
     def message_written(self):
-        """Records that the transport has taken the oldest message."""
+        """Records that the transport has written the oldest message."""
         self.bytes -= self.unsent.popleft().size
 
     def overdue_reason(self, now):
-        """Judges the buffer at `now` (ns).
+        """Checks the bounds at `now` (ns).
 
         Returns:
-            Why the stream is to be cut, in words; None: it is not. One large message alone is no fault.
+            The reason to cut the stream; None: both bounds are kept. A single message may exceed the size.
         """
         if self.bytes > UNSENT_BYTES_MAX and len(self.unsent) > 1:
-            return f"{self.bytes} bytes are not taken, {UNSENT_BYTES_MAX} at most"
+            return f"the proxy has not read {self.bytes} bytes: limit {UNSENT_BYTES_MAX}"
         if self.unsent:
             age = now - self.unsent[0].queued_at
             if age > UNSENT_AGE_MAX_NS:
-                return f"the oldest order was not taken for {age / NS_PER_SECOND:.1f} s"
+                return f"the proxy has not read the oldest order for {age / NS_PER_SECOND:.1f} s"
         return None
 
     def next_check(self):
-        """Returns when to judge it again, ns; None: nothing waits."""
+        """Returns when to check the age again, ns; None: nothing is unsent."""
         return self.unsent[0].queued_at + UNSENT_AGE_MAX_NS + 1 if self.unsent else None
--- a/embertray/controller/channel/stall_watch.py
+++ b/embertray/controller/channel/stall_watch.py
@@ -1,17 +1,17 @@
-"""Notices when this process itself stood still, so that others are not blamed for being late.
+"""Detects stalls of this process, so that peers are not cut for timeouts that it caused itself.
 
-After a stall (a stopped process, a blocked loop) the answers of proxies wait unread in our own sockets, and
-every timeout looks exceeded. Without this guard a resumed controller would cut all its streams at once. It
-holds because the process looks at the clock far more often than STALL_GAP_NS while it runs.
+After a stall (a stopped process, a blocked event loop) the proxies' acknowledgements wait unread in our own
+sockets, and every timeout looks exceeded: without this check a resumed controller would cut all its streams
+at once. While it runs, the process checks the clock far more often than once in STALL_GAP_NS.
 """
 
 NS_PER_SECOND = 10**9
-STALL_GAP_NS = 1 * NS_PER_SECOND  # between two checks: a longer one means that the process stood still
-STALL_GRACE_NS = 2 * NS_PER_SECOND  # after a stall, in which nobody is blamed
+STALL_GAP_NS = 1 * NS_PER_SECOND  # a longer gap between two checks is a stall
+STALL_GRACE_NS = 2 * NS_PER_SECOND  # time after a stall during which no peer is cut for a timeout
 
 
 class StallWatch:
-    """Whether this process has run without a gap for long enough to blame others for being late.
+    """Tells whether this process has run without a stall for long enough to apply timeouts to peers.
 
     Args:
         now: ns.
@@ -22,13 +22,13 @@
         self._steady_since = now
 
     def is_steady(self, now):
-        """Checks the clock; to be called at each step.
+        """Checks the clock; call it at each step.
 
         Args:
             now: ns.
 
         Returns:
-            Whether the process has run without a gap for STALL_GRACE_NS.
+            Whether the process has run without a stall for STALL_GRACE_NS.
         """
         if now - self._checked_at > STALL_GAP_NS:
             self._steady_since = now
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -260,7 +260,7 @@
         self.assertIn("bytes", send_buffer.overdue_reason(0))
         send_buffer.message_written()
         self.assertIsNone(send_buffer.overdue_reason(UNSENT_AGE_MAX_NS))
-        self.assertIn("not taken", send_buffer.overdue_reason(UNSENT_AGE_MAX_NS + 1))
+        self.assertIn("not read the oldest order", send_buffer.overdue_reason(UNSENT_AGE_MAX_NS + 1))
 
     def test_cut_proxies_stay_away_longer_each_time_and_apart(self):
         gate, now, waits = Admission(lambda: 1.0), 0, []
