--- a/embertray/controller/core/__init__.py
+++ b/embertray/controller/core/__init__.py
@@ -1,4 +1,4 @@
-"""One controller without I/O: the policy with its parts, and the frontend that its transports talk to."""
+"""One controller without I/O: the core that runs the policy, and the frontend that its transports call."""
 
 from .controller_core import ControllerCore
 from .frontend import ControllerFrontend
--- a/embertray/controller/core/controller_core.py
+++ b/embertray/controller/core/controller_core.py
@@ -1,8 +1,8 @@
-"""One controller without I/O: events go to the policy, its orders leave as paced messages.
+"""The core of one controller, without I/O: passes events to the policy and its orders to the paced channel.
 
-Whoever runs it (the daemon, or a simulation) calls `join`, `proxy_left`, `acknowledged`, `add_report` and
-`receive_list_update` as things happen, then `advance(now)` at once or at `next_at()`, and does what the Step
-asks for. Events between two advances are one step.
+The caller (the daemon or a simulation) calls `join`, `proxy_left`, `acknowledged`, `add_report` and
+`receive_list_update` as events occur, then `advance(now)` at once or at `next_at()`, and carries out the
+returned Step. All events between two calls of `advance` form one step.
 """
 
 from embertray.common.memory.caps import PROBES_IN_FLIGHT_MAX
@@ -16,18 +16,18 @@
 class ControllerCore(MemoryBoundRunner):
     """One controller: the policy with its channel, load reports, degradation levels and memory accounts.
 
-    Its first event is the list that it starts with: `receive_list_update(now, "cached", ...)`, empty if there
-    is none.
+    Its first event must be the initial list: `receive_list_update(now, "cached", ...)`, with no entries if
+    there is none.
     """
 
     # ---- proxies
 
     def join_delay(self):
-        """Returns how long a proxy must stay away for lack of memory, ns, or None."""
+        """Returns the retry delay of a joining proxy while memory is short, ns; None: it may join."""
         return self.accounts.reject_join()
 
     def join(self, hello):
-        """Records that a proxy has joined with this Hello."""
+        """Records that a proxy has joined with the given Hello."""
         proxy = self.identifiers.proxy(hello.proxy)
         zone = self.identifiers.zone(hello.zone)
         self.outbox.proxy_joined(proxy)
@@ -45,14 +45,14 @@
         self.pending_events.append(i.ProxyLeft(proxy))
 
     def acknowledged(self, now, name, nonce_id):
-        """Records that the proxy has applied this nonce's message at `now` (ns), and all before it."""
+        """Records a proxy's acknowledgement of a nonce at `now` (ns), which covers all earlier nonces."""
         found = self.nonces.acknowledge(now, name, nonce_id)
         if found is not None:
             proxy = self.identifiers.proxy(name)
             self.pending_events.append(i.NonceAcknowledged(proxy, found.nonce, found.elapsed))
 
     def add_report(self, now, name, zone, report):
-        """Takes in a proxy's load report.
+        """Processes a proxy's load report.
 
         Args:
             now: ns.
@@ -73,13 +73,13 @@
             )
 
     def probe_finished(self, now, backend, answered, load=None):
-        """Records what came of a probe.
+        """Records the result of a probe.
 
         Args:
             now: ns.
             backend: The backend's name.
             answered: Whether it accepted the connection.
-            load: Its load values by name, if it gave any.
+            load: Its load values by name, if it reported any.
         """
         elapsed = now - self.probes_in_flight.pop(backend, now)
         handle = self.identifiers.backend(backend)
@@ -88,7 +88,7 @@
     # ---- time
 
     def advance(self, now):
-        """Runs one step if anything happened or is due, and lets go what may leave the channel.
+        """Runs one step if an event or a timer is pending, and collects the messages that are due.
 
         Args:
             now: ns.
@@ -97,7 +97,7 @@
             The Step.
         """
         step = Step()
-        self.stall_watch.is_steady(now)  # each look keeps its clock; the result matters elsewhere
+        self.stall_watch.is_steady(now)  # updates the stall watch, whose result is used elsewhere
         self._evaluate_degradation(now, step)
         orders = self.run_step(now, self.intake.release_due(now))
         if orders:
@@ -111,7 +111,7 @@
         return step
 
     def next_at(self):
-        """Returns when to advance again if nothing happens before, ns; None: not at all."""
+        """Returns when to call `advance` next if no event occurs before, ns; None: not needed."""
         if self.pending_events:
             return 0
         times = (self.next_timer_at(), self.intake.next_release(), self.pacer.next_departure())
@@ -132,7 +132,7 @@
             self.pacer.enqueue(now, proxy, message.cost, message)
 
     def _collect_instructions(self, now, orders, step):
-        """Puts the orders that concern no proxy into the step."""
+        """Adds the orders that are not for proxies to the step."""
         for order in orders:
             if isinstance(order, i.Subscribe):
                 step.subscribe = order.on
@@ -144,7 +144,7 @@
                 step.log_lines.append(order.text)
 
     def _begin_probe(self, now, backend, step):
-        """Begins a probe, unless there is no capacity for it or one is in flight."""
+        """Begins a probe unless limits or the degradation level forbid it, or one is in flight already."""
         if (
             self.accounts.any_at_cap("probes")
             or len(self.probes_in_flight) >= PROBES_IN_FLIGHT_MAX
--- a/embertray/controller/core/frontend.py
+++ b/embertray/controller/core/frontend.py
@@ -1,6 +1,6 @@
-"""One controller behind its transports: admission of proxies, trust in the endpoint list, the core; no I/O.
+"""The entry point of one controller for its transports: admission, list trust and the core; without I/O.
 
-The daemon's sockets and the emulator's event heap both carry messages to it.
+Both the daemon's sockets and the emulator's event heap deliver messages to it.
 """
 
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 from .controller_core import ControllerCore
 
-NO_CLOCK_READING = (0, "", 0)  # as of a controller without snapshots
+NO_CLOCK_READING = (0, "", 0)  # for a controller without snapshots
 
 
 class InventoryClock(NamedTuple):
@@ -32,13 +32,13 @@
 
 
 class ControllerFrontend:
-    """What the transports of one controller call as things happen.
+    """Receives the events of one controller's transports.
 
     Attributes:
         admission: The Admission.
         trust: The Trust.
         core: The ControllerCore.
-        deferred_joins: Name -> Hello of the proxies that keep their own tables until the list can be trusted.
+        deferred_joins: Name -> Hello of the proxies that keep their tables until the list can be trusted.
     """
 
     def __init__(
@@ -53,18 +53,18 @@
         core_class=ControllerCore,
         trust_class=Trust,
     ):
-        """Make a controller that starts with the list of a snapshot.
+        """Creates a controller that starts with the list of a snapshot.
 
         Args:
             site: The Site.
-            site_controller: Its SiteController that this is.
-            seed: For the policy's random numbers.
+            site_controller: The SiteController that describes this controller.
+            seed: Seed of the policy's random numbers.
             now: ns.
-            random: A function that gives numbers from 0 to 1.
+            random: A function that returns random numbers from 0 to 1.
             snapshot: The newest Snapshot, or None.
-            clocks: The ClockReading of now.
-            core_class: Makes the core.
-            trust_class: Makes the trust.
+            clocks: The current ClockReading.
+            core_class: The class of the core.
+            trust_class: The class of the trust rules.
         """
         self.admission = Admission(random)
         self.trust = trust_class(site.drain_grace, site.omission_removes)
@@ -78,14 +78,14 @@
     # ---- proxies
 
     def admit_proxy(self, now, name):
-        """Admits a proxy that said hello at `now` (ns); returns None, or the Rejection."""
+        """Admits a proxy that sent its hello at `now` (ns); returns None, or the Rejection."""
         return self.admission.admit(now, name, self.core.join_delay())
 
     def proxy_joined(self, now, hello):
         """Records that a proxy has joined.
 
-        Against an old list at a restart: a proxy whose own table is newer than the list keeps it, and is
-        bound once the list can be trusted (`advance`).
+        After a restart from an old list, a proxy whose table is newer than the list keeps it and joins the
+        core once the list can be trusted (`advance`).
 
         Args:
             now: ns.
@@ -103,11 +103,11 @@
             self.core.proxy_left(now, name)
 
     def receive(self, now, hello, message):
-        """Takes in a message of a joined proxy.
+        """Processes a message of a joined proxy.
 
         Args:
             now: ns.
-            hello: Who it is: has proxy, zone and fresh, as Hello.
+            hello: The proxy's Hello, or an object with proxy, zone and fresh.
             message: A LoadReport or an Acknowledgement.
         """
         if isinstance(message, LoadReport):
@@ -127,17 +127,17 @@
     # ---- the endpoint list
 
     def receive_update(self, now, kind, epoch, inventory_clock, entries):
-        """Takes in an update of the endpoint list.
+        """Processes an update of the endpoint list.
 
         Args:
             now: ns.
             kind: The UpdateKind.
-            epoch: Of the list.
-            inventory_clock: The inventory's clock when it sent it, ns.
+            epoch: Version of the list.
+            inventory_clock: The inventory's clock when it sent the update, ns.
             entries: EndpointEntry items.
 
         Returns:
-            Whether the complete list is to be requested again.
+            Whether to request the complete list again.
         """
         decision = self.trust.receive_update(now, kind, epoch, entries)
         if kind != "failed":
@@ -162,7 +162,7 @@
     # ---- time
 
     def advance(self, now):
-        """Runs the core's step, after what the trust in the list lets happen by now.
+        """Applies the trust rules' timers, then runs a step of the core.
 
         Args:
             now: ns.
@@ -180,7 +180,7 @@
         return step
 
     def _join_deferred(self, now):
-        """Joins proxies that kept their tables: all once the list is settled, before that those that fail."""
+        """Joins the deferred proxies: all once the list is settled, before that those with failing tables."""
         if not self.deferred_joins:
             return
         settled = self.trust.is_settled(now)
@@ -189,6 +189,6 @@
             self.core.join(self.deferred_joins.pop(name))
 
     def next_at(self):
-        """Returns when to advance again if nothing happens before, ns; None: not at all."""
+        """Returns when to call `advance` next if no event occurs before, ns; None: not needed."""
         times = (self.core.next_at(), self.trust.next_timer())
         return min((time for time in times if time is not None), default=None)
--- a/embertray/controller/core/memory_bound_runner.py
+++ b/embertray/controller/core/memory_bound_runner.py
@@ -1,4 +1,4 @@
-"""The parts of one controller, kept within the caps of their memory accounts, without I/O."""
+"""Holds the parts of one controller and keeps them within their memory caps, without I/O."""
 
 from embertray.common.memory import MemoryAccounts
 from embertray.common.memory.caps import default_caps
@@ -15,14 +15,14 @@
 from .step import StreamCut
 
 NS_PER_SECOND = 10**9
-# Time that there has been capacity before deferred backends are requested, ns: a complete list is dear.
+# Time below the memory cap after which deferred backends are requested: a complete list is expensive.
 REFETCH_DELAY_NS = 10 * NS_PER_SECOND
-# Time between two looks for identifiers that nothing refers to, ns: as often as the policy's sweep.
+# Interval between two removals of unreferenced identifiers, equal to the policy's.
 FORGET_PERIOD_NS = 10 * NS_PER_SECOND
 
-# Reasons for which a stream is cut; operators read them in the log.
-NONCES_OVERDUE = "it answers no nonces"
-CHANNEL_AT_CAP = "the channel is at its memory cap, and most waits for this proxy"
+# Reasons for cutting a stream, as they appear in the log.
+NONCES_OVERDUE = "the proxy has not acknowledged its nonces in time"
+CHANNEL_AT_CAP = "the channel is at its memory cap and this proxy has the most waiting lines"
 
 
 def _constant_half():
@@ -30,7 +30,7 @@
 
 
 class MemoryBoundRunner(Runner):
-    """The policy with a controller's parts, which are kept within their memory caps.
+    """Runs the policy with the parts of a controller, within their memory caps.
 
     Attributes:
         site: The Site.
@@ -43,20 +43,21 @@
         nonces: The NonceLedger.
         stall_watch: The StallWatch.
         probes_in_flight: Backend's name -> when its probe began, ns.
-        skipped_probes: Probes that were ordered and skipped.
-        deferred_entries: Backends that were not taken in for lack of memory, since the last complete list.
-        extra_collections: A function that gives purpose -> further Collections, of whoever runs this.
+        skipped_probes: Number of ordered probes that were skipped.
+        deferred_entries: Backends that were ignored for lack of memory since the last complete list.
+        extra_collections: A function that returns purpose -> further Collections, set by the caller.
+        forget_at: Time of the next removal of unreferenced identifiers, ns.
     """
 
     def __init__(self, site, site_controller, seed, now, random=_constant_half):
-        """Make a controller.
+        """Creates a controller.
 
         Args:
             site: The Site.
-            site_controller: Its SiteController that this is.
-            seed: For the policy's random numbers.
+            site_controller: The SiteController that describes this controller.
+            seed: Seed of the policy's random numbers.
             now: ns.
-            random: A function that gives numbers from 0 to 1.
+            random: A function that returns random numbers from 0 to 1.
         """
         super().__init__(seed, lambda identifiers: site.deployment(site_controller, identifiers), now)
         self.site = site
@@ -79,10 +80,10 @@
     # ---- the endpoint list
 
     def receive_list_update(self, now, how, clock=0, entries=()):
-        """Takes in an update of the endpoint list, as Runner.receive_list_update does.
+        """Processes an update of the endpoint list, as Runner.receive_list_update does.
 
-        Against a list that outgrows the memory: at the cap new backends are deferred. Known ones and removals
-        pass, so that the rules for what is in service hold; the complete list is requested later.
+        At the memory cap, new backends are deferred, so that the list cannot outgrow the memory. Updates and
+        removals of known backends still apply, and the complete list is requested again later.
         """
         if how == "whole":
             self.deferred_entries = 0
@@ -97,18 +98,18 @@
     # ---- memory
 
     def collections(self):
-        """Returns purpose -> Collections of this controller and of whoever runs it."""
+        """Returns purpose -> Collections, of this controller and of its caller."""
         found = memory_collections(self)
         for purpose, extra in self.extra_collections().items():
             found.setdefault(purpose, []).extend(extra)
         return found
 
     def enforce_memory_caps(self, now, step):
-        """Does what the memory accounts instruct, and forgets identifiers that nothing needs.
+        """Follows the instructions of the memory accounts, and removes unreferenced identifiers.
 
         Args:
             now: ns.
-            step: The Step, which gets the streams to cut and the notices.
+            step: The Step that receives the streams to cut and the notices.
         """
         if now >= self.forget_at:
             self.forget_at = now + FORGET_PERIOD_NS
@@ -125,9 +126,9 @@
             step.refetch_list = True
 
     def _cut_overdue_proxies(self, now, step):
-        """Cuts proxies that read but acknowledge nothing: each further nonce would be kept for them.
+        """Cuts proxies that read but acknowledge nothing: the list of their nonces would grow without limit.
 
-        Only when this process itself has run steadily: after a stall their acknowledgements may wait unread.
+        It does so only if this process has not stalled: after a stall their acknowledgements may be unread.
         """
         if self.stall_watch.is_steady(now):
             step.cuts += [StreamCut(name, NONCES_OVERDUE) for name in self.nonces.overdue_proxies(now)]
@@ -144,7 +145,7 @@
                 step.cuts.append(StreamCut(proxy.external_id, CHANNEL_AT_CAP))
 
     def forget_unused(self):
-        """Forgets what the policy has forgotten: identifiers, and what is stored beside them."""
+        """Removes identifiers that the policy no longer uses, and the records kept for them."""
         waiting = self.intake.waiting_backends()
         tables = self.outbox.tables.values()
 
@@ -157,7 +158,7 @@
 
         for backend in self.forget(needed):
             self.outbox.withdrawn.pop(backend, None)
-        # a dict keeps the memory of its largest size until it is made anew
+        # a dict keeps the memory of its largest size until it is copied
         for table in tables:
             table.lines = dict(table.lines)
             table.proxies = dict(table.proxies)
--- a/embertray/controller/core/memory_collections.py
+++ b/embertray/controller/core/memory_collections.py
@@ -1,6 +1,6 @@
-"""What the parts of a controller store, by purpose: the collections that the memory accounts count.
+"""Lists the collections that the parts of a controller store, by the purpose of their memory account.
 
-Nothing is changed here. A walk over an entry stops at handles and at the policy's states, which are counted
+Nothing is changed here. Counting an entry stops at handles and at the policy's states, which are counted
 once, under "names".
 """
 
@@ -11,12 +11,12 @@
 
 STATE_TYPES = (BackendState, ProxyState)
 HANDLE_TYPES = (i.Handle, i.RequestKind, *STATE_TYPES)
-# Attributes of a state that other collections count.
+# Attributes of a state that are counted in other collections.
 COUNTED_ELSEWHERE = ("context", "samples", "messages", "handle", "table")
 
 
 def memory_collections(core):
-    """Lists what a controller's parts store, without its streams (those are the daemon's).
+    """Lists the collections of a controller's parts, except its streams, which belong to the daemon.
 
     Args:
         core: The MemoryBoundRunner.
@@ -43,7 +43,7 @@
 
 
 def _items(dicts):
-    """Returns a function that gives the items of all the dicts."""
+    """Returns a function that iterates over the items of all the dicts."""
     return lambda: (item for one in dicts for item in one.items())
 
 
--- a/embertray/controller/core/nonce_ledger.py
+++ b/embertray/controller/core/nonce_ledger.py
@@ -1,4 +1,4 @@
-"""Which nonces the proxies have not acknowledged yet, without I/O."""
+"""Tracks the nonces that proxies have not acknowledged yet, without I/O."""
 
 from collections import deque
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
     Attributes:
         nonce: The policy's nonce.
-        elapsed: Time since it was ordered, ns.
+        elapsed: Time from the order to the acknowledgement, ns.
     """
 
     nonce: i.Nonce
@@ -20,15 +20,15 @@
 
 
 class NonceLedger:
-    """The open nonces of one controller.
+    """The unacknowledged nonces of one controller.
 
     Args:
-        identifiers: The Identifiers, whose `nonces` are deleted once nobody owes an acknowledgement.
+        identifiers: The Identifiers, whose `nonces` are deleted once no acknowledgement is outstanding.
 
     Attributes:
         by_proxy: Proxy's name -> deque of ids of the nonces that it has not acknowledged, the oldest first.
         sent_at: Id of a nonce -> when it was ordered, ns.
-        outstanding: Id of a nonce -> how many proxies have not acknowledged it.
+        outstanding: Id of a nonce -> number of proxies that have not acknowledged it.
     """
 
     def __init__(self, identifiers):
@@ -38,22 +38,22 @@
         self._identifiers = identifiers
 
     def proxy_joined(self, name):
-        """Begins the account of a proxy."""
+        """Adds a proxy, without unacknowledged nonces."""
         self.by_proxy[name] = deque()
 
     def proxy_left(self, name):
-        """Forgets what a proxy owes: it will acknowledge nothing any more."""
+        """Removes a proxy and its unacknowledged nonces."""
         for nonce_id in self.by_proxy.pop(name, ()):
             self._release(nonce_id)
 
     def record_sent(self, now, name, nonce_id):
-        """Records that a proxy is sent a nonce at `now` (ns)."""
+        """Records that a nonce was sent to a proxy at `now` (ns)."""
         self.sent_at[nonce_id] = now
         self.outstanding[nonce_id] = self.outstanding.get(nonce_id, 0) + 1
         self.by_proxy[name].append(nonce_id)
 
     def acknowledge(self, now, name, nonce_id):
-        """Records that a proxy has applied the message with this nonce, and all before it.
+        """Records a proxy's acknowledgement of a nonce, which covers all earlier nonces.
 
         Args:
             now: ns.
@@ -61,7 +61,7 @@
             nonce_id: The nonce's id on the wire.
 
         Returns:
-            Acknowledged, or None if the proxy does not owe this nonce.
+            Acknowledged, or None if the nonce is not outstanding at this proxy.
         """
         open_nonces = self.by_proxy.get(name, ())
         nonce = self._identifiers.nonces.get(nonce_id)
@@ -76,7 +76,7 @@
         return acknowledged
 
     def overdue_proxies(self, now):
-        """Returns the names of proxies that owe a nonce for over NONCE_TIMEOUT_NS at `now` (ns)."""
+        """Returns the names of proxies whose oldest nonce is older than NONCE_TIMEOUT_NS at `now` (ns)."""
         return [
             name
             for name, open_nonces in self.by_proxy.items()
@@ -84,7 +84,7 @@
         ]
 
     def _release(self, nonce_id):
-        """One proxy less owes this nonce; it is forgotten when nobody does."""
+        """Removes one outstanding acknowledgement of a nonce, and the nonce with its last one."""
         self.outstanding[nonce_id] -= 1
         if not self.outstanding[nonce_id]:
             del self.outstanding[nonce_id]
--- a/embertray/controller/core/step.py
+++ b/embertray/controller/core/step.py
@@ -1,4 +1,4 @@
-"""What one step of a controller asks of whoever runs it."""
+"""The result of one step of a controller: actions for its caller."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class ProxyOrders(NamedTuple):
-    """A message that leaves now.
+    """A message to send now.
 
     Attributes:
         proxy: The receiver's name.
@@ -20,11 +20,11 @@
 
 
 class StreamCut(NamedTuple):
-    """A stream that is to be cut.
+    """A stream to cut.
 
     Attributes:
         proxy: The proxy's name.
-        reason: Why, for the log.
+        reason: The reason, for the log.
     """
 
     proxy: str
@@ -33,18 +33,18 @@
 
 @dataclass
 class Step:
-    """What a step asks for.
+    """The actions that result from one step.
 
     Attributes:
-        outgoing: ProxyOrders that leave now, in order.
-        subscribe: Whether the endpoint list is to be watched; None: as before.
-        poll_list: The endpoint list is to be requested.
-        probes: Names of backends that are to be probed.
-        log_lines: What the policy has to log.
+        outgoing: ProxyOrders to send now, in order.
+        subscribe: Whether to watch the endpoint list; None: unchanged.
+        poll_list: Whether to request the endpoint list.
+        probes: Names of the backends to probe.
+        log_lines: Texts that the policy logs.
         cuts: StreamCut items.
-        refetch_list: Backends were deferred and there is capacity again: the complete list is wanted.
+        refetch_list: Whether to request the complete list: backends were deferred and there is memory again.
         notices: CapNotice items for operators.
-        level_change: The LevelChange, if another degradation level is in force.
+        level_change: The LevelChange, if the degradation level changed.
     """
 
     outgoing: list[ProxyOrders] = field(default_factory=list)
