--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -9,7 +9,7 @@
 from .units import MILLISECOND, SECOND
 from .weight_planner import WeightPlanner
 
-BEAT_INTERVAL = 250 * MILLISECOND  # ns; under a report interval
+CYCLE_INTERVAL = 250 * MILLISECOND  # ns; under a report interval
 FORGET_INTERVAL = 10 * SECOND  # ns between two looks for those that are gone for long
 FORGET_AFTER = 60 * SECOND  # ns; past any window, retry and grace
 
@@ -32,7 +32,7 @@
         self.weight_planner = WeightPlanner(self.context)
         self.load_shedding = LoadShedding(self.context)
         self.publisher = Publisher(self.context, self.endpoint_watch)
-        self._next_beat_at = 0
+        self._next_cycle_at = 0
         self._forget_at = now + FORGET_INTERVAL
 
     @property
@@ -60,8 +60,8 @@
         context.orders = []
         self._take(events)
         context.update_observed_report_interval()
-        if now >= self._next_beat_at:
-            self._beat()
+        if now >= self._next_cycle_at:
+            self._run_cycle()
         elif self.publisher.is_urgent:
             self.publisher.publish()
         return context.orders
@@ -99,9 +99,9 @@
             self.context.proxies.append(handle.actor)
         return handle.actor
 
-    def _beat(self):
-        self._next_beat_at = self.context.now + BEAT_INTERVAL
-        self.context.orders.append(interface.SetTimer(0, BEAT_INTERVAL))
+    def _run_cycle(self):
+        self._next_cycle_at = self.context.now + CYCLE_INTERVAL
+        self.context.orders.append(interface.SetTimer(0, CYCLE_INTERVAL))
         self._forget()
         self.endpoint_watch.subscribe_if_due()
         state, wanted = self.weight_planner.plan()
