--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -10,8 +10,8 @@
 from .weight_planner import WeightPlanner
 
 CYCLE_INTERVAL = 250 * MILLISECOND  # ns; under a report interval
-FORGET_INTERVAL = 10 * SECOND  # ns between two looks for those that are gone for long
-FORGET_AFTER = 60 * SECOND  # ns; past any window, retry and grace
+PRUNE_INTERVAL = 10 * SECOND  # ns between two looks for those that are gone for long
+PRUNE_AFTER = 60 * SECOND  # ns; past any window, retry and grace
 
 
 class Controller:
@@ -33,7 +33,7 @@
         self.load_shedding = LoadShedding(self.context)
         self.publisher = Publisher(self.context, self.endpoint_watch)
         self._next_cycle_at = 0
-        self._forget_at = now + FORGET_INTERVAL
+        self._next_prune_at = now + PRUNE_INTERVAL
 
     @property
     def backends(self):
@@ -102,7 +102,7 @@
     def _run_cycle(self):
         self._next_cycle_at = self.context.now + CYCLE_INTERVAL
         self.context.orders.append(interface.SetTimer(0, CYCLE_INTERVAL))
-        self._forget()
+        self._prune()
         self.endpoint_watch.subscribe_if_due()
         state, wanted = self.weight_planner.plan()
         self.load_shedding.update(state)
@@ -110,21 +110,21 @@
             self.publisher.set_wanted(zone, lines)
         self.publisher.publish(self.context.admission)
 
-    def _forget(self):
+    def _prune(self):
         """Forgets backends and proxies that are gone for long.
 
         Guards against growth with all that ever was: by churn over hours memory and the cost of a beat would
         rise without end.
         """
         context = self.context
-        if context.now < self._forget_at:
+        if context.now < self._next_prune_at:
             return
-        self._forget_at = context.now + FORGET_INTERVAL
+        self._next_prune_at = context.now + PRUNE_INTERVAL
         for table in self.publisher.tables.all:
             table.compact()
         for known in (context.backends, context.proxies):
             gone = [
-                one for one in known if one.gone_at is not None and context.now - one.gone_at > FORGET_AFTER
+                one for one in known if one.gone_at is not None and context.now - one.gone_at > PRUNE_AFTER
             ]
             for member in gone:
                 if self.publisher.forget(member):
