--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -58,7 +58,7 @@
         context = self.context
         context.now = now
         context.orders = []
-        self._take(events)
+        self._apply_events(events)
         context.update_observed_report_interval()
         if now >= self._next_cycle_at:
             self._run_cycle()
@@ -66,7 +66,7 @@
             self.publisher.publish()
         return context.orders
 
-    def _take(self, events):
+    def _apply_events(self, events):
         """Takes over the events, endpoint lists last: what a step's reports tell is of the list before."""
         updates = []
         for event in events:
@@ -74,26 +74,26 @@
                 if event.backend.actor:
                     event.backend.actor.add_report(event)
             elif isinstance(event, interface.ArrivalReport):
-                self._proxy(event.proxy).add_arrivals(event)
+                self._proxy_state(event.proxy).add_arrivals(event)
             elif isinstance(event, interface.NonceAcknowledged):
-                self._take_acknowledgement(event)
+                self._apply_acknowledgement(event)
             elif isinstance(event, interface.ProxyJoined):
-                proxy = self._proxy(event.proxy)
+                proxy = self._proxy_state(event.proxy)
                 proxy.join(event)
                 self.publisher.proxy_joined(proxy)
             elif isinstance(event, interface.ProxyLeft):
-                self._proxy(event.proxy).leave()
+                self._proxy_state(event.proxy).leave()
             elif isinstance(event, interface.EndpointListUpdate):
                 updates.append(event)
         for backend in self.endpoint_watch.update(updates):
             self.publisher.backend_left(backend)
 
-    def _take_acknowledgement(self, event):
-        proxy = self._proxy(event.proxy)
+    def _apply_acknowledgement(self, event):
+        proxy = self._proxy_state(event.proxy)
         proxy.acknowledge(event.nonce)
         self.publisher.budget.acknowledged(proxy, event.nonce, event.took)
 
-    def _proxy(self, handle):
+    def _proxy_state(self, handle):
         if handle.actor is None:
             handle.actor = ProxyState(self.context, handle)
             self.context.proxies.append(handle.actor)
