--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -131,12 +131,12 @@
         """
         forgotten = []
         for name, backend in list(self.identifiers.backends.items()):
-            if backend.actor is None and name not in self.state and not needed(backend):
+            if backend.policy_state is None and name not in self.state and not needed(backend):
                 del self.identifiers.backends[name]
                 self.start_times.pop(name, None)
                 forgotten.append(backend)
         for name, proxy in list(self.identifiers.proxies.items()):
-            if proxy.actor is None and not needed(proxy):
+            if proxy.policy_state is None and not needed(proxy):
                 del self.identifiers.proxies[name]
         # a dict keeps the memory of its largest size until it is made anew
         self.start_times = dict(self.start_times)
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -133,7 +133,7 @@
         ]
         for known in (self.identifiers.backends, self.identifiers.proxies):
             for handle in known.values():
-                handle.actor = None
+                handle.policy_state = None
         self.seed += 1
         self.module = Controller(self.seed, self.settings.deployment(self.identifiers), now)
         self.timers = []
--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -71,8 +71,8 @@
         updates = []
         for event in events:
             if isinstance(event, interface.BackendReport):
-                if event.backend.actor:
-                    event.backend.actor.add_report(event)
+                if event.backend.policy_state:
+                    event.backend.policy_state.add_report(event)
             elif isinstance(event, interface.ArrivalReport):
                 self._proxy_state(event.proxy).add_arrivals(event)
             elif isinstance(event, interface.NonceAcknowledged):
@@ -94,10 +94,10 @@
         self.publisher.budget.acknowledged(proxy, event.nonce, event.took)
 
     def _proxy_state(self, handle):
-        if handle.actor is None:
-            handle.actor = ProxyState(self.context, handle)
-            self.context.proxies.append(handle.actor)
-        return handle.actor
+        if handle.policy_state is None:
+            handle.policy_state = ProxyState(self.context, handle)
+            self.context.proxies.append(handle.policy_state)
+        return handle.policy_state
 
     def _run_cycle(self):
         self._next_cycle_at = self.context.now + CYCLE_INTERVAL
@@ -128,5 +128,5 @@
             ]
             for member in gone:
                 if self.publisher.forget(member):
-                    member.handle.actor = None
+                    member.handle.policy_state = None
                     known.remove(member)
--- a/embertray/policy/endpoint_watch.py
+++ b/embertray/policy/endpoint_watch.py
@@ -69,10 +69,10 @@
         )
 
     def _backend(self, handle):
-        if handle.actor is None:
-            handle.actor = BackendState(self.context, handle)
-            self.context.backends.append(handle.actor)
-        return handle.actor
+        if handle.policy_state is None:
+            handle.policy_state = BackendState(self.context, handle)
+            self.context.backends.append(handle.policy_state)
+        return handle.policy_state
 
     def subscribe_if_due(self):
         """Orders a subscription when one is due; to be called at each beat."""
--- a/embertray/policy/interface.py
+++ b/embertray/policy/interface.py
@@ -19,7 +19,7 @@
 
     def __init__(self, external_id=None):
         self.external_id = external_id
-        self.actor = None
+        self.policy_state = None
 
 
 class Backend(Handle):
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -83,7 +83,7 @@
         new = {
             backend.external_id
             for backend in self.identifiers.backends.values()
-            if backend.actor and backend.actor.started > 0
+            if backend.policy_state and backend.policy_state.started > 0
         }
         step.outgoing = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.outgoing]
         return step
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -62,7 +62,7 @@
         )
         zones = [self.thing(i.Zone, z) for z in given.pop("zones", "north").split(",")]
         for thing in self.things.values():
-            thing.actor = None
+            thing.policy_state = None
         self.tables, self.levels, self.open = {}, {}, {}
         self.module = Controller(int(seed), i.Deployment(list(self.kinds.values()), zones, **given), self.now)
 
