--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -32,7 +32,7 @@
         self.health_since = context.now
         self.reports_ignored_until = 0
         self.learnt_since = context.now
-        self.draw = context.draw()
+        self.tie_breaker = context.draw()
         self.samples = BackendSamples(REPORTS_KEPT)
 
     def update_from_list(self, entry):
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -106,7 +106,7 @@
         for backend in [backend for backend in group if backend in self._table_of]:
             lacking[self._table_of[backend]] -= group[backend]
         new = [backend for backend in group if backend not in self._table_of]
-        for backend in sorted(new, key=lambda backend: (-group[backend], backend.draw)):
+        for backend in sorted(new, key=lambda backend: (-group[backend], backend.tie_breaker)):
             table = max(lacking, key=lacking.get)
             self._table_of[backend] = table
             lacking[table] -= group[backend]
