--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -9,7 +9,7 @@
 SHORT_WINDOW = 4 * SECOND  # ns; the last reports, for health
 SPAN_MIN = SECOND // 4  # ns; a report span under a beat makes no rate
 # gauges of a report, the preferred first: busy share of the cores, requests that wait, requests in flight
-LOAD_NAMES = ("busy", "waiting", "held")
+LOAD_METRICS = ("busy", "waiting", "held")
 
 
 class BackendState:
@@ -31,7 +31,7 @@
         self.health = 1.0
         self.health_since = context.now
         self.reports_ignored_until = 0
-        self.learnt_since = context.now
+        self.learning_start = context.now
         self.tie_breaker = context.draw()
         self.samples = BackendSamples(REPORTS_KEPT)
 
@@ -46,20 +46,20 @@
         """
         now = self.context.now
         if entry.state == "ready" and entry.started > self.started:
-            self._restarted(entry.started)
-        leaves = entry.state != "ready" and self.state in (None, "ready")
+            self._reset_after_restart(entry.started)
+        stopped_being_ready = entry.state != "ready" and self.state in (None, "ready")
         self.zone = entry.zone
         self.state = entry.state
         self.started = max(entry.started, self.started)
         self.gone_at = (self.gone_at or now) if entry.state == "gone" else None
-        return leaves
+        return stopped_being_ready
 
-    def _restarted(self, started):
+    def _reset_after_restart(self, started):
         """What was learnt of its former run does not count, nor what it does while it warms up."""
         self.health = 1.0
         self.health_since = self.context.now
         self.reports_ignored_until = 0
-        self.learnt_since = started + self.context.deployment.warm_up_time
+        self.learning_start = started + self.context.deployment.warm_up_time
         self.samples.clear()
 
     def add_report(self, report):
@@ -72,7 +72,7 @@
         context.reported_spans.append(report.span)
         context.reports_tell_busy = "busy" in report.load or context.reports_tell_busy
         if context.now - report.span >= self.reports_ignored_until and report.tries > 0:
-            loads = [report.load[name] for name in LOAD_NAMES if name in report.load]
+            loads = [report.load[name] for name in LOAD_METRICS if name in report.load]
             self.samples.add(context.now, report, loads[0] if loads else None)
 
     def figures(self):
@@ -87,7 +87,7 @@
         context = self.context
         now = context.now
         slow_reports = 2 * context.observed_report_interval
-        long_start = max(now - max(LONG_WINDOW, slow_reports), self.learnt_since)
+        long_start = max(now - max(LONG_WINDOW, slow_reports), self.learning_start)
         short_start = now - max(SHORT_WINDOW, slow_reports)
         newest_start = now - context.deployment.report_interval * 3 // 2
         return BackendFigures(
@@ -125,5 +125,5 @@
             self.samples.clear()
         if health != self.health:
             self.health_since = context.now
-            self.learnt_since = context.now + (deployment.report_interval if health >= 1 else 0)
+            self.learning_start = context.now + (deployment.report_interval if health >= 1 else 0)
         self.health = health
