--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -1,7 +1,7 @@
 """One backend as a controller knows it: its entry of the list, last reports, capacity and health."""
 
 from .context import REPORTS_KEPT
-from .records.backend import BackendFigures, BackendSamples
+from .records.backend import BackendSamples, BackendStats
 from .slow_start import warmth
 from .units import SECOND
 
@@ -75,14 +75,14 @@
             loads = [report.load[name] for name in LOAD_METRICS if name in report.load]
             self.samples.add(context.now, report, loads[0] if loads else None)
 
-    def figures(self):
+    def stats(self):
         """What its samples come to now.
 
         A failed attempt counts as a client time-out in the windows, and as one that just missed its latency
         objective in the newest reports. What it did cold or ejected does not count for its capacity.
 
         Returns:
-            `BackendFigures`.
+            `BackendStats`.
         """
         context = self.context
         now = context.now
@@ -90,7 +90,7 @@
         long_start = max(now - max(LONG_WINDOW, slow_reports), self.learning_start)
         short_start = now - max(SHORT_WINDOW, slow_reports)
         newest_start = now - context.deployment.report_interval * 3 // 2
-        return BackendFigures(
+        return BackendStats(
             self,
             self._totals(long_start),
             now - long_start,
--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -5,7 +5,7 @@
 ready backends were heard of lately: the first reports after a start tell of few backends, and of those by
 chance.
 
-Inputs: `BackendFigures` of all ready backends at each beat. Decides: `FleetState`, on which load shedding
+Inputs: `BackendStats` of all ready backends at each beat. Decides: `FleetState`, on which load shedding
 acts, and whether cold backends have to wait (`is_congested`).
 """
 
@@ -33,55 +33,55 @@
         self.context = context
         self._mean_latencies = deque(maxlen=BEATS_KEPT)  # ns
 
-    def estimate(self, figures):
+    def estimate(self, stats):
         """What all ready backends come to at this beat.
 
         Args:
-            figures: `BackendFigures` of all ready backends.
+            stats: `BackendStats` of all ready backends.
 
         Returns:
             `FleetState`.
         """
-        attempts = self._newest_attempts(figures)
-        wait = self._wait(figures, attempts)
+        attempts = self._newest_attempts(stats)
+        wait = self._wait(stats, attempts)
         means = self._mean_latencies
         falls = attempts > 0 and means[-1] < FALLING_RATIO * means[-min(BEATS_COMPARED, len(means))]
-        load, newest_load = self._loads(figures)
+        load, newest_load = self._loads(stats)
         return FleetState(
             wait=wait,
             falls=falls,
             empty=newest_load < EMPTY_RATIO * load,
             busy=load if self.context.reports_tell_busy else 1.0,
-            short=add_totals(row.short for row in figures),
-            capacity=sum(row.backend.capacity * row.warmth for row in figures) or 1.0,
-            has_cold=any(row.warmth < 1 for row in figures),
+            short=add_totals(row.short for row in stats),
+            capacity=sum(row.backend.capacity * row.warmth for row in stats) or 1.0,
+            has_cold=any(row.warmth < 1 for row in stats),
         )
 
-    def is_congested(self, state, figures):
+    def is_congested(self, state, stats):
         """Whether requests queue at warm backends, so that cold ones have to wait for their lines."""
         queues = state.wait > WAIT_LOW * self.context.latency_objective
-        return queues and any(row.warmth >= 1 for row in figures)
+        return queues and any(row.warmth >= 1 for row in stats)
 
     @staticmethod
-    def _newest_attempts(figures):
+    def _newest_attempts(stats):
         """Attempts in the newest reports; 0 unless half of the backends were heard of lately."""
-        heard = sum(row.short.attempts > 0 for row in figures)
-        if 2 * heard < len(figures):
+        heard = sum(row.short.attempts > 0 for row in stats)
+        if 2 * heard < len(stats):
             return 0
-        return sum(report.attempts for row in figures for report in row.newest)
+        return sum(report.attempts for row in stats for report in row.newest)
 
-    def _wait(self, figures, attempts):
+    def _wait(self, stats, attempts):
         """Mean time in queues by the newest reports, ns; 0 if they tell nothing."""
         if not attempts:
             return 0
-        mean = sum(report.latency for row in figures for report in row.newest) / attempts
+        mean = sum(report.latency for row in stats for report in row.newest) / attempts
         self._mean_latencies.append(mean)
         work = min(WORK_SHARE_MAX * self.context.latency_objective, *self._mean_latencies)
         return mean - work
 
     @staticmethod
-    def _loads(figures):
+    def _loads(stats):
         """Mean reported load of the long window, and of the newest reports."""
-        loads = [row.load for row in figures if row.load is not None] or [1.0]
-        newest = [report.load for row in figures for report in row.newest if report.load is not None] or loads
+        loads = [row.load for row in stats if row.load is not None] or [1.0]
+        newest = [report.load for row in stats for report in row.newest if report.load is not None] or loads
         return sum(loads) / len(loads), sum(newest) / len(newest)
--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -10,7 +10,7 @@
 move that would take it further away: latency alone starves slow machines that have time. Harms where loads
 are reported wrong.
 
-Inputs: `BackendFigures` over the long window. Decides: `BackendState.capacity`, in average backends.
+Inputs: `BackendStats` over the long window. Decides: `BackendState.capacity`, in average backends.
 """
 
 from statistics import median
@@ -38,13 +38,13 @@
     def __init__(self, context):
         self.context = context
 
-    def learn(self, figures):
+    def learn(self, stats):
         """Moves the capacity of the healthy backends that were heard of enough.
 
         Args:
-            figures: `BackendFigures` of all ready backends.
+            stats: `BackendStats` of all ready backends.
         """
-        rows = [row for row in figures if self._is_known(row)]
+        rows = [row for row in stats if self._is_known(row)]
         estimates = self._estimates(rows)
         mean = sum(estimates) / (len(rows) or 1) or 1.0
         usual_load = median([row.load for row in rows if row.load is not None] or [0])
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -10,7 +10,7 @@
 Recovery rule: at each solve an ejected backend's weight doubles, once it had at least 2 attempts since the
 last change of its weight and at most a quarter of them failed, or none for 12 s. A restart heals at once.
 
-Inputs: `BackendFigures`. Decides: `BackendState.health`, a factor on the weight; 1 is healthy.
+Inputs: `BackendStats`. Decides: `BackendState.health`, a factor on the weight; 1 is healthy.
 
 Guards against backends that fail fast, hang or die unseen by the endpoint list: they would take their share
 of requests, or more, and fail them.
@@ -39,14 +39,14 @@
     def __init__(self, context):
         self.context = context
 
-    def recover(self, figures):
+    def recover(self, stats):
         """Raises the weight of ejected backends that do well, or of which nothing is heard.
 
         Args:
-            figures: `BackendFigures` of all ready backends.
+            stats: `BackendStats` of all ready backends.
         """
         now = self.context.now
-        for row in figures:
+        for row in stats:
             backend = row.backend
             does_well = (
                 row.long.attempts >= RECOVERY_ATTEMPTS_MIN
@@ -57,18 +57,18 @@
             if (does_well or silent) and backend.health < 1 and heard_since:
                 backend.set_health(min(1.0, backend.health * RECOVERY_FACTOR))
 
-    def eject(self, figures):
+    def eject(self, stats):
         """Cuts the weight of outliers, the worst first.
 
         Args:
-            figures: `BackendFigures` of all ready backends.
+            stats: `BackendStats` of all ready backends.
         """
         heard = [
-            row for row in figures if row.short.attempts >= ATTEMPTS_MIN and row.backend.health > HEALTH_MIN
+            row for row in stats if row.short.attempts >= ATTEMPTS_MIN and row.backend.health > HEALTH_MIN
         ]
         failed = {row.backend: row.short.failed / row.short.attempts for row in heard}
         usual = sorted(failed.values())[len(failed) // 4] if failed else 0
-        may_eject = int(EJECTED_SHARE_MAX * len(figures)) - sum(row.backend.health < 1 for row in figures)
+        may_eject = int(EJECTED_SHARE_MAX * len(stats)) - sum(row.backend.health < 1 for row in stats)
         outliers = [one for one, share in failed.items() if share > FAILED_SHARE_ABOVE_PEERS + usual]
         for backend in sorted(outliers, key=lambda backend: -failed[backend]):
             if backend.health < 1 or may_eject > 0:
--- a/embertray/policy/records/backend.py
+++ b/embertray/policy/records/backend.py
@@ -35,7 +35,7 @@
     load: float | None
 
 
-class BackendFigures(NamedTuple):
+class BackendStats(NamedTuple):
     """What a backend's samples come to now."""
 
     backend: Any
--- a/embertray/policy/slow_start.py
+++ b/embertray/policy/slow_start.py
@@ -44,28 +44,28 @@
     return min(COLD_FACTOR_MAX, speed * (PART_OF_OVERLOAD * deployment.overload_multiple * preferred or 1))
 
 
-def backends_with_weight(figures, congested):
+def backends_with_weight(stats, congested):
     """The backends that get a weight now; the others wait.
 
     Args:
-        figures: `BackendFigures` of all ready backends.
+        stats: `BackendStats` of all ready backends.
         congested: whether requests queue at the warm ones.
 
     Returns:
-        Those of `figures` that may get lines: all, or the warm ones alone.
+        Those of `stats` that may get lines: all, or the warm ones alone.
     """
-    warm = [row for row in figures if row.warmth >= 1]
-    return warm if congested and cold_ones_wait(figures, warm) else figures
+    warm = [row for row in stats if row.warmth >= 1]
+    return warm if congested and cold_ones_wait(stats, warm) else stats
 
 
-def cold_ones_wait(figures, warm):
+def cold_ones_wait(stats, warm):
     """Whether cold backends get no line while requests queue.
 
     Args:
-        figures: `BackendFigures` of all ready backends.
+        stats: `BackendStats` of all ready backends.
         warm: those of them that are warm.
     """
-    capacity = sum(row.backend.capacity for row in figures)
+    capacity = sum(row.backend.capacity for row in stats)
     warm_capacity = sum(row.backend.capacity for row in warm)
     attempts = sum(row.short.attempts for row in warm)
     failed = sum(row.short.failed for row in warm)
--- a/embertray/policy/weight_planner.py
+++ b/embertray/policy/weight_planner.py
@@ -29,17 +29,17 @@
             (`FleetState`, list of (zone, `BackendState` -> wanted weight, 0 for who gets no line)).
         """
         context = self.context
-        figures = [backend.figures() for backend in context.backends if backend.state == "ready"]
+        stats = [backend.stats() for backend in context.backends if backend.state == "ready"]
         demand = self._demand()
         if context.now >= self._next_solve_at:
             self._next_solve_at = context.now + SOLVE_INTERVAL
-            self.learned_weights.learn(figures)
-            self.outliers.recover(figures)
-        self.outliers.eject(figures)
-        state = self.congestion.estimate(figures)
-        is_congested = self.congestion.is_congested(state, figures)
-        weights = {row.backend: 0.0 for row in figures}  # whoever waits loses the line that it has
-        for row in backends_with_weight(figures, is_congested):
+            self.learned_weights.learn(stats)
+            self.outliers.recover(stats)
+        self.outliers.eject(stats)
+        state = self.congestion.estimate(stats)
+        is_congested = self.congestion.is_congested(state, stats)
+        weights = {row.backend: 0.0 for row in stats}  # whoever waits loses the line that it has
+        for row in backends_with_weight(stats, is_congested):
             weights[row.backend] = row.backend.capacity * row.warmth * row.backend.health
         return state, list(self.locality.lines(weights, demand))
 
