--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -52,7 +52,7 @@
             falls=falls,
             empty=newest_load < EMPTY_RATIO * load,
             busy=load if self.context.reports_tell_busy else 1.0,
-            short=add_totals(row.short for row in stats),
+            short_window=add_totals(row.short_window for row in stats),
             capacity=sum(row.backend.capacity * row.warmth for row in stats) or 1.0,
             has_cold=any(row.warmth < 1 for row in stats),
         )
@@ -65,7 +65,7 @@
     @staticmethod
     def _newest_attempts(stats):
         """Attempts in the newest reports; 0 unless half of the backends were heard of lately."""
-        heard = sum(row.short.attempts > 0 for row in stats)
+        heard = sum(row.short_window.attempts > 0 for row in stats)
         if 2 * heard < len(stats):
             return 0
         return sum(report.attempts for row in stats for report in row.newest)
--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -54,21 +54,21 @@
 
     @staticmethod
     def _is_known(row):
-        heard = row.long.attempts >= ATTEMPTS_MIN and row.span >= SOLVE_INTERVAL
+        heard = row.long_window.attempts >= ATTEMPTS_MIN and row.span >= SOLVE_INTERVAL
         return heard and row.backend.health >= 1
 
     def _estimates(self, rows):
         """Served rate times the eased and bounded latency ratio, for each row."""
-        median_latency = median([row.long.latency for row in rows] or [0])
+        median_latency = median([row.long_window.latency for row in rows] or [0])
         ease = LATENCY_EASE * self.context.latency_objective
         ratios = [
             min(
                 LATENCY_RATIO_MAX,
-                max(1 / LATENCY_RATIO_MAX, (median_latency + ease) / (row.long.latency + ease)),
+                max(1 / LATENCY_RATIO_MAX, (median_latency + ease) / (row.long_window.latency + ease)),
             )
             for row in rows
         ]
-        return [row.long.rate * ratio for row, ratio in zip(rows, ratios, strict=True)]
+        return [row.long_window.rate * ratio for row, ratio in zip(rows, ratios, strict=True)]
 
     @staticmethod
     def _move(row, wanted, usual_load):
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -103,7 +103,10 @@
         context = self.context
         now = context.now
         proxies = context.joined_proxies
-        if state.short.attempts and state.short.failed / state.short.attempts > FAILED_SHARE_MAX:
+        if (
+            state.short_window.attempts
+            and state.short_window.failed / state.short_window.attempts > FAILED_SHARE_MAX
+        ):
             self._retries_at = now + context.client_timeout
         if now >= self._next_look_at and proxies and context.deployment.throttle != "none":
             self._next_look_at = now + LOOK_INTERVAL
@@ -129,14 +132,16 @@
         usual = sum(proxy.usual_rate for proxy in proxies) or 1.0
         unit = state.capacity * usual
         all_admitted = all(level.admitted == context.unlimited for level in context.admission.values())
-        is_calm = state.short.attempts and state.wait < WAIT_LOW * context.latency_objective and all_admitted
+        is_calm = (
+            state.short_window.attempts and state.wait < WAIT_LOW * context.latency_objective and all_admitted
+        )
         self._calm_looks.append((coming if is_calm else 0.0, unit))
         return Demand(coming, usual, unit, max(unit for _, unit in self._calm_looks))
 
     def _limits(self, state, demand):
         calm = min(coming for coming, _ in self._calm_looks)
         calm_long = calm / demand.unit_max if len(self._calm_looks) == CALM_LOOKS else 0.0
-        self._looks.append(Limits(state.short.rate / demand.unit_max, state.capacity, calm_long))
+        self._looks.append(Limits(state.short_window.rate / demand.unit_max, state.capacity, calm_long))
         return Limits(
             max(look.done for look in self._looks),
             max(look.capacity for look in self._looks),
@@ -149,7 +154,7 @@
         objective = self.context.latency_objective
         if self._goal is not None and now < self._next_cut_at:
             # what a full fleet does, it can do
-            done = state.short.rate / max(demand.unit_max, self._unit_at_cut)
+            done = state.short_window.rate / max(demand.unit_max, self._unit_at_cut)
             self._sustainable = max(self._sustainable, done)
         is_over = (state.falls and self._goal) or state.empty
         wait_low = (WAIT_HIGH if state.falls else WAIT_LOW) * objective
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -49,10 +49,10 @@
         for row in stats:
             backend = row.backend
             does_well = (
-                row.long.attempts >= RECOVERY_ATTEMPTS_MIN
-                and row.long.failed <= row.long.attempts * RECOVERY_FAILED_SHARE_MAX
+                row.long_window.attempts >= RECOVERY_ATTEMPTS_MIN
+                and row.long_window.failed <= row.long_window.attempts * RECOVERY_FAILED_SHARE_MAX
             )
-            silent = not row.long.attempts and now - backend.health_since > SILENT_RECOVERY_AFTER
+            silent = not row.long_window.attempts and now - backend.health_since > SILENT_RECOVERY_AFTER
             heard_since = now > backend.reports_ignored_until + self.context.observed_report_interval
             if (does_well or silent) and backend.health < 1 and heard_since:
                 backend.set_health(min(1.0, backend.health * RECOVERY_FACTOR))
@@ -64,9 +64,11 @@
             stats: `BackendStats` of all ready backends.
         """
         heard = [
-            row for row in stats if row.short.attempts >= ATTEMPTS_MIN and row.backend.health > HEALTH_MIN
+            row
+            for row in stats
+            if row.short_window.attempts >= ATTEMPTS_MIN and row.backend.health > HEALTH_MIN
         ]
-        failed = {row.backend: row.short.failed / row.short.attempts for row in heard}
+        failed = {row.backend: row.short_window.failed / row.short_window.attempts for row in heard}
         usual = sorted(failed.values())[len(failed) // 4] if failed else 0
         may_eject = int(EJECTED_SHARE_MAX * len(stats)) - sum(row.backend.health < 1 for row in stats)
         outliers = [one for one, share in failed.items() if share > FAILED_SHARE_ABOVE_PEERS + usual]
--- a/embertray/policy/records/backend.py
+++ b/embertray/policy/records/backend.py
@@ -39,9 +39,9 @@
     """What a backend's samples come to now."""
 
     backend: Any
-    long: Totals  # of the long window
+    long_window: Totals  # of the long window
     span: int  # ns that the long window covers
-    short: Totals  # of the short window
+    short_window: Totals  # of the short window
     warmth: float  # factor on the weight by slow start
     load: float | None  # mean of the long window
     newest: tuple[NewestReport, ...]
--- a/embertray/policy/records/levels.py
+++ b/embertray/policy/records/levels.py
@@ -19,6 +19,6 @@
     falls: bool  # the latency falls
     empty: bool  # the newest loads are far below those of the long window
     busy: float  # mean load if it tells of busy slots, else 1
-    short: Totals  # of the short window, all backends
+    short_window: Totals  # of the short window, all backends
     capacity: float  # average backends
     has_cold: bool  # some backend is not warm yet
--- a/embertray/policy/slow_start.py
+++ b/embertray/policy/slow_start.py
@@ -67,6 +67,6 @@
     """
     capacity = sum(row.backend.capacity for row in stats)
     warm_capacity = sum(row.backend.capacity for row in warm)
-    attempts = sum(row.short.attempts for row in warm)
-    failed = sum(row.short.failed for row in warm)
+    attempts = sum(row.short_window.attempts for row in warm)
+    failed = sum(row.short_window.failed for row in warm)
     return warm_capacity >= WARM_SHARE_ENOUGH * capacity or failed >= FAILED_SHARE_MAX * attempts
