--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -2,7 +2,7 @@
 
 from .context import REPORTS_KEPT
 from .records.backend import BackendSamples, BackendStats
-from .slow_start import warmth
+from .slow_start import warm_up_factor
 from .units import SECOND
 
 LONG_WINDOW = 8 * SECOND  # ns; some fifty answers of a backend, so that chance evens out
@@ -95,7 +95,7 @@
             self._totals(long_start),
             now - long_start,
             self._totals(short_start),
-            warmth(context.deployment, self.started, now),
+            warm_up_factor(context.deployment, self.started, now),
             self.samples.mean_load(now - LONG_WINDOW),
             self.samples.newest(newest_start, context.latency_objective),
         )
--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -53,14 +53,14 @@
             empty=newest_load < EMPTY_RATIO * load,
             busy=load if self.context.reports_tell_busy else 1.0,
             short_window=add_totals(row.short_window for row in stats),
-            capacity=sum(row.backend.capacity * row.warmth for row in stats) or 1.0,
-            has_cold=any(row.warmth < 1 for row in stats),
+            capacity=sum(row.backend.capacity * row.warm_up_factor for row in stats) or 1.0,
+            has_cold=any(row.warm_up_factor < 1 for row in stats),
         )
 
     def is_congested(self, state, stats):
         """Whether requests queue at warm backends, so that cold ones have to wait for their lines."""
         queues = state.wait > WAIT_LOW * self.context.latency_objective
-        return queues and any(row.warmth >= 1 for row in stats)
+        return queues and any(row.warm_up_factor >= 1 for row in stats)
 
     @staticmethod
     def _newest_attempts(stats):
--- a/embertray/policy/records/backend.py
+++ b/embertray/policy/records/backend.py
@@ -42,7 +42,7 @@
     long_window: Totals  # of the long window
     span: int  # ns that the long window covers
     short_window: Totals  # of the short window
-    warmth: float  # factor on the weight by slow start
+    warm_up_factor: float  # factor on the weight by slow start
     load: float | None  # mean of the long window
     newest: tuple[NewestReport, ...]
 
--- a/embertray/policy/slow_start.py
+++ b/embertray/policy/slow_start.py
@@ -25,7 +25,7 @@
 FAILED_SHARE_MAX = 1 - PART_OF_OVERLOAD
 
 
-def warmth(deployment, started_at, now):
+def warm_up_factor(deployment, started_at, now):
     """How much of its weight a backend gets for its age.
 
     Args:
@@ -54,7 +54,7 @@
     Returns:
         Those of `stats` that may get lines: all, or the warm ones alone.
     """
-    warm = [row for row in stats if row.warmth >= 1]
+    warm = [row for row in stats if row.warm_up_factor >= 1]
     return warm if congested and cold_ones_wait(stats, warm) else stats
 
 
--- a/embertray/policy/weight_planner.py
+++ b/embertray/policy/weight_planner.py
@@ -40,7 +40,7 @@
         is_congested = self.congestion.is_congested(state, stats)
         weights = {row.backend: 0.0 for row in stats}  # whoever waits loses the line that it has
         for row in backends_with_weight(stats, is_congested):
-            weights[row.backend] = row.backend.capacity * row.warmth * row.backend.health
+            weights[row.backend] = row.backend.capacity * row.warm_up_factor * row.backend.health
         return state, list(self.locality.lines(weights, demand))
 
     def _demand(self):
