--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -45,13 +45,13 @@
         attempts = self._newest_attempts(stats)
         wait = self._wait(stats, attempts)
         means = self._mean_latencies
-        falls = attempts > 0 and means[-1] < FALLING_RATIO * means[-min(BEATS_COMPARED, len(means))]
+        latency_falling = attempts > 0 and means[-1] < FALLING_RATIO * means[-min(BEATS_COMPARED, len(means))]
         load, newest_load = self._loads(stats)
         return FleetState(
-            wait=wait,
-            falls=falls,
-            empty=newest_load < EMPTY_RATIO * load,
-            busy=load if self.context.reports_tell_busy else 1.0,
+            queue_wait=wait,
+            latency_falling=latency_falling,
+            queues_drained=newest_load < EMPTY_RATIO * load,
+            busy_share=load if self.context.reports_tell_busy else 1.0,
             short_window=add_totals(row.short_window for row in stats),
             capacity=sum(row.backend.capacity * row.warm_up_factor for row in stats) or 1.0,
             has_cold=any(row.warm_up_factor < 1 for row in stats),
@@ -59,7 +59,7 @@
 
     def is_congested(self, state, stats):
         """Whether requests queue at warm backends, so that cold ones have to wait for their lines."""
-        queues = state.wait > WAIT_LOW * self.context.latency_objective
+        queues = state.queue_wait > WAIT_LOW * self.context.latency_objective
         return queues and any(row.warm_up_factor >= 1 for row in stats)
 
     @staticmethod
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -133,7 +133,9 @@
         unit = state.capacity * usual
         all_admitted = all(level.admitted == context.unlimited for level in context.admission.values())
         is_calm = (
-            state.short_window.attempts and state.wait < WAIT_LOW * context.latency_objective and all_admitted
+            state.short_window.attempts
+            and state.queue_wait < WAIT_LOW * context.latency_objective
+            and all_admitted
         )
         self._calm_looks.append((coming if is_calm else 0.0, unit))
         return Demand(coming, usual, unit, max(unit for _, unit in self._calm_looks))
@@ -156,11 +158,11 @@
             # what a full fleet does, it can do
             done = state.short_window.rate / max(demand.unit_max, self._unit_at_cut)
             self._sustainable = max(self._sustainable, done)
-        is_over = (state.falls and self._goal) or state.empty
-        wait_low = (WAIT_HIGH if state.falls else WAIT_LOW) * objective
-        if state.wait > WAIT_HIGH * objective and not is_over and now >= self._next_cut_at:
+        is_over = (state.latency_falling and self._goal) or state.queues_drained
+        wait_low = (WAIT_HIGH if state.latency_falling else WAIT_LOW) * objective
+        if state.queue_wait > WAIT_HIGH * objective and not is_over and now >= self._next_cut_at:
             self._cut(state, demand, limits)
-        elif self._goal is not None and state.wait < wait_low:
+        elif self._goal is not None and state.queue_wait < wait_low:
             self._raise_goal(demand)
         elif now >= self._next_cut_at:
             self._growth = GROWTH
@@ -176,7 +178,7 @@
         self._unit_at_cut = demand.unit
         self._sustainable = max(known, floor)
         self._growth = GROWTH_OF_GUESS if known < self._sustainable else GROWTH
-        depth = max(CUT_MIN, CUT_AT_WAIT_HIGH * WAIT_HIGH * context.latency_objective / state.wait)
+        depth = max(CUT_MIN, CUT_AT_WAIT_HIGH * WAIT_HIGH * context.latency_objective / state.queue_wait)
         self._goal = depth * self._sustainable
         # the effect of a cut is seen once clients gave up and a round of reports came
         effect = (
@@ -186,7 +188,7 @@
         admitted = self._goal * demand.unit
         context.orders.append(
             Log(
-                f"overload: requests wait {state.wait / MILLISECOND:.0f} ms in queues; "
+                f"overload: requests wait {state.queue_wait / MILLISECOND:.0f} ms in queues; "
                 f"{admitted:.0f} of {demand.coming:.0f} requests/s admitted"
             )
         )
@@ -206,7 +208,7 @@
         has_shrunk = (
             len(self._looks) > LOOKS_UNTIL_LIMITS_KNOWN
             and state.capacity < LOST_CAPACITY * limits.capacity
-            and state.busy * limits.capacity > BUSY_AFTER_LOSS * state.capacity
+            and state.busy_share * limits.capacity > BUSY_AFTER_LOSS * state.capacity
         )
         limit = self._goal
         if limit is None:
--- a/embertray/policy/records/levels.py
+++ b/embertray/policy/records/levels.py
@@ -15,10 +15,10 @@
 class FleetState(NamedTuple):
     """What all backends of one controller come to at one beat."""
 
-    wait: float  # mean time in queues, ns
-    falls: bool  # the latency falls
-    empty: bool  # the newest loads are far below those of the long window
-    busy: float  # mean load if it tells of busy slots, else 1
+    queue_wait: float  # mean time in queues, ns
+    latency_falling: bool  # the latency falls
+    queues_drained: bool  # the newest loads are far below those of the long window
+    busy_share: float  # mean load if it tells of busy slots, else 1
     short_window: Totals  # of the short window, all backends
     capacity: float  # average backends
     has_cold: bool  # some backend is not warm yet
