--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -70,7 +70,7 @@
         """
         context = self.context
         context.reported_spans.append(report.span)
-        context.reports_tell_busy = "busy" in report.load or context.reports_tell_busy
+        context.reports_include_busy_share = "busy" in report.load or context.reports_include_busy_share
         if context.now - report.span >= self.reports_ignored_until and report.tries > 0:
             loads = [report.load[name] for name in LOAD_METRICS if name in report.load]
             self.samples.add(context.now, report, loads[0] if loads else None)
--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -51,7 +51,7 @@
             queue_wait=wait,
             latency_falling=latency_falling,
             queues_drained=newest_load < EMPTY_RATIO * load,
-            busy_share=load if self.context.reports_tell_busy else 1.0,
+            busy_share=load if self.context.reports_include_busy_share else 1.0,
             short_window=add_totals(row.short_window for row in stats),
             capacity=sum(row.backend.capacity * row.warm_up_factor for row in stats) or 1.0,
             has_cold=any(row.warm_up_factor < 1 for row in stats),
--- a/embertray/policy/context.py
+++ b/embertray/policy/context.py
@@ -30,15 +30,15 @@
         self.proxies = []
         self.reported_spans = deque(maxlen=REPORTS_KEPT)
         self.observed_report_interval = deployment.report_interval
-        self.reports_tell_busy = False
+        self.reports_include_busy_share = False
         self.client_timeout = max((kind.client_timeout for kind in deployment.kinds), default=SECOND)
         weights = sum(kind.credit for kind in deployment.kinds) or 1
         self.latency_objective = (
             sum(kind.credit * kind.latency_objective for kind in deployment.kinds) / weights
         )
-        self.unlimited = UNLIMITED_RATE if deployment.throttle == "rate" else 1.0
+        self.unlimited_level = UNLIMITED_RATE if deployment.throttle == "rate" else 1.0
         self.admission = {
-            kind: AdmissionLevel(self.unlimited, RETRY_AFTER_PROOF) for kind in deployment.kinds
+            kind: AdmissionLevel(self.unlimited_level, RETRY_AFTER_PROOF) for kind in deployment.kinds
         }
         self._seed = seed
         self._draws = 0
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -131,7 +131,7 @@
         coming = sum(sum(proxy.rates.values()) for proxy in proxies)
         usual = sum(proxy.usual_rate for proxy in proxies) or 1.0
         unit = state.capacity * usual
-        all_admitted = all(level.admitted == context.unlimited for level in context.admission.values())
+        all_admitted = all(level.admitted == context.unlimited_level for level in context.admission.values())
         is_calm = (
             state.short_window.attempts
             and state.queue_wait < WAIT_LOW * context.latency_objective
@@ -224,27 +224,27 @@
             rates = [proxy.rates[kind] for proxy in proxies]
             shed = min(excess, SHED_MAX * sum(rates))
             excess = excess - shed
-            admitted = self._level(rates, shed) if shed > 0 else context.unlimited
+            admitted = self._level(rates, shed) if shed > 0 else context.unlimited_level
             former = context.admission[kind]
             has_moved = abs(admitted / former.admitted - 1) > LEVEL_CHANGE_MIN
-            if has_moved or admitted == context.unlimited != former.admitted:
+            if has_moved or admitted == context.unlimited_level != former.admitted:
                 context.admission[kind] = AdmissionLevel(admitted, former.retry)
 
     def _level(self, rates, shed):
         """The level that leaves all but `shed` of the requests that come to the proxies."""
         rest = sum(rates) - shed
         if self.context.deployment.throttle == "rate":
-            return equal_limit(rates, rest, self.context.unlimited)
+            return equal_limit(rates, rest, self.context.unlimited_level)
         return rest / sum(rates)
 
 
-def equal_limit(rates, admitted, unlimited):
+def equal_limit(rates, admitted, unlimited_level):
     """The limit, alike at all proxies, that admits so many of all requests.
 
     Args:
         rates: requests a second that come to each proxy.
         admitted: requests a second to be admitted in all.
-        unlimited: what stands for no limit.
+        unlimited_level: what stands for no limit.
 
     Returns:
         Requests a second at each proxy.
@@ -253,4 +253,4 @@
         if rate * proxies >= admitted:
             return max(admitted / proxies, PROXY_RATE_MIN)
         admitted -= rate
-    return unlimited
+    return unlimited_level
