--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -68,7 +68,7 @@
         self.reserved = {}
         self.reserved_lines = 0
 
-    def acknowledged(self, proxy, nonce, took):
+    def record_acknowledgement(self, proxy, nonce, took):
         """A proxy answered a nonce.
 
         Args:
@@ -77,13 +77,15 @@
             took: ns from the order to the answer.
         """
         self._ack_delays.append(took)
-        self.in_flight.answered(proxy, nonce, self.context.deployment.head + NONCE_LINES, self.context.now)
+        self.in_flight.record_acknowledgement(
+            proxy, nonce, self.context.deployment.head + NONCE_LINES, self.context.now
+        )
 
-    def ordered(self, nonce):
+    def record_order(self, nonce):
         """All that is reserved goes out under this nonce."""
         if not self.waiting_lines():
             self.in_flight.restart(self.context.now)
-        self.in_flight.ordered(nonce, self.reserved, self.reserved_lines)
+        self.in_flight.record_order(nonce, self.reserved, self.reserved_lines)
 
     def waiting_lines(self):
         """Lines that may still wait in the channel."""
--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -91,7 +91,7 @@
     def _apply_acknowledgement(self, event):
         proxy = self._proxy_state(event.proxy)
         proxy.acknowledge(event.nonce)
-        self.publisher.budget.acknowledged(proxy, event.nonce, event.took)
+        self.publisher.budget.record_acknowledgement(proxy, event.nonce, event.took)
 
     def _proxy_state(self, handle):
         if handle.policy_state is None:
--- a/embertray/policy/proxy.py
+++ b/embertray/policy/proxy.py
@@ -56,7 +56,7 @@
 
     def acknowledge(self, nonce):
         """It applied the message that carried `nonce`, and all before it."""
-        self.messages.answered(nonce, self.context.now)
+        self.messages.record_acknowledgement(nonce, self.context.now)
 
     def add_arrivals(self, report):
         """Keeps `interface.ArrivalReport`, the requests of one kind that reached it."""
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -114,8 +114,8 @@
         nonce = Nonce()
         self.context.orders.append(RequestAcknowledgement(nonce))
         for proxy in self.budget.reserved:
-            proxy.messages.ordered(nonce, self.context.now)
-        self.budget.ordered(nonce)
+            proxy.messages.record_order(nonce, self.context.now)
+        self.budget.record_order(nonce)
 
     def forget(self, member):
         """Forgets a backend or proxy that is gone for long.
--- a/embertray/policy/records/messages.py
+++ b/embertray/policy/records/messages.py
@@ -12,11 +12,11 @@
         self.open = deque()  # (nonce, ns at which it was ordered)
         self.written = deque()  # ns
 
-    def ordered(self, nonce, time):
+    def record_order(self, nonce, time):
         """A message with this nonce was ordered at `time`, ns."""
         self.open.append((nonce, time))
 
-    def answered(self, nonce, time):
+    def record_acknowledgement(self, nonce, time):
         """The nonce and all before it are answered.
 
         They count as written at `time`, ns: a channel that lags writes late and at once.
@@ -46,7 +46,7 @@
         self.by_nonce = {}  # nonce -> [proxy -> lines, lines in all that are unanswered]
         self.proof_at = now  # ns; when a proxy last proved that the channel sends
 
-    def ordered(self, nonce, lines, total):
+    def record_order(self, nonce, lines, total):
         """Messages go out under a nonce.
 
         Args:
@@ -56,7 +56,7 @@
         """
         self.by_nonce[nonce] = [lines, total]
 
-    def answered(self, proxy, nonce, overhead, now):
+    def record_acknowledgement(self, proxy, nonce, overhead, now):
         """A proxy answered a nonce: those before it are through as well.
 
         Args:
