--- a/embertray/controller/core/memory_collections.py
+++ b/embertray/controller/core/memory_collections.py
@@ -103,8 +103,8 @@
     sent_at = core.nonces.sent_at
     by_proxy = core.nonces.by_proxy
     proxies = core.module.proxies
-    unacknowledged = [proxy.messages.open for proxy in proxies]
-    unacknowledged += [proxy.messages.written for proxy in proxies]
+    unacknowledged = [proxy.messages.unacknowledged for proxy in proxies]
+    unacknowledged += [proxy.messages.write_times for proxy in proxies]
     by_nonce = core.module.publisher.budget.in_flight.by_nonce
     in_flight = [sent for sent, _ in by_nonce.values()]
     return [
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -144,7 +144,7 @@
     def clean_up(self):
         """Forget who is long gone, and nonces that nobody owes an answer to."""
         self.forget(lambda handle: handle.external_id in self.proxies.joined)
-        open_nonces = {nonce for proxy in self.module.proxies for nonce, _ in proxy.messages.open}
+        open_nonces = {nonce for proxy in self.module.proxies for nonce, _ in proxy.messages.unacknowledged}
         open_nonces.update(self.module.publisher.budget.in_flight.by_nonce)
         self.identifiers.nonces = {
             number: nonce for number, nonce in self.identifiers.nonces.items() if nonce in open_nonces
--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -148,10 +148,10 @@
         deployment = self.context.deployment
         is_limited = deployment.messages_max > 0
         most = deployment.messages_max - priority.messages_spared
-        since = self.context.now - deployment.messages_window
-        open_since = since - self.ack_timeout() if is_limited else 0
+        written_since = self.context.now - deployment.messages_window
+        ordered_since = written_since - self.ack_timeout() if is_limited else 0
         for proxy in proxies:
-            written = proxy.messages.count(since, open_since)  # forgets older ones as well
+            written = proxy.messages.recent_count(written_since, ordered_since)  # forgets older ones as well
             if is_limited and proxy not in self.reserved and written >= most:
                 return False
         return True
--- a/embertray/policy/records/messages.py
+++ b/embertray/policy/records/messages.py
@@ -9,34 +9,34 @@
     """One proxy's messages: nonces it has not answered yet, and until when the answered were written."""
 
     def __init__(self):
-        self.open = deque()  # (nonce, ns at which it was ordered)
-        self.written = deque()  # ns
+        self.unacknowledged = deque()  # (nonce, ns at which it was ordered)
+        self.write_times = deque()  # ns
 
     def record_order(self, nonce, time):
         """A message with this nonce was ordered at `time`, ns."""
-        self.open.append((nonce, time))
+        self.unacknowledged.append((nonce, time))
 
     def record_acknowledgement(self, nonce, time):
         """The nonce and all before it are answered.
 
         They count as written at `time`, ns: a channel that lags writes late and at once.
         """
-        while any(nonce is each for each, _ in self.open):
-            self.open.popleft()
-            self.written.append(time)
+        while any(nonce is each for each, _ in self.unacknowledged):
+            self.unacknowledged.popleft()
+            self.write_times.append(time)
 
-    def open_before(self, time):
+    def has_unacknowledged_before(self, time):
         """Whether a nonce that was ordered before `time`, ns, is open."""
-        return bool(self.open) and self.open[0][1] < time
+        return bool(self.unacknowledged) and self.unacknowledged[0][1] < time
 
-    def count(self, since, open_since):
-        """Messages written after `since`, and those ordered after `open_since` that may yet be written.
+    def recent_count(self, written_since, ordered_since):
+        """Counts the messages written after `written_since`, and those ordered after `ordered_since`.
 
-        Forgets what was written before `since`; both are ns.
+        Forgets what was written before `written_since`; both are ns.
         """
-        while self.written and self.written[0] <= since:
-            self.written.popleft()
-        return len(self.written) + sum(time > open_since for _, time in self.open)
+        while self.write_times and self.write_times[0] <= written_since:
+            self.write_times.popleft()
+        return len(self.write_times) + sum(time > ordered_since for _, time in self.unacknowledged)
 
 
 class LinesInFlight:
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -79,13 +79,15 @@
             The proxies that are to be bound to it anew.
         """
         timed_out_before = self.context.now - self.budget.ack_timeout()
-        unanswered = [proxy for proxy in proxies if proxy.messages.open_before(timed_out_before)]
+        unanswered = [
+            proxy for proxy in proxies if proxy.messages.has_unacknowledged_before(timed_out_before)
+        ]
         changed = self.writer.changed_lines(table)
         if unanswered:
             return self._retry(table, unanswered)
         if changed:
             self._send(table, proxies, changed)
-        elif not any(proxy.messages.open for proxy in proxies):
+        elif not any(proxy.messages.unacknowledged for proxy in proxies):
             table.fails = 0
             del self.due_at[table]
         return []
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -19,7 +19,7 @@
         or controller.module.publisher.queue.due_at
         or controller.module.publisher.removal.due
         or controller.module.publisher.binding.waiting
-        or any(proxy.messages.open for proxy in controller.module.proxies)
+        or any(proxy.messages.unacknowledged for proxy in controller.module.proxies)
     ):
         await anyio.sleep(0.02)
 
@@ -104,8 +104,8 @@
                 relay.attach(2, "north")  # told behind it
                 await relay.wait_until(lambda: relay.lines(2))
                 known = {proxy.handle.external_id: proxy for proxy in service.controller.module.proxies}
-                self.assertTrue(known[1].messages.open)  # its own answer is still owed
-                self.assertNotIn(late, [nonce.external_id for nonce, _ in known[1].messages.open])
+                self.assertTrue(known[1].messages.unacknowledged)  # its own answer is still owed
+                self.assertNotIn(late, [nonce.external_id for nonce, _ in known[1].messages.unacknowledged])
 
         anyio.run(play)
 
