--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -83,14 +83,14 @@
 
     def record_order(self, nonce):
         """All that is reserved goes out under this nonce."""
-        if not self.waiting_lines():
-            self.in_flight.restart(self.context.now)
+        if not self.pending_lines():
+            self.in_flight.reset(self.context.now)
         self.in_flight.record_order(nonce, self.reserved, self.reserved_lines)
 
-    def waiting_lines(self):
+    def pending_lines(self):
         """Lines that may still wait in the channel."""
         rate = self.context.deployment.channel_rate
-        return self.in_flight.waiting(self.context.now, rate, RATE_SAFETY_DIVISOR)
+        return self.in_flight.pending(self.context.now, rate, RATE_SAFETY_DIVISOR)
 
     def ack_timeout(self):
         """After how many ns an open nonce counts as unanswered.
@@ -99,7 +99,7 @@
         breed repeats.
         """
         deployment = self.context.deployment
-        ahead = int(self.waiting_lines() * SECOND / (deployment.channel_rate or 1))
+        ahead = int(self.pending_lines() * SECOND / (deployment.channel_rate or 1))
         slowest = max(self._ack_delays, default=0)
         return ACK_TIMEOUT_MIN + deployment.channel_delay_max + 2 * slowest + 2 * ahead
 
@@ -116,7 +116,7 @@
         else:
             share_divisor = min(lateness_factor, SHARE_DIVISOR_MAX)
         usable = priority.pending_share / share_divisor * deployment.pending_max
-        return usable - self.waiting_lines() - self.reserved_lines
+        return usable - self.pending_lines() - self.reserved_lines
 
     def reserve(self, proxies, wanted, priority, least=None):
         """Reserves lines in the messages to some proxies.
--- a/embertray/policy/records/messages.py
+++ b/embertray/policy/records/messages.py
@@ -44,7 +44,7 @@
 
     def __init__(self, now):
         self.by_nonce = {}  # nonce -> [proxy -> lines, lines in all that are unanswered]
-        self.proof_at = now  # ns; when a proxy last proved that the channel sends
+        self.progress_at = now  # ns; when a proxy last proved that the channel sends
 
     def record_order(self, nonce, lines, total):
         """Messages go out under a nonce.
@@ -72,23 +72,23 @@
         lines = self.by_nonce[nonce][0].pop(proxy, 0)
         if lines:
             self.by_nonce[nonce][1] -= lines + overhead
-            self.proof_at = now
+            self.progress_at = now
 
-    def restart(self, now):
+    def reset(self, now):
         """Nothing waits any more: the channel's time is counted from `now`, ns."""
         self.by_nonce.clear()
-        self.proof_at = now
+        self.progress_at = now
 
-    def waiting(self, now, rate, slowest):
+    def pending(self, now, rate, rate_divisor):
         """Lines that may still wait: those since the last answered nonce, less what leaves meanwhile.
 
         Args:
             now: ns.
             rate: lines a second that the channel sends.
-            slowest: by which the rate is divided, to be on the safe side.
+            rate_divisor: by which the rate is divided, to be on the safe side.
 
         Returns:
             Lines, 0 or more.
         """
-        gone = (now - self.proof_at) * rate / slowest / SECOND
-        return max(0.0, sum(left for _, left in self.by_nonce.values()) - gone)
+        drained = (now - self.progress_at) * rate / rate_divisor / SECOND
+        return max(0.0, sum(pending for _, pending in self.by_nonce.values()) - drained)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -80,7 +80,7 @@
         bare = next(proxy.table for proxy in fleet.module.proxies if proxy.table)
         bare.sent.clear()
         with mock.patch.object(
-            ChannelBudget, "waiting_lines", lambda self: 0.4 * self.context.deployment.pending_max
+            ChannelBudget, "pending_lines", lambda self: 0.4 * self.context.deployment.pending_max
         ):  # no room for weights or cuts
             fleet.run(fleet.now + S)
         self.assertGreaterEqual(len(bare.sent), 8)
