--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -31,20 +31,20 @@
     """What a message may use of the channel."""
 
     pending_share: float  # of the lines that may wait
-    messages_spared: int  # of the messages a proxy may be sent, left to more urgent ones
-    yields: (
+    messages_reserved: int  # of the messages a proxy may be sent, left to more urgent ones
+    is_deferrable: (
         bool  # gets ever less the slower the channel, and half while the list is silent; others half at least
     )
 
 
 # a removal's grace runs: it may use nearly all, but for what a late acknowledgement hides
-REMOVAL = Priority(pending_share=0.8, messages_spared=1, yields=False)
+REMOVAL = Priority(pending_share=0.8, messages_reserved=1, is_deferrable=False)
 # a crowd of bindings leaves room for removals that come meanwhile
-BINDING = Priority(pending_share=0.6, messages_spared=1, yields=False)
+BINDING = Priority(pending_share=0.6, messages_reserved=1, is_deferrable=False)
 # cuts, levels and retries leave room for the bindings of a restart
-URGENT_UPDATE = Priority(pending_share=0.35, messages_spared=4, yields=True)
+URGENT_UPDATE = Priority(pending_share=0.35, messages_reserved=4, is_deferrable=True)
 # learnt weights may wait for a beat at which little else is sent
-ORDINARY_UPDATE = Priority(pending_share=0.25, messages_spared=7, yields=True)
+ORDINARY_UPDATE = Priority(pending_share=0.25, messages_reserved=7, is_deferrable=True)
 
 
 class ChannelBudget:
@@ -111,43 +111,43 @@
         """
         deployment = self.context.deployment
         lateness_factor = max(1, 2 * median(self._ack_delays or [0]) / (deployment.drain_grace or SECOND))
-        if priority.yields:
+        if priority.is_deferrable:
             share_divisor = max(lateness_factor, SHARE_DIVISOR_MAX if self.endpoint_watch.failures else 1)
         else:
             share_divisor = min(lateness_factor, SHARE_DIVISOR_MAX)
         usable = priority.pending_share / share_divisor * deployment.pending_max
         return usable - self.pending_lines() - self.reserved_lines
 
-    def reserve(self, proxies, wanted, priority, least=None):
+    def reserve(self, proxies, requested, priority, lines_min=None):
         """Reserves lines in the messages to some proxies.
 
         Args:
             proxies: `ProxyState`s, all of which get the same lines.
-            wanted: lines for each.
+            requested: lines for each.
             priority: `Priority` of these lines.
-            least: lines that are worth a message; None: all that are wanted or none.
+            lines_min: lines that are worth a message; None: all that are wanted or none.
 
         Returns:
-            Lines for each: `wanted`, fewer but at least `least`, or 0 if there is no room.
+            Lines for each: `requested`, fewer but at least `lines_min`, or 0 if there is no room.
         """
         deployment = self.context.deployment
         overhead = (deployment.head + NONCE_LINES) * sum(proxy not in self.reserved for proxy in proxies)
         if deployment.pending_max and proxies:
             free = self.free_lines(priority) - overhead
-            if free < wanted * len(proxies):
-                wanted = int(free / len(proxies)) if least and free >= least * len(proxies) else 0
-        if not self._may_write(proxies, priority):
+            if free < requested * len(proxies):
+                requested = int(free / len(proxies)) if lines_min and free >= lines_min * len(proxies) else 0
+        if not self._may_send(proxies, priority):
             return 0
-        if wanted:
-            self.reserved.update((proxy, self.reserved.get(proxy, 0) + wanted) for proxy in proxies)
-            self.reserved_lines += overhead + wanted * len(proxies)
-        return wanted
+        if requested:
+            self.reserved.update((proxy, self.reserved.get(proxy, 0) + requested) for proxy in proxies)
+            self.reserved_lines += overhead + requested * len(proxies)
+        return requested
 
-    def _may_write(self, proxies, priority):
+    def _may_send(self, proxies, priority):
         """Whether none of the proxies was written too many messages lately; lost ones may yet be written."""
         deployment = self.context.deployment
         is_limited = deployment.messages_max > 0
-        most = deployment.messages_max - priority.messages_spared
+        most = deployment.messages_max - priority.messages_reserved
         written_since = self.context.now - deployment.messages_window
         ordered_since = written_since - self.ack_timeout() if is_limited else 0
         for proxy in proxies:
--- a/embertray/policy/endpoint_removal.py
+++ b/embertray/policy/endpoint_removal.py
@@ -67,8 +67,8 @@
             table: min((self.due[one] for one in backends), default=0) for table, backends in due.items()
         }
         for table, backends in sorted(due.items(), key=lambda item: oldest[item[0]]):
-            least = (len(backends) + 1) // 2
-            lines = self.budget.reserve(proxies_of[table], len(backends), REMOVAL, least)
+            lines_min = (len(backends) + 1) // 2
+            lines = self.budget.reserve(proxies_of[table], len(backends), REMOVAL, lines_min)
             self.writer.write_lines(table, [(backend, 0) for backend in backends[:lines]])
             if lines:
                 self.queue.requeue(table)
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -104,7 +104,7 @@
         return rebound
 
     def _send(self, table, proxies, changed):
-        lines = self.budget.reserve(proxies, len(changed), ORDINARY_UPDATE, least=1)
+        lines = self.budget.reserve(proxies, len(changed), ORDINARY_UPDATE, lines_min=1)
         if not lines:
             return
         self.writer.write_lines(table, changed[:lines])
@@ -126,7 +126,7 @@
         is_nearly_empty = proxies and len(table.sent) < min(LINES_MIN, len(table.want) / 2)
         urgent = self._urgent_lines(table, is_nearly_empty, removals_wait)
         priority = REMOVAL if is_nearly_empty else URGENT_UPDATE
-        lines = self.budget.reserve(proxies, len(urgent), priority, least=1)
+        lines = self.budget.reserve(proxies, len(urgent), priority, lines_min=1)
         self.writer.write_lines(table, urgent[:lines])
         if has_message or not removals_wait:
             self.writer.write_levels(table, proxies, REMOVAL if has_message else URGENT_UPDATE)
