--- a/embertray/policy/endpoint_removal.py
+++ b/embertray/policy/endpoint_removal.py
@@ -32,20 +32,20 @@
         self.budget = budget
         self.writer = writer
         self.queue = queue
-        self.due = {}  # backend -> when the list told, ns
+        self.pending = {}  # backend -> when the list told, ns
         self.withdrawn = {}  # backend -> True: proxies that were not bound hold it withdrawn
 
     def add(self, backend):
         """A backend stopped being ready."""
-        self.due[backend] = self.context.now
+        self.pending[backend] = self.context.now
 
-    def drop_returned(self):
+    def cancel_for_ready(self):
         """Backends that are ready again need no removal."""
-        self.due = {backend: time for backend, time in self.due.items() if backend.state != "ready"}
+        self.pending = {backend: time for backend, time in self.pending.items() if backend.state != "ready"}
 
     def oldest(self):
         """When the list told of the removal that has waited longest, ns; None if none waits."""
-        return min(self.due.values(), default=None)
+        return min(self.pending.values(), default=None)
 
     def remove(self, proxies_of, unbound, joined):
         """Sends what has room.
@@ -59,14 +59,17 @@
             `Withdraw` orders.
         """
         self._remove_lines(proxies_of)
-        return self._withdraw(proxies_of, unbound) + self._put_back(joined)
+        return self._withdraw(proxies_of, unbound) + self._readmit(joined)
 
     def _remove_lines(self, proxies_of):
-        due = {table: [backend for backend in self.due if backend in table.sent] for table in proxies_of}
+        pending = {
+            table: [backend for backend in self.pending if backend in table.sent] for table in proxies_of
+        }
         oldest = {
-            table: min((self.due[one] for one in backends), default=0) for table, backends in due.items()
+            table: min((self.pending[one] for one in backends), default=0)
+            for table, backends in pending.items()
         }
-        for table, backends in sorted(due.items(), key=lambda item: oldest[item[0]]):
+        for table, backends in sorted(pending.items(), key=lambda item: oldest[item[0]]):
             lines_min = (len(backends) + 1) // 2
             lines = self.budget.reserve(proxies_of[table], len(backends), REMOVAL, lines_min)
             self.writer.write_lines(table, [(backend, 0) for backend in backends[:lines]])
@@ -77,16 +80,16 @@
 
     def _withdraw(self, tables, unbound):
         orders = []
-        for backend in list(self.due):
+        for backend in list(self.pending):
             is_out = not any(backend in table.sent for table in tables)
             if is_out and self.budget.reserve(unbound, 1, REMOVAL):
                 if unbound:
                     orders.append(Withdraw(backend.handle, True))
                     self.withdrawn[backend] = True
-                del self.due[backend]
+                del self.pending[backend]
         return orders
 
-    def _put_back(self, joined):
+    def _readmit(self, joined):
         orders = []
         returned = [backend for backend in self.withdrawn if backend.state == "ready"]
         for backend in returned:
--- a/embertray/policy/proxy_binding.py
+++ b/embertray/policy/proxy_binding.py
@@ -48,12 +48,12 @@
         """A proxy joined."""
         self.waiting[proxy] = True
 
-    def bind(self, priority, removals_wait, joined_before=None):
+    def bind(self, priority, removals_pending, joined_before=None):
         """Binds those that wait, as far as there is room.
 
         Args:
             priority: `Priority` in the channel.
-            removals_wait: whether removals wait.
+            removals_pending: whether removals wait.
             joined_before: ns; only proxies that joined earlier. None: all.
 
         Returns:
@@ -65,7 +65,7 @@
         rates = self.tables.usual_rates()
         joined = Counter(proxy.zone for proxy in self.context.joined_proxies)
         for proxy in self._in_order(joined_before):
-            table = self.tables.table_for(proxy, joined, rates, removals_wait)
+            table = self.tables.table_for(proxy, joined, rates, removals_pending)
             if not table:
                 continue
             lines = self.writer.bind_lines(table)
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -64,7 +64,7 @@
         self.is_urgent = False
         self.budget.begin_step()
         self.writer.begin_step(levels)
-        self.removal.drop_returned()
+        self.removal.cancel_for_ready()
         proxies_of, unbound = self._proxies_by_table(joined)
         self.queue.sweep_if_due(self.tables.all)
         bindings, withdrawals = self._remove_and_bind(joined, proxies_of, unbound)
@@ -89,20 +89,20 @@
         removal = self.removal
         subsets = self.tables.are_subsets
         bindings = []
-        if subsets and removal.due:
+        if subsets and removal.pending:
             bindings += self.binding.bind(REMOVAL, True, removal.oldest())
         withdrawals = removal.remove(proxies_of, [] if subsets else unbound, joined)
-        removals_wait = bool(removal.due)
-        priority = REMOVAL if removals_wait and subsets else BINDING
-        bindings += self.binding.bind(priority, removals_wait)
+        removals_pending = bool(removal.pending)
+        priority = REMOVAL if removals_pending and subsets else BINDING
+        bindings += self.binding.bind(priority, removals_pending)
         return bindings, withdrawals
 
     def _update(self, proxies_of):
-        removals_wait = bool(self.removal.due)
+        removals_pending = bool(self.removal.pending)
         for table, proxies in proxies_of.items():
-            self.queue.send_urgent(table, proxies, removals_wait)
+            self.queue.send_urgent(table, proxies, removals_pending)
         bindings = []
-        due = [table for table in self.queue.due_tables() if not (removals_wait and proxies_of[table])]
+        due = [table for table in self.queue.due_tables() if not (removals_pending and proxies_of[table])]
         for table in due:
             rebound = self.queue.update(table, proxies_of[table])
             bindings += [Binding(proxy, table) for proxy in rebound]
@@ -131,7 +131,11 @@
         is_withdrawn = member in removal.withdrawn and any(
             proxy.table is None for proxy in self.context.joined_proxies
         )
-        if is_withdrawn or member in removal.due or any(member in table.sent for table in self.tables.all):
+        if (
+            is_withdrawn
+            or member in removal.pending
+            or any(member in table.sent for table in self.tables.all)
+        ):
             return False
         self.binding.waiting.pop(member, None)
         removal.withdrawn.pop(member, None)
--- a/embertray/policy/routing_tables.py
+++ b/embertray/policy/routing_tables.py
@@ -70,14 +70,14 @@
                 rates[proxy.table] += proxy.usual_rate
         return rates
 
-    def table_for(self, proxy, joined, rates, removals_wait):
+    def table_for(self, proxy, joined, rates, removals_pending):
         """The table for a proxy that joins, or None (see `ZoneTables.table_for`).
 
         Args:
             proxy: `ProxyState`.
             joined: zone -> how many of its proxies are joined.
             rates: table -> usual requests a second of its proxies.
-            removals_wait: whether removals wait.
+            removals_pending: whether removals wait.
         """
         zone = self.zones.get(proxy.zone)
-        return zone and zone.table_for(proxy, joined[proxy.zone], rates, removals_wait)
+        return zone and zone.table_for(proxy, joined[proxy.zone], rates, removals_pending)
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -141,14 +141,14 @@
             if not any(table.want.values()):
                 table.want.update({backend: wanted[backend] for backend in best})
 
-    def table_for(self, proxy, joined, rates, removals_wait):
+    def table_for(self, proxy, joined, rates, removals_pending):
         """The table for a proxy that joins: where fewest requests come for what the lines can do.
 
         Args:
             proxy: `ProxyState`.
             joined: how many proxies of the zone are joined.
             rates: table -> usual requests a second of its proxies.
-            removals_wait: whether removals wait; a table that was never sent costs too much then.
+            removals_pending: whether removals wait; a table that was never sent costs too much then.
 
         Returns:
             `TableState`, or None if no table has lines yet.
@@ -159,7 +159,7 @@
         weights = {
             table: sum(table.want.values())
             for table in used
-            if table.sent or table.want and not removals_wait
+            if table.sent or table.want and not removals_pending
         }
         loads = {
             table: (rates.get(table, 0.0) + proxy.usual_rate) / (weight or 1e-9)
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -113,29 +113,30 @@
         took = len(proxies) * (lines + deployment.head + NONCE_LINES) * SECOND / rate
         self.due_at[table] = self.context.now + min(SOLVE_INTERVAL, int(PAUSE_FACTOR * took))
 
-    def send_urgent(self, table, proxies, removals_wait):
+    def send_urgent(self, table, proxies, removals_pending):
         """Cuts, lines for proxies that hardly have any, then levels.
 
         Args:
             table: `TableState`.
             proxies: the `ProxyState`s bound to it.
-            removals_wait: whether removals wait; then only what costs no message of its own goes, and lines
+            removals_pending: whether removals wait; then only what costs no message of its own goes, and
+                lines
                 for proxies without any.
         """
         has_message = proxies and all(proxy in self.budget.reserved for proxy in proxies)
         is_nearly_empty = proxies and len(table.sent) < min(LINES_MIN, len(table.want) / 2)
-        urgent = self._urgent_lines(table, is_nearly_empty, removals_wait)
+        urgent = self._urgent_lines(table, is_nearly_empty, removals_pending)
         priority = REMOVAL if is_nearly_empty else URGENT_UPDATE
         lines = self.budget.reserve(proxies, len(urgent), priority, lines_min=1)
         self.writer.write_lines(table, urgent[:lines])
-        if has_message or not removals_wait:
+        if has_message or not removals_pending:
             self.writer.write_levels(table, proxies, REMOVAL if has_message else URGENT_UPDATE)
 
-    def _urgent_lines(self, table, is_nearly_empty, removals_wait):
+    def _urgent_lines(self, table, is_nearly_empty, removals_pending):
         """Cuts, or all changed lines of a table that is nearly empty; never removals."""
         return [
             (backend, weight)
             for backend, weight in self.writer.changed_lines(table)
             if weight
-            and (is_nearly_empty or not removals_wait and weight < CUT_RATIO * table.sent.get(backend, 0))
+            and (is_nearly_empty or not removals_pending and weight < CUT_RATIO * table.sent.get(backend, 0))
         ]
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -17,7 +17,7 @@
         controller.pending_events
         or not controller.order_caller.idle
         or controller.module.publisher.queue.due_at
-        or controller.module.publisher.removal.due
+        or controller.module.publisher.removal.pending
         or controller.module.publisher.binding.waiting
         or any(proxy.messages.unacknowledged for proxy in controller.module.proxies)
     ):
