--- a/embertray/policy/proxy_binding.py
+++ b/embertray/policy/proxy_binding.py
@@ -16,8 +16,8 @@
 from .channel_budget import NONCE_LINES
 from .units import SECOND
 
-AHEAD_MIN = SECOND // 4  # ns; a beat
-AHEAD_GRACE_DIVISOR = 4  # a proxy with its standing table only is the drain grace divided by this ahead
+HEAD_START_MIN = SECOND // 4  # ns; a beat
+HEAD_START_GRACE_DIVISOR = 4  # a proxy with its standing table only is the drain grace divided by this ahead
 
 
 class Binding(NamedTuple):
@@ -42,11 +42,11 @@
         self.budget = budget
         self.writer = writer
         self.tables = tables
-        self.waiting = {}  # proxy -> True
+        self.pending = {}  # proxy -> True
 
     def add(self, proxy):
         """A proxy joined."""
-        self.waiting[proxy] = True
+        self.pending[proxy] = True
 
     def bind(self, priority, removals_pending, joined_before=None):
         """Binds those that wait, as far as there is room.
@@ -60,34 +60,34 @@
             list of `Binding`.
         """
         bindings = []
-        if not self.waiting:
+        if not self.pending:
             return bindings
         rates = self.tables.usual_rates()
         joined = Counter(proxy.zone for proxy in self.context.joined_proxies)
-        for proxy in self._in_order(joined_before):
+        for proxy in self._by_urgency(joined_before):
             table = self.tables.table_for(proxy, joined, rates, removals_pending)
             if not table:
                 continue
             lines = self.writer.bind_lines(table)
             if self.budget.reserve([proxy], lines, priority):
-                del self.waiting[proxy]
+                del self.pending[proxy]
                 bindings.append(Binding(proxy, table))
                 rates[table] += proxy.usual_rate
-            elif self._is_full(lines, priority):
+            elif self._is_channel_full(lines, priority):
                 break
         return bindings
 
-    def _in_order(self, joined_before):
-        ahead = max(AHEAD_MIN, self.context.deployment.drain_grace // AHEAD_GRACE_DIVISOR)
+    def _by_urgency(self, joined_before):
+        head_start = max(HEAD_START_MIN, self.context.deployment.drain_grace // HEAD_START_GRACE_DIVISOR)
         limit = joined_before or self.context.now + 1
-        proxies = [proxy for proxy in self.waiting if proxy.joined and proxy.joined_at < limit]
+        proxies = [proxy for proxy in self.pending if proxy.joined and proxy.joined_at < limit]
 
         def urgency(proxy):
-            return proxy.joined_at + (0 if proxy.has_standing_table_only else ahead), -proxy.usual_rate
+            return proxy.joined_at + (0 if proxy.has_standing_table_only else head_start), -proxy.usual_rate
 
         return sorted(proxies, key=urgency)
 
-    def _is_full(self, lines, priority):
+    def _is_channel_full(self, lines, priority):
         """Whether there is no room for the others either."""
         deployment = self.context.deployment
         needed = lines + deployment.head + NONCE_LINES
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -137,6 +137,6 @@
             or any(member in table.sent for table in self.tables.all)
         ):
             return False
-        self.binding.waiting.pop(member, None)
+        self.binding.pending.pop(member, None)
         removal.withdrawn.pop(member, None)
         return True
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -18,7 +18,7 @@
         or not controller.order_caller.idle
         or controller.module.publisher.queue.due_at
         or controller.module.publisher.removal.pending
-        or controller.module.publisher.binding.waiting
+        or controller.module.publisher.binding.pending
         or any(proxy.messages.unacknowledged for proxy in controller.module.proxies)
     ):
         await anyio.sleep(0.02)
