--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -62,7 +62,7 @@
         context.update_observed_report_interval()
         if now >= self._next_cycle_at:
             self._run_cycle()
-        elif self.publisher.is_urgent:
+        elif self.publisher.has_urgent_changes:
             self.publisher.publish()
         return context.orders
 
@@ -126,7 +126,7 @@
             gone = [
                 one for one in known if one.gone_at is not None and context.now - one.gone_at > PRUNE_AFTER
             ]
-            for member in gone:
-                if self.publisher.forget(member):
-                    member.handle.policy_state = None
-                    known.remove(member)
+            for departed in gone:
+                if self.publisher.release(departed):
+                    departed.handle.policy_state = None
+                    known.remove(departed)
--- a/embertray/policy/endpoint_removal.py
+++ b/embertray/policy/endpoint_removal.py
@@ -47,23 +47,24 @@
         """When the list told of the removal that has waited longest, ns; None if none waits."""
         return min(self.pending.values(), default=None)
 
-    def remove(self, proxies_of, unbound, joined):
+    def remove(self, proxies_by_table, unbound, joined):
         """Sends what has room.
 
         Args:
-            proxies_of: table -> the `ProxyState`s bound to it.
+            proxies_by_table: table -> the `ProxyState`s bound to it.
             unbound: joined proxies that are told to withdraw; empty where they are bound soon instead.
             joined: all joined proxies.
 
         Returns:
             `Withdraw` orders.
         """
-        self._remove_lines(proxies_of)
-        return self._withdraw(proxies_of, unbound) + self._readmit(joined)
+        self._remove_lines(proxies_by_table)
+        return self._withdraw(proxies_by_table, unbound) + self._readmit(joined)
 
-    def _remove_lines(self, proxies_of):
+    def _remove_lines(self, proxies_by_table):
         pending = {
-            table: [backend for backend in self.pending if backend in table.sent] for table in proxies_of
+            table: [backend for backend in self.pending if backend in table.sent]
+            for table in proxies_by_table
         }
         oldest = {
             table: min((self.pending[one] for one in backends), default=0)
@@ -71,7 +72,7 @@
         }
         for table, backends in sorted(pending.items(), key=lambda item: oldest[item[0]]):
             lines_min = (len(backends) + 1) // 2
-            lines = self.budget.reserve(proxies_of[table], len(backends), REMOVAL, lines_min)
+            lines = self.budget.reserve(proxies_by_table[table], len(backends), REMOVAL, lines_min)
             self.writer.write_lines(table, [(backend, 0) for backend in backends[:lines]])
             if lines:
                 self.queue.requeue(table)
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -30,17 +30,17 @@
         self.queue = UpdateQueue(context, self.budget, self.writer)
         self.removal = EndpointRemoval(context, self.budget, self.writer, self.queue)
         self.binding = ProxyBinding(context, self.budget, self.writer, self.tables)
-        self.is_urgent = False  # a removal or a binding waits for no beat
+        self.has_urgent_changes = False  # a removal or a binding waits for no beat
 
     def proxy_joined(self, proxy):
         """A proxy joined: it is bound at the next step."""
         self.binding.add(proxy)
-        self.is_urgent = True
+        self.has_urgent_changes = True
 
     def backend_left(self, backend):
         """A backend stopped being ready: its lines are removed at the next step."""
         self.removal.add(backend)
-        self.is_urgent = True
+        self.has_urgent_changes = True
 
     def set_wanted(self, zone, wanted):
         """Sets the wanted lines of a zone and queues the tables that change by it.
@@ -61,15 +61,15 @@
         """
         context = self.context
         joined = context.joined_proxies
-        self.is_urgent = False
+        self.has_urgent_changes = False
         self.budget.begin_step()
         self.writer.begin_step(levels)
         self.removal.cancel_for_ready()
-        proxies_of, unbound = self._proxies_by_table(joined)
+        proxies_by_table, unbound = self._proxies_by_table(joined)
         self.queue.sweep_if_due(self.tables.all)
-        bindings, withdrawals = self._remove_and_bind(joined, proxies_of, unbound)
+        bindings, withdrawals = self._remove_and_bind(joined, proxies_by_table, unbound)
         if levels:
-            bindings += self._update(proxies_of)
+            bindings += self._update_tables(proxies_by_table)
         for binding in bindings:
             binding.proxy.table = binding.table
         binds = [Bind(binding.proxy.handle, binding.table.handle) for binding in bindings]
@@ -78,33 +78,35 @@
 
     def _proxies_by_table(self, joined):
         """(table -> joined proxies bound to it, joined proxies that are not bound)."""
-        proxies_of = {table: [] for table in self.tables.all}
+        proxies_by_table = {table: [] for table in self.tables.all}
         unbound = []
         for proxy in joined:
-            (unbound if proxy.table is None else proxies_of[proxy.table]).append(proxy)
-        return proxies_of, unbound
+            (unbound if proxy.table is None else proxies_by_table[proxy.table]).append(proxy)
+        return proxies_by_table, unbound
 
-    def _remove_and_bind(self, joined, proxies_of, unbound):
+    def _remove_and_bind(self, joined, proxies_by_table, unbound):
         """Removals and bindings; a proxy that has waited longer than any removal is bound before."""
         removal = self.removal
         subsets = self.tables.are_subsets
         bindings = []
         if subsets and removal.pending:
             bindings += self.binding.bind(REMOVAL, True, removal.oldest())
-        withdrawals = removal.remove(proxies_of, [] if subsets else unbound, joined)
+        withdrawals = removal.remove(proxies_by_table, [] if subsets else unbound, joined)
         removals_pending = bool(removal.pending)
         priority = REMOVAL if removals_pending and subsets else BINDING
         bindings += self.binding.bind(priority, removals_pending)
         return bindings, withdrawals
 
-    def _update(self, proxies_of):
+    def _update_tables(self, proxies_by_table):
         removals_pending = bool(self.removal.pending)
-        for table, proxies in proxies_of.items():
+        for table, proxies in proxies_by_table.items():
             self.queue.send_urgent(table, proxies, removals_pending)
         bindings = []
-        due = [table for table in self.queue.due_tables() if not (removals_pending and proxies_of[table])]
+        due = [
+            table for table in self.queue.due_tables() if not (removals_pending and proxies_by_table[table])
+        ]
         for table in due:
-            rebound = self.queue.update(table, proxies_of[table])
+            rebound = self.queue.update(table, proxies_by_table[table])
             bindings += [Binding(proxy, table) for proxy in rebound]
         return bindings
 
@@ -117,26 +119,26 @@
             proxy.messages.record_order(nonce, self.context.now)
         self.budget.record_order(nonce)
 
-    def forget(self, member):
+    def release(self, departed):
         """Forgets a backend or proxy that is gone for long.
 
         Args:
-            member: `BackendState` or `ProxyState`.
+            departed: `BackendState` or `ProxyState`.
 
         Returns:
             False while its removal waits, a table still has its line, or an unbound proxy holds it withdrawn
             (a binding clears that); else True.
         """
         removal = self.removal
-        is_withdrawn = member in removal.withdrawn and any(
+        is_withdrawn = departed in removal.withdrawn and any(
             proxy.table is None for proxy in self.context.joined_proxies
         )
         if (
             is_withdrawn
-            or member in removal.pending
-            or any(member in table.sent for table in self.tables.all)
+            or departed in removal.pending
+            or any(departed in table.sent for table in self.tables.all)
         ):
             return False
-        self.binding.pending.pop(member, None)
-        removal.withdrawn.pop(member, None)
+        self.binding.pending.pop(departed, None)
+        removal.withdrawn.pop(departed, None)
         return True
