--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -66,7 +66,7 @@
         self.writer.begin_step(levels)
         self.removal.cancel_for_ready()
         proxies_by_table, unbound = self._proxies_by_table(joined)
-        self.queue.sweep_if_due(self.tables.all)
+        self.queue.resync_if_due(self.tables.all)
         bindings, withdrawals = self._remove_and_bind(joined, proxies_by_table, unbound)
         if levels:
             bindings += self._update_tables(proxies_by_table)
--- a/embertray/policy/records/tables.py
+++ b/embertray/policy/records/tables.py
@@ -13,7 +13,7 @@
         self.want = {}
         self.sent = {}
         self.levels = {}
-        self.fails = 0  # updates in a row that some proxy did not acknowledge
+        self.failures = 0  # updates in a row that some proxy did not acknowledge
 
     def size(self):
         """Lines that bind a proxy anew to it."""
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -23,7 +23,7 @@
 from .subsetting import LINES_MIN
 from .units import SECOND
 
-SWEEP_INTERVAL = 10 * SECOND  # ns
+RESYNC_INTERVAL = 10 * SECOND  # ns
 RETRY_BACKOFF_FIRST = 1 * SECOND  # ns
 RETRY_BACKOFF_MAX = 8 * SECOND  # ns; under the sweep's interval
 RETRY_DOUBLINGS_MAX = 4
@@ -45,7 +45,7 @@
         self.budget = budget
         self.writer = writer
         self.due_at = {}  # table -> ns
-        self._sweep_at = 0
+        self._next_resync_at = 0
 
     def add(self, table):
         """Queues a table, unless it is queued already or nothing of it changed."""
@@ -54,14 +54,14 @@
 
     def requeue(self, table):
         """Queues a table at once, whatever it waits for; its failures are forgotten."""
-        table.fails = 0
+        table.failures = 0
         self.due_at[table] = self.context.now
 
-    def sweep_if_due(self, tables):
+    def resync_if_due(self, tables):
         """Queues all tables anew at the sweep's interval."""
         now = self.context.now
-        if now >= self._sweep_at:
-            self._sweep_at = now + SWEEP_INTERVAL
+        if now >= self._next_resync_at:
+            self._next_resync_at = now + RESYNC_INTERVAL
             self.due_at = dict.fromkeys(tables, now)
 
     def due_tables(self):
@@ -84,23 +84,23 @@
         ]
         changed = self.writer.changed_lines(table)
         if unanswered:
-            return self._retry(table, unanswered)
+            return self._rebind(table, unanswered)
         if changed:
             self._send(table, proxies, changed)
         elif not any(proxy.messages.unacknowledged for proxy in proxies):
-            table.fails = 0
+            table.failures = 0
             del self.due_at[table]
         return []
 
-    def _retry(self, table, unanswered):
+    def _rebind(self, table, unanswered):
         rebound = [
             proxy
             for proxy in unanswered
             if self.budget.reserve([proxy], self.writer.bind_lines(table), URGENT_UPDATE)
         ]
-        backoff = RETRY_BACKOFF_FIRST << min(table.fails, RETRY_DOUBLINGS_MAX)
+        backoff = RETRY_BACKOFF_FIRST << min(table.failures, RETRY_DOUBLINGS_MAX)
         self.due_at[table] = self.context.now + min(RETRY_BACKOFF_MAX, backoff)
-        table.fails += 1
+        table.failures += 1
         return rebound
 
     def _send(self, table, proxies, changed):
@@ -110,8 +110,8 @@
         self.writer.write_lines(table, changed[:lines])
         deployment = self.context.deployment
         rate = deployment.channel_rate or SECOND
-        took = len(proxies) * (lines + deployment.head + NONCE_LINES) * SECOND / rate
-        self.due_at[table] = self.context.now + min(SOLVE_INTERVAL, int(PAUSE_FACTOR * took))
+        channel_time = len(proxies) * (lines + deployment.head + NONCE_LINES) * SECOND / rate
+        self.due_at[table] = self.context.now + min(SOLVE_INTERVAL, int(PAUSE_FACTOR * channel_time))
 
     def send_urgent(self, table, proxies, removals_pending):
         """Cuts, lines for proxies that hardly have any, then levels.
