--- a/embertray/controller/core/memory_collections.py
+++ b/embertray/controller/core/memory_collections.py
@@ -60,7 +60,7 @@
     ordered = list(core.outbox.tables.values())
     lines = [table.lines for table in ordered]
     for table in policy.publisher.tables.all:
-        lines += [table.want, table.sent]
+        lines += [table.desired, table.sent]
     levels = [table.levels for table in ordered]
     users = [table.proxies for table in ordered]
     notified = list(core.outbox.withdrawn.values())
--- a/embertray/policy/records/tables.py
+++ b/embertray/policy/records/tables.py
@@ -10,16 +10,16 @@
 
     def __init__(self, handle):
         self.handle = handle
-        self.want = {}
+        self.desired = {}
         self.sent = {}
         self.levels = {}
         self.failures = 0  # updates in a row that some proxy did not acknowledge
 
-    def size(self):
+    def line_count(self):
         """Lines that bind a proxy anew to it."""
-        return len(self.sent | self.want)
+        return len(self.sent | self.desired)
 
-    def put(self, lines):
+    def record_sent(self, lines):
         """Keeps lines that were sent.
 
         Args:
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -57,11 +57,11 @@
             rates: table -> usual requests a second of its proxies.
 
         Returns:
-            The zone's tables (`TableState`), their `want` set.
+            The zone's tables (`TableState`), their `desired` set.
         """
         self._add_tables(len(wanted), lines_max)
         if len(self.tables) == 1:
-            self.tables[0].want = wanted
+            self.tables[0].desired = wanted
             return self.tables
         self._table_of = {one: table for one, table in self._table_of.items() if one.state == "ready"}
         demand = self._demand(rates)
@@ -70,9 +70,9 @@
             self._assign_zone(group, demand)
         for table in self.tables:
             moved = [one for one in table.sent if self._table_of.get(one, table) is not table]
-            table.want = dict.fromkeys(moved, 0)
+            table.desired = dict.fromkeys(moved, 0)
         for backend, weight in wanted.items():
-            self._table_of[backend].want[backend] = weight
+            self._table_of[backend].desired[backend] = weight
         self._fill_empty_tables(wanted)
         return self.tables
 
@@ -138,8 +138,8 @@
         """
         best = sorted(wanted, key=lambda backend: -wanted[backend])[:LINES_MIN]
         for table in self.tables:
-            if not any(table.want.values()):
-                table.want.update({backend: wanted[backend] for backend in best})
+            if not any(table.desired.values()):
+                table.desired.update({backend: wanted[backend] for backend in best})
 
     def table_for(self, proxy, joined, rates, removals_pending):
         """The table for a proxy that joins: where fewest requests come for what the lines can do.
@@ -157,9 +157,9 @@
         in_use = max(self._tables_in_use, joined // PROXIES_PER_TABLE_MIN)
         used = (self.tables[first:] + self.tables[:first])[:in_use]
         weights = {
-            table: sum(table.want.values())
+            table: sum(table.desired.values())
             for table in used
-            if table.sent or table.want and not removals_pending
+            if table.sent or table.desired and not removals_pending
         }
         loads = {
             table: (rates.get(table, 0.0) + proxy.usual_rate) / (weight or 1e-9)
--- a/embertray/policy/table_writer.py
+++ b/embertray/policy/table_writer.py
@@ -36,7 +36,7 @@
             lines: list of (`BackendState`, weight); weight 0 removes a line.
         """
         self.orders += [SetLine(table.handle, backend.handle, weight) for backend, weight in lines]
-        table.put(lines)
+        table.record_sent(lines)
 
     def write_levels(self, table, proxies, priority):
         """Orders the levels that differ from what was sent to a table's proxies, as far as there is room."""
@@ -47,7 +47,7 @@
 
     def bind_lines(self, table):
         """Lines of the channel that binding a proxy to a table costs."""
-        return BIND_LINES + table.size() + len(self.levels)
+        return BIND_LINES + table.line_count() + len(self.levels)
 
     @staticmethod
     def changed_lines(table):
@@ -61,7 +61,7 @@
         sent = table.sent
         off = {
             backend: weight / sent.get(backend, NEVER_SENT) - 1
-            for backend, weight in table.want.items()
+            for backend, weight in table.desired.items()
             if backend.state == "ready" and (weight or backend in sent)
         }
         moved = [
@@ -69,4 +69,4 @@
             for backend in sorted(off, key=lambda backend: -abs(off[backend]))
             if abs(off[backend]) > MOVE_THRESHOLD
         ]
-        return [(backend, table.want[backend]) for backend in moved]
+        return [(backend, table.desired[backend]) for backend in moved]
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -124,7 +124,7 @@
                 for proxies without any.
         """
         has_message = proxies and all(proxy in self.budget.reserved for proxy in proxies)
-        is_nearly_empty = proxies and len(table.sent) < min(LINES_MIN, len(table.want) / 2)
+        is_nearly_empty = proxies and len(table.sent) < min(LINES_MIN, len(table.desired) / 2)
         urgent = self._urgent_lines(table, is_nearly_empty, removals_pending)
         priority = REMOVAL if is_nearly_empty else URGENT_UPDATE
         lines = self.budget.reserve(proxies, len(urgent), priority, lines_min=1)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -57,7 +57,7 @@
         self.assertEqual(len(warm), 3)
         zone_tables.assign(warm, tables.lines_max(), tables.usual_rates())
         for tab in zone_tables.tables:
-            self.assertTrue(any(tab.want.values()), "a table without a line")
+            self.assertTrue(any(tab.desired.values()), "a table without a line")
         all_ready = {backend: 1.0 for backend in fleet.module.backends if backend.state == "ready"}
         zone_tables.assign(
             all_ready, tables.lines_max(), tables.usual_rates()
@@ -66,7 +66,7 @@
             sorted(
                 backend.handle.external_id
                 for tab in zone_tables.tables
-                for backend, w in tab.want.items()
+                for backend, w in tab.desired.items()
                 if w
             ),
             sorted(backend.handle.external_id for backend in all_ready),
