--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -104,10 +104,10 @@
         self.context.orders.append(interface.SetTimer(0, CYCLE_INTERVAL))
         self._prune()
         self.endpoint_watch.subscribe_if_due()
-        state, wanted = self.weight_planner.plan()
+        state, desired = self.weight_planner.plan()
         self.load_shedding.update(state)
-        for zone, lines in wanted:
-            self.publisher.set_wanted(zone, lines)
+        for zone, lines in desired:
+            self.publisher.set_desired(zone, lines)
         self.publisher.publish(self.context.admission)
 
     def _prune(self):
--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -49,8 +49,8 @@
         mean = sum(estimates) / (len(rows) or 1) or 1.0
         usual_load = median([row.load for row in rows if row.load is not None] or [0])
         for row, estimate in zip(rows, estimates, strict=True):
-            wanted = min(CAPACITY_MAX, max(CAPACITY_MIN, estimate / mean))
-            self._move(row, wanted, usual_load)
+            target = min(CAPACITY_MAX, max(CAPACITY_MIN, estimate / mean))
+            self._move(row, target, usual_load)
 
     @staticmethod
     def _is_known(row):
@@ -71,11 +71,11 @@
         return [row.long_window.rate * ratio for row, ratio in zip(rows, ratios, strict=True)]
 
     @staticmethod
-    def _move(row, wanted, usual_load):
+    def _move(row, target, usual_load):
         backend = row.backend
         load_off = (row.load or usual_load) - usual_load
-        change = wanted / backend.capacity - 1
+        change = target / backend.capacity - 1
         vetoed = load_off * change > 0 and abs(load_off) > LOAD_TOLERANCE * usual_load
         if abs(change) > MOVE_THRESHOLD and not vetoed:
-            step = min(1 + MOVE_MAX, max(1 - MOVE_MAX, wanted / backend.capacity))
+            step = min(1 + MOVE_MAX, max(1 - MOVE_MAX, target / backend.capacity))
             backend.set_capacity(backend.capacity * step)
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -42,14 +42,14 @@
         self.removal.add(backend)
         self.has_urgent_changes = True
 
-    def set_wanted(self, zone, wanted):
+    def set_desired(self, zone, desired):
         """Sets the wanted lines of a zone and queues the tables that change by it.
 
         Args:
             zone: `interface.Zone`.
-            wanted: `BackendState` -> weight.
+            desired: `BackendState` -> weight.
         """
-        for table in self.tables.set_wanted(zone, wanted):
+        for table in self.tables.set_desired(zone, desired):
             self.queue.add(table)
 
     def publish(self, levels=None):
--- a/embertray/policy/routing_tables.py
+++ b/embertray/policy/routing_tables.py
@@ -36,19 +36,19 @@
         """Whether some zone has more than one table."""
         return any(len(zone.tables) > 1 for zone in self.zones.values())
 
-    def set_wanted(self, zone, wanted):
+    def set_desired(self, zone, desired):
         """Sets a zone's wanted lines.
 
         Args:
             zone: `interface.Zone`.
-            wanted: `BackendState` -> weight.
+            desired: `BackendState` -> weight.
 
         Returns:
             The zone's tables.
         """
         if zone not in self.zones:
             self.zones[zone] = ZoneTables(self.context)
-        return self.zones[zone].assign(wanted, self.lines_max(), self.usual_rates())
+        return self.zones[zone].assign(desired, self.lines_max(), self.usual_rates())
 
     def lines_max(self):
         """Lines of a table that the channel brings to all proxies in time; 0: any number.
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -48,32 +48,32 @@
         self._first_table_draw = context.draw()  # each controller begins at another table
         self._table_of = {}  # backend -> the table its line stands in
 
-    def assign(self, wanted, lines_max, rates):
+    def assign(self, desired, lines_max, rates):
         """Gives each table its part of the wanted lines.
 
         Args:
-            wanted: `BackendState` -> weight.
+            desired: `BackendState` -> weight.
             lines_max: lines of a table at the most; 0: any number.
             rates: table -> usual requests a second of its proxies.
 
         Returns:
             The zone's tables (`TableState`), their `desired` set.
         """
-        self._add_tables(len(wanted), lines_max)
+        self._add_tables(len(desired), lines_max)
         if len(self.tables) == 1:
-            self.tables[0].desired = wanted
+            self.tables[0].desired = desired
             return self.tables
         self._table_of = {one: table for one, table in self._table_of.items() if one.state == "ready"}
         demand = self._demand(rates)
-        for zone in dict.fromkeys(backend.zone for backend in wanted):
-            group = {backend: weight for backend, weight in wanted.items() if backend.zone is zone}
+        for zone in dict.fromkeys(backend.zone for backend in desired):
+            group = {backend: weight for backend, weight in desired.items() if backend.zone is zone}
             self._assign_zone(group, demand)
         for table in self.tables:
             moved = [one for one in table.sent if self._table_of.get(one, table) is not table]
             table.desired = dict.fromkeys(moved, 0)
-        for backend, weight in wanted.items():
+        for backend, weight in desired.items():
             self._table_of[backend].desired[backend] = weight
-        self._fill_empty_tables(wanted)
+        self._fill_empty_tables(desired)
         return self.tables
 
     def _add_tables(self, lines, lines_max):
@@ -130,16 +130,16 @@
         lacking[richest] += group[backend]
         return True
 
-    def _fill_empty_tables(self, wanted):
+    def _fill_empty_tables(self, desired):
         """Gives the best of the list to tables without a line.
 
         All lines of a table may leave at once, or wait while requests queue: its proxies would have no
         backend to pick.
         """
-        best = sorted(wanted, key=lambda backend: -wanted[backend])[:LINES_MIN]
+        best = sorted(desired, key=lambda backend: -desired[backend])[:LINES_MIN]
         for table in self.tables:
             if not any(table.desired.values()):
-                table.desired.update({backend: wanted[backend] for backend in best})
+                table.desired.update({backend: desired[backend] for backend in best})
 
     def table_for(self, proxy, joined, rates, removals_pending):
         """The table for a proxy that joins: where fewest requests come for what the lines can do.
