--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -26,8 +26,8 @@
 PROXIES_PER_TABLE_MIN = 5  # so that tables are shared
 TABLES_PER_LINE_MIN = 4  # of all controllers; requests for one backend come by several tables
 GROWTH_TO_SPLIT = 1.5  # times the tables there are, until there are more
-IDLE_SHARE = 0.25  # of the mean requests, counted for each table, as proxies join
-LACK_TO_MOVE = 0.25  # share of its lines' weight that a table lacks until one moves to it
+DEMAND_FLOOR_SHARE = 0.25  # of the mean requests, counted for each table, as proxies join
+DEFICIT_TO_MOVE = 0.25  # share of its lines' weight that a table lacks until one moves to it
 MOVES_MAX = 4  # lines of a zone moved at a beat: each costs lines of the channel
 
 
@@ -43,10 +43,10 @@
         per_table = max(1, deployment.controllers * PROXIES_PER_TABLE_MIN * len(deployment.zones))
         self.tables = []
         self._tables_max = max(1, deployment.proxies // per_table)
-        self._tables_max_with_coverage = self._tables_max * deployment.controllers // TABLES_PER_LINE_MIN
+        self._tables_max_for_coverage = self._tables_max * deployment.controllers // TABLES_PER_LINE_MIN
         self._tables_in_use = 1  # the first so many tables are in use, at the least
-        self._first_table_draw = context.draw()  # each controller begins at another table
-        self._table_of = {}  # backend -> the table its line stands in
+        self._first_table_offset = context.draw()  # each controller begins at another table
+        self._table_by_backend = {}  # backend -> the table its line stands in
 
     def assign(self, desired, lines_max, rates):
         """Gives each table its part of the wanted lines.
@@ -63,22 +63,24 @@
         if len(self.tables) == 1:
             self.tables[0].desired = desired
             return self.tables
-        self._table_of = {one: table for one, table in self._table_of.items() if one.state == "ready"}
+        self._table_by_backend = {
+            one: table for one, table in self._table_by_backend.items() if one.state == "ready"
+        }
         demand = self._demand(rates)
         for zone in dict.fromkeys(backend.zone for backend in desired):
-            group = {backend: weight for backend, weight in desired.items() if backend.zone is zone}
-            self._assign_zone(group, demand)
+            zone_weights = {backend: weight for backend, weight in desired.items() if backend.zone is zone}
+            self._assign_zone(zone_weights, demand)
         for table in self.tables:
-            moved = [one for one in table.sent if self._table_of.get(one, table) is not table]
+            moved = [one for one in table.sent if self._table_by_backend.get(one, table) is not table]
             table.desired = dict.fromkeys(moved, 0)
         for backend, weight in desired.items():
-            self._table_of[backend].desired[backend] = weight
+            self._table_by_backend[backend].desired[backend] = weight
         self._fill_empty_tables(desired)
         return self.tables
 
     def _add_tables(self, lines, lines_max):
         needed = max(1, -(-lines // lines_max)) if lines_max else 1
-        if needed > self._tables_max_with_coverage:
+        if needed > self._tables_max_for_coverage:
             needed = min(needed, self._tables_max)
         if needed > GROWTH_TO_SPLIT * len(self.tables):
             self.tables += [TableState(Table()) for _ in range(needed - len(self.tables))]
@@ -91,43 +93,47 @@
         """
         known = rates if self._tables_in_use == len(self.tables) else {}
         total = sum(known.get(table, 0.0) for table in self.tables) or 1.0
-        idle = total / len(self.tables) * IDLE_SHARE
-        return {table: known.get(table, 0.0) + idle for table in self.tables}
+        floor = total / len(self.tables) * DEMAND_FLOOR_SHARE
+        return {table: known.get(table, 0.0) + floor for table in self.tables}
 
-    def _assign_zone(self, group, demand):
+    def _assign_zone(self, zone_weights, demand):
         """Places the new backends of one zone, then moves lines to tables that lack them.
 
         Args:
-            group: backend -> weight, of one zone.
+            zone_weights: backend -> weight, of one zone.
             demand: table -> requests a second.
         """
-        weight_per_request = sum(group.values()) / sum(demand.values())
-        lacking = {table: rate * weight_per_request for table, rate in demand.items()}
-        for backend in [backend for backend in group if backend in self._table_of]:
-            lacking[self._table_of[backend]] -= group[backend]
-        new = [backend for backend in group if backend not in self._table_of]
-        for backend in sorted(new, key=lambda backend: (-group[backend], backend.tie_breaker)):
-            table = max(lacking, key=lacking.get)
-            self._table_of[backend] = table
-            lacking[table] -= group[backend]
+        weight_per_request = sum(zone_weights.values()) / sum(demand.values())
+        deficit = {table: rate * weight_per_request for table, rate in demand.items()}
+        for backend in [backend for backend in zone_weights if backend in self._table_by_backend]:
+            deficit[self._table_by_backend[backend]] -= zone_weights[backend]
+        new = [backend for backend in zone_weights if backend not in self._table_by_backend]
+        for backend in sorted(new, key=lambda backend: (-zone_weights[backend], backend.tie_breaker)):
+            table = max(deficit, key=deficit.get)
+            self._table_by_backend[backend] = table
+            deficit[table] -= zone_weights[backend]
         for _ in range(MOVES_MAX):
-            poorest = max(lacking, key=lacking.get)
-            if lacking[poorest] <= LACK_TO_MOVE * demand[poorest] * weight_per_request:
+            receiver = max(deficit, key=deficit.get)
+            if deficit[receiver] <= DEFICIT_TO_MOVE * demand[receiver] * weight_per_request:
                 break
-            if not self._move_line(group, lacking, poorest):
+            if not self._move_line(zone_weights, deficit, receiver):
                 break
 
-    def _move_line(self, group, lacking, poorest):
+    def _move_line(self, zone_weights, deficit, receiver):
         """Moves the line that evens out best from the table with most over; False if none would."""
-        richest = min(lacking, key=lacking.get)
-        gap = lacking[poorest] - lacking[richest]
-        movable = [one for one, weight in group.items() if self._table_of[one] is richest and weight < gap]
+        donor = min(deficit, key=deficit.get)
+        gap = deficit[receiver] - deficit[donor]
+        movable = [
+            one
+            for one, weight in zone_weights.items()
+            if self._table_by_backend[one] is donor and weight < gap
+        ]
         if not movable:
             return False
-        backend = min(movable, key=lambda one: abs(group[one] - gap / 2))
-        self._table_of[backend] = poorest
-        lacking[poorest] -= group[backend]
-        lacking[richest] += group[backend]
+        backend = min(movable, key=lambda one: abs(zone_weights[one] - gap / 2))
+        self._table_by_backend[backend] = receiver
+        deficit[receiver] -= zone_weights[backend]
+        deficit[donor] += zone_weights[backend]
         return True
 
     def _fill_empty_tables(self, desired):
@@ -153,7 +159,7 @@
         Returns:
             `TableState`, or None if no table has lines yet.
         """
-        first = self._first_table_draw % max(1, len(self.tables))
+        first = self._first_table_offset % max(1, len(self.tables))
         in_use = max(self._tables_in_use, joined // PROXIES_PER_TABLE_MIN)
         used = (self.tables[first:] + self.tables[:first])[:in_use]
         weights = {
