--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -17,7 +17,7 @@
 
 from .units import SECOND
 
-SOLVE_INTERVAL = 2 * SECOND  # ns between two solves: two report intervals
+LEARN_INTERVAL = 2 * SECOND  # ns between two solves: two report intervals
 ATTEMPTS_MIN = 8  # reported attempts in the long window; fewer say nothing
 CAPACITY_MIN = 0.3  # average backends; one that is hardly heard of has to be heard of again
 CAPACITY_MAX = 2.0  # average backends; more and its loss would be too much at once
@@ -54,7 +54,7 @@
 
     @staticmethod
     def _is_known(row):
-        heard = row.long_window.attempts >= ATTEMPTS_MIN and row.span >= SOLVE_INTERVAL
+        heard = row.long_window.attempts >= ATTEMPTS_MIN and row.span >= LEARN_INTERVAL
         return heard and row.backend.health >= 1
 
     def _estimates(self, rows):
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -19,7 +19,7 @@
 """
 
 from .channel_budget import NONCE_LINES, ORDINARY_UPDATE, REMOVAL, URGENT_UPDATE
-from .learned_weights import SOLVE_INTERVAL
+from .learned_weights import LEARN_INTERVAL
 from .subsetting import LINES_MIN
 from .units import SECOND
 
@@ -111,7 +111,7 @@
         deployment = self.context.deployment
         rate = deployment.channel_rate or SECOND
         channel_time = len(proxies) * (lines + deployment.head + NONCE_LINES) * SECOND / rate
-        self.due_at[table] = self.context.now + min(SOLVE_INTERVAL, int(PAUSE_FACTOR * channel_time))
+        self.due_at[table] = self.context.now + min(LEARN_INTERVAL, int(PAUSE_FACTOR * channel_time))
 
     def send_urgent(self, table, proxies, removals_pending):
         """Cuts, lines for proxies that hardly have any, then levels.
--- a/embertray/policy/weight_planner.py
+++ b/embertray/policy/weight_planner.py
@@ -1,7 +1,7 @@
 """Weights: learnt capacity times slow start times health, at every beat, as wanted lines for each zone."""
 
 from .congestion import CongestionEstimate
-from .learned_weights import SOLVE_INTERVAL, LearnedWeights
+from .learned_weights import LEARN_INTERVAL, LearnedWeights
 from .locality import Locality
 from .outlier_detection import OutlierDetection
 from .slow_start import backends_with_weight
@@ -20,7 +20,7 @@
         self.outliers = OutlierDetection(context)
         self.congestion = CongestionEstimate(context)
         self.locality = Locality(context)
-        self._next_solve_at = 0
+        self._next_learn_at = 0
 
     def plan(self):
         """One beat.
@@ -31,8 +31,8 @@
         context = self.context
         stats = [backend.stats() for backend in context.backends if backend.state == "ready"]
         demand = self._demand()
-        if context.now >= self._next_solve_at:
-            self._next_solve_at = context.now + SOLVE_INTERVAL
+        if context.now >= self._next_learn_at:
+            self._next_learn_at = context.now + LEARN_INTERVAL
             self.learned_weights.learn(stats)
             self.outliers.recover(stats)
         self.outliers.eject(stats)
