--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -23,7 +23,7 @@
 CAPACITY_MAX = 2.0  # average backends; more and its loss would be too much at once
 MOVE_THRESHOLD = 0.20  # share by which an estimate must differ before the capacity moves
 MOVE_MAX = 0.25  # share by which it moves at most at one solve
-LATENCY_EASE = 0.15  # of the latency objective, added to both sides of the ratio
+LATENCY_SMOOTHING = 0.15  # of the latency objective, added to both sides of the ratio
 LATENCY_RATIO_MAX = 1.4  # either way; beyond it latency tells of a queue
 LOAD_TOLERANCE = 0.15  # share off the median load within which a load vetoes nothing
 
@@ -44,34 +44,37 @@
         Args:
             stats: `BackendStats` of all ready backends.
         """
-        rows = [row for row in stats if self._is_known(row)]
+        rows = [row for row in stats if self._has_enough_reports(row)]
         estimates = self._estimates(rows)
         mean = sum(estimates) / (len(rows) or 1) or 1.0
         usual_load = median([row.load for row in rows if row.load is not None] or [0])
         for row, estimate in zip(rows, estimates, strict=True):
             target = min(CAPACITY_MAX, max(CAPACITY_MIN, estimate / mean))
-            self._move(row, target, usual_load)
+            self._adjust(row, target, usual_load)
 
     @staticmethod
-    def _is_known(row):
-        heard = row.long_window.attempts >= ATTEMPTS_MIN and row.span >= LEARN_INTERVAL
-        return heard and row.backend.health >= 1
+    def _has_enough_reports(row):
+        is_reported = row.long_window.attempts >= ATTEMPTS_MIN and row.span >= LEARN_INTERVAL
+        return is_reported and row.backend.health >= 1
 
     def _estimates(self, rows):
         """Served rate times the eased and bounded latency ratio, for each row."""
         median_latency = median([row.long_window.latency for row in rows] or [0])
-        ease = LATENCY_EASE * self.context.latency_objective
+        smoothing = LATENCY_SMOOTHING * self.context.latency_objective
         ratios = [
             min(
                 LATENCY_RATIO_MAX,
-                max(1 / LATENCY_RATIO_MAX, (median_latency + ease) / (row.long_window.latency + ease)),
+                max(
+                    1 / LATENCY_RATIO_MAX,
+                    (median_latency + smoothing) / (row.long_window.latency + smoothing),
+                ),
             )
             for row in rows
         ]
         return [row.long_window.rate * ratio for row, ratio in zip(rows, ratios, strict=True)]
 
     @staticmethod
-    def _move(row, target, usual_load):
+    def _adjust(row, target, usual_load):
         backend = row.backend
         load_off = (row.load or usual_load) - usual_load
         change = target / backend.capacity - 1
