--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -30,12 +30,12 @@
 from .records.levels import AdmissionLevel
 from .units import MILLISECOND, SECOND
 
-LOOK_INTERVAL = 1 * SECOND  # ns
-LOOKS_KEPT = 40  # looks whose most is taken for what can be done
-CALM_LOOKS = 5  # looks without a queue after which what came was done
+EVALUATION_INTERVAL = 1 * SECOND  # ns
+EVALUATIONS_KEPT = 40  # looks whose most is taken for what can be done
+UNQUEUED_EVALUATIONS = 5  # looks without a queue after which what came was done
 WAIT_HIGH = 0.38  # of the latency objective: requests are shed
 WAIT_LOW = 0.2  # of the latency objective: more are admitted
-LOOKS_UNTIL_LIMITS_KNOWN = 10  # looks after a start
+EVALUATIONS_UNTIL_LIMITS_KNOWN = 10  # looks after a start
 ADMITTED_MIN = 0.3  # of the usual requests, at the least
 ADMITTED_MIN_AFTER_START = 0.6  # of the usual requests, until the limits are known
 CUT_MIN = 0.45  # of what can be done: the deepest cut
@@ -85,14 +85,14 @@
         deployment = context.deployment
         # whether most attempts fail is not known before the first reports
         self._retries_at = context.now + context.client_timeout + deployment.report_interval
-        self._next_look_at = 0
+        self._next_evaluation_at = 0
         self._next_cut_at = 0
         self._goal = None  # requests a second per unit; None: all are admitted
         self._sustainable = 0.0  # requests a second per unit that a full fleet is taken to do
         self._unit_at_cut = 1.0
         self._growth = GROWTH
-        self._looks = deque(maxlen=LOOKS_KEPT)
-        self._calm_looks = deque(maxlen=CALM_LOOKS)
+        self._evaluations = deque(maxlen=EVALUATIONS_KEPT)
+        self._unqueued_evaluations = deque(maxlen=UNQUEUED_EVALUATIONS)
 
     def update(self, state):
         """Sets `Context.admission` for this beat.
@@ -108,15 +108,15 @@
             and state.short_window.failed / state.short_window.attempts > FAILED_SHARE_MAX
         ):
             self._retries_at = now + context.client_timeout
-        if now >= self._next_look_at and proxies and context.deployment.throttle != "none":
-            self._next_look_at = now + LOOK_INTERVAL
-            self._look(state, proxies)
+        if now >= self._next_evaluation_at and proxies and context.deployment.throttle != "none":
+            self._next_evaluation_at = now + EVALUATION_INTERVAL
+            self._evaluate(state, proxies)
         retry = int(now >= self._retries_at)
         context.admission = {
             kind: AdmissionLevel(level.admitted, retry) for kind, level in context.admission.items()
         }
 
-    def _look(self, state, proxies):
+    def _evaluate(self, state, proxies):
         demand = self._demand(state, proxies)
         limits = self._limits(state, demand)
         self._update_goal(state, demand, limits)
@@ -137,17 +137,17 @@
             and state.queue_wait < WAIT_LOW * context.latency_objective
             and all_admitted
         )
-        self._calm_looks.append((coming if is_calm else 0.0, unit))
-        return Demand(coming, usual, unit, max(unit for _, unit in self._calm_looks))
+        self._unqueued_evaluations.append((coming if is_calm else 0.0, unit))
+        return Demand(coming, usual, unit, max(unit for _, unit in self._unqueued_evaluations))
 
     def _limits(self, state, demand):
-        calm = min(coming for coming, _ in self._calm_looks)
-        calm_long = calm / demand.unit_max if len(self._calm_looks) == CALM_LOOKS else 0.0
-        self._looks.append(Limits(state.short_window.rate / demand.unit_max, state.capacity, calm_long))
+        calm = min(coming for coming, _ in self._unqueued_evaluations)
+        calm_long = calm / demand.unit_max if len(self._unqueued_evaluations) == UNQUEUED_EVALUATIONS else 0.0
+        self._evaluations.append(Limits(state.short_window.rate / demand.unit_max, state.capacity, calm_long))
         return Limits(
-            max(look.done for look in self._looks),
-            max(look.capacity for look in self._looks),
-            max(look.calm for look in self._looks),
+            max(evaluation.done for evaluation in self._evaluations),
+            max(evaluation.capacity for evaluation in self._evaluations),
+            max(evaluation.calm for evaluation in self._evaluations),
         )
 
     def _update_goal(self, state, demand, limits):
@@ -172,7 +172,7 @@
         known = limits.done
         if self._goal is not None:
             known = GOAL_AFTER_RELAPSE * max(self._sustainable, self._goal)
-        limits_known = len(self._looks) > LOOKS_UNTIL_LIMITS_KNOWN
+        limits_known = len(self._evaluations) > EVALUATIONS_UNTIL_LIMITS_KNOWN
         admitted_min = ADMITTED_MIN if limits_known else ADMITTED_MIN_AFTER_START
         floor = admitted_min * min(demand.coming, demand.usual) / demand.unit
         self._unit_at_cut = demand.unit
@@ -206,7 +206,7 @@
         all of it; without a goal nothing else is shed ahead of a queue.
         """
         has_shrunk = (
-            len(self._looks) > LOOKS_UNTIL_LIMITS_KNOWN
+            len(self._evaluations) > EVALUATIONS_UNTIL_LIMITS_KNOWN
             and state.capacity < LOST_CAPACITY * limits.capacity
             and state.busy_share * limits.capacity > BUSY_AFTER_LOSS * state.capacity
         )
