--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -58,7 +58,7 @@
 class Demand:
     """What comes to the joined proxies at one look."""
 
-    coming: float  # requests a second now
+    offered: float  # requests a second now
     usual: float  # requests a second that usually come
     unit: float  # capacity units, see the module's docstring
     unit_max: float  # the largest of the last looks: reports lag behind proxies that leave
@@ -68,9 +68,9 @@
 class Limits:
     """The most of the last looks."""
 
-    done: float  # answered requests a second per unit
+    served: float  # answered requests a second per unit
     capacity: float  # average backends
-    calm: float  # requests a second per unit that came while nothing queued
+    unqueued: float  # requests a second per unit that came while nothing queued
 
 
 class LoadShedding:
@@ -128,26 +128,30 @@
         The latter is kept in the measure it is seen in: many proxies with few requests are counted too high.
         """
         context = self.context
-        coming = sum(sum(proxy.rates.values()) for proxy in proxies)
+        offered = sum(sum(proxy.rates.values()) for proxy in proxies)
         usual = sum(proxy.usual_rate for proxy in proxies) or 1.0
         unit = state.capacity * usual
         all_admitted = all(level.admitted == context.unlimited_level for level in context.admission.values())
-        is_calm = (
+        is_unqueued = (
             state.short_window.attempts
             and state.queue_wait < WAIT_LOW * context.latency_objective
             and all_admitted
         )
-        self._unqueued_evaluations.append((coming if is_calm else 0.0, unit))
-        return Demand(coming, usual, unit, max(unit for _, unit in self._unqueued_evaluations))
+        self._unqueued_evaluations.append((offered if is_unqueued else 0.0, unit))
+        return Demand(offered, usual, unit, max(unit for _, unit in self._unqueued_evaluations))
 
     def _limits(self, state, demand):
-        calm = min(coming for coming, _ in self._unqueued_evaluations)
-        calm_long = calm / demand.unit_max if len(self._unqueued_evaluations) == UNQUEUED_EVALUATIONS else 0.0
-        self._evaluations.append(Limits(state.short_window.rate / demand.unit_max, state.capacity, calm_long))
+        unqueued = min(offered for offered, _ in self._unqueued_evaluations)
+        unqueued_min = (
+            unqueued / demand.unit_max if len(self._unqueued_evaluations) == UNQUEUED_EVALUATIONS else 0.0
+        )
+        self._evaluations.append(
+            Limits(state.short_window.rate / demand.unit_max, state.capacity, unqueued_min)
+        )
         return Limits(
-            max(evaluation.done for evaluation in self._evaluations),
+            max(evaluation.served for evaluation in self._evaluations),
             max(evaluation.capacity for evaluation in self._evaluations),
-            max(evaluation.calm for evaluation in self._evaluations),
+            max(evaluation.unqueued for evaluation in self._evaluations),
         )
 
     def _update_goal(self, state, demand, limits):
@@ -156,8 +160,8 @@
         objective = self.context.latency_objective
         if self._goal is not None and now < self._next_cut_at:
             # what a full fleet does, it can do
-            done = state.short_window.rate / max(demand.unit_max, self._unit_at_cut)
-            self._sustainable = max(self._sustainable, done)
+            served = state.short_window.rate / max(demand.unit_max, self._unit_at_cut)
+            self._sustainable = max(self._sustainable, served)
         is_over = (state.latency_falling and self._goal) or state.queues_drained
         wait_low = (WAIT_HIGH if state.latency_falling else WAIT_LOW) * objective
         if state.queue_wait > WAIT_HIGH * objective and not is_over and now >= self._next_cut_at:
@@ -169,12 +173,12 @@
 
     def _cut(self, state, demand, limits):
         context = self.context
-        known = limits.done
+        known = limits.served
         if self._goal is not None:
             known = GOAL_AFTER_RELAPSE * max(self._sustainable, self._goal)
         limits_known = len(self._evaluations) > EVALUATIONS_UNTIL_LIMITS_KNOWN
         admitted_min = ADMITTED_MIN if limits_known else ADMITTED_MIN_AFTER_START
-        floor = admitted_min * min(demand.coming, demand.usual) / demand.unit
+        floor = admitted_min * min(demand.offered, demand.usual) / demand.unit
         self._unit_at_cut = demand.unit
         self._sustainable = max(known, floor)
         self._growth = GROWTH_OF_GUESS if known < self._sustainable else GROWTH
@@ -189,15 +193,15 @@
         context.orders.append(
             Log(
                 f"overload: requests wait {state.queue_wait / MILLISECOND:.0f} ms in queues; "
-                f"{admitted:.0f} of {demand.coming:.0f} requests/s admitted"
+                f"{admitted:.0f} of {demand.offered:.0f} requests/s admitted"
             )
         )
 
     def _raise_goal(self, demand):
         self._goal = max(GOAL_AFTER_QUEUE * self._sustainable, self._goal * self._growth)
-        if self._goal * demand.unit > demand.coming:
+        if self._goal * demand.unit > demand.offered:
             self._goal = None
-            self.context.orders.append(Log(f"overload over: all of {demand.coming:.0f} requests/s admitted"))
+            self.context.orders.append(Log(f"overload over: all of {demand.offered:.0f} requests/s admitted"))
 
     def _excess(self, state, demand, limits):
         """Requests a second to be shed.
@@ -212,10 +216,10 @@
         )
         limit = self._goal
         if limit is None:
-            limit = SHRUNK_LIMIT * max(limits.done, limits.calm) if has_shrunk else UNLIMITED_RATE
-        excess = demand.coming - limit * demand.unit
+            limit = SHRUNK_LIMIT * max(limits.served, limits.unqueued) if has_shrunk else UNLIMITED_RATE
+        excess = demand.offered - limit * demand.unit
         is_failing_while_cold = state.has_cold and self.context.now < self._retries_at
-        return max(excess, (1 - ADMITTED_WHILE_FAILING) * demand.coming if is_failing_while_cold else 0.0)
+        return max(excess, (1 - ADMITTED_WHILE_FAILING) * demand.offered if is_failing_while_cold else 0.0)
 
     def _shed(self, proxies, excess):
         """Sheds so many requests a second, from the kinds of least priority weight first."""
