--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -40,10 +40,10 @@
 ADMITTED_MIN_AFTER_START = 0.6  # of the usual requests, until the limits are known
 CUT_MIN = 0.45  # of what can be done: the deepest cut
 CUT_AT_WAIT_HIGH = 0.75  # of what can be done, at a wait of WAIT_HIGH; deeper the longer the wait
-GOAL_AFTER_QUEUE = 0.95  # of what can be done, as soon as the queue is over
-GOAL_AFTER_RELAPSE = 0.9  # of the former goal, if a queue builds up under it
+TARGET_AFTER_QUEUE = 0.95  # of what can be done, as soon as the queue is over
+TARGET_AFTER_RELAPSE = 0.9  # of the former goal, if a queue builds up under it
 GROWTH = 1.015  # on the goal at each look
-GROWTH_OF_GUESS = 1.1  # on the goal at each look, while it rests on no measured capacity
+GROWTH_OF_ESTIMATE = 1.1  # on the goal at each look, while it rests on no measured capacity
 LOST_CAPACITY = 0.85  # of the most capacity lately: the fleet has shrunk
 SHRUNK_LIMIT = 1.3  # times the most that was done, for a fleet that has shrunk
 BUSY_AFTER_LOSS = 0.7  # mean reported busy share, of those left, under which nothing is shed ahead
@@ -87,7 +87,7 @@
         self._retries_at = context.now + context.client_timeout + deployment.report_interval
         self._next_evaluation_at = 0
         self._next_cut_at = 0
-        self._goal = None  # requests a second per unit; None: all are admitted
+        self._target = None  # requests a second per unit; None: all are admitted
         self._sustainable = 0.0  # requests a second per unit that a full fleet is taken to do
         self._unit_at_cut = 1.0
         self._growth = GROWTH
@@ -119,7 +119,7 @@
     def _evaluate(self, state, proxies):
         demand = self._demand(state, proxies)
         limits = self._limits(state, demand)
-        self._update_goal(state, demand, limits)
+        self._update_target(state, demand, limits)
         self._shed(proxies, self._excess(state, demand, limits))
 
     def _demand(self, state, proxies):
@@ -154,42 +154,42 @@
             max(evaluation.unqueued for evaluation in self._evaluations),
         )
 
-    def _update_goal(self, state, demand, limits):
+    def _update_target(self, state, demand, limits):
         """Cuts, lets the goal rise, or ends the overload."""
         now = self.context.now
         objective = self.context.latency_objective
-        if self._goal is not None and now < self._next_cut_at:
+        if self._target is not None and now < self._next_cut_at:
             # what a full fleet does, it can do
             served = state.short_window.rate / max(demand.unit_max, self._unit_at_cut)
             self._sustainable = max(self._sustainable, served)
-        is_over = (state.latency_falling and self._goal) or state.queues_drained
+        is_recovering = (state.latency_falling and self._target) or state.queues_drained
         wait_low = (WAIT_HIGH if state.latency_falling else WAIT_LOW) * objective
-        if state.queue_wait > WAIT_HIGH * objective and not is_over and now >= self._next_cut_at:
+        if state.queue_wait > WAIT_HIGH * objective and not is_recovering and now >= self._next_cut_at:
             self._cut(state, demand, limits)
-        elif self._goal is not None and state.queue_wait < wait_low:
-            self._raise_goal(demand)
+        elif self._target is not None and state.queue_wait < wait_low:
+            self._raise_target(demand)
         elif now >= self._next_cut_at:
             self._growth = GROWTH
 
     def _cut(self, state, demand, limits):
         context = self.context
-        known = limits.served
-        if self._goal is not None:
-            known = GOAL_AFTER_RELAPSE * max(self._sustainable, self._goal)
+        sustainable = limits.served
+        if self._target is not None:
+            sustainable = TARGET_AFTER_RELAPSE * max(self._sustainable, self._target)
         limits_known = len(self._evaluations) > EVALUATIONS_UNTIL_LIMITS_KNOWN
         admitted_min = ADMITTED_MIN if limits_known else ADMITTED_MIN_AFTER_START
         floor = admitted_min * min(demand.offered, demand.usual) / demand.unit
         self._unit_at_cut = demand.unit
-        self._sustainable = max(known, floor)
-        self._growth = GROWTH_OF_GUESS if known < self._sustainable else GROWTH
-        depth = max(CUT_MIN, CUT_AT_WAIT_HIGH * WAIT_HIGH * context.latency_objective / state.queue_wait)
-        self._goal = depth * self._sustainable
+        self._sustainable = max(sustainable, floor)
+        self._growth = GROWTH_OF_ESTIMATE if sustainable < self._sustainable else GROWTH
+        cut_factor = max(CUT_MIN, CUT_AT_WAIT_HIGH * WAIT_HIGH * context.latency_objective / state.queue_wait)
+        self._target = cut_factor * self._sustainable
         # the effect of a cut is seen once clients gave up and a round of reports came
-        effect = (
+        effect_delay = (
             context.client_timeout + context.deployment.report_interval + context.observed_report_interval
         )
-        self._next_cut_at = context.now + effect
-        admitted = self._goal * demand.unit
+        self._next_cut_at = context.now + effect_delay
+        admitted = self._target * demand.unit
         context.orders.append(
             Log(
                 f"overload: requests wait {state.queue_wait / MILLISECOND:.0f} ms in queues; "
@@ -197,10 +197,10 @@
             )
         )
 
-    def _raise_goal(self, demand):
-        self._goal = max(GOAL_AFTER_QUEUE * self._sustainable, self._goal * self._growth)
-        if self._goal * demand.unit > demand.offered:
-            self._goal = None
+    def _raise_target(self, demand):
+        self._target = max(TARGET_AFTER_QUEUE * self._sustainable, self._target * self._growth)
+        if self._target * demand.unit > demand.offered:
+            self._target = None
             self.context.orders.append(Log(f"overload over: all of {demand.offered:.0f} requests/s admitted"))
 
     def _excess(self, state, demand, limits):
@@ -214,7 +214,7 @@
             and state.capacity < LOST_CAPACITY * limits.capacity
             and state.busy_share * limits.capacity > BUSY_AFTER_LOSS * state.capacity
         )
-        limit = self._goal
+        limit = self._target
         if limit is None:
             limit = SHRUNK_LIMIT * max(limits.served, limits.unqueued) if has_shrunk else UNLIMITED_RATE
         excess = demand.offered - limit * demand.unit
@@ -229,17 +229,17 @@
             shed = min(excess, SHED_MAX * sum(rates))
             excess = excess - shed
             admitted = self._level(rates, shed) if shed > 0 else context.unlimited_level
-            former = context.admission[kind]
-            has_moved = abs(admitted / former.admitted - 1) > LEVEL_CHANGE_MIN
-            if has_moved or admitted == context.unlimited_level != former.admitted:
-                context.admission[kind] = AdmissionLevel(admitted, former.retry)
+            previous = context.admission[kind]
+            has_moved = abs(admitted / previous.admitted - 1) > LEVEL_CHANGE_MIN
+            if has_moved or admitted == context.unlimited_level != previous.admitted:
+                context.admission[kind] = AdmissionLevel(admitted, previous.retry)
 
     def _level(self, rates, shed):
         """The level that leaves all but `shed` of the requests that come to the proxies."""
-        rest = sum(rates) - shed
+        admitted_rate = sum(rates) - shed
         if self.context.deployment.throttle == "rate":
-            return equal_limit(rates, rest, self.context.unlimited_level)
-        return rest / sum(rates)
+            return equal_limit(rates, admitted_rate, self.context.unlimited_level)
+        return admitted_rate / sum(rates)
 
 
 def equal_limit(rates, admitted, unlimited_level):
