--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -14,12 +14,12 @@
 from .records.backend import add_totals
 from .records.levels import FleetState
 
-BEATS_KEPT = 200  # mean latencies of beats
-BEATS_COMPARED = 9  # the newest beat is compared with the oldest of so many
-WORK_SHARE_MAX = 0.35  # of the latency objective: more than that is no work, it is waiting
+MEANS_KEPT = 200  # mean latencies of beats
+TREND_CYCLES = 9  # the newest beat is compared with the oldest of so many
+SERVICE_TIME_SHARE_MAX = 0.35  # of the latency objective: more than that is no work, it is waiting
 FALLING_RATIO = 0.9  # of the earlier mean: the latency falls
 WAIT_LOW = 0.2  # of the latency objective: a wait under it is no queue
-EMPTY_RATIO = 0.5  # of the long window's mean load: the newest loads tell that a queue is over
+DRAINED_LOAD_RATIO = 0.5  # of the long window's mean load: the newest loads tell that a queue is over
 
 
 class CongestionEstimate:
@@ -31,7 +31,7 @@
 
     def __init__(self, context):
         self.context = context
-        self._mean_latencies = deque(maxlen=BEATS_KEPT)  # ns
+        self._mean_latencies = deque(maxlen=MEANS_KEPT)  # ns
 
     def estimate(self, stats):
         """What all ready backends come to at this beat.
@@ -43,14 +43,14 @@
             `FleetState`.
         """
         attempts = self._newest_attempts(stats)
-        wait = self._wait(stats, attempts)
+        queue_wait = self._queue_wait(stats, attempts)
         means = self._mean_latencies
-        latency_falling = attempts > 0 and means[-1] < FALLING_RATIO * means[-min(BEATS_COMPARED, len(means))]
+        latency_falling = attempts > 0 and means[-1] < FALLING_RATIO * means[-min(TREND_CYCLES, len(means))]
         load, newest_load = self._loads(stats)
         return FleetState(
-            queue_wait=wait,
+            queue_wait=queue_wait,
             latency_falling=latency_falling,
-            queues_drained=newest_load < EMPTY_RATIO * load,
+            queues_drained=newest_load < DRAINED_LOAD_RATIO * load,
             busy_share=load if self.context.reports_include_busy_share else 1.0,
             short_window=add_totals(row.short_window for row in stats),
             capacity=sum(row.backend.capacity * row.warm_up_factor for row in stats) or 1.0,
@@ -59,25 +59,25 @@
 
     def is_congested(self, state, stats):
         """Whether requests queue at warm backends, so that cold ones have to wait for their lines."""
-        queues = state.queue_wait > WAIT_LOW * self.context.latency_objective
-        return queues and any(row.warm_up_factor >= 1 for row in stats)
+        is_queueing = state.queue_wait > WAIT_LOW * self.context.latency_objective
+        return is_queueing and any(row.warm_up_factor >= 1 for row in stats)
 
     @staticmethod
     def _newest_attempts(stats):
         """Attempts in the newest reports; 0 unless half of the backends were heard of lately."""
-        heard = sum(row.short_window.attempts > 0 for row in stats)
-        if 2 * heard < len(stats):
+        reporting = sum(row.short_window.attempts > 0 for row in stats)
+        if 2 * reporting < len(stats):
             return 0
         return sum(report.attempts for row in stats for report in row.newest)
 
-    def _wait(self, stats, attempts):
+    def _queue_wait(self, stats, attempts):
         """Mean time in queues by the newest reports, ns; 0 if they tell nothing."""
         if not attempts:
             return 0
         mean = sum(report.latency for row in stats for report in row.newest) / attempts
         self._mean_latencies.append(mean)
-        work = min(WORK_SHARE_MAX * self.context.latency_objective, *self._mean_latencies)
-        return mean - work
+        service_time = min(SERVICE_TIME_SHARE_MAX * self.context.latency_objective, *self._mean_latencies)
+        return mean - service_time
 
     @staticmethod
     def _loads(stats):
