--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -48,13 +48,13 @@
         now = self.context.now
         for row in stats:
             backend = row.backend
-            does_well = (
+            is_answering = (
                 row.long_window.attempts >= RECOVERY_ATTEMPTS_MIN
                 and row.long_window.failed <= row.long_window.attempts * RECOVERY_FAILED_SHARE_MAX
             )
-            silent = not row.long_window.attempts and now - backend.health_since > SILENT_RECOVERY_AFTER
-            heard_since = now > backend.reports_ignored_until + self.context.observed_report_interval
-            if (does_well or silent) and backend.health < 1 and heard_since:
+            is_silent = not row.long_window.attempts and now - backend.health_since > SILENT_RECOVERY_AFTER
+            has_new_reports = now > backend.reports_ignored_until + self.context.observed_report_interval
+            if (is_answering or is_silent) and backend.health < 1 and has_new_reports:
                 backend.set_health(min(1.0, backend.health * RECOVERY_FACTOR))
 
     def eject(self, stats):
@@ -63,24 +63,24 @@
         Args:
             stats: `BackendStats` of all ready backends.
         """
-        heard = [
+        rows = [
             row
             for row in stats
             if row.short_window.attempts >= ATTEMPTS_MIN and row.backend.health > HEALTH_MIN
         ]
-        failed = {row.backend: row.short_window.failed / row.short_window.attempts for row in heard}
-        usual = sorted(failed.values())[len(failed) // 4] if failed else 0
-        may_eject = int(EJECTED_SHARE_MAX * len(stats)) - sum(row.backend.health < 1 for row in stats)
-        outliers = [one for one, share in failed.items() if share > FAILED_SHARE_ABOVE_PEERS + usual]
+        failed = {row.backend: row.short_window.failed / row.short_window.attempts for row in rows}
+        quartile = sorted(failed.values())[len(failed) // 4] if failed else 0
+        ejections_left = int(EJECTED_SHARE_MAX * len(stats)) - sum(row.backend.health < 1 for row in stats)
+        outliers = [one for one, share in failed.items() if share > FAILED_SHARE_ABOVE_PEERS + quartile]
         for backend in sorted(outliers, key=lambda backend: -failed[backend]):
-            if backend.health < 1 or may_eject > 0:
-                may_eject -= backend.health >= 1
+            if backend.health < 1 or ejections_left > 0:
+                ejections_left -= backend.health >= 1
                 backend.set_health(max(HEALTH_MIN, backend.health * (1 - failed[backend])))
                 self.context.orders.append(
                     Log(
                         f"backend {backend.handle.external_id} ejected as an outlier: "
                         f"{failed[backend]:.0%} of its attempts failed, "
-                        f"{usual:.0%} at the lower quartile of its peers; "
+                        f"{quartile:.0%} at the lower quartile of its peers; "
                         f"{backend.health:.0%} of its weight is left"
                     )
                 )
