--- a/embertray/policy/slow_start.py
+++ b/embertray/policy/slow_start.py
@@ -16,13 +16,13 @@
 that moment and stays down. Costs some capacity where a backend warms sooner than told.
 """
 
-PART_OF_OVERLOAD = 0.5  # share of the load under which a cold backend falls over
+OVERLOAD_SHARE = 0.5  # share of the load under which a cold backend falls over
 COLD_FACTOR_MAX = 0.95  # factor on the weight until it is warm
 TWO_CHOICES_FACTOR = 0.42  # proxies that draw two and take the idler one prefer a cold backend
 WARM_SHARE_ENOUGH = 2 / 3  # of the fleet's capacity: the warm ones carry what comes
 # of the warm ones' attempts: they get twice what they can do, and a cold one, with its part of the load under
 # which it falls over, would get all of that load
-FAILED_SHARE_MAX = 1 - PART_OF_OVERLOAD
+FAILED_SHARE_MAX = 1 - OVERLOAD_SHARE
 
 
 def warm_up_factor(deployment, started_at, now):
@@ -40,8 +40,10 @@
     if started_at <= 0 or age >= deployment.warm_up_time:
         return 1.0
     speed = deployment.cold_speed + (1 - deployment.cold_speed) * age / deployment.warm_up_time
-    preferred = TWO_CHOICES_FACTOR if deployment.pick == "two" else 1.0
-    return min(COLD_FACTOR_MAX, speed * (PART_OF_OVERLOAD * deployment.overload_multiple * preferred or 1))
+    selection_factor = TWO_CHOICES_FACTOR if deployment.pick == "two" else 1.0
+    return min(
+        COLD_FACTOR_MAX, speed * (OVERLOAD_SHARE * deployment.overload_multiple * selection_factor or 1)
+    )
 
 
 def backends_with_weight(stats, congested):
@@ -55,10 +57,10 @@
         Those of `stats` that may get lines: all, or the warm ones alone.
     """
     warm = [row for row in stats if row.warm_up_factor >= 1]
-    return warm if congested and cold_ones_wait(stats, warm) else stats
+    return warm if congested and must_hold_back_cold(stats, warm) else stats
 
 
-def cold_ones_wait(stats, warm):
+def must_hold_back_cold(stats, warm):
     """Whether cold backends get no line while requests queue.
 
     Args:
