--- a/embertray/policy/locality.py
+++ b/embertray/policy/locality.py
@@ -43,14 +43,14 @@
         spare = {zone: max(0.0, capacity[zone] - demand.get(zone, 0.0) / requests) for zone in zones}
         for zone in dict.fromkeys([] if deployment.slices else [*deployment.zones, *demand]):
             share = demand.get(zone, 0.0) / requests
-            factors = self._factors(zone, share, capacity, spare)
+            factors = self._zone_factors(zone, share, capacity, spare)
             own_factor = factors.get(zone) or 1.0
             yield (
                 zone,
                 {backend: weight * factors[backend.zone] / own_factor for backend, weight in weights.items()},
             )
 
-    def _factors(self, zone, share, capacity, spare):
+    def _zone_factors(self, zone, share, capacity, spare):
         """Factor on the weights of each zone's backends in the table of `zone`.
 
         Args:
@@ -59,16 +59,16 @@
             capacity: zone -> part of all capacity.
             spare: zone -> part of all capacity that its own requests leave over.
         """
-        kept = HOME_SHARE if self.context.deployment.cross_zone_cost > 0 else 0.0
-        home = min(share, capacity.get(zone, 0.0))
+        home_share = HOME_SHARE if self.context.deployment.cross_zone_cost > 0 else 0.0
+        home_flow = min(share, capacity.get(zone, 0.0))
         spare_elsewhere = sum(part for other, part in spare.items() if other is not zone)
         factors = {}
         for other in capacity:
             if other is zone:
-                flow = home
+                flow = home_flow
             elif spare_elsewhere:
-                flow = (share - home) * spare[other] / spare_elsewhere
+                flow = (share - home_flow) * spare[other] / spare_elsewhere
             else:
                 flow = 0.0
-            factors[other] = (kept * flow / share if share else 0.0) / capacity[other] + 1 - kept
+            factors[other] = (home_share * flow / share if share else 0.0) / capacity[other] + 1 - home_share
         return factors
