--- a/embertray/policy/endpoint_watch.py
+++ b/embertray/policy/endpoint_watch.py
@@ -48,15 +48,15 @@
     def _entries(self, update):
         """(backend, entry) for all that an update says, the backends it leaves out included."""
         if update.how == "failed":
-            self._failed()
+            self._schedule_resubscription()
             return []
         self.failures = 0
         named = {entry.backend for entry in update.entries}
         known = self.context.backends if update.how in ("whole", "cached") else []
         missing = [Endpoint(one.handle, one.zone, "gone") for one in known if one.handle not in named]
-        return [(self._backend(entry.backend), entry) for entry in update.entries + missing]
+        return [(self._backend_state(entry.backend), entry) for entry in update.entries + missing]
 
-    def _failed(self):
+    def _schedule_resubscription(self):
         doublings = min(self.failures, RESUBSCRIBE_DOUBLINGS_MAX)
         backoff = min(RESUBSCRIBE_BACKOFF_MAX, RESUBSCRIBE_BACKOFF_FIRST << doublings)
         self._subscribe_at = self.context.now + backoff
@@ -68,7 +68,7 @@
             )
         )
 
-    def _backend(self, handle):
+    def _backend_state(self, handle):
         if handle.policy_state is None:
             handle.policy_state = BackendState(self.context, handle)
             self.context.backends.append(handle.policy_state)
