--- a/embertray/policy/proxy.py
+++ b/embertray/policy/proxy.py
@@ -31,7 +31,7 @@
         self.long_rate = 0.0
         self.messages = ProxyMessages()
         self.samples = ArrivalSamples(REPORTS_KEPT)
-        self._rates_at = None
+        self._rates_updated_at = None
 
     def join(self, event):
         """Its stream stands: whatever it held before, it is bound anew.
@@ -65,8 +65,8 @@
     def update_rates(self):
         """Estimates what comes to it: by request kind lately, and in all for longer."""
         now = self.context.now
-        if self._rates_at is None or now >= self._rates_at + RATES_INTERVAL:
-            self._rates_at = now
+        if self._rates_updated_at is None or now >= self._rates_updated_at + RATES_INTERVAL:
+            self._rates_updated_at = now
             self.rates = self._rates_over(SHORT_WINDOW)
             self.long_rate = sum(self._rates_over(LONG_WINDOW).values())
 
