--- a/embertray/platform/__init__.py
+++ b/embertray/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' platform: its protocol without I/O, and the controller that `run` starts."""
+"""Integration with the operators' platform: its protocol without I/O, and the controller process."""
--- a/embertray/platform/protocol/__init__.py
+++ b/embertray/platform/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's protocol without I/O, in the manner of h11: bytes and time in, typed events or verdicts out.
+"""The platform's protocol as a sans-I/O library, like h11: bytes and time in, typed events or decisions out.
 
-Words of the wire stand in `wire`, times and caps in `limits`, errors in `exceptions`.
+`wire` defines the names on the wire, `limits` the timeouts and size limits, `exceptions` the errors.
 """
--- a/embertray/platform/protocol/admission.py
+++ b/embertray/platform/protocol/admission.py
@@ -1,34 +1,34 @@
-"""Admission of connections at the controller's address.
+"""Admission of connections to the controller's listening address.
 
-Connections that have not joined and collectors have a part of the file descriptors each; neither takes the
-other's or those of relay and discovery.
+Unjoined connections and collectors each have their own share of the file descriptors; neither can exhaust the
+other's, nor those for the relay and discovery.
 """
 
 from .limits import COLLECTORS_MIN, RESERVED_DESCRIPTORS, UNJOINED_MIN, UNJOINED_SHARE
 
 
 class ConnectionAdmission:
-    """Counts collectors, and names the one to evict when one too many has joined.
+    """Limits the number of collectors and selects the one to evict when the limit is exceeded.
 
-    Against peers that join and never report: any peer can join, but a true collector reports again and
-    again, so the one that reported least lately goes, those without a report first. Collectors are whatever
-    the caller knows them by.
+    Any peer can join and then stay silent, but a real collector reports regularly. So the eviction order is
+    least recently reported first, beginning with collectors that have never reported. Collectors are
+    identified by hashable keys of the caller.
 
     Attributes:
-        unjoined_max: How many connections that have not joined may be open.
-        collectors_max: How many collectors may be.
+        unjoined_max: Maximum number of open connections that have not joined.
+        collectors_max: Maximum number of collectors.
     """
 
     def __init__(self, descriptors):
-        """`descriptors`: file descriptors that the process may hold."""
+        """`descriptors`: the process's limit of open file descriptors."""
         available = descriptors - RESERVED_DESCRIPTORS
         self.unjoined_max = max(UNJOINED_MIN, min(int(descriptors * UNJOINED_SHARE), available))
         self.collectors_max = max(COLLECTORS_MIN, available - self.unjoined_max)
-        self.without_report = {}  # in the order of joining
-        self.by_last_report = {}  # the one that reported least lately first
+        self.without_report = {}  # in the order of joining; values are unused
+        self.by_last_report = {}  # least recently reported first; values are unused
 
     def admit(self, collector):
-        """A collector joined. Returns the one that has to be closed for it, or None."""
+        """Register a new collector. Returns the one to be evicted for it, or None."""
         evicted = None
         if len(self.without_report) + len(self.by_last_report) >= self.collectors_max:
             evicted = next(iter(self.without_report or self.by_last_report))
@@ -37,13 +37,13 @@
         return evicted
 
     def reported(self, collector):
-        """A report of this collector counted."""
-        # against an evicted one whose last bytes held a report: it must not be counted again
+        """Note that a collector has sent a valid report."""
+        # the last bytes of an evicted collector may contain a report: it must not be registered again
         if collector in self.without_report or collector in self.by_last_report:
             self.release(collector)
             self.by_last_report[collector] = True
 
     def release(self, collector):
-        """The collector's connection is closed."""
+        """Remove a collector whose connection is closed."""
         self.without_report.pop(collector, None)
         self.by_last_report.pop(collector, None)
--- a/embertray/platform/protocol/answers.py
+++ b/embertray/platform/protocol/answers.py
@@ -1,4 +1,4 @@
-"""The relay's answers to calls with orders: XML in, orders taken or an error out."""
+"""Parses the relay's XML answers to calls with orders: the number of accepted orders, or an error."""
 
 from xml.etree import ElementTree
 
@@ -10,32 +10,32 @@
 
 
 class OrdersAccepted(msgspec.Struct, frozen=True):
-    """The relay took so many orders of a call, counting from the first."""
+    """The relay accepted the first `count` orders of a call."""
 
     count: int
 
 
 class CallRejected(msgspec.Struct, frozen=True):
-    """The relay took no order of a call; `error` is the code that it named, in small letters."""
+    """The relay accepted no order of a call; `error` is its error code in lower case."""
 
     error: str
 
 
 def read_answer(status, body):
-    """Read the relay's answer.
+    """Parse the relay's answer.
 
     Args:
-        status: Of HTTP.
+        status: HTTP status code.
         body: XML as bytes.
 
     Returns:
         OrdersAccepted or CallRejected.
 
     Raises:
-        UnreadableAnswerError: it is neither.
+        UnreadableAnswerError: the answer is neither.
     """
     if len(body) > ANSWER_MAX_BYTES:
-        raise UnreadableAnswerError(f"an answer of {len(body)} bytes")
+        raise UnreadableAnswerError(f"answer too large: {len(body)} bytes")
     try:
         root = ElementTree.fromstring(body)
     except (ElementTree.ParseError, ValueError, LookupError) as error:
@@ -46,27 +46,27 @@
             return OrdersAccepted(count)
     code = error_code(root)
     if code is None:
-        raise UnreadableAnswerError(f"status {status} and neither orders taken nor an error")
+        raise UnreadableAnswerError(f"status {status} with neither an order count nor an error code")
     return CallRejected(code)
 
 
 def accepted_count(root):
-    """The number of orders taken by an answer's root element, or None if it has no single such number."""
+    """Return the number of accepted orders below the root element, or None unless there is exactly one."""
     found = root.findall(ANSWER_ACCEPTED)
     if len(found) != 1:
         return None
     digits = (found[0].text or "").strip()
-    # isascii: against digits of other scripts, and marks that are digits to isdigit() and none to int()
+    # isascii: isdigit() also accepts digits of other scripts and superscripts, which int() may reject
     if digits.isascii() and digits.isdigit() and len(digits) <= ORDER_COUNT_MAX_DIGITS:
         return int(digits)
     return None
 
 
 def error_code(root):
-    """The first error's code below an answer's root element, or None; it may stand at any depth."""
+    """Return the first error code at any depth below the root element, or None."""
     for element in root.iter():
         code = (element.text or "").strip()
-        name = element.tag.rpartition("}")[2].lower()  # less its namespace
+        name = element.tag.rpartition("}")[2].lower()  # without its namespace
         if name in ANSWER_ERRORS and code.isalpha() and len(code) <= ERROR_CODE_MAX_CHARACTERS:
             return code.lower()
     return None
--- a/embertray/platform/protocol/configuration.py
+++ b/embertray/platform/protocol/configuration.py
@@ -1,4 +1,4 @@
-"""Reads a controller's configuration, at its start and again at SIGHUP; checks the settings in it."""
+"""Reads a controller's configuration at startup and on SIGHUP, and checks its settings."""
 
 import msgspec
 
@@ -10,18 +10,18 @@
 
 UNSUPPORTED_PERMISSIONS = (
     ("probes", PROBES_KEY),
-    ("notes to peers", PEER_MESSAGES_KEY),
-)  # what the settings may permit, by which key, that the platform's protocol can't carry
+    ("messages to peers", PEER_MESSAGES_KEY),
+)  # (feature, settings key) of permissions that the platform's protocol does not support
 
 
 def read_configuration(data):
-    """Read the configuration in `data`, JSON as bytes.
+    """Decode a configuration from JSON bytes.
 
     Returns:
         The wire.ControllerConfiguration.
 
     Raises:
-        ConfigurationError: it is no JSON, or a needed field is missing or of the wrong type.
+        ConfigurationError: it is not valid JSON, or a required field is missing or has the wrong type.
     """
     try:
         return configuration_decoder.decode(data)
@@ -30,21 +30,21 @@
 
 
 def unsupported_permissions(settings):
-    """Check StartSettings for what the platform's protocol has no words for.
+    """Check StartSettings for features that the platform's protocol does not support.
 
-    Permissions go unused: they are no need, and a controller that refused to start for one would fail every
-    proxy.
+    Unsupported permissions are ignored: they are optional, and refusing to start because of one would leave
+    every proxy without a controller.
 
     Returns:
-        A log text for each permission that goes unused.
+        A log message for each permission that is ignored.
 
     Raises:
-        SettingsError: tables belong to slices, and then nothing can be served without words for them.
+        SettingsError: tables belong to slices, and no table can be served without support for them.
     """
     if settings.float_value(SLICES_KEY):
-        raise SettingsError(f"{SLICES_KEY}: the platform's protocol has no words for slices")
+        raise SettingsError(f"{SLICES_KEY}: the platform's protocol does not support slices")
     return [
-        f"the settings permit {what}: the platform's protocol has no words for them, none are sent"
+        f"the settings permit {what}, which the platform's protocol does not support: none are sent"
         for what, key in UNSUPPORTED_PERMISSIONS
         if settings.flag(key)
     ]
--- a/embertray/platform/protocol/endpoint_list.py
+++ b/embertray/platform/protocol/endpoint_list.py
@@ -1,6 +1,6 @@
-"""Discovery: what is requested, what an answer means, when to request again.
+"""Follows the endpoint list of discovery: builds requests, handles answers, schedules the next request.
 
-One request at a time; after the first, each is a watch on the revision that is cached.
+There is one request at a time; after the first, each is a watch (long poll) from the cached revision.
 """
 
 from typing import NamedTuple
@@ -24,39 +24,39 @@
 
 
 class ListRequest(NamedTuple):
-    """A request to send: its path, and within how many ns its answer must begin."""
+    """A request to send: its path, and the timeout for the first byte of its answer, ns."""
 
     path: str
     first_byte_timeout: int
 
 
 class ListUpdate(NamedTuple):
-    """What an answer tells: `kind` is "whole" or "changes", as in the policy; wire.Endpoint each."""
+    """The content of an answer: `kind` is "whole" or "changes", `endpoints` are of type wire.Endpoint."""
 
     kind: str
     endpoints: list
 
 
 class EndpointListWatch:
-    """Follows the list of backends by its revision.
+    """Follows the endpoint list by its revision.
 
     Attributes:
-        revision: Of the list that is cached.
-        failures: Requests in a row without an answer that can be read.
-        needs_whole_list: Whether the next request wants the whole list.
+        revision: Revision of the cached list.
+        failures: Consecutive requests without a valid answer.
+        needs_whole_list: Whether the next request is for the complete list.
     """
 
     def __init__(self, revision=0):
-        """`revision`: of the list that the configuration brought, 0 for none."""
+        """`revision`: revision of the list in the configuration, 0 for none."""
         self.revision = revision
         self.failures = 0
         self.needs_whole_list = True
-        self.stale_since = None  # ns; since when answers are older than `revision`
-        self.requested_at = 0  # ns; when the last request went
-        self.unchanged_answers = 0  # in a row, at once and with nothing new
+        self.stale_since = None  # ns; since when all answers have been older than `revision`
+        self.requested_at = 0  # ns; when the last request was sent
+        self.unchanged_answers = 0  # consecutive immediate answers without changes
 
     def next_request(self, now):
-        """The ListRequest to send at `now`, ns. The first one wants the whole list, at once."""
+        """Return the ListRequest to send at `now`, ns. The first one is for the complete list."""
         self.requested_at = now
         if self.needs_whole_list:
             return ListRequest(LIST_PATH, LIST_FIRST_BYTE_TIMEOUT_NS)
@@ -64,18 +64,18 @@
         return ListRequest(path, WATCH_HOLD_NS + LIST_FIRST_BYTE_TIMEOUT_NS)
 
     def on_address_change(self):
-        """Discovery has another address: it is asked for the whole list.
+        """Request the complete list next, because the address of discovery has changed.
 
-        Revisions are those of one list, wherever it is asked for, so an agent there that lags takes back
-        nothing either.
+        Revisions belong to the list, not to an address, so a lagging agent at the new address can't revert
+        the cached list either.
         """
         self.needs_whole_list = True
 
     def request_delay(self):
-        """How long to wait before the next request, ns.
+        """Return the delay before the next request, ns.
 
-        Against an agent that answers each request at once with what is cached: without a pause, following it
-        would take all of the processor's time. The pause stays under the 200 ms within which a watch goes on.
+        An agent that answers every request immediately with the cached list would otherwise cause a busy
+        loop. The delay stays under 200 ms, within which a watch has to be renewed.
         """
         if not self.unchanged_answers:
             return 0
@@ -83,20 +83,20 @@
         return min(UNCHANGED_BACKOFF_MAX_NS, BACKOFF_FIRST_NS << doublings)
 
     def on_answer(self, now, status, body):
-        """Read an answer that came at `now`, ns: HTTP status and body as bytes.
+        """Handle an answer that arrived at `now`, ns: HTTP status and body as bytes.
 
         Returns:
-            A ListUpdate, or None for nothing new.
+            A ListUpdate, or None if nothing changed.
 
         Raises:
-            UnreadableListError: it is no list, or only changes where the whole one was requested.
+            UnreadableListError: it is not a list, or only changes where the complete list was requested.
         """
         answer = self.decode(status, body)
         self.failures = 0
         unchanged = answer.revision <= self.revision and now < self.requested_at + IMMEDIATE_ANSWER_NS
         self.unchanged_answers = self.unchanged_answers + 1 if unchanged else 0
         if not answer.complete and self.needs_whole_list:
-            raise UnreadableListError("changes where the whole list was asked for")
+            raise UnreadableListError("received changes instead of the complete list")
         if answer.revision < self.revision and not self.accept_older(now, answer.complete):
             return None
         self.revision = answer.revision
@@ -108,7 +108,7 @@
 
     @staticmethod
     def decode(status, body):
-        """The wire.EndpointList in an answer. Raises UnreadableListError."""
+        """Decode the wire.EndpointList of an answer. Raises UnreadableListError."""
         if status != 200 or len(body) > LIST_MAX_BYTES:
             raise UnreadableListError(f"status {status}, {len(body)} bytes")
         try:
@@ -117,11 +117,11 @@
             raise UnreadableListError(str(error)) from None
 
     def accept_older(self, now, complete):
-        """Whether an answer older than the cached list counts.
+        """Return whether to accept an answer older than the cached list.
 
-        Against an agent that answers from an older copy: a drain that was notified must not be taken back. An
-        agent catches up; one that stays behind for STALE_LIST_MAX_NS serves a list that began anew, and then
-        its whole list counts.
+        A lagging agent answers from an older copy, which must not revert a drain that was already received.
+        A lagging agent catches up; if answers stay older for STALE_LIST_MAX_NS, the list was restarted with
+        lower revisions, and its complete list is accepted.
         """
         if self.stale_since is None:
             self.stale_since = now
@@ -134,6 +134,6 @@
         return True
 
     def on_failure(self):
-        """No answer came, or none that can be read. Returns ns until the next request."""
+        """Handle a missing or invalid answer. Returns the backoff before the next request, ns."""
         self.failures += 1
         return min(BACKOFF_MAX_NS, BACKOFF_FIRST_NS << min(self.failures - 1, BACKOFF_DOUBLINGS_MAX))
--- a/embertray/platform/protocol/event_stream.py
+++ b/embertray/platform/protocol/event_stream.py
@@ -1,4 +1,4 @@
-"""One connection with the relay's event stream: bytes in, what happened to proxies out."""
+"""Parses one connection of the relay's event stream: bytes in, proxy events out."""
 
 from typing import NamedTuple
 from urllib.parse import parse_qsl
@@ -9,12 +9,12 @@
 
 
 class ProxyJoined(NamedTuple):
-    """A proxy of a zone is connected to the relay; `rate`: about how many requests it gets a second."""
+    """A proxy of a zone is connected to the relay; `rate`: its approximate requests per second."""
 
     proxy: int
     zone: str
     rate: float
-    without_table: bool  # it holds no table that was ordered
+    without_table: bool  # it has no table from a controller
 
 
 class ProxyLeft(NamedTuple):
@@ -24,7 +24,7 @@
 
 
 class NonceAcknowledged(NamedTuple):
-    """A proxy has applied all up to the mark with this nonce, which took it `apply_time`, ns."""
+    """A proxy has applied all orders up to the request with this nonce, which took `apply_time`, ns."""
 
     proxy: int
     nonce: int
@@ -32,34 +32,34 @@
 
 
 class EventStreamParser:
-    """Cuts the stream into events; what is no event of a known proxy and zone is skipped.
+    """Parses the stream into events; unknown events and events of unknown proxies or zones are skipped.
 
     Attributes:
-        skipped: Events skipped so far.
+        skipped: Number of skipped events.
     """
 
     def __init__(self, zones, proxies):
-        """`zones`: names that exist; `proxies`: how many there are, numbered from 0."""
+        """`zones`: the valid names; `proxies`: the number of proxies, which are numbered from 0."""
         self.zones = zones
         self.proxies = proxies
-        self.buffer = b""  # a line that has not ended
+        self.buffer = b""  # an incomplete line
         self.event_kind = ""
         self.event_data = ""
         self.skipped = 0
 
     def receive(self, data):
-        """Take bytes in.
+        """Process received bytes.
 
         Returns:
-            The events that they complete.
+            The events completed by them.
 
         Raises:
-            UnreadableEventStreamError: they are no text, or an event has no end.
+            UnreadableEventStreamError: they are not valid UTF-8, or an event exceeds EVENT_MAX_BYTES.
         """
         lines = (self.buffer + data).split(b"\n")
         self.buffer = lines.pop()
         if len(self.buffer) + len(self.event_data) > EVENT_MAX_BYTES:
-            raise UnreadableEventStreamError("an event without end")
+            raise UnreadableEventStreamError("event too large")
         events = []
         for line in lines:
             try:
@@ -76,7 +76,7 @@
         return events
 
     def finish_event(self, events):
-        """An empty line ended an event, which is put to `found` or skipped."""
+        """Finish an event at an empty line: append it to `events`, or skip it."""
         event = self.parse_event(self.event_kind, dict(parse_qsl(self.event_data)))
         self.event_kind = ""
         self.event_data = ""
@@ -86,7 +86,7 @@
             self.skipped += 1
 
     def parse_event(self, kind, fields):
-        """The event of a kind and its fields, both words of the wire; None if it means nothing here."""
+        """Parse an event from its kind and fields on the wire; None if it is unknown or invalid."""
         try:
             proxy = int(fields[wire.KEY_PROXY])
             if not 0 <= proxy < self.proxies:
@@ -105,7 +105,7 @@
         return None
 
     def parse_join(self, proxy, fields):
-        """The ProxyJoined of an event's fields, or None. Raises KeyError, ValueError."""
+        """Parse a ProxyJoined from an event's fields; None if invalid. Raises KeyError, ValueError."""
         rate = float(fields.get(wire.KEY_RATE, 0))
         zone = fields[wire.KEY_ZONE]
         if zone not in self.zones or not 0 <= rate < float("inf"):
--- a/embertray/platform/protocol/inbound.py
+++ b/embertray/platform/protocol/inbound.py
@@ -1,8 +1,8 @@
-"""One connection at the controller's address: JSON lines in, replies and reports out.
+"""One connection to the controller's listening address: JSON lines in, replies and reports out.
 
-A peer that has not joined may send heartbeats, and joins as a collector by naming its zone. For anything
-else, and when it has not joined in time, it is rejected with one message. A collector's invalid report costs
-that report, unreadable data the connection.
+A peer that has not joined may send heartbeats; it joins as a collector by stating its zone. If it sends
+anything else, or does not join in time, it is rejected with one message. An invalid report of a collector is
+skipped; malformed data closes the connection.
 """
 
 from typing import NamedTuple
@@ -23,41 +23,41 @@
 
 
 class BackendReport(NamedTuple):
-    """What the proxies of a zone saw of a backend over `interval`, ns."""
+    """What the proxies of a zone observed of a backend over `interval`, ns."""
 
     backend: str
     zone: str
     attempts: int
     failures: int
-    latency: int  # mean of the attempts that did not fail, ns; 0 if none
+    latency: int  # mean of the successful attempts, ns; 0 if none
     interval: int
     load: dict  # the last load report, metric -> value
 
 
 class TrafficReport(NamedTuple):
-    """The requests of a kind that reached a proxy over `interval`, ns."""
+    """The requests of one kind that a proxy received over `interval`, ns."""
 
     proxy: int
     request_kind: str
     requests: int
-    failures: int  # admitted, and not served
+    failures: int  # admitted but not served
     interval: int
 
 
 class InboundConnection:
-    """The state of one connection. After `receive`, write and empty `outgoing`, then close if `close_reason`.
+    """The state of one connection. After `receive`, write and clear `outgoing`, then close if `close_reason`.
 
     Attributes:
-        zone: Of the collector that has joined; None before.
-        close_reason: Why the connection is to be closed once `outgoing` is written, or "".
-        outgoing: Bytes to write; whoever writes them empties it.
-        invalid_reports: Reports passed over.
-        last_invalid: Why the last one was.
-        join_deadline: By when the peer has to join, ns.
+        zone: Zone of the collector; None until it has joined.
+        close_reason: Why the connection is to be closed once `outgoing` is written; "" while it stays open.
+        outgoing: Bytes to write; the caller that writes them clears it.
+        invalid_reports: Number of reports skipped.
+        last_invalid: Why the last one was skipped.
+        join_deadline: When the peer must have joined, ns.
     """
 
     def __init__(self, now, zones, request_kinds, proxies):
-        """`zones` and `request_kinds`: names that exist; `proxies`: how many there are; `now`: ns."""
+        """`zones`, `request_kinds`: the valid names; `proxies`: the number of proxies; `now`: ns."""
         self.zones = zones
         self.request_kinds = request_kinds
         self.proxies = proxies
@@ -65,7 +65,7 @@
         self.close_reason = ""
         self.outgoing = b""
         self.buffer = bytearray()
-        self.scanned = 0  # bytes of the buffer that are known to hold no line's end
+        self.scanned = 0  # leading bytes of the buffer that are known to contain no newline
         self.bytes_before_join = 0
         self.invalid_reports = 0
         self.last_invalid = ""
@@ -74,18 +74,18 @@
     def check_join_deadline(self, now):
         """Reject a peer that has not joined by `now`, ns. Returns whether the connection is to be closed."""
         if self.zone is None and not self.close_reason and now >= self.join_deadline:
-            self.reject("not joined in time")
+            self.reject("did not join in time")
         return bool(self.close_reason)
 
     def reject(self, why):
-        """The connection is to be closed; a peer that has not joined is notified."""
+        """Mark the connection to be closed; a peer that has not joined is sent a rejection."""
         self.close_reason = why
         self.buffer = bytearray()
         if self.zone is None:  # nothing is ever written to a collector
             self.outgoing += REJECTION
 
     def receive(self, data):
-        """Take bytes in, b"" for the stream's end. Returns the reports that they complete."""
+        """Process received bytes, b"" at the end of the stream. Returns the reports completed by them."""
         if self.close_reason:
             return []
         if not data:
@@ -101,7 +101,7 @@
             start = end + 1
             self.scanned = 0
             if len(line) > LINE_MAX_BYTES:
-                self.reject("a line too long")
+                self.reject("line too long")
             elif line.strip():
                 self.handle_line(line, reports)
         if not self.close_reason:
@@ -111,14 +111,14 @@
         return reports
 
     def check_size(self):
-        """Reject a peer whose messages have no end, or no end of number before it joins."""
+        """Reject a peer that sends an overlong line, or too many bytes before it joins."""
         if self.zone is None and self.bytes_before_join > UNJOINED_MAX_BYTES:
-            self.reject("too much before joining")
+            self.reject("too many bytes before joining")
         elif len(self.buffer) > LINE_MAX_BYTES:
-            self.reject("a line too long")
+            self.reject("line too long")
 
     def handle_line(self, line, reports):
-        """Act on one line, bytes without its end; put the report in it to `reports`."""
+        """Handle one line (bytes without the newline); append the report in it to `reports`."""
         try:
             message = line_decoder.decode(line)
         except msgspec.ValidationError as error:
@@ -128,34 +128,34 @@
                 self.skip_report(str(error))
             return
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            self.reject(f"unreadable: {error}")  # what follows can't be trusted either
+            self.reject(f"malformed line: {error}")  # the data after it can't be trusted either
             return
         if isinstance(message, Heartbeat):
             self.outgoing += HEARTBEAT_REPLY
         elif isinstance(message, CollectorJoin):
             self.join(message)
         elif self.zone is None:
-            self.reject("a report before joining")
+            self.reject("report received before joining")
         elif isinstance(message, BackendReportLine):
             self.handle_backend_report(message, reports)
         else:
             self.handle_traffic_report(message, reports)
 
     def join(self, message):
-        """The peer is a collector, if its zone exists."""
+        """Register the peer as a collector if its zone exists."""
         if message.zone in self.zones:
             self.zone = message.zone
         else:
-            self.reject("collector of an unknown zone")
+            self.reject("unknown collector zone")
 
     def handle_backend_report(self, message, reports):
-        """Put the BackendReport of a BackendReportLine to `reports`, or skip it."""
+        """Append the BackendReport of a BackendReportLine to `reports`, or skip an invalid one."""
         if message.zone not in self.zones:
             self.skip_report("unknown zone")
         elif message.failures > message.attempts:
             self.skip_report("more failures than attempts")
         elif message.latency is None and message.attempts > message.failures:
-            self.skip_report("no latency of successful attempts")
+            self.skip_report("latency missing for successful attempts")
         else:
             load = {LOAD_METRICS.get(name, name): value for name, value in (message.load or {}).items()}
             latency = round((message.latency or 0) * NS_PER_MS)
@@ -167,7 +167,7 @@
             )
 
     def handle_traffic_report(self, message, reports):
-        """Put the TrafficReport of a TrafficReportLine to `reports`, or skip it."""
+        """Append the TrafficReport of a TrafficReportLine to `reports`, or skip an invalid one."""
         if message.proxy >= self.proxies or message.request_kind not in self.request_kinds:
             self.skip_report("unknown proxy or request kind")
         elif message.failures > message.requests:
@@ -181,6 +181,6 @@
             )
 
     def skip_report(self, why):
-        """Count a report that is passed over."""
+        """Count a skipped report and keep the reason."""
         self.invalid_reports += 1
         self.last_invalid = why
--- a/embertray/platform/protocol/limits.py
+++ b/embertray/platform/protocol/limits.py
@@ -1,119 +1,120 @@
-"""What protocol handling decides by: every time limit and cap of the platform's controller, with its reason.
+"""All timeouts and size limits of the platform's controller, with their reasons.
 
-Names say the unit: _NS whole nanoseconds, _BYTES bytes, _CHARACTERS characters; numbers without one are
+Suffixes give the unit: _NS integer nanoseconds, _BYTES bytes, _CHARACTERS characters; values without one are
 counts.
 """
 
 NS_PER_MS = 10**6  # ns
 NS_PER_S = 10**9  # ns
 
-# ---- the controller's address
+# ---- the controller's listening address
 
-# the protocol lets a connection that has not joined by then be closed
+# after this time the protocol allows an unjoined connection to be closed
 JOIN_TIMEOUT_NS = 1000 * NS_PER_MS
-# for a reply to be taken, the last one before the close as well
+# for the peer to accept a reply, including the last one before the connection is closed
 REPLY_TIMEOUT_NS = 1000 * NS_PER_MS
-# read on and dropped after the last reply, so long or so much: a close over unread bytes is a reset
+# input is discarded for this long, or this much of it, after the last reply: closing a socket with unread
+# bytes causes a reset
 LINGER_TIMEOUT_NS = 200 * NS_PER_MS
 LINGER_MAX_BYTES = 256 << 10
-# sent by a connection before it joins: its first line is under 200
+# accepted from a connection before it joins: its first line takes less than 200
 UNJOINED_MAX_BYTES = 16 << 10
-# by the protocol
+# defined by the protocol
 LINE_MAX_BYTES = 1 << 20
-# part of the file descriptors for connections that have not joined; the rest is for those that have
+# share of the file descriptors for unjoined connections; the rest is for collectors
 UNJOINED_SHARE = 0.5
-# file descriptors kept free for relay, discovery and the process itself
+# file descriptors reserved for the relay, discovery and the process itself
 RESERVED_DESCRIPTORS = 48
-# either kind of connection has so many descriptors, however few there are
+# minimum of descriptors for each kind of connection, even if the process has fewer
 UNJOINED_MIN = 16
 COLLECTORS_MIN = 8
-# attempts or requests in one report: a hundred times what a zone can do in a minute
+# attempts or requests in one report: a hundred times the capacity of a zone per minute
 COUNT_MAX = 10**6
-# milliseconds; no mean latency or report interval is as long
+# milliseconds; longer than any mean latency or report interval
 REPORT_TIME_MAX_MS = 600_000
-# a load report's value: past any queue, share or latency in ms
+# value in a load report: larger than any queue length, utilization or latency in ms
 LOAD_VALUE_MAX = 10**6
 NAME_MAX_CHARACTERS = 256
 
 # ---- the relay's calls
 
-# orders in one call, by the protocol
+# orders in one call, defined by the protocol
 ORDERS_MAX_BYTES = 60_000
-# of those, kept free for the order of a mark
+# of those, reserved for the acknowledgement request
 ACKNOWLEDGEMENT_REQUEST_MAX_BYTES = 64
-# a connection on the same network that takes longer does not come up
+# connections within the same network are established faster or not at all
 CONNECT_TIMEOUT_NS = 300 * NS_PER_MS
-# for a request to be taken: a call has 100 kB at most, on the same network
+# for a request to be sent: a call has at most 100 kB and stays within the same network
 SEND_TIMEOUT_NS = 400 * NS_PER_MS
-# the relay answers in 50 ms or not at all; the rest is for a process that got no core
+# the relay answers within 50 ms or not at all; the rest allows for a process without CPU time
 ANSWER_TIMEOUT_NS = 400 * NS_PER_MS
-# beyond the longest way of a message, that an unanswered call's nonce is waited for
+# added to the maximum push delay when waiting for the acknowledgement of an unanswered call
 ACKNOWLEDGEMENT_WAIT_NS = 150 * NS_PER_MS
-# before a call that was not taken is sent again, or a list request repeated; doubles from first to max
+# before a rejected call or a failed list request is repeated; doubles from first to max
 BACKOFF_FIRST_NS = 20 * NS_PER_MS
 BACKOFF_MAX_NS = 250 * NS_PER_MS
-# doublings of a backoff that are counted: past them the longest one holds anyway
+# doublings after which a backoff has reached its maximum
 BACKOFF_DOUBLINGS_MAX = 6
-# times that a call is sent again after an error that the protocol gives no meaning
+# retries of a call after an error code that the protocol does not define
 REJECTED_RETRIES_MAX = 5
-# of an order that the log names: a good one has under 100
+# of an order in a log message: valid orders have less than 100
 LOGGED_ORDER_MAX_CHARACTERS = 200
-# of a count of orders: one call has under 60,000
+# of an order count: one call has less than 60,000 orders
 ORDER_COUNT_MAX_DIGITS = 9
 ERROR_CODE_MAX_CHARACTERS = 63
-# of an answer: a good one has under 200
+# of an answer: valid answers have less than 200
 ANSWER_MAX_BYTES = 64 << 10
 
 # ---- the relay's event stream
 
-# connections with events: while one has them, nothing is lost if the other breaks
+# redundant connections: no event is lost if one of them breaks
 EVENT_STREAMS = 2
-# from the first bytes of a connection until all that stands has come
+# from the first bytes of a connection until all currently joined proxies have been reported
 SYNC_TIME_NS = 300 * NS_PER_MS
-# without a byte: two signs of life are missing and some
+# without a byte: two keep-alives and more are missing
 SILENCE_MAX_NS = 2500 * NS_PER_MS
-# without a byte while another connection brings some: one sign of life is missing
+# without a byte while another connection delivers data: one keep-alive is missing
 SILENCE_MAX_BESIDE_OTHER_NS = 1300 * NS_PER_MS
-# of one event: a good one has under 200
+# of one event: valid events have less than 200
 EVENT_MAX_BYTES = 64 << 10
-# by which two connections may differ on when a proxy joined
+# by which the times of a proxy's join may differ between two connections
 JOIN_TIME_TOLERANCE_NS = 300 * NS_PER_MS
-# between looks at a connection that brings nothing: well under the least time above
+# between checks of a silent connection: well below the shortest time above
 SILENCE_CHECK_PERIOD_NS = 100 * NS_PER_MS
-# before a connection is dialled again; doubles from the first to the longest. The relay's own connections are
-# few, and without events nothing can be steered
+# before reconnecting; doubles from first to max. The maximum is short: the relay has few such connections,
+# and the controller depends on the events
 RECONNECT_FIRST_NS = 100 * NS_PER_MS
 RECONNECT_MAX_NS = 500 * NS_PER_MS
-# a connection that lasted so long has worked: its reconnects start over
+# a connection that lasted this long counts as stable and resets the reconnect backoff
 STABLE_STREAM_NS = 2 * SILENCE_MAX_BESIDE_OTHER_NS
 
 # ---- discovery
 
-# before the next request after answers at once with nothing new, doubling from BACKOFF_FIRST_NS on: a watch
-# goes on if asked again within 200 ms
+# before the next request after immediate answers without changes; doubles from BACKOFF_FIRST_NS. A watch has
+# to be renewed within 200 ms
 UNCHANGED_BACKOFF_MAX_NS = 150 * NS_PER_MS
-# that a watch may wait; an agent that went silent is noticed this much later
+# for which a watch may be held open; an agent that stopped answering is detected this much later
 WATCH_HOLD_NS = 2000 * NS_PER_MS
-# an answer that tells nothing new and comes sooner came at once
+# an answer without changes that arrives sooner counts as immediate
 IMMEDIATE_ANSWER_NS = WATCH_HOLD_NS // 2
-# beyond the hold for an answer to begin: it comes from the same machine
+# added to the hold time for the first byte of an answer: it comes from the same machine
 LIST_FIRST_BYTE_TIMEOUT_NS = 700 * NS_PER_MS
-# from its beginning for all of it: on a slow connection it counts as notified that long after the hold
+# from the first byte to the end of an answer: a slow connection may delay a list by this much after the hold
 LIST_TRANSFER_TIMEOUT_NS = 2000 * NS_PER_MS
-# of an answer: 40,000 backends
+# of an answer: sufficient for 40,000 backends
 LIST_MAX_BYTES = 8 << 20
-# that lists older than the cached one are passed over; then discovery began anew
+# for which lists older than the cached one are ignored; after that, discovery has restarted its revisions
 STALE_LIST_MAX_NS = 10 * NS_PER_S
-# failures in a row that are logged: an outage is not logged every 2 s
+# consecutive failures that are logged, so that an outage is not logged every 2 s
 LIST_FAILURES_LOGGED = 3
 
 # ---- the process
 
-# before a task that failed by a fault of the program goes on: against a fault that comes at once again
+# before a task that failed with an internal error is restarted: avoids a busy loop if it fails again at once
 FAULT_BACKOFF_NS = 500 * NS_PER_MS
-# between steps: what comes together is one step
+# between steps: events that arrive together are handled in one step
 STEP_INTERVAL_NS = 4 * NS_PER_MS
-# events that wait while no call gets through: a minute and more of reports; older ones tell nothing
+# pending events while no call succeeds: over a minute of reports; older reports have no value
 PENDING_EVENTS_MAX = 8000
-# between looks for identifiers that nothing needs any more: as often as the module's sweep
+# between removals of unused identifiers: the same period as the module's own cleanup
 CLEANUP_PERIOD_NS = 10 * NS_PER_S
--- a/embertray/platform/protocol/order_call.py
+++ b/embertray/platform/protocol/order_call.py
@@ -1,4 +1,4 @@
-"""One call with orders to the relay, and the form that carries it."""
+"""One call with orders to the relay, and its form encoding."""
 
 from urllib.parse import urlencode
 
@@ -6,21 +6,21 @@
 
 
 def ask_all_proxies(acknowledgement_request):
-    """The text of a mark's order, changed so that all proxies answer it.
+    """Change an acknowledgement request so that all proxies acknowledge it.
 
-    Proxies that got an earlier part of the step are to answer, too.
+    Proxies that received only an earlier part of the step must acknowledge it, too.
     """
     return f"{acknowledgement_request.rpartition(',')[0]},{ACKNOWLEDGED_BY_ALL}"
 
 
 class OrderCall:
-    """The orders of one step, or a part of them.
+    """The orders of one step, or some of them.
 
     Attributes:
         orders: Texts, in order.
-        nonce: The number that the proxies answer once they have applied the orders, or None.
-        rejections: Errors that the call was answered with so far.
-        is_half: Whether it is a part of a call that was never taken.
+        nonce: The number that proxies acknowledge once they have applied the orders, or None.
+        rejections: Number of times that the call was rejected with an error.
+        is_half: Whether it is a part of a rejected call that was split.
     """
 
     __slots__ = ("orders", "nonce", "rejections", "is_half")
@@ -32,5 +32,5 @@
         self.is_half = is_half
 
     def body(self):
-        """The form that carries the call, as bytes."""
+        """Return the form-encoded call as bytes."""
         return urlencode([CALL_ACTION, (CALL_ORDERS, ORDER_SEPARATOR.join(self.orders))]).encode()
--- a/embertray/platform/protocol/order_caller.py
+++ b/embertray/platform/protocol/order_caller.py
@@ -1,6 +1,6 @@
-"""Calls with orders to the relay: when one is sent, and what its answer, or none, means.
+"""Schedules calls with orders to the relay and handles their results, including missing answers.
 
-One call is in flight at a time, as the next orders build on it.
+At most one call is in flight, because later orders depend on it.
 """
 
 from collections import deque
@@ -22,29 +22,29 @@
 
 
 class OrderCaller:
-    """Decides which call goes out when; the transport sends it and reports how it ended.
+    """Decides which call is sent when; the transport sends it and reports the result.
 
-    `next_call(now)` gives the call to send; one of `on_answer` and `on_failure` ends it.
+    `next_call(now)` returns the call to send; either `on_answer` or `on_failure` must follow.
 
-    An unanswered call was carried out or not. The proxies' answer to its nonce tells; without that for the
-    longest way of a message and some, it goes out again. A repeat changes nothing twice, as every order names
-    what is to stand.
+    An unanswered call may have been executed. An acknowledgement of its nonce by a proxy proves that it was;
+    if none arrives within the maximum push delay plus a margin, the call is sent again. Repeating a call is
+    safe because orders are idempotent: each states the desired state.
 
     Attributes:
-        refused_orders: Texts of orders that the relay did not take.
-        orders_given_up: How many orders were dropped because they made their call invalid.
-        calls_repeated: How many unanswered calls were sent again.
-        failures: Failures in a row of the call that is sent next.
-        next_call_at: When the next call may go out, ns.
+        refused_orders: Texts of orders that the relay refused.
+        orders_given_up: Number of orders dropped because they made their call invalid.
+        calls_repeated: Number of unanswered calls that were sent again.
+        failures: Consecutive failures of the first call of the queue.
+        next_call_at: Earliest time of the next call, ns.
     """
 
     def __init__(self, push_delay_max):
-        """`push_delay_max`: the longest that a message takes to a proxy, ns."""
+        """`push_delay_max`: the maximum time in which a message reaches a proxy, ns."""
         self.push_delay_max = push_delay_max
         self.queue = deque()
         self.next_call_at = 0
-        self.in_doubt = False  # the first call of the queue was sent whole and not answered
-        self.acknowledged = False  # a proxy answered the first call's nonce
+        self.in_doubt = False  # the first call of the queue was sent completely but not answered
+        self.acknowledged = False  # a proxy acknowledged the first call's nonce
         self.failures = 0
         self.refused_orders = []
         self.orders_given_up = 0
@@ -52,11 +52,11 @@
 
     @property
     def idle(self):
-        """Whether no call waits or is in flight."""
+        """Whether no call is queued or in flight."""
         return not self.queue
 
     def enqueue(self, orders, nonce=None, build_acknowledgement_request=None):
-        """Put a step's orders into as few calls as the relay's limit allows.
+        """Queue a step's orders in as few calls as the relay's size limit allows.
 
         Args:
             orders: Texts, in order.
@@ -67,7 +67,9 @@
         part = []
         size = 0
         for order in orders:
-            order_size = len(order.encode()) + 1  # the relay counts bytes: names may have longer characters
+            order_size = (
+                len(order.encode()) + 1
+            )  # the relay's limit is in bytes: names may contain multi-byte characters
             if part and size + order_size > ORDERS_MAX_BYTES - ACKNOWLEDGEMENT_REQUEST_MAX_BYTES:
                 self.queue.append(OrderCall(part))
                 part = []
@@ -75,13 +77,13 @@
             part.append(order)
             size += order_size
         if build_acknowledgement_request:
-            # in several calls the last one's answer stands for all: it goes to every proxy
+            # of several calls, only the last one is acknowledged, on behalf of all: by every proxy
             part.append(build_acknowledgement_request(int(len(orders) > len(part))))
         if part:
             self.queue.append(OrderCall(part, nonce))
 
     def next_call(self, now):
-        """The OrderCall to send at `now`, ns, or None."""
+        """Return the OrderCall to send at `now`, ns, or None."""
         if not self.queue or now < self.next_call_at:
             return None
         if self.in_doubt and self.acknowledged:
@@ -93,7 +95,7 @@
         return self.queue[0]
 
     def complete(self):
-        """The first call of the queue has ended; the next one may go out at once."""
+        """Remove the finished first call of the queue; the next one may be sent at once."""
         self.queue.popleft()
         self.in_doubt = False
         self.acknowledged = False
@@ -101,10 +103,10 @@
         self.next_call_at = 0
 
     def acknowledge(self, nonce):
-        """A proxy answered this nonce: the call that carried it was carried out.
+        """Handle a proxy's acknowledgement of a nonce, which proves that the call with it was executed.
 
         Returns:
-            Whether an unanswered call waited for that, so that the queue goes on at once.
+            Whether an unanswered call was waiting for it, so that the queue can continue at once.
         """
         if self.queue and self.queue[0].nonce is not None and self.queue[0].nonce == nonce:
             self.acknowledged = True
@@ -114,10 +116,10 @@
         return False
 
     def on_answer(self, now, status, body):
-        """The whole answer to the call in flight came at `now`, ns: HTTP status and body as bytes.
+        """Handle the complete answer to the call in flight at `now`, ns: HTTP status and body as bytes.
 
         Returns:
-            A text for the log if something was amiss, else "".
+            A message for the log if something went wrong, else "".
         """
         try:
             answer = read_answer(status, body)
@@ -128,13 +130,13 @@
         return self.on_accepted(now, answer.count)
 
     def on_accepted(self, now, count):
-        """The relay took the first `count` orders and stopped at the one after them, if any.
+        """Handle an answer by which the relay accepted the first `count` orders and refused the next, if any.
 
-        That one is left out and the rest goes out at once. Returns a text for the log, or "".
+        The refused order is dropped and the rest is sent at once. Returns a message for the log, or "".
         """
         call = self.queue[0]
-        if count > len(call.orders):  # more than were sent: the count is spoilt, and proves nothing
-            return self.on_failure(now, True, f"{count} of {len(call.orders)} orders taken")
+        if count > len(call.orders):  # more than were sent: the count is corrupt and proves nothing
+            return self.on_failure(now, True, f"invalid order count: {count} of {len(call.orders)} accepted")
         if count == len(call.orders):
             self.complete()
             return ""
@@ -149,7 +151,7 @@
         return f"order {count + 1} was refused: {refused}"
 
     def on_rejected(self, now, error):
-        """The relay took no order and named an `error`. Returns a text for the log."""
+        """Handle an answer by which the relay rejected the whole call. Returns a message for the log."""
         call = self.queue[0]
         if error != ERROR_THROTTLED:
             call.rejections += 1
@@ -159,13 +161,13 @@
         return f"call rejected: {error}"
 
     def split_or_give_up(self, call, why):
-        """A call that the relay would never take goes out again in halves, and those in halves, and so on.
+        """Split a call that the relay rejects permanently into halves, recursively; drop a single order.
 
-        Against one order that makes the whole call invalid: the others must stand, and a restarted module
-        would order the same again. So only the orders that make it so are lost.
+        One order can make a whole call invalid. The other orders must still be executed, and a restarted
+        module would produce the same call again. Bisecting the call loses only the invalid orders.
 
         Returns:
-            A text for the log, or "" for a half that goes out in halves again.
+            A message for the log, or "" for a half that is split again.
         """
         self.complete()
         if len(call.orders) == 1:
@@ -178,15 +180,15 @@
             second[-1] = ask_all_proxies(second[-1])
         self.queue.appendleft(OrderCall(second, call.nonce, call.rejections, True))
         self.queue.appendleft(OrderCall(first, None, call.rejections, True))
-        return "" if call.is_half else f"call rejected: {why}: again in halves"
+        return "" if call.is_half else f"call rejected: {why}: retrying in halves"
 
     def on_failure(self, now, sent, why):
-        """No answer came, or none that can be read.
+        """Handle a call without an answer, or with one that could not be parsed.
 
         Args:
-            now: ns.
-            sent: Whether the call's last byte had gone, so that it may have been carried out.
-            why: What failed, for the log.
+            now: Monotonic time, ns.
+            sent: Whether the call was sent completely, so that it may have been executed.
+            why: The cause, for the log.
 
         Returns:
             `why`.
@@ -194,7 +196,7 @@
         if not sent:
             self.schedule_retry(now)
         elif self.queue[0].nonce is None:
-            # no proxy will ever tell whether it was carried out
+            # without a nonce there is no acknowledgement that could prove its execution
             self.calls_repeated += 1
             self.schedule_retry(now)
         else:
@@ -204,7 +206,7 @@
         return why
 
     def schedule_retry(self, now):
-        """The call in flight goes out again after a backoff."""
+        """Send the call in flight again after a backoff."""
         doublings = min(self.failures, BACKOFF_DOUBLINGS_MAX)
         self.next_call_at = now + min(BACKOFF_MAX_NS, BACKOFF_FIRST_NS << doublings)
         self.failures += 1
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -1,7 +1,7 @@
-"""One controller on the platform without I/O: the decision module between list, reports, events and calls.
+"""One controller on the platform, without I/O: connects the decision module to the platform's protocol.
 
-The transports hand in what came and the time, send the calls of `order_caller`, and call `advance` at once or
-at `next_step_at`.
+The transports pass in received data and the time, send the calls of `order_caller`, and call `advance` after
+each input and at `next_step_at`.
 """
 
 from embertray.controller.runner import Runner
@@ -20,29 +20,29 @@
 
 
 class PlatformController(Runner):
-    """The decision module with all that the platform's protocol needs around it.
+    """Runs the decision module on the platform's protocol.
 
     Attributes:
         settings: The StartSettings.
-        order_caller: Calls that wait or are in flight.
+        order_caller: The OrderCaller, with the queued calls and the one in flight.
         proxies: The ProxyRegistry.
         list_watch: The EndpointListWatch.
-        admission: The ConnectionAdmission of the controller's address.
-        log_texts: What the module wants logged; whoever logs it empties it.
-        unknown_reports: Reports on backends or proxies that were never named.
-        dropped_reports: Reports that waited too long.
+        admission: The ConnectionAdmission of the controller's listening address.
+        log_texts: Messages of the module to be logged; the caller that logs them clears the list.
+        unknown_reports: Number of reports on backends or proxies that no list or event has named.
+        dropped_reports: Number of reports dropped because too many events were pending.
     """
 
     def __init__(self, configuration, now, wall_clock):
-        """Start by a wire.ControllerConfiguration and the list in it.
+        """Start from a wire.ControllerConfiguration and the endpoint list in it.
 
         Args:
             configuration: The wire.ControllerConfiguration.
-            now: ns.
+            now: Monotonic time, ns.
             wall_clock: Unix time at `now`, ns.
 
         Raises:
-            SettingsError: a setting can't be read, or needs what the protocol can't carry.
+            SettingsError: a setting is invalid, or requires something that the protocol does not support.
         """
         self.settings = StartSettings.from_nested(configuration.settings)
         self.log_texts = unsupported_permissions(self.settings)
@@ -60,15 +60,15 @@
         self.receive_list_update(now, "cached", wall_clock, known.endpoints)
 
     def inbound_connection(self, now):
-        """The InboundConnection of a peer that connected at `now`, ns."""
+        """Create the InboundConnection of a peer that connected at `now`, ns."""
         return InboundConnection(now, self.settings.zones, self.settings.request_kinds, self.settings.proxies)
 
     def event_stream(self):
-        """The EventStreamParser of a new connection with the relay's events."""
+        """Create the EventStreamParser of a new connection to the relay's event stream."""
         return EventStreamParser(self.settings.zones, self.settings.proxies)
 
     def add_reports(self, reports):
-        """Reports of collectors wait for the next step."""
+        """Queue reports of collectors for the next step."""
         for report in reports:
             if (event := self.translator.report(report)) is None:
                 self.unknown_reports += 1
@@ -78,10 +78,10 @@
             self.drop_reports()
 
     def drop_reports(self):
-        """Drop all reports that wait.
+        """Drop all pending reports.
 
-        Against a relay that takes no call for hours: no step runs meanwhile, and reports alone would fill the
-        memory. Removals, joins and leaves stay; old reports tell nothing any more.
+        While the relay accepts no call, no step runs, and an outage of hours would fill the memory with
+        reports. Removals, joins and leaves are kept; old reports have no value.
         """
         kept = [
             event
@@ -92,10 +92,10 @@
         self.pending_events = kept
 
     def add_proxy_events(self, events):
-        """Events of the ProxyRegistry wait for the next step.
+        """Queue events of the ProxyRegistry for the next step.
 
         Returns:
-            Whether one of them answered an unanswered call, so that the next call goes out at once.
+            Whether one of them acknowledged an unanswered call, so that the next call can be sent at once.
         """
         answered = False
         for event in events:
@@ -106,7 +106,7 @@
         return answered
 
     def advance(self, now):
-        """Run one step at `now`, ns, unless a call is under way: what its answer tells comes first.
+        """Run one step at `now`, ns, unless a call is pending: its result is awaited first.
 
         Returns:
             Whether there is a call to send.
@@ -121,10 +121,11 @@
         return not self.order_caller.idle
 
     def restart_module(self, now):
-        """Replace a module that failed within a step by a new one that is notified of what stands.
+        """Replace a module that failed within a step by a new one that is given the current state.
 
-        Against a fault that left the module's parts at odds: some have acted on the step's events, some not.
-        The new one's tables get new numbers, so that no line of the former ones is left to any bound proxy.
+        A failure in the middle of a step leaves the module inconsistent: only some of its parts have handled
+        the step's events. The tables of the new module get new numbers, so that no bound proxy keeps a line
+        of the old ones.
         """
         listed = [
             i.Endpoint(backend.handle, backend.zone, backend.state, backend.started)
@@ -142,7 +143,7 @@
         self.pending_events = [i.EndpointListUpdate("cached", listed), *joined]
 
     def clean_up(self):
-        """Forget who is long gone, and nonces that nobody owes an answer to."""
+        """Forget backends and proxies that left long ago, and nonces with no acknowledgement outstanding."""
         self.forget(lambda handle: handle.external_id in self.proxies.joined)
         open_nonces = {nonce for proxy in self.module.proxies for nonce, _ in proxy.messages.unacknowledged}
         open_nonces.update(self.module.publisher.budget.in_flight.by_nonce)
@@ -151,5 +152,5 @@
         }
 
     def next_step_at(self):
-        """When to advance again if nothing happens before, ns; None while a call is under way."""
+        """The time of the next `advance` if no input arrives before, ns; None while a call is pending."""
         return self.next_timer_at() if self.order_caller.idle else None
--- a/embertray/platform/protocol/proxy_registry.py
+++ b/embertray/platform/protocol/proxy_registry.py
@@ -1,7 +1,8 @@
-"""Which proxies are joined, by several event streams of which any may break.
+"""Tracks which proxies are joined, using redundant event streams of which any may break.
 
-Each stream begins with the proxies that are joined. One stream leads: its joins and leaves are passed on as
-they come. When it is lost another one takes over, and the difference of the two is passed on.
+Each stream begins with the proxies that are currently joined. One stream is the leader: its joins and leaves
+are passed on as they arrive. When it is lost, another stream takes over, and the differences between the two
+are passed on.
 """
 
 from .event_stream import NonceAcknowledged, ProxyJoined, ProxyLeft
@@ -9,14 +10,14 @@
 
 
 class StreamView:
-    """What one stream has brought.
+    """The proxies as seen by one stream.
 
     Attributes:
-        first_byte_at: When its first bytes came, ns, or None.
-        last_byte_at: When its last bytes came, or when it was opened, ns.
+        first_byte_at: When its first bytes arrived, ns, or None.
+        last_byte_at: When its last bytes arrived, or when it was opened, ns.
         joined: Proxy number -> its ProxyJoined.
-        joined_at: Proxy number -> when it joined, ns; 0 if it was joined when the stream began.
-        seen: Numbers of the proxies that were ever named as joined.
+        joined_at: Proxy number -> when it joined, ns; 0 if it had joined before the stream began.
+        seen: Numbers of all proxies that the stream has reported as joined.
     """
 
     __slots__ = ("first_byte_at", "last_byte_at", "joined", "joined_at", "seen")
@@ -29,9 +30,9 @@
         self.seen = set()
 
     def apply(self, now, event):
-        """Take in an event that came at `now`, ns."""
+        """Apply an event that arrived at `now`, ns."""
         if isinstance(event, ProxyJoined):
-            # the second time that it is named it has left and come back, be it while the stream synchronizes
+            # a second join means that the proxy left and came back, even during the initial synchronization
             again = event.proxy in self.seen
             self.seen.add(event.proxy)
             self.joined[event.proxy] = event
@@ -41,17 +42,17 @@
             self.joined_at.pop(event.proxy, None)
 
     def synced(self, now):
-        """Whether all proxies that were joined when the stream began have been named by `now`, ns."""
+        """Whether the initial synchronization is complete at `now`, ns: all joined proxies were reported."""
         return self.first_byte_at is not None and now >= self.first_byte_at + SYNC_TIME_NS
 
 
 class ProxyRegistry:
-    """Merges the streams into one sequence of events; all methods that return events return new ones only.
+    """Merges the streams into one sequence of events; methods that return events return each event once.
 
-    Marks count from whichever stream brings them. Streams are whatever the caller knows them by.
+    Acknowledgements are accepted from every stream. Streams are identified by hashable keys of the caller.
 
     Attributes:
-        leader: The stream that leads, or None.
+        leader: The leading stream, or None.
         joined: Proxy number -> its ProxyJoined, as passed on.
         joined_at: Proxy number -> when its join was passed on, ns.
         leaderless_since: When the last leader was lost, ns.
@@ -65,11 +66,11 @@
         self.leaderless_since = 0
 
     def stream_opened(self, now, stream):
-        """A stream was requested anew at `now`, ns."""
+        """Start a new view for a stream that was requested at `now`, ns."""
         self.views[stream] = StreamView(now)
 
     def received(self, now, stream, events):
-        """Bytes of a stream came at `now`, ns, and completed `events`, perhaps none. Returns new events."""
+        """Handle bytes that arrived at `now`, ns, and the events completed by them. Returns new events."""
         view = self.views[stream]
         view.last_byte_at = now
         if view.first_byte_at is None:
@@ -85,7 +86,7 @@
         return new_events + self.elect_leader(now)
 
     def apply_event(self, now, event):
-        """A proxy joined or left. Returns the events to pass on: one that joins anew has left before."""
+        """Apply a join or leave. Returns the events to pass on; a repeated join implies a leave first."""
         new_events = []
         if event.proxy in self.joined:
             del self.joined[event.proxy]
@@ -99,7 +100,7 @@
         return new_events
 
     def stream_lost(self, now, stream):
-        """A stream broke at `now`, ns. Returns new events."""
+        """Handle the loss of a stream at `now`, ns. Returns new events."""
         self.views.pop(stream, None)
         if stream is self.leader:
             self.leader = None
@@ -107,7 +108,7 @@
         return self.elect_leader(now)
 
     def elect_leader(self, now):
-        """If no stream leads, the synchronized one that is open longest does. Returns new events."""
+        """If there is no leader, elect the synchronized stream open longest. Returns new events."""
         if self.leader in self.views:
             return []
         synced = [stream for stream, view in self.views.items() if view.synced(now)]
@@ -117,12 +118,12 @@
         return self.reconcile(now, self.views[self.leader])
 
     def reconcile(self, now, view):
-        """Pass on what the new leader's view differs in.
+        """Return the events that make the registry match the new leader's view.
 
-        A proxy that is joined in both may have left and come back. The view shows it if it came back on that
-        stream. If no stream was there meanwhile (a gap), a proxy that holds no ordered table now has come
-        back too, or was not bound yet; either way it has to be bound. One that kept its table is found by the
-        mark that it leaves unanswered.
+        A proxy that is joined in both may have left and rejoined in between. If it rejoined on the new
+        leader's stream, the view shows it. If no stream was open in between (a gap), a proxy without a table
+        either rejoined or was not bound yet; in both cases it has to be bound. A proxy that rejoined and kept
+        its table is detected by a missing acknowledgement.
         """
         new_events = []
         gap = view.first_byte_at > self.leaderless_since
@@ -136,16 +137,16 @@
         return new_events
 
     def next_sync_at(self):
-        """When a stream is synchronized and may lead, ns; None if one leads or none has brought a byte."""
+        """When a stream may become the leader, ns; None if there is a leader or no stream has any data."""
         if self.leader in self.views:
             return None
         began = [view.first_byte_at for view in self.views.values() if view.first_byte_at is not None]
         return min(began) + SYNC_TIME_NS if began else None
 
     def silence_reason(self, now, stream):
-        """Why a stream is to be given up at `now`, ns, or "".
+        """Return why a stream is to be closed for silence at `now`, ns, or "" if it is alive.
 
-        Against a machine that vanished or was cut off: its connections stay open and silent.
+        The connections of a host that crashed or was partitioned stay open without data.
         """
         last = self.views[stream].last_byte_at
         if now - last > SILENCE_MAX_NS:
@@ -154,5 +155,5 @@
             (view.last_byte_at for name, view in self.views.items() if name is not stream), default=0
         )
         if now - last > SILENCE_MAX_BESIDE_OTHER_NS and others > last + SILENCE_MAX_BESIDE_OTHER_NS // 2:
-            return "silent while another stream brings events"
+            return "silent while another stream delivers events"
         return ""
--- a/embertray/platform/protocol/translation.py
+++ b/embertray/platform/protocol/translation.py
@@ -1,6 +1,6 @@
-"""Translates between the decision module and the platform, by the identifiers of what both name.
+"""Translates between the decision module and the platform, and maps identifiers between both.
 
-Reports and events of proxies become the module's events; its orders become the texts of the relay's calls.
+Reports and proxy events become events of the module; its orders become the texts of the relay's calls.
 """
 
 from collections.abc import Callable
@@ -23,12 +23,12 @@
 
 
 def format_number(value):
-    """A number as text without exponent: six places, no trailing zeros."""
+    """Format a number without exponent, with at most six decimal places and no trailing zeros."""
     return f"{value:.6f}".rstrip("0").rstrip(".")
 
 
 class StepOrders(NamedTuple):
-    """A step's orders for OrderCaller.enqueue, and what the module wants logged."""
+    """A step's orders for OrderCaller.enqueue, and the messages that the module wants logged."""
 
     texts: list
     nonce: int | None
@@ -38,16 +38,16 @@
 
 
 class Translator:
-    """Translates for one controller."""
+    """Translates events and orders of one controller."""
 
     def __init__(self, identifiers, request_kinds):
-        """`identifiers`: of a Runner; `request_kinds`: name -> interface.RequestKind."""
+        """`identifiers`: the Identifiers of a Runner; `request_kinds`: name -> interface.RequestKind."""
         self.identifiers = identifiers
         self.request_kinds = request_kinds
         self.kind_names = {kind: name for name, kind in request_kinds.items()}
 
     def report(self, report):
-        """A BackendReport or TrafficReport as an event; None if no list or event ever named its subject."""
+        """Convert a BackendReport or TrafficReport to a policy event; None if its subject is unknown."""
         if type(report) is BackendReport:
             backend = self.identifiers.backends.get(report.backend)
             return backend and i.BackendReport(
@@ -69,7 +69,7 @@
         )
 
     def proxy_event(self, event):
-        """Converts a proxy event to a policy event; None if its nonce is no longer in use."""
+        """Convert a proxy event to a policy event; None if its nonce is no longer in use."""
         proxy = self.identifiers.proxy(event.proxy)
         if isinstance(event, ProxyJoined):
             return i.ProxyJoined(proxy, self.identifiers.zone(event.zone), event.rate, event.without_table)
@@ -79,7 +79,7 @@
         return nonce and i.NonceAcknowledged(proxy, nonce, event.apply_time)
 
     def step_orders(self, orders):
-        """The StepOrders of a step's orders. Tables and nonces that are ordered first get their numbers."""
+        """Convert a step's orders to StepOrders. New tables and nonces are assigned their numbers."""
         texts = []
         nonce = None
         build_acknowledgement_request = None
@@ -103,7 +103,7 @@
         return StepOrders(texts, nonce, build_acknowledgement_request, log_texts)
 
     def admission_text(self, order):
-        """The text of an interface.SetAdmission."""
+        """Format an interface.SetAdmission."""
         kinds = KIND_SEPARATOR.join(self.kind_names[kind] for kind in order.kinds) or ALL_KINDS
         table = self.identifiers.table_id(order.table)
         return f"{SET_LEVEL},{table},{kinds},{format_number(order.level)},{order.retry}"
--- a/embertray/platform/protocol/wire.py
+++ b/embertray/platform/protocol/wire.py
@@ -1,9 +1,9 @@
-"""Every word of the platform's wire, with the term that the rest of the package uses for it.
+"""The wire format of the platform: every name on the wire, mapped to the package's own term for it.
 
-Messages are structs whose fields are named by their terms; `field(name=...)` gives the word on the wire.
-Paths, verbs, event kinds and keys are constants. No other module of the package spells a word of the wire.
-Metrics of load reports and the settings are named by `embertray.controller.settings`, for the bench's wire
-alike.
+Messages are structs whose fields have the package's names; `field(name=...)` gives the name on the wire.
+Paths, verbs, event kinds and keys are constants. No other module of the package contains names of the wire.
+`embertray.controller.settings` defines the names of settings and of metrics in load reports, because
+`embertray.benchlink` uses them, too.
 """
 
 from typing import Annotated, Literal
@@ -20,14 +20,14 @@
 LoadValue = Annotated[float, Meta(ge=0, le=LOAD_VALUE_MAX)]
 UnixTime = Annotated[float, Meta(ge=0, le=1e15)]  # ms
 
-# ---- lines at the controller's address
+# ---- lines received at the controller's listening address
 
 HEARTBEAT_REPLY = b'{"@type":"hb_ok"}\n'
 REJECTION = b'{"@type":"reject"}\n'
 
 
 class Line(msgspec.Struct, tag_field="@type"):
-    """A line at the controller's address; `@type` names its kind."""
+    """A line received at the controller's listening address; `@type` is its kind."""
 
 
 class Heartbeat(Line, tag="hb"):
@@ -41,24 +41,24 @@
 
 
 class BackendReportLine(Line, tag="upstream_stats"):
-    """What the proxies of a zone saw of a backend over an interval, ms."""
+    """What the proxies of a zone observed of a backend over an interval, ms."""
 
     zone: Name = field(name="locality")
     backend: Name = field(name="endpoint")
     attempts: Count = field(name="total")
     failures: Count = field(name="errors")
     interval: Interval
-    latency: MeanTime | None = field(name="rtt", default=None)  # mean of the attempts that did not fail, ms
+    latency: MeanTime | None = field(name="rtt", default=None)  # mean of the successful attempts, ms
     load: dict[str, LoadValue] | None = field(name="metrics", default=None)
 
 
 class TrafficReportLine(Line, tag="client_stats"):
-    """The requests of a kind that reached a proxy over an interval, ms."""
+    """The requests of one kind that a proxy received over an interval, ms."""
 
     proxy: Count = field(name="node")
     request_kind: Name = field(name="route")
     requests: Count = field(name="total")
-    failures: Count = field(name="errors")  # admitted, and not served
+    failures: Count = field(name="errors")  # admitted but not served
     interval: Interval
 
 
@@ -67,26 +67,26 @@
 # ---- discovery
 
 LIST_PATH = "/catalog/members"
-WATCH_PATH = LIST_PATH + "?from=%d&hold_ms=%d"  # the revision that is cached, ms that the answer may wait
+WATCH_PATH = LIST_PATH + "?from=%d&hold_ms=%d"  # the cached revision; ms for which the answer may be delayed
 
 
 class Endpoint(msgspec.Struct):
-    """One backend of the list; its fields are those that Runner.receive_list_update reads."""
+    """One backend of the list, with the fields that Runner.receive_list_update reads."""
 
     backend: Name = field(name="id")
     zone: Name = field(name="locality", default="")
     state: Literal["ready", "draining", "gone"] = field(name="phase", default="ready")
     nominal: Annotated[float, Meta(ge=0)] = field(name="size", default=1.0)
-    started_ms: UnixTime = field(name="up_since_ms", default=0)  # Unix time, ms; 0: long ago
+    started_ms: UnixTime = field(name="up_since_ms", default=0)  # Unix time, ms; 0 if long ago
 
     @property
     def started(self):
-        """When the backend last started, Unix time in ns; 0 for long ago."""
+        """When the backend last started, Unix time in ns; 0 if long ago."""
         return int(self.started_ms * NS_PER_MS)
 
 
 class EndpointList(msgspec.Struct):
-    """The whole list (`complete`) or what changed since the revision that a watch named."""
+    """The complete list (`complete`), or the changes since the revision named in a watch."""
 
     revision: Annotated[int, Meta(ge=0)] = 0
     complete: bool = True
@@ -103,24 +103,24 @@
 CALL_ORDERS = "orders"
 ORDER_SEPARATOR = ";"
 
-# verbs of orders, with what follows each, set off by commas
+# verbs of orders; comments list their comma-separated arguments
 SET_LINE = "SET"  # table, backend, weight
 BIND = "USE"  # proxy, table, request kinds
 EJECT = "OUT"  # backend
 READMIT = "IN"  # backend
 SET_LEVEL = "LIMIT"  # table, request kinds, level, retry mode
-ACKNOWLEDGEMENT_REQUEST = "SYNC"  # nonce, acknowledging proxies: ACKNOWLEDGED_BY_...
-ACKNOWLEDGED_BY_BOUND = 0
-ACKNOWLEDGED_BY_ALL = 1
+ACKNOWLEDGEMENT_REQUEST = "SYNC"  # nonce, one of the two values below
+ACKNOWLEDGED_BY_BOUND = 0  # by the proxies that the orders of the call reach
+ACKNOWLEDGED_BY_ALL = 1  # by every proxy
 ALL_KINDS = "*"
 KIND_SEPARATOR = "+"
 
 # answers
 ANSWER_ROOT = "Response"
-ANSWER_ACCEPTED = "./items/item/ok_count"  # how many orders were taken, from the first on
-ANSWER_ERRORS = ("code", "error")  # elements, in small letters, that may hold an error's code
-ERROR_THROTTLED = "throttled"  # not before the run begins
-ERROR_INVALID = "invalid"  # the call is none
+ANSWER_ACCEPTED = "./items/item/ok_count"  # number of orders accepted, counting from the first
+ANSWER_ERRORS = ("code", "error")  # lower-case names of elements that may contain an error code
+ERROR_THROTTLED = "throttled"  # only after the run has begun
+ERROR_INVALID = "invalid"  # the call is malformed
 
 # ---- the relay's event stream
 
@@ -142,7 +142,7 @@
 
 
 class ResourceLimits(msgspec.Struct):
-    """What the process may take: cores, MB of memory, file descriptors."""
+    """The resources that the process may use: cores, MB of memory, file descriptors."""
 
     cores: float = 1.0
     memory_mb: float = 0.0
@@ -150,7 +150,7 @@
 
 
 class RelayAddress(msgspec.Struct):
-    """Where the relay listens, as host:port."""
+    """The listening address of the relay, as host:port."""
 
     address: str
 
@@ -158,8 +158,8 @@
 class ControllerConfiguration(msgspec.Struct):
     """One controller's configuration; addresses are host:port.
 
-    `settings` are read by StartSettings; `known` is the list as this controller last cached it, not yet
-    decoded.
+    `settings` are parsed by StartSettings; `known` is the endpoint list that this controller cached last, not
+    yet decoded.
     """
 
     name: str
@@ -167,22 +167,22 @@
     discovery: str
     relay: RelayAddress = field(name="store")
     settings: dict
-    seed: str = "0"  # hexadecimal, new with each start
+    seed: str = "0"  # hexadecimal, different at each start
     limits: ResourceLimits = field(default_factory=ResourceLimits)
     known: Raw = field(default_factory=lambda: Raw(b"{}"))
 
     @property
     def numeric_seed(self):
-        """The seed as a whole number."""
+        """The seed as an integer."""
         try:
             return int(self.seed, 16)
         except ValueError:
             return int.from_bytes(self.seed.encode()[:16], "big")
 
     def known_list(self):
-        """The list as it was last cached, or an empty one if it can't be read.
+        """The endpoint list as last cached, or an empty one if it can't be decoded.
 
-        It may be out of date anyway, and a controller that refused to start for it would serve nobody.
+        The cached list may be out of date anyway, so a corrupt one is no reason to refuse to start.
         """
         try:
             return list_decoder.decode(self.known)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -437,7 +437,7 @@
             return PlatformController(read_configuration(configured(settings={**SETTINGS, **more})), 0, 0)
 
         self.assertEqual(controller().log_texts, [])
-        with self.assertRaisesRegex(SettingsError, "partitions-n: .* no words for slices"):
+        with self.assertRaisesRegex(SettingsError, "partitions-n: .* does not support slices"):
             controller(specifics={**SETTINGS["specifics"], "partitions-n": 8})
         told = controller(caps={"probes": True, "peer-messages": True}).log_texts
         self.assertEqual([("probes" in one, "peers" in one) for one in told], [(True, False), (False, True)])
--- a/tests/test_platform_address.py
+++ b/tests/test_platform_address.py
@@ -103,7 +103,7 @@
         one.receive(JOIN)
         for _ in range(limits.LINE_MAX_BYTES // 65536 + 1):
             one.receive(b"x" * 65536)
-        self.assertEqual((one.close_reason, len(one.buffer)), ("a line too long", 0))
+        self.assertEqual((one.close_reason, len(one.buffer)), ("line too long", 0))
 
     def test_unjoined_peers_are_rejected_for_lines_without_number_too(self):
         for line in (b"\n", b'{"@type":"hb"}\n'):
