--- a/embertray/benchlink/batches.py
+++ b/embertray/benchlink/batches.py
@@ -22,7 +22,7 @@
         self.batch = None  # number of the batch
         self.addressee = None  # number of the controller that the next lines are for
         self.entries_missing = 0  # of the list's news that came last
-        self.list_news = None  # those news; None if they are for no known controller
+        self.list_update = None  # those news; None if they are for no known controller
         self.events = {}  # number of a controller -> its events, in order of first mention
 
     def begin(self, values):
@@ -31,7 +31,7 @@
         self.batch = values["batch"]
         self.addressee = None
         self.entries_missing = 0
-        self.list_news = None
+        self.list_update = None
         self.events = {}
 
     def line(self, text):
@@ -52,7 +52,7 @@
         if self.now is None:
             raise WireError(f"{name} before {wire.BATCH_BEGIN}")
         if self.entries_missing and name != wire.LIST_ENTRY:
-            raise WireError(f"{wire.LIST_NEWS} is {self.entries_missing} entries short")
+            raise WireError(f"{wire.LIST_UPDATE} is {self.entries_missing} entries short")
         if name == wire.BATCH_END:
             return self.finish()
         if name in wire.FIELDS:
@@ -81,16 +81,16 @@
         """An entry of the list's news; one too many is skipped."""
         if self.entries_missing:
             self.entries_missing -= 1
-            if self.list_news:
-                self.list_news.entries.append(self.controllers[self.addressee].entry(values))
+            if self.list_update:
+                self.list_update.entries.append(self.controllers[self.addressee].entry(values))
 
     def add_event(self, name, values):
         """An event; it is skipped if its controller is not known."""
         controller = self.controllers.get(self.addressee)
         event = EVENT_READERS[name](controller, values) if controller else None
-        if name == wire.LIST_NEWS:
+        if name == wire.LIST_UPDATE:
             self.entries_missing = values.get("entries", 0)
-            self.list_news = event
+            self.list_update = event
             if self.entries_missing < 0:
                 raise WireError(f"{name}: {wire.ENTRIES.key} is below 0")
         if event:
--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -62,11 +62,11 @@
             values.get("nominal", 1.0),
         )
 
-    def list_news(self, values):
+    def list_update(self, values):
         """The list's news, whose entries follow."""
         kind = values["kind"]
         if kind not in wire.LIST_KINDS:
-            raise WireError(f"{wire.LIST_NEWS}: {kind} is no good value for {wire.LIST_KIND.key}")
+            raise WireError(f"{wire.LIST_UPDATE}: {kind} is no good value for {wire.LIST_KIND.key}")
         return i.EndpointListUpdate(wire.LIST_KINDS[kind])
 
     def timer_due(self, values):
@@ -184,7 +184,7 @@
 
 # event's name -> the method that reads it
 EVENT_READERS = {
-    wire.LIST_NEWS: BenchController.list_news,
+    wire.LIST_UPDATE: BenchController.list_update,
     wire.TIMER_DUE: BenchController.timer_due,
     wire.HEALTH_CHECK_DONE: BenchController.health_check_done,
     wire.PEER_NOTE: BenchController.peer_note,
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -18,7 +18,7 @@
 ADDRESSEE = "FOR"
 START = "ENLIST"
 KILL = "KILLED"
-LIST_NEWS = "DIRECTORY_UPDATE"
+LIST_UPDATE = "DIRECTORY_UPDATE"
 LIST_ENTRY = "ITEM"
 TIMER_DUE = "TICK_DUE"
 HEALTH_CHECK_DONE = "CHECK_RESULT"
@@ -88,7 +88,7 @@
     ADDRESSEE: (Field("who", "controller", int, True),),
     START: (Field("salt", "seed", int, True),),
     KILL: (),
-    LIST_NEWS: (LIST_KIND, ENTRIES),
+    LIST_UPDATE: (LIST_KIND, ENTRIES),
     LIST_ENTRY: (
         BACKEND,
         Field("ready-at-us", "started", microseconds),
