--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -69,23 +69,23 @@
             raise WireError(f"{wire.LIST_UPDATE}: {kind} is no good value for {wire.LIST_KIND.key}")
         return i.EndpointListUpdate(wire.LIST_KINDS[kind])
 
-    def timer_due(self, values):
+    def timer_fired(self, values):
         """A timer is due."""
         return i.TimerFired(values["label"])
 
-    def health_check_done(self, values):
+    def probe_result(self, values):
         """A health check was answered or not."""
-        answered = values["outcome"] == wire.HEALTH_CHECK_ANSWERED
+        answered = values["outcome"] == wire.PROBE_ANSWERED
         latency = values.get("latency", 0)
         return i.ProbeResult(self.backend(values["backend"]), answered, latency, self.load(values))
 
-    def peer_note(self, values):
+    def peer_message(self, values):
         """A note of another controller."""
         data = values.get("data", wire.NO_DATA)
         try:
             return i.PeerMessage(values["sender"], b"" if data == wire.NO_DATA else bytes.fromhex(data))
         except ValueError:
-            raise WireError(f"{wire.PEER_NOTE}: '{data}' is no good value for {wire.DATA.key}") from None
+            raise WireError(f"{wire.PEER_MESSAGE}: '{data}' is no good value for {wire.DATA.key}") from None
 
     def proxy_joined(self, values):
         """A proxy has joined."""
@@ -112,7 +112,7 @@
             self.load(values),
         )
 
-    def traffic_report(self, values):
+    def arrival_report(self, values):
         """The requests of a kind that reached a proxy."""
         return i.ArrivalReport(
             self.proxy(values["proxy"]),
@@ -122,7 +122,7 @@
             values.get("interval", 0),
         )
 
-    def slice_traffic_report(self, values):
+    def slice_arrivals(self, values):
         """The requests of a kind that reached a slice."""
         return i.SliceArrivals(
             self.slice_table(values["table"]),
@@ -132,7 +132,7 @@
             values.get("interval", 0),
         )
 
-    def slice_leased(self, values):
+    def slice_assigned(self, values):
         """A slice was leased to this controller or taken from it."""
         return i.SliceAssigned(self.slice_table(values["table"]), values["ours"])
 
@@ -141,7 +141,7 @@
         table = self.slice_table(values["table"])
         return i.SliceLine(table, self.backend(values["backend"]), values.get("weight", 1.0))
 
-    def mark_applied(self, values):
+    def nonce_acknowledged(self, values):
         """A proxy answered a nonce; None if it is not open any more."""
         nonce = self.nonces.get(values["nonce"])
         return nonce and i.NonceAcknowledged(self.proxy(values["proxy"]), nonce, values.get("apply_time", 0))
@@ -172,42 +172,42 @@
         """The line of an interface.Bind."""
         return wire.bind(order.proxy.external_id, self.table_id(order.table))
 
-    def write_level(self, order):
+    def write_admission(self, order):
         """The line of an interface.SetAdmission."""
         kinds = sum(1 << kind.external_id for kind in order.kinds)
-        return wire.set_level(self.table_id(order.table), kinds, order.level, order.retry)
+        return wire.set_admission(self.table_id(order.table), kinds, order.level, order.retry)
 
-    def write_mark(self, order):
+    def write_acknowledgement_request(self, order):
         """The line of an interface.RequestAcknowledgement."""
-        return wire.mark(self.nonce_id(order.nonce))
+        return wire.request_acknowledgement(self.nonce_id(order.nonce))
 
 
 # event's name -> the method that reads it
 EVENT_READERS = {
     wire.LIST_UPDATE: BenchController.list_update,
-    wire.TIMER_DUE: BenchController.timer_due,
-    wire.HEALTH_CHECK_DONE: BenchController.health_check_done,
-    wire.PEER_NOTE: BenchController.peer_note,
+    wire.TIMER_FIRED: BenchController.timer_fired,
+    wire.PROBE_RESULT: BenchController.probe_result,
+    wire.PEER_MESSAGE: BenchController.peer_message,
     wire.PROXY_JOINED: BenchController.proxy_joined,
     wire.PROXY_LEFT: BenchController.proxy_left,
     wire.BACKEND_REPORT: BenchController.backend_report,
-    wire.TRAFFIC_REPORT: BenchController.traffic_report,
-    wire.SLICE_TRAFFIC_REPORT: BenchController.slice_traffic_report,
-    wire.SLICE_LEASED: BenchController.slice_leased,
+    wire.ARRIVAL_REPORT: BenchController.arrival_report,
+    wire.SLICE_ARRIVALS: BenchController.slice_arrivals,
+    wire.SLICE_ASSIGNED: BenchController.slice_assigned,
     wire.SLICE_LINE: BenchController.slice_line,
-    wire.MARK_APPLIED: BenchController.mark_applied,
+    wire.NONCE_ACKNOWLEDGED: BenchController.nonce_acknowledged,
 }
 
 # order's type -> what writes its line, called with the controller and the order
 ORDER_WRITERS = {
     i.SetLine: BenchController.write_line,
     i.Bind: BenchController.write_bind,
-    i.Withdraw: lambda _, order: wire.eject(order.backend.external_id, order.out),
-    i.SetAdmission: BenchController.write_level,
-    i.RequestAcknowledgement: BenchController.write_mark,
+    i.Withdraw: lambda _, order: wire.withdraw(order.backend.external_id, order.out),
+    i.SetAdmission: BenchController.write_admission,
+    i.RequestAcknowledgement: BenchController.write_acknowledgement_request,
     i.SetTimer: lambda _, order: wire.set_timer(order.label, order.after),
     i.Subscribe: lambda _, order: wire.subscribe(order.on),
-    i.PollEndpointList: lambda _, _order: wire.request_list(),
-    i.Probe: lambda _, order: wire.check_health(order.backend.external_id),
+    i.PollEndpointList: lambda _, _order: wire.poll_endpoint_list(),
+    i.Probe: lambda _, order: wire.probe(order.backend.external_id),
     i.Log: lambda _, order: wire.log(order.text),
 }
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -20,24 +20,24 @@
 KILL = "KILLED"
 LIST_UPDATE = "DIRECTORY_UPDATE"
 LIST_ENTRY = "ITEM"
-TIMER_DUE = "TICK_DUE"
-HEALTH_CHECK_DONE = "CHECK_RESULT"
-PEER_NOTE = "PEER_DATA"
+TIMER_FIRED = "TICK_DUE"
+PROBE_RESULT = "CHECK_RESULT"
+PEER_MESSAGE = "PEER_DATA"
 PROXY_JOINED = "STREAM_UP"
 PROXY_LEFT = "DETACHED"
 BACKEND_REPORT = "STATS"
-TRAFFIC_REPORT = "TRAFFIC"
-SLICE_TRAFFIC_REPORT = "HEAT"
-SLICE_LEASED = "LEASED"
+ARRIVAL_REPORT = "TRAFFIC"
+SLICE_ARRIVALS = "HEAT"
+SLICE_ASSIGNED = "LEASED"
 SLICE_LINE = "LEDGER_LINE"
-MARK_APPLIED = "CONFIRMED"
+NONCE_ACKNOWLEDGED = "CONFIRMED"
 
 # ---- values
 
 STATES = {0: "draining", 1: "gone", 2: "ready"}  # of a list's entry
 STATE_READY = 2
 LIST_KINDS = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}  # as in interface.EndpointListUpdate
-HEALTH_CHECK_ANSWERED = 1
+PROBE_ANSWERED = 1
 NO_DATA = "-"
 
 
@@ -96,9 +96,9 @@
         STATE,
         ZONE,
     ),
-    TIMER_DUE: (Field("label", "label", int, True),),
-    HEALTH_CHECK_DONE: (Field("how", "outcome", int, True), LATENCY, BACKEND, LOAD),
-    PEER_NOTE: (Field("by", "sender", int, True), DATA),
+    TIMER_FIRED: (Field("label", "label", int, True),),
+    PROBE_RESULT: (Field("how", "outcome", int, True), LATENCY, BACKEND, LOAD),
+    PEER_MESSAGE: (Field("by", "sender", int, True), DATA),
     PROXY_JOINED: (
         PROXY,
         ZONE._replace(needed=True),
@@ -107,11 +107,11 @@
     ),
     PROXY_LEFT: (PROXY,),
     BACKEND_REPORT: (LATENCY, FAILURES, BACKEND, INTERVAL, ZONE, ATTEMPTS, LOAD),
-    TRAFFIC_REPORT: (REQUESTS, INTERVAL, PROXY, REQUEST_KIND, FAILURES),
-    SLICE_TRAFFIC_REPORT: (TABLE, REQUEST_KIND, REQUESTS, FAILURES, INTERVAL),
-    SLICE_LEASED: (TABLE, Field("set", "ours", boolean, True)),
+    ARRIVAL_REPORT: (REQUESTS, INTERVAL, PROXY, REQUEST_KIND, FAILURES),
+    SLICE_ARRIVALS: (TABLE, REQUEST_KIND, REQUESTS, FAILURES, INTERVAL),
+    SLICE_ASSIGNED: (TABLE, Field("set", "ours", boolean, True)),
     SLICE_LINE: (TABLE, BACKEND, Field("share", "weight", parse_float)),
-    MARK_APPLIED: (APPLY_TIME, PROXY, Field("epoch", "nonce", int, True)),
+    NONCE_ACKNOWLEDGED: (APPLY_TIME, PROXY, Field("epoch", "nonce", int, True)),
 }
 
 
@@ -154,17 +154,17 @@
     return f"POINT proxy={proxy} route-table={table} lanes=0"
 
 
-def eject(backend, ejected):
+def withdraw(backend, ejected):
     """A backend is ejected from all tables, or readmitted."""
     return f"TAKE_OUT backend={backend} set={int(ejected)}"
 
 
-def set_level(table, kinds, level, retry):
+def set_admission(table, kinds, level, retry):
     """A table's level and retry mode for request kinds, one bit each; 0 for all."""
     return f"SET_LEVEL route-table={table} lanes={kinds} allowance={level:.6g} second-try={retry}"
 
 
-def mark(nonce):
+def request_acknowledgement(nonce):
     """The proxies answer this nonce once they have applied all before it."""
     return f"CHECKPOINT set=0 epoch={nonce}"
 
@@ -179,12 +179,12 @@
     return f"WATCH set={int(subscribed)}"
 
 
-def request_list():
+def poll_endpoint_list():
     """The whole list is wanted."""
     return "GET_LIST"
 
 
-def check_health(backend):
+def probe(backend):
     """A backend's health is to be checked."""
     return f"PING backend={backend}"
 
