--- a/embertray/benchlink/batches.py
+++ b/embertray/benchlink/batches.py
@@ -20,7 +20,7 @@
         self.controllers = {}
         self.now = None
         self.batch = None  # number of the batch
-        self.addressee = None  # number of the controller that the next lines are for
+        self.recipient = None  # number of the controller that the next lines are for
         self.entries_missing = 0  # of the list's news that came last
         self.list_update = None  # those news; None if they are for no known controller
         self.events = {}  # number of a controller -> its events, in order of first mention
@@ -29,7 +29,7 @@
         """A batch begins."""
         self.now = values["now"]
         self.batch = values["batch"]
-        self.addressee = None
+        self.recipient = None
         self.entries_missing = 0
         self.list_update = None
         self.events = {}
@@ -62,18 +62,18 @@
 
     def inside(self, name, pairs, values):
         """Take a line within a batch by its name, pairs and values. Raises WireError."""
-        if name == wire.ADDRESSEE:
-            self.addressee = values["controller"]
-        elif self.addressee is None:
-            raise WireError(f"{name} before {wire.ADDRESSEE}")
+        if name == wire.RECIPIENT:
+            self.recipient = values["controller"]
+        elif self.recipient is None:
+            raise WireError(f"{name} before {wire.RECIPIENT}")
         elif name == wire.LIST_ENTRY:
             self.add_entry(values)
         elif name == wire.START:
-            self.controllers[self.addressee] = BenchController(values["seed"], pairs, self.now)
-            self.events[self.addressee] = []
+            self.controllers[self.recipient] = BenchController(values["seed"], pairs, self.now)
+            self.events[self.recipient] = []
         elif name == wire.KILL:
-            self.controllers.pop(self.addressee, None)
-            self.events.pop(self.addressee, None)
+            self.controllers.pop(self.recipient, None)
+            self.events.pop(self.recipient, None)
         else:
             self.add_event(name, values)
 
@@ -82,11 +82,11 @@
         if self.entries_missing:
             self.entries_missing -= 1
             if self.list_update:
-                self.list_update.entries.append(self.controllers[self.addressee].entry(values))
+                self.list_update.entries.append(self.controllers[self.recipient].entry(values))
 
     def add_event(self, name, values):
         """An event; it is skipped if its controller is not known."""
-        controller = self.controllers.get(self.addressee)
+        controller = self.controllers.get(self.recipient)
         event = EVENT_READERS[name](controller, values) if controller else None
         if name == wire.LIST_UPDATE:
             self.entries_missing = values.get("entries", 0)
@@ -94,7 +94,7 @@
             if self.entries_missing < 0:
                 raise WireError(f"{name}: {wire.ENTRIES.key} is below 0")
         if event:
-            self.events.setdefault(self.addressee, []).append(event)
+            self.events.setdefault(self.recipient, []).append(event)
 
     def finish(self):
         """The batch ends. Returns the reply's lines; a module that failed is the last that is run."""
@@ -102,7 +102,7 @@
         for number, events in self.events.items():
             lines, failed = self.controllers[number].step(self.now, events)
             if lines:
-                reply.append(wire.addressor(number))
+                reply.append(wire.sender_line(number))
                 reply += lines
             if failed:
                 break
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -15,7 +15,7 @@
 
 BATCH_BEGIN = "SYNC"
 BATCH_END = "FLUSH"
-ADDRESSEE = "FOR"
+RECIPIENT = "FOR"
 START = "ENLIST"
 KILL = "KILLED"
 LIST_UPDATE = "DIRECTORY_UPDATE"
@@ -85,7 +85,7 @@
 # name of a line -> its fields, in the order in which they are checked; others are skipped
 FIELDS = {
     BATCH_BEGIN: (Field("t-us", "now", microseconds, True), Field("batch", "batch", int, True)),
-    ADDRESSEE: (Field("who", "controller", int, True),),
+    RECIPIENT: (Field("who", "controller", int, True),),
     START: (Field("salt", "seed", int, True),),
     KILL: (),
     LIST_UPDATE: (LIST_KIND, ENTRIES),
@@ -194,7 +194,7 @@
     return "SAY_LOG what=" + " ".join(text.split())
 
 
-def addressor(controller):
+def sender_line(controller):
     """The lines that follow come from this controller."""
     return f"FROM who={controller}"
 
