--- a/embertray/benchlink/batches.py
+++ b/embertray/benchlink/batches.py
@@ -25,7 +25,7 @@
         self.list_update = None  # those news; None if they are for no known controller
         self.events = {}  # number of a controller -> its events, in order of first mention
 
-    def begin(self, values):
+    def begin_batch(self, values):
         """A batch begins."""
         self.now = values["now"]
         self.batch = values["batch"]
@@ -34,7 +34,7 @@
         self.list_update = None
         self.events = {}
 
-    def line(self, text):
+    def read_line(self, text):
         """Take one line.
 
         Returns:
@@ -47,27 +47,27 @@
         if name == wire.BATCH_BEGIN:
             if self.now is not None:
                 raise WireError(f"{name} inside a batch")
-            self.begin(wire.read_fields(name, wire.read_pairs(rest)))
+            self.begin_batch(wire.read_fields(name, wire.read_pairs(rest)))
             return None
         if self.now is None:
             raise WireError(f"{name} before {wire.BATCH_BEGIN}")
         if self.entries_missing and name != wire.LIST_ENTRY:
             raise WireError(f"{wire.LIST_UPDATE} is {self.entries_missing} entries short")
         if name == wire.BATCH_END:
-            return self.finish()
+            return self._finish_batch()
         if name in wire.FIELDS:
             pairs = wire.read_pairs(rest)
-            self.inside(name, pairs, wire.read_fields(name, pairs))
+            self._read_batch_line(name, pairs, wire.read_fields(name, pairs))
         return None
 
-    def inside(self, name, pairs, values):
+    def _read_batch_line(self, name, pairs, values):
         """Take a line within a batch by its name, pairs and values. Raises WireError."""
         if name == wire.RECIPIENT:
             self.recipient = values["controller"]
         elif self.recipient is None:
             raise WireError(f"{name} before {wire.RECIPIENT}")
         elif name == wire.LIST_ENTRY:
-            self.add_entry(values)
+            self._add_entry(values)
         elif name == wire.START:
             self.controllers[self.recipient] = BenchController(values["seed"], pairs, self.now)
             self.events[self.recipient] = []
@@ -75,16 +75,16 @@
             self.controllers.pop(self.recipient, None)
             self.events.pop(self.recipient, None)
         else:
-            self.add_event(name, values)
+            self._add_event(name, values)
 
-    def add_entry(self, values):
+    def _add_entry(self, values):
         """An entry of the list's news; one too many is skipped."""
         if self.entries_missing:
             self.entries_missing -= 1
             if self.list_update:
-                self.list_update.entries.append(self.controllers[self.recipient].entry(values))
+                self.list_update.entries.append(self.controllers[self.recipient].endpoint(values))
 
-    def add_event(self, name, values):
+    def _add_event(self, name, values):
         """An event; it is skipped if its controller is not known."""
         controller = self.controllers.get(self.recipient)
         event = EVENT_READERS[name](controller, values) if controller else None
@@ -96,7 +96,7 @@
         if event:
             self.events.setdefault(self.recipient, []).append(event)
 
-    def finish(self):
+    def _finish_batch(self):
         """The batch ends. Returns the reply's lines; a module that failed is the last that is run."""
         reply = []
         for number, events in self.events.items():
@@ -128,7 +128,7 @@
         if not text:
             continue
         try:
-            reply = reader.line(text)
+            reply = reader.read_line(text)
         except WireError as error:
             errors.write(f"embertray: line {count}: {error}\n")
             return EXIT_MALFORMED
--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -30,7 +30,7 @@
 
     # ---- parts of events
 
-    def load(self, values):
+    def load_report(self, values):
         """The load report in a line, metric -> value; empty if it has none."""
         if "load" not in values:
             return {}
@@ -49,7 +49,7 @@
 
     # ---- events
 
-    def entry(self, values):
+    def endpoint(self, values):
         """One entry of the list."""
         state = values.get("state", wire.STATE_READY)
         if state not in wire.STATES:
@@ -77,7 +77,7 @@
         """A health check was answered or not."""
         answered = values["outcome"] == wire.PROBE_ANSWERED
         latency = values.get("latency", 0)
-        return i.ProbeResult(self.backend(values["backend"]), answered, latency, self.load(values))
+        return i.ProbeResult(self.backend(values["backend"]), answered, latency, self.load_report(values))
 
     def peer_message(self, values):
         """A note of another controller."""
@@ -109,7 +109,7 @@
             values.get("failures", 0),
             values.get("latency", 0),
             values.get("interval", 0),
-            self.load(values),
+            self.load_report(values),
         )
 
     def arrival_report(self, values):
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -62,7 +62,7 @@
     key: str
     term: str
     read: Callable
-    needed: bool = False
+    required: bool = False
 
 
 BACKEND = Field("backend", "backend", str, True)
@@ -101,7 +101,7 @@
     PEER_MESSAGE: (Field("by", "sender", int, True), DATA),
     PROXY_JOINED: (
         PROXY,
-        ZONE._replace(needed=True),
+        ZONE._replace(required=True),
         Field("share", "rate", parse_float),
         Field("set", "without_table", boolean),
     ),
@@ -130,13 +130,13 @@
 def read_fields(name, pairs):
     """The values of a line's fields, term -> value, by its pairs. Raises WireError."""
     values = {}
-    for key, term, read, needed in FIELDS[name]:
+    for key, term, read, required in FIELDS[name]:
         if key in pairs:
             try:
                 values[term] = read(pairs[key])
             except ValueError:
                 raise WireError(f"{name}: '{pairs[key]}' is no good value for {key}") from None
-        elif needed:
+        elif required:
             raise WireError(f"{name}: {key} is missing")
     return values
 
