--- a/embertray/benchlink/batches.py
+++ b/embertray/benchlink/batches.py
@@ -1,7 +1,7 @@
 """Batches of the bench's wire: lines in, replies out, for as many controllers as the bench starts."""
 
 from . import wire
-from .controller import EVENT_READERS, BenchController
+from .controller import EVENT_READERS, SimulatedController
 from .exceptions import WireError
 
 EXIT_OK = 0
@@ -12,7 +12,7 @@
     """Reads batches and runs a step of each controller that a batch has events for.
 
     Attributes:
-        controllers: Number -> its BenchController.
+        controllers: Number -> its SimulatedController.
         now: Of the batch that is open, ns; None between batches.
     """
 
@@ -69,7 +69,7 @@
         elif name == wire.LIST_ENTRY:
             self._add_entry(values)
         elif name == wire.START:
-            self.controllers[self.recipient] = BenchController(values["seed"], pairs, self.now)
+            self.controllers[self.recipient] = SimulatedController(values["seed"], pairs, self.now)
             self.events[self.recipient] = []
         elif name == wire.KILL:
             self.controllers.pop(self.recipient, None)
--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -11,7 +11,7 @@
 from .exceptions import WireError
 
 
-class BenchController(Identifiers):
+class SimulatedController(Identifiers):
     """The module, and the identifiers of the objects that it deals in.
 
     Methods that read events take the values of a line's fields, by their terms, and raise WireError.
@@ -184,27 +184,27 @@
 
 # event's name -> the method that reads it
 EVENT_READERS = {
-    wire.LIST_UPDATE: BenchController.list_update,
-    wire.TIMER_FIRED: BenchController.timer_fired,
-    wire.PROBE_RESULT: BenchController.probe_result,
-    wire.PEER_MESSAGE: BenchController.peer_message,
-    wire.PROXY_JOINED: BenchController.proxy_joined,
-    wire.PROXY_LEFT: BenchController.proxy_left,
-    wire.BACKEND_REPORT: BenchController.backend_report,
-    wire.ARRIVAL_REPORT: BenchController.arrival_report,
-    wire.SLICE_ARRIVALS: BenchController.slice_arrivals,
-    wire.SLICE_ASSIGNED: BenchController.slice_assigned,
-    wire.SLICE_LINE: BenchController.slice_line,
-    wire.NONCE_ACKNOWLEDGED: BenchController.nonce_acknowledged,
+    wire.LIST_UPDATE: SimulatedController.list_update,
+    wire.TIMER_FIRED: SimulatedController.timer_fired,
+    wire.PROBE_RESULT: SimulatedController.probe_result,
+    wire.PEER_MESSAGE: SimulatedController.peer_message,
+    wire.PROXY_JOINED: SimulatedController.proxy_joined,
+    wire.PROXY_LEFT: SimulatedController.proxy_left,
+    wire.BACKEND_REPORT: SimulatedController.backend_report,
+    wire.ARRIVAL_REPORT: SimulatedController.arrival_report,
+    wire.SLICE_ARRIVALS: SimulatedController.slice_arrivals,
+    wire.SLICE_ASSIGNED: SimulatedController.slice_assigned,
+    wire.SLICE_LINE: SimulatedController.slice_line,
+    wire.NONCE_ACKNOWLEDGED: SimulatedController.nonce_acknowledged,
 }
 
 # order's type -> what writes its line, called with the controller and the order
 ORDER_WRITERS = {
-    i.SetLine: BenchController.write_line,
-    i.Bind: BenchController.write_bind,
+    i.SetLine: SimulatedController.write_line,
+    i.Bind: SimulatedController.write_bind,
     i.Withdraw: lambda _, order: wire.withdraw(order.backend.external_id, order.out),
-    i.SetAdmission: BenchController.write_admission,
-    i.RequestAcknowledgement: BenchController.write_acknowledgement_request,
+    i.SetAdmission: SimulatedController.write_admission,
+    i.RequestAcknowledgement: SimulatedController.write_acknowledgement_request,
     i.SetTimer: lambda _, order: wire.set_timer(order.label, order.after),
     i.Subscribe: lambda _, order: wire.subscribe(order.on),
     i.PollEndpointList: lambda _, _order: wire.poll_endpoint_list(),
