--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -24,7 +24,7 @@
             settings = StartSettings(settings)
             self.load_metrics = settings.load_metrics
             self.request_kinds = settings.request_kinds
-            self.module = Controller(seed, settings.deployment(self), now)
+            self.policy = Controller(seed, settings.deployment(self), now)
         except SettingsError as error:
             raise WireError(f"{wire.START}: {error}") from None
 
@@ -155,7 +155,7 @@
             The lines of its orders, or one that says how the module failed, and whether it failed.
         """
         try:
-            orders = self.module.step(now, events)
+            orders = self.policy.step(now, events)
         except Exception as error:  # the wire wants the module's failure declared, not a crash
             place = traceback.extract_tb(error.__traceback__)[-1]
             text = f"{type(error).__name__}: {error} ({place.name}, line {place.lineno})"
