--- a/embertray/controller/__init__.py
+++ b/embertray/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller without I/O: what stands between the decisions and the transports."""
+"""One controller without I/O: the layers between the policy and the transports."""
--- a/embertray/controller/exceptions.py
+++ b/embertray/controller/exceptions.py
@@ -2,8 +2,8 @@
 
 
 class SettingsError(ValueError):
-    """A setting can't be read or used; the text names it and its key."""
+    """A setting can't be read or used; the message names its value and its key."""
 
 
 class NotFiniteError(ValueError):
-    """A number is infinite or none (NaN); the text is the number's."""
+    """A number is infinite or NaN; the message is the number's text."""
--- a/embertray/controller/pending_reports.py
+++ b/embertray/controller/pending_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that are merged while they wait for the policy: by backend, by proxy and kind, by round."""
+"""Merged load reports that wait for the policy: by backend and zone, by proxy and kind, and by round."""
 
 from embertray.policy import interface as i
 
@@ -7,10 +7,10 @@
     """The merged reports of one backend.
 
     Attributes:
-        attempts: Attempts that ended.
-        failed: How many of them failed.
-        latency: Sum over the answered ones, ns.
-        load: The newest load values among the answers, by name.
+        attempts: Finished attempts.
+        failed: Failed attempts among them.
+        latency: Sum of the latencies of the other attempts, ns.
+        load: The newest load values that the backend reported, by name.
         span: Time that the counts cover, ns.
     """
 
@@ -24,7 +24,7 @@
         self.span = 0
 
     def add(self, attempts, failed, latency, load):
-        """Adds counts; load values are replaced if there are newer ones."""
+        """Adds counts; replaces the load values unless `load` is empty."""
         self.attempts += attempts
         self.failed += failed
         self.latency += latency
@@ -43,8 +43,8 @@
     """The merged arrivals of one request kind at one proxy.
 
     Attributes:
-        requests: Requests that came.
-        lost: How many of them were lost.
+        requests: Requests that arrived.
+        lost: Lost requests among them.
         span: Time that the counts cover, ns.
     """
 
@@ -67,15 +67,15 @@
 
 
 class ReportRound:
-    """What a zone's proxies have reported since the round was opened, each once.
+    """The reports of a zone's proxies since the round was opened, one of each proxy.
 
     Args:
         now: ns.
 
     Attributes:
-        opened_at: ns.
+        opened_at: When the round was opened, ns.
         spans: Proxy -> time that its report covers, ns.
-        reports: Backend -> PendingReport; their spans are set when the round is closed.
+        reports: Backend -> PendingReport; the span is added when the round is closed.
     """
 
     __slots__ = ("opened_at", "reports", "spans")
@@ -86,5 +86,5 @@
         self.reports = {}
 
     def mean_span(self):
-        """Returns the time that the round covers, ns."""
+        """Returns the mean of the times that the proxies' reports cover, ns."""
         return sum(self.spans.values()) // len(self.spans)
--- a/embertray/controller/report_intake.py
+++ b/embertray/controller/report_intake.py
@@ -1,35 +1,36 @@
-"""Merges the proxies' load reports into the events that the policy receives, at a limited rate, without I/O.
-
-The policy gets one event for a zone and backend, and one for a proxy and request kind. The reports of a
-zone's proxies are gathered in a round until each has reported once, for a report cycle at most: their counts
-add up, and the time that they cover counts once, not once a proxy, so that an event's rate is the zone's. At
-most `rate` events a second are released, the oldest first. What waits is merged exactly: counts, latency sums
-and spans add up, and the newest load values stay. With rate 0 everything is released at once.
+"""Merges the proxies' load reports into events for the policy and limits their rate, without I/O.
+
+The policy gets one event for each zone and backend, and one for each proxy and request kind. The reports of
+a zone's proxies are collected in a round until each proxy has reported once, for at most one report cycle.
+Their counts are added up, while the time that they cover counts once and not once for each proxy, so that an
+event's rate is the zone's rate. At most `rate` events a second are released, the oldest first. Waiting events
+are merged without loss: counts, latency sums and spans are added up, and the newest load values replace older
+ones. With rate 0 all events are released at once.
 """
 
 from .pending_reports import PendingArrivals, PendingReport, ReportRound
 
 NS_PER_SECOND = 10**9
-BURST_S = 0.25  # of the rate that may be released at once: what one step of the policy can use
-BURST_MIN = 1.0  # events that may be released at once all the same: below one nothing would ever be
-SILENT_CYCLES = 3  # report cycles after which a round no longer waits for a silent proxy
+BURST_S = 0.25  # seconds of the rate that may be released at once: as much as one step of the policy can use
+BURST_MIN = 1.0  # events; with a smaller burst, no event would ever be released
+SILENT_CYCLES = 3  # report cycles after which rounds no longer wait for a silent proxy
 
 
 class ReportIntake:
-    """The load reports of one controller's proxies on their way to the policy.
+    """Queues and merges the load reports of one controller's proxies for the policy.
 
     Args:
-        rate: Events released a second at most; 0: no limit.
+        rate: Most events released a second; 0: no limit.
         now: ns.
         cycle: The proxies' report cycle, ns.
 
     Attributes:
         waiting: (backend, zone) -> PendingReport and (proxy, kind) -> PendingArrivals, the oldest first.
-        rounds: Zone -> the open ReportRound.
-        merged: How often something was added to an event that waited already.
-        released: Events that were released.
-        unknown: Parts of reports that were skipped, since they name what no list had.
-        dropped: Events that were dropped for lack of memory.
+        rounds: Zone -> its open ReportRound.
+        merged: Number of times that counts were added to a waiting event.
+        released: Number of released events.
+        unknown: Number of skipped parts of reports, which name an unknown backend or request kind.
+        dropped: Number of events that were dropped for lack of memory.
     """
 
     def __init__(self, rate, now=0, cycle=0):
@@ -46,15 +47,17 @@
         self._reported_at = {}  # zone -> proxy -> when it last reported, ns
 
     def add_report(self, now, proxy, zone, report, find_backend, find_kind):
-        """Takes in a proxy's load report.
+        """Adds a proxy's load report.
 
         Args:
             now: ns.
             proxy: The proxy's handle.
             zone: The handle of its zone.
             report: The LoadReport.
-            find_backend: Gives the handle of a backend's name; None: no list had it, its counts are skipped.
-            find_kind: Gives the RequestKind of a name; None: the site has none, its counts are skipped.
+            find_backend: Returns the handle of a backend's name, or None if no list had it; its counts are
+                then skipped.
+            find_kind: Returns the RequestKind of a name, or None if the site has none; its counts are then
+                skipped.
         """
         self._close_overdue_rounds(now)
         self._add_attempts(now, proxy, zone, report, find_backend)
@@ -79,7 +82,8 @@
     def _round_for(self, now, proxy, zone):
         """Returns the zone's open round.
 
-        A proxy's second report ends the round, whoever is missing: each report counts once in a round.
+        A second report of a proxy closes the round even if other proxies are missing, since a round holds one
+        report of each proxy.
         """
         if zone in self.rounds and proxy in self.rounds[zone].spans:
             self._close_round(zone)
@@ -96,7 +100,7 @@
             self._pending((proxy, kind), PendingArrivals).add(totals.requests, totals.lost, report.span)
 
     def _close_round(self, zone):
-        """Moves the zone's round to the events that wait."""
+        """Moves the reports of the zone's round to the waiting events."""
         closed = self.rounds.pop(zone)
         span = closed.mean_span()
         for backend, report in closed.reports.items():
@@ -105,10 +109,10 @@
             pending.span += span
 
     def _close_overdue_rounds(self, now):
-        """Closes rounds that have waited for a cycle.
+        """Closes rounds that have been open for a report cycle.
 
-        Against a proxy that falls silent without leaving: its zone's reports would wait for it for ever. It
-        is not waited for again once it has been silent for SILENT_CYCLES, so later rounds close at once.
+        Otherwise a proxy that falls silent without leaving would hold back its zone's reports for ever. Once
+        it has been silent for SILENT_CYCLES, rounds no longer wait for it and close without delay.
         """
         overdue = [
             zone for zone, open_round in self.rounds.items() if now - open_round.opened_at >= self.cycle
@@ -129,11 +133,7 @@
         return self.waiting[key]
 
     def release_due(self, now):
-        """Releases as many events as the rate allows at `now` (ns).
-
-        Returns:
-            Events for the policy.
-        """
+        """Returns the events for the policy that the rate allows at `now` (ns), and removes them."""
         self._refill_tokens(now)
         self._close_overdue_rounds(now)
         events = []
@@ -154,7 +154,7 @@
         self._tokens_at = now
 
     def next_release(self):
-        """Returns when the next event may be released or a round is to be closed, ns; None: nothing waits."""
+        """Returns when the next event may be released or round is to be closed, ns; None: nothing waits."""
         close_at = min((opened.opened_at + self.cycle for opened in self.rounds.values()), default=None)
         if not self.waiting:
             return close_at
@@ -164,18 +164,18 @@
         return release_at if close_at is None else min(release_at, close_at)
 
     def waiting_backends(self):
-        """Returns the set of handles that something waits for, backends among them."""
+        """Returns the handles of all waiting events and open rounds; this includes proxies."""
         in_rounds = (open_round.reports for open_round in self.rounds.values())
         return {handle for handle, _ in self.waiting}.union(*in_rounds)
 
     def drop_oldest(self, count):
-        """Drops the oldest events that wait.
+        """Drops the oldest waiting events.
 
         Args:
-            count: How many at most.
+            count: Most events to drop.
 
         Returns:
-            How many were dropped.
+            The number of dropped events.
         """
         oldest = list(self.waiting)[:count]
         for key in oldest:
@@ -184,7 +184,7 @@
         return len(oldest)
 
     def proxy_left(self, proxy):
-        """Forgets a proxy's arrivals: they tell nothing of what will come."""
+        """Drops the waiting arrivals of a proxy that left, since they do not predict future requests."""
         for key in [key for key in self.waiting if key[0] is proxy]:
             del self.waiting[key]
         for reported_at in self._reported_at.values():
--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -1,8 +1,8 @@
-"""The decision module with its identifiers, its timers and the mapping of backends' start times.
+"""Runs the policy, with its identifiers, its timers and the mapping of backends' start times.
 
-What happens is put to `pending_events`; `run_step(now)` hands it over. Whoever builds on it
-(core.ControllerCore for the daemon, platform.protocol.PlatformController for the platform) carries the
-orders on.
+Events are added to `pending_events`, and `run_step(now)` passes them to the policy. The subclasses
+(core.ControllerCore for the daemon, platform.protocol.PlatformController for the platform) execute the
+resulting orders.
 """
 
 import heapq
@@ -17,33 +17,35 @@
 
 
 class Runner:
-    """Runs one decision module.
+    """Runs one instance of the policy (the decision module).
 
-    Its first event is the list that it starts with: `receive_list_update(now, "cached", ...)`, empty if there
-    is none.
+    Its first event must be the initial list: `receive_list_update(now, "cached", ...)`, with no entries if
+    there is none.
 
     Attributes:
-        identifiers: The Identifiers of all that the module was notified of.
+        identifiers: The Identifiers that map names and numbers to the policy's handles.
         module: The policy.Controller.
         pending_events: Events that wait for the next step.
+        timers: Heap of (due time in ns, number of the timer, label).
+        timer_count: Number of timers that were set so far.
         start_times: Backend's name -> (its start by the list's clock, the same by this process's), ns.
-        state: Backend's name -> "ready" or "draining", of those on the list.
-        steps: How many steps have run.
-        events: How many events they had.
+        state: Backend's name -> "ready" or "draining", for the listed backends.
+        steps: Number of steps so far.
+        events: Number of events in these steps.
     """
 
     def __init__(self, seed, deployment, now):
-        """Make the module.
+        """Creates the policy.
 
         Args:
-            seed: For its random numbers.
-            deployment: Called with the Identifiers, gives the interface.Deployment.
+            seed: Seed of the policy's random numbers.
+            deployment: Called with the Identifiers, returns the interface.Deployment.
             now: ns.
         """
         self.identifiers = Identifiers()
         self.module = Controller(seed, deployment(self.identifiers), now)
         self.pending_events = []
-        self.timers = []  # heap of (when due, number of the timer, label)
+        self.timers = []
         self.timer_count = 0
         self.start_times = {}
         self.state = {}
@@ -51,15 +53,16 @@
         self.events = 0
 
     def to_endpoint(self, now, clock, listed):
-        """The interface.Endpoint of a backend on the list.
+        """Returns the interface.Endpoint of a listed backend.
 
-        Its start is mapped to this process's clock once, when it is first named: it must not wander with the
-        list's delays.
+        The start time is converted to this process's clock only once, when it is first listed; otherwise the
+        list's varying delay would shift it.
 
         Args:
             now: ns by this process's clock.
             clock: ns by the list's clock, at the same time.
-            listed: Has backend, zone, state, started (ns by the list's clock; 0: long ago) and nominal.
+            listed: An object with backend, zone, state, started (ns by the list's clock; 0: long ago) and
+                nominal.
         """
         known_start, start = self.start_times.get(listed.backend, (0, 0))
         if known_start != listed.started:
@@ -78,13 +81,13 @@
         )
 
     def receive_list_update(self, now, how, clock=0, entries=()):
-        """What the list tells waits for the next step.
+        """Adds an update of the endpoint list to the events of the next step.
 
         Args:
             now: ns by this process's clock.
             how: changes | whole | cached | failed, as in interface.EndpointListUpdate.
             clock: ns by the list's clock, at the same time.
-            entries: Listed backends, as `to_endpoint` takes them.
+            entries: Listed backends, in the form that `to_endpoint` accepts.
         """
         if how == "whole":
             self.state = {}
@@ -93,14 +96,14 @@
         )
 
     def run_step(self, now, extra_events=()):
-        """Run one step if anything happened or a timer is due.
+        """Runs one step if an event is pending or a timer is due.
 
         Args:
             now: ns.
-            extra_events: Further events, after those of the timers.
+            extra_events: Further events, added after those of the timers.
 
         Returns:
-            The module's orders, less those that set timers.
+            The policy's orders, except those that set timers.
         """
         while self.timers and self.timers[0][0] <= now:
             self.pending_events.append(i.TimerFired(heapq.heappop(self.timers)[2]))
@@ -121,13 +124,13 @@
         return orders
 
     def forget(self, needed=_not_needed):
-        """Forget the identifiers of backends and proxies that the module has forgotten.
+        """Removes the identifiers of backends and proxies that the policy no longer uses.
 
         Args:
-            needed: Whether a handle is kept all the same.
+            needed: Called with a handle, returns whether to keep it nevertheless.
 
         Returns:
-            The backends forgotten.
+            The removed backends.
         """
         forgotten = []
         for name, backend in list(self.identifiers.backends.items()):
@@ -138,7 +141,7 @@
         for name, proxy in list(self.identifiers.proxies.items()):
             if proxy.policy_state is None and not needed(proxy):
                 del self.identifiers.proxies[name]
-        # a dict keeps the memory of its largest size until it is made anew
+        # a dict keeps the memory of its largest size until it is copied
         self.start_times = dict(self.start_times)
         self.state = dict(self.state)
         self.identifiers.backends = dict(self.identifiers.backends)
@@ -146,7 +149,7 @@
         return forgotten
 
     def next_timer_at(self):
-        """When the next timer is due, ns, or None; 0 if something waits already."""
+        """Returns when the next timer is due, ns; 0: events are pending; None: there is no timer."""
         if self.pending_events:
             return 0
         return self.timers[0][0] if self.timers else None
--- a/embertray/controller/settings.py
+++ b/embertray/controller/settings.py
@@ -1,7 +1,7 @@
-"""The start settings: flat path=value pairs of the bench's wire, or the same names nested in JSON.
+"""Reads the start settings: flat path=value pairs of the bench's protocol, or the same names nested in JSON.
 
-Keys, values and names of metrics are the operators' own words; they end here. Times there are microseconds,
-here nanoseconds.
+Keys, values and metric names of the operators are translated here to the policy's terms, and microseconds to
+nanoseconds.
 """
 
 from embertray.policy import interface as i
@@ -10,18 +10,18 @@
 
 NS_PER_US = 1000
 
-# by the operators' word: whether a request may run again
+# The operators' term -> the policy's: whether a request may run again.
 IDEMPOTENCY = {
     "read_like": "replayable",
     "idempotency_key": "deduplicated",
     "non_idempotent": "non-replayable",
 }
-NOT_IDEMPOTENT = "non-replayable"  # also of an effect that is not named here
+NOT_IDEMPOTENT = "non-replayable"  # also for a term that IDEMPOTENCY lacks
 
-# by the operators' word: what a level limits, where the words differ
+# The operators' term -> the policy's, where they differ: what an admission level limits.
 THROTTLE_MODES = {"silent": "none"}
 
-# by the operators' word, of this platform and the common ones: metrics of a load report
+# The operators' term -> the policy's: metrics of a load report, by this platform's names and by common ones.
 LOAD_METRICS = {
     "active": "held",
     "waiting": "waiting",
@@ -37,19 +37,19 @@
     "eps": "errored_rate",
 }
 
-# keys that others than StartSettings ask for
-SLICES_KEY = "specifics.partitions-n"  # how many slices the tables belong to
-PROBES_KEY = "caps.probes"  # whether health checks are permitted
-PEER_MESSAGES_KEY = "caps.peer-messages"  # whether notes to other controllers are permitted
+# Keys that other modules read too.
+SLICES_KEY = "specifics.partitions-n"  # number of slices that the tables belong to
+PROBES_KEY = "caps.probes"  # whether health checks are allowed
+PEER_MESSAGES_KEY = "caps.peer-messages"  # whether messages to other controllers are allowed
 
 
 def flatten(nested, path=""):
-    """Turn nested JSON into the wire's pairs: {'a': {'b': [1, 2]}} gives {'a.b': '1,2'}.
+    """Turns nested JSON into flat pairs: {'a': {'b': [1, 2]}} becomes {'a.b': '1,2'}.
 
-    A list of objects gets .count, .0, .1 and so on; values that are null are left out.
+    A list of objects becomes the keys .count, .0, .1 and so on; null values are left out.
 
     Raises:
-        SettingsError: a list has objects and others.
+        SettingsError: A list mixes objects and other values.
     """
     pairs = {}
     for name, value in nested.items():
@@ -66,26 +66,26 @@
 
 
 def flatten_objects(objects, key):
-    """The pairs of a list of objects. Raises SettingsError if it has others."""
+    """Returns the pairs of a list of objects. Raises SettingsError if it has other values."""
     pairs = {key + ".count": str(len(objects))}
     for index, value in enumerate(objects):
         if not isinstance(value, dict):
-            raise SettingsError(f"'{value}' among the objects of {key}")
+            raise SettingsError(f"{key} mixes objects and other values: '{value}'")
         pairs.update(flatten(value, f"{key}.{index}."))
     return pairs
 
 
 def as_text(value):
-    """A JSON value as the wire writes it."""
+    """Returns a JSON value as the text that the flat pairs hold."""
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 def parse_float(text):
-    """The finite float in a text.
+    """Parses a finite float.
 
     Raises:
-        NotFiniteError: it is infinite or NaN.
-        ValueError: it is no number.
+        NotFiniteError: The number is infinite or NaN.
+        ValueError: The text is not a number.
     """
     value = float(text)
     if value != value or value in (float("inf"), float("-inf")):
@@ -94,19 +94,19 @@
 
 
 class StartSettings:
-    """Reads one controller's settings.
+    """The settings of one controller.
 
     Attributes:
         raw: Key -> text.
-        request_kinds: Name -> interface.RequestKind, whose `external_id` is its index.
-        load_metrics: Names of a load report's values, in their order.
-        zones: Names.
-        proxies: How many there are.
-        tick: Of the bench's clock, ns.
+        request_kinds: Name -> interface.RequestKind, whose `external_id` is its index in the settings.
+        load_metrics: Names of the values of a load report, in their order.
+        zones: Names of the zones.
+        proxies: Number of proxies.
+        tick: Tick of the bench's clock, ns.
     """
 
     def __init__(self, raw):
-        """Read `raw`, key -> text. Raises SettingsError."""
+        """Reads the settings from `raw`, key -> text. Raises SettingsError."""
         self.raw = raw
         self.load_metrics = [LOAD_METRICS.get(name, name) for name in self.names("feedback.fields")]
         self.zones = self.names("zones")
@@ -119,11 +119,11 @@
 
     @classmethod
     def from_nested(cls, settings):
-        """From the JSON object of a platform's configuration. Raises SettingsError."""
+        """Creates the settings from the JSON object of a platform's configuration. Raises SettingsError."""
         return cls(flatten(settings))
 
     def request_kind(self, index):
-        """The interface.RequestKind at a place of the settings. Raises SettingsError."""
+        """Returns the interface.RequestKind at an index of the settings' list. Raises SettingsError."""
         return i.RequestKind(
             self.time(f"profiles.{index}.aim"),
             self.time(f"profiles.{index}.deadline"),
@@ -134,16 +134,13 @@
         )
 
     def deployment(self, identifiers):
-        """What the decision module is given at its start: the table of fields and keys, hence its length.
+        """Returns the interface.Deployment that the policy starts with.
 
         Args:
-            identifiers: Identifiers, which the zones become objects of.
-
-        Returns:
-            An interface.Deployment.
+            identifiers: The Identifiers, which create the zones' handles.
 
         Raises:
-            SettingsError: a value can't be read.
+            SettingsError: A value can't be read.
         """
         return i.Deployment(
             kinds=list(self.request_kinds.values()),
@@ -179,24 +176,24 @@
         )
 
     def text(self, key, default=""):
-        """The text of a key."""
+        """Returns the text of a key."""
         return self.raw.get(key, default)
 
     def names(self, key):
-        """The texts of a key, which commas part; empty ones are left out."""
+        """Returns the comma-separated names of a key, without empty ones."""
         return [name for name in self.text(key).split(",") if name]
 
     def float_value(self, key, default=0.0):
-        """The finite number of a key. Raises SettingsError."""
+        """Returns the finite number of a key. Raises SettingsError."""
         try:
             return parse_float(self.raw[key]) if key in self.raw else default
         except ValueError:
-            raise SettingsError(f"'{self.raw[key]}' is no good value for {key}") from None
+            raise SettingsError(f"'{self.raw[key]}' is not a valid value for {key}") from None
 
     def time(self, key):
-        """The time of a key less its unit's ending, ns. Raises SettingsError."""
+        """Returns a time in ns; `key` lacks the ending -us of the setting. Raises SettingsError."""
         return int(self.float_value(key + "-us") * NS_PER_US)
 
     def flag(self, key):
-        """Whether a key's value is true."""
+        """Returns whether a key's value is true."""
         return self.text(key) in ("true", "1")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -66,7 +66,7 @@
         )
 
     def test_bad_values_are_named(self):
-        with self.assertRaisesRegex(SettingsError, "'x' is no good value for specifics.agents"):
+        with self.assertRaisesRegex(SettingsError, "'x' is not a valid value for specifics.agents"):
             StartSettings({"specifics.agents": "x"})
         for data in (b"", b"{", b"[]", b'{"name":"n1"}', configured().replace(b'"listen"', b'"l"'), b"\xff"):
             with self.assertRaises(ConfigurationError):
