--- a/embertray/controller/endpoint_list/__init__.py
+++ b/embertray/controller/endpoint_list/__init__.py
@@ -1,4 +1,4 @@
-"""The endpoint list: its messages, and the client that follows it without I/O."""
+"""The client side of the endpoint list: its messages, and the state machine that follows it without I/O."""
 
 from .follower import EndpointListFollower
 from .updates import ListUpdate, UpdateKind
--- a/embertray/controller/endpoint_list/follower.py
+++ b/embertray/controller/endpoint_list/follower.py
@@ -1,16 +1,16 @@
-"""Follows the endpoint list without I/O: which events apply, what to request, when to connect again.
+"""Follows the endpoint list without I/O: which events apply, what to request, when to reconnect.
 
-Changes that are not on top of our epoch are not applied: half a list is never taken for a complete one.
+Changes that are based on another epoch than ours are not applied, so that an incomplete list is never taken
+for a complete one.
 """
 
 from .backoff import backoff_delay
 from .messages import ListRequest, RequestFailed, WatchEvent, WatchRequest
 from .updates import ListUpdate, UpdateKind
 
-# Controllers that have a list spread their first call after a start over this time, ns.
+# Controllers that have a list spread their first connection after a start over this time.
 FIRST_CALL_SPREAD_NS = 2 * 10**9
-# A request without an answer for this long has failed, ns.
-REQUEST_TIMEOUT_NS = 5 * 10**9
+REQUEST_TIMEOUT_NS = 5 * 10**9  # for the response of the inventory
 
 
 class EndpointListFollower:
@@ -18,10 +18,10 @@
 
     Args:
         name: The controller's name, which the inventory records.
-        random: A function that gives numbers from 0 to 1.
+        random: A function that returns random numbers from 0 to 1.
 
     Attributes:
-        epoch: Version of the list that we have; 0: none.
+        epoch: Version of the current list; 0: none.
         entries: That list: backend name -> EndpointEntry.
         failures: Consecutive failed connections and requests.
     """
@@ -35,14 +35,12 @@
         self._request_sent_at = None  # ns; None: no request is in flight
 
     def initial_delay(self, has_list):
-        """How long to wait before the first connection after a start.
+        """Returns the delay before the first connection after a start, ns.
 
         Args:
-            has_list: Whether a list was loaded from disk. Without one nothing can be done, so nothing is
-                waited for; with one, controllers that start together do not call together.
-
-        Returns:
-            The delay, ns.
+            has_list: Whether a list was loaded from disk. Without one the controller can do nothing else, so
+                it connects at once; with one, the delay is random, so that controllers that start together
+                do not connect together.
         """
         return int(FIRST_CALL_SPREAD_NS * self.random()) if has_list else 0
 
@@ -63,7 +61,7 @@
 
         Args:
             now: ns.
-            complete: Whether the complete list is wanted, not only what changed.
+            complete: Whether to request the complete list, not only the changes.
 
         Returns:
             The request to send, or None: one is in flight.
@@ -74,7 +72,7 @@
         return ListRequest() if complete else WatchRequest(self.epoch, True, self.name)
 
     def connection_failed(self):
-        """Records that the connection is gone or could not be made.
+        """Records that the connection was lost or could not be made.
 
         Returns:
             The delay before the next attempt, ns.
@@ -84,17 +82,17 @@
         return backoff_delay(self.failures, self.random())
 
     def timed_out(self, now):
-        """Whether a request has been in flight for too long at `now` (ns)."""
+        """Returns whether a request has been in flight for over REQUEST_TIMEOUT_NS at `now` (ns)."""
         return self._request_sent_at is not None and now - self._request_sent_at > REQUEST_TIMEOUT_NS
 
     def receive(self, message):
-        """Applies one message of the inventory.
+        """Applies a message of the inventory.
 
         Args:
             message: A WatchEvent or a RequestFailed.
 
         Returns:
-            A ListUpdate. After a gap the complete list is to be requested.
+            A ListUpdate. After a gap, request the complete list.
         """
         if isinstance(message, RequestFailed):
             self.failures += 1
@@ -118,5 +116,5 @@
     def _apply_changes(self, changed):
         self.entries.update((entry.backend, entry) for entry in changed)
         if any(entry.state == "gone" for entry in changed):
-            # a new dict: one from which entries are deleted keeps its size
+            # a new dict, since one keeps its memory when entries are deleted
             self.entries = {name: entry for name, entry in self.entries.items() if entry.state != "gone"}
--- a/embertray/controller/endpoint_list/messages.py
+++ b/embertray/controller/endpoint_list/messages.py
@@ -1,6 +1,6 @@
 """Messages between a controller and the inventory: msgpack arrays in the frames of the proxies' protocol.
 
-The tags and the order of the fields are the wire's.
+The tags and the order of the fields are part of the protocol.
 """
 
 from typing import Annotated, Literal
@@ -16,12 +16,12 @@
 
 
 class WatchRequest(Message, tag="watch"):
-    """Asks for watch events from now on, beginning with the changes after an epoch.
+    """Starts a watch, beginning with the changes after an epoch.
 
     Attributes:
-        since: The epoch that the controller has; 0: none, the complete list is wanted first.
+        since: The controller's epoch; 0: none, the complete list is sent first.
         enabled: False ends the watch.
-        sender: Who asks, for the inventory's own records.
+        sender: Name of the controller, for the inventory's records.
     """
 
     since: Count = 0
@@ -30,16 +30,16 @@
 
 
 class ListRequest(Message, tag="get"):
-    """Asks for the complete list, once."""
+    """Requests the complete list once."""
 
 
 class EndpointEntry(Message):
-    """One backend.
+    """One backend of the list.
 
     Attributes:
         backend: Its name.
-        zone: Its zone.
-        state: `gone` only in changes.
+        zone: Its zone's name.
+        state: Its state; `gone` occurs only in changes.
         started: When it started, ns by the inventory's clock; 0: long ago.
         nominal: Nominal capacity, relative to other backends.
     """
@@ -52,13 +52,13 @@
 
 
 class WatchEvent(Message, tag="news"):
-    """Changes on top of an epoch, or the complete list.
+    """Changes since an epoch, or the complete list.
 
     Attributes:
         epoch: Version of the list after this event.
-        since: The epoch that the changes are on top of; 0: this is the complete list.
-        clock: The inventory's clock when it sent this, ns.
-        entries: What changed, or all backends.
+        since: The epoch that the changes are based on; 0: this is the complete list.
+        clock: The inventory's clock when it sent the event, ns.
+        entries: The changed entries, or all entries.
     """
 
     epoch: Count
@@ -68,10 +68,10 @@
 
 
 class RequestFailed(Message, tag="failed"):
-    """The inventory could not answer a request; it is to be repeated later.
+    """The inventory could not answer a request; the controller repeats it later.
 
     Attributes:
-        text: Why, in words.
+        text: The reason in words.
     """
 
     text: Annotated[str, Meta(max_length=ERROR_TEXT_CHARACTERS_MAX)] = ""
--- a/embertray/controller/endpoint_list/updates.py
+++ b/embertray/controller/endpoint_list/updates.py
@@ -1,27 +1,27 @@
-"""What a message from the inventory means for the controller that follows the list."""
+"""The kinds of updates of the endpoint list, as the follower classifies the inventory's messages."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
 class UpdateKind(StrEnum):
-    """How an update stands to the list so far; the values are the policy's words for it."""
+    """How an update relates to the current list; all values but GAP's are the policy's."""
 
     CHANGES = "changes"
-    """Entries that changed."""
+    """The changed entries."""
     COMPLETE = "whole"
-    """All entries: who is not among them is not listed."""
+    """All entries; a backend without an entry is not listed."""
     CACHED = "cached"
-    """All entries that count of a list from disk, at a start; no message of the inventory is one."""
+    """The valid entries of a list from disk, at a start; the inventory never sends this."""
     FAILED = "failed"
     """The inventory could not answer."""
     GAP = "gap"
-    """Changes on top of an epoch other than ours: not applied, the complete list is to be requested."""
+    """Changes based on another epoch than ours: not applied, the complete list has to be requested."""
 
 
 @dataclass(frozen=True)
 class ListUpdate:
-    """One message of the inventory, judged.
+    """A classified message of the inventory.
 
     Attributes:
         kind: An UpdateKind.
