--- a/embertray/cluster/link/__init__.py
+++ b/embertray/cluster/link/__init__.py
@@ -1,6 +1,6 @@
-"""The cluster's sockets: UDP for probes and gossip, TCP for the exchange of shared entries.
+"""The cluster's network I/O: UDP for probes and gossip, TCP for the exchange of shared entries.
 
-It runs in a task of its own beside the service's; nothing is decided here.
+It runs in a task of its own. The protocol logic is in `membership` and `state`.
 """
 
 from .exceptions import LinkError, UnexpectedMessageError
--- a/embertray/cluster/link/exceptions.py
+++ b/embertray/cluster/link/exceptions.py
@@ -1,20 +1,20 @@
-"""Errors of the cluster's sockets."""
+"""Errors of the cluster's network I/O."""
 
 
 class LinkError(Exception):
-    """Base of all errors of the cluster's sockets."""
+    """Base of all errors of the cluster's network I/O."""
 
 
 class UnexpectedMessageError(LinkError):
-    """A peer sent another message than the one that is due in an exchange."""
+    """A peer sent a message of another class than the state exchange expects."""
 
     def __init__(self, received, expected):
-        """Keep what came.
+        """Create the error.
 
         Args:
-            received: Class of the message that came.
-            expected: Class of the message that is due.
+            received: Class of the received message.
+            expected: Class of the expected message.
         """
-        super().__init__(f"{received.__name__} where {expected.__name__} is due")
+        super().__init__(f"received {received.__name__}, expected {expected.__name__}")
         self.received = received
         self.expected = expected
--- a/embertray/cluster/link/gossip_socket.py
+++ b/embertray/cluster/link/gossip_socket.py
@@ -1,4 +1,4 @@
-"""UDP: runs a Membership on a socket. A lost datagram is a lost message, and nothing more."""
+"""Runs a Membership on a UDP socket. The protocol tolerates lost datagrams."""
 
 from contextlib import suppress
 
@@ -10,23 +10,23 @@
 from embertray.common.net.exceptions import AddressError
 
 SECOND_NS = 10**9
-MAX_SLEEP_NS = SECOND_NS // 2  # so that a clock that jumps is noticed soon
+MAX_SLEEP_NS = SECOND_NS // 2  # bounds the time until a clock jump is noticed
 
 
 class GossipSocket:
-    """Calls a Membership when it is due, and carries its messages.
+    """Advances a Membership when its timers are due, and sends and receives its messages.
 
-    All is sent by `run`, so that the socket has one writer.
+    Only `run` sends, so that the socket has a single writer.
     """
 
     def __init__(self, membership, clock, counters, on_advance):
-        """Begin without a socket.
+        """Create the object; the socket is passed to `run` and `listen`.
 
         Args:
             membership: The Membership.
             clock: The clock, with `now()` in ns.
             counters: LinkCounters.
-            on_advance: Called with the time (ns) after each step, to take the membership's events.
+            on_advance: Called with the time (ns) after each step; processes the membership's events.
         """
         self.membership = membership
         self.clock = clock
@@ -36,7 +36,7 @@
         self.wake = anyio.Event()
 
     async def run(self, udp):
-        """Run until the membership has ended, and send its last messages.
+        """Advance the membership and send its messages until it has ended and its last messages are sent.
 
         Args:
             udp: The socket.
@@ -53,7 +53,7 @@
         await self.send_outgoing(udp)
 
     async def send_outgoing(self, udp):
-        """Send what is due.
+        """Send the queued messages.
 
         Args:
             udp: The socket.
@@ -63,12 +63,12 @@
         for address, message in outgoing:
             data = encode(message)
             self.counters.on_datagram_sent(len(data))
-            # A datagram that cannot be sent is as good as lost on the way.
+            # A datagram that cannot be sent is treated as lost.
             with suppress(OSError, AddressError, anyio.ClosedResourceError):
                 await udp.sendto(data, *parse_loopback(address))
 
     async def listen(self, udp):
-        """Hand what comes to the membership, until cancelled.
+        """Pass received messages to the membership, until cancelled.
 
         Args:
             udp: The socket.
@@ -84,6 +84,6 @@
             self.wake.set()
 
     def leave(self):
-        """Let the membership leave; `run` sends its last messages and returns."""
+        """Make the membership leave; `run` sends its last messages and returns."""
         self.outgoing += self.membership.leave(self.clock.now())
         self.wake.set()
--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -1,4 +1,4 @@
-"""One member of the cluster on its sockets: puts membership, entries and exchange together."""
+"""One member of the cluster: connects membership, entry store and state exchange to the network."""
 
 import random
 import socket
@@ -17,7 +17,7 @@
 from .token_bucket import TokenBucket
 
 SECOND_NS = 10**9
-LEAVE_TIMEOUT_NS = SECOND_NS // 2  # that an end waits for the last messages
+LEAVE_TIMEOUT_NS = SECOND_NS // 2  # how long a shutdown waits until the last messages are sent
 
 
 class ClusterLink:
@@ -30,15 +30,15 @@
     """
 
     def __init__(self, cluster, controller, peers, clock, seed, facts, log=None):
-        """Begin an incarnation; nothing is sent before `run`.
+        """Start a new incarnation; nothing is sent before `run`.
 
         Args:
             cluster: The site's Cluster.
-            controller: The controller's entry in the site.
-            peers: Addresses of the other controllers, as host:port.
+            controller: This controller's entry in the site.
+            peers: Addresses of the other controllers, host:port.
             clock: The clock, with `now()` and `wall()` in ns, and `sleep_until()`.
-            seed: Of all that is drawn at random, beside the name and the wall clock.
-            facts: Called for this member's own entries: key -> bytes.
+            seed: Seed of the random number generator, together with the name and the wall clock.
+            facts: Function that returns this member's own entries: key -> bytes.
             log: A structlog logger.
         """
         self.cluster = cluster
@@ -63,24 +63,24 @@
         )
         self.stopped = anyio.Event()
 
-    # ---- what the service asks
+    # ---- queries and controls of the service
 
     def status(self):
-        """Return the status as the admin endpoint and the metrics show it."""
+        """Return the status for the admin endpoint and the metrics."""
         return status(self)
 
     def collections(self):
-        """Return what the cluster holds, for the memory accounts."""
+        """Return the cluster's Collections for the memory accounts."""
         return collections(self)
 
     def set_growth_blocked(self, blocked):
-        """Take no entry that needs more memory, or take them again.
+        """Set whether received entries that need more memory are shed.
 
         Args:
             blocked: Whether memory is at its cap.
 
         Returns:
-            How many entries were shed so far.
+            The number of entries shed so far.
         """
         self.store.growth_blocked = blocked
         return sum(self.store.shed.values())
@@ -91,10 +91,10 @@
         """Run until cancelled, or until the membership has ended.
 
         Returns:
-            Why it has ended: this member left, or a younger process has its name.
+            Why the membership has ended: this member left, or a newer process uses its name.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address cannot be bound.
         """
         host, port = parse_loopback(self.controller.cluster)
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
@@ -112,13 +112,13 @@
         return self.membership.ended
 
     async def leave(self):
-        """Tell some members that this one leaves: within the timeout, or not at all."""
+        """Announce to some members that this one leaves, and wait for at most LEAVE_TIMEOUT_NS."""
         self.gossip_socket.leave()
         with anyio.move_on_after(LEAVE_TIMEOUT_NS / SECOND_NS, shield=True):
             await self.stopped.wait()
 
     def on_advance(self, now):
-        """Log the changes of members, and let the store follow them.
+        """Log membership changes, and apply them to the store.
 
         Args:
             now: The time, ns.
--- a/embertray/cluster/link/state_exchange.py
+++ b/embertray/cluster/link/state_exchange.py
@@ -1,7 +1,7 @@
-"""TCP: exchanges entries with one member each period, and answers the exchanges of others.
+"""State exchange over TCP: exchanges entries with one member per period, and serves the exchanges of others.
 
-Each exchange has a connection of its own: a few hundred bytes a second need no standing one. Whatever a peer
-sends ends that exchange at worst.
+Each exchange opens a new connection; a few hundred bytes a second do not justify a permanent one. Invalid
+data from a peer only ends that exchange.
 """
 
 import anyio
@@ -16,9 +16,9 @@
 from .state_stream import StateStream
 
 SECOND_NS = 10**9
-EXCHANGE_TIMEOUT_NS = 2 * SECOND_NS  # then it is given up: the member's turn comes again
-FACTS_PERIOD_NS = 1 * SECOND_NS  # between two writes of this member's own entries
-MAX_CHECKS_PER_PERIOD = 20  # how often, at most, the loop looks whether something is due
+EXCHANGE_TIMEOUT_NS = 2 * SECOND_NS  # the next round retries the member
+FACTS_PERIOD_NS = 1 * SECOND_NS  # time between two writes of this member's own entries
+MAX_CHECKS_PER_PERIOD = 20  # bounds how often the loop checks for due work
 
 STREAM_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 EXCHANGE_ERRORS = (*STREAM_ERRORS, FrameError, AddressError, LinkError, msgspec.DecodeError)
@@ -32,14 +32,14 @@
     """
 
     def __init__(self, exchange, membership, facts, clock, period, bucket, counters, log):
-        """Begin.
+        """Create the object; `run` starts the exchanges.
 
         Args:
-            exchange: The AntiEntropyExchange; it has the EntryStore.
+            exchange: The AntiEntropyExchange, which holds the EntryStore.
             membership: The Membership.
-            facts: Called for this member's own entries: key -> bytes.
+            facts: Function that returns this member's own entries: key -> bytes.
             clock: The clock, with `now()` and `sleep_until()` in ns.
-            period: Between two exchanges, ns.
+            period: Time between two exchanges, ns.
             bucket: The TokenBucket.
             counters: LinkCounters.
             log: A structlog logger.
@@ -57,17 +57,17 @@
         self.next_facts_at = 0
 
     def staleness_bound_ns(self):
-        """Return the time within which an entry is known at every member that its owner reaches, ns.
+        """Return the time within which an entry reaches every member that its owner can reach, ns.
 
-        How it comes about is stated at `staleness_bound_ns` in embertray.cluster.state.staleness. An own
-        entry is written anew each FACTS_PERIOD_NS, so what is read is at most that much older.
+        See `staleness_bound_ns` in embertray.cluster.state.staleness. Each member rewrites its entries every
+        FACTS_PERIOD_NS, so a value that is read can be older than the bound by that period.
         """
         active = set(self.membership.active_names())
         failing = len(self.failing & active)
         return staleness_bound_ns(len(active) + 1, self.period, EXCHANGE_TIMEOUT_NS, failing)
 
     async def run(self):
-        """Write this member's entries and begin exchanges, each when it is due, until cancelled."""
+        """Write this member's entries and start exchanges, each when it is due, until cancelled."""
         while True:
             now = self.clock.now()
             if now >= self.next_facts_at:
@@ -89,10 +89,10 @@
             try:
                 self.store.put(now, key, value)
             except StoreFullError as error:
-                self.log.warning("own entry not shared: the store is full", key=key, reason=str(error))
+                self.log.warning("cannot share own entry: the store is full", key=key, reason=str(error))
 
     async def begin_exchange(self, now):
-        """Exchange with the member whose turn it is, if an exchange is due and there are tokens for it.
+        """Exchange entries with the next member, if an exchange is due and the token bucket allows it.
 
         Args:
             now: The time, ns.
@@ -111,10 +111,10 @@
             self.failing.add(name)
 
     async def try_exchange(self, address):
-        """Exchange with a member, for as long as the timeout allows.
+        """Exchange entries with a member, within the timeout.
 
         Args:
-            address: Its address, as host:port.
+            address: Its address, host:port.
 
         Returns:
             Whether the exchange succeeded.
@@ -127,13 +127,13 @@
         return not scope.cancelled_caught
 
     async def exchange_with(self, address):
-        """Begin an exchange, and end it.
+        """Run one exchange as its initiator.
 
         Args:
-            address: The other member's address, as host:port.
+            address: The other member's address, host:port.
 
         Raises:
-            AddressError: It is no address on loopback.
+            AddressError: The address is not a loopback address.
             LinkError, FrameError, msgspec.DecodeError: What came is not what is due.
             OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream
                 broke, or ended.
@@ -148,10 +148,10 @@
                 await peer.send(answer)
 
     async def serve(self, stream):
-        """Answer an exchange that another member has begun.
+        """Serve an exchange that another member has started.
 
         Args:
-            stream: The connected stream; it is closed.
+            stream: The connected stream; it is closed afterwards.
         """
         try:
             async with stream:
@@ -166,7 +166,7 @@
 
 
 def reason(error):
-    """Return why an exchange failed, for the log: many errors of streams have no text.
+    """Return why an exchange failed, for the log; stream errors without a text are named by their class.
 
     Args:
         error: The exception.
--- a/embertray/cluster/link/state_stream.py
+++ b/embertray/cluster/link/state_stream.py
@@ -1,4 +1,4 @@
-"""Messages of an exchange on a TCP stream: frames of msgpack."""
+"""Messages of a state exchange on a TCP stream: framed msgpack."""
 
 import msgspec
 
@@ -12,10 +12,10 @@
 
 
 class StateStream:
-    """One end of an exchange; what it sends is counted and taken from the token bucket."""
+    """One end of a state exchange; data sent is counted and charged to the token bucket."""
 
     def __init__(self, stream, counters, bucket):
-        """Take a connected stream.
+        """Wrap a connected stream.
 
         Args:
             stream: The stream.
--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -1,14 +1,14 @@
-"""What operators see of the cluster, and what it holds in memory."""
+"""The cluster's status for operators, and its collections for the memory accounts."""
 
 from embertray.common.memory import Collection
 
 SECOND_NS = 10**9
-REJECTED_SHOWN = 16  # of the reasons and addresses of rejected messages, the most frequent
-FACTS_KEY = "facts"  # key under which each member shares its facts
+REJECTED_SHOWN = 16  # rejected messages are listed by the most frequent (reason, address) pairs
+FACTS_KEY = "facts"  # key of the entry in which each member shares data about itself
 
 
 def status(link):
-    """Return the status as the admin endpoint and the metrics show it; its keys are read by others.
+    """Return the status for the admin endpoint and the metrics; operators' tools read its keys.
 
     Args:
         link: The ClusterLink.
@@ -39,7 +39,7 @@
 
 
 def member_rows(link, now):
-    """Return a row for each other member, by name.
+    """Return a row for each other member, sorted by name.
 
     Args:
         link: The ClusterLink.
@@ -61,7 +61,7 @@
 
 
 def collections(link):
-    """Return what the cluster holds, for the memory accounts: each without what holds it.
+    """Return the cluster's collections for the memory accounts.
 
     Args:
         link: The ClusterLink.
@@ -86,7 +86,7 @@
 
 
 def seconds(time_ns):
-    """Return a time in seconds, to hundredths.
+    """Return a time in seconds, rounded to hundredths.
 
     Args:
         time_ns: The time, ns.
--- a/embertray/cluster/link/token_bucket.py
+++ b/embertray/cluster/link/token_bucket.py
@@ -1,23 +1,23 @@
-"""The bytes a second that a member may spend on the exchange of entries."""
+"""Rate limit of the state exchange, in bytes per second."""
 
 SECOND_NS = 10**9
 
 
 class TokenBucket:
-    """A token bucket whose burst is what a second gives.
+    """A token bucket that holds at most the tokens of one second.
 
-    Rule: an exchange may begin while there are tokens, and takes what it needs, also below zero. Probes are
-    not put off: they are small, and bounded by their period.
+    An exchange may start while there are tokens and takes as many as it needs; the count may become negative.
+    Probes are not limited: they are small, and bounded by their period.
 
     Attributes:
-        deferred: How many exchanges were put off to a later turn.
+        deferred: Number of exchanges that were deferred to a later round.
     """
 
     def __init__(self, rate, now):
-        """Begin full.
+        """Start with a full bucket.
 
         Args:
-            rate: Bytes a second.
+            rate: Bytes per second.
             now: The time, ns.
         """
         self.rate = rate
@@ -26,7 +26,7 @@
         self.deferred = 0
 
     def allows(self, now):
-        """Return whether an exchange may begin; one that may not is counted.
+        """Return whether an exchange may start; count it as deferred if not.
 
         Args:
             now: The time, ns.
@@ -39,9 +39,9 @@
         return False
 
     def take(self, size):
-        """Take the tokens for bytes that are sent.
+        """Take the tokens for data that is sent.
 
         Args:
-            size: The bytes.
+            size: Its size, bytes.
         """
         self.tokens -= size
--- a/embertray/cluster/state/__init__.py
+++ b/embertray/cluster/state/__init__.py
@@ -1,6 +1,6 @@
-"""Entries that members share: one owner each, merged in any order, read with their age.
+"""Entries shared by all members: each has one owner, can be merged in any order, and is read with its age.
 
-How stale an entry can be is stated in one place: `staleness.staleness_bound_ns`.
+`staleness.staleness_bound_ns` states how stale an entry can be.
 The design is in docs/design/cluster.md.
 """
 
--- a/embertray/cluster/state/entry.py
+++ b/embertray/cluster/state/entry.py
@@ -1,4 +1,4 @@
-"""A shared entry: as it travels, as it is stored and as readers get it."""
+"""A shared entry: as it is sent, as it is stored and as it is read."""
 
 from typing import Annotated, NamedTuple
 
@@ -8,27 +8,26 @@
 from embertray.cluster.membership.member import Count, Name
 
 MAX_KEY_CHARACTERS = 256
-ENTRY_OVERHEAD_BYTES = 200  # charged for each entry beside its texts: the objects that hold it
+ENTRY_OVERHEAD_BYTES = 200  # memory of the objects that hold an entry, counted in addition to its contents
 
 
 class EntryId(NamedTuple):
-    """What identifies an entry in the cluster."""
+    """Identifies an entry in the cluster."""
 
     owner: str
     key: str
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """An entry as it travels between members. Field order is the wire's.
+    """An entry as it is sent between members. The field order is the order on the wire.
 
     Attributes:
         owner: Name of the only member that may write it.
-        key: Its key, unique for the owner.
+        key: Its key, unique per owner.
         incarnation: The owner's incarnation that wrote it.
-        version: Counts all writes of the owner; of one incarnation the later version holds.
-        age_ns: Time since the owner wrote it, ns. It travels as a duration, as the members' clocks may be
-            hours apart.
-        value: What was written; None for a tombstone, which stands for a deleted entry.
+        version: The owner's write counter; within an incarnation the higher version prevails.
+        age_ns: Time since the owner wrote it, ns. A duration, because the members' clocks may be hours apart.
+        value: The value; None for a tombstone, which marks a deleted entry.
     """
 
     owner: Name
@@ -40,7 +39,7 @@
 
     @property
     def entry_id(self):
-        """The EntryId."""
+        """The entry's EntryId."""
         return EntryId(self.owner, self.key)
 
 
@@ -61,12 +60,12 @@
 
 
 class KnownValue(NamedTuple):
-    """An entry as a reader gets it.
+    """An entry as it is read.
 
     Attributes:
         owner: Name of the member that wrote it.
-        value: What it wrote.
-        age_ns: Time since it wrote that, ns.
+        value: The value.
+        age_ns: Time since the owner wrote it, ns.
     """
 
     owner: str
@@ -75,7 +74,7 @@
 
 
 def entry_size(owner, key, value):
-    """Return the bytes that an entry is charged.
+    """Return the size at which an entry is counted, bytes.
 
     Args:
         owner: Name of the owner.
--- a/embertray/cluster/state/exceptions.py
+++ b/embertray/cluster/state/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the shared entries."""
+"""Errors of the entry store."""
 
 
 class StoreError(Exception):
@@ -6,17 +6,17 @@
 
 
 class StoreFullError(StoreError, ValueError):
-    """An own entry does not fit under the store's cap; nothing was changed."""
+    """An entry of this member would exceed the store's cap; nothing was changed."""
 
     def __init__(self, key, needed_bytes, cap_bytes):
-        """Keep what was refused.
+        """Create the error.
 
         Args:
-            key: Key of the entry.
-            needed_bytes: Bytes that the store would hold with it.
-            cap_bytes: Bytes that the store may hold.
+            key: Key of the rejected entry.
+            needed_bytes: Size that the store would have with the entry, bytes.
+            cap_bytes: Maximum size of the store, bytes.
         """
-        super().__init__(f"{key}: {needed_bytes} of {cap_bytes} bytes")
+        super().__init__(f"entry {key!r} would grow the store to {needed_bytes} bytes, cap {cap_bytes}")
         self.key = key
         self.needed_bytes = needed_bytes
         self.cap_bytes = cap_bytes
--- a/embertray/cluster/state/exchange.py
+++ b/embertray/cluster/state/exchange.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: which member to exchange entries with next, and the messages of one exchange.
+"""Anti-entropy: selects the member for the next exchange of entries, and handles the messages of an exchange.
 
-An exchange begins with an Offer, answered by a Delta with what the beginner lacks, answered by a Delta with
-what the other lacks. How fast entries spread by it is stated in `staleness`.
+The initiator sends an Offer, the peer replies with a Delta of the entries that the initiator lacks, and the
+initiator replies with a Delta of those that the peer lacks. `staleness` states how fast entries spread.
 """
 
 import msgspec
@@ -20,7 +20,7 @@
     """First message of an exchange.
 
     Attributes:
-        digest: owner -> (incarnation, version) up to which the sender knows all of the owner's entries.
+        digest: owner -> (incarnation, version) up to which the sender has all of the owner's entries.
     """
 
     digest: Digest
@@ -30,10 +30,10 @@
     """Second and third message of an exchange.
 
     Attributes:
-        entries: What the receiver lacks.
-        complete_up_to: owner -> (incarnation, version) up to which the receiver knows all of the owner's
+        entries: The entries that the receiver lacks.
+        complete_up_to: owner -> (incarnation, version) up to which the receiver has all of the owner's
             entries once it has merged these.
-        reply_digest: The sender's own digest if it wants a Delta in return, else None.
+        reply_digest: The sender's own digest if it expects a Delta in return, else None.
     """
 
     entries: list[Entry]
@@ -42,14 +42,14 @@
 
 
 class AntiEntropyExchange:
-    """Exchanges of one member's EntryStore: one in each period, with each other member once in a round.
+    """The exchanges of one member's EntryStore: one per period, with each other member once per round.
 
     Attributes:
         next_at: When the next exchange is due, ns.
     """
 
     def __init__(self, store, rng, now, period=DEFAULT_PERIOD_NS):
-        """Begin at a random time within the first period.
+        """Schedule the first exchange at a random time within the first period.
 
         Args:
             store: The EntryStore.
@@ -63,14 +63,14 @@
         self.next_at = now + rng.randrange(period)
 
     def next_peer(self, now, names):
-        """Return the member to begin an exchange with now.
+        """Return the member to start an exchange with now.
 
         Args:
             now: The time, ns.
-            names: Members that are alive or suspect.
+            names: Names of the members that are alive or suspect.
 
         Returns:
-            A name, or None if no exchange is due or nobody is there.
+            A name, or None if no exchange is due or there is no other member.
         """
         if now < self.next_at:
             return None
@@ -78,7 +78,7 @@
         return self.order.next_name(names)
 
     def offer(self):
-        """Return the Offer that begins an exchange."""
+        """Return the Offer that starts an exchange."""
         return Offer(self.store.digest())
 
     def on_offer(self, now, offer):
@@ -99,11 +99,11 @@
             delta: The Delta.
 
         Returns:
-            The Delta to answer with, or None; and the entries that were new.
+            The Delta to reply with, or None; and the entries that were new.
         """
         shed_before = dict(self.store.shed)
         new_entries = self.store.merge(now, delta.entries)
-        # An owner of which entries were shed is not marked complete: its entries are sent again later.
+        # If entries of an owner were shed, the owner is not marked complete, so that they are sent again.
         shed_now = {owner for owner, count in self.store.shed.items() if count > shed_before.get(owner, 0)}
         self.store.mark_complete(
             {owner: rank for owner, rank in delta.complete_up_to.items() if owner not in shed_now}
--- a/embertray/cluster/state/owner.py
+++ b/embertray/cluster/state/owner.py
@@ -1,4 +1,4 @@
-"""What the owner of entries may do: write and delete them, and write them anew under a later incarnation."""
+"""The entries that this member owns: writing, deleting, and moving them to a later incarnation."""
 
 from .entry import Entry, EntryId
 from .exceptions import StoreFullError
@@ -8,18 +8,17 @@
 class OwnedEntries(EntryTable):
     """The entries that this member owns.
 
-    Rule: an entry is written by its owner alone, each write under a higher (incarnation, version).
-    Reason: of two copies the higher one holds, so members agree whatever order copies come in, and without a
-    clock in common.
+    Only its owner writes an entry, each time with a higher (incarnation, version). Of two copies the higher
+    one prevails, so members agree in whatever order copies arrive, and without synchronised clocks.
     """
 
     def __init__(self, name, incarnation, cap_bytes):
-        """Begin with no entries.
+        """Create an empty table.
 
         Args:
             name: Name of this member.
             incarnation: Its incarnation.
-            cap_bytes: Bytes that all entries may be charged.
+            cap_bytes: Maximum size of all entries, bytes.
         """
         super().__init__()
         self.name = name
@@ -28,7 +27,7 @@
         self.version = 0
 
     def put(self, now, key, value):
-        """Write an own entry.
+        """Write an entry of this member.
 
         Args:
             now: The time, ns.
@@ -36,7 +35,7 @@
             value: Its value, bytes; None writes a tombstone.
 
         Raises:
-            StoreFullError: It does not fit under the cap; nothing was changed.
+            StoreFullError: The entry would exceed the cap; nothing was changed.
         """
         needed_bytes = self.size_bytes + self.growth(EntryId(self.name, key), value)
         if needed_bytes > self.cap_bytes:
@@ -45,7 +44,7 @@
         self.set(Entry(self.name, key, self.incarnation, self.version, 0, value), now)
 
     def delete(self, now, key):
-        """Delete an own entry, if it is there: a tombstone takes its place, which spreads as a write does.
+        """Delete an entry of this member, if it exists: a tombstone replaces it and spreads like a write.
 
         Args:
             now: The time, ns.
@@ -58,10 +57,10 @@
             self.put(now, key, None)
 
     def adopt_incarnation(self, incarnation):
-        """Write all own entries anew under a later incarnation.
+        """Rewrite all entries of this member under a later incarnation.
 
-        Guards against copies of a former incarnation at peers: they show as our entries never changing
-        there. Every entry is past such a copy once it has the later incarnation.
+        Peers may hold copies from a former incarnation with higher versions, which would hide the current
+        entries. With the later incarnation every entry outranks such a copy.
 
         Args:
             incarnation: The later incarnation.
--- a/embertray/cluster/state/staleness.py
+++ b/embertray/cluster/state/staleness.py
@@ -1,25 +1,25 @@
-"""How long a shared entry may be stale: the bound, in nanoseconds."""
+"""The staleness bound of shared entries."""
 
 
 def staleness_bound_ns(members, period, exchange, failing=0):
-    """Return the time within which an entry is known at every member that its owner reaches.
+    """Return the time within which an entry reaches every member that its owner can reach.
 
-    Rule: 2 (members - 1) period + 2 failing exchange + exchange.
+    The bound is 2 (members - 1) period + 2 failing exchange + exchange.
 
-    Each member begins one exchange in each period, with each other member once in a round of members - 1
-    periods, in an order that is drawn anew. Two exchanges with the same member are thus less than two rounds
-    apart (first in one round, last in the next). A turn with a member that cannot be reached takes the
-    timeout of an exchange in place of a period, and each such member comes twice. In every exchange both
-    sides learn what they lack.
+    Each member starts one exchange per period, with each other member once per round of members - 1 periods,
+    in an order that is reshuffled for each round. Two exchanges with the same member are therefore less than
+    two rounds apart (first in one round, last in the next). An exchange with an unreachable member takes the
+    exchange timeout instead of a period, and each such member is selected twice. In every exchange both
+    sides receive what they lack.
 
-    The age that a reader is given leaves out the last message's time on the network, which is below
-    `exchange`. An owner that writes its entry anew only every so often adds that time to the bound.
+    The age that a reader sees does not include the last message's time on the network, which is below
+    `exchange`. If the owner rewrites its entry periodically, that period has to be added to the bound.
 
     Args:
-        members: Members of the cluster, this one included.
+        members: Number of members of the cluster, this one included.
         period: Time between two exchanges of one member, ns.
         exchange: Timeout of an exchange, ns.
-        failing: Members with which exchanges fail.
+        failing: Number of members with which exchanges fail.
 
     Returns:
         The bound, ns.
--- a/embertray/cluster/state/store.py
+++ b/embertray/cluster/state/store.py
@@ -1,8 +1,8 @@
-"""All entries that a member knows: merging those of others, reading them, and removing what has expired.
+"""All entries that a member knows: merging those of others, reading, and expiring.
 
-Merging is commutative, associative and idempotent. Of an owner the latest incarnation holds, in it for each
-key the latest version, and of one version the greatest age: an entry that is older than stated would break
-the readers' bound, one that is younger only costs a refresh.
+Merging is commutative, associative and idempotent. Of an owner's entries only those of the latest incarnation
+are kept, of each key the latest version, and of one version the greatest age: an entry that is older than its
+stated age would break the readers' staleness bound, one that is younger only costs a refresh.
 """
 
 from collections import Counter
@@ -12,32 +12,32 @@
 
 DEFAULT_CAP_BYTES = 1 << 20
 DEFAULT_RETENTION_NS = 600 * 10**9
-NO_RANK = (-1, -1)  # the (incarnation, version) of an owner of which nothing is known
+NO_RANK = (-1, -1)  # (incarnation, version) of an unknown owner
 
 
 class EntryStore(OwnedEntries):
-    """The entries of this member and of all others, as far as they are known here.
+    """The known entries of this member and of all others.
 
-    At the cap an own entry is refused (StoreFullError); one that was received is shed, or takes the place
-    of entries of the owner with the most bytes.
+    At the cap this member's own entries are rejected (StoreFullError); a received entry is shed, or evicts
+    entries of the owner with the largest total size.
 
     Attributes:
-        shed: owner -> how many of its entries were left out or evicted for lack of room.
-        growth_blocked: Whether nothing is taken that needs more bytes than are stored now.
-        incarnations: owner -> the latest incarnation that was heard of.
+        shed: owner -> number of its entries that were shed or evicted because of the cap.
+        growth_blocked: Whether received entries that would make the store grow are shed.
+        incarnations: owner -> the latest known incarnation.
         complete_up_to: owner -> (incarnation, version) up to which all of its entries are known.
         departed_at: owner -> when it was first seen to be dead or to have left, ns.
     """
 
     def __init__(self, name, incarnation, cap_bytes=DEFAULT_CAP_BYTES, retention_ns=DEFAULT_RETENTION_NS):
-        """Begin with no entries.
+        """Create an empty store.
 
         Args:
             name: Name of this member.
             incarnation: Its incarnation.
-            cap_bytes: Bytes that all entries may be charged.
-            retention_ns: How long tombstones, and entries of members that departed, are kept. Past that
-                time no old copy is around that could bring them back.
+            cap_bytes: Maximum size of all entries, bytes.
+            retention_ns: How long tombstones and entries of departed members are kept, ns: long enough that
+                no old copy is left that could resurrect them.
         """
         super().__init__(name, incarnation, cap_bytes)
         self.retention_ns = retention_ns
@@ -57,7 +57,7 @@
             entries: Entries of any owners.
 
         Returns:
-            Those that were newer than what was known.
+            The entries that were newer than the stored ones and were stored.
         """
         return [entry for entry in entries if self.apply(now, entry)]
 
@@ -69,13 +69,13 @@
             entry: The Entry.
 
         Returns:
-            Whether it was newer than what was known, and there was room for it.
+            Whether it was newer than the stored one and was stored.
         """
         owner = entry.owner
         if owner == self.name:
-            return False  # only this process writes its entries; copies of a former incarnation are passed
+            return False  # only this process writes its entries; adopt_incarnation outranks older copies
         if entry.incarnation < self.incarnations.get(owner, 0):
-            return False  # a former incarnation's entries do not hold any more, whoever repeats them
+            return False  # entries of a former incarnation are obsolete
         self.note_incarnation(owner, entry.incarnation)
         entry_id = entry.entry_id
         written_at = now - entry.age_ns
@@ -94,11 +94,11 @@
         return True
 
     def note_incarnation(self, owner, incarnation):
-        """Remove what a former incarnation of an owner wrote, if a later one is heard of.
+        """Record an owner's incarnation, and remove the entries of former ones if it is a later one.
 
         Args:
             owner: Name of the owner.
-            incarnation: The incarnation that was heard of.
+            incarnation: The incarnation.
         """
         if incarnation <= self.incarnations.get(owner, 0):
             return
@@ -108,11 +108,11 @@
                 self.remove(entry_id)
 
     def has_room(self, owner, growth):
-        """Return whether a received entry may be stored; entries of larger owners are evicted if need be.
+        """Return whether a received entry may be stored; evict entries of larger owners if necessary.
 
         Args:
             owner: Name of the entry's owner.
-            growth: Bytes by which the entry makes the store grow.
+            growth: Growth of the store by the entry, bytes.
         """
         if self.growth_blocked and growth > 0:
             return False
@@ -127,13 +127,13 @@
         return True
 
     def largest_owner(self):
-        """Return the owner whose entries are charged the most bytes, or None if there are no entries."""
+        """Return the owner whose entries have the largest total size, or None if there are no entries."""
         return max(self.bytes_by_owner, key=lambda name: (self.bytes_by_owner[name], name), default=None)
 
     # ---- reading
 
     def latest_values(self, now, key):
-        """Return what each owner last wrote under a key, however old.
+        """Return each owner's latest known value of a key, regardless of its age.
 
         Args:
             now: The time, ns.
@@ -150,12 +150,12 @@
         return sorted(found, key=lambda known: (known.age_ns, known.owner))
 
     def values_within_age(self, now, key, age_ns):
-        """Return what each owner last wrote under a key, unless it may not hold any more.
+        """Return each owner's latest known value of a key, without values that are too old.
 
         Args:
             now: The time, ns.
             key: The key.
-            age_ns: The greatest age that is acceptable, ns.
+            age_ns: Maximum age, ns.
 
         Returns:
             KnownValues, the youngest first.
@@ -169,14 +169,15 @@
         return {**self.complete_up_to, self.name: (self.incarnation, self.version)}
 
     def missing_entries(self, now, digest):
-        """Return what a peer lacks.
+        """Return the entries that a peer lacks.
 
         Args:
             now: The time, ns.
             digest: The peer's digest.
 
         Returns:
-            The entries, and owner -> (incarnation, version) up to which the peer holds all with them.
+            The entries, and owner -> (incarnation, version) up to which the peer has all of the owner's
+            entries once it has merged them.
         """
         ahead = {}
         changes = []
@@ -185,11 +186,11 @@
             if rank > peer_rank:
                 ahead[owner] = rank
                 changes += self.newer_than(owner, peer_rank)
-        changes.sort()  # in the order in which they were set: the same bytes whichever owners are ahead
+        changes.sort()  # in the order in which they were set, so that the encoding is deterministic
         return [self.entry(now, entry_id) for _, entry_id in changes], ahead
 
     def entry(self, now, entry_id):
-        """Return a stored entry as it travels.
+        """Return a stored entry in the form in which it is sent.
 
         Args:
             now: The time, ns.
@@ -200,7 +201,7 @@
         return Entry(*entry_id, stored.incarnation, stored.version, age_ns, stored.value)
 
     def mark_complete(self, digest):
-        """Note that all entries up to a peer's digest were merged.
+        """Record that all entries up to a peer's digest were merged.
 
         Args:
             digest: owner -> (incarnation, version).
@@ -213,9 +214,10 @@
     # ---- expiring
 
     def expire(self, now, departed):
-        """Remove tombstones, and entries of members that departed, once they were kept for long enough.
+        """Remove tombstones and entries of departed members after the retention time.
 
-        The latest incarnation of a member that departed stays known: a few bytes against old copies.
+        The latest incarnation of a departed member stays known; it takes a few bytes and keeps old copies
+        from being accepted.
 
         Args:
             now: The time, ns.
--- a/embertray/cluster/state/table.py
+++ b/embertray/cluster/state/table.py
@@ -1,4 +1,4 @@
-"""The entries that a store holds, with the indices and byte counts that go with them; no rules of merging."""
+"""Storage of entries with their indexes and sizes; the merge rules are in `store`."""
 
 from collections import Counter
 
@@ -6,13 +6,13 @@
 
 
 class EntryTable:
-    """Entries by EntryId, their bytes by owner, and the order in which they were set.
+    """Entries by EntryId, their size by owner, and the order in which they were set.
 
     Attributes:
         entries: EntryId -> StoredEntry.
-        order_by_owner: owner -> {EntryId: count of the change that set it}, in that order.
-        size_bytes: Bytes that all entries are charged.
-        bytes_by_owner: owner -> bytes that its entries are charged.
+        order_by_owner: owner -> {EntryId: sequence number of the change that set it}, in that order.
+        size_bytes: Total size of all entries, bytes.
+        bytes_by_owner: owner -> total size of its entries, bytes.
         tombstones: EntryIds of deleted entries.
     """
 
@@ -29,7 +29,7 @@
         return list(self.order_by_owner.get(owner, ()))
 
     def growth(self, entry_id, value):
-        """Return the bytes by which the entries grow if `value` takes the place of what is stored.
+        """Return the growth of the table if `value` replaces the stored one, bytes.
 
         Args:
             entry_id: The EntryId.
@@ -40,7 +40,7 @@
         return entry_size(*entry_id, value) - old_size
 
     def set(self, entry, written_at):
-        """Store an entry in the place of the former one.
+        """Store an entry; it replaces a stored one with the same EntryId.
 
         Args:
             entry: The Entry.
@@ -61,7 +61,7 @@
         self.bytes_by_owner[entry.owner] += growth
 
     def remove(self, entry_id):
-        """Remove an entry without a trace, if it is there."""
+        """Remove an entry, if it exists, without leaving a tombstone."""
         old = self.entries.pop(entry_id, None)
         if old is None:
             return
@@ -76,11 +76,11 @@
             del self.bytes_by_owner[owner]
 
     def newer_than(self, owner, rank):
-        """Yield (count of the change, EntryId) of each entry of an owner past a rank.
+        """Yield (sequence number of the change, EntryId) of each entry of an owner beyond a rank.
 
         Args:
             owner: Name of the owner.
-            rank: (incarnation, version) up to which all are known already.
+            rank: (incarnation, version) up to which the entries are known already.
         """
         for entry_id, change in self.order_by_owner.get(owner, {}).items():
             stored = self.entries[entry_id]
