--- a/embertray/cluster/limits/__init__.py
+++ b/embertray/cluster/limits/__init__.py
@@ -1,6 +1,6 @@
-"""Quotas that hold over the whole fleet: loans for a term, lent by one leader at a time.
+"""Fleet-wide limits: one leader at a time grants the members quotas that are valid for a lease term.
 
-The leader is whoever holds a lease that a majority of the members granted. `Limits` is a state machine
+The leader is the member that holds a lease granted by a majority of the members. `Limits` is a state machine
 without I/O. The design is in docs/design/limits.md.
 """
 
--- a/embertray/cluster/limits/accounts.py
+++ b/embertray/cluster/limits/accounts.py
@@ -1,4 +1,4 @@
-"""What the leader knows of each member: its last request, its loans, its former incarnations."""
+"""What the leader knows about each member: its last request, its grants and its former incarnations."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
     Attributes:
         amounts: limit -> units.
-        proxies: Among how many proxies the member divides its share.
+        proxies: Number of proxies among which the member divides its share.
     """
 
     amounts: dict
@@ -18,12 +18,12 @@
 
 
 class IncarnationRecord(NamedTuple):
-    """What is known of one incarnation of a member.
+    """What is known about one incarnation of a member.
 
     Attributes:
         request: Its last QuotaRequest.
-        grants: Sequence number of the request -> Loan; None if another leader granted them.
-        heard_at: When it was last heard; of a former incarnation, when a later one was first heard of. ns.
+        grants: Sequence number of the request -> Grant; None if another leader granted them.
+        heard_at: When it was last heard, ns; for a former incarnation, when a later one was first heard of.
     """
 
     request: QuotaRequest
@@ -35,10 +35,10 @@
     """One member's account.
 
     Attributes:
-        request: Its last QuotaRequest, None if this leader has not heard it.
-        heard_at: When that came, ns.
-        grants: Sequence number of the request -> Loan, of those that may still be applied.
-        former_incarnations: IncarnationRecords, in their order.
+        request: Its last QuotaRequest, None if this leader has not received one.
+        heard_at: When that request arrived, ns.
+        grants: Sequence number of the request -> Grant, for grants that may still be applied.
+        former_incarnations: IncarnationRecords, oldest first.
     """
 
     __slots__ = ("request", "heard_at", "grants", "former_incarnations")
@@ -51,24 +51,23 @@
 
     @property
     def current(self):
-        """The IncarnationRecord of the incarnation that was heard last."""
+        """The IncarnationRecord of the current incarnation."""
         return IncarnationRecord(self.request, self.grants, self.heard_at)
 
 
 class Accounts:
-    """The accounts of all members under one leader's tenure, and which proxies each has claimed."""
+    """The accounts of all members during one leader's term, and the proxies that each has claimed."""
 
     def __init__(self, names, pools, floors, config, now, earlier_requests=None):
-        """Begin a tenure.
+        """Create the accounts of a new leader.
 
         Args:
-            names: All members.
-            pools: limit -> units that are lent.
-            floors: limit -> units that each member has anyway.
+            names: Names of all members.
+            pools: limit -> units that can be granted.
+            floors: limit -> units that each member may always use.
             config: A LimitsConfig.
             now: The time, ns.
-            earlier_requests: member -> the last QuotaRequest of each of its incarnations that was heard of
-                before, in their order.
+            earlier_requests: member -> the last QuotaRequest of each of its known incarnations, oldest first.
         """
         earlier_requests = earlier_requests or {}
         self.names = names
@@ -84,15 +83,15 @@
             ]
 
     def record_request(self, now, name, request):
-        """Enter a member's request.
+        """Record a member's request.
 
         Args:
             now: The time, ns.
-            name: The member.
+            name: Name of the member.
             request: Its QuotaRequest.
 
         Returns:
-            False if it is no later than the last one.
+            False if it is not newer than the last one.
         """
         account = self.accounts[name]
         heard = account.request is not None
@@ -114,11 +113,11 @@
     def unclaimed_proxies(self, name, request):
         """Return the proxies of a request that no other member has claimed since.
 
-        Another member has claimed a proxy if it says that the proxy acts on its word, in a request that knew
-        of this one.
+        A member claims a proxy by listing it as acknowledged (using that member's quota) in a request sent with
+        knowledge of this one. A later incarnation of the same member can claim proxies, too.
 
         Args:
-            name: The member whose request it is.
+            name: Name of the member that sent the request.
             request: The QuotaRequest.
         """
         unclaimed = {proxy for allotments in request.allotments.values() for proxy in allotments}
@@ -135,13 +134,13 @@
         return unclaimed
 
     def has_missed_request(self, name, sequence):
-        """Return whether another member has heard a later request of a member than the leader has.
+        """Return whether another member has received a later request of a member than the leader has.
 
-        Proxies may then have been given up to that member unseen.
+        That request may have given up proxies to the other member without the leader's knowledge.
 
         Args:
-            name: The member.
-            sequence: Sequence number of its last request here.
+            name: Name of the member.
+            sequence: Sequence number of its last request that the leader has received.
         """
         return any(
             account.request is not None and account.request.last_heard.get(name, 0) > sequence
--- a/embertray/cluster/limits/config.py
+++ b/embertray/cluster/limits/config.py
@@ -1,4 +1,4 @@
-"""Times of the limits, and the share of a limit that is never lent."""
+"""Settings of the fleet-wide limits."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True)
 class LimitsConfig:
-    """Times are ns by a member's own clock.
+    """Settings of the fleet-wide limits; times are ns by a member's own clock.
 
     Attributes:
-        request_period: Between two quota requests of a member: demand that is followed soon, against
-            messages.
-        lease_term: That the leader's lease lasts, and that a loan may be used to raise proxies: four lost
-            messages in a row.
-        clock_drift: Share by which a clock runs too fast or too slow, at most.
-        floor_share: Share of a limit that is divided evenly among the members and never lent: what each may
-            use whatever fails.
+        request_period: Time between two quota requests of a member: a shorter one follows demand sooner, but
+            costs more messages.
+        lease_term: Duration of the leader's lease, and time during which a grant may be used to raise the
+            quotas of proxies. It tolerates four lost messages in a row.
+        clock_drift: Maximum relative error of a clock's rate, as a fraction.
+        floor_share: Fraction of a limit that is divided evenly among the members and never granted. Each
+            member may use its floor whatever fails.
     """
 
     request_period: int = 1 * SECOND_NS
@@ -26,9 +26,9 @@
 
     @property
     def drift_adjusted_term(self):
-        """The time, ns by any member's clock, in which another's term has surely ended.
+        """The time after which another member's lease term has certainly ended, ns by any member's clock.
 
-        That member's clock may be slow, and the one by which this is measured fast.
+        That member's clock may be slow, and the clock by which this time is measured may be fast.
         """
         return int(self.lease_term * (1 + self.clock_drift) / (1 - self.clock_drift)) + 1
 
--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -1,4 +1,4 @@
-"""The state machine of one member's limits: time and messages in, messages and quotas out."""
+"""The limits' state machine: its input is time and messages, its output messages and quotas."""
 
 from .config import DEFAULT_CONFIG
 from .election import LeaderElection
@@ -18,33 +18,33 @@
 
 
 class Limits(LeaderElection):
-    """One member's limits: it votes, it may lead, and it holds a quota.
+    """One member's limits: it votes, may become the leader, and holds a quota.
 
-    Hand in the time (`advance`, at `next_at` at the latest) and what came (`receive`); both return
-    OutgoingMessages. The quotas of its proxies are those of `quota_holder`.
+    The caller passes the time to `advance`, no later than `next_at`, and received messages to `receive`; both
+    return OutgoingMessages. `quota_holder` has the quotas of this member's proxies.
 
     Attributes:
         quota_holder: The QuotaHolder.
-        ledger: The Ledger while this member leads, else None.
-        leader_ballot: Ballot of the latest leader that is known.
+        ledger: The Ledger while this member is the leader, else None.
+        leader_ballot: Ballot of the latest known leader.
         leader: Name of that leader, or None.
-        next_request_at: When to send the next QuotaRequest, ns.
+        next_request_at: When the next QuotaRequest is due, ns.
     """
 
     def __init__(
         self, name, names, totals, now, rng, config=DEFAULT_CONFIG, new_cluster=False, incarnation=0
     ):
-        """Begin an incarnation.
+        """Start a new incarnation.
 
         Args:
             name: Name of this member.
-            names: All members that the site names, this one included.
-            totals: limit -> units that all members may use together.
+            names: Names of all members of the site, this one included.
+            totals: limit -> units that all members together may use.
             now: The time, ns.
             rng: A seeded random.Random.
             config: A LimitsConfig.
             new_cluster: Whether no member has run before.
-            incarnation: Later in each; also the base of this incarnation's sequence numbers.
+            incarnation: A number that increases with each incarnation; sequence numbers start from it.
         """
         self.next_request_at = now + rng.randrange(config.request_period)
         super().__init__(name, sorted(names), now, rng, config, new_cluster)
@@ -57,13 +57,13 @@
         self.leader = None
 
     def next_at(self):
-        """Return when to call `advance` at the latest, ns."""
+        """Return the latest time at which `advance` has to be called, ns."""
         return min(self.next_request_at, self.next_election_at)
 
     # ---- time
 
     def advance(self, now):
-        """Do what is due.
+        """Run the timers that are due.
 
         Args:
             now: The time, ns.
@@ -72,7 +72,7 @@
             OutgoingMessages.
         """
         if self.ledger is not None and not self.is_leader(now):
-            self.ledger = None  # the lease has ended: nothing more is lent
+            self.ledger = None  # the lease has ended: no more grants
         outgoing = []
         if now >= self.next_election_at:
             outgoing += self.run_election(now)
@@ -81,7 +81,7 @@
         return outgoing
 
     def send_request(self, now):
-        """Send this member's QuotaRequest to all others, and enter it here.
+        """Send this member's QuotaRequest to all others, and record it here.
 
         Args:
             now: The time, ns.
@@ -97,18 +97,18 @@
     # ---- messages
 
     def receive(self, now, sender, message):
-        """Take a message.
+        """Handle a received message.
 
         Args:
             now: The time, ns.
             sender: Name of the member that sent it.
-            message: The message.
+            message: The Message.
 
         Returns:
             OutgoingMessages.
 
         Raises:
-            TypeError: It is no message of this protocol.
+            TypeError: There is no handler for its class.
         """
         match message:
             case Prepare() | Propose():
@@ -128,7 +128,7 @@
         return []
 
     def on_elected(self, now):
-        """Begin a tenure, or go on with the one that was renewed.
+        """Start to lead with a new ledger, or continue after a renewal of the lease.
 
         Args:
             now: The time, ns.
@@ -147,9 +147,9 @@
         self.leader_heard_at = now
 
     def on_request(self, now, sender, request):
-        """Take another member's QuotaRequest: note its leader, and lend if that is this member.
+        """Handle another member's QuotaRequest: record the leader, and grant a quota if this member leads.
 
-        Grants of a former leader are not applied any more once a later one is known.
+        Once a later leader is known, grants of a former one are not applied any more.
 
         Args:
             now: The time, ns.
@@ -160,7 +160,7 @@
             OutgoingMessages.
         """
         if not self.history.record(sender, request):
-            return []  # repeated, or overtaken by a later one
+            return []  # duplicate, or older than the last request
         self.quota_holder.on_peer_request(sender, request)
         self.highest_ballot = max(self.highest_ballot, request.ballot)
         self.proposer.highest_known = max(self.proposer.highest_known, request.ballot)
@@ -171,11 +171,11 @@
         return self.grant_quota(now, sender, request)
 
     def grant_quota(self, now, requester, request):
-        """Answer a QuotaRequest with a grant, if this member is the leader that it asks.
+        """Answer a QuotaRequest with a QuotaGrant, if this member is the leader that it addresses.
 
         Args:
             now: The time, ns.
-            requester: Name of the member that asks.
+            requester: Name of the requesting member.
             request: Its QuotaRequest.
 
         Returns:
--- a/embertray/cluster/limits/divide.py
+++ b/embertray/cluster/limits/divide.py
@@ -1,18 +1,18 @@
-"""How a pool is divided among members."""
+"""Max-min fair division of a pool among members."""
 
 
 def divide(pool, demand):
-    """Divide a pool by demand.
+    """Divide a pool by demand, with max-min fairness.
 
-    Rule: the least demand is met first, and none gets more than it wants while another lacks (max-min
-    fairness). What is left over goes to all alike, so that a rise in demand finds room.
+    Smaller demands are met first, and no member gets more than it wants while another lacks units. The rest
+    is divided evenly, so that a rise in demand is covered.
 
     Args:
         pool: Units to divide.
         demand: member -> units wanted.
 
     Returns:
-        member -> units, whole numbers that add up to `pool`; the same for the same input.
+        member -> units, integers that add up to `pool`; deterministic.
     """
     by_demand = sorted(demand, key=lambda name: (demand[name], name))
     remaining = pool
--- a/embertray/cluster/limits/election.py
+++ b/embertray/cluster/limits/election.py
@@ -1,4 +1,4 @@
-"""Who leads: opening ballots, voting, and renewing the lease; and how messages reach all members."""
+"""Leader election: starting ballots, voting and renewing the lease; and sending messages to all members."""
 
 from abc import ABC, abstractmethod
 
@@ -8,21 +8,21 @@
 
 
 class LeaderElection(ABC):
-    """One member's part in electing a leader: it votes, and it may try to lead.
+    """One member's part in the leader election: it votes, and may become a candidate.
 
     Attributes:
-        history: The RequestHistory, without which this member may not lead.
+        history: The RequestHistory; this member may only lead once it is complete.
         leader_heard_at: When a leader was last heard of, ns.
         highest_ballot: The highest ballot seen of any proposer.
-        next_election_at: When to try next, ns.
+        next_election_at: When `run_election` is due, ns.
     """
 
     def __init__(self, name, names, now, rng, config, new_cluster):
-        """Begin an incarnation.
+        """Start a new incarnation.
 
         Args:
             name: Name of this member.
-            names: All members, sorted.
+            names: Names of all members, sorted.
             now: The time, ns.
             rng: A seeded random.Random.
             config: A LimitsConfig.
@@ -41,14 +41,14 @@
 
     @abstractmethod
     def receive(self, now, sender, message):
-        """Take a message (Limits)."""
+        """Handle a received message (Limits)."""
 
     @abstractmethod
     def on_elected(self, now):
-        """Begin or go on to lead (Limits)."""
+        """Start or continue to lead (Limits)."""
 
     def is_leader(self, now):
-        """Return whether this member holds the lease, and so may lend.
+        """Return whether this member holds the lease and may grant quotas.
 
         Args:
             now: The time, ns.
@@ -56,10 +56,10 @@
         return self.proposer.holds_lease(now)
 
     def run_election(self, now):
-        """Renew the lease, or try to get it if no leader was heard of for half a term.
+        """Renew the lease, or try to acquire it if no leader was heard of for half a term.
 
-        Whoever does not lead waits for a random time before its next attempt, so that two do not keep
-        outbidding each other's ballots.
+        A candidate waits for a random time before its next attempt, so that two candidates do not keep
+        preempting each other's ballots.
 
         Args:
             now: The time, ns.
@@ -76,7 +76,7 @@
         return self.broadcast(now, self.proposer.start(highest_seen))
 
     def on_ballot(self, now, sender, message):
-        """Let the acceptor answer a proposer.
+        """Pass a proposer's message to the acceptor, and send its answer.
 
         Args:
             now: The time, ns.
@@ -91,7 +91,7 @@
         return self.reply(now, sender, answer)
 
     def on_vote(self, now, sender, message):
-        """Let the proposer count a vote.
+        """Pass a vote to the proposer.
 
         Args:
             now: The time, ns.
@@ -106,7 +106,7 @@
         return []
 
     def broadcast_to_others(self, message):
-        """Return OutgoingMessages that take a message to all other members.
+        """Return the OutgoingMessages that send a message to all other members.
 
         Args:
             message: The message.
@@ -114,7 +114,7 @@
         return [OutgoingMessage(name, message) for name in self.names if name != self.name]
 
     def broadcast(self, now, message):
-        """Send a message to all members; this one takes it at once.
+        """Send a message to all members; this member handles it at once.
 
         Args:
             now: The time, ns.
@@ -126,12 +126,12 @@
         return self.broadcast_to_others(message) + self.receive(now, self.name, message)
 
     def reply(self, now, receiver, message):
-        """Send an answer; if it is this member's own, it takes it at once.
+        """Send a reply; if this member is the receiver, it handles the reply at once.
 
         Args:
             now: The time, ns.
             receiver: Name of the receiver.
-            message: The message, None for no answer.
+            message: The message, None for no reply.
 
         Returns:
             OutgoingMessages.
--- a/embertray/cluster/limits/history.py
+++ b/embertray/cluster/limits/history.py
@@ -1,28 +1,28 @@
-"""The last request of each incarnation of each member, for whoever leads next.
+"""The last request of each incarnation of each member, kept for the next leader.
 
-Proxies go on acting on what a former incarnation sent them, so its requests count after it has ended.
+Proxies keep using the quotas that a former incarnation sent them, so its requests count after it has ended.
 """
 
-INCARNATIONS_KEPT = 4  # of a member: its proxies have joined others long before it has started so often
+INCARNATIONS_KEPT = 4  # per member; before that many restarts its proxies have long joined other members
 
 
 class RequestHistory:
     """What a member remembers of all members' requests.
 
-    Rule: a member may lead only once its history is complete: it has run since the cluster began, or a
-    majority has sent it what they remember. Reason: whoever leads without a request of a former incarnation
-    lends units that proxies still act on.
+    A member may only lead once its history is complete: it has run since the cluster was created, or a
+    majority has sent it their histories. A leader that lacks a request of a former incarnation would grant
+    units that proxies still use.
 
     Attributes:
         complete: Whether this member may lead.
     """
 
     def __init__(self, name, count, new_cluster):
-        """Begin with no requests.
+        """Create an empty history.
 
         Args:
             name: Name of this member.
-            count: How many members there are, this one included.
+            count: Number of members, this one included.
             new_cluster: Whether no member has run before.
         """
         self.name = name
@@ -35,11 +35,11 @@
         """Remember a request.
 
         Args:
-            name: Whose it is.
+            name: Name of the member that sent it.
             request: The QuotaRequest.
 
         Returns:
-            False if it is no later than what is remembered.
+            False if it is not newer than the remembered ones.
         """
         requests = self.by_member.setdefault(name, {})
         if requests and request.sequence <= max(known.sequence for known in requests.values()):
@@ -50,14 +50,14 @@
         return True
 
     def requests_by_member(self):
-        """Return member -> its last request of each incarnation, in their order."""
+        """Return member -> its last request of each incarnation, oldest first."""
         return {
             name: [requests[incarnation] for incarnation in sorted(requests)]
             for name, requests in self.by_member.items()
         }
 
     def merge(self, sender, requests_by_member):
-        """Take what another member remembers, where it is later.
+        """Merge another member's history: the later request of each incarnation is kept.
 
         Args:
             sender: Name of that member.
--- a/embertray/cluster/limits/lease.py
+++ b/embertray/cluster/limits/lease.py
@@ -1,37 +1,38 @@
-"""The leader's lease: at most one member holds it at a time, granted by a majority.
+"""The leader's lease, granted by a majority: at most one member holds it at a time.
 
-The protocol is PaxosLease (Trencseni, Gazso, Reinhardt, 2012): no disk and no common clock. Only the
-difference between two readings of one clock counts, and the acceptors wait for longer than the holder does.
+The protocol is PaxosLease (Trencseni, Gazso, Reinhardt, 2012). It needs neither a disk nor synchronised
+clocks: only differences between two readings of the same clock are used, and an acceptor considers the lease
+valid for longer than its holder does.
 
-While it holds the lease, and not a moment longer, a member may lend units (`Limits.leads`) and renew the
-lease. Whoever does not hold it may open a ballot once it has not heard of a leader for half a term.
+Only while it holds the lease may a member grant quotas (`Limits.is_leader`) and renew the lease. Any other
+member may start a ballot if it has not heard of a leader for half a term.
 """
 
 from .messages import Accepted, Prepare, Promise, Propose
 
 
 class Acceptor:
-    """One vote on who holds the lease.
+    """A member's vote on who holds the lease.
 
-    Rule: it accepts a proposal of the highest ballot that it has promised, and tells every other proposer of
-    that lease until it has surely ended.
+    It accepts proposals whose ballot is not below the highest one that it has promised. Until the accepted
+    lease has certainly ended, it reports the holder to every proposer.
 
     Attributes:
-        promised_ballot: No lower ballot is answered.
-        holder: Who proposed what was accepted last; "" if nobody.
-        lease_ends_at: When that has ended, ns by this member's clock.
+        promised_ballot: Messages with a lower ballot are not answered.
+        holder: Name of the member whose proposal was accepted last; "" if none.
+        lease_ends_at: When that lease has certainly ended, ns by this member's clock.
     """
 
     def __init__(self, config, now, new_cluster=False):
-        """Begin without any promise.
+        """Start without any promise.
 
-        Guards against a restart that forgets an accepted lease, which would show as two leaders: whoever
-        starts stays silent until anything that a former incarnation accepted has ended.
+        A restarted acceptor has forgotten the lease that it accepted, which could lead to two leaders. It
+        therefore does not answer until any lease that a former incarnation accepted has ended.
 
         Args:
             config: A LimitsConfig.
             now: The time, ns.
-            new_cluster: Whether no member has run before, so that there is nothing to forget.
+            new_cluster: Whether no member has run before, so that no lease can have been accepted.
         """
         self.config = config
         self.promised_ballot = 0
@@ -40,7 +41,7 @@
         self.silent_until = now if new_cluster else now + config.drift_adjusted_term
 
     def current_holder(self, now):
-        """Return whose lease was accepted and may still run; "" if none.
+        """Return the holder of the accepted lease if it may still be valid, else "".
 
         Args:
             now: The time, ns.
@@ -81,7 +82,7 @@
         return Accepted(message.ballot)
 
     def may_answer(self, now, message):
-        """Return whether a message is answered at all.
+        """Return whether a message may be answered.
 
         Args:
             now: The time, ns.
@@ -91,22 +92,22 @@
 
 
 class Proposer:
-    """Tries to get the lease, and renews it.
+    """Acquires and renews the lease.
 
     Attributes:
-        lease_ends_at: Until when this member holds the lease, ns by its clock.
+        lease_ends_at: When this member's lease ends, ns by its clock.
         leader_ballot: The ballot under which it leads. Renewals without a gap keep it, unless a later ballot
-            is known: members that know the later one would take this member for a former leader.
-        highest_known: The highest ballot of a leader that this member has heard of.
+            is known: members that know the later one would consider this member a former leader.
+        highest_known: The highest known ballot of a leader.
     """
 
     def __init__(self, name, index, count, config):
-        """Begin without the lease.
+        """Start without the lease.
 
         Args:
             name: Name of this member.
-            index: Its place among the members, which makes its ballots its own.
-            count: How many members there are.
+            index: Its index among the members, which makes its ballots unique.
+            count: Number of members.
             config: A LimitsConfig.
         """
         self.name = name
@@ -131,17 +132,17 @@
         return now < self.lease_ends_at
 
     def has_majority(self):
-        """Return whether more than half of the members have voted in this phase of the ballot."""
+        """Return whether a majority of the members has voted in the current phase of the ballot."""
         return 2 * len(self.votes) > self.count
 
     def start(self, highest_seen=0):
-        """Open a ballot.
+        """Start a ballot.
 
         Args:
-            highest_seen: The highest ballot that was seen of anybody.
+            highest_seen: The highest ballot seen of any proposer.
 
         Returns:
-            The Prepare to send to all.
+            The Prepare to send to all members.
         """
         self.round = max(self.round, highest_seen // self.count) + 1
         self.ballot = self.round * self.count + self.index
@@ -153,12 +154,12 @@
         """Count a Promise.
 
         Args:
-            now: The time, ns. The term runs from here, before anybody has accepted.
+            now: The time, ns. With a majority the lease term starts here, before any acceptor's.
             message: The Promise.
-            sender: Who promised.
+            sender: Name of the acceptor.
 
         Returns:
-            The Propose to send to all once a majority has promised; else None.
+            The Propose to send to all members if a majority has promised, else None.
         """
         if message.ballot != self.ballot or self.proposed or message.holder not in ("", self.name):
             return None
@@ -176,10 +177,10 @@
         Args:
             now: The time, ns.
             message: The Accepted.
-            sender: Who accepted.
+            sender: Name of the acceptor.
 
         Returns:
-            True if this member has got the lease, or a longer one.
+            Whether this member has thereby acquired or extended the lease.
         """
         if message.ballot != self.ballot or not self.proposed:
             return False
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -1,15 +1,15 @@
-"""The leader's ledger: what each member may still use of each limit, whether it is heard or not.
+"""The leader's ledger: how much of each limit every member may still use, reachable or not.
 
-Rule: nothing is lent that is charged to another member.
+No units are granted that are charged to another member.
 
-- A member that is heard is charged the most of what its proxies may act on, and of the loans that it may
+- A member that is heard is charged the maximum of what its proxies may use and of the grants that it may
   still apply.
-- One that is silent is charged the same for the outer term, as it may raise its proxies until then. After
-  that it is charged what those of its proxies may act on that no other member has claimed: it raises none of
-  them any more, and proxies keep the quota that they were sent.
-- So is each former incarnation of a member.
-- A member that this leader has never heard may use all that nobody is known to use, until the outer term is
-  over and none of its proxies is unclaimed.
+- A silent member is charged the same for the drift-adjusted term, because it may raise its proxies' quotas
+  until then. Afterwards it cannot raise them any more, but proxies keep the quota that they were sent; so it
+  is charged what its proxies may use that no other member has claimed.
+- Each former incarnation of a member is charged like a silent member.
+- A member that this leader has not heard yet may use everything that is not known to be used, until the
+  drift-adjusted term has ended and all of its proxies are claimed.
 """
 
 from .accounts import Accounts, Grant
@@ -17,20 +17,20 @@
 
 
 class Ledger(Accounts):
-    """What is charged to each member, and what is lent to whoever asks."""
+    """Charges units to members, and grants units that are not charged to others."""
 
     # ---- charges
 
     def charge(self, now, name, limit):
-        """Return what a member and its former incarnations may use now, beyond the floor.
+        """Return what a member and its former incarnations may use now beyond the floor.
 
         Args:
             now: The time, ns.
-            name: The member.
-            limit: The limit.
+            name: Name of the member.
+            limit: Name of the limit.
 
         Returns:
-            Units; None if it is not known, so that it may be all that is left.
+            Units; None if unknown, in which case it may be everything that is left.
         """
         account = self.accounts[name]
         if account.request is None:
@@ -40,11 +40,11 @@
         return None if None in charges else sum(charges)
 
     def charge_unheard(self, now, name):
-        """Return the charge of a member that this leader has not heard: 0, or None as in `charge`.
+        """Return the charge of a member that this leader has not heard yet: 0, or None as in `charge`.
 
         Args:
             now: The time, ns.
-            name: The member.
+            name: Name of the member.
         """
         before = self.inherited_requests.get(name)
         if before is None or now - self.began_at <= self.config.drift_adjusted_term:
@@ -57,12 +57,12 @@
         return 0
 
     def charge_of_incarnation(self, now, name, limit, record):
-        """Return what one incarnation of a member, and the proxies that it left, may use now.
+        """Return what one incarnation of a member, and the proxies to which it sent quotas, may use now.
 
         Args:
             now: The time, ns.
-            name: The member.
-            limit: The limit.
+            name: Name of the member.
+            limit: Name of the limit.
             record: Its IncarnationRecord.
 
         Returns:
@@ -86,11 +86,11 @@
         return max(0, sum(max(allotments.get(proxy, 0), most_each) for proxy in unclaimed) - floor)
 
     def may_raise_quotas(self, now, name, record):
-        """Return whether an incarnation may still raise proxies, or have given some up unseen.
+        """Return whether an incarnation may still raise quotas, or may have given up proxies unknown to us.
 
         Args:
             now: The time, ns.
-            name: The member.
+            name: Name of the member.
             record: Its IncarnationRecord.
         """
         if now - record.heard_at <= self.config.drift_adjusted_term:
@@ -102,18 +102,18 @@
             and self.has_missed_request(name, record.request.sequence)
         )
 
-    # ---- loans
+    # ---- grants
 
     def free_units(self, now, limit, requester):
-        """Return the units that nobody but a member may use.
+        """Return the units that are not charged to any other member.
 
         Args:
             now: The time, ns.
-            limit: The limit.
-            requester: The member.
+            limit: Name of the limit.
+            requester: Name of the requesting member.
 
         Returns:
-            Units of the pool; where another member's charge is not known, what the member has already.
+            Units of the pool; if another member's charge is unknown, only the requester's own charge.
         """
         charges = [self.charge(now, name, limit) for name in self.names if name != requester]
         if None in charges:
@@ -121,14 +121,14 @@
         return max(0, self.pools[limit] - sum(charges))
 
     def make_grant(self, now, name):
-        """Lend to the member that has just sent a request.
+        """Compute and record the grant for the member that has just sent a request.
 
         Args:
             now: The time, ns.
-            name: The member.
+            name: Name of the member.
 
         Returns:
-            limit -> units: what its demand is due, as far as others have given it up.
+            limit -> units: its fair share by demand, as far as other members have released it.
         """
         account = self.accounts[name]
         amounts = {limit: self.amount_due(now, name, limit) for limit in self.pools}
@@ -143,12 +143,12 @@
         return amounts
 
     def amount_due(self, now, name, limit):
-        """Return the units of a limit that a member is lent now.
+        """Return the units of a limit to grant to a member now.
 
         Args:
             now: The time, ns.
-            name: The member.
-            limit: The limit.
+            name: Name of the member.
+            limit: Name of the limit.
         """
         demand = {
             other: account.request.demand.get(limit, 0)
--- a/embertray/cluster/limits/messages.py
+++ b/embertray/cluster/limits/messages.py
@@ -1,6 +1,6 @@
-"""Messages that members send each other about limits: msgspec arrays with a tag.
+"""Messages between members about limits: tagged msgspec arrays.
 
-Ballots are whole numbers; each belongs to one proposer.
+Ballots are integers; each belongs to one proposer.
 """
 
 from typing import NamedTuple
@@ -9,14 +9,14 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """Base of all messages. Field order is the wire's."""
+    """Base of all messages. The field order is the order on the wire."""
 
 
 class OutgoingMessage(NamedTuple):
     """A message to send.
 
     Attributes:
-        receiver: Name of the member.
+        receiver: Name of the receiving member.
         message: The Message.
     """
 
@@ -25,7 +25,7 @@
 
 
 class Prepare(Message, tag="prepare"):
-    """Opens a ballot.
+    """Starts a ballot.
 
     Attributes:
         ballot: The ballot.
@@ -35,11 +35,11 @@
 
 
 class Promise(Message, tag="promise"):
-    """Answers a Prepare: no lower ballot is answered any more.
+    """Answers a Prepare: the acceptor will not answer lower ballots.
 
     Attributes:
         ballot: The ballot.
-        holder: Whose lease the acceptor has accepted and not seen end; "" if none.
+        holder: Name of the member whose lease the acceptor has accepted and considers valid; "" if none.
     """
 
     ballot: int
@@ -47,7 +47,7 @@
 
 
 class Propose(Message, tag="propose"):
-    """Asks for the lease.
+    """Requests the lease.
 
     Attributes:
         ballot: The ballot.
@@ -67,18 +67,18 @@
 
 
 class QuotaRequest(Message, tag="ask"):
-    """What a member wants and what it uses; sent to all members.
+    """A member's demand and current allotments; sent to all members.
 
     Attributes:
-        incarnation: The sender's, later in each.
-        sequence: Rises with each request, over the incarnations, too.
-        ballot: The leader that is asked, by the ballot of its lease, as far as it is known.
-        leading: Whether the sender holds that lease itself.
+        incarnation: The sender's incarnation.
+        sequence: Sequence number; increases with each request, across incarnations, too.
+        ballot: Ballot of the latest leader that the sender knows; that leader is asked for a grant.
+        leading: Whether the sender is that leader itself.
         applied: Sequence number of the request whose grant is in force.
         demand: limit -> units wanted.
-        allotments: limit -> proxy -> most units that it may act on by the sender's word, of proxies that are
-            connected to the sender or have left it.
-        acknowledged: Connected proxies that act on the sender's word.
+        allotments: limit -> proxy -> maximum units that the proxy may use by quotas from the sender, for
+            proxies that are connected to the sender or have left it.
+        acknowledged: Connected proxies that use a quota from the sender.
         last_heard: member -> sequence number of its last request that the sender knows.
     """
 
@@ -94,12 +94,12 @@
 
 
 class QuotaGrant(Message, tag="grant"):
-    """Answers a QuotaRequest: a loan, for a term that runs from when it was requested.
+    """Answers a QuotaRequest: a grant for one lease term from the time of the request.
 
     Attributes:
         sequence: Sequence number of the request.
         ballot: Ballot of the leader's lease.
-        amounts: limit -> units that are lent.
+        amounts: limit -> granted units.
     """
 
     sequence: int
@@ -108,14 +108,14 @@
 
 
 class HistoryRequest(Message, tag="recall"):
-    """Of a member that has just started: asks for the requests that others remember."""
+    """Sent by a member that has just started: asks for the requests that others remember."""
 
 
 class HistoryReply(Message, tag="recalled"):
     """Answers a HistoryRequest.
 
     Attributes:
-        requests: member -> its last request of each incarnation that is remembered.
+        requests: member -> its last request of each remembered incarnation.
     """
 
     requests: dict[str, list[QuotaRequest]]
--- a/embertray/cluster/limits/proxy_quotas.py
+++ b/embertray/cluster/limits/proxy_quotas.py
@@ -1,15 +1,14 @@
-"""What each proxy of one member may use, and which quotas to send now.
+"""Divides one member's share among its proxies, and decides which quotas to send.
 
-Rule: the units that its proxies may act on, whether they have acknowledged them or not and whether they are
-connected or have left, come to no more than floor and loan. So some are lowered before others are raised.
-Reason: a proxy keeps the quota that it was sent, whatever becomes of this member.
+The units that its proxies may use, acknowledged or not, connected or departed, never exceed the floor plus
+the grant. So some quotas are lowered before others are raised. A proxy keeps the quota
+that it was sent, whatever happens to this member.
 """
 
 from typing import NamedTuple
 
-FULL_SHARE_WAIT_REQUESTS = (
-    2  # requests that a proxy which joined waits for its whole part; then it takes what is left
-)
+# A newly connected proxy waits for its full share for this many requests, then takes what is left.
+FULL_SHARE_WAIT_REQUESTS = 2
 
 
 class QuotaUpdate(NamedTuple):
@@ -18,7 +17,7 @@
     Attributes:
         limit: The limit.
         proxy: The proxy.
-        units: What it may use from now on.
+        units: Its new quota, units.
     """
 
     limit: str
@@ -29,27 +28,27 @@
 class ProxyQuotas:
     """The proxies of one member, and the quota of each.
 
-    The caller says which proxies join (`proxy_joined`), leave (`proxy_left`) and acknowledge a quota
-    (`proxy_acknowledged`), and sends what `quota_updates` returns.
+    The caller reports which proxies join (`proxy_joined`), leave (`proxy_left`) and acknowledge a quota
+    (`proxy_acknowledged`), and sends the updates that `quota_updates` returns.
 
     Attributes:
-        granted: limit -> units lent by the grant in force.
-        grant_expires_at: Until when proxies may be raised by it, ns.
-        divided_among: The proxies that it is divided among, as keys.
+        granted: limit -> units of the grant in force.
+        grant_expires_at: Until when quotas may be raised by that grant, ns.
+        divided_among: The proxies among which it is divided, as keys.
         sequence: Sequence number of this member's last request.
         connected: proxy -> sequence number of the last request when it joined.
-        acknowledged: Connected proxies that act on this member's word.
-        departed: proxy that left -> sequence number of the request that first listed it so, None before.
-        allowed: limit -> proxy -> most units that it may act on by this member's word.
+        acknowledged: Connected proxies that use a quota from this member.
+        departed: proxy that left -> sequence number of the first request that listed it as departed, or None.
+        allowed: limit -> proxy -> maximum units that it may use by quotas from this member.
         last_sent: limit -> proxy -> units sent last.
     """
 
     def __init__(self, floors, sequence):
-        """Begin with the floors and without proxies.
+        """Start with the floors and without proxies.
 
         Args:
-            floors: limit -> units that this member has anyway.
-            sequence: What its requests are numbered from.
+            floors: limit -> units that this member may always use.
+            sequence: Number after which its requests are numbered.
         """
         self.floors = floors
         self.granted = dict.fromkeys(floors, 0)
@@ -65,7 +64,7 @@
     # ---- proxies
 
     def proxy_joined(self, proxy):
-        """Note that a proxy has connected. It acts on another member's word until it acknowledges ours.
+        """Record that a proxy has connected. Until it acknowledges a quota of this member it uses another's.
 
         Args:
             proxy: The proxy.
@@ -76,9 +75,9 @@
             sent.pop(proxy, None)
 
     def proxy_left(self, proxy):
-        """Note that a proxy's connection broke.
+        """Record that a proxy's connection broke.
 
-        It goes on with the quota that it was sent, and stays on our account until another member has it.
+        It keeps using its last quota, and counts against this member's share until another member claims it.
 
         Args:
             proxy: The proxy.
@@ -91,7 +90,7 @@
             self.forget_proxy(proxy)
 
     def proxy_removed(self, proxy):
-        """Note that a proxy is no more, by the word of operators or of the list of proxies.
+        """Record that a proxy no longer exists, according to operators or the list of proxies.
 
         Args:
             proxy: The proxy.
@@ -101,7 +100,7 @@
         self.forget_proxy(proxy)
 
     def forget_proxy(self, proxy):
-        """Take a proxy off our account.
+        """Remove a proxy, so that it no longer counts against this member's share.
 
         Args:
             proxy: The proxy.
@@ -111,12 +110,12 @@
             units_by_proxy.pop(proxy, None)
 
     def proxy_acknowledged(self, limit, proxy, units):
-        """Note that a proxy acts on a quota.
+        """Record that a proxy uses a quota.
 
         Args:
             limit: The limit.
             proxy: The proxy.
-            units: The quota that it acknowledged.
+            units: The acknowledged quota, units.
         """
         if proxy not in self.connected:
             return
@@ -127,9 +126,9 @@
     # ---- quotas
 
     def quota_updates(self, now):
-        """Return the QuotaUpdates to send now; they count as sent.
+        """Return the QuotaUpdates to send now, and record them as sent.
 
-        Lower quotas are sent at any time, higher ones while the loan runs and as far as there is room.
+        Lower quotas are sent at any time, higher ones only while the grant is valid and units are unallotted.
 
         Args:
             now: The time, ns.
@@ -139,7 +138,7 @@
         return [update for limit in self.allowed for update in self.updates_of_limit(now, limit)]
 
     def updates_of_limit(self, now, limit):
-        """Return the QuotaUpdates of one limit.
+        """Return the QuotaUpdates of one limit, and record them as sent.
 
         Args:
             now: The time, ns.
@@ -163,17 +162,17 @@
         return updates
 
     def units_for(self, proxy, equal_share, current, unallotted):
-        """Return the quota that a proxy is to have.
+        """Return the quota that a proxy should have, units.
 
-        Guards against two members that have exchanged proxies, each waiting for the other to claim its own,
-        which would show as units that nobody uses: a proxy that has waited takes what is left, if need be
-        nothing, and acknowledges it. That frees the units at its former member.
+        If two members exchange proxies, each may wait for the other to claim its former proxies, and the
+        units would stay unused. A proxy that has waited long enough is therefore given what is left, possibly
+        nothing; its acknowledgement releases the units at its former member.
 
         Args:
             proxy: The proxy.
-            equal_share: Its equal part of the share, units.
-            current: The most that it may act on by our word already, units.
-            unallotted: Units of the share that are not allotted.
+            equal_share: Its equal part of the member's share, units.
+            current: The maximum that it may already use by quotas from this member, units.
+            unallotted: Units of the member's share that are not allotted.
         """
         waited = self.sequence - self.connected[proxy] >= FULL_SHARE_WAIT_REQUESTS
         if proxy not in self.acknowledged and waited:
@@ -186,11 +185,11 @@
         Args:
             now: The time, ns.
             proxy: The proxy.
-            increase: Units by which it is above what the proxy may act on already.
-            unallotted: Units of the share that are not allotted.
+            increase: Units by which it exceeds what the proxy may already use.
+            unallotted: Units of the member's share that are not allotted.
         """
         grant_expired = now >= self.grant_expires_at
         if increase > 0 and (grant_expired or increase > unallotted):
             return False
-        # One that does not act on our word keeps what another member sent it once the loan has ended.
+        # After the grant has expired, a proxy that still uses another member's quota keeps that quota.
         return proxy in self.acknowledged or not grant_expired
--- a/embertray/cluster/limits/quota_holder.py
+++ b/embertray/cluster/limits/quota_holder.py
@@ -5,15 +5,15 @@
 from .messages import QuotaRequest
 from .proxy_quotas import ProxyQuotas
 
-REQUESTS_KEPT = 16  # requests whose grants are still taken: more than a term's
+REQUESTS_KEPT = 16  # requests whose grants are still accepted; more than are sent in a lease term
 
 
 class SentRequest(NamedTuple):
-    """A request whose grant may still come.
+    """A request whose grant may still arrive.
 
     Attributes:
-        sent_at: When it was sent, ns; the term of its grant runs from there.
-        leader_ballot: Ballot of the leader that was asked.
+        sent_at: When it was sent, ns; the term of its grant starts then.
+        leader_ballot: Ballot of the addressed leader.
         proxies: The proxies that it listed, as keys.
     """
 
@@ -23,23 +23,23 @@
 
 
 class QuotaHolder(ProxyQuotas):
-    """One member's floor and loan, divided among its proxies as ProxyQuotas says.
+    """One member's floor and grant, divided among its proxies by ProxyQuotas.
 
     Attributes:
-        demand: limit -> units wanted, set by the caller.
+        demand: limit -> units wanted; set by the caller.
         applied: Sequence number of the request whose grant is in force.
         sent_requests: Sequence number -> SentRequest.
         last_heard: member -> sequence number of its last request.
     """
 
     def __init__(self, name, floors, config, incarnation=0):
-        """Begin with the floors and without proxies.
+        """Start with the floors and without proxies.
 
         Args:
             name: Name of this member.
-            floors: limit -> units that it has anyway.
+            floors: limit -> units that it may always use.
             config: A LimitsConfig.
-            incarnation: Its incarnation; its requests are numbered from there.
+            incarnation: Its incarnation; requests are numbered from there.
         """
         super().__init__(floors, sequence=incarnation)
         self.name = name
@@ -51,11 +51,11 @@
         self.last_heard = {}
 
     def make_request(self, now, leader_ballot, leading):
-        """Return the next QuotaRequest; it counts as sent.
+        """Return the next QuotaRequest, and record it as sent.
 
         Args:
             now: The time, ns.
-            leader_ballot: Ballot of the leader that is asked.
+            leader_ballot: Ballot of the addressed leader.
             leading: Whether this member is the leader itself.
         """
         self.sequence += 1
@@ -85,12 +85,13 @@
         )
 
     def on_peer_request(self, name, request):
-        """Take proxies off our account that another member has claimed.
+        """Remove departed proxies that another member has claimed.
 
-        It has if they act on its word, and it knew by then that they had left us.
+        A member claims a proxy if the proxy uses its quota, and the member knew that the proxy had left this
+        one.
 
         Args:
-            name: The other member.
+            name: Name of the other member.
             request: Its QuotaRequest.
         """
         self.last_heard[name] = max(self.last_heard.get(name, 0), request.sequence)
@@ -100,12 +101,12 @@
                 self.forget_proxy(proxy)
 
     def apply_grant(self, now, grant, leader_ballot):
-        """Apply a grant if it is later than the one in force, of this leader, and its term still runs.
+        """Apply a grant if it is newer than the one in force, from the known leader, and has not expired.
 
         Args:
             now: The time, ns.
             grant: The QuotaGrant.
-            leader_ballot: Ballot of the leader that is known.
+            leader_ballot: Ballot of the latest known leader.
 
         Returns:
             Whether it was applied.
--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -61,7 +61,7 @@
 
 
 def collections(link):
-    """Return the cluster's collections for the memory accounts.
+    """Return the cluster's collections for the memory accounts, without the objects that hold them.
 
     Args:
         link: The ClusterLink.
