--- a/embertray/cluster/limits/accounts.py
+++ b/embertray/cluster/limits/accounts.py
@@ -113,8 +113,8 @@
     def unclaimed_proxies(self, name, request):
         """Return the proxies of a request that no other member has claimed since.
 
-        A member claims a proxy by listing it as acknowledged (using that member's quota) in a request sent with
-        knowledge of this one. A later incarnation of the same member can claim proxies, too.
+        A member claims a proxy by listing it as acknowledged (using that member's quota) in a request sent
+        with knowledge of this one. A later incarnation of the same member can claim proxies, too.
 
         Args:
             name: Name of the member that sent the request.
