--- a/embertray/platform/run/__init__.py
+++ b/embertray/platform/run/__init__.py
@@ -1,1 +1,1 @@
-"""The program that `run` of the deploy file starts: sockets, tasks and signals round a PlatformController."""
+"""The program that the deploy file starts: sockets, tasks and signal handling for a PlatformController."""
--- a/embertray/platform/run/__main__.py
+++ b/embertray/platform/run/__main__.py
@@ -1,12 +1,12 @@
-"""`python -m embertray.platform.run`: one controller in the foreground until SIGTERM.
+"""`python -m embertray.platform.run`: runs one controller in the foreground until SIGTERM.
 
-The file that ROUTER_CONFIG names configures it.
+The environment variable ROUTER_CONFIG is the path of its configuration file.
 """
 
 import os
 import sys
 
-from .signals import EARLY_SIGNALS  # first: what is imported below takes a while, and a signal may come in it
+from .signals import EARLY_SIGNALS  # first: the imports below take a while, and a signal may arrive meanwhile
 
 # isort: split
 
@@ -27,11 +27,11 @@
 CONFIGURATION_VARIABLE = "ROUTER_CONFIG"
 LOG_LEVEL_VARIABLE = "EMBERTRAY_LOG"
 EXIT_OK = 0
-EXIT_UNUSABLE = 2  # the configuration, an address or a port can't be used
+EXIT_UNUSABLE = 2  # the configuration, an address or a port is unusable
 
 
 def load(path):
-    """The wire.ControllerConfiguration in a file. Raises ConfigurationError."""
+    """Read a wire.ControllerConfiguration from a file. Raises ConfigurationError."""
     try:
         with open(path, "rb") as file:
             return read_configuration(file.read())
@@ -40,18 +40,18 @@
 
 
 async def serve(path):
-    """Run the controller that the file configures. Raises what Service and `load` raise."""
+    """Run the controller configured by the file. Raises the errors of Service and `load`."""
     service = Service(load(path), LoopClock(), TcpNet(parse_address), lambda: load(path))
     await service.run(early_signals=EARLY_SIGNALS)
 
 
 def main():
-    """Run until a signal ends the process. Returns the exit code if it can't go on."""
+    """Run until a signal ends the process. Returns the exit code if it can't continue."""
     configure_logging("json", os.environ.get(LOG_LEVEL_VARIABLE, "info"))
     log = structlog.get_logger()
     path = os.environ.get(CONFIGURATION_VARIABLE)
     if not path:
-        log.error("can't start", why=f"{CONFIGURATION_VARIABLE} names no file")
+        log.error("can't start", why=f"{CONFIGURATION_VARIABLE} is not set")
         return EXIT_UNUSABLE
     exit_code = EXIT_OK
     try:
--- a/embertray/platform/run/list_connection.py
+++ b/embertray/platform/run/list_connection.py
@@ -1,4 +1,4 @@
-"""The connection with discovery: request by request, and a new connection when it breaks."""
+"""The connection to discovery: sends requests one at a time, and reconnects when the connection breaks."""
 
 import anyio
 
@@ -16,11 +16,11 @@
 
 
 class ListConnection:
-    """Follows the list of backends.
+    """Follows the endpoint list of discovery.
 
     Attributes:
         list_watch: The controller's EndpointListWatch.
-        scope: The cancel scope of the connection, or None.
+        scope: The cancel scope of the current connection, or None.
     """
 
     def __init__(self, controller, clock, net, address, request_step, log):
@@ -35,19 +35,19 @@
         self.scope = None
 
     def on_address_change(self):
-        """Discovery has another address: the request under way is given up, the whole list requested."""
+        """Cancel the current request and request the complete list from the new address of discovery."""
         self.list_watch.on_address_change()
         if self.scope:
             self.scope.cancel()
 
     async def watch_list(self):
-        """Follow the list for ever."""
+        """Follow the list until cancelled."""
         while True:
             with anyio.CancelScope() as self.scope:
                 await self.run_connection()
 
     async def run_connection(self):
-        """Open a connection and follow the list on it until it breaks or is closed in good order."""
+        """Open a connection and follow the list on it until it breaks or is closed."""
         connection = None
         try:
             address = self.address()
@@ -58,7 +58,7 @@
                 self.log.info("endpoint list request failed", why=str(error))
             await anyio.sleep(self.list_watch.on_failure() / NS_PER_S)
         except Exception:
-            # against a fault of the program halfway through a list: what the answer told may be lost
+            # an internal error while handling a list may have lost a part of it: request the complete list
             self.list_watch.on_address_change()
             raise
         finally:
@@ -66,11 +66,11 @@
                 await connection.aclose()
 
     async def send_requests(self, connection, address):
-        """Send requests until the connection can take no more.
+        """Send requests until the connection can't be reused.
 
         Raises:
-            CallError: it broke.
-            UnreadableListError: it went on with what is no list.
+            CallError: the connection broke.
+            UnreadableListError: an answer is not a valid list.
         """
         while True:
             await self.request_list(connection, address)
@@ -79,15 +79,15 @@
                 return
 
     async def request_list(self, connection, address):
-        """Send one request and hand on what its answer tells. Raises what `send_requests` does."""
+        """Send one request and pass its answer to the controller. Raises the errors of `send_requests`."""
         request = self.list_watch.next_request(self.clock.now())
         await connection.send_request("GET", request.path, SEND_TIMEOUT_NS)
         status, body = await connection.read_response(
             request.first_byte_timeout, LIST_MAX_BYTES, LIST_TRANSFER_TIMEOUT_NS
         )
         if self.address() != address:
-            # against an answer that comes in the same wake-up as another address: the scope is cancelled, but
-            # this task goes on to its next wait first
+            # the answer arrived together with a change of address: the scope is cancelled, but this takes
+            # effect only at the task's next await
             return
         now = self.clock.now()
         if update := self.list_watch.on_answer(now, status, body):
--- a/embertray/platform/run/listener.py
+++ b/embertray/platform/run/listener.py
@@ -1,4 +1,4 @@
-"""The connections at the controller's address, each from its accept to its close."""
+"""Accepts and serves connections to the controller's listening address."""
 
 from contextlib import suppress
 
@@ -17,10 +17,10 @@
 
 
 class ConnectionListener:
-    """Serves peers that connect: collectors, and whoever else does.
+    """Serves peers that connect: collectors and health checks.
 
     Attributes:
-        unjoined: InboundConnections that have not joined.
+        unjoined: The InboundConnections that have not joined.
         scopes: InboundConnection -> the cancel scope of its task.
     """
 
@@ -30,19 +30,19 @@
         self.clock = clock
         self.request_step = request_step
         self.log = log
-        self.slot_freed = anyio.Event()  # set when one fewer has not joined
+        self.slot_freed = anyio.Event()  # set when a connection is removed from `unjoined`
         self.unjoined = set()
         self.scopes = {}
 
     async def accept(self, listener, group):
-        """Accept connections for ever; each is served by a task of `group`."""
+        """Accept connections until cancelled; each is served by a task of `group`."""
         while True:
             if len(self.unjoined) >= self.controller.admission.unjoined_max:
                 self.slot_freed = anyio.Event()
                 await self.slot_freed.wait()
             if (stream := await listener.accept()) is None:
-                # no descriptor is free, or the peer has gone again: the next one is accepted, but not at
-                # once, or a process without descriptors would take all its processor time
+                # no descriptor is free, or the peer has disconnected: the delay avoids a busy loop in a
+                # process that has run out of descriptors
                 await anyio.sleep(STEP_INTERVAL_NS / NS_PER_S)
                 continue
             connection = self.controller.inbound_connection(self.clock.now())
@@ -64,9 +64,8 @@
                 )
         except CONNECTION_ERRORS:
             pass
-        except (
-            Exception
-        ) as error:  # against a peer that finds a fault of the program: it costs its own connection
+        except Exception as error:
+            # an internal error triggered by a peer must only affect its own connection
             self.log.error("connection handler failed", exc_info=error)
         finally:
             self.release_unjoined(connection)
@@ -76,7 +75,7 @@
                 await stream.aclose()
 
     async def serve(self, connection, stream):
-        """Read until the connection is to be closed. Raises one of CONNECTION_ERRORS."""
+        """Read and reply until the connection is to be closed. Raises one of CONNECTION_ERRORS."""
         reader = QueuedConnection(stream)
         while not connection.close_reason:
             data = None
@@ -87,13 +86,13 @@
                 await self.send(connection, stream)
 
     def time_to_join(self, connection):
-        """Seconds that are left for a peer to join, or None once it has."""
+        """Seconds until the join deadline of a peer, or None once it has joined."""
         if connection.zone is not None:
             return None
         return max(0, connection.join_deadline - self.clock.now()) / NS_PER_S
 
     def received(self, connection, data):
-        """Take in what was read, None if the time to join is over."""
+        """Handle received data; None if the join deadline has passed."""
         had_joined = connection.zone is not None
         reports = connection.receive(data) if data is not None else ()
         connection.check_join_deadline(self.clock.now())
@@ -105,27 +104,28 @@
             self.request_step()
 
     def joined(self, connection):
-        """The peer is a collector now; another one may have to go for it."""
+        """Admit the new collector, which may evict another one."""
         self.release_unjoined(connection)
         evicted = self.controller.admission.admit(connection)
         if evicted is not None:
             self.scopes[evicted].cancel()
 
     async def send(self, connection, stream):
-        """Write what is to be written; after a last reply, see to it that it arrives."""
+        """Write the pending output; before a close, linger so that the last reply arrives."""
         reply = connection.outgoing
         connection.outgoing = b""
         if not await send_within(stream, reply, REPLY_TIMEOUT_NS):
-            # against a peer that asks and never reads: replies would pile up here
-            connection.close_reason = connection.close_reason or "takes no replies"
+            # a peer that sends requests and never reads would accumulate replies here
+            connection.close_reason = connection.close_reason or "peer does not read replies"
         elif connection.close_reason:
             await self.linger(stream)
 
     @staticmethod
     async def linger(stream):
-        """End our side and read on for a moment.
+        """Shut down the sending side and discard input for a short time.
 
-        A close over unread bytes is a reset, which can destroy the last reply before the peer has read it.
+        Closing a socket with unread bytes causes a reset, which can destroy the last reply before the peer
+        has read it.
         """
         size = 0
         with suppress(*CONNECTION_ERRORS), anyio.move_on_after(LINGER_TIMEOUT_NS / NS_PER_S):
@@ -134,6 +134,6 @@
                 size += len(await stream.receive())
 
     def release_unjoined(self, connection):
-        """The connection has joined or is closed."""
+        """Remove a connection from `unjoined`, because it has joined or is closed."""
         self.unjoined.discard(connection)
         self.slot_freed.set()
--- a/embertray/platform/run/relay_connections.py
+++ b/embertray/platform/run/relay_connections.py
@@ -1,4 +1,4 @@
-"""The connections with the relay: one for each call, one call at a time, and some with its event stream."""
+"""The connections to the relay: one per call, with one call at a time, and those of its event streams."""
 
 import anyio
 
@@ -19,7 +19,7 @@
 
 
 def should_log_failure(failures):
-    """Whether a failure after so many in a row is logged: of an outage the 1st, 2nd, 4th, 8th and so on."""
+    """Whether to log a failure, by the number of consecutive failures: at 0, 1, 2, 4, 8 and so on."""
     return not failures & (failures - 1)
 
 
@@ -27,12 +27,12 @@
     """Sends calls and reads event streams.
 
     Attributes:
-        call_ready: Event to set when a call may go out.
+        call_ready: Event that is set when a call may be sent.
         stream_scopes: Event stream -> the cancel scope of its connection.
     """
 
     def __init__(self, controller, clock, dial, request_step, log):
-        """`dial()` gives an HttpConnection with the relay; `request_step()` schedules a step."""
+        """`dial()` opens an HttpConnection to the relay; `request_step()` schedules a step."""
         self.controller = controller
         self.clock = clock
         self.dial = dial
@@ -42,10 +42,10 @@
         self.stream_scopes = {}
 
     def on_address_change(self):
-        """The relay has another address.
+        """Move event streams to the relay's new address.
 
-        Event streams that do not lead go over now; the leader's is closed by the old relay, once another one
-        may lead.
+        All streams but the leader reconnect now. The leader is closed by the old relay, when another stream
+        can take over.
         """
         leader = self.controller.proxies.leader
         for name in [name for name in self.stream_scopes if name is not leader]:
@@ -54,7 +54,7 @@
     # ---- calls
 
     async def run_calls(self):
-        """Send calls for ever, one at a time."""
+        """Send calls until cancelled, one at a time."""
         caller = self.controller.order_caller
         while True:
             self.call_ready = anyio.Event()
@@ -78,7 +78,7 @@
                 )
 
     async def wait_for_call(self, now):
-        """Wait until a call may go out; if none waits, let the module run a step, which may order one."""
+        """Wait until a call may be sent; if none is queued, request a step, which may produce one."""
         caller = self.controller.order_caller
         if caller.idle:
             self.request_step()
@@ -88,16 +88,16 @@
             await self.call_ready.wait()
 
     async def send_call(self, call):
-        """Send a call on a connection of its own: one that does not come up has carried nothing.
+        """Send a call on its own connection, so that a failure to connect means that nothing was sent.
 
-        The connection of a call that is given up is reset, as far as the system still holds bytes of it: it
-        must not arrive behind newer calls.
+        The connection of an abandoned call is reset, which drops bytes that the operating system has not sent
+        yet: the call must not arrive after newer ones.
 
         Returns:
             HTTP status and body.
 
         Raises:
-            CallError: no whole answer came.
+            CallError: no complete answer was received.
         """
         connection = await self.dial()
         answered = False
@@ -112,7 +112,7 @@
     # ---- event streams
 
     async def run_event_stream(self, name):
-        """Keep one event stream up for ever, by one connection after the other."""
+        """Keep one event stream open until cancelled, reconnecting whenever it breaks."""
         wait = RECONNECT_FIRST_NS
         failures = 0
         while True:
@@ -135,11 +135,11 @@
             await anyio.sleep(wait / NS_PER_S)
 
     async def read_event_stream(self, name):
-        """Read one connection until it breaks.
+        """Read one connection of an event stream until it breaks.
 
         Raises:
-            CallError: it did not come up, ended or fell silent.
-            UnreadableEventStreamError: it went on with what can't be read.
+            CallError: the connection failed, ended or was silent for too long.
+            UnreadableEventStreamError: the stream is malformed.
         """
         proxies = self.controller.proxies
         parser = self.controller.event_stream()
@@ -165,21 +165,21 @@
             await connection.aclose()
 
     def check_silence(self, now, name):
-        """A stream brought nothing for a while. Raises CallError if it is to be given up."""
+        """Check a stream that was silent for a while. Raises CallError if it is to be closed."""
         proxies = self.controller.proxies
         self.add_events(proxies.elect_leader(now))
         if why := proxies.silence_reason(now, name):
             raise CallError(why, True)
 
     def silence_check_wait(self):
-        """Seconds until a stream that brings nothing is looked at again."""
+        """Seconds until a silent stream is checked again."""
         sync_at = self.controller.proxies.next_sync_at()
         if sync_at is None:
             return SILENCE_CHECK_PERIOD_NS / NS_PER_S
         return max(NS_PER_MS, min(SILENCE_CHECK_PERIOD_NS, sync_at - self.clock.now())) / NS_PER_S
 
     def add_events(self, events):
-        """Hand events of proxies to the controller."""
+        """Pass proxy events to the controller."""
         if events:
             if self.controller.add_proxy_events(events):
                 self.call_ready.set()
--- a/embertray/platform/run/service.py
+++ b/embertray/platform/run/service.py
@@ -1,6 +1,6 @@
-"""One controller's sockets and signals round a PlatformController.
+"""Runs the sockets, tasks and signal handling of a PlatformController.
 
-One task group, nothing detached, and nothing is decided here.
+All tasks belong to one task group. This module makes no decisions.
 """
 
 import signal
@@ -29,23 +29,23 @@
     """Runs one controller.
 
     Attributes:
-        configuration: The wire.ControllerConfiguration whose addresses hold.
+        configuration: The wire.ControllerConfiguration with the current addresses.
         controller: The PlatformController.
-        address: Where it listens, once it does.
+        address: The listening address; None before it listens.
     """
 
     def __init__(self, configuration, clock, net, load_configuration, log=None):
-        """Prepare a controller that `run` starts.
+        """Create the controller; `run` starts it.
 
         Args:
             configuration: The wire.ControllerConfiguration.
-            clock: A net.clock clock.
-            net: Listens, dials and parses addresses.
-            load_configuration: Reads the configuration anew; raises ConfigurationError.
+            clock: A clock as in common/net/clock.py.
+            net: Listens, dials and parses addresses, as TcpNet.
+            load_configuration: Function that reloads the configuration; raises ConfigurationError.
             log: A structlog logger.
 
         Raises:
-            SettingsError: a setting can't be read, or needs what the protocol can't carry.
+            SettingsError: a setting is invalid, or requires something that the protocol does not support.
         """
         self.configuration = configuration
         self.clock = clock
@@ -53,7 +53,7 @@
         self.load_configuration = load_configuration
         self.log = (log or structlog.get_logger()).bind(controller=configuration.name)
         self.controller = PlatformController(configuration, clock.now(), clock.wall())
-        self.step_requested = anyio.Event()  # something waits for a step
+        self.step_requested = anyio.Event()
         self.listener = ConnectionListener(self.controller, clock, self.request_step, self.log)
         self.relay = RelayConnections(self.controller, clock, self.dial_relay, self.request_step, self.log)
         self.discovery = ListConnection(
@@ -62,11 +62,11 @@
         self.address = None
 
     def dial_relay(self):
-        """A new connection with the relay, as an awaitable HttpConnection."""
+        """Open a connection to the relay; returns an awaitable of an HttpConnection."""
         return HttpConnection.dial(self.net, self.configuration.relay.address, CONNECT_TIMEOUT_NS)
 
     def discovery_address(self):
-        """Where discovery is now, as host:port."""
+        """The current address of discovery, as host:port."""
         return self.configuration.discovery
 
     # ---- lifecycle
@@ -75,13 +75,13 @@
         """Run until cancelled.
 
         Args:
-            task_status: Told the address once the controller listens.
-            early_signals: The EarlySignals, which ends the process by SIGTERM and SIGINT and has kept SIGHUP
-                until now; without it no signal is looked at.
+            task_status: Receives the address once the controller listens.
+            early_signals: The EarlySignals, which handles SIGTERM and SIGINT and has recorded SIGHUP so far;
+                without it, signals are not handled.
 
         Raises:
-            OSError: the address can't be listened on.
-            AddressError: an address of the configuration is none.
+            OSError: listening on the address failed.
+            AddressError: an address in the configuration is invalid.
         """
         self.check_addresses(self.configuration)
         listener = await self.net.listen(self.configuration.listen)
@@ -104,10 +104,10 @@
                 await listener.aclose()
 
     async def run_forever(self, task, *arguments):
-        """Run `task` again whenever it fails.
+        """Run `task`, restarting it whenever it fails.
 
-        Against faults of the program that nobody has thought of: one is logged and costs what the task was
-        at, not the process, as a crash costs more than a start.
+        An unexpected internal error is logged and only loses the task's current work. Ending the process
+        would cost more, because it would have to start anew.
         """
         while True:
             try:
@@ -119,7 +119,7 @@
     # ---- configuration
 
     async def watch_hangups(self, early_signals, *, task_status):
-        """Take the handling of SIGHUP over and act on each, also on one that came before."""
+        """Take over the handling of SIGHUP and reload on each, including one that was received before."""
         with anyio.open_signal_receiver(signal.SIGHUP) as hangups:
             if early_signals.hangup_pending:
                 self.on_hangup()
@@ -128,9 +128,9 @@
                 self.on_hangup()
 
     def on_hangup(self):
-        """Load the configuration anew; a fault of the program in it leaves the old one as it was.
+        """Reload the configuration; an internal error leaves the old one in force.
 
-        Not by `run_forever`: while it paused, SIGHUP would have no receiver and end the process.
+        `run_forever` is not used here: during its pause, SIGHUP would have no handler and end the process.
         """
         try:
             self.reload()
@@ -138,13 +138,13 @@
             self.log.error("internal error", task="reload", exc_info=error)
 
     def check_addresses(self, configuration):
-        """Check that the addresses to dial can be parsed. Returns `configuration`. Raises AddressError."""
+        """Check the addresses to connect to. Returns `configuration`. Raises AddressError."""
         for address in (configuration.discovery, configuration.relay.address):
             self.net.parse(address)
         return configuration
 
     def reload(self):
-        """Take over the addresses in a new configuration; one that can't be used changes nothing."""
+        """Apply the addresses of a reloaded configuration; an invalid one changes nothing."""
         try:
             new = self.check_addresses(self.load_configuration())
         except (ConfigurationError, AddressError) as error:
@@ -162,11 +162,11 @@
     # ---- steps
 
     def request_step(self):
-        """Something waits for a step."""
+        """Request a step of the decision module."""
         self.step_requested.set()
 
     async def run_steps(self):
-        """Run steps for ever; events of one wake-up are one step."""
+        """Run steps until cancelled; events that arrive together are handled in one step."""
         while True:
             self.step_requested = anyio.Event()
             now = self.clock.now()
@@ -174,7 +174,7 @@
                 if self.controller.advance(now):
                     self.relay.call_ready.set()
             except Exception:
-                # against a fault of the program within a step: nobody knows what it left half done
+                # an internal error within a step leaves the module in an unknown state
                 self.controller.restart_module(now)
                 raise
             self.log_decisions()
@@ -187,7 +187,7 @@
             await self.clock.sleep_until(now + STEP_INTERVAL_NS)
 
     def log_decisions(self):
-        """Log what the module wants logged."""
+        """Log the messages of the module."""
         texts = self.controller.log_texts
         self.controller.log_texts = []
         for text in texts:
--- a/embertray/platform/run/signals.py
+++ b/embertray/platform/run/signals.py
@@ -1,9 +1,9 @@
-"""Signals from the first import on.
+"""Signal handling from the first import on.
 
-SIGTERM and SIGINT end the process at once, wherever it is: during its imports, in a long step, while it ends
-already. Nothing is owed then: proxies keep their tables, a call half out is none for the relay, and the
-system closes the sockets. SIGHUP is remembered until somebody can act on it: unhandled, it would end the
-process.
+SIGTERM and SIGINT end the process at once, whatever it is doing: during its imports, in a long step, or while
+it is already ending. No cleanup is needed: proxies keep their tables, the relay ignores a partially sent
+call, and the system closes the sockets. SIGHUP is recorded until it can be handled: unhandled, it would end
+the process.
 """
 
 import os
@@ -13,10 +13,10 @@
 
 
 class EarlySignals:
-    """Handles the signals of the process as soon as it is made.
+    """Handles the signals of the process from its creation on.
 
     Attributes:
-        hangup_pending: Whether SIGHUP came before anybody else had taken its handling over.
+        hangup_pending: Whether SIGHUP was received before its handling was taken over.
     """
 
     def __init__(self):
@@ -27,16 +27,16 @@
 
     @staticmethod
     def exit_at_once(number, _frame):
-        """End the process with code 0; the line that says so goes out first, if it can."""
+        """End the process with exit code 0, after an attempt to write a log line."""
         try:
-            # not by the log: the signal may have come while it writes, and it would wait for itself
+            # bypasses the logger: the signal may have interrupted it, and a nested call would deadlock
             name = signal.Signals(number).name.encode()
             os.write(STDERR, b'{"event": "stopping", "signal": "%s", "level": "info"}\n' % name)
         finally:
             os._exit(0)
 
     def remember_hangup(self, _number, _frame):
-        """Keep SIGHUP for whoever takes its handling over."""
+        """Record a SIGHUP until its handling is taken over."""
         self.hangup_pending = True
 
 
