--- a/embertray/controller/degradation/__init__.py
+++ b/embertray/controller/degradation/__init__.py
@@ -1,7 +1,7 @@
-"""Named levels of reduced service: what is given up when not all can be served.
+"""The degradation ladder: named levels of reduced service for overload.
 
-Operators, proxies and clients are notified of the level. `loss_meter` says how much is lost, `ladder`
-decides.
+`loss_meter` measures how much is lost, `ladder` decides the level, `levels` defines what each level disables.
+Operators, proxies and clients see the level.
 """
 
 from .exceptions import NormalLevelError, UnknownLevelError
--- a/embertray/controller/degradation/exceptions.py
+++ b/embertray/controller/degradation/exceptions.py
@@ -2,8 +2,8 @@
 
 
 class UnknownLevelError(ValueError):
-    """An operator named a degradation level that there is not; the text lists those that there are."""
+    """An operator named an unknown degradation level; the message lists the known ones."""
 
 
 class NormalLevelError(ValueError):
-    """An operator forbade the normal level: there is no milder one to take its place."""
+    """An operator tried to forbid the normal level, which has no milder level to replace it."""
--- a/embertray/controller/degradation/first_demand.py
+++ b/embertray/controller/degradation/first_demand.py
@@ -1,43 +1,42 @@
-"""Estimates first demand: the requests that clients make before any of them is rejected or repeated.
+"""Estimates first demand: the rate of requests without the clients' retries.
 
-What comes to proxies is first demand and repeats of what was rejected or failed. Where clients mark their
-repeats and proxies count them, first demand is known. Where they do not, it is estimated: while next to
-nothing is lost, all that comes is first demand. From then on it may rise only slowly, or to what comes less
-twice what is lost: a sudden crowd is there before its first losses are, while under steady losses that is
-less than what is served. So clients that repeat at once, later or never lead to the same figure.
+Arriving requests are first demand plus retries of rejected or failed requests. Where clients mark their
+retries and proxies count them, first demand is known; elsewhere it is estimated. While losses are negligible,
+all arrivals are first demand. Under losses the estimate may rise only slowly, or up to the arrivals minus
+twice the losses: a sudden surge arrives before its first losses occur, whereas under steady losses this bound
+is below what is served. So clients that retry at once, later or never lead to the same estimate.
 """
 
-NEGLIGIBLE_LOSS_SHARE = 0.02  # of what comes; up to this, all of it is first demand
-RISE_SHARE_PER_PERIOD = (
-    0.002  # a span that it may grow under losses: 12% a minute at spans of 1 s, a usual ramp of a day
-)
-SURGE_LOSS_FACTOR = 2  # times the loss that is taken off what comes, to tell a crowd from repeats
+NEGLIGIBLE_LOSS_SHARE = 0.02  # of the arrivals; up to this, all of them are first demand
+# Allowed growth per smoothing period under losses: 12% a minute at periods of 1 s, a usual daily ramp.
+RISE_SHARE_PER_PERIOD = 0.002
+SURGE_LOSS_FACTOR = 2  # multiple of the losses that is subtracted from arrivals, to tell a surge from retries
 
 
 class FirstDemand:
     """The first demand of one request kind.
 
     Attributes:
-        rate: Requests a second; None: nothing has been observed yet.
+        rate: Estimate in requests a second; None: nothing has been observed yet.
     """
 
     def __init__(self):
         self.rate = None
 
     def update(self, periods, arriving, lost, marked=None):
-        """Takes in the rates of now.
+        """Updates the estimate with the current rates.
 
         Args:
             periods: Time since the last update, in periods of SMOOTHING_CYCLES (loss_meter.py).
-            arriving: Requests a second that come.
-            lost: Requests a second of them that are rejected or fail.
+            arriving: Arriving requests a second.
+            lost: Rejected or failed requests a second among them.
             marked: Requests a second that clients marked as first attempts; None: they mark none.
         """
         if marked is not None:
             self.rate = marked
         elif self.rate is None:
             self.rate = arriving
-        elif arriving < self.rate:  # averaged: chance in a report cycle is no fall
+        elif arriving < self.rate:  # smoothed, since the arrivals of one report cycle vary at random
             self.rate += (arriving - self.rate) * min(1.0, periods)
         elif lost <= NEGLIGIBLE_LOSS_SHARE * arriving:
             self.rate = arriving
--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -1,8 +1,9 @@
-"""The ladder of degradation levels, without I/O.
+"""The degradation ladder: decides the degradation level, without I/O.
 
-A level is entered when the lost share of credit (loss_meter.py) stands above its mark for some evaluations,
-and left when it has stood below a lower mark for a whole calm period: a load that swings around a mark
-changes the level once. Levels follow the credit of all request kinds together, never a kind's name.
+A level is entered when the lost share of credit (loss_meter.py) has been above its threshold for several
+evaluations, and left when it has been below a lower threshold for a whole calm period. With this hysteresis a
+load that oscillates around a threshold changes the level only once. The lost share covers the credit of all
+request kinds together.
 """
 
 from typing import NamedTuple
@@ -14,20 +15,20 @@
 NS_PER_SECOND = 10**9
 NS_PER_MS = 10**6
 EVALUATION_PERIOD_NS = 1 * NS_PER_SECOND
-ENTER_EVALUATIONS = 3  # evaluations above a mark before a level is entered: one late report is no overload
-# Time below the mark before a level is left, and between two changes unless to the highest level, ns: at most
-# one change a minute at a load that swings around a mark or between two.
+ENTER_EVALUATIONS = 3  # consecutive ones before a level is entered: one late report is no overload
+# Time below the threshold before a level is left, and least time between two changes except to the highest
+# level: at most one change a minute at a load that oscillates around a threshold or between two.
 CALM_PERIOD_NS = 60 * NS_PER_SECOND
 HIGHEST_LEVEL = len(LEVELS) - 1
 
 
 class LevelChange(NamedTuple):
-    """Another degradation level is in force.
+    """A change of the degradation level.
 
     Attributes:
-        old: Name of the former level.
-        new: Name of the level now.
-        reason: Why, in words.
+        old: Name of the previous level.
+        new: Name of the new level.
+        reason: The reason in words.
     """
 
     old: str
@@ -36,21 +37,22 @@
 
 
 class DegradationLadder:
-    """Decides the degradation level of one controller. Call `evaluate_if_due` at least each second.
+    """Decides the degradation level of one controller. Call `evaluate_if_due` at least every second.
 
     Args:
         kinds: The RequestKinds.
         report_interval: The proxies' report cycle, ns.
-        levels_are_rates: Whether ordered admission levels are requests a second; else shares of what comes.
+        levels_are_rates: Whether admission levels are requests a second; otherwise they are shares of the
+            arrivals.
         now: ns.
 
     Attributes:
-        loss_meter: The LossMeter, which the load reports go to.
-        level: Index in LEVELS.
-        changes: How often the level changed.
-        lost_share: Lost share of credit at the last evaluation, 0 to 1; None: not known.
-        pinned: Index of the level that an operator holds, or None.
-        forbidden: Indices of the levels that an operator forbids.
+        loss_meter: The LossMeter, which receives the load reports.
+        level: Index of the current level in LEVELS.
+        changes: Number of changes of the level.
+        lost_share: Lost share of credit at the last evaluation, 0 to 1; None: unknown.
+        pinned: Index of the level that an operator has pinned, or None.
+        forbidden: Indices of the levels that an operator has forbidden.
     """
 
     def __init__(self, kinds, report_interval, levels_are_rates, now):
@@ -62,13 +64,13 @@
         self.forbidden = set()
         self._changed_at = now  # ns
         self._calm_since = now  # ns
-        self._evaluations_above = [0] * len(LEVELS)  # consecutive ones above each level's mark
+        self._evaluations_above = [0] * len(LEVELS)  # consecutive ones above each level's threshold
         self._evaluate_at = now + EVALUATION_PERIOD_NS  # ns
 
     # ---- operators
 
     def pin(self, name):
-        """Holds a level until `release`.
+        """Pins the level until `release` is called.
 
         Raises:
             UnknownLevelError: There is no level of that name.
@@ -80,26 +82,26 @@
         self.pinned = None
 
     def forbid(self, name, forbidden=True):
-        """Forbids a level, or allows it again; the next milder one takes its place.
+        """Forbids a level or allows it again; the next milder allowed level replaces a forbidden one.
 
         Args:
             name: The level's name.
-            forbidden: False allows it again.
+            forbidden: False allows the level again.
 
         Raises:
             UnknownLevelError: There is no level of that name.
-            NormalLevelError: It is the normal one.
+            NormalLevelError: It is the normal level.
         """
         index = level_index(name)
         if not index:
-            raise NormalLevelError("normal can't be forbidden")
+            raise NormalLevelError("the level 'normal' can't be forbidden")
         if forbidden:
             self.forbidden.add(index)
         else:
             self.forbidden.discard(index)
 
     def status(self, now):
-        """Returns the state at `now` (ns) as a JSON object, for operators."""
+        """Returns the ladder's state at `now` (ns) as a JSON object, for operators."""
         return {
             "level": self.name,
             "for_s": round((now - self._changed_at) / NS_PER_SECOND, 1),
@@ -118,13 +120,13 @@
     # ---- evaluation
 
     def evaluate_if_due(self, now):
-        """Evaluates the loss, at most once each EVALUATION_PERIOD_NS.
+        """Evaluates the loss, at most once in EVALUATION_PERIOD_NS.
 
         Args:
             now: ns.
 
         Returns:
-            A LevelChange, or None: the level stands.
+            A LevelChange; None: the level is unchanged.
         """
         if now < self._evaluate_at:
             return None
@@ -132,7 +134,7 @@
         self.lost_share = self.loss_meter.lost_share(now)
         if self.pinned is not None:
             return self._change(now, self.pinned, "pinned by an operator")
-        if self.lost_share is None:  # without a load report the level stands, and calm does not count
+        if self.lost_share is None:  # without a load report the level stays and the calm period restarts
             self._calm_since = now
             return None
         return self._evaluate(now)
@@ -151,7 +153,7 @@
         return None
 
     def _level_to_enter(self):
-        """The highest level above whose mark the loss has stood for long enough."""
+        """Returns the highest level whose entry threshold was exceeded in enough evaluations; 0: none."""
         wanted = 0
         for index in range(1, len(LEVELS)):
             above = self.lost_share > LEVELS[index].enter_above
@@ -164,12 +166,12 @@
         return not self.changes or now - self._changed_at >= CALM_PERIOD_NS or wanted == HIGHEST_LEVEL
 
     def _level_after_calm(self):
-        """The highest level below this one that the loss does not let go of."""
+        """Returns the highest milder level that the current loss would not leave; 0: none."""
         milder = range(1, self.level)
         return max((index for index in milder if self.lost_share >= LEVELS[index].leave_below), default=0)
 
     def _change(self, now, index, reason):
-        """Goes to a level, or to the next milder one that is allowed."""
+        """Changes to a level, or to the next milder allowed one; returns the LevelChange, or None."""
         while self.pinned is None and index in self.forbidden:
             index -= 1
         if index == self.level:
@@ -181,23 +183,23 @@
         self._calm_since = now
         return change
 
-    # ---- what the level means
+    # ---- properties of the current level
 
     @property
     def name(self):
-        """Name of the level."""
+        """Name of the current level."""
         return LEVEL_NAMES[self.level]
 
     @property
     def retry_after(self):
-        """How long a rejected client is asked to stay away, ns."""
+        """How long a rejected client is asked to wait before it retries, ns."""
         return LEVELS[self.level].retry_after
 
     @property
     def retry_limit(self):
-        """Most further attempts of a request kind that is partly rejected."""
+        """Most retries of a request kind that is partly rejected, as the protocol encodes them."""
         return LEVELS[self.level].retry_limit
 
     def disables(self, feature):
-        """Whether the level gives up PROBES or RETRIES (levels.py)."""
+        """Returns whether the current level disables a feature: PROBES or RETRIES (levels.py)."""
         return feature in LEVELS[self.level].disabled_features
--- a/embertray/controller/degradation/levels.py
+++ b/embertray/controller/degradation/levels.py
@@ -1,6 +1,6 @@
-"""The degradation levels: when each is entered and left, and what it gives up.
+"""The degradation levels: when each is entered and left, and what it disables.
 
-What a level gives up breaks no rule of the proxies' tables: a level only ever does less.
+No level breaks a rule of the proxies' tables, since a level only omits optional work.
 """
 
 from typing import NamedTuple
@@ -8,10 +8,10 @@
 from .exceptions import UnknownLevelError
 
 NS_PER_SECOND = 10**9
-UNLIMITED_RETRIES = 3  # the protocol's mark for any number of further attempts
+UNLIMITED_RETRIES = 3  # the protocol's value for no limit
 NO_RETRIES = 0
-PROBES = "probes"  # health checks of the controller's own
-RETRIES = "tries"  # further attempts by the proxies; operators read this word in /level
+PROBES = "probes"  # the controller's own health checks
+RETRIES = "tries"  # retries by the proxies; the word is part of the /level page
 
 
 class DegradationLevel(NamedTuple):
@@ -19,12 +19,12 @@
 
     Attributes:
         name: Its name for operators.
-        enter_above: Lost share of credit, 0 to 1, above which it is entered.
-        leave_below: Lost share below which it is left: well under the mark to enter, since the policy's own
-            swing around an objective is a tenth.
-        retry_after: How long a rejected client is asked to stay away, ns; some clients' timeouts at most.
-        retry_limit: Most further attempts of a request kind that is partly rejected.
-        disabled_features: What is not done at this level.
+        enter_above: Lost share of credit, 0 to 1, above which the level is entered.
+        leave_below: Lost share of credit below which the level is left: well below enter_above, since the
+            policy itself oscillates by a tenth around an objective.
+        retry_after: How long a rejected client is asked to wait, ns; at most a few client timeouts.
+        retry_limit: Most retries of a request kind that is partly rejected, as the protocol encodes them.
+        disabled_features: PROBES and RETRIES, as far as the level disables them.
     """
 
     name: str
@@ -45,17 +45,14 @@
 
 
 def level_index(name):
-    """Finds a level by its name.
+    """Returns the index in LEVELS of the level with a name.
 
     Args:
-        name: What an operator wrote.
-
-    Returns:
-        Its index in LEVELS.
+        name: The name as an operator entered it.
 
     Raises:
         UnknownLevelError: There is no such level.
     """
     if name not in LEVEL_NAMES:
-        raise UnknownLevelError(f"no level '{name}'; there are {', '.join(LEVEL_NAMES)}")
+        raise UnknownLevelError(f"unknown level '{name}'; known levels are {', '.join(LEVEL_NAMES)}")
     return LEVEL_NAMES.index(name)
--- a/embertray/controller/degradation/loss_meter.py
+++ b/embertray/controller/degradation/loss_meter.py
@@ -1,18 +1,18 @@
-"""Measures how much of the first demand is lost, by request kind and weighed by credit, without I/O."""
+"""Measures the lost share of first demand over all request kinds, weighted by credit, without I/O."""
 
 from .first_demand import FirstDemand
 
 NS_PER_SECOND = 10**9
-STALE_CYCLES = 3  # report cycles after which a proxy's load counts no more: it has missed two
-SMOOTHING_CYCLES = 2  # report cycles over which a fall of demand is averaged
+STALE_CYCLES = 3  # report cycles after which a proxy's load is ignored: it has missed two reports
+SMOOTHING_CYCLES = 2  # report cycles over which a fall of demand is smoothed
 
 
 class ProxyLoad:
-    """A proxy's last load report of one request kind, as rates a second.
+    """A proxy's last load report of one request kind, as rates in requests a second.
 
     Args:
-        reported_at: When it was received, ns.
-        arriving: Requests that came.
+        reported_at: When the report was received, ns.
+        arriving: Arriving requests.
         admitted: Requests that were not rejected.
         failed: Admitted requests that failed.
         marked: Requests marked as first attempts; None: clients mark none.
@@ -29,12 +29,13 @@
 
 
 class LossMeter:
-    """The lost share of credit of one controller's proxies.
+    """Measures the lost share of credit of one controller's proxies.
 
     Args:
         kinds: The RequestKinds.
         report_interval: The proxies' report cycle, ns.
-        levels_are_rates: Whether ordered admission levels are requests a second; else shares of what comes.
+        levels_are_rates: Whether admission levels are requests a second; otherwise they are shares of the
+            arrivals.
 
     Attributes:
         loads: Request kind -> proxy -> ProxyLoad.
@@ -50,17 +51,17 @@
         self._measured_at = None  # ns
 
     def observe(self, now, proxy, kind, requests, failed, span, level, repeats=None):
-        """Takes in one request kind of a proxy's load report.
+        """Records one request kind of a proxy's load report.
 
         Args:
             now: ns.
             proxy: The proxy.
             kind: The request kind.
-            requests: How many came.
-            failed: How many of the admitted failed.
+            requests: Number of arriving requests.
+            failed: Number of admitted requests that failed.
             span: The time that the report covers, ns.
-            level: The ordered admission level; None: all are admitted.
-            repeats: How many were marked as repeats; None: clients mark none.
+            level: The ordered admission level; None: no limit.
+            repeats: Number of requests marked as retries; None: clients mark none.
         """
         if span <= 0:
             return
@@ -83,13 +84,13 @@
             loads.pop(proxy, None)
 
     def lost_share(self, now):
-        """Measures the loss.
+        """Measures the loss and updates the estimates of first demand.
 
         Args:
             now: ns.
 
         Returns:
-            The lost share of the credit that first demand asks for, 0 to 1; None: no load is recent enough.
+            The lost share of the credit of first demand, 0 to 1; None: no load report is recent enough.
         """
         wanted = 0.0
         served = 0.0
@@ -104,16 +105,16 @@
             wanted += kind.credit * wanted_rate
             served += kind.credit * served_rate
         if not any_load:
-            return None  # silence tells nothing: first demand stays as it is
+            return None  # without reports, the estimates of first demand stay unchanged
         self._measured_at = now
         return max(0.0, 1 - served / wanted) if wanted > 0 else 0.0
 
     def load_count(self):
-        """Returns how many loads are kept."""
+        """Returns the number of stored ProxyLoads."""
         return sum(map(len, self.loads.values()))
 
     def _periods_since_last(self, now):
-        """Time since the last measurement, in periods of SMOOTHING_CYCLES; 0 at the first."""
+        """Returns the time since the last measurement in periods of SMOOTHING_CYCLES; 0 at the first."""
         if self._measured_at is None:
             return 0.0
         return (now - self._measured_at) / (SMOOTHING_CYCLES * self.report_interval)
@@ -123,12 +124,12 @@
         return [load for load in self.loads[kind].values() if load.reported_at > oldest]
 
     def _rates(self, kind, loads, periods):
-        """(first demand, what of it is served) of a request kind, requests a second."""
+        """Returns (first demand, served part of it) of a request kind, in requests a second."""
         arriving = sum(load.arriving for load in loads)
         served = sum(load.admitted - load.failed for load in loads)
         all_marked = all(load.marked is not None for load in loads)
         marked = sum(load.marked for load in loads) if all_marked else None
         demand = self.demand[kind]
         demand.update(periods, arriving, arriving - served, marked)
-        wanted = min(demand.rate, arriving)  # what no longer comes is not lost
+        wanted = min(demand.rate, arriving)  # requests that no longer arrive are not lost
         return wanted, min(served, wanted)
