--- a/embertray/controller/stream/__init__.py
+++ b/embertray/controller/stream/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol to proxies: frames, messages, sessions and what a proxy holds; sans-I/O (docs/protocol.md)."""
+"""The protocol to proxies: messages, sessions and a proxy's routing state; without I/O (docs/protocol.md)."""
--- a/embertray/controller/stream/exceptions.py
+++ b/embertray/controller/stream/exceptions.py
@@ -4,15 +4,15 @@
 
 from .messages import Fault, encode
 
-FAULT_TEXT_MAX = 500  # characters of the reason that the peer gets
+FAULT_TEXT_MAX = 500  # characters of the reason that is sent to the peer
 
 
 class ProtocolError(ValueError):
-    """The peer broke the protocol.
+    """The peer violated the protocol.
 
     Args:
         code: malformed | oversized | empty | cut | version | order | zone.
-        text: what was wrong, for the peer and the log.
+        text: The reason, for the peer and the log.
     """
 
     def __init__(self, code, text):
@@ -20,5 +20,5 @@
         self.code = code
 
     def fault(self):
-        """Returns the bytes of the one clear error that the peer gets."""
+        """Returns the frame of the Fault that is sent to the peer."""
         return encode_frame(encode(Fault(self.code, str(self)[:FAULT_TEXT_MAX])))
--- a/embertray/controller/stream/messages.py
+++ b/embertray/controller/stream/messages.py
@@ -1,7 +1,8 @@
-"""The messages on a proxy's stream, as msgspec types: arrays in msgpack, the first item names the message.
+"""The messages on a proxy's stream, as msgspec types: arrays in msgpack whose first item names the message.
 
-Times are whole nanoseconds. Every number and text has its bounds here, so that the decoder refuses what is
-out of them and nobody behind it has to ask again. docs/protocol.md tells the same for writers of proxies.
+Times are whole nanoseconds. The bounds of every number and text are declared here, so that the decoder
+rejects values out of bounds and the code behind it need not check them. docs/protocol.md describes the same
+messages for authors of proxies.
 """
 
 from typing import Annotated
@@ -12,7 +13,7 @@
 from embertray.common.fields import Count, Message, Name, Time
 
 VERSION = 1
-MAX_LINES = 20_000  # lines in one message; the largest table known to us has a quarter of it
+MAX_LINES = 20_000  # in one message: four times the largest known table
 
 Weight = Annotated[float, Meta(ge=0, le=1e12)]
 Share = Annotated[float, Meta(ge=0, le=1e12)]
@@ -25,43 +26,43 @@
 
 
 class Hello(Message, tag="hello"):
-    """The first message of a proxy: who it is."""
+    """The first message of a proxy, which identifies it."""
 
     version: Count
     proxy: Name
     zone: Name
-    rate: Share = 0.0  # requests a second that it usually gets
-    fresh: bool = False  # holds its standing table only
+    rate: Share = 0.0  # requests a second that the proxy usually receives
+    fresh: bool = False  # the proxy has only its standing table
 
 
 class Acknowledgement(Message, tag="answer"):
-    """The message that carried this nonce, and all before it, are applied."""
+    """The proxy has applied the message with this nonce, and all messages before it."""
 
     nonce: NonceId
 
 
 class BackendTotals(Message):
-    """What the proxy met at a backend since its last report."""
+    """The proxy's attempts at a backend since its last report."""
 
     backend: Name
     tries: Count
     failed: Count = 0
-    latency: Time = 0  # ns, the sum over attempts that were answered
-    load: dict[Name, Share] = {}  # newest load report among the answers
+    latency: Time = 0  # ns, summed over the attempts that were answered
+    load: dict[Name, Share] = {}  # the newest load values among the backend's responses
 
 
 class ArrivalTotals(Message):
-    """Requests of a kind that reached the proxy since its last report."""
+    """The requests of one kind that reached the proxy since its last report."""
 
     kind: Name
     requests: Count
     lost: Count = 0
-    # of requests, those that clients marked as retries; None: they mark none
+    # requests that clients marked as retries; None: clients mark none
     repeats: Count | None = None
 
 
 class LoadReport(Message, tag="sums"):
-    """What a proxy met and what came to it within `span`."""
+    """A proxy's attempts and arrivals within `span`."""
 
     span: Time  # ns
     met: Annotated[list[BackendTotals], Meta(max_length=MAX_LINES)] = []
@@ -76,7 +77,7 @@
 
     version: Count
     controller: Name
-    kinds: list[Name]  # names of the request kinds, in the order that levels use
+    kinds: list[Name]  # names of the request kinds, in the order that admission levels use
 
 
 class Line(Message, tag="line"):
@@ -88,7 +89,7 @@
 
 
 class Bind(Message, tag="bind"):
-    """The whole table: what the proxy held of an earlier one is forgotten."""
+    """Binds the proxy to a table and sends it whole, in place of any earlier one."""
 
     table: TableId
     lines: Annotated[list[tuple[Name, Weight]], Meta(max_length=MAX_LINES)]
@@ -97,37 +98,37 @@
 
 
 class Withdrawal(Message, tag="out"):
-    """Whether a backend is withdrawn from whatever the proxy holds."""
+    """Withdraws a backend from the proxy's lines, or restores it."""
 
     backend: Name
     out: bool
 
 
 class Level(Message, tag="level"):
-    """How much of some request kinds is admitted, and how they may be retried."""
+    """The admission level and the retry limit of some request kinds."""
 
     table: TableId
     kinds: list[Name]  # empty: all
     level: Share
     again: RetryLimit
-    wait: Time = 0  # ns that who is denied is asked to stay away; 0: nothing is said
+    wait: Time = 0  # ns that rejected clients are asked to wait; 0: no such request
 
 
 class Orders(Message, tag="orders"):
-    """All that a controller orders of one proxy at one step, applied in order and all at once."""
+    """A controller's orders to one proxy in one step; the proxy applies them in order, atomically."""
 
-    stamp: Time  # the controller's clock when it ordered this
-    cost: Share  # lines that the message counts in the channel, its head and mark included
+    stamp: Time  # the controller's clock at the time of the order
+    cost: Share  # cost of the message in lines, its head and its nonce included
     do: Annotated[list[Line | Bind | Withdrawal | Level], Meta(max_length=MAX_LINES)]
     nonce: NonceId | None = None
 
 
 class Fault(Message, tag="fault"):
-    """The one error before the stream is closed."""
+    """The error that is sent before the stream is closed."""
 
     code: Name
     text: Annotated[str, Meta(max_length=512)]
-    wait: Time = 0  # ns to stay away from this controller
+    wait: Time = 0  # ns that the proxy is asked to wait before it reconnects to this controller
 
 
 FromProxy = Hello | Acknowledgement | LoadReport
--- a/embertray/controller/stream/routing_state.py
+++ b/embertray/controller/stream/routing_state.py
@@ -1,29 +1,36 @@
-"""What a proxy holds, folded from the orders that it applied.
+"""The routing state of a proxy, as it results from the orders that it applied.
 
-This is the meaning of the messages, for proxies and observers.
+It defines the meaning of the messages, for proxies and for observers of a simulation.
 """
 
 from .messages import Bind, Level, Line, Withdrawal
 
 
 class RoutingState:
-    """A proxy's lines, withdrawals and levels.
+    """A proxy's lines, withdrawals and admission levels.
 
-    Before a binding its standing table counts; no stream changes that.
+    Until the first bind the proxy uses its standing table, whether or not it has a stream.
 
     Args:
-        standing: names of the backends in its standing table.
+        standing: Names of the backends in its standing table.
+
+    Attributes:
+        table: Number of the bound table; None: not bound, or the stream that it was bound on has ended.
+        lines: Backend -> weight.
+        levels: Request kind -> (level, retry limit).
+        retry_after: Request kind -> how long a rejected client is asked to wait, ns.
+        withdrawn: Names of the withdrawn backends.
     """
 
     def __init__(self, standing=()):
         self.table = None
         self.lines = dict.fromkeys(standing, 1.0)
-        self.levels = {}  # request kind -> (level, retry)
-        self.retry_after = {}  # request kind -> ns that a rejected client is asked to stay away
-        self.withdrawn = set()  # withdrawn backends
+        self.levels = {}
+        self.retry_after = {}
+        self.withdrawn = set()
 
     def apply(self, orders):
-        """Applies one `Orders` message; lines and levels of tables that it is not bound to change nothing."""
+        """Applies an `Orders` message; lines and levels of other tables than the bound one are ignored."""
         for order in orders.do:
             if isinstance(order, Line):
                 self._set_line(order)
@@ -48,12 +55,16 @@
         self.lines = {name: weight for name, weight in order.lines if weight > 0}
         self.levels = {kind: (level, retry) for kind, level, retry in order.levels}
         self.retry_after = {}
-        self.withdrawn = set(order.out)  # a bound proxy follows only this controller's withdrawals
+        self.withdrawn = set(order.out)  # a bound proxy applies only this controller's withdrawals
 
     def disconnected(self):
-        """The stream broke: the proxy keeps what it holds, but no table of the next controller's numbers."""
+        """Records the end of the stream.
+
+        The proxy keeps its lines but forgets the table's number, which means another table to the next
+        controller.
+        """
         self.table = None
 
     def routable_lines(self):
-        """Lines that may be picked: backend -> weight."""
+        """Returns the lines that requests may be sent to: backend -> weight."""
         return {name: weight for name, weight in self.lines.items() if name not in self.withdrawn}
--- a/embertray/controller/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -1,8 +1,8 @@
-"""One stream between a proxy and a controller, at either end, as state machines without I/O.
+"""Both ends of a stream between a proxy and a controller, as state machines without I/O.
 
-The controller's end: bytes in, messages out, in the order hello, then acknowledgements and load reports. What
-is malformed, oversized, out of order or unknown raises `ProtocolError` once; the session is then over and
-takes nothing more.
+A session turns received bytes into messages and checks their order; a proxy sends a hello first, then
+acknowledgements and load reports. Malformed, oversized, unexpected or unknown input raises `ProtocolError`,
+which ends the session; it then accepts no further input.
 """
 
 from collections import deque
@@ -27,10 +27,13 @@
 
 
 class Session:
-    """What both ends share: frames become messages; the first error ends the session.
+    """Base of both ends: decodes frames into messages; the first error ends the session.
 
     Args:
-        decode: bytes of one frame -> message; raises msgspec.DecodeError.
+        decode: Function from the bytes of one frame to a message; raises msgspec.DecodeError.
+
+    Attributes:
+        ended: Whether the session has ended.
     """
 
     def __init__(self, decode):
@@ -39,19 +42,19 @@
         self.ended = False
 
     def receive(self, data):
-        """Takes bytes of the stream.
+        """Processes received bytes.
 
         Args:
-            data: the next bytes; b"" is the stream's end.
+            data: The next bytes; b"" is the end of the stream.
 
         Returns:
-            The messages that `data` completes, checked for their order.
+            The messages that `data` completes; their order has been checked.
 
         Raises:
-            ProtocolError: the peer broke the protocol, or bytes came after the end of the session.
+            ProtocolError: The peer violated the protocol, or the session has ended.
         """
         if self.ended:
-            raise ProtocolError("order", "bytes after the end of the session")
+            raise ProtocolError("order", "bytes received after the end of the session")
         messages = self._decode_messages(data)
         for message in messages:
             self.check(message)
@@ -70,7 +73,7 @@
             self.reject("malformed", str(error))
 
     def check(self, message):
-        """Checks a message against what came before it. Raises ProtocolError."""
+        """Checks a message in the context of the earlier ones. Raises ProtocolError."""
         raise NotImplementedError
 
     def reject(self, code, text):
@@ -80,17 +83,21 @@
 
 
 class ControllerSession(Session):
-    """The controller's end: knows the proxy from its hello on, and which nonces are open on this stream.
+    """The controller's end of a stream.
 
     Args:
-        zones: names that a hello may give; None: any.
+        zones: Names of the zones that a hello may give; None: any.
+
+    Attributes:
+        hello: The proxy's Hello, or None before it.
+        open_nonces: Nonces that were sent on this stream and are not acknowledged yet.
     """
 
     def __init__(self, zones=None):
         super().__init__(decode_from_proxy)
         self.hello = None
         self.zones = zones
-        self.open_nonces = deque()  # nonces that were sent and are not acknowledged
+        self.open_nonces = deque()
 
     def check(self, message):
         """Checks a message of the proxy. Raises ProtocolError."""
@@ -107,42 +114,42 @@
         if self.hello:
             self.reject("order", f"a second hello from proxy {self.hello.proxy}")
         if hello.version != VERSION:
-            self.reject("version", f"version {hello.version} is not spoken here, only {VERSION}")
+            self.reject("version", f"protocol version {hello.version} is not supported, only {VERSION}")
         if self.zones is not None and hello.zone not in self.zones:
             self.reject("zone", f"zone '{hello.zone}' of proxy {hello.proxy} is not in the site")
         self.hello = hello
 
     def _check_acknowledgement(self, message):
         if message.nonce not in self.open_nonces:
-            self.reject("order", f"an answer to nonce {message.nonce}, which is not open here")
-        # the channel keeps order: the nonces before it are acknowledged as well
+            self.reject("order", f"acknowledgement of nonce {message.nonce}, which is not outstanding")
+        # the channel is in order, so this acknowledges all earlier nonces too
         while self.open_nonces.popleft() != message.nonce:
             pass
 
     def _check_report(self, report):
         for totals in report.met:
             if totals.failed > totals.tries:
-                text = f"{totals.failed} of {totals.tries} tries failed at {totals.backend}"
+                text = f"{totals.failed} failures of {totals.tries} attempts at {totals.backend}"
                 self.reject("malformed", text)
 
     def welcome(self, controller, kinds):
-        """Returns the bytes of the welcome: the controller's name and the names of its request kinds."""
+        """Returns the frame of the Welcome with the controller's name and the names of its request kinds."""
         return encode_frame(encode(Welcome(VERSION, controller, kinds)))
 
     def sent(self, nonce):
-        """A message goes out on this stream: its nonce, if it has one, may be acknowledged from now on."""
+        """Records that a message with a nonce (None: without one) is sent on this stream."""
         if nonce is not None:
             self.open_nonces.append(nonce)
 
 
 class ProxySession(Session):
-    """The proxy's end: welcome first, then orders; a fault may come at any time and is the last.
+    """The proxy's end: receives a welcome, then orders; a fault may arrive at any time and ends the session.
 
     Args:
-        proxy: its name.
-        zone: its zone's name.
-        rate: requests a second that it usually gets.
-        fresh: whether it holds its standing table only.
+        proxy: The proxy's name.
+        zone: Its zone's name.
+        rate: Requests a second that it usually receives.
+        fresh: Whether it has only its standing table.
     """
 
     def __init__(self, proxy, zone, rate, fresh):
@@ -151,7 +158,7 @@
         self.welcomed = None
 
     def start(self):
-        """Returns the bytes of the hello."""
+        """Returns the frame of the Hello."""
         return encode_frame(encode(self.hello))
 
     def check(self, message):
@@ -167,5 +174,5 @@
 
     @staticmethod
     def pack(message):
-        """Returns the bytes of a message's frame."""
+        """Returns the frame of a message."""
         return encode_frame(encode(message))
