--- a/embertray/common/net/queued_connection.py
+++ b/embertray/common/net/queued_connection.py
@@ -12,7 +12,7 @@
 
     Args:
         stream: The byte stream.
-        on_taken: Called each time the stream has taken what one `put` gave; None: several go at once.
+        on_sent: Called each time the stream has taken what one `put` gave; None: several go at once.
 
     Attributes:
         queue: Data that waits for the writer.
@@ -20,9 +20,9 @@
         mid_send: A send was begun and not ended: no frame may follow it.
     """
 
-    def __init__(self, stream, on_taken=None):
+    def __init__(self, stream, on_sent=None):
         self.stream = stream
-        self.on_taken = on_taken
+        self.on_sent = on_sent
         self.queue = deque()
         self.queued_bytes = 0
         self.mid_send = False
@@ -56,7 +56,7 @@
 
     def _next_data(self):
         """Takes from the queue: one item if its sender counts by what it put, else all."""
-        if self.on_taken:
+        if self.on_sent:
             return self.queue.popleft()
         data = b"".join(self.queue)
         self.queue.clear()
@@ -67,8 +67,8 @@
         await self.stream.send(data)
         self.mid_send = False
         self.queued_bytes -= len(data)
-        if self.on_taken:
-            self.on_taken()
+        if self.on_sent:
+            self.on_sent()
 
     async def read(self):
         """Returns bytes that came; none at the end of the stream, however it ended."""
--- a/embertray/service/daemon/memory_report.py
+++ b/embertray/service/daemon/memory_report.py
@@ -7,7 +7,7 @@
 
 # Types at which a walk over a stream stops, and attributes that it does not follow: the transport's own.
 TRANSPORT_TYPES = (anyio.Event, anyio.CancelScope)
-TRANSPORT_ATTRIBUTES = ("stream", "on_taken", "read", "scope")
+TRANSPORT_ATTRIBUTES = ("stream", "on_sent", "read", "scope")
 
 
 def service_collections(service):
--- a/embertray/service/daemon/proxy_stream.py
+++ b/embertray/service/daemon/proxy_stream.py
@@ -30,7 +30,7 @@
         self.hello = session.hello
         self.scope = anyio.CancelScope()
         self.end_reason = CLOSED_BY_PEER
-        conn.on_taken = self.send_buffer.message_written
+        conn.on_sent = self.send_buffer.message_written
 
     @property
     def name(self):
--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -234,6 +234,6 @@
             return
         with anyio.move_on_after(self._service.site.tick / NS_PER_SECOND, shield=True):
             conn.finish()
-            conn.on_taken = None
+            conn.on_sent = None
             with contextlib.suppress(CONNECTION_ERRORS):
                 await conn.write()
