--- a/embertray/common/memory/account.py
+++ b/embertray/common/memory/account.py
@@ -27,7 +27,7 @@
         entries: Entries of all its collections.
         bytes: What they take.
         peak: The most that they took, bytes.
-        usual: What they usually take: a moving mean, bytes.
+        mean_bytes: What they usually take: a moving mean, bytes.
         evaluations_at_cap: Evaluations at which the cap was in force.
         action_count: What was done then: lines dropped, joins rejected, streams cut.
         at_cap: The cap is in force.
@@ -40,7 +40,7 @@
     entries: int = 0
     bytes: int = 0
     peak: int = 0
-    usual: float = 0.0
+    mean_bytes: float = 0.0
     evaluations_at_cap: int = 0
     action_count: int = 0
     at_cap: bool = False
@@ -52,7 +52,7 @@
         """What is done at the cap."""
         return ACTIONS[self.purpose]
 
-    def charge(self, collections, measure):
+    def update(self, collections, measure):
         """Counts the entries of the purpose.
 
         Args:
@@ -70,10 +70,10 @@
         self.entries = entries
         self.bytes = int(total)
         self.peak = max(self.peak, self.bytes)
-        if self.usual:
-            self.usual += (self.bytes - self.usual) / USUAL_SIZE_EVALUATIONS
+        if self.mean_bytes:
+            self.mean_bytes += (self.bytes - self.mean_bytes) / USUAL_SIZE_EVALUATIONS
         else:
-            self.usual += self.bytes
+            self.mean_bytes += self.bytes
 
     def compare_with_cap(self):
         """Puts the cap in force or out of force.
@@ -103,7 +103,7 @@
             "purpose": self.purpose,
             "entries": self.entries,
             "bytes": self.bytes,
-            "usual": int(self.usual),
+            "usual": int(self.mean_bytes),
             "peak": self.peak,
             "cap": self.cap,
             "action": self.action,
--- a/embertray/common/memory/accounts.py
+++ b/embertray/common/memory/accounts.py
@@ -84,7 +84,7 @@
         measured = self._purposes_to_measure()
         instructions = []
         for purpose, account in self.by_purpose.items():
-            account.charge(current.get(purpose, []), purpose in measured)
+            account.update(current.get(purpose, []), purpose in measured)
             for text in account.compare_with_cap():
                 self.notices.append(CapNotice(purpose, text, account.bytes, account.cap, account.action))
             if account.at_cap:
