--- a/embertray/common/memory/sizing.py
+++ b/embertray/common/memory/sizing.py
@@ -9,10 +9,10 @@
 from types import BuiltinFunctionType, FunctionType, MethodType, ModuleType
 
 SAMPLED_ENTRIES = 48  # of a collection: their mean is within a few percent; more costs CPU
-NEVER_WALKED = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType)
-SEQUENCES = (list, tuple, set, frozenset, deque)
-LEAVES = (str, bytes, bytearray, int, float)  # types that lead to no other object
-NOT_ATTRIBUTES = ("__dict__", "__weakref__")  # slots that hold no value of the object
+EXCLUDED_TYPES = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType)
+ITERABLE_TYPES = (list, tuple, set, frozenset, deque)
+ATOMIC_TYPES = (str, bytes, bytearray, int, float)  # types that lead to no other object
+IGNORED_SLOTS = ("__dict__", "__weakref__")  # slots that hold no value of the object
 
 
 class Collection:
@@ -22,23 +22,23 @@
         name: Its name within its purpose.
         count: How many entries it has.
         entries: A function that gives the entries.
-        box: The containers themselves, whose own size (a dict's table) is charged in full.
+        containers: The containers themselves, whose own size (a dict's table) is charged in full.
         stop: Types at which a walk stops: they belong to another collection.
         skip: Names of attributes that are not followed.
     """
 
-    __slots__ = ("box", "count", "entries", "name", "skip", "stop")
+    __slots__ = ("containers", "count", "entries", "name", "skip", "stop")
 
-    def __init__(self, name, count, entries, box=(), stop=(), skip=()):
+    def __init__(self, name, count, entries, containers=(), stop=(), skip=()):
         self.name = name
         self.count = count
         self.entries = entries
-        self.box = box
-        self.stop = NEVER_WALKED + tuple(stop)
+        self.containers = containers
+        self.stop = EXCLUDED_TYPES + tuple(stop)
         self.skip = frozenset(skip)
 
 
-def deep_size(root, stop=NEVER_WALKED, skip=frozenset(), seen=None):
+def deep_size(root, stop=EXCLUDED_TYPES, skip=frozenset(), seen=None):
     """Measures an object with all that it leads to.
 
     Args:
@@ -54,40 +54,40 @@
     pending = [root]
     total = 0
     while pending:
-        thing = pending.pop()
-        if id(thing) in seen or thing is None or isinstance(thing, (bool, stop)):
+        value = pending.pop()
+        if id(value) in seen or value is None or isinstance(value, (bool, stop)):
             continue
-        seen.add(id(thing))
-        total += sys.getsizeof(thing)
-        if isinstance(thing, dict):
-            pending += thing.keys()
-            pending += thing.values()
-        elif isinstance(thing, SEQUENCES):
-            pending += thing
-        elif not isinstance(thing, LEAVES):
-            total += _follow_attributes(thing, skip, pending)
+        seen.add(id(value))
+        total += sys.getsizeof(value)
+        if isinstance(value, dict):
+            pending += value.keys()
+            pending += value.values()
+        elif isinstance(value, ITERABLE_TYPES):
+            pending += value
+        elif not isinstance(value, ATOMIC_TYPES):
+            total += _follow_attributes(value, skip, pending)
     return total
 
 
-def _follow_attributes(thing, skip, pending):
+def _follow_attributes(obj, skip, pending):
     """Adds the values of an object's dict, slots and msgspec fields to `pending`.
 
     Returns:
         Bytes of its dict, if it has one.
     """
     dict_bytes = 0
-    inner = getattr(thing, "__dict__", None)
-    if inner is not None:
-        dict_bytes = sys.getsizeof(inner)
-        pending += [value for name, value in inner.items() if name not in skip]
-    for kind in type(thing).__mro__:
-        slots = kind.__dict__.get("__slots__", ())
+    attributes = getattr(obj, "__dict__", None)
+    if attributes is not None:
+        dict_bytes = sys.getsizeof(attributes)
+        pending += [value for name, value in attributes.items() if name not in skip]
+    for cls in type(obj).__mro__:
+        slots = cls.__dict__.get("__slots__", ())
         for name in (slots,) if isinstance(slots, str) else slots:
-            if name not in skip and hasattr(thing, name) and name not in NOT_ATTRIBUTES:
-                pending.append(getattr(thing, name))
-    fields = getattr(thing, "__struct_fields__", ())
+            if name not in skip and hasattr(obj, name) and name not in IGNORED_SLOTS:
+                pending.append(getattr(obj, name))
+    fields = getattr(obj, "__struct_fields__", ())
     if fields:
-        pending += [getattr(thing, name) for name in fields if name not in skip]
+        pending += [getattr(obj, name) for name in fields if name not in skip]
     return dict_bytes
 
 
@@ -115,4 +115,4 @@
 
 def container_bytes(collection):
     """Returns the bytes of a Collection's containers themselves."""
-    return sum(sys.getsizeof(container) for container in collection.box)
+    return sum(sys.getsizeof(container) for container in collection.containers)
