--- a/embertray/common/net/process.py
+++ b/embertray/common/net/process.py
@@ -8,7 +8,7 @@
 RESIDENT_PAGES_FIELD = 1  # of /proc/PID/statm
 
 
-def resident(pid="self"):
+def resident_memory(pid="self"):
     """Returns the bytes that a process takes in memory.
 
     Where /proc is not there: the most that this process ever took.
--- a/embertray/experiments/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -9,7 +9,7 @@
 import tracemalloc
 
 from embertray.common.memory import MemoryAccounts
-from embertray.common.net.process import resident
+from embertray.common.net.process import resident_memory
 from embertray.controller.core import ControllerCore
 from embertray.simulation.emulator import churn
 
@@ -70,7 +70,7 @@
     class Traced(ControllerCore):
         def __init__(self, *rest):
             gc.collect()
-            found["start"], found["rss"] = tracemalloc.get_traced_memory()[0], resident()
+            found["start"], found["rss"] = tracemalloc.get_traced_memory()[0], resident_memory()
             super().__init__(*rest)
             found["it"] = self
 
--- a/embertray/experiments/measure/capacity/decisions.py
+++ b/embertray/experiments/measure/capacity/decisions.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from statistics import median
 
-from embertray.common.net.process import resident
+from embertray.common.net.process import resident_memory
 from embertray.policy import Controller, interface as i
 from embertray.simulation.standins.fleet import Fleet
 
@@ -80,7 +80,7 @@
 
 def measure(proxies, backends, load, seconds, beat=BEAT):
     """One fleet in this process: all join, SETTLE seconds pass, then `seconds` are counted."""
-    before, timed, chance = resident(), Timed(), random.Random(1)
+    before, timed, chance = resident_memory(), Timed(), random.Random(1)
     fleet = Fleet(timed, backends, proxies, **load.channel)
     fleet.run(11 * S, beat)
     fleet.join(fleet.proxies, lambda _: fleet.backends[:5])
@@ -96,7 +96,7 @@
         if not load.silent:
             fleet.pending_events += [i.ArrivalReport(proxy, kind, 1, 0, S) for proxy in fleet.proxies]
         fleet.run(fleet.now + S, beat)
-    memory, steps = resident() - before, list(timed.steps)
+    memory, steps = resident_memory() - before, list(timed.steps)
     return Cost(
         backends, sum(steps) / seconds, max(steps), memory, len(steps), *cost_of_news(fleet, timed.steps)
     )
--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -14,7 +14,7 @@
 import anyio
 
 from embertray.common.net.clock import LoopClock
-from embertray.common.net.process import resident
+from embertray.common.net.process import resident_memory
 from embertray.common.net.tcp import TcpNet
 from embertray.controller.stream.messages import (
     Acknowledgement,
@@ -131,7 +131,7 @@
 
 def kib(pid):
     """KiB in memory."""
-    return resident(pid) // 1024
+    return resident_memory(pid) // 1024
 
 
 def cpu(pid):
--- a/embertray/service/daemon/memory_report.py
+++ b/embertray/service/daemon/memory_report.py
@@ -3,7 +3,7 @@
 import anyio
 
 from embertray.common.memory import Collection
-from embertray.common.net.process import resident
+from embertray.common.net.process import resident_memory
 
 # Types at which a walk over a stream stops, and attributes that it does not follow: the transport's own.
 TRANSPORT_TYPES = (anyio.Event, anyio.CancelScope)
@@ -57,7 +57,7 @@
 
 def memory_page(service):
     """Returns the accounts, and the process as the system measures it, as a JSON object; all in bytes."""
-    resident_bytes = resident()
+    resident_bytes = resident_memory()
     purposes = service.core.accounts.rows()
     accounted = sum(row["bytes"] for row in purposes)
     return {
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -12,7 +12,7 @@
 import structlog
 from anyio.abc import TaskStatus
 
-from embertray.common.net.process import resident
+from embertray.common.net.process import resident_memory
 from embertray.controller.channel.budget import channel_budget
 from embertray.controller.core import ControllerCore, ControllerFrontend
 from embertray.controller.trust import Trust
@@ -181,7 +181,7 @@
         self.admission = self.frontend.admission
         self.log.info("started", list=self.trust.describe(now))
         self.core.extra_collections = lambda: service_collections(self)
-        self.resident_at_start = resident()
+        self.resident_at_start = resident_memory()
 
     def _start_tasks(self, group, listener, admin):
         group.start_soon(self._steps.run, group)
