--- a/embertray/common/net/http_client.py
+++ b/embertray/common/net/http_client.py
@@ -29,7 +29,7 @@
     def __init__(self, stream, host):
         self._stream = stream
         self._host = host
-        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=READ_BYTES)
+        self._protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=READ_BYTES)
 
     @classmethod
     async def dial(cls, net, address, timeout):
@@ -68,10 +68,10 @@
         headers = [("Host", self._host)]
         if body:
             headers += [("Content-Type", content_type), ("Content-Length", str(len(body)))]
-        data = self._state.send(h11.Request(method=method, target=path, headers=headers))
+        data = self._protocol.send(h11.Request(method=method, target=path, headers=headers))
         if body:
-            data += self._state.send(h11.Data(data=body))
-        data += self._state.send(h11.EndOfMessage())
+            data += self._protocol.send(h11.Data(data=body))
+        data += self._protocol.send(h11.EndOfMessage())
         try:
             with anyio.fail_after(timeout / NS_PER_SECOND):
                 await self._stream.send(data)
@@ -82,12 +82,12 @@
         """Returns h11's next event. Raises CallError: what comes can't be read, or the stream broke."""
         while True:
             try:
-                event = self._state.next_event()
+                event = self._protocol.next_event()
             except h11.RemoteProtocolError as error:
                 raise CallError(f"no HTTP: {error}", True) from None
             if event is not h11.NEED_DATA:
                 return event
-            self._state.receive_data(await self._receive())
+            self._protocol.receive_data(await self._receive())
 
     async def _receive(self):
         try:
@@ -139,10 +139,10 @@
         """
         body = bytearray()
         try:
-            with anyio.fail_after(timeout / NS_PER_SECOND) as limit:
+            with anyio.fail_after(timeout / NS_PER_SECOND) as scope:
                 status = await self.read_status()
                 transfer_end = anyio.current_time() + transfer_timeout / NS_PER_SECOND
-                limit.deadline = max(limit.deadline, transfer_end)
+                scope.deadline = max(scope.deadline, transfer_end)
                 while (part := await self.read_body_part()) is not None:
                     body += part
                     if len(body) > max_bytes:
@@ -153,8 +153,8 @@
 
     def start_next(self):
         """Makes ready for another request; returns whether the connection can take one."""
-        if self._state.our_state is h11.DONE and self._state.their_state is h11.DONE:
-            self._state.start_next_cycle()
+        if self._protocol.our_state is h11.DONE and self._protocol.their_state is h11.DONE:
+            self._protocol.start_next_cycle()
             return True
         return False
 
--- a/embertray/common/net/sending.py
+++ b/embertray/common/net/sending.py
@@ -26,11 +26,11 @@
         OSError: The stream broke; so for anyio's errors of a stream (CONNECTION_ERRORS).
     """
     loop = asyncio.get_running_loop()
-    with anyio.CancelScope() as sending:
+    with anyio.CancelScope() as scope:
 
-        def begin_limit():
-            sending.deadline = loop.time() + timeout / NS_PER_SECOND
+        def start_timeout():
+            scope.deadline = loop.time() + timeout / NS_PER_SECOND
 
-        loop.call_soon(loop.call_soon, begin_limit)
+        loop.call_soon(loop.call_soon, start_timeout)
         await stream.send(data)
-    return not sending.cancelled_caught
+    return not scope.cancelled_caught
