--- a/embertray/common/framing.py
+++ b/embertray/common/framing.py
@@ -34,21 +34,21 @@
         """The frames (bytes) that `data` completes. Raises FrameError as soon as a length is announced that
         no frame may have, before anything of it is kept."""
         self.buffer += data
-        found, at = [], 0
-        while len(self.buffer) - at >= PREFIX.size:
-            (size,) = PREFIX.unpack_from(self.buffer, at)
+        frames, offset = [], 0
+        while len(self.buffer) - offset >= PREFIX.size:
+            (size,) = PREFIX.unpack_from(self.buffer, offset)
             if not 0 < size <= self.max_bytes:
                 raise FrameError(
                     "oversized" if size else "empty",
                     f"a frame of {size} bytes, 1 to {self.max_bytes} allowed",
                 )
-            if len(self.buffer) - at - PREFIX.size < size:
+            if len(self.buffer) - offset - PREFIX.size < size:
                 break
-            at += PREFIX.size
-            found.append(bytes(self.buffer[at : at + size]))
-            at += size
-        del self.buffer[:at]
-        return found
+            offset += PREFIX.size
+            frames.append(bytes(self.buffer[offset : offset + size]))
+            offset += size
+        del self.buffer[:offset]
+        return frames
 
     def end(self):
         """To be called at the stream's end: raises FrameError if it stopped within a frame."""
--- a/embertray/common/memory/caps.py
+++ b/embertray/common/memory/caps.py
@@ -13,9 +13,9 @@
 NAME_BYTES = 6 * KIB  # a proxy or backend as the policy keeps it, without samples
 SAMPLE_BYTES = 300  # a load report as the policy keeps it
 SAMPLES_KEPT = 64  # load reports that the policy keeps of each proxy and backend
-LINE_BYTES = 400  # a table line: as ordered, as wanted and as reported
+TABLE_LINE_BYTES = 400  # a table line: as ordered, as wanted and as reported
 WAITING_LINE_BYTES = 200  # a line that waits in the channel, with its share of the message
-LISTED_BYTES = 1 * KIB  # an entry of the endpoint list, with its start time and its identifier
+LIST_ENTRY_BYTES = 1 * KIB  # an entry of the endpoint list, with its start time and its identifier
 MEMBER_BYTES = 4 * KIB  # a cluster member: its statement, digests, probes and rejections counted by address
 PROBES_IN_FLIGHT_MAX = 256  # health checks
 
@@ -26,11 +26,11 @@
     backends = max(FLEET_MIN, site.backends)
     zones = len(site.zones)
     kinds = len(site.kinds)
-    sampled = backends * (1 + zones) + proxies * kinds
+    sample_sets = backends * (1 + zones) + proxies * kinds
     sizes = {
-        "tables": zones * backends * LINE_BYTES + proxies * KIB,
-        "list": backends * LISTED_BYTES,
-        "reports": sampled * SAMPLES_KEPT * SAMPLE_BYTES,
+        "tables": zones * backends * TABLE_LINE_BYTES + proxies * KIB,
+        "list": backends * LIST_ENTRY_BYTES,
+        "reports": sample_sets * SAMPLES_KEPT * SAMPLE_BYTES,
         "channel": int(site.pending_max * WAITING_LINE_BYTES) + proxies * KIB,
         "streams": proxies * PROXY_BYTES,
         "names": (proxies + backends) * NAME_BYTES,
