--- a/embertray/controller/trust/__init__.py
+++ b/embertray/controller/trust/__init__.py
@@ -1,4 +1,4 @@
-"""What an endpoint list is worth: by age at the start, by what answers, and against what discovery says."""
+"""Decides how far the endpoint list is trusted, by its age at the start, by load reports and by discovery."""
 
 from .decision import BackendAttempts, TrustDecision
 from .trust import Trust
--- a/embertray/controller/trust/catalog.py
+++ b/embertray/controller/trust/catalog.py
@@ -1,15 +1,15 @@
-"""The backends that are known from the endpoint list, and those that were lately removed from it."""
+"""The backends that are known from the endpoint list, and those that were recently removed from it."""
 
 from .known_backend import KnownBackend
 from .tombstones import Tombstones
 
 
 class BackendCatalog:
-    """What discovery and the disk have said of each backend.
+    """The known backends, from discovery or from the list on disk.
 
     Attributes:
         backends: Name -> KnownBackend.
-        tombstones: The Tombstones of those that were removed.
+        tombstones: The Tombstones of the removed backends.
     """
 
     def __init__(self):
@@ -22,15 +22,15 @@
         return [name for name in self.backends if name not in listed]
 
     def accept(self, now, entries, outdated):
-        """Takes the entries that count; all do unless they are of an outdated list.
+        """Applies entries; those of an outdated list only if nothing newer is known of their backends.
 
         Args:
             now: ns.
             entries: EndpointEntry items.
-            outdated: The list that they are from is older than the newest so far.
+            outdated: Whether their list is older than the newest so far.
 
         Returns:
-            The entries that were taken.
+            The applied entries.
         """
         accepted = []
         for entry in entries:
@@ -51,7 +51,7 @@
             names: Their names.
 
         Returns:
-            The EndpointEntry items that say that they are gone.
+            An EndpointEntry in state "gone" for each of them.
         """
         removals = [self.backends[name].removal() for name in names]
         for name in names:
@@ -59,12 +59,12 @@
         return removals
 
     def shed_memory(self):
-        """Forgets the older removals, and makes the dicts anew: one keeps its largest size until then."""
+        """Drops the older tombstones and copies the dicts, which keep their largest size until then."""
         self.tombstones.shed_memory()
         self.backends = dict(self.backends)
 
     def _is_superseded(self, entry):
-        """Whether an outdated list's entry contradicts what is known from a newer one."""
+        """Returns whether an entry of an outdated list contradicts what is known from a newer one."""
         known = self.backends.get(entry.backend)
         if entry.state == "gone":
             return known is not None and known.entry.started > entry.started
--- a/embertray/controller/trust/decision.py
+++ b/embertray/controller/trust/decision.py
@@ -1,15 +1,15 @@
-"""What the trust rules instruct after an event."""
+"""Input and result of the trust rules."""
 
 from typing import NamedTuple
 
 
 class TrustDecision(NamedTuple):
-    """What is to be handed on to the policy.
+    """An update of the endpoint list to forward to the policy.
 
     Attributes:
-        kind: An UpdateKind: how the entries stand to the list so far.
+        kind: An UpdateKind: how the entries relate to the current list.
         entries: EndpointEntry items.
-        request_complete: The complete list is to be requested again before the missing are believed gone.
+        request_complete: Whether to request the complete list again before missing backends are removed.
     """
 
     kind: str
@@ -18,12 +18,12 @@
 
 
 class BackendAttempts(NamedTuple):
-    """What one proxy met at one backend since its last load report.
+    """One proxy's attempts at one backend since its last load report.
 
     Attributes:
-        backend: Its name.
-        attempts: Attempts that ended.
-        failed: How many of them failed.
+        backend: The backend's name.
+        attempts: Finished attempts.
+        failed: Failed attempts among them.
     """
 
     backend: str
--- a/embertray/controller/trust/description.py
+++ b/embertray/controller/trust/description.py
@@ -1,20 +1,17 @@
-"""Says in words what the endpoint list is worth, for operators.
+"""Describes for operators how far the endpoint list is trusted.
 
-The texts are in HTTP answers and log lines that other programs may read.
+The texts appear in HTTP responses and log lines that other programs may parse.
 """
 
 NS_PER_SECOND = 10**9
 
 
 def describe(trust, now):
-    """Describes what the list is worth and why.
+    """Returns a text that says how far the list is trusted, and why.
 
     Args:
         trust: A Trust.
         now: ns.
-
-    Returns:
-        The text.
     """
     if trust.discovery_answered:
         return "discovery has spoken"
--- a/embertray/controller/trust/discovery.py
+++ b/embertray/controller/trust/discovery.py
@@ -1,9 +1,9 @@
-"""Merges the answers of discovery into what is known.
+"""Merges the responses of discovery into the catalog.
 
-What discovery lists counts, unless it is older than what is known: a lagging replica's list (an older epoch)
-brings no backend back that was removed since, and removes none that is known from a newer list. A complete
-list that suddenly lacks most of the answering backends is confirmed first. What is listed as draining or gone
-in so many words is believed at once.
+Discovery's list applies unless it is outdated: the list of a lagging replica (an older epoch) neither
+restores a backend that was removed since nor removes one that is known from a newer list. A complete list
+that suddenly lacks most of the answering backends has to be confirmed first. An explicit entry in state
+draining or gone applies at once.
 """
 
 from embertray.controller.endpoint_list import UpdateKind
@@ -13,15 +13,15 @@
 
 
 class DiscoveryMerge:
-    """The rules for answers of discovery.
+    """The rules for responses of discovery.
 
     Args:
-        catalog: The BackendCatalog that the answers go to.
+        catalog: The BackendCatalog that is updated.
         losses: The LossConfirmation.
 
     Attributes:
         epoch: The newest version of the list so far.
-        answered: Discovery has answered since the start.
+        answered: Whether discovery has answered since the start.
     """
 
     def __init__(self, catalog, losses):
@@ -31,7 +31,7 @@
         self._losses = losses
 
     def receive(self, now, kind, epoch, entries):
-        """Judges one answer of discovery.
+        """Processes a response of discovery.
 
         Args:
             now: ns.
@@ -55,7 +55,7 @@
         return self._merge_complete(now, entries)
 
     def _merge_outdated(self, now, entries):
-        """A lagging replica's list removes only what is known to be refuted."""
+        """Merges the list of a lagging replica, which removes only refuted backends."""
         missing = self._catalog.missing_from(entries)
         accepted = self._accept(now, entries, outdated=True)
         refuted = [name for name in missing if self._catalog.backends[name].refuted]
--- a/embertray/controller/trust/known_backend.py
+++ b/embertray/controller/trust/known_backend.py
@@ -1,26 +1,26 @@
-"""A backend as the trust rules know it, and what proves or refutes that it is there."""
+"""A backend as the trust rules know it, with the evidence for or against its existence."""
 
 from embertray.controller.endpoint_list.messages import EndpointEntry
 
-PROVEN_SUCCESSES = 2  # attempts that succeeded: a candidate is then proven
-REFUTED_FAILURES = 3  # attempts that failed without one success: a candidate is then refuted
+PROVEN_SUCCESSES = 2  # successful attempts after which a candidate is proven
+REFUTED_FAILURES = 3  # failed attempts without a success after which a candidate is refuted
 
 
 class KnownBackend:
-    """A listed backend with the evidence about it.
+    """A listed backend and the evidence about it.
 
     Args:
         entry: Its EndpointEntry.
-        age: Time since the inventory last confirmed it, ns; None: not known.
-        candidate: It comes from an old snapshot and is yet to be proven.
-        confirmed_at: When it was last confirmed, ns since 1970; None: by the discovery of this run.
+        age: Time since the inventory last confirmed it, ns; None: unknown.
+        candidate: Whether it comes from an old snapshot and has to be proven.
+        confirmed_at: When it was last confirmed, ns since 1970; None: by discovery in this run.
 
     Attributes:
-        successes: Attempts that succeeded.
-        failures: Attempts that failed since the last success.
+        successes: Number of successful attempts.
+        failures: Number of failed attempts since the last success.
         answered_at: When an attempt last succeeded, ns; 0: never.
-        refuted: Nothing but failures came from it.
-        forwarded: The policy knows it.
+        refuted: Whether it is a candidate that only failed.
+        forwarded: Whether it was forwarded to the policy.
     """
 
     __slots__ = (
@@ -48,38 +48,38 @@
 
     @property
     def proven(self):
-        """Whether it is a candidate that answered often enough."""
+        """Whether it is a candidate with enough successful attempts."""
         return self.candidate and self.successes >= PROVEN_SUCCESSES
 
     @property
     def undecided(self):
-        """Whether it is a candidate about which nothing is decided yet."""
+        """Whether it is a candidate that is neither proven nor refuted yet."""
         return not self.forwarded and not self.refuted
 
     def removal(self):
-        """Returns the EndpointEntry that says that it is gone."""
+        """Returns its EndpointEntry in state "gone"."""
         return EndpointEntry(self.entry.backend, self.entry.zone, "gone")
 
     def copy_evidence_from(self, former):
-        """Keeps what was met at the backend while it was known by a `former` entry (a KnownBackend)."""
+        """Copies the evidence that was collected under a `former` entry (a KnownBackend)."""
         self.successes = former.successes
         self.failures = former.failures
         self.answered_at = former.answered_at
 
     def observe(self, now, attempts, failed, may_refute):
-        """Weighs the attempts of one load report.
+        """Evaluates the attempts in one load report.
 
-        A candidate that answers is handed on as it was; one that only fails is taken back until it answers
-        or is listed.
+        A candidate that answers is forwarded with its entry unchanged; one that only fails is removed until
+        it answers or is listed.
 
         Args:
             now: ns.
-            attempts: Attempts that ended.
-            failed: How many of them failed.
-            may_refute: Whether failures count against it; not once discovery has answered.
+            attempts: Finished attempts.
+            failed: Failed attempts among them.
+            may_refute: Whether failures count against it; they don't once discovery has answered.
 
         Returns:
-            The EndpointEntry to hand on as a change, or None.
+            The EndpointEntry to forward as a change, or None.
         """
         succeeded = attempts - failed
         self.successes += succeeded
--- a/embertray/controller/trust/persistence.py
+++ b/embertray/controller/trust/persistence.py
@@ -1,4 +1,4 @@
-"""Turns what the trust rules know into a Snapshot, and the entries of a Snapshot back."""
+"""Converts the state of the trust rules to a Snapshot, and the entries of a Snapshot back."""
 
 from embertray.common.snapshots import Snapshot, SnapshotEntry
 from embertray.controller.endpoint_list.messages import EndpointEntry
@@ -7,19 +7,20 @@
 from .snapshot_age import time_since_confirmed
 from .tombstones import TOMBSTONE_PERIOD_NS
 
-FRESH_AGE_NS = 30 * 10**9  # twice the snapshots' period: in so short a time few backends are replaced
-NO_ZONE = "-"  # of a removed backend: an entry on disk needs one, nobody reads it
+FRESH_AGE_NS = 30 * 10**9  # twice the snapshot period: few backends are replaced in so short a time
+NO_ZONE = "-"  # stored for a removed backend, since the file format requires a zone; it is never read
 
 
 def load_backend(snapshot, saved, since_snapshot):
-    """Makes a KnownBackend of a saved entry.
+    """Returns the KnownBackend of a saved entry.
 
-    A ready backend that was not confirmed for long is a candidate: under its name a replacement may run.
+    A ready backend that has not been confirmed for long is a candidate, since a replacement may run under its
+    name.
 
     Args:
         snapshot: The Snapshot.
         saved: Its SnapshotEntry.
-        since_snapshot: Time since the snapshot, ns; None: not known.
+        since_snapshot: Time since the snapshot, ns; None: unknown.
 
     Returns:
         The KnownBackend.
@@ -31,13 +32,13 @@
 
 
 def load_tombstones(now, snapshot, since_snapshot, tombstones):
-    """Remembers the removals of a snapshot, less those that are too old.
+    """Loads the tombstones of a snapshot, except expired ones.
 
     Args:
         now: ns.
         snapshot: The Snapshot.
-        since_snapshot: Time since the snapshot, ns; None: not known, all are remembered.
-        tombstones: The Tombstones to add to.
+        since_snapshot: Time since the snapshot, ns; None: unknown, all are loaded.
+        tombstones: The Tombstones to add them to.
     """
     for saved in snapshot.removed:
         in_time = (
@@ -49,16 +50,16 @@
 
 
 def make_snapshot(now, epoch, inventory_clock, clocks, backends, tombstones):
-    """Makes the Snapshot that a later start needs.
+    """Returns the Snapshot for a later start.
 
-    An entry that discovery has not confirmed in this run keeps its old time of confirmation, so that it grows
-    older through several starts.
+    An entry that discovery has not confirmed in this run keeps its old time of confirmation, so that its age
+    increases over several starts.
 
     Args:
         now: ns.
         epoch: Version of the list.
         inventory_clock: The inventory's clock now, ns.
-        clocks: The ClockReading of now.
+        clocks: The current ClockReading.
         backends: Name -> KnownBackend.
         tombstones: The Tombstones.
 
--- a/embertray/controller/trust/snapshot_age.py
+++ b/embertray/controller/trust/snapshot_age.py
@@ -1,21 +1,21 @@
-"""How old a snapshot and its entries are at a start, by clocks that may have been set."""
+"""Calculates the age of a snapshot and its entries at a start; clocks may have been set in between."""
 
-# A confirmation this far in the future means that a clock was set back: its age is not known.
+# A confirmation further in the future than this means that a clock was set back; its age is then unknown.
 CLOCK_AHEAD_NS = 5 * 10**9
 
 
 def time_since(snapshot, clocks):
-    """The time since a snapshot was taken.
+    """Returns the time since a snapshot was taken.
 
-    Within one boot the boot's own clock tells, which nobody can set. Else the wall clock does; if it is
-    behind the snapshot's, it was set back, and the age is not known.
+    Within one boot this is measured by the boot clock, which cannot be set, otherwise by the wall clock. A
+    wall clock behind the snapshot's was set back, and the age is then unknown.
 
     Args:
         snapshot: A Snapshot.
-        clocks: The ClockReading of now.
+        clocks: The current ClockReading.
 
     Returns:
-        ns, or None if it is not known.
+        The time in ns, or None if it is unknown.
     """
     wall, boot_id, since_boot = clocks
     if boot_id and boot_id == snapshot.boot_id and since_boot >= snapshot.boot_clock:
@@ -24,15 +24,15 @@
 
 
 def time_since_confirmed(snapshot, entry, since_snapshot):
-    """The time since the inventory last confirmed an entry.
+    """Returns the time since the inventory last confirmed an entry.
 
     Args:
-        snapshot: The Snapshot that it is from.
+        snapshot: The Snapshot that holds the entry.
         entry: The SnapshotEntry.
-        since_snapshot: What `time_since` gave.
+        since_snapshot: The result of `time_since`.
 
     Returns:
-        ns, or None if it is not known.
+        The time in ns, or None if it is unknown.
     """
     if since_snapshot is None or entry.confirmed > snapshot.wall_clock + CLOCK_AHEAD_NS:
         return None
--- a/embertray/controller/trust/table_retention.py
+++ b/embertray/controller/trust/table_retention.py
@@ -1,28 +1,29 @@
-"""Which proxies keep the tables of a former controller while only a list from disk is there.
+"""Decides which proxies keep an earlier controller's tables while only a list from disk is available.
 
-Those tables are newer than an old list, so the proxies are not bound to tables made from it. Proxies that
-hold only their standing table are bound at once. It ends for all when discovery answers, when most candidates
-are proven, or after a time; for one proxy when nothing that it holds answers.
+Those tables are newer than an old list, so the proxies are not bound to tables that are made from it. Proxies
+with only their standing table are bound at once. The retention ends for all proxies when discovery answers,
+when enough candidates are proven, or after a time; for a single proxy it ends when no backend of its table
+answers.
 """
 
 from .known_backend import REFUTED_FAILURES
 
-TABLE_RETENTION_NS = 20 * 10**9  # then drains that were missed meanwhile weigh more than the newer tables
-# The same where the tables know backends that answer and are not on the list, ns.
+TABLE_RETENTION_NS = 20 * 10**9  # after this, missed drains cost more than the newer tables gain
+# The same if the proxies' tables contain answering backends that are not on the list.
 TABLE_RETENTION_UNLISTED_NS = 300 * 10**9
-PROVEN_SHARE = 0.5  # of the candidates: the list is then good enough for all
-FAILING_SHARE = 0.9  # of a proxy's attempts: if more fail, its table is no better than the list
-DRAIN_GRACE_DIVISOR = 2  # half the grace at most, if the list knows of a drain: proxies have to learn of it
+PROVEN_SHARE = 0.5  # of the candidates; once they are proven, the list is good enough for all proxies
+FAILING_SHARE = 0.9  # of a proxy's attempts; if more fail, its table is no better than the list
+DRAIN_GRACE_DIVISOR = 2  # at most half the grace if the list has a drain, which the proxies have to learn of
 
 
 class TableRetention:
     """Decides how long proxies keep their tables.
 
     Attributes:
-        candidate_count: Backends on the list that were to be proven at the start; 0: nothing is retained.
+        candidate_count: Number of candidates on the list at the start; 0: no table is retained.
         retention_period: How long tables are retained, ns.
-        unlisted_answering: Proxies report backends that answer and are not on the list.
-        failing_proxies: Names of proxies that hold tables in which nothing answers.
+        unlisted_answering: Whether proxies report answering backends that are not on the list.
+        failing_proxies: Names of proxies whose tables have next to no answering backend.
     """
 
     def __init__(self):
@@ -32,17 +33,17 @@
         self.failing_proxies = set()
 
     def limit_by_drain(self, drain_grace):
-        """Shortens the retention: the list knows of a drain. `drain_grace` is in ns."""
+        """Shortens the retention because the list contains a draining backend; `drain_grace` is in ns."""
         self.retention_period = min(TABLE_RETENTION_NS, drain_grace // DRAIN_GRACE_DIVISOR)
 
     def observe_proxy(self, proxy, attempts, failed, requests):
-        """Judges one load report of a proxy that holds tables of a former controller.
+        """Evaluates a load report of a proxy with tables of an earlier controller.
 
         Args:
-            proxy: Its name.
-            attempts: Attempts at all backends.
-            failed: How many of them failed.
-            requests: Requests that came to it.
+            proxy: The proxy's name.
+            attempts: Finished attempts at all backends.
+            failed: Failed attempts among them.
+            requests: Requests that arrived at the proxy.
         """
         nearly_all_failed = attempts >= REFUTED_FAILURES and failed > FAILING_SHARE * attempts
         nowhere_to_send = requests and not attempts
@@ -54,11 +55,11 @@
         self.failing_proxies.discard(proxy)
 
     def is_over(self, elapsed, proven_count):
-        """Whether no proxy keeps its tables any more, though discovery has not answered.
+        """Returns whether the retention has ended for all proxies, while discovery has not answered.
 
         Args:
             elapsed: Time since the start, ns.
-            proven_count: Candidates that are proven.
+            proven_count: Number of proven candidates.
         """
         if not self.candidate_count:
             return True
@@ -69,4 +70,4 @@
     def _unlisted_retention_period(self):
         if self.retention_period == TABLE_RETENTION_NS:
             return TABLE_RETENTION_UNLISTED_NS
-        return self.retention_period  # a drain is known: it limits this, too
+        return self.retention_period  # limited by a drain, which applies here too
--- a/embertray/controller/trust/tombstones.py
+++ b/embertray/controller/trust/tombstones.py
@@ -1,17 +1,16 @@
-"""Tombstones: backends that were removed, remembered so that an older list does not bring them back."""
+"""Tombstones: records of removed backends, so that an outdated list does not restore them."""
 
 from typing import NamedTuple
 
-# How long a removal is remembered, ns: longer than any replica of the inventory lags behind.
-TOMBSTONE_PERIOD_NS = 600 * 10**9
+TOMBSTONE_PERIOD_NS = 600 * 10**9  # longer than any replica of the inventory lags behind
 
 
 class Tombstone(NamedTuple):
-    """A removal.
+    """The record of a removed backend.
 
     Attributes:
-        started: When the removed instance had started, ns by the inventory's clock; 0: not known.
-        removed_at: When it was removed, ns by our clock.
+        started: When the removed instance had started, ns by the inventory's clock; 0: unknown.
+        removed_at: When it was removed, ns by this process's clock.
     """
 
     started: int
@@ -19,26 +18,30 @@
 
 
 class Tombstones:
-    """The removals of late: backend name -> Tombstone in `entries`, the oldest first."""
+    """The recent removals.
+
+    Attributes:
+        entries: Backend's name -> Tombstone, the oldest first.
+    """
 
     def __init__(self):
         self.entries = {}
 
     def add(self, backend, started, removed_at):
-        """Remembers a removal; arguments as in Tombstone."""
+        """Adds a tombstone; arguments as in Tombstone."""
         self.entries[backend] = Tombstone(started, removed_at)
 
     def discard(self, backend):
-        """Forgets a removal, if there is one: the backend is listed again."""
+        """Drops the tombstone of a backend that is listed again, if there is one."""
         self.entries.pop(backend, None)
 
     def covers(self, entry):
-        """Whether an EndpointEntry is of an instance that was removed, not of one that started since."""
+        """Returns whether an EndpointEntry is of a removed instance, not of one that started later."""
         tombstone = self.entries.get(entry.backend)
         return tombstone is not None and entry.started <= tombstone.started
 
     def expire(self, now):
-        """Forgets what no replica can still list at `now` (ns)."""
+        """Drops the tombstones that are older than TOMBSTONE_PERIOD_NS at `now` (ns)."""
         outdated = [
             backend
             for backend, tombstone in self.entries.items()
@@ -48,7 +51,7 @@
             del self.entries[backend]
 
     def shed_memory(self):
-        """Forgets the older half: a list as old as that is then believed."""
+        """Drops the older half; a list of that age could then restore these backends."""
         for backend in list(self.entries)[: (len(self.entries) + 1) // 2]:
             del self.entries[backend]
-        self.entries = dict(self.entries)  # a dict keeps its largest size until it is made anew
+        self.entries = dict(self.entries)  # a dict keeps its largest size until it is copied
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -1,11 +1,11 @@
-"""What the endpoint list is worth: stands between the list's messages and the policy, without I/O.
+"""Filters the endpoint list before it reaches the policy, by how far it is trusted, without I/O.
 
-At a start, the list on disk counts as it is if it was confirmed lately. Else each of its ready backends is a
-candidate that load reports prove or refute (`verification`, `known_backend`), and proxies keep their newer
-tables for a while (`table_retention`).
+At a start, the list on disk is used unchanged if it was confirmed recently. Otherwise each of its ready
+backends is a candidate that load reports prove or refute (`verification`, `known_backend`), and proxies keep
+their newer tables for a while (`table_retention`).
 
-Once discovery answers, what it lists counts, unless it is older than what is known (`discovery`, `catalog`,
-`tombstones`). A sudden large loss is confirmed first (`loss_confirmation`).
+Once discovery answers, its list applies unless it is outdated (`discovery`, `catalog`, `tombstones`). A
+sudden large loss has to be confirmed first (`loss_confirmation`).
 """
 
 from embertray.controller.endpoint_list import UpdateKind
@@ -33,7 +33,7 @@
         discovery: The DiscoveryMerge.
         retention: The TableRetention.
         verification: The Verification.
-        age: How old the oldest entry of the list on disk was at the start, ns; None: not known, or no list.
+        age: Age of the oldest entry of the list on disk at the start, ns; None: unknown, or no list.
     """
 
     def __init__(self, drain_grace, omission_removes=True):
@@ -47,12 +47,12 @@
 
     @property
     def backends(self):
-        """All known backends: name -> KnownBackend."""
+        """Name -> KnownBackend of all known backends."""
         return self.catalog.backends
 
     @property
     def tombstones(self):
-        """The removals of late: a Tombstones."""
+        """The Tombstones of the recently removed backends."""
         return self.catalog.tombstones
 
     @property
@@ -68,15 +68,15 @@
     # ---- the start
 
     def start(self, now, snapshot, clocks):
-        """Starts from the list on disk.
+        """Loads the list on disk.
 
         Args:
             now: ns.
             snapshot: The newest Snapshot, or None.
-            clocks: The ClockReading of now.
+            clocks: The current ClockReading.
 
         Returns:
-            A TrustDecision with the entries that count as they are.
+            A TrustDecision with the entries that need no proof.
         """
         self.verification.started_at = now
         if snapshot is None:
@@ -102,46 +102,46 @@
         if any(backend.entry.state == "draining" for backend in backends):
             self.retention.limit_by_drain(self._drain_grace)
 
-    # ---- which proxies keep their tables
+    # ---- table retention
 
     def retains_tables(self, now, fresh, proxy):
-        """Whether a joined proxy is left with its tables for now.
+        """Returns whether a joined proxy keeps its tables for now.
 
         Args:
             now: ns.
-            fresh: The proxy holds its standing table only.
+            fresh: Whether the proxy has only its standing table.
             proxy: Its name.
         """
         return not fresh and not self.is_settled(now) and proxy not in self.retention.failing_proxies
 
     def is_settled(self, now):
-        """Whether the list is good enough at `now` (ns) to bind all proxies to tables made from it."""
+        """Returns whether the list is reliable enough at `now` (ns) to bind all proxies to its backends."""
         if self.discovery_answered:
             return True
         return self.retention.is_over(now - self.verification.started_at, self.proven_count())
 
     def proven_count(self):
-        """Returns how many candidates are proven."""
+        """Returns the number of proven candidates."""
         return sum(backend.proven for backend in self.backends.values())
 
     def describe(self, now):
-        """Returns what the list is worth at `now` (ns) in words, for operators."""
+        """Returns a text for operators that says how far the list is trusted at `now` (ns)."""
         return description.describe(self, now)
 
     # ---- load reports
 
     def observe(self, now, proxy, fresh, outcomes, requests=0):
-        """Weighs the evidence in one proxy's load report.
+        """Evaluates the evidence in one proxy's load report.
 
         Args:
             now: ns.
             proxy: The proxy's name.
-            fresh: The proxy holds its standing table only.
+            fresh: Whether the proxy has only its standing table.
             outcomes: BackendAttempts items.
-            requests: Requests that came to it.
+            requests: Requests that arrived at the proxy.
 
         Returns:
-            EndpointEntry items to hand on as changes.
+            EndpointEntry items to forward as changes.
         """
         changes = []
         total_attempts = 0
@@ -164,46 +164,46 @@
             self.retention.unlisted_answering = True
 
     def proxy_left(self, proxy):
-        """Forgets a proxy (by name) whose stream ended."""
+        """Removes a proxy (by name) whose stream ended."""
         self.retention.proxy_left(proxy)
 
     # ---- discovery
 
     def receive_update(self, now, kind, epoch, entries):
-        """Judges one answer of discovery; arguments and result as in DiscoveryMerge.receive."""
+        """Processes a response of discovery; arguments and result as in DiscoveryMerge.receive."""
         return self.discovery.receive(now, kind, epoch, entries)
 
     # ---- time, disk and memory
 
     def apply_timers(self, now):
-        """Does what is due at `now` (ns).
+        """Processes the timers that are due at `now` (ns).
 
         Returns:
-            EndpointEntry items to hand on as changes: candidates about which nothing was heard, or backends
-            for which a second answer was waited for too long, as gone.
+            EndpointEntry items to forward as changes: undecided candidates, or missing backends whose
+            confirmation timed out, in state "gone".
         """
         if self.verification.is_due(now, self.backends):
             return self.verification.forward_undecided(now, self.backends)
         return self.catalog.remove(now, self.losses.expire(now, self.backends))
 
     def next_timer(self):
-        """Returns when `apply_timers` is to be called, ns; None: nothing is waited for."""
+        """Returns when to call `apply_timers` next, ns; None: no timer is set."""
         if self.verification.is_waiting(self.backends):
             return self.verification.next_timer()
         return self.losses.next_timer()
 
     def make_snapshot(self, now, inventory_clock, clocks):
-        """Makes the Snapshot that a later start needs.
+        """Returns the Snapshot for a later start.
 
         Args:
             now: ns.
             inventory_clock: The inventory's clock now, ns.
-            clocks: The ClockReading of now.
+            clocks: The current ClockReading.
         """
         return persistence.make_snapshot(
             now, self.epoch, inventory_clock, clocks, self.backends, self.tombstones
         )
 
     def shed_memory(self):
-        """Frees memory: the older removals are forgotten."""
+        """Frees memory by dropping the older tombstones."""
         self.catalog.shed_memory()
--- a/embertray/controller/trust/verification.py
+++ b/embertray/controller/trust/verification.py
@@ -1,23 +1,23 @@
-"""Verifies the candidates of an old list: load reports are waited for before the rest is handed on.
+"""Verifies the candidates of an old list: waits for load reports before the undecided ones are forwarded.
 
-A proven candidate is handed on as it was, a refuted one is not. The rest, about which nothing was heard, is
-handed on as started just now: under the same name a replacement may run that is warming up, so the policy's
-slow start holds for it. Handing on all candidates that way from the first moment was measured: the policy
-then admits less among them, which costs more than it saves (docs/design/start.md).
+A proven candidate is forwarded with its entry unchanged; a refuted one is not forwarded. An undecided one is
+forwarded as if it had just started: a replacement may run under its name and still be warming up, so the
+policy's slow start should apply. Forwarding all candidates that way from the start costs more than it saves,
+since the policy then admits less load to them (docs/design/start.md).
 """
 
 from embertray.controller.endpoint_list.messages import EndpointEntry
 
-VERIFICATION_PERIOD_NS = 3 * 10**9  # two report cycles and their way
+VERIFICATION_PERIOD_NS = 3 * 10**9  # two report cycles and the transmission of their reports
 
 
 class Verification:
-    """The time in which candidates are proven or refuted.
+    """The period in which candidates are proven or refuted.
 
     Attributes:
         started_at: When the controller started, ns.
-        inventory_clock: The inventory's clock at that time, ns, as far as the snapshot tells.
-        finished: The rest has been handed on.
+        inventory_clock: The inventory's clock at that time, ns, derived from the snapshot.
+        finished: Whether the undecided candidates have been forwarded.
     """
 
     def __init__(self):
@@ -26,26 +26,26 @@
         self.finished = False
 
     def is_waiting(self, backends):
-        """Whether a candidate is not decided yet; `backends` is name -> KnownBackend."""
+        """Returns whether a candidate is undecided; `backends` is name -> KnownBackend."""
         return not self.finished and any(backend.undecided for backend in backends.values())
 
     def is_due(self, now, backends):
-        """Whether `forward_undecided` is to be called at `now` (ns); `backends` is name -> KnownBackend."""
+        """Returns whether to call `forward_undecided` at `now` (ns); `backends` is name -> KnownBackend."""
         return self.is_waiting(backends) and now >= self.next_timer()
 
     def next_timer(self):
-        """When the rest is to be handed on, ns."""
+        """Returns when the undecided candidates are forwarded, ns."""
         return self.started_at + VERIFICATION_PERIOD_NS
 
     def forward_undecided(self, now, backends):
-        """Hands on the candidates about which nothing was heard.
+        """Forwards the undecided candidates.
 
         Args:
             now: ns.
             backends: Name -> KnownBackend.
 
         Returns:
-            Their EndpointEntry items, as started just now.
+            Their EndpointEntry items, as if the backends had just started.
         """
         self.finished = True
         undecided = [backend for backend in backends.values() if backend.undecided]
@@ -56,6 +56,6 @@
 
 
 def started_at(entry, inventory_clock):
-    """Returns an EndpointEntry as if it had started at that time at the earliest (ns)."""
+    """Returns a copy of an EndpointEntry whose start is not earlier than `inventory_clock` (ns)."""
     started = max(inventory_clock, entry.started)
     return EndpointEntry(entry.backend, entry.zone, entry.state, started, entry.nominal)
