--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -1,23 +1,25 @@
-"""One backend as a controller knows it: its entry of the list, last reports, capacity and health."""
+"""State of one backend: its endpoint list entry, recent reports, capacity and health."""
 
 from .context import REPORTS_KEPT
 from .records.backend import BackendSamples, BackendStats
 from .slow_start import warm_up_factor
 from .units import SECOND
 
-LONG_WINDOW = 8 * SECOND  # ns; some fifty answers of a backend, so that chance evens out
-SHORT_WINDOW = 4 * SECOND  # ns; the last reports, for health
-SPAN_MIN = SECOND // 4  # ns; a report span under a beat makes no rate
-# gauges of a report, the preferred first: busy share of the cores, requests that wait, requests in flight
+LONG_WINDOW = 8 * SECOND  # ns; about fifty responses of a backend, enough to average out noise
+SHORT_WINDOW = 4 * SECOND  # ns; recent reports, for health
+SPAN_MIN = SECOND // 4  # ns; a shorter report span is too short for a rate
+# load metrics in order of preference: busy share of the cores, queued requests, requests in flight
 LOAD_METRICS = ("busy", "waiting", "held")
 
 
 class BackendState:
-    """State of one backend; `capacity` is in average backends, `health` is 1 unless it was ejected.
+    """State of one backend.
+
+    `capacity` is relative to an average backend. `health` is 1, or less while ejected or recovering.
 
     Args:
         context: `Context` of the controller.
-        handle: `interface.Backend` that stands for it outside.
+        handle: `interface.Backend` by which events and orders refer to it.
     """
 
     def __init__(self, context, handle):
@@ -36,13 +38,13 @@
         self.samples = BackendSamples(REPORTS_KEPT)
 
     def update_from_list(self, entry):
-        """Takes over what the endpoint list says of it.
+        """Applies an entry of the endpoint list.
 
         Args:
             entry: `interface.Endpoint`.
 
         Returns:
-            Whether it has just stopped being ready, so that its lines are to be removed.
+            True if the backend has just stopped being ready, so that its lines are to be removed.
         """
         now = self.context.now
         if entry.state == "ready" and entry.started > self.started:
@@ -55,7 +57,7 @@
         return stopped_being_ready
 
     def _reset_after_restart(self, started):
-        """What was learnt of its former run does not count, nor what it does while it warms up."""
+        """Discards what was learned before the restart; capacity is learned again after the warm-up."""
         self.health = 1.0
         self.health_since = self.context.now
         self.reports_ignored_until = 0
@@ -63,10 +65,10 @@
         self.samples.clear()
 
     def add_report(self, report):
-        """Keeps a report, unless it began before an ejection.
+        """Stores a report, unless its span began before an ejection took effect.
 
         Args:
-            report: `interface.BackendReport`, the sums of one zone's proxies.
+            report: `interface.BackendReport`, totals over the proxies of one zone.
         """
         context = self.context
         context.reported_spans.append(report.span)
@@ -76,10 +78,10 @@
             self.samples.add(context.now, report, loads[0] if loads else None)
 
     def stats(self):
-        """What its samples come to now.
+        """Aggregates the samples.
 
-        A failed attempt counts as a client time-out in the windows, and as one that just missed its latency
-        objective in the newest reports. What it did cold or ejected does not count for its capacity.
+        A failed attempt counts as a client timeout in the windows, and as the latency objective in the newest
+        reports. Reports from the warm-up or an ejection do not count towards capacity.
 
         Returns:
             `BackendStats`.
@@ -102,19 +104,18 @@
 
     def _totals(self, start):
         context = self.context
-        # spans without any attempt are not reported: the window less one interval is covered at least
+        # intervals without attempts are not reported: at least the window less one interval is covered
         covered = context.now - max(start, context.started_at) - context.observed_report_interval
         return self.samples.totals(start, context.client_timeout, max(SPAN_MIN, covered))
 
     def set_capacity(self, capacity):
-        """Sets the learnt capacity, in average backends."""
+        """Sets the learned capacity, in average backends."""
         self.capacity = capacity
 
     def set_health(self, health):
-        """Sets the factor on its weight: under 1 while ejected or recovering.
+        """Sets the health factor on the weight: below 1 while ejected or recovering.
 
-        Reports of the time before an ejection do not count, and what it does between an ejection and its full
-        recovery teaches no capacity.
+        Reports from before an ejection are ignored, and no capacity is learned until full recovery.
         """
         context = self.context
         deployment = context.deployment
--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -1,15 +1,15 @@
-"""Channel budget: how many lines may wait in the channel to the proxies, and for what.
+"""Channel budget: limits how many lines may be pending in the channel to the proxies, by priority.
 
 Rule: every message is reserved here before it is ordered, with its lines and its overhead, at the priority of
-what it carries. A priority may use so much of the lines that may wait, and leaves so many of the messages
-that a proxy may be sent within the deployment's window to what is more urgent. While acknowledgements come
-late, or the endpoint list is silent, the lesser priorities get less.
+its content. A priority may use a share of the lines that may be pending, and reserves a part of the messages
+that a proxy may be sent within the deployment's window for more urgent content. The shares shrink while
+acknowledgements are late or the endpoint list does not answer, those of the lower priorities most.
 
-Inputs: acknowledgements of nonces with the time they took (ns), the deployment's limits (lines that may wait,
-lines a second, messages a proxy and window). Decides: how many lines of a change are sent now.
+Inputs: acknowledgements of nonces and their delay (ns), limits of the deployment (pending lines, lines a
+second, messages per proxy and window). Output: how many lines of a change are sent now.
 
-Guards against a queue in the channel over its limit, behind which removals would wait out their grace, and
-against more messages to one proxy than allowed.
+Prevents a channel queue over its limit, behind which removals would miss the drain grace, and more messages
+to one proxy than allowed.
 """
 
 from collections import deque
@@ -19,62 +19,62 @@
 from .records.messages import LinesInFlight
 from .units import SECOND
 
-ACK_TIMEOUT_MIN = 1 * SECOND  # ns; a proxy stands still while it applies a large table
+ACK_TIMEOUT_MIN = 1 * SECOND  # ns; a proxy does not answer while it applies a large table
 ACK_DELAYS_KEPT = 8
-RATE_SAFETY_DIVISOR = 20  # a stalled channel still counts as sending its rate divided by this
+RATE_SAFETY_DIVISOR = 20  # a stalled channel is assumed to send its rate divided by this
 NONCE_LINES = 1  # lines that a nonce adds to a message
-SHARE_DIVISOR_MAX = 2  # of removals and bindings in a slow channel; of updates while the list is silent
+SHARE_DIVISOR_MAX = 2  # of removals and bindings in a slow channel; of updates while the list does not answer
 
 
 @dataclass(frozen=True)
 class Priority:
-    """What a message may use of the channel."""
+    """Share of the channel that a message may use."""
 
-    pending_share: float  # of the lines that may wait
-    messages_reserved: int  # of the messages a proxy may be sent, left to more urgent ones
-    is_deferrable: (
-        bool  # gets ever less the slower the channel, and half while the list is silent; others half at least
-    )
+    pending_share: float  # of the lines that may be pending
+    messages_reserved: int  # of the messages that a proxy may be sent, kept for more urgent ones
+    # whether the share shrinks in proportion to the delay of a slow channel, and is halved while the endpoint
+    # list does not answer; other shares are halved at most
+    is_deferrable: bool
 
 
-# a removal's grace runs: it may use nearly all, but for what a late acknowledgement hides
+# the drain grace is running: nearly all lines, less those that late acknowledgements hide
 REMOVAL = Priority(pending_share=0.8, messages_reserved=1, is_deferrable=False)
-# a crowd of bindings leaves room for removals that come meanwhile
+# many bindings at once leave room for new removals
 BINDING = Priority(pending_share=0.6, messages_reserved=1, is_deferrable=False)
-# cuts, levels and retries leave room for the bindings of a restart
+# weight cuts, levels and retries leave room for the bindings after a restart
 URGENT_UPDATE = Priority(pending_share=0.35, messages_reserved=4, is_deferrable=True)
-# learnt weights may wait for a beat at which little else is sent
+# learned weights can wait for a control cycle in which little else is sent
 ORDINARY_UPDATE = Priority(pending_share=0.25, messages_reserved=7, is_deferrable=True)
 
 
 class ChannelBudget:
-    """Reserves lines of the channel for the messages of one step.
+    """Reserves channel lines for the messages of one step.
 
     Args:
         context: `Context` of the controller.
-        endpoint_watch: `EndpointWatch`, asked whether the list is silent.
+        endpoint_watch: `EndpointWatch`; tells whether the list answers.
     """
 
     def __init__(self, context, endpoint_watch):
         self.context = context
         self.endpoint_watch = endpoint_watch
-        self.reserved = {}  # proxy -> lines of this step's message to it
-        self.reserved_lines = 0  # of this step, overheads included
+        self.reserved = {}  # proxy -> lines of its message in this step
+        self.reserved_lines = 0  # in this step, overhead included
         self.in_flight = LinesInFlight(context.now)
         self._ack_delays = deque(maxlen=ACK_DELAYS_KEPT)  # ns
 
     def begin_step(self):
-        """Nothing is reserved yet."""
+        """Clears the reservations of the previous step."""
         self.reserved = {}
         self.reserved_lines = 0
 
     def record_acknowledgement(self, proxy, nonce, took):
-        """A proxy answered a nonce.
+        """Records that a proxy acknowledged a nonce.
 
         Args:
             proxy: its `ProxyState`.
             nonce: `interface.Nonce`.
-            took: ns from the order to the answer.
+            took: ns from the order to the acknowledgement.
         """
         self._ack_delays.append(took)
         self.in_flight.record_acknowledgement(
@@ -82,21 +82,21 @@
         )
 
     def record_order(self, nonce):
-        """All that is reserved goes out under this nonce."""
+        """Records that all reserved lines are sent with this nonce."""
         if not self.pending_lines():
             self.in_flight.reset(self.context.now)
         self.in_flight.record_order(nonce, self.reserved, self.reserved_lines)
 
     def pending_lines(self):
-        """Lines that may still wait in the channel."""
+        """Returns an upper estimate of the lines that are pending in the channel."""
         rate = self.context.deployment.channel_rate
         return self.in_flight.pending(self.context.now, rate, RATE_SAFETY_DIVISOR)
 
     def ack_timeout(self):
-        """After how many ns an open nonce counts as unanswered.
+        """Returns the time after which a missing acknowledgement counts as lost, ns.
 
-        It allows for the lines ahead, the longest way and the answers seen lately: a slow channel must not
-        breed repeats.
+        It includes the pending lines, the longest channel delay and the recent acknowledgement delays, so
+        that a slow channel does not cause retries.
         """
         deployment = self.context.deployment
         ahead = int(self.pending_lines() * SECOND / (deployment.channel_rate or 1))
@@ -104,10 +104,11 @@
         return ACK_TIMEOUT_MIN + deployment.channel_delay_max + 2 * slowest + 2 * ahead
 
     def free_lines(self, priority):
-        """Lines that messages of a priority may still use.
+        """Returns the lines that messages of a priority may still use.
 
-        A slow channel keeps its lines for removals, whose grace runs; they wait to go in fewer messages. So
-        it does while the endpoint list is silent: what that tells later comes all at once.
+        In a slow channel, lines are kept for removals, whose drain grace is running, and updates are batched
+        in fewer messages. The same applies while the endpoint list does not answer, since all its changes
+        will arrive at once.
         """
         deployment = self.context.deployment
         lateness_factor = max(1, 2 * median(self._ack_delays or [0]) / (deployment.drain_grace or SECOND))
@@ -123,12 +124,12 @@
 
         Args:
             proxies: `ProxyState`s, all of which get the same lines.
-            requested: lines for each.
+            requested: lines per proxy.
             priority: `Priority` of these lines.
-            lines_min: lines that are worth a message; None: all that are wanted or none.
+            lines_min: minimum number of lines worth a message; None: all requested lines or none.
 
         Returns:
-            Lines for each: `requested`, fewer but at least `lines_min`, or 0 if there is no room.
+            Lines per proxy: `requested`, fewer but at least `lines_min`, or 0 if there is no room.
         """
         deployment = self.context.deployment
         overhead = (deployment.head + NONCE_LINES) * sum(proxy not in self.reserved for proxy in proxies)
@@ -144,14 +145,14 @@
         return requested
 
     def _may_send(self, proxies, priority):
-        """Whether none of the proxies was written too many messages lately; lost ones may yet be written."""
+        """Whether no proxy has reached its message limit; unacknowledged messages may yet be written."""
         deployment = self.context.deployment
         is_limited = deployment.messages_max > 0
         most = deployment.messages_max - priority.messages_reserved
         written_since = self.context.now - deployment.messages_window
         ordered_since = written_since - self.ack_timeout() if is_limited else 0
         for proxy in proxies:
-            written = proxy.messages.recent_count(written_since, ordered_since)  # forgets older ones as well
+            written = proxy.messages.recent_count(written_since, ordered_since)  # also drops older entries
             if is_limited and proxy not in self.reserved and written >= most:
                 return False
         return True
--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -1,12 +1,12 @@
-"""Congestion: how long requests wait in the backends' queues, and what the fleet can do.
+"""Congestion estimate: how long requests wait in the backends' queues, and what the fleet can serve.
 
-Rule: the mean latency of the newest reports, less the least mean of the last 200 beats (or 0.35 of the
-latency objective, if that is less), is taken for time in queues. It counts only once at least half of the
-ready backends were heard of lately: the first reports after a start tell of few backends, and of those by
-chance.
+Rule: queueing time is the mean latency of the newest reports, less the service time, which is the lowest mean
+latency of the last 200 control cycles, or 0.35 of the latency objective if that is less. It counts only once
+at least half of the ready backends have reported recently: the first reports after a start cover few, random
+backends.
 
-Inputs: `BackendStats` of all ready backends at each beat. Decides: `FleetState`, on which load shedding
-acts, and whether cold backends have to wait (`is_congested`).
+Inputs: `BackendStats` of all ready backends in each control cycle. Output: `FleetState`, on which load
+shedding acts, and whether cold backends have to wait (`is_congested`).
 """
 
 from collections import deque
@@ -14,12 +14,14 @@
 from .records.backend import add_totals
 from .records.levels import FleetState
 
-MEANS_KEPT = 200  # mean latencies of beats
-TREND_CYCLES = 9  # the newest beat is compared with the oldest of so many
-SERVICE_TIME_SHARE_MAX = 0.35  # of the latency objective: more than that is no work, it is waiting
-FALLING_RATIO = 0.9  # of the earlier mean: the latency falls
-WAIT_LOW = 0.2  # of the latency objective: a wait under it is no queue
-DRAINED_LOAD_RATIO = 0.5  # of the long window's mean load: the newest loads tell that a queue is over
+MEANS_KEPT = 200  # mean latencies, one per control cycle
+TREND_CYCLES = 9  # the newest mean latency is compared with that of so many cycles ago
+SERVICE_TIME_SHARE_MAX = 0.35  # of the latency objective; latency beyond it is queueing
+FALLING_RATIO = 0.9  # of the earlier mean; below it latency is falling
+WAIT_LOW = 0.2  # of the latency objective; a shorter wait is no queue
+DRAINED_LOAD_RATIO = (
+    0.5  # of the mean load in the long window; a newest load below it means that queues have drained
+)
 
 
 class CongestionEstimate:
@@ -34,7 +36,7 @@
         self._mean_latencies = deque(maxlen=MEANS_KEPT)  # ns
 
     def estimate(self, stats):
-        """What all ready backends come to at this beat.
+        """Estimates the state of the fleet in this control cycle.
 
         Args:
             stats: `BackendStats` of all ready backends.
@@ -58,20 +60,20 @@
         )
 
     def is_congested(self, state, stats):
-        """Whether requests queue at warm backends, so that cold ones have to wait for their lines."""
+        """Whether requests queue at warm backends, so that cold ones may have to wait for their lines."""
         is_queueing = state.queue_wait > WAIT_LOW * self.context.latency_objective
         return is_queueing and any(row.warm_up_factor >= 1 for row in stats)
 
     @staticmethod
     def _newest_attempts(stats):
-        """Attempts in the newest reports; 0 unless half of the backends were heard of lately."""
+        """Returns the attempts in the newest reports; 0 unless half of the backends reported recently."""
         reporting = sum(row.short_window.attempts > 0 for row in stats)
         if 2 * reporting < len(stats):
             return 0
         return sum(report.attempts for row in stats for report in row.newest)
 
     def _queue_wait(self, stats, attempts):
-        """Mean time in queues by the newest reports, ns; 0 if they tell nothing."""
+        """Returns the mean queueing time in the newest reports, ns; 0 without attempts."""
         if not attempts:
             return 0
         mean = sum(report.latency for row in stats for report in row.newest) / attempts
@@ -81,7 +83,7 @@
 
     @staticmethod
     def _loads(stats):
-        """Mean reported load of the long window, and of the newest reports."""
+        """Returns the mean reported load of the long window, and of the newest reports."""
         loads = [row.load for row in stats if row.load is not None] or [1.0]
         newest = [report.load for row in stats for report in row.newest if report.load is not None] or loads
         return sum(loads) / len(loads), sum(newest) / len(newest)
--- a/embertray/policy/context.py
+++ b/embertray/policy/context.py
@@ -1,4 +1,4 @@
-"""What all rules of one controller share: its deployment, the time of the step, and who is known."""
+"""State shared by all rules of one controller: deployment, time of the step, known backends and proxies."""
 
 from collections import deque
 from statistics import median
@@ -7,18 +7,18 @@
 from .records.levels import AdmissionLevel
 from .units import SECOND
 
-REPORTS_KEPT = 64  # of each backend and proxy: several zones' reports over the long window
-UNLIMITED_RATE = 10**6  # requests a second at a proxy: no limit
-RETRY_AFTER_PROOF = 1  # a proxy retries only after proof that the first attempt never ran
+REPORTS_KEPT = 64  # per backend and proxy: covers the long window with reports of several zones
+UNLIMITED_RATE = 10**6  # requests a second at a proxy; stands for no limit
+RETRY_AFTER_PROOF = 1  # retry mode: only after proof that the first attempt never ran
 
 
 class Context:
-    """The shared state of one controller's rules; changed only within `Controller.step`.
+    """State shared by the rules of one controller; modified only within `Controller.step`.
 
     Args:
-        seed: makes the controller's random draws its own.
-        deployment: `interface.Deployment`, what the controller was started with.
-        now: time of the start, ns.
+        seed: seed of the controller's pseudo-random numbers.
+        deployment: `interface.Deployment` that the controller was started with.
+        now: start time, ns.
     """
 
     def __init__(self, seed, deployment, now):
@@ -45,15 +45,18 @@
 
     @property
     def joined_proxies(self):
-        """The proxies whose stream stands, in the order in which they were first met."""
+        """Proxies with an open stream, in the order in which they first joined."""
         return [proxy for proxy in self.proxies if proxy.joined]
 
     def draw(self):
-        """Returns a pseudo-random integer that only the seed and the number of draws decide."""
+        """Returns a pseudo-random integer, determined by the seed and the number of earlier draws."""
         self._draws += 1
         return crc32(f"{self._seed}:{self._draws}".encode())
 
     def update_observed_report_interval(self):
-        """Sets the ns between reports on one backend: longer than told where report lines are capped."""
+        """Updates the time between two reports on a backend, ns.
+
+        It exceeds the configured interval where the number of report lines is capped.
+        """
         spans = self.reported_spans or [0]
         self.observed_report_interval = max(self.deployment.report_interval, median(spans))
--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -1,4 +1,4 @@
-"""One controller's decisions: events in, orders out. `interface` has the types of both."""
+"""The policy's entry point: takes events and returns orders. `interface` defines the types of both."""
 
 from . import interface
 from .context import Context
@@ -9,21 +9,21 @@
 from .units import MILLISECOND, SECOND
 from .weight_planner import WeightPlanner
 
-CYCLE_INTERVAL = 250 * MILLISECOND  # ns; under a report interval
-PRUNE_INTERVAL = 10 * SECOND  # ns between two looks for those that are gone for long
-PRUNE_AFTER = 60 * SECOND  # ns; past any window, retry and grace
+CYCLE_INTERVAL = 250 * MILLISECOND  # ns; shorter than a report interval
+PRUNE_INTERVAL = 10 * SECOND  # ns between two searches for departed backends and proxies
+PRUNE_AFTER = 60 * SECOND  # ns after departure; longer than any window, retry or grace
 
 
 class Controller:
-    """Decides for one controller instance. The same events give the same orders.
+    """Makes the routing decisions of one controller instance; deterministic for the same events.
 
-    At every beat all rules run. Between two beats a step only takes events in, and sends removals and
-    bindings, which wait for no weights.
+    All rules run once per control cycle. A step between two cycles only applies events and sends removals and
+    bindings, which do not depend on new weights.
 
     Args:
-        seed: makes the controller's random draws its own.
-        deployment: `interface.Deployment`, what it is told at its start.
-        now: time of the start, ns.
+        seed: seed of the controller's pseudo-random numbers.
+        deployment: `interface.Deployment` that the controller is started with.
+        now: start time, ns.
     """
 
     def __init__(self, seed, deployment, now=0):
@@ -37,23 +37,23 @@
 
     @property
     def backends(self):
-        """The `BackendState`s of all backends that are not forgotten."""
+        """`BackendState`s of all backends that have not been pruned."""
         return self.context.backends
 
     @property
     def proxies(self):
-        """The `ProxyState`s of all proxies that are not forgotten."""
+        """`ProxyState`s of all proxies that have not been pruned."""
         return self.context.proxies
 
     def step(self, now, events):
-        """Takes events and decides.
+        """Applies events and returns the resulting orders.
 
         Args:
-            now: ns; never less than at the step before.
+            now: ns; never earlier than in the previous step.
             events: event objects of `interface`, in the order in which they happened.
 
         Returns:
-            list of order objects of `interface`, in the order in which they are to be carried out.
+            list of order objects of `interface`, to be carried out in this order.
         """
         context = self.context
         context.now = now
@@ -67,7 +67,7 @@
         return context.orders
 
     def _apply_events(self, events):
-        """Takes over the events, endpoint lists last: what a step's reports tell is of the list before."""
+        """Applies events, endpoint lists last: the reports of a step refer to the previous list."""
         updates = []
         for event in events:
             if isinstance(event, interface.BackendReport):
@@ -111,10 +111,9 @@
         self.publisher.publish(self.context.admission)
 
     def _prune(self):
-        """Forgets backends and proxies that are gone for long.
+        """Drops the state of backends and proxies that departed long ago.
 
-        Guards against growth with all that ever was: by churn over hours memory and the cost of a beat would
-        rise without end.
+        Otherwise memory use and the cost of a control cycle would grow without bound under hours of churn.
         """
         context = self.context
         if context.now < self._next_prune_at:
--- a/embertray/policy/endpoint_removal.py
+++ b/embertray/policy/endpoint_removal.py
@@ -1,16 +1,16 @@
-"""Removal of draining endpoints: takes the lines of backends that stopped being ready out of all tables.
+"""Endpoint removal: removes the lines of backends that are no longer ready from all tables.
 
-Rule: removals do not wait for the update queue, its retries or its acknowledgements. Each table sheds all its
-due lines in one message, or at least half of them; the table that has waited longest goes first. Proxies that
-are not bound yet are told to withdraw the backend from whatever they hold; where tables are subsets, binding
-them is no dearer than withdrawals and does more. A backend that is ready again is put back. Until all
-removals are out nothing else goes but bindings and what rides along.
+Rule: removals do not wait for the update queue, its retries or its acknowledgements. All pending removals of
+a table are sent in one message, or at least half of them; the table that has waited longest is first. Proxies
+that are not bound yet are told to withdraw the backend from the table they hold; where tables are subsets, a
+binding costs no more than withdrawals and is sent instead. A backend that is ready again is readmitted. Until
+all removals are sent, only bindings and changes that fit into the same messages are sent besides.
 
-Inputs: backends that stopped being ready, with the time at which the list told (ns). Decides: lines with
+Inputs: backends that stopped being ready, with the time of the endpoint list update (ns). Output: lines with
 weight 0 and `Withdraw` orders.
 
-Guards against requests to a draining or removed backend past the drain grace: behind the queue's backoff a
-removal would wait for seconds, and a wave of drains, sent one by one, would cost a message's overhead each.
+Prevents requests to draining or removed backends past the drain grace: behind the backoff of the update queue
+a removal would wait for seconds, and many drains sent one by one would cost the overhead of a message each.
 """
 
 from .channel_budget import REMOVAL, URGENT_UPDATE
@@ -18,13 +18,13 @@
 
 
 class EndpointRemoval:
-    """The removals that are not out yet.
+    """Tracks and sends the pending removals.
 
     Args:
         context: `Context` of the controller.
         budget: `ChannelBudget`.
         writer: `TableWriter`.
-        queue: `UpdateQueue`; a table that shed lines is looked at again at once.
+        queue: `UpdateQueue`; a table whose lines were removed is requeued.
     """
 
     def __init__(self, context, budget, writer, queue):
@@ -32,27 +32,27 @@
         self.budget = budget
         self.writer = writer
         self.queue = queue
-        self.pending = {}  # backend -> when the list told, ns
-        self.withdrawn = {}  # backend -> True: proxies that were not bound hold it withdrawn
+        self.pending = {}  # backend -> time of the list update, ns
+        self.withdrawn = {}  # backend -> True; unbound proxies have withdrawn it
 
     def add(self, backend):
-        """A backend stopped being ready."""
+        """Queues the removal of a backend that stopped being ready."""
         self.pending[backend] = self.context.now
 
     def cancel_for_ready(self):
-        """Backends that are ready again need no removal."""
+        """Cancels the removals of backends that are ready again."""
         self.pending = {backend: time for backend, time in self.pending.items() if backend.state != "ready"}
 
     def oldest(self):
-        """When the list told of the removal that has waited longest, ns; None if none waits."""
+        """Returns the time at which the oldest pending removal was queued, ns; None if there is none."""
         return min(self.pending.values(), default=None)
 
     def remove(self, proxies_by_table, unbound, joined):
-        """Sends what has room.
+        """Sends removals, withdrawals and readmissions as far as the channel budget permits.
 
         Args:
             proxies_by_table: table -> the `ProxyState`s bound to it.
-            unbound: joined proxies that are told to withdraw; empty where they are bound soon instead.
+            unbound: joined proxies that are told to withdraw; empty where they are bound instead.
             joined: all joined proxies.
 
         Returns:
@@ -77,7 +77,7 @@
             if lines:
                 self.queue.requeue(table)
             if lines < len(backends):
-                break  # small tables must not take the room of this one again and again
+                break  # smaller tables must not starve this one
 
     def _withdraw(self, tables, unbound):
         orders = []
--- a/embertray/policy/endpoint_watch.py
+++ b/embertray/policy/endpoint_watch.py
@@ -1,15 +1,15 @@
-"""Endpoint watch: follows the endpoint list, and polls it again with backoff after a failure.
+"""Endpoint watch: follows the endpoint list, and subscribes to it again with backoff after a failure.
 
-Rule: an update that names changes counts for the entries it names. One that is complete, or comes from a
-cache, also tells that every backend it does not name is gone. A polled list is subscribed to at the start.
-After any failure the list is subscribed to again, after a backoff that doubles from 0.5 s to 4 s; the list
-known before stays in force meanwhile.
+Rule: an update with changes applies to the backends that it names. A complete update, or one from a cache,
+also means that all backends that it does not name are gone. A polled list is subscribed to at the start.
+After any failure the list is subscribed to again, after a backoff that doubles from 0.5 s to 4 s; meanwhile
+the last known list remains in force.
 
-Inputs: `interface.EndpointListUpdate`. Decides: which backends stopped being ready (their lines are removed),
-and when to subscribe again.
+Inputs: `interface.EndpointListUpdate`. Output: the backends that stopped being ready, whose lines are
+removed, and subscriptions.
 
-Guards against a list service that is down or restarts: a controller neither hammers it nor drops the backends
-that it knows.
+Prevents a controller from overloading a list service that is down or restarting, and from dropping the
+backends that it knows.
 """
 
 from .backend import BackendState
@@ -22,7 +22,7 @@
 
 
 class EndpointWatch:
-    """Follows the endpoint list of one controller.
+    """Tracks the endpoint list of one controller.
 
     Args:
         context: `Context` of the controller.
@@ -34,10 +34,10 @@
         self._subscribe_at = 0 if context.deployment.ask else None
 
     def update(self, updates):
-        """Takes over updates of one step.
+        """Applies the updates of one step.
 
         Args:
-            updates: `interface.EndpointListUpdate`, in the order in which they came.
+            updates: `interface.EndpointListUpdate`s, in order of arrival.
 
         Returns:
             The `BackendState`s whose lines are to be removed.
@@ -46,7 +46,7 @@
         return [backend for backend, entry in entries if backend.update_from_list(entry)]
 
     def _entries(self, update):
-        """(backend, entry) for all that an update says, the backends it leaves out included."""
+        """Returns (backend, entry) pairs of an update, with entries for backends that it omits."""
         if update.how == "failed":
             self._schedule_resubscription()
             return []
@@ -63,8 +63,8 @@
         self.failures += 1
         self.context.orders.append(
             Log(
-                f"endpoint list: no answer, {self.failures} in a row; subscribed to again in "
-                f"{backoff // MILLISECOND} ms, the last list stays in force"
+                f"endpoint list: request failed, {self.failures} consecutive failures; subscribing again in "
+                f"{backoff // MILLISECOND} ms, keeping the last known list"
             )
         )
 
@@ -75,7 +75,7 @@
         return handle.policy_state
 
     def subscribe_if_due(self):
-        """Orders a subscription when one is due; to be called at each beat."""
+        """Orders a subscription if one is due; called in each control cycle."""
         if self._subscribe_at is not None and self.context.now >= self._subscribe_at:
             self._subscribe_at = None
             self.context.orders.append(Subscribe())
--- a/embertray/policy/interface.py
+++ b/embertray/policy/interface.py
@@ -1,20 +1,20 @@
-"""The types of what goes into the decisions and of what comes out.
+"""Types of the events that the policy takes and of the orders that it returns.
 
-Times are whole nanoseconds. What the decisions point at (backends, proxies, zones, tables, nonces) are
-objects; whoever feeds the decisions keeps the ids and gives the same object for the same thing each time.
+Times are whole nanoseconds. Handles stand for backends, proxies, zones, tables and nonces; the caller keeps
+their ids and passes the same handle for the same thing each time.
 """
 
 from dataclasses import dataclass, field
 
 
 class Handle:
-    """Something outside of the decisions.
+    """Reference to something outside of the policy.
 
     Args:
-        external_id: the feeder's id for it.
+        external_id: id assigned by the caller.
 
     Attributes:
-        actor: the decisions' own state of it; None until they know it.
+        policy_state: the policy's state of it; None while unknown to the policy.
     """
 
     def __init__(self, external_id=None):
@@ -35,28 +35,28 @@
 
 
 class Table(Handle):
-    """A routing table; the feeder numbers it when it is first ordered (a slice's table comes numbered)."""
+    """A routing table; the caller assigns its id at its first order (a slice's table has one already)."""
 
 
 class Nonce(Handle):
-    """A nonce that proxies acknowledge; the feeder numbers it when it is first ordered."""
+    """A nonce that proxies acknowledge; the caller assigns its id at its first order."""
 
 
 @dataclass(eq=False)
 class RequestKind:
-    """One request kind: its latency objective, its weight, and whether a request may run again."""
+    """A request kind: latency objective, priority weight, and whether requests may be retried."""
 
-    latency_objective: int  # ns; the latency objective
+    latency_objective: int  # ns
     client_timeout: int  # ns
     credit: float = 1.0  # priority weight of a request
     again: str = "replayable"  # replayable (idempotent) | deduplicated (by a key) | non-replayable
-    group: str = "all"  # for deduplicated: whose backends share the keys: all | zone | cell
+    group: str = "all"  # for deduplicated, backends that share the keys: all | zone | cell
     external_id: object = None  # its name in the settings
 
 
 @dataclass(eq=False)
 class Deployment:
-    """What an instance is told at its start."""
+    """Configuration of a controller instance, fixed at its start."""
 
     kinds: list
     zones: list
@@ -64,47 +64,47 @@
     controllers: int = 1
     proxies: int = 0
     ask: bool = False  # the endpoint list is polled
-    ask_within: int = 0  # ns without a subscription after which the list counts as told (polled only)
+    ask_within: int = 0  # ns without a subscription after which the list counts as received (polled only)
     may_probe: bool = False  # health checks are permitted
-    throttle: str = "none"  # what admission levels are: share | rate | none
-    pick: str = "weighted"  # how proxies pick a line: weighted | round (robin) | two (the idler of two)
-    retry_base: int = 0  # how proxies retry where no level says so
-    slices: int = 0  # how many slices the tables belong to; 0: tables belong to zones
+    throttle: str = "none"  # unit of admission levels: share | rate | none
+    pick: str = "weighted"  # how proxies pick a line: weighted | round (robin) | two (the less busy of two)
+    retry_base: int = 0  # retry mode of proxies where no level sets one
+    slices: int = 0  # number of slices that own the tables; 0: zones own the tables
     no_backend_limit: int = 0  # ns that a proxy may be without a usable backend; 0: no limit
-    pending_max: float = 0.0  # lines that may wait in the channel
+    pending_max: float = 0.0  # maximum lines pending in the channel
     channel_rate: float = 0.0  # lines a second
-    head: float = 0.0  # lines a message costs beyond its own
-    channel_delay_mean: int = 0  # ns from the channel to a proxy
-    channel_delay_max: int = 0  # ns from the channel to a proxy
+    head: float = 0.0  # overhead of a message, lines
+    channel_delay_mean: int = 0  # ns from the channel to a proxy, mean
+    channel_delay_max: int = 0  # ns from the channel to a proxy, maximum
     messages_max: int = 0  # messages to one proxy within messages_window; 0: no limit
     messages_window: int = 0  # ns
     report_interval: int = 0  # ns between two load reports
-    cold_speed: float = 1.0  # share of its speed that a backend starts with
-    warm_up_time: int = 0  # ns from its start until it has its full speed
-    overload_multiple: float = 0.0  # times what a cold backend can do, under which it falls over
-    overload_time: int = 0  # ns of such a load until it falls over
-    drain_grace: int = 0  # ns from a drain's notice within which proxies have to stop sending there
-    cross_zone_cost: float = 0.0  # cost of a request that crosses zones
-    omission_removes: bool = True  # a backend that the list leaves out counts as gone for the drain rule
+    cold_speed: float = 1.0  # share of its full speed that a backend starts with
+    warm_up_time: int = 0  # ns from the start of a backend to its full speed
+    overload_multiple: float = 0.0  # load relative to the momentary capacity under which a cold backend fails
+    overload_time: int = 0  # ns of such load until it fails
+    drain_grace: int = 0  # ns after a drain notice within which proxies have to stop sending requests there
+    cross_zone_cost: float = 0.0  # cost of a cross-zone request
+    omission_removes: bool = True  # the drain rule treats a backend that the list omits as gone
 
 
-# ---- what happens; TimerFired, ProbeResult, PeerMessage and the events of slices are used by no rule today
+# ---- events; no rule uses TimerFired, ProbeResult, PeerMessage or the events of slices
 
 
 @dataclass(eq=False)
 class Endpoint:
-    """One backend as the endpoint list has it."""
+    """An entry of the endpoint list."""
 
     backend: Backend
     zone: Zone
     state: str = "ready"  # ready | draining | gone
-    started: int = 0  # ns; when it last started; 0: long ago
-    nominal: float = 1.0  # capacity as listed; the decisions learn their own
+    started: int = 0  # ns; time of its last start; 0: long ago
+    nominal: float = 1.0  # capacity as listed; the policy learns its own estimate
 
 
 @dataclass(eq=False)
 class EndpointListUpdate:
-    """What the endpoint list said, or that it did not answer."""
+    """An update of the endpoint list, or a failed request for it."""
 
     how: str  # changes | whole | cached | failed
     entries: list = field(default_factory=list)
@@ -112,7 +112,7 @@
 
 @dataclass(eq=False)
 class TimerFired:
-    """A timer that was ordered is due."""
+    """An ordered timer fired."""
 
     label: int
 
@@ -129,12 +129,12 @@
 
 @dataclass(eq=False)
 class ProxyJoined:
-    """A proxy's stream stands."""
+    """A proxy opened its stream."""
 
     proxy: Proxy
     zone: Zone
-    rate: float = 0.0  # requests a second that it usually gets
-    fresh: bool = False  # holds its standing table only
+    rate: float = 0.0  # requests a second that it usually receives
+    fresh: bool = False  # holds only its standing table
 
 
 @dataclass(eq=False)
@@ -146,20 +146,20 @@
 
 @dataclass(eq=False)
 class BackendReport:
-    """A load report: what the proxies of a zone met at a backend within `span`."""
+    """A load report: totals of the attempts that the proxies of a zone made at a backend within `span`."""
 
     backend: Backend
     zone: Zone
     tries: int
     failed: int = 0
-    latency: int = 0  # ns; mean of those answered; 0 if none
+    latency: int = 0  # ns; mean of the answered attempts; 0 if none
     span: int = 0  # ns
     load: dict = field(default_factory=dict)
 
 
 @dataclass(eq=False)
 class ArrivalReport:
-    """Requests of a kind that reached a proxy within `span`, retries and rejected ones included."""
+    """Requests of a kind that reached a proxy within `span`, including retries and rejected requests."""
 
     proxy: Proxy
     kind: RequestKind
@@ -170,7 +170,7 @@
 
 @dataclass(eq=False)
 class SliceArrivals:
-    """Requests of a kind that reached a slice."""
+    """Requests of a kind that reached a slice within `span`."""
 
     table: Table
     kind: RequestKind
@@ -181,7 +181,7 @@
 
 @dataclass(eq=False)
 class SliceAssigned:
-    """Whether a slice is this controller's."""
+    """A slice was assigned to this controller or taken from it."""
 
     table: Table
     ours: bool
@@ -189,7 +189,7 @@
 
 @dataclass(eq=False)
 class SliceLine:
-    """A line that a slice's table holds."""
+    """An existing line of a slice's table."""
 
     table: Table
     backend: Backend
@@ -198,7 +198,7 @@
 
 @dataclass(eq=False)
 class NonceAcknowledged:
-    """A proxy has applied the message that carried the nonce, and all before it."""
+    """A proxy applied the message with the nonce, and all before it."""
 
     proxy: Proxy
     nonce: Nonce
@@ -207,13 +207,13 @@
 
 @dataclass(eq=False)
 class PeerMessage:
-    """A message of another controller."""
+    """A message from another controller."""
 
     sender: int
     data: bytes = b""
 
 
-# ---- what is ordered; Probe and PollEndpointList are ordered by no rule today
+# ---- orders; no rule issues Probe or PollEndpointList
 
 
 @dataclass(eq=False)
@@ -227,7 +227,7 @@
 
 @dataclass(eq=False)
 class Bind:
-    """Gives a proxy a table: it follows that alone from now on."""
+    """Binds a proxy to a table, which replaces any table that it holds."""
 
     proxy: Proxy
     table: Table
@@ -235,7 +235,7 @@
 
 @dataclass(eq=False)
 class Withdraw:
-    """Tells proxies that are not bound to leave a backend out of whatever they hold, or to use it again."""
+    """Tells unbound proxies to stop using a backend of the table they hold, or to use it again."""
 
     backend: Backend
     out: bool
@@ -243,17 +243,17 @@
 
 @dataclass(eq=False)
 class SetAdmission:
-    """Sets how much of some request kinds a table's proxies admit, and how they retry them."""
+    """Sets the admission level and retry mode of some request kinds at a table's proxies."""
 
     table: Table
     kinds: list  # empty: all kinds
-    level: float  # a share, or requests a second at each proxy
-    retry: int  # 0 never, 1 after proof that it never ran, 2 once, 3 twice after any failure
+    level: float  # share of the requests, or requests a second at each proxy
+    retry: int  # 0: never, 1: after proof that it never ran, 2: once, 3: twice after any failure
 
 
 @dataclass(eq=False)
 class RequestAcknowledgement:
-    """All orders of this step carry a nonce, which each proxy concerned acknowledges."""
+    """Attaches a nonce to all orders of this step, which each affected proxy acknowledges."""
 
     nonce: Nonce
 
@@ -268,7 +268,7 @@
 
 @dataclass(eq=False)
 class Subscribe:
-    """Subscribes to the endpoint list, or ends that."""
+    """Subscribes to the endpoint list, or unsubscribes."""
 
     on: bool = True
 
--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -1,35 +1,36 @@
-"""Learned weights: each backend's capacity, from what proxies report of it.
+"""Learned weights: estimates the capacity of each backend from the reports of proxies.
 
-Rule: capacity is the served rate times the median latency of all reported
-backends over the backend's own latency, each failed attempt counted as a client time-out, relative to the
-mean of all reported backends. It moves only when the estimate is more than 20% off, and by at most a quarter
-at each solve. Backends without enough reports keep their capacity, which starts at the average of 1.
+Rule: the capacity estimate is the served rate times the ratio of the median latency of all reported backends
+to the backend's own latency, with each failed attempt counted as a client timeout, relative to the mean of
+all reported backends. The capacity changes only if the estimate differs by more than 20%, and by at most a
+quarter per learning round. Backends without enough reports keep their capacity, which starts at the average
+of 1.
 
-The latency ratio is bounded and eased, since small differences of latency would fill fast machines and large
-ones tell of a queue, not of speed. A reported load that is already further from its peers' median vetoes a
-move that would take it further away: latency alone starves slow machines that have time. Harms where loads
-are reported wrong.
+The latency ratio is smoothed and bounded: small differences of latency would overload fast machines, and
+large ones indicate a queue, not speed. A reported load that deviates from the median load of its peers vetoes
+a change that would increase the deviation: latency alone starves slow machines that have spare capacity. The
+veto does harm where loads are reported wrongly.
 
-Inputs: `BackendStats` over the long window. Decides: `BackendState.capacity`, in average backends.
+Inputs: `BackendStats` over the long window. Output: `BackendState.capacity`, relative to an average backend.
 """
 
 from statistics import median
 
 from .units import SECOND
 
-LEARN_INTERVAL = 2 * SECOND  # ns between two solves: two report intervals
-ATTEMPTS_MIN = 8  # reported attempts in the long window; fewer say nothing
-CAPACITY_MIN = 0.3  # average backends; one that is hardly heard of has to be heard of again
-CAPACITY_MAX = 2.0  # average backends; more and its loss would be too much at once
-MOVE_THRESHOLD = 0.20  # share by which an estimate must differ before the capacity moves
-MOVE_MAX = 0.25  # share by which it moves at most at one solve
+LEARN_INTERVAL = 2 * SECOND  # ns between two learning rounds: two report intervals
+ATTEMPTS_MIN = 8  # in the long window; fewer give no reliable estimate
+CAPACITY_MIN = 0.3  # average backends; keeps enough requests on a backend to learn from
+CAPACITY_MAX = 2.0  # average backends; limits the capacity lost with one backend
+MOVE_THRESHOLD = 0.20  # relative difference of the estimate below which the capacity is kept
+MOVE_MAX = 0.25  # maximum relative change per learning round
 LATENCY_SMOOTHING = 0.15  # of the latency objective, added to both sides of the ratio
-LATENCY_RATIO_MAX = 1.4  # either way; beyond it latency tells of a queue
-LOAD_TOLERANCE = 0.15  # share off the median load within which a load vetoes nothing
+LATENCY_RATIO_MAX = 1.4  # in both directions; a larger ratio indicates a queue
+LOAD_TOLERANCE = 0.15  # relative deviation from the median load that vetoes no change
 
 
 class LearnedWeights:
-    """Learns capacities at every solve.
+    """Learns capacities in every learning round.
 
     Args:
         context: `Context` of the controller.
@@ -39,7 +40,7 @@
         self.context = context
 
     def learn(self, stats):
-        """Moves the capacity of the healthy backends that were heard of enough.
+        """Updates the capacity of healthy backends that have enough reports.
 
         Args:
             stats: `BackendStats` of all ready backends.
@@ -58,7 +59,7 @@
         return is_reported and row.backend.health >= 1
 
     def _estimates(self, rows):
-        """Served rate times the eased and bounded latency ratio, for each row."""
+        """Returns the served rate times the smoothed and bounded latency ratio, for each row."""
         median_latency = median([row.long_window.latency for row in rows] or [0])
         smoothing = LATENCY_SMOOTHING * self.context.latency_objective
         ratios = [
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -1,25 +1,26 @@
-"""Load shedding: how much of the requests the proxies admit, and whether they may retry.
+"""Load shedding: limits the requests that proxies admit, and whether proxies may retry.
 
-Rule: each second the time that requests wait in queues is looked at. Over 0.38 of the latency objective,
-unless it already falls or the queue is over, a goal is set: what the fleet can sustain, less the deeper the
-longer the wait. While requests still queue the goal stays; once the wait is under 0.2 of the objective (0.38
-while it falls) the goal rises by 1.5% a second, by 10% if it was a guess, until all that comes is admitted
-again. A fleet that lost capacity and is busy sheds ahead of a queue what is over 1.3 times the most that it
-was seen to do. What is over the goal is shed from the request kinds of least priority weight first, at most
-0.97 of a kind.
+Rule: once a second the queueing time of requests is evaluated. If it exceeds 0.38 of the latency objective,
+and neither falls already nor belongs to a queue that has drained, a target rate is set: the rate that the
+fleet can sustain, reduced more the longer the wait. The target holds while requests still queue. Once the
+wait is under 0.2 of the objective (0.38 while latency falls), the target grows by 1.5% a second, or by 10% if
+it was an estimate, until all offered requests are admitted again. A fleet that has lost capacity and is busy
+sheds what exceeds 1.3 times its highest observed rate before a queue forms. The excess over the target is
+shed from the request kinds with the lowest priority weight first, at most 0.97 of a kind.
 
-Retries are allowed, after proof that the first attempt never ran, unless more than 0.3 of all attempts failed
-lately: then they add to the fault. While some backends are cold in such a time, 0.4 of what comes is
-admitted.
+Retries are allowed, after proof that the first attempt never ran, unless more than 0.3 of the recent attempts
+failed: retries would then aggravate the fault. If some backends are cold at such a time, only 0.4 of the
+offered requests are admitted.
 
-Units: the goal is in requests a second per capacity unit, which is an average backend times the usual
-requests a second of this controller's proxies; so it holds when proxies move between controllers. Levels are
-a share of a kind's requests, or requests a second at each proxy, as the deployment says.
+Units: the target is in requests a second per capacity unit. A capacity unit is the capacity of an average
+backend times the usual requests a second of this controller's proxies, so the target remains valid when
+proxies move between controllers. A level is a share of a kind's requests, or requests a second at each proxy,
+depending on the deployment.
 
-Inputs: `FleetState` of the beat, rates of the joined proxies. Decides: `Context.admission`.
+Inputs: `FleetState` of the control cycle, rates of the joined proxies. Output: `Context.admission`.
 
-Guards against overload by a surge, by backends that are lost, cold or slow, and by clients' retries: in a jam
-all requests come late, and none of them is worth anything.
+Prevents overload by a surge, by lost, cold or slow backends, and by client retries: in a congested fleet all
+responses come too late to be of use.
 """
 
 from collections import deque
@@ -31,50 +32,52 @@
 from .units import MILLISECOND, SECOND
 
 EVALUATION_INTERVAL = 1 * SECOND  # ns
-EVALUATIONS_KEPT = 40  # looks whose most is taken for what can be done
-UNQUEUED_EVALUATIONS = 5  # looks without a queue after which what came was done
-WAIT_HIGH = 0.38  # of the latency objective: requests are shed
-WAIT_LOW = 0.2  # of the latency objective: more are admitted
-EVALUATIONS_UNTIL_LIMITS_KNOWN = 10  # looks after a start
-ADMITTED_MIN = 0.3  # of the usual requests, at the least
+EVALUATIONS_KEPT = 40  # whose maximum estimates what the fleet can serve
+UNQUEUED_EVALUATIONS = 5  # evaluations without a queue until the offered rate counts as sustainable
+WAIT_HIGH = 0.38  # of the latency objective; above it requests are shed
+WAIT_LOW = 0.2  # of the latency objective; below it more requests are admitted
+EVALUATIONS_UNTIL_LIMITS_KNOWN = 10  # evaluations after the start
+ADMITTED_MIN = 0.3  # of the usual requests
 ADMITTED_MIN_AFTER_START = 0.6  # of the usual requests, until the limits are known
-CUT_MIN = 0.45  # of what can be done: the deepest cut
-CUT_AT_WAIT_HIGH = 0.75  # of what can be done, at a wait of WAIT_HIGH; deeper the longer the wait
-TARGET_AFTER_QUEUE = 0.95  # of what can be done, as soon as the queue is over
-TARGET_AFTER_RELAPSE = 0.9  # of the former goal, if a queue builds up under it
-GROWTH = 1.015  # on the goal at each look
-GROWTH_OF_ESTIMATE = 1.1  # on the goal at each look, while it rests on no measured capacity
-LOST_CAPACITY = 0.85  # of the most capacity lately: the fleet has shrunk
-SHRUNK_LIMIT = 1.3  # times the most that was done, for a fleet that has shrunk
-BUSY_AFTER_LOSS = 0.7  # mean reported busy share, of those left, under which nothing is shed ahead
+CUT_MIN = 0.45  # of the sustainable rate: the deepest cut
+CUT_AT_WAIT_HIGH = 0.75  # of the sustainable rate at a wait of WAIT_HIGH; a longer wait cuts deeper
+TARGET_AFTER_QUEUE = 0.95  # of the sustainable rate, once the queue has drained
+TARGET_AFTER_RELAPSE = 0.9  # of the previous target, if a queue forms at that rate
+GROWTH = 1.015  # factor on the target per evaluation
+GROWTH_OF_ESTIMATE = 1.1  # factor on the target per evaluation, while it is not based on measured capacity
+LOST_CAPACITY = 0.85  # of the highest recent capacity; below it the fleet has shrunk
+SHRUNK_LIMIT = 1.3  # times the highest served rate, for a fleet that has shrunk
+BUSY_AFTER_LOSS = (
+    0.7  # mean busy share of the remaining backends; below it nothing is shed before a queue forms
+)
 SHED_MAX = 0.97  # of a kind's requests
-LEVEL_CHANGE_MIN = 0.08  # share by which a level moves at the least: each change costs lines of the channel
+LEVEL_CHANGE_MIN = 0.08  # relative; smaller changes of a level are not worth their channel lines
 PROXY_RATE_MIN = 0.01  # requests a second at a proxy, where levels are rates
-FAILED_SHARE_MAX = 0.3  # of all attempts: past it retries add to the fault
-ADMITTED_WHILE_FAILING = 0.4  # of what comes, while most fail and some backends are cold
+FAILED_SHARE_MAX = 0.3  # of all attempts; above it retries aggravate the fault
+ADMITTED_WHILE_FAILING = 0.4  # of the offered requests, while many attempts fail and some backends are cold
 
 
 @dataclass(frozen=True)
 class Demand:
-    """What comes to the joined proxies at one look."""
+    """Requests offered to the joined proxies at one evaluation."""
 
     offered: float  # requests a second now
-    usual: float  # requests a second that usually come
-    unit: float  # capacity units, see the module's docstring
-    unit_max: float  # the largest of the last looks: reports lag behind proxies that leave
+    usual: float  # requests a second, usual rate of these proxies
+    unit: float  # capacity units (see the module docstring)
+    unit_max: float  # maximum of the recent evaluations: reports lag behind departing proxies
 
 
 @dataclass(frozen=True)
 class Limits:
-    """The most of the last looks."""
+    """Maxima over the recent evaluations."""
 
     served: float  # answered requests a second per unit
     capacity: float  # average backends
-    unqueued: float  # requests a second per unit that came while nothing queued
+    unqueued: float  # requests a second per unit, offered while no requests queued
 
 
 class LoadShedding:
-    """Sets what is admitted once a second, and whether retries are allowed at each beat.
+    """Sets admission levels once a second, and the retry mode in each control cycle.
 
     Args:
         context: `Context` of the controller.
@@ -83,22 +86,22 @@
     def __init__(self, context):
         self.context = context
         deployment = context.deployment
-        # whether most attempts fail is not known before the first reports
+        # the share of failed attempts is unknown before the first reports
         self._retries_at = context.now + context.client_timeout + deployment.report_interval
         self._next_evaluation_at = 0
         self._next_cut_at = 0
-        self._target = None  # requests a second per unit; None: all are admitted
-        self._sustainable = 0.0  # requests a second per unit that a full fleet is taken to do
+        self._target = None  # requests a second per unit; None: all requests are admitted
+        self._sustainable = 0.0  # requests a second per unit, estimated for a fleet at full load
         self._unit_at_cut = 1.0
         self._growth = GROWTH
         self._evaluations = deque(maxlen=EVALUATIONS_KEPT)
         self._unqueued_evaluations = deque(maxlen=UNQUEUED_EVALUATIONS)
 
     def update(self, state):
-        """Sets `Context.admission` for this beat.
+        """Updates `Context.admission`.
 
         Args:
-            state: `FleetState` of this beat.
+            state: `FleetState` of this control cycle.
         """
         context = self.context
         now = context.now
@@ -123,9 +126,9 @@
         self._shed(proxies, self._excess(state, demand, limits))
 
     def _demand(self, state, proxies):
-        """What comes now, and what came while nothing queued and nobody was rejected.
+        """Returns the current `Demand`, and records the rate offered while nothing queued or was rejected.
 
-        The latter is kept in the measure it is seen in: many proxies with few requests are counted too high.
+        The latter is recorded as measured, since many proxies with few requests are overestimated.
         """
         context = self.context
         offered = sum(sum(proxy.rates.values()) for proxy in proxies)
@@ -155,11 +158,11 @@
         )
 
     def _update_target(self, state, demand, limits):
-        """Cuts, lets the goal rise, or ends the overload."""
+        """Cuts the target, raises it, or ends the overload."""
         now = self.context.now
         objective = self.context.latency_objective
         if self._target is not None and now < self._next_cut_at:
-            # what a full fleet does, it can do
+            # a rate that was served at full load is sustainable
             served = state.short_window.rate / max(demand.unit_max, self._unit_at_cut)
             self._sustainable = max(self._sustainable, served)
         is_recovering = (state.latency_falling and self._target) or state.queues_drained
@@ -184,7 +187,7 @@
         self._growth = GROWTH_OF_ESTIMATE if sustainable < self._sustainable else GROWTH
         cut_factor = max(CUT_MIN, CUT_AT_WAIT_HIGH * WAIT_HIGH * context.latency_objective / state.queue_wait)
         self._target = cut_factor * self._sustainable
-        # the effect of a cut is seen once clients gave up and a round of reports came
+        # a cut shows once waiting clients have timed out and the next reports have arrived
         effect_delay = (
             context.client_timeout + context.deployment.report_interval + context.observed_report_interval
         )
@@ -201,13 +204,15 @@
         self._target = max(TARGET_AFTER_QUEUE * self._sustainable, self._target * self._growth)
         if self._target * demand.unit > demand.offered:
             self._target = None
-            self.context.orders.append(Log(f"overload over: all of {demand.offered:.0f} requests/s admitted"))
+            self.context.orders.append(
+                Log(f"overload ended: all of {demand.offered:.0f} requests/s admitted")
+            )
 
     def _excess(self, state, demand, limits):
-        """Requests a second to be shed.
+        """Returns the requests a second to be shed.
 
-        What most was done tells what can be done only where the fleet lost capacity and the rest could not do
-        all of it; without a goal nothing else is shed ahead of a queue.
+        Without a target, requests are shed before a queue forms only if the fleet has lost capacity that the
+        remaining backends cannot replace. Only then does the highest served rate tell what can be served.
         """
         has_shrunk = (
             len(self._evaluations) > EVALUATIONS_UNTIL_LIMITS_KNOWN
@@ -222,7 +227,7 @@
         return max(excess, (1 - ADMITTED_WHILE_FAILING) * demand.offered if is_failing_while_cold else 0.0)
 
     def _shed(self, proxies, excess):
-        """Sheds so many requests a second, from the kinds of least priority weight first."""
+        """Sheds `excess` requests a second, from the kinds with the lowest priority weight first."""
         context = self.context
         for kind in sorted(context.deployment.kinds, key=lambda kind: kind.credit):
             rates = [proxy.rates[kind] for proxy in proxies]
@@ -235,7 +240,7 @@
                 context.admission[kind] = AdmissionLevel(admitted, previous.retry)
 
     def _level(self, rates, shed):
-        """The level that leaves all but `shed` of the requests that come to the proxies."""
+        """Returns the level that admits all but `shed` requests a second of `rates`."""
         admitted_rate = sum(rates) - shed
         if self.context.deployment.throttle == "rate":
             return equal_limit(rates, admitted_rate, self.context.unlimited_level)
@@ -243,12 +248,12 @@
 
 
 def equal_limit(rates, admitted, unlimited_level):
-    """The limit, alike at all proxies, that admits so many of all requests.
+    """Returns the per-proxy limit, equal for all proxies, that admits a total rate.
 
     Args:
-        rates: requests a second that come to each proxy.
-        admitted: requests a second to be admitted in all.
-        unlimited_level: what stands for no limit.
+        rates: requests a second offered to each proxy.
+        admitted: total requests a second to be admitted.
+        unlimited_level: level that stands for no limit.
 
     Returns:
         Requests a second at each proxy.
--- a/embertray/policy/locality.py
+++ b/embertray/policy/locality.py
@@ -1,18 +1,18 @@
-"""Locality: which part of a zone's requests stays with the zone's own backends.
+"""Locality: keeps a part of each zone's requests on backends of the same zone.
 
-Rule: a zone's table holds the ready backends of all zones. Where crossing zones costs, 0.9 of what comes to a
-zone stays at home as far as the zone's own part of all capacity reaches; what it lacks goes where others have
-capacity to spare, and the rest is spread over all zones alike.
+Rule: a zone's table has lines for the ready backends of all zones. Where cross-zone requests cost, 0.9 of the
+requests of a zone stay in the zone as far as its share of the total capacity permits; the shortfall goes to
+zones with spare capacity, and the rest is spread over all zones alike.
 
-Inputs: weight of each backend, requests a second that come to each zone. Decides: the wanted lines of each
-zone's table, weights relative to the zone's own backends.
+Inputs: weight of each backend, requests a second of each zone. Output: the desired lines of each zone's
+table, with weights relative to the zone's own backends.
 """
 
-HOME_SHARE = 0.9  # of the requests that could stay in their zone
+HOME_SHARE = 0.9  # of the requests that the zone's own backends could serve
 
 
 class Locality:
-    """Turns weights of backends into wanted lines for each zone.
+    """Converts the weights of backends to the desired lines of each zone.
 
     Args:
         context: `Context` of the controller.
@@ -22,15 +22,15 @@
         self.context = context
 
     def lines(self, weights, demand):
-        """The wanted lines of each zone's table.
+        """Yields the desired lines of each zone's table.
 
         Args:
-            weights: `BackendState` -> weight, of all that may get lines.
-            demand: zone -> requests a second that come to its proxies.
+            weights: `BackendState` -> weight, for all backends that may get lines.
+            demand: zone -> requests a second received by its proxies.
 
         Yields:
-            (zone, `BackendState` -> weight), for each zone of the deployment or of a proxy; none where tables
-            belong to slices.
+            (zone, `BackendState` -> weight), for each zone of the deployment or of a proxy; nothing where
+            tables belong to slices.
         """
         deployment = self.context.deployment
         zones = list(dict.fromkeys(backend.zone for backend in weights))
@@ -51,13 +51,13 @@
             )
 
     def _zone_factors(self, zone, share, capacity, spare):
-        """Factor on the weights of each zone's backends in the table of `zone`.
+        """Returns zone -> factor on the weights of its backends in the table of `zone`.
 
         Args:
-            zone: whose table it is.
-            share: part of all requests that comes to it.
-            capacity: zone -> part of all capacity.
-            spare: zone -> part of all capacity that its own requests leave over.
+            zone: zone of the table.
+            share: share of all requests that the zone receives.
+            capacity: zone -> share of the total capacity.
+            spare: zone -> share of the total capacity that its own requests leave unused.
         """
         home_share = HOME_SHARE if self.context.deployment.cross_zone_cost > 0 else 0.0
         home_flow = min(share, capacity.get(zone, 0.0))
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -1,36 +1,38 @@
-"""Outlier detection: backends that fail far more than their peers are ejected, and recover step by step.
+"""Outlier detection: ejects backends that fail far more often than their peers, and readmits them gradually.
 
-Ejected means that its weight is cut, never to 0.
+Ejection reduces the weight of a backend, but never to 0.
 
-Ejection rule: a backend whose share of failed attempts in the short window is more than 0.35 above the lower
-quartile of all backends with 8 or more attempts, itself included, is an outlier. Its weight is cut to the
-part that it answers, but not under 6%, so that it is still heard of. At most 0.6 of the ready backends are
-ejected at a time. A general fault moves the quartile and ejects nobody. Harms where few peers are heard.
+Ejection rule: a backend is an outlier if its share of failed attempts in the short window exceeds the lower
+quartile of all backends with 8 or more attempts, itself included, by more than 0.35. Its weight is reduced to
+the share of attempts that it answers, but not below 6%, so that it is still reported. At most 0.6 of the
+ready backends are ejected at a time. A general fault shifts the quartile and ejects no backend. The rule is
+unreliable where few peers are reported.
 
-Recovery rule: at each solve an ejected backend's weight doubles, once it had at least 2 attempts since the
-last change of its weight and at most a quarter of them failed, or none for 12 s. A restart heals at once.
+Recovery rule: in each learning round the weight of an ejected backend doubles, if since the last change of
+its weight it had at least 2 attempts of which at most a quarter failed, or no attempts for 12 s. A restarted
+backend recovers at once.
 
-Inputs: `BackendStats`. Decides: `BackendState.health`, a factor on the weight; 1 is healthy.
+Inputs: `BackendStats`. Output: `BackendState.health`, a factor on the weight; 1 is healthy.
 
-Guards against backends that fail fast, hang or die unseen by the endpoint list: they would take their share
-of requests, or more, and fail them.
+Prevents backends that fail fast, hang, or die unnoticed by the endpoint list from getting their share of
+requests, or more, and failing them.
 """
 
 from .interface import Log
 from .units import SECOND
 
 FAILED_SHARE_ABOVE_PEERS = 0.35  # above the peers' lower quartile
-ATTEMPTS_MIN = 8  # reported in the short window, so that chance ejects nobody
-EJECTED_SHARE_MAX = 0.6  # of the ready backends: a zone may be lost, but never nearly all
-HEALTH_MIN = 0.06  # of its weight, to hear whether it is well again
-RECOVERY_FACTOR = 2.0  # on health at each solve
+ATTEMPTS_MIN = 8  # in the short window; with fewer, chance could eject a backend
+EJECTED_SHARE_MAX = 0.6  # of the ready backends: covers the loss of a zone, but never ejects nearly all
+HEALTH_MIN = 0.06  # of its weight; enough requests to detect recovery
+RECOVERY_FACTOR = 2.0  # factor on health per learning round
 RECOVERY_ATTEMPTS_MIN = 2
 RECOVERY_FAILED_SHARE_MAX = 1 / 4
 SILENT_RECOVERY_AFTER = 12 * SECOND  # ns without any report
 
 
 class OutlierDetection:
-    """Ejects outliers at every beat and lets them recover at every solve.
+    """Ejects outliers in every control cycle and readmits them in learning rounds.
 
     Args:
         context: `Context` of the controller.
@@ -40,7 +42,7 @@
         self.context = context
 
     def recover(self, stats):
-        """Raises the weight of ejected backends that do well, or of which nothing is heard.
+        """Raises the health of ejected backends that answer again, or that had no attempts.
 
         Args:
             stats: `BackendStats` of all ready backends.
@@ -58,7 +60,7 @@
                 backend.set_health(min(1.0, backend.health * RECOVERY_FACTOR))
 
     def eject(self, stats):
-        """Cuts the weight of outliers, the worst first.
+        """Reduces the health of outliers, the worst first.
 
         Args:
             stats: `BackendStats` of all ready backends.
--- a/embertray/policy/proxy.py
+++ b/embertray/policy/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy as a controller knows it: whether it joined, its table, open nonces and the requests it gets."""
+"""State of one proxy: whether it joined, its table, unacknowledged messages and request rates."""
 
 from .backend import LONG_WINDOW, SHORT_WINDOW
 from .context import REPORTS_KEPT
@@ -6,7 +6,7 @@
 from .records.messages import ProxyMessages
 from .units import SECOND
 
-RATES_INTERVAL = 1 * SECOND  # ns between two looks at its rates: proxies are many
+RATES_INTERVAL = 1 * SECOND  # ns between two updates of the rates: limits the cost with many proxies
 
 
 class ProxyState:
@@ -14,7 +14,7 @@
 
     Args:
         context: `Context` of the controller.
-        handle: `interface.Proxy` that stands for it outside.
+        handle: `interface.Proxy` by which events and orders refer to it.
     """
 
     def __init__(self, context, handle):
@@ -34,7 +34,7 @@
         self._rates_updated_at = None
 
     def join(self, event):
-        """Its stream stands: whatever it held before, it is bound anew.
+        """Marks the proxy as joined and unbound, whatever table it held before.
 
         Args:
             event: `interface.ProxyJoined`.
@@ -49,21 +49,21 @@
         self.messages = ProxyMessages()
 
     def leave(self):
-        """Its stream broke: it is bound to nothing."""
+        """Marks the proxy as departed and unbound, after its stream broke."""
         self.joined = False
         self.gone_at = self.context.now
         self.table = None
 
     def acknowledge(self, nonce):
-        """It applied the message that carried `nonce`, and all before it."""
+        """Records that the proxy applied the message with `nonce`, and all before it."""
         self.messages.record_acknowledgement(nonce, self.context.now)
 
     def add_arrivals(self, report):
-        """Keeps `interface.ArrivalReport`, the requests of one kind that reached it."""
+        """Stores an `interface.ArrivalReport` with the requests of one kind."""
         self.samples.add(self.context.now, report)
 
     def update_rates(self):
-        """Estimates what comes to it: by request kind lately, and in all for longer."""
+        """Updates the request rates: per kind over the short window, in total over the long window."""
         now = self.context.now
         if self._rates_updated_at is None or now >= self._rates_updated_at + RATES_INTERVAL:
             self._rates_updated_at = now
--- a/embertray/policy/proxy_binding.py
+++ b/embertray/policy/proxy_binding.py
@@ -1,13 +1,13 @@
-"""Binding of proxies: gives each proxy that joins the table of its zone.
+"""Proxy binding: assigns each joining proxy a table of its zone.
 
-Rule: a proxy that joins is bound anew, whatever it held before. Who has waited longest goes first; a proxy
-that has its standing table only (the one it is installed with and uses until a controller binds it) counts as
-a quarter of the drain grace ahead, then the one with the most requests goes first.
+Rule: a proxy that joins is always bound again, whatever table it holds. Proxies are bound in the order of
+waiting time; a proxy that holds only its standing table (the installed table that it uses until a controller
+binds it) gets a head start of a quarter of the drain grace. Ties go to the proxy with the most requests.
 
-Inputs: joined proxies that are not bound, with the time of their joining (ns). Decides: `Binding`s.
+Inputs: joined proxies that are not bound, with their join time (ns). Output: `Binding`s.
 
-Guards against proxies that are left with few or stale backends: when a whole fleet joins at once its bindings
-take seconds of the channel, and for each proxy the grace runs from its joining.
+Prevents proxies from keeping few or stale backends: when a whole fleet joins at once, its bindings occupy the
+channel for seconds, and the drain grace of each proxy starts when it joins.
 """
 
 from collections import Counter
@@ -16,8 +16,8 @@
 from .channel_budget import NONCE_LINES
 from .units import SECOND
 
-HEAD_START_MIN = SECOND // 4  # ns; a beat
-HEAD_START_GRACE_DIVISOR = 4  # a proxy with its standing table only is the drain grace divided by this ahead
+HEAD_START_MIN = SECOND // 4  # ns; one control cycle
+HEAD_START_GRACE_DIVISOR = 4  # the head start is the drain grace divided by this
 
 
 class Binding(NamedTuple):
@@ -28,7 +28,7 @@
 
 
 class ProxyBinding:
-    """The proxies that wait for their table.
+    """Tracks and binds the proxies that have no table yet.
 
     Args:
         context: `Context` of the controller.
@@ -45,16 +45,16 @@
         self.pending = {}  # proxy -> True
 
     def add(self, proxy):
-        """A proxy joined."""
+        """Queues the binding of a proxy that joined."""
         self.pending[proxy] = True
 
     def bind(self, priority, removals_pending, joined_before=None):
-        """Binds those that wait, as far as there is room.
+        """Binds pending proxies as far as the channel budget permits.
 
         Args:
-            priority: `Priority` in the channel.
-            removals_pending: whether removals wait.
-            joined_before: ns; only proxies that joined earlier. None: all.
+            priority: `Priority` of the bindings in the channel.
+            removals_pending: whether removals are pending.
+            joined_before: ns; binds only proxies that joined earlier. None: all.
 
         Returns:
             list of `Binding`.
@@ -88,7 +88,7 @@
         return sorted(proxies, key=urgency)
 
     def _is_channel_full(self, lines, priority):
-        """Whether there is no room for the others either."""
+        """Whether the channel has no room for the remaining proxies either."""
         deployment = self.context.deployment
         needed = lines + deployment.head + NONCE_LINES
         return deployment.pending_max and self.budget.free_lines(priority) < needed
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -1,8 +1,8 @@
-"""Publisher: what goes to the proxies at one step, the most urgent first, one message a proxy.
+"""Publisher: sends changes to the proxies in each step, most urgent first, in one message per proxy.
 
-Rule: removals and bindings go at every step. At beats urgent updates and levels follow, then the update
-queue. All that is ordered in one step carries one nonce, which each proxy concerned answers once it has
-applied the message. While removals wait, a table with proxies gets nothing of the queue.
+Rule: removals and bindings are sent in every step. In control cycles, urgent updates and levels follow, then
+the update queue. All orders of one step carry one nonce, which each affected proxy acknowledges once it has
+applied the message. While removals are pending, tables that have proxies get nothing from the queue.
 """
 
 from .channel_budget import BINDING, REMOVAL, ChannelBudget
@@ -15,7 +15,7 @@
 
 
 class Publisher:
-    """Brings the tables of one controller to its proxies.
+    """Distributes the tables of one controller to its proxies.
 
     Args:
         context: `Context` of the controller.
@@ -30,20 +30,20 @@
         self.queue = UpdateQueue(context, self.budget, self.writer)
         self.removal = EndpointRemoval(context, self.budget, self.writer, self.queue)
         self.binding = ProxyBinding(context, self.budget, self.writer, self.tables)
-        self.has_urgent_changes = False  # a removal or a binding waits for no beat
+        self.has_urgent_changes = False  # a removal or binding is to be sent before the next control cycle
 
     def proxy_joined(self, proxy):
-        """A proxy joined: it is bound at the next step."""
+        """Queues the binding of a proxy that joined."""
         self.binding.add(proxy)
         self.has_urgent_changes = True
 
     def backend_left(self, backend):
-        """A backend stopped being ready: its lines are removed at the next step."""
+        """Queues the removal of a backend that stopped being ready."""
         self.removal.add(backend)
         self.has_urgent_changes = True
 
     def set_desired(self, zone, desired):
-        """Sets the wanted lines of a zone and queues the tables that change by it.
+        """Sets the desired lines of a zone and queues the tables that change.
 
         Args:
             zone: `interface.Zone`.
@@ -53,11 +53,11 @@
             self.queue.add(table)
 
     def publish(self, levels=None):
-        """Orders what has room.
+        """Orders changes as far as the channel budget permits.
 
         Args:
-            levels: at beats, request kind -> `AdmissionLevel`; None between beats, when only removals and
-                bindings go.
+            levels: request kind -> `AdmissionLevel` in a control cycle; None between cycles, when only
+                removals and bindings are sent.
         """
         context = self.context
         joined = context.joined_proxies
@@ -77,7 +77,7 @@
         self._order_nonce()
 
     def _proxies_by_table(self, joined):
-        """(table -> joined proxies bound to it, joined proxies that are not bound)."""
+        """Returns (table -> joined proxies bound to it, joined proxies that are not bound)."""
         proxies_by_table = {table: [] for table in self.tables.all}
         unbound = []
         for proxy in joined:
@@ -85,7 +85,13 @@
         return proxies_by_table, unbound
 
     def _remove_and_bind(self, joined, proxies_by_table, unbound):
-        """Removals and bindings; a proxy that has waited longer than any removal is bound before."""
+        """Sends removals and bindings.
+
+        With subsets, proxies that joined before the oldest pending removal are bound first.
+
+        Returns:
+            (list of `Binding`, list of `Withdraw` orders).
+        """
         removal = self.removal
         subsets = self.tables.are_subsets
         bindings = []
@@ -120,14 +126,14 @@
         self.budget.record_order(nonce)
 
     def release(self, departed):
-        """Forgets a backend or proxy that is gone for long.
+        """Drops all references to a backend or proxy that departed long ago.
 
         Args:
             departed: `BackendState` or `ProxyState`.
 
         Returns:
-            False while its removal waits, a table still has its line, or an unbound proxy holds it withdrawn
-            (a binding clears that); else True.
+            False while its removal is pending, a table still has a line for it, or an unbound proxy still
+            holds it withdrawn (a binding clears that); otherwise True.
         """
         removal = self.removal
         is_withdrawn = departed in removal.withdrawn and any(
--- a/embertray/policy/records/__init__.py
+++ b/embertray/policy/records/__init__.py
@@ -1,5 +1,5 @@
-"""What the decisions remember: samples of reports, messages that are not answered, tables as sent.
+"""Records of the policy: samples of reports, unacknowledged messages, and tables as last sent.
 
-Nothing is decided or tuned here: how much is kept, windows, floors and what a failed try counts as are handed
-in. Times are whole nanoseconds.
+Records make no decisions and have no tuning constants: how much is kept, windows, minimums and the latency
+that a failed attempt counts as are passed in. Times are whole nanoseconds.
 """
--- a/embertray/policy/records/arrivals.py
+++ b/embertray/policy/records/arrivals.py
@@ -1,4 +1,4 @@
-"""The requests that one proxy reported, and their rates."""
+"""Reported requests of one proxy, and their rates."""
 
 from collections import deque
 
@@ -6,26 +6,26 @@
 
 
 class ArrivalSamples:
-    """The last reports of a proxy (`interface.ArrivalReport`), by the time at which they came.
+    """The latest reports of a proxy (`interface.ArrivalReport`) with their time of arrival.
 
     Args:
-        keep: reports that are kept.
+        keep: maximum number of reports.
     """
 
     def __init__(self, keep):
         self.rows = deque(maxlen=keep)
 
     def add(self, time, arrivals):
-        """Keeps a report that came at `time`, ns."""
+        """Stores a report that arrived at `time`, ns."""
         self.rows.append((time, arrivals))
 
     def rate(self, kind, start, default):
-        """Requests of a kind a second, by the reports since `start` and those that came last.
+        """Returns requests of a kind a second, from the reports since `start` and the latest ones.
 
         Args:
             kind: `interface.RequestKind`.
             start: ns.
-            default: what is returned if nothing was reported of the kind.
+            default: rate returned if the kind was not reported.
         """
         known = [(time, report) for time, report in self.rows if report.kind is kind]
         rows = [report for time, report in known if time > start or time == known[-1][0]]
--- a/embertray/policy/records/backend.py
+++ b/embertray/policy/records/backend.py
@@ -1,4 +1,4 @@
-"""What proxies reported of one backend, and the sums over a window of it."""
+"""Reports on one backend, and totals over a window of them."""
 
 from collections import deque
 from typing import Any, NamedTuple
@@ -7,24 +7,24 @@
 
 
 class Sample(NamedTuple):
-    """One report: what the proxies of a zone met within `span` ns before `time`, ns."""
+    """One report of the proxies of a zone, over the `span` ns before `time`."""
 
     time: int  # ns
     attempts: int
     failed: int
-    latency: int  # ns; mean of the attempts that were answered
-    load: float | None  # None: no load was reported
+    latency: int  # ns; mean of the answered attempts
+    load: float | None  # None: not reported
     zone: Any
     span: int  # ns
 
 
 class Totals(NamedTuple):
-    """The sums of a window."""
+    """Totals over a window."""
 
     attempts: int = 0
     failed: int = 0
     latency: float = 0  # ns; mean of all attempts
-    rate: float = 0  # answered a second, by reported spans
+    rate: float = 0  # answered attempts a second, from the reported spans
 
 
 class NewestReport(NamedTuple):
@@ -36,43 +36,44 @@
 
 
 class BackendStats(NamedTuple):
-    """What a backend's samples come to now."""
+    """Aggregated samples of a backend."""
 
     backend: Any
-    long_window: Totals  # of the long window
-    span: int  # ns that the long window covers
-    short_window: Totals  # of the short window
-    warm_up_factor: float  # factor on the weight by slow start
-    load: float | None  # mean of the long window
+    long_window: Totals
+    span: int  # ns covered by the long window
+    short_window: Totals
+    warm_up_factor: float  # slow-start factor on the weight
+    load: float | None  # mean over the long window
     newest: tuple[NewestReport, ...]
 
 
 class BackendSamples:
-    """The last reports on a backend.
+    """The latest reports on a backend.
 
     Args:
-        keep: reports that are kept.
+        keep: maximum number of reports.
     """
 
     def __init__(self, keep):
         self.rows = deque(maxlen=keep)
 
     def add(self, time, report, load):
-        """Keeps a report that came at `time`, ns, with the load that it tells or None."""
+        """Stores a report that arrived at `time`, ns, with its load or None."""
         row = Sample(time, report.tries, report.failed, report.latency, load, report.zone, report.span)
         self.rows.append(row)
 
     def clear(self):
-        """Forgets all reports."""
+        """Discards all reports."""
         self.rows.clear()
 
     def totals(self, start, failed_latency, span_min):
-        """The sums of all reports since `start`.
+        """Returns the totals of all reports since `start`.
 
         Args:
             start: ns.
-            failed_latency: ns that a failed attempt counts as.
-            span_min: ns; the rate is that of each zone's reported spans, or of this if they are shorter.
+            failed_latency: latency that a failed attempt counts as, ns.
+            span_min: minimum time over which the rate of a zone is computed, ns; applies where its reported
+                spans add up to less.
 
         Returns:
             `Totals`.
@@ -88,7 +89,7 @@
         return Totals(attempts, failed, latency / attempts if attempts else 0, rate)
 
     def newest(self, start, failed_latency):
-        """The reports since `start`, ns; a failed attempt counts as `failed_latency` ns.
+        """Returns the reports since `start`, ns; a failed attempt counts as `failed_latency` ns.
 
         Returns:
             tuple of `NewestReport`.
@@ -100,18 +101,18 @@
         )
 
     def mean_load(self, start):
-        """Mean reported load since `start`, ns; None if none was reported."""
+        """Returns the mean reported load since `start`, ns; None if none was reported."""
         loads = [row.load for row in self.rows if row.load is not None and row.time > start]
         return sum(loads) / len(loads) if loads else None
 
 
 def latency_sum(row, failed_latency):
-    """Latency of all attempts of a `Sample`, ns; a failed one counts as `failed_latency`."""
+    """Returns the summed latency of a `Sample`, ns; a failed attempt counts as `failed_latency`."""
     return (row.attempts - row.failed) * row.latency + row.failed * failed_latency
 
 
 def add_totals(totals):
-    """Totals of several backends: attempts, failures and rates are added, latency is left out."""
+    """Returns the totals of several backends: sums of attempts, failures and rates, without latency."""
     rows = list(totals)
     return Totals(
         attempts=sum(row.attempts for row in rows),
--- a/embertray/policy/records/levels.py
+++ b/embertray/policy/records/levels.py
@@ -1,4 +1,4 @@
-"""What the rules hand to each other about load and admission."""
+"""Load and admission values that the rules exchange."""
 
 from typing import NamedTuple
 
@@ -6,19 +6,19 @@
 
 
 class AdmissionLevel(NamedTuple):
-    """How much of a request kind proxies admit, and how they may retry it (`interface.SetAdmission`)."""
+    """Admission limit and retry mode of a request kind (`interface.SetAdmission`)."""
 
     admitted: float  # share, or requests a second at each proxy
-    retry: int  # 1: only after proof that the first attempt never ran
+    retry: int  # mode; 1: only after proof that the first attempt never ran
 
 
 class FleetState(NamedTuple):
-    """What all backends of one controller come to at one beat."""
+    """Load of all backends of one controller in one control cycle."""
 
-    queue_wait: float  # mean time in queues, ns
-    latency_falling: bool  # the latency falls
-    queues_drained: bool  # the newest loads are far below those of the long window
-    busy_share: float  # mean load if it tells of busy slots, else 1
-    short_window: Totals  # of the short window, all backends
+    queue_wait: float  # mean queueing time, ns
+    latency_falling: bool  # mean latency is lower than a few cycles ago
+    queues_drained: bool  # the newest loads are far below the long window's mean
+    busy_share: float  # mean load if reports include a busy share, else 1
+    short_window: Totals  # over all backends
     capacity: float  # average backends
-    has_cold: bool  # some backend is not warm yet
+    has_cold: bool  # some backend is still warming up
--- a/embertray/policy/records/messages.py
+++ b/embertray/policy/records/messages.py
@@ -1,4 +1,4 @@
-"""Messages that are on their way, by the nonces that close them."""
+"""Messages in flight, by the nonces that acknowledge them."""
 
 from collections import deque
 
@@ -6,33 +6,34 @@
 
 
 class ProxyMessages:
-    """One proxy's messages: nonces it has not answered yet, and until when the answered were written."""
+    """Messages to one proxy: unacknowledged nonces, and write times of the acknowledged messages."""
 
     def __init__(self):
-        self.unacknowledged = deque()  # (nonce, ns at which it was ordered)
-        self.write_times = deque()  # ns
+        self.unacknowledged = deque()  # (nonce, time of the order in ns)
+        self.write_times = deque()  # ns, latest possible time of each write
 
     def record_order(self, nonce, time):
-        """A message with this nonce was ordered at `time`, ns."""
+        """Records that a message with this nonce was ordered at `time`, ns."""
         self.unacknowledged.append((nonce, time))
 
     def record_acknowledgement(self, nonce, time):
-        """The nonce and all before it are answered.
+        """Records that the nonce and all before it were acknowledged.
 
-        They count as written at `time`, ns: a channel that lags writes late and at once.
+        They count as written at `time`, ns: a delayed channel writes late and in bursts.
         """
         while any(nonce is each for each, _ in self.unacknowledged):
             self.unacknowledged.popleft()
             self.write_times.append(time)
 
     def has_unacknowledged_before(self, time):
-        """Whether a nonce that was ordered before `time`, ns, is open."""
+        """Whether a nonce ordered before `time`, ns, is unacknowledged."""
         return bool(self.unacknowledged) and self.unacknowledged[0][1] < time
 
     def recent_count(self, written_since, ordered_since):
-        """Counts the messages written after `written_since`, and those ordered after `ordered_since`.
+        """Returns the messages written after `written_since`, plus the unacknowledged ones.
 
-        Forgets what was written before `written_since`; both are ns.
+        Of the latter, those ordered after `ordered_since` count, since they may yet be written. Drops
+        the write times up to `written_since`. Times are ns.
         """
         while self.write_times and self.write_times[0] <= written_since:
             self.write_times.popleft()
@@ -40,29 +41,29 @@
 
 
 class LinesInFlight:
-    """Lines that wait in the channel, by nonce in the order of sending."""
+    """Lines pending in the channel, by nonce in the order of sending."""
 
     def __init__(self, now):
-        self.by_nonce = {}  # nonce -> [proxy -> lines, lines in all that are unanswered]
-        self.progress_at = now  # ns; when a proxy last proved that the channel sends
+        self.by_nonce = {}  # nonce -> [proxy -> lines, total of unacknowledged lines]
+        self.progress_at = now  # ns; time of the last acknowledgement, which proves that the channel sends
 
     def record_order(self, nonce, lines, total):
-        """Messages go out under a nonce.
+        """Records that messages are sent with a nonce.
 
         Args:
             nonce: `interface.Nonce`.
             lines: proxy -> lines of its message, without overhead.
-            total: lines in all, overheads included.
+            total: total number of lines, overhead included.
         """
         self.by_nonce[nonce] = [lines, total]
 
     def record_acknowledgement(self, proxy, nonce, overhead, now):
-        """A proxy answered a nonce: those before it are through as well.
+        """Records an acknowledgement; all earlier nonces count as delivered too.
 
         Args:
-            proxy: who answered.
+            proxy: the acknowledging proxy.
             nonce: `interface.Nonce`.
-            overhead: lines that a message costs beyond its own.
+            overhead: overhead of a message, lines.
             now: ns.
         """
         if nonce not in self.by_nonce:
@@ -75,17 +76,17 @@
             self.progress_at = now
 
     def reset(self, now):
-        """Nothing waits any more: the channel's time is counted from `now`, ns."""
+        """Clears the pending lines; the progress of the channel is measured from `now`, ns."""
         self.by_nonce.clear()
         self.progress_at = now
 
     def pending(self, now, rate, rate_divisor):
-        """Lines that may still wait: those since the last answered nonce, less what leaves meanwhile.
+        """Returns the lines that may still be pending: those unacknowledged, less those sent since.
 
         Args:
             now: ns.
-            rate: lines a second that the channel sends.
-            rate_divisor: by which the rate is divided, to be on the safe side.
+            rate: channel rate, lines a second.
+            rate_divisor: divides the rate, as a safety margin.
 
         Returns:
             Lines, 0 or more.
--- a/embertray/policy/records/tables.py
+++ b/embertray/policy/records/tables.py
@@ -1,11 +1,11 @@
-"""A routing table as the decisions keep it."""
+"""State of a routing table."""
 
 
 class TableState:
-    """Lines (backend -> weight) and levels of a table, as wanted and as last sent.
+    """Lines (backend -> weight) and levels of a table, as desired and as last sent.
 
     Args:
-        handle: `interface.Table` that stands for it outside.
+        handle: `interface.Table` by which orders refer to it.
     """
 
     def __init__(self, handle):
@@ -13,14 +13,14 @@
         self.desired = {}
         self.sent = {}
         self.levels = {}
-        self.failures = 0  # updates in a row that some proxy did not acknowledge
+        self.failures = 0  # consecutive updates that some proxy did not acknowledge
 
     def line_count(self):
-        """Lines that bind a proxy anew to it."""
+        """Returns the number of lines sent when a proxy is bound to the table."""
         return len(self.sent | self.desired)
 
     def record_sent(self, lines):
-        """Keeps lines that were sent.
+        """Records lines that were sent.
 
         Args:
             lines: list of (backend, weight); weight 0 removes a line.
@@ -30,5 +30,5 @@
             del self.sent[backend]
 
     def compact(self):
-        """Frees the room of removed lines: a dict that is made anew has no empty places."""
+        """Frees the memory of removed lines: a copied dict has no unused slots."""
         self.sent = dict(self.sent)
--- a/embertray/policy/routing_tables.py
+++ b/embertray/policy/routing_tables.py
@@ -1,22 +1,22 @@
-"""All tables of a controller, by zone, and how many lines a table may have.
+"""All tables of a controller by zone, and the maximum number of lines per table.
 
-Rule: a table has no more lines than the channel can bring to all proxies within 0.7 of the drain grace (or of
-the time that a proxy may be without a backend, if that is shorter), since all proxies may come to one
-controller at once. Where that is less than the whole list, `subsetting` divides a zone's lines among several
-tables.
+Rule: a table has at most as many lines as the channel can deliver to all proxies within 0.7 of the drain
+grace (or of the time that a proxy may be without a backend, if that is shorter), since all proxies may
+connect to one controller at once. Where that is less than the whole list, `subsetting` divides the lines of a
+zone among several tables.
 
-Inputs: the deployment's grace (ns), channel rate (lines a second) and number of proxies. Decides:
+Inputs: drain grace (ns), channel rate (lines a second) and number of proxies of the deployment. Output:
 `lines_max`.
 """
 
 from .subsetting import LINES_MIN, ZoneTables
 from .units import SECOND
 
-GRACE_SHARE = 0.7  # of the drain grace, within which all proxies have to be bound
+GRACE_SHARE = 0.7  # of the drain grace; all proxies have to be bound within it
 
 
 class RoutingTables:
-    """All tables of a controller, by zone.
+    """Holds all tables of a controller by zone.
 
     Args:
         context: `Context` of the controller.
@@ -28,7 +28,7 @@
 
     @property
     def all(self):
-        """All `TableState`s, zone by zone."""
+        """All `TableState`s, ordered by zone."""
         return [table for zone in self.zones.values() for table in zone.tables]
 
     @property
@@ -37,7 +37,7 @@
         return any(len(zone.tables) > 1 for zone in self.zones.values())
 
     def set_desired(self, zone, desired):
-        """Sets a zone's wanted lines.
+        """Sets the desired lines of a zone.
 
         Args:
             zone: `interface.Zone`.
@@ -51,10 +51,10 @@
         return self.zones[zone].assign(desired, self.lines_max(), self.usual_rates())
 
     def lines_max(self):
-        """Lines of a table that the channel brings to all proxies in time; 0: any number.
+        """Returns the maximum number of lines that the channel delivers to all proxies in time; 0: unlimited.
 
-        All proxies may come to one controller at once, and one that is not bound within the grace may still
-        send to a backend that left.
+        All proxies may connect to one controller at once, and a proxy that is not bound within the drain
+        grace may still send requests to a departed backend.
         """
         deployment = self.context.deployment
         limits = [limit for limit in (deployment.drain_grace, deployment.no_backend_limit) if limit]
@@ -63,7 +63,7 @@
         return max(LINES_MIN, int(lines - deployment.head - 2 - len(deployment.kinds))) if lines else 0
 
     def usual_rates(self):
-        """Table -> usual requests a second of the proxies bound to it."""
+        """Returns table -> usual requests a second of the proxies bound to it."""
         rates = dict.fromkeys(self.all, 0.0)
         for proxy in self.context.proxies:
             if proxy.table is not None:
@@ -71,13 +71,13 @@
         return rates
 
     def table_for(self, proxy, joined, rates, removals_pending):
-        """The table for a proxy that joins, or None (see `ZoneTables.table_for`).
+        """Returns the table for a joining proxy, or None (see `ZoneTables.table_for`).
 
         Args:
             proxy: `ProxyState`.
-            joined: zone -> how many of its proxies are joined.
+            joined: zone -> number of its joined proxies.
             rates: table -> usual requests a second of its proxies.
-            removals_pending: whether removals wait.
+            removals_pending: whether removals are pending.
         """
         zone = self.zones.get(proxy.zone)
         return zone and zone.table_for(proxy, joined[proxy.zone], rates, removals_pending)
--- a/embertray/policy/slow_start.py
+++ b/embertray/policy/slow_start.py
@@ -1,36 +1,37 @@
-"""Slow start: how much of its usual weight a backend gets while it warms up.
+"""Slow start: reduces the weight of a backend while it warms up.
 
-Rule: a backend that started less than the told warm-up time ago gets a part of the load under which the
-deployment says that it would fall over. The part grows with the backend's age as its speed does, and never
-reaches its full weight before it is warm. While requests queue everywhere, proxies shun busy backends and
-pick the idle one, so that a cold backend would get far more than its weight: then it gets no line at all, as
-long as the warm ones are two thirds of the fleet's capacity. Where they are fewer, as in a release of half
-the fleet, they can't carry what comes, and would queue until all are warm: cold ones get lines, unless so
-many attempts at the warm ones fail that the same load would push a cold one over.
+Rule: until the configured warm-up time has passed since its start, a backend gets a share of the load under
+which it would fail according to the deployment. The share grows with the backend's speed, which grows with
+its age, and stays below the full weight until it is warm. While requests queue everywhere, proxies avoid busy
+backends and pick the idle one, so a cold backend would get far more requests than its weight. It therefore
+gets no line then, as long as the warm backends have two thirds of the fleet's capacity. With fewer, as in a
+release of half the fleet, they can't serve the offered requests, which would queue until all backends are
+warm: cold backends get lines, unless so many attempts at the warm ones fail that the same load would make a
+cold one fail.
 
-Inputs: age of the backend (ns), the deployment's cold speed (share of the usual), warm-up time (ns), overload
-multiple, and how proxies pick; of all ready backends capacity, and attempts in the short window. Decides: a
-factor on the weight, 0 to 1, and who gets no line.
+Inputs: age of the backend (ns), cold speed (share of the usual speed), warm-up time (ns), overload multiple
+and line selection of the deployment; capacity and attempts in the short window of all ready backends. Output:
+a factor on the weight, 0 to 1, and the backends that get no line.
 
-Guards against pushing over a backend that has just started: it falls under several times what it can do at
-that moment and stays down. Costs some capacity where a backend warms sooner than told.
+Prevents overload of a backend that has just started: it fails at a multiple of its momentary capacity, and
+stays down. Costs some capacity where a backend warms up sooner than configured.
 """
 
-OVERLOAD_SHARE = 0.5  # share of the load under which a cold backend falls over
-COLD_FACTOR_MAX = 0.95  # factor on the weight until it is warm
-TWO_CHOICES_FACTOR = 0.42  # proxies that draw two and take the idler one prefer a cold backend
-WARM_SHARE_ENOUGH = 2 / 3  # of the fleet's capacity: the warm ones carry what comes
-# of the warm ones' attempts: they get twice what they can do, and a cold one, with its part of the load under
-# which it falls over, would get all of that load
+OVERLOAD_SHARE = 0.5  # of the load under which a cold backend fails
+COLD_FACTOR_MAX = 0.95  # maximum factor on the weight until the backend is warm
+TWO_CHOICES_FACTOR = 0.42  # proxies that pick the less busy of two lines prefer a cold backend
+WARM_SHARE_ENOUGH = 2 / 3  # of the fleet's capacity; enough to serve the offered requests
+# of the attempts at warm backends: they get twice the load that they can serve, and a cold backend with its
+# share would get all of the load under which it fails
 FAILED_SHARE_MAX = 1 - OVERLOAD_SHARE
 
 
 def warm_up_factor(deployment, started_at, now):
-    """How much of its weight a backend gets for its age.
+    """Returns the factor on the weight of a backend for its age.
 
     Args:
         deployment: `interface.Deployment`.
-        started_at: when the backend started, ns; 0 or less: long ago.
+        started_at: start time of the backend, ns; 0 or less: long ago.
         now: time of the step, ns.
 
     Returns:
@@ -47,25 +48,25 @@
 
 
 def backends_with_weight(stats, congested):
-    """The backends that get a weight now; the others wait.
+    """Returns the backends that get lines in this control cycle.
 
     Args:
         stats: `BackendStats` of all ready backends.
-        congested: whether requests queue at the warm ones.
+        congested: whether requests queue at the warm backends.
 
     Returns:
-        Those of `stats` that may get lines: all, or the warm ones alone.
+        All of `stats`, or only the warm backends.
     """
     warm = [row for row in stats if row.warm_up_factor >= 1]
     return warm if congested and must_hold_back_cold(stats, warm) else stats
 
 
 def must_hold_back_cold(stats, warm):
-    """Whether cold backends get no line while requests queue.
+    """Whether cold backends get no line while requests queue at the warm ones.
 
     Args:
         stats: `BackendStats` of all ready backends.
-        warm: those of them that are warm.
+        warm: the warm backends among them.
     """
     capacity = sum(row.backend.capacity for row in stats)
     warm_capacity = sum(row.backend.capacity for row in warm)
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -1,34 +1,34 @@
-"""Subsetting: which of a zone's wanted lines stand in which of its tables, and which table a proxy gets.
-
-Rule: a zone has one table of all ready backends where the channel can bring that to all proxies in time.
-Where it can't, the zone has several tables, each with lines of every zone in proportion to the requests that
-come to its proxies. A new backend goes to the table that lacks most; at each beat up to four lines move from
-the table that has most over to one that lacks more than a quarter. A proxy that joins gets the table with the
-fewest requests for what its lines can do. There are no more tables in use than one for five proxies: where
-that makes larger subsets needed, they are larger. Nor are there so many that a backend would stand in fewer
-than four used tables of all controllers: with 5 controllers of 20 used tables each there are at most 25
-subsets. How many are used follows from an even part of all proxies; a controller to which more of a zone's
-proxies have come uses more, one for five of them.
-
-Inputs: wanted weights, lines that a table may have (0: any number), usual requests a second of each table's
-proxies, joined proxies of the zone. Decides: `TableState.want` of each table, and the table of a joining
-proxy.
-
-Guards against proxies that are not bound within the drain grace and go on to send to backends that left:
-whole tables for a large fleet take the channel longer than that. And against a controller that has the
-proxies of others that ended, and none in some table: the backends of that table would get next to nothing.
+"""Subsetting: divides the desired lines of a zone among its tables, and assigns a table to each proxy.
+
+Rule: a zone has one table with all ready backends if the channel can deliver it to all proxies in time.
+Otherwise it has several tables, each with lines of every zone in proportion to the requests that its proxies
+receive. A new backend is added to the table with the largest deficit. In each control cycle up to four lines
+move from the table with the largest surplus to a table whose deficit exceeds a quarter. A joining proxy gets
+the table with the fewest requests for the capacity of its lines. At most one table per five proxies is in
+use; subsets grow where this limit requires it. Each backend is also listed in at least four used tables over
+all controllers, which limits the number of subsets: 5 controllers with 20 used tables each have at most 25.
+The number of tables in use assumes an even share of all proxies; a controller that more of a zone's proxies
+have joined uses more tables, one per five proxies.
+
+Inputs: desired weights, maximum number of lines per table (0: unlimited), usual requests a second of the
+proxies of each table, joined proxies of the zone. Output: `TableState.desired` of each table, and the table
+of a joining proxy.
+
+Prevents two failures. Delivering whole tables to a large fleet takes the channel longer than the drain grace,
+so proxies that are not bound in time keep sending to departed backends. And a controller that took over the
+proxies of stopped controllers must leave no table without proxies: its backends would get almost no requests.
 """
 
 from .interface import Table
 from .records.tables import TableState
 
-LINES_MIN = 8  # lines of a table at the least
-PROXIES_PER_TABLE_MIN = 5  # so that tables are shared
-TABLES_PER_LINE_MIN = 4  # of all controllers; requests for one backend come by several tables
-GROWTH_TO_SPLIT = 1.5  # times the tables there are, until there are more
-DEMAND_FLOOR_SHARE = 0.25  # of the mean requests, counted for each table, as proxies join
-DEFICIT_TO_MOVE = 0.25  # share of its lines' weight that a table lacks until one moves to it
-MOVES_MAX = 4  # lines of a zone moved at a beat: each costs lines of the channel
+LINES_MIN = 8  # per table
+PROXIES_PER_TABLE_MIN = 5  # proxies share tables
+TABLES_PER_LINE_MIN = 4  # over all controllers; a backend receives requests by several tables
+GROWTH_TO_SPLIT = 1.5  # ratio of needed to existing tables at which tables are added
+DEMAND_FLOOR_SHARE = 0.25  # of the mean requests, added to each table for proxies that will join
+DEFICIT_TO_MOVE = 0.25  # share of its target weight that a table lacks before a line moves to it
+MOVES_MAX = 4  # lines of a zone per control cycle: each move costs channel lines
 
 
 class ZoneTables:
@@ -44,20 +44,20 @@
         self.tables = []
         self._tables_max = max(1, deployment.proxies // per_table)
         self._tables_max_for_coverage = self._tables_max * deployment.controllers // TABLES_PER_LINE_MIN
-        self._tables_in_use = 1  # the first so many tables are in use, at the least
-        self._first_table_offset = context.draw()  # each controller begins at another table
-        self._table_by_backend = {}  # backend -> the table its line stands in
+        self._tables_in_use = 1  # minimum number of tables in use, counted from the first
+        self._first_table_offset = context.draw()  # each controller starts at a different table
+        self._table_by_backend = {}  # backend -> the table that has its line
 
     def assign(self, desired, lines_max, rates):
-        """Gives each table its part of the wanted lines.
+        """Divides the desired lines among the tables.
 
         Args:
             desired: `BackendState` -> weight.
-            lines_max: lines of a table at the most; 0: any number.
+            lines_max: maximum number of lines per table; 0: unlimited.
             rates: table -> usual requests a second of its proxies.
 
         Returns:
-            The zone's tables (`TableState`), their `desired` set.
+            The zone's `TableState`s with `desired` updated.
         """
         self._add_tables(len(desired), lines_max)
         if len(self.tables) == 1:
@@ -87,9 +87,9 @@
             self._tables_in_use = min(needed, self._tables_max)
 
     def _demand(self, rates):
-        """Table -> requests a second, an idle part of the mean added to each.
+        """Returns table -> requests a second, plus a share of the mean as a minimum for each.
 
-        All are alike while most tables have no proxies.
+        All tables count the same while most of them have no proxies.
         """
         known = rates if self._tables_in_use == len(self.tables) else {}
         total = sum(known.get(table, 0.0) for table in self.tables) or 1.0
@@ -97,7 +97,7 @@
         return {table: known.get(table, 0.0) + floor for table in self.tables}
 
     def _assign_zone(self, zone_weights, demand):
-        """Places the new backends of one zone, then moves lines to tables that lack them.
+        """Assigns the new backends of one zone to tables, then moves lines to tables with a deficit.
 
         Args:
             zone_weights: backend -> weight, of one zone.
@@ -120,7 +120,11 @@
                 break
 
     def _move_line(self, zone_weights, deficit, receiver):
-        """Moves the line that evens out best from the table with most over; False if none would."""
+        """Moves the line that balances best from the table with the largest surplus.
+
+        Returns:
+            False if no line improves the balance.
+        """
         donor = min(deficit, key=deficit.get)
         gap = deficit[receiver] - deficit[donor]
         movable = [
@@ -137,10 +141,10 @@
         return True
 
     def _fill_empty_tables(self, desired):
-        """Gives the best of the list to tables without a line.
+        """Gives tables without a usable line the backends with the highest weights.
 
-        All lines of a table may leave at once, or wait while requests queue: its proxies would have no
-        backend to pick.
+        All backends of a table may leave at once, or be held back while requests queue, which would leave its
+        proxies without a backend.
         """
         best = sorted(desired, key=lambda backend: -desired[backend])[:LINES_MIN]
         for table in self.tables:
@@ -148,13 +152,13 @@
                 table.desired.update({backend: desired[backend] for backend in best})
 
     def table_for(self, proxy, joined, rates, removals_pending):
-        """The table for a proxy that joins: where fewest requests come for what the lines can do.
+        """Returns the table for a joining proxy: the one with the fewest requests for its capacity.
 
         Args:
             proxy: `ProxyState`.
-            joined: how many proxies of the zone are joined.
+            joined: number of joined proxies of the zone.
             rates: table -> usual requests a second of its proxies.
-            removals_pending: whether removals wait; a table that was never sent costs too much then.
+            removals_pending: whether removals are pending; a table that was never sent is too expensive then.
 
         Returns:
             `TableState`, or None if no table has lines yet.
--- a/embertray/policy/table_writer.py
+++ b/embertray/policy/table_writer.py
@@ -1,29 +1,29 @@
-"""Orders lines and levels of tables within one step, and keeps what was sent of each table."""
+"""Orders the lines and levels of tables within one step, and records what was sent of each table."""
 
 from .interface import SetAdmission, SetLine
 from .learned_weights import MOVE_THRESHOLD
 
-BIND_LINES = 2  # lines that a binding costs beyond the table's own
-NEVER_SENT = 1e-9  # weight that a line which was not sent is compared with
+BIND_LINES = 2  # lines of a binding in addition to the lines of its table
+NEVER_SENT = 1e-9  # assumed weight of a line that was not sent
 
 
 class TableWriter:
     """Collects the line and level orders of one step.
 
     Args:
-        budget: `ChannelBudget`, asked before levels are written.
+        budget: `ChannelBudget` in which levels are reserved.
     """
 
     def __init__(self, budget):
         self.budget = budget
         self.orders = []
-        self.levels = {}  # request kind -> AdmissionLevel, as last decided
+        self.levels = {}  # request kind -> current AdmissionLevel
 
     def begin_step(self, levels):
-        """Nothing is ordered yet.
+        """Clears the orders of the previous step.
 
         Args:
-            levels: request kind -> `AdmissionLevel`; None or empty: as before.
+            levels: request kind -> `AdmissionLevel`; None or empty: unchanged.
         """
         self.orders = []
         self.levels = levels or self.levels
@@ -39,24 +39,24 @@
         table.record_sent(lines)
 
     def write_levels(self, table, proxies, priority):
-        """Orders the levels that differ from what was sent to a table's proxies, as far as there is room."""
+        """Orders the levels that differ from those sent for a table, as far as the budget permits."""
         for kind, level in self.levels.items():
             if table.levels.get(kind) != level and self.budget.reserve(proxies, 1, priority):
                 table.levels[kind] = level
                 self.orders.append(SetAdmission(table.handle, [kind], level.admitted, level.retry))
 
     def bind_lines(self, table):
-        """Lines of the channel that binding a proxy to a table costs."""
+        """Returns the channel lines that binding a proxy to a table costs."""
         return BIND_LINES + table.line_count() + len(self.levels)
 
     @staticmethod
     def changed_lines(table):
-        """The wanted lines that differ by more than the threshold, the furthest off first.
+        """Returns the desired lines that differ by more than the threshold, largest difference first.
 
-        Lines of backends that are not ready are not changed here: they are removed (`endpoint_removal`).
+        Lines of backends that are not ready are left out: `endpoint_removal` removes them.
 
         Returns:
-            list of (`BackendState`, wanted weight).
+            list of (`BackendState`, desired weight).
         """
         sent = table.sent
         off = {
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -1,21 +1,22 @@
-"""Update queue: brings changed tables to their proxies, with acknowledgement and retry.
+"""Update queue: delivers changed tables to their proxies, with acknowledgements and retries.
 
-Rule: work is keyed by table and deduplicated. A table with changed lines goes once, as changed lines only
-with a nonce, to all its proxies, the furthest off first and as many as have room. It leaves the queue once no
-line differs and all its proxies answered. A proxy that leaves a nonce open past the acknowledgement timeout
-is bound to its table anew, and the table waits 1, 2, 4, then 8 s before it is looked at again. Until that
-proxy answers no proxy of the table gets ordinary updates; urgent ones and removals still go. Every 10 s a
-sweep queues all tables at once, whatever they wait for. After an update that takes the channel long the next
-of that table waits three times as long, 2 s at most, since each message costs overhead.
+Rule: items are keyed by table and deduplicated. The changed lines of a table are sent with a nonce to all its
+proxies, largest difference first and as many as there is room for. A table leaves the queue once no line
+differs and all its proxies have acknowledged. A proxy that does not acknowledge a nonce within the
+acknowledgement timeout is bound to its table again, and the table is retried after 1, 2, 4, then 8 s. Until
+that proxy acknowledges, no proxy of the table gets ordinary updates; urgent updates and removals are still
+sent. Every 10 s a resync queues all tables at once, whatever they wait for. After an update that occupies the
+channel for some time, the next update of that table waits three times as long, at most 2 s, since each
+message costs overhead.
 
-Urgent updates go before the queue at every beat: a weight that more than halves tells of a restarted or
-ejected backend; a table with hardly any lines leaves its proxies without a backend to pick; levels shed load.
+Urgent updates are sent before the queue in every control cycle: a weight reduced to less than half indicates
+a restarted or ejected backend, a nearly empty table leaves its proxies without a backend, and levels shed
+load.
 
-Inputs: changed lines of each table, open nonces of its proxies. Decides: `SetLine`, `SetLevel`, and bindings
-anew.
+Inputs: changed lines of each table, unacknowledged nonces of its proxies. Output: `SetLine` and
+`SetAdmission` orders, and repeated bindings.
 
-Guards against proxies that miss a message: without the sweep and the retry they would keep stale lines for
-good.
+Prevents lasting stale lines at proxies that miss a message.
 """
 
 from .channel_budget import NONCE_LINES, ORDINARY_UPDATE, REMOVAL, URGENT_UPDATE
@@ -25,14 +26,14 @@
 
 RESYNC_INTERVAL = 10 * SECOND  # ns
 RETRY_BACKOFF_FIRST = 1 * SECOND  # ns
-RETRY_BACKOFF_MAX = 8 * SECOND  # ns; under the sweep's interval
+RETRY_BACKOFF_MAX = 8 * SECOND  # ns; shorter than the resync interval
 RETRY_DOUBLINGS_MAX = 4
-PAUSE_FACTOR = 3  # times what an update took the channel, until the table's next
-CUT_RATIO = 0.5  # of the sent weight: under it a change is urgent
+PAUSE_FACTOR = 3  # times the channel time of an update, until the next one of that table
+CUT_RATIO = 0.5  # of the sent weight; a cut below it is urgent
 
 
 class UpdateQueue:
-    """The tables that have changes to bring, and when each is looked at next.
+    """The tables with undelivered changes, and the time at which each is due.
 
     Args:
         context: `Context` of the controller.
@@ -48,35 +49,35 @@
         self._next_resync_at = 0
 
     def add(self, table):
-        """Queues a table, unless it is queued already or nothing of it changed."""
+        """Queues a table if some line changed; a queued table keeps its due time."""
         if self.writer.changed_lines(table):
             self.due_at.setdefault(table, self.context.now)
 
     def requeue(self, table):
-        """Queues a table at once, whatever it waits for; its failures are forgotten."""
+        """Queues a table as due now, and resets its failures."""
         table.failures = 0
         self.due_at[table] = self.context.now
 
     def resync_if_due(self, tables):
-        """Queues all tables anew at the sweep's interval."""
+        """Queues all tables as due now, once per resync interval."""
         now = self.context.now
         if now >= self._next_resync_at:
             self._next_resync_at = now + RESYNC_INTERVAL
             self.due_at = dict.fromkeys(tables, now)
 
     def due_tables(self):
-        """The tables whose turn it is, in the order of the queue."""
+        """Returns the due tables, in queue order."""
         return [table for table, time in self.due_at.items() if self.context.now >= time]
 
     def update(self, table, proxies):
-        """One turn of a table: bind unanswered proxies anew, or send changed lines, or leave the queue.
+        """Processes a due table: rebinds timed-out proxies, sends changed lines, or dequeues it.
 
         Args:
             table: `TableState`.
             proxies: the `ProxyState`s bound to it.
 
         Returns:
-            The proxies that are to be bound to it anew.
+            Proxies that are to be bound to the table again.
         """
         timed_out_before = self.context.now - self.budget.ack_timeout()
         unanswered = [
@@ -114,14 +115,13 @@
         self.due_at[table] = self.context.now + min(LEARN_INTERVAL, int(PAUSE_FACTOR * channel_time))
 
     def send_urgent(self, table, proxies, removals_pending):
-        """Cuts, lines for proxies that hardly have any, then levels.
+        """Sends weight cuts, lines of nearly empty tables, then levels.
 
         Args:
             table: `TableState`.
             proxies: the `ProxyState`s bound to it.
-            removals_pending: whether removals wait; then only what costs no message of its own goes, and
-                lines
-                for proxies without any.
+            removals_pending: whether removals are pending; then only lines of nearly empty tables are sent,
+                and levels that need no message of their own.
         """
         has_message = proxies and all(proxy in self.budget.reserved for proxy in proxies)
         is_nearly_empty = proxies and len(table.sent) < min(LINES_MIN, len(table.desired) / 2)
@@ -133,7 +133,7 @@
             self.writer.write_levels(table, proxies, REMOVAL if has_message else URGENT_UPDATE)
 
     def _urgent_lines(self, table, is_nearly_empty, removals_pending):
-        """Cuts, or all changed lines of a table that is nearly empty; never removals."""
+        """Returns weight cuts, or all changed lines of a nearly empty table; never removals."""
         return [
             (backend, weight)
             for backend, weight in self.writer.changed_lines(table)
--- a/embertray/policy/weight_planner.py
+++ b/embertray/policy/weight_planner.py
@@ -1,4 +1,4 @@
-"""Weights: learnt capacity times slow start times health, at every beat, as wanted lines for each zone."""
+"""Weight planning: capacity times slow start times health, as the desired lines of each zone."""
 
 from .congestion import CongestionEstimate
 from .learned_weights import LEARN_INTERVAL, LearnedWeights
@@ -8,7 +8,7 @@
 
 
 class WeightPlanner:
-    """Runs the rules that make the weights.
+    """Runs the rules that determine the weights.
 
     Args:
         context: `Context` of the controller.
@@ -23,10 +23,10 @@
         self._next_learn_at = 0
 
     def plan(self):
-        """One beat.
+        """Computes the weights of one control cycle.
 
         Returns:
-            (`FleetState`, list of (zone, `BackendState` -> wanted weight, 0 for who gets no line)).
+            (`FleetState`, list of (zone, `BackendState` -> desired weight; 0: no line)).
         """
         context = self.context
         stats = [backend.stats() for backend in context.backends if backend.state == "ready"]
@@ -38,13 +38,13 @@
         self.outliers.eject(stats)
         state = self.congestion.estimate(stats)
         is_congested = self.congestion.is_congested(state, stats)
-        weights = {row.backend: 0.0 for row in stats}  # whoever waits loses the line that it has
+        weights = {row.backend: 0.0 for row in stats}  # a backend that is held back loses its line
         for row in backends_with_weight(stats, is_congested):
             weights[row.backend] = row.backend.capacity * row.warm_up_factor * row.backend.health
         return state, list(self.locality.lines(weights, demand))
 
     def _demand(self):
-        """Zone -> requests a second that come to its joined proxies."""
+        """Returns zone -> requests a second received by its joined proxies."""
         demand = {}
         for proxy in self.context.joined_proxies:
             proxy.update_rates()
