--- a/embertray/benchlink/__init__.py
+++ b/embertray/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's wire and the decision module; it decides nothing."""
+"""Adapter between the simulator's wire protocol and the policy; makes no decisions."""
--- a/embertray/benchlink/__main__.py
+++ b/embertray/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m embertray.benchlink`: batches of events on standard input, replies on standard output."""
+"""`python -m embertray.benchlink`: event batches on standard input, replies on standard output."""
 
 import sys
 
--- a/embertray/benchlink/batches.py
+++ b/embertray/benchlink/batches.py
@@ -1,4 +1,4 @@
-"""Batches of the bench's wire: lines in, replies out, for as many controllers as the bench starts."""
+"""Reads batches of events from the simulator and replies with orders, for any number of controllers."""
 
 from . import wire
 from .controller import EVENT_READERS, SimulatedController
@@ -9,24 +9,24 @@
 
 
 class BatchReader:
-    """Reads batches and runs a step of each controller that a batch has events for.
+    """Reads batches, and runs a step of each controller that has events in a batch.
 
     Attributes:
-        controllers: Number -> its SimulatedController.
-        now: Of the batch that is open, ns; None between batches.
+        controllers: Controller number -> SimulatedController.
+        now: Time of the open batch, ns; None between batches.
     """
 
     def __init__(self):
         self.controllers = {}
         self.now = None
         self.batch = None  # number of the batch
-        self.recipient = None  # number of the controller that the next lines are for
-        self.entries_missing = 0  # of the list's news that came last
-        self.list_update = None  # those news; None if they are for no known controller
-        self.events = {}  # number of a controller -> its events, in order of first mention
+        self.recipient = None  # number of the controller that the following lines are for
+        self.entries_missing = 0  # entries that the current list update still lacks
+        self.list_update = None  # the current list update; None if its controller is unknown
+        self.events = {}  # controller number -> its events, in order of first mention
 
     def begin_batch(self, values):
-        """A batch begins."""
+        """Opens a batch."""
         self.now = values["now"]
         self.batch = values["batch"]
         self.recipient = None
@@ -35,13 +35,13 @@
         self.events = {}
 
     def read_line(self, text):
-        """Take one line.
+        """Reads one line.
 
         Returns:
-            The reply's lines if it ends the batch, else None.
+            The lines of the reply if the line ends the batch, else None.
 
         Raises:
-            WireError: it is malformed or stands where it may not.
+            WireError: The line is malformed or out of place.
         """
         name, _, rest = text.partition(" ")
         if name == wire.BATCH_BEGIN:
@@ -61,7 +61,7 @@
         return None
 
     def _read_batch_line(self, name, pairs, values):
-        """Take a line within a batch by its name, pairs and values. Raises WireError."""
+        """Handles a line within a batch, by its name, pairs and values. Raises WireError."""
         if name == wire.RECIPIENT:
             self.recipient = values["controller"]
         elif self.recipient is None:
@@ -78,14 +78,14 @@
             self._add_event(name, values)
 
     def _add_entry(self, values):
-        """An entry of the list's news; one too many is skipped."""
+        """Adds an entry to the current list update; surplus entries are ignored."""
         if self.entries_missing:
             self.entries_missing -= 1
             if self.list_update:
                 self.list_update.entries.append(self.controllers[self.recipient].endpoint(values))
 
     def _add_event(self, name, values):
-        """An event; it is skipped if its controller is not known."""
+        """Adds an event; it is ignored if its controller is unknown."""
         controller = self.controllers.get(self.recipient)
         event = EVENT_READERS[name](controller, values) if controller else None
         if name == wire.LIST_UPDATE:
@@ -97,7 +97,7 @@
             self.events.setdefault(self.recipient, []).append(event)
 
     def _finish_batch(self):
-        """The batch ends. Returns the reply's lines; a module that failed is the last that is run."""
+        """Closes the batch and returns the lines of the reply; no step runs after a failed one."""
         reply = []
         for number, events in self.events.items():
             lines, failed = self.controllers[number].step(self.now, events)
@@ -112,12 +112,12 @@
 
 
 def serve(source, sink, errors):
-    """Run to the end of input.
+    """Serves batches to the end of the input.
 
     Args:
-        source: Text file with the wire's lines.
+        source: Text file with the lines of the simulator.
         sink: Text file for the replies.
-        errors: Text file for the one message about a malformed line.
+        errors: Text file for the message about a malformed line.
 
     Returns:
         The exit code.
--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -1,4 +1,4 @@
-"""One controller of the bench: its decision module, the wire's events read for it and its orders written."""
+"""One controller of the simulator: converts the events on the wire for its policy, and the orders back."""
 
 import traceback
 
@@ -12,13 +12,13 @@
 
 
 class SimulatedController(Identifiers):
-    """The module, and the identifiers of the objects that it deals in.
+    """A policy, and the identifiers of the objects in its events and orders.
 
-    Methods that read events take the values of a line's fields, by their terms, and raise WireError.
+    Methods that read events take the field values of a line by term, and raise WireError.
     """
 
     def __init__(self, seed, settings, now):
-        """Start at `now`, ns, by the pairs of a start line. Raises WireError: a setting can't be read."""
+        """Starts at `now`, ns, with the settings of a start line. Raises WireError for a bad setting."""
         super().__init__()
         try:
             settings = StartSettings(settings)
@@ -31,17 +31,17 @@
     # ---- parts of events
 
     def load_report(self, values):
-        """The load report in a line, metric -> value; empty if it has none."""
+        """Returns the load report in a line, metric -> value; empty without one."""
         if "load" not in values:
             return {}
         try:
             figures = [parse_float(text) for text in values["load"].split(",")]
         except ValueError:
-            raise WireError(f"'{values['load']}' is no good load report") from None
+            raise WireError(f"'{values['load']}' is not a valid load report") from None
         return dict(zip(self.load_metrics, figures, strict=False))
 
     def request_kind(self, values):
-        """The interface.RequestKind in a line."""
+        """Returns the interface.RequestKind in a line."""
         name = values["request_kind"]
         if name not in self.request_kinds:
             raise WireError(f"request kind '{name}' is not in the settings")
@@ -50,10 +50,10 @@
     # ---- events
 
     def endpoint(self, values):
-        """One entry of the list."""
+        """Reads an entry of the endpoint list."""
         state = values.get("state", wire.STATE_READY)
         if state not in wire.STATES:
-            raise WireError(f"{wire.LIST_ENTRY}: {state} is no good value for {wire.STATE.key}")
+            raise WireError(f"{wire.LIST_ENTRY}: {state} is not a valid value for {wire.STATE.key}")
         return i.Endpoint(
             self.backend(values["backend"]),
             self.zone(values.get("zone", "")),
@@ -63,32 +63,34 @@
         )
 
     def list_update(self, values):
-        """The list's news, whose entries follow."""
+        """Reads an update of the endpoint list, whose entries follow."""
         kind = values["kind"]
         if kind not in wire.LIST_KINDS:
-            raise WireError(f"{wire.LIST_UPDATE}: {kind} is no good value for {wire.LIST_KIND.key}")
+            raise WireError(f"{wire.LIST_UPDATE}: {kind} is not a valid value for {wire.LIST_KIND.key}")
         return i.EndpointListUpdate(wire.LIST_KINDS[kind])
 
     def timer_fired(self, values):
-        """A timer is due."""
+        """Reads that a timer fired."""
         return i.TimerFired(values["label"])
 
     def probe_result(self, values):
-        """A health check was answered or not."""
+        """Reads the result of a health check."""
         answered = values["outcome"] == wire.PROBE_ANSWERED
         latency = values.get("latency", 0)
         return i.ProbeResult(self.backend(values["backend"]), answered, latency, self.load_report(values))
 
     def peer_message(self, values):
-        """A note of another controller."""
+        """Reads a message from another controller."""
         data = values.get("data", wire.NO_DATA)
         try:
             return i.PeerMessage(values["sender"], b"" if data == wire.NO_DATA else bytes.fromhex(data))
         except ValueError:
-            raise WireError(f"{wire.PEER_MESSAGE}: '{data}' is no good value for {wire.DATA.key}") from None
+            raise WireError(
+                f"{wire.PEER_MESSAGE}: '{data}' is not a valid value for {wire.DATA.key}"
+            ) from None
 
     def proxy_joined(self, values):
-        """A proxy has joined."""
+        """Reads that a proxy joined."""
         return i.ProxyJoined(
             self.proxy(values["proxy"]),
             self.zone(values["zone"]),
@@ -97,11 +99,11 @@
         )
 
     def proxy_left(self, values):
-        """A proxy has left."""
+        """Reads that a proxy left."""
         return i.ProxyLeft(self.proxy(values["proxy"]))
 
     def backend_report(self, values):
-        """What the proxies of a zone saw of a backend."""
+        """Reads a load report of the proxies of a zone on a backend."""
         return i.BackendReport(
             self.backend(values["backend"]),
             self.zone(values.get("zone", "")),
@@ -113,7 +115,7 @@
         )
 
     def arrival_report(self, values):
-        """The requests of a kind that reached a proxy."""
+        """Reads the requests of a kind that reached a proxy."""
         return i.ArrivalReport(
             self.proxy(values["proxy"]),
             self.request_kind(values),
@@ -123,7 +125,7 @@
         )
 
     def slice_arrivals(self, values):
-        """The requests of a kind that reached a slice."""
+        """Reads the requests of a kind that reached a slice."""
         return i.SliceArrivals(
             self.slice_table(values["table"]),
             self.request_kind(values),
@@ -133,30 +135,30 @@
         )
 
     def slice_assigned(self, values):
-        """A slice was leased to this controller or taken from it."""
+        """Reads that a slice was leased to this controller or taken from it."""
         return i.SliceAssigned(self.slice_table(values["table"]), values["ours"])
 
     def slice_line(self, values):
-        """A line that a slice's table has already."""
+        """Reads an existing line of a slice's table."""
         table = self.slice_table(values["table"])
         return i.SliceLine(table, self.backend(values["backend"]), values.get("weight", 1.0))
 
     def nonce_acknowledged(self, values):
-        """A proxy answered a nonce; None if it is not open any more."""
+        """Reads that a proxy acknowledged a nonce; None if the nonce is no longer known."""
         nonce = self.nonces.get(values["nonce"])
         return nonce and i.NonceAcknowledged(self.proxy(values["proxy"]), nonce, values.get("apply_time", 0))
 
     # ---- steps
 
     def step(self, now, events):
-        """Run one step of the module at `now`, ns.
+        """Runs one step of the policy at `now`, ns.
 
         Returns:
-            The lines of its orders, or one that says how the module failed, and whether it failed.
+            The lines of its orders, or one line with the failure of the policy, and whether it failed.
         """
         try:
             orders = self.policy.step(now, events)
-        except Exception as error:  # the wire wants the module's failure declared, not a crash
+        except Exception as error:  # the simulator expects a failure line, not a crash
             place = traceback.extract_tb(error.__traceback__)[-1]
             text = f"{type(error).__name__}: {error} ({place.name}, line {place.lineno})"
             return [wire.failure(text)], True
@@ -165,24 +167,24 @@
     # ---- orders
 
     def write_line(self, order):
-        """The line of an interface.SetLine."""
+        """Returns the line of an interface.SetLine."""
         return wire.set_line(self.table_id(order.table), order.backend.external_id, order.weight)
 
     def write_bind(self, order):
-        """The line of an interface.Bind."""
+        """Returns the line of an interface.Bind."""
         return wire.bind(order.proxy.external_id, self.table_id(order.table))
 
     def write_admission(self, order):
-        """The line of an interface.SetAdmission."""
+        """Returns the line of an interface.SetAdmission."""
         kinds = sum(1 << kind.external_id for kind in order.kinds)
         return wire.set_admission(self.table_id(order.table), kinds, order.level, order.retry)
 
     def write_acknowledgement_request(self, order):
-        """The line of an interface.RequestAcknowledgement."""
+        """Returns the line of an interface.RequestAcknowledgement."""
         return wire.request_acknowledgement(self.nonce_id(order.nonce))
 
 
-# event's name -> the method that reads it
+# event name -> method that reads it
 EVENT_READERS = {
     wire.LIST_UPDATE: SimulatedController.list_update,
     wire.TIMER_FIRED: SimulatedController.timer_fired,
@@ -198,7 +200,7 @@
     wire.NONCE_ACKNOWLEDGED: SimulatedController.nonce_acknowledged,
 }
 
-# order's type -> what writes its line, called with the controller and the order
+# order type -> function of the controller and the order that returns its line
 ORDER_WRITERS = {
     i.SetLine: SimulatedController.write_line,
     i.Bind: SimulatedController.write_bind,
--- a/embertray/benchlink/exceptions.py
+++ b/embertray/benchlink/exceptions.py
@@ -2,4 +2,4 @@
 
 
 class WireError(Exception):
-    """A line of the wire is malformed or stands where it may not; the text says what of it."""
+    """A line of the wire is malformed or out of place; the text names the reason."""
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -1,7 +1,7 @@
-"""Every word of the bench's wire, with the term that the rest of the package uses for it.
+"""Names and values of the simulator's wire protocol, with the terms that the rest of the package uses.
 
-A line is a name and then key=value pairs, set off by spaces. Times on the wire are microseconds, here
-nanoseconds. The settings in a start line are read by `embertray.controller.settings`.
+A line is a name followed by key=value pairs, separated by spaces. Times on the wire are microseconds; here
+they are nanoseconds. `embertray.controller.settings` reads the settings in a start line.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 from .exceptions import WireError
 
-# ---- names of lines that come
+# ---- names of incoming lines
 
 BATCH_BEGIN = "SYNC"
 BATCH_END = "FLUSH"
@@ -34,7 +34,7 @@
 
 # ---- values
 
-STATES = {0: "draining", 1: "gone", 2: "ready"}  # of a list's entry
+STATES = {0: "draining", 1: "gone", 2: "ready"}  # of an endpoint list entry
 STATE_READY = 2
 LIST_KINDS = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}  # as in interface.EndpointListUpdate
 PROBE_ANSWERED = 1
@@ -42,14 +42,14 @@
 
 
 def boolean(text):
-    """The truth value of "0" or "1". Raises ValueError for others."""
+    """Parses "0" or "1". Raises ValueError for other texts."""
     if text in ("0", "1"):
         return text == "1"
     raise ValueError(text)
 
 
 def microseconds(text):
-    """A time on the wire as ns. Raises ValueError."""
+    """Parses a time on the wire to ns. Raises ValueError."""
     return int(text) * NS_PER_US
 
 
@@ -57,7 +57,7 @@
 
 
 class Field(NamedTuple):
-    """A field of a line: key on the wire, term, reader (raises ValueError), whether it is needed."""
+    """A field of a line: key on the wire, term, parser (raises ValueError), whether it is required."""
 
     key: str
     term: str
@@ -82,7 +82,7 @@
 STATE = Field("health", "state", int)
 DATA = Field("blob", "data", str)
 
-# name of a line -> its fields, in the order in which they are checked; others are skipped
+# name of a line -> its fields, in the order in which they are checked; other keys are ignored
 FIELDS = {
     BATCH_BEGIN: (Field("t-us", "now", microseconds, True), Field("batch", "batch", int, True)),
     RECIPIENT: (Field("who", "controller", int, True),),
@@ -116,94 +116,94 @@
 
 
 def read_pairs(text):
-    """The pairs of a line less its name, key -> text. Raises WireError."""
+    """Splits a line without its name into pairs, key -> text. Raises WireError."""
     pairs = {}
     for part in text.split(" "):
         if part:
             key, equals, value = part.partition("=")
             if not equals or not key:
-                raise WireError(f"'{part}' is not name=value")
+                raise WireError(f"'{part}' is not key=value")
             pairs[key] = value
     return pairs
 
 
 def read_fields(name, pairs):
-    """The values of a line's fields, term -> value, by its pairs. Raises WireError."""
+    """Parses the fields of a line from its pairs, term -> value. Raises WireError."""
     values = {}
     for key, term, read, required in FIELDS[name]:
         if key in pairs:
             try:
                 values[term] = read(pairs[key])
             except ValueError:
-                raise WireError(f"{name}: '{pairs[key]}' is no good value for {key}") from None
+                raise WireError(f"{name}: '{pairs[key]}' is not a valid value for {key}") from None
         elif required:
             raise WireError(f"{name}: {key} is missing")
     return values
 
 
-# ---- lines that go out
+# ---- outgoing lines
 
 
 def set_line(table, backend, weight):
-    """A table's line for a backend has this weight."""
+    """Sets the weight of a backend's line in a table."""
     return f"ENDPOINT share={weight:.6g} route-table={table} backend={backend}"
 
 
 def bind(proxy, table):
-    """A proxy uses this table for all request kinds."""
+    """Binds a proxy to a table for all request kinds."""
     return f"POINT proxy={proxy} route-table={table} lanes=0"
 
 
 def withdraw(backend, ejected):
-    """A backend is ejected from all tables, or readmitted."""
+    """Withdraws a backend from all tables, or readmits it."""
     return f"TAKE_OUT backend={backend} set={int(ejected)}"
 
 
 def set_admission(table, kinds, level, retry):
-    """A table's level and retry mode for request kinds, one bit each; 0 for all."""
+    """Sets a table's level and retry mode for request kinds, one bit each; 0 for all."""
     return f"SET_LEVEL route-table={table} lanes={kinds} allowance={level:.6g} second-try={retry}"
 
 
 def request_acknowledgement(nonce):
-    """The proxies answer this nonce once they have applied all before it."""
+    """Asks the proxies to acknowledge a nonce once they have applied all orders before it."""
     return f"CHECKPOINT set=0 epoch={nonce}"
 
 
 def set_timer(label, after):
-    """A timer is due after so many ns."""
+    """Sets a timer that fires after `after` ns."""
     return f"ARM label={label} wait-us={max(0, after) // NS_PER_US}"
 
 
 def subscribe(subscribed):
-    """The list's changes are wanted, or no more."""
+    """Subscribes to the changes of the endpoint list, or unsubscribes."""
     return f"WATCH set={int(subscribed)}"
 
 
 def poll_endpoint_list():
-    """The whole list is wanted."""
+    """Requests the whole endpoint list."""
     return "GET_LIST"
 
 
 def probe(backend):
-    """A backend's health is to be checked."""
+    """Requests a health check of a backend."""
     return f"PING backend={backend}"
 
 
 def log(text):
-    """A text for the log, its spaces made single ones."""
+    """Writes a text to the log, with whitespace collapsed."""
     return "SAY_LOG what=" + " ".join(text.split())
 
 
 def sender_line(controller):
-    """The lines that follow come from this controller."""
+    """Announces that the following lines come from a controller."""
     return f"FROM who={controller}"
 
 
 def failure(text):
-    """The decision module failed; the text says why, made one line."""
+    """Reports that the policy failed, with the reason on one line."""
     return f"DIE what={text}".replace("\n", " ")
 
 
 def batch_done(batch):
-    """The reply to a batch ends."""
+    """Ends the reply to a batch."""
     return f"DONE batch={batch}"
