--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -52,7 +52,7 @@
     @given(
         st.lists(st.binary(min_size=1, max_size=300), max_size=12), st.lists(st.integers(1, 90), max_size=40)
     )
-    def test_frames_survive_any_cutting(self, payloads, cuts):
+    def test_frames_are_decoded_from_chunks_of_any_size(self, payloads, cuts):
         data, decoder, found = b"".join(map(encode_frame, payloads)), FrameDecoder(), []
         for size in [*cuts, len(data)]:
             found += decoder.feed(data[:size])
@@ -60,7 +60,7 @@
         self.assertEqual(found, payloads)
         decoder.end()
 
-    def test_a_gigabyte_announced_is_refused_before_it_is_kept(self):
+    def test_an_oversized_frame_is_rejected_by_its_header(self):
         decoder = FrameDecoder()
         with self.assertRaises(FrameError) as caught:
             decoder.feed(b"\x40\x00\x00\x00" + b"x" * 100)
@@ -69,7 +69,7 @@
             encode_frame(b"x" * (MAX_FRAME_BYTES + 1))
 
     @given(st.binary(max_size=400))
-    def test_noise_never_raises_anything_but_refused(self, noise):
+    def test_random_bytes_raise_only_protocol_errors(self, noise):
         for end in (ControllerSession(), ProxySession("p", "z", 1.0, True)):
             try:
                 end.receive(noise)
@@ -86,7 +86,7 @@
         ),
         st.sampled_from(["hello", "answer", "sums", "orders", "welcome", "nonsense"]),
     )
-    def test_well_framed_nonsense_is_refused_once(self, inner, tag):
+    def test_a_session_stays_ended_after_an_invalid_message(self, inner, tag):
         end = ControllerSession()
         payload = msgspec.msgpack.encode([tag, *inner] if isinstance(inner, list) else [tag, inner])
         try:
@@ -114,7 +114,7 @@
         self.assertEqual(self.refused(self.end(), Acknowledgement(3)), "order")
         self.assertEqual(self.refused(self.end(), LoadReport(1, [BackendTotals("b", 2, 3)])), "malformed")
 
-    def test_marks_are_answered_once_and_in_order(self):
+    def test_nonces_are_acknowledged_once_and_in_order(self):
         end = self.end()
         for nonce in (1, 2, 3):
             end.sent(nonce)
@@ -122,7 +122,7 @@
         self.assertEqual(list(end.open_nonces), [3])
         self.assertEqual(self.refused(end, Acknowledgement(1)), "order")
 
-    def test_a_stream_cut_within_a_frame(self):
+    def test_a_stream_that_ends_within_a_frame_is_reported_as_cut(self):
         end = self.end()
         end.receive(encode_frame(encode(Acknowledgement(1)))[:3])
         with self.assertRaises(ProtocolError) as caught:
@@ -144,7 +144,7 @@
     def post(self, *orders):
         return {proxy.external_id: message for proxy, message, _ in self.box.build_messages(7, orders)}
 
-    def test_one_message_a_proxy_and_its_cost(self):
+    def test_one_message_for_each_proxy_with_its_cost(self):
         got = self.post(
             i.SetLine(self.table, self.a, 1.0),
             i.SetAdmission(self.table, [], 0.5, 1),
@@ -157,7 +157,7 @@
         got = self.post(i.SetLine(self.table, self.b, 0.5), i.SetLine(self.table, self.a, 0))
         self.assertEqual((list(got), got["p"].cost), (["p"], 6))
 
-    def test_withdrawals_reach_who_may_hold_the_backend_and_follow_it_into_tables(self):
+    def test_withdrawals_reach_proxies_with_the_backend_and_later_tables(self):
         self.post(i.SetLine(self.table, self.a, 1.0), i.Bind(self.p, self.table))
         self.assertEqual(list(self.post(i.Withdraw(self.b, True))), ["q"])  # p's table has no b
         got = self.post(i.SetLine(self.table, self.b, 1.0))
@@ -165,7 +165,7 @@
         self.assertEqual(sorted(self.post(i.Withdraw(self.b, False))), ["p", "q"])
         self.assertEqual(self.post(i.Withdraw(self.b, False)), {})
 
-    def test_a_proxy_that_left_is_concerned_by_nothing(self):
+    def test_a_proxy_that_left_gets_no_message(self):
         self.post(i.SetLine(self.table, self.a, 1.0), i.Bind(self.p, self.table))
         self.box.proxy_left(self.p)
         self.assertEqual(self.post(i.SetLine(self.table, self.a, 2.0), i.Bind(self.p, self.table)), {})
@@ -180,7 +180,7 @@
             max_size=40,
         )
     )
-    def test_what_a_proxy_holds_is_what_was_ordered(self, steps):
+    def test_the_routing_state_of_a_proxy_matches_the_orders(self, steps):
         """Whatever the order of orders, a bound proxy's lines to pick are the table's, less what is
         withdrawn.
         """
@@ -211,7 +211,7 @@
                     self.assertEqual(set(held[proxy.external_id].routable_lines()), lines)
 
     @given(st.lists(st.tuples(st.integers(0, 3 * 10**8), st.integers(1, 80)), min_size=1, max_size=60))
-    def test_the_channel_never_runs_faster_than_its_rate(self, puts):
+    def test_the_channel_never_exceeds_its_rate(self, puts):
         rate, pacer, now, left, total = 200.0, Pacer(200.0), 0, [], 0
         for gap, cost in puts:
             now += gap
@@ -228,7 +228,7 @@
                 carried += cost
                 self.assertLessEqual(carried, (at - start) / S * rate + BURST_S * rate + 1e-3)
 
-    def test_waiting_lines_and_a_proxy_that_left(self):
+    def test_messages_of_a_proxy_that_left_are_dropped(self):
         pacer = Pacer(10.0)
         for proxy in (self.p, self.q, self.p):
             pacer.enqueue(0, proxy, 10, proxy.external_id)
@@ -237,7 +237,7 @@
         self.assertEqual((pacer.lines_waiting, pacer.next_departure()), (10, S * 3 // 2))
         self.assertEqual(pacer.dequeue(S * 3 // 2), [(self.q, "q")])
 
-    def test_a_slower_pace_counts_from_now(self):
+    def test_a_slower_pace_applies_at_once(self):
         pacer = Pacer(10.0)
         pacer.enqueue(0, "p", 10, 1)
         pacer.set_pace(S // 2, 0.5)
@@ -246,7 +246,7 @@
             with self.assertRaises(ValueError):
                 pacer.set_pace(S, bad)
 
-    def test_standing_still_earns_no_burst(self):
+    def test_a_stall_causes_no_burst(self):
         pacer = Pacer(1000.0)
         for _ in range(100):
             pacer.enqueue(0, "p", 10, 1)
@@ -262,7 +262,7 @@
         self.assertIsNone(send_buffer.overdue_reason(UNSENT_AGE_MAX_NS))
         self.assertIn("not read the oldest order", send_buffer.overdue_reason(UNSENT_AGE_MAX_NS + 1))
 
-    def test_cut_proxies_stay_away_longer_each_time_and_apart(self):
+    def test_the_backoff_of_cut_proxies_doubles_up_to_its_limit(self):
         gate, now, waits = Admission(lambda: 1.0), 0, []
         for _ in range(9):
             gate.record_cut(now, "p")
@@ -276,7 +276,7 @@
         gate.record_cut(now + 2 * CUT_HISTORY_NS, "q")
         self.assertEqual(list(gate.cuts), ["q"])  # p's cuts are forgotten
 
-    def test_strangers_are_bounded_and_drains_go_step_by_step(self):
+    def test_handshakes_are_limited_and_a_drain_closes_streams_in_steps(self):
         gate = Admission(lambda: 0.0)
         self.assertEqual([gate.stream_opened() for _ in range(HANDSHAKES_MAX)], [None] * HANDSHAKES_MAX)
         self.assertEqual(gate.stream_opened().code, "later")
@@ -289,7 +289,7 @@
 
 
 class Budgets(unittest.TestCase):
-    def test_samples_fit_and_what_does_not_is_told_with_what_would(self):
+    def test_sample_sites_have_no_warnings_and_the_suggested_rates_are_enough(self):
         for name in ("pushed", "asked", "sealed"):
             site = load(SITES / "samples" / f"{name}.xml")
             self.assertEqual(channel_budget(site).warnings, [], name)
@@ -302,7 +302,7 @@
                 large = large.at(channel_rate=max(large.channel_rate, 1.01 * wanted))
             self.assertEqual([text for text in channel_budget(large).warnings if "would" in text], [], name)
 
-    def test_figures(self):
+    def test_channel_times_of_a_site(self):
         site = load(SITES / "samples" / "pushed.xml").at(
             proxies=100, backends=50, head=4.0, channel_rate=1000.0
         )
@@ -313,8 +313,8 @@
         self.assertIn("can hardly be bound", channel_budget(site.at(pending_max=80.0)).warnings[-1])
 
 
-class List(unittest.TestCase):
-    def test_a_gap_is_never_applied(self):
+class EndpointListUpdates(unittest.TestCase):
+    def test_changes_after_a_gap_are_not_applied(self):
         follower = EndpointListFollower()
         complete = [EndpointEntry("a", "z"), EndpointEntry("b", "z")]
         self.assertEqual(follower.receive(WatchEvent(5, 0, 0, complete)).kind, "whole")
@@ -330,7 +330,7 @@
 
 
 class Models(unittest.TestCase):
-    def test_a_backend_queues_fills_and_warms(self):
+    def test_a_backend_queues_rejects_when_full_and_warms_up(self):
         backend = Backend("a", "z", Shape(cores=1, queue=1, cold_speed=0.5, warm_up_time=10 * S))
         backend.start(0, cold=False)
         self.assertEqual([backend.offer(0, n, "view", S, None) for n in range(3)], [None, None, "full"])
