--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -70,12 +70,12 @@
 
     @given(st.binary(max_size=400))
     def test_random_bytes_raise_only_protocol_errors(self, noise):
-        for end in (ControllerSession(), ProxySession("p", "z", 1.0, True)):
+        for session in (ControllerSession(), ProxySession("p", "z", 1.0, True)):
             try:
-                end.receive(noise)
-                end.receive(b"")
-            except ProtocolError as wrong:
-                self.assertTrue(wrong.code)
+                session.receive(noise)
+                session.receive(b"")
+            except ProtocolError as error:
+                self.assertTrue(error.code)
 
     @given(
         st.recursive(
@@ -87,46 +87,48 @@
         st.sampled_from(["hello", "answer", "sums", "orders", "welcome", "nonsense"]),
     )
     def test_a_session_stays_ended_after_an_invalid_message(self, inner, tag):
-        end = ControllerSession()
+        session = ControllerSession()
         payload = msgspec.msgpack.encode([tag, *inner] if isinstance(inner, list) else [tag, inner])
         try:
-            end.receive(encode_frame(payload))
+            session.receive(encode_frame(payload))
         except ProtocolError:
             with self.assertRaises(ProtocolError):
-                end.receive(encode_frame(encode(Hello(1, "p", "z"))))
+                session.receive(encode_frame(encode(Hello(1, "p", "z"))))
 
 
 class Sessions(unittest.TestCase):
-    def end(self):
-        end = ControllerSession()
-        end.receive(ProxySession("p", "z", 2.0, True).start())
-        return end
+    def joined_session(self):
+        session = ControllerSession()
+        session.receive(ProxySession("p", "z", 2.0, True).start())
+        return session
 
-    def refused(self, end, message):
+    def rejection_code(self, session, message):
         with self.assertRaises(ProtocolError) as caught:
-            end.receive(encode_frame(encode(message)))
+            session.receive(encode_frame(encode(message)))
         return caught.exception.code
 
     def test_order_of_messages(self):
-        self.assertEqual(self.refused(ControllerSession(), Acknowledgement(1)), "order")
-        self.assertEqual(self.refused(self.end(), Hello(1, "p", "z")), "order")
-        self.assertEqual(self.refused(ControllerSession(), Hello(9, "p", "z")), "version")
-        self.assertEqual(self.refused(self.end(), Acknowledgement(3)), "order")
-        self.assertEqual(self.refused(self.end(), LoadReport(1, [BackendTotals("b", 2, 3)])), "malformed")
+        self.assertEqual(self.rejection_code(ControllerSession(), Acknowledgement(1)), "order")
+        self.assertEqual(self.rejection_code(self.joined_session(), Hello(1, "p", "z")), "order")
+        self.assertEqual(self.rejection_code(ControllerSession(), Hello(9, "p", "z")), "version")
+        self.assertEqual(self.rejection_code(self.joined_session(), Acknowledgement(3)), "order")
+        self.assertEqual(
+            self.rejection_code(self.joined_session(), LoadReport(1, [BackendTotals("b", 2, 3)])), "malformed"
+        )
 
     def test_nonces_are_acknowledged_once_and_in_order(self):
-        end = self.end()
+        session = self.joined_session()
         for nonce in (1, 2, 3):
-            end.sent(nonce)
-        self.assertEqual(len(end.receive(encode_frame(encode(Acknowledgement(2))))), 1)
-        self.assertEqual(list(end.open_nonces), [3])
-        self.assertEqual(self.refused(end, Acknowledgement(1)), "order")
+            session.sent(nonce)
+        self.assertEqual(len(session.receive(encode_frame(encode(Acknowledgement(2))))), 1)
+        self.assertEqual(list(session.open_nonces), [3])
+        self.assertEqual(self.rejection_code(session, Acknowledgement(1)), "order")
 
     def test_a_stream_that_ends_within_a_frame_is_reported_as_cut(self):
-        end = self.end()
-        end.receive(encode_frame(encode(Acknowledgement(1)))[:3])
+        session = self.joined_session()
+        session.receive(encode_frame(encode(Acknowledgement(1)))[:3])
         with self.assertRaises(ProtocolError) as caught:
-            end.receive(b"")
+            session.receive(b"")
         self.assertEqual(caught.exception.code, "cut")
 
 
@@ -134,41 +136,41 @@
     def setUp(self):
         self.identifiers = Identifiers()
         self.kind = i.RequestKind(1, 2, external_id="view")
-        self.box = Outbox(self.identifiers, 4, {self.kind: "view"})
+        self.outbox = Outbox(self.identifiers, 4, {self.kind: "view"})
         self.table, self.nonce = i.Table(), i.Nonce()
         self.a, self.b = self.identifiers.backend("a"), self.identifiers.backend("b")
         self.p, self.q = self.identifiers.proxy("p"), self.identifiers.proxy("q")
         for proxy in (self.p, self.q):
-            self.box.proxy_joined(proxy)
+            self.outbox.proxy_joined(proxy)
 
-    def post(self, *orders):
-        return {proxy.external_id: message for proxy, message, _ in self.box.build_messages(7, orders)}
+    def build(self, *orders):
+        return {proxy.external_id: message for proxy, message, _ in self.outbox.build_messages(7, orders)}
 
     def test_one_message_for_each_proxy_with_its_cost(self):
-        got = self.post(
+        built = self.build(
             i.SetLine(self.table, self.a, 1.0),
             i.SetAdmission(self.table, [], 0.5, 1),
             i.Bind(self.p, self.table),
             i.RequestAcknowledgement(self.nonce),
         )
-        self.assertEqual(list(got), ["p"])
-        self.assertEqual(got["p"].cost, 4 + 1 + 1 + 1 + 1)  # head, bind, a line, a level, the nonce
-        self.assertEqual(got["p"].do, [Bind(1, [("a", 1.0)], [("view", 0.5, 1)], [])])
-        got = self.post(i.SetLine(self.table, self.b, 0.5), i.SetLine(self.table, self.a, 0))
-        self.assertEqual((list(got), got["p"].cost), (["p"], 6))
+        self.assertEqual(list(built), ["p"])
+        self.assertEqual(built["p"].cost, 4 + 1 + 1 + 1 + 1)  # head, bind, a line, a level, the nonce
+        self.assertEqual(built["p"].do, [Bind(1, [("a", 1.0)], [("view", 0.5, 1)], [])])
+        built = self.build(i.SetLine(self.table, self.b, 0.5), i.SetLine(self.table, self.a, 0))
+        self.assertEqual((list(built), built["p"].cost), (["p"], 6))
 
     def test_withdrawals_reach_proxies_with_the_backend_and_later_tables(self):
-        self.post(i.SetLine(self.table, self.a, 1.0), i.Bind(self.p, self.table))
-        self.assertEqual(list(self.post(i.Withdraw(self.b, True))), ["q"])  # p's table has no b
-        got = self.post(i.SetLine(self.table, self.b, 1.0))
-        self.assertEqual(got["p"].do, [Withdrawal("b", True), Line(1, "b", 1.0)])
-        self.assertEqual(sorted(self.post(i.Withdraw(self.b, False))), ["p", "q"])
-        self.assertEqual(self.post(i.Withdraw(self.b, False)), {})
+        self.build(i.SetLine(self.table, self.a, 1.0), i.Bind(self.p, self.table))
+        self.assertEqual(list(self.build(i.Withdraw(self.b, True))), ["q"])  # p's table has no b
+        built = self.build(i.SetLine(self.table, self.b, 1.0))
+        self.assertEqual(built["p"].do, [Withdrawal("b", True), Line(1, "b", 1.0)])
+        self.assertEqual(sorted(self.build(i.Withdraw(self.b, False))), ["p", "q"])
+        self.assertEqual(self.build(i.Withdraw(self.b, False)), {})
 
     def test_a_proxy_that_left_gets_no_message(self):
-        self.post(i.SetLine(self.table, self.a, 1.0), i.Bind(self.p, self.table))
-        self.box.proxy_left(self.p)
-        self.assertEqual(self.post(i.SetLine(self.table, self.a, 2.0), i.Bind(self.p, self.table)), {})
+        self.build(i.SetLine(self.table, self.a, 1.0), i.Bind(self.p, self.table))
+        self.outbox.proxy_left(self.p)
+        self.assertEqual(self.build(i.SetLine(self.table, self.a, 2.0), i.Bind(self.p, self.table)), {})
 
     @given(
         st.lists(
@@ -185,7 +187,7 @@
         withdrawn.
         """
         self.setUp()
-        held = {"p": RoutingState(), "q": RoutingState()}
+        states = {"p": RoutingState(), "q": RoutingState()}
         for backend, what, proxy in steps:
             backend, proxy = self.identifiers.backend(backend), self.identifiers.proxy(proxy)
             order = {
@@ -196,31 +198,31 @@
                 "bind": i.Bind(proxy, self.table),
             }.get(what)
             if order is None:
-                self.box.proxy_joined(proxy)
-                held[proxy.external_id] = RoutingState()
+                self.outbox.proxy_joined(proxy)
+                states[proxy.external_id] = RoutingState()
                 continue
-            for name, message in self.post(order).items():
-                held[name].apply(decode_to_proxy(encode(message)))
+            for name, message in self.build(order).items():
+                states[name].apply(decode_to_proxy(encode(message)))
             lines = {
                 one.external_id
-                for one in self.box.ordered_table(self.table).lines
-                if one not in self.box.withdrawn
+                for one in self.outbox.ordered_table(self.table).lines
+                if one not in self.outbox.withdrawn
             }
-            for proxy, table in self.box.bound.items():
+            for proxy, table in self.outbox.bound.items():
                 if table is not None:
-                    self.assertEqual(set(held[proxy.external_id].routable_lines()), lines)
+                    self.assertEqual(set(states[proxy.external_id].routable_lines()), lines)
 
     @given(st.lists(st.tuples(st.integers(0, 3 * 10**8), st.integers(1, 80)), min_size=1, max_size=60))
-    def test_the_channel_never_exceeds_its_rate(self, puts):
+    def test_the_channel_never_exceeds_its_rate(self, messages):
         rate, pacer, now, left, total = 200.0, Pacer(200.0), 0, [], 0
-        for gap, cost in puts:
+        for gap, cost in messages:
             now += gap
             pacer.enqueue(now, "p", cost, cost)
             total += cost
             left += [(now, load) for _, load in pacer.dequeue(now)]
         while (when := pacer.next_departure()) is not None:
             left += [(when, load) for _, load in pacer.dequeue(when)]
-        self.assertEqual([cost for _, cost in left], [cost for _, cost in puts])
+        self.assertEqual([cost for _, cost in left], [cost for _, cost in messages])
         self.assertEqual(pacer.lines_waiting, 0)
         for n, (start, _) in enumerate(left):
             carried = 0
@@ -263,29 +265,29 @@
         self.assertIn("not read the oldest order", send_buffer.overdue_reason(UNSENT_AGE_MAX_NS + 1))
 
     def test_the_backoff_of_cut_proxies_doubles_up_to_its_limit(self):
-        gate, now, waits = Admission(lambda: 1.0), 0, []
+        admission, now, delays = Admission(lambda: 1.0), 0, []
         for _ in range(9):
-            gate.record_cut(now, "p")
-            waits.append(gate.admit(now, "p").retry_after)
-            now += waits[-1]
-            self.assertIsNone(gate.admit(now, "p"))
+            admission.record_cut(now, "p")
+            delays.append(admission.admit(now, "p").retry_after)
+            now += delays[-1]
+            self.assertIsNone(admission.admit(now, "p"))
         self.assertEqual(
-            waits[:3], [CUT_BACKOFF_FIRST_NS, 2 * CUT_BACKOFF_FIRST_NS, 4 * CUT_BACKOFF_FIRST_NS]
+            delays[:3], [CUT_BACKOFF_FIRST_NS, 2 * CUT_BACKOFF_FIRST_NS, 4 * CUT_BACKOFF_FIRST_NS]
         )
-        self.assertEqual(waits[-1], CUT_BACKOFF_MAX_NS)
-        gate.record_cut(now + 2 * CUT_HISTORY_NS, "q")
-        self.assertEqual(list(gate.cuts), ["q"])  # p's cuts are forgotten
+        self.assertEqual(delays[-1], CUT_BACKOFF_MAX_NS)
+        admission.record_cut(now + 2 * CUT_HISTORY_NS, "q")
+        self.assertEqual(list(admission.cuts), ["q"])  # p's cuts are forgotten
 
     def test_handshakes_are_limited_and_a_drain_closes_streams_in_steps(self):
-        gate = Admission(lambda: 0.0)
-        self.assertEqual([gate.stream_opened() for _ in range(HANDSHAKES_MAX)], [None] * HANDSHAKES_MAX)
-        self.assertEqual(gate.stream_opened().code, "later")
-        gate.handshake_ended()
-        self.assertIsNone(gate.stream_opened())
-        gate.drain(0)
-        self.assertEqual(gate.admit(0, "p").code, "draining")
-        self.assertEqual(gate.streams_to_close(0, 10), (1, DRAIN_STEP_NS))
-        self.assertEqual(gate.streams_to_close(3 * DRAIN_STEP_NS, 10)[0], 3)
+        admission = Admission(lambda: 0.0)
+        self.assertEqual([admission.stream_opened() for _ in range(HANDSHAKES_MAX)], [None] * HANDSHAKES_MAX)
+        self.assertEqual(admission.stream_opened().code, "later")
+        admission.handshake_ended()
+        self.assertIsNone(admission.stream_opened())
+        admission.drain(0)
+        self.assertEqual(admission.admit(0, "p").code, "draining")
+        self.assertEqual(admission.streams_to_close(0, 10), (1, DRAIN_STEP_NS))
+        self.assertEqual(admission.streams_to_close(3 * DRAIN_STEP_NS, 10)[0], 3)
 
 
 class Budgets(unittest.TestCase):
@@ -294,10 +296,10 @@
             site = load(SITES / "samples" / f"{name}.xml")
             self.assertEqual(channel_budget(site).warnings, [], name)
             large = site.at(proxies=600, backends=600)
-            told = channel_budget(large).warnings
-            self.assertTrue(told, name)
+            warnings = channel_budget(large).warnings
+            self.assertTrue(warnings, name)
             for wanted in (
-                float(text.split(": ")[-1].split(" lines")[0]) for text in told if "would" in text
+                float(text.split(": ")[-1].split(" lines")[0]) for text in warnings if "would" in text
             ):
                 large = large.at(channel_rate=max(large.channel_rate, 1.01 * wanted))
             self.assertEqual([text for text in channel_budget(large).warnings if "would" in text], [], name)
