--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,5 +1,5 @@
-"""The parts without I/O: frames, sessions, outbox, pacer, admission, the list's follower, the
-site.
+"""The parts without I/O: frames, sessions, outbox, pacer, send buffer, admission, channel budget, the
+endpoint list's follower and the backend model.
 """
 
 import unittest
@@ -183,8 +183,8 @@
         )
     )
     def test_the_routing_state_of_a_proxy_matches_the_orders(self, steps):
-        """Whatever the order of orders, a bound proxy's lines to pick are the table's, less what is
-        withdrawn.
+        """Whatever the sequence of orders, a bound proxy may send to the lines of its table except withdrawn
+        backends.
         """
         self.setUp()
         states = {"p": RoutingState(), "q": RoutingState()}
@@ -257,7 +257,7 @@
     def test_slow_readers_are_cut_by_bytes_and_by_age(self):
         send_buffer = SendBuffer()
         send_buffer.message_queued(0, UNSENT_BYTES_MAX + 1)
-        self.assertIsNone(send_buffer.overdue_reason(0))  # one large table alone is no fault
+        self.assertIsNone(send_buffer.overdue_reason(0))  # a single large message may exceed the limit
         send_buffer.message_queued(0, 1)
         self.assertIn("bytes", send_buffer.overdue_reason(0))
         send_buffer.message_written()
@@ -276,7 +276,7 @@
         )
         self.assertEqual(delays[-1], CUT_BACKOFF_MAX_NS)
         admission.record_cut(now + 2 * CUT_HISTORY_NS, "q")
-        self.assertEqual(list(admission.cuts), ["q"])  # p's cuts are forgotten
+        self.assertEqual(list(admission.cuts), ["q"])  # p's record has expired
 
     def test_handshakes_are_limited_and_a_drain_closes_streams_in_steps(self):
         admission = Admission(lambda: 0.0)
