--- a/tests/test_report_intake.py
+++ b/tests/test_report_intake.py
@@ -12,8 +12,8 @@
 S = 10**9
 
 
-class ReportIntakeRules(unittest.TestCase):
-    def test_merging_loses_no_count_and_releases_the_oldest_first(self):
+class ReportIntakeTests(unittest.TestCase):
+    def test_merging_keeps_all_counts_and_releases_the_oldest_first(self):
         identifiers, intake = Identifiers(), ReportIntake(4.0)
         proxy, zone, kind = (
             identifiers.proxy("p"),
@@ -47,7 +47,7 @@
         )
         self.assertEqual((events[2].requests, events[2].lost), (15, 3))
 
-    def test_the_time_that_proxies_of_a_zone_cover_counts_once(self):
+    def test_the_span_of_a_round_counts_once_for_all_proxies(self):
         """Three proxies at their own phases: attempts over spans are the zone's rate."""
         identifiers, intake, events = Identifiers(), ReportIntake(0.0, 0, S), []
         zone = identifiers.zone("z")
@@ -70,9 +70,9 @@
         late = events[1:-1]
         self.assertAlmostEqual(sum(e.tries for e in late) * S / sum(e.span for e in late), 30)
 
-    def test_a_round_waits_a_cycle_at_most_and_not_again_for_a_silent_proxy(self):
+    def test_a_round_waits_for_one_cycle_and_then_ignores_a_silent_proxy(self):
         identifiers, intake = Identifiers(), ReportIntake(0.0, 0, S)
-        zone, at = identifiers.zone("z"), []
+        zone, released_at = identifiers.zone("z"), []
 
         def send_report(now, name):
             intake.add_report(
@@ -91,8 +91,8 @@
             send_report(cycle * S, "p")
             for tenth in range(10):
                 now = cycle * S + tenth * S // 10
-                at += [now] * len(intake.release_due(now))
-        self.assertEqual(at, [n * S for n in range(1, 8)])
+                released_at += [now] * len(intake.release_due(now))
+        self.assertEqual(released_at, [n * S for n in range(1, 8)])
         self.assertEqual(
             (intake.rounds, intake.next_release()), ({}, None)
         )  # the last closed at once: nobody else is there
@@ -107,13 +107,15 @@
     )
     def test_no_attempt_is_lost_or_counted_twice(self, reports, rate):
         identifiers, intake, events, now = Identifiers(), ReportIntake(rate, 0, S), [], 0
-        for gap, proxy, backend, tries in reports:
+        for gap, proxy, backend, attempts in reports:
             now += gap * S // 100
             intake.add_report(
                 now,
                 identifiers.proxy(f"p{proxy}"),
                 identifiers.zone(f"z{proxy % 2}"),
-                LoadReport(S, [BackendTotals(f"b{backend}", tries, 1, 7)], [ArrivalTotals("view", tries)]),
+                LoadReport(
+                    S, [BackendTotals(f"b{backend}", attempts, 1, 7)], [ArrivalTotals("view", attempts)]
+                ),
                 identifiers.backend,
                 {"view": "view"}.get,
             )
@@ -121,9 +123,9 @@
         while (at := intake.next_release()) is not None:
             now = max(now, at)
             events += intake.release_due(now)
-        heard = [e for e in events if isinstance(e, i.BackendReport)]
-        self.assertEqual(sum(e.tries for e in heard), sum(t[3] for t in reports))
-        self.assertEqual(sum(e.failed for e in heard), len(reports))
+        backend_reports = [e for e in events if isinstance(e, i.BackendReport)]
+        self.assertEqual(sum(e.tries for e in backend_reports), sum(t[3] for t in reports))
+        self.assertEqual(sum(e.failed for e in backend_reports), len(reports))
         self.assertEqual(
             sum(e.requests for e in events if isinstance(e, i.ArrivalReport)), sum(t[3] for t in reports)
         )
