--- a/tests/test_nonce_ledger.py
+++ b/tests/test_nonce_ledger.py
@@ -8,7 +8,7 @@
 from embertray.policy import interface as i
 
 
-class NonceLedgerRules(unittest.TestCase):
+class NonceLedgerTests(unittest.TestCase):
     def setUp(self):
         self.identifiers = Identifiers()
         self.ledger = NonceLedger(self.identifiers)
@@ -19,14 +19,14 @@
             for position, nonce_id in enumerate(self.ids):
                 self.ledger.record_sent(position, name, nonce_id)
 
-    def test_an_acknowledgement_stands_for_all_earlier_nonces(self):
-        found = self.ledger.acknowledge(10, "p", self.ids[1])
-        self.assertEqual((found.nonce, found.elapsed), (self.nonces[1], 9))
+    def test_an_acknowledgement_covers_all_earlier_nonces(self):
+        acknowledged = self.ledger.acknowledge(10, "p", self.ids[1])
+        self.assertEqual((acknowledged.nonce, acknowledged.elapsed), (self.nonces[1], 9))
         self.assertEqual(list(self.ledger.by_proxy["p"]), [self.ids[2]])
         self.assertIsNone(self.ledger.acknowledge(11, "p", self.ids[0]))
-        self.assertIsNone(self.ledger.acknowledge(11, "stranger", self.ids[2]))
+        self.assertIsNone(self.ledger.acknowledge(11, "unknown", self.ids[2]))
 
-    def test_a_nonce_is_forgotten_once_no_proxy_owes_it(self):
+    def test_a_nonce_is_removed_with_its_last_acknowledgement(self):
         self.ledger.acknowledge(10, "p", self.ids[2])
         self.assertEqual(self.ledger.outstanding, dict.fromkeys(self.ids, 1))
         self.ledger.proxy_left("q")
