--- a/tests/test_nonce_ledger.py
+++ b/tests/test_nonce_ledger.py
@@ -1,4 +1,4 @@
-"""Open nonces of a controller: acknowledged in order, forgotten once nobody owes them."""
+"""The nonce ledger: nonces are acknowledged in order and removed with their last acknowledgement."""
 
 import unittest
 
--- a/tests/test_report_intake.py
+++ b/tests/test_report_intake.py
@@ -1,4 +1,4 @@
-"""Load reports on their way to the policy: merging, rounds, the rate limit."""
+"""The report intake: merging of load reports, rounds, the rate limit."""
 
 import unittest
 
@@ -48,7 +48,7 @@
         self.assertEqual((events[2].requests, events[2].lost), (15, 3))
 
     def test_the_span_of_a_round_counts_once_for_all_proxies(self):
-        """Three proxies at their own phases: attempts over spans are the zone's rate."""
+        """Three proxies report at different phases: attempts divided by spans are the zone's rate."""
         identifiers, intake, events = Identifiers(), ReportIntake(0.0, 0, S), []
         zone = identifiers.zone("z")
         for tenth in range(100):
@@ -66,7 +66,7 @@
             events += intake.release_due(now)
         events += intake.release_due(20 * S)
         self.assertEqual((sum(e.tries for e in events), sum(e.failed for e in events)), (300, 30))
-        self.assertEqual(len(events), 11)  # the first round knew one proxy only
+        self.assertEqual(len(events), 11)  # the first round closed with one proxy, the only one known
         late = events[1:-1]
         self.assertAlmostEqual(sum(e.tries for e in late) * S / sum(e.span for e in late), 30)
 
@@ -87,7 +87,7 @@
         for name in "pq":
             send_report(0, name)
         self.assertEqual(len(intake.release_due(0)), 1)
-        for cycle in range(1, 8):  # q says nothing any more
+        for cycle in range(1, 8):  # q is silent from now on
             send_report(cycle * S, "p")
             for tenth in range(10):
                 now = cycle * S + tenth * S // 10
@@ -95,7 +95,7 @@
         self.assertEqual(released_at, [n * S for n in range(1, 8)])
         self.assertEqual(
             (intake.rounds, intake.next_release()), ({}, None)
-        )  # the last closed at once: nobody else is there
+        )  # the last round closed at once, without waiting for q
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(
