--- a/embertray/cluster/replication/api_messages.py
+++ b/embertray/cluster/replication/api_messages.py
@@ -1,4 +1,4 @@
-"""What a replica's HTTP API answers, as JSON objects with a `type`."""
+"""Responses of a replica's HTTP API: JSON objects with a `type`."""
 
 from typing import Annotated
 
@@ -9,7 +9,7 @@
 
 
 class Committed(msgspec.Struct, tag="committed", frozen=True):
-    """The write is on the disks of a majority, as the version `revision` of the key."""
+    """The write is committed as version `revision` of the key: a majority has it on disk."""
 
     key: Text
     revision: int
@@ -20,8 +20,8 @@
 
     Attributes:
         reason: the `reason` of an exceptions.WriteRejectedError, or "BadCall" for a malformed request.
-        text: for people.
-        leader: operators' address of the leader to ask instead, "" if none is known.
+        text: human-readable explanation.
+        leader: admin address of the leader, which would accept the write; "" if it is not known.
     """
 
     reason: Text
@@ -30,19 +30,19 @@
 
 
 class Unknown(msgspec.Struct, tag="unknown", frozen=True):
-    """The write may have been committed or not; repeating it with its request id finds out."""
+    """The write may or may not have been committed; repeating it with its request id settles that."""
 
     text: Text
 
 
 class Value(msgspec.Struct, tag="value", frozen=True):
-    """What is in force for a key at the replica or subscriber that answers.
+    """The current value of a key at the replica or subscriber that answers.
 
     Attributes:
-        key: its name.
-        revision: of the write.
-        value: its bytes, in JSON as base64.
-        age_s: seconds since it was certain that nothing newer was committed; None if it is not known.
+        key: name of the key.
+        revision: revision of the write.
+        value: the value's bytes, base64 in JSON.
+        age_s: seconds since it was certain that nothing newer was committed; None if that is not known.
     """
 
     key: Text
@@ -52,14 +52,14 @@
 
 
 class Version(msgspec.Struct, frozen=True):
-    """One version of a key. `bytes` is the size of its value, None for a removal."""
+    """One version of a key. `bytes` is the size of the value, None for a removal."""
 
     revision: int
     bytes: int | None
 
 
 class Versions(msgspec.Struct, tag="versions", frozen=True):
-    """The versions of a key that are kept, oldest first; the last one is in force."""
+    """The versions of a key that are kept, oldest first; the last one is current."""
 
     key: Text
     versions: list[Version]
@@ -76,10 +76,10 @@
 
 
 def encode_answer(answer):
-    """The JSON of an Answer, with a newline."""
+    """Encodes an Answer as a line of JSON."""
     return msgspec.json.encode(answer) + b"\n"
 
 
 def decode_answer(data):
-    """The Answer of its JSON. Raises msgspec.DecodeError."""
+    """Decodes an Answer from JSON. Raises msgspec.DecodeError."""
     return _decoder.decode(data)
--- a/embertray/cluster/replication/candidate.py
+++ b/embertray/cluster/replication/candidate.py
@@ -1,7 +1,7 @@
-"""What a candidate does to become the leader, and how every replica votes.
+"""Elections: the candidate's part, and voting by all replicas.
 
 An election has two rounds. In the preliminary round (Raft's pre-vote) a candidate only asks whether it could
-win, so that a replica that is cut off does not raise the term, and depose a working leader when it returns.
+win. Without it, a replica that was cut off would raise the term and depose a working leader on its return.
 """
 
 from .messages import Vote, VoteRequest
@@ -10,19 +10,19 @@
 
 
 class CandidateRole(ReplicaCore):
-    """Elections: when one starts, who is granted a vote, and when it is won."""
+    """Starts elections, requests, grants and counts votes."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.preliminary = False  # whether the election is in its preliminary round
-        self.votes = set()  # names that granted their vote in this round
-        self.election_at = 0  # ns when this replica stops waiting for a leader
+        self.votes = set()  # names of the replicas that granted their vote in this round
+        self.election_at = 0  # ns when the election timeout ends
 
     def _reset_election_timer(self, now):
         self.election_at = now + self.timing.election_timeout(self.rng)
 
     def _start_preliminary_vote(self, now):
-        """Asks whether an election could be won."""
+        """Starts the preliminary round, which does not change the term."""
         self._step_down(self.term)
         self.role = Role.CANDIDATE
         self.preliminary = True
@@ -32,7 +32,7 @@
         self._request_votes(now, self.term + 1)
 
     def _start_vote(self, now):
-        """Enters the next term and votes for itself."""
+        """Starts the second round: enters the next term and votes for itself."""
         self.term += 1
         self.voted_for = self.name
         self.state_changed = True
@@ -71,9 +71,9 @@
 
     def _on_vote_request(self, now, message):
         if self.recovering:
-            return  # it may have voted in this term already, and lost that with its disk
+            return  # this replica may have voted in this term and lost the record of it with its disk
         if self._leader_is_alive(now):
-            granted = False  # the candidate alone has lost contact: a new term would only interrupt writes
+            granted = False  # only the candidate has lost contact; a new term would interrupt writes
         elif message.preliminary:
             granted = message.term > self.term and self._is_up_to_date(message)
         else:
@@ -82,7 +82,7 @@
         self._send(message.sender, vote)
 
     def _grant_vote(self, now, message):
-        """Votes for the sender unless the term is over, the vote is given, or its log lacks entries."""
+        """Votes for the sender, unless its term is over, it is not up to date, or another has the vote."""
         if message.term > self.term:
             self._step_down(message.term)
         if message.term < self.term or self.voted_for not in ("", message.sender):
@@ -100,11 +100,11 @@
         return now - self.leader_last_received_at < self.timing.election_timeout_min
 
     def _is_up_to_date(self, message):
-        """Whether the sender's log ends no earlier than ours: then it has every committed entry."""
+        """Whether the sender's log is at least as new as this replica's, as Raft requires for a vote."""
         return (message.last_term, message.last_revision) >= self.last_position
 
     def _step_down(self, term):
-        """Becomes a follower; a higher term is entered without a vote."""
+        """Becomes a follower; if `term` is newer, enters it without having voted."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
--- a/embertray/cluster/replication/codec.py
+++ b/embertray/cluster/replication/codec.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of messages: whatever a peer sends decodes, or raises MalformedMessageError."""
+"""Encoding and decoding of messages. Input that cannot be decoded raises MalformedMessageError."""
 
 import msgspec
 
@@ -28,27 +28,27 @@
 
 
 def encode(message):
-    """The bytes of a message, without its frame."""
+    """Encodes a message, without a frame."""
     return _encoder.encode(message)
 
 
 def decode_replica_message(data):
-    """Decodes what another replica sent. Raises MalformedMessageError."""
+    """Decodes a message from another replica. Raises MalformedMessageError."""
     return _decode(_between_replicas, data)
 
 
 def decode_from_subscriber(data):
-    """Decodes what a subscriber sent. Raises MalformedMessageError."""
+    """Decodes a message from a subscriber. Raises MalformedMessageError."""
     return _decode(_from_subscriber, data)
 
 
 def decode_to_subscriber(data):
-    """Decodes what a replica sent to its subscriber. Raises MalformedMessageError."""
+    """Decodes a message from a replica to a subscriber. Raises MalformedMessageError."""
     return _decode(_to_subscriber, data)
 
 
 def _decode(decoder, data):
-    # a peer may send anything: deep nesting raises RecursionError, huge numbers OverflowError
+    # input is untrusted: deep nesting raises RecursionError, huge numbers OverflowError
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as error:
--- a/embertray/cluster/replication/entry.py
+++ b/embertray/cluster/replication/entry.py
@@ -1,4 +1,4 @@
-"""One committed or proposed version of a key."""
+"""A committed or proposed version of a key, and the field types of messages."""
 
 from typing import Annotated
 
@@ -6,10 +6,8 @@
 import xxhash
 from msgspec import Meta
 
-MAX_KEY_BYTES = 256  # names such as "limits/search"; bytes are checked where a client writes
-ENTRY_OVERHEAD_BYTES = (
-    24  # bytes that an entry is charged beyond its key, request and value: numbers and framing
-)
+MAX_KEY_BYTES = 256  # in UTF-8; enforced when a client writes, as the type below counts characters
+ENTRY_OVERHEAD_BYTES = 24  # charged per entry beside its key, request id and value: numbers and framing
 
 Count = Annotated[int, Meta(ge=0, le=2**62)]
 Digest = Annotated[int, Meta(ge=0)]  # 64 bits
@@ -19,14 +17,14 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One version of a key, in the order of its fields on the wire and on disk.
+    """One version of a key. The order of the fields is the format on the wire and on disk.
 
     Attributes:
         key: "" only for the empty entry that opens a term.
-        revision: number of this write among all writes of the cluster.
-        term: of the leader that proposed it.
-        request: id of the client's call, so that a repeated call is recognised.
-        value: None is a removal.
+        revision: position of this write in the sequence of all writes of the cluster.
+        term: term of the leader that proposed it.
+        request: request id of the client's call, by which a repeated call is recognised.
+        value: the value's bytes; None for a removal.
     """
 
     key: Key
@@ -37,12 +35,12 @@
 
     @property
     def size(self):
-        """Bytes that the entry is charged, on the wire and in the store."""
+        """Bytes charged for the entry, on the wire and in the store."""
         return len(self.key) + len(self.request) + len(self.value or b"") + ENTRY_OVERHEAD_BYTES
 
     @property
     def fingerprint(self):
-        """64 bits of key, revision and value."""
+        """64-bit hash of key, revision and value."""
         digest = xxhash.xxh64(self.key.encode())
         digest.update(self.revision.to_bytes(8, "big"))
         digest.update(self.value or b"")
--- a/embertray/cluster/replication/exceptions.py
+++ b/embertray/cluster/replication/exceptions.py
@@ -1,74 +1,74 @@
-"""All errors of the replicated configuration."""
+"""Exceptions of the replicated configuration."""
 
 
 class MalformedMessageError(ValueError):
-    """Bytes from a peer decode to none of the messages that are expected on its connection."""
+    """Bytes from a peer do not decode to any message that is expected on its connection."""
 
 
 class MalformedStateError(ValueError):
-    """A state on disk has a valid checksum, but is not of the expected type."""
+    """A saved state has a valid checksum but does not decode to the expected type."""
 
 
 class StateNotSavedError(Exception):
-    """A replica can't write its state to disk: it must stop, as it must not send what is not durable."""
+    """A replica cannot write its state to disk. It has to stop: it must not send what is not durable."""
 
 
 class SubscriberRejectedError(Exception):
-    """A subscriber is not served; the text says why. Its connection is to be closed."""
+    """A subscriber is rejected, for the reason in the text; its connection has to be closed."""
 
 
 class ConnectionRejectedError(Exception):
-    """An inbound connection did not identify itself as a peer that is served; the text says why."""
+    """An inbound connection did not identify itself as an accepted peer, for the reason in the text."""
 
 
 class OutcomeUnknownError(Exception):
-    """The write may have been committed or not. Repeating it with its request id finds out."""
+    """The write may or may not have been committed; repeating it with its request id settles that."""
 
 
 class WriteRejectedError(Exception):
     """The write was not accepted and has no effect.
 
     Attributes:
-        reason: the kind of rejection as clients of the HTTP API read it.
+        reason: the kind of rejection, as returned by the HTTP API.
     """
 
     reason = "WriteRefused"
 
 
 class NotLeaderError(WriteRejectedError):
-    """This replica does not lead.
+    """This replica is not the leader.
 
     Attributes:
-        leader: name of the replica to ask instead, "" if none is known.
+        leader: name of the leader, "" if it is not known.
     """
 
     reason = "NotLeader"
 
     def __init__(self, leader):
-        super().__init__(f"the leader is {leader}" if leader else "no leader is known")
+        super().__init__(f"not the leader; the leader is {leader}" if leader else "no leader is known")
         self.leader = leader
 
 
 class NoMajorityError(WriteRejectedError):
-    """This replica leads, but no majority has confirmed that lately."""
+    """This replica is the leader, but no majority has confirmed that within the quorum timeout."""
 
     reason = "NoMajority"
 
 
 class ConflictError(WriteRejectedError):
-    """The key is not at the revision that the writer expected."""
+    """The key's current revision is not the one that the writer expected."""
 
     reason = "Conflict"
 
 
 class OverloadedError(WriteRejectedError):
-    """A limit on pending writes, live keys or stored bytes is reached."""
+    """The limit on pending writes, live keys or stored bytes is reached."""
 
     reason = "Overloaded"
 
 
 class BadKeyError(WriteRejectedError):
-    """The key's name is empty or too long."""
+    """The key is empty or too long."""
 
     reason = "BadKey"
 
@@ -80,12 +80,12 @@
 
 
 class TooLargeError(WriteRejectedError):
-    """The value does not fit into one update to a subscriber."""
+    """The value does not fit into a single update to a subscriber."""
 
     reason = "TooLarge"
 
 
 class VersionNotKeptError(WriteRejectedError):
-    """The key's value at that version is no longer in the history, or never was."""
+    """The requested version of the key is no longer kept or never existed."""
 
     reason = "VersionNotKept"
--- a/embertray/cluster/replication/feed_schedule.py
+++ b/embertray/cluster/replication/feed_schedule.py
@@ -1,38 +1,41 @@
-"""Which subscribers a feed has to look at: its cost follows what happens, not the number of subscribers."""
+"""Schedule of the subscribers that a feed has to serve.
+
+Its cost is proportional to the number of events, not to the number of subscribers.
+"""
 
 from heapq import heappop, heappush
 
 
 class FeedSchedule:
-    """Subscribers that something happened to, and times at which others are to be looked at.
+    """Subscribers with pending events, and timers of the others.
 
     Attributes:
-        touched: names that something happened to, in that order.
+        touched: names of subscribers with an event, in the order of the events; the values are not used.
     """
 
     def __init__(self):
         self.touched = {}
-        self._wakes = []  # heap of (ns, name); a Subscription's wake_at tells which of its items is valid
+        self._wakes = []  # heap of (ns, name); an item is valid if it matches its Subscription's wake_at
 
     def touch(self, names):
-        """Looks at these subscribers next time."""
+        """Marks subscribers to be served at the next call of `due`."""
         self.touched.update(dict.fromkeys(names, True))
 
     def wake(self, subscription, when):
-        """Looks at a subscriber at `when` (ns), and no longer at the time planned before."""
+        """Sets a subscriber's timer to `when` (ns), replacing its earlier one."""
         if when != subscription.wake_at:
             subscription.wake_at = when
             heappush(self._wakes, (when, subscription.name))
 
     def due(self, now, subscriptions):
-        """Takes the names to look at.
+        """Removes and returns the subscribers to serve.
 
         Args:
-            now: ns.
+            now: current time, ns.
             subscriptions: name -> Subscription of all subscribers.
 
         Returns:
-            Names, some of which may have left.
+            Names; some of these subscribers may have left.
         """
         while self._wakes and self._wakes[0][0] <= now:
             when, name = heappop(self._wakes)
@@ -44,5 +47,5 @@
         return names
 
     def next_at(self, default):
-        """Time in ns of the first planned look, `default` if none is planned."""
+        """Time in ns of the earliest timer, `default` if there is none."""
         return self._wakes[0][0] if self._wakes else default
--- a/embertray/cluster/replication/follower.py
+++ b/embertray/cluster/replication/follower.py
@@ -1,4 +1,4 @@
-"""What a follower does: accepts entries and whole states from the leader of its term."""
+"""The follower's part: accepts log entries and committed state from the leader of its term."""
 
 from .messages import Appended
 from .replica_core import ReplicaCore
@@ -6,14 +6,14 @@
 
 
 class FollowerRole(ReplicaCore):
-    """Replication as seen by a follower. It never accepts a write from a client."""
+    """Replication from the follower's side."""
 
     def __init__(self, cluster, name, names, now, *args, **kwargs):
         super().__init__(cluster, name, names, now, *args, **kwargs)
-        self.leader_last_received_at = now - self.timing.election_timeout_max  # ns; no leader is heard yet
+        self.leader_last_received_at = now - self.timing.election_timeout_max  # ns; long ago: no leader yet
 
     def _accept_leader(self, now, message):
-        """Whether the sender leads in our term or a newer one; then it is our leader."""
+        """Accepts the sender as leader unless its term is over. Returns whether it was accepted."""
         if message.term < self.term:
             self._reply(now, message, False)
             return False
@@ -33,22 +33,22 @@
         self._append_entries(message.entries)
         matched = max(message.previous_revision + len(message.entries), self.store.revision)
         self._commit(min(message.commit, matched))
-        if 0 < message.echo <= now:  # an echo in the future is of a clock before this machine's boot
+        if 0 < message.echo <= now:  # an echo in the future is a stamp from before this machine rebooted
             self.freshness.observe_commit(message.echo, message.commit, message.age, self.store.revision)
         if self.nonce and message.admitted == self.nonce and not self.prior_votes_expire_at:
             self._finish_recovery()
         self._reply(now, message, True, matched)
 
     def _continues_log(self, message):
-        """Whether the entry before the new ones is in our log, with the same term."""
+        """Whether the entry before the new ones is in this replica's log with the same term."""
         if message.previous_revision > self.store.revision:
             return self._term_at(message.previous_revision) == message.previous_term
-        # a committed revision under another term: the commit rule excludes it, so nothing is built on it
+        # The commit rule excludes a committed revision with two different terms; such a message is rejected.
         same_revision = message.previous_revision == self.store.revision
         return not (same_revision and message.previous_term != self.store.term)
 
     def _append_entries(self, entries):
-        """Adds new entries; an uncommitted one of another term, and all after it, is replaced."""
+        """Appends new entries; an uncommitted entry of another term is replaced, with all that follow it."""
         for entry in entries:
             if entry.revision <= self.store.revision:
                 continue
@@ -71,7 +71,7 @@
         self._reply(now, message, True, max(message.commit, self.store.revision))
 
     def _install(self, message):
-        """Takes over the leader's committed state, and the part of our log that continues it."""
+        """Applies the leader's committed state, and keeps the uncommitted entries that continue it."""
         same_log = self._term_at(message.commit) == message.commit_term
         remainder = self.uncommitted[message.commit - self.store.revision :] if same_log else []
         for entry in message.entries:
@@ -86,10 +86,10 @@
         self.freshness.revision_reached(self.store.revision)
 
     def _remove_all_but(self, live_keys, commit):
-        """Drops keys whose removal the leader no longer remembers.
+        """Drops keys whose tombstone the leader no longer has.
 
-        Such a removal is not among the entries. Were the key kept, this replica would hand it on as live when
-        it leads. The removals themselves stay unknown here, so the store is marked as having forgotten them.
+        Such removals are not among the message's entries. If the keys were kept, this replica would serve
+        them as live once it leads. The tombstones are missing here too, which `store.forgotten` records.
         """
         kept = set(live_keys)
         for entry in [live for live in self.store.live_entries() if live.key not in kept]:
@@ -97,7 +97,7 @@
         self.store.forgotten = max(self.store.forgotten, commit)
 
     def _reply(self, now, message, accepted, last_revision=None):
-        """Answers an Append or Install, with what our subscribers have confirmed."""
+        """Answers an Append or Install, and reports what this replica's subscribers have confirmed."""
         reply = Appended(
             cluster=self.cluster,
             sender=self.name,
--- a/embertray/cluster/replication/freshness.py
+++ b/embertray/cluster/replication/freshness.py
@@ -1,34 +1,34 @@
-"""Age of a held state: since when it is certain that nothing newer was committed."""
+"""Age of a replicated state: the time since it was certainly the newest committed one."""
 
 from collections import deque
 
-AGE_UNKNOWN = 2**62  # ns; sent in place of an age by whoever knows none
-MAX_OBSERVATIONS = 64  # remembered of revisions that are not held yet
+AGE_UNKNOWN = 2**62  # ns; sent in place of an age that is not known
+MAX_OBSERVATIONS = 64  # pending observations of revisions that are not held yet
 
 
 class Freshness:
-    """Turns what other processes say of the newest revision into an age by this process's own clock.
+    """Converts other processes' statements about the newest commit into an age by the local clock.
 
     Attributes:
-        known_at: ns of our clock; at that time everything committed anywhere was no newer than what is held
-            now. None before anything was observed.
+        known_at: ns of the local clock at which nothing newer was committed than what is held now; None if
+            nothing was observed yet.
     """
 
     def __init__(self, known_at=None):
         self.known_at = known_at
-        self.pending = deque()  # (revision, ns): counts once the revision is held
+        self.pending = deque()  # (revision, ns): applies once the revision is held
 
     def observe_commit(self, after, commit, age, revision):
-        """Records a statement of another process about the newest commit.
+        """Records another process's statement about the newest commit.
 
-        The statement may have been delayed on its way. So its age counts from a time of our own clock that
-        the sender echoed: the age is never too small, and no two clocks are compared.
+        The statement may have been delayed in transit. Its age is therefore counted from a stamp of the local
+        clock that the sender echoed: the result is never too low, and no clocks are compared.
 
         Args:
-            after: ns of our clock; the statement was made after it.
-            commit: for `age`, the sender knew of nothing newer than this revision.
+            after: ns of the local clock; the statement was made later than that.
+            commit: `age` before the statement, nothing newer than this revision was committed.
             age: ns; AGE_UNKNOWN is ignored.
-            revision: that we hold.
+            revision: the revision held locally.
         """
         if age >= AGE_UNKNOWN:
             return
@@ -42,16 +42,16 @@
             self.pending.append((commit, known_at))
 
     def revision_reached(self, revision):
-        """Everything up to `revision` is held now."""
+        """Records that everything up to `revision` is held."""
         while self.pending and self.pending[0][0] <= revision:
             self._raise_known_at(self.pending.popleft()[1])
 
     def age(self, now):
-        """Age at `now` in ns, or None while nothing is known."""
+        """Age at `now` in ns, or None while it is unknown."""
         return None if self.known_at is None else max(0, now - self.known_at)
 
     def advertised_age(self, now):
-        """Age as it is sent to others, ns: AGE_UNKNOWN while nothing is known."""
+        """Age as sent in messages, ns: AGE_UNKNOWN while it is unknown."""
         age = self.age(now)
         return AGE_UNKNOWN if age is None else min(age, AGE_UNKNOWN)
 
--- a/embertray/cluster/replication/instructions.py
+++ b/embertray/cluster/replication/instructions.py
@@ -1,4 +1,4 @@
-"""What the state machines ask the process around them to do. They do no I/O themselves."""
+"""Instructions that the state machines, which do no I/O, return to the process that runs them."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -17,12 +17,12 @@
 
 @dataclass
 class ReplicaInstructions:
-    """What a replica wants done, in this order.
+    """Instructions of a replica, to be executed in the order of the fields.
 
     Attributes:
-        state: to be saved before anything is sent; None if nothing durable has changed.
-        messages: to be sent to other replicas.
-        committed: entries that were committed here, by rising revision.
+        state: durable state to save before anything is sent; None if it has not changed.
+        messages: messages to send to other replicas.
+        committed: entries that became committed at this replica, in ascending revision order.
     """
 
     state: ReplicaState | None = None
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class SubscriberMessage:
-    """Send the encoded message `data` to the subscriber of that name."""
+    """Send the encoded message `data` to the named subscriber."""
 
     subscriber: str
     data: bytes
@@ -63,11 +63,11 @@
 
 
 class FeedInstructions(NamedTuple):
-    """What a replica's feed wants done.
+    """Instructions of a replica's feed.
 
     Attributes:
         messages: SubscriberMessages to send, in order.
-        silent: names of subscribers that were dropped; their connections are to be closed.
+        silent: names of dropped subscribers, whose connections have to be closed.
     """
 
     messages: list[SubscriberMessage]
--- a/embertray/cluster/replication/leader.py
+++ b/embertray/cluster/replication/leader.py
@@ -1,7 +1,7 @@
-"""What a leader does: accepts writes, replicates them in rounds, and commits what a majority has on disk.
+"""The leader's part: accepts writes, replicates them in rounds, and commits what a majority has on disk.
 
-A leader is confirmed by the newest round that a majority answered. Without one for the shortest
-election timeout it accepts no write, and after the longest election timeout it steps down.
+A round that a majority answers confirms the leader. If the last such round was sent longer ago than the
+minimum election timeout, the leader accepts no writes; after the maximum election timeout it steps down.
 """
 
 from dataclasses import dataclass
@@ -14,17 +14,17 @@
 
 @dataclass
 class FollowerProgress:
-    """What a leader knows of one other replica.
+    """Replication state of one other replica, as known to the leader.
 
     Attributes:
-        next_revision: the first entry that it is to be sent.
-        match_revision: it has everything up to this revision on disk.
-        sent_revision: the newest revision that was sent to it, confirmed or not.
-        acknowledged_round: the newest round that it answered.
-        nonce: of its recovery; 0 if its answers count.
+        next_revision: revision of the next entry to send.
+        match_revision: the replica has everything up to this revision on disk.
+        sent_revision: the newest revision that was sent, confirmed or not.
+        acknowledged_round: the newest round that the replica answered.
+        nonce: nonce of its recovery; 0 if it is not recovering and its answers count.
         nonce_received_at: ns when that nonce was first received.
-        admitted: whether it was notified that its recovery is over.
-        stamp: the newest time of its own clock that it sent, ns.
+        admitted: whether an Append that ends its recovery was sent.
+        stamp: the newest stamp received from it, ns of its clock.
     """
 
     next_revision: int
@@ -38,7 +38,7 @@
 
 
 class LeaderRole(ReplicaCore):
-    """Replication as seen by the leader."""
+    """Replication from the leader's side."""
 
     def __init__(self, cluster, name, names, now, *args, **kwargs):
         super().__init__(cluster, name, names, now, *args, **kwargs)
@@ -46,14 +46,14 @@
         self.round = 0  # number of the newest round of this term
         self.round_started_at = {}  # round -> ns, for rounds that no majority has answered yet
         self.quorum_confirmed_at = now  # ns when the newest round that a majority answered was sent
-        self.reports = {}  # name -> the last Appended of that replica
+        self.reports = {}  # name -> the last Appended received from that replica
 
     def has_majority(self, now):
-        """Whether this replica leads and a majority has confirmed that lately."""
+        """Whether this replica leads and a majority has confirmed that within the quorum timeout."""
         return self.role is Role.LEADER and now - self.quorum_confirmed_at <= self.timing.quorum_timeout
 
     def _become_leader(self, now):
-        """Starts the term with an empty entry: only an entry of its own term lets a leader commit."""
+        """Starts the term with an empty entry: a leader can commit only through an entry of its own term."""
         self.role = Role.LEADER
         self.leader = self.name
         self.followers = {other: FollowerProgress(self.last_revision + 1) for other in self.others}
@@ -63,7 +63,7 @@
         self._propose(now, Entry("", self.last_revision + 1, self.term, "", None))
 
     def _advance_leader(self, now):
-        """Sends the next heartbeat, or steps down when no majority answers any more."""
+        """Sends a heartbeat if one is due, or steps down if no majority answers."""
         if now - self.quorum_confirmed_at > self.timing.election_timeout_max:
             self._step_down(self.term)
             self.leader = ""
@@ -80,7 +80,7 @@
     # ---- sending
 
     def _broadcast(self, now, resend=False):
-        """Starts a round: all get new entries, or a heartbeat; with `resend` what is unconfirmed, too."""
+        """Starts a round: sends new entries or a heartbeat to all; with `resend` also unconfirmed entries."""
         self.heartbeat_at = now + self.timing.heartbeat_interval
         self.round += 1
         self.round_started_at[self.round] = now
@@ -90,7 +90,7 @@
             self._replicate_to(now, other, resend)
 
     def _replicate_to(self, now, other, resend):
-        """Sends entries after what the follower has, or the committed state if the log no longer has them."""
+        """Sends the entries that the follower lacks, or committed state if they are no longer in the log."""
         progress = self.followers[other]
         previous = progress.next_revision - 1
         if not resend:
@@ -122,9 +122,9 @@
         )
 
     def _append_message(self, now, progress, previous):
-        # A recovering replica is readmitted once a majority has confirmed us after its nonce arrived. Its own
-        # answers do not count while it recovers, so that majority does without it, and no vote that its
-        # former process gave can elect a leader that lacks what was committed.
+        # A recovering replica is readmitted once a majority has confirmed the leader after its nonce arrived.
+        # Its own answers do not count while it recovers, so that majority does not include it, and no vote of
+        # its previous process can elect a leader that lacks a committed entry.
         readmit = progress.nonce and self.quorum_confirmed_at > progress.nonce_received_at
         admitted = progress.nonce if readmit else 0
         progress.admitted = progress.admitted or bool(admitted)
@@ -152,7 +152,7 @@
         if self.role is not Role.LEADER or progress is None or message.term != self.term:
             return
         if progress.nonce and not message.nonce and not progress.admitted:
-            return  # sent by its former process, before it lost its state
+            return  # sent by its previous process, before it lost its state
         self.reports[message.sender] = message
         self._update_progress(now, progress, message)
         self._confirm_leadership()
@@ -164,7 +164,7 @@
     def _update_progress(self, now, progress, message):
         progress.stamp = max(progress.stamp, message.stamp)
         if message.nonce and message.nonce != progress.nonce:
-            # it lost its state: what it confirmed before no longer counts
+            # the replica lost its state: its earlier confirmations no longer count
             progress.nonce_received_at = now
             progress.match_revision = 0
             progress.acknowledged_round = 0
@@ -181,7 +181,7 @@
             progress.match_revision = max(progress.match_revision, message.last_revision)
 
     def _confirm_leadership(self):
-        """When the newest round that a majority answered was sent, this replica led for certain."""
+        """Records the start of the newest round that a majority answered: at that time this replica led."""
         acknowledged = [progress.acknowledged_round for progress in self.followers.values()]
         confirmed = sorted([self.round, *acknowledged], reverse=True)[self.majority - 1]
         if confirmed in self.round_started_at:
@@ -190,9 +190,9 @@
                 del self.round_started_at[outdated]
 
     def _commit_on_majority(self, now):
-        """Commits what a majority has, once that includes an entry of our own term.
+        """Commits what a majority has on disk, if that includes an entry of the current term.
 
-        An entry of an older term must not be committed by counting replicas: a later leader could still
+        An entry of an older term must not be committed by counting replicas, as a later leader could still
         replace it (Raft, section 5.4.2).
 
         Returns:
--- a/embertray/cluster/replication/link/__init__.py
+++ b/embertray/cluster/replication/link/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets and files around the state machines: a replica's server and a subscriber's client."""
+"""Network and disk I/O for the state machines: the replica's server and the subscriber's client."""
 
 from embertray.cluster.replication.exceptions import OutcomeUnknownError
 
--- a/embertray/cluster/replication/link/client_writes.py
+++ b/embertray/cluster/replication/link/client_writes.py
@@ -1,4 +1,4 @@
-"""Writes of clients at one replica: checked, proposed in the replica's loop, and awaited."""
+"""Client writes at one replica: validated, proposed in the replica's loop, and awaited."""
 
 from functools import partial
 
@@ -7,18 +7,16 @@
 
 from .pending_writes import PendingWrite, PendingWrites, check_write
 
-WRITE_TIMEOUT_S = (
-    5.0  # that a client waits for a majority: most elections and a round; then its outcome is unknown
-)
+WRITE_TIMEOUT_S = 5.0  # covers most elections and a round; after it the outcome of the write is unknown
 
 
 class ClientWrites:
-    """Puts, removals and rollbacks. Only the leader accepts them; the others reject with NotLeaderError.
+    """Puts, removals and rollbacks. Only the leader accepts them; other replicas raise NotLeaderError.
 
     Args:
         replica: the Replica.
         events: the EventQueue of the replica's loop.
-        max_value_bytes: size of the largest value that is accepted.
+        max_value_bytes: largest accepted value, bytes.
     """
 
     def __init__(self, replica, events, max_value_bytes):
@@ -33,7 +31,7 @@
         return await self._write(request, partial(self._put, key, value, expected), timeout)
 
     async def rollback(self, key, version, request, timeout):
-        """Writes a former value again. See ReplicaServer.rollback."""
+        """Writes an earlier value again. See ReplicaServer.rollback."""
         check_write(key, None, request, self.max_value_bytes)
         return await self._write(request, partial(self._rollback, key, version), timeout)
 
@@ -59,11 +57,12 @@
     def _value_at(self, key, version, write):
         """The value that the key had at a revision; None for a removal.
 
-        Only the leader rejects a version that it does not keep: a follower may lack versions that the leader
-        has, and is to name the leader instead. A repeated call writes nothing, so its version may be gone.
+        Only the leader rejects a version that is not kept: a follower may lack versions that the leader has,
+        and has to reject the write with the leader's name instead. A repeated call writes nothing, so its
+        version need not exist any more.
         """
         entry = self.replica.store.entry_at(key, version)
         repeated = write.request in self.replica.store.requests
         if entry is None and self.replica.role is Role.LEADER and not repeated:
-            raise VersionNotKeptError(f"{key} is not kept at version {version}")
+            raise VersionNotKeptError(f"version {version} of {key} is not kept")
         return entry.value if entry is not None else None
--- a/embertray/cluster/replication/link/connection.py
+++ b/embertray/cluster/replication/link/connection.py
@@ -1,4 +1,4 @@
-"""Frames over one byte stream: reading with a size limit, writing through a bounded queue."""
+"""Framed messages over a byte stream: reads with a size limit, writes through a bounded queue."""
 
 from collections import deque
 from enum import Enum
@@ -9,35 +9,34 @@
 from embertray.common.framing import encode_frame
 
 CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
-SEND_TIMEOUT_S = 10  # for one message; a peer that takes nothing for so long is gone
-READ_CHUNK_BYTES = 64 << 10  # read at once
+SEND_TIMEOUT_S = 10  # per message; a peer that accepts no data for this long is considered gone
+READ_CHUNK_BYTES = 64 << 10
 
-# bytes of the largest frame that is accepted
-MAX_REPLICA_FRAME_BYTES = (
-    12 << 20
-)  # a whole state (replica_core.MAX_STATE_BYTES, 8 MiB) may travel, with framing
-MAX_FRAME_FROM_SUBSCRIBER_BYTES = 64 << 10  # a Repair with all its digests takes 640
-MAX_FRAME_TO_SUBSCRIBER_BYTES = 256 << 10  # an inventory of 256 keys of 256 bytes each takes 72 KiB
+# Largest frames that are accepted. Between replicas a frame may carry a whole state
+# (replica_core.MAX_STATE_BYTES, 8 MiB) with its framing.
+MAX_REPLICA_FRAME_BYTES = 12 << 20
+MAX_FRAME_FROM_SUBSCRIBER_BYTES = 64 << 10  # a Repair with all digests takes 640 bytes
+MAX_FRAME_TO_SUBSCRIBER_BYTES = 256 << 10  # an Inventory of 256 keys of 256 bytes each takes 72 KiB
 
 
 class Overflow(Enum):
-    """Which message a full queue drops."""
+    """The message that a full queue drops."""
 
     DROP_OLDEST = "oldest"
     DROP_NEWEST = "newest"
 
 
 class Traffic(msgspec.Struct):
-    """Totals over all connections of one process. The names are those of JSON and metrics.
+    """Totals over all connections of one process. The field names appear in JSON and metrics.
 
     Attributes:
-        bytes_in: received, frames included.
-        bytes_out: sent, frames included.
-        messages_in: received.
-        messages_out: sent.
-        dropped: messages that a full queue did not take, that had no connection, or whose connection ended
+        bytes_in: bytes received, including frame headers.
+        bytes_out: bytes sent, including frame headers.
+        messages_in: messages received.
+        messages_out: messages sent.
+        dropped: messages dropped because a queue was full, there was no connection, or the connection ended
             before they were written.
-        rejected: connections that were ended for what they sent, or for sending nothing.
+        rejected: connections closed because of what they sent, or because they sent nothing.
     """
 
     bytes_in: int = 0
@@ -49,16 +48,16 @@
 
 
 class Connection:
-    """One stream. `put` never waits, so that a slow peer delays nobody else.
+    """A message connection over one stream. `put` never blocks, so that a slow peer does not delay others.
 
     Args:
-        stream: the byte stream; whoever opened it closes it.
+        stream: the byte stream; the code that opened it has to close it.
         traffic: the Traffic to count in.
-        max_queued: messages that may wait, beside the one being written.
+        max_queued: maximum number of queued messages, not counting the one being written.
         overflow: an Overflow.
 
     Attributes:
-        scope: cancelled by `close`; the connection's tasks run in it.
+        scope: cancel scope in which the connection's tasks run; `close` cancels it.
         name: the peer's name, "" until it is known.
     """
 
@@ -76,7 +75,7 @@
         """Queues an encoded message.
 
         Returns:
-            False if it was dropped, or another one for it.
+            False if the queue was full, and this or another message was dropped.
         """
         fits = len(self.queue) < self.max_queued
         if not fits:
@@ -89,7 +88,7 @@
         return fits
 
     def close(self):
-        """Ends what runs in the connection's scope; whoever runs it closes the stream."""
+        """Cancels the connection's tasks; the code that runs them closes the stream."""
         self.scope.cancel()
 
     async def write(self):
@@ -117,11 +116,11 @@
             decoder: a FrameDecoder with the size limit of this connection.
 
         Returns:
-            At least one message, not yet decoded.
+            One or more encoded messages.
 
         Raises:
             FrameError: what came is no frame, or too large.
-            OSError: or another of CONNECTION_ERRORS; the stream broke.
+            OSError: or another of CONNECTION_ERRORS: the stream is broken.
         """
         while True:
             data = await self.stream.receive(READ_CHUNK_BYTES)
--- a/embertray/cluster/replication/link/durable_state.py
+++ b/embertray/cluster/replication/link/durable_state.py
@@ -1,4 +1,4 @@
-"""What replicas and subscribers keep on disk, as snapshots of embertray/common/snapshots."""
+"""Saved states of replicas and subscribers, stored as snapshots (embertray/common/snapshots)."""
 
 import msgspec
 
@@ -9,13 +9,13 @@
 
 
 class SubscriberState(msgspec.Struct, array_like=True):
-    """What a subscriber held, in the order of its fields on disk.
+    """A subscriber's saved state. The order of the fields is the format on disk.
 
     Attributes:
-        cluster: that it belongs to.
+        cluster: name of the subscriber's cluster.
         revision: everything up to it is included.
-        saved_at: wall-clock ns.
-        known_at: wall-clock ns; since then this was certainly the newest. None if that was not known.
+        saved_at: time of the save, ns of the wall clock.
+        known_at: ns of the wall clock at which this was certainly the newest state; None if not known.
         entries: the newest entry of each key.
     """
 
@@ -27,10 +27,10 @@
 
 
 class StateStore:
-    """A folder with the newest states of one type.
+    """A folder that holds the newest saved states of one type.
 
     Args:
-        folder: path; one process at a time uses it.
+        folder: path; only one process at a time may use it.
         kind: type of the states.
         disk: as in embertray/common/snapshots; None for the real one.
     """
@@ -40,30 +40,30 @@
         self._decoder = msgspec.msgpack.Decoder(kind)
 
     def open(self):
-        """Takes the folder for this process. Raises FolderLockedError, OSError."""
+        """Locks the folder for this process. Raises FolderLockedError, OSError."""
         self.store.lock()
 
     def close(self):
-        """Releases the folder."""
+        """Unlocks the folder."""
         self.store.unlock()
 
     def load(self):
-        """Reads the newest state that can be read.
+        """Loads the newest readable state.
 
         Returns:
-            (the state or None, [(file name, reason)] of newer files that can't be read).
+            (the state or None, [(file name, reason)] of newer files that cannot be read).
         """
         return self.store.load(self._decode)
 
     def save(self, state):
-        """Writes a state; it is durable on return. Blocks. Raises OSError."""
+        """Saves a state durably. Blocks until it is on disk. Raises OSError."""
         self.store.save(msgspec.msgpack.encode(state))
 
     def _decode(self, body):
         try:
             return self._decoder.decode(body)
         except msgspec.DecodeError as error:
-            raise MalformedStateError(f"its content can't be read: {error}") from None
+            raise MalformedStateError(f"content cannot be decoded: {error}") from None
 
 
 def replica_state_store(folder, disk=None):
@@ -77,25 +77,23 @@
 
 
 def open_and_load(state_store, log):
-    """Opens a StateStore and reads it; files that can't be read are logged.
+    """Opens a StateStore and loads its state; unreadable files are logged.
 
     Args:
-        state_store: a StateStore, or None if nothing is kept.
+        state_store: a StateStore, or None if no state is kept.
         log: a structlog logger.
 
     Returns:
-        (the state or None, whether it is the newest that was ever saved).
+        (the state or None, whether it is the newest state that was saved).
 
     Raises:
         FolderLockedError: another process uses the folder.
-        OSError: the folder can't be used.
+        OSError: the folder cannot be used.
     """
     if state_store is None:
         return None, True
     state_store.open()
     state, unreadable = state_store.load()
     for file_name, reason in unreadable:
-        log.error(
-            "saved state unreadable, an older one is used if there is one", file=file_name, reason=reason
-        )
+        log.error("saved state unreadable, falling back to an older one", file=file_name, reason=reason)
     return state, not unreadable
--- a/embertray/cluster/replication/link/entry_log.py
+++ b/embertray/cluster/replication/link/entry_log.py
@@ -1,4 +1,4 @@
-"""Which entries a process committed or applied, in its log: one line an entry at the debug level."""
+"""Logging of committed and applied entries: one debug line per entry."""
 
 import logging
 
@@ -6,16 +6,16 @@
 
 
 def value_digest(value):
-    """Identifies a value in logs, as 16 hexadecimal digits; None for a removal."""
+    """Digest that identifies a value in logs, as 16 hexadecimal digits; None for a removal."""
     return None if value is None else xxhash.xxh64_hexdigest(value)
 
 
 def log_entries(log, event, entries):
-    """Logs one line for each entry; nothing is computed if the debug level is off.
+    """Logs one line per entry; computes nothing if the debug level is disabled.
 
     Args:
         log: a structlog logger.
-        event: what happened to the entries.
+        event: name of the log event.
         entries: Entry objects.
     """
     if not log.is_enabled_for(logging.DEBUG):
--- a/embertray/cluster/replication/link/event_queue.py
+++ b/embertray/cluster/replication/link/event_queue.py
@@ -1,4 +1,4 @@
-"""Events for a replica's loop: whatever changes its state runs there, one after the other."""
+"""Queue of actions for a replica's loop, which serializes all changes to the replica's state."""
 
 from collections import deque
 from functools import partial
@@ -10,7 +10,7 @@
 
 
 class EventQueue:
-    """Actions that wait to be called in the loop.
+    """Queue of callables that the loop runs in order.
 
     Args:
         clock: the process's clock.
@@ -22,12 +22,12 @@
         self._submitted = anyio.Event()
 
     def submit(self, action):
-        """Has action(now=ns) called in the next turn of the loop."""
+        """Queues action(now=ns) for the next iteration of the loop."""
         self._actions.append(action)
         self._submitted.set()
 
     async def submit_and_wait(self, action):
-        """The same, but returns once it was called: so a sender has one batch in the queue at most."""
+        """Queues an action and waits until it has run, so that a sender has at most one batch queued."""
         done = anyio.Event()
         self.submit(partial(self._call, action, done))
         await done.wait()
@@ -38,7 +38,7 @@
         done.set()
 
     def run_all(self):
-        """Calls all actions that wait, in order."""
+        """Runs all queued actions in order."""
         self._submitted = anyio.Event()
         actions = self._actions
         self._actions = deque()
@@ -46,7 +46,7 @@
             action(now=self.clock.now())
 
     async def wait_until(self, due):
-        """Returns when an action is submitted, or at `due`, ns; other tasks run in any case."""
+        """Waits until an action is submitted or until `due` (ns); always lets other tasks run."""
         remaining = due - self.clock.now()
         if self._actions or remaining <= 0:
             await anyio.lowlevel.checkpoint()
--- a/embertray/cluster/replication/link/inbound_connections.py
+++ b/embertray/cluster/replication/link/inbound_connections.py
@@ -1,7 +1,8 @@
-"""Connections that others open to a replica: who they are, and what they send, until they end.
+"""Connections accepted by a replica: identification of the peer and delivery of its messages.
 
-A peer that sends garbage, belongs to another cluster, or sends nothing at first loses its own connection and
-costs nobody else anything: a connection may have one batch of messages in the replica's inbox, no more.
+A peer that sends malformed data, belongs to another cluster, or does not identify itself in time only loses
+its own connection. A connection has at most one batch of messages in the replica's event queue, so that no
+peer can delay the others.
 """
 
 import anyio
@@ -11,23 +12,23 @@
 
 from .connection import CONNECTION_ERRORS, Connection, Overflow
 
-IDENTIFY_TIMEOUT_S = 2  # until a connection's first message
-MAX_UNIDENTIFIED = 256  # connections that have not said who they are; a further one ends the oldest
-MAX_QUEUED_MESSAGES = 2  # messages that wait for a peer that reads slowly: an update and a heartbeat
+IDENTIFY_TIMEOUT_S = 2  # for the first message of a connection
+MAX_UNIDENTIFIED = 256  # connections without a first message; a further one closes the oldest
+MAX_QUEUED_MESSAGES = 2  # for a peer that reads slowly: an update and a heartbeat
 
 
 class InboundConnections:
-    """Serves the streams of one listener. Subclasses say who is served, and what becomes of messages.
+    """Serves the streams of one listener. Subclasses identify peers and handle their messages.
 
     Args:
         decode: decode(data) returns a message, or raises MalformedMessageError.
-        max_frame: bytes of the largest frame that is accepted.
+        max_frame: largest accepted frame, bytes.
         traffic: the Traffic to count in.
         log: a structlog logger.
 
     Attributes:
-        by_name: name -> its Connection.
-        unidentified: connections whose first message has not come, oldest first.
+        by_name: name of a peer -> its Connection.
+        unidentified: connections without a first message, oldest first.
     """
 
     def __init__(self, decode, max_frame, traffic, log):
@@ -39,18 +40,18 @@
         self.unidentified = {}
 
     def identify(self, message):
-        """Returns the name of the first message's sender. Raises ConnectionRejectedError."""
+        """Returns the name of the sender of a first message. Raises ConnectionRejectedError."""
         raise NotImplementedError
 
     async def deliver(self, name, connection, messages):
-        """Returns once the messages are handled: the next ones are read then."""
+        """Handles messages; the next ones are read once it returns."""
         raise NotImplementedError
 
     def on_disconnected(self, name):
-        """The last connection of a name has ended."""
+        """Called when the current connection of a peer has ended."""
 
     async def serve(self, stream):
-        """Serves one connection until it ends."""
+        """Serves a connection until it ends."""
         connection = Connection(stream, self.traffic, MAX_QUEUED_MESSAGES, Overflow.DROP_NEWEST)
         self._admit(connection)
         try:
@@ -70,12 +71,15 @@
             self._remove(connection)
 
     def close(self, name):
-        """Ends the connection of a name, if there is one."""
+        """Closes the connection of a peer, if there is one."""
         if name in self.by_name:
             self.by_name[name].close()
 
     def _admit(self, connection):
-        """Makes room for a new connection, so that idle ones can't keep others out."""
+        """Registers a new connection; closes the oldest unidentified one if there are too many.
+
+        Otherwise idle connections could keep others out.
+        """
         if len(self.unidentified) >= MAX_UNIDENTIFIED:
             self.traffic.rejected += 1
             oldest = next(iter(self.unidentified))
@@ -88,7 +92,7 @@
         messages = await self._read_first(connection, decoder)
         name = self.identify(messages[0])
         del self.unidentified[connection]
-        self.close(name)  # an older connection: the process behind it has restarted
+        self.close(name)  # an older connection, left over from before the peer reconnected or restarted
         self.by_name[name] = connection
         connection.name = name
         while True:
@@ -98,7 +102,7 @@
     async def _read_first(self, connection, decoder):
         with anyio.move_on_after(IDENTIFY_TIMEOUT_S):
             return [self.decode(data) for data in await connection.read(decoder)]
-        raise ConnectionRejectedError(f"it said nothing for {IDENTIFY_TIMEOUT_S} s")
+        raise ConnectionRejectedError(f"no message received within {IDENTIFY_TIMEOUT_S} s")
 
     def _remove(self, connection):
         if self.by_name.get(connection.name) is connection:
--- a/embertray/cluster/replication/link/inbound_peers.py
+++ b/embertray/cluster/replication/link/inbound_peers.py
@@ -10,7 +10,7 @@
 
 
 class InboundPeers(InboundConnections):
-    """Hands the messages of other replicas to this one.
+    """Delivers the messages of other replicas to this one.
 
     Args:
         replica: the Replica.
@@ -29,15 +29,15 @@
         self.last_received_at = {}
 
     def identify(self, message):
-        """The sender's name. Raises ConnectionRejectedError for strangers."""
+        """Returns the sender's name. Raises ConnectionRejectedError for unknown replicas and clusters."""
         if message.cluster != self.replica.cluster:
-            raise ConnectionRejectedError(f"it is of cluster {message.cluster}")
+            raise ConnectionRejectedError(f"peer belongs to cluster {message.cluster}")
         if message.sender not in self.replica.others:
-            raise ConnectionRejectedError(f"{message.sender} is no other replica")
+            raise ConnectionRejectedError(f"{message.sender} is not another replica of this cluster")
         return message.sender
 
     async def deliver(self, name, connection, messages):
-        """Returns once the replica has handled the messages."""
+        """Passes messages to the replica; returns once it has handled them."""
         await self.events.submit_and_wait(partial(self._receive, name, messages))
 
     def _receive(self, name, messages, now):
--- a/embertray/cluster/replication/link/inbound_subscribers.py
+++ b/embertray/cluster/replication/link/inbound_subscribers.py
@@ -11,7 +11,7 @@
 
 
 class InboundSubscribers(InboundConnections):
-    """Hands the messages of subscribers to the replica's feed.
+    """Delivers the messages of subscribers to the replica's feed.
 
     Args:
         feed: the SubscriberFeed.
@@ -26,22 +26,22 @@
         self.events = events
 
     def identify(self, message):
-        """The subscriber's name. Raises ConnectionRejectedError if it does not subscribe."""
+        """Returns the subscriber's name. Raises ConnectionRejectedError unless it subscribes."""
         if not isinstance(message, Subscribe):
-            raise ConnectionRejectedError("it has to subscribe first")
+            raise ConnectionRejectedError("the first message must be a Subscribe")
         return message.subscriber
 
     async def deliver(self, name, connection, messages):
-        """Returns once the feed has handled the messages."""
+        """Passes messages to the feed; returns once it has handled them."""
         await self.events.submit_and_wait(partial(self._receive, name, connection, messages))
 
     def on_disconnected(self, name):
-        """Ends the subscription, unless the subscriber has connected anew."""
+        """Ends the subscription, unless the subscriber has reconnected."""
         self.events.submit(partial(self._drop_subscription, name))
 
     def _receive(self, name, connection, messages, now):
         if self.by_name.get(name) is not connection:
-            return  # a newer connection of that name has replaced it
+            return  # replaced by a newer connection of the same subscriber
         try:
             for message in messages:
                 self.feed.receive(now, name, message)
--- a/embertray/cluster/replication/link/peer_link.py
+++ b/embertray/cluster/replication/link/peer_link.py
@@ -1,4 +1,4 @@
-"""The outgoing connection to one other replica: it only sends. The other has a connection of its own."""
+"""The outbound connection to another replica. It only sends; the other replica opens its own in return."""
 
 import anyio
 
@@ -8,20 +8,18 @@
 
 NS_PER_S = 10**9
 CONNECT_TIMEOUT_S = 1
-INITIAL_RETRY_DELAY_S = 0.05  # pause between two attempts, doubled each time
-MAX_RETRY_DELAY_S = 1.0  # less than an election takes
-MAX_QUEUED_MESSAGES = 16  # messages; the newest are kept, as the replica repeats what matters
-PEER_SILENCE_TIMEOUT_NS = (
-    5 * NS_PER_S
-)  # without a message of the other replica; the connection is then renewed
+INITIAL_RETRY_DELAY_S = 0.05  # pause between connection attempts, doubled each time
+MAX_RETRY_DELAY_S = 1.0  # shorter than an election
+MAX_QUEUED_MESSAGES = 16  # the newest are kept, as the replica sends again what still matters
+PEER_SILENCE_TIMEOUT_NS = 5 * NS_PER_S  # without a message from the peer; then the connection is renewed
 
 
 class PeerLink:
-    """Connects to the other replica, again and again.
+    """Keeps a connection to the other replica open.
 
     Args:
-        address: returns where the other replica listens.
-        last_received_at: returns the ns when it was last heard.
+        address: callable that returns the address of the other replica.
+        last_received_at: callable that returns the time of its last message, ns.
         net: opens connections.
         clock: the process's clock.
         rng: a random.Random.
@@ -43,15 +41,15 @@
         if self.connection is None:
             self.traffic.dropped += 1
             return
-        # A peer that stopped, or a link that passes one way, leaves the stream full of outdated messages and
-        # nothing breaks it. Renewed, the connection starts with the newest ones.
+        # If the peer hangs or the link works in one direction only, the stream fills with outdated messages
+        # without ever breaking. A new connection starts with the newest messages.
         now = self.clock.now()
         if now - max(self.last_received_at(), self.connected_at) > PEER_SILENCE_TIMEOUT_NS:
             self.connection.close()
         self.connection.put(data)
 
     async def run(self):
-        """Connects, and connects again, until cancelled."""
+        """Connects, and reconnects with backoff, until cancelled."""
         pause = INITIAL_RETRY_DELAY_S
         while True:
             try:
@@ -70,7 +68,7 @@
         await anyio.sleep(seconds * (0.5 + self.rng.random()))
 
     async def _send_until_closed(self, stream):
-        """Sends what is put, until the connection ends."""
+        """Sends queued messages until the connection ends."""
         self.connection = Connection(stream, self.traffic, MAX_QUEUED_MESSAGES, Overflow.DROP_OLDEST)
         self.connected_at = self.clock.now()
         try:
@@ -85,6 +83,6 @@
 
     @staticmethod
     async def _wait_for_close(stream):
-        """The other replica sends nothing on this connection: what comes is its end."""
+        """Waits for the end of the connection, on which the other replica sends nothing."""
         await stream.receive()
         raise anyio.BrokenResourceError
--- a/embertray/cluster/replication/link/pending_writes.py
+++ b/embertray/cluster/replication/link/pending_writes.py
@@ -1,4 +1,4 @@
-"""Client writes that wait for a majority, and what is rejected before it reaches the replica."""
+"""Client writes that wait for a majority, and validation of their arguments."""
 
 from dataclasses import dataclass, field
 
@@ -21,31 +21,31 @@
     Args:
         key: name of the key.
         value: bytes, None for a removal.
-        request: id of the client's call.
-        max_value_bytes: size of the largest value that is accepted.
+        request: request id of the client's call.
+        max_value_bytes: largest accepted value, bytes.
 
     Raises:
         BadKeyError: the key is empty or too long.
         BadRequestError: the request id is empty or too long.
-        TooLargeError: the value is.
+        TooLargeError: the value is too large.
     """
     if not key or len(key.encode()) > MAX_KEY_BYTES:
-        raise BadKeyError(f"a key has 1 to {MAX_KEY_BYTES} bytes")
+        raise BadKeyError(f"the key must have 1 to {MAX_KEY_BYTES} bytes")
     if not request or len(request.encode()) > MAX_REQUEST_ID_BYTES:
-        raise BadRequestError(f"a request id has 1 to {MAX_REQUEST_ID_BYTES} bytes")
+        raise BadRequestError(f"the request id must have 1 to {MAX_REQUEST_ID_BYTES} bytes")
     if value is not None and len(value) > max_value_bytes:
-        raise TooLargeError(f"{len(value)} bytes, {max_value_bytes} at most")
+        raise TooLargeError(f"the value has {len(value)} bytes, the limit is {max_value_bytes}")
 
 
 @dataclass
 class PendingWrite:
-    """One client call.
+    """A client call that waits for its outcome.
 
     Attributes:
-        request: its id.
+        request: request id of the call.
         done: set once the outcome is known.
-        revision: of its write, once it is proposed.
-        error: why it failed, once it has.
+        revision: revision of the write; None until it is proposed.
+        error: the exception to raise if the write failed; else None.
     """
 
     request: str
@@ -54,11 +54,11 @@
     error: Exception | None = None
 
     def succeed(self):
-        """The write at `revision` is committed."""
+        """Reports that the write was committed at `revision`."""
         self.done.set()
 
     def fail(self, error):
-        """The write was rejected, or its outcome can't be known here."""
+        """Reports that the write was rejected, or that its outcome cannot be determined here."""
         self.error = error
         self.done.set()
 
@@ -72,20 +72,20 @@
             The revision of the committed write.
 
         Raises:
-            WriteRejectedError: it has no effect.
+            WriteRejectedError: the write has no effect.
             OutcomeUnknownError: no majority confirmed it in time, or another leader took over.
         """
         with anyio.move_on_after(timeout):
             await self.done.wait()
         if not self.done.is_set():
-            raise OutcomeUnknownError(f"no majority confirmed it within {timeout} s")
+            raise OutcomeUnknownError(f"no majority confirmed the write within {timeout} s")
         if self.error is not None:
             raise self.error
         return self.revision
 
 
 class PendingWrites:
-    """All calls whose write was proposed and is not yet known to be committed."""
+    """The calls whose write was proposed but is not known to be committed."""
 
     def __init__(self):
         self._writes = []
@@ -94,14 +94,14 @@
         return len(self._writes)
 
     def add(self, write):
-        """Takes a PendingWrite whose revision is known."""
+        """Adds a PendingWrite that was proposed."""
         self._writes.append(write)
 
     def resolve(self, store):
-        """Answers the calls whose revision the VersionedStore has reached.
+        """Completes the calls whose revision the VersionedStore has reached.
 
-        The revision may hold another leader's entry: then the write was overwritten before it was committed.
-        It is not rejected, as it may have been proposed again under its request id.
+        If another leader's entry has that revision, the write was replaced before it was committed. It does
+        not count as rejected, as it may have been proposed again with its request id.
         """
         waiting = []
         for write in self._writes:
@@ -112,11 +112,11 @@
             elif store.requests.get(write.request) == write.revision:
                 write.succeed()
             else:
-                write.fail(OutcomeUnknownError("another leader's write took its place"))
+                write.fail(OutcomeUnknownError("another leader's write replaced it"))
         self._writes = waiting
 
     def fail_all(self, reason):
-        """No outcome will be known here any more."""
+        """Fails all pending calls, as their outcome can no longer be determined here."""
         for write in self._writes:
             write.fail(OutcomeUnknownError(reason))
         self._writes = []
--- a/embertray/cluster/replication/link/replica_loop.py
+++ b/embertray/cluster/replication/link/replica_loop.py
@@ -1,4 +1,4 @@
-"""A replica's loop: takes events one after the other, and carries instructions out in a fixed order."""
+"""A replica's main loop: handles events one at a time and executes instructions in a fixed order."""
 
 import anyio
 
@@ -7,7 +7,7 @@
 
 from .entry_log import log_entries
 
-FEED_INTERVAL_NS = 20 * 10**6  # what several subscribers send within it is answered at once
+FEED_INTERVAL_NS = 20 * 10**6  # minimum time between two passes over the subscribers, to batch their messages
 
 
 class ReplicaLoop:
@@ -17,17 +17,17 @@
         replica: the Replica.
         feed: the SubscriberFeed.
         clock: the process's clock.
-        events: the EventQueue that feeds the loop.
+        events: the EventQueue whose actions the loop runs.
         state_store: a StateStore of ReplicaState, or None to keep nothing.
-        links: name -> PeerLink of each other replica.
+        links: name of each other replica -> its PeerLink.
         subscribers: the InboundSubscribers.
-        pending: the PendingWrites to answer.
-        stop: called when the state can't be saved; `failure` then says why.
+        pending: the PendingWrites to complete.
+        stop: called if the state cannot be saved; `failure` then holds the error.
         log: a structlog logger.
 
     Attributes:
-        saves: states saved.
-        steps: turns of the loop.
+        saves: number of saved states.
+        steps: number of iterations of the loop.
         failure: a StateNotSavedError, or None.
     """
 
@@ -61,10 +61,11 @@
             await self.events.wait_until(min(self.replica.next_at(), self.feed_at))
 
     async def _execute_instructions(self):
-        """Saves, then sends, then answers clients.
+        """Saves the state, then sends messages, then completes client calls.
 
-        Sent before it is saved, a vote or acknowledgement could be undone by a crash: two leaders in a term,
-        or a lost write. Answered before, a client would rely on a write that is not on a majority's disks.
+        A vote or an acknowledgement sent before it is saved could be undone by a crash, which could elect two
+        leaders in one term or lose a committed write. A client notified earlier would rely on a write that a
+        majority does not have on disk.
         """
         self.steps += 1
         instructions = self.replica.poll()
@@ -84,10 +85,10 @@
         try:
             await anyio.to_thread.run_sync(self.state_store.save, state)
         except OSError as error:
-            self.log.error("state not saved, replica stops", reason=str(error))
+            self.log.error("state not saved, stopping the replica", reason=str(error))
             self.failure = StateNotSavedError(str(error))
             self.stop()
-            await anyio.sleep_forever()  # nothing is sent that depends on an unsaved state
+            await anyio.sleep_forever()  # until cancelled: nothing may be sent that depends on unsaved state
         self.saves += 1
         last = state.uncommitted[-1].revision if state.uncommitted else state.revision
         self.log.debug("saved", revision=last, committed=state.revision, term=state.term)
--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -1,6 +1,6 @@
-"""One replica's process: its sockets and its saved state around Replica and SubscriberFeed.
+"""A replica's server: connects Replica and SubscriberFeed with sockets and saved state.
 
-Nothing is decided here: events are handed to the state machines by the ReplicaLoop.
+The ReplicaLoop passes events to these state machines, which make all decisions.
 """
 
 from contextlib import asynccontextmanager
@@ -32,9 +32,9 @@
 
     Attributes:
         cluster: name of the cluster.
-        name: this replica.
-        peers: name -> address where each replica listens for the others, this one included.
-        listen: address where this one listens for subscribers.
+        name: name of this replica.
+        peers: name of each replica, including this one -> address where it listens for other replicas.
+        listen: address where this replica listens for subscribers.
     """
 
     cluster: str
@@ -50,10 +50,10 @@
         settings: a ReplicaSettings.
         clock: the process's clock.
         rng: a random.Random, seeded differently at each start.
-        net: listens and opens connections; None for TCP.
+        net: network used to listen and connect; None for TCP.
         replica_timing: a ReplicaTiming, None for the default.
         feed_settings: a FeedSettings, None for the default.
-        state_store: a StateStore of ReplicaState; None to keep nothing; it then recovers at every start.
+        state_store: a StateStore of ReplicaState; None to save nothing and recover at each start.
         log: a structlog logger, None for the default.
     """
 
@@ -78,7 +78,7 @@
         self.log = (log or structlog.get_logger()).bind(replica=settings.name)
         self.traffic = Traffic()
         self.stopping = anyio.Event()
-        # made by `run`
+        # created by `run`
         self.replica = None
         self.feed = None
         self.peers = None
@@ -90,11 +90,13 @@
     # ---- lifecycle
 
     async def run(self, *, task_status: TaskStatus = anyio.TASK_STATUS_IGNORED):
-        """Runs until `stop`; started with its two addresses, for replicas and for subscribers.
+        """Runs until `stop` is called.
+
+        Once it listens, it reports its two addresses, for replicas and for subscribers, to `task_status`.
 
         Raises:
-            FolderLockedError: another process uses the folder.
-            OSError: an address or the folder can't be used.
+            FolderLockedError: another process uses the state folder.
+            OSError: an address or the state folder cannot be used.
             StateNotSavedError: the disk failed or is full.
         """
         state, is_newest = open_and_load(self.state_store, self.log)
@@ -103,16 +105,16 @@
             await self._serve(task_status)
         finally:
             if self.writes is not None:
-                self.writes.pending.fail_all("the replica stops")
+                self.writes.pending.fail_all("the replica is stopping")
             if self.state_store is not None:
                 self.state_store.close()
 
     def stop(self):
-        """Ends `run`."""
+        """Makes `run` return."""
         self.stopping.set()
 
     def _create_state_machines(self, state, is_newest):
-        """Makes the state machines from what was saved, and what connects them."""
+        """Creates the state machines from the saved state, and the objects that connect them."""
         settings = self.settings
         now = self.clock.now()
         self.replica = Replica(
@@ -182,7 +184,7 @@
             with anyio.CancelScope(shield=True):
                 await listener.aclose()
 
-    # ---- operators' calls
+    # ---- client and operator calls
 
     async def put(self, key, value, request, expected=None, timeout=WRITE_TIMEOUT_S):
         """Writes a key.
@@ -190,35 +192,35 @@
         Args:
             key: name of the key.
             value: bytes; None removes the key.
-            request: id of the call; one that was seen before writes nothing again.
-            expected: the revision that the key must be at, 0 if it must not exist; None for any.
+            request: request id of the call; if it was seen before, nothing is written again.
+            expected: required revision of the key, 0 if it must not exist; None for any.
             timeout: seconds to wait for a majority.
 
         Returns:
             The revision of the committed write.
 
         Raises:
-            WriteRejectedError: it has no effect.
-            OutcomeUnknownError: it may have been committed or not.
+            WriteRejectedError: the write has no effect.
+            OutcomeUnknownError: the write may or may not have been committed.
         """
         return await self.writes.put(key, value, request, expected, timeout)
 
     async def rollback(self, key, version, request, timeout=WRITE_TIMEOUT_S):
-        """Writes the value that the key had at the revision `version` as its newest; else as `put`."""
+        """Writes the value that the key had at revision `version` again; otherwise the same as `put`."""
         return await self.writes.rollback(key, version, request, timeout)
 
     def get(self, key):
-        """The Entry that is in force here, or None."""
+        """The current Entry of a key at this replica, or None."""
         return self.replica.store.get(key)
 
     def age(self):
-        """Time in ns since it was certain that nothing newer was committed; None if it is not known."""
+        """Time in ns since it was certain that nothing newer was committed; None if it never was."""
         return self.replica.age(self.clock.now())
 
     def versions(self, key):
-        """All versions of a key that are kept here, oldest first."""
+        """The versions of a key that this replica keeps, oldest first."""
         return list(self.replica.store.versions.get(key, ()))
 
     def status(self):
-        """The ReplicaStatus now."""
+        """The current ReplicaStatus."""
         return replica_status(self)
--- a/embertray/cluster/replication/link/status.py
+++ b/embertray/cluster/replication/link/status.py
@@ -1,4 +1,4 @@
-"""What operators see of replicas and subscribers. Times in seconds, sizes in bytes."""
+"""Status of replicas and subscribers, as shown to operators. Times are in seconds, sizes in bytes."""
 
 import msgspec
 
@@ -8,31 +8,32 @@
 
 
 class ReplicaStatus(msgspec.Struct, tag="replica", frozen=True):
-    """One replica. The names are those of JSON.
+    """Status of one replica. The field names appear in JSON.
 
     Attributes:
         cluster: name of the cluster.
-        name: this replica.
+        name: name of this replica.
         role: a value of replica_state.Role.
-        term: the newest that it has seen.
-        leader: name, "" if none is known.
+        term: the newest term that it has seen.
+        leader: name of the leader, "" if it is not known.
         has_majority: whether it leads, confirmed by a majority.
-        recovering: whether it must not vote yet.
-        revision: of the last committed entry.
-        digest: of the committed state.
-        age_s: since it was certain that nothing newer was committed; None if it never was.
+        recovering: whether it lost its state and may not vote yet.
+        revision: revision of the last committed entry.
+        digest: digest of the committed state.
+        age_s: time since it was certain that nothing newer was committed; None if it never was.
         keys: number of live keys.
-        state_bytes: of all versions that are kept.
-        subscribers: number of subscribers here.
-        lowest_confirmed: the revision that all of them have confirmed.
-        fleet_subscribers: number at all replicas together; None but at the leader.
-        fleet_lowest_confirmed: the revision that all of these have confirmed; None but at the leader.
-        peers_connected: replicas that this one has a connection to.
-        saves: states saved.
-        steps: turns of the loop.
-        writes_waiting: client calls that wait for a majority.
-        update_retries: updates that a subscriber did not confirm in time.
-        silent_subscribers: subscribers that were dropped as they said nothing.
+        state_bytes: size of all versions that are kept.
+        subscribers: number of subscribers of this replica.
+        lowest_confirmed: the highest revision that all of them have confirmed.
+        fleet_subscribers: number of subscribers of all replicas; None except at the leader.
+        fleet_lowest_confirmed: the highest revision that all of these have confirmed; None except at the
+            leader.
+        peers_connected: number of replicas that this one is connected to.
+        saves: number of saved states.
+        steps: number of iterations of the replica's loop.
+        writes_waiting: number of client calls that wait for a majority.
+        update_retries: number of updates that a subscriber did not confirm in time.
+        silent_subscribers: number of subscribers dropped because they sent nothing.
         traffic: totals of all connections.
     """
 
@@ -62,20 +63,20 @@
 
 
 class SubscriberStatus(msgspec.Struct, tag="subscriber", frozen=True):
-    """One subscriber. The names are those of JSON.
+    """Status of one subscriber. The field names appear in JSON.
 
     Attributes:
         cluster: name of the cluster.
-        name: this subscriber.
-        replica: the one that is followed or tried.
+        name: name of this subscriber.
+        replica: name of the replica that is followed or being connected to.
         connected: whether there is a connection to it.
         revision: everything up to it is applied.
-        digest: of the state that is held.
-        age_s: since it was certain that nothing newer was committed; None if it never was.
+        digest: digest of the state that is held.
+        age_s: time since it was certain that nothing newer was committed; None if it never was.
         keys: number of live keys.
-        saves: states saved.
-        save_fails: states that could not be saved.
-        counters: events by name; `counted` in JSON.
+        saves: number of saved states.
+        save_fails: number of states that could not be saved.
+        counters: event counts by name; `counted` in JSON.
         traffic: totals of all connections.
     """
 
@@ -94,7 +95,7 @@
 
 
 def seconds(age):
-    """An age in seconds, rounded up to the next millisecond: it must not be shown younger than it is.
+    """Converts an age to seconds, rounded up to a millisecond so that it is never understated.
 
     Args:
         age: ns, or None.
@@ -106,7 +107,7 @@
 
 
 def replica_status(server):
-    """The ReplicaStatus of a ReplicaServer that runs."""
+    """The ReplicaStatus of a running ReplicaServer."""
     replica = server.replica
     feed = server.feed
     now = server.clock.now()
@@ -147,7 +148,7 @@
 
 
 def subscriber_status(client):
-    """The SubscriberStatus of a SubscriberClient, which may not run yet."""
+    """The SubscriberStatus of a SubscriberClient, running or not."""
     subscriber = client.subscriber
     return SubscriberStatus(
         cluster=client.settings.cluster,
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -1,4 +1,4 @@
-"""A process's task that follows the replicas: connections and saved state around Subscriber."""
+"""A subscriber's client: connects the Subscriber state machine with the network and saved state."""
 
 from dataclasses import dataclass
 
@@ -25,8 +25,8 @@
 
     Attributes:
         cluster: name of the cluster.
-        name: this subscriber.
-        replicas: name -> address of the replicas to follow, in the order of preference.
+        name: name of this subscriber.
+        replicas: name -> address of the replicas to follow, in order of preference.
     """
 
     cluster: str
@@ -41,14 +41,15 @@
         settings: a SubscriberSettings.
         clock: the process's clock.
         rng: a random.Random, seeded differently at each start.
-        on_applied: on_applied(entries) is called with the entries that are newly in force, in order; a value
-            of None is a removal.
-        on_restored: on_restored(entries) is called first with what a former process kept, if anything.
-        net: opens connections; None for TCP.
+        on_applied: on_applied(entries) is called with newly applied entries, in order; a value of None is a
+            removal.
+        on_restored: on_restored(entries) is called first, with the live entries that a previous process
+            saved, if any.
+        net: network used to connect; None for TCP.
         timing: a SubscriberTiming, None for the default.
         state_store: a StateStore of SubscriberState; None to keep nothing.
         log: a structlog logger, None for the default.
-        budget: the FeedSettings whose bytes a second this subscriber may be sent, None for the default.
+        budget: the FeedSettings that limit the bytes sent to this subscriber, None for the default.
     """
 
     def __init__(
@@ -75,29 +76,29 @@
         self.log = (log or structlog.get_logger()).bind(subscriber=settings.name)
         self.budget = budget
         self.traffic = Traffic()
-        # made by `run`
+        # created by `run`
         self.subscriber = None
         self.connection = None
         self.saver = None
         self.group = None
-        self.timer_changed = anyio.Event()  # the timer has to be set anew
-        self.timer_at = 0  # ns
+        self.timer_changed = anyio.Event()  # set when the timer has to expire earlier
+        self.timer_at = 0  # ns when the timer expires
 
     # ---- queries
 
     @property
     def revision(self):
-        """Everything up to here is applied; 0 before `run`."""
+        """The revision up to which everything is applied; 0 before `run`."""
         return self.subscriber.revision if self.subscriber else 0
 
     @property
     def saves(self):
-        """States saved."""
+        """Number of saved states."""
         return self.saver.saves if self.saver else 0
 
     @property
     def save_fails(self):
-        """States that could not be saved."""
+        """Number of states that could not be saved."""
         return self.saver.save_fails if self.saver else 0
 
     def age(self):
@@ -105,15 +106,15 @@
         return self.subscriber.age(self.clock.now()) if self.subscriber else None
 
     def get(self, key):
-        """The Entry in force here, or None."""
+        """The current Entry of a key at this subscriber, or None."""
         return self.subscriber.store.get(key)
 
     def live_entries(self):
-        """All entries in force here, by rising revision."""
+        """The current entries of all live keys, in ascending revision order."""
         return self.subscriber.store.live_entries()
 
     def status(self):
-        """The SubscriberStatus now."""
+        """The current SubscriberStatus."""
         return subscriber_status(self)
 
     # ---- lifecycle
@@ -122,8 +123,8 @@
         """Runs until cancelled.
 
         Raises:
-            FolderLockedError: another process uses the folder.
-            OSError: the folder can't be used.
+            FolderLockedError: another process uses the state folder.
+            OSError: the state folder cannot be used.
         """
         state, _ = open_and_load(self.state_store, self.log)
         try:
@@ -138,7 +139,7 @@
                 self.state_store.close()
 
     def _create_subscriber(self, state):
-        """Makes the state machine from what a former process kept."""
+        """Creates the state machine from the saved state of a previous process, if there is one."""
         former = {}
         if state is not None:
             former["entries"] = state.entries
@@ -183,7 +184,7 @@
     # ---- instructions
 
     def _execute_actions(self):
-        """Does what the state machine asks for."""
+        """Executes the actions that the state machine requested."""
         self._report_applied()
         actions = self.subscriber.actions
         self.subscriber.actions = []
--- a/embertray/cluster/replication/link/subscriber_connection.py
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -10,21 +10,19 @@
 from .connection import CONNECTION_ERRORS, MAX_FRAME_TO_SUBSCRIBER_BYTES, Connection, Overflow
 
 NS_PER_S = 10**9
-MAX_QUEUED_MESSAGES = (
-    64  # messages that wait for a replica that reads slowly: it is left as silent before they do
-)
+MAX_QUEUED_MESSAGES = 64  # a replica that does not read is left as silent before that many are queued
 
 
 class SubscriberConnection:
     """Opens, reads and closes connections; at most one of them is in use.
 
     Args:
-        subscriber: the Subscriber, notified of what happens.
+        subscriber: the Subscriber that is notified of connection events and messages.
         addresses: name of a replica -> its address.
         clock: the process's clock.
-        net: opens connections.
+        net: network used to connect.
         traffic: the Traffic to count in.
-        execute_actions: execute_actions() does what the Subscriber asks for after an event.
+        execute_actions: execute_actions() executes the Subscriber's actions after an event.
         log: a structlog logger.
     """
 
@@ -37,22 +35,22 @@
         self.execute_actions = execute_actions
         self.log = log
         self._connection = None  # the Connection in use
-        self._connection_id = 0  # its number
+        self._connection_id = 0  # id of that connection
 
     def send(self, action):
-        """Does a SendMessage; one for a connection that is no longer in use is dropped."""
+        """Executes a SendMessage; drops it if its connection is no longer in use."""
         if self._connection is not None and action.connection_id == self._connection_id:
             self._connection.put(action.data)
 
     def close(self, action):
-        """Does a CloseConnection."""
-        self.log.debug("replica left", reason=action.reason)
+        """Executes a CloseConnection."""
+        self.log.debug("closing connection to replica", reason=action.reason)
         if self._connection is not None and action.connection_id == self._connection_id:
             self._connection.close()
             self._connection = None
 
     async def open(self, action):
-        """Does an OpenConnection: connects, and reads until the connection ends."""
+        """Executes an OpenConnection: connects, and reads until the connection ends."""
         try:
             with anyio.fail_after(self.subscriber.timing.connect_timeout / NS_PER_S):
                 stream = await self.net.dial(self.addresses[action.replica])
@@ -81,7 +79,7 @@
         decoder = FrameDecoder(MAX_FRAME_TO_SUBSCRIBER_BYTES)
         subscriber.connection_opened(self.clock.now(), connection_id)
         if not subscriber.connected or connection_id != subscriber.connection_id:
-            return  # it was given up while it was opened
+            return  # the attempt was given up in the meantime
         self._connection = connection
         self._connection_id = connection_id
         self.execute_actions()
--- a/embertray/cluster/replication/link/subscriber_saver.py
+++ b/embertray/cluster/replication/link/subscriber_saver.py
@@ -1,32 +1,32 @@
-"""What a subscriber keeps on disk: read at the start, saved while it runs."""
+"""A subscriber's saved state: checked at start, saved while the subscriber runs."""
 
 import anyio
 
 from .durable_state import SubscriberState
 
 NS_PER_S = 10**9
-SAVE_INTERVAL_NS = 1 * NS_PER_S  # between two saves at the least
-SAVE_AGE_INTERVAL_NS = 15 * NS_PER_S  # after which the age is saved anew, though no entry changed
+SAVE_INTERVAL_NS = 1 * NS_PER_S  # minimum time between two saves
+SAVE_AGE_INTERVAL_NS = 15 * NS_PER_S  # time between two saves when only the age has changed
 
 
 def usable_state(state, cluster, log):
-    """The state of a former process, or None if it is of another cluster."""
+    """The saved state of a previous process, or None if there is none or it is of another cluster."""
     if state is not None and state.cluster != cluster:
-        log.error("saved state ignored", reason="it is of another cluster", cluster=state.cluster)
+        log.error("saved state ignored", reason="it belongs to another cluster", cluster=state.cluster)
         return None
     return state
 
 
 def known_at(state, clock):
-    """When a saved state was certainly the newest.
+    """Time at which a saved state was certainly the newest.
 
     Args:
         state: a SubscriberState.
         clock: the process's clock.
 
     Returns:
-        ns of the monotonic clock, maybe before 0; None if it is not known. A wall clock that went backwards
-        would make the state look fresher than it is, so then it is not known either.
+        ns of the monotonic clock, possibly negative; None if not known. It also counts as not known if the
+        wall clock went backwards, as the state would look fresher than it is.
     """
     wall = clock.wall()
     if state.known_at is None or wall < state.saved_at:
@@ -35,7 +35,7 @@
 
 
 class SubscriberSaver:
-    """Saves what a Subscriber holds.
+    """Saves a Subscriber's state periodically.
 
     Args:
         subscriber: the Subscriber.
@@ -44,8 +44,8 @@
         log: a structlog logger.
 
     Attributes:
-        saves: states saved.
-        save_fails: states that could not be saved.
+        saves: number of saved states.
+        save_fails: number of states that could not be saved.
     """
 
     def __init__(self, subscriber, state_store, clock, log):
@@ -57,7 +57,7 @@
         self.save_fails = 0
 
     async def run(self):
-        """Saves whenever something changed, until cancelled."""
+        """Saves the state when it has changed, until cancelled."""
         saved = self._position()
         saved_at = self.clock.now()
         while True:
@@ -76,12 +76,12 @@
         return self.subscriber.revision, self.subscriber.freshness.known_at
 
     async def _save(self, now):
-        """Returns whether the state was saved. A failure is no fault: replicas have everything."""
+        """Saves the state. Returns whether it succeeded; a failure is harmless, as replicas have all data."""
         try:
             await anyio.to_thread.run_sync(self.state_store.save, self._state(now))
         except OSError as error:
             self.save_fails += 1
-            self.log.warning("state not saved, the one saved before stays", reason=str(error))
+            self.log.warning("state not saved, keeping the previous one", reason=str(error))
             return False
         self.saves += 1
         return True
--- a/embertray/cluster/replication/messages.py
+++ b/embertray/cluster/replication/messages.py
@@ -1,15 +1,15 @@
 """Messages between replicas, and between a subscriber and its replica: tagged msgpack arrays.
 
-The order of the fields is the wire format. Frames are those of embertray/common/framing.py. Every `stamp` is
-the sender's monotonic clock in ns; the receiver echoes it, so that the sender can tell how old the answer may
-be without comparing clocks.
+The order of the fields is the wire format; framing is that of embertray/common/framing.py. Every `stamp` is
+the sender's monotonic clock in ns. The receiver echoes it, which lets the sender bound the age of an answer
+without comparing clocks.
 """
 
 import msgspec
 
 from .entry import Count, Digest, Entry, Key, Name, RequestId
 
-VERSION = 1  # of the protocol between subscriber and replica
+VERSION = 1  # protocol version between subscriber and replica
 
 
 # ---- between replicas
@@ -19,9 +19,9 @@
     """A message between two replicas.
 
     Attributes:
-        cluster: messages of another cluster are ignored.
-        sender: name of the replica.
-        term: of the sender; for a VoteRequest the term that the vote is asked for.
+        cluster: name of the cluster; messages of another cluster are ignored.
+        sender: name of the sending replica.
+        term: the sender's term; in a VoteRequest the term that the vote is requested for.
     """
 
     cluster: Name
@@ -30,12 +30,12 @@
 
 
 class VoteRequest(ReplicaMessage, tag="vote-request", frozen=True):
-    """A candidate asks for a vote.
+    """A candidate's request for a vote.
 
     Attributes:
-        last_term: of the newest entry in the candidate's log.
-        last_revision: of the same entry.
-        preliminary: only asks whether a vote would be granted, and changes nothing.
+        last_term: term of the newest entry in the candidate's log.
+        last_revision: revision of that entry.
+        preliminary: True for a pre-vote, which only asks whether a vote would be granted.
     """
 
     last_term: Count
@@ -44,11 +44,11 @@
 
 
 class Vote(ReplicaMessage, tag="vote", frozen=True):
-    """Answers a VoteRequest.
+    """The answer to a VoteRequest.
 
     Attributes:
         term_asked: the term of the request; `term` is the voter's own.
-        granted: whether the vote is given.
+        granted: whether the vote is granted.
         preliminary: as in the request.
     """
 
@@ -61,14 +61,15 @@
     """A leader's heartbeat, with the entries that the follower lacks.
 
     Attributes:
-        round: number of the leader's round in its term.
-        previous_term: of the entry before `entries`; a follower whose log differs there rejects the message.
-        previous_revision: of the same entry.
-        entries: uncommitted ones, without gaps.
+        round: number of the heartbeat round within the leader's term.
+        previous_term: term of the entry before `entries`; a follower whose log differs there rejects the
+            message.
+        previous_revision: revision of that entry.
+        entries: consecutive uncommitted entries.
         commit: the leader's newest committed revision.
         age: ns since a majority confirmed that nothing newer was committed.
-        echo: the newest stamp that came from the follower; 0 if none.
-        admitted: nonce of a recovering replica that may count again; else 0.
+        echo: the newest stamp received from the follower; 0 if none.
+        admitted: nonce of a recovering replica that is readmitted; else 0.
     """
 
     round: Count
@@ -82,16 +83,16 @@
 
 
 class Install(ReplicaMessage, tag="install", frozen=True):
-    """The committed state of the leader, as far as the follower lacks it.
+    """The part of the leader's committed state that the follower lacks.
 
     Attributes:
         round: as in Append.
-        since: the follower must have everything up to this revision.
-        commit_term: of the entry at `commit`.
-        commit: the revision that the state leads to.
+        since: the message applies to a follower that has everything up to this revision.
+        commit_term: term of the entry at `commit`.
+        commit: revision of the state once the message is applied.
         entries: the newest entry of each key that changed after `since`.
-        keys: all live keys, if removals after `since` may have been forgotten; else None.
-        requests: (request id, revision) of the writes after `since` that are remembered.
+        keys: all live keys, if tombstones after `since` may have been dropped; else None.
+        requests: (request id, revision) of the writes after `since` whose ids are kept.
     """
 
     round: Count
@@ -104,16 +105,16 @@
 
 
 class Appended(ReplicaMessage, tag="appended", frozen=True):
-    """Answers an Append or Install.
+    """The answer to an Append or Install.
 
     Attributes:
-        round: of the message that is answered.
+        round: round of the answered message.
         accepted: whether the sender has everything up to `last_revision` on disk.
-        last_revision: if not accepted, the leader is to continue after it.
-        nonce: of the sender's recovery; 0 if its answers count.
+        last_revision: if not accepted, the revision after which the leader has to continue.
+        nonce: nonce of the sender's recovery; 0 if it is not recovering and its answers count.
         stamp: the sender's clock, ns.
         subscribers: number of the sender's subscribers.
-        lowest_confirmed: the revision that all of them have confirmed.
+        lowest_confirmed: the highest revision that all of them have confirmed.
     """
 
     round: Count
@@ -126,13 +127,13 @@
 
 
 class RecoverRequest(ReplicaMessage, tag="recover-request", frozen=True):
-    """A replica without its state asks the others whether anything was ever written."""
+    """A replica that lost its state asks the others whether they hold any."""
 
     nonce: Count
 
 
 class RecoverReply(ReplicaMessage, tag="recover-reply", frozen=True):
-    """Answers a RecoverRequest. `blank`: the sender has never voted, and its log is empty."""
+    """The answer to a RecoverRequest. `blank`: the sender has never voted and its log is empty."""
 
     nonce: Count
     blank: bool
@@ -142,15 +143,15 @@
 
 
 class Subscribe(msgspec.Struct, tag_field="type", tag="subscribe", array_like=True, frozen=True):
-    """A subscriber's first message, repeated when it finds a gap.
+    """A subscriber's first message, repeated when it detects a gap.
 
     Attributes:
-        cluster: that the subscriber belongs to.
-        version: of the protocol.
-        subscriber: its name.
-        revision: everything after it is wanted.
+        cluster: name of the subscriber's cluster.
+        version: protocol version.
+        subscriber: name of the subscriber.
+        revision: the subscriber has everything up to it and requests what follows.
         stamp: the sender's clock, ns.
-        allowance: bytes that its budget still allows, whoever spent the rest.
+        allowance: bytes left in the subscriber's budget, which all replicas draw on.
     """
 
     cluster: Name
@@ -162,26 +163,29 @@
 
 
 class Confirm(msgspec.Struct, tag_field="type", tag="confirm", array_like=True, frozen=True):
-    """Everything up to `revision` is applied; answers updates and heartbeats. `stamp`: the sender's clock."""
+    """Acknowledges updates and heartbeats: everything up to `revision` is applied.
+
+    `stamp` is the sender's clock in ns.
+    """
 
     revision: Count
     stamp: Count
 
 
 class Repair(msgspec.Struct, tag_field="type", tag="repair", array_like=True, frozen=True):
-    """The digests differ at the same revision; these are the subscriber's own, one for each bucket."""
+    """Reports differing digests at the same revision; `digests` are the subscriber's own, one per bucket."""
 
     digests: list[Digest]
 
 
 class Heartbeat(msgspec.Struct, tag_field="type", tag="heartbeat", array_like=True, frozen=True):
-    """A replica's state, sent to each subscriber at an interval.
+    """A replica's state, sent to each subscriber periodically.
 
     Attributes:
         commit: the newest revision that the replica knows to be committed.
-        digest: of its store at that revision.
-        age: ns since nothing newer was committed for certain; freshness.AGE_UNKNOWN if it does not know.
-        echo: the newest stamp that came from the subscriber; 0 if none.
+        digest: digest of its store at that revision.
+        age: ns since it was certain that nothing newer was committed; freshness.AGE_UNKNOWN if it never was.
+        echo: the newest stamp received from the subscriber; 0 if none.
     """
 
     commit: Count
@@ -191,7 +195,7 @@
 
 
 class Update(msgspec.Struct, tag_field="type", tag="update", array_like=True, frozen=True):
-    """The newest entries of the keys that changed after `since`, up to `upto`, by rising revision."""
+    """The newest entries of the keys that changed after `since`, up to `upto`, in revision order."""
 
     since: Count
     upto: Count
@@ -207,7 +211,7 @@
 
 
 class Inventory(msgspec.Struct, tag_field="type", tag="inventory", array_like=True, frozen=True):
-    """All live keys of one bucket at revision `upto`: what a subscriber holds beside them was removed."""
+    """All live keys of one bucket at revision `upto`; any other key that a subscriber holds was removed."""
 
     bucket: Count
     upto: Count
--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -1,26 +1,26 @@
-"""The stated bounds: when a committed write is in force at a subscriber.
+"""Guaranteed bounds on the time until a subscriber has applied a committed write.
 
-All assume messages that arrive within `NetworkAssumptions.one_way_delay` and saves within its `save_delay`,
-once links are good. A bound counts from the write's acknowledgement or from the end of the last fault,
-whichever is later. Bytes that wait before a write add their time at the subscriber's sustained rate.
+The bounds assume that, without faults, messages arrive within `NetworkAssumptions.one_way_delay` and saves
+take `save_delay`. A bound counts from the write's acknowledgement or the end of the last fault, whichever is
+later. Bytes queued ahead of a write add their transmission time at the subscriber's sustained rate.
 """
 
 from dataclasses import dataclass
 
 from .timing import MILLISECOND, SECOND, FeedSettings, NetworkAssumptions, ReplicaTiming, SubscriberTiming
 
-PROCESSING_DELAY_NS = 100 * MILLISECOND  # ns until a process gets to a message
+PROCESSING_DELAY_NS = 100 * MILLISECOND  # until a process handles a received message
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Bounds by what happened last, all in ns.
+    """Bounds for different fault conditions, all in ns.
 
     Attributes:
-        replica: timing between replicas.
-        feed: what replicas send to subscribers, and when.
-        subscriber: timing of the subscriber.
-        network: what is assumed of links and disks.
+        replica: a ReplicaTiming.
+        feed: a FeedSettings.
+        subscriber: a SubscriberTiming.
+        network: the NetworkAssumptions.
     """
 
     replica: ReplicaTiming = ReplicaTiming()
@@ -30,15 +30,15 @@
 
     @property
     def message_delay(self):
-        """One message, from a process to what the next one does with it, ns."""
+        """Time from sending a message until it has been handled, ns."""
         return self.network.one_way_delay + PROCESSING_DELAY_NS
 
     @property
     def good(self):
-        """Nothing fails, ns.
+        """Bound without any fault, ns.
 
-        The commit goes to the followers, who save it and send it to their subscribers. It may have to wait
-        for the confirmation of an update under way, or for a subscriber that returns to its first replica.
+        The commit is sent to the followers, which save it and send it to their subscribers. It may have to
+        wait for the confirmation of an update in flight, or for a subscriber that fails back.
         """
         followers_saved = self.message_delay + self.network.save_delay
         failback = self.subscriber.initial_retry_delay + 3 * self.message_delay
@@ -46,24 +46,24 @@
 
     @property
     def election(self):
-        """From a leader's death until the next one has committed, ns; one election may have no winner."""
+        """From a leader's failure until the next leader has committed, ns; allows for one failed election."""
         rounds = 2 * (2 * self.message_delay + self.network.save_delay)
         opening = 2 * (self.message_delay + self.network.save_delay)
         return 2 * self.replica.election_timeout_max + rounds + opening
 
     @property
     def replica_switch(self):
-        """From leaving one replica to the first heartbeat of the next, ns."""
+        """From leaving one replica to the first heartbeat of the next one, ns."""
         return self.subscriber.initial_retry_delay + self.subscriber.connect_timeout + 2 * self.message_delay
 
     def replicas_dead(self, dead, listed=3):
-        """Some replicas are dead, among them the leader and the one that the subscriber follows.
+        """Bound when replicas have died, among them the leader and the one that the subscriber follows.
 
-        The subscriber notices the silence and moves on to the next that lives, while the election runs.
+        The subscriber detects the silence and switches to the next live replica while the election runs.
 
         Args:
-            dead: how many of the subscriber's replicas are dead.
-            listed: how many replicas the subscriber knows.
+            dead: number of the subscriber's replicas that are dead.
+            listed: number of replicas that the subscriber knows.
 
         Returns:
             ns.
@@ -73,15 +73,15 @@
 
     @property
     def any_fault(self):
-        """After any faults, once they have ended, ns.
+        """Bound after the end of arbitrary faults, ns.
 
-        A majority of the replicas reach each other, and the subscriber reaches one of them: elections, then a
-        round of all replicas that were found stale.
+        A majority of the replicas can reach each other again, and the subscriber one of them. The bound
+        covers an election, followed by a round of the subscriber through all replicas that were stale.
         """
         visit = self.subscriber.stale_after + self.feed.heartbeat_interval + self.replica_switch
         pause = self.subscriber.max_retry_delay + self.replica_switch
         return self.election + visit + 2 * self.replica_switch + pause + self.feed.max_retry_delay + self.good
 
     def waiting(self, size):
-        """Time in ns that a write waits behind `size` bytes, at a subscriber's sustained rate."""
+        """Time in ns that a write waits behind `size` queued bytes, at a subscriber's sustained rate."""
         return size * SECOND // self.feed.sustained_bytes_per_second
--- a/embertray/cluster/replication/recovery.py
+++ b/embertray/cluster/replication/recovery.py
@@ -1,27 +1,27 @@
-"""Recovery of a replica that starts without its state: it must not vote until it is safe.
+"""Recovery of a replica that starts without its state.
 
-Raft assumes that votes and entries survive a restart. A replica that lost its disk could vote a second time
-in a term, or make up a majority without a write that it had confirmed: a committed write would be lost. So it
-counts for nothing until either all others report that they are blank (the cluster's first start), or a leader
-readmits it (`leader`).
+Raft assumes that votes and entries survive a restart. A replica that lost its disk could vote twice in a
+term, or complete a majority without a write that it had confirmed, and a committed write would be lost.
+Therefore it neither votes nor counts towards a majority until either all others report that they are blank
+(the first start of the cluster), or a leader readmits it (`leader`).
 """
 
 from .messages import RecoverReply, RecoverRequest
 from .replica_core import ReplicaCore
 
-NONCE_LIMIT = 2**62  # nonces are drawn below: one must never be drawn twice by a replica
+NONCE_LIMIT = 2**62  # nonces are random numbers below it; large, as a replica must never draw one twice
 
 
 class RecoveryRole(ReplicaCore):
-    """The state of a recovery: a nonce that the leader has to return, and who reported to be blank."""
+    """Recovery state: a nonce that the leader has to return, and the replicas that reported to be blank."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self.nonce = 0  # not 0 while this replica recovers
+        self.nonce = 0  # 0 unless this replica is recovering
         self.prior_votes_expire_at = (
-            0  # ns until which a vote of the former process could still elect a leader
+            0  # ns; until then a vote of the previous process could still elect a leader
         )
-        self.blank_replies = set()  # names of replicas that never voted and hold nothing
+        self.blank_replies = set()  # names of the replicas that reported to be blank
 
     @property
     def recovering(self):
@@ -35,8 +35,8 @@
     def _send_recover_requests(self, now):
         self.heartbeat_at = now + self.timing.heartbeat_interval
         if self.prior_votes_expire_at and now >= self.prior_votes_expire_at:
-            # a leader may have answered the first nonce before the silence was over: only an answer to a
-            # nonce drawn after it proves a majority that did not count on votes of the former process
+            # A leader may have answered the first nonce while votes of the previous process were still valid.
+            # Only the answer to a nonce drawn afterwards proves a majority that did not rely on such a vote.
             self.nonce = self.rng.randrange(1, NONCE_LIMIT)
             self.prior_votes_expire_at = 0
             self.blank_replies = set()
--- a/embertray/cluster/replication/repair.py
+++ b/embertray/cluster/replication/repair.py
@@ -1,16 +1,16 @@
-"""Finding what differs between a subscriber's store and its replica's, by an inventory of one bucket."""
+"""Comparison of a subscriber's store with its replica's, by the inventory of one digest bucket."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Difference:
-    """What a subscriber has to do to have the replica's state.
+    """How a subscriber's bucket differs from the replica's.
 
     Attributes:
-        removed: keys that were removed at the replica.
-        corrupt: keys that have the replica's revision, but another value.
-        missing_from: lowest revision of an entry that it lacks; None if it lacks none.
+        removed: keys that the replica no longer has.
+        corrupt: keys that have the replica's revision but another value.
+        missing_from: lowest revision of an entry that the subscriber lacks; None if it lacks none.
     """
 
     removed: list[str]
@@ -19,9 +19,9 @@
 
 
 def compare(store, inventory):
-    """Compares a bucket.
+    """Compares one bucket of a subscriber's store with the replica's inventory.
 
-    Entries newer than the inventory, or than the store, are no difference: an update brings them.
+    Entries newer than the inventory, or than the store, are not differences: they arrive with an update.
 
     Args:
         store: the subscriber's VersionedStore.
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -1,8 +1,8 @@
-"""One replica: a state machine that takes messages and time, and returns instructions.
+"""The state machine of one replica: it is given messages and the time, and returns instructions.
 
-The rules are Raft's (Ongaro and Ousterhout 2014) with preliminary votes, a leader that steps down when no
-majority answers, and a log whose committed part is folded into the store at once: what a follower lacks of it
-travels as the newest entries since its own revision.
+It implements Raft (Ongaro and Ousterhout 2014) with pre-votes and a leader that steps down when no majority
+answers. Committed entries are applied to the store at once and are no longer kept as a log: a follower that
+lacks some of them is sent the newest entry of each key since its own revision.
 """
 
 from .candidate import CandidateRole
@@ -20,19 +20,19 @@
     """A replica in any of its roles.
 
     Call `receive` with each message, `advance` when `next_at` is due, and `poll` after either. The state that
-    `poll` returns must be on disk before its messages are sent: a vote or an acknowledgement that a crash
-    undoes could elect two leaders in a term, or lose a committed write.
+    `poll` returns must be on disk before its messages are sent: if a crash undid a vote, two leaders could be
+    elected in one term; if it undid an acknowledgement, a committed write could be lost.
 
     Args:
-        cluster: name of the cluster; messages of another one are ignored.
-        name: this replica.
-        names: all replicas of the cluster, this one included.
-        now: ns.
+        cluster: name of the cluster; messages of another cluster are ignored.
+        name: name of this replica.
+        names: names of all replicas of the cluster, including this one.
+        now: current time, ns.
         rng: a random.Random, seeded differently at each start.
         timing: a ReplicaTiming, None for the default.
-        saved: the ReplicaState that was saved last; None if there is none: the replica then has to recover.
-        saved_is_newest: False if a later state than `saved` was lost, with votes and entries that others
-            count on; then only a leader can bring this replica back.
+        saved: the ReplicaState saved last; None if there is none, in which case the replica has to recover.
+        saved_is_newest: False if a later state than `saved` was lost, with votes and entries that other
+            replicas rely on; the replica then has to be readmitted by a leader.
     """
 
     def __init__(self, cluster, name, names, now, rng, timing=None, saved=None, saved_is_newest=True):
@@ -63,19 +63,19 @@
             now: ns.
 
         Returns:
-            ns since it was certain that nothing newer than `store.revision` was committed; None if it never
-            was.
+            ns since it was certain that nothing newer than `store.revision` was committed; None if that was
+            never certain.
         """
         self._refresh_leader_freshness(now)
         return self.freshness.age(now)
 
     def advertised_age(self, now):
-        """The age as it is sent to others: AGE_UNKNOWN in place of None."""
+        """The age as sent in messages, ns: AGE_UNKNOWN in place of None."""
         self._refresh_leader_freshness(now)
         return self.freshness.advertised_age(now)
 
     def _refresh_leader_freshness(self, now):
-        """A leader that has committed in its own term holds all that is committed, as long as it leads."""
+        """Updates the freshness of a leader: after a commit in its own term it holds everything committed."""
         if self.role is Role.LEADER and self.store.term == self.term:
             self.freshness.observe_commit(
                 self.quorum_confirmed_at, self.store.revision, 0, self.store.revision
@@ -99,14 +99,14 @@
             key: name of the key.
             value: bytes; None removes the key.
             request: the caller's request id; "" for none.
-            expected: the revision that the key must be at, 0 if it must not exist; None for any.
+            expected: required revision of the key, 0 if it must not exist; None for any.
 
         Returns:
-            The revision that the write has once it is committed. A request id that was seen before writes
-            nothing and returns its former revision.
+            The revision that the write has once it is committed. If the request id was seen before, nothing
+            is written and the revision of the earlier write is returned.
 
         Raises:
-            NotLeaderError: another replica, or none, leads.
+            NotLeaderError: this replica is not the leader.
             NoMajorityError: no majority confirms that this replica leads.
             ConflictError: the key is not at the expected revision.
             OverloadedError: a limit is reached.
@@ -114,20 +114,20 @@
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
         if not self.has_majority(now):
-            raise NoMajorityError("no majority of the replicas answers")
+            raise NoMajorityError("no majority of the replicas has confirmed the leader")
         if request and (known := self._revision_of_request(request)):
             return known
         newest = self._newest_entry(key)
         revision = newest.revision if newest else 0
         if expected is not None and expected != revision:
-            raise ConflictError(f"{key} is at revision {revision}, not {expected}")
+            raise ConflictError(f"{key} is at revision {revision}, expected {expected}")
         self._check_capacity(key, value)
         entry = Entry(key, self.last_revision + 1, self.term, request, value)
         self._propose(now, entry)
         return entry.revision
 
     def advance(self, now):
-        """Does what is due at the time `now`, ns."""
+        """Does what is due at `now` (ns): heartbeats, elections, recovery requests."""
         if self.recovering and now >= self.heartbeat_at:
             self._send_recover_requests(now)
         if self.role is Role.LEADER:
@@ -138,7 +138,7 @@
             self._reset_election_timer(now)
 
     def receive(self, now, message):
-        """Handles a message of another replica, received at `now` (ns). One of a stranger is ignored."""
+        """Handles a message received at `now` (ns); one from an unknown sender or cluster is ignored."""
         if message.cluster != self.cluster or message.sender not in self.others:
             return
         self._handlers[type(message)](now, message)
--- a/embertray/cluster/replication/replica_core.py
+++ b/embertray/cluster/replication/replica_core.py
@@ -1,7 +1,6 @@
-"""What all roles of a replica share: its term and vote, its log, and the instructions that it gathers.
+"""State shared by all roles of a replica: term and vote, the log, and pending instructions.
 
-The committed part of the log is folded into the store at once; only entries that are not yet committed are
-kept as a log.
+Committed entries are applied to the store immediately; only uncommitted entries are kept as a log.
 """
 
 from .exceptions import OverloadedError
@@ -11,19 +10,19 @@
 from .store import VersionedStore, export_versions, restore_store
 from .timing import ReplicaTiming
 
-MAX_LIVE_KEYS = 16_384  # four times the routes of the capacity target; more is a faulty client
-MAX_STATE_BYTES = 8 << 20  # bytes of all versions; a write that would pass it is rejected
-MAX_PENDING_PROPOSALS = 64  # writes that wait for a majority; further ones are rejected
+MAX_LIVE_KEYS = 16_384  # four times the routes of the capacity target; more indicates a faulty client
+MAX_STATE_BYTES = 8 << 20  # of all versions that are kept; a write that would exceed it is rejected
+MAX_PENDING_PROPOSALS = 64  # uncommitted writes; further ones are rejected
 
 
 class ReplicaCore:
     """State and log of one replica.
 
     Args:
-        cluster: name of the cluster; messages of another one are ignored.
-        name: this replica.
-        names: all replicas of the cluster, this one included.
-        now: ns.
+        cluster: name of the cluster; messages of another cluster are ignored.
+        name: name of this replica.
+        names: names of all replicas of the cluster, including this one.
+        now: current time, ns.
         rng: a random.Random, seeded differently at each start.
         timing: a ReplicaTiming, None for the default.
     """
@@ -34,23 +33,23 @@
         self.others = sorted(other for other in names if other != name)
         self.rng = rng
         self.timing = timing or ReplicaTiming()
-        # durable: saved before any message that depends on it is sent
+        # durable state: saved before any message that depends on it is sent
         self.term = 0
         self.voted_for = ""
         self.store = VersionedStore()
-        self.uncommitted = []  # entries after store.revision, without gaps
-        self.state_changed = False  # the durable state differs from what was handed out last
-        # every role
+        self.uncommitted = []  # consecutive entries after store.revision
+        self.state_changed = False  # whether the durable state differs from the one returned last
+        # volatile state of all roles
         self.role = Role.FOLLOWER
         self.leader = ""
         self.freshness = Freshness()
-        self.heartbeat_at = now  # ns when a leader, or a recovering replica, sends to all others
+        self.heartbeat_at = now  # ns when a leader or a recovering replica next sends to all others
         self.feed = None  # the SubscriberFeed whose confirmations are reported to the leader
         self.instructions = ReplicaInstructions()
 
     @property
     def majority(self):
-        """Number of replicas that make a majority."""
+        """Number of replicas that form a majority."""
         return (len(self.others) + 1) // 2 + 1
 
     @property
@@ -69,7 +68,7 @@
     # ---- log
 
     def _term_at(self, revision):
-        """Term of the entry at a revision; None if it is not in the log, or folded into the store."""
+        """Term of the entry at a revision; None if it is not in the log or already applied to the store."""
         if revision == self.store.revision:
             return self.store.term
         position = revision - self.store.revision - 1
@@ -86,24 +85,24 @@
         self.freshness.revision_reached(self.store.revision)
 
     def _newest_entry(self, key):
-        """The newest Entry of a key, committed or not; None if there is none or it is removed."""
+        """The newest Entry of a key, committed or not; None if the key does not exist."""
         proposed = (entry for entry in reversed(self.uncommitted) if entry.key == key)
         entry = next(proposed, None) or self.store.get(key)
         return entry if entry is not None and entry.value is not None else None
 
     def _revision_of_request(self, request):
-        """Revision of the write with that request id, committed or not; None if it is not known."""
+        """Revision of the write with a request id, committed or not; None if the id is not known."""
         proposed = (entry.revision for entry in self.uncommitted if entry.request == request)
         return next(proposed, None) or self.store.requests.get(request)
 
     def _check_capacity(self, key, value):
-        """Raises OverloadedError for a write that would pass a limit."""
+        """Raises OverloadedError for a write that would exceed a limit."""
         if len(self.uncommitted) >= MAX_PENDING_PROPOSALS:
-            raise OverloadedError(f"{MAX_PENDING_PROPOSALS} writes wait for a majority")
+            raise OverloadedError(f"limit of {MAX_PENDING_PROPOSALS} uncommitted writes reached")
         if value is not None and self.store.get(key) is None and self.store.live_count >= MAX_LIVE_KEYS:
-            raise OverloadedError(f"{MAX_LIVE_KEYS} keys are held")
+            raise OverloadedError(f"limit of {MAX_LIVE_KEYS} keys reached")
         if self.store.bytes + len(value or b"") > MAX_STATE_BYTES:
-            raise OverloadedError(f"{MAX_STATE_BYTES} bytes are held")
+            raise OverloadedError(f"limit of {MAX_STATE_BYTES} stored bytes reached")
 
     # ---- durable state and messages
 
@@ -120,7 +119,7 @@
         )
 
     def _restore(self, saved):
-        """Takes over a ReplicaState."""
+        """Initializes the durable state from a saved ReplicaState."""
         self.term = saved.term
         self.voted_for = saved.voted_for
         self.uncommitted = list(saved.uncommitted)
--- a/embertray/cluster/replication/replica_selector.py
+++ b/embertray/cluster/replication/replica_selector.py
@@ -1,26 +1,26 @@
-"""Which replica a subscriber follows, and when it tries the next one."""
+"""Selection of the replica that a subscriber follows."""
 
 MAX_BACKOFF_DOUBLINGS = 8
 NEVER_NS = 2**62  # ns
 
 
 class ReplicaSelector:
-    """An ordered list of replicas, of which one is followed or tried.
+    """Chooses one replica of an ordered list, with backoff and failback.
 
-    Rule: a replica that fails is left for the next one at once; when all have failed, there is a pause that
-    doubles. Away from the first replica, which is of the subscriber's own region, that one is tried again
-    after a while. Every pause has a random part, so that the subscribers of a dead replica do not all arrive
-    at the next one at once.
+    When a replica fails, the next one is tried at once; when all have failed, there is a pause that doubles
+    each time. A subscriber of another replica than the first, which is in its own region, tries the first one
+    again after a while. Every connection attempt has random jitter, so that the subscribers of a dead replica
+    do not all reach the next one at the same time.
 
     Args:
-        replicas: names in the order of preference.
-        now: ns.
+        replicas: names of the replicas, in order of preference.
+        now: current time, ns.
         rng: a random.Random.
         timing: a SubscriberTiming.
 
     Attributes:
-        connect_at: ns when the replica is to be connected to.
-        connected_at: ns when the present connection came up.
+        connect_at: ns when to connect to the current replica.
+        connected_at: ns when the current connection was established.
     """
 
     def __init__(self, replicas, now, rng, timing):
@@ -28,27 +28,27 @@
         self.rng = rng
         self.timing = timing
         self.index = 0
-        self.failures = 0  # since a replica last answered and was fresh
-        self.stale_moves = 0  # replicas left as stale since the last fresh one
+        self.failures = 0  # since a replica was last found fresh
+        self.stale_moves = 0  # replicas left as stale since one was last found fresh
         self.connect_at = now
         self.connected_at = now
 
     @property
     def current(self):
-        """Name of the replica that is followed or tried."""
+        """Name of the replica that is followed or being connected to."""
         return self.replicas[self.index]
 
     def on_connected(self, now):
-        """The connection to the current replica came up at `now` (ns)."""
+        """Records that the connection to the current replica was established at `now` (ns)."""
         self.connected_at = now
 
     def mark_fresh(self):
-        """The current replica is in contact with the majority."""
+        """Records that the current replica is in contact with a majority."""
         self.failures = 0
         self.stale_moves = 0
 
     def select_next(self, now):
-        """Chooses the next replica, and when to connect to it."""
+        """Selects the next replica and the time to connect to it."""
         self.failures += 1
         self.index = (self.index + 1) % len(self.replicas)
         rounds, rest = divmod(self.failures, len(self.replicas))
@@ -64,9 +64,9 @@
         return self.rng.randrange(self.timing.initial_retry_delay)
 
     def should_leave_stale(self, now):
-        """Whether the current replica, which is cut off from the majority, is to be left.
+        """Decides whether to leave the current replica, which is cut off from the majority.
 
-        Once all replicas were found stale, each is kept a while: moving on would only cost connections.
+        Once all replicas were found stale, each is kept for a while: switching would only cost connections.
         """
         all_stale = self.stale_moves >= len(self.replicas)
         if all_stale and now - self.connected_at < self.timing.stale_after:
@@ -76,10 +76,10 @@
 
     @property
     def failback_at(self):
-        """Time in ns when the first replica is tried again, if another one is followed."""
+        """Time in ns to fail back to the first replica; NEVER_NS if it is the current one."""
         return self.connected_at + self.timing.failback_delay if self.index else NEVER_NS
 
     def fail_back(self, now):
-        """Chooses the first replica again."""
+        """Selects the first replica again."""
         self.index = 0
         self.connect_at = now + self._jitter()
--- a/embertray/cluster/replication/replica_state.py
+++ b/embertray/cluster/replication/replica_state.py
@@ -1,4 +1,4 @@
-"""A replica's role, and the state that has to survive its process."""
+"""A replica's role and its durable state."""
 
 from enum import Enum
 
@@ -8,7 +8,7 @@
 
 
 class Role(Enum):
-    """What a replica does at the moment."""
+    """Raft role of a replica."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -16,15 +16,15 @@
 
 
 class ReplicaState(msgspec.Struct, array_like=True):
-    """A replica's durable state, in the order of its fields on disk.
+    """A replica's durable state. The order of the fields is the format on disk.
 
     Attributes:
         term: the newest term that the replica has seen.
-        voted_for: who got its vote in that term, "" if nobody.
-        revision: of the last committed entry.
+        voted_for: name of the replica that it voted for in that term, "" if none.
+        revision: revision of the last committed entry.
         committed_term: term of the last committed entry.
-        forgotten: revision of the newest removal that is no longer remembered.
-        versions: the committed versions of all keys that are kept.
+        forgotten: revision of the newest removal whose tombstone was dropped.
+        versions: the committed versions that are kept, of all keys.
         requests: (request id, revision) of the newest writes.
         uncommitted: entries after `revision`, in order.
     """
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -1,4 +1,4 @@
-"""The committed state: the newest entry of each key, some former versions, and digests to compare it by."""
+"""The committed state: the newest entry of each key, some earlier versions, and digests for comparison."""
 
 from bisect import bisect_right, insort
 from collections import OrderedDict, deque
@@ -7,29 +7,29 @@
 
 from .messages import InventoryItem
 
-MAX_VERSIONS_PER_KEY = 8  # the newest one included, so that a rollback finds former ones
-MAX_TOMBSTONES = 1_024  # newest removals remembered; who lags further behind is repaired by digest
-MAX_REQUEST_IDS = 4_096  # newest request ids remembered against repeated calls
-DIGEST_BUCKETS = 64  # parts of the key space that are compared by digest: 4,000 keys make 63 each
+MAX_VERSIONS_PER_KEY = 8  # including the newest; the others are kept for rollbacks
+MAX_TOMBSTONES = 1_024  # a subscriber that lags further behind is repaired by comparing digests
+MAX_REQUEST_IDS = 4_096  # newest request ids, kept to deduplicate repeated calls
+DIGEST_BUCKETS = 64  # partitions of the key space, each with its digest; 63 keys each with 4,000 keys
 
 MAX_KEY = "\U0010ffff" * 2  # sorts after every key
-COMPACTION_SLACK = 256  # outdated items that a list may hold before it is built anew
+COMPACTION_SLACK = 256  # outdated items that a list may hold before it is rebuilt
 
 
 def bucket_of(key):
-    """The part of the key space that a key belongs to, the same everywhere."""
+    """Index of a key's digest bucket; the same in all processes."""
     return xxhash.xxh64_intdigest(key.encode()) % DIGEST_BUCKETS
 
 
 class VersionedStore:
-    """Entries by key. They only move forward: one that is not newer than its key's entry changes nothing.
+    """Entries by key. An entry that is not newer than the current entry of its key is ignored.
 
     Attributes:
         revision: everything up to it is included.
-        term: of the entry at `revision`.
-        forgotten: revision of the newest removal that is no longer remembered. Whoever is not past it can't
-            be brought up to date by entries alone.
-        bytes: charged for all versions that are kept.
+        term: term of the entry at `revision`.
+        forgotten: revision of the newest removal whose tombstone was dropped. A peer that is not past it
+            cannot be brought up to date by entries alone.
+        bytes: bytes charged for all versions that are kept.
     """
 
     def __init__(self):
@@ -38,11 +38,11 @@
         self.forgotten = 0
         self.bytes = 0
         self.entries = {}  # key -> newest Entry, removals included
-        self.revision_index = []  # (revision, key), rising; pairs that a newer entry outdated are skipped
+        self.revision_index = []  # (revision, key), ascending; outdated pairs are skipped when read
         self.versions = {}  # key -> deque of Entry, oldest first, the newest included
-        self.history = []  # all versions in the order they came, some that are no longer kept among them
-        self.outdated = 0  # number of these
-        self.tombstones = deque()  # (key, revision) of the removals that are remembered
+        self.history = []  # all versions in order of arrival, including some that are no longer kept
+        self.outdated = 0  # number of versions in `history` that are no longer kept
+        self.tombstones = deque()  # (key, revision) of the newest removals
         self.requests = OrderedDict()  # request id -> revision
         self.digests = [0] * DIGEST_BUCKETS
         self.bucket_keys = [set() for _ in range(DIGEST_BUCKETS)]  # live keys
@@ -52,12 +52,12 @@
     # ---- reading
 
     def get(self, key):
-        """The newest Entry of a key, or None if it was never written or is removed."""
+        """The current Entry of a key, or None if the key does not exist."""
         entry = self.entries.get(key)
         return entry if entry is not None and entry.value is not None else None
 
     def live_entries(self):
-        """All entries that are in force, by rising revision."""
+        """The current entries of all live keys, in ascending revision order."""
         return [entry for entry in self.entries_since(0) if entry.value is not None]
 
     def entry_at(self, key, revision):
@@ -65,7 +65,10 @@
         return next((entry for entry in self.versions.get(key, ()) if entry.revision == revision), None)
 
     def entries_since(self, revision):
-        """Yields the newest entries written after `revision`, in order. Costs what is read of it."""
+        """Yields the newest entry of each key written after `revision`, removals included, in revision order.
+
+        The cost is proportional to the number of entries read, not to the size of the store.
+        """
         for position in range(
             bisect_right(self.revision_index, (revision, MAX_KEY)), len(self.revision_index)
         ):
@@ -76,29 +79,29 @@
 
     @property
     def digest(self):
-        """64 bits over all that is in force."""
+        """64-bit digest of all live entries."""
         total = 0
         for bucket_digest in self.digests:
             total ^= bucket_digest
         return total
 
     def inventory(self, bucket):
-        """All live keys of a bucket, as InventoryItems sorted by key."""
+        """The live keys of a bucket, as InventoryItems sorted by key."""
         entries = (self.entries[key] for key in sorted(self.bucket_keys[bucket]))
         return [InventoryItem(entry.key, entry.revision, entry.fingerprint) for entry in entries]
 
     # ---- writing
 
     def apply(self, entry):
-        """Takes an entry if it is newer than its key's present one.
+        """Applies an entry if it is newer than the current entry of its key.
 
         Returns:
-            Whether it was.
+            Whether it was applied.
         """
         if entry.request:
             self.record_requests([(entry.request, entry.revision)])
         if not entry.key:
-            return False  # opens a term, changes no key
+            return False  # the empty entry that opens a term
         former = self.entries.get(entry.key)
         if former is not None and former.revision >= entry.revision:
             return False
@@ -107,13 +110,13 @@
         return True
 
     def advance(self, revision, term=0):
-        """Everything up to `revision` is included now."""
+        """Records that everything up to `revision` is included."""
         if revision > self.revision:
             self.revision = revision
             self.term = term
 
     def discard(self, key):
-        """Drops all versions of a key, as if it had never been written: for repairs."""
+        """Drops all versions of a key, as if it had never been written."""
         entry = self.entries.pop(key, None)
         if entry is None:
             return
@@ -124,13 +127,13 @@
             self.outdated += 1
 
     def record_requests(self, requests):
-        """Takes (request id, revision) pairs of writes; the newest ones are kept."""
+        """Records (request id, revision) pairs of writes; the oldest beyond MAX_REQUEST_IDS are dropped."""
         for request, revision in requests:
             self.requests[request] = revision
         while len(self.requests) > MAX_REQUEST_IDS:
             self.requests.popitem(last=False)
 
-    # ---- inside
+    # ---- internals
 
     def _replace(self, former, entry):
         if former is not None and former.value is not None:
@@ -185,14 +188,14 @@
 
 
 def restore_store(revision, term, versions, requests, forgotten=0):
-    """Builds a VersionedStore anew.
+    """Rebuilds a VersionedStore from saved versions.
 
     Args:
-        revision: of the last entry that is included.
-        term: of that entry.
+        revision: revision of the last entry that is included.
+        term: term of that entry.
         versions: what `export_versions` returned.
         requests: (request id, revision) pairs.
-        forgotten: revision of the newest removal that is no longer remembered.
+        forgotten: revision of the newest removal whose tombstone was dropped.
 
     Returns:
         The VersionedStore.
@@ -207,5 +210,5 @@
 
 
 def export_versions(store):
-    """All versions that a store keeps, and some that it no longer does: what `restore_store` needs."""
+    """The versions that `restore_store` needs: all that are kept, and some that no longer are."""
     return list(store.history)
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -1,7 +1,7 @@
-"""One subscriber: follows a replica, applies what it sends, and knows the age of what it holds.
+"""The state machine of a subscriber: follows a replica, applies its updates, and tracks their age.
 
-It follows one replica at a time, chosen by its ReplicaSelector, and never moves backwards: an entry that is
-not newer than its key's present one changes nothing, whichever replica sends it.
+A subscriber follows one replica at a time, chosen by its ReplicaSelector, and never moves backwards: an entry
+that is not newer than the current entry of its key is ignored, whichever replica sends it.
 """
 
 from .codec import encode
@@ -17,27 +17,28 @@
 
 
 class Subscriber:
-    """A state machine that takes messages, connection events and time.
+    """A state machine that is given messages, connection events and the time.
 
-    Call `advance` when `next_at` is due, and `connection_opened`, `connection_lost` and `receive` as things
-    happen. The caller takes what gathers in `actions` and `applied`, and empties them.
+    Call `advance` when `next_at` is due, and `connection_opened`, `connection_lost` and `receive` when these
+    events occur. After each call the caller takes and clears `actions` and `applied`.
 
     Args:
         cluster: name of the cluster.
-        name: this subscriber.
-        replicas: names in the order of preference.
-        now: ns.
+        name: name of this subscriber.
+        replicas: names of the replicas, in order of preference.
+        now: current time, ns.
         rng: a random.Random, seeded differently at each start.
         timing: a SubscriberTiming, None for the default.
-        budget: the FeedSettings whose bytes a second this subscriber may be sent, None for the default.
-        entries: what a former process held.
-        revision: that the former process had reached.
-        known_at: ns by `now`'s clock when that was certainly the newest (may be before 0); None if unknown.
+        budget: the FeedSettings that limit the bytes sent to this subscriber, None for the default.
+        entries: entries saved by a previous process.
+        revision: revision that the previous process had reached.
+        known_at: ns of the clock of `now` at which `entries` were certainly the newest (may be negative);
+            None if that is not known.
 
     Attributes:
-        actions: OpenConnection, CloseConnection and SendMessage to be done, in order.
-        applied: entries that are newly in force, in order.
-        counters: events by name, shown to operators.
+        actions: OpenConnection, CloseConnection and SendMessage actions to execute, in order.
+        applied: newly applied entries, in order.
+        counters: event counts by name, shown to operators.
     """
 
     def __init__(
@@ -64,30 +65,30 @@
         self.freshness = Freshness(known_at)
         budget = budget or FeedSettings()
         self.bucket = TokenBucket(budget.sustained_bytes_per_second, budget.burst_bytes, now)
-        self.bucket.limit(now, 0)  # a former process may have just spent it all
+        self.bucket.limit(now, 0)  # a previous process may have spent the whole budget just now
         self.actions = []
         self.applied = []
         self.connection_id = 0
         self.connected = False
         self.connecting = False
-        self.last_received_at = now  # ns of the last message, or of the connection attempt
-        self.next_repair_at = now  # ns before which no further repair is asked for
+        self.last_received_at = now  # ns of the last message or connection event
+        self.next_repair_at = now  # ns before which no repair is requested
         self.counters = dict.fromkeys(("dials", "updates", "duplicates", "gaps", "repairs", "moves"), 0)
 
     # ---- queries
 
     @property
     def revision(self):
-        """Everything up to here is held, of each key the newest."""
+        """The revision up to which the newest entry of each key is held."""
         return self.store.revision
 
     @property
     def replica(self):
-        """Name of the replica that is followed or tried."""
+        """Name of the replica that is followed or being connected to."""
         return self.selector.current
 
     def age(self, now):
-        """Time in ns since it was certain that nothing newer was committed anywhere; None if it never was."""
+        """Time in ns since it was certain that nothing newer was committed; None if it never was."""
         return self.freshness.age(now)
 
     def next_at(self):
@@ -101,7 +102,7 @@
     # ---- time and connections
 
     def advance(self, now):
-        """Does what is due at the time `now`, ns."""
+        """Does what is due at `now` (ns): connects, or leaves a replica."""
         if self.connected:
             if now - self.last_received_at >= self.timing.silence_timeout:
                 self._disconnect(now, "silent")
@@ -109,12 +110,12 @@
                 self._fail_back(now)
         elif self.connecting:
             if now - self.last_received_at >= self.timing.connect_timeout:
-                self._disconnect(now, "no connection")
+                self._disconnect(now, "connect timeout")
         elif now >= self.selector.connect_at:
             self._connect(now)
 
     def connection_opened(self, now, connection_id):
-        """The connection is up."""
+        """Handles a connection that was established at `now` (ns): subscribes."""
         if connection_id != self.connection_id or not self.connecting:
             return
         self.connected = True
@@ -124,19 +125,19 @@
         self._subscribe(now, self.revision)
 
     def connection_lost(self, now, connection_id):
-        """The connection could not be opened, or ended."""
+        """Handles a connection that ended or could not be established."""
         if connection_id == self.connection_id and (self.connected or self.connecting):
             self._try_next(now)
 
     def receive(self, now, connection_id, message, size):
-        """Handles a message of the replica.
+        """Handles a message from the replica.
 
         Args:
-            now: ns.
-            connection_id: that it came on; what former connections still bring is dropped, but its bytes were
-                spent.
+            now: current time, ns.
+            connection_id: connection that it arrived on. Messages of earlier connections are dropped, but
+                their bytes count against the budget.
             message: a Heartbeat, Update or Inventory.
-            size: its bytes on the wire.
+            size: size of the message on the wire, bytes.
         """
         self.bucket.available(now)
         self.bucket.spend(size)
@@ -168,7 +169,7 @@
         self.selector.select_next(now)
 
     def _fail_back(self, now):
-        self.actions.append(CloseConnection(self.connection_id, "back to the first replica"))
+        self.actions.append(CloseConnection(self.connection_id, "failback to the first replica"))
         self.connected = False
         self.counters["moves"] += 1
         self.selector.fail_back(now)
@@ -180,7 +181,7 @@
             self.freshness.observe_commit(message.echo, message.commit, message.age, self.revision)
         if message.age > self.timing.stale_after:
             if self.selector.should_leave_stale(now):
-                self._disconnect(now, "apart from the majority")
+                self._disconnect(now, "cut off from the majority")
             else:
                 self._send(Confirm(self.revision, now))
             return
@@ -189,7 +190,7 @@
         self._send(Confirm(self.revision, now))
 
     def _check_digest(self, now, message):
-        """Asks for a repair if the same revision has another digest: an entry here or there is corrupt."""
+        """Requests a repair if the digests differ at the same revision, as an entry is then corrupt."""
         same_revision = message.commit == self.revision
         if same_revision and message.digest != self.store.digest and now >= self.next_repair_at:
             self.next_repair_at = now + self.timing.silence_timeout
@@ -217,7 +218,7 @@
         return newer
 
     def _on_inventory(self, now, message):
-        """Drops what was removed or is corrupt, and asks for what is missing."""
+        """Drops removed and corrupt keys, and requests missing entries."""
         difference = compare(self.store, message)
         for key in difference.removed:
             self._apply(Entry(key, message.upto, 0, "", None))
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -1,11 +1,11 @@
 """What a replica sends to its subscribers: updates within a byte budget, heartbeats, and repairs.
 
-Nothing is queued for a subscriber but the revision that it confirmed: an update is made when it may be sent,
-of the newest entries written since, so what waits is deduplicated by key. One update is in flight at a time;
-one that is not confirmed is sent again with backoff.
+No messages are queued for a subscriber. An update is built when the budget allows it to be sent, from the
+newest entries after the revision that the subscriber confirmed, so pending entries are deduplicated by key.
+One update is in flight at a time; an unconfirmed one is sent again with backoff.
 
-A subscriber that returns with much to catch up gets what was written since then in turn with what it missed:
-a write that is in force everywhere else does not wait for another one's history.
+A returning subscriber that has to catch up gets recent writes in turn with the entries that it missed, so
+that a new write does not wait until the whole backlog is sent.
 """
 
 from .codec import encode
@@ -19,24 +19,24 @@
 from .token_bucket import TokenBucket
 from .update_packing import pack_missing, pack_recent
 
-FRAME_HEADER_BYTES = 4  # of a frame's length
-UPDATE_HEADER_BYTES = 24  # an update's own numbers, at the most
-BUDGET_POLL_NS = 50 * MILLISECOND  # ns between two looks at a subscriber that waits for budget
+FRAME_HEADER_BYTES = 4  # length prefix of a frame
+UPDATE_HEADER_BYTES = 24  # upper bound for an Update without its entries
+BUDGET_POLL_NS = 50 * MILLISECOND  # interval at which a subscriber that waits for budget is checked
 
 
 class SubscriberFeed:
-    """All subscribers of one replica.
+    """The state machine that serves all subscribers of one replica.
 
     Args:
         cluster: name of the cluster.
-        store: returns the replica's VersionedStore, which may be replaced.
-        now: ns.
+        store: callable that returns the replica's VersionedStore, which may be replaced.
+        now: current time, ns.
         settings: a FeedSettings, None for the default.
 
     Attributes:
         subscriptions: name -> Subscription.
-        retries: updates that were not confirmed in time.
-        silent: subscribers that were dropped as they said nothing.
+        retries: number of updates that were not confirmed in time.
+        silent: number of subscribers dropped because they sent nothing.
     """
 
     def __init__(self, cluster, store, now, settings=None):
@@ -47,7 +47,7 @@
         total = self.settings.total_bytes_per_second
         self.total_bucket = TokenBucket(total, total, now)
         self.schedule = FeedSchedule()
-        self.seen_revision = 0  # of the store, when subscribers were last looked at
+        self.seen_revision = 0  # the store's revision when subscribers were last served
         self.retries = 0
         self.silent = 0
 
@@ -55,7 +55,7 @@
 
     @property
     def lowest_confirmed(self):
-        """The revision that all subscribers have confirmed; the store's own if there are none."""
+        """The highest revision that all subscribers have confirmed; the store's own if there are none."""
         confirmed = (subscription.confirmed for subscription in self.subscriptions.values())
         return min(confirmed, default=self.store().revision)
 
@@ -73,38 +73,38 @@
     # ---- received
 
     def receive(self, now, name, message):
-        """Handles a message of a subscriber.
+        """Handles a message from a subscriber.
 
         Args:
-            now: ns.
-            name: of the subscriber, by its connection.
+            now: current time, ns.
+            name: name of the subscriber that the connection belongs to.
             message: a Subscribe, Confirm or Repair.
 
         Raises:
-            SubscriberRejectedError: its connection is to be closed.
+            SubscriberRejectedError: the connection has to be closed.
         """
         subscription = self.subscriptions.get(name)
         self.schedule.touch([name])
         if isinstance(message, Subscribe):
             self._subscribe(now, name, message)
         elif subscription is None:
-            raise SubscriberRejectedError("it has to subscribe first")
+            raise SubscriberRejectedError("the first message must be a Subscribe")
         elif isinstance(message, Confirm):
             subscription.confirm(now, message)
         elif isinstance(message, Repair):
             self._repair(now, subscription, message)
 
     def unsubscribe(self, name):
-        """A subscriber's connection ended."""
+        """Drops the subscription of a subscriber whose connection ended."""
         self.subscriptions.pop(name, None)
 
     def _subscribe(self, now, name, message):
         if message.cluster != self.cluster:
-            raise SubscriberRejectedError(f"it is of cluster {message.cluster}, this is {self.cluster}")
+            raise SubscriberRejectedError(f"cluster is {message.cluster}, expected {self.cluster}")
         if message.version != VERSION:
-            raise SubscriberRejectedError(f"it speaks version {message.version}, this is {VERSION}")
+            raise SubscriberRejectedError(f"protocol version is {message.version}, expected {VERSION}")
         if name != message.subscriber:
-            raise SubscriberRejectedError("its name changed")
+            raise SubscriberRejectedError("the subscriber's name changed within the connection")
         subscription = self.subscriptions.get(name)
         if subscription is None:
             bucket = TokenBucket(self.settings.sustained_bytes_per_second, self.settings.burst_bytes, now)
@@ -116,7 +116,7 @@
         subscription.last_received_at = now
         digests = self.store().digests
         if len(message.digests) != len(digests):
-            raise SubscriberRejectedError(f"{len(digests)} digests are expected")
+            raise SubscriberRejectedError(f"expected {len(digests)} digests")
         if not subscription.repairs:
             differing = (bucket for bucket, own in enumerate(digests) if own != message.digests[bucket])
             subscription.repairs.extend(differing)
@@ -124,11 +124,11 @@
     # ---- sent
 
     def advance(self, now, age):
-        """Does what is due.
+        """Serves all subscribers that are due, and drops silent ones.
 
         Args:
-            now: ns.
-            age: of the replica's state, ns; None if it is not known.
+            now: current time, ns.
+            age: age of the replica's state, ns; None if it is not known.
 
         Returns:
             FeedInstructions.
@@ -149,7 +149,7 @@
         return out
 
     def _due(self, now):
-        """Names to look at: all if the state has changed, else those with an event or whose time it is."""
+        """Names of the subscribers to serve: all if the store has changed, else those that are due."""
         if self.seen_revision != self.store().revision:
             self.seen_revision = self.store().revision
             self.schedule.touch(self.subscriptions)
@@ -191,7 +191,7 @@
             self._send_missing(now, subscription, out)
 
     def _send_recent(self, now, subscription, out):
-        """Sends what was written since it subscribed, before all that it missed. Returns whether any went."""
+        """Sends entries written since it subscribed, ahead of those it missed. Returns whether it did."""
         update = pack_recent(self.store(), subscription, self._available_bytes(now, subscription))
         if update is None:
             return False
@@ -200,7 +200,7 @@
         return True
 
     def _send_missing(self, now, subscription, out):
-        """Sends as much as the budget allows, unless that is less than a chunk and more waits."""
+        """Sends missing entries within the budget, unless that allows less than the minimum update."""
         room = self._available_bytes(now, subscription)
         update = pack_missing(self.store(), subscription, room, self.settings.min_update_bytes)
         if update is not None:
@@ -208,7 +208,7 @@
             self._send(now, subscription, encode(update), out)
 
     def _available_bytes(self, now, subscription):
-        """Bytes of entries that an update may have now."""
+        """Bytes of entries that an update may carry now."""
         available = min(subscription.bucket.available(now), self.total_bucket.available(now))
         return available - FRAME_HEADER_BYTES - UPDATE_HEADER_BYTES
 
--- a/embertray/cluster/replication/subscription.py
+++ b/embertray/cluster/replication/subscription.py
@@ -1,4 +1,4 @@
-"""What a replica knows of one of its subscribers."""
+"""State that a replica keeps for each of its subscribers."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -13,21 +13,21 @@
     """One subscriber's state at its replica.
 
     Attributes:
-        name: of the subscriber.
-        bucket: the bytes that it may be sent.
+        name: name of the subscriber.
+        bucket: TokenBucket of the bytes that may be sent to it.
         confirmed: revision up to which it has applied everything.
         catch_up_revision: the replica's revision when it subscribed; it catches up until that is confirmed.
-        recent_sent: newest revision that was sent to it before all that it missed.
-        recent_is_next: whether recent entries go before more of what it missed.
+        recent_sent: newest revision sent to it ahead of the entries that it missed.
+        recent_is_next: whether the next update carries recent entries rather than missed ones.
         last_received_at: ns of its last message.
         heartbeat_at: ns when the next heartbeat is due.
-        in_flight: revision that the update under way leads to; None if there is none.
+        in_flight: revision reached by the update in flight; None if there is none.
         retry_at: ns when that update is given up.
-        failures: updates in a row that were not confirmed in time.
-        stamp: the newest time of its own clock that it sent, ns.
-        repairs: buckets whose inventory it is owed.
-        bytes_sent: in total, frames included.
-        wake_at: ns when it is looked at next without an event.
+        failures: number of consecutive updates that were not confirmed in time.
+        stamp: the newest stamp received from it, ns of its clock.
+        repairs: digest buckets whose inventory has to be sent to it.
+        bytes_sent: total bytes sent, including frame headers.
+        wake_at: ns when it is served next if no event occurs.
     """
 
     name: str
@@ -48,11 +48,11 @@
 
     @property
     def catching_up(self):
-        """Whether it still lacks some of what was written before it subscribed."""
+        """Whether it still lacks entries written before it subscribed."""
         return self.confirmed < self.catch_up_revision
 
     def restart(self, now, message, revision):
-        """Starts anew with a Subscribe received at `now` (ns), when the replica has reached `revision`."""
+        """Restarts from a Subscribe received at `now` (ns), while the replica is at `revision`."""
         self.confirmed = message.revision
         self.catch_up_revision = revision
         self.recent_sent = revision
@@ -64,7 +64,7 @@
         self.bucket.limit(now, message.allowance)
 
     def confirm(self, now, message):
-        """Takes a Confirm received at `now` (ns)."""
+        """Handles a Confirm received at `now` (ns)."""
         self.last_received_at = now
         self.confirmed = max(self.confirmed, message.revision)
         self.stamp = max(self.stamp, message.stamp)
@@ -73,16 +73,16 @@
             self.failures = 0
 
     def update_sent(self, now, upto, settings):
-        """An update that leads to the revision `upto` is under way; each failure doubles its timeout."""
+        """Records that an update to revision `upto` was sent; each failure doubles its timeout."""
         doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
         self.in_flight = upto
         self.recent_is_next = True
         self.retry_at = now + min(settings.initial_retry_delay << doublings, settings.max_retry_delay)
 
     def recent_update_sent(self, now, newest, settings):
-        """Recent entries up to the revision `newest` are under way; what it missed goes next.
+        """Records that recent entries up to revision `newest` were sent; missed entries are sent next.
 
-        They are not sent again for themselves: with the rest they go once more.
+        They are not retried on their own: catching up sends them once more in any case.
         """
         self.update_sent(now, self.confirmed, settings)
         self.recent_sent = newest
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -1,4 +1,4 @@
-"""Timeouts, intervals and rates of replicas, feeds and subscribers: value, unit, reason."""
+"""Timeouts, intervals and rates of replicas, feeds and subscribers."""
 
 from dataclasses import dataclass
 
@@ -11,10 +11,12 @@
     """Timing between replicas, ns.
 
     Attributes:
-        heartbeat_interval: of a leader; three fit into the shortest election timeout.
-        election_timeout_min: a follower waits so long for its leader at the least.
-        election_timeout_max: and at the most; drawn anew each time, so that candidates rarely tie.
-        recovery_wait: a replica without its state votes for nobody; twice election_timeout_max.
+        heartbeat_interval: between a leader's heartbeats; three fit into election_timeout_min.
+        election_timeout_min: lower bound of the election timeout.
+        election_timeout_max: upper bound; the timeout is drawn at random each time, so that candidates
+            rarely tie.
+        recovery_wait: how long a replica that lost its state waits for votes of its previous process to
+            expire; twice election_timeout_max.
     """
 
     heartbeat_interval: int = 400 * MILLISECOND
@@ -24,14 +26,14 @@
 
     @property
     def quorum_timeout(self):
-        """Time in ns; a leader that no majority confirmed for so long accepts no write.
+        """Time in ns after which a leader that no majority has confirmed accepts no writes.
 
-        It is the shortest election timeout: before it is over, no other leader can have been elected.
+        It equals the minimum election timeout: before that, no other leader can have been elected.
         """
         return self.election_timeout_min
 
     def election_timeout(self, rng):
-        """Draws a timeout in ns from `rng`, a random.Random."""
+        """Draws an election timeout in ns from `rng`, a random.Random."""
         return rng.randrange(self.election_timeout_min, self.election_timeout_max)
 
 
@@ -40,13 +42,14 @@
     """What a replica sends to its subscribers, and when.
 
     Attributes:
-        heartbeat_interval: ns between two to a subscriber; age and digest let it judge what it holds.
-        initial_retry_delay: ns after which an update that is not confirmed is sent again, doubled each time.
-        max_retry_delay: ns, the most that this becomes.
-        min_update_bytes: bytes of one update while more waits; small enough to be spread evenly over time.
+        heartbeat_interval: ns between heartbeats to a subscriber, which carry the age and the digest.
+        initial_retry_delay: ns after which an unconfirmed update is sent again; doubled each time.
+        max_retry_delay: upper bound of the retry delay, ns.
+        min_update_bytes: smallest update that is sent while more entries wait; small enough to spread the
+            traffic evenly over time.
         silence_timeout: ns after which a subscriber that sends nothing is dropped.
-        bytes_per_second: of one subscriber, averaged over ten seconds; the operators' budget.
-        total_bytes_per_second: of one replica; a hundred subscribers at their full rate.
+        bytes_per_second: budget of one subscriber, averaged over ten seconds; set by the operators.
+        total_bytes_per_second: budget of one replica; the default serves 100 subscribers at their full rate.
     """
 
     heartbeat_interval: int = 1 * SECOND
@@ -59,20 +62,20 @@
 
     @property
     def sustained_bytes_per_second(self):
-        """Refill rate of a subscriber's token bucket, bytes a second.
+        """Refill rate of a subscriber's token bucket, bytes per second.
 
-        With `burst_bytes`, any ten seconds stay under the budget.
+        Together with `burst_bytes` it keeps any ten seconds within the budget.
         """
         return self.bytes_per_second * 3 // 4
 
     @property
     def burst_bytes(self):
-        """Capacity of a subscriber's token bucket in bytes, and the most that one update may carry."""
+        """Capacity of a subscriber's token bucket and upper limit of an update, bytes."""
         return self.bytes_per_second * 2
 
     @property
     def max_value_bytes(self):
-        """Size of the largest value that is accepted: one entry has to fit into one update."""
+        """Largest accepted value, bytes: an entry has to fit into one update."""
         return self.burst_bytes - 1_024
 
 
@@ -81,13 +84,14 @@
     """Timing of a subscriber, ns.
 
     Attributes:
-        connect_timeout: after which an attempt to connect is given up.
-        silence_timeout: a replica that sends nothing for so long is left; three heartbeats.
-        stale_after: a replica apart from the majority for so long is left. Most elections end sooner; the
-            bound is `Bounds.election`.
-        initial_retry_delay: pause before the next replica is tried, doubled each time all were tried.
-        max_retry_delay: the most that this becomes.
-        failback_delay: after so long at another replica the first one is tried again.
+        connect_timeout: after which a connection attempt is given up.
+        silence_timeout: after which a replica that sends nothing is left; three heartbeats.
+        stale_after: age at which a replica counts as cut off from the majority and is left. Most elections
+            take less; their bound is `Bounds.election`.
+        initial_retry_delay: pause once all replicas have failed, doubled each time; also the maximum jitter
+            of each connection attempt.
+        max_retry_delay: upper bound of that pause.
+        failback_delay: time at another replica after which the preferred one is tried again.
     """
 
     connect_timeout: int = 1 * SECOND
@@ -100,11 +104,11 @@
 
 @dataclass(frozen=True)
 class NetworkAssumptions:
-    """What the stated bounds assume of links that are good, ns.
+    """Delays of a fault-free network and disk that `propagation_bounds` assumes, ns.
 
     Attributes:
-        one_way_delay: a message's way, regions included.
-        save_delay: until a replica's state is on disk.
+        one_way_delay: one-way delay of a message, also between regions.
+        save_delay: time until a replica's state is on disk.
     """
 
     one_way_delay: int = 100 * MILLISECOND
--- a/embertray/cluster/replication/token_bucket.py
+++ b/embertray/cluster/replication/token_bucket.py
@@ -1,17 +1,17 @@
-"""A token bucket: bytes that may be sent, refilled at a rate."""
+"""Token bucket that limits the bytes sent."""
 
 NS_PER_S = 10**9
 
 
 class TokenBucket:
-    """Limits a sender: over any t seconds at most `capacity + rate * t` bytes are spent.
+    """Limits a sender to `capacity + rate * t` bytes within any t seconds.
 
-    A message larger than the capacity goes when the bucket is full, and the bucket owes the rest.
+    A message larger than the capacity may be sent when the bucket is full, and leaves a negative balance.
 
     Args:
-        rate: bytes a second.
+        rate: refill rate, bytes per second.
         capacity: bytes; the bucket starts full.
-        now: ns.
+        now: current time, ns.
     """
 
     def __init__(self, rate, capacity, now):
@@ -33,14 +33,14 @@
         return self.available(now) >= min(size, self.capacity)
 
     def spend(self, size):
-        """Takes the bytes of a message that was sent."""
+        """Deducts the bytes of a message that was sent."""
         self.tokens -= size
 
     def limit(self, now, tokens):
-        """Lowers what may be spent at `now` (ns) to `tokens` bytes."""
+        """Limits the bytes that may be spent at `now` (ns) to at most `tokens`."""
         self.tokens = min(self.available(now), float(tokens))
 
     def ready_at(self, now, size):
-        """Time in ns when a message of `size` bytes may be sent, as seen at `now` (ns)."""
+        """Earliest time in ns at which a message of `size` bytes may be sent, computed at `now` (ns)."""
         lacking = min(size, self.capacity) - self.available(now)
         return now if lacking <= 0 else now + int(lacking * NS_PER_S / self.rate) + 1
--- a/embertray/cluster/replication/update_packing.py
+++ b/embertray/cluster/replication/update_packing.py
@@ -1,31 +1,31 @@
-"""Which entries go into a subscriber's next update, by the bytes that it may be sent now."""
+"""Selection of the entries for a subscriber's next update, within the bytes that it may be sent now."""
 
 from .messages import Update
 
 
 def pack_recent(store, subscription, room):
-    """Packs what was written since the subscriber subscribed.
+    """Packs entries written since the subscriber subscribed.
 
     Args:
         store: the replica's VersionedStore.
         subscription: a Subscription.
-        room: bytes that entries may take.
+        room: bytes available for entries.
 
     Returns:
-        An Update that confirms nothing new; None if no entry fits or none was written.
+        An Update that leaves the subscriber's revision as it is; None if there is no entry, or none fits.
     """
     entries, _ = _entries_that_fit(store.entries_since(subscription.recent_sent), room)
     return Update(subscription.confirmed, subscription.confirmed, entries) if entries else None
 
 
 def pack_missing(store, subscription, room, chunk):
-    """Packs what the subscriber lacks, by rising revision.
+    """Packs entries that the subscriber lacks, in ascending revision order.
 
     Args:
         store: the replica's VersionedStore.
         subscription: a Subscription.
-        room: bytes that entries may take.
-        chunk: bytes under which no update goes while more waits.
+        room: bytes available for entries.
+        chunk: smallest size, in bytes, of an update that leaves entries behind.
 
     Returns:
         An Update; None if it has to wait for more room.
@@ -34,7 +34,7 @@
     size = sum(entry.size for entry in entries)
     if too_large is not None and not entries:
         return None
-    # what fits before an entry larger than a chunk goes alone: they would never fit together
+    # entries before one larger than a chunk are sent without it, as they would never fit together
     before_large = too_large is not None and too_large.size > chunk and size > 0
     if too_large is not None and size < chunk and not before_large:
         return None
