--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -99,9 +99,9 @@
         that a slow channel does not cause retries.
         """
         deployment = self.context.deployment
-        ahead = int(self.pending_lines() * SECOND / (deployment.channel_rate or 1))
-        slowest = max(self._ack_delays, default=0)
-        return ACK_TIMEOUT_MIN + deployment.channel_delay_max + 2 * slowest + 2 * ahead
+        drain_time = int(self.pending_lines() * SECOND / (deployment.channel_rate or 1))
+        ack_delay_max = max(self._ack_delays, default=0)
+        return ACK_TIMEOUT_MIN + deployment.channel_delay_max + 2 * ack_delay_max + 2 * drain_time
 
     def free_lines(self, priority):
         """Returns the lines that messages of a priority may still use.
@@ -148,11 +148,11 @@
         """Whether no proxy has reached its message limit; unacknowledged messages may yet be written."""
         deployment = self.context.deployment
         is_limited = deployment.messages_max > 0
-        most = deployment.messages_max - priority.messages_reserved
+        messages_limit = deployment.messages_max - priority.messages_reserved
         written_since = self.context.now - deployment.messages_window
         ordered_since = written_since - self.ack_timeout() if is_limited else 0
         for proxy in proxies:
-            written = proxy.messages.recent_count(written_since, ordered_since)  # also drops older entries
-            if is_limited and proxy not in self.reserved and written >= most:
+            recent = proxy.messages.recent_count(written_since, ordered_since)  # also drops older entries
+            if is_limited and proxy not in self.reserved and recent >= messages_limit:
                 return False
         return True
--- a/embertray/policy/endpoint_removal.py
+++ b/embertray/policy/endpoint_removal.py
@@ -62,15 +62,15 @@
         return self._withdraw(proxies_by_table, unbound) + self._readmit(joined)
 
     def _remove_lines(self, proxies_by_table):
-        pending = {
+        pending_by_table = {
             table: [backend for backend in self.pending if backend in table.sent]
             for table in proxies_by_table
         }
-        oldest = {
+        oldest_by_table = {
             table: min((self.pending[one] for one in backends), default=0)
-            for table, backends in pending.items()
+            for table, backends in pending_by_table.items()
         }
-        for table, backends in sorted(pending.items(), key=lambda item: oldest[item[0]]):
+        for table, backends in sorted(pending_by_table.items(), key=lambda item: oldest_by_table[item[0]]):
             lines_min = (len(backends) + 1) // 2
             lines = self.budget.reserve(proxies_by_table[table], len(backends), REMOVAL, lines_min)
             self.writer.write_lines(table, [(backend, 0) for backend in backends[:lines]])
@@ -82,8 +82,8 @@
     def _withdraw(self, tables, unbound):
         orders = []
         for backend in list(self.pending):
-            is_out = not any(backend in table.sent for table in tables)
-            if is_out and self.budget.reserve(unbound, 1, REMOVAL):
+            is_removed = not any(backend in table.sent for table in tables)
+            if is_removed and self.budget.reserve(unbound, 1, REMOVAL):
                 if unbound:
                     orders.append(Withdraw(backend.handle, True))
                     self.withdrawn[backend] = True
--- a/embertray/policy/learned_weights.py
+++ b/embertray/policy/learned_weights.py
@@ -48,10 +48,10 @@
         rows = [row for row in stats if self._has_enough_reports(row)]
         estimates = self._estimates(rows)
         mean = sum(estimates) / (len(rows) or 1) or 1.0
-        usual_load = median([row.load for row in rows if row.load is not None] or [0])
+        median_load = median([row.load for row in rows if row.load is not None] or [0])
         for row, estimate in zip(rows, estimates, strict=True):
             target = min(CAPACITY_MAX, max(CAPACITY_MIN, estimate / mean))
-            self._adjust(row, target, usual_load)
+            self._adjust(row, target, median_load)
 
     @staticmethod
     def _has_enough_reports(row):
@@ -75,11 +75,11 @@
         return [row.long_window.rate * ratio for row, ratio in zip(rows, ratios, strict=True)]
 
     @staticmethod
-    def _adjust(row, target, usual_load):
+    def _adjust(row, target, median_load):
         backend = row.backend
-        load_off = (row.load or usual_load) - usual_load
+        load_off = (row.load or median_load) - median_load
         change = target / backend.capacity - 1
-        vetoed = load_off * change > 0 and abs(load_off) > LOAD_TOLERANCE * usual_load
+        vetoed = load_off * change > 0 and abs(load_off) > LOAD_TOLERANCE * median_load
         if abs(change) > MOVE_THRESHOLD and not vetoed:
             step = min(1 + MOVE_MAX, max(1 - MOVE_MAX, target / backend.capacity))
             backend.set_capacity(backend.capacity * step)
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -80,12 +80,10 @@
             Proxies that are to be bound to the table again.
         """
         timed_out_before = self.context.now - self.budget.ack_timeout()
-        unanswered = [
-            proxy for proxy in proxies if proxy.messages.has_unacknowledged_before(timed_out_before)
-        ]
+        timed_out = [proxy for proxy in proxies if proxy.messages.has_unacknowledged_before(timed_out_before)]
         changed = self.writer.changed_lines(table)
-        if unanswered:
-            return self._rebind(table, unanswered)
+        if timed_out:
+            return self._rebind(table, timed_out)
         if changed:
             self._send(table, proxies, changed)
         elif not any(proxy.messages.unacknowledged for proxy in proxies):
@@ -93,10 +91,10 @@
             del self.due_at[table]
         return []
 
-    def _rebind(self, table, unanswered):
+    def _rebind(self, table, timed_out):
         rebound = [
             proxy
-            for proxy in unanswered
+            for proxy in timed_out
             if self.budget.reserve([proxy], self.writer.bind_lines(table), URGENT_UPDATE)
         ]
         backoff = RETRY_BACKOFF_FIRST << min(table.failures, RETRY_DOUBLINGS_MAX)
