--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -19,9 +19,7 @@
 SERVICE_TIME_SHARE_MAX = 0.35  # of the latency objective; latency beyond it is queueing
 FALLING_RATIO = 0.9  # of the earlier mean; below it latency is falling
 WAIT_LOW = 0.2  # of the latency objective; a shorter wait is no queue
-DRAINED_LOAD_RATIO = (
-    0.5  # of the mean load in the long window; a newest load below it means that queues have drained
-)
+DRAINED_LOAD_RATIO = 0.5  # of the long window's mean load; below it queues have drained
 
 
 class CongestionEstimate:
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -47,9 +47,8 @@
 GROWTH_OF_ESTIMATE = 1.1  # factor on the target per evaluation, while it is not based on measured capacity
 LOST_CAPACITY = 0.85  # of the highest recent capacity; below it the fleet has shrunk
 SHRUNK_LIMIT = 1.3  # times the highest served rate, for a fleet that has shrunk
-BUSY_AFTER_LOSS = (
-    0.7  # mean busy share of the remaining backends; below it nothing is shed before a queue forms
-)
+# mean busy share of the remaining backends; below it nothing is shed before a queue forms
+BUSY_AFTER_LOSS = 0.7
 SHED_MAX = 0.97  # of a kind's requests
 LEVEL_CHANGE_MIN = 0.08  # relative; smaller changes of a level are not worth their channel lines
 PROXY_RATE_MIN = 0.01  # requests a second at a proxy, where levels are rates
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -3,12 +3,12 @@
 Rule: a zone has one table with all ready backends if the channel can deliver it to all proxies in time.
 Otherwise it has several tables, each with lines of every zone in proportion to the requests that its proxies
 receive. A new backend is added to the table with the largest deficit. In each control cycle up to four lines
-move from the table with the largest surplus to a table whose deficit exceeds a quarter. A joining proxy gets
-the table with the fewest requests for the capacity of its lines. At most one table per five proxies is in
-use; subsets grow where this limit requires it. Each backend is also listed in at least four used tables over
-all controllers, which limits the number of subsets: 5 controllers with 20 used tables each have at most 25.
-The number of tables in use assumes an even share of all proxies; a controller that more of a zone's proxies
-have joined uses more tables, one per five proxies.
+move from the table with the largest surplus to a table with a deficit of more than a quarter of its share. A
+joining proxy gets the table with the fewest requests for the capacity of its lines. At most one table per
+five proxies is in use; subsets grow where this limit requires it. Each backend is also listed in at least
+four used tables over all controllers, which limits the number of subsets: 5 controllers with 20 used tables
+each have at most 25. The number of tables in use assumes an even share of all proxies; a controller that more
+of a zone's proxies have joined uses more tables, one per five proxies.
 
 Inputs: desired weights, maximum number of lines per table (0: unlimited), usual requests a second of the
 proxies of each table, joined proxies of the zone. Output: `TableState.desired` of each table, and the table
