--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -48,7 +48,7 @@
 
 
 class Ladder(unittest.TestCase):
-    def test_each_level_is_entered_by_what_is_lost_and_left_after_a_calm_minute(self):
+    def test_the_lost_share_selects_the_level_which_is_left_after_a_calm_period(self):
         for served, name in (
             (200, "normal"),
             (190, "normal"),
@@ -70,7 +70,7 @@
             if entered:
                 self.assertGreaterEqual(proxy.changes[-1][0] - 50, CALM_PERIOD_NS // S)
 
-    def test_a_load_that_swings_around_a_mark_changes_the_level_once(self):
+    def test_a_load_that_oscillates_around_a_threshold_changes_the_level_once(self):
         for period in (2, 4, 6, 20, 45):
             proxy = ReportingProxy()
             for second in range(600):
@@ -80,7 +80,7 @@
                     sum(start <= at < start + 60 for at, _ in proxy.changes), 1, (period, proxy.changes)
                 )
 
-    def test_the_level_changes_once_a_minute_but_to_the_highest_at_once(self):
+    def test_the_level_changes_once_a_minute_except_to_the_highest(self):
         proxy = ReportingProxy()
         for second in range(200):
             proxy.second(100, 200 if second < 10 else 150 if second // 3 % 2 else 85)
@@ -90,7 +90,7 @@
             proxy.second(100, 20)
         self.assertEqual(proxy.ladder.name, "survival")
 
-    def test_clients_that_repeat_at_once_later_or_never_leave_the_same_level(self):
+    def test_the_retry_behaviour_of_clients_does_not_affect_the_level(self):
         found = {}
         for habit in ("never", "later", "at once"):
             proxy = ReportingProxy(habit)
@@ -103,7 +103,7 @@
             max(lost) - min(lost), 0.1, found
         )  # what rose meanwhile may be demand: it can't be told
 
-    def test_without_load_reports_the_level_stands(self):
+    def test_without_load_reports_the_level_is_unchanged(self):
         proxy = ReportingProxy()
         for _ in range(15):
             proxy.second(100, 200)
@@ -118,7 +118,7 @@
             proxy.second(100, 200)
         self.assertEqual(proxy.ladder.name, "normal")
 
-    def test_pins_and_forbidden_levels(self):
+    def test_pinned_and_forbidden_levels(self):
         proxy = ReportingProxy()
         proxy.ladder.pin("essential")
         proxy.second(100, 200)
@@ -144,7 +144,7 @@
             st.tuples(st.integers(1, 40), st.sampled_from([0.0, 0.03, 0.06, 0.2, 0.3, 0.6, 0.9])), max_size=12
         )
     )
-    def test_rising_takes_some_evaluations_and_falling_a_calm_minute(self, course):
+    def test_raising_takes_several_evaluations_and_lowering_a_calm_period(self, course):
         ladder, now, last, lost_at = DegradationLadder([POST], S, False, 0), 0, 0, {}
         ladder.loss_meter = SimpleNamespace(lost_share=lambda now: lost_at[now])
         for seconds, lost in course:
@@ -179,7 +179,7 @@
         meter.observe(80 * S, "p", POST, 40, 0, S, 50.0)
         self.assertLess(meter.lost_share(80 * S), 0.01)
 
-    def test_marked_repeats_give_first_demand_at_once(self):
+    def test_marked_retries_give_first_demand_at_once(self):
         meter = LossMeter([POST], S, True)
         for second, came, repeats in ((0, 100, 0), (1, 900, 100), (2, 1500, 700)):
             meter.observe(second * S, "p", POST, came, 0, S, 200.0, repeats)
@@ -198,7 +198,7 @@
         self.assertEqual(meter.load_count(), 1)
 
 
-SPIKE = (
+SURGE = (
     "site pushed\nfleet backends=6 proxies=6 controllers=1\n"
     "load 60/s for 110s source=flash times=14 at=6s period=8s\n"
 )
@@ -212,9 +212,9 @@
             do for e in result.events if e.what == "applied" for do in e.rest[0].do if isinstance(do, Level)
         ]
 
-    def test_a_spike_raises_and_lowers_the_level_and_breaks_no_rule(self):
+    def test_a_surge_raises_and_lowers_the_level_and_breaks_no_rule(self):
         stages = []
-        result = play(notation.read(SPIKE, "spike.day"), 4, on_stage=stages.append)
+        result = play(notation.read(SURGE, "spike.day"), 4, on_stage=stages.append)
         self.assertFalse([why for why in result.violations.values() if why])
         names = [change.new for _, _, change in stages[0].ladder]
         self.assertTrue({"essential", "survival"} & set(names), names)
@@ -225,30 +225,30 @@
         self.assertTrue(all(do.wait == 0 for do in levels if do.level >= 10**6))
         self.assertTrue(any(do.again == 0 for do in levels if do.wait))
 
-    def test_a_pin_breaks_no_rule_and_costs_no_line(self):
+    def test_a_pinned_level_breaks_no_rule_and_costs_no_line(self):
         day = notation.read(
             "site pushed\nfleet backends=6 proxies=6\nload 40/s for 20s\nat 4s deploy 50% batch=1 "
             "drain=4s by 1s\n",
             "pin.day",
         )
 
-        class Pinned(ControllerCore):
+        class PinnedCore(ControllerCore):
             def __init__(self, *args):
                 super().__init__(*args)
                 self.ladder.pin("survival")
 
-        free, pinned = (play(day, 2, core=core) for core in (ControllerCore, Pinned))
+        free, pinned = (play(day, 2, core=core) for core in (ControllerCore, PinnedCore))
         self.assertFalse([why for why in pinned.violations.values() if why])
         cost = [sum(e.rest[0].cost for e in result.events if e.what == "orders") for result in (free, pinned)]
         self.assertEqual(*cost)
         self.assertEqual(free.credit, pinned.credit)
 
     def test_rejected_clients_get_a_retry_after_over_streams(self):
-        result = player.play(notation.read(SPIKE.replace("110s", "20s"), "spike.day"), seed=3)
+        result = player.play(notation.read(SURGE.replace("110s", "20s"), "spike.day"), seed=3)
         self.assertFalse([why for why in result.violations.values() if why])
         self.assertTrue(any(do.wait for do in self.seen(result)))
 
-    def test_operators_see_and_pin_it(self):
+    def test_operators_read_and_pin_the_level(self):
         @with_daemon
         async def main(_, daemon):
             ask = daemon.page
