--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -26,22 +26,26 @@
 class ReportingProxy:
     """One proxy's sums each second, under a level, with clients of one habit."""
 
-    def __init__(self, habit="never"):
-        self.ladder, self.habit, self.now, self.changes = (
+    def __init__(self, retry_mode="never"):
+        self.ladder, self.retry_mode, self.now, self.changes = (
             DegradationLadder([POST, VIEW], S, False, 0),
-            habit,
+            retry_mode,
             0,
             [],
         )
 
-    def second(self, first, served, tell=True):
+    def second(self, first, served, reports=True):
         """`first` reqs/s of each kind are asked first; `served` of them are let in (post before view)."""
         self.now += S
-        for kind, can in ((POST, min(first, served)), (VIEW, max(0.0, min(first, served - first)))):
-            repeats = {"never": 0.0, "later": first - can, "at once": 3 * (first - can)}[self.habit]
-            came = first + repeats
-            if tell:
-                self.ladder.loss_meter.observe(self.now, "p", kind, came, 0, S, can / came if came else None)
+        for kind, admitted in ((POST, min(first, served)), (VIEW, max(0.0, min(first, served - first)))):
+            repeats = {"never": 0.0, "later": first - admitted, "at once": 3 * (first - admitted)}[
+                self.retry_mode
+            ]
+            arriving = first + repeats
+            if reports:
+                self.ladder.loss_meter.observe(
+                    self.now, "p", kind, arriving, 0, S, admitted / arriving if arriving else None
+                )
         change = self.ladder.evaluate_if_due(self.now)
         if change:
             self.changes.append((self.now // S, change.new))
@@ -92,11 +96,11 @@
 
     def test_the_retry_behaviour_of_clients_does_not_affect_the_level(self):
         found = {}
-        for habit in ("never", "later", "at once"):
-            proxy = ReportingProxy(habit)
+        for retry_mode in ("never", "later", "at once"):
+            proxy = ReportingProxy(retry_mode)
             for second in range(90):
                 proxy.second(100, 200 if second < 15 else 90)
-            found[habit] = proxy.ladder.name, proxy.ladder.lost_share
+            found[retry_mode] = proxy.ladder.name, proxy.ladder.lost_share
         names, lost = zip(*found.values(), strict=False)
         self.assertEqual(len(set(names)), 1, found)
         self.assertLess(
@@ -112,7 +116,7 @@
         level = proxy.ladder.name
         self.assertNotEqual(level, "normal")
         for _ in range(300):
-            proxy.second(100, 200, tell=False)
+            proxy.second(100, 200, reports=False)
         self.assertEqual(proxy.ladder.name, level)
         for _ in range(64):
             proxy.second(100, 200)
@@ -181,8 +185,8 @@
 
     def test_marked_retries_give_first_demand_at_once(self):
         meter = LossMeter([POST], S, True)
-        for second, came, repeats in ((0, 100, 0), (1, 900, 100), (2, 1500, 700)):
-            meter.observe(second * S, "p", POST, came, 0, S, 200.0, repeats)
+        for second, arriving, repeats in ((0, 100, 0), (1, 900, 100), (2, 1500, 700)):
+            meter.observe(second * S, "p", POST, arriving, 0, S, 200.0, repeats)
             lost = meter.lost_share(second * S)
         self.assertAlmostEqual(meter.demand[POST].rate, 800)
         self.assertAlmostEqual(lost, 0.75)
@@ -251,22 +255,22 @@
     def test_operators_read_and_pin_the_level(self):
         @with_daemon
         async def main(_, daemon):
-            ask = daemon.page
-            status, body = await ask("GET", "/level")
+            request = daemon.page
+            status, body = await request("GET", "/level")
             self.assertEqual((status, json.loads(body)["level"]), (200, "normal"))
-            status, body = await ask("POST", "/set-level?pin=essential")
+            status, body = await request("POST", "/set-level?pin=essential")
             self.assertEqual(status, 200)
             await daemon.clock.sleep_until(daemon.clock.now() + 2 * S)
-            told = json.loads((await ask("GET", "/level"))[1])
+            ladder_status = json.loads((await request("GET", "/level"))[1])
             self.assertEqual(
-                (told["level"], told["pinned"], told["gives_up"]),
+                (ladder_status["level"], ladder_status["pinned"], ladder_status["gives_up"]),
                 ("essential", "essential", ["probes", "tries"]),
             )
-            self.assertIn("embertray_service_level 2", (await ask("GET", "/metrics"))[1])
+            self.assertIn("embertray_service_level 2", (await request("GET", "/metrics"))[1])
             for wrong in ("pin=panic", "forbid=normal", "up=1", ""):
-                status, body = await ask("POST", "/set-level?" + wrong)
+                status, body = await request("POST", "/set-level?" + wrong)
                 self.assertEqual((status, body.count("\n")), (400, 1))
-            self.assertEqual((await ask("POST", "/set-level?release=1"))[0], 200)
+            self.assertEqual((await request("POST", "/set-level?release=1"))[0], 200)
 
         main(self)
 
