--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -1,6 +1,4 @@
-"""Named levels of reduced service: first demand, the ladder, pins, and the whole way to proxies and
-clients.
-"""
+"""Degradation levels: first demand, the ladder, pinned levels, and their effect on proxies and clients."""
 
 import json
 import unittest
@@ -24,7 +22,11 @@
 
 
 class ReportingProxy:
-    """One proxy's sums each second, under a level, with clients of one habit."""
+    """A proxy that reports its load every second; all its clients retry in the same way.
+
+    Args:
+        retry_mode: When clients retry a rejected request: "never", "later" or "at once".
+    """
 
     def __init__(self, retry_mode="never"):
         self.ladder, self.retry_mode, self.now, self.changes = (
@@ -35,7 +37,7 @@
         )
 
     def second(self, first, served, reports=True):
-        """`first` reqs/s of each kind are asked first; `served` of them are let in (post before view)."""
+        """Runs one second with `first` new requests of each kind; admits `served` in all, post first."""
         self.now += S
         for kind, admitted in ((POST, min(first, served)), (VIEW, max(0.0, min(first, served - first)))):
             repeats = {"never": 0.0, "later": first - admitted, "at once": 3 * (first - admitted)}[
@@ -67,7 +69,7 @@
                 proxy.second(100, served)
             self.assertEqual(proxy.ladder.name, name, served)
             entered = len(proxy.changes)
-            self.assertLessEqual(entered, 1)  # at once to the right one
+            self.assertLessEqual(entered, 1)  # directly to the final level
             for _ in range(200):
                 proxy.second(100, 200)
             self.assertEqual(proxy.ladder.name, "normal")
@@ -105,7 +107,7 @@
         self.assertEqual(len(set(names)), 1, found)
         self.assertLess(
             max(lost) - min(lost), 0.1, found
-        )  # what rose meanwhile may be demand: it can't be told
+        )  # the slow rise of the estimate under losses causes a difference
 
     def test_without_load_reports_the_level_is_unchanged(self):
         proxy = ReportingProxy()
@@ -209,7 +211,7 @@
 
 
 class EndToEnd(unittest.TestCase):
-    """From sums to the proxies' tables, without streams and with them."""
+    """From load reports to the proxies' admission levels, in the emulator and over streams."""
 
     def seen(self, result):
         return [
