--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -13,20 +13,20 @@
     def advance(self, now):
         step = super().advance(now)
         step.outgoing = [
-            (name, replace_do(m, [do for do in m.do if not removes(do)])) for name, m in step.outgoing
+            (name, with_orders(m, [do for do in m.do if not is_removal(do)])) for name, m in step.outgoing
         ]
         return step
 
 
-def removes(do):
+def is_removal(do):
     return isinstance(do, Line) and do.weight == 0 or type(do).__name__ == "Withdrawal" and do.out
 
 
-def replace_do(message, do):
+def with_orders(message, do):
     return Orders(message.stamp, message.cost, do, message.nonce)
 
 
-class BindsNothing(ControllerCore):
+class SendsEmptyTables(ControllerCore):
     """Proxies are bound to tables without lines, which come too late: never."""
 
     def advance(self, now):
@@ -34,7 +34,7 @@
         step.outgoing = [
             (
                 name,
-                replace_do(
+                with_orders(
                     m,
                     [
                         Bind(do.table, [], do.levels, do.out) if isinstance(do, Bind) else do
@@ -48,7 +48,7 @@
         return step
 
 
-class RepeatsAll(ControllerCore):
+class RetriesNonReplayable(ControllerCore):
     """Whatever fails is tried twice more, also what must not run twice."""
 
     def advance(self, now):
@@ -56,7 +56,7 @@
         step.outgoing = [
             (
                 name,
-                replace_do(
+                with_orders(
                     m,
                     [
                         Bind(do.table, do.lines, [(k.external_id, 1.0, 3) for k in self.site.kinds], do.out)
@@ -71,7 +71,7 @@
         return step
 
 
-class TrustsTheCold(ControllerCore):
+class OverloadsColdBackends(ControllerCore):
     """The module is told that nothing starts cold, and a cold one gets a hundred times its part."""
 
     def __init__(self, site, *rest):
@@ -85,11 +85,13 @@
             for backend in self.identifiers.backends.values()
             if backend.policy_state and backend.policy_state.started > 0
         }
-        step.outgoing = [(name, replace_do(m, [heavy(do, new) for do in m.do])) for name, m in step.outgoing]
+        step.outgoing = [
+            (name, with_orders(m, [overweight_cold(do, new) for do in m.do])) for name, m in step.outgoing
+        ]
         return step
 
 
-def heavy(do, new):
+def overweight_cold(do, new):
     if isinstance(do, Line) and do.backend in new and do.weight:
         return Line(do.table, do.backend, 100.0)
     if isinstance(do, Bind):
@@ -102,12 +104,12 @@
     return do
 
 
-class NoLedger(ControllerCore):
+class ResendsUnchangedTables(ControllerCore):
     """Orders every table anew on each step, whatever waits."""
 
     def advance(self, now):
-        for table, tab in self.outbox.tables.items():
-            orders = [i.SetLine(table, backend, w) for backend, w in tab.lines.items()]
+        for table, ordered_table in self.outbox.tables.items():
+            orders = [i.SetLine(table, backend, w) for backend, w in ordered_table.lines.items()]
             for proxy, message, _ in self.outbox.build_messages(now, orders):
                 self.pacer.enqueue(now, proxy, message.cost, message)
         return super().advance(now)
@@ -119,11 +121,11 @@
     def advance(self, now):
         if now - getattr(self, "last", 0) > 250_000_000:
             self.last = now
-            for table, tab in self.outbox.tables.items():
-                backend = next(iter(tab.lines), None)
+            for table, ordered_table in self.outbox.tables.items():
+                backend = next(iter(ordered_table.lines), None)
                 if backend:
                     for proxy, message, _ in self.outbox.build_messages(
-                        now, [i.SetLine(table, backend, tab.lines[backend])]
+                        now, [i.SetLine(table, backend, ordered_table.lines[backend])]
                     ):
                         self.pacer.enqueue(now, proxy, message.cost, message)
         return super().advance(now)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -96,7 +96,7 @@
 
     def test_lost(self):
         self.assertIn(
-            "lost", self.broken("fleet backends=3 proxies=2\nload 10/s for 5s", sabotage.BindsNothing)
+            "lost", self.broken("fleet backends=3 proxies=2\nload 10/s for 5s", sabotage.SendsEmptyTables)
         )
 
     def test_duplicate(self):
@@ -104,7 +104,7 @@
             "duplicate",
             self.broken(
                 "site sealed\nfleet backends=4 proxies=3\nload 30/s for 10s\nat 2s errors b1 for 6s share=1",
-                sabotage.RepeatsAll,
+                sabotage.RetriesNonReplayable,
             ),
         )
 
@@ -121,13 +121,15 @@
         self.assertIn(
             "failback",
             self.broken(
-                "fleet backends=4 proxies=4\nload 60/s for 25s\nat 3s crash b1 for 3s", sabotage.TrustsTheCold
+                "fleet backends=4 proxies=4\nload 60/s for 25s\nat 3s crash b1 for 3s",
+                sabotage.OverloadsColdBackends,
             ),
         )
 
     def test_backlog_by_lines(self):
         self.assertIn(
-            "backlog", self.broken("fleet backends=6 proxies=6\nload 20/s for 20s", sabotage.NoLedger)
+            "backlog",
+            self.broken("fleet backends=6 proxies=6\nload 20/s for 20s", sabotage.ResendsUnchangedTables),
         )
 
     def test_backlog_by_messages(self):
