--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 MS, S = 10**6, 10**9
 
 
-def crowd(proxies, **site):
+def join_during_drains(proxies, **site):
     """All proxies come within half a second, each with lines of a fifth of the list; 120 of 200 backends
     leave in three waves, and as many cold ones come."""
     fleet = Fleet(Controller, 200, proxies, **site)
@@ -30,22 +30,22 @@
 
 
 class Crowd(unittest.TestCase):
-    def test_all_come_with_removals_and_all_are_out_in_time(self):
-        fleet = crowd(1600)
+    def test_bindings_and_removals_meet_the_drain_grace(self):
+        fleet = join_during_drains(1600)
         self.assertEqual(len(fleet.overdue), 0, "lines held past the grace")
         self.assertEqual(len(fleet.bound), 1600)
         self.assertLessEqual(fleet.channel.pending_lines_max, fleet.deployment.pending_max)
         self.assertLess(max(fleet.without_lines_ns.values(), default=0), fleet.deployment.no_backend_limit)
         self.assertLess(len(set(fleet.bound.values())), 1600 / 5)  # shared tables still
 
-    def test_whole_tables_are_not_in_time(self):
+    def test_whole_tables_miss_the_drain_grace(self):
         """The stand-in tells a controller that fails: one whose tables all hold the whole list."""
         with mock.patch.object(RoutingTables, "lines_max", lambda self: 0):
-            self.assertGreater(len(crowd(400).overdue), 1000)
+            self.assertGreater(len(join_during_drains(400).overdue), 1000)
 
     def test_no_table_is_left_without_a_line_while_few_are_warm(self):
         """In a jam cold backends get no lines: the few that do must stand in every part."""
-        fleet = crowd(400)
+        fleet = join_during_drains(400)
         tables = fleet.module.publisher.tables
         zone_tables = next(iter(tables.zones.values()))
         self.assertGreater(len(zone_tables.tables), 4)
@@ -56,8 +56,8 @@
         }
         self.assertEqual(len(warm), 3)
         zone_tables.assign(warm, tables.lines_max(), tables.usual_rates())
-        for tab in zone_tables.tables:
-            self.assertTrue(any(tab.desired.values()), "a table without a line")
+        for table in zone_tables.tables:
+            self.assertTrue(any(table.desired.values()), "a table without a line")
         all_ready = {backend: 1.0 for backend in fleet.module.backends if backend.state == "ready"}
         zone_tables.assign(
             all_ready, tables.lines_max(), tables.usual_rates()
@@ -65,9 +65,9 @@
         self.assertEqual(
             sorted(
                 backend.handle.external_id
-                for tab in zone_tables.tables
-                for backend, w in tab.desired.items()
-                if w
+                for table in zone_tables.tables
+                for backend, weight in table.desired.items()
+                if weight
             ),
             sorted(backend.handle.external_id for backend in all_ready),
         )
@@ -76,14 +76,14 @@
         """Seen for 7 s: all of a part's lines were removed, and each beat other tables' weights took the room
         first.
         """
-        fleet = crowd(400)
-        bare = next(proxy.table for proxy in fleet.module.proxies if proxy.table)
-        bare.sent.clear()
+        fleet = join_during_drains(400)
+        empty_table = next(proxy.table for proxy in fleet.module.proxies if proxy.table)
+        empty_table.sent.clear()
         with mock.patch.object(
             ChannelBudget, "pending_lines", lambda self: 0.4 * self.context.deployment.pending_max
         ):  # no room for weights or cuts
             fleet.run(fleet.now + S)
-        self.assertGreaterEqual(len(bare.sent), 8)
+        self.assertGreaterEqual(len(empty_table.sent), 8)
 
     def test_messages_are_counted_as_written_when_the_channel_lags(self):
         fleet = Fleet(Controller, 6, 20, channel_rate=5000.0, pending_max=10**6, messages_max=8)
@@ -100,19 +100,17 @@
             most = max(sum(at - 10 * S < t <= at for t in times) for at in times)
             self.assertLessEqual(most, fleet.deployment.messages_max)
 
-    def test_joins_between_beats_solve_nothing(self):
+    def test_joins_between_cycles_run_no_planning(self):
         fleet = Fleet(Controller, 30, 100, pending_max=10**5)
         fleet.run(11 * S)
-        with mock.patch.object(
-            WeightPlanner, "plan", autospec=True, side_effect=WeightPlanner.plan
-        ) as solves:
+        with mock.patch.object(WeightPlanner, "plan", autospec=True, side_effect=WeightPlanner.plan) as plan:
             for proxy in fleet.proxies:
                 fleet.join([proxy], lambda proxy: fleet.backends[:5])
                 fleet.run(fleet.now + 10 * MS, 10 * MS)
         self.assertEqual(len(fleet.bound), 100)
-        self.assertLessEqual(solves.call_count, 5)  # a second of joins: four beats and one
+        self.assertLessEqual(plan.call_count, 5)  # a second of joins: four beats and one
 
-    def test_where_the_channel_can_bring_them_tables_are_whole(self):
+    def test_tables_are_whole_if_the_channel_can_deliver_them(self):
         fleet = Fleet(Controller, 30, 100, channel_rate=5000.0, pending_max=5000.0)
         fleet.run(10500 * MS)
         fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
