--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -13,7 +13,7 @@
 COUNTED = re.compile(r"/embertray/policy/")
 
 
-def settled(backends, proxies):
+def settled_fleet(backends, proxies):
     """All proxies are bound and every backend was heard of."""
     fleet = Fleet(Controller, backends, proxies, channel_rate=3 * proxies, pending_max=24 * proxies)
     fleet.run(11 * S)
@@ -27,22 +27,22 @@
     return fleet
 
 
-def lines(fleet, events, wait=250 * MS):
+def count_lines(fleet, events, wait=250 * MS):
     """Lines of embertray/policy that one step runs, loops in comprehensions by turn."""
     count = 0
 
-    def local(frame, what, _):
+    def trace_lines(frame, event, _):
         nonlocal count
-        count += what == "line"
-        return local
+        count += event == "line"
+        return trace_lines
 
-    def begin(frame, what, _):
-        return local if COUNTED.search(frame.f_code.co_filename) else None
+    def trace_calls(frame, event, _):
+        return trace_lines if COUNTED.search(frame.f_code.co_filename) else None
 
     fleet.now += wait
     fleet.deliver()
     events, fleet.pending_events = fleet.pending_events + events, []
-    sys.settrace(begin)
+    sys.settrace(trace_calls)
     try:
         orders = fleet.module.step(fleet.now, events)
     finally:
@@ -54,25 +54,25 @@
 class Cost(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.small, cls.large = settled(100, 400), settled(600, 2000)
+        cls.small, cls.large = settled_fleet(100, 400), settled_fleet(600, 2000)
 
-    def test_a_beat_grows_with_the_fleet_not_with_its_square(self):
+    def test_the_cost_of_a_cycle_grows_linearly_with_the_fleet(self):
         """Six times the backends and five times the proxies: about six times the lines, not thirty."""
-        small, large = (max(lines(fleet, []) for _ in range(8)) for fleet in (self.small, self.large))
+        small, large = (max(count_lines(fleet, []) for _ in range(8)) for fleet in (self.small, self.large))
         self.assertLess(large, 6.5 * small)
 
-    def test_who_joins_between_beats_costs_no_look_at_tables(self):
+    def test_a_join_between_cycles_scans_no_tables(self):
         """A few lines for each proxy that is here (who uses which table), none for each backend, line or
         table.
         """
         for fleet in (self.small, self.large):
             proxy = fleet.proxies[7]
-            lines(fleet, [])
-            left = lines(fleet, [i.ProxyLeft(proxy)], 5 * MS)
-            joined = lines(fleet, [i.ProxyJoined(proxy, fleet.zones[1], 1.0, False)], 5 * MS)
+            count_lines(fleet, [])
+            left = count_lines(fleet, [i.ProxyLeft(proxy)], 5 * MS)
+            joined = count_lines(fleet, [i.ProxyJoined(proxy, fleet.zones[1], 1.0, False)], 5 * MS)
             self.assertLess(left, 200)
             self.assertLess(joined, 20 * len(fleet.proxies))
-            self.assertGreater(lines(fleet, []), 3 * joined)  # the count sees what a beat does
+            self.assertGreater(count_lines(fleet, []), 3 * joined)  # the count sees what a beat does
 
 
 if __name__ == "__main__":
