--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -12,7 +12,7 @@
 
 
 class Subsets(unittest.TestCase):
-    def bound(self, joining):
+    def bind(self, joining):
         """Table -> how many of so many `joining` proxies are bound to it."""
         zone = i.Zone("z")
         deployment = i.Deployment(
@@ -32,14 +32,14 @@
         orders = controller.step(2 * S, proxies)
         return Counter(order.table for order in orders if isinstance(order, i.Bind))
 
-    def test_a_controller_with_its_part_of_the_proxies_uses_a_table_for_five(self):
-        used = self.bound(PROXIES // CONTROLLERS)
-        self.assertEqual((len(used), set(used.values())), (16, {5}))
+    def test_a_controller_with_its_share_of_proxies_uses_one_table_per_five(self):
+        proxies_by_table = self.bind(PROXIES // CONTROLLERS)
+        self.assertEqual((len(proxies_by_table), set(proxies_by_table.values())), (16, {5}))
 
-    def test_a_controller_with_the_proxies_of_those_that_ended_leaves_no_table_out(self):
+    def test_a_controller_that_took_over_all_proxies_uses_every_table(self):
         """Guards against backends that get next to nothing, while the others get their load as well."""
-        used = self.bound(PROXIES)
-        self.assertEqual((len(used), set(used.values())), (20, {20}))
+        proxies_by_table = self.bind(PROXIES)
+        self.assertEqual((len(proxies_by_table), set(proxies_by_table.values())), (20, {20}))
 
 
 if __name__ == "__main__":
