--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -36,17 +36,17 @@
                 yield module
 
 
-class Floors(unittest.TestCase):
-    def test_every_package_belongs_to_a_floor(self):
+class Layers(unittest.TestCase):
+    def test_every_package_belongs_to_a_layer(self):
         found = {path.name for path in PACKAGE.iterdir() if (path / "__init__.py").exists()}
         self.assertEqual(found, set(MAY_IMPORT))
 
     def test_imports_point_down_only(self):
         for path in sorted(PACKAGE.glob("*/**/*.py")):
-            floor = path.relative_to(PACKAGE).parts[0]
+            layer = path.relative_to(PACKAGE).parts[0]
             for module in imported_modules(path):
                 with self.subTest(path=str(path.relative_to(PACKAGE)), imports=module):
-                    self.assertIn(module.split(".")[1], MAY_IMPORT[floor] | {floor})
+                    self.assertIn(module.split(".")[1], MAY_IMPORT[layer] | {layer})
 
     def test_processes_know_nothing_of_scenarios(self):
         """The process harness is used by scenarios; an import back would make a cycle."""
