--- a/tests/test_all.py
+++ b/tests/test_all.py
@@ -19,7 +19,7 @@
 )
 
 
-def adapter(text):
+def run_adapter(text):
     return subprocess.run(
         [sys.executable, "-m", "embertray.benchlink"],
         input=text,
@@ -44,32 +44,34 @@
 
 class Adapter(unittest.TestCase):
     def test_a_batch_through_the_started_adapter(self):
-        done = adapter(START + "STREAM_UP proxy=3 rack-zone=a share=2 set=1\nNEW_EVENT a=1\nFLUSH\n")
-        self.assertEqual((done.returncode, done.stderr), (0, ""))
-        lines = done.stdout.splitlines()
+        process = run_adapter(START + "STREAM_UP proxy=3 rack-zone=a share=2 set=1\nNEW_EVENT a=1\nFLUSH\n")
+        self.assertEqual((process.returncode, process.stderr), (0, ""))
+        lines = process.stdout.splitlines()
         self.assertEqual((lines[0], lines[-1]), ("FROM who=0", "DONE batch=1"))
         self.assertIn("ENDPOINT share=1 route-table=1 backend=10.0.0.1:5000", lines)
         self.assertIn("POINT proxy=3 route-table=1 lanes=0", lines)
         self.assertIn("CHECKPOINT set=0 epoch=1", lines)
 
-    def test_instances_share_nothing_and_act_alike(self):
+    def test_instances_are_isolated_and_deterministic(self):
         join = "STREAM_UP proxy=3 rack-zone=a share=2 set=1\n"
-        two = adapter(START + join + START.split("\n", 1)[1].replace("who=0", "who=1") + join + "FLUSH\n")
-        first, second = two.stdout.split("FROM who=1\n")
+        output = run_adapter(
+            START + join + START.split("\n", 1)[1].replace("who=0", "who=1") + join + "FLUSH\n"
+        )
+        first, second = output.stdout.split("FROM who=1\n")
         self.assertEqual(first.replace("FROM who=0\n", ""), second.replace("DONE batch=1\n", ""))
 
-    def test_malformed_lines_end_it_with_one_message(self):
+    def test_a_malformed_line_ends_the_adapter_with_one_message(self):
         for text, words in (
             (START + "STREAM_UP proxy=x rack-zone=a\n", ("line 6", "'x'", "proxy")),
             (START + "DETACHED\n", ("line 6", "proxy is missing")),
             (START.replace("rows-in=1", "rows-in=2") + "FLUSH\n", ("line 6", "1 entries short")),
             ("FOR who=0\n", ("line 1", "before SYNC")),
         ):
-            done = adapter(text)
-            self.assertNotEqual(done.returncode, 0)
-            self.assertEqual((done.stdout, done.stderr.count("\n")), ("", 1))
+            process = run_adapter(text)
+            self.assertNotEqual(process.returncode, 0)
+            self.assertEqual((process.stdout, process.stderr.count("\n")), ("", 1))
             for word in words:
-                self.assertIn(word, done.stderr)
+                self.assertIn(word, process.stderr)
 
 
 if __name__ == "__main__":
