--- a/embertray/cluster/replication/link/client_writes.py
+++ b/embertray/cluster/replication/link/client_writes.py
@@ -64,5 +64,5 @@
         entry = self.replica.store.entry_at(key, version)
         repeated = write.request in self.replica.store.requests
         if entry is None and self.replica.role is Role.LEADER and not repeated:
-            raise VersionNotKeptError(f"version {version} of {key} is not kept")
+            raise VersionNotKeptError(f"{key} is not kept at version {version}")
         return entry.value if entry is not None else None
--- a/embertray/cluster/replication/link/pending_writes.py
+++ b/embertray/cluster/replication/link/pending_writes.py
@@ -34,7 +34,7 @@
     if not request or len(request.encode()) > MAX_REQUEST_ID_BYTES:
         raise BadRequestError(f"the request id must have 1 to {MAX_REQUEST_ID_BYTES} bytes")
     if value is not None and len(value) > max_value_bytes:
-        raise TooLargeError(f"the value has {len(value)} bytes, the limit is {max_value_bytes}")
+        raise TooLargeError(f"{len(value)} bytes, {max_value_bytes} at most")
 
 
 @dataclass
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -120,7 +120,7 @@
         newest = self._newest_entry(key)
         revision = newest.revision if newest else 0
         if expected is not None and expected != revision:
-            raise ConflictError(f"{key} is at revision {revision}, expected {expected}")
+            raise ConflictError(f"{key} is at revision {revision}, not {expected}")
         self._check_capacity(key, value)
         entry = Entry(key, self.last_revision + 1, self.term, request, value)
         self._propose(now, entry)
