--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -27,7 +27,7 @@
 CONFIG = MembershipConfig()
 
 
-def detect_within(members, config=CONFIG):
+def detection_bound(members, config=CONFIG):
     """The stated bound on declaring a killed member dead where links are good: each member probes each other
     once in two rounds; then nobody may confirm; then the statement goes round (docs/design/cluster.md)."""
     return (
@@ -41,12 +41,12 @@
     return [f"m{n}" for n in numbers]
 
 
-def deaths(simulation, *but):
+def deaths(simulation, *excluded):
     """Members declared dead that are alive, with who said so."""
     return [
         (who, change.name)
         for _, who, change in simulation.notes
-        if change.state == DEAD and change.name not in but
+        if change.state == DEAD and change.name not in excluded
     ]
 
 
@@ -57,7 +57,7 @@
         del self.probes[sequence]
 
 
-class BelievesItself(Membership):
+class IgnoresLocalHealth(Membership):
     """A sabotaged member: however slow it is, it blames the others."""
 
     def __init__(self, *args):
@@ -65,21 +65,21 @@
         self.health = LocalHealth(0)
 
 
-class Detect(unittest.TestCase):
-    def test_a_killed_member_is_dead_at_all_within_the_bound(self):
+class FailureDetection(unittest.TestCase):
+    def test_killed_member_is_declared_dead_by_all_within_the_bound(self):
         for count in (3, 5, 16):
             simulation = MembershipSimulation(count).gather(count)
             simulation.kill("m1")
-            took = simulation.until(simulation.agree, detect_within(count))
+            took = simulation.until(simulation.agree, detection_bound(count))
             self.assertIsNotNone(took, f"{count} members")
             self.assertEqual(deaths(simulation, "m1"), [])
 
-    def test_one_that_never_suspects_is_noticed_by_that_check(self):
+    def test_detection_check_fails_for_a_member_that_never_suspects(self):
         simulation = MembershipSimulation(5, make=NeverSuspects).gather(5)
         simulation.kill("m1")
-        self.assertIsNone(simulation.until(simulation.agree, detect_within(5)))
+        self.assertIsNone(simulation.until(simulation.agree, detection_bound(5)))
 
-    def test_a_member_that_leaves_is_no_death(self):
+    def test_leaving_member_is_not_declared_dead(self):
         simulation = MembershipSimulation(2).gather(6)
         gone = simulation.at["m2"]
         simulation.send(gone, gone.core.leave(simulation.engine.time))
@@ -89,14 +89,14 @@
         self.assertEqual({simulation.at[f"m{n}"].core.state_of("m2") for n in (0, 1, 3, 4, 5)}, {LEFT})
         self.assertEqual(deaths(simulation), [])
 
-    def test_one_way_links_are_no_deaths(self):
+    def test_one_way_links_cause_no_deaths(self):
         simulation = MembershipSimulation(3).gather(5)
         simulation.links.broken = {("m1", "m2"), ("m3", "m0")}  # m2 does not hear m1, m0 does not hear m3
         simulation.run(120 * S)
         self.assertEqual(deaths(simulation), [])
         self.assertTrue(simulation.agree())
 
-    def test_thirty_percent_lost_for_a_minute(self):
+    def test_thirty_percent_message_loss_for_a_minute(self):
         for seed in range(4):
             simulation = MembershipSimulation(seed).gather(5)
             simulation.links.loss = 0.3
@@ -107,7 +107,7 @@
 
 
 class Pauses(unittest.TestCase):
-    def wake(self, make, seed):
+    def run_with_pause(self, make, seed):
         simulation = MembershipSimulation(seed, make=make).gather(5)
         simulation.at["m4"].pause()
         simulation.run(10 * S)
@@ -115,18 +115,18 @@
         simulation.run(15 * S)
         return simulation
 
-    def test_who_wakes_blames_nobody_and_is_taken_in_again(self):
+    def test_resumed_member_declares_nobody_dead_and_rejoins(self):
         for seed in range(5):
-            simulation = self.wake(Membership, seed)
+            simulation = self.run_with_pause(Membership, seed)
             self.assertEqual(deaths(simulation, "m4"), [])
             self.assertTrue(simulation.agree())
 
-    def test_local_health_keeps_a_slow_member_from_blaming_others(self):
+    def test_local_health_keeps_a_slow_member_from_suspecting_others(self):
         """What comes to it comes 1.2 s late, past the time for an answer; without local health it goes on
         blaming.
         """
 
-        def blamed(make):
+        def count_false_suspicions(make):
             found = 0
             for seed in range(6):
                 simulation = MembershipSimulation(seed, make=make).gather(5)
@@ -139,35 +139,37 @@
                 )
             return found
 
-        with_health = blamed(Membership)
-        without = blamed(BelievesItself)
-        self.assertLess(with_health, without / 2, (with_health, without))
+        with_health = count_false_suspicions(Membership)
+        without_health = count_false_suspicions(IgnoresLocalHealth)
+        self.assertLess(with_health, without_health / 2, (with_health, without_health))
 
 
 class Partitions(unittest.TestCase):
-    def sides(self, simulation, *groups, most=90 * S):
+    def split_and_heal(self, simulation, *groups, timeout=90 * S):
         simulation.links.split(*groups)
-        self.assertIsNotNone(simulation.until(lambda: all(simulation.agree(group) for group in groups), most))
+        self.assertIsNotNone(
+            simulation.until(lambda: all(simulation.agree(group) for group in groups), timeout)
+        )
         now = simulation.engine.time
-        alone = [p.core.local.name for p in simulation.living() if p.core.cut_off(now)]
+        cut_off_members = [p.core.local.name for p in simulation.living() if p.core.cut_off(now)]
         simulation.links.heal()
         self.assertIsNotNone(simulation.until(simulation.agree, 60 * S), "after the partition's end")
-        return alone
+        return cut_off_members
 
-    def test_in_two_and_in_three_and_together_again(self):
+    def test_partitions_into_two_and_three_sides_heal(self):
         simulation = MembershipSimulation(4).gather(7)
-        self.assertEqual(self.sides(simulation, names(0, 1, 2), names(3, 4, 5, 6)), [])
-        self.assertEqual(self.sides(simulation, names(0, 4), names(1, 2, 3), names(5, 6)), [])
+        self.assertEqual(self.split_and_heal(simulation, names(0, 1, 2), names(3, 4, 5, 6)), [])
+        self.assertEqual(self.split_and_heal(simulation, names(0, 4), names(1, 2, 3), names(5, 6)), [])
 
-    def test_one_alone_believes_itself_cut_off(self):
+    def test_isolated_member_reports_that_it_is_cut_off(self):
         simulation = MembershipSimulation(5).gather(5)
-        self.assertEqual(self.sides(simulation, names(3), names(0, 1, 2, 4)), ["m3"])
+        self.assertEqual(self.split_and_heal(simulation, names(3), names(0, 1, 2, 4)), ["m3"])
         simulation.run(5 * S)
         self.assertFalse(simulation.at["m3"].core.cut_off(simulation.engine.time))
 
 
-class Names(unittest.TestCase):
-    def test_a_restart_is_a_new_incarnation_whatever_the_clock_says(self):
+class Incarnations(unittest.TestCase):
+    def test_restart_is_a_new_incarnation_for_any_wall_clock(self):
         for clock in (0, -3600 * S, 3600 * S):
             simulation = MembershipSimulation(6).gather(5)
             simulation.kill("m3")
@@ -190,7 +192,7 @@
                 {"elsewhere"},
             )
 
-    def test_who_waits_for_its_first_seed_has_joined_when_others_know_it(self):
+    def test_member_waiting_for_its_first_seed_has_joined_once_others_know_it(self):
         """Seen between processes: the first of two stayed 'not joined', and did not end for a younger one of
         its name.
         """
@@ -204,7 +206,7 @@
         simulation.run(10 * S)
         self.assertIn("a younger process", simulation.at["m0"].core.ended)
 
-    def test_one_that_was_removed_comes_back(self):
+    def test_removed_member_comes_back(self):
         simulation = MembershipSimulation(8).gather(4)
         simulation.links.broken = {
             (a, b) for a in names(0, 1, 2, 3) for b in names(0, 1, 2, 3) if (a == "m3") != (b == "m3")
@@ -215,10 +217,10 @@
         self.assertIsNotNone(simulation.until(simulation.agree, 30 * S))
         self.assertEqual(simulation.at["m0"].core.state_of("m3"), ALIVE)
 
-    def test_seeds_gone(self):
+    def test_member_joins_though_one_seed_is_down(self):
         simulation = MembershipSimulation(9).gather(4)
         simulation.kill("m0")
-        simulation.run(detect_within(4))
+        simulation.run(detection_bound(4))
         simulation.up("m9", ["m0", "m2"])
         self.assertIsNotNone(simulation.until(simulation.agree, 20 * S))
 
@@ -236,7 +238,7 @@
         self.assertEqual(deaths(simulation, *names(0, 1, 2, 3, 4)), [])
 
 
-class Strangers(unittest.TestCase):
+class RejectedMessages(unittest.TestCase):
     def test_other_clusters_versions_and_former_incarnations_are_counted_and_change_nothing(self):
         simulation = MembershipSimulation(11).gather(3)
         core = simulation.at["m0"].core
@@ -264,7 +266,7 @@
         with self.assertRaisesRegex(TypeError, "no handler for Message"):
             core.handle(simulation.engine.time, Message("c", 1, sender, 0, 1, []))
 
-    def test_strangers_from_ever_new_ports_cost_no_memory(self):
+    def test_messages_from_ever_new_ports_cost_no_memory(self):
         simulation = MembershipSimulation(15).gather(2)
         core = simulation.at["m0"].core
         other = Statement("x", "x", 5, 0, ALIVE)
@@ -295,7 +297,7 @@
         self.assertGreater(simulation.unreadable, 0)
         self.assertIsNotNone(simulation.until(simulation.agree, 30 * S))
 
-    def test_no_bytes_raise_anything_but_unreadable(self):
+    def test_damaged_bytes_raise_only_unreadable_message_error(self):
         chance = random.Random(1)
         whole = encode(Ping("c", 1, Statement("m", "m", 1, 0, ALIVE), 0, 1, []))
         self.assertEqual(decode(whole).sender.name, "m")
