--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -4,7 +4,7 @@
 import unittest
 
 from test_cluster import NeverSuspects
-from test_state import DropsDeltas, RepeatsOld
+from test_state import DropsDeltaEntries, KeepsLastReceived
 
 from embertray.cluster.membership import DEAD, Membership
 from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
@@ -32,7 +32,7 @@
         return False
 
 
-class LiesYoung(RepeatsOld):
+class LiesYoung(KeepsLastReceived):
     """A sabotaged member: all that it passes on is as good as new."""
 
     def missing_entries(self, now, digest):
@@ -102,7 +102,7 @@
         self.assertEqual(broken(self.simulation(make=NeverAlone)), {"alone"})
 
     def test_one_that_drops_a_delta(self):
-        self.assertIn("fresh", broken(self.simulation(exchange=DropsDeltas)))
+        self.assertIn("fresh", broken(self.simulation(exchange=DropsDeltaEntries)))
 
     def test_one_that_passes_old_entries_for_new(self):
         self.assertIn("young", broken(self.simulation(store=LiesYoung)))
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -40,13 +40,13 @@
 
 def merged(*batches):
     """What a store knows once it has merged these batches in this order."""
-    one = EntryStore("me", 1)
+    store = EntryStore("me", 1)
     for batch in batches:
-        one.merge(NOW, batch)
-    return one.entries, one.incarnations
+        store.merge(NOW, batch)
+    return store.entries, store.incarnations
 
 
-class RepeatsOld(EntryStore):
+class KeepsLastReceived(EntryStore):
     """A sabotaged member: it takes whatever came last."""
 
     def apply(self, now, entry):
@@ -54,7 +54,7 @@
         return True
 
 
-class DropsDeltas(AntiEntropyExchange):
+class DropsDeltaEntries(AntiEntropyExchange):
     """A sabotaged member: it says that it has sent all, and leaves an entry out."""
 
     def on_offer(self, now, offer):
@@ -65,7 +65,7 @@
 class Merge(unittest.TestCase):
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(ENTRIES, ENTRIES, ENTRIES)
-    def test_any_order_any_grouping_any_repetition(self, first, second, third):
+    def test_merging_in_any_order_grouping_and_repetition_is_the_same(self, first, second, third):
         batches = [[as_written(entry) for entry in batch] for batch in (first, second, third)]
         first, second, third = batches
         expected = merged(first, second, third)
@@ -73,36 +73,36 @@
         self.assertEqual(merged(first + second + third), expected)
         self.assertEqual(merged(first, second, third, first, third, second, first), expected)
 
-    def test_that_check_notices_one_that_repeats_old_entries(self):
+    def test_order_check_fails_for_a_store_that_keeps_the_last_received(self):
         old, new = (as_written(Entry("a", "k", 1, version, 0, b"")) for version in (1, 2))
-        first = RepeatsOld("me", 1)
-        second = RepeatsOld("me", 1)
+        first = KeepsLastReceived("me", 1)
+        second = KeepsLastReceived("me", 1)
         first.merge(NOW, [old, new])
         second.merge(NOW, [new, old])
         self.assertNotEqual(first.entries, second.entries)
 
     def test_a_later_incarnation_replaces_all_of_a_former_one(self):
-        one = EntryStore("me", 1)
-        one.merge(NOW, [Entry("a", "k", 5, 9, 0, b"old"), Entry("a", "only", 5, 10, 0, b"old")])
-        one.merge(NOW, [Entry("a", "k", 6, 1, 0, b"new")])
-        one.merge(NOW, [Entry("a", "only", 5, 10, 0, b"old")])  # a replay
-        self.assertEqual([known.value for known in one.latest_values(NOW, "k")], [b"new"])
-        self.assertEqual(one.latest_values(NOW, "only"), [])
+        store = EntryStore("me", 1)
+        store.merge(NOW, [Entry("a", "k", 5, 9, 0, b"old"), Entry("a", "only", 5, 10, 0, b"old")])
+        store.merge(NOW, [Entry("a", "k", 6, 1, 0, b"new")])
+        store.merge(NOW, [Entry("a", "only", 5, 10, 0, b"old")])  # a replay
+        self.assertEqual([known.value for known in store.latest_values(NOW, "k")], [b"new"])
+        self.assertEqual(store.latest_values(NOW, "only"), [])
 
     def test_own_entries_are_written_by_their_owner_alone(self):
-        one = EntryStore("me", 1)
-        one.put(NOW, "k", b"mine")
-        one.merge(NOW, [Entry("me", "k", 9, 9, 0, b"not mine")])
-        self.assertEqual(one.latest_values(NOW, "k")[0].value, b"mine")
-        one.adopt_incarnation(10)
+        store = EntryStore("me", 1)
+        store.put(NOW, "k", b"mine")
+        store.merge(NOW, [Entry("me", "k", 9, 9, 0, b"not mine")])
+        self.assertEqual(store.latest_values(NOW, "k")[0].value, b"mine")
+        store.adopt_incarnation(10)
         other = EntryStore("you", 1)
         other.merge(NOW, [Entry("me", "k", 9, 9, 0, b"a former incarnation")])
-        other.merge(NOW, one.missing_entries(NOW, {})[0])
+        other.merge(NOW, store.missing_entries(NOW, {})[0])
         self.assertEqual(other.latest_values(NOW, "k")[0].value, b"mine")
 
 
 class Ages(unittest.TestCase):
-    def test_an_age_travels_as_a_duration_through_clocks_an_hour_apart(self):
+    def test_ages_are_correct_between_clocks_an_hour_apart(self):
         first, second, third = (EntryStore(name, 1) for name in "abc")
         first.put(NOW, "k", b"v")
         for source, sent_at, receiver, received_at in (
@@ -114,46 +114,46 @@
             receiver.mark_complete(complete_up_to)
         self.assertEqual(third.latest_values(NOW - 3599 * S, "k")[0].age_ns, 6 * S)
 
-    def test_readers_of_both_kinds(self):
-        one = EntryStore("a", 1)
-        one.merge(NOW, [Entry("b", "k", 1, 1, 4 * S, b"b"), Entry("c", "k", 1, 1, S, b"c")])
+    def test_reading_with_and_without_a_maximum_age(self):
+        store = EntryStore("a", 1)
+        store.merge(NOW, [Entry("b", "k", 1, 1, 4 * S, b"b"), Entry("c", "k", 1, 1, S, b"c")])
         self.assertEqual(
-            [(known.owner, known.age_ns) for known in one.latest_values(NOW, "k")], [("c", S), ("b", 4 * S)]
+            [(known.owner, known.age_ns) for known in store.latest_values(NOW, "k")], [("c", S), ("b", 4 * S)]
         )
-        self.assertEqual([known.owner for known in one.values_within_age(NOW, "k", 2 * S)], ["c"])
-        self.assertEqual(one.values_within_age(NOW + 60 * S, "k", 2 * S), [])
+        self.assertEqual([known.owner for known in store.values_within_age(NOW, "k", 2 * S)], ["c"])
+        self.assertEqual(store.values_within_age(NOW + 60 * S, "k", 2 * S), [])
 
     def test_entries_of_a_departed_owner_and_tombstones_expire(self):
-        one = EntryStore("a", 1, retention_ns=10 * S)
-        one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"b")])
-        one.put(NOW, "mine", b"x")
-        one.delete(NOW, "mine")
-        self.assertEqual(one.latest_values(NOW, "mine"), [])
-        one.expire(NOW, {"b"})
-        one.expire(NOW + 9 * S, {"b"})
-        self.assertEqual(len(one.entries), 2)
-        one.expire(NOW + 10 * S, {"b"})
-        self.assertEqual((one.entries, one.size_bytes, dict(one.bytes_by_owner)), ({}, 0, {}))
+        store = EntryStore("a", 1, retention_ns=10 * S)
+        store.merge(NOW, [Entry("b", "k", 1, 1, 0, b"b")])
+        store.put(NOW, "mine", b"x")
+        store.delete(NOW, "mine")
+        self.assertEqual(store.latest_values(NOW, "mine"), [])
+        store.expire(NOW, {"b"})
+        store.expire(NOW + 9 * S, {"b"})
+        self.assertEqual(len(store.entries), 2)
+        store.expire(NOW + 10 * S, {"b"})
+        self.assertEqual((store.entries, store.size_bytes, dict(store.bytes_by_owner)), ({}, 0, {}))
 
 
 class Caps(unittest.TestCase):
-    def test_at_the_cap_the_largest_owner_gives_way_and_own_entries_are_refused(self):
-        one = EntryStore("a", 1, cap_bytes=10_000)
-        one.put(NOW, "mine", b"x" * 100)
-        one.merge(NOW, [Entry("big", f"k{n}", 1, n + 1, 0, b"x" * 100) for n in range(40)])
-        self.assertLessEqual(one.size_bytes, 10_000)
-        self.assertGreater(one.shed["big"], 0)
-        self.assertTrue(one.apply(NOW, Entry("small", "k", 1, 1, 0, b"y" * 100)))
-        self.assertEqual(one.latest_values(NOW, "mine")[0].value, b"x" * 100)
+    def test_at_the_cap_the_largest_owner_is_evicted_and_own_entries_are_rejected(self):
+        store = EntryStore("a", 1, cap_bytes=10_000)
+        store.put(NOW, "mine", b"x" * 100)
+        store.merge(NOW, [Entry("big", f"k{n}", 1, n + 1, 0, b"x" * 100) for n in range(40)])
+        self.assertLessEqual(store.size_bytes, 10_000)
+        self.assertGreater(store.shed["big"], 0)
+        self.assertTrue(store.apply(NOW, Entry("small", "k", 1, 1, 0, b"y" * 100)))
+        self.assertEqual(store.latest_values(NOW, "mine")[0].value, b"x" * 100)
         with self.assertRaises(StoreFullError):
-            one.put(NOW, "more", b"x" * 9_000)
-        self.assertLessEqual(one.size_bytes, 10_000)
-
-    def test_a_closed_store_renews_known_entries_and_takes_no_new_ones(self):
-        one = EntryStore("a", 1)
-        one.merge(NOW, [Entry("b", "k", 1, 1, 0, b"old")])
-        one.growth_blocked = True
-        one.merge(
+            store.put(NOW, "more", b"x" * 9_000)
+        self.assertLessEqual(store.size_bytes, 10_000)
+
+    def test_store_with_blocked_growth_updates_known_entries_and_sheds_new_ones(self):
+        store = EntryStore("a", 1)
+        store.merge(NOW, [Entry("b", "k", 1, 1, 0, b"old")])
+        store.growth_blocked = True
+        store.merge(
             NOW,
             [
                 Entry("b", "k", 1, 2, 0, b"new"),
@@ -161,8 +161,8 @@
                 Entry("c", "k", 1, 1, 0, b"x"),
             ],
         )
-        self.assertEqual([(k.owner, k.value) for k in one.latest_values(NOW, "k")], [("b", b"new")])
-        self.assertEqual(dict(one.shed), {"b": 1, "c": 1})
+        self.assertEqual([(k.owner, k.value) for k in store.latest_values(NOW, "k")], [("b", b"new")])
+        self.assertEqual(dict(store.shed), {"b": 1, "c": 1})
 
     def test_shed_entries_are_sent_again_when_there_is_room(self):
         owner = EntryStore("b", 1)
@@ -181,24 +181,26 @@
 class Spread(unittest.TestCase):
     """Members exchange by turns, each period one; every look checks each entry's age against the bound."""
 
-    def play(self, count, seed, seconds, make=AntiEntropyExchange, split=None):
+    def simulate(self, count, seed, seconds, make=AntiEntropyExchange, split=None):
         names = [f"m{n:03}" for n in range(count)]
         stores = {name: EntryStore(name, 1) for name in names}
-        ends = {name: make(stores[name], random.Random(f"{seed} {name}"), NOW) for name in names}
+        exchanges = {name: make(stores[name], random.Random(f"{seed} {name}"), NOW) for name in names}
         worst = 0
         for now in range(NOW, NOW + seconds * S, 100 * MS):
             for name in names:
                 if (now - NOW) % S == 0:
                     stores[name].put(now, "k", str(now).encode())  # a fresh entry each second
-                reach = [
+                reachable = [
                     other
                     for other in names
                     if other != name and (split is None or split(name) == split(other))
                 ]
-                if (other := ends[name].next_peer(now, reach)) is not None:
-                    answer, _ = ends[name].on_delta(now, ends[other].on_offer(now, ends[name].offer()))
+                if (other := exchanges[name].next_peer(now, reachable)) is not None:
+                    answer, _ = exchanges[name].on_delta(
+                        now, exchanges[other].on_offer(now, exchanges[name].offer())
+                    )
                     if answer:
-                        ends[other].on_delta(now, answer)
+                        exchanges[other].on_delta(now, answer)
             if now > NOW + staleness_bound_ns(count, S, S):
                 for name in names:
                     known = {k.owner: k.age_ns for k in stores[name].latest_values(now, "k")}
@@ -210,16 +212,16 @@
     def test_no_entry_is_older_than_the_bound_anywhere(self):
         for count, seconds in ((3, 40), (8, 40), (24, 80)):
             self.assertLessEqual(
-                self.play(count, 1, seconds), staleness_bound_ns(count, S, S) + S
+                self.simulate(count, 1, seconds), staleness_bound_ns(count, S, S) + S
             )  # and the second until it is written anew
 
-    def test_on_each_side_of_a_partition_the_bound_holds_for_its_own(self):
+    def test_bound_holds_within_each_side_of_a_partition(self):
         self.assertLessEqual(
-            self.play(9, 2, 40, split=lambda name: name < "m004"), staleness_bound_ns(9, S, S) + S
+            self.simulate(9, 2, 40, split=lambda name: name < "m004"), staleness_bound_ns(9, S, S) + S
         )
 
-    def test_one_that_drops_deltas_is_noticed(self):
-        self.assertGreater(self.play(3, 1, 60, make=DropsDeltas), staleness_bound_ns(3, S, S) + S)
+    def test_bound_check_fails_for_dropped_delta_entries(self):
+        self.assertGreater(self.simulate(3, 1, 60, make=DropsDeltaEntries), staleness_bound_ns(3, S, S) + S)
 
 
 if __name__ == "__main__":
