--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -22,9 +22,9 @@
 from embertray.simulation.emulator.limits import LimitsSimulation
 
 
-def play(seed, make=Limits, drift=0.01, wounds=10):
+def simulate(seed, make=Limits, drift=0.01, fault_count=10):
     simulation = LimitsSimulation(seed, 3 + seed % 5, 12 + seed % 9, drift=drift, make=make).run(15 * S)
-    for _ in range(wounds):
+    for _ in range(fault_count):
         simulation.strike(simulation.chance.randint(1, 20) * S)
         simulation.run(simulation.chance.randint(0, 9) * S)
     return simulation
@@ -50,7 +50,7 @@
     return Sabotaged
 
 
-class SpendsTwice(QuotaHolder):
+class ForgetsDepartedProxies(QuotaHolder):
     """Raises its proxies without regard to what those that left still act on."""
 
     def quota_updates(self, now):
@@ -61,28 +61,28 @@
         return super().quota_updates(now)
 
 
-def leads_for_ever(self, now):
+def ignores_lease_end(self, now):
     """A leader that does not look at the end of its lease."""
     return self.ledger is not None or self.proposer.holds_lease(now)
 
 
-class ForgetsTheSilent(Ledger):
+class IgnoresUnclaimedProxies(Ledger):
     """Lends a silent member's units as soon as its term is over, whoever still acts on them."""
 
-    def unclaimed_proxies(self, name, ask):
+    def unclaimed_proxies(self, name, request):
         return set()
 
 
 class ForgetsFormerIncarnations(Ledger):
     """Does not charge what proxies act on by the word of a former incarnation."""
 
-    def record_request(self, now, name, ask):
-        taken = super().record_request(now, name, ask)
+    def record_request(self, now, name, request):
+        recorded = super().record_request(now, name, request)
         self.accounts[name].former_incarnations = []
-        return taken
+        return recorded
 
 
-class ShortMemory(Acceptor):
+class IgnoresClockDrift(Acceptor):
     """Takes its grant for over when its own clock says so, whatever the other's clock does."""
 
     def on_propose(self, now, message, sender):
@@ -91,15 +91,15 @@
         return answer
 
 
-class SpeaksAtOnce(Acceptor):
+class AnswersAtOnce(Acceptor):
     """Does not wait after a start."""
 
     def __init__(self, config, now, new_cluster=False):
         super().__init__(config, now, True)
 
 
-class Drawn(unittest.TestCase):
-    def test_never_over_and_used_again_afterwards(self):
+class RandomFaults(unittest.TestCase):
+    def test_limit_is_never_exceeded_and_used_again_after_faults(self):
         for seed in (
             *range(8),
             15,
@@ -111,18 +111,18 @@
             601,
         ):  # 15 and later: once over, or stuck, before it was mended
             with self.subTest(seed=seed):
-                simulation = play(seed)
+                simulation = simulate(seed)
                 simulation.run(60 * S)
                 self.assertEqual(simulation.over, 0)
                 self.assertGreater(simulation.used[-1], 0.94)  # all but the floors of members without proxies
 
-    def test_a_limit_is_used_though_demand_is_skewed_twenty_to_one(self):
+    def test_limit_is_used_with_demand_skewed_twenty_to_one(self):
         for members in (2, 5, 12):
             simulation = LimitsSimulation(1, members, 4 * members, skew=20.0).run(60 * S)
             self.assertGreater(simulation.used[-1], 0.95)
             self.assertEqual(simulation.over, 0)
 
-    def test_a_dead_members_part_is_used_again_within_the_term(self):
+    def test_units_of_a_dead_member_are_used_again_within_the_term(self):
         simulation = LimitsSimulation(3, 5, 20).run(30 * S)
         before = simulation.used[-1]
         leader = next(
@@ -137,29 +137,29 @@
         self.assertEqual(simulation.over, 0)
 
     def test_the_same_seed_is_the_same_run(self):
-        one = play(7, wounds=4)
-        two = play(7, wounds=4)
+        one = simulate(7, fault_count=4)
+        two = simulate(7, fault_count=4)
         self.assertEqual((one.used, one.quotas), (two.used, two.quotas))
 
 
 class Sabotaged(unittest.TestCase):
     def over(self, *seeds, **parts):
-        return max(play(seed, sabotaged(**parts)).over for seed in seeds or range(16))
+        return max(simulate(seed, sabotaged(**parts)).over for seed in seeds or range(16))
 
-    def test_one_that_spends_twice(self):
-        self.assertGreater(self.over(holder=SpendsTwice), 0)
+    def test_member_that_forgets_departed_proxies_exceeds_the_limit(self):
+        self.assertGreater(self.over(holder=ForgetsDepartedProxies), 0)
 
-    def test_a_leader_that_forgets_silent_members(self):
-        self.assertGreater(self.over(ledger=ForgetsTheSilent), 0)
+    def test_leader_that_ignores_unclaimed_proxies_exceeds_the_limit(self):
+        self.assertGreater(self.over(ledger=IgnoresUnclaimedProxies), 0)
 
-    def test_a_leader_that_forgets_former_incarnations(self):
+    def test_leader_that_forgets_former_incarnations_exceeds_the_limit(self):
         self.assertGreater(self.over(15, 45, 97, ledger=ForgetsFormerIncarnations), 0)
 
-    def test_a_leader_that_ignores_the_end_of_its_lease(self):
-        self.assertGreater(self.over(is_leader=leads_for_ever), 0)
+    def test_leader_that_ignores_the_end_of_its_lease_exceeds_the_limit(self):
+        self.assertGreater(self.over(is_leader=ignores_lease_end), 0)
 
 
-class Every(unittest.TestCase):
+class StateExploration(unittest.TestCase):
     """Orders of events at small size: all of the first some thousand states, and paths drawn. The whole:
     python -m embertray.experiments.measure.models
     """
@@ -168,32 +168,32 @@
         explore(LeaderModel(rounds=2, ticks=3, crashes=1), 8_000)
         self.assertGreater(walk(LeaderModel(rounds=3, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
-    def test_one_that_speaks_at_once_after_a_start_is_found_out(self):
+    def test_acceptor_that_answers_at_once_after_a_restart_is_detected(self):
         with self.assertRaisesRegex(Found, "two hold the lease"):
-            walk(LeaderModel(rounds=3, ticks=8, acceptor=SpeaksAtOnce), 4000, 60, random.Random(1))
+            walk(LeaderModel(rounds=3, ticks=8, acceptor=AnswersAtOnce), 4000, 60, random.Random(1))
 
-    def test_a_grant_outlasts_the_lease_though_the_holders_clock_is_slow(self):
+    def test_accepted_lease_outlasts_a_holder_with_a_slow_clock(self):
         """One path, played by hand: the holder's clock stands for a tick, and another tries as soon as its
         own clock says that all is over.
         """
-        for acceptor, both in ((Acceptor, False), (ShortMemory, True)):
+        for acceptor, expect_two_leaders in ((Acceptor, False), (IgnoresClockDrift, True)):
             model = LeaderModel(acceptor=acceptor)
             model.tries("a")
-            self.through(model, "a")
+            self.deliver_between(model, "a")
             model.tick("a")
             model.tick(None)
             model.tries("b")
-            self.through(model, "b")
-            self.assertEqual(bool(model.wrong()), both)
+            self.deliver_between(model, "b")
+            self.assertEqual(bool(model.wrong()), expect_two_leaders)
 
-    def through(self, model, name):
+    def deliver_between(self, model, name):
         """All between this one and c, as long as anything is on its way."""
         for _ in range(6):
             for one in sorted(model.network, key=repr):
                 if {one[0], one[1]} == {name, "c"}:
                     model.receive(*one)
 
-    def test_never_over_the_limit(self):
+    def test_limit_is_never_exceeded(self):
         explore(LoansModel(asks=2, ticks=4), 5_000)
         self.assertGreater(walk(LoansModel(asks=5, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
@@ -203,14 +203,14 @@
     @given(
         st.integers(0, 1000), st.dictionaries(st.sampled_from("abcdefgh"), st.integers(0, 500), min_size=1)
     )
-    def test_a_pool_is_divided_whole_and_nobody_lacks_beside_one_that_has_too_much(self, pool, demand):
-        found = divide(pool, demand)
-        self.assertEqual(sum(found.values()), pool)
-        lacking = [name for name in demand if found[name] < demand[name]]
+    def test_division_uses_the_whole_pool_and_is_max_min_fair(self, pool, demand):
+        shares = divide(pool, demand)
+        self.assertEqual(sum(shares.values()), pool)
+        lacking = [name for name in demand if shares[name] < demand[name]]
         for name in lacking:
-            self.assertTrue(all(found[other] <= found[name] + 1 for other in demand))
+            self.assertTrue(all(shares[other] <= shares[name] + 1 for other in demand))
 
-    def test_a_replayed_or_late_grant_is_not_taken(self):
+    def test_replayed_or_late_grant_is_not_applied(self):
         limits = Limits("a", ["a", "b", "c"], {"l": 100}, 0, random.Random(1), new_cluster=True)
         holder = limits.quota_holder
         first = holder.make_request(10, 7, False)
@@ -225,7 +225,7 @@
         )
         self.assertEqual(holder.granted, {"l": 9})
 
-    def test_run_and_adapter_load_none_of_it(self):
+    def test_run_and_adapter_do_not_load_the_cluster(self):
         code = (
             "import sys; import embertray.platform.run.service, embertray.benchlink.batches; "
             "print([m for m in sys.modules if m.startswith(('embertray.cluster.limits', "
