--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -17,7 +17,7 @@
 """
 
 
-class BelievesHearsay(Membership):
+class AcceptsReportedDeaths(Membership):
     """A sabotaged member: whoever says that another is dead is believed."""
 
     def verify_reported_death(self, now, member, statement):
@@ -25,32 +25,33 @@
         self.apply(now, statement)
 
 
-class NeverAlone(Membership):
+class NeverCutOff(Membership):
     """A sabotaged member: it never takes itself for cut off."""
 
     def cut_off(self, now):
         return False
 
 
-class LiesYoung(KeepsLastReceived):
+class ReportsZeroAge(KeepsLastReceived):
     """A sabotaged member: all that it passes on is as good as new."""
 
     def missing_entries(self, now, digest):
-        rows, ahead = super().missing_entries(now, digest)
+        entries, ahead = super().missing_entries(now, digest)
         return [
-            type(row)(row.owner, row.key, row.incarnation, row.version, 0, row.value) for row in rows
+            type(entry)(entry.owner, entry.key, entry.incarnation, entry.version, 0, entry.value)
+            for entry in entries
         ], ahead
 
     def latest_values(self, now, key):
         return [known._replace(age_ns=0) for known in super().latest_values(now, key)]
 
 
-def broken(simulation):
+def broken_claims(simulation):
     return {claim for claim, why in simulation.play().claims.broken.items() if why}
 
 
-class Drawn(unittest.TestCase):
-    def test_no_claim_is_broken_by_wounds_drawn_by_seed(self):
+class RandomFaults(unittest.TestCase):
+    def test_random_faults_break_no_claim(self):
         for seed, members in (
             (1, 3),
             (5, 8),
@@ -63,7 +64,7 @@
                 self.assertEqual({claim: why for claim, why in claims.broken.items() if why}, {})
                 self.assertGreater(claims.checks["wrong"], 1000)
 
-    def test_every_claim_is_asked_for(self):
+    def test_every_claim_is_checked(self):
         self.assertEqual(
             set(ClusterSimulation(notation.read(SPLIT)).play().claims.verdicts().values()), {"kept"}
         )
@@ -80,14 +81,14 @@
     def simulation(self, **makes):
         return ClusterSimulation(notation.read(SPLIT), **makes)
 
-    def test_one_that_never_suspects(self):
-        self.assertIn("seen", broken(self.simulation(make=NeverSuspects)))
+    def test_member_that_never_suspects_breaks_seen(self):
+        self.assertIn("seen", broken_claims(self.simulation(make=NeverSuspects)))
 
-    def test_one_that_believes_deaths_by_hearsay(self):
+    def test_member_that_accepts_reported_deaths_kills_its_own_side(self):
         """As the members did before: the other side's statements killed one's own when a partition ended."""
         sides = ({"c1", "c2", "c3"}, {"c4", "c5"})
 
-        def own_dead(**makes):
+        def deaths_on_own_side(**makes):
             notes = self.simulation(**makes).play().membership.notes
             return [
                 (who, change.name)
@@ -95,21 +96,21 @@
                 if change.state == DEAD and any({who, change.name} <= side for side in sides)
             ]
 
-        self.assertEqual(own_dead(), [])
-        self.assertGreater(len(own_dead(make=BelievesHearsay)), 0)
+        self.assertEqual(deaths_on_own_side(), [])
+        self.assertGreater(len(deaths_on_own_side(make=AcceptsReportedDeaths)), 0)
 
-    def test_one_that_never_says_it_is_cut_off(self):
-        self.assertEqual(broken(self.simulation(make=NeverAlone)), {"alone"})
+    def test_member_that_is_never_cut_off_breaks_alone(self):
+        self.assertEqual(broken_claims(self.simulation(make=NeverCutOff)), {"alone"})
 
-    def test_one_that_drops_a_delta(self):
-        self.assertIn("fresh", broken(self.simulation(exchange=DropsDeltaEntries)))
+    def test_exchange_that_drops_entries_breaks_fresh(self):
+        self.assertIn("fresh", broken_claims(self.simulation(exchange=DropsDeltaEntries)))
 
-    def test_one_that_passes_old_entries_for_new(self):
-        self.assertIn("young", broken(self.simulation(store=LiesYoung)))
+    def test_store_that_reports_zero_ages_breaks_young(self):
+        self.assertIn("young", broken_claims(self.simulation(store=ReportsZeroAge)))
 
 
 class Processes(unittest.TestCase):
-    def test_true_processes_and_virtual_time_give_the_same_verdicts(self):
+    def test_real_processes_and_virtual_time_give_the_same_verdicts(self):
         day = notation.load("wounds")
         result = player.play(day, mode="processes")
         self.assertEqual({k: v for k, v in {**result.violations, **result.claim_violations}.items() if v}, {})
@@ -122,7 +123,7 @@
         self.assertLessEqual(result.worst_age, 1.0)
         self.assertEqual(set(result.process_usage), {"c1", "c2", "c3"})
 
-    def test_links_are_for_processes_only(self):
+    def test_link_faults_need_processes(self):
         with self.assertRaisesRegex(notation.DayError, "play it with --processes"):
             player.play(notation.read("fleet controllers=2\nat 1s silent c1>c2"))
         for text, words in (
