--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -39,14 +39,14 @@
         site.wait(lambda: site.all_see(**alive), "all know all")
         site.wait(site.fresh, "each knows the facts of each")
         self.assertLessEqual(*site.oldest())
-        shown = subprocess.run(
+        status_output = subprocess.run(
             [sys.executable, "-m", "embertray", "cluster", "status", "--admin", site.admin["c1"]],
             cwd=ROOT,
             capture_output=True,
             text=True,
         ).stdout
         self.assertEqual(
-            [line.split()[:2] for line in shown.splitlines()[2:]],
+            [line.split()[:2] for line in status_output.splitlines()[2:]],
             [["c2", "alive"], ["c3", "alive"], ["c4", "alive"]],
         )
 
@@ -61,12 +61,12 @@
         self.assertEqual(account()["action"], "leave out")
 
         config = MembershipConfig(probe_period=PERIOD * 10**6)
-        most = (
+        bound_s = (
             2 * 3 * config.probe_period + config.suspicion_timeout(4, 0) + 8 * config.probe_period
         ) / 1e9  # the stated bound for four members
         site.kill("c4")
         took = site.wait(lambda: site.all_see(**alive | {"c4": "dead"}), "c4 is dead")
-        self.assertLessEqual(took, most + 2)  # and what this machine takes to look
+        self.assertLessEqual(took, bound_s + 2)  # and what this machine takes to look
 
         site.stop("c3")
         site.wait(lambda: site.all_see(c3="dead"), "c3 stands still and passes for dead")
@@ -84,7 +84,7 @@
         site.up("c4")
         site.wait(lambda: site.all_see(**alive), "c4 is alive again")
 
-    def test_a_split_by_stopping_and_all_at_once(self):
+    def test_all_members_restart_at_once(self):
         site = self.site(3)
         alive = dict.fromkeys(site.names, "alive")
         site.wait(lambda: site.all_see(**alive), "all know all")
@@ -94,7 +94,7 @@
             site.up(name)
         site.wait(lambda: site.all_see(**alive), "all know all after all were killed")
 
-    def test_of_two_with_one_name_the_younger_stays(self):
+    def test_newer_process_of_a_name_replaces_the_older(self):
         site = self.site(2)
         site.wait(lambda: site.all_see(c1="alive", c2="alive"), "both know both")
         ports = free_ports(3)
@@ -134,7 +134,7 @@
         )
 
 
-class Described(unittest.TestCase):
+class SiteDescription(unittest.TestCase):
     def test_a_cluster_needs_its_members_addresses(self):
         from embertray.service.site import SiteError, load
 
@@ -142,11 +142,11 @@
             site = ClusterMembers(folder, 2)
             self.assertEqual(load(site.path).cluster.period, PERIOD * 10**6)
             text = site.path.read_text()
-            cut = (
+            without_address = (
                 text[: text.index(" cluster=")]
                 + text[text.index(" cluster=") + len(' cluster="127.0.0.1:') + 5 + 1 :]
             )
-            site.path.write_text(cut)
+            site.path.write_text(without_address)
             with self.assertRaisesRegex(SiteError, "a cluster needs its address"):
                 load(site.path)
 
