--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,5 +1,5 @@
-"""What a cluster claims, under wounds drawn by seed in virtual time; each claim is shown to fail on a
-sabotaged member; and one day through true processes, with the verdicts that virtual time gives."""
+"""Claims about a cluster, checked under random faults in virtual time; each claim is shown to fail on a
+sabotaged member; and one day in real processes has to give the same verdicts as virtual time."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class AcceptsReportedDeaths(Membership):
-    """A sabotaged member: whoever says that another is dead is believed."""
+    """A sabotaged member: it accepts reported deaths without probing the member itself."""
 
     def verify_reported_death(self, now, member, statement):
         member.suspected_by.add(self.local.name)
@@ -26,14 +26,14 @@
 
 
 class NeverCutOff(Membership):
-    """A sabotaged member: it never takes itself for cut off."""
+    """A sabotaged member: it never considers itself cut off."""
 
     def cut_off(self, now):
         return False
 
 
 class ReportsZeroAge(KeepsLastReceived):
-    """A sabotaged member: all that it passes on is as good as new."""
+    """A sabotaged store: it reports an age of zero for every entry."""
 
     def missing_entries(self, now, digest):
         entries, ahead = super().missing_entries(now, digest)
@@ -58,7 +58,7 @@
             (31, 4),
             (38, 5),
             (98, 5),
-        ):  # 5 and later: broke a claim before it was mended, or narrowed
+        ):  # seeds from 5 on have broken a claim in earlier versions, or before the claim was narrowed
             with self.subTest(seed=seed):
                 claims = ClusterSimulation(notation.read(random_faults(seed, members)), seed).play().claims
                 self.assertEqual({claim: why for claim, why in claims.broken.items() if why}, {})
@@ -85,7 +85,9 @@
         self.assertIn("seen", broken_claims(self.simulation(make=NeverSuspects)))
 
     def test_member_that_accepts_reported_deaths_kills_its_own_side(self):
-        """As the members did before: the other side's statements killed one's own when a partition ended."""
+        """Guards against deaths on a member's own side when a partition ends and the other side's statements
+        about dead members arrive.
+        """
         sides = ({"c1", "c2", "c3"}, {"c4", "c5"})
 
         def deaths_on_own_side(**makes):
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,5 +1,5 @@
-"""Members of a cluster under virtual time: each hard case with its bound. Real processes are no part of this
-file.
+"""Cluster membership under virtual time: difficult cases with their time bounds. Real processes are covered
+by test_cluster_processes.py.
 """
 
 import contextlib
@@ -28,8 +28,9 @@
 
 
 def detection_bound(members, config=CONFIG):
-    """The stated bound on declaring a killed member dead where links are good: each member probes each other
-    once in two rounds; then nobody may confirm; then the statement goes round (docs/design/cluster.md)."""
+    """The bound on declaring a killed member dead on working links: two rounds until each member has probed
+    it, a suspicion timeout without confirmations, and the spread of the statement (docs/design/cluster.md).
+    """
     return (
         2 * (members - 1) * config.probe_period
         + config.suspicion_timeout(members, 0)
@@ -42,7 +43,7 @@
 
 
 def deaths(simulation, *excluded):
-    """Members declared dead that are alive, with who said so."""
+    """(observer, member) of each death that a member has recorded, without the excluded members."""
     return [
         (who, change.name)
         for _, who, change in simulation.notes
@@ -51,14 +52,14 @@
 
 
 class NeverSuspects(Membership):
-    """A sabotaged member: a probe that fails has no consequence."""
+    """A sabotaged member: a failed probe has no consequence."""
 
     def probe_failed(self, now, sequence, probe):
         del self.probes[sequence]
 
 
 class IgnoresLocalHealth(Membership):
-    """A sabotaged member: however slow it is, it blames the others."""
+    """A sabotaged member: its local health never degrades, so a slow member suspects the others."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -103,7 +104,9 @@
             simulation.run(60 * S)
             simulation.links.loss = 0.0
             self.assertIsNotNone(simulation.until(simulation.agree, 30 * S))
-            self.assertLessEqual(len(deaths(simulation)), 4, "one false death at most, told by four")
+            self.assertLessEqual(
+                len(deaths(simulation)), 4, "at most one false death, recorded by four members"
+            )
 
 
 class Pauses(unittest.TestCase):
@@ -122,8 +125,8 @@
             self.assertTrue(simulation.agree())
 
     def test_local_health_keeps_a_slow_member_from_suspecting_others(self):
-        """What comes to it comes 1.2 s late, past the time for an answer; without local health it goes on
-        blaming.
+        """Messages reach the slow member 1.2 s late, after the probe timeout; without local health it keeps
+        suspecting the others.
         """
 
         def count_false_suspicions(make):
@@ -153,7 +156,7 @@
         now = simulation.engine.time
         cut_off_members = [p.core.local.name for p in simulation.living() if p.core.cut_off(now)]
         simulation.links.heal()
-        self.assertIsNotNone(simulation.until(simulation.agree, 60 * S), "after the partition's end")
+        self.assertIsNotNone(simulation.until(simulation.agree, 60 * S), "after the partition has healed")
         return cut_off_members
 
     def test_partitions_into_two_and_three_sides_heal(self):
@@ -173,7 +176,7 @@
         for clock in (0, -3600 * S, 3600 * S):
             simulation = MembershipSimulation(6).gather(5)
             simulation.kill("m3")
-            simulation.run(S)  # before anybody has missed it
+            simulation.run(S)  # before any member has detected the failure
             simulation.up("m3", ["m0", "m1"], clock=clock)
             self.assertIsNotNone(simulation.until(simulation.agree, 20 * S), clock)
             simulation.run(60 * S)
@@ -193,8 +196,8 @@
             )
 
     def test_member_waiting_for_its_first_seed_has_joined_once_others_know_it(self):
-        """Seen between processes: the first of two stayed 'not joined', and did not end for a younger one of
-        its name.
+        """Guards against a first process that stays 'not joined' after the second one has joined it, and
+        therefore does not end when a newer process uses its name.
         """
         simulation = MembershipSimulation(14)
         simulation.up("m0", ["m1"])
@@ -255,7 +258,7 @@
         self.assertEqual((core.state_of("x"), core.state_of("m1")), (None, ALIVE))
 
     def test_every_message_that_can_be_read_has_a_handler(self):
-        """A class of message without a handler would end the process at the first one that comes."""
+        """A message class without a handler would end the process when the first such message arrives."""
         for message_type in (Ping, Ack, PingRequest, Nack, Join, FullState):
             simulation = MembershipSimulation(11).gather(3)
             core = simulation.at["m0"].core
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -1,5 +1,5 @@
-"""Several true processes of the program on loopback: killed, stopped, started again, two of one name. Each
-wait is on what a process says of itself or of the others, with a limit; no verdict rests on a sleep."""
+"""Real processes of the program on loopback: killed, stopped, restarted, and two with the same name. Every
+wait polls the status of a process, with a timeout; no verdict depends on a fixed sleep."""
 
 import json
 import subprocess
@@ -17,7 +17,7 @@
 
 
 class ProcessesCase(unittest.TestCase):
-    """Processes that a case starts are ended with it."""
+    """Ends the processes that a test case starts."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -36,8 +36,8 @@
     def test_killed_stopped_and_started_again(self):
         site = self.site(4)
         alive = dict.fromkeys(site.names, "alive")
-        site.wait(lambda: site.all_see(**alive), "all know all")
-        site.wait(site.fresh, "each knows the facts of each")
+        site.wait(lambda: site.all_see(**alive), "all members know each other")
+        site.wait(site.fresh, "each member knows the facts of every other")
         self.assertLessEqual(*site.oldest())
         status_output = subprocess.run(
             [sys.executable, "-m", "embertray", "cluster", "status", "--admin", site.admin["c1"]],
@@ -56,20 +56,20 @@
             ]
 
         site.wait(
-            lambda: account()["entries"] > 3, "the accounts have looked at the cluster"
-        )  # each second, not at once
+            lambda: account()["entries"] > 3, "the memory accounts include the cluster"
+        )  # they are updated each second
         self.assertEqual(account()["action"], "leave out")
 
         config = MembershipConfig(probe_period=PERIOD * 10**6)
         bound_s = (
             2 * 3 * config.probe_period + config.suspicion_timeout(4, 0) + 8 * config.probe_period
-        ) / 1e9  # the stated bound for four members
+        ) / 1e9  # the detection bound for four members
         site.kill("c4")
         took = site.wait(lambda: site.all_see(**alive | {"c4": "dead"}), "c4 is dead")
-        self.assertLessEqual(took, bound_s + 2)  # and what this machine takes to look
+        self.assertLessEqual(took, bound_s + 2)  # plus the time that this machine needs to poll
 
         site.stop("c3")
-        site.wait(lambda: site.all_see(c3="dead"), "c3 stands still and passes for dead")
+        site.wait(lambda: site.all_see(c3="dead"), "c3 is stopped and considered dead")
         site.go_on("c3")
         site.wait(lambda: site.all_see(c1="alive", c2="alive", c3="alive"), "c3 is back")
         self.assertNotIn(
@@ -79,7 +79,7 @@
                 for line in (Path(self.folder) / "c3.log").read_text().splitlines()
                 if '"c1"' in line or '"c2"' in line
             ),
-        )  # it blamed nobody
+        )  # c3 has declared nobody dead
 
         site.up("c4")
         site.wait(lambda: site.all_see(**alive), "c4 is alive again")
@@ -87,16 +87,16 @@
     def test_all_members_restart_at_once(self):
         site = self.site(3)
         alive = dict.fromkeys(site.names, "alive")
-        site.wait(lambda: site.all_see(**alive), "all know all")
+        site.wait(lambda: site.all_see(**alive), "all members know each other")
         for name in site.names:
             site.kill(name)
         for name in site.names:
             site.up(name)
-        site.wait(lambda: site.all_see(**alive), "all know all after all were killed")
+        site.wait(lambda: site.all_see(**alive), "all members know each other after all were killed")
 
     def test_newer_process_of_a_name_replaces_the_older(self):
         site = self.site(2)
-        site.wait(lambda: site.all_see(c1="alive", c2="alive"), "both know both")
+        site.wait(lambda: site.all_see(c1="alive", c2="alive"), "both members know each other")
         ports = free_ports(3)
         known_ports = {
             name: [int(element.get(key).rpartition(":")[2]) for key in ("listen", "admin", "cluster")]
@@ -115,7 +115,7 @@
                 == {"c2": f"127.0.0.1:{ports[2]}"}
                 and site.states("c1") == {"c2": "alive"}
             ),
-            "c1 knows the younger",
+            "c1 knows the newer process",
         )
 
     def test_without_a_cluster_nothing_of_it_runs(self):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,5 +1,5 @@
-"""Limits of the whole fleet: nothing over, ever, under wounds drawn by seed; every order of events at small
-size; each check is shown to fail.
+"""Fleet-wide limits: never exceeded under random faults, nor in small models that explore orders of events;
+each check is shown to fail on a sabotaged part.
 """
 
 import random
@@ -31,7 +31,7 @@
 
 
 def sabotaged(**parts):
-    """Limits whose holder or ledger is another class."""
+    """A Limits class whose quota holder, ledger or `is_leader` is replaced."""
 
     class Sabotaged(Limits):
         def __init__(self, me, names, totals, now, chance, config, new_cluster=False, incarnation=0):
@@ -51,7 +51,7 @@
 
 
 class ForgetsDepartedProxies(QuotaHolder):
-    """Raises its proxies without regard to what those that left still act on."""
+    """Raises its proxies' quotas without charging what departed proxies still use."""
 
     def quota_updates(self, now):
         departed = list(self.departed)
@@ -62,19 +62,19 @@
 
 
 def ignores_lease_end(self, now):
-    """A leader that does not look at the end of its lease."""
+    """Whether a member leads if it ignores the end of its lease."""
     return self.ledger is not None or self.proposer.holds_lease(now)
 
 
 class IgnoresUnclaimedProxies(Ledger):
-    """Lends a silent member's units as soon as its term is over, whoever still acts on them."""
+    """Grants a silent member's units once its term is over, even if its proxies still use them."""
 
     def unclaimed_proxies(self, name, request):
         return set()
 
 
 class ForgetsFormerIncarnations(Ledger):
-    """Does not charge what proxies act on by the word of a former incarnation."""
+    """Does not charge what proxies use by quotas of a former incarnation."""
 
     def record_request(self, now, name, request):
         recorded = super().record_request(now, name, request)
@@ -83,7 +83,7 @@
 
 
 class IgnoresClockDrift(Acceptor):
-    """Takes its grant for over when its own clock says so, whatever the other's clock does."""
+    """Considers an accepted lease ended after the lease term by its own clock, without adding clock drift."""
 
     def on_propose(self, now, message, sender):
         answer = super().on_propose(now, message, sender)
@@ -92,7 +92,7 @@
 
 
 class AnswersAtOnce(Acceptor):
-    """Does not wait after a start."""
+    """Answers at once after a restart, while a lease that it accepted before may still be valid."""
 
     def __init__(self, config, now, new_cluster=False):
         super().__init__(config, now, True)
@@ -109,7 +109,7 @@
             248,
             590,
             601,
-        ):  # 15 and later: once over, or stuck, before it was mended
+        ):  # seeds from 15 on have exceeded the limit or stalled in earlier versions
             with self.subTest(seed=seed):
                 simulation = simulate(seed)
                 simulation.run(60 * S)
@@ -160,8 +160,8 @@
 
 
 class StateExploration(unittest.TestCase):
-    """Orders of events at small size: all of the first some thousand states, and paths drawn. The whole:
-    python -m embertray.experiments.measure.models
+    """Orders of events in small models: the first few thousand states, and random paths. The complete
+    exploration is python -m embertray.experiments.measure.models.
     """
 
     def test_never_two_leaders(self):
@@ -173,8 +173,8 @@
             walk(LeaderModel(rounds=3, ticks=8, acceptor=AnswersAtOnce), 4000, 60, random.Random(1))
 
     def test_accepted_lease_outlasts_a_holder_with_a_slow_clock(self):
-        """One path, played by hand: the holder's clock stands for a tick, and another tries as soon as its
-        own clock says that all is over.
+        """One fixed path: the holder's clock stops for a tick, and another member tries to acquire the lease
+        as soon as the term has ended by its own clock.
         """
         for acceptor, expect_two_leaders in ((Acceptor, False), (IgnoresClockDrift, True)):
             model = LeaderModel(acceptor=acceptor)
@@ -187,7 +187,7 @@
             self.assertEqual(bool(model.wrong()), expect_two_leaders)
 
     def deliver_between(self, model, name):
-        """All between this one and c, as long as anything is on its way."""
+        """Deliver all messages between this member and c until none is in flight."""
         for _ in range(6):
             for one in sorted(model.network, key=repr):
                 if {one[0], one[1]} == {name, "c"}:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Shared entries: merging in any order, ages, caps, incarnations, and the bound on their staleness."""
+"""Shared entries: merging in any order, ages, caps, incarnations and the staleness bound."""
 
 import itertools
 import random
@@ -27,7 +27,7 @@
 
 
 def as_written(entry):
-    """Of one owner, incarnation and version there is one value: an owner writes none twice."""
+    """The entry with a value derived from its rank: an owner never writes two values of one version."""
     return Entry(
         entry.owner,
         entry.key,
@@ -39,7 +39,7 @@
 
 
 def merged(*batches):
-    """What a store knows once it has merged these batches in this order."""
+    """The entries and incarnations of a store that has merged these batches in this order."""
     store = EntryStore("me", 1)
     for batch in batches:
         store.merge(NOW, batch)
@@ -47,7 +47,7 @@
 
 
 class KeepsLastReceived(EntryStore):
-    """A sabotaged member: it takes whatever came last."""
+    """A sabotaged store: it keeps the entry that arrived last, whatever its rank."""
 
     def apply(self, now, entry):
         self.set(entry, now - entry.age_ns)
@@ -55,7 +55,7 @@
 
 
 class DropsDeltaEntries(AntiEntropyExchange):
-    """A sabotaged member: it says that it has sent all, and leaves an entry out."""
+    """A sabotaged exchange: it omits an entry, but marks the owner as complete."""
 
     def on_offer(self, now, offer):
         delta = super().on_offer(now, offer)
@@ -179,7 +179,7 @@
 
 
 class Spread(unittest.TestCase):
-    """Members exchange by turns, each period one; every look checks each entry's age against the bound."""
+    """Each member starts one exchange per period; every 100 ms all ages are compared with the bound."""
 
     def simulate(self, count, seed, seconds, make=AntiEntropyExchange, split=None):
         names = [f"m{n:03}" for n in range(count)]
@@ -213,7 +213,7 @@
         for count, seconds in ((3, 40), (8, 40), (24, 80)):
             self.assertLessEqual(
                 self.simulate(count, 1, seconds), staleness_bound_ns(count, S, S) + S
-            )  # and the second until it is written anew
+            )  # plus the second until the owner rewrites the entry
 
     def test_bound_holds_within_each_side_of_a_partition(self):
         self.assertLessEqual(
