--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -119,7 +119,7 @@
             points += 1
         self.assertGreaterEqual(points, 7)
 
-    def test_a_failing_disk_raises_and_leaves_the_former_snapshots(self):
+    def test_a_failing_disk_raises_and_leaves_the_earlier_snapshots(self):
         for error in (errno.ENOSPC, errno.EROFS, errno.EIO):
             for at in range(1, 6):
                 self.fill()
@@ -144,7 +144,7 @@
         self.assertEqual([name for name, _ in passed], [path.name])
         self.assertTrue(passed[0][1])
 
-    def test_a_newer_format_and_foreign_files_are_skipped(self):
+    def test_a_newer_format_and_unrelated_files_are_skipped(self):
         self.fill()
         newer = HEADER.pack(MAGIC, 2, 0, 0)
         SnapshotStore(self.folder).path_of(99).write_bytes(newer)
@@ -223,13 +223,13 @@
         verdict = trust.start(0, snapshot(**more), ClockReading((1000 * S) + age, "other boot", 0))
         return trust, verdict
 
-    def test_a_fresh_list_counts_as_it_is(self):
+    def test_a_fresh_list_is_used_unchanged(self):
         trust, verdict = self.begin(FRESH_AGE_NS)
         self.assertEqual([e.started for e in verdict.entries], [0, 0, 0, 0])
         self.assertTrue(trust.is_settled(0))
         self.assertFalse(trust.retains_tables(0, False, "p"))
 
-    def test_unheard_candidates_of_an_old_list_are_handed_on_as_just_started(self):
+    def test_undecided_candidates_of_an_old_list_are_forwarded_as_just_started(self):
         trust, verdict = self.begin(3600 * S)
         self.assertEqual(
             (verdict.entries, trust.apply_timers(VERIFICATION_PERIOD_NS - 1), trust.next_timer()),
@@ -327,14 +327,14 @@
     def answer(self, trust, now, names):
         trust.observe(now, "p", True, [(name, 5, 0) for name in names])
 
-    def test_a_newer_complete_list_counts(self):
+    def test_a_newer_complete_list_applies(self):
         trust = self.begin()
         verdict = trust.receive_update(S, "whole", 9, listed("abxyefgh"))
         self.assertEqual((verdict.kind, len(verdict.entries), verdict.request_complete), ("whole", 8, False))
         self.assertEqual(sorted(trust.backends), sorted("abxyefgh"))
         self.assertEqual(sorted(trust.tombstones.entries), ["c", "d"])
 
-    def test_an_older_epoch_removes_no_backend_and_brings_none_back(self):
+    def test_an_older_epoch_neither_removes_nor_restores_a_backend(self):
         gone = [SnapshotEntry("old", "z", "gone", 0, 1000 * S)]
         trust = Trust(4 * S)
         trust.start(0, snapshot("abcdefgh", gone=gone), ClockReading(1100 * S, "x", 0))
@@ -361,7 +361,7 @@
         again = trust.receive_update(3 * S + S // 2, "whole", 10, listed("abcdefgh"))  # it was broken
         self.assertEqual((again.request_complete, trust.losses.missing, len(trust.backends)), (False, (), 8))
 
-    def test_a_second_answer_confirms_the_loss(self):
+    def test_a_second_response_confirms_the_loss(self):
         trust = self.begin()
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
@@ -369,7 +369,7 @@
         verdict = trust.receive_update(3 * S + S // 2, "whole", 9, listed("ab"))
         self.assertEqual((verdict.kind, len(trust.backends)), ("whole", 2))
 
-    def test_without_a_second_answer_the_missing_are_removed_within_the_drain_grace(self):
+    def test_without_a_second_response_the_missing_are_removed_within_the_drain_grace(self):
         trust = self.begin()
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
@@ -379,7 +379,7 @@
         gone = trust.apply_timers(trust.next_timer())
         self.assertEqual(({e.state for e in gone}, len(gone), trust.next_timer()), ({"gone"}, 6, None))
 
-    def test_unlisted_backends_that_may_stay_do_so_while_they_answer(self):
+    def test_unlisted_backends_stay_while_they_answer_if_omission_does_not_remove(self):
         trust = self.begin(binds=False)
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
         self.answer(trust, 2 * S, "abcdefgh")
@@ -389,7 +389,7 @@
         gone = trust.apply_timers(2 * S + ANSWERING_AGE_NS + 1 * S)
         self.assertEqual([e.backend for e in gone], ["f", "g", "h"])
 
-    def test_listed_changes_are_believed_at_once(self):
+    def test_explicit_changes_apply_at_once(self):
         trust = self.begin()
         self.answer(trust, S, "abcdefgh")
         verdict = trust.receive_update(2 * S, "changes", 8, listed("abcdef", state="draining"))
@@ -408,7 +408,7 @@
             max_size=25,
         )
     )
-    def test_the_entry_of_the_newest_epoch_counts(self, steps):
+    def test_the_entry_of_the_newest_epoch_applies(self, steps):
         """An entry of an epoch at least as new as all before is what is known after it."""
         trust, newest = Trust(4 * S), 0
         trust.start(0, snapshot("abc", epoch=6), ClockReading(5000 * S, "x", 0))
@@ -427,8 +427,8 @@
                 )
 
 
-class FirstCalls(unittest.TestCase):
-    def test_controllers_that_start_together_spread_their_calls(self):
+class FirstConnections(unittest.TestCase):
+    def test_controllers_that_start_together_spread_their_connections(self):
         """Calls in the worst tenth of a second, with the chance of each and without."""
 
         def worst(draws):
@@ -459,7 +459,7 @@
     """
 
     def test_trust_by_age_loses_less_than_full_trust_where_tables_are_newer(self):
-        class Fully(Trust):
+        class FullTrust(Trust):
             def start(self, now, snapshot, clocks):
                 verdict = super().start(now, snapshot, clocks)
                 self.retention.candidate_count = 0
@@ -468,7 +468,7 @@
                 return verdict._replace(entries=[k.entry for k in self.backends.values()])
 
         day = notation.load("old-list-behind-tables")
-        ours, fully = player.play(day), player.play(day, trust=Fully)
+        ours, fully = player.play(day), player.play(day, trust=FullTrust)
         self.assertEqual({k: v for k, v in ours.violations.items() if v}, {})
         self.assertGreater(ours.credit, fully.credit + 0.02)
 
