--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -68,8 +68,8 @@
     return call
 
 
-for each in ("create", "write", "flush", "close", "rename", "flush_folder", "remove"):
-    setattr(FailingDisk, each, wrap(each))
+for call_name in ("create", "write", "flush", "close", "rename", "flush_folder", "remove"):
+    setattr(FailingDisk, call_name, wrap(call_name))
 
 
 class UnflushedDisk(Disk):
@@ -84,9 +84,9 @@
 
 class Snapshots(unittest.TestCase):
     def setUp(self):
-        self.box = tempfile.TemporaryDirectory()
-        self.folder = Path(self.box.name) / "state"
-        self.addCleanup(self.box.cleanup)
+        self.temporary = tempfile.TemporaryDirectory()
+        self.folder = Path(self.temporary.name) / "state"
+        self.addCleanup(self.temporary.cleanup)
         SnapshotStore(self.folder).folder.mkdir()
 
     def fill(self, count=GENERATIONS_KEPT, disk=None):
@@ -100,24 +100,24 @@
 
     def test_a_power_cut_at_any_system_call_leaves_the_old_or_the_new_snapshot(self):
         """The list is the old one or the new one, whole; and the next writer goes on."""
-        points, saves = 0, 0
+        failure_points, saves = 0, 0
         while True:
             self.fill()
-            disk = FailingDisk(points + 1)
+            disk = FailingDisk(failure_points + 1)
             try:
                 SnapshotStore(self.folder, disk).save(b"new")
                 saves += 1
             except PowerCut:
                 pass
-            body, passed = SnapshotStore(self.folder).load()
+            body, skipped = SnapshotStore(self.folder).load()
             self.assertIn(body, (b"body 2", b"new"))
-            self.assertEqual(passed, [])
+            self.assertEqual(skipped, [])
             SnapshotStore(self.folder).save(b"later")
             self.assertEqual(SnapshotStore(self.folder).load()[0], b"later")
             if saves:
                 break
-            points += 1
-        self.assertGreaterEqual(points, 7)
+            failure_points += 1
+        self.assertGreaterEqual(failure_points, 7)
 
     def test_a_failing_disk_raises_and_leaves_the_earlier_snapshots(self):
         for error in (errno.ENOSPC, errno.EROFS, errno.EIO):
@@ -139,10 +139,10 @@
         else:
             del bad[at // 8 :]
         path.write_bytes(bytes(bad))
-        body, passed = SnapshotStore(self.folder).load()
+        body, skipped = SnapshotStore(self.folder).load()
         self.assertEqual(body, b"body 1")
-        self.assertEqual([name for name, _ in passed], [path.name])
-        self.assertTrue(passed[0][1])
+        self.assertEqual([name for name, _ in skipped], [path.name])
+        self.assertTrue(skipped[0][1])
 
     def test_a_newer_format_and_unrelated_files_are_skipped(self):
         self.fill()
@@ -150,17 +150,17 @@
         SnapshotStore(self.folder).path_of(99).write_bytes(newer)
         (self.folder / "list-abc.snap").write_bytes(b"?")
         (self.folder / "next.tmp").write_bytes(b"half")
-        body, passed = SnapshotStore(self.folder).load()
+        body, skipped = SnapshotStore(self.folder).load()
         self.assertEqual(body, b"body 2")
-        self.assertIn("format 2", passed[0][1])
+        self.assertIn("format 2", skipped[0][1])
         self.assertEqual(SnapshotStore(self.folder / "nowhere").load(), (None, []))
 
     def test_content_of_another_type_is_skipped(self):
-        kept = DurableSnapshots(self.folder)
-        kept.store.save(b"not a snapshot")
-        found, passed = kept.load()
+        snapshots = DurableSnapshots(self.folder)
+        snapshots.store.save(b"not a snapshot")
+        found, skipped = snapshots.load()
         self.assertIsNone(found)
-        self.assertIn("content", passed[0][1])
+        self.assertIn("content", skipped[0][1])
         self.assertGreater(len(encode_file(b"x" * 10**6)), HEADER.size)
 
     def test_a_second_process_on_a_state_folder_is_locked_out(self):
@@ -220,19 +220,19 @@
 class SnapshotAge(unittest.TestCase):
     def begin(self, age, **more):
         trust = Trust(4 * S)
-        verdict = trust.start(0, snapshot(**more), ClockReading((1000 * S) + age, "other boot", 0))
-        return trust, verdict
+        decision = trust.start(0, snapshot(**more), ClockReading((1000 * S) + age, "other boot", 0))
+        return trust, decision
 
     def test_a_fresh_list_is_used_unchanged(self):
-        trust, verdict = self.begin(FRESH_AGE_NS)
-        self.assertEqual([e.started for e in verdict.entries], [0, 0, 0, 0])
+        trust, decision = self.begin(FRESH_AGE_NS)
+        self.assertEqual([e.started for e in decision.entries], [0, 0, 0, 0])
         self.assertTrue(trust.is_settled(0))
         self.assertFalse(trust.retains_tables(0, False, "p"))
 
     def test_undecided_candidates_of_an_old_list_are_forwarded_as_just_started(self):
-        trust, verdict = self.begin(3600 * S)
+        trust, decision = self.begin(3600 * S)
         self.assertEqual(
-            (verdict.entries, trust.apply_timers(VERIFICATION_PERIOD_NS - 1), trust.next_timer()),
+            (decision.entries, trust.apply_timers(VERIFICATION_PERIOD_NS - 1), trust.next_timer()),
             ([], [], VERIFICATION_PERIOD_NS),
         )
         trust.observe(S, "p", True, [("a", 2, 0), ("b", 3, 3)])
@@ -324,13 +324,15 @@
         trust.start(0, snapshot("abcdefgh", **more), ClockReading(5000 * S, "x", 0))
         return trust
 
-    def answer(self, trust, now, names):
+    def report_answers(self, trust, now, names):
         trust.observe(now, "p", True, [(name, 5, 0) for name in names])
 
     def test_a_newer_complete_list_applies(self):
         trust = self.begin()
-        verdict = trust.receive_update(S, "whole", 9, listed("abxyefgh"))
-        self.assertEqual((verdict.kind, len(verdict.entries), verdict.request_complete), ("whole", 8, False))
+        decision = trust.receive_update(S, "whole", 9, listed("abxyefgh"))
+        self.assertEqual(
+            (decision.kind, len(decision.entries), decision.request_complete), ("whole", 8, False)
+        )
         self.assertEqual(sorted(trust.backends), sorted("abxyefgh"))
         self.assertEqual(sorted(trust.tombstones.entries), ["c", "d"])
 
@@ -338,8 +340,10 @@
         gone = [SnapshotEntry("old", "z", "gone", 0, 1000 * S)]
         trust = Trust(4 * S)
         trust.start(0, snapshot("abcdefgh", gone=gone), ClockReading(1100 * S, "x", 0))
-        verdict = trust.receive_update(S, "whole", 3, listed(["a", "b", "old", "new"]))
-        self.assertEqual((verdict.kind, [e.backend for e in verdict.entries]), ("changes", ["a", "b", "new"]))
+        decision = trust.receive_update(S, "whole", 3, listed(["a", "b", "old", "new"]))
+        self.assertEqual(
+            (decision.kind, [e.backend for e in decision.entries]), ("changes", ["a", "b", "new"])
+        )
         self.assertEqual(len(trust.backends), 9)
         anew = trust.receive_update(
             2 * S, "changes", 4, listed(["old"], started=77)
@@ -355,24 +359,26 @@
     def test_a_list_that_lacks_most_answering_backends_is_requested_again(self):
         trust = self.begin()
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
-        self.answer(trust, 2 * S, "abcdefgh")
-        verdict = trust.receive_update(3 * S, "whole", 9, listed("ab"))
-        self.assertEqual((verdict.kind, verdict.request_complete, len(trust.backends)), ("changes", True, 8))
+        self.report_answers(trust, 2 * S, "abcdefgh")
+        decision = trust.receive_update(3 * S, "whole", 9, listed("ab"))
+        self.assertEqual(
+            (decision.kind, decision.request_complete, len(trust.backends)), ("changes", True, 8)
+        )
         again = trust.receive_update(3 * S + S // 2, "whole", 10, listed("abcdefgh"))  # it was broken
         self.assertEqual((again.request_complete, trust.losses.missing, len(trust.backends)), (False, (), 8))
 
     def test_a_second_response_confirms_the_loss(self):
         trust = self.begin()
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
-        self.answer(trust, 2 * S, "abcdefgh")
+        self.report_answers(trust, 2 * S, "abcdefgh")
         trust.receive_update(3 * S, "whole", 9, listed("ab"))
-        verdict = trust.receive_update(3 * S + S // 2, "whole", 9, listed("ab"))
-        self.assertEqual((verdict.kind, len(trust.backends)), ("whole", 2))
+        decision = trust.receive_update(3 * S + S // 2, "whole", 9, listed("ab"))
+        self.assertEqual((decision.kind, len(trust.backends)), ("whole", 2))
 
     def test_without_a_second_response_the_missing_are_removed_within_the_drain_grace(self):
         trust = self.begin()
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
-        self.answer(trust, 2 * S, "abcdefgh")
+        self.report_answers(trust, 2 * S, "abcdefgh")
         trust.receive_update(3 * S, "whole", 9, listed("ab"))
         self.assertEqual(trust.apply_timers(3 * S + int(CONFIRMATION_SHARE * 4 * S) - 1), [])
         self.assertEqual(trust.next_timer(), 3 * S + int(CONFIRMATION_SHARE * 4 * S))
@@ -382,18 +388,18 @@
     def test_unlisted_backends_stay_while_they_answer_if_omission_does_not_remove(self):
         trust = self.begin(binds=False)
         trust.receive_update(S, "whole", 8, listed("abcdefgh"))
-        self.answer(trust, 2 * S, "abcdefgh")
+        self.report_answers(trust, 2 * S, "abcdefgh")
         trust.receive_update(3 * S, "whole", 9, listed("ab"))
-        self.answer(trust, 4 * S, "cde")
+        self.report_answers(trust, 4 * S, "cde")
         self.assertEqual(trust.apply_timers(trust.next_timer()), [])
         gone = trust.apply_timers(2 * S + ANSWERING_AGE_NS + 1 * S)
         self.assertEqual([e.backend for e in gone], ["f", "g", "h"])
 
     def test_explicit_changes_apply_at_once(self):
         trust = self.begin()
-        self.answer(trust, S, "abcdefgh")
-        verdict = trust.receive_update(2 * S, "changes", 8, listed("abcdef", state="draining"))
-        self.assertEqual(len(verdict.entries), 6)
+        self.report_answers(trust, S, "abcdefgh")
+        decision = trust.receive_update(2 * S, "changes", 8, listed("abcdef", state="draining"))
+        self.assertEqual(len(decision.entries), 6)
 
     @settings(suppress_health_check=[HealthCheck.too_slow])
     @given(
@@ -431,10 +437,10 @@
     def test_controllers_that_start_together_spread_their_connections(self):
         """Calls in the worst tenth of a second, with the chance of each and without."""
 
-        def worst(draws):
+        def largest_load(random_functions):
             at = {}
-            for draw in draws:
-                follower, now = EndpointListFollower("c", draw), 0
+            for random in random_functions:
+                follower, now = EndpointListFollower("c", random), 0
                 now += follower.initial_delay(has_list=True)
                 for _ in range(6):  # the list does not answer
                     at[now // (S // 10)] = at.get(now // (S // 10), 0) + 1
@@ -442,8 +448,8 @@
             return max(at.values())
 
         streams = Streams(1)
-        self.assertEqual(worst([lambda: 1.0] * 1000), 1000)
-        self.assertLess(worst([streams.of("start", n).random for n in range(1000)]), 200)
+        self.assertEqual(largest_load([lambda: 1.0] * 1000), 1000)
+        self.assertLess(largest_load([streams.of("start", n).random for n in range(1000)]), 200)
 
     def test_one_request_is_in_flight_at_a_time(self):
         follower = EndpointListFollower()
@@ -461,16 +467,16 @@
     def test_trust_by_age_loses_less_than_full_trust_where_tables_are_newer(self):
         class FullTrust(Trust):
             def start(self, now, snapshot, clocks):
-                verdict = super().start(now, snapshot, clocks)
+                decision = super().start(now, snapshot, clocks)
                 self.retention.candidate_count = 0
                 for known in self.backends.values():
                     known.candidate = False
-                return verdict._replace(entries=[k.entry for k in self.backends.values()])
+                return decision._replace(entries=[known.entry for known in self.backends.values()])
 
         day = notation.load("old-list-behind-tables")
-        ours, fully = player.play(day), player.play(day, trust=FullTrust)
-        self.assertEqual({k: v for k, v in ours.violations.items() if v}, {})
-        self.assertGreater(ours.credit, fully.credit + 0.02)
+        by_age, full_trust = player.play(day), player.play(day, trust=FullTrust)
+        self.assertEqual({k: v for k, v in by_age.violations.items() if v}, {})
+        self.assertGreater(by_age.credit, full_trust.credit + 0.02)
 
 
 if __name__ == "__main__":
