--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -40,33 +40,33 @@
     """A scripted proxy's stream."""
 
     def __init__(self, stream, name, zone="north"):
-        self.stream, self.end, self.got = stream, ProxySession(name, zone, 5.0, True), []
+        self.stream, self.session, self.received = stream, ProxySession(name, zone, 5.0, True), []
 
     async def hello(self):
-        await self.stream.send(self.end.start())
+        await self.stream.send(self.session.start())
         return self
 
-    async def until(self, kind, answer=True):
+    async def receive_until(self, kind, acknowledge=True):
         """The next message of a kind; nonces on the way are answered."""
         while True:
-            while self.got:
-                message = self.got.pop(0)
-                if answer and isinstance(message, Orders) and message.nonce:
-                    await self.stream.send(self.end.pack(Acknowledgement(message.nonce)))
+            while self.received:
+                message = self.received.pop(0)
+                if acknowledge and isinstance(message, Orders) and message.nonce:
+                    await self.stream.send(self.session.pack(Acknowledgement(message.nonce)))
                 if isinstance(message, kind):
                     return message
             try:
                 data = await self.stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 return None
-            self.got += self.end.receive(data)
+            self.received += self.session.receive(data)
 
 
 class RunningDaemon:
     """One Service in virtual time with an inventory of three backends."""
 
-    def __init__(self, **facts):
-        self.facts = facts
+    def __init__(self, **site_changes):
+        self.site_changes = site_changes
 
     async def __aenter__(self):
         self.net, self.clock = MemoryNet(), VirtualClock()
@@ -76,7 +76,9 @@
         await self.group.start(self.inventory.run, "127.0.0.1:0")
         for n in range(3):
             self.inventory.list(f"127.0.0.1:900{n}", "north")
-        site = load(SITES / "samples" / "pushed.xml").at(inventory=self.inventory.address, **self.facts)
+        site = load(SITES / "samples" / "pushed.xml").at(
+            inventory=self.inventory.address, **self.site_changes
+        )
         self.service = Service(
             site,
             site.controllers[0],
@@ -98,10 +100,10 @@
     async def dial(self):
         return await self.net.dial(self.service.listen)
 
-    async def peer(self, name):
+    async def connect_proxy(self, name):
         return await ScriptedProxy(await self.dial(), name).hello()
 
-    async def ask(self, text):
+    async def raw_request(self, text):
         async with await self.net.dial(self.service.admin) as stream:
             await stream.send(text)
             data = b""
@@ -111,16 +113,16 @@
             except anyio.EndOfStream:
                 return data
 
-    async def page(self, method, path):
-        data = await self.ask(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+    async def request(self, method, path):
+        data = await self.raw_request(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         head, _, body = data.partition(b"\r\n\r\n")
         return int(head.split()[1]), body.decode()
 
 
-def with_daemon(test, **facts):
+def with_daemon(test, **site_changes):
     def runs(self, *args):
         async def main():
-            async with RunningDaemon(**facts) as daemon:
+            async with RunningDaemon(**site_changes) as daemon:
                 await test(self, daemon, *args)
 
         run(main)
@@ -132,26 +134,26 @@
 class Streams(unittest.TestCase):
     @with_daemon
     async def test_a_joined_proxy_is_bound_to_a_table_with_all_lines(self, daemon):
-        peer = await daemon.peer("p1")
-        self.assertEqual((await peer.until(Welcome)).kinds, ["view", "post"])
-        orders = await peer.until(Orders)
+        peer = await daemon.connect_proxy("p1")
+        self.assertEqual((await peer.receive_until(Welcome)).kinds, ["view", "post"])
+        orders = await peer.receive_until(Orders)
         self.assertEqual([type(do) for do in orders.do], [Bind])
         self.assertEqual(len(orders.do[0].lines), 3)
 
     @with_daemon
     async def test_a_second_stream_of_one_name_replaces_the_first(self, daemon):
-        first = await daemon.peer("p1")
-        await first.until(Orders)
-        second = await daemon.peer("p1")
-        self.assertEqual((await first.until(Fault)).code, "replaced")
-        self.assertEqual([type(do) for do in (await second.until(Orders)).do], [Bind])
+        first = await daemon.connect_proxy("p1")
+        await first.receive_until(Orders)
+        second = await daemon.connect_proxy("p1")
+        self.assertEqual((await first.receive_until(Fault)).code, "replaced")
+        self.assertEqual([type(do) for do in (await second.receive_until(Orders)).do], [Bind])
         await anyio.sleep(3)
         self.assertEqual((len(daemon.service.streams), daemon.service.counters.leaves), (1, 1))
 
     @with_daemon
     async def test_each_protocol_error_gets_one_fault_and_other_streams_go_on(self, daemon):
-        good = await daemon.peer("good")
-        await good.until(Orders)
+        good = await daemon.connect_proxy("good")
+        await good.receive_until(Orders)
         for data, code in (
             (b"\xff\xff\xff\xff", "oversized"),
             (b"\0\0\0\0", "empty"),
@@ -177,51 +179,51 @@
                 self.assertEqual([type(m) for m in found], [Fault])
                 self.assertEqual(found[0].code, code or "cut")
         daemon.inventory.list("127.0.0.1:9000", "north", "draining")
-        self.assertIsNotNone(await good.until(Orders))
+        self.assertIsNotNone(await good.receive_until(Orders))
         self.assertEqual(len(daemon.service.streams), 1)
 
     @with_daemon
     async def test_an_acknowledgement_of_no_open_nonce_ends_that_stream(self, daemon):
-        peer = await daemon.peer("p1")
-        orders = await peer.until(Orders)
-        await peer.stream.send(peer.end.pack(Acknowledgement(orders.nonce)))
-        self.assertEqual((await peer.until(Fault)).code, "order")
+        peer = await daemon.connect_proxy("p1")
+        orders = await peer.receive_until(Orders)
+        await peer.stream.send(peer.session.pack(Acknowledgement(orders.nonce)))
+        self.assertEqual((await peer.receive_until(Fault)).code, "order")
 
     @with_daemon
     async def test_a_nonce_of_a_former_stream_can_not_be_acknowledged(self, daemon):
-        peer = await daemon.peer("p1")
-        orders = await peer.until(Orders, answer=False)
+        peer = await daemon.connect_proxy("p1")
+        orders = await peer.receive_until(Orders, acknowledge=False)
         await peer.stream.aclose()
-        again = await daemon.peer("p1")
-        await again.until(Orders, answer=False)
-        await again.stream.send(again.end.pack(Acknowledgement(orders.nonce)))
-        self.assertEqual((await again.until(Fault, answer=False)).code, "order")
+        again = await daemon.connect_proxy("p1")
+        await again.receive_until(Orders, acknowledge=False)
+        await again.stream.send(again.session.pack(Acknowledgement(orders.nonce)))
+        self.assertEqual((await again.receive_until(Fault, acknowledge=False)).code, "order")
 
     @with_daemon
     async def test_a_proxy_that_never_reads_is_cut_and_rejected_for_a_while(self, daemon):
-        quick, slow = await daemon.peer("quick"), await daemon.peer("slow")
-        await quick.until(Orders)
+        quick, slow = await daemon.connect_proxy("quick"), await daemon.connect_proxy("slow")
+        await quick.receive_until(Orders)
         stream = daemon.service.streams["slow"]
         stream.conn.stream.peer.buffered = 1 << 20  # its socket's buffers are full, and it does not read
         for n in range(5):
             daemon.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START_S * 1e9))
-            self.assertIsNotNone(await quick.until(Orders))
+            self.assertIsNotNone(await quick.receive_until(Orders))
             await anyio.sleep(1.5)
         await anyio.sleep(UNSENT_AGE_MAX_NS / 1e9)
         self.assertEqual((daemon.service.counters.cuts, list(daemon.service.streams)), (1, ["quick"]))
         self.assertIsNotNone(slow)
-        again = await daemon.peer("slow")
-        fault = await again.until((Fault, Welcome))
+        again = await daemon.connect_proxy("slow")
+        fault = await again.receive_until((Fault, Welcome))
         self.assertTrue(isinstance(fault, Welcome) or fault.code == "later" and fault.wait > 0)
 
     @partial(with_daemon, proxies=1000)
     async def test_a_thousand_proxies_that_dial_at_once_are_bound_within_the_channel_rate(self, daemon):
         began = daemon.clock.now()
-        peers = [await daemon.peer(f"p{n}") for n in range(1000)]
+        peers = [await daemon.connect_proxy(f"p{n}") for n in range(1000)]
         seen = []
 
         async def bound(peer):
-            orders = await peer.until(Orders)
+            orders = await peer.receive_until(Orders)
             seen.append((daemon.clock.now() - began, len(orders.do)))
 
         async with anyio.create_task_group() as group:
@@ -233,8 +235,8 @@
 
     @with_daemon
     async def test_a_proxy_that_acknowledges_no_nonce_is_cut_after_the_timeout(self, daemon):
-        silent = await daemon.peer("silent")
-        self.assertIsNone(await silent.until(Fault, answer=False))
+        silent = await daemon.connect_proxy("silent")
+        self.assertIsNone(await silent.receive_until(Fault, acknowledge=False))
         self.assertEqual(daemon.service.counters.cuts, 1)
         self.assertTrue(60 < daemon.clock.now() / S - START_S < 80)
         self.assertEqual(
@@ -264,8 +266,8 @@
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         await anyio.sleep(6)
-        good = await daemon.peer("good")
-        self.assertIsNotNone(await good.until(Orders))
+        good = await daemon.connect_proxy("good")
+        self.assertIsNotNone(await good.receive_until(Orders))
         self.assertEqual(
             (daemon.service.admission.handshakes, daemon.service.faults.get("internal", 0)), (0, 0)
         )
@@ -274,33 +276,33 @@
 class Operators(unittest.TestCase):
     @with_daemon
     async def test_pages_answer_with_their_status(self, daemon):
-        peer = await daemon.peer("p1")
-        await peer.until(Orders)
-        self.assertEqual(await daemon.page("GET", "/ready"), (200, "ready: discovery has spoken\n"))
-        self.assertIn("embertray_proxies 1\n", (await daemon.page("GET", "/metrics"))[1])
-        tables = json.loads((await daemon.page("GET", "/tables"))[1])
+        peer = await daemon.connect_proxy("p1")
+        await peer.receive_until(Orders)
+        self.assertEqual(await daemon.request("GET", "/ready"), (200, "ready: discovery has spoken\n"))
+        self.assertIn("embertray_proxies 1\n", (await daemon.request("GET", "/metrics"))[1])
+        tables = json.loads((await daemon.request("GET", "/tables"))[1])
         self.assertEqual(sum(len(t["lines"]) for t in tables if t["proxies"] == ["p1"]), 3)
-        self.assertEqual(json.loads((await daemon.page("GET", "/proxies"))[1])[0]["proxy"], "p1")
-        self.assertEqual((await daemon.page("POST", "/pace?share=0.5"))[0], 200)
-        self.assertEqual(json.loads((await daemon.page("GET", "/channel"))[1])["pace"], 0.5)
+        self.assertEqual(json.loads((await daemon.request("GET", "/proxies"))[1])[0]["proxy"], "p1")
+        self.assertEqual((await daemon.request("POST", "/pace?share=0.5"))[0], 200)
+        self.assertEqual(json.loads((await daemon.request("GET", "/channel"))[1])["pace"], 0.5)
         for method, path, status in (
             ("POST", "/pace?share=7", 400),
             ("POST", "/pace", 400),
             ("GET", "/drain", 405),
             ("GET", "/nowhere", 404),
         ):
-            self.assertEqual((await daemon.page(method, path))[0], status)
-        self.assertIn(b" 400 ", await daemon.ask(b"nonsense\r\n\r\n"))
+            self.assertEqual((await daemon.request(method, path))[0], status)
+        self.assertIn(b" 400 ", await daemon.raw_request(b"nonsense\r\n\r\n"))
 
     @with_daemon
     async def test_a_graceful_shutdown_closes_streams_step_by_step_and_rejects_joins(self, daemon):
-        peers = [await daemon.peer(f"p{n}") for n in range(5)]
+        peers = [await daemon.connect_proxy(f"p{n}") for n in range(5)]
         for peer in peers:
-            await peer.until(Orders)
-        self.assertEqual((await daemon.page("POST", "/drain"))[0], 202)
-        self.assertEqual({(await peer.until(Fault)).code for peer in peers}, {"draining"})
-        self.assertEqual((await daemon.page("GET", "/ready"))[0], 503)
-        rejected = await (await daemon.peer("late")).until(Fault)
+            await peer.receive_until(Orders)
+        self.assertEqual((await daemon.request("POST", "/drain"))[0], 202)
+        self.assertEqual({(await peer.receive_until(Fault)).code for peer in peers}, {"draining"})
+        self.assertEqual((await daemon.request("GET", "/ready"))[0], 503)
+        rejected = await (await daemon.connect_proxy("late")).receive_until(Fault)
         self.assertEqual(rejected.code, "draining")
         self.assertGreater(rejected.wait, 0)
 
@@ -363,10 +365,10 @@
                 async def main():
                     with anyio.fail_after(20):
                         peer = await ScriptedProxy(await TcpNet().dial(listen), "p1").hello()
-                        orders = await peer.until(Orders)
+                        orders = await peer.receive_until(Orders)
                         self.assertEqual(orders.do[0].lines[0][0], "127.0.0.1:9000")
                         program.send_signal(signal.SIGTERM)
-                        self.assertIsNone(await peer.until(Fault))
+                        self.assertIsNone(await peer.receive_until(Fault))
                         await peer.stream.aclose()
 
                 anyio.run(main)
--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -257,7 +257,7 @@
     def test_operators_read_and_pin_the_level(self):
         @with_daemon
         async def main(_, daemon):
-            request = daemon.page
+            request = daemon.request
             status, body = await request("GET", "/level")
             self.assertEqual((status, json.loads(body)["level"]), (200, "normal"))
             status, body = await request("POST", "/set-level?pin=essential")
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -113,29 +113,33 @@
 
     @partial(with_daemon, caps={"streams": 60_000})
     async def test_joins_are_rejected_at_the_cap_and_joined_proxies_served(self, daemon):
-        first = [await daemon.peer(f"p{n}") for n in range(25)]
+        first = [await daemon.connect_proxy(f"p{n}") for n in range(25)]
         for peer in first:
-            self.assertIsInstance(await peer.until((Welcome, Fault)), Welcome)
+            self.assertIsInstance(await peer.receive_until((Welcome, Fault)), Welcome)
         await anyio.sleep(2)
-        late = await (await daemon.peer("late")).until((Welcome, Fault))
+        late = await (await daemon.connect_proxy("late")).receive_until((Welcome, Fault))
         self.assertEqual(late.code, "later")
         self.assertTrue(JOIN_DELAY_NS <= late.wait <= JOIN_DELAY_NS + JOIN_DELAY_JITTER_NS)
         daemon.inventory.list("127.0.0.1:9000", "north", "draining")
         for peer in first:
-            while not any(isinstance(do, Line) and do.weight == 0 for do in (await peer.until(Orders)).do):
+            while not any(
+                isinstance(do, Line) and do.weight == 0 for do in (await peer.receive_until(Orders)).do
+            ):
                 pass
         for peer in first[5:]:
             await peer.stream.aclose()
         await anyio.sleep(2)
-        self.assertIsInstance(await (await daemon.peer("late")).until((Welcome, Fault)), Welcome)
+        self.assertIsInstance(
+            await (await daemon.connect_proxy("late")).receive_until((Welcome, Fault)), Welcome
+        )
 
     @with_daemon
     async def test_a_fleet_of_twice_the_named_size_meets_no_cap(self, daemon):
         for n in range(2 * daemon.service.site.backends):
             daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north")
-        peers = [await daemon.peer(f"p{n}") for n in range(2 * daemon.service.site.proxies)]
+        peers = [await daemon.connect_proxy(f"p{n}") for n in range(2 * daemon.service.site.proxies)]
         for peer in peers:
-            self.assertIsInstance(await peer.until((Welcome, Fault)), Welcome)
+            self.assertIsInstance(await peer.receive_until((Welcome, Fault)), Welcome)
         await anyio.sleep(5)
         rows = daemon.service.memory()["purposes"]
         self.assertEqual([row["purpose"] for row in rows if row["acts"]], [])
@@ -143,8 +147,8 @@
 
     @partial(with_daemon, caps={"list": 3000, "tables": 10**7})
     async def test_new_backends_wait_at_the_cap_and_removals_pass(self, daemon):
-        peer = await daemon.peer("p1")
-        await peer.until(Orders)
+        peer = await daemon.connect_proxy("p1")
+        await peer.receive_until(Orders)
         for n in range(40):
             daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north")
             await anyio.sleep(0.3)
@@ -153,7 +157,9 @@
         self.assertLess(len(core.state), 43)
         self.assertGreater(core.accounts.by_purpose["list"].action_count, 0)
         daemon.inventory.list("127.0.0.1:9000", "north", "draining")
-        while not any(isinstance(do, Line) and do.weight == 0 for do in (await peer.until(Orders)).do):
+        while not any(
+            isinstance(do, Line) and do.weight == 0 for do in (await peer.receive_until(Orders)).do
+        ):
             pass
         for n in range(40):
             daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north", "gone")
@@ -166,11 +172,11 @@
     async def test_reports_drop_the_oldest_and_say_so(self, daemon):
         for n in range(60):
             daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north")
-        peer = await daemon.peer("p1")
-        await peer.until(Orders)
+        peer = await daemon.connect_proxy("p1")
+        await peer.receive_until(Orders)
         for _ in range(30):
             await peer.stream.send(
-                peer.end.pack(
+                peer.session.pack(
                     LoadReport(S, [BackendTotals(f"127.0.1.{n + 1}:9000", 2, 0, S // 5) for n in range(60)])
                 )
             )
@@ -181,7 +187,7 @@
 
     @partial(with_daemon, caps={"channel": 3000}, channel_rate=20.0)
     async def test_the_channel_cuts_the_proxy_with_the_most_lines_waiting(self, daemon):
-        peers = [await daemon.peer(f"p{n}") for n in range(30)]
+        peers = [await daemon.connect_proxy(f"p{n}") for n in range(30)]
         await anyio.sleep(6)
         self.assertGreater(daemon.service.counters.cuts, 0)
         self.assertLess(daemon.service.counters.cuts, 30)
@@ -189,11 +195,11 @@
 
     @with_daemon
     async def test_a_million_names_that_no_list_had_leave_nothing(self, daemon):
-        peer = await daemon.peer("p1")
-        await peer.until(Orders)
+        peer = await daemon.connect_proxy("p1")
+        await peer.receive_until(Orders)
         for k in range(50):
             await peer.stream.send(
-                peer.end.pack(LoadReport(S, [BackendTotals(f"ghost-{k}-{n}", 1) for n in range(2000)]))
+                peer.session.pack(LoadReport(S, [BackendTotals(f"ghost-{k}-{n}", 1) for n in range(2000)]))
             )
             await anyio.sleep(0.1)
         core = daemon.service.core
@@ -203,18 +209,18 @@
     @with_daemon
     async def test_proxies_and_backends_that_are_gone_are_forgotten_everywhere(self, daemon):
         core = daemon.service.core
-        stay = await daemon.peer("stay")
-        await stay.until(Orders)
+        stay = await daemon.connect_proxy("stay")
+        await stay.receive_until(Orders)
 
         async def keep_answering():
-            while await stay.until(Orders):
+            while await stay.receive_until(Orders):
                 pass
 
         daemon.group.start_soon(keep_answering)
         for n in range(40):
             daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north", "ready", int(START_S * 1e9) + n)
-            peer = await daemon.peer(f"px-{n}")
-            await peer.until(Orders)
+            peer = await daemon.connect_proxy(f"px-{n}")
+            await peer.receive_until(Orders)
             await anyio.sleep(2)
             daemon.inventory.list(f"127.0.1.{n + 1}:9000", "north", "gone")
             await peer.stream.aclose()
