--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Starting without discovery: snapshots that survive anything, and what an old list is worth."""
+"""Starts without discovery: snapshots survive faults, and an old list is trusted by its age and evidence."""
 
 import errno
 import os
@@ -38,11 +38,11 @@
 
 
 class PowerCut(BaseException):
-    """The power is cut."""
+    """A simulated power cut."""
 
 
 class FailingDisk(Disk):
-    """The n-th system call stops the process, half done where it can be, or fails with an error."""
+    """Raises PowerCut or an OSError in the n-th system call; a write is done by half before that."""
 
     def __init__(self, at, error=None):
         self.at, self.error, self.count, self.names = at, error, 0, []
@@ -73,7 +73,7 @@
 
 
 class UnflushedDisk(Disk):
-    """Writes files and flushes none: how long a flush takes is up to whoever else uses the disk."""
+    """Writes files without flushing them, since the time of a flush depends on other users of the disk."""
 
     def flush(self, file):
         pass
@@ -99,7 +99,7 @@
         self.assertEqual(len(SnapshotStore(self.folder).generations()), GENERATIONS_KEPT)
 
     def test_a_power_cut_at_any_system_call_leaves_the_old_or_the_new_snapshot(self):
-        """The list is the old one or the new one, whole; and the next writer goes on."""
+        """A complete snapshot remains, the old or the new one, and the next writer succeeds."""
         failure_points, saves = 0, 0
         while True:
             self.fill()
@@ -129,7 +129,7 @@
 
     @given(st.data())
     def test_a_damaged_or_truncated_file_is_skipped_with_its_reason(self, data):
-        self.fill(disk=UnflushedDisk())  # hundreds of flushes within the deadlines of the examples
+        self.fill(disk=UnflushedDisk())  # hundreds of flushes would exceed the examples' deadlines
         path = SnapshotStore(self.folder).path_of(SnapshotStore(self.folder).generations()[-1])
         good = path.read_bytes()
         at = data.draw(st.integers(0, len(good) * 8 - 1))
@@ -174,8 +174,8 @@
         second.unlock()
 
     def test_a_writer_killed_at_any_time_leaves_a_complete_snapshot(self):
-        """kill -9 at whatever point: 12 starts, each finds a whole list that is no older than the last one
-        finished.
+        """Kills the writer with SIGKILL 12 times; each start finds a complete snapshot that is not older than
+        the last finished one.
         """
         text = (
             "import sys; from embertray.common.snapshots import SnapshotStore\n"
@@ -243,7 +243,7 @@
         )
         self.assertEqual((trust.apply_timers(VERIFICATION_PERIOD_NS + S), trust.next_timer()), ([], None))
         self.assertTrue(trust.retains_tables(0, False, "p"))
-        self.assertFalse(trust.retains_tables(0, True, "p"))  # it has nothing better
+        self.assertFalse(trust.retains_tables(0, True, "p"))  # its standing table is no better
         self.assertIn("3600 s old", trust.describe(0))
 
     def test_an_entry_keeps_its_age_through_several_starts(self):
@@ -255,11 +255,11 @@
         back = Trust(4 * S)
         back.start(0, snapshot(), ClockReading(10 * S, "other boot", 0))
         self.assertIsNone(back.age)
-        self.assertTrue(back.retains_tables(0, False, "p"))  # not known is as old
+        self.assertTrue(back.retains_tables(0, False, "p"))  # an unknown age counts as old
         same = Trust(4 * S)
         same.start(
             0, snapshot(), ClockReading(10 * S, "boot", 105 * S)
-        )  # within one boot its own clock tells
+        )  # within one boot the boot clock is used
         self.assertEqual(same.age, 5 * S)
         ahead = Trust(4 * S)
         ahead.start(0, snapshot(ages=-100 * S), ClockReading(1000 * S, "boot", 100 * S))
@@ -309,8 +309,8 @@
 
 
 class DiscoveryAnswers(unittest.TestCase):
-    # Processor seconds of a test. Hypothesis wants ten inputs within 1 s, so a hundred within this; but by a
-    # clock that goes on while the process is stopped, or gets no core.
+    # Limit of a test in processor seconds, in place of Hypothesis' limit of 1 s for ten inputs (here a
+    # hundred), whose wall clock also runs while the process is stopped or waits for a core.
     PROCESSOR_SECONDS_MAX = 10
 
     def setUp(self):
@@ -347,7 +347,7 @@
         self.assertEqual(len(trust.backends), 9)
         anew = trust.receive_update(
             2 * S, "changes", 4, listed(["old"], started=77)
-        )  # started since it was told gone
+        )  # started after its removal
         self.assertEqual([e.backend for e in anew.entries], ["old"])
 
     def test_tombstones_expire(self):
@@ -364,7 +364,9 @@
         self.assertEqual(
             (decision.kind, decision.request_complete, len(trust.backends)), ("changes", True, 8)
         )
-        again = trust.receive_update(3 * S + S // 2, "whole", 10, listed("abcdefgh"))  # it was broken
+        again = trust.receive_update(
+            3 * S + S // 2, "whole", 10, listed("abcdefgh")
+        )  # the list before was faulty
         self.assertEqual((again.request_complete, trust.losses.missing, len(trust.backends)), (False, (), 8))
 
     def test_a_second_response_confirms_the_loss(self):
@@ -415,7 +417,7 @@
         )
     )
     def test_the_entry_of_the_newest_epoch_applies(self, steps):
-        """An entry of an epoch at least as new as all before is what is known after it."""
+        """After an update of the newest epoch so far, the catalog holds its entry."""
         trust, newest = Trust(4 * S), 0
         trust.start(0, snapshot("abc", epoch=6), ClockReading(5000 * S, "x", 0))
         newest = 6
@@ -435,7 +437,7 @@
 
 class FirstConnections(unittest.TestCase):
     def test_controllers_that_start_together_spread_their_connections(self):
-        """Calls in the worst tenth of a second, with the chance of each and without."""
+        """Compares the most connections within a tenth of a second, with random delays and without."""
 
         def largest_load(random_functions):
             at = {}
@@ -460,9 +462,7 @@
 
 
 class TrustVariants(unittest.TestCase):
-    """The hard case of the disk's list behind the proxies' tables: trust by age loses less than trust in
-    full.
-    """
+    """A list on disk that is older than the proxies' tables: trust by age loses less than full trust."""
 
     def test_trust_by_age_loses_less_than_full_trust_where_tables_are_newer(self):
         class FullTrust(Trust):
