--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon through its streams: protocol errors, slow readers, duplicate names, operators, signals."""
+"""The daemon over its streams: protocol errors, slow proxies, duplicate names, admin pages, signals."""
 
 import json
 import os
@@ -37,7 +37,7 @@
 
 
 class ScriptedProxy:
-    """A scripted proxy's stream."""
+    """The stream of a scripted proxy."""
 
     def __init__(self, stream, name, zone="north"):
         self.stream, self.session, self.received = stream, ProxySession(name, zone, 5.0, True), []
@@ -47,7 +47,7 @@
         return self
 
     async def receive_until(self, kind, acknowledge=True):
-        """The next message of a kind; nonces on the way are answered."""
+        """Returns the next message of a type, or None at the end; acknowledges the nonces up to it."""
         while True:
             while self.received:
                 message = self.received.pop(0)
@@ -63,7 +63,11 @@
 
 
 class RunningDaemon:
-    """One Service in virtual time with an inventory of three backends."""
+    """A Service in virtual time, with an inventory of three backends.
+
+    Args:
+        site_changes: Fields of the Site that differ from the sample site.
+    """
 
     def __init__(self, **site_changes):
         self.site_changes = site_changes
@@ -204,7 +208,9 @@
         quick, slow = await daemon.connect_proxy("quick"), await daemon.connect_proxy("slow")
         await quick.receive_until(Orders)
         stream = daemon.service.streams["slow"]
-        stream.conn.stream.peer.buffered = 1 << 20  # its socket's buffers are full, and it does not read
+        stream.conn.stream.peer.buffered = (
+            1 << 20
+        )  # the socket's buffers are full and the proxy does not read
         for n in range(5):
             daemon.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START_S * 1e9))
             self.assertIsNotNone(await quick.receive_until(Orders))
@@ -308,7 +314,7 @@
 
 
 class Process(unittest.TestCase):
-    """The program itself."""
+    """The daemon as a process."""
 
     def test_only_loopback_addresses_are_accepted(self):
         for bad in ("10.0.0.1:1", "0.0.0.0:1", "example.org:1", "127.0.0.1", "127.0.0.1:70000", ":1"):
@@ -382,7 +388,7 @@
 
 class FailedStarts(unittest.TestCase):
     def test_a_start_that_fails_leaves_neither_listener_nor_lock(self):
-        """Guards against an operators' address that is taken, and costs the next start the other one too."""
+        """If the admin address is in use, the start fails and must release the listener and the lock."""
 
         async def play(folder):
             net = TcpNet(parse_loopback)
