--- a/embertray/common/__init__.py
+++ b/embertray/common/__init__.py
@@ -1,1 +1,1 @@
-"""What every floor above may use: transports, framing, logs, memory accounts and snapshots on disk."""
+"""Shared by all packages: transports, framing, logging, memory accounts and snapshots on disk."""
--- a/embertray/common/fields.py
+++ b/embertray/common/fields.py
@@ -1,4 +1,4 @@
-"""Field types that messages and files on disk share; the decoder refuses what is out of their bounds."""
+"""Field types shared by messages and files on disk; the decoder rejects values that exceed their limits."""
 
 from typing import Annotated
 
@@ -10,4 +10,4 @@
 
 
 class Message(Struct, array_like=True, frozen=True, gc=False):
-    """A message or a part of one: an array on the wire, compared by value."""
+    """Base of messages and their parts: encoded as arrays, compared by value."""
--- a/embertray/common/framing.py
+++ b/embertray/common/framing.py
@@ -1,16 +1,16 @@
-"""Length-prefixed frames: four bytes of length, most significant first, then so many bytes.
+"""Length-prefixed frames: a length of four bytes, big-endian, followed by the payload.
 
-Sans-I/O in the manner of h11: bytes in, frames out, one error for what can't be a frame.
+Sans-I/O, like h11: bytes in, frames out, and one error type for invalid frames.
 """
 
 import struct
 
 PREFIX = struct.Struct(">I")
-MAX_FRAME_BYTES = 1 << 20  # bytes; a whole table of 5,000 lines takes a fifth of it, so more is garbage
+MAX_FRAME_BYTES = 1 << 20  # a complete table of 5,000 lines takes a fifth of it, so a longer frame is invalid
 
 
 class FrameError(ValueError):
-    """What came can't be a frame; `code` is the word for counters and for the peer."""
+    """An invalid frame; `code` identifies the error in counters and to the peer."""
 
     def __init__(self, code, text):
         super().__init__(text)
@@ -18,21 +18,23 @@
 
 
 def encode_frame(payload, max_bytes=MAX_FRAME_BYTES):
-    """One frame's bytes. Raises FrameError if the payload is over `most` bytes."""
+    """Return the bytes of a frame. Raises FrameError if the payload exceeds `max_bytes`."""
     if len(payload) > max_bytes:
-        raise FrameError("oversized", f"a frame of {len(payload)} bytes, {max_bytes} at most")
+        raise FrameError("oversized", f"frame of {len(payload)} bytes exceeds the limit of {max_bytes}")
     return PREFIX.pack(len(payload)) + payload
 
 
 class FrameDecoder:
-    """Cuts a byte stream into frames; holds at most one unfinished frame."""
+    """Incrementally decodes a byte stream into frames; buffers at most one incomplete frame."""
 
     def __init__(self, max_bytes=MAX_FRAME_BYTES):
         self.max_bytes, self.buffer = max_bytes, bytearray()
 
     def feed(self, data):
-        """The frames (bytes) that `data` completes. Raises FrameError as soon as a length is announced that
-        no frame may have, before anything of it is kept."""
+        """Return the payloads (bytes) of the frames completed by `data`.
+
+        Raises FrameError as soon as an invalid length is received, before any of that frame is buffered.
+        """
         self.buffer += data
         frames, offset = [], 0
         while len(self.buffer) - offset >= PREFIX.size:
@@ -40,7 +42,7 @@
             if not 0 < size <= self.max_bytes:
                 raise FrameError(
                     "oversized" if size else "empty",
-                    f"a frame of {size} bytes, 1 to {self.max_bytes} allowed",
+                    f"frame of {size} bytes, allowed are 1 to {self.max_bytes}",
                 )
             if len(self.buffer) - offset - PREFIX.size < size:
                 break
@@ -51,6 +53,6 @@
         return frames
 
     def end(self):
-        """To be called at the stream's end: raises FrameError if it stopped within a frame."""
+        """Must be called at the end of the stream: raises FrameError if it ended within a frame."""
         if self.buffer:
-            raise FrameError("cut", f"the stream ended {len(self.buffer)} bytes into a frame")
+            raise FrameError("cut", f"stream ended after {len(self.buffer)} bytes of a frame")
--- a/embertray/common/logs.py
+++ b/embertray/common/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: a JSON object a line, or for people."""
+"""Structured logging to standard error, as one JSON object per line or in a readable console format."""
 
 import logging
 import sys
@@ -7,7 +7,7 @@
 
 
 def configure_logging(output_format, level):
-    """`output_format`: json | console; `level`: a name of logging."""
+    """Configure structlog. `output_format`: json | console; `level`: name of a level of `logging`."""
     renderer = (
         structlog.processors.JSONRenderer()
         if output_format == "json"
--- a/embertray/common/memory/__init__.py
+++ b/embertray/common/memory/__init__.py
@@ -1,4 +1,4 @@
-"""Memory by purpose: what takes how much, its cap, and what is done at the cap; no I/O."""
+"""Memory accounting by purpose, without I/O: usage, cap, and the action at the cap."""
 
 from .accounts import CapInstruction, CapNotice, MemoryAccounts
 from .sizing import Collection
--- a/embertray/common/memory/account.py
+++ b/embertray/common/memory/account.py
@@ -1,17 +1,17 @@
-"""The memory account of one purpose: what it takes, and how that stands to its cap."""
+"""The memory account of one purpose: its usage compared with its cap."""
 
 from dataclasses import dataclass, field
 
 from .purposes import ACTIONS
 from .sizing import container_bytes, measure_entry_bytes
 
-USUAL_SIZE_EVALUATIONS = 60  # that the usual size is a mean over, the newest weighing most
+USUAL_SIZE_EVALUATIONS = 60  # time constant of the moving mean, in evaluations
 
-RELEASE_SHARE = 0.9  # of the cap: an action ends below it, so that it does not flap
-NOTICE_SHARE = 0.8  # of the cap: operators are notified once above it,
-NOTICE_RESET_SHARE = 0.7  # and again only after it was below this
+RELEASE_SHARE = 0.9  # of the cap: an action ends below it (hysteresis)
+NOTICE_SHARE = 0.8  # of the cap: operators are notified once it is reached,
+NOTICE_RESET_SHARE = 0.7  # and again only after usage was below this
 
-# What a notice says. Operators' alerts may match the texts.
+# Texts of notices. Operators' alerts may match them.
 AT_CAP_TEXT = "at its cap"
 BELOW_CAP_TEXT = "below its cap again"
 NEAR_CAP_TEXT = "past four fifths of its cap"
@@ -22,17 +22,17 @@
     """The account of one purpose.
 
     Attributes:
-        purpose: Its name.
+        purpose: Name of the purpose.
         cap: Bytes.
-        entries: Entries of all its collections.
-        bytes: What they take.
-        peak: The most that they took, bytes.
-        mean_bytes: What they usually take: a moving mean, bytes.
-        evaluations_at_cap: Evaluations at which the cap was in force.
-        action_count: What was done then: lines dropped, joins rejected, streams cut.
-        at_cap: The cap is in force.
-        near_cap: Operators were notified that the cap is near.
-        bytes_per_entry: Name of a collection -> bytes that an entry takes.
+        entries: Number of entries in all its collections.
+        bytes: Their size.
+        peak: Maximum of `bytes`.
+        mean_bytes: Moving mean of `bytes`.
+        evaluations_at_cap: Number of evaluations at which the cap was in force.
+        action_count: Number of actions taken at the cap: lines dropped, joins rejected, streams cut.
+        at_cap: Whether the cap is in force.
+        near_cap: Whether operators were notified that the cap is near.
+        bytes_per_entry: Name of a collection -> mean bytes per entry.
     """
 
     purpose: str
@@ -49,15 +49,15 @@
 
     @property
     def action(self):
-        """What is done at the cap."""
+        """The action taken at the cap."""
         return ACTIONS[self.purpose]
 
     def update(self, collections, measure):
-        """Counts the entries of the purpose.
+        """Updates entries and sizes from the collections of the purpose.
 
         Args:
-            collections: Its Collections.
-            measure: Whether to measure anew how many bytes an entry takes.
+            collections: The Collections of the purpose.
+            measure: Whether to measure again the bytes per entry.
         """
         entries = 0
         total = 0.0
@@ -76,10 +76,10 @@
             self.mean_bytes += self.bytes
 
     def compare_with_cap(self):
-        """Puts the cap in force or out of force.
+        """Puts the cap in force or releases it.
 
         Returns:
-            The texts of the notices that operators are to be sent.
+            The texts of the notices for operators.
         """
         texts = []
         share = self.bytes / self.cap
--- a/embertray/common/memory/accounts.py
+++ b/embertray/common/memory/accounts.py
@@ -1,7 +1,7 @@
-"""Memory accounts: for each purpose what it takes, its cap, and what is to be done at the cap, without I/O.
+"""Memory accounts of all purposes: usage, cap, and the actions to take at the cap, without I/O.
 
-Each evaluation counts entries, which is cheap, and measures the entries of some purposes in turn by an exact
-walk over a sample, so that the bytes an entry takes are never older than one round over the purposes.
+Each evaluation counts all entries, which is cheap, and measures the bytes per entry of some purposes in turn,
+by walking a sample of their objects. A measurement is never older than one round over all purposes.
 """
 
 from typing import NamedTuple
@@ -9,20 +9,20 @@
 from .account import RELEASE_SHARE, Account
 
 NS_PER_SECOND = 10**9
-EVALUATION_PERIOD_NS = 1 * NS_PER_SECOND  # nothing here grows by a tenth of a cap in a second
-MEASURING_ROUND_NS = 16 * NS_PER_SECOND  # in which the entries of every purpose are measured once
+EVALUATION_PERIOD_NS = 1 * NS_PER_SECOND  # no purpose grows by a tenth of its cap in a second
+MEASURING_ROUND_NS = 16 * NS_PER_SECOND  # in which each purpose is measured once
 
-JOIN_DELAY_NS = 5 * NS_PER_SECOND  # a rejected proxy is asked to stay away for this,
-JOIN_DELAY_JITTER_NS = 10 * NS_PER_SECOND  # and up to this more at random: no storm when they come back
+JOIN_DELAY_NS = 5 * NS_PER_SECOND  # a rejected proxy is asked to retry after this time,
+JOIN_DELAY_JITTER_NS = 10 * NS_PER_SECOND  # plus a random time up to this, to avoid a reconnect storm
 
 
 class CapInstruction(NamedTuple):
-    """What is to be done for a purpose at its cap.
+    """An action to take for a purpose at its cap.
 
     Attributes:
         purpose: The purpose.
         action: One of the actions in purposes.py.
-        excess: Bytes over the size at which the action ends.
+        excess: Bytes above the size at which the action ends.
     """
 
     purpose: str
@@ -31,14 +31,14 @@
 
 
 class CapNotice(NamedTuple):
-    """What operators are notified of.
+    """A notice for operators about a cap.
 
     Attributes:
         purpose: The purpose.
-        text: Where it stands to its cap, in words.
-        size: What it takes, bytes.
+        text: Its state relative to the cap, as text.
+        size: Its usage, bytes.
         cap: Its cap, bytes.
-        action: What is done at the cap.
+        action: The action taken at the cap.
     """
 
     purpose: str
@@ -52,12 +52,12 @@
     """The accounts of one controller.
 
     Args:
-        caps: Purpose -> bytes.
-        random: A function that gives numbers from 0 to 1.
+        caps: Purpose -> cap in bytes.
+        random: A function that returns random numbers from 0 to 1.
 
     Attributes:
         by_purpose: Purpose -> Account.
-        notices: CapNotice items that operators have not been sent yet; whoever sends them empties it.
+        notices: CapNotice items not sent to operators yet; the caller that sends them clears the list.
     """
 
     def __init__(self, caps, random):
@@ -65,14 +65,14 @@
         self.notices = []
         self._random = random
         self._evaluate_at = 0  # ns
-        self._next_measured = 0  # position of the purpose whose entries are measured next
+        self._next_measured = 0  # index of the purpose to measure next
 
     def evaluate(self, now, collections):
-        """Counts all purposes, at most once each EVALUATION_PERIOD_NS.
+        """Updates all accounts, at most once per EVALUATION_PERIOD_NS.
 
         Args:
             now: ns.
-            collections: A function that gives purpose -> Collections.
+            collections: A function that returns a dict, purpose -> Collections.
 
         Returns:
             CapInstruction items for the purposes whose caps are in force.
@@ -98,10 +98,10 @@
         return any(self.by_purpose[purpose].at_cap for purpose in purposes)
 
     def reject_join(self):
-        """Whether a join is to be rejected for lack of memory.
+        """Checks whether a join has to be rejected for lack of memory, and counts a rejection.
 
         Returns:
-            How long the proxy is asked to stay away, ns; None: the join is admitted.
+            The time after which the proxy may retry, ns; None if the join is admitted.
         """
         for purpose in ("streams", "names"):
             account = self.by_purpose[purpose]
@@ -115,7 +115,7 @@
         return [account.row() for account in self.by_purpose.values()]
 
     def _purposes_to_measure(self):
-        """The purposes whose turn it is: each comes once a MEASURING_ROUND_NS."""
+        """Returns the purposes to measure now; each has its turn once per MEASURING_ROUND_NS."""
         order = list(self.by_purpose)
         due = max(1, round(len(order) * EVALUATION_PERIOD_NS / MEASURING_ROUND_NS))
         measured = {order[(self._next_measured + position) % len(order)] for position in range(due)}
--- a/embertray/common/memory/caps.py
+++ b/embertray/common/memory/caps.py
@@ -1,27 +1,27 @@
-"""Default caps: what each purpose may take, from the fleet's size as the site names it.
+"""Default memory caps per purpose, derived from the size of the fleet in the site description.
 
-The sizes below are what one item takes in this program, measured and rounded up (docs/design/memory.md).
+The sizes below are the bytes per item, rounded up (docs/design/memory.md).
 """
 
 KIB = 1024  # bytes
 MIB = 1024 * KIB  # bytes
 
-FLEET_HEADROOM = 4  # times the named fleet: twice its size meets no cap, and twice that is for bursts
-FLEET_MIN = 16  # proxies and backends that caps are reckoned for at least
-CAP_BYTES_MIN = 1 * MIB  # a small fleet's caps are not worth acting on below
-PROXY_BYTES = 24 * KIB  # a stream with its transport, queues and session; 22 KiB were measured
-NAME_BYTES = 6 * KIB  # a proxy or backend as the policy keeps it, without samples
-SAMPLE_BYTES = 300  # a load report as the policy keeps it
-SAMPLES_KEPT = 64  # load reports that the policy keeps of each proxy and backend
-TABLE_LINE_BYTES = 400  # a table line: as ordered, as wanted and as reported
-WAITING_LINE_BYTES = 200  # a line that waits in the channel, with its share of the message
+FLEET_HEADROOM = 4  # twice the described fleet must not reach a cap; a further factor of two is for bursts
+FLEET_MIN = 16  # minimum number of proxies and backends that caps are calculated for
+CAP_BYTES_MIN = 1 * MIB  # below this size, acting on a cap is not worthwhile
+PROXY_BYTES = 24 * KIB  # a stream with its transport, queues and session: 22 KiB, rounded up
+NAME_BYTES = 6 * KIB  # a proxy or backend in the policy, without its samples
+SAMPLE_BYTES = 300  # a load report in the policy
+SAMPLES_KEPT = 64  # load reports that the policy keeps per proxy and backend
+TABLE_LINE_BYTES = 400  # a table line, in its ordered, planned and reported form
+WAITING_LINE_BYTES = 200  # a line waiting in the channel, with its share of the message
 LIST_ENTRY_BYTES = 1 * KIB  # an entry of the endpoint list, with its start time and its identifier
 MEMBER_BYTES = 4 * KIB  # a cluster member: its statement, digests, probes and rejections counted by address
 PROBES_IN_FLIGHT_MAX = 256  # health checks
 
 
 def default_caps(site):
-    """Returns the caps for the fleet that a Site names: purpose -> bytes."""
+    """Returns the caps for the fleet of a Site: purpose -> bytes."""
     proxies = max(FLEET_MIN, site.proxies)
     backends = max(FLEET_MIN, site.backends)
     zones = len(site.zones)
@@ -37,10 +37,12 @@
         "probes": PROBES_IN_FLIGHT_MAX * KIB,
     }
     if site.cluster:
-        sizes["cluster"] = _cluster_bytes(site) // FLEET_HEADROOM  # its own bound is exact: no headroom on it
+        sizes["cluster"] = (
+            _cluster_bytes(site) // FLEET_HEADROOM
+        )  # the cluster's own limit is exact: no headroom
     return {purpose: max(CAP_BYTES_MIN, FLEET_HEADROOM * size) for purpose, size in sizes.items()}
 
 
 def _cluster_bytes(site):
-    """Twice the state: the cluster's cap counts the bytes on the wire, this one what keeps them, too."""
+    """Twice the state: the cluster limits bytes on the wire, this cap includes the objects in memory."""
     return 2 * site.cluster.state + len(site.controllers) * MEMBER_BYTES
--- a/embertray/common/memory/purposes.py
+++ b/embertray/common/memory/purposes.py
@@ -1,16 +1,17 @@
-"""The purposes that memory is accounted by, and what is done when one reaches its cap.
+"""The purposes of memory accounting, and the action taken when a purpose reaches its cap.
 
-Every action keeps the rules of the proxies' tables: removals always pass, no table line is taken away.
+No action affects the correctness of the proxies' tables: removals are always processed, and no table line is
+dropped.
 
-- tables, list: new backends wait, tombstones are forgotten, and the complete list is requested again once
-  there is room. What is there serves on; what is gone leaves.
-- reports: the oldest waiting report lines are dropped and counted. The newest tell more.
-- channel: the stream of the proxy with the most waiting lines is cut. The others get theirs; it is bound anew
-  when it is back.
-- streams, names: joins are rejected, with a time to come back. Who is there is served.
-- probes: health checks are skipped. They are extra: load reports tell the same, later.
-- cluster (where the site has one): new facts of others are left out, known ones are renewed. They come again
-  with the next exchange once there is room.
+- tables, list: new backends are held back, tombstones are forgotten, and the complete list is requested again
+  once usage is below the cap. Known backends stay in service, and removals are processed.
+- reports: the oldest waiting report lines are dropped and counted, as the newest are more useful.
+- channel: the stream of the proxy with the most waiting lines is cut, so that the other proxies receive their
+  lines. The proxy is bound again when it reconnects.
+- streams, names: joins are rejected with a time after which to retry. Joined proxies are served.
+- probes: health checks are skipped. Load reports give the same information later.
+- cluster (if the site has one): new facts of other members are left out, known ones are updated. Later
+  exchanges deliver them again once usage is below the cap.
 """
 
 # Actions. Operators read these words in /memory and in the log.
--- a/embertray/common/memory/sizing.py
+++ b/embertray/common/memory/sizing.py
@@ -1,29 +1,30 @@
-"""How many bytes things take: an exact walk over a sample of each collection, times how many it holds.
+"""Estimates the size of collections: the mean size of a sample of entries, times the number of entries.
 
-The size is sys.getsizeof of an object and of all that it alone leads to. A walk stops at what belongs to
-another collection and counts an object once. docs/design/memory.md compares other ways.
+The size of an entry is the sum of sys.getsizeof over the entry and all objects that it references. The walk
+does not follow objects that belong to another collection, and counts each object once. docs/design/memory.md
+compares alternatives.
 """
 
 import sys
 from collections import deque
 from types import BuiltinFunctionType, FunctionType, MethodType, ModuleType
 
-SAMPLED_ENTRIES = 48  # of a collection: their mean is within a few percent; more costs CPU
+SAMPLED_ENTRIES = 48  # per collection: the mean is accurate to a few percent; more entries cost CPU time
 EXCLUDED_TYPES = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType)
 ITERABLE_TYPES = (list, tuple, set, frozenset, deque)
-ATOMIC_TYPES = (str, bytes, bytearray, int, float)  # types that lead to no other object
-IGNORED_SLOTS = ("__dict__", "__weakref__")  # slots that hold no value of the object
+ATOMIC_TYPES = (str, bytes, bytearray, int, float)  # types without references to other objects
+IGNORED_SLOTS = ("__dict__", "__weakref__")  # slots that are not attributes of the object
 
 
 class Collection:
-    """What is kept in one place.
+    """A group of entries that are stored and measured together.
 
     Args:
         name: Its name within its purpose.
-        count: How many entries it has.
-        entries: A function that gives the entries.
-        containers: The containers themselves, whose own size (a dict's table) is charged in full.
-        stop: Types at which a walk stops: they belong to another collection.
+        count: Number of entries.
+        entries: A function that returns an iterable of the entries.
+        containers: The containers of the entries, whose own size (such as a dict's table) is added in full.
+        stop: Types that are not followed, because they belong to another collection.
         skip: Names of attributes that are not followed.
     """
 
@@ -39,13 +40,13 @@
 
 
 def deep_size(root, stop=EXCLUDED_TYPES, skip=frozenset(), seen=None):
-    """Measures an object with all that it leads to.
+    """Measures an object and all objects that it references.
 
     Args:
         root: The object.
-        stop: Types at which the walk stops.
+        stop: Types that are not followed.
         skip: Names of attributes that are not followed.
-        seen: Ids of objects that are not counted again; those that are walked are added.
+        seen: Ids of objects already counted; the ids of newly counted objects are added.
 
     Returns:
         Bytes.
@@ -73,7 +74,7 @@
     """Adds the values of an object's dict, slots and msgspec fields to `pending`.
 
     Returns:
-        Bytes of its dict, if it has one.
+        The size of its __dict__ in bytes, 0 if it has none.
     """
     dict_bytes = 0
     attributes = getattr(obj, "__dict__", None)
@@ -92,7 +93,7 @@
 
 
 def measure_entry_bytes(collection):
-    """Measures what an entry of a Collection takes, by a sample spread evenly over it.
+    """Measures the mean size of an entry of a Collection, using an evenly spread sample.
 
     Returns:
         Bytes, as a float; 0.0 if it is empty.
@@ -114,5 +115,5 @@
 
 
 def container_bytes(collection):
-    """Returns the bytes of a Collection's containers themselves."""
+    """Returns the size of a Collection's containers, without their entries, in bytes."""
     return sum(sys.getsizeof(container) for container in collection.containers)
--- a/embertray/common/net/clock.py
+++ b/embertray/common/net/clock.py
@@ -1,4 +1,4 @@
-"""The clock that is handed to whatever needs the time."""
+"""The clock that is injected wherever the time is needed."""
 
 import time
 
@@ -8,19 +8,19 @@
 
 
 class LoopClock:
-    """The event loop's clock, in whole nanoseconds."""
+    """The event loop's clock, in integer nanoseconds."""
 
     @staticmethod
     def now():
-        """Returns ns that never go back."""
+        """Returns the monotonic time, ns."""
         return round(anyio.current_time() * NS_PER_SECOND)
 
     @staticmethod
     def wall():
-        """Returns ns since 1970, which may jump."""
+        """Returns the wall clock, ns since 1970; it may jump."""
         return time.time_ns()
 
     async def sleep_until(self, when):
-        """Returns once `now()` has reached `when` (ns)."""
+        """Sleeps until `now()` has reached `when`, ns."""
         while (remaining := when - self.now()) > 0:
             await anyio.sleep(remaining / NS_PER_SECOND)
--- a/embertray/common/net/exceptions.py
+++ b/embertray/common/net/exceptions.py
@@ -2,20 +2,20 @@
 
 import anyio
 
-# What reading, writing or dialling raises when the peer or the network ends a connection.
+# The errors that reading, writing or dialling raise when the peer or the network ends a connection.
 CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 class AddressError(ValueError):
-    """An address has another form than host:port, or its host is not allowed."""
+    """An address is not of the form host:port, or its host is not allowed."""
 
 
 class CallError(Exception):
     """An HTTP call failed.
 
     Args:
-        reason: Why, in words.
-        sent: Whether the request's last byte had gone: it may have been carried out.
+        reason: The cause, as text.
+        sent: Whether the request was sent completely, so that it may have been executed.
     """
 
     def __init__(self, reason, sent):
--- a/embertray/common/net/http_client.py
+++ b/embertray/common/net/http_client.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 calls with h11 over TCP streams.
 
-What a failure means is the caller's business; a CallError says how far the call got.
+A CallError says whether the request was sent; the caller decides how to handle the failure.
 """
 
 import socket
@@ -14,12 +14,12 @@
 from .exceptions import CONNECTION_ERRORS, CallError
 
 NS_PER_SECOND = 1e9
-READ_BYTES = 64 << 10  # received at once, and most of a response's head
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+READ_BYTES = 64 << 10  # size of a read, and limit of a response's header
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: enabled, with a timeout of zero
 
 
 class HttpConnection:
-    """One connection: requests one after the other, each with a complete response or one that streams.
+    """One connection: sequential requests, each with a response read at once or as a stream.
 
     Args:
         stream: The byte stream.
@@ -36,34 +36,34 @@
         """Connects.
 
         Args:
-            net: Has dial, as TcpNet.
-            address: The peer's.
+            net: Has a `dial` method, as TcpNet.
+            address: The peer's address.
             timeout: ns.
 
         Returns:
             An HttpConnection.
 
         Raises:
-            CallError: There is no connection in time.
+            CallError: The connection failed or timed out.
         """
         try:
             with anyio.fail_after(timeout / NS_PER_SECOND):
                 return cls(await net.dial(address), address)
         except CONNECTION_ERRORS as error:  # TimeoutError is an OSError
-            raise CallError(f"{address}: {error or 'no connection in time'}", False) from None
+            raise CallError(f"{address}: {error or 'connection timed out'}", False) from None
 
     async def send_request(self, method, path, timeout, body=b"", content_type=""):
         """Sends a complete request.
 
         Args:
-            method: The method.
+            method: HTTP method.
             path: Path and query.
-            timeout: ns, against a peer that takes nothing and gives no sign.
+            timeout: ns; a peer may keep the connection open and never read.
             body: Bytes.
-            content_type: Of the body.
+            content_type: Content type of the body.
 
         Raises:
-            CallError: It has not gone by then; what is left of it is dropped by `aclose`.
+            CallError: It was not sent in time; `aclose` drops the rest of it.
         """
         headers = [("Host", self._host)]
         if body:
@@ -79,12 +79,12 @@
             raise CallError(f"sending: {type(error).__name__}", False) from None
 
     async def _next_event(self):
-        """Returns h11's next event. Raises CallError: what comes can't be read, or the stream broke."""
+        """Returns the next h11 event. Raises CallError if the data is invalid or the stream broke."""
         while True:
             try:
                 event = self._protocol.next_event()
             except h11.RemoteProtocolError as error:
-                raise CallError(f"no HTTP: {error}", True) from None
+                raise CallError(f"invalid HTTP: {error}", True) from None
             if event is not h11.NEED_DATA:
                 return event
             self._protocol.receive_data(await self._receive())
@@ -93,15 +93,15 @@
         try:
             return await self._stream.receive(READ_BYTES)
         except anyio.EndOfStream:
-            return b""  # h11's mark of the end
+            return b""  # tells h11 that the stream has ended
         except CONNECTION_ERRORS as error:
             raise CallError(f"receiving: {type(error).__name__}", True) from None
 
     async def read_status(self):
-        """Returns the response's status.
+        """Returns the status code of the response.
 
         Raises:
-            CallError: There is none.
+            CallError: No valid response was received.
         """
         while True:
             event = await self._next_event()
@@ -111,31 +111,31 @@
                 raise CallError("the connection was closed", True)
 
     async def read_body_part(self):
-        """Returns some of the response's body; None at its end.
+        """Returns the next part of the response's body; None at its end.
 
         Raises:
-            CallError: It can't be read.
+            CallError: The body is invalid or incomplete.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise CallError("the connection was closed within an answer", True)
+        raise CallError("the connection was closed within a response", True)
 
     async def read_response(self, timeout, max_bytes, transfer_timeout=0):
         """Reads the complete response.
 
         Args:
             timeout: ns.
-            max_bytes: Most bytes of its body.
-            transfer_timeout: ns from the response's beginning; the later end of the two holds.
+            max_bytes: Maximum size of its body.
+            transfer_timeout: ns from the first byte of the response; the later of both deadlines applies.
 
         Returns:
             (status, body).
 
         Raises:
-            CallError: It did not come in time, is too large or can't be read.
+            CallError: It timed out, is too large or is invalid.
         """
         body = bytearray()
         try:
@@ -146,26 +146,26 @@
                 while (part := await self.read_body_part()) is not None:
                     body += part
                     if len(body) > max_bytes:
-                        raise CallError(f"an answer over {max_bytes} bytes", True)
+                        raise CallError(f"response exceeds {max_bytes} bytes", True)
         except TimeoutError:
-            raise CallError("no answer in time", True) from None
+            raise CallError("response timed out", True) from None
         return status, bytes(body)
 
     def start_next(self):
-        """Makes ready for another request; returns whether the connection can take one."""
+        """Prepares for the next request; returns whether the connection can be reused."""
         if self._protocol.our_state is h11.DONE and self._protocol.their_state is h11.DONE:
             self._protocol.start_next_cycle()
             return True
         return False
 
     async def aclose(self, reset=False):
-        """Closes at once; what was not written yet is dropped.
+        """Closes at once and drops unwritten data.
 
         Args:
-            reset: What the system still has for the peer is dropped too, as far as it can be: a request that
-                is given up must not arrive later, behind newer ones.
+            reset: Whether to reset the connection, which also drops data in the system's send buffer: an
+                abandoned request must not arrive later, after newer ones.
         """
-        # shielded: in a cancelled scope the transport would be left to its unwritten bytes
+        # shielded: in a cancelled scope the transport would first flush its unwritten bytes
         with anyio.CancelScope(shield=True):
             if reset:
                 with suppress(OSError, anyio.TypedAttributeLookupError):
--- a/embertray/common/net/process.py
+++ b/embertray/common/net/process.py
@@ -1,4 +1,4 @@
-"""What the system measures of a process."""
+"""Memory usage of a process, as the system measures it."""
 
 import os
 import resource
@@ -9,9 +9,9 @@
 
 
 def resident_memory(pid="self"):
-    """Returns the bytes that a process takes in memory.
+    """Returns the resident set size of a process, bytes.
 
-    Where /proc is not there: the most that this process ever took.
+    On systems without /proc: the peak resident set size of this process.
     """
     try:
         fields = Path(f"/proc/{pid}/statm").read_text().split()
--- a/embertray/common/net/queued_connection.py
+++ b/embertray/common/net/queued_connection.py
@@ -1,4 +1,4 @@
-"""A connection whose sender never waits for the peer: a queue, one writer, one reader."""
+"""A connection with a send queue, so that the sender never waits for the peer."""
 
 from collections import deque
 
@@ -6,18 +6,18 @@
 
 
 class QueuedConnection:
-    """A byte stream with a queue before it.
+    """A byte stream with a send queue, one writer task and one reader.
 
-    The queue has no bound of its own: whoever puts into it counts what is not taken, and cuts the stream.
+    The queue is unbounded: the caller of `put` must limit `queued_bytes`, and close the stream if needed.
 
     Args:
         stream: The byte stream.
-        on_sent: Called each time the stream has taken what one `put` gave; None: several go at once.
+        on_sent: Called after the data of each `put` was sent; if None, queued data is sent at once.
 
     Attributes:
-        queue: Data that waits for the writer.
-        queued_bytes: Bytes that the stream has not taken.
-        mid_send: A send was begun and not ended: no frame may follow it.
+        queue: Data waiting for the writer.
+        queued_bytes: Bytes that were put and not sent yet.
+        mid_send: Whether a send was interrupted or is in progress: no frame may be sent after it.
     """
 
     def __init__(self, stream, on_sent=None):
@@ -30,21 +30,21 @@
         self._finishing = False
 
     def put(self, data):
-        """Queues bytes."""
+        """Queues bytes for sending."""
         self.queue.append(data)
         self.queued_bytes += len(data)
         self._woken.set()
 
     def finish(self):
-        """No more is put: the writer returns when all is written."""
+        """Makes `write` return once the queue is empty; nothing may be put afterwards."""
         self._finishing = True
         self._woken.set()
 
     async def write(self):
-        """Writes what is put, until `finish`.
+        """Sends queued data until `finish` is called.
 
         Raises:
-            OSError: The stream broke; so for anyio's errors of a stream (CONNECTION_ERRORS).
+            OSError: The stream broke; or another one of CONNECTION_ERRORS.
         """
         while True:
             while self.queue:
@@ -55,7 +55,7 @@
             await self._woken.wait()
 
     def _next_data(self):
-        """Takes from the queue: one item if its sender counts by what it put, else all."""
+        """Removes data from the queue: one item if there is an `on_sent` callback, else all."""
         if self.on_sent:
             return self.queue.popleft()
         data = b"".join(self.queue)
@@ -71,7 +71,7 @@
             self.on_sent()
 
     async def read(self):
-        """Returns bytes that came; none at the end of the stream, however it ended."""
+        """Returns received bytes; none at the end of the stream, whether it was closed or broke."""
         try:
             return await self.stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
--- a/embertray/common/net/sending.py
+++ b/embertray/common/net/sending.py
@@ -1,4 +1,4 @@
-"""Sending under a time limit that bounds the peer alone."""
+"""Sending with a timeout that only covers the time the peer takes."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 
 
 async def send_within(stream, data, timeout):
-    """Hand bytes to the system at once; the limit bounds only what the peer does not take.
+    """Send bytes with a timeout that starts only after the first write.
 
-    A stream's `send` gives the loop a turn before it writes. A limit that began before it might end in that
-    turn, in a process that gets no processor time, and nothing would be written. So the limit begins one turn
-    after the write.
+    A stream's `send` yields to the event loop before it writes. In a process without CPU time, a timeout that
+    starts earlier could expire during this yield, before anything is written. So the timeout starts one
+    iteration of the event loop after the write.
 
     Args:
         stream: The byte stream.
@@ -20,10 +20,10 @@
         timeout: ns.
 
     Returns:
-        Whether the peer took all of it in time.
+        Whether all bytes were sent in time.
 
     Raises:
-        OSError: The stream broke; so for anyio's errors of a stream (CONNECTION_ERRORS).
+        OSError: The stream broke; or another one of CONNECTION_ERRORS.
     """
     loop = asyncio.get_running_loop()
     with anyio.CancelScope() as scope:
--- a/embertray/common/net/tcp.py
+++ b/embertray/common/net/tcp.py
@@ -1,4 +1,4 @@
-"""TCP: listens and dials, nothing more; on loopback unless other addresses are allowed."""
+"""TCP listeners and connections, on loopback unless other addresses are allowed."""
 
 import socket
 from contextlib import suppress
@@ -7,29 +7,29 @@
 
 from .address import format_address, parse_loopback
 
-BACKLOG = 4096  # connections that wait to be accepted: a fleet's proxies dial all at once
+BACKLOG = 4096  # connections waiting to be accepted: all proxies of a fleet may dial at once
 
 
 class TcpNet:
     """Listens on and dials addresses host:port.
 
     Args:
-        parse: Gives (host, port) of an address, and raises AddressError for one that is not allowed:
-            `parse_loopback`, or `parse_address` for a controller whose configuration names other machines.
+        parse: Parses an address to (host, port) and raises AddressError if it is not allowed:
+            `parse_loopback`, or `parse_address` for a controller with addresses of other hosts.
     """
 
     def __init__(self, parse=parse_loopback):
         self.parse = parse
 
     async def listen(self, address):
-        """Listens on an address; port 0 is any free one.
+        """Listens on an address; port 0 selects a free port.
 
         Returns:
             A TcpListener.
 
         Raises:
-            OSError: The address can't be listened on.
-            AddressError: It is not allowed.
+            OSError: Listening on the address failed.
+            AddressError: The address is not allowed.
         """
         host, port = self.parse(address)
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=BACKLOG)
@@ -39,10 +39,10 @@
         """Connects to an address.
 
         Returns:
-            A byte stream, which sends small messages at once.
+            A byte stream with TCP_NODELAY, which sends small messages without delay.
 
         Raises:
-            OSError: Nobody answers there.
+            OSError: The connection failed.
             AddressError: The address is not allowed.
         """
         host, port = self.parse(address)
@@ -53,13 +53,13 @@
 
 
 class TcpListener:
-    """Accepts streams.
+    """Accepts connections.
 
     Args:
         listener: anyio's listener.
 
     Attributes:
-        address: Where it listens, with the true port.
+        address: The listening address, with the actual port.
     """
 
     def __init__(self, listener):
@@ -67,14 +67,14 @@
         self.address = format_address(*listener.extra(anyio.abc.SocketAttribute.local_address)[:2])
 
     async def serve(self, handler, group):
-        """Calls handler(stream) in the task group for each stream, until cancelled."""
+        """Starts handler(stream) in the task group for each connection, until cancelled."""
         await self.listener.serve(handler, group)
 
     async def accept(self):
-        """Returns the next stream.
+        """Returns the stream of the next connection.
 
-        None if it was gone again, or if the process has no descriptor for it now: a flood of connections
-        must not end the listener.
+        Returns None if the peer has disconnected already, or if the process has no free descriptor: a flood
+        of connections must not stop the listener.
         """
         with suppress(OSError, anyio.BrokenResourceError):
             return await self.listener.listeners[0].accept()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -500,7 +500,7 @@
             for bad in (configured(relay="nowhere"), configured(discovery="10.0.0.1")):
                 path.write_bytes(bad)
                 run.send_signal(signal.SIGHUP)
-                self.assertIn("is no address:port", json.loads(logged("can't be used"))["why"])
+                self.assertIn("is not of the form address:port", json.loads(logged("can't be used"))["why"])
             # settings hold for the process's life: at a new configuration they are not read
             path.write_bytes(configured(relay="127.0.0.1:2", settings={"profiles": [{}, 5]}))
             run.send_signal(signal.SIGHUP)
