--- a/embertray/common/snapshots/__init__.py
+++ b/embertray/common/snapshots/__init__.py
@@ -1,6 +1,6 @@
-"""Durable snapshots: checked, numbered files in a state folder that one process owns.
+"""Durable snapshots: numbered files with checksums in a state folder that is locked by one process.
 
-`store` knows files and generations of bytes, `snapshot` the endpoint list that a controller saves in them.
+`store` manages files and generations of bytes, `snapshot` defines the endpoint list saved in them.
 """
 
 from .clocks import ClockReading
--- a/embertray/common/snapshots/clocks.py
+++ b/embertray/common/snapshots/clocks.py
@@ -1,4 +1,4 @@
-"""Reads the clocks that give the age of a snapshot at the next start."""
+"""Reads the clocks from which the age of a snapshot is computed at the next start."""
 
 import time
 from pathlib import Path
@@ -11,9 +11,9 @@
     """This machine's clocks at one instant.
 
     Attributes:
-        wall: Wall clock, ns since 1970; an operator or NTP may set it.
-        boot_id: The system's name for this boot; "" where it has none.
-        since_boot: Time since that boot, ns; nobody can set it.
+        wall: Wall clock, ns since 1970; it may be set by an operator or NTP.
+        boot_id: The system's identifier of the current boot; "" if it has none.
+        since_boot: Time since that boot, ns; it can't be set.
     """
 
     wall: int
@@ -22,9 +22,9 @@
 
 
 def read_boot_id():
-    """Returns the system's name for this boot.
+    """Returns the system's identifier of the current boot.
 
-    It is "" where the system has none; ages then rest on the wall clock alone.
+    It is "" if the system has none; ages are then computed from the wall clock alone.
     """
     try:
         return BOOT_ID_FILE.read_text().strip()
@@ -33,5 +33,5 @@
 
 
 def read_clocks(boot_id):
-    """Returns a ClockReading of now, within the boot of that name."""
+    """Returns the current ClockReading, with the given boot id."""
     return ClockReading(time.time_ns(), boot_id, time.clock_gettime_ns(time.CLOCK_BOOTTIME))
--- a/embertray/common/snapshots/disk.py
+++ b/embertray/common/snapshots/disk.py
@@ -1,4 +1,4 @@
-"""The file system calls of a snapshot writer."""
+"""The file system calls of the snapshot store."""
 
 import os
 
@@ -6,9 +6,9 @@
 
 
 class Disk:
-    """The system calls of a writer, one method each, so that tests can fail or stop at any of them.
+    """The file system calls of a store, one method each, so that tests can inject a failure into any of them.
 
-    Every method raises OSError.
+    Every method may raise OSError.
     """
 
     def create(self, path):
@@ -23,7 +23,7 @@
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
 
     def write(self, file, data):
-        """Writes all bytes, in as many system calls as it takes.
+        """Writes all bytes, in as many system calls as needed.
 
         Args:
             file: The file descriptor.
@@ -33,7 +33,7 @@
             data = data[os.write(file, data) :]
 
     def flush(self, file):
-        """Makes what was written to the file descriptor durable."""
+        """Makes the data written to the file descriptor durable."""
         os.fsync(file)
 
     def close(self, file):
@@ -41,11 +41,11 @@
         os.close(file)
 
     def rename(self, old, new):
-        """Gives the file `old` the name `new`, atomically."""
+        """Renames the file `old` to `new`, atomically."""
         os.rename(old, new)
 
     def flush_folder(self, path):
-        """Makes the names in a folder durable: a rename survives a power cut only after this."""
+        """Makes the entries of a folder durable: a rename survives a power failure only after this."""
         folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(folder)
--- a/embertray/common/snapshots/durable.py
+++ b/embertray/common/snapshots/durable.py
@@ -6,14 +6,14 @@
 
 
 class DurableSnapshots:
-    """Snapshots in a state folder, which one process owns between `open` and `close`.
+    """Snapshots in a state folder, which is locked by this process between `open` and `close`.
 
     Args:
         folder: Path of the folder.
-        disk: A Disk; tests hand in one that fails.
+        disk: A Disk; tests pass one that fails.
 
     Attributes:
-        blocking: `save` waits for the disk, so it belongs in a thread.
+        blocking: True: `save` waits for the disk and must be called in a thread.
         store: The SnapshotStore.
     """
 
@@ -24,11 +24,11 @@
         self._boot_id = read_boot_id()
 
     def open(self):
-        """Takes the folder for this process.
+        """Locks the folder for this process.
 
         Raises:
-            FolderLockedError: Another process has it.
-            OSError: The folder can't be made or written.
+            FolderLockedError: Another process has locked it.
+            OSError: The folder can't be created or written.
         """
         self.store.lock()
 
@@ -37,17 +37,17 @@
         self.store.unlock()
 
     def clock_reading(self):
-        """Returns the ClockReading of now."""
+        """Returns the current ClockReading."""
         return read_clocks(self._boot_id)
 
     def save(self, snapshot):
         """Writes a Snapshot; it is durable on return.
 
         Raises:
-            OSError: It could not be saved; the former ones stand.
+            OSError: It could not be saved; the previous snapshots remain.
         """
         self.store.save(encode_snapshot(snapshot))
 
     def load(self):
-        """Returns a LoadResult with the newest readable Snapshot, or None for its content."""
+        """Returns a LoadResult with the newest readable Snapshot; its content is None if there is none."""
         return self.store.load(decode_snapshot)
--- a/embertray/common/snapshots/exceptions.py
+++ b/embertray/common/snapshots/exceptions.py
@@ -1,13 +1,13 @@
-"""Errors of the snapshot package."""
+"""Errors of the snapshots package."""
 
 
 class FolderLockedError(RuntimeError):
-    """Another process holds the lock of the state folder."""
+    """The state folder is locked by another process."""
 
 
 class CorruptSnapshotError(ValueError):
-    """A file is truncated, damaged, of another format or no snapshot at all; the text says which."""
+    """A file is truncated, damaged, of another format or not a snapshot; the message says which."""
 
 
 class UnreadableSnapshotError(ValueError):
-    """A file is sound, but its content does not decode to the expected type."""
+    """A file is intact, but its content does not decode to the expected type."""
--- a/embertray/common/snapshots/file_format.py
+++ b/embertray/common/snapshots/file_format.py
@@ -1,7 +1,7 @@
-"""The form of a snapshot file: a header with a checksum, then the compressed content.
+"""The format of a snapshot file: a header with a checksum, followed by the compressed content.
 
-The header is a magic number, a format number, and the length and the xxhash of what follows, which is the
-content compressed by zstandard.
+The header consists of a magic number, a format number, and the length and xxhash of the content as compressed
+by zstandard.
 """
 
 import struct
@@ -12,23 +12,22 @@
 from .exceptions import CorruptSnapshotError
 
 MAGIC = b"EMBERTRY"  # first bytes of every snapshot file
-FORMAT = 1  # the only format that this program writes and reads
+FORMAT = 1  # the only format that this version writes and reads
 HEADER = struct.Struct(">8sHQQ")  # magic, format, length in bytes, xxh64 of the compressed content
-CONTENT_BYTES_MAX = (
-    256 << 20
-)  # bytes content may decompress to: a length that a flipped bit made is not trusted
-COMPRESSION_LEVEL = 3  # of zstandard: its default
+# limit of the decompressed content: a length corrupted by a flipped bit must not exhaust the memory
+CONTENT_BYTES_MAX = 256 << 20
+COMPRESSION_LEVEL = 3  # zstandard's default
 
 
 def encode_file(content):
-    """Returns the bytes of a snapshot file with this content (bytes)."""
+    """Returns the bytes of a snapshot file with the given content (bytes)."""
     compressed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(content)
     checksum = xxhash.xxh64_intdigest(compressed)
     return HEADER.pack(MAGIC, FORMAT, len(compressed), checksum) + compressed
 
 
 def decode_file(data):
-    """Reads a snapshot file.
+    """Decodes a snapshot file.
 
     Args:
         data: All bytes of the file.
@@ -40,18 +39,18 @@
         CorruptSnapshotError: The bytes are truncated, damaged, or of another format.
     """
     if len(data) < HEADER.size:
-        raise CorruptSnapshotError(f"it has {len(data)} bytes, fewer than its head")
+        raise CorruptSnapshotError(f"truncated header: {len(data)} bytes")
     magic, file_format, length, checksum = HEADER.unpack_from(data)
     compressed = data[HEADER.size :]
     if magic != MAGIC:
-        raise CorruptSnapshotError("it does not begin as a snapshot does")
+        raise CorruptSnapshotError("not a snapshot file: wrong magic number")
     if file_format != FORMAT:
-        raise CorruptSnapshotError(f"it is of format {file_format}; this program reads {FORMAT}")
+        raise CorruptSnapshotError(f"unsupported format {file_format}; this version reads format {FORMAT}")
     if len(compressed) != length:
-        raise CorruptSnapshotError(f"it has {len(compressed)} of {length} bytes")
+        raise CorruptSnapshotError(f"wrong length: {len(compressed)} of {length} bytes")
     if xxhash.xxh64_intdigest(compressed) != checksum:
-        raise CorruptSnapshotError("its checksum is wrong")
+        raise CorruptSnapshotError("checksum mismatch")
     try:
         return zstandard.ZstdDecompressor().decompress(compressed, max_output_size=CONTENT_BYTES_MAX)
     except zstandard.ZstdError as error:
-        raise CorruptSnapshotError(f"it can't be unpacked: {error}") from None
+        raise CorruptSnapshotError(f"decompression failed: {error}") from None
--- a/embertray/common/snapshots/in_memory.py
+++ b/embertray/common/snapshots/in_memory.py
@@ -1,4 +1,4 @@
-"""Snapshots of the endpoint list without a disk, for tests, simulations and sites without a state folder."""
+"""Snapshots of the endpoint list in memory, for tests, simulations and sites without a state folder."""
 
 import time
 
@@ -7,15 +7,15 @@
 
 
 class InMemorySnapshots:
-    """As DurableSnapshots, but gone with the process.
+    """Same interface as DurableSnapshots, but lost when the process ends.
 
     Args:
-        clock: A clock with `wall()` in ns since 1970, as in common/net/clock.py; None: the system's.
+        clock: A clock with `wall()` in ns since 1970, as in common/net/clock.py; None for the system clock.
 
     Attributes:
-        blocking: `save` returns at once.
-        first_saved: The first Snapshot that was saved, or None.
-        last_saved: The newest Snapshot, or None.
+        blocking: False: `save` returns at once.
+        first_saved: The first saved Snapshot, or None.
+        last_saved: The newest saved Snapshot, or None.
     """
 
     blocking = False
@@ -32,16 +32,16 @@
         """Does nothing: there is no folder to release."""
 
     def clock_reading(self):
-        """Returns the ClockReading of now, without a boot id."""
+        """Returns the current ClockReading, without a boot id."""
         wall = self._clock.wall() if self._clock else time.time_ns()
         return ClockReading(wall, "", 0)
 
     def save(self, snapshot):
-        """Keeps a Snapshot in memory."""
+        """Saves a Snapshot in memory."""
         self.last_saved = snapshot
         if self.first_saved is None:
             self.first_saved = snapshot
 
     def load(self):
-        """Returns a LoadResult with the newest Snapshot, or None for its content."""
+        """Returns a LoadResult with the newest Snapshot; its content is None if there is none."""
         return LoadResult(self.last_saved, [])
--- a/embertray/common/snapshots/snapshot.py
+++ b/embertray/common/snapshots/snapshot.py
@@ -1,7 +1,7 @@
-"""What a controller saves: the endpoint list, when each entry was last confirmed, and who was lately removed.
+"""The state saved by a controller: the endpoint list, its confirmation times, and recent removals.
 
-Not saved: tables (proxies hold them), learnt capacity and health (learnt anew within seconds, and wrong after
-a replacement), withdrawals (removals are ordered anew from the list). docs/design/start.md gives the reasons.
+Not saved: tables (proxies hold them), learned capacity and health (learned again within seconds, and wrong
+after a replacement), withdrawals (ordered again from the list). docs/design/start.md gives the reasons.
 """
 
 import msgspec
@@ -10,20 +10,20 @@
 
 from .exceptions import UnreadableSnapshotError
 
-# Shortest time between two snapshots, ns: a deploy changes the list many times a second.
+# Minimum interval of snapshots, ns: a deployment changes the list many times a second.
 SNAPSHOT_PERIOD_NS = 1 * 10**9
-# An unchanged list is saved again after this time, ns, so that its age is known to that precision.
+# An unchanged list is saved again after this time, ns, which limits the error of its age after a restart.
 CONFIRMATION_PERIOD_NS = 15 * 10**9
 
 
 class SnapshotEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One backend of the saved list. The order of the fields is the file's.
+    """One backend of the saved list. The order of the fields is the file format.
 
     Attributes:
-        backend: Its name.
-        zone: Its zone.
+        backend: Name of the backend.
+        zone: Name of its zone.
         state: `ready`, `draining` or `gone`.
-        started: When it started, ns by the inventory's clock; 0: long ago.
+        started: When it started, ns by the inventory's clock; 0 if long ago.
         confirmed: When the inventory last listed it, ns since 1970 by this machine's clock.
         nominal: Nominal capacity, relative to other backends.
     """
@@ -37,16 +37,16 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True):
-    """The saved list. The order of the fields is the file's.
+    """The saved list. The order of the fields is the file format.
 
     Attributes:
         epoch: Version of the list.
-        inventory_clock: The inventory's clock when the snapshot was taken, ns.
-        wall_clock: Our wall clock then, ns since 1970.
-        boot_id: The system's name for its boot then; "" where it has none.
-        boot_clock: Time since that boot, ns.
+        inventory_clock: Time of the snapshot by the inventory's clock, ns.
+        wall_clock: Time of the snapshot by this machine's wall clock, ns since 1970.
+        boot_id: The system's identifier of the boot at that time; "" if it has none.
+        boot_clock: Time since that boot at the snapshot, ns.
         entries: The backends.
-        removed: Backends that were lately removed: an older list must not bring them back.
+        removed: Recently removed backends: an older list must not restore them.
     """
 
     epoch: int
@@ -59,12 +59,12 @@
 
 
 def encode_snapshot(snapshot):
-    """Returns the bytes of a Snapshot."""
+    """Encodes a Snapshot to bytes."""
     return msgspec.msgpack.encode(snapshot)
 
 
 def decode_snapshot(content):
-    """Reads a Snapshot.
+    """Decodes a Snapshot.
 
     Args:
         content: Bytes from `encode_snapshot`.
@@ -73,9 +73,9 @@
         The Snapshot.
 
     Raises:
-        UnreadableSnapshotError: The bytes are no Snapshot.
+        UnreadableSnapshotError: The bytes do not decode to a Snapshot.
     """
     try:
         return msgspec.msgpack.decode(content, type=Snapshot)
     except msgspec.DecodeError as error:
-        raise UnreadableSnapshotError(f"its content can't be read: {error}") from None
+        raise UnreadableSnapshotError(f"can't decode the content: {error}") from None
--- a/embertray/common/snapshots/store.py
+++ b/embertray/common/snapshots/store.py
@@ -1,9 +1,9 @@
-"""A state folder of numbered snapshots, of which the newest sound one counts.
+"""A state folder of numbered snapshots, of which the newest intact one is loaded.
 
-Each snapshot is written to a temporary file, flushed, renamed to the next generation, and the folder flushed.
-No generation is ever overwritten, so a crash at any point leaves the old or the new one complete. A file that
-is truncated, damaged or of a newer format is skipped with its reason, and the next older one is taken.
-docs/design/start.md compares this with a log, sqlite and lmdb.
+Each snapshot is written to a temporary file, flushed, and renamed to the next generation; then the folder is
+flushed. No generation is ever overwritten, so a crash at any point leaves the old or the new one complete. A
+file that is truncated, damaged or of a newer format is skipped with a reason, and the next older one is
+loaded. docs/design/start.md compares this with a log, sqlite and lmdb.
 """
 
 import fcntl
@@ -16,10 +16,10 @@
 from .exceptions import FolderLockedError
 from .file_format import decode_file, encode_file
 
-GENERATIONS_KEPT = 3  # files: the newest, and two to fall back on
-LOCK_FILE = "owner"  # holds the process id of the lock holder, as text
+GENERATIONS_KEPT = 3  # files: the newest and two fallbacks
+LOCK_FILE = "owner"  # contains the process id of the lock holder as text
 LOCK_FILE_MODE = 0o644  # permission bits
-LOCK_HOLDER_BYTES = 64  # bytes of the lock file that are read for the message
+LOCK_HOLDER_BYTES = 64  # read from the lock file for the error message
 TEMPORARY_FILE = "next.tmp"
 PREFIX = "list-"
 SUFFIX = ".snap"
@@ -30,7 +30,7 @@
 
     Attributes:
         name: Its name in the state folder.
-        reason: Why it was skipped, in words.
+        reason: Why it was skipped, as text.
     """
 
     name: str
@@ -38,11 +38,11 @@
 
 
 class LoadResult(NamedTuple):
-    """What a state folder gave.
+    """The result of loading from a state folder.
 
     Attributes:
         content: The newest readable content; None if there is none.
-        skipped: The newer files that were passed over, newest first.
+        skipped: The newer files that were skipped, newest first.
     """
 
     content: Any
@@ -53,23 +53,23 @@
     """The snapshots of one state folder. Call `lock` before `save`.
 
     Args:
-        folder: Path of the folder; `lock` makes it if it is missing.
-        disk: A Disk; tests hand in one that fails.
+        folder: Path of the folder; `lock` creates it if it is missing.
+        disk: A Disk; tests pass one that fails.
     """
 
     def __init__(self, folder, disk=None):
         self.folder = Path(folder)
         self.disk = disk or Disk()
-        self._lock_file = None  # file descriptor while the folder is locked
+        self._lock_file = None  # file descriptor while the folder is locked, else None
 
     def lock(self):
-        """Makes the folder if needed and takes it for this process.
+        """Creates the folder if needed and locks it for this process.
 
-        The kernel drops the lock when the process ends, however it ends, so no stale lock can remain.
+        The kernel releases the lock however the process ends, so no stale lock can remain.
 
         Raises:
-            FolderLockedError: Another process has it; the text names that process.
-            OSError: The folder can't be made or written.
+            FolderLockedError: Another process has locked it; the message contains its process id.
+            OSError: The folder can't be created or written.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         lock_file = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, LOCK_FILE_MODE)
@@ -87,13 +87,13 @@
         os.pwrite(lock_file, f"{os.getpid()}\n".encode(), 0)
 
     def unlock(self):
-        """Releases the folder, if this store holds it."""
+        """Unlocks the folder if this store has locked it."""
         if self._lock_file is not None:
             os.close(self._lock_file)
             self._lock_file = None
 
     def generations(self):
-        """Returns the numbers of the snapshots in the folder, oldest first; none if it can't be listed."""
+        """Returns the generation numbers in the folder, oldest first; empty if it can't be listed."""
         try:
             numbers = [path.stem.removeprefix(PREFIX) for path in self.folder.glob(f"{PREFIX}*{SUFFIX}")]
         except OSError:
@@ -105,7 +105,7 @@
         return self.folder / f"{PREFIX}{generation:012d}{SUFFIX}"
 
     def save(self, content):
-        """Makes `content` the newest snapshot. Blocks until it is durable.
+        """Writes `content` as the newest snapshot. Blocks until it is durable.
 
         Args:
             content: Bytes.
@@ -114,7 +114,7 @@
             The number of the new generation.
 
         Raises:
-            OSError: It could not be saved; the former snapshots stand.
+            OSError: It could not be saved; the previous snapshots remain.
         """
         generations = self.generations()
         generation = (generations[-1] if generations else 0) + 1
@@ -126,11 +126,10 @@
         return generation
 
     def load(self, decode=lambda content: content):
-        """Reads the newest sound snapshot. Never raises.
+        """Loads the newest intact snapshot. Never raises.
 
         Args:
-            decode: Turns the content into what is wanted; may raise ValueError, and the next older file is
-                then tried.
+            decode: Decodes the content; if it raises ValueError, the next older file is tried.
 
         Returns:
             A LoadResult.
@@ -153,8 +152,8 @@
             self.disk.close(file)
 
     def _remove_outdated(self, generations):
-        """Removes all but the newest; `generations` are those from before the newest was written."""
+        """Removes outdated files; `generations` are those that existed before the newest was written."""
         outdated = max(0, len(generations) + 1 - GENERATIONS_KEPT)
         for generation in generations[:outdated]:
-            with suppress(OSError):  # one file too many does no harm
+            with suppress(OSError):  # a file that remains does no harm
                 self.disk.remove(self.path_of(generation))
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -43,10 +43,10 @@
         (self.folder / "list-000000000001.snap").write_bytes(content)
 
     def assert_each_flipped_byte_is_refused(self, name, make_reader):
-        """Nothing is read from a file in which one byte is another, and the reason given is the old one."""
+        """A file with any single byte flipped is skipped with the reason that names the damage."""
         header = {
-            **dict.fromkeys(range(0, 8), "it does not begin as a snapshot does"),
-            **dict.fromkeys(range(8, 10), "it is of format "),
+            **dict.fromkeys(range(0, 8), "not a snapshot file: wrong magic number"),
+            **dict.fromkeys(range(8, 10), "unsupported format "),
             **dict.fromkeys(range(10, 18), " bytes"),
         }
         for position in range((OLD_FILES / name).stat().st_size):
@@ -56,7 +56,7 @@
                 self.assertIsNone(found)
                 ((file_name, reason),) = passed_over
                 self.assertEqual(file_name, "list-000000000001.snap")
-                self.assertIn(header.get(position, "its checksum is wrong"), reason)
+                self.assertIn(header.get(position, "checksum mismatch"), reason)
 
 
 class EndpointListSnapshot(StoredFile):
