--- a/embertray/controller/channel/stall_watch.py
+++ b/embertray/controller/channel/stall_watch.py
@@ -21,7 +21,7 @@
         self._checked_at = now
         self._steady_since = now
 
-    def is_steady(self, now):
+    def check_steady(self, now):
         """Checks the clock; call it at each step.
 
         Args:
--- a/embertray/controller/core/memory_bound_runner.py
+++ b/embertray/controller/core/memory_bound_runner.py
@@ -130,7 +130,7 @@
 
         It does so only if this process has not stalled: after a stall their acknowledgements may be unread.
         """
-        if self.stall_watch.is_steady(now):
+        if self.stall_watch.check_steady(now):
             step.cuts += [StreamCut(name, NONCES_OVERDUE) for name in self.nonces.overdue_proxies(now)]
 
     def _follow_instruction(self, instruction, step):
--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -46,7 +46,7 @@
         stream.conn.put(data)
         self._service.counters.messages += 1
 
-    def check(self, now):
+    def check_steady(self, now):
         """Cuts proxies that do not read, and goes on with a graceful shutdown.
 
         Args:
@@ -68,7 +68,7 @@
 
         Only when this process itself has run steadily: after a stall they may have had no chance to read.
         """
-        if not self._service.core.stall_watch.is_steady(now):
+        if not self._service.core.stall_watch.check_steady(now):
             return
         for stream in list(self.by_name.values()):
             reason = stream.send_buffer.overdue_reason(now)
