--- a/embertray/controller/channel/pacer.py
+++ b/embertray/controller/channel/pacer.py
@@ -33,7 +33,7 @@
         self.message = message
 
 
-class Departure(NamedTuple):
+class ReleasedMessage(NamedTuple):
     """A message that the channel has released.
 
     Attributes:
@@ -57,7 +57,7 @@
         queue: QueuedMessage items, the next to be released first.
         lines_waiting: Lines that are not released yet.
         lines_peak: The largest value of lines_waiting so far.
-        departed: Number of released messages.
+        released: Number of released messages.
     """
 
     def __init__(self, rate, now=0):
@@ -66,7 +66,7 @@
         self.queue = deque()
         self.lines_waiting = 0.0
         self.lines_peak = 0.0
-        self.departed = 0
+        self.released = 0
         self._accounted_until = now  # ns up to which the channel's time is used
         # Lines of the first message that still need time; negative: time left over for the next message.
         self._lines_remaining = 0.0
@@ -88,21 +88,21 @@
         self.lines_peak = max(self.lines_peak, self.lines_waiting)
 
     def dequeue(self, now):
-        """Removes the messages that are due at `now` (ns) and returns them as Departures, in order."""
-        departures = []
+        """Removes the messages that are due at `now` (ns) and returns them as ReleasedMessages, in order."""
+        released_messages = []
         self._account_time(now)
         while self.queue and (not self.rate or self._lines_remaining <= ROUNDING_LINES):
             first = self.queue.popleft()
-            departures.append(Departure(first.proxy, first.message))
+            released_messages.append(ReleasedMessage(first.proxy, first.message))
             self.lines_waiting -= first.cost
-            self.departed += 1
+            self.released += 1
             spare = min(0.0, self._lines_remaining)
             self._lines_remaining = spare + self.queue[0].cost if self.queue else 0.0
         if not self.queue:
             self.lines_waiting = 0.0
-        return departures
+        return released_messages
 
-    def next_departure(self):
+    def next_release(self):
         """Returns when the first message is due, ns; None: the queue is empty."""
         if not self.queue:
             return None
--- a/embertray/controller/core/controller_core.py
+++ b/embertray/controller/core/controller_core.py
@@ -105,8 +105,7 @@
             self._collect_instructions(now, orders, step)
         self.enforce_memory_caps(now, step)
         step.outgoing = [
-            ProxyOrders(departure.proxy.external_id, departure.message)
-            for departure in self.pacer.dequeue(now)
+            ProxyOrders(released.proxy.external_id, released.message) for released in self.pacer.dequeue(now)
         ]
         return step
 
@@ -114,7 +113,7 @@
         """Returns when to call `advance` next if no event occurs before, ns; None: not needed."""
         if self.pending_events:
             return 0
-        times = (self.next_timer_at(), self.intake.next_release(), self.pacer.next_departure())
+        times = (self.next_timer_at(), self.intake.next_release(), self.pacer.next_release())
         return min((time for time in times if time is not None), default=None)
 
     def _evaluate_degradation(self, now, step):
--- a/embertray/service/admin/pages.py
+++ b/embertray/service/admin/pages.py
@@ -90,7 +90,7 @@
             "peak": pacer.lines_peak,
             "limit": service.site.pending_max,
             "messages_waiting": len(pacer.queue),
-            "left": pacer.departed,
+            "left": pacer.released,
             "pace": pacer.pace,
             "rate": pacer.rate,
         }
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -220,7 +220,7 @@
             pacer.enqueue(now, "p", cost, cost)
             total += cost
             left += [(now, load) for _, load in pacer.dequeue(now)]
-        while (when := pacer.next_departure()) is not None:
+        while (when := pacer.next_release()) is not None:
             left += [(when, load) for _, load in pacer.dequeue(when)]
         self.assertEqual([cost for _, cost in left], [cost for _, cost in messages])
         self.assertEqual(pacer.lines_waiting, 0)
@@ -234,16 +234,16 @@
         pacer = Pacer(10.0)
         for proxy in (self.p, self.q, self.p):
             pacer.enqueue(0, proxy, 10, proxy.external_id)
-        self.assertEqual((pacer.lines_waiting, pacer.next_departure()), (30, S))
+        self.assertEqual((pacer.lines_waiting, pacer.next_release()), (30, S))
         pacer.drop_proxy(S // 2, self.p)
-        self.assertEqual((pacer.lines_waiting, pacer.next_departure()), (10, S * 3 // 2))
+        self.assertEqual((pacer.lines_waiting, pacer.next_release()), (10, S * 3 // 2))
         self.assertEqual(pacer.dequeue(S * 3 // 2), [(self.q, "q")])
 
     def test_a_slower_pace_applies_at_once(self):
         pacer = Pacer(10.0)
         pacer.enqueue(0, "p", 10, 1)
         pacer.set_pace(S // 2, 0.5)
-        self.assertEqual(pacer.next_departure(), S // 2 + S)
+        self.assertEqual(pacer.next_release(), S // 2 + S)
         for bad in (0, -1, 1.5, float("nan")):
             with self.assertRaises(ValueError):
                 pacer.set_pace(S, bad)
