--- a/embertray/controller/pending_reports.py
+++ b/embertray/controller/pending_reports.py
@@ -30,7 +30,7 @@
         self.latency += latency
         self.load = load or self.load
 
-    def event(self, backend, zone):
+    def to_event(self, backend, zone):
         """Returns the policy's event, or None if there was no attempt."""
         if not self.attempts:
             return None
@@ -61,7 +61,7 @@
         self.lost += lost
         self.span += span
 
-    def event(self, proxy, kind):
+    def to_event(self, proxy, kind):
         """Returns the policy's event."""
         return i.ArrivalReport(proxy, kind, self.requests, self.lost, self.span)
 
--- a/embertray/controller/report_intake.py
+++ b/embertray/controller/report_intake.py
@@ -139,7 +139,7 @@
         events = []
         while self.waiting and (not self.rate or self._tokens >= 1):
             key = next(iter(self.waiting))
-            event = self.waiting.pop(key).event(*key)
+            event = self.waiting.pop(key).to_event(*key)
             self._tokens -= 1
             if event is not None:
                 events.append(event)
