--- a/embertray/controller/identifiers.py
+++ b/embertray/controller/identifiers.py
@@ -34,10 +34,10 @@
         self.last_table_number = 0
 
     @staticmethod
-    def get_or_create(handles, kind, identifier):
-        """Returns the handle of an identifier in `handles`; creates it by `kind` if it is new."""
+    def get_or_create(handles, handle_type, identifier):
+        """Returns the handle of an identifier in `handles`; creates it by `handle_type` if it is new."""
         if identifier not in handles:
-            handles[identifier] = kind(identifier)
+            handles[identifier] = handle_type(identifier)
         return handles[identifier]
 
     def zone(self, name):
