--- a/embertray/controller/trust/table_retention.py
+++ b/embertray/controller/trust/table_retention.py
@@ -54,7 +54,7 @@
         """Forgets a proxy (by name)."""
         self.failing_proxies.discard(proxy)
 
-    def is_over(self, elapsed, proven_count):
+    def has_ended(self, elapsed, proven_count):
         """Returns whether the retention has ended for all proxies, while discovery has not answered.
 
         Args:
--- a/embertray/controller/trust/trust.py
+++ b/embertray/controller/trust/trust.py
@@ -118,7 +118,7 @@
         """Returns whether the list is reliable enough at `now` (ns) to bind all proxies to its backends."""
         if self.discovery_answered:
             return True
-        return self.retention.is_over(now - self.verification.started_at, self.proven_count())
+        return self.retention.has_ended(now - self.verification.started_at, self.proven_count())
 
     def proven_count(self):
         """Returns the number of proven candidates."""
--- a/embertray/controller/trust/verification.py
+++ b/embertray/controller/trust/verification.py
@@ -52,10 +52,10 @@
         for backend in undecided:
             backend.forwarded = True
         inventory_clock = self.inventory_clock + now - self.started_at
-        return [started_at(backend.entry, inventory_clock) for backend in undecided]
+        return [with_start_time(backend.entry, inventory_clock) for backend in undecided]
 
 
-def started_at(entry, inventory_clock):
+def with_start_time(entry, inventory_clock):
     """Returns a copy of an EndpointEntry whose start is not earlier than `inventory_clock` (ns)."""
     started = max(inventory_clock, entry.started)
     return EndpointEntry(entry.backend, entry.zone, entry.state, started, entry.nominal)
