--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -140,9 +140,9 @@
         return self._evaluate(now)
 
     def _evaluate(self, now):
-        wanted = self._level_to_enter()
-        if wanted > self.level and self._may_rise(now, wanted):
-            return self._change(now, wanted, f"{self.lost_share:.0%} of the credit is lost")
+        target = self._level_to_enter()
+        if target > self.level and self._may_raise(now, target):
+            return self._change(now, target, f"{self.lost_share:.0%} of the credit is lost")
         if self.lost_share >= LEVELS[self.level].leave_below:
             self._calm_since = now
         elif self.level and now - self._calm_since >= CALM_PERIOD_NS:
@@ -154,16 +154,16 @@
 
     def _level_to_enter(self):
         """Returns the highest level whose entry threshold was exceeded in enough evaluations; 0: none."""
-        wanted = 0
+        target = 0
         for index in range(1, len(LEVELS)):
             above = self.lost_share > LEVELS[index].enter_above
             self._evaluations_above[index] = self._evaluations_above[index] + 1 if above else 0
             if self._evaluations_above[index] >= ENTER_EVALUATIONS:
-                wanted = index
-        return wanted
+                target = index
+        return target
 
-    def _may_rise(self, now, wanted):
-        return not self.changes or now - self._changed_at >= CALM_PERIOD_NS or wanted == HIGHEST_LEVEL
+    def _may_raise(self, now, target):
+        return not self.changes or now - self._changed_at >= CALM_PERIOD_NS or target == HIGHEST_LEVEL
 
     def _level_after_calm(self):
         """Returns the highest milder level that the current loss would not leave; 0: none."""
