--- a/embertray/controller/degradation/loss_meter.py
+++ b/embertray/controller/degradation/loss_meter.py
@@ -92,7 +92,7 @@
         Returns:
             The lost share of the credit of first demand, 0 to 1; None: no load report is recent enough.
         """
-        wanted = 0.0
+        demanded = 0.0
         served = 0.0
         any_load = False
         periods = self._periods_since_last(now)
@@ -101,13 +101,13 @@
             if not loads:
                 continue
             any_load = True
-            wanted_rate, served_rate = self._rates(kind, loads, periods)
-            wanted += kind.credit * wanted_rate
+            demanded_rate, served_rate = self._rates(kind, loads, periods)
+            demanded += kind.credit * demanded_rate
             served += kind.credit * served_rate
         if not any_load:
             return None  # without reports, the estimates of first demand stay unchanged
         self._measured_at = now
-        return max(0.0, 1 - served / wanted) if wanted > 0 else 0.0
+        return max(0.0, 1 - served / demanded) if demanded > 0 else 0.0
 
     def load_count(self):
         """Returns the number of stored ProxyLoads."""
@@ -131,5 +131,5 @@
         marked = sum(load.marked for load in loads) if all_marked else None
         demand = self.demand[kind]
         demand.update(periods, arriving, arriving - served, marked)
-        wanted = min(demand.rate, arriving)  # requests that no longer arrive are not lost
-        return wanted, min(served, wanted)
+        demanded = min(demand.rate, arriving)  # requests that no longer arrive are not lost
+        return demanded, min(served, demanded)
