--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -193,12 +193,12 @@
             if proxy not in notified and (table is None or backend in self.tables[table].lines)
         ]
         notified.update(dict.fromkeys(recipients, True))
-        out = Withdrawal(backend.external_id, True)
-        return [MessagePart(proxy, out, 1) for proxy in recipients]
+        withdrawal = Withdrawal(backend.external_id, True)
+        return [MessagePart(proxy, withdrawal, 1) for proxy in recipients]
 
     def _restore(self, order):
-        back = Withdrawal(order.backend.external_id, False)
-        return [MessagePart(proxy, back, 1) for proxy in self.withdrawn.pop(order.backend, {})]
+        restoration = Withdrawal(order.backend.external_id, False)
+        return [MessagePart(proxy, restoration, 1) for proxy in self.withdrawn.pop(order.backend, {})]
 
     def _set_level(self, order):
         table = self.ordered_table(order.table)
--- a/embertray/controller/trust/catalog.py
+++ b/embertray/controller/trust/catalog.py
@@ -72,14 +72,14 @@
             return True
         if known is None:
             return False
-        drains = known.entry.state == "draining" and known.entry.started == entry.started
-        return known.entry.started > entry.started or drains
+        is_draining = known.entry.state == "draining" and known.entry.started == entry.started
+        return known.entry.started > entry.started or is_draining
 
     def _store(self, entry):
-        former = self.backends.get(entry.backend)
+        previous = self.backends.get(entry.backend)
         backend = KnownBackend(entry)
-        if former:
-            backend.copy_evidence_from(former)
+        if previous:
+            backend.copy_evidence_from(previous)
         self.backends[entry.backend] = backend
         self.tombstones.discard(entry.backend)
 
