--- a/embertray/controller/channel/admission.py
+++ b/embertray/controller/channel/admission.py
@@ -9,7 +9,7 @@
 
 NS_PER_SECOND = 10**9
 NS_PER_MS = 10**6
-HANDSHAKE_TIMEOUT_NS = 5 * NS_PER_SECOND  # the longest known pause of a proxy, 2 s, and a slow connection
+HANDSHAKE_TIMEOUT_NS = 5 * NS_PER_SECOND  # over a proxy's longest known pause (2 s) and a slow connection
 HANDSHAKES_MAX = 4096  # concurrent ones: four fleets that connect together; each takes 64 KiB
 CUT_BACKOFF_FIRST_NS = NS_PER_SECOND // 4  # upper bound after the first cut
 CUT_BACKOFF_MAX_NS = 16 * NS_PER_SECOND
--- a/embertray/controller/core/controller_core.py
+++ b/embertray/controller/core/controller_core.py
@@ -97,7 +97,7 @@
             The Step.
         """
         step = Step()
-        self.stall_watch.check_steady(now)  # updates the stall watch, whose result is used elsewhere
+        self.stall_watch.check_steady(now)  # at each step; the result is used elsewhere
         self._evaluate_degradation(now, step)
         orders = self.run_step(now, self.intake.release_due(now))
         if orders:
--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -3,7 +3,7 @@
 A level is entered when the lost share of credit (loss_meter.py) has been above its threshold for several
 evaluations, and left when it has been below a lower threshold for a whole calm period. With this hysteresis a
 load that oscillates around a threshold changes the level only once. The lost share covers the credit of all
-request kinds together.
+request kinds together; no kind is treated by its name.
 """
 
 from typing import NamedTuple
