--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -140,11 +140,11 @@
 
     def _create_subscriber(self, state):
         """Creates the state machine from the saved state of a previous process, if there is one."""
-        former = {}
+        saved_state = {}
         if state is not None:
-            former["entries"] = state.entries
-            former["revision"] = state.revision
-            former["known_at"] = known_at(state, self.clock)
+            saved_state["entries"] = state.entries
+            saved_state["revision"] = state.revision
+            saved_state["known_at"] = known_at(state, self.clock)
         self.subscriber = Subscriber(
             self.settings.cluster,
             self.settings.name,
@@ -153,7 +153,7 @@
             self.rng,
             self.timing,
             self.budget,
-            **former,
+            **saved_state,
         )
         self.connection = SubscriberConnection(
             self.subscriber,
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -102,10 +102,10 @@
             self.record_requests([(entry.request, entry.revision)])
         if not entry.key:
             return False  # the empty entry that opens a term
-        former = self.entries.get(entry.key)
-        if former is not None and former.revision >= entry.revision:
+        previous = self.entries.get(entry.key)
+        if previous is not None and previous.revision >= entry.revision:
             return False
-        self._replace(former, entry)
+        self._replace(previous, entry)
         self._add_version(entry)
         return True
 
@@ -135,9 +135,9 @@
 
     # ---- internals
 
-    def _replace(self, former, entry):
-        if former is not None and former.value is not None:
-            self._remove_live(former)
+    def _replace(self, previous, entry):
+        if previous is not None and previous.value is not None:
+            self._remove_live(previous)
         self.entries[entry.key] = entry
         insort(self.revision_index, (entry.revision, entry.key))
         if len(self.revision_index) > 2 * len(self.entries) + COMPACTION_SLACK:
