--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -163,67 +163,67 @@
             times.append(now + BUDGET_POLL_NS)
         self.schedule.wake(subscription, min(times))
 
-    def _serve(self, now, subscription, age, out):
+    def _serve(self, now, subscription, age, messages):
         if now >= subscription.heartbeat_at:
-            self._send_heartbeat(now, subscription, age, out)
+            self._send_heartbeat(now, subscription, age, messages)
         if subscription.expire_update(now):
             self.retries += 1
         if subscription.in_flight is not None:
             return
         if self._lacks_entries(subscription):
-            self._send_update(now, subscription, out)
+            self._send_update(now, subscription, messages)
         elif subscription.repairs:
-            self._send_inventory(now, subscription, out)
+            self._send_inventory(now, subscription, messages)
 
     def _lacks_entries(self, subscription):
         return subscription.confirmed < self.store().revision
 
-    def _send_heartbeat(self, now, subscription, age, out):
+    def _send_heartbeat(self, now, subscription, age, messages):
         subscription.heartbeat_at = now + self.settings.heartbeat_interval
         store = self.store()
         advertised_age = AGE_UNKNOWN if age is None else min(age, AGE_UNKNOWN)
         heartbeat = Heartbeat(store.revision, store.digest, advertised_age, subscription.stamp)
-        self._send(now, subscription, encode(heartbeat), out)
+        self._send(now, subscription, encode(heartbeat), messages)
 
-    def _send_update(self, now, subscription, out):
+    def _send_update(self, now, subscription, messages):
         recent_first = subscription.catching_up and subscription.recent_is_next
-        if not (recent_first and self._send_recent(now, subscription, out)):
-            self._send_missing(now, subscription, out)
+        if not (recent_first and self._send_recent(now, subscription, messages)):
+            self._send_missing(now, subscription, messages)
 
-    def _send_recent(self, now, subscription, out):
+    def _send_recent(self, now, subscription, messages):
         """Sends entries written since it subscribed, ahead of those it missed. Returns whether it did."""
         update = pack_recent(self.store(), subscription, self._available_bytes(now, subscription))
         if update is None:
             return False
         subscription.recent_update_sent(now, update.entries[-1].revision, self.settings)
-        self._send(now, subscription, encode(update), out)
+        self._send(now, subscription, encode(update), messages)
         return True
 
-    def _send_missing(self, now, subscription, out):
+    def _send_missing(self, now, subscription, messages):
         """Sends missing entries within the budget, unless that allows less than the minimum update."""
         room = self._available_bytes(now, subscription)
         update = pack_missing(self.store(), subscription, room, self.settings.min_update_bytes)
         if update is not None:
             subscription.update_sent(now, update.upto, self.settings)
-            self._send(now, subscription, encode(update), out)
+            self._send(now, subscription, encode(update), messages)
 
     def _available_bytes(self, now, subscription):
         """Bytes of entries that an update may carry now."""
         available = min(subscription.bucket.available(now), self.total_bucket.available(now))
         return available - FRAME_HEADER_BYTES - UPDATE_HEADER_BYTES
 
-    def _send_inventory(self, now, subscription, out):
+    def _send_inventory(self, now, subscription, messages):
         store = self.store()
         bucket = subscription.repairs[0]
         data = encode(Inventory(bucket, store.revision, store.inventory(bucket)))
         if subscription.bucket.allows(now, len(data)) and self.total_bucket.allows(now, len(data)):
             subscription.repairs.popleft()
-            self._send(now, subscription, data, out)
+            self._send(now, subscription, data, messages)
 
-    def _send(self, now, subscription, data, out):
+    def _send(self, now, subscription, data, messages):
         size = len(data) + FRAME_HEADER_BYTES
         for bucket in (subscription.bucket, self.total_bucket):
             bucket.available(now)
             bucket.spend(size)
         subscription.bytes_sent += size
-        out.append(SubscriberMessage(subscription.name, data))
+        messages.append(SubscriberMessage(subscription.name, data))
