--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -64,8 +64,8 @@
         self.store.advance(revision)
         self.freshness = Freshness(known_at)
         budget = budget or FeedSettings()
-        self.bucket = TokenBucket(budget.sustained_bytes_per_second, budget.burst_bytes, now)
-        self.bucket.limit(now, 0)  # a previous process may have spent the whole budget just now
+        self.token_bucket = TokenBucket(budget.sustained_bytes_per_second, budget.burst_bytes, now)
+        self.token_bucket.limit(now, 0)  # a previous process may have spent the whole budget just now
         self.actions = []
         self.applied = []
         self.connection_id = 0
@@ -139,8 +139,8 @@
             message: a Heartbeat, Update or Inventory.
             size: size of the message on the wire, bytes.
         """
-        self.bucket.available(now)
-        self.bucket.spend(size)
+        self.token_bucket.available(now)
+        self.token_bucket.spend(size)
         if connection_id != self.connection_id or not self.connected:
             return
         self.last_received_at = now
@@ -228,7 +228,7 @@
             self._subscribe(now, difference.missing_from - 1)
 
     def _subscribe(self, now, revision):
-        allowance = max(0, int(self.bucket.available(now)))
+        allowance = max(0, int(self.token_bucket.available(now)))
         self._send(Subscribe(self.cluster, VERSION, self.name, revision, now, allowance))
 
     def _send(self, message):
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -209,20 +209,20 @@
 
     def _available_bytes(self, now, subscription):
         """Bytes of entries that an update may carry now."""
-        available = min(subscription.bucket.available(now), self.total_bucket.available(now))
+        available = min(subscription.token_bucket.available(now), self.total_bucket.available(now))
         return available - FRAME_HEADER_BYTES - UPDATE_HEADER_BYTES
 
     def _send_inventory(self, now, subscription, messages):
         store = self.store()
         bucket = subscription.repairs[0]
         data = encode(Inventory(bucket, store.revision, store.inventory(bucket)))
-        if subscription.bucket.allows(now, len(data)) and self.total_bucket.allows(now, len(data)):
+        if subscription.token_bucket.allows(now, len(data)) and self.total_bucket.allows(now, len(data)):
             subscription.repairs.popleft()
             self._send(now, subscription, data, messages)
 
     def _send(self, now, subscription, data, messages):
         size = len(data) + FRAME_HEADER_BYTES
-        for bucket in (subscription.bucket, self.total_bucket):
+        for bucket in (subscription.token_bucket, self.total_bucket):
             bucket.available(now)
             bucket.spend(size)
         subscription.bytes_sent += size
--- a/embertray/cluster/replication/subscription.py
+++ b/embertray/cluster/replication/subscription.py
@@ -14,7 +14,7 @@
 
     Attributes:
         name: name of the subscriber.
-        bucket: TokenBucket of the bytes that may be sent to it.
+        token_bucket: TokenBucket of the bytes that may be sent to it.
         confirmed: revision up to which it has applied everything.
         catch_up_revision: the replica's revision when it subscribed; it catches up until that is confirmed.
         recent_sent: newest revision sent to it ahead of the entries that it missed.
@@ -31,7 +31,7 @@
     """
 
     name: str
-    bucket: TokenBucket
+    token_bucket: TokenBucket
     confirmed: int
     last_received_at: int
     heartbeat_at: int
@@ -61,7 +61,7 @@
         self.in_flight = None
         self.failures = 0
         self.stamp = message.stamp
-        self.bucket.limit(now, message.allowance)
+        self.token_bucket.limit(now, message.allowance)
 
     def confirm(self, now, message):
         """Handles a Confirm received at `now` (ns)."""
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -208,7 +208,7 @@
     """Knows no budget: sends everything, again and again."""
 
     def _send_update(self, now, one, out):
-        one.bucket.tokens = self.total_bucket.tokens = 10**9
+        one.token_bucket.tokens = self.total_bucket.tokens = 10**9
         super()._send_update(now, one, out)
         one.in_flight = None
 
