--- a/embertray/cluster/replication/feed_schedule.py
+++ b/embertray/cluster/replication/feed_schedule.py
@@ -10,22 +10,22 @@
     """Subscribers with pending events, and timers of the others.
 
     Attributes:
-        touched: names of subscribers with an event, in the order of the events; the values are not used.
+        pending: names of subscribers with an event, in the order of the events; the values are not used.
     """
 
     def __init__(self):
-        self.touched = {}
-        self._wakes = []  # heap of (ns, name); an item is valid if it matches its Subscription's wake_at
+        self.pending = {}
+        self._timers = []  # heap of (ns, name); an item is valid if it matches its Subscription's timer_at
 
-    def touch(self, names):
+    def mark_pending(self, names):
         """Marks subscribers to be served at the next call of `due`."""
-        self.touched.update(dict.fromkeys(names, True))
+        self.pending.update(dict.fromkeys(names, True))
 
-    def wake(self, subscription, when):
+    def set_timer(self, subscription, when):
         """Sets a subscriber's timer to `when` (ns), replacing its earlier one."""
-        if when != subscription.wake_at:
-            subscription.wake_at = when
-            heappush(self._wakes, (when, subscription.name))
+        if when != subscription.timer_at:
+            subscription.timer_at = when
+            heappush(self._timers, (when, subscription.name))
 
     def due(self, now, subscriptions):
         """Removes and returns the subscribers to serve.
@@ -37,15 +37,15 @@
         Returns:
             Names; some of these subscribers may have left.
         """
-        while self._wakes and self._wakes[0][0] <= now:
-            when, name = heappop(self._wakes)
+        while self._timers and self._timers[0][0] <= now:
+            when, name = heappop(self._timers)
             subscription = subscriptions.get(name)
-            if subscription is not None and subscription.wake_at == when:
-                self.touch([name])
-        names = list(self.touched)
-        self.touched = {}
+            if subscription is not None and subscription.timer_at == when:
+                self.mark_pending([name])
+        names = list(self.pending)
+        self.pending = {}
         return names
 
     def next_at(self, default):
         """Time in ns of the earliest timer, `default` if there is none."""
-        return self._wakes[0][0] if self._wakes else default
+        return self._timers[0][0] if self._timers else default
--- a/embertray/cluster/replication/link/replica_loop.py
+++ b/embertray/cluster/replication/link/replica_loop.py
@@ -52,7 +52,7 @@
         while True:
             self.events.run_all()
             now = self.clock.now()
-            if self.feed.schedule.touched:
+            if self.feed.schedule.pending:
                 self.feed_at = min(self.feed_at, now + FEED_INTERVAL_NS)
             if now >= self.replica.next_at():
                 self.replica.advance(now)
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -66,7 +66,7 @@
 
     def next_at(self, now):
         """Time in ns by which `advance` has to be called."""
-        if self.schedule.touched or self.seen_revision != self.store().revision:
+        if self.schedule.pending or self.seen_revision != self.store().revision:
             return now
         return self.schedule.next_at(now + self.settings.heartbeat_interval)
 
@@ -84,7 +84,7 @@
             SubscriberRejectedError: the connection has to be closed.
         """
         subscription = self.subscriptions.get(name)
-        self.schedule.touch([name])
+        self.schedule.mark_pending([name])
         if isinstance(message, Subscribe):
             self._subscribe(now, name, message)
         elif subscription is None:
@@ -152,7 +152,7 @@
         """Names of the subscribers to serve: all if the store has changed, else those that are due."""
         if self.seen_revision != self.store().revision:
             self.seen_revision = self.store().revision
-            self.schedule.touch(self.subscriptions)
+            self.schedule.mark_pending(self.subscriptions)
         return self.schedule.due(now, self.subscriptions)
 
     def _schedule_next(self, now, subscription):
@@ -161,7 +161,7 @@
             times.append(subscription.retry_at)
         elif self._lacks_entries(subscription) or subscription.repairs:
             times.append(now + BUDGET_POLL_NS)
-        self.schedule.wake(subscription, min(times))
+        self.schedule.set_timer(subscription, min(times))
 
     def _serve(self, now, subscription, age, messages):
         if now >= subscription.heartbeat_at:
--- a/embertray/cluster/replication/subscription.py
+++ b/embertray/cluster/replication/subscription.py
@@ -27,7 +27,7 @@
         stamp: the newest stamp received from it, ns of its clock.
         repairs: digest buckets whose inventory has to be sent to it.
         bytes_sent: total bytes sent, including frame headers.
-        wake_at: ns when it is served next if no event occurs.
+        timer_at: ns when it is served next if no event occurs.
     """
 
     name: str
@@ -44,7 +44,7 @@
     stamp: int = 0
     repairs: deque = field(default_factory=deque)
     bytes_sent: int = 0
-    wake_at: int = 0
+    timer_at: int = 0
 
     @property
     def catching_up(self):
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -185,7 +185,7 @@
             self.subscribe(f"s{n}")
         self.advance()
         self.feed.receive(self.now, "s7", Confirm(0, self.now))
-        self.assertEqual(list(self.feed.schedule.touched), ["s7"])
+        self.assertEqual(list(self.feed.schedule.pending), ["s7"])
         self.assertEqual(self.feed._due(self.now), ["s7"])
 
     def test_a_spoilt_subscriber_is_repaired(self):
