--- a/embertray/cluster/replication/link/status.py
+++ b/embertray/cluster/replication/link/status.py
@@ -134,7 +134,7 @@
         steps=server.loop.steps,
         writes_waiting=len(server.writes.pending),
         update_retries=feed.retries,
-        silent_subscribers=feed.silent,
+        silent_subscribers=feed.silent_drops,
         traffic=server.traffic,
     )
 
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -36,7 +36,7 @@
     Attributes:
         subscriptions: name -> Subscription.
         retries: number of updates that were not confirmed in time.
-        silent: number of subscribers dropped because they sent nothing.
+        silent_drops: number of subscribers dropped because they sent nothing.
     """
 
     def __init__(self, cluster, store, now, settings=None):
@@ -49,7 +49,7 @@
         self.schedule = FeedSchedule()
         self.seen_revision = 0  # the store's revision when subscribers were last served
         self.retries = 0
-        self.silent = 0
+        self.silent_drops = 0
 
     # ---- queries
 
@@ -145,7 +145,7 @@
             self._schedule_next(now, subscription)
         for name in out.silent:
             self.unsubscribe(name)
-        self.silent += len(out.silent)
+        self.silent_drops += len(out.silent)
         return out
 
     def _due(self, now):
