--- a/embertray/cluster/replication/codec.py
+++ b/embertray/cluster/replication/codec.py
@@ -20,11 +20,11 @@
 )
 
 _encoder = msgspec.msgpack.Encoder()
-_between_replicas = msgspec.msgpack.Decoder(
+_replica_message_decoder = msgspec.msgpack.Decoder(
     VoteRequest | Vote | Append | Install | Appended | RecoverRequest | RecoverReply
 )
-_from_subscriber = msgspec.msgpack.Decoder(Subscribe | Confirm | Repair)
-_to_subscriber = msgspec.msgpack.Decoder(Heartbeat | Update | Inventory)
+_from_subscriber_decoder = msgspec.msgpack.Decoder(Subscribe | Confirm | Repair)
+_to_subscriber_decoder = msgspec.msgpack.Decoder(Heartbeat | Update | Inventory)
 
 
 def encode(message):
@@ -34,17 +34,17 @@
 
 def decode_replica_message(data):
     """Decodes a message from another replica. Raises MalformedMessageError."""
-    return _decode(_between_replicas, data)
+    return _decode(_replica_message_decoder, data)
 
 
 def decode_from_subscriber(data):
     """Decodes a message from a subscriber. Raises MalformedMessageError."""
-    return _decode(_from_subscriber, data)
+    return _decode(_from_subscriber_decoder, data)
 
 
 def decode_to_subscriber(data):
     """Decodes a message from a replica to a subscriber. Raises MalformedMessageError."""
-    return _decode(_to_subscriber, data)
+    return _decode(_to_subscriber_decoder, data)
 
 
 def _decode(decoder, data):
