--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -159,17 +159,19 @@
 
     async def _serve(self, task_status):
         async with (
-            self._listening(self.settings.peers[self.settings.name]) as for_peers,
-            self._listening(self.settings.listen) as for_subscribers,
+            self._listening(self.settings.peers[self.settings.name]) as peer_listener,
+            self._listening(self.settings.listen) as subscriber_listener,
             anyio.create_task_group() as group,
         ):
-            group.start_soon(for_peers.serve, self.peers.serve, group)
-            group.start_soon(for_subscribers.serve, self.subscribers.serve, group)
+            group.start_soon(peer_listener.serve, self.peers.serve, group)
+            group.start_soon(subscriber_listener.serve, self.subscribers.serve, group)
             for link in self.links.values():
                 group.start_soon(link.run)
             group.start_soon(self.loop.run)
-            self.log.info("listening", replicas=for_peers.address, subscribers=for_subscribers.address)
-            task_status.started((for_peers.address, for_subscribers.address))
+            self.log.info(
+                "listening", replicas=peer_listener.address, subscribers=subscriber_listener.address
+            )
+            task_status.started((peer_listener.address, subscriber_listener.address))
             await self.stopping.wait()
             group.cancel_scope.cancel()
         if self.loop.failure is not None:
