--- a/embertray/cluster/replication/link/connection.py
+++ b/embertray/cluster/replication/link/connection.py
@@ -67,7 +67,7 @@
         self.max_queued = max_queued
         self.overflow = overflow
         self.queue = deque()
-        self.wake = anyio.Event()
+        self.message_queued = anyio.Event()
         self.scope = anyio.CancelScope()
         self.name = ""
 
@@ -84,7 +84,7 @@
                 return False
             self.queue.popleft()
         self.queue.append(data)
-        self.wake.set()
+        self.message_queued.set()
         return fits
 
     def close(self):
@@ -97,8 +97,8 @@
             while True:
                 while self.queue:
                     await self._write_next()
-                self.wake = anyio.Event()
-                await self.wake.wait()
+                self.message_queued = anyio.Event()
+                await self.message_queued.wait()
         finally:
             self.traffic.dropped += len(self.queue)
 
