--- a/embertray/cluster/replication/propagation_bounds.py
+++ b/embertray/cluster/replication/propagation_bounds.py
@@ -47,9 +47,9 @@
     @property
     def election(self):
         """From a leader's failure until the next leader has committed, ns; allows for one failed election."""
-        rounds = 2 * (2 * self.message_delay + self.network.save_delay)
-        opening = 2 * (self.message_delay + self.network.save_delay)
-        return 2 * self.replica.election_timeout_max + rounds + opening
+        vote_rounds = 2 * (2 * self.message_delay + self.network.save_delay)
+        first_commit = 2 * (self.message_delay + self.network.save_delay)
+        return 2 * self.replica.election_timeout_max + vote_rounds + first_commit
 
     @property
     def replica_switch(self):
@@ -68,8 +68,8 @@
         Returns:
             ns.
         """
-        notice = self.subscriber.silence_timeout + min(dead, listed - 1) * self.replica_switch
-        return max(notice, self.election) + self.feed.heartbeat_interval + self.good
+        switch = self.subscriber.silence_timeout + min(dead, listed - 1) * self.replica_switch
+        return max(switch, self.election) + self.feed.heartbeat_interval + self.good
 
     @property
     def any_fault(self):
@@ -78,9 +78,16 @@
         A majority of the replicas can reach each other again, and the subscriber one of them. The bound
         covers an election, followed by a round of the subscriber through all replicas that were stale.
         """
-        visit = self.subscriber.stale_after + self.feed.heartbeat_interval + self.replica_switch
+        stale_visit = self.subscriber.stale_after + self.feed.heartbeat_interval + self.replica_switch
         pause = self.subscriber.max_retry_delay + self.replica_switch
-        return self.election + visit + 2 * self.replica_switch + pause + self.feed.max_retry_delay + self.good
+        return (
+            self.election
+            + stale_visit
+            + 2 * self.replica_switch
+            + pause
+            + self.feed.max_retry_delay
+            + self.good
+        )
 
     def waiting(self, size):
         """Time in ns that a write waits behind `size` queued bytes, at a subscriber's sustained rate."""
