--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -201,8 +201,8 @@
 
     def _send_missing(self, now, subscription, messages):
         """Sends missing entries within the budget, unless that allows less than the minimum update."""
-        room = self._available_bytes(now, subscription)
-        update = pack_missing(self.store(), subscription, room, self.settings.min_update_bytes)
+        available_bytes = self._available_bytes(now, subscription)
+        update = pack_missing(self.store(), subscription, available_bytes, self.settings.min_update_bytes)
         if update is not None:
             subscription.update_sent(now, update.upto, self.settings)
             self._send(now, subscription, encode(update), messages)
