--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -133,20 +133,20 @@
         Returns:
             FeedInstructions.
         """
-        out = FeedInstructions([], [])
+        instructions = FeedInstructions([], [])
         for name in self._due(now):
             subscription = self.subscriptions.get(name)
             if subscription is None:
                 continue
             if now - subscription.last_received_at > self.settings.silence_timeout:
-                out.silent.append(name)
+                instructions.silent.append(name)
                 continue
-            self._serve(now, subscription, age, out.messages)
+            self._serve(now, subscription, age, instructions.messages)
             self._schedule_next(now, subscription)
-        for name in out.silent:
+        for name in instructions.silent:
             self.unsubscribe(name)
-        self.silent_drops += len(out.silent)
-        return out
+        self.silent_drops += len(instructions.silent)
+        return instructions
 
     def _due(self, now):
         """Names of the subscribers to serve: all if the store has changed, else those that are due."""
