--- a/embertray/cluster/replication/update_packing.py
+++ b/embertray/cluster/replication/update_packing.py
@@ -28,7 +28,7 @@
         min_update_bytes: smallest size, in bytes, of an update that leaves entries behind.
 
     Returns:
-        An Update; None if it has to wait for more available_bytes.
+        An Update; None if it has to wait for a larger budget.
     """
     entries, too_large = _entries_that_fit(store.entries_since(subscription.confirmed), available_bytes)
     size = sum(entry.size for entry in entries)
