--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -46,7 +46,7 @@
         stream.conn.put(data)
         self._service.counters.messages += 1
 
-    def check_steady(self, now):
+    def check(self, now):
         """Cuts proxies that do not read, and goes on with a graceful shutdown.
 
         Args:
