--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -13,17 +13,18 @@
     def advance(self, now):
         step = super().advance(now)
         step.outgoing = [
-            (name, with_orders(m, [do for do in m.do if not is_removal(do)])) for name, m in step.outgoing
+            (name, with_orders(message, [order for order in message.do if not is_removal(order)]))
+            for name, message in step.outgoing
         ]
         return step
 
 
-def is_removal(do):
-    return isinstance(do, Line) and do.weight == 0 or type(do).__name__ == "Withdrawal" and do.out
+def is_removal(order):
+    return isinstance(order, Line) and order.weight == 0 or type(order).__name__ == "Withdrawal" and order.out
 
 
-def with_orders(message, do):
-    return Orders(message.stamp, message.cost, do, message.nonce)
+def with_orders(message, orders):
+    return Orders(message.stamp, message.cost, orders, message.nonce)
 
 
 class SendsEmptyTables(ControllerCore):
@@ -35,15 +36,15 @@
             (
                 name,
                 with_orders(
-                    m,
+                    message,
                     [
-                        Bind(do.table, [], do.levels, do.out) if isinstance(do, Bind) else do
-                        for do in m.do
-                        if not isinstance(do, Line)
+                        Bind(order.table, [], order.levels, order.out) if isinstance(order, Bind) else order
+                        for order in message.do
+                        if not isinstance(order, Line)
                     ],
                 ),
             )
-            for name, m in step.outgoing
+            for name, message in step.outgoing
         ]
         return step
 
@@ -57,16 +58,21 @@
             (
                 name,
                 with_orders(
-                    m,
+                    message,
                     [
-                        Bind(do.table, do.lines, [(k.external_id, 1.0, 3) for k in self.site.kinds], do.out)
-                        if isinstance(do, Bind)
-                        else do
-                        for do in m.do
+                        Bind(
+                            order.table,
+                            order.lines,
+                            [(kind.external_id, 1.0, 3) for kind in self.site.kinds],
+                            order.out,
+                        )
+                        if isinstance(order, Bind)
+                        else order
+                        for order in message.do
                     ],
                 ),
             )
-            for name, m in step.outgoing
+            for name, message in step.outgoing
         ]
         return step
 
@@ -80,28 +86,29 @@
 
     def advance(self, now):
         step = super().advance(now)
-        new = {
+        cold_backends = {
             backend.external_id
             for backend in self.identifiers.backends.values()
             if backend.policy_state and backend.policy_state.started > 0
         }
         step.outgoing = [
-            (name, with_orders(m, [overweight_cold(do, new) for do in m.do])) for name, m in step.outgoing
+            (name, with_orders(message, [overweight_cold(order, cold_backends) for order in message.do]))
+            for name, message in step.outgoing
         ]
         return step
 
 
-def overweight_cold(do, new):
-    if isinstance(do, Line) and do.backend in new and do.weight:
-        return Line(do.table, do.backend, 100.0)
-    if isinstance(do, Bind):
+def overweight_cold(order, cold_backends):
+    if isinstance(order, Line) and order.backend in cold_backends and order.weight:
+        return Line(order.table, order.backend, 100.0)
+    if isinstance(order, Bind):
         return Bind(
-            do.table,
-            [(backend, 100.0 if backend in new else w) for backend, w in do.lines],
-            do.levels,
-            do.out,
+            order.table,
+            [(backend, 100.0 if backend in cold_backends else weight) for backend, weight in order.lines],
+            order.levels,
+            order.out,
         )
-    return do
+    return order
 
 
 class ResendsUnchangedTables(ControllerCore):
@@ -109,7 +116,7 @@
 
     def advance(self, now):
         for table, ordered_table in self.outbox.tables.items():
-            orders = [i.SetLine(table, backend, w) for backend, w in ordered_table.lines.items()]
+            orders = [i.SetLine(table, backend, weight) for backend, weight in ordered_table.lines.items()]
             for proxy, message, _ in self.outbox.build_messages(now, orders):
                 self.pacer.enqueue(now, proxy, message.cost, message)
         return super().advance(now)
@@ -131,5 +138,5 @@
         return super().advance(now)
 
 
-def other(site, **facts):
+def replace_settings(site, **facts):
     return replace(site, **facts)
