--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -1,4 +1,4 @@
-"""Controllers that each break one rule, to show that its check can fail."""
+"""Faulty controllers, each violating one rule, to show that the checks detect the violation."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 
 
 class DropsRemovals(ControllerCore):
-    """Removals and withdrawals never leave."""
+    """Never sends removals or withdrawals."""
 
     def advance(self, now):
         step = super().advance(now)
@@ -28,7 +28,7 @@
 
 
 class SendsEmptyTables(ControllerCore):
-    """Proxies are bound to tables without lines, which come too late: never."""
+    """Binds proxies to tables without lines, and never sends the lines."""
 
     def advance(self, now):
         step = super().advance(now)
@@ -50,7 +50,7 @@
 
 
 class RetriesNonReplayable(ControllerCore):
-    """Whatever fails is tried twice more, also what must not run twice."""
+    """Lets proxies retry all failed requests twice, including non-replayable ones."""
 
     def advance(self, now):
         step = super().advance(now)
@@ -78,7 +78,7 @@
 
 
 class OverloadsColdBackends(ControllerCore):
-    """The module is told that nothing starts cold, and a cold one gets a hundred times its part."""
+    """Disables slow start, and gives a cold backend a hundred times its weight."""
 
     def __init__(self, site, *rest):
         super().__init__(site.at(cold_speed=1.0, warm_up_time=0, overload_multiple=0.0), *rest)
@@ -112,7 +112,7 @@
 
 
 class ResendsUnchangedTables(ControllerCore):
-    """Orders every table anew on each step, whatever waits."""
+    """Resends every table in each step, whatever is pending."""
 
     def advance(self, now):
         for table, ordered_table in self.outbox.tables.items():
@@ -123,7 +123,7 @@
 
 
 class TooManyMessages(ControllerCore):
-    """A message for each beat to each proxy."""
+    """Sends each proxy a message in every control cycle."""
 
     def advance(self, now):
         if now - getattr(self, "last", 0) > 250_000_000:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,4 +1,4 @@
-"""Plays scenario files to the module. The notation is told in tests/scenes/README.txt."""
+"""Plays scene files against the policy. tests/scenes/README.txt describes the notation."""
 
 import operator
 import sys
@@ -99,7 +99,7 @@
         self.acknowledgement_delay = {"on": 0, "off": 10**18}.get(delay, parse_value(delay))
 
     def do_hear(self, name, *pairs):
-        """Every second from now on, the same report; tries=0 ends it."""
+        """Repeats a report every second from now on; tries=0 ends it."""
         self.repeated_reports |= {
             one: {k: parse_value(v) for k, v in (p.split("=") for p in pairs)} for one in name.split(",")
         }
@@ -108,9 +108,7 @@
         self.repeated_reports[(name, kind)] = parse_value(reqs)
 
     def do_at(self, when):
-        """Steps to a time from the start, a quarter of a second each, with the steady reports at each
-        second.
-        """
+        """Steps every quarter of a second to a time after the start, with repeated reports each second."""
         self.step()
         self.orders, until = [], 10 * UNITS["s"] + parse_value(when)
         while self.now < until:
@@ -177,7 +175,7 @@
         self.messages += [(self.now, name) for name in touched]
 
     def check(self, what, *words):
-        """One line of what must be seen; gives a text when it is not."""
+        """Checks one `see` line; returns the reason if it does not hold, else None."""
         if what in ("bind", "subscribe", "log"):
             seen = [
                 order
--- a/tests/test_all.py
+++ b/tests/test_all.py
@@ -1,4 +1,4 @@
-"""The one runner: every scenario of tests/scenes, and the started adapter."""
+"""Tests of the policy on all scenes of tests/scenes, and of the adapter as a process."""
 
 import subprocess
 import sys
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,5 +1,6 @@
-"""What a step of the module costs, counted in lines of its code that run, not in time: same verdict every
-time.
+"""Tests of the cost of a policy step.
+
+The cost is the number of executed lines, not time, so that the result is deterministic.
 """
 
 import re
@@ -14,7 +15,7 @@
 
 
 def settled_fleet(backends, proxies):
-    """All proxies are bound and every backend was heard of."""
+    """Returns a fleet with all proxies bound and reports on every backend."""
     fleet = Fleet(Controller, backends, proxies, channel_rate=3 * proxies, pending_max=24 * proxies)
     fleet.run(11 * S)
     fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
@@ -28,7 +29,7 @@
 
 
 def count_lines(fleet, events, wait=250 * MS):
-    """Lines of embertray/policy that one step runs, loops in comprehensions by turn."""
+    """Returns the lines of embertray/policy executed by one step; each pass of a comprehension counts."""
     count = 0
 
     def trace_lines(frame, event, _):
@@ -57,14 +58,12 @@
         cls.small, cls.large = settled_fleet(100, 400), settled_fleet(600, 2000)
 
     def test_the_cost_of_a_cycle_grows_linearly_with_the_fleet(self):
-        """Six times the backends and five times the proxies: about six times the lines, not thirty."""
+        """Six times the backends and five times the proxies execute about six times the lines, not thirty."""
         small, large = (max(count_lines(fleet, []) for _ in range(8)) for fleet in (self.small, self.large))
         self.assertLess(large, 6.5 * small)
 
     def test_a_join_between_cycles_scans_no_tables(self):
-        """A few lines for each proxy that is here (who uses which table), none for each backend, line or
-        table.
-        """
+        """Allows a few lines per proxy, to find the users of each table; none per backend, line or table."""
         for fleet in (self.small, self.large):
             proxy = fleet.proxies[7]
             count_lines(fleet, [])
@@ -72,7 +71,7 @@
             joined = count_lines(fleet, [i.ProxyJoined(proxy, fleet.zones[1], 1.0, False)], 5 * MS)
             self.assertLess(left, 200)
             self.assertLess(joined, 20 * len(fleet.proxies))
-            self.assertGreater(count_lines(fleet, []), 3 * joined)  # the count sees what a beat does
+            self.assertGreater(count_lines(fleet, []), 3 * joined)  # the count includes the work of a cycle
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The module at the size of a whole fleet, against a stand-in of the relay's channel."""
+"""Tests of the policy with a whole fleet, against a stand-in of the relay's channel."""
 
 import unittest
 from unittest import mock
@@ -13,8 +13,14 @@
 
 
 def join_during_drains(proxies, **site):
-    """All proxies come within half a second, each with lines of a fifth of the list; 120 of 200 backends
-    leave in three waves, and as many cold ones come."""
+    """Runs a fleet in which all proxies join within half a second and backends are replaced in waves.
+
+    Each proxy holds lines for a fifth of the list. In three waves 120 of 200 backends drain and as many cold
+    backends start.
+
+    Returns:
+        The `Fleet`.
+    """
     fleet = Fleet(Controller, 200, proxies, **site)
     fleet.run(11 * S)
     for part in range(4):
@@ -36,15 +42,15 @@
         self.assertEqual(len(fleet.bound), 1600)
         self.assertLessEqual(fleet.channel.pending_lines_max, fleet.deployment.pending_max)
         self.assertLess(max(fleet.without_lines_ns.values(), default=0), fleet.deployment.no_backend_limit)
-        self.assertLess(len(set(fleet.bound.values())), 1600 / 5)  # shared tables still
+        self.assertLess(len(set(fleet.bound.values())), 1600 / 5)  # tables are still shared
 
     def test_whole_tables_miss_the_drain_grace(self):
-        """The stand-in tells a controller that fails: one whose tables all hold the whole list."""
+        """Shows that the stand-in detects a failing controller, whose tables all hold the whole list."""
         with mock.patch.object(RoutingTables, "lines_max", lambda self: 0):
             self.assertGreater(len(join_during_drains(400).overdue), 1000)
 
     def test_no_table_is_left_without_a_line_while_few_are_warm(self):
-        """In a jam cold backends get no lines: the few that do must stand in every part."""
+        """Guards against empty tables under congestion, when only the few warm backends get lines."""
         fleet = join_during_drains(400)
         tables = fleet.module.publisher.tables
         zone_tables = next(iter(tables.zones.values()))
@@ -61,7 +67,7 @@
         all_ready = {backend: 1.0 for backend in fleet.module.backends if backend.state == "ready"}
         zone_tables.assign(
             all_ready, tables.lines_max(), tables.usual_rates()
-        )  # and once there are enough each has its own again
+        )  # with enough backends each table has its own again
         self.assertEqual(
             sorted(
                 backend.handle.external_id
@@ -73,15 +79,16 @@
         )
 
     def test_a_table_without_lines_does_not_wait_behind_weights(self):
-        """Seen for 7 s: all of a part's lines were removed, and each beat other tables' weights took the room
-        first.
+        """Guards against a table that stays empty for 7 s after all its lines were removed.
+
+        This happened when weights of other tables used up the channel budget in each control cycle.
         """
         fleet = join_during_drains(400)
         empty_table = next(proxy.table for proxy in fleet.module.proxies if proxy.table)
         empty_table.sent.clear()
         with mock.patch.object(
             ChannelBudget, "pending_lines", lambda self: 0.4 * self.context.deployment.pending_max
-        ):  # no room for weights or cuts
+        ):  # no room for weights or weight cuts
             fleet.run(fleet.now + S)
         self.assertGreaterEqual(len(empty_table.sent), 8)
 
@@ -90,7 +97,7 @@
         fleet.run(10500 * MS)
         fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
         fleet.run(12 * S)
-        # The channel stands still, then writes at once what has waited.
+        # The channel stalls, then writes all pending messages at once.
         fleet.channel.free_at = fleet.now + 9 * S
         for second in range(25):
             fleet.change_list("changes", [fleet.backends[second % 6 - 1]], "ready", 1)
@@ -108,7 +115,7 @@
                 fleet.join([proxy], lambda proxy: fleet.backends[:5])
                 fleet.run(fleet.now + 10 * MS, 10 * MS)
         self.assertEqual(len(fleet.bound), 100)
-        self.assertLessEqual(plan.call_count, 5)  # a second of joins: four beats and one
+        self.assertLessEqual(plan.call_count, 5)  # one second of joins: four cycles and one more
 
     def test_tables_are_whole_if_the_channel_can_deliver_them(self):
         fleet = Fleet(Controller, 30, 100, channel_rate=5000.0, pending_max=5000.0)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The floors of the package: imports point down only, and the decisions import nothing but themselves."""
+"""Tests of the package layers: imports point downwards only, and the policy imports only itself."""
 
 import ast
 import unittest
@@ -6,7 +6,7 @@
 
 PACKAGE = Path(__file__).resolve().parent.parent / "embertray"
 
-# floor -> the floors that it may import beside itself
+# layer -> the other layers that it may import
 MAY_IMPORT = {
     "policy": set(),
     "common": set(),
@@ -22,7 +22,7 @@
 
 
 def imported_modules(path):
-    """Dotted names of the package's modules that a file imports, wherever the import stands."""
+    """Yields the dotted names of the package's modules that a file imports at any place."""
     package = ("embertray", *path.relative_to(PACKAGE).parts[:-1])
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -49,7 +49,7 @@
                     self.assertIn(module.split(".")[1], MAY_IMPORT[layer] | {layer})
 
     def test_processes_know_nothing_of_scenarios(self):
-        """The process harness is used by scenarios; an import back would make a cycle."""
+        """Scenarios use the process harness; an import in the other direction would be a cycle."""
         for path in sorted((PACKAGE / "simulation" / "processes").glob("*.py")):
             for module in imported_modules(path):
                 with self.subTest(path=path.name, imports=module):
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -1,6 +1,8 @@
-"""The module on recorded streams of events: a change that must decide nothing else gives the same orders to
-the byte. Where decisions are changed on purpose, the streams are recorded anew (python -m
-embertray.experiments.measure.recorded record)."""
+"""Tests of the policy on recorded event streams, and of its imports and constants.
+
+A change that is not meant to alter decisions must give the same orders, byte for byte. Where decisions are
+changed on purpose, record the streams again (python -m embertray.experiments.measure.recorded record).
+"""
 
 import ast
 import tomllib
@@ -16,7 +18,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 POLICY = ROOT / "embertray" / "policy"
-# what the decisions may use of the standard library: nothing that reads a clock, a file, a socket or chance
+# standard library modules that the policy may use: none reads a clock, file, socket or source of randomness
 STANDARD_MODULES = {"collections", "dataclasses", "statistics", "typing", "zlib"}
 
 
@@ -39,10 +41,10 @@
                         self.assertTrue(is_own or node.module in STANDARD_MODULES, node.module)
                     elif isinstance(node, ast.ImportFrom):
                         depth = len(path.relative_to(POLICY).parts)
-                        self.assertLessEqual(node.level, depth, "an import from outside the decisions")
+                        self.assertLessEqual(node.level, depth, "an import from outside the policy")
 
     def test_the_interface_and_the_records_hold_no_tuned_value(self):
-        """Their only numbers are units of time, floors, flags and defaults of settings."""
+        """Guards against tuning constants there; their only module-level constant is a unit of time."""
         for path in sorted([POLICY / "interface.py", *(POLICY / "records").glob("*.py")]):
             for node in ast.parse(path.read_text()).body:
                 if isinstance(node, ast.Assign):
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets of a zone's lines: which tables proxies get, through the whole decision module."""
+"""Tests of subsetting: which tables proxies get from the policy as a whole."""
 
 import unittest
 from collections import Counter
@@ -6,14 +6,14 @@
 from embertray.policy import Controller, interface as i
 
 S = 10**9
-BACKENDS = 160  # twenty tables of eight lines
+BACKENDS = 160  # 20 tables of 8 lines
 CONTROLLERS = 5
 PROXIES = 400
 
 
 class Subsets(unittest.TestCase):
     def bind(self, joining):
-        """Table -> how many of so many `joining` proxies are bound to it."""
+        """Returns table -> number of proxies bound to it, after `joining` proxies joined at once."""
         zone = i.Zone("z")
         deployment = i.Deployment(
             [],
@@ -37,7 +37,7 @@
         self.assertEqual((len(proxies_by_table), set(proxies_by_table.values())), (16, {5}))
 
     def test_a_controller_that_took_over_all_proxies_uses_every_table(self):
-        """Guards against backends that get next to nothing, while the others get their load as well."""
+        """Guards against tables without proxies, whose backends would leave their load to the others."""
         proxies_by_table = self.bind(PROXIES)
         self.assertEqual((len(proxies_by_table), set(proxies_by_table.values())), (20, {20}))
 
