--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -123,9 +123,11 @@
             table.compact()
         for known in (context.backends, context.proxies):
             gone = [
-                one for one in known if one.gone_at is not None and context.now - one.gone_at > PRUNE_AFTER
+                state
+                for state in known
+                if state.gone_at is not None and context.now - state.gone_at > PRUNE_AFTER
             ]
-            for departed in gone:
-                if self.publisher.release(departed):
-                    departed.handle.policy_state = None
-                    known.remove(departed)
+            for state in gone:
+                if self.publisher.release(state):
+                    state.handle.policy_state = None
+                    known.remove(state)
--- a/embertray/policy/endpoint_removal.py
+++ b/embertray/policy/endpoint_removal.py
@@ -67,7 +67,7 @@
             for table in proxies_by_table
         }
         oldest_by_table = {
-            table: min((self.pending[one] for one in backends), default=0)
+            table: min((self.pending[backend] for backend in backends), default=0)
             for table, backends in pending_by_table.items()
         }
         for table, backends in sorted(pending_by_table.items(), key=lambda item: oldest_by_table[item[0]]):
--- a/embertray/policy/endpoint_watch.py
+++ b/embertray/policy/endpoint_watch.py
@@ -53,7 +53,9 @@
         self.failures = 0
         named = {entry.backend for entry in update.entries}
         known = self.context.backends if update.how in ("whole", "cached") else []
-        missing = [Endpoint(one.handle, one.zone, "gone") for one in known if one.handle not in named]
+        missing = [
+            Endpoint(backend.handle, backend.zone, "gone") for backend in known if backend.handle not in named
+        ]
         return [(self._backend_state(entry.backend), entry) for entry in update.entries + missing]
 
     def _schedule_resubscription(self):
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -73,7 +73,9 @@
         failed = {row.backend: row.short_window.failed / row.short_window.attempts for row in rows}
         quartile = sorted(failed.values())[len(failed) // 4] if failed else 0
         ejections_left = int(EJECTED_SHARE_MAX * len(stats)) - sum(row.backend.health < 1 for row in stats)
-        outliers = [one for one, share in failed.items() if share > FAILED_SHARE_ABOVE_PEERS + quartile]
+        outliers = [
+            backend for backend, share in failed.items() if share > FAILED_SHARE_ABOVE_PEERS + quartile
+        ]
         for backend in sorted(outliers, key=lambda backend: -failed[backend]):
             if backend.health < 1 or ejections_left > 0:
                 ejections_left -= backend.health >= 1
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -64,14 +64,16 @@
             self.tables[0].desired = desired
             return self.tables
         self._table_by_backend = {
-            one: table for one, table in self._table_by_backend.items() if one.state == "ready"
+            backend: table for backend, table in self._table_by_backend.items() if backend.state == "ready"
         }
         demand = self._demand(rates)
         for zone in dict.fromkeys(backend.zone for backend in desired):
             zone_weights = {backend: weight for backend, weight in desired.items() if backend.zone is zone}
             self._assign_zone(zone_weights, demand)
         for table in self.tables:
-            moved = [one for one in table.sent if self._table_by_backend.get(one, table) is not table]
+            moved = [
+                backend for backend in table.sent if self._table_by_backend.get(backend, table) is not table
+            ]
             table.desired = dict.fromkeys(moved, 0)
         for backend, weight in desired.items():
             self._table_by_backend[backend].desired[backend] = weight
@@ -128,13 +130,13 @@
         donor = min(deficit, key=deficit.get)
         gap = deficit[receiver] - deficit[donor]
         movable = [
-            one
-            for one, weight in zone_weights.items()
-            if self._table_by_backend[one] is donor and weight < gap
+            backend
+            for backend, weight in zone_weights.items()
+            if self._table_by_backend[backend] is donor and weight < gap
         ]
         if not movable:
             return False
-        backend = min(movable, key=lambda one: abs(zone_weights[one] - gap / 2))
+        backend = min(movable, key=lambda backend: abs(zone_weights[backend] - gap / 2))
         self._table_by_backend[backend] = receiver
         deficit[receiver] -= zone_weights[backend]
         deficit[donor] += zone_weights[backend]
