--- a/embertray/benchlink/controller.py
+++ b/embertray/benchlink/controller.py
@@ -35,10 +35,10 @@
         if "load" not in values:
             return {}
         try:
-            figures = [parse_float(text) for text in values["load"].split(",")]
+            metrics = [parse_float(text) for text in values["load"].split(",")]
         except ValueError:
             raise WireError(f"'{values['load']}' is not a valid load report") from None
-        return dict(zip(self.load_metrics, figures, strict=False))
+        return dict(zip(self.load_metrics, metrics, strict=False))
 
     def request_kind(self, values):
         """Returns the interface.RequestKind in a line."""
--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -41,14 +41,14 @@
 NO_DATA = "-"
 
 
-def boolean(text):
+def parse_boolean(text):
     """Parses "0" or "1". Raises ValueError for other texts."""
     if text in ("0", "1"):
         return text == "1"
     raise ValueError(text)
 
 
-def microseconds(text):
+def parse_microseconds(text):
     """Parses a time on the wire to ns. Raises ValueError."""
     return int(text) * NS_PER_US
 
@@ -61,7 +61,7 @@
 
     key: str
     term: str
-    read: Callable
+    parse: Callable
     required: bool = False
 
 
@@ -70,13 +70,13 @@
 TABLE = Field("route-table", "table", int, True)
 REQUEST_KIND = Field("class", "request_kind", str, True)
 ZONE = Field("rack-zone", "zone", str)
-INTERVAL = Field("window-us", "interval", microseconds)
+INTERVAL = Field("window-us", "interval", parse_microseconds)
 ATTEMPTS = Field("total", "attempts", int, True)
 REQUESTS = Field("total", "requests", int, True)
 FAILURES = Field("lost", "failures", int)
 LOAD = Field("stats", "load", str)
-LATENCY = Field("took-us", "latency", microseconds)
-APPLY_TIME = Field("took-us", "apply_time", microseconds)
+LATENCY = Field("took-us", "latency", parse_microseconds)
+APPLY_TIME = Field("took-us", "apply_time", parse_microseconds)
 LIST_KIND = Field("kind", "kind", int, True)
 ENTRIES = Field("rows-in", "entries", int)
 STATE = Field("health", "state", int)
@@ -84,14 +84,14 @@
 
 # name of a line -> its fields, in the order in which they are checked; other keys are ignored
 FIELDS = {
-    BATCH_BEGIN: (Field("t-us", "now", microseconds, True), Field("batch", "batch", int, True)),
+    BATCH_BEGIN: (Field("t-us", "now", parse_microseconds, True), Field("batch", "batch", int, True)),
     RECIPIENT: (Field("who", "controller", int, True),),
     START: (Field("salt", "seed", int, True),),
     KILL: (),
     LIST_UPDATE: (LIST_KIND, ENTRIES),
     LIST_ENTRY: (
         BACKEND,
-        Field("ready-at-us", "started", microseconds),
+        Field("ready-at-us", "started", parse_microseconds),
         Field("share", "nominal", parse_float),
         STATE,
         ZONE,
@@ -103,13 +103,13 @@
         PROXY,
         ZONE._replace(required=True),
         Field("share", "rate", parse_float),
-        Field("set", "without_table", boolean),
+        Field("set", "without_table", parse_boolean),
     ),
     PROXY_LEFT: (PROXY,),
     BACKEND_REPORT: (LATENCY, FAILURES, BACKEND, INTERVAL, ZONE, ATTEMPTS, LOAD),
     ARRIVAL_REPORT: (REQUESTS, INTERVAL, PROXY, REQUEST_KIND, FAILURES),
     SLICE_ARRIVALS: (TABLE, REQUEST_KIND, REQUESTS, FAILURES, INTERVAL),
-    SLICE_ASSIGNED: (TABLE, Field("set", "ours", boolean, True)),
+    SLICE_ASSIGNED: (TABLE, Field("set", "ours", parse_boolean, True)),
     SLICE_LINE: (TABLE, BACKEND, Field("share", "weight", parse_float)),
     NONCE_ACKNOWLEDGED: (APPLY_TIME, PROXY, Field("epoch", "nonce", int, True)),
 }
@@ -130,10 +130,10 @@
 def read_fields(name, pairs):
     """Parses the fields of a line from its pairs, term -> value. Raises WireError."""
     values = {}
-    for key, term, read, required in FIELDS[name]:
+    for key, term, parse, required in FIELDS[name]:
         if key in pairs:
             try:
-                values[term] = read(pairs[key])
+                values[term] = parse(pairs[key])
             except ValueError:
                 raise WireError(f"{name}: '{pairs[key]}' is not a valid value for {key}") from None
         elif required:
