--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -123,7 +123,7 @@
             (("status", "--admin", nobody), nobody),
             (("put", "key", str(value), "--admin", nobody), nobody),
             (("get", "key", "--admin", "10.0.0.1:80"), "not a loopback address"),
-            (("put", "key", str(value), "--admin", "nonsense"), "no host:port"),
+            (("put", "key", str(value), "--admin", "nonsense"), "not of the form host:port"),
             (("put", "key", str(self.folder / "missing"), "--admin", nobody), "No such file"),
             (("rollback", "key", "0", "--admin", nobody), "0"),
             (("rollback", "key", "first", "--admin", nobody), "first"),
