--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -74,16 +74,16 @@
         if self.may_raise_quotas(now, name, record):
             if grants is None:
                 return None
-            lent = [grant.amounts[limit] for grant in grants.values()]
-            return max([sum(allotments.values()) - floor, *lent, 0])
+            granted_units = [grant.amounts[limit] for grant in grants.values()]
+            return max([sum(allotments.values()) - floor, *granted_units, 0])
         unclaimed = self.unclaimed_proxies(name, request)
         if grants is None:
             return None if unclaimed else 0
-        most_each = max(
+        max_units_each = max(
             ((floor + grant.amounts[limit]) // grant.proxies for grant in grants.values() if grant.proxies),
             default=0,
         )
-        return max(0, sum(max(allotments.get(proxy, 0), most_each) for proxy in unclaimed) - floor)
+        return max(0, sum(max(allotments.get(proxy, 0), max_units_each) for proxy in unclaimed) - floor)
 
     def may_raise_quotas(self, now, name, record):
         """Return whether an incarnation may still raise quotas, or may have given up proxies unknown to us.
@@ -161,5 +161,5 @@
         ]
         if None in former_charges:
             return 0
-        room = self.free_units(now, limit, name) - sum(former_charges)
-        return max(0, min(divide(self.pools[limit], demand)[name], room))
+        available = self.free_units(now, limit, name) - sum(former_charges)
+        return max(0, min(divide(self.pools[limit], demand)[name], available))
