--- a/embertray/cluster/link/state_exchange.py
+++ b/embertray/cluster/link/state_exchange.py
@@ -73,7 +73,7 @@
             if now >= self.next_facts_at:
                 self.next_facts_at = now + FACTS_PERIOD_NS
                 self.write_facts(now)
-            await self.begin_exchange(now)
+            await self.exchange_if_due(now)
             next_at = min(self.exchange.next_at, self.next_facts_at)
             await self.clock.sleep_until(
                 max(self.clock.now() + self.period // MAX_CHECKS_PER_PERIOD, next_at)
@@ -91,7 +91,7 @@
             except StoreFullError as error:
                 self.log.warning("cannot share own entry: the store is full", key=key, reason=str(error))
 
-    async def begin_exchange(self, now):
+    async def exchange_if_due(self, now):
         """Exchange entries with the next member, if an exchange is due and the token bucket allows it.
 
         Args:
