--- a/embertray/cluster/state/staleness.py
+++ b/embertray/cluster/state/staleness.py
@@ -25,5 +25,5 @@
         The bound, ns.
     """
     two_rounds = 2 * max(1, members - 1) * period
-    failed_turns = 2 * failing * exchange
-    return two_rounds + failed_turns + exchange
+    failed_exchanges = 2 * failing * exchange
+    return two_rounds + failed_exchanges + exchange
