--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -84,7 +84,7 @@
     def test_member_that_never_suspects_breaks_seen(self):
         self.assertIn("seen", broken_claims(self.simulation(make=NeverSuspects)))
 
-    def test_member_that_accepts_reported_deaths_kills_its_own_side(self):
+    def test_member_that_accepts_reported_deaths_declares_its_own_side_dead(self):
         """Guards against deaths on a member's own side when a partition ends and the other side's statements
         about dead members arrive.
         """
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -34,10 +34,10 @@
     """A Limits class whose quota holder, ledger or `is_leader` is replaced."""
 
     class Sabotaged(Limits):
-        def __init__(self, me, names, totals, now, chance, config, new_cluster=False, incarnation=0):
-            super().__init__(me, names, totals, now, chance, config, new_cluster, incarnation)
+        def __init__(self, name, names, totals, now, rng, config, new_cluster=False, incarnation=0):
+            super().__init__(name, names, totals, now, rng, config, new_cluster, incarnation)
             if "holder" in parts:
-                self.quota_holder = parts["holder"](me, self.quota_holder.floors, config, incarnation)
+                self.quota_holder = parts["holder"](name, self.quota_holder.floors, config, incarnation)
 
         def on_elected(self, now):
             super().on_elected(now)
@@ -189,11 +189,11 @@
     def deliver_between(self, model, name):
         """Deliver all messages between this member and c until none is in flight."""
         for _ in range(6):
-            for one in sorted(model.network, key=repr):
-                if {one[0], one[1]} == {name, "c"}:
-                    model.receive(*one)
+            for envelope in sorted(model.network, key=repr):
+                if {envelope[0], envelope[1]} == {name, "c"}:
+                    model.receive(*envelope)
 
-    def test_limit_is_never_exceeded(self):
+    def test_quotas_never_exceed_the_limit_in_explored_states(self):
         explore(LoansModel(asks=2, ticks=4), 5_000)
         self.assertGreater(walk(LoansModel(asks=5, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -26,7 +26,7 @@
 )
 
 
-def as_written(entry):
+def with_value_of_its_rank(entry):
     """The entry with a value derived from its rank: an owner never writes two values of one version."""
     return Entry(
         entry.owner,
@@ -66,7 +66,7 @@
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(ENTRIES, ENTRIES, ENTRIES)
     def test_merging_in_any_order_grouping_and_repetition_is_the_same(self, first, second, third):
-        batches = [[as_written(entry) for entry in batch] for batch in (first, second, third)]
+        batches = [[with_value_of_its_rank(entry) for entry in batch] for batch in (first, second, third)]
         first, second, third = batches
         expected = merged(first, second, third)
         self.assertTrue(all(merged(*order) == expected for order in itertools.permutations(batches)))
@@ -74,7 +74,7 @@
         self.assertEqual(merged(first, second, third, first, third, second, first), expected)
 
     def test_order_check_fails_for_a_store_that_keeps_the_last_received(self):
-        old, new = (as_written(Entry("a", "k", 1, version, 0, b"")) for version in (1, 2))
+        old, new = (with_value_of_its_rank(Entry("a", "k", 1, version, 0, b"")) for version in (1, 2))
         first = KeepsLastReceived("me", 1)
         second = KeepsLastReceived("me", 1)
         first.merge(NOW, [old, new])
