--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -25,6 +25,7 @@
 
     Attributes:
         quota_holder: The QuotaHolder.
+        pools: limit -> units that can be granted: the limit without the floors.
         ledger: The Ledger while this member is the leader, else None.
         leader_ballot: Ballot of the latest known leader.
         leader: Name of that leader, or None.
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -86,7 +86,7 @@
         return max(0, sum(max(allotments.get(proxy, 0), max_units_each) for proxy in unclaimed) - floor)
 
     def may_raise_quotas(self, now, name, record):
-        """Return whether an incarnation may still raise quotas, or may have given up proxies unknown to us.
+        """Return whether an incarnation may still raise quotas, or may have given up proxies unnoticed.
 
         Args:
             now: The time, ns.
--- a/embertray/cluster/limits/proxy_quotas.py
+++ b/embertray/cluster/limits/proxy_quotas.py
@@ -1,8 +1,8 @@
 """Divides one member's share among its proxies, and decides which quotas to send.
 
 The units that its proxies may use, acknowledged or not, connected or departed, never exceed the floor plus
-the grant. So some quotas are lowered before others are raised. A proxy keeps the quota
-that it was sent, whatever happens to this member.
+the grant. So some quotas are lowered before others are raised. A proxy keeps the quota that it was sent,
+whatever happens to this member.
 """
 
 from typing import NamedTuple
@@ -38,7 +38,7 @@
         sequence: Sequence number of this member's last request.
         connected: proxy -> sequence number of the last request when it joined.
         acknowledged: Connected proxies that use a quota from this member.
-        departed: proxy that left -> sequence number of the first request that listed it as departed, or None.
+        departed: proxy that left -> sequence number of the first request that listed it so; None before.
         allowed: limit -> proxy -> maximum units that it may use by quotas from this member.
         last_sent: limit -> proxy -> units sent last.
     """
