--- a/tests/test_degrade.py
+++ b/tests/test_degrade.py
@@ -107,7 +107,7 @@
         self.assertEqual(len(set(names)), 1, found)
         self.assertLess(
             max(lost) - min(lost), 0.1, found
-        )  # the slow rise of the estimate under losses causes a difference
+        )  # the estimate rises slowly, since retries can't be told from new demand
 
     def test_without_load_reports_the_level_is_unchanged(self):
         proxy = ReportingProxy()
