--- a/tests/platform_stage.py
+++ b/tests/platform_fixtures.py
@@ -90,7 +90,7 @@
 
 
 @asynccontextmanager
-async def stage(before=lambda relay, discovery: None, **more):
+async def running_service(before=lambda relay, discovery: None, **more):
     """A running Service with its stand-ins, prepared by `before`: (service, relay, discovery)."""
     net = TcpNet()
     discovery = StandinDiscovery(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,7 +18,7 @@
 
 import anyio
 import structlog
-from platform_stage import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, stage
+from platform_fixtures import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, running_service
 
 from embertray.common.net.address import parse_address
 from embertray.common.net.exceptions import AddressError
@@ -131,7 +131,7 @@
 class OnSockets(unittest.TestCase):
     def test_proxies_are_bound_and_a_drain_leaves_their_tables(self):
         async def play():
-            async with stage() as (_, relay, discovery):
+            async with running_service() as (_, relay, discovery):
                 for node in range(3):
                     relay.attach(node, "north")
                 await relay.wait_until(lambda: all("be-1" in relay.lines(node) for node in range(3)))
@@ -142,7 +142,7 @@
 
     def test_calls_that_are_lost_muted_spoilt_or_throttled_end_up_carried_out(self):
         async def play():
-            async with stage() as (service, relay, discovery):
+            async with running_service() as (service, relay, discovery):
                 await relay.wait_until(lambda: relay.calls)
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
@@ -170,7 +170,7 @@
 
     def test_a_refused_order_costs_itself_wherever_it_stands(self):
         async def play():
-            async with stage() as (service, relay, discovery):
+            async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
                 for place in range(3):
@@ -200,7 +200,7 @@
 
     def test_an_order_that_makes_a_call_invalid_costs_itself(self):
         async def play():
-            async with stage() as (service, relay, discovery):
+            async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
                 names = [f"new-{k}" for k in range(3)]
@@ -224,7 +224,7 @@
     def test_a_step_in_several_calls_survives_the_loss_of_any(self):
         async def play():
             with mock.patch("embertray.platform.protocol.order_caller.ORDERS_MAX_BYTES", 150):
-                async with stage() as (service, relay, _):
+                async with running_service() as (service, relay, _):
                     await relay.wait_until(
                         lambda: len(relay.event_queues) == limits.EVENT_STREAMS and relay.calls
                     )
@@ -260,7 +260,7 @@
 
     def test_it_is_ready_while_discovery_is_silent_and_the_relay_takes_nothing(self):
         async def play():
-            async with stage(
+            async with running_service(
                 lambda relay, discovery: (
                     setattr(discovery, "down", True),
                     relay.next_faults.extend(["throttled"] * 9),
@@ -279,7 +279,7 @@
 
     def test_events_go_on_when_a_connection_breaks(self):
         async def play():
-            async with stage() as (service, relay, _):
+            async with running_service() as (service, relay, _):
                 relay.attach(1, "north")
                 await relay.wait_until(
                     lambda: relay.lines(1) and len(relay.event_queues) == limits.EVENT_STREAMS
@@ -295,7 +295,7 @@
 
     def test_an_internal_error_in_a_step_or_a_task_ends_nothing(self):
         async def play():
-            async with stage() as (service, relay, discovery):
+            async with running_service() as (service, relay, discovery):
                 for node in range(3):
                     relay.attach(node, "north")
                 await relay.wait_until(lambda: all(len(relay.lines(node)) == 2 for node in range(3)))
@@ -342,7 +342,7 @@
 
     def test_a_new_configuration_moves_to_other_addresses(self):
         async def play():
-            async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
+            async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
                 net = TcpNet()
@@ -372,7 +372,7 @@
 
     def test_an_internal_error_at_a_new_configuration_leaves_the_old_one(self):
         async def play():
-            async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
+            async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
                 faults = [KeyError("a"), TypeError("b"), RecursionError("c"), MemoryError()]
@@ -402,7 +402,7 @@
 
     def test_a_call_that_is_in_flight_at_a_new_address_is_carried_out_there_and_back_again(self):
         async def play():
-            async with stage() as (service, relay, discovery), anyio.create_task_group() as group:
+            async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
                 other = StandinRelay(TcpNet())
--- a/tests/test_platform_address.py
+++ b/tests/test_platform_address.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 import anyio
-from platform_stage import (
+from platform_fixtures import (
     HEARD,
     HERE,
     JOIN,
@@ -27,7 +27,7 @@
     ended,
     inbound_connection,
     rest,
-    stage,
+    running_service,
 )
 
 from embertray.platform.protocol import limits
@@ -173,7 +173,7 @@
 class Lingering(unittest.TestCase):
     def test_nothing_is_unread_when_an_unjoined_peer_is_closed_unless_it_never_ends(self):
         async def play():
-            async with stage() as (service, _, _):
+            async with running_service() as (service, _, _):
                 for pieces, unread in ((2, 0), (limits.LINGER_MAX_BYTES // 65536 + 3, 3)):
                     wire, one = (
                         ScriptedStream(b'{"@type":"hb"}\n\xff\n', *[b"x" * 65536] * pieces),
@@ -209,7 +209,7 @@
         """What a peer gets that sends what can't be read; `write(send)` is called in place of `send`."""
 
         async def play():
-            async with stage() as (service, _, _):
+            async with running_service() as (service, _, _):
                 send = service.listener.send
 
                 async def late_send(*arguments):
@@ -243,7 +243,7 @@
 class OnSockets(unittest.TestCase):
     def test_unjoined_peers_by_the_hundreds_are_closed_and_cost_nobody_else(self):
         async def play():
-            async with stage() as (service, relay, _):
+            async with running_service() as (service, relay, _):
                 strangers = [
                     await client(service, b'{"@type":"hb"}\n{"half' if k % 2 else b"") for k in range(300)
                 ]
@@ -259,7 +259,7 @@
 
     def test_valid_joins_by_the_hundreds_keep_no_collector_out(self):
         async def play():
-            async with stage() as (service, relay, _):
+            async with running_service() as (service, relay, _):
 
                 async def joined(data=b""):
                     stream = await client(service, JOIN + data + b'{"@type":"hb"}\n')
@@ -285,7 +285,7 @@
 
     def test_a_heartbeat_is_answered_after_a_half_close_and_before_what_cannot_be_read(self):
         async def play():
-            async with stage() as (service, _, _):
+            async with running_service() as (service, _, _):
                 half = await client(service, b'{"@type":"hb"}\n')
                 await half.send_eof()
                 self.assertEqual(await ended(half), (HEARTBEAT_REPLY, False))
@@ -302,7 +302,7 @@
 
     def test_what_comes_with_the_end_of_a_connection_counts(self):
         async def play():
-            async with stage() as (service, _, _):
+            async with running_service() as (service, _, _):
                 for k, reset in enumerate((False, True)):
                     collector = await client(service, JOIN + b'{"@type":"hb"}\n')
                     self.assertEqual(await collector.receive(), HEARTBEAT_REPLY)
@@ -317,7 +317,7 @@
 
     def test_connections_that_are_reset_before_they_are_taken_cost_nothing(self):
         async def play():
-            async with stage() as (service, _, _):
+            async with running_service() as (service, _, _):
                 host, _, number = service.address.rpartition(":")
                 for _ in range(100):  # all within one turn of the loop: nothing is taken meanwhile
                     with socket.create_connection((host, int(number))) as gone:
@@ -336,7 +336,7 @@
 
     def test_who_takes_no_replies_is_closed(self):
         async def play():
-            async with stage() as (service, _, _):
+            async with running_service() as (service, _, _):
                 with socket.socket() as deaf:
                     deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                     host, _, number = service.address.rpartition(":")
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -6,7 +6,7 @@
 import unittest
 
 import anyio
-from platform_stage import MS, S, configured, member, stage
+from platform_fixtures import MS, S, configured, member, running_service
 
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.configuration import read_configuration
@@ -108,7 +108,7 @@
 class OnSockets(unittest.TestCase):
     def test_a_drain_gets_through_however_the_answers_end(self):
         async def play():
-            async with stage() as (_, relay, discovery):
+            async with running_service() as (_, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: len(relay.lines(1)) == 2)
                 for faults in (["head"], ["half"], ["hold"], ["last"], ["slow"], ["head", "half", "head"]):
@@ -123,7 +123,7 @@
 
     def test_a_list_gone_empty_counts_as_notified_and_what_is_back_is_served_again(self):
         async def play():
-            async with stage() as (service, relay, discovery):
+            async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: len(relay.lines(1)) == 2)
                 members = dict(discovery.members)
@@ -140,7 +140,7 @@
         """Longer than it may take to begin: only silence is a break."""
 
         async def play():
-            async with stage() as (service, relay, discovery):
+            async with running_service() as (service, relay, discovery):
                 await relay.wait_until(lambda: relay.calls)
 
                 async def slowly(side):
@@ -165,7 +165,7 @@
 
     def test_an_agent_that_answers_at_once_does_not_take_the_processor(self):
         async def play():
-            async with stage() as (service, _, discovery):
+            async with running_service() as (service, _, discovery):
 
                 async def asked(more):
                     while len(discovery.request_targets) < before + more:
@@ -183,7 +183,7 @@
 
     def test_an_answer_of_the_old_address_in_the_wake_up_of_a_new_one_counts_for_nothing(self):
         async def play():
-            async with stage() as (service, relay, _):
+            async with running_service() as (service, relay, _):
                 await relay.wait_until(lambda: relay.calls)
                 held = service.controller.list_watch.revision
 
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -5,7 +5,7 @@
 import unittest
 
 import anyio
-from platform_stage import member, stage
+from platform_fixtures import member, running_service
 
 from embertray.platform.protocol import limits
 
@@ -30,7 +30,7 @@
         after the other. Its weight at the proxy in the end, or None."""
 
         async def played():
-            async with stage() as (service, relay, discovery):
+            async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
                 await calm(service, relay)
@@ -69,7 +69,7 @@
     def test_one_that_leaves_and_comes_back_during_its_bind_is_bound(self):
         async def play():
             for fault in ("ok", "lose", "mute", "stall"):
-                async with stage() as (service, relay, _):
+                async with running_service() as (service, relay, _):
                     await relay.wait_until(
                         lambda: relay.calls and len(relay.event_queues) == limits.EVENT_STREAMS
                     )
@@ -88,7 +88,7 @@
 
     def test_an_answer_from_before_a_stay_proves_nothing_of_it(self):
         async def play():
-            async with stage() as (service, relay, _):
+            async with running_service() as (service, relay, _):
                 relay.acknowledges = False
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
@@ -111,7 +111,7 @@
 
     def test_who_does_not_answer_is_bound_again_and_nobody_else(self):
         async def play():
-            async with stage() as (service, relay, discovery):
+            async with running_service() as (service, relay, discovery):
                 for node in (1, 2):
                     relay.attach(node, "north")
                 await relay.wait_until(lambda: relay.lines(1) and relay.lines(2))
--- a/tests/test_platform_generated.py
+++ b/tests/test_platform_generated.py
@@ -7,7 +7,7 @@
 import unittest
 
 from hypothesis import given, settings, strategies as st
-from platform_stage import (
+from platform_fixtures import (
     ERROR,
     GOOD,
     HEARD,
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -3,7 +3,7 @@
 import unittest
 
 import anyio
-from platform_stage import ERROR, GOOD, MS, S, stage
+from platform_fixtures import ERROR, GOOD, MS, S, running_service
 
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.answers import CallRejected, OrdersAccepted, read_answer
@@ -240,7 +240,7 @@
 class OnSockets(unittest.TestCase):
     def test_what_comes_with_the_end_of_the_event_stream_counts(self):
         async def play():
-            async with stage() as (service, relay, _):
+            async with running_service() as (service, relay, _):
                 relay.attach(1, "north")
                 await relay.wait_until(
                     lambda: relay.lines(1) and len(relay.event_queues) == limits.EVENT_STREAMS
@@ -262,7 +262,7 @@
 
     def test_who_left_and_came_back_while_no_events_came_is_bound_again(self):
         async def play():
-            async with stage() as (service, relay, _):
+            async with running_service() as (service, relay, _):
                 for node in (1, 2):
                     relay.attach(node, "north")
                 await relay.wait_until(
