--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -49,15 +49,15 @@
     "tick-us": 1000,
     "zones": ["north", "south"],
 }
-GOOD = b"<Response><items><item><ok_count>%d</ok_count></item></items></Response>"
+ACCEPTED_ANSWER = b"<Response><items><item><ok_count>%d</ok_count></item></items></Response>"
 ERROR = b"<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>"
 
 
-def member(ident, zone="north", **more):
+def endpoint_fields(ident, zone="north", **more):
     return {"id": ident, "locality": zone, "phase": "ready", "size": 1.0, "up_since_ms": 0, **more}
 
 
-def configured(relay="127.0.0.1:1", discovery="127.0.0.1:1", listen="127.0.0.1:0", **more):
+def configuration_json(relay="127.0.0.1:1", discovery="127.0.0.1:1", listen="127.0.0.1:0", **more):
     return json.dumps(
         {
             "name": "n1",
@@ -67,7 +67,11 @@
             "seed": "8c1f",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
             "settings": SETTINGS,
-            "known": {"revision": 0, "complete": True, "members": [member("be-1"), member("be-2")]},
+            "known": {
+                "revision": 0,
+                "complete": True,
+                "members": [endpoint_fields("be-1"), endpoint_fields("be-2")],
+            },
             **more,
         }
     ).encode()
@@ -77,31 +81,33 @@
     return InboundConnection(0, ["north", "south"], {"view": 0}, 40)
 
 
-JOIN = b'{"@type":"telemetry","locality":"north"}\n'
-STATS = (
+JOIN_LINE = b'{"@type":"telemetry","locality":"north"}\n'
+BACKEND_REPORT_LINE = (
     b'{"@type":"upstream_stats","locality":"north","endpoint":"be-1","total":9,"errors":1,"rtt":41.5,"interval":1000.0,'
     b'"metrics":{"queue":3,"util":0.5}}\n'
 )
-USAGE = b'{"@type":"client_stats","node":17,"route":"view","total":19,"errors":2,"interval":2000.0}\n'
-HEARD = [
+TRAFFIC_REPORT_LINE = (
+    b'{"@type":"client_stats","node":17,"route":"view","total":19,"errors":2,"interval":2000.0}\n'
+)
+EXPECTED_REPORTS = [
     BackendReport("be-1", "north", 9, 1, 41_500_000, S, {"waiting": 3, "busy": 0.5}),
     TrafficReport(17, "view", 19, 2, 2 * S),
 ]
 
 
 @asynccontextmanager
-async def running_service(before=lambda relay, discovery: None, **more):
+async def running_service(prepare=lambda relay, discovery: None, **more):
     """A running Service with its stand-ins, prepared by `before`: (service, relay, discovery)."""
     net = TcpNet()
     discovery = StandinDiscovery(
-        net, {name: member(name, zone) for name, zone in (("be-1", "north"), ("be-2", "south"))}
+        net, {name: endpoint_fields(name, zone) for name, zone in (("be-1", "north"), ("be-2", "south"))}
     )
     relay = StandinRelay(net)
     async with anyio.create_task_group() as group:
         await group.start(discovery.run)
         await group.start(relay.run)
-        data = configured(relay.address, discovery.address, **more)
-        before(relay, discovery)
+        data = configuration_json(relay.address, discovery.address, **more)
+        prepare(relay, discovery)
         service = Service(
             read_configuration(data), LoopClock(), net, lambda: read_configuration(data), quiet()
         )
@@ -111,14 +117,14 @@
         group.cancel_scope.cancel()
 
 
-async def client(service, data=b""):
+async def connect_client(service, data=b""):
     stream = await TcpNet().dial(service.address)
     if data:
         await stream.send(data)
     return stream
 
 
-async def ended(stream):
+async def read_until_closed(stream):
     """All that comes until the connection ends, and whether that was a reset."""
     got = b""
     try:
@@ -132,7 +138,7 @@
         await stream.aclose()
 
 
-async def rest(stream):
+async def read_all(stream):
     """All that comes until the connection is closed."""
     got = b""
     try:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,7 +18,17 @@
 
 import anyio
 import structlog
-from platform_fixtures import HEARD, HERE, JOIN, SETTINGS, S, client, configured, member, running_service
+from platform_fixtures import (
+    EXPECTED_REPORTS,
+    HERE,
+    JOIN_LINE,
+    SETTINGS,
+    S,
+    configuration_json,
+    connect_client,
+    endpoint_fields,
+    running_service,
+)
 
 from embertray.common.net.address import parse_address
 from embertray.common.net.exceptions import AddressError
@@ -68,7 +78,14 @@
     def test_bad_values_are_named(self):
         with self.assertRaisesRegex(SettingsError, "'x' is not a valid value for specifics.agents"):
             StartSettings({"specifics.agents": "x"})
-        for data in (b"", b"{", b"[]", b'{"name":"n1"}', configured().replace(b'"listen"', b'"l"'), b"\xff"):
+        for data in (
+            b"",
+            b"{",
+            b"[]",
+            b'{"name":"n1"}',
+            configuration_json().replace(b'"listen"', b'"l"'),
+            b"\xff",
+        ):
             with self.assertRaises(ConfigurationError):
                 read_configuration(data)
         for address in ("host:80", "10.0.0.4", "10.0.0.4:99999", "10.0.0.4:-1"):
@@ -84,22 +101,22 @@
             None,
             {"members": None},
         ):
-            start = read_configuration(configured(known=known))
+            start = read_configuration(configuration_json(known=known))
             self.assertEqual(
                 (PlatformController(start, 0, 0).state, start.known_list().revision), ({}, 0), known
             )
         self.assertEqual(
-            PlatformController(read_configuration(configured()), 0, 0).state,
+            PlatformController(read_configuration(configuration_json()), 0, 0).state,
             {"be-1": "ready", "be-2": "ready"},
         )
 
     def test_reports_do_not_pile_up_while_no_call_gets_through(self):
-        controller = PlatformController(read_configuration(configured()), 0, 0)
+        controller = PlatformController(read_configuration(configuration_json()), 0, 0)
         self.assertTrue(controller.advance(0))  # the first tables wait for a relay that is not there
         before = len(controller.pending_events)
         controller.add_proxy_events([ProxyJoined(1, "north", 1.0, True)])
         for _ in range(3 * limits.PENDING_EVENTS_MAX):
-            controller.add_reports(HEARD[:1])
+            controller.add_reports(EXPECTED_REPORTS[:1])
             self.assertLessEqual(len(controller.pending_events), limits.PENDING_EVENTS_MAX + 1)
         self.assertEqual(
             controller.dropped_reports + len(controller.pending_events) - before,
@@ -184,7 +201,7 @@
 
                     relay.rejects = refuse
                     for name in names:
-                        discovery.members[name] = member(name)
+                        discovery.members[name] = endpoint_fields(name)
                         discovery.change_log.append((discovery.revision + 1, name))
                     discovery.change(names[0])
                     await relay.wait_until(
@@ -206,7 +223,7 @@
                 names = [f"new-{k}" for k in range(3)]
                 relay.is_malformed = lambda order: ",new-1," in order
                 for name in names:
-                    discovery.members[name] = member(name)
+                    discovery.members[name] = endpoint_fields(name)
                     discovery.change_log.append((discovery.revision + 1, name))
                 with structlog.testing.capture_logs() as told:
                     service.relay.log = structlog.get_logger()
@@ -216,7 +233,7 @@
                         await anyio.sleep(0.02)
                 self.assertTrue(any("given up: invalid: SET," in line.get("why", "") for line in told), told)
                 relay.is_malformed = lambda order: False
-                discovery.change("be-3", **member("be-3"))
+                discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: "be-3" in relay.lines(1))  # it goes on
 
         anyio.run(play)
@@ -266,7 +283,7 @@
                     relay.next_faults.extend(["throttled"] * 9),
                 )
             ) as (service, relay, _):
-                alive = await client(service, b'{"@type":"hb"}\n')
+                alive = await connect_client(service, b'{"@type":"hb"}\n')
                 self.assertEqual(await alive.receive(), HEARTBEAT_REPLY)
                 relay.attach(1, "north")
                 await relay.wait_until(
@@ -305,7 +322,7 @@
                     raise KeyError("a fault")
 
                 old.weight_planner.plan = fault  # in the middle of a step: some parts have acted, some not
-                discovery.change("be-3", **member("be-3"))
+                discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: all(len(relay.lines(node)) == 3 for node in range(3)))
                 self.assertIsNot(service.controller.module, old)
                 self.assertFalse({relay.bound[node] for node in range(3)} & tables)
@@ -317,12 +334,12 @@
                     (
                         service.controller.order_caller,
                         "on_answer",
-                        lambda: discovery.change("be-4", **member("be-4")),
+                        lambda: discovery.change("be-4", **endpoint_fields("be-4")),
                     ),
                     (
                         service.controller.list_watch,
                         "on_answer",
-                        lambda: discovery.change("be-4", **member("be-4")),
+                        lambda: discovery.change("be-4", **endpoint_fields("be-4")),
                     ),
                     (service.controller.proxies, "received", lambda: relay.attach(3, "south")),
                 ):
@@ -356,13 +373,13 @@
                     service.configuration.relay.address, relay.address
                 )  # a bad file changes nothing
                 service.load_configuration = lambda: read_configuration(
-                    configured(other.address, elsewhere.address)
+                    configuration_json(other.address, elsewhere.address)
                 )
                 service.reload()
                 await other.wait_until(lambda: other.event_queues)
                 for stream in list(relay.connections):
                     await anyio.aclose_forcefully(stream)
-                elsewhere.change("be-3", **member("be-3"))
+                elsewhere.change("be-3", **endpoint_fields("be-3"))
                 await other.wait_until(
                     lambda: "be-3" in other.lines(1) and len(other.event_queues) == limits.EVENT_STREAMS
                 )
@@ -394,7 +411,7 @@
                         await been.wait()
                     self.assertEqual([line["event"] for line in told], ["internal error"] * len(faults))
                 self.assertIs(service.configuration, old)
-                discovery.change("be-3", **member("be-3"))
+                discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: "be-3" in relay.lines(1))
                 group.cancel_scope.cancel()
 
@@ -410,7 +427,7 @@
                 await group.start(other.run)
                 for there, here, name in ((other, relay, "be-3"), (relay, other, "be-4")):
                     here.next_faults, before = ["lose"], len(here.calls)
-                    discovery.change(name, **member(name))
+                    discovery.change(name, **endpoint_fields(name))
                     await here.wait_until(lambda: len(here.calls) > before)
                     for address in (
                         here.address,
@@ -419,7 +436,7 @@
                         there.address,
                     ):  # the last one counts
                         service.load_configuration = lambda: read_configuration(
-                            configured(address, discovery.address)
+                            configuration_json(address, discovery.address)
                         )
                         service.reload()
                     await there.wait_until(lambda: name in there.lines(1))
@@ -434,7 +451,9 @@
 class UnsupportedSettings(unittest.TestCase):
     def test_slices_are_refused_and_permissions_go_unused(self):
         def controller(**more):
-            return PlatformController(read_configuration(configured(settings={**SETTINGS, **more})), 0, 0)
+            return PlatformController(
+                read_configuration(configuration_json(settings={**SETTINGS, **more})), 0, 0
+            )
 
         self.assertEqual(controller().log_texts, [])
         with self.assertRaisesRegex(SettingsError, "partitions-n: .* does not support slices"):
@@ -461,7 +480,7 @@
         `slow`: its imports stop until its standard input has a line."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "config.json")
-            path.write_bytes(configured(**more))
+            path.write_bytes(configuration_json(**more))
             if slow:
                 Path(folder, "structlog.py").write_text(SLOW_IMPORT % folder)
             env = {**os.environ, "ROUTER_CONFIG": str(path), "PYTHONPATH": folder}
@@ -497,12 +516,12 @@
     def test_a_new_configuration_that_names_no_address_changes_nothing(self):
         with self.program() as (run, path, logged):
             logged("listening")
-            for bad in (configured(relay="nowhere"), configured(discovery="10.0.0.1")):
+            for bad in (configuration_json(relay="nowhere"), configuration_json(discovery="10.0.0.1")):
                 path.write_bytes(bad)
                 run.send_signal(signal.SIGHUP)
                 self.assertIn("is not of the form address:port", json.loads(logged("can't be used"))["why"])
             # settings hold for the process's life: at a new configuration they are not read
-            path.write_bytes(configured(relay="127.0.0.1:2", settings={"profiles": [{}, 5]}))
+            path.write_bytes(configuration_json(relay="127.0.0.1:2", settings={"profiles": [{}, 5]}))
             run.send_signal(signal.SIGHUP)
             self.assertEqual(json.loads(logged("new configuration"))["relay"], "127.0.0.1:2")
 
@@ -536,7 +555,7 @@
                         for _ in range(50)
                     ]
                     for peer in peers:
-                        peer.sendall(JOIN + b'{"@type":"hb"}\n')
+                        peer.sendall(JOIN_LINE + b'{"@type":"hb"}\n')
                     self.assertEqual({peer.recv(100) for peer in peers}, {HEARTBEAT_REPLY})
                     run.kill()
                     run.wait(timeout=20)
@@ -551,7 +570,7 @@
                 open_ones.enter_context(socket.create_connection((host, int(number)))) for _ in range(1000)
             ]
             for peer in peers:
-                peer.sendall(JOIN + b'{"@type":"hb"}\n')
+                peer.sendall(JOIN_LINE + b'{"@type":"hb"}\n')
             self.assertEqual({peer.recv(100) for peer in peers}, {HEARTBEAT_REPLY})
             run.send_signal(signal.SIGTERM)
             self.assertEqual(run.wait(timeout=20), 0)
@@ -561,12 +580,12 @@
         sliced = {**SETTINGS, "specifics": {**SETTINGS["specifics"], "partitions-n": 8}}
         for data in (
             b"{",
-            configured(listen="nowhere"),
-            configured(relay="nowhere"),
-            configured(discovery=":1"),
-            configured(settings={"specifics": {"agents": "x"}}),
-            configured(settings=sliced),
-            configured(settings={**SETTINGS, "profiles": [*SETTINGS["profiles"], 5]}),
+            configuration_json(listen="nowhere"),
+            configuration_json(relay="nowhere"),
+            configuration_json(discovery=":1"),
+            configuration_json(settings={"specifics": {"agents": "x"}}),
+            configuration_json(settings=sliced),
+            configuration_json(settings={**SETTINGS, "profiles": [*SETTINGS["profiles"], 5]}),
         ):
             with tempfile.TemporaryDirectory() as folder:
                 Path(folder, "c").write_bytes(data)
--- a/tests/test_platform_address.py
+++ b/tests/test_platform_address.py
@@ -16,17 +16,17 @@
 
 import anyio
 from platform_fixtures import (
-    HEARD,
+    BACKEND_REPORT_LINE,
+    EXPECTED_REPORTS,
     HERE,
-    JOIN,
-    STATS,
-    USAGE,
+    JOIN_LINE,
+    TRAFFIC_REPORT_LINE,
     S,
-    client,
-    configured,
-    ended,
+    configuration_json,
+    connect_client,
     inbound_connection,
-    rest,
+    read_all,
+    read_until_closed,
     running_service,
 )
 
@@ -38,40 +38,49 @@
 class Lines(unittest.TestCase):
     def test_a_collector_joins_and_reports_in_any_pieces(self):
         whole, by_byte = inbound_connection(), inbound_connection()
-        found = whole.receive(JOIN + STATS + USAGE)
+        found = whole.receive(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)
         bits = [
             one
-            for k in range(len(JOIN + STATS + USAGE))
-            for one in by_byte.receive((JOIN + STATS + USAGE)[k : k + 1])
+            for k in range(len(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE))
+            for one in by_byte.receive((JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)[k : k + 1])
         ]
-        self.assertEqual((found, bits, whole.outgoing, whole.zone), (HEARD, HEARD, b"", "north"))
+        self.assertEqual(
+            (found, bits, whole.outgoing, whole.zone), (EXPECTED_REPORTS, EXPECTED_REPORTS, b"", "north")
+        )
         self.assertFalse(whole.check_join_deadline(10 * S))
 
     def test_invalid_reports_cost_themselves_only(self):
         spoilt = [
-            STATS.replace(b'"total":9', b'"total":"9"'),
-            STATS.replace(b'"total":9,', b""),
-            STATS.replace(b":9,", b":-9,"),
-            STATS.replace(b'"errors":1', b'"errors":10'),
-            STATS.replace(b"41.5", b"-1"),
-            STATS.replace(b"41.5", b"1e300"),
-            STATS.replace(b'"locality":"north"', b'"locality":"nowhere"'),
-            STATS.replace(b'"rtt":41.5,', b""),
-            STATS.replace(b"1000.0", b"0"),
-            USAGE.replace(b"17", b"40"),
-            USAGE.replace(b"view", b"x"),
-            USAGE.replace(b"client_stats", b"assign"),
-            USAGE.replace(b'"errors":2', b'"errors":null'),
+            BACKEND_REPORT_LINE.replace(b'"total":9', b'"total":"9"'),
+            BACKEND_REPORT_LINE.replace(b'"total":9,', b""),
+            BACKEND_REPORT_LINE.replace(b":9,", b":-9,"),
+            BACKEND_REPORT_LINE.replace(b'"errors":1', b'"errors":10'),
+            BACKEND_REPORT_LINE.replace(b"41.5", b"-1"),
+            BACKEND_REPORT_LINE.replace(b"41.5", b"1e300"),
+            BACKEND_REPORT_LINE.replace(b'"locality":"north"', b'"locality":"nowhere"'),
+            BACKEND_REPORT_LINE.replace(b'"rtt":41.5,', b""),
+            BACKEND_REPORT_LINE.replace(b"1000.0", b"0"),
+            TRAFFIC_REPORT_LINE.replace(b"17", b"40"),
+            TRAFFIC_REPORT_LINE.replace(b"view", b"x"),
+            TRAFFIC_REPORT_LINE.replace(b"client_stats", b"assign"),
+            TRAFFIC_REPORT_LINE.replace(b'"errors":2', b'"errors":null'),
             b"[]\n",
         ]
         for line in spoilt:
             one = inbound_connection()
-            self.assertEqual(one.receive(JOIN + line + STATS + USAGE), HEARD, line)
+            self.assertEqual(
+                one.receive(JOIN_LINE + line + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE),
+                EXPECTED_REPORTS,
+                line,
+            )
             self.assertEqual((one.invalid_reports, one.close_reason), (1, ""), line)
 
     def test_unreadable_data_ends_a_collector_without_a_word(self):
         one = inbound_connection()
-        self.assertEqual(one.receive(JOIN + USAGE + b"\x00\xff{garbage\n" + USAGE), HEARD[1:])
+        self.assertEqual(
+            one.receive(JOIN_LINE + TRAFFIC_REPORT_LINE + b"\x00\xff{garbage\n" + TRAFFIC_REPORT_LINE),
+            EXPECTED_REPORTS[1:],
+        )
         self.assertTrue(one.close_reason)
         self.assertEqual(one.outgoing, b"")
 
@@ -79,7 +88,7 @@
         for data in (
             b"\x16\x03\x01\x00\n",
             b"GET / HTTP/1.1\r\n\r\n",
-            STATS,
+            BACKEND_REPORT_LINE,
             b'{"@type":"attach","node":1,"locality":"north"}\n',
             b'{"@type":"telemetry","locality":"nowhere"}\n',
             b'{"@type":"telemetry"}\n',
@@ -100,7 +109,7 @@
 
     def test_an_endless_line_ends_a_collector(self):
         one = inbound_connection()
-        one.receive(JOIN)
+        one.receive(JOIN_LINE)
         for _ in range(limits.LINE_MAX_BYTES // 65536 + 1):
             one.receive(b"x" * 65536)
         self.assertEqual((one.close_reason, len(one.buffer)), ("line too long", 0))
@@ -115,7 +124,7 @@
 
     def test_a_collector_of_no_zone_has_not_joined(self):
         one = inbound_connection()
-        one.receive(JOIN.replace(b"north", b"nowhere"))
+        one.receive(JOIN_LINE.replace(b"north", b"nowhere"))
         self.assertEqual((one.zone, one.outgoing), (None, REJECTION))
 
 
@@ -216,7 +225,7 @@
                     await write(lambda: send(*arguments))
 
                 service.listener.send = late_send
-                return await ended(await client(service, b'{"@type":"hb"}\n\xff\n'))
+                return await read_until_closed(await connect_client(service, b'{"@type":"hb"}\n\xff\n'))
 
         return anyio.run(play, backend_options=loop)
 
@@ -245,10 +254,11 @@
         async def play():
             async with running_service() as (service, relay, _):
                 strangers = [
-                    await client(service, b'{"@type":"hb"}\n{"half' if k % 2 else b"") for k in range(300)
+                    await connect_client(service, b'{"@type":"hb"}\n{"half' if k % 2 else b"")
+                    for k in range(300)
                 ]
-                collector = await client(service, JOIN + STATS)
-                got = [await rest(stream) for stream in strangers]
+                collector = await connect_client(service, JOIN_LINE + BACKEND_REPORT_LINE)
+                got = [await read_all(stream) for stream in strangers]
                 self.assertEqual(set(got), {REJECTION, HEARTBEAT_REPLY + REJECTION})
                 await collector.send(b'{"@type":"hb"}\n')
                 self.assertEqual(await collector.receive(), HEARTBEAT_REPLY)
@@ -262,20 +272,24 @@
             async with running_service() as (service, relay, _):
 
                 async def joined(data=b""):
-                    stream = await client(service, JOIN + data + b'{"@type":"hb"}\n')
+                    stream = await connect_client(service, JOIN_LINE + data + b'{"@type":"hb"}\n')
                     self.assertEqual(await stream.receive(), HEARTBEAT_REPLY)
                     return stream
 
-                collector, most = await joined(STATS), service.controller.admission.collectors_max
+                collector, most = (
+                    await joined(BACKEND_REPORT_LINE),
+                    service.controller.admission.collectors_max,
+                )
                 silent = [await joined() for _ in range(2 * most)]
                 self.assertEqual(
-                    [await ended(stream) for stream in silent[: most + 1]], [(b"", False)] * (most + 1)
+                    [await read_until_closed(stream) for stream in silent[: most + 1]],
+                    [(b"", False)] * (most + 1),
                 )
-                late = await joined(STATS)
+                late = await joined(BACKEND_REPORT_LINE)
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))  # a call had its descriptor
                 for stream in (collector, late):
-                    await stream.send(STATS + b'{"@type":"hb"}\n')
+                    await stream.send(BACKEND_REPORT_LINE + b'{"@type":"hb"}\n')
                     self.assertEqual(await stream.receive(), HEARTBEAT_REPLY)
                 self.assertEqual(len(service.listener.scopes), most)
                 for stream in [collector, late, *silent]:
@@ -286,17 +300,17 @@
     def test_a_heartbeat_is_answered_after_a_half_close_and_before_what_cannot_be_read(self):
         async def play():
             async with running_service() as (service, _, _):
-                half = await client(service, b'{"@type":"hb"}\n')
+                half = await connect_client(service, b'{"@type":"hb"}\n')
                 await half.send_eof()
-                self.assertEqual(await ended(half), (HEARTBEAT_REPLY, False))
-                unfinished = await client(service, b'{"@type":"hb"}\n{"@type":"hb"}')
+                self.assertEqual(await read_until_closed(half), (HEARTBEAT_REPLY, False))
+                unfinished = await connect_client(service, b'{"@type":"hb"}\n{"@type":"hb"}')
                 await unfinished.send_eof()
                 self.assertEqual(
-                    await ended(unfinished), (HEARTBEAT_REPLY, False)
+                    await read_until_closed(unfinished), (HEARTBEAT_REPLY, False)
                 )  # a line that was not ended is none
                 for _ in range(3):
-                    garbled = await client(service, b'{"@type":"hb"}\n\xff\n' + b"x" * 450_000)
-                    self.assertEqual(await ended(garbled), (HEARTBEAT_REPLY + REJECTION, False))
+                    garbled = await connect_client(service, b'{"@type":"hb"}\n\xff\n' + b"x" * 450_000)
+                    self.assertEqual(await read_until_closed(garbled), (HEARTBEAT_REPLY + REJECTION, False))
 
         anyio.run(play)
 
@@ -304,13 +318,13 @@
         async def play():
             async with running_service() as (service, _, _):
                 for k, reset in enumerate((False, True)):
-                    collector = await client(service, JOIN + b'{"@type":"hb"}\n')
+                    collector = await connect_client(service, JOIN_LINE + b'{"@type":"hb"}\n')
                     self.assertEqual(await collector.receive(), HEARTBEAT_REPLY)
-                    await collector.send(STATS.replace(b"be-1", b"nobody") + b'{"unfinished')
+                    await collector.send(BACKEND_REPORT_LINE.replace(b"be-1", b"nobody") + b'{"unfinished')
                     if reset:
                         await collector.send(b"\xff\n")  # what can't be read ends it; what came before counts
                     await collector.send_eof()
-                    self.assertEqual(await ended(collector), (b"", False))
+                    self.assertEqual(await read_until_closed(collector), (b"", False))
                     self.assertEqual(service.controller.unknown_reports, k + 1)
 
         anyio.run(play)
@@ -321,9 +335,9 @@
                 host, _, number = service.address.rpartition(":")
                 for _ in range(100):  # all within one turn of the loop: nothing is taken meanwhile
                     with socket.create_connection((host, int(number))) as gone:
-                        gone.sendall(JOIN + STATS)
+                        gone.sendall(JOIN_LINE + BACKEND_REPORT_LINE)
                         gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                alive = await client(service, b'{"@type":"hb"}\n')
+                alive = await connect_client(service, b'{"@type":"hb"}\n')
                 self.assertEqual(await alive.receive(), HEARTBEAT_REPLY)
                 while (
                     len(service.listener.unjoined) > 1
@@ -343,7 +357,7 @@
                     deaf.connect((host, int(number)))
                     deaf.setblocking(False)
                     loop = asyncio.get_running_loop()
-                    await loop.sock_sendall(deaf, JOIN)
+                    await loop.sock_sendall(deaf, JOIN_LINE)
                     with self.assertRaises(OSError):
                         while True:
                             await loop.sock_sendall(deaf, b'{"@type":"hb"}\n' * 4000)
@@ -352,7 +366,7 @@
 
     def test_a_process_without_descriptors_takes_connections_again_later(self):
         with tempfile.TemporaryDirectory() as folder, ExitStack() as open_ones:
-            Path(folder, "c").write_bytes(configured())
+            Path(folder, "c").write_bytes(configuration_json())
             run = open_ones.enter_context(
                 subprocess.Popen(
                     [sys.executable, "-m", "embertray.platform.run"],
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -6,7 +6,7 @@
 import unittest
 
 import anyio
-from platform_fixtures import MS, S, configured, member, running_service
+from platform_fixtures import MS, S, configuration_json, endpoint_fields, running_service
 
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.configuration import read_configuration
@@ -21,36 +21,41 @@
     def test_the_whole_list_then_changes(self):
         watch = EndpointListWatch(41)
         self.assertEqual(watch.next_request(0)[0], "/catalog/members")
-        how, members = watch.on_answer(0, 200, self.body(42, True, member("be-1", up_since_ms=1500)))
+        how, members = watch.on_answer(0, 200, self.body(42, True, endpoint_fields("be-1", up_since_ms=1500)))
         self.assertEqual((how, members[0].backend, members[0].started), ("whole", "be-1", 1500 * MS))
         self.assertEqual(watch.next_request(0)[0], "/catalog/members?from=42&hold_ms=2000")
         self.assertEqual(
-            watch.on_answer(0, 200, self.body(43, False, member("be-1", phase="gone")))[1][0].state, "gone"
+            watch.on_answer(0, 200, self.body(43, False, endpoint_fields("be-1", phase="gone")))[1][0].state,
+            "gone",
         )
         self.assertIsNone(watch.on_answer(0, 200, self.body(43, False)))
 
     def test_an_older_list_takes_nothing_back_until_it_stays(self):
         watch = EndpointListWatch()
-        watch.on_answer(0, 200, self.body(43, True, member("be-1", phase="draining")))
-        self.assertIsNone(watch.on_answer(S, 200, self.body(42, True, member("be-1"))))
+        watch.on_answer(0, 200, self.body(43, True, endpoint_fields("be-1", phase="draining")))
+        self.assertIsNone(watch.on_answer(S, 200, self.body(42, True, endpoint_fields("be-1"))))
         self.assertEqual(
-            watch.on_answer(S + limits.STALE_LIST_MAX_NS, 200, self.body(42, True, member("be-1")))[0],
+            watch.on_answer(S + limits.STALE_LIST_MAX_NS, 200, self.body(42, True, endpoint_fields("be-1")))[
+                0
+            ],
             "whole",
         )
-        watch.on_answer(20 * S, 200, self.body(50, True, member("be-1", phase="draining")))
+        watch.on_answer(20 * S, 200, self.body(50, True, endpoint_fields("be-1", phase="draining")))
 
     def test_an_older_list_elsewhere_takes_nothing_back_either(self):
         for now in (S, 20 * S):  # clocks may begin at zero
             watch = EndpointListWatch()
-            watch.on_answer(now, 200, self.body(43, True, member("be-1", phase="draining")))
+            watch.on_answer(now, 200, self.body(43, True, endpoint_fields("be-1", phase="draining")))
             watch.on_address_change()
             self.assertEqual(watch.next_request(now)[0], "/catalog/members")
-            self.assertIsNone(watch.on_answer(now, 200, self.body(42, True, member("be-1"))))
+            self.assertIsNone(watch.on_answer(now, 200, self.body(42, True, endpoint_fields("be-1"))))
             self.assertEqual(
                 watch.next_request(now)[0], "/catalog/members"
             )  # still: it has not told a list that counts
             self.assertEqual(
-                watch.on_answer(now + S, 200, self.body(43, True, member("be-1", phase="draining")))[0],
+                watch.on_answer(now + S, 200, self.body(43, True, endpoint_fields("be-1", phase="draining")))[
+                    0
+                ],
                 "whole",
             )
             self.assertEqual(watch.next_request(now)[0], "/catalog/members?from=43&hold_ms=2000")
@@ -63,7 +68,7 @@
     def test_who_answers_at_once_with_nothing_new_is_asked_more_slowly(self):
         watch = EndpointListWatch()
         watch.next_request(0)
-        watch.on_answer(0, 200, self.body(43, True, member("be-1")))
+        watch.on_answer(0, 200, self.body(43, True, endpoint_fields("be-1")))
         self.assertEqual(watch.request_delay(), 0)
         pauses = []
         for old in (
@@ -97,7 +102,7 @@
             (200, b"{"),
             (200, self.body(-1, True)),
             (200, self.body(1, False)),
-            (200, self.body(1, True, member("be-1", phase="x"))),
+            (200, self.body(1, True, endpoint_fields("be-1", phase="x"))),
             (200, b"\xff\xfe"),
         ):
             with self.assertRaises(UnreadableListError):
@@ -146,7 +151,7 @@
                 async def slowly(side):
                     while (await side.request()) is not None:
                         body = json.dumps(
-                            {"revision": 99, "complete": True, "members": [member("be-9")]}
+                            {"revision": 99, "complete": True, "members": [endpoint_fields("be-9")]}
                         ).encode()
                         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
                         await side.stream.send(head + body[:9])
@@ -193,7 +198,7 @@
 
                     async def read_response(self, *_):
                         service.load_configuration = lambda: read_configuration(
-                            configured(relay.address, "127.0.0.1:1")
+                            configuration_json(relay.address, "127.0.0.1:1")
                         )
                         service.reload()
                         return 200, json.dumps({"revision": 99, "complete": True, "members": []}).encode()
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -5,7 +5,7 @@
 import unittest
 
 import anyio
-from platform_fixtures import member, running_service
+from platform_fixtures import endpoint_fields, running_service
 
 from embertray.platform.protocol import limits
 
@@ -35,7 +35,7 @@
                 await relay.wait_until(lambda: relay.lines(1))
                 await calm(service, relay)
                 relay.next_faults, before = [fault], len(relay.calls)
-                discovery.change("new", **member("new"))
+                discovery.change("new", **endpoint_fields("new"))
                 await relay.wait_until(lambda: len(relay.calls) > before)
                 for fact in facts:
                     discovery.change("new", **fact)
@@ -118,7 +118,7 @@
                 await calm(service, relay)
                 before = len(relay.calls)
                 del relay.bound[2]  # what is sent to its table does not reach it: it answers nothing
-                discovery.change("be-3", **member("be-3"))
+                discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: "be-3" in relay.lines(2))
                 binds = [
                     order.split(",")[1]
--- a/tests/test_platform_generated.py
+++ b/tests/test_platform_generated.py
@@ -8,17 +8,17 @@
 
 from hypothesis import given, settings, strategies as st
 from platform_fixtures import (
+    ACCEPTED_ANSWER,
+    BACKEND_REPORT_LINE,
     ERROR,
-    GOOD,
-    HEARD,
-    JOIN,
+    EXPECTED_REPORTS,
+    JOIN_LINE,
     MS,
-    STATS,
-    USAGE,
+    TRAFFIC_REPORT_LINE,
     S,
-    configured,
+    configuration_json,
+    endpoint_fields,
     inbound_connection,
-    member,
 )
 
 from embertray.platform.protocol import limits
@@ -50,9 +50,9 @@
 LINES = st.one_of(
     st.sampled_from(
         [
-            JOIN,
-            STATS,
-            USAGE,
+            JOIN_LINE,
+            BACKEND_REPORT_LINE,
+            TRAFFIC_REPORT_LINE,
             b'{"@type":"hb"}\n',
             b"\n",
             b"\xff\n",
@@ -62,7 +62,7 @@
     ),
     st.binary(max_size=60),
     st.builds(
-        lambda total, errors: STATS.replace(
+        lambda total, errors: BACKEND_REPORT_LINE.replace(
             b'"total":9,"errors":1', b'"total":%d,"errors":%d' % (total, errors)
         ),
         st.integers(-1, 9),
@@ -92,7 +92,7 @@
 class AddressInput(unittest.TestCase):
     @ANY
     @given(
-        st.sampled_from([b"", JOIN]),
+        st.sampled_from([b"", JOIN_LINE]),
         st.lists(LINES, max_size=12),
         st.lists(st.integers(0, 10**6), max_size=8),
     )
@@ -124,9 +124,11 @@
     @given(st.binary(max_size=200), st.lists(st.integers(0, 10**6), max_size=8))
     def test_good_lines_before_the_end_count_whatever_follows(self, junk, cuts):
         one, found = inbound_connection(), []
-        for piece in pieces(JOIN + STATS + USAGE, cuts) + [b"\xff\n" + junk]:
+        for piece in pieces(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE, cuts) + [b"\xff\n" + junk]:
             found += one.receive(piece)
-        self.assertEqual((found, one.zone, one.outgoing.replace(HEARTBEAT_REPLY, b"")), (HEARD, "north", b""))
+        self.assertEqual(
+            (found, one.zone, one.outgoing.replace(HEARTBEAT_REPLY, b"")), (EXPECTED_REPORTS, "north", b"")
+        )
 
 
 class RelayInput(unittest.TestCase):
@@ -135,10 +137,10 @@
         st.one_of(
             st.binary(max_size=80),
             st.one_of(st.text(max_size=20), st.sampled_from(["²", "٣", "9" * 5000, "+1", "1_0"])).map(
-                lambda text: GOOD.replace(b"%d", text.encode())
+                lambda text: ACCEPTED_ANSWER.replace(b"%d", text.encode())
             ),
-            st.integers(-3, 10**30).map(lambda n: GOOD.replace(b"%d", b"%d" % n)),
-            st.tuples(st.just(GOOD % 2), st.integers(0, 90)).map(lambda cut: cut[0][: cut[1]]),
+            st.integers(-3, 10**30).map(lambda n: ACCEPTED_ANSWER.replace(b"%d", b"%d" % n)),
+            st.tuples(st.just(ACCEPTED_ANSWER % 2), st.integers(0, 90)).map(lambda cut: cut[0][: cut[1]]),
             st.sampled_from([ERROR % word for word in (b"invalid", b"throttled", b"unheard")]),
         ),
         st.sampled_from([200, 400, 503]),
@@ -260,7 +262,7 @@
                     NUMBERS,
                     st.lists(
                         st.builds(
-                            member,
+                            endpoint_fields,
                             WORDS,
                             WORDS,
                             phase=st.sampled_from(["ready", "draining", "gone", "x", None]),
@@ -299,7 +301,7 @@
     @given(
         st.one_of(
             st.binary(max_size=60),
-            st.integers(0, 10**6).map(lambda cut: configured()[: cut % len(configured())]),
+            st.integers(0, 10**6).map(lambda cut: configuration_json()[: cut % len(configuration_json())]),
         )
     )
     def test_a_configuration_is_read_or_refused(self, data):
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -3,7 +3,7 @@
 import unittest
 
 import anyio
-from platform_fixtures import ERROR, GOOD, MS, S, running_service
+from platform_fixtures import ACCEPTED_ANSWER, ERROR, MS, S, running_service
 
 from embertray.platform.protocol import limits
 from embertray.platform.protocol.answers import CallRejected, OrdersAccepted, read_answer
@@ -25,20 +25,22 @@
         return caller
 
     def test_answers(self):
-        self.assertEqual(read_answer(200, b'<?xml version="1.0"?>\n' + GOOD % 2), OrdersAccepted(2))
+        self.assertEqual(
+            read_answer(200, b'<?xml version="1.0"?>\n' + ACCEPTED_ANSWER % 2), OrdersAccepted(2)
+        )
         self.assertEqual(read_answer(503, ERROR % b"throttled"), CallRejected("throttled"))
         for spoilt in (
             b"",
             b"<Response><items><it",
-            GOOD % 2 + b"x",
-            GOOD.replace(b"%d", b"-1"),
-            GOOD.replace(b"%d", b""),
+            ACCEPTED_ANSWER % 2 + b"x",
+            ACCEPTED_ANSWER.replace(b"%d", b"-1"),
+            ACCEPTED_ANSWER.replace(b"%d", b""),
             b"\xff" * 9,
             b"<Response/>",
-            (GOOD % 2).replace(b"Response", b"R"),
+            (ACCEPTED_ANSWER % 2).replace(b"Response", b"R"),
             b"x" * (limits.ANSWER_MAX_BYTES + 1),
-            GOOD.replace(b"%d", "²".encode()),
-            GOOD.replace(b"%d", b"9" * 5000),
+            ACCEPTED_ANSWER.replace(b"%d", "²".encode()),
+            ACCEPTED_ANSWER.replace(b"%d", b"9" * 5000),
         ):
             with self.assertRaises(UnreadableAnswerError):
                 read_answer(200, spoilt)
@@ -48,12 +50,12 @@
         call = caller.next_call(0)
         self.assertEqual(call.orders, ["SET,1,be-1,1", "USE,3,1,*", "USE,4,1,*", "SYNC,7,0"])
         self.assertEqual(call.body()[:37], b"Action=CommitChanges&orders=SET%2C1%2")
-        self.assertEqual((caller.on_answer(0, 200, GOOD % 4), caller.idle), ("", True))
+        self.assertEqual((caller.on_answer(0, 200, ACCEPTED_ANSWER % 4), caller.idle), ("", True))
 
     def test_more_taken_than_was_sent_proves_nothing(self):
         caller = self.caller()
         caller.next_call(0)
-        self.assertTrue(caller.on_answer(0, 200, GOOD % 5))
+        self.assertTrue(caller.on_answer(0, 200, ACCEPTED_ANSWER % 5))
         self.assertIsNone(caller.next_call(100 * MS))
         self.assertEqual(
             caller.next_call(200 * MS + limits.ACKNOWLEDGEMENT_WAIT_NS).orders[0], "SET,1,be-1,1"
@@ -62,7 +64,7 @@
     def test_a_refused_order_is_left_out_and_the_rest_goes_on(self):
         caller = self.caller()
         caller.next_call(0)
-        caller.on_answer(0, 200, GOOD % 1)
+        caller.on_answer(0, 200, ACCEPTED_ANSWER % 1)
         self.assertEqual(
             caller.next_call(0).orders, ["USE,4,1,*", "SYNC,7,1"]
         )  # who got the first part answers, too
@@ -92,7 +94,7 @@
                 said.append(caller.on_answer(now, 400, ERROR % word))
             else:
                 taken += orders
-                said.append(caller.on_answer(now, 200, GOOD % len(orders)))
+                said.append(caller.on_answer(now, 200, ACCEPTED_ANSWER % len(orders)))
         self.fail("the calls have no end")
 
     def test_an_invalid_call_goes_again_in_halves_and_costs_what_makes_it_so(self):
