--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -38,7 +38,7 @@
 
 
 class GivenUp(unittest.TestCase):
-    def play(self, body, reset, within=50 * MS):
+    def run_scenario(self, body, reset, within=50 * MS):
         """Asks a peer that reads nothing, gives the call up, and tells what the peer reads then and what the
         call failed with.
         """
@@ -65,14 +65,14 @@
         return anyio.run(asked)
 
     def test_a_request_that_is_not_taken_fails_in_time_and_never_arrives_whole(self):
-        failed, closed, got, _ = self.play(BODY, False)
+        failed, closed, got, _ = self.run_scenario(BODY, False)
         self.assertFalse(failed.sent)
         self.assertEqual(closed, 1)
         self.assertLess(got, len(BODY))
 
     def test_a_request_in_doubt_that_is_given_up_does_not_arrive_later(self):
         body = b"x" * 60_000  # the system takes it at once, the peer's window does not
-        failed, closed, got, reset = self.play(body, True)
+        failed, closed, got, reset = self.run_scenario(body, True)
         self.assertTrue(failed.sent)
         self.assertEqual((closed, reset), (1, True))
         self.assertLess(got, len(body))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -147,7 +147,7 @@
 
 class OnSockets(unittest.TestCase):
     def test_proxies_are_bound_and_a_drain_leaves_their_tables(self):
-        async def play():
+        async def scenario():
             async with running_service() as (_, relay, discovery):
                 for node in range(3):
                     relay.attach(node, "north")
@@ -155,10 +155,10 @@
                 discovery.change("be-1", phase="draining")
                 await relay.wait_until(lambda: all(set(relay.lines(node)) == {"be-2"} for node in range(3)))
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_calls_that_are_lost_muted_spoilt_or_throttled_end_up_carried_out(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery):
                 await relay.wait_until(lambda: relay.calls)
                 relay.attach(1, "north")
@@ -183,10 +183,10 @@
                     await relay.wait_until(lambda: name not in relay.lines(1))
                 self.assertEqual(service.controller.order_caller.orders_given_up, 0)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_refused_order_costs_itself_wherever_it_stands(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
@@ -213,10 +213,10 @@
                     )
                     self.assertEqual(service.controller.order_caller.refused_orders[place], seen[place])
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_an_order_that_makes_a_call_invalid_costs_itself(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
@@ -236,10 +236,10 @@
                 discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: "be-3" in relay.lines(1))  # it goes on
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_step_in_several_calls_survives_the_loss_of_any(self):
-        async def play():
+        async def scenario():
             with mock.patch("embertray.platform.protocol.order_caller.ORDERS_MAX_BYTES", 150):
                 async with running_service() as (service, relay, _):
                     await relay.wait_until(
@@ -273,10 +273,10 @@
                         (0, []),
                     )
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_it_is_ready_while_discovery_is_silent_and_the_relay_takes_nothing(self):
-        async def play():
+        async def scenario():
             async with running_service(
                 lambda relay, discovery: (
                     setattr(discovery, "down", True),
@@ -292,10 +292,10 @@
                 self.assertEqual(relay.next_faults, [])
                 await alive.aclose()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_events_go_on_when_a_connection_breaks(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, _):
                 relay.attach(1, "north")
                 await relay.wait_until(
@@ -308,10 +308,10 @@
                 )
                 self.assertEqual(set(service.controller.proxies.joined), {1, 2})
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_an_internal_error_in_a_step_or_a_task_ends_nothing(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery):
                 for node in range(3):
                     relay.attach(node, "north")
@@ -355,10 +355,10 @@
                     await faulty.wait()
                 await relay.wait_until(lambda: all("be-4" in relay.lines(node) for node in range(4)))
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_new_configuration_moves_to_other_addresses(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
@@ -385,10 +385,10 @@
                 )
                 group.cancel_scope.cancel()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_an_internal_error_at_a_new_configuration_leaves_the_old_one(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
@@ -415,10 +415,10 @@
                 await relay.wait_until(lambda: "be-3" in relay.lines(1))
                 group.cancel_scope.cancel()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_call_that_is_in_flight_at_a_new_address_is_carried_out_there_and_back_again(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
@@ -445,7 +445,7 @@
                     await there.wait_until(lambda: len(there.event_queues) == limits.EVENT_STREAMS)
                 group.cancel_scope.cancel()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 class UnsupportedSettings(unittest.TestCase):
--- a/tests/test_platform_address.py
+++ b/tests/test_platform_address.py
@@ -181,7 +181,7 @@
 
 class Lingering(unittest.TestCase):
     def test_nothing_is_unread_when_an_unjoined_peer_is_closed_unless_it_never_ends(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, _, _):
                 for pieces, unread in ((2, 0), (limits.LINGER_MAX_BYTES // 65536 + 3, 3)):
                     wire, one = (
@@ -192,7 +192,7 @@
                     await service.listener.handle(one, wire)
                     self.assertEqual((wire.sent, wire.unread), (HEARTBEAT_REPLY + REJECTION + b".", unread))
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 LONGER_THAN_A_REPLY = 1.1 * limits.REPLY_TIMEOUT_NS / S
@@ -214,10 +214,10 @@
 class LateReplies(unittest.TestCase):
     """Guards against a reply that is owed and lost as its time limit ran out before it was written."""
 
-    def play(self, write, **loop):
+    def run_scenario(self, write, **loop):
         """What a peer gets that sends what can't be read; `write(send)` is called in place of `send`."""
 
-        async def play():
+        async def scenario():
             async with running_service() as (service, _, _):
                 send = service.listener.send
 
@@ -227,7 +227,7 @@
                 service.listener.send = late_send
                 return await read_until_closed(await connect_client(service, b'{"@type":"hb"}\n\xff\n'))
 
-        return anyio.run(play, backend_options=loop)
+        return anyio.run(scenario, backend_options=loop)
 
     def test_a_rejection_arrives_though_its_limit_was_over_before_the_write(self):
         async def without_processor_time(send):
@@ -236,7 +236,7 @@
             await send()
             loop.is_late = False
 
-        got = self.play(without_processor_time, loop_factory=LateLoop)
+        got = self.run_scenario(without_processor_time, loop_factory=LateLoop)
         self.assertEqual(got, (HEARTBEAT_REPLY + REJECTION, False))
 
     def test_a_rejection_arrives_though_the_loop_was_held_before_the_write(self):
@@ -245,13 +245,13 @@
             await send()
 
         for use_uvloop in (False, True):
-            got = self.play(held, use_uvloop=use_uvloop)
+            got = self.run_scenario(held, use_uvloop=use_uvloop)
             self.assertEqual(got, (HEARTBEAT_REPLY + REJECTION, False), use_uvloop)
 
 
 class OnSockets(unittest.TestCase):
     def test_unjoined_peers_by_the_hundreds_are_closed_and_cost_nobody_else(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, _):
                 strangers = [
                     await connect_client(service, b'{"@type":"hb"}\n{"half' if k % 2 else b"")
@@ -265,10 +265,10 @@
                 self.assertEqual((len(service.listener.unjoined), service.controller.unknown_reports), (0, 0))
                 await collector.aclose()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_valid_joins_by_the_hundreds_keep_no_collector_out(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, _):
 
                 async def joined(data=b""):
@@ -295,10 +295,10 @@
                 for stream in [collector, late, *silent]:
                     await stream.aclose()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_heartbeat_is_answered_after_a_half_close_and_before_what_cannot_be_read(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, _, _):
                 half = await connect_client(service, b'{"@type":"hb"}\n')
                 await half.send_eof()
@@ -312,10 +312,10 @@
                     garbled = await connect_client(service, b'{"@type":"hb"}\n\xff\n' + b"x" * 450_000)
                     self.assertEqual(await read_until_closed(garbled), (HEARTBEAT_REPLY + REJECTION, False))
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_what_comes_with_the_end_of_a_connection_counts(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, _, _):
                 for k, reset in enumerate((False, True)):
                     collector = await connect_client(service, JOIN_LINE + b'{"@type":"hb"}\n')
@@ -327,10 +327,10 @@
                     self.assertEqual(await read_until_closed(collector), (b"", False))
                     self.assertEqual(service.controller.unknown_reports, k + 1)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_connections_that_are_reset_before_they_are_taken_cost_nothing(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, _, _):
                 host, _, number = service.address.rpartition(":")
                 for _ in range(100):  # all within one turn of the loop: nothing is taken meanwhile
@@ -346,10 +346,10 @@
                     await anyio.sleep(0.02)
                 await alive.aclose()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_who_takes_no_replies_is_closed(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, _, _):
                 with socket.socket() as deaf:
                     deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -362,7 +362,7 @@
                         while True:
                             await loop.sock_sendall(deaf, b'{"@type":"hb"}\n' * 4000)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_process_without_descriptors_takes_connections_again_later(self):
         with tempfile.TemporaryDirectory() as folder, ExitStack() as open_ones:
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -112,7 +112,7 @@
 
 class OnSockets(unittest.TestCase):
     def test_a_drain_gets_through_however_the_answers_end(self):
-        async def play():
+        async def scenario():
             async with running_service() as (_, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: len(relay.lines(1)) == 2)
@@ -124,10 +124,10 @@
                     discovery.change("be-1", phase="ready", up_since_ms=discovery.revision)
                     await relay.wait_until(lambda: len(relay.lines(1)) == 2)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_list_gone_empty_counts_as_notified_and_what_is_back_is_served_again(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: len(relay.lines(1)) == 2)
@@ -139,12 +139,12 @@
                         await anyio.aclose_forcefully(stream)
                     await relay.wait_until(lambda: set(relay.lines(1)) == set(told))
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_list_that_takes_its_time_is_taken(self):
         """Longer than it may take to begin: only silence is a break."""
 
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery):
                 await relay.wait_until(lambda: relay.calls)
 
@@ -166,10 +166,10 @@
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: set(relay.lines(1)) == {"be-9"})
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_an_agent_that_answers_at_once_does_not_take_the_processor(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, _, discovery):
 
                 async def asked(more):
@@ -184,10 +184,10 @@
                 await asked(14)
                 self.assertGreater(service.clock.now() - first, 8 * limits.UNCHANGED_BACKOFF_MAX_NS)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_an_answer_of_the_old_address_in_the_wake_up_of_a_new_one_counts_for_nothing(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, _):
                 await relay.wait_until(lambda: relay.calls)
                 held = service.controller.list_watch.revision
@@ -209,7 +209,7 @@
                     (held, True),
                 )
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -10,7 +10,7 @@
 from embertray.platform.protocol import limits
 
 
-async def calm(service, relay):
+async def wait_until_idle(service, relay):
     """Until nothing is on its way."""
     controller = service.controller
     while (
@@ -25,55 +25,55 @@
 
 
 class Backends(unittest.TestCase):
-    def play(self, fault, *facts):
+    def run_scenario(self, fault, *changes):
         """A backend is added by a call that ends by `fault`; `facts` of it come once that call is there, one
         after the other. Its weight at the proxy in the end, or None."""
 
-        async def played():
+        async def scenario():
             async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
-                await calm(service, relay)
+                await wait_until_idle(service, relay)
                 relay.next_faults, before = [fault], len(relay.calls)
                 discovery.change("new", **endpoint_fields("new"))
                 await relay.wait_until(lambda: len(relay.calls) > before)
-                for fact in facts:
-                    discovery.change("new", **fact)
+                for change in changes:
+                    discovery.change("new", **change)
                 revision = discovery.revision
                 while service.controller.list_watch.revision < revision:
                     await anyio.sleep(0.02)
-                await calm(service, relay)
+                await wait_until_idle(service, relay)
                 return relay.lines(1).get("new")
 
-        return anyio.run(played)
+        return anyio.run(scenario)
 
     def test_one_that_ends_while_its_first_line_is_on_its_way_is_in_no_table(self):
         for fault in ("ok", "lose", "mute", "cut", "stall"):
-            for facts in (
+            for changes in (
                 [{"phase": "draining"}],
                 [{"phase": "gone"}],
                 [{"phase": "draining"}, {"phase": "gone"}],
             ):
-                with self.subTest(fault=fault, facts=facts):
-                    self.assertIsNone(self.play(fault, *facts))
+                with self.subTest(fault=fault, changes=changes):
+                    self.assertIsNone(self.run_scenario(fault, *changes))
 
     def test_one_that_is_back_while_its_removal_is_on_its_way_stays(self):
         for fault in ("ok", "lose", "mute"):
             with self.subTest(fault=fault):
                 self.assertTrue(
-                    self.play(fault, {"phase": "draining"}, {"phase": "ready", "up_since_ms": 1000})
+                    self.run_scenario(fault, {"phase": "draining"}, {"phase": "ready", "up_since_ms": 1000})
                 )
 
 
 class Proxies(unittest.TestCase):
     def test_one_that_leaves_and_comes_back_during_its_bind_is_bound(self):
-        async def play():
+        async def scenario():
             for fault in ("ok", "lose", "mute", "stall"):
                 async with running_service() as (service, relay, _):
                     await relay.wait_until(
                         lambda: relay.calls and len(relay.event_queues) == limits.EVENT_STREAMS
                     )
-                    await calm(service, relay)
+                    await wait_until_idle(service, relay)
                     relay.next_faults, before = [fault], len(relay.calls)
                     relay.attach(1, "north")
                     await relay.wait_until(lambda: len(relay.calls) > before)
@@ -81,13 +81,13 @@
                     relay.detach(1)
                     relay.attach(1, "south")
                     await relay.wait_until(lambda: relay.lines(1))
-                    await calm(service, relay)
+                    await wait_until_idle(service, relay)
                     self.assertTrue(relay.lines(1))
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_an_answer_from_before_a_stay_proves_nothing_of_it(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, _):
                 relay.acknowledges = False
                 relay.attach(1, "north")
@@ -107,15 +107,15 @@
                 self.assertTrue(known[1].messages.unacknowledged)  # its own answer is still owed
                 self.assertNotIn(late, [nonce.external_id for nonce, _ in known[1].messages.unacknowledged])
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_who_does_not_answer_is_bound_again_and_nobody_else(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, discovery):
                 for node in (1, 2):
                     relay.attach(node, "north")
                 await relay.wait_until(lambda: relay.lines(1) and relay.lines(2))
-                await calm(service, relay)
+                await wait_until_idle(service, relay)
                 before = len(relay.calls)
                 del relay.bound[2]  # what is sent to its table does not reach it: it answers nothing
                 discovery.change("be-3", **endpoint_fields("be-3"))
@@ -128,7 +128,7 @@
                 ]
                 self.assertEqual(set(binds), {"2"})
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -241,7 +241,7 @@
 
 class OnSockets(unittest.TestCase):
     def test_what_comes_with_the_end_of_the_event_stream_counts(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, _):
                 relay.attach(1, "north")
                 await relay.wait_until(
@@ -260,10 +260,10 @@
                 while 2 in service.controller.proxies.joined:
                     await anyio.sleep(0.02)  # and is known to have left once what stands was told
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_who_left_and_came_back_while_no_events_came_is_bound_again(self):
-        async def play():
+        async def scenario():
             async with running_service() as (service, relay, _):
                 for node in (1, 2):
                     relay.attach(node, "north")
@@ -293,7 +293,7 @@
                     sum(order.startswith("USE,2,") for _, orders in relay.calls for order in orders), binds
                 )
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 if __name__ == "__main__":
