--- a/embertray/cluster/membership/config.py
+++ b/embertray/cluster/membership/config.py
@@ -18,16 +18,17 @@
         probe_timeout: Time until indirect probes are requested for a direct probe without an Ack. Longer than
             a pause of a garbage collector or of the scheduler.
         indirect_probes: Number of members that are asked for an indirect probe.
-        suspicion_multiplier: The minimum suspicion timeout is this, times log10 of the number of members,
-            probe periods.
+        suspicion_multiplier: Factor of the minimum suspicion timeout, which is the probe period times this
+            factor and log10 of the number of members.
         unconfirmed_factor: The suspicion timeout without confirmations, in minimum suspicion timeouts. It is
             longer so that a fault of the suspecting member does not pass for one of the suspected member.
         confirmations: Number of suspicions by others at which the timeout reaches its minimum.
-        retransmit_multiplier: A statement is gossiped this, times log2 of the number of members, times.
+        retransmit_multiplier: Factor of the number of times that a statement is gossiped, which is this
+            factor times log2 of the number of members.
         gossip_bytes: Bytes of statements in a message; with the header it fits a datagram of 1,400 bytes.
         max_health_score: Maximum of the local health score, by which a slow member extends its timeouts.
-        reconnect_period: Time between two attempts to reach seeds and dead members; these attempts rejoin
-            the sides of a network partition.
+        reconnect_period: Time between two attempts to reach seeds and dead members. The sides of a network
+            partition merge again by these attempts.
         departed_retention: How long a member that is dead or has left is remembered. Longer than partitions
             that heal by themselves.
         pause_threshold: A step that is later than this plus a probe period means that this process was
