--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -13,7 +13,7 @@
 from .counters import LinkCounters
 from .gossip_socket import GossipSocket
 from .state_exchange import StateExchange
-from .status import collections, status
+from .status import memory_collections, status
 from .token_bucket import TokenBucket
 
 SECOND_NS = 10**9
@@ -69,9 +69,9 @@
         """Return the status for the admin endpoint and the metrics."""
         return status(self)
 
-    def collections(self):
+    def memory_collections(self):
         """Return the cluster's Collections for the memory accounts."""
-        return collections(self)
+        return memory_collections(self)
 
     def set_growth_blocked(self, blocked):
         """Set whether received entries that need more memory are shed.
--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -60,7 +60,7 @@
     ]
 
 
-def collections(link):
+def memory_collections(link):
     """Return the cluster's collections for the memory accounts, without the objects that hold them.
 
     Args:
--- a/embertray/service/daemon/memory_report.py
+++ b/embertray/service/daemon/memory_report.py
@@ -21,7 +21,7 @@
     """
     collections = {"streams": _streams(service), "list": _endpoint_list(service)}
     if service.cluster:
-        collections["cluster"] = service.cluster.collections()
+        collections["cluster"] = service.cluster.memory_collections()
     return collections
 
 
