--- a/embertray/common/framing.py
+++ b/embertray/common/framing.py
@@ -42,7 +42,7 @@
             if not 0 < size <= self.max_bytes:
                 raise FrameError(
                     "oversized" if size else "empty",
-                    f"frame of {size} bytes, allowed are 1 to {self.max_bytes}",
+                    f"a frame of {size} bytes, 1 to {self.max_bytes} allowed",
                 )
             if len(self.buffer) - offset - PREFIX.size < size:
                 break
@@ -55,4 +55,4 @@
     def end(self):
         """Must be called at the end of the stream: raises FrameError if it ended within a frame."""
         if self.buffer:
-            raise FrameError("cut", f"stream ended after {len(self.buffer)} bytes of a frame")
+            raise FrameError("cut", f"the stream ended {len(self.buffer)} bytes into a frame")
--- a/embertray/controller/channel/admission.py
+++ b/embertray/controller/channel/admission.py
@@ -77,7 +77,7 @@
             None, or the Rejection.
         """
         if self.handshakes >= HANDSHAKES_MAX:
-            text = f"too many streams without a hello: limit {HANDSHAKES_MAX}"
+            text = f"{HANDSHAKES_MAX} streams wait for their hello already"
             return Rejection(LATER, text, CUT_BACKOFF_FIRST_NS)
         self.handshakes += 1
         return None
@@ -98,14 +98,14 @@
             None, or the Rejection.
         """
         if self.draining is not None:
-            return Rejection(DRAINING, "this controller is draining", DRAIN_RETRY_AFTER_NS)
+            return Rejection(DRAINING, "this controller is being drained", DRAIN_RETRY_AFTER_NS)
         if memory_delay is not None:
-            text = f"no memory for another proxy, retry in {memory_delay / NS_PER_MS:.0f} ms"
+            text = f"no memory for one more proxy, come back in {memory_delay / NS_PER_MS:.0f} ms"
             return Rejection(LATER, text, memory_delay)
         cut = self.cuts.get(name)
         if cut is not None and now < cut.rejected_until:
             remaining = cut.rejected_until - now
-            return Rejection(LATER, f"cut recently, retry in {remaining / NS_PER_MS:.0f} ms", remaining)
+            return Rejection(LATER, f"cut lately, come back in {remaining / NS_PER_MS:.0f} ms", remaining)
         return None
 
     def record_cut(self, now, name):
--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -94,7 +94,7 @@
         """
         index = level_index(name)
         if not index:
-            raise NormalLevelError("the level 'normal' can't be forbidden")
+            raise NormalLevelError("normal can't be forbidden")
         if forbidden:
             self.forbidden.add(index)
         else:
--- a/embertray/controller/degradation/levels.py
+++ b/embertray/controller/degradation/levels.py
@@ -54,5 +54,5 @@
         UnknownLevelError: There is no such level.
     """
     if name not in LEVEL_NAMES:
-        raise UnknownLevelError(f"unknown level '{name}'; known levels are {', '.join(LEVEL_NAMES)}")
+        raise UnknownLevelError(f"no level '{name}'; there are {', '.join(LEVEL_NAMES)}")
     return LEVEL_NAMES.index(name)
--- a/embertray/controller/stream/session.py
+++ b/embertray/controller/stream/session.py
@@ -54,7 +54,7 @@
             ProtocolError: The peer violated the protocol, or the session has ended.
         """
         if self.ended:
-            raise ProtocolError("order", "bytes received after the end of the session")
+            raise ProtocolError("order", "bytes after the end of the session")
         messages = self._decode_messages(data)
         for message in messages:
             self.check(message)
@@ -114,14 +114,14 @@
         if self.hello:
             self.reject("order", f"a second hello from proxy {self.hello.proxy}")
         if hello.version != VERSION:
-            self.reject("version", f"protocol version {hello.version} is not supported, only {VERSION}")
+            self.reject("version", f"version {hello.version} is not spoken here, only {VERSION}")
         if self.zones is not None and hello.zone not in self.zones:
             self.reject("zone", f"zone '{hello.zone}' of proxy {hello.proxy} is not in the site")
         self.hello = hello
 
     def _check_acknowledgement(self, message):
         if message.nonce not in self.open_nonces:
-            self.reject("order", f"acknowledgement of nonce {message.nonce}, which is not outstanding")
+            self.reject("order", f"an answer to nonce {message.nonce}, which is not open here")
         # the channel is in order, so this acknowledges all earlier nonces too
         while self.open_nonces.popleft() != message.nonce:
             pass
@@ -129,7 +129,7 @@
     def _check_report(self, report):
         for totals in report.met:
             if totals.failed > totals.tries:
-                text = f"{totals.failed} failures of {totals.tries} attempts at {totals.backend}"
+                text = f"{totals.failed} of {totals.tries} tries failed at {totals.backend}"
                 self.reject("malformed", text)
 
     def welcome(self, controller, kinds):
