--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -46,7 +46,7 @@
 from embertray.simulation.standins.relay import StandinRelay
 
 
-class Configured(unittest.TestCase):
+class Configuration(unittest.TestCase):
     def test_nested_and_flat_settings_give_the_same(self):
         pairs = {
             "az": "north",
@@ -75,7 +75,7 @@
             (nested["drain_grace"], nested["throttle"], len(nested["kinds"])), (3 * S, "share", 2)
         )
 
-    def test_bad_values_are_named(self):
+    def test_invalid_values_are_reported(self):
         with self.assertRaisesRegex(SettingsError, "'x' is not a valid value for specifics.agents"):
             StartSettings({"specifics.agents": "x"})
         for data in (
@@ -93,7 +93,7 @@
                 parse_address(address)
         self.assertEqual(parse_address("10.0.0.4:8000"), ("10.0.0.4", 8000))
 
-    def test_a_known_list_that_cannot_be_read_is_none(self):
+    def test_an_undecodable_known_list_is_treated_as_empty(self):
         for known in (
             {"revision": "x"},
             {"members": [{"id": "be-1", "phase": "new"}]},
@@ -110,7 +110,7 @@
             {"be-1": "ready", "be-2": "ready"},
         )
 
-    def test_reports_do_not_pile_up_while_no_call_gets_through(self):
+    def test_pending_reports_are_bounded_while_no_call_succeeds(self):
         controller = PlatformController(read_configuration(configuration_json()), 0, 0)
         self.assertTrue(controller.advance(0))  # the first tables wait for a relay that is not there
         before = len(controller.pending_events)
@@ -124,7 +124,7 @@
         )
         self.assertIn("ProxyJoined", [type(event).__name__ for event in controller.pending_events])
 
-    def test_run_imports_nothing_that_it_leaves_off(self):
+    def test_the_controller_process_does_not_import_unused_packages(self):
         code = (
             "import sys; import embertray.platform.run.service, embertray.common.logs; print([m for m in "
             "sys.modules if m.split('.')[0] in "
@@ -146,7 +146,7 @@
 
 
 class OnSockets(unittest.TestCase):
-    def test_proxies_are_bound_and_a_drain_leaves_their_tables(self):
+    def test_proxies_are_bound_and_a_draining_backend_is_removed_from_their_tables(self):
         async def scenario():
             async with running_service() as (_, relay, discovery):
                 for node in range(3):
@@ -157,7 +157,7 @@
 
         anyio.run(scenario)
 
-    def test_calls_that_are_lost_muted_spoilt_or_throttled_end_up_carried_out(self):
+    def test_failed_or_unanswered_calls_are_eventually_executed(self):
         async def scenario():
             async with running_service() as (service, relay, discovery):
                 await relay.wait_until(lambda: relay.calls)
@@ -185,7 +185,7 @@
 
         anyio.run(scenario)
 
-    def test_a_refused_order_costs_itself_wherever_it_stands(self):
+    def test_only_the_refused_order_is_lost_at_any_position(self):
         async def scenario():
             async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
@@ -215,7 +215,7 @@
 
         anyio.run(scenario)
 
-    def test_an_order_that_makes_a_call_invalid_costs_itself(self):
+    def test_only_the_order_that_makes_a_call_invalid_is_lost(self):
         async def scenario():
             async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
@@ -238,7 +238,7 @@
 
         anyio.run(scenario)
 
-    def test_a_step_in_several_calls_survives_the_loss_of_any(self):
+    def test_a_step_in_several_calls_survives_the_loss_of_any_call(self):
         async def scenario():
             with mock.patch("embertray.platform.protocol.order_caller.ORDERS_MAX_BYTES", 150):
                 async with running_service() as (service, relay, _):
@@ -275,7 +275,7 @@
 
         anyio.run(scenario)
 
-    def test_it_is_ready_while_discovery_is_silent_and_the_relay_takes_nothing(self):
+    def test_the_controller_serves_while_discovery_is_down_and_the_relay_throttles(self):
         async def scenario():
             async with running_service(
                 lambda relay, discovery: (
@@ -294,7 +294,7 @@
 
         anyio.run(scenario)
 
-    def test_events_go_on_when_a_connection_breaks(self):
+    def test_events_continue_when_a_connection_breaks(self):
         async def scenario():
             async with running_service() as (service, relay, _):
                 relay.attach(1, "north")
@@ -310,7 +310,7 @@
 
         anyio.run(scenario)
 
-    def test_an_internal_error_in_a_step_or_a_task_ends_nothing(self):
+    def test_an_internal_error_in_a_step_or_a_task_is_recovered(self):
         async def scenario():
             async with running_service() as (service, relay, discovery):
                 for node in range(3):
@@ -357,7 +357,7 @@
 
         anyio.run(scenario)
 
-    def test_a_new_configuration_moves_to_other_addresses(self):
+    def test_a_reloaded_configuration_changes_the_addresses(self):
         async def scenario():
             async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
@@ -387,7 +387,7 @@
 
         anyio.run(scenario)
 
-    def test_an_internal_error_at_a_new_configuration_leaves_the_old_one(self):
+    def test_an_internal_error_while_reloading_keeps_the_old_configuration(self):
         async def scenario():
             async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
@@ -417,7 +417,7 @@
 
         anyio.run(scenario)
 
-    def test_a_call_that_is_in_flight_at_a_new_address_is_carried_out_there_and_back_again(self):
+    def test_a_call_in_flight_during_an_address_change_is_executed_at_the_new_address(self):
         async def scenario():
             async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
@@ -449,7 +449,7 @@
 
 
 class UnsupportedSettings(unittest.TestCase):
-    def test_slices_are_refused_and_permissions_go_unused(self):
+    def test_slices_are_rejected_and_unsupported_permissions_ignored(self):
         def controller(**more):
             return PlatformController(
                 read_configuration(configuration_json(settings={**SETTINGS, **more})), 0, 0
@@ -473,7 +473,7 @@
 """
 
 
-class Started(unittest.TestCase):
+class ControllerProcess(unittest.TestCase):
     @contextmanager
     def program(self, slow=False, **more):
         """(process, path of its configuration, logged): logged(word) is the next log line with that word.
@@ -504,7 +504,7 @@
                     watchdog.cancel()
                     run.kill()
 
-    def test_the_program_by_its_signals(self):
+    def test_signals_reload_and_end_the_process(self):
         with self.program() as (run, path, logged):
             self.assertIn("address", json.loads(logged("listening")))
             path.write_bytes(b"{")
@@ -513,7 +513,7 @@
             run.send_signal(signal.SIGTERM)
             self.assertEqual(run.wait(timeout=20), 0)
 
-    def test_a_new_configuration_that_names_no_address_changes_nothing(self):
+    def test_a_reloaded_configuration_with_an_invalid_address_is_rejected(self):
         with self.program() as (run, path, logged):
             logged("listening")
             for bad in (configuration_json(relay="nowhere"), configuration_json(discovery="10.0.0.1")):
@@ -525,7 +525,7 @@
             run.send_signal(signal.SIGHUP)
             self.assertEqual(json.loads(logged("new configuration"))["relay"], "127.0.0.1:2")
 
-    def test_a_signal_ends_it_during_its_imports_and_one_after_the_other_does_no_more(self):
+    def test_repeated_signals_end_the_process_even_during_its_imports(self):
         for slow, awaited in ((True, "importing"), (False, "listening")):
             for one in (signal.SIGTERM, signal.SIGINT):
                 with self.program(slow) as (run, _, logged):
@@ -535,7 +535,7 @@
                     self.assertEqual(run.wait(timeout=20), 0)
                     self.assertNotIn("Traceback", run.stderr.read())
 
-    def test_a_hangup_during_its_imports_is_kept(self):
+    def test_a_hangup_during_the_imports_is_handled_later(self):
         with self.program(slow=True) as (run, _, logged):
             self.assertIn("importing", logged("importing"))
             run.send_signal(signal.SIGHUP)
@@ -543,7 +543,7 @@
             run.stdin.flush()
             self.assertIn("discovery", json.loads(logged("new configuration")))
 
-    def test_it_starts_again_at_once_where_it_was_killed(self):
+    def test_it_can_listen_on_the_same_address_directly_after_a_kill(self):
         with ExitStack() as open_ones:
             with socket.create_server(("127.0.0.1", 0)) as free:
                 listen = f"127.0.0.1:{free.getsockname()[1]}"
@@ -560,7 +560,7 @@
                     run.kill()
                     run.wait(timeout=20)
 
-    def test_a_thousand_connections_end_with_it(self):
+    def test_a_thousand_connections_are_closed_when_it_ends(self):
         with (
             self.program(limits={"cores": 1.0, "memory_mb": 64, "sockets": 4096}) as (run, _, logged),
             ExitStack() as open_ones,
@@ -576,7 +576,7 @@
             self.assertEqual(run.wait(timeout=20), 0)
             self.assertEqual({peer.recv(100) for peer in peers}, {b""})
 
-    def test_a_bad_configuration_is_one_error(self):
+    def test_an_invalid_configuration_is_reported_on_one_line(self):
         sliced = {**SETTINGS, "specifics": {**SETTINGS["specifics"], "partitions-n": 8}}
         for data in (
             b"{",
--- a/tests/test_platform_address.py
+++ b/tests/test_platform_address.py
@@ -36,21 +36,22 @@
 
 
 class Lines(unittest.TestCase):
-    def test_a_collector_joins_and_reports_in_any_pieces(self):
-        whole, by_byte = inbound_connection(), inbound_connection()
+    def test_lines_may_be_split_at_any_byte(self):
+        whole, fed_by_byte = inbound_connection(), inbound_connection()
         found = whole.receive(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)
-        bits = [
+        reports_by_byte = [
             one
             for k in range(len(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE))
-            for one in by_byte.receive((JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)[k : k + 1])
+            for one in fed_by_byte.receive((JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)[k : k + 1])
         ]
         self.assertEqual(
-            (found, bits, whole.outgoing, whole.zone), (EXPECTED_REPORTS, EXPECTED_REPORTS, b"", "north")
+            (found, reports_by_byte, whole.outgoing, whole.zone),
+            (EXPECTED_REPORTS, EXPECTED_REPORTS, b"", "north"),
         )
         self.assertFalse(whole.check_join_deadline(10 * S))
 
-    def test_invalid_reports_cost_themselves_only(self):
-        spoilt = [
+    def test_only_invalid_reports_are_skipped(self):
+        invalid_lines = [
             BACKEND_REPORT_LINE.replace(b'"total":9', b'"total":"9"'),
             BACKEND_REPORT_LINE.replace(b'"total":9,', b""),
             BACKEND_REPORT_LINE.replace(b":9,", b":-9,"),
@@ -66,7 +67,7 @@
             TRAFFIC_REPORT_LINE.replace(b'"errors":2', b'"errors":null'),
             b"[]\n",
         ]
-        for line in spoilt:
+        for line in invalid_lines:
             one = inbound_connection()
             self.assertEqual(
                 one.receive(JOIN_LINE + line + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE),
@@ -75,7 +76,7 @@
             )
             self.assertEqual((one.invalid_reports, one.close_reason), (1, ""), line)
 
-    def test_unreadable_data_ends_a_collector_without_a_word(self):
+    def test_malformed_data_closes_a_collector_without_a_reply(self):
         one = inbound_connection()
         self.assertEqual(
             one.receive(JOIN_LINE + TRAFFIC_REPORT_LINE + b"\x00\xff{garbage\n" + TRAFFIC_REPORT_LINE),
@@ -107,14 +108,14 @@
         self.assertTrue(quiet.check_join_deadline(limits.JOIN_TIMEOUT_NS))
         self.assertEqual(quiet.outgoing, HEARTBEAT_REPLY + REJECTION)
 
-    def test_an_endless_line_ends_a_collector(self):
+    def test_an_overlong_line_closes_a_collector(self):
         one = inbound_connection()
         one.receive(JOIN_LINE)
         for _ in range(limits.LINE_MAX_BYTES // 65536 + 1):
             one.receive(b"x" * 65536)
         self.assertEqual((one.close_reason, len(one.buffer)), ("line too long", 0))
 
-    def test_unjoined_peers_are_rejected_for_lines_without_number_too(self):
+    def test_unjoined_peers_are_rejected_for_too_many_lines(self):
         for line in (b"\n", b'{"@type":"hb"}\n'):
             one = inbound_connection()
             one.receive(line * (limits.UNJOINED_MAX_BYTES // len(line)))
@@ -122,14 +123,14 @@
             one.receive(line * 2)
             self.assertTrue(one.close_reason)
 
-    def test_a_collector_of_no_zone_has_not_joined(self):
+    def test_a_collector_of_an_unknown_zone_is_rejected(self):
         one = inbound_connection()
         one.receive(JOIN_LINE.replace(b"north", b"nowhere"))
         self.assertEqual((one.zone, one.outgoing), (None, REJECTION))
 
 
 class Admission(unittest.TestCase):
-    def test_the_collector_that_reported_least_lately_is_evicted(self):
+    def test_the_least_recently_reporting_collector_is_evicted(self):
         admission = ConnectionAdmission(64)
         self.assertEqual((admission.unjoined_max, admission.collectors_max), (16, 8))
         self.assertEqual([admission.admit(k) for k in range(8)], [None] * 8)
@@ -180,7 +181,7 @@
 
 
 class Lingering(unittest.TestCase):
-    def test_nothing_is_unread_when_an_unjoined_peer_is_closed_unless_it_never_ends(self):
+    def test_input_is_drained_up_to_a_limit_before_a_close(self):
         async def scenario():
             async with running_service() as (service, _, _):
                 for pieces, unread in ((2, 0), (limits.LINGER_MAX_BYTES // 65536 + 3, 3)):
@@ -198,16 +199,16 @@
 LONGER_THAN_A_REPLY = 1.1 * limits.REPLY_TIMEOUT_NS / S
 
 
-class LateLoop(asyncio.SelectorEventLoop):
+class JumpingClockLoop(asyncio.SelectorEventLoop):
     """A loop whose clock, once `is_late`, has moved on past every limit at each look at it: what a process
     sees that gets no processor time between two of its lines.
     """
 
-    is_late = False
+    jumping = False
     lost = 0.0
 
     def time(self):
-        self.lost += LONGER_THAN_A_REPLY if self.is_late else 0
+        self.lost += LONGER_THAN_A_REPLY if self.jumping else 0
         return super().time() + self.lost
 
 
@@ -229,17 +230,17 @@
 
         return anyio.run(scenario, backend_options=loop)
 
-    def test_a_rejection_arrives_though_its_limit_was_over_before_the_write(self):
+    def test_a_rejection_arrives_if_the_clock_jumps_before_the_write(self):
         async def without_processor_time(send):
             loop = asyncio.get_running_loop()
-            loop.is_late = True
+            loop.jumping = True
             await send()
-            loop.is_late = False
+            loop.jumping = False
 
-        got = self.run_scenario(without_processor_time, loop_factory=LateLoop)
+        got = self.run_scenario(without_processor_time, loop_factory=JumpingClockLoop)
         self.assertEqual(got, (HEARTBEAT_REPLY + REJECTION, False))
 
-    def test_a_rejection_arrives_though_the_loop_was_held_before_the_write(self):
+    def test_a_rejection_arrives_if_the_event_loop_is_blocked_before_the_write(self):
         async def held(send):
             asyncio.get_running_loop().call_soon(time.sleep, LONGER_THAN_A_REPLY)
             await send()
@@ -250,7 +251,7 @@
 
 
 class OnSockets(unittest.TestCase):
-    def test_unjoined_peers_by_the_hundreds_are_closed_and_cost_nobody_else(self):
+    def test_hundreds_of_unjoined_peers_do_not_affect_collectors(self):
         async def scenario():
             async with running_service() as (service, relay, _):
                 strangers = [
@@ -267,7 +268,7 @@
 
         anyio.run(scenario)
 
-    def test_valid_joins_by_the_hundreds_keep_no_collector_out(self):
+    def test_hundreds_of_silent_collectors_do_not_displace_reporting_ones(self):
         async def scenario():
             async with running_service() as (service, relay, _):
 
@@ -297,7 +298,7 @@
 
         anyio.run(scenario)
 
-    def test_a_heartbeat_is_answered_after_a_half_close_and_before_what_cannot_be_read(self):
+    def test_heartbeats_are_answered_after_a_half_close_and_before_malformed_data(self):
         async def scenario():
             async with running_service() as (service, _, _):
                 half = await connect_client(service, b'{"@type":"hb"}\n')
@@ -314,7 +315,7 @@
 
         anyio.run(scenario)
 
-    def test_what_comes_with_the_end_of_a_connection_counts(self):
+    def test_reports_received_with_the_end_of_a_connection_count(self):
         async def scenario():
             async with running_service() as (service, _, _):
                 for k, reset in enumerate((False, True)):
@@ -329,7 +330,7 @@
 
         anyio.run(scenario)
 
-    def test_connections_that_are_reset_before_they_are_taken_cost_nothing(self):
+    def test_connections_reset_before_the_accept_are_cleaned_up(self):
         async def scenario():
             async with running_service() as (service, _, _):
                 host, _, number = service.address.rpartition(":")
@@ -348,7 +349,7 @@
 
         anyio.run(scenario)
 
-    def test_who_takes_no_replies_is_closed(self):
+    def test_a_peer_that_reads_no_replies_is_closed(self):
         async def scenario():
             async with running_service() as (service, _, _):
                 with socket.socket() as deaf:
@@ -364,10 +365,10 @@
 
         anyio.run(scenario)
 
-    def test_a_process_without_descriptors_takes_connections_again_later(self):
-        with tempfile.TemporaryDirectory() as folder, ExitStack() as open_ones:
+    def test_connections_are_accepted_again_after_descriptors_ran_out(self):
+        with tempfile.TemporaryDirectory() as folder, ExitStack() as resources:
             Path(folder, "c").write_bytes(configuration_json())
-            run = open_ones.enter_context(
+            run = resources.enter_context(
                 subprocess.Popen(
                     [sys.executable, "-m", "embertray.platform.run"],
                     env={**os.environ, "ROUTER_CONFIG": str(Path(folder, "c"))},
@@ -377,12 +378,12 @@
                     preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40)),
                 )
             )
-            open_ones.callback(run.kill)
+            resources.callback(run.kill)
             line = next(line for line in run.stderr if "listening" in line)
             host, _, number = json.loads(line)["address"].rpartition(":")
 
             def dial():
-                return open_ones.enter_context(socket.create_connection((host, int(number)), 30))
+                return resources.enter_context(socket.create_connection((host, int(number)), 30))
 
             strangers = [
                 dial() for _ in range(120)
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -18,11 +18,13 @@
     def body(self, revision, complete, *members):
         return json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
 
-    def test_the_whole_list_then_changes(self):
+    def test_the_complete_list_is_requested_first_and_changes_after_it(self):
         watch = EndpointListWatch(41)
         self.assertEqual(watch.next_request(0)[0], "/catalog/members")
-        how, members = watch.on_answer(0, 200, self.body(42, True, endpoint_fields("be-1", up_since_ms=1500)))
-        self.assertEqual((how, members[0].backend, members[0].started), ("whole", "be-1", 1500 * MS))
+        update_kind, members = watch.on_answer(
+            0, 200, self.body(42, True, endpoint_fields("be-1", up_since_ms=1500))
+        )
+        self.assertEqual((update_kind, members[0].backend, members[0].started), ("whole", "be-1", 1500 * MS))
         self.assertEqual(watch.next_request(0)[0], "/catalog/members?from=42&hold_ms=2000")
         self.assertEqual(
             watch.on_answer(0, 200, self.body(43, False, endpoint_fields("be-1", phase="gone")))[1][0].state,
@@ -30,7 +32,7 @@
         )
         self.assertIsNone(watch.on_answer(0, 200, self.body(43, False)))
 
-    def test_an_older_list_takes_nothing_back_until_it_stays(self):
+    def test_an_older_list_is_ignored_until_it_persists(self):
         watch = EndpointListWatch()
         watch.on_answer(0, 200, self.body(43, True, endpoint_fields("be-1", phase="draining")))
         self.assertIsNone(watch.on_answer(S, 200, self.body(42, True, endpoint_fields("be-1"))))
@@ -42,7 +44,7 @@
         )
         watch.on_answer(20 * S, 200, self.body(50, True, endpoint_fields("be-1", phase="draining")))
 
-    def test_an_older_list_elsewhere_takes_nothing_back_either(self):
+    def test_an_older_list_at_a_new_address_is_ignored_too(self):
         for now in (S, 20 * S):  # clocks may begin at zero
             watch = EndpointListWatch()
             watch.on_answer(now, 200, self.body(43, True, endpoint_fields("be-1", phase="draining")))
@@ -65,7 +67,7 @@
                 watch.on_answer(now + S + limits.STALE_LIST_MAX_NS, 200, self.body(1, True))[0], "whole"
             )  # it began anew
 
-    def test_who_answers_at_once_with_nothing_new_is_asked_more_slowly(self):
+    def test_immediate_answers_without_changes_slow_down_the_requests(self):
         watch = EndpointListWatch()
         watch.next_request(0)
         watch.on_answer(0, 200, self.body(43, True, endpoint_fields("be-1")))
@@ -95,7 +97,7 @@
         watch.on_answer(9 * S, 200, self.body(44, False))
         self.assertEqual(watch.request_delay(), 0)
 
-    def test_what_is_no_list_is_asked_for_again(self):
+    def test_an_invalid_answer_is_requested_again(self):
         watch = EndpointListWatch()
         for status, body in (
             (500, self.body(1, True)),
@@ -111,7 +113,7 @@
 
 
 class OnSockets(unittest.TestCase):
-    def test_a_drain_gets_through_however_the_answers_end(self):
+    def test_a_drain_is_received_despite_broken_answers(self):
         async def scenario():
             async with running_service() as (_, relay, discovery):
                 relay.attach(1, "north")
@@ -126,29 +128,29 @@
 
         anyio.run(scenario)
 
-    def test_a_list_gone_empty_counts_as_notified_and_what_is_back_is_served_again(self):
+    def test_an_empty_list_is_accepted_and_returning_backends_are_served_again(self):
         async def scenario():
             async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: len(relay.lines(1)) == 2)
                 members = dict(discovery.members)
-                for told in ({}, members):
-                    discovery.members, discovery.revision = told, discovery.revision + 1
+                for listed in ({}, members):
+                    discovery.members, discovery.revision = listed, discovery.revision + 1
                     service.controller.list_watch.on_address_change()  # the next answer is a whole list
                     for stream in list(discovery.connections):
                         await anyio.aclose_forcefully(stream)
-                    await relay.wait_until(lambda: set(relay.lines(1)) == set(told))
+                    await relay.wait_until(lambda: set(relay.lines(1)) == set(listed))
 
         anyio.run(scenario)
 
-    def test_a_list_that_takes_its_time_is_taken(self):
+    def test_a_slowly_transferred_list_is_accepted(self):
         """Longer than it may take to begin: only silence is a break."""
 
         async def scenario():
             async with running_service() as (service, relay, discovery):
                 await relay.wait_until(lambda: relay.calls)
 
-                async def slowly(side):
+                async def serve_slowly(side):
                     while (await side.request()) is not None:
                         body = json.dumps(
                             {"revision": 99, "complete": True, "members": [endpoint_fields("be-9")]}
@@ -159,7 +161,7 @@
                         await side.stream.send(body[9:])
                         await anyio.sleep_forever()
 
-                discovery.serve = slowly
+                discovery.serve = serve_slowly
                 for stream in list(discovery.connections):
                     await anyio.aclose_forcefully(stream)
                 service.controller.list_watch.on_address_change()
@@ -168,31 +170,31 @@
 
         anyio.run(scenario)
 
-    def test_an_agent_that_answers_at_once_does_not_take_the_processor(self):
+    def test_an_agent_that_answers_at_once_does_not_cause_a_busy_loop(self):
         async def scenario():
             async with running_service() as (service, _, discovery):
 
-                async def asked(more):
+                async def wait_for_requests(more):
                     while len(discovery.request_targets) < before + more:
                         await anyio.sleep(0.01)
 
                 discovery.answers_watches_at_once, before = True, len(discovery.request_targets)
                 for stream in list(discovery.connections):  # the watch that waits
                     await anyio.aclose_forcefully(stream)
-                await asked(2)
+                await wait_for_requests(2)
                 first = service.clock.now()
-                await asked(14)
+                await wait_for_requests(14)
                 self.assertGreater(service.clock.now() - first, 8 * limits.UNCHANGED_BACKOFF_MAX_NS)
 
         anyio.run(scenario)
 
-    def test_an_answer_of_the_old_address_in_the_wake_up_of_a_new_one_counts_for_nothing(self):
+    def test_an_answer_from_the_old_address_is_ignored_after_an_address_change(self):
         async def scenario():
             async with running_service() as (service, relay, _):
                 await relay.wait_until(lambda: relay.calls)
                 held = service.controller.list_watch.revision
 
-                class Answered:
+                class StubConnection:
                     async def send_request(self, *_):
                         pass
 
@@ -203,7 +205,7 @@
                         service.reload()
                         return 200, json.dumps({"revision": 99, "complete": True, "members": []}).encode()
 
-                await service.discovery.request_list(Answered(), service.configuration.discovery)
+                await service.discovery.request_list(StubConnection(), service.configuration.discovery)
                 self.assertEqual(
                     (service.controller.list_watch.revision, service.controller.list_watch.needs_whole_list),
                     (held, True),
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -47,7 +47,7 @@
 
         return anyio.run(scenario)
 
-    def test_one_that_ends_while_its_first_line_is_on_its_way_is_in_no_table(self):
+    def test_a_backend_removed_while_its_first_line_is_in_flight_is_in_no_table(self):
         for fault in ("ok", "lose", "mute", "cut", "stall"):
             for changes in (
                 [{"phase": "draining"}],
@@ -57,7 +57,7 @@
                 with self.subTest(fault=fault, changes=changes):
                     self.assertIsNone(self.run_scenario(fault, *changes))
 
-    def test_one_that_is_back_while_its_removal_is_on_its_way_stays(self):
+    def test_a_backend_that_returns_while_its_removal_is_in_flight_stays(self):
         for fault in ("ok", "lose", "mute"):
             with self.subTest(fault=fault):
                 self.assertTrue(
@@ -66,7 +66,7 @@
 
 
 class Proxies(unittest.TestCase):
-    def test_one_that_leaves_and_comes_back_during_its_bind_is_bound(self):
+    def test_a_proxy_that_rejoins_during_its_bind_is_bound(self):
         async def scenario():
             for fault in ("ok", "lose", "mute", "stall"):
                 async with running_service() as (service, relay, _):
@@ -86,13 +86,13 @@
 
         anyio.run(scenario)
 
-    def test_an_answer_from_before_a_stay_proves_nothing_of_it(self):
+    def test_a_late_acknowledgement_of_an_earlier_join_is_ignored(self):
         async def scenario():
             async with running_service() as (service, relay, _):
                 relay.acknowledges = False
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
-                late = max(service.controller.identifiers.nonces)
+                old_nonce = max(service.controller.identifiers.nonces)
                 relay.detach(1)
                 relay.attach(1, "north")
                 await relay.wait_until(
@@ -100,16 +100,20 @@
                         sum(order.startswith("USE,1,") for _, orders in relay.calls for order in orders) > 1
                     )
                 )
-                relay.send_event("done", f"node=1&nonce={late}&latency=5")
+                relay.send_event("done", f"node=1&nonce={old_nonce}&latency=5")
                 relay.attach(2, "north")  # told behind it
                 await relay.wait_until(lambda: relay.lines(2))
-                known = {proxy.handle.external_id: proxy for proxy in service.controller.module.proxies}
-                self.assertTrue(known[1].messages.unacknowledged)  # its own answer is still owed
-                self.assertNotIn(late, [nonce.external_id for nonce, _ in known[1].messages.unacknowledged])
+                proxies_by_id = {
+                    proxy.handle.external_id: proxy for proxy in service.controller.module.proxies
+                }
+                self.assertTrue(proxies_by_id[1].messages.unacknowledged)  # its own answer is still owed
+                self.assertNotIn(
+                    old_nonce, [nonce.external_id for nonce, _ in proxies_by_id[1].messages.unacknowledged]
+                )
 
         anyio.run(scenario)
 
-    def test_who_does_not_answer_is_bound_again_and_nobody_else(self):
+    def test_only_a_proxy_that_does_not_acknowledge_is_bound_again(self):
         async def scenario():
             async with running_service() as (service, relay, discovery):
                 for node in (1, 2):
