--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -14,7 +14,7 @@
 BODY = b"x" * (16 << 20)  # more than the system takes for a peer that reads nothing
 
 
-def silent():
+def unread_listener():
     """A listening socket that takes connections and little of what is sent."""
     listening = socket.socket()
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -23,59 +23,59 @@
     return listening
 
 
-def drained(listening):
+def read_to_end(listening):
     """(bytes, whether the connection was reset) of all that still comes on the next connection."""
     peer, _ = listening.accept()
-    got = 0
+    received = 0
     with peer:
         peer.settimeout(10)
         try:
             while data := peer.recv(1 << 20):
-                got += len(data)
+                received += len(data)
         except ConnectionResetError:
-            return got, True
-    return got, False
+            return received, True
+    return received, False
 
 
-class GivenUp(unittest.TestCase):
-    def run_scenario(self, body, reset, within=50 * MS):
+class AbandonedCalls(unittest.TestCase):
+    def run_scenario(self, body, reset, timeout=50 * MS):
         """Asks a peer that reads nothing, gives the call up, and tells what the peer reads then and what the
         call failed with.
         """
 
-        async def asked():
-            with silent() as listening:
+        async def scenario():
+            with unread_listener() as listening:
                 connection = await HttpConnection.dial(
                     TcpNet(), f"127.0.0.1:{listening.getsockname()[1]}", 1000 * MS
                 )
                 failed, before = None, len(os.listdir("/proc/self/fd"))
                 with anyio.fail_after(20):
                     try:
-                        await connection.send_request("POST", "/api/", within, body, "text/plain")
-                        await connection.read_response(within, 100)
-                    except CallError as wrong:
-                        failed = wrong
+                        await connection.send_request("POST", "/api/", timeout, body, "text/plain")
+                        await connection.read_response(timeout, 100)
+                    except CallError as error:
+                        failed = error
                     await connection.aclose(reset)
                     await anyio.sleep(
                         0
                     )  # a transport that was told to end closes its socket in the next round
                     after = len(os.listdir("/proc/self/fd"))
-                    return failed, before - after, *await anyio.to_thread.run_sync(drained, listening)
+                    return failed, before - after, *await anyio.to_thread.run_sync(read_to_end, listening)
 
-        return anyio.run(asked)
+        return anyio.run(scenario)
 
-    def test_a_request_that_is_not_taken_fails_in_time_and_never_arrives_whole(self):
-        failed, closed, got, _ = self.run_scenario(BODY, False)
+    def test_a_request_that_is_not_read_times_out_and_never_arrives_completely(self):
+        failed, closed, received, _ = self.run_scenario(BODY, False)
         self.assertFalse(failed.sent)
         self.assertEqual(closed, 1)
-        self.assertLess(got, len(BODY))
+        self.assertLess(received, len(BODY))
 
-    def test_a_request_in_doubt_that_is_given_up_does_not_arrive_later(self):
+    def test_an_abandoned_request_is_reset_and_does_not_arrive_later(self):
         body = b"x" * 60_000  # the system takes it at once, the peer's window does not
-        failed, closed, got, reset = self.run_scenario(body, True)
+        failed, closed, received, reset = self.run_scenario(body, True)
         self.assertTrue(failed.sent)
         self.assertEqual((closed, reset), (1, True))
-        self.assertLess(got, len(body))
+        self.assertLess(received, len(body))
 
 
 if __name__ == "__main__":
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -26,7 +26,7 @@
 S = 10**9
 
 
-class Sizes(unittest.TestCase):
+class Sizing(unittest.TestCase):
     def test_deep_size_agrees_with_the_allocator(self):
         """Within a tenth, for what the accounts really hold: tuples, structs, dicts, objects with slots."""
         for make in (
@@ -37,11 +37,11 @@
             lambda n: deque([n * 10**9]),
         ):
             tracemalloc.start()
-            held = [make(n) for n in range(300, 40300)]  # many, as the allocator keeps some ready-made
-            got, _ = tracemalloc.get_traced_memory()
+            objects = [make(n) for n in range(300, 40300)]  # many, as the allocator keeps some ready-made
+            allocated, _ = tracemalloc.get_traced_memory()
             tracemalloc.stop()
-            walked = deep_size(held)
-            self.assertLess(abs(walked / got - 1), 0.08, (make(1), walked, got))
+            computed = deep_size(objects)
+            self.assertLess(abs(computed / allocated - 1), 0.08, (make(1), computed, allocated))
 
     def test_a_sample_stands_for_its_collection_and_stops_at_other_collections(self):
         class Other:
@@ -49,9 +49,9 @@
                 self.big = "x" * 10**6
 
         things = [(n, "y" * (n % 100), Other()) for n in range(10_000)]
-        each = measure_entry_bytes(Collection("s", len(things), lambda: things, stop=(Other,)))
-        true = deep_size([thing[:2] for thing in things]) / len(things)
-        self.assertLess(abs(each / true - 1), 0.25)
+        measured = measure_entry_bytes(Collection("s", len(things), lambda: things, stop=(Other,)))
+        expected = deep_size([thing[:2] for thing in things]) / len(things)
+        self.assertLess(abs(measured / expected - 1), 0.25)
         self.assertEqual(measure_entry_bytes(Collection("s", 0, list)), 0.0)
 
 
@@ -59,23 +59,23 @@
     def accounts(self, cap=1000, chance=lambda: 0.5):
         return MemoryAccounts({**dict.fromkeys(ACTIONS, 10**9), "streams": cap}, chance)
 
-    def look(self, accounts, now, count):
+    def evaluate_with(self, accounts, now, count):
         things = ["x" * 51] * count  # 100 bytes each, but one object: the sample counts it once
         rows = [bytes(67) for _ in things]
         return accounts.evaluate(now, lambda: {"streams": [Collection("s", len(rows), lambda: rows)]})
 
     def test_a_cap_is_in_force_until_well_below_and_notified_once(self):
-        accounts, said, acted = self.accounts(), [], []
+        accounts, notice_texts, actions = self.accounts(), [], []
         for n, count in enumerate([5, 9, 9, 11, 10, 10, 9, 8, 5, 9]):
-            verdicts = self.look(accounts, n * S, count)
-            acted.append([v.action for v in verdicts])
-            said += [text for _, text, *_ in accounts.notices]
+            instructions = self.evaluate_with(accounts, n * S, count)
+            actions.append([instruction.action for instruction in instructions])
+            notice_texts += [text for _, text, *_ in accounts.notices]
             accounts.notices.clear()
         self.assertEqual(
-            [bool(a) for a in acted], [False, False, False, True, True, True, True, False, False, False]
+            [bool(a) for a in actions], [False, False, False, True, True, True, True, False, False, False]
         )
         self.assertEqual(
-            said,
+            notice_texts,
             [
                 "past four fifths of its cap",
                 "at its cap",
@@ -90,7 +90,7 @@
         draws = iter([0.0, 0.5, 1.0])
         accounts = self.accounts(chance=lambda: next(draws))
         self.assertIsNone(accounts.reject_join())
-        self.look(accounts, 0, 12)
+        self.evaluate_with(accounts, 0, 12)
         self.assertEqual(
             [accounts.reject_join() for _ in range(3)],
             [JOIN_DELAY_NS, JOIN_DELAY_NS + JOIN_DELAY_JITTER_NS // 2, JOIN_DELAY_NS + JOIN_DELAY_JITTER_NS],
@@ -102,8 +102,8 @@
         small, large = default_caps(site), default_caps(site.at(proxies=1000, backends=1000))
         self.assertTrue(all(small[p] >= CAP_BYTES_MIN and large[p] >= small[p] for p in small))
         self.assertEqual(set(ACTIONS) - set(small), {"cluster"})  # nothing of it without the element
-        told = ClusterSettings("c", S, 8 << 20, 1 << 16)
-        self.assertEqual(default_caps(site.at(cluster=told))["cluster"], 2 * (8 << 20) + 2 * MEMBER_BYTES)
+        cluster = ClusterSettings("c", S, 8 << 20, 1 << 16)
+        self.assertEqual(default_caps(site.at(cluster=cluster))["cluster"], 2 * (8 << 20) + 2 * MEMBER_BYTES)
         core = ControllerCore(site.at(caps={"reports": 123}), site.controllers[0], 1, 0)
         self.assertEqual(core.accounts.by_purpose["reports"].cap, 123)
 
@@ -237,18 +237,18 @@
 class Churn(unittest.TestCase):
     PLAN = dict(backends=8, proxies=12, reqs=60.0, hours=0.3, leaves=30.0, replaced=6.0)
 
-    def flat(self, core=None):
+    def report_of_churn(self, core=None):
         done = churn.virtual(churn.Plan(**self.PLAN), 1, core)
-        text = io.StringIO()
-        return churn.report(done, text), text.getvalue()
+        report = io.StringIO()
+        return churn.report(done, report), report.getvalue()
 
     def test_every_purpose_is_flat_under_churn(self):
-        flat, text = self.flat()
-        self.assertTrue(flat, text)
+        flat, report = self.report_of_churn()
+        self.assertTrue(flat, report)
 
     def test_a_leak_is_found(self):
-        flat, text = self.flat(churn.NeverTidies)
-        self.assertFalse(flat, text)
+        flat, report = self.report_of_churn(churn.NeverTidies)
+        self.assertFalse(flat, report)
 
 
 class Rules(unittest.TestCase):
--- a/tests/test_platform_generated.py
+++ b/tests/test_platform_generated.py
@@ -42,7 +42,7 @@
 from embertray.platform.protocol.proxy_registry import ProxyRegistry
 from embertray.platform.protocol.wire import HEARTBEAT_REPLY, REJECTION
 
-ANY = settings(max_examples=400, deadline=None, derandomize=True)
+GENERATED = settings(max_examples=400, deadline=None, derandomize=True)
 NUMBERS = st.one_of(
     st.integers(-2, 10**7), st.floats(), st.just(10**400), st.sampled_from(["", "²", "x", None, [], {}, True])
 )
@@ -84,26 +84,26 @@
 )
 
 
-def pieces(data, cuts):
+def split_at(data, cuts):
     edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False) if a < b]
 
 
 class AddressInput(unittest.TestCase):
-    @ANY
+    @GENERATED
     @given(
         st.sampled_from([b"", JOIN_LINE]),
         st.lists(LINES, max_size=12),
         st.lists(st.integers(0, 10**6), max_size=8),
     )
-    def test_lines_in_any_pieces_give_the_same_and_are_bounded(self, first, lines, cuts):
+    def test_lines_may_be_split_at_any_byte_and_the_buffer_is_bounded(self, first, lines, cuts):
         data, whole, parts = first + b"".join(lines), inbound_connection(), inbound_connection()
-        found, bits = whole.receive(data) if data else [], []
-        for piece in pieces(data, cuts):
-            bits += parts.receive(piece)
+        found, piecewise = whole.receive(data) if data else [], []
+        for piece in split_at(data, cuts):
+            piecewise += parts.receive(piece)
             self.assertLessEqual(len(parts.buffer), limits.LINE_MAX_BYTES)
         self.assertEqual(
-            (bits, parts.outgoing, parts.zone, parts.invalid_reports),
+            (piecewise, parts.outgoing, parts.zone, parts.invalid_reports),
             (found, whole.outgoing, whole.zone, whole.invalid_reports),
         )
         for one in found:
@@ -120,11 +120,13 @@
         whole.receive(b"")
         self.assertTrue(whole.close_reason)
 
-    @ANY
+    @GENERATED
     @given(st.binary(max_size=200), st.lists(st.integers(0, 10**6), max_size=8))
-    def test_good_lines_before_the_end_count_whatever_follows(self, junk, cuts):
+    def test_valid_lines_count_whatever_data_follows(self, garbage, cuts):
         one, found = inbound_connection(), []
-        for piece in pieces(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE, cuts) + [b"\xff\n" + junk]:
+        for piece in split_at(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE, cuts) + [
+            b"\xff\n" + garbage
+        ]:
             found += one.receive(piece)
         self.assertEqual(
             (found, one.zone, one.outgoing.replace(HEARTBEAT_REPLY, b"")), (EXPECTED_REPORTS, "north", b"")
@@ -132,7 +134,7 @@
 
 
 class RelayInput(unittest.TestCase):
-    @ANY
+    @GENERATED
     @given(
         st.one_of(
             st.binary(max_size=80),
@@ -145,7 +147,7 @@
         ),
         st.sampled_from([200, 400, 503]),
     )
-    def test_an_answer_takes_just_what_was_sent_or_nothing_is_lost(self, body, status):
+    def test_an_answer_removes_exactly_the_accepted_orders(self, body, status):
         caller = OrderCaller(0)
         orders = ["SET,1,be-1,1", "USE,3,1,*", "SYNC,7,0"]
         caller.enqueue(orders[:2], 7, "SYNC,7,{}".format)
@@ -166,7 +168,7 @@
         else:
             self.assertEqual(left, orders)
 
-    @ANY
+    @GENERATED
     @given(
         st.lists(
             st.one_of(
@@ -188,24 +190,24 @@
         ),
         st.lists(st.integers(0, 10**6), max_size=8),
     )
-    def test_events_in_any_pieces_give_the_same(self, events, cuts):
-        data, told = b"".join(events), []
-        for stream in ([data], pieces(data, cuts)):
-            news, found = EventStreamParser(["north"], 40), []
+    def test_events_may_be_split_at_any_byte(self, events, cuts):
+        data, parsed_streams = b"".join(events), []
+        for stream in ([data], split_at(data, cuts)):
+            parser, found = EventStreamParser(["north"], 40), []
             try:
                 for piece in stream:
-                    found += news.receive(piece)
+                    found += parser.receive(piece)
             except UnreadableEventStreamError:
                 found = None
-            told.append(found)
-        if None not in told:
-            self.assertEqual(*told)
-        for event in told[0] or ():
+            parsed_streams.append(found)
+        if None not in parsed_streams:
+            self.assertEqual(*parsed_streams)
+        for event in parsed_streams[0] or ():
             self.assertTrue(
                 isinstance(event, (ProxyJoined, ProxyLeft, NonceAcknowledged)) and 0 <= event.proxy < 40
             )
 
-    @ANY
+    @GENERATED
     @given(
         st.lists(
             st.tuples(
@@ -217,26 +219,26 @@
             max_size=60,
         )
     )
-    def test_events_of_proxies_are_one_consistent_sequence(self, acts):
+    def test_proxy_events_form_one_consistent_sequence(self, actions):
         """Whatever the connections do: nobody is told to leave who is not there, or to join twice; in the end
         the story is the leader's."""
-        registry, now, there, joined = ProxyRegistry(), 0, set(), set()
-        for conn, act, proxy in acts:
+        registry, now, open_streams, joined = ProxyRegistry(), 0, set(), set()
+        for stream, action, proxy in actions:
             now += 100 * MS
             found = []
-            if act == "open" and conn not in there:
-                registry.stream_opened(now, conn)
-                there.add(conn)
-            elif act == "lose":
-                there.discard(conn)
-                found = registry.stream_lost(now, conn)
-            elif conn in there:
+            if action == "open" and stream not in open_streams:
+                registry.stream_opened(now, stream)
+                open_streams.add(stream)
+            elif action == "lose":
+                open_streams.discard(stream)
+                found = registry.stream_lost(now, stream)
+            elif stream in open_streams:
                 events = {
                     "in": [ProxyJoined(proxy, "north", 1.0, True)],
                     "out": [ProxyLeft(proxy)],
                     "done": [NonceAcknowledged(proxy, 1, 1)],
-                }.get(act, [])
-                found = registry.received(now, conn, events)
+                }.get(action, [])
+                found = registry.received(now, stream, events)
             for event in found:
                 if isinstance(event, ProxyJoined):
                     self.assertNotIn(event.proxy, joined)
@@ -252,7 +254,7 @@
 
 
 class DiscoveryInput(unittest.TestCase):
-    @ANY
+    @GENERATED
     @given(
         st.one_of(
             st.binary(max_size=80),
@@ -279,7 +281,7 @@
         st.sampled_from([200, 404]),
         st.integers(0, 10**6),
     )
-    def test_a_list_is_taken_or_asked_for_again(self, body, status, cut):
+    def test_a_list_is_accepted_or_requested_again(self, body, status, cut):
         for data in (body, body[: cut % (len(body) + 1)]):
             watch = EndpointListWatch(3)
             watch.next_request(0)
@@ -297,14 +299,14 @@
                 self.assertEqual((watch.revision, watch.needs_whole_list), (3, True))
             self.assertLessEqual(max(watch.request_delay(), watch.on_failure()), limits.BACKOFF_MAX_NS)
 
-    @ANY
+    @GENERATED
     @given(
         st.one_of(
             st.binary(max_size=60),
             st.integers(0, 10**6).map(lambda cut: configuration_json()[: cut % len(configuration_json())]),
         )
     )
-    def test_a_configuration_is_read_or_refused(self, data):
+    def test_a_configuration_is_decoded_or_rejected(self, data):
         with contextlib.suppress(ConfigurationError):
             read_configuration(data).known_list()
 
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -24,12 +24,12 @@
         caller.enqueue(["SET,1,be-1,1", "USE,3,1,*", "USE,4,1,*"], 7, "SYNC,7,{}".format)
         return caller
 
-    def test_answers(self):
+    def test_answers_are_parsed_or_rejected(self):
         self.assertEqual(
             read_answer(200, b'<?xml version="1.0"?>\n' + ACCEPTED_ANSWER % 2), OrdersAccepted(2)
         )
         self.assertEqual(read_answer(503, ERROR % b"throttled"), CallRejected("throttled"))
-        for spoilt in (
+        for invalid_answer in (
             b"",
             b"<Response><items><it",
             ACCEPTED_ANSWER % 2 + b"x",
@@ -43,16 +43,16 @@
             ACCEPTED_ANSWER.replace(b"%d", b"9" * 5000),
         ):
             with self.assertRaises(UnreadableAnswerError):
-                read_answer(200, spoilt)
+                read_answer(200, invalid_answer)
 
-    def test_one_call_and_its_answer(self):
+    def test_an_accepted_call_is_complete(self):
         caller = self.caller()
         call = caller.next_call(0)
         self.assertEqual(call.orders, ["SET,1,be-1,1", "USE,3,1,*", "USE,4,1,*", "SYNC,7,0"])
         self.assertEqual(call.body()[:37], b"Action=CommitChanges&orders=SET%2C1%2")
         self.assertEqual((caller.on_answer(0, 200, ACCEPTED_ANSWER % 4), caller.idle), ("", True))
 
-    def test_more_taken_than_was_sent_proves_nothing(self):
+    def test_an_order_count_above_the_orders_sent_proves_nothing(self):
         caller = self.caller()
         caller.next_call(0)
         self.assertTrue(caller.on_answer(0, 200, ACCEPTED_ANSWER % 5))
@@ -61,7 +61,7 @@
             caller.next_call(200 * MS + limits.ACKNOWLEDGEMENT_WAIT_NS).orders[0], "SET,1,be-1,1"
         )  # nobody answered its mark: again
 
-    def test_a_refused_order_is_left_out_and_the_rest_goes_on(self):
+    def test_a_refused_order_is_dropped_and_the_rest_is_sent(self):
         caller = self.caller()
         caller.next_call(0)
         caller.on_answer(0, 200, ACCEPTED_ANSWER % 1)
@@ -69,7 +69,7 @@
             caller.next_call(0).orders, ["USE,4,1,*", "SYNC,7,1"]
         )  # who got the first part answers, too
 
-    def test_a_rejected_call_waits_longer_each_time(self):
+    def test_the_backoff_of_a_rejected_call_grows(self):
         caller, now, waits = self.caller(), 0, []
         for _ in range(6):
             self.assertIsNotNone(caller.next_call(now))
@@ -81,59 +81,61 @@
         self.assertEqual(caller.next_call(now).orders, self.caller().next_call(0).orders)
         self.assertEqual(caller.orders_given_up, 0)
 
-    def rejected(self, spoils, word=b"invalid"):
-        """Plays a caller against a relay that takes no call with an order that `spoils(order)`: (caller,
+    def run_with_rejections(self, is_invalid, word=b"invalid"):
+        """Plays a caller against a relay that takes no call with an order that `is_invalid(order)`: (caller,
         orders taken, lines for the log)."""
-        caller, taken, said, now = self.caller(), [], [], 0
+        caller, taken, log_texts, now = self.caller(), [], [], 0
         for _ in range(100):
             if caller.idle:
-                return caller, taken, said
+                return caller, taken, log_texts
             now = max(now, caller.next_call_at)
             orders = list(caller.next_call(now).orders)
-            if any(map(spoils, orders)):
-                said.append(caller.on_answer(now, 400, ERROR % word))
+            if any(map(is_invalid, orders)):
+                log_texts.append(caller.on_answer(now, 400, ERROR % word))
             else:
                 taken += orders
-                said.append(caller.on_answer(now, 200, ACCEPTED_ANSWER % len(orders)))
+                log_texts.append(caller.on_answer(now, 200, ACCEPTED_ANSWER % len(orders)))
         self.fail("the calls have no end")
 
-    def test_an_invalid_call_goes_again_in_halves_and_costs_what_makes_it_so(self):
+    def test_an_invalid_call_is_bisected_and_only_invalid_orders_are_lost(self):
         orders = ["SET,1,be-1,1", "USE,3,1,*", "USE,4,1,*", "SYNC,7,1"]  # all are to answer: it was parted
         for word in (b"invalid", b"unheard"):
             for bad in orders:
-                caller, taken, said = self.rejected(lambda order, bad=bad: order[:5] == bad[:5], word)
+                caller, taken, log_texts = self.run_with_rejections(
+                    lambda order, bad=bad: order[:5] == bad[:5], word
+                )
                 self.assertEqual((taken, caller.orders_given_up), ([one for one in orders if one != bad], 1))
-                named = [line for line in said if "given up" in line]
+                named = [line for line in log_texts if "given up" in line]
                 self.assertEqual(len(named), 1)
                 self.assertIn(bad[:5], named[0])
         once = iter([True])
-        caller, taken, _ = self.rejected(lambda order: next(once, False))
+        caller, taken, _ = self.run_with_rejections(lambda order: next(once, False))
         self.assertEqual((taken, caller.orders_given_up), (orders, 0))  # it was the answer that was wrong
-        caller, taken, _ = self.rejected(lambda order: True)
+        caller, taken, _ = self.run_with_rejections(lambda order: True)
         self.assertEqual((taken, caller.orders_given_up), ([], len(orders)))
 
-    def test_an_unanswered_call_goes_again_only_without_evidence(self):
-        for evidence in (None, 100 * MS):
+    def test_an_unanswered_call_is_repeated_only_without_acknowledgement(self):
+        for acknowledged_at in (None, 100 * MS):
             caller = self.caller()
             caller.next_call(0)
             caller.on_failure(0, True, "closed")
             self.assertIsNone(caller.next_call(100 * MS))
-            if evidence:
+            if acknowledged_at:
                 self.assertTrue(caller.acknowledge(7))
-                self.assertIsNone(caller.next_call(evidence))
+                self.assertIsNone(caller.next_call(acknowledged_at))
                 self.assertTrue(caller.idle)
             else:
                 self.assertFalse(caller.acknowledge(6))
                 self.assertEqual(caller.next_call(200 * MS + limits.ACKNOWLEDGEMENT_WAIT_NS).nonce, 7)
                 self.assertFalse(caller.idle)
 
-    def test_a_call_that_was_not_sent_goes_again_soon(self):
+    def test_a_call_that_was_not_sent_is_repeated_after_a_backoff(self):
         caller = self.caller()
         caller.next_call(0)
         caller.on_failure(0, False, "refused")
         self.assertEqual(caller.next_call(limits.BACKOFF_FIRST_NS).nonce, 7)
 
-    def test_many_orders_go_in_several_calls(self):
+    def test_many_orders_are_split_into_several_calls(self):
         caller = OrderCaller(0)
         caller.enqueue([f"USE,{k},1,*" for k in range(9000)], 5, "SYNC,5,{}".format)
         sizes = [len(";".join(call.orders)) for call in caller.queue]
@@ -152,58 +154,64 @@
 
 
 class EventStreams(unittest.TestCase):
-    def test_events_in_any_pieces(self):
+    def test_events_may_be_split_at_any_byte(self):
         data = (
             b":\n\nevent: attach\ndata: node=17&locality=north&w=21.5&cold=1\n\nevent: "
             b"done\r\ndata: node=17&nonce=905&latency=310.4\r\n\r\n"
             b"event: attach\ndata: node=40&locality=north&w=1&cold=0\n\nevent: attach\ndata: "
             b"node=x\n\nevent: detach\ndata: node=17\n\n"
         )
-        told = [ProxyJoined(17, "north", 21.5, True), NonceAcknowledged(17, 905, 310_400_000), ProxyLeft(17)]
-        news, bits = EventStreamParser(["north"], 40), EventStreamParser(["north"], 40)
-        self.assertEqual(news.receive(data), told)
-        self.assertEqual([one for k in range(len(data)) for one in bits.receive(data[k : k + 1])], told)
-        self.assertEqual(news.skipped, 2)
+        expected = [
+            ProxyJoined(17, "north", 21.5, True),
+            NonceAcknowledged(17, 905, 310_400_000),
+            ProxyLeft(17),
+        ]
+        parser, parser_by_byte = EventStreamParser(["north"], 40), EventStreamParser(["north"], 40)
+        self.assertEqual(parser.receive(data), expected)
+        self.assertEqual(
+            [one for k in range(len(data)) for one in parser_by_byte.receive(data[k : k + 1])], expected
+        )
+        self.assertEqual(parser.skipped, 2)
         with self.assertRaises(UnreadableEventStreamError):
-            news.receive(b"x" * (limits.EVENT_MAX_BYTES + 1))
+            parser.receive(b"x" * (limits.EVENT_MAX_BYTES + 1))
 
     def registry(self):
         """Two connections on which proxies 1 and 2 stand, both past their opening; 'a' leads."""
-        registry, both = (
+        registry, joins = (
             ProxyRegistry(),
             [ProxyJoined(1, "north", 1.0, True), ProxyJoined(2, "north", 1.0, True)],
         )
         registry.stream_opened(0, "a")
-        first = registry.received(0, "a", both) + registry.received(limits.SYNC_TIME_NS, "a", [])
+        first = registry.received(0, "a", joins) + registry.received(limits.SYNC_TIME_NS, "a", [])
         registry.stream_opened(limits.SYNC_TIME_NS, "b")
         self.assertEqual(
-            registry.received(limits.SYNC_TIME_NS, "b", both) + registry.received(S, "b", []), []
+            registry.received(limits.SYNC_TIME_NS, "b", joins) + registry.received(S, "b", []), []
         )
-        return registry, first, both
+        return registry, first, joins
 
-    def test_what_stands_is_told_once(self):
-        _, first, both = self.registry()
-        self.assertEqual(first, both)
+    def test_joined_proxies_are_reported_once(self):
+        _, first, joins = self.registry()
+        self.assertEqual(first, joins)
 
-    def test_the_other_connection_takes_over_without_a_word(self):
+    def test_an_identical_stream_takes_over_without_events(self):
         registry, _, _ = self.registry()
         self.assertEqual(registry.stream_lost(2 * S, "a"), [])
         self.assertEqual(registry.received(2 * S, "b", [ProxyLeft(1)]), [ProxyLeft(1)])
 
-    def test_what_only_the_other_heard_is_told_when_it_takes_over(self):
-        registry, _, both = self.registry()
+    def test_events_seen_only_by_the_new_leader_are_passed_on(self):
+        registry, _, joins = self.registry()
         third = ProxyJoined(3, "south", 2.0, False)
-        self.assertEqual(registry.received(2 * S, "b", [ProxyLeft(1), both[0], ProxyLeft(2), third]), [])
-        self.assertEqual(registry.stream_lost(3 * S, "a"), [ProxyLeft(2), ProxyLeft(1), both[0], third])
+        self.assertEqual(registry.received(2 * S, "b", [ProxyLeft(1), joins[0], ProxyLeft(2), third]), [])
+        self.assertEqual(registry.stream_lost(3 * S, "a"), [ProxyLeft(2), ProxyLeft(1), joins[0], third])
 
-    def test_answers_to_marks_count_from_either(self):
+    def test_acknowledgements_count_from_every_stream(self):
         registry, _, _ = self.registry()
         self.assertEqual(
             registry.received(2 * S, "b", [NonceAcknowledged(1, 7, 5), NonceAcknowledged(9, 7, 5)]),
             [NonceAcknowledged(1, 7, 5)],
         )
 
-    def test_a_silent_connection_is_given_up_sooner_beside_a_lively_one(self):
+    def test_a_silent_stream_is_closed_sooner_beside_an_active_one(self):
         registry, _, _ = self.registry()
         registry.received(2 * S, "b", [])
         self.assertTrue(registry.silence_reason(2 * S, "a"))
@@ -212,35 +220,35 @@
         self.assertFalse(registry.silence_reason(2 * S + limits.SILENCE_MAX_NS, "b"))
         self.assertTrue(registry.silence_reason(2 * S + limits.SILENCE_MAX_NS + 1, "b"))
 
-    def test_a_gap_without_events_leaves_who_still_holds_a_table(self):
-        registry, _, both = self.registry()
+    def test_after_a_gap_only_proxies_without_a_table_rejoin(self):
+        registry, _, joins = self.registry()
         third = ProxyJoined(3, "north", 1.0, True)
         registry.received(2 * S, "a", [third])
         registry.received(2 * S, "b", [third])
         self.assertEqual(registry.stream_lost(2 * S, "b") + registry.stream_lost(2 * S, "a"), [])
         registry.stream_opened(3 * S, "a")
-        self.assertEqual(registry.received(3 * S, "a", [both[0]._replace(without_table=False), third]), [])
+        self.assertEqual(registry.received(3 * S, "a", [joins[0]._replace(without_table=False), third]), [])
         self.assertEqual(registry.next_sync_at(), 3 * S + limits.SYNC_TIME_NS)
         self.assertEqual(
             registry.elect_leader(3 * S + limits.SYNC_TIME_NS), [ProxyLeft(2), ProxyLeft(3), third]
         )
 
-    def test_no_gap_leaves_who_held_no_table_when_the_other_connection_opened(self):
+    def test_without_a_gap_proxies_without_a_table_do_not_rejoin(self):
         registry, _, _ = self.registry()
         self.assertEqual(registry.stream_lost(3 * S, "a"), [])
 
-    def test_who_leaves_and_comes_back_while_the_next_leader_opens_is_notified(self):
-        registry, _, both = self.registry()
+    def test_a_rejoin_during_the_synchronization_of_the_next_leader_is_passed_on(self):
+        registry, _, joins = self.registry()
         registry.stream_lost(2 * S, "b")
         registry.stream_opened(2 * S, "b")
-        registry.received(2 * S, "b", both)
+        registry.received(2 * S, "b", joins)
         registry.stream_lost(2 * S, "a")
-        registry.received(2 * S + MS, "b", [ProxyLeft(1), both[0]])
-        self.assertEqual(registry.elect_leader(2 * S + limits.SYNC_TIME_NS), [ProxyLeft(1), both[0]])
+        registry.received(2 * S + MS, "b", [ProxyLeft(1), joins[0]])
+        self.assertEqual(registry.elect_leader(2 * S + limits.SYNC_TIME_NS), [ProxyLeft(1), joins[0]])
 
 
 class OnSockets(unittest.TestCase):
-    def test_what_comes_with_the_end_of_the_event_stream_counts(self):
+    def test_events_received_with_the_end_of_the_stream_count(self):
         async def scenario():
             async with running_service() as (service, relay, _):
                 relay.attach(1, "north")
@@ -262,7 +270,7 @@
 
         anyio.run(scenario)
 
-    def test_who_left_and_came_back_while_no_events_came_is_bound_again(self):
+    def test_a_proxy_that_rejoined_while_no_stream_was_open_is_bound_again(self):
         async def scenario():
             async with running_service() as (service, relay, _):
                 for node in (1, 2):
@@ -278,7 +286,7 @@
                     or any(proxy.messages.unacknowledged for proxy in service.controller.module.proxies)
                 ):
                     await anyio.sleep(0.05)  # until nothing is on its way that would miss an answer
-                at = dict(service.controller.proxies.joined_at)
+                joined_before = dict(service.controller.proxies.joined_at)
                 binds = sum(order.startswith("USE,2,") for _, orders in relay.calls for order in orders)
                 del relay.bound[1]  # nobody is told
                 relay.attached[1] = relay.attached[1].replace("cold=0", "cold=1")
@@ -286,9 +294,9 @@
                     await anyio.aclose_forcefully(stream)
                 # by the news, not by the next mark that it misses: that may be long in coming
                 await relay.wait_until(
-                    lambda: service.controller.proxies.joined_at[1] > at[1] and relay.lines(1)
+                    lambda: service.controller.proxies.joined_at[1] > joined_before[1] and relay.lines(1)
                 )
-                self.assertEqual(service.controller.proxies.joined_at[2], at[2])
+                self.assertEqual(service.controller.proxies.joined_at[2], joined_before[2])
                 self.assertEqual(
                     sum(order.startswith("USE,2,") for _, orders in relay.calls for order in orders), binds
                 )
