--- a/embertray/policy/context.py
+++ b/embertray/policy/context.py
@@ -32,9 +32,9 @@
         self.observed_report_interval = deployment.report_interval
         self.reports_include_busy_share = False
         self.client_timeout = max((kind.client_timeout for kind in deployment.kinds), default=SECOND)
-        weights = sum(kind.credit for kind in deployment.kinds) or 1
+        total_credit = sum(kind.credit for kind in deployment.kinds) or 1
         self.latency_objective = (
-            sum(kind.credit * kind.latency_objective for kind in deployment.kinds) / weights
+            sum(kind.credit * kind.latency_objective for kind in deployment.kinds) / total_credit
         )
         self.unlimited_level = UNLIMITED_RATE if deployment.throttle == "rate" else 1.0
         self.admission = {
--- a/embertray/policy/locality.py
+++ b/embertray/policy/locality.py
@@ -61,7 +61,7 @@
         """
         home_share = HOME_SHARE if self.context.deployment.cross_zone_cost > 0 else 0.0
         home_flow = min(share, capacity.get(zone, 0.0))
-        spare_elsewhere = sum(part for other, part in spare.items() if other is not zone)
+        spare_elsewhere = sum(zone_spare for other, zone_spare in spare.items() if other is not zone)
         factors = {}
         for other in capacity:
             if other is zone:
--- a/embertray/policy/table_writer.py
+++ b/embertray/policy/table_writer.py
@@ -59,14 +59,14 @@
             list of (`BackendState`, desired weight).
         """
         sent = table.sent
-        off = {
+        difference = {
             backend: weight / sent.get(backend, NEVER_SENT) - 1
             for backend, weight in table.desired.items()
             if backend.state == "ready" and (weight or backend in sent)
         }
-        moved = [
+        changed = [
             backend
-            for backend in sorted(off, key=lambda backend: -abs(off[backend]))
-            if abs(off[backend]) > MOVE_THRESHOLD
+            for backend in sorted(difference, key=lambda backend: -abs(difference[backend]))
+            if abs(difference[backend]) > MOVE_THRESHOLD
         ]
-        return [(backend, table.desired[backend]) for backend in moved]
+        return [(backend, table.desired[backend]) for backend in changed]
