--- a/tests/stage.py
+++ b/tests/stage.py
@@ -101,7 +101,8 @@
     def do_hear(self, name, *pairs):
         """Repeats a report every second from now on; tries=0 ends it."""
         self.repeated_reports |= {
-            one: {k: parse_value(v) for k, v in (p.split("=") for p in pairs)} for one in name.split(",")
+            backend: {k: parse_value(v) for k, v in (p.split("=") for p in pairs)}
+            for backend in name.split(",")
         }
 
     def do_come(self, name, kind, reqs):
@@ -114,27 +115,27 @@
         while self.now < until:
             self.now += 250 * UNITS["ms"]
             if self.now % UNITS["s"] == 0:
-                for key, what in self.repeated_reports.items():
-                    if not isinstance(key, tuple) and self.now // UNITS["s"] % what.get(
+                for key, report in self.repeated_reports.items():
+                    if not isinstance(key, tuple) and self.now // UNITS["s"] % report.get(
                         "every", 1
-                    ) != what.get("from", 0):
+                    ) != report.get("from", 0):
                         continue
                     if isinstance(key, tuple):
                         self.pending_events.append(
                             i.ArrivalReport(
-                                self.handle(i.Proxy, key[0]), self.kinds[key[1]], what, span=UNITS["s"]
+                                self.handle(i.Proxy, key[0]), self.kinds[key[1]], report, span=UNITS["s"]
                             )
                         )
                     else:
-                        load = {k: what[k] for k in ("busy", "waiting", "held") if k in what}
+                        load = {k: report[k] for k in ("busy", "waiting", "held") if k in report}
                         self.pending_events.append(
                             i.BackendReport(
                                 self.handle(i.Backend, key),
                                 self.handle(i.Zone, "north"),
-                                what["tries"],
-                                what.get("failed", 0),
-                                what.get("latency", 0),
-                                what.get("span", UNITS["s"]),
+                                report["tries"],
+                                report.get("failed", 0),
+                                report.get("latency", 0),
+                                report.get("span", UNITS["s"]),
                                 load,
                             )
                         )
@@ -190,7 +191,7 @@
                 ]
             return None if seen else "not ordered"
         if what == "known":
-            known = [part.handle.external_id for part in self.policy.backends + self.policy.proxies]
+            known = [state.handle.external_id for state in self.policy.backends + self.policy.proxies]
             return None if words[0] in known else f"known are {known}"
         if what in ("out", "in"):
             lines = [self.tables[t].get(words[0], 0) for t in self.bound.values()]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,7 +35,7 @@
     return fleet
 
 
-class Crowd(unittest.TestCase):
+class WholeFleet(unittest.TestCase):
     def test_bindings_and_removals_meet_the_drain_grace(self):
         fleet = join_during_drains(1600)
         self.assertEqual(len(fleet.overdue), 0, "lines held past the grace")
