--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -15,7 +15,7 @@
 from .records.levels import FleetState
 
 MEANS_KEPT = 200  # mean latencies, one per control cycle
-TREND_CYCLES = 9  # the newest mean latency is compared with that of so many cycles ago
+TREND_CYCLES = 9  # the newest mean latency is compared with the oldest of so many
 SERVICE_TIME_SHARE_MAX = 0.35  # of the latency objective; latency beyond it is queueing
 FALLING_RATIO = 0.9  # of the earlier mean; below it latency is falling
 WAIT_LOW = 0.2  # of the latency objective; a shorter wait is no queue
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -65,9 +65,8 @@
         for table in zone_tables.tables:
             self.assertTrue(any(table.desired.values()), "a table without a line")
         all_ready = {backend: 1.0 for backend in fleet.module.backends if backend.state == "ready"}
-        zone_tables.assign(
-            all_ready, tables.lines_max(), tables.usual_rates()
-        )  # with enough backends each table has its own again
+        # with enough backends each table has its own again
+        zone_tables.assign(all_ready, tables.lines_max(), tables.usual_rates())
         self.assertEqual(
             sorted(
                 backend.handle.external_id
