--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -36,18 +36,18 @@
     max_retry_delay=200 * MILLISECOND,
 )
 MAX_WAIT_S = 60  # that a wait takes before it fails
-POLL_S = 0.005  # between two looks; what is looked at decides
+POLL_INTERVAL_S = 0.005  # between two looks; what is looked at decides
 
 structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
 
 
-async def until(wanted, what):
+async def wait_until(condition, description):
     """Waits until it holds; fails after MAX_WAIT_S seconds."""
     with anyio.move_on_after(MAX_WAIT_S):
-        while not wanted():
-            await anyio.sleep(POLL_S)
+        while not condition():
+            await anyio.sleep(POLL_INTERVAL_S)
         return
-    raise AssertionError(f"not within {MAX_WAIT_S} s: {what}")
+    raise AssertionError(f"not within {MAX_WAIT_S} s: {description}")
 
 
 class ControlCluster:
@@ -75,7 +75,7 @@
         """All replicas run; what still runs at the end is ended."""
         async with anyio.create_task_group() as self.group:
             for name in self.names:
-                await self.up(name)
+                await self.start(name)
             yield self
             self.group.cancel_scope.cancel()
 
@@ -83,7 +83,7 @@
         self.starts += 1
         return random.Random(f"{name} {self.starts}")
 
-    async def up(self, name):
+    async def start(self, name):
         settings = ReplicaSettings("test", name, self.peers, self.listen[name])
         state_store = self.folder and replica_state_store(Path(self.folder) / name, self.disks.get(name))
         timing = {"replica_timing": REPLICA_TIMING, "feed_settings": self.feed_settings}
@@ -92,17 +92,17 @@
         await self.group.start(self._run, name, server)
         return server
 
-    async def _run(self, name, running, *, task_status):
+    async def _run(self, name, process, *, task_status):
         ended = anyio.Event()
         with anyio.CancelScope() as scope:
             self.scopes[name] = scope, ended
             try:
-                await running.run(task_status=task_status)
+                await process.run(task_status=task_status)
             except Exception as failure:
-                running.ended_by = failure
+                process.ended_by = failure
         ended.set()
 
-    async def down(self, name):
+    async def kill(self, name):
         """Ends it at once, as a kill does: nothing is said."""
         scope, ended = self.scopes.pop(name)
         self.replicas.pop(name, None)
@@ -131,35 +131,37 @@
     @property
     def leader(self):
         """The replica that leads with a majority, or None."""
-        leading = (one for one in self.replicas.values() if one.replica.has_majority(self.clock.now()))
-        return next(leading, None)
+        leaders = (
+            server for server in self.replicas.values() if server.replica.has_majority(self.clock.now())
+        )
+        return next(leaders, None)
 
-    async def leading(self):
+    async def wait_for_leader(self):
         """The leader, once there is one that has committed its first entry."""
-        await until(lambda: self.leader and self.leader.replica.store.revision, "a leader")
+        await wait_until(lambda: self.leader and self.leader.replica.store.revision, "a leader")
         return self.leader
 
-    async def ask(self, call):
+    async def call_leader(self, call):
         """What call(leader) gives. Asked again, as clients do, while there is no leader that a majority
         confirms; a call has to carry a request id of its own."""
         with anyio.fail_after(MAX_WAIT_S):
             while True:
-                leader = await self.leading()
+                leader = await self.wait_for_leader()
                 try:
                     return await call(leader)
                 except (NotLeaderError, NoMajorityError, OutcomeUnknownError):
-                    await anyio.sleep(POLL_S)
+                    await anyio.sleep(POLL_INTERVAL_S)
 
     async def put(self, key, value, request=None):
         self.starts += 1
         request = request or f"request-{self.starts}"
-        return await self.ask(lambda leader: leader.put(key, value, request))
+        return await self.call_leader(lambda leader: leader.put(key, value, request))
 
-    async def all_hold(self, key, value):
+    async def wait_until_all_hold(self, key, value):
         """Until every subscriber holds it."""
 
         def holds(subscriber):
             entry = subscriber.subscriber and subscriber.get(key)
             return (entry.value if entry else None) == value
 
-        await until(lambda: all(holds(one) for one in self.subscribers.values()), f"{key} everywhere")
+        await wait_until(lambda: all(holds(one) for one in self.subscribers.values()), f"{key} everywhere")
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import anyio
-from control_cluster import MAX_WAIT_S, ControlCluster, until
+from control_cluster import MAX_WAIT_S, ControlCluster, wait_until
 
 from embertray.cluster.replication.codec import encode
 from embertray.cluster.replication.entry import Entry
@@ -127,15 +127,15 @@
             for n, name in enumerate(cluster.names):
                 await cluster.subscribe(f"s{n}", [name])
             first = await cluster.put("limits/search", b"10")
-            await cluster.all_hold("limits/search", b"10")
+            await cluster.wait_until_all_hold("limits/search", b"10")
             second = await cluster.put("limits/search", b"20")
             self.assertGreater(second, first)
-            await cluster.all_hold("limits/search", b"20")
-            rolled = await cluster.ask(lambda leader: leader.rollback("limits/search", first, "back"))
+            await cluster.wait_until_all_hold("limits/search", b"20")
+            rolled = await cluster.call_leader(lambda leader: leader.rollback("limits/search", first, "back"))
             self.assertGreater(rolled, second)
-            await cluster.all_hold("limits/search", b"10")
+            await cluster.wait_until_all_hold("limits/search", b"10")
             removed = await cluster.put("limits/search", None, "remove")
-            await cluster.all_hold("limits/search", None)
+            await cluster.wait_until_all_hold("limits/search", None)
             for applied in cluster.applied.values():
                 self.assertEqual([entry.revision for entry in applied][-1], removed)
                 self.assertEqual(sorted({e.revision for e in applied}), [e.revision for e in applied])
@@ -146,13 +146,13 @@
         async def body(cluster):
             first = await cluster.put("key", b"1", "the-request")
             self.assertEqual(await cluster.put("key", b"1", "the-request"), first)
-            self.assertEqual(len((await cluster.leading()).versions("key")), 1)
+            self.assertEqual(len((await cluster.wait_for_leader()).versions("key")), 1)
 
         self.play(body)
 
     def test_what_is_refused(self):
         async def body(cluster):
-            most = (await cluster.leading()).feed_settings.max_value_bytes
+            most = (await cluster.wait_for_leader()).feed_settings.max_value_bytes
             revision = await cluster.put("key", b"x" * most, "largest")
             cases = [
                 (TooLargeError, lambda leader: leader.put("key", b"x" * (most + 1), "request")),
@@ -166,8 +166,8 @@
             ]
             for kind, call in cases:
                 with self.assertRaises(kind):
-                    await cluster.ask(call)
-            leader = await cluster.leading()
+                    await cluster.call_leader(call)
+            leader = await cluster.wait_for_leader()
             self.assertEqual(leader.get("key").revision, revision)
 
         self.play(body)
@@ -179,7 +179,7 @@
             def follows_a_leader(replica):
                 return replica.replica.role is Role.FOLLOWER and replica.replica.leader
 
-            await until(
+            await wait_until(
                 lambda: any(map(follows_a_leader, cluster.replicas.values())), "a follower knows its leader"
             )
             follower = next(filter(follows_a_leader, cluster.replicas.values()))
@@ -194,7 +194,7 @@
         async def body(cluster):
             await cluster.subscribe("s1")
             await cluster.put("key", b"1")
-            await cluster.all_hold("key", b"1")
+            await cluster.wait_until_all_hold("key", b"1")
 
         self.play(body, count=1, keep=True)
 
@@ -203,17 +203,17 @@
     def test_a_replica_ended_and_begun_again_with_its_folder(self):
         async def body(cluster):
             await cluster.put("before", b"1")
-            leader = await cluster.leading()
+            leader = await cluster.wait_for_leader()
             name = leader.settings.name
-            await cluster.down(name)
-            await until(lambda: cluster.leader, "another leader")
+            await cluster.kill(name)
+            await wait_until(lambda: cluster.leader, "another leader")
             await cluster.put("while", b"2")
-            server = await cluster.up(name)
+            server = await cluster.start(name)
             self.assertFalse(server.status().recovering)
             self.assertEqual(server.get("before").value, b"1")
-            await until(lambda: server.get("while"), "it catches up")
+            await wait_until(lambda: server.get("while"), "it catches up")
             await cluster.put("after", b"3")
-            await until(lambda: server.get("after"), "it follows")
+            await wait_until(lambda: server.get("after"), "it follows")
 
         self.play(body, keep=True)
 
@@ -221,26 +221,26 @@
         async def body(cluster):
             revision = await cluster.put("key", b"1", "the-request")
             for name in cluster.names:
-                await cluster.down(name)
+                await cluster.kill(name)
             for name in cluster.names:
-                await cluster.up(name)
+                await cluster.start(name)
             self.assertEqual(await cluster.put("key", b"1", "the-request"), revision)
-            self.assertEqual((await cluster.leading()).get("key").value, b"1")
+            self.assertEqual((await cluster.wait_for_leader()).get("key").value, b"1")
 
         self.play(body, keep=True)
 
     def test_a_replica_begun_again_with_nothing_is_admitted_and_counts(self):
         async def body(cluster):
             await cluster.put("before", b"1")
-            leader = await cluster.leading()
+            leader = await cluster.wait_for_leader()
             name = next(one for one in cluster.names if one != leader.settings.name)
-            await cluster.down(name)
-            server = await cluster.up(name)
+            await cluster.kill(name)
+            server = await cluster.start(name)
             self.assertTrue(server.status().recovering)
-            await until(lambda: not server.status().recovering, "it is admitted")
+            await wait_until(lambda: not server.status().recovering, "it is admitted")
             self.assertEqual(server.get("before").value, b"1")
             other = next(one for one in cluster.names if one not in (name, leader.settings.name))
-            await cluster.down(other)
+            await cluster.kill(other)
             await cluster.put("with its voice", b"2")
 
         self.play(body)
@@ -252,8 +252,8 @@
 
         async def body(cluster):
             server = cluster.replicas["r3"]
-            await until(lambda: server.replica.store.revision >= count, "it holds all")
-            await until(lambda: not server.status().recovering, "it counts again")
+            await wait_until(lambda: server.replica.store.revision >= count, "it holds all")
+            await wait_until(lambda: not server.status().recovering, "it counts again")
             kept = cluster.replicas["r1"].replica.store
             self.assertEqual(server.replica.store.digest, kept.digest)
             await cluster.put("key-0", b"1")
@@ -279,32 +279,34 @@
             kept = next(name for name in cluster.names if cluster.replicas[name].get("key"))
             folders = {name: Path(cluster.folder) / name for name in cluster.names}
             for name in cluster.names:
-                await cluster.down(name)
+                await cluster.kill(name)
             for name in cluster.names:
                 if name != kept:
                     shutil.rmtree(folders[name])
                     shutil.copytree(folders[kept], folders[name])
             for name in cluster.names:
-                await cluster.up(name)
+                await cluster.start(name)
             await cluster.put("other", b"2")
-            self.assertEqual((await cluster.leading()).get("key").value, b"1")
+            self.assertEqual((await cluster.wait_for_leader()).get("key").value, b"1")
 
         self.play(body, keep=True)
 
     def test_a_majority_without_disks_elects_nobody(self):
         async def body(cluster):
             await cluster.put("key", b"1")
-            leader = (await cluster.leading()).settings.name
+            leader = (await cluster.wait_for_leader()).settings.name
             for name in cluster.names:
-                await cluster.down(name)
+                await cluster.kill(name)
             for name in cluster.names:
                 if name != leader:
                     shutil.rmtree(Path(cluster.folder) / name)
-                await cluster.up(name)
+                await cluster.start(name)
             kept = cluster.replicas[leader]
-            await until(lambda: kept.replica.role is Role.CANDIDATE, "it asks for votes")
+            await wait_until(lambda: kept.replica.role is Role.CANDIDATE, "it asks for votes")
             asked = kept.traffic.messages_in
-            await until(lambda: kept.traffic.messages_in > asked + 20, "the others speak, but do not vote")
+            await wait_until(
+                lambda: kept.traffic.messages_in > asked + 20, "the others speak, but do not vote"
+            )
             self.assertIsNone(cluster.leader)
             self.assertEqual(kept.get("key").value, b"1")
 
@@ -314,11 +316,11 @@
         async def body(cluster):
             client = await cluster.subscribe("s1")
             await cluster.put("key", b"1")
-            await cluster.all_hold("key", b"1")
-            await cluster.down(client.subscriber.replica)
-            await until(lambda: cluster.leader, "a leader")
+            await cluster.wait_until_all_hold("key", b"1")
+            await cluster.kill(client.subscriber.replica)
+            await wait_until(lambda: cluster.leader, "a leader")
             await cluster.put("key", b"2")
-            await cluster.all_hold("key", b"2")
+            await cluster.wait_until_all_hold("key", b"2")
             revisions = [entry.revision for entry in cluster.applied["s1"]]
             self.assertEqual(revisions, sorted(set(revisions)))
 
@@ -329,16 +331,16 @@
             with tempfile.TemporaryDirectory() as folder:
                 client = await cluster.subscribe("s1", folder=folder)
                 await cluster.put("key", b"1")
-                await cluster.all_hold("key", b"1")
-                await until(lambda: client.saves, "it is saved")
-                await cluster.down("s1")
+                await cluster.wait_until_all_hold("key", b"1")
+                await wait_until(lambda: client.saves, "it is saved")
+                await cluster.kill("s1")
                 for name in cluster.names:
-                    await cluster.down(name)
+                    await cluster.kill(name)
                 client = await cluster.subscribe("s1", folder=folder)
                 self.assertEqual(client.get("key").value, b"1")
                 self.assertEqual(client.revision, 2)
                 self.assertIsNotNone(client.age())
-                await cluster.down("s1")
+                await cluster.kill("s1")
                 clock = EarlierClock()
                 client = await cluster.subscribe("s1", folder=folder, clock=clock)
                 self.assertEqual(client.get("key").value, b"1")
@@ -369,7 +371,7 @@
 class Saving(Case):
     def test_a_replica_that_cannot_save_stops_and_acknowledges_nothing(self):
         async def body(cluster):
-            leader = await cluster.leading()
+            leader = await cluster.wait_for_leader()
             revision = leader.replica.store.revision
             disk.full = True
             with self.assertRaises(Exception) as caught:
@@ -379,8 +381,8 @@
             await ended.wait()
             self.assertEqual(type(leader.ended_by).__name__, "StateNotSavedError")
             disk.full = False
-            server = await cluster.up("r1")
-            await cluster.leading()
+            server = await cluster.start("r1")
+            await cluster.wait_for_leader()
             self.assertIsNone(server.get("key"))
             self.assertGreaterEqual(server.replica.store.revision, revision)
 
@@ -397,10 +399,10 @@
     def test_a_spoilt_state_is_passed_over_for_the_one_before(self):
         async def body(cluster):
             await cluster.put("key", b"1")
-            await cluster.down("r1")
+            await cluster.kill("r1")
             newest = sorted((Path(cluster.folder) / "r1").glob("*.snap"))[-1]
             newest.write_bytes(newest.read_bytes()[:-3])
-            server = await cluster.up("r1")
+            server = await cluster.start("r1")
             await cluster.put("other", b"2")
             self.assertEqual(server.get("other").value, b"2")
 
@@ -414,11 +416,11 @@
             server = cluster.replicas["r1"]
             async with await TcpNet().dial(cluster.listen["r1"]) as stream:
                 await stream.send(encode_frame(encode(Subscribe("test", 1, "slow", 0, 0, 8_000))))
-                await until(lambda: "slow" in server.feed.subscriptions, "it is taken")
+                await wait_until(lambda: "slow" in server.feed.subscriptions, "it is taken")
                 connection = server.subscribers.by_name["slow"]
                 await cluster.put("key", b"1")
-                await cluster.all_hold("key", b"1")
-                await until(lambda: "slow" not in server.feed.subscriptions, "it is dropped")
+                await cluster.wait_until_all_hold("key", b"1")
+                await wait_until(lambda: "slow" not in server.feed.subscriptions, "it is dropped")
                 self.assertLessEqual(len(connection.queue), 2)
             self.assertEqual(server.status().silent_subscribers, 1)
             self.assertEqual(server.status().subscribers, 1)
@@ -473,11 +475,11 @@
                     group.start_soon(self.ends, cluster, cluster.listen["r1"], data)
                 for data in for_replicas.values():
                     group.start_soon(self.ends, cluster, cluster.peers["r1"], data)
-            await until(lambda: list(server.feed.subscriptions) == ["s1"], "no other is left")
+            await wait_until(lambda: list(server.feed.subscriptions) == ["s1"], "no other is left")
             self.assertEqual(server.traffic.rejected, len(for_subscribers) + len(for_replicas))
             self.assertEqual((server.subscribers.unidentified, server.peers.unidentified), ({}, {}))
             await cluster.put("key", b"1")
-            await cluster.all_hold("key", b"1")
+            await cluster.wait_until_all_hold("key", b"1")
 
         self.play(body)
 
@@ -488,7 +490,7 @@
                 streams.append(await TcpNet().dial(cluster.listen["r1"]))
             await cluster.subscribe("s1", ["r1"])
             await cluster.put("key", b"1")
-            await cluster.all_hold("key", b"1")
+            await cluster.wait_until_all_hold("key", b"1")
             self.assertLessEqual(len(server.subscribers.unidentified), 256)
             for stream in streams:
                 await stream.aclose()
@@ -508,7 +510,7 @@
                 group.start_soon(listener.serve, garbage, group)
                 client = await cluster.subscribe("s1", ["bad", "r1"])
                 await cluster.put("key", b"1")
-                await cluster.all_hold("key", b"1")
+                await cluster.wait_until_all_hold("key", b"1")
                 self.assertGreaterEqual(client.status().traffic.rejected, 1)
                 group.cancel_scope.cancel()
             await listener.aclose()
@@ -521,11 +523,11 @@
             hello = encode_frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
             async with await TcpNet().dial(cluster.listen["r1"]) as first:
                 await first.send(hello)
-                await until(lambda: "s1" in server.feed.subscriptions, "the first is taken")
+                await wait_until(lambda: "s1" in server.feed.subscriptions, "the first is taken")
                 older = server.subscribers.by_name["s1"]
                 async with await TcpNet().dial(cluster.listen["r1"]) as second:
                     await second.send(hello)
-                    await until(lambda: server.subscribers.by_name.get("s1") is not older, "replaced")
+                    await wait_until(lambda: server.subscribers.by_name.get("s1") is not older, "replaced")
                     with self.assertRaises((anyio.EndOfStream, anyio.BrokenResourceError)):
                         while True:
                             await first.receive()
@@ -543,9 +545,9 @@
             client = await cluster.subscribe("s1", ["r1"])
             for n in range(8):  # some of these states have a digest over 2**62, some over 2**63
                 await cluster.put(f"key-{n}", b"x")
-                await cluster.all_hold(f"key-{n}", b"x")
+                await cluster.wait_until_all_hold(f"key-{n}", b"x")
             digest = cluster.replicas["r1"].replica.store.digest
-            await until(lambda: client.subscriber.store.digest == digest, "the digests agree")
+            await wait_until(lambda: client.subscriber.store.digest == digest, "the digests agree")
             self.assertEqual(client.status().traffic.rejected, 0)
 
         self.play(body)
@@ -557,7 +559,7 @@
             for n in range(4):
                 await cluster.subscribe(f"s{n}", [cluster.names[n % 3]])
             revision = await cluster.put("key", b"1")
-            await cluster.all_hold("key", b"1")
+            await cluster.wait_until_all_hold("key", b"1")
 
             def known():
                 status = cluster.leader and cluster.leader.status()
@@ -566,8 +568,8 @@
                     complete and status.fleet_subscribers == 4 and status.fleet_lowest_confirmed >= revision
                 )
 
-            await until(known, "the leader knows what all subscribers hold")
-            leader = await cluster.leading()
+            await wait_until(known, "the leader knows what all subscribers hold")
+            leader = await cluster.wait_for_leader()
             status = leader.status()
             self.assertEqual((status.role, status.leader, status.has_majority), ("leader", status.name, True))
             self.assertEqual((status.keys, status.recovering), (1, False))
@@ -576,12 +578,12 @@
             self.assertLess(status.age_s, MAX_WAIT_S)
             self.assertGreater(min(status.traffic.bytes_in, status.traffic.bytes_out), 0)
             others = [one for one in cluster.replicas.values() if one is not leader]
-            await until(lambda: others[0].status().leader == status.name, "a follower knows it")
+            await wait_until(lambda: others[0].status().leader == status.name, "a follower knows it")
             follower = others[0].status()
             self.assertEqual(follower.role, "follower")
             self.assertEqual((follower.fleet_subscribers, follower.fleet_lowest_confirmed), (None, None))
             client = cluster.subscribers["s0"]
-            await until(lambda: client.status().age_s is not None, "it knows its age")
+            await wait_until(lambda: client.status().age_s is not None, "it knows its age")
             seen = client.status()
             self.assertEqual((seen.replica, seen.connected, seen.keys), ("r1", True, 1))
             self.assertGreaterEqual(seen.revision, revision)
