--- a/tests/control_sabotage.py
+++ b/tests/control_sabotage.py
@@ -11,25 +11,25 @@
 from embertray.simulation.processes.control_process import main  # noqa: E402
 
 
-def answers_without_a_majority():
+def commit_without_majority():
     """A replica that takes its own voice for a majority."""
     Replica.majority = property(lambda replica: 1)
 
 
-def takes_older_versions():
+def apply_older_versions():
     """A subscriber that applies whatever it is sent."""
-    true_update = Subscriber._on_update
+    original_on_update = Subscriber._on_update
 
     def on_update(subscriber, now, message):
         for entry in message.entries:
             subscriber.store.discard(entry.key)
             subscriber._apply(entry)
-        true_update(subscriber, now, message)
+        original_on_update(subscriber, now, message)
 
     Subscriber._on_update = on_update
 
 
-def says_it_is_fresh():
+def report_zero_age():
     """A subscriber whose age is always nothing."""
     Subscriber.age = lambda subscriber, now: 0
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -291,7 +291,7 @@
                 self.assertTrue(told)
                 self.assertIsInstance(record.put(name, "key", name.encode(), f"by-{name}"), Committed)
 
-        broken = self.broken(body, "answers_without_a_majority", ["k1", "k2", "k3"])
+        broken = self.broken(body, "commit_without_majority", ["k1", "k2", "k3"])
         self.assertLessEqual({"history", "acknowledged"}, broken)
 
     def test_a_subscriber_that_takes_an_older_version(self):
@@ -302,7 +302,7 @@
             self.put(record, "key", b"1")
             plane.wait(lambda: len(plane.applied("c1")) > 1, "it applied that twice")
 
-        self.assertIn("once", self.broken(body, "takes_older_versions", ["c1"]))
+        self.assertIn("once", self.broken(body, "apply_older_versions", ["c1"]))
 
     def test_an_honest_subscriber_is_sent_the_same_twice_and_applies_it_once(self):
         def body(record):
@@ -324,7 +324,7 @@
             plane.wait(lambda: plane.status("c2")["revision"] >= revision, "in force elsewhere")
             plane.wait(lambda: "age" in record.judge().counts, "it is found out")
 
-        self.assertIn("age", self.broken(body, "says_it_is_fresh", ["c1"]))
+        self.assertIn("age", self.broken(body, "report_zero_age", ["c1"]))
 
 
 class RecordedOnly:
