--- a/tests/control_histories.py
+++ b/tests/control_histories.py
@@ -15,7 +15,7 @@
 )
 
 
-def entries_of(writes):
+def entries_from_writes(writes):
     """Entries with rising revisions, as a history of writes."""
     return [
         Entry(key, revision, 1, f"q{revision}", value)
@@ -23,7 +23,7 @@
     ]
 
 
-def store_of(entries):
+def store_from_entries(entries):
     store = VersionedStore()
     for entry in entries:
         store.apply(entry)
@@ -31,5 +31,5 @@
     return store
 
 
-def in_force(store):
+def current_entries(store):
     return {entry.key: entry for entry in store.live_entries()}
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from control_histories import MS, S, in_force
+from control_histories import MS, S, current_entries
 
 from embertray.cluster.replication.codec import decode_from_subscriber, decode_to_subscriber, encode
 from embertray.cluster.replication.entry import Entry
@@ -200,7 +200,7 @@
             subscriber.store.apply(entry)
         subscriber.store.advance(self.store.revision)
         self.converse(subscriber, 12 * S)
-        self.assertEqual(in_force(subscriber.store), in_force(self.store))
+        self.assertEqual(current_entries(subscriber.store), current_entries(self.store))
         self.assertEqual(subscriber.store.digest, self.store.digest)
         self.assertEqual(subscriber.counters["repairs"], 1)
 
@@ -218,7 +218,7 @@
             self.write("other", None)
         self.assertGreater(self.store.forgotten, subscriber.revision)
         self.converse(subscriber, 15 * S)
-        self.assertEqual((in_force(subscriber.store), subscriber.store.digest), ({}, 0))
+        self.assertEqual((current_entries(subscriber.store), subscriber.store.digest), ({}, 0))
         removed = {entry.key for entry in subscriber.applied if entry.value is None}
         self.assertLessEqual({f"old{n}" for n in range(20)}, removed)
 
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from control_histories import MS, WRITES, S, entries_of, in_force, store_of
+from control_histories import MS, WRITES, S, current_entries, entries_from_writes, store_from_entries
 from hypothesis import given, settings, strategies as st
 
 from embertray.cluster.replication.codec import (
@@ -30,17 +30,17 @@
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(WRITES, st.randoms(use_true_random=False))
     def test_entries_in_any_order_and_again_give_one_state(self, writes, rng):
-        entries = entries_of(writes)
-        whole = store_of(entries)
+        entries = entries_from_writes(writes)
+        whole = store_from_entries(entries)
         shuffled = entries * 2
         rng.shuffle(shuffled)
         other = VersionedStore()
         for entry in shuffled:
             other.apply(entry)
-        self.assertEqual(in_force(whole), in_force(other))
+        self.assertEqual(current_entries(whole), current_entries(other))
         self.assertEqual(whole.digests, other.digests)
-        self.assertEqual(whole.live_count, len(in_force(other)))
-        self.assertEqual(whole.live_bytes, sum(entry.size for entry in in_force(other).values()))
+        self.assertEqual(whole.live_count, len(current_entries(other)))
+        self.assertEqual(whole.live_bytes, sum(entry.size for entry in current_entries(other).values()))
         self.assertEqual(
             [one.revision for one in other.entries_since(0)],
             sorted(one.revision for one in other.entries_since(0)),
@@ -49,18 +49,18 @@
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(WRITES, st.integers(0, 40))
     def test_what_was_written_since_brings_a_former_state_up_to_date(self, writes, cut):
-        entries = entries_of(writes)
-        whole, former = store_of(entries), store_of(entries[:cut])
+        entries = entries_from_writes(writes)
+        whole, former = store_from_entries(entries), store_from_entries(entries[:cut])
         changes = list(whole.entries_since(former.revision))
         self.assertEqual(len({entry.key for entry in changes}), len(changes))  # of each key the newest
         for entry in changes:
             former.apply(entry)
-        self.assertEqual((in_force(former), former.digest), (in_force(whole), whole.digest))
+        self.assertEqual((current_entries(former), former.digest), (current_entries(whole), whole.digest))
 
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(WRITES)
     def test_what_is_exported_is_restored(self, writes):
-        store = store_of(entries_of(writes))
+        store = store_from_entries(entries_from_writes(writes))
         again = restore_store(
             store.revision, store.term, export_versions(store), store.requests.items(), store.forgotten
         )
@@ -73,7 +73,9 @@
         self.assertEqual((again.requests, again.bytes), (store.requests, store.bytes))
 
     def test_former_versions_are_kept_up_to_a_number(self):
-        store = store_of(entries_of([("a", bytes([n])) for n in range(3 * MAX_VERSIONS_PER_KEY)]))
+        store = store_from_entries(
+            entries_from_writes([("a", bytes([n])) for n in range(3 * MAX_VERSIONS_PER_KEY)])
+        )
         self.assertEqual(len(store.versions["a"]), MAX_VERSIONS_PER_KEY)
         self.assertIsNone(store.entry_at("a", 1))
         self.assertEqual(
@@ -83,7 +85,7 @@
 
     def test_the_oldest_removals_are_forgotten_and_that_is_known(self):
         writes = [(f"k{n}", b"x") for n in range(MAX_TOMBSTONES + 5)]
-        store = store_of(entries_of(writes + [(key, None) for key, _ in writes]))
+        store = store_from_entries(entries_from_writes(writes + [(key, None) for key, _ in writes]))
         self.assertEqual(store.forgotten, len(writes) + 5)
         self.assertEqual((len(store.entries), store.live_count, store.digest), (MAX_TOMBSTONES, 0, 0))
 
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from control_histories import WRITES, S, entries_of, in_force, store_of
+from control_histories import WRITES, S, current_entries, entries_from_writes, store_from_entries
 from hypothesis import given, settings, strategies as st
 
 from embertray.cluster.replication.codec import decode_from_subscriber
@@ -145,16 +145,20 @@
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(WRITES, st.lists(st.tuples(st.integers(0, 40), st.integers(0, 40)), max_size=30))
     def test_any_updates_lead_to_the_replicas_state_and_never_back(self, writes, spans):
-        whole = store_of(entries_of(writes))
+        whole = store_from_entries(entries_from_writes(writes))
         subscriber = Subscriber("c", "s", ["r"], 0, random.Random(1))
         subscriber.advance(0)
         subscriber.connection_opened(0, subscriber.connection_id)
         last = whole.revision
         for since, upto in [*spans, (0, last)]:
             since, upto = min(since, last), min(upto, last)
-            changes = [entry for entry in store_of(entries_of(writes[:upto])).entries_since(since)]
+            changes = [
+                entry for entry in store_from_entries(entries_from_writes(writes[:upto])).entries_since(since)
+            ]
             subscriber.receive(0, subscriber.connection_id, Update(since, upto, changes), 10)
-        self.assertEqual((subscriber.revision, in_force(subscriber.store)), (last, in_force(whole)))
+        self.assertEqual(
+            (subscriber.revision, current_entries(subscriber.store)), (last, current_entries(whole))
+        )
         newest = {}
         for entry in subscriber.applied:
             self.assertGreater(entry.revision, newest.get(entry.key, 0))
