--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -19,15 +19,15 @@
 from embertray.cluster.replication.store import MAX_TOMBSTONES, VersionedStore
 
 
-class Group:
+class SimulatedCluster:
     """Replicas whose messages arrive at once, unless they are cut off."""
 
     def __init__(self, count=3):
-        self.names, self.now, self.cut = [f"r{n}" for n in range(count)], 100 * S, set()
+        self.names, self.now, self.isolated = [f"r{n}" for n in range(count)], 100 * S, set()
         self.saved = dict.fromkeys(self.names)
-        self.replicas = {name: self.make(name) for name in self.names}
+        self.replicas = {name: self.create_replica(name) for name in self.names}
 
-    def make(self, name):
+    def create_replica(self, name):
         rng = random.Random(f"{name} {self.now}")
         return Replica("c", name, self.names, self.now, rng, saved=self.saved[name])
 
@@ -41,23 +41,23 @@
             self.deliver()
 
     def deliver(self):
-        moved = True
-        while moved:
-            moved = False
+        delivered = True
+        while delivered:
+            delivered = False
             for name, replica in list(self.replicas.items()):
-                step = replica.poll()
-                if step.state is not None:
-                    self.saved[name] = step.state
-                for addressed in step.messages:
-                    if {name, addressed.recipient} & self.cut or addressed.recipient not in self.replicas:
+                instructions = replica.poll()
+                if instructions.state is not None:
+                    self.saved[name] = instructions.state
+                for envelope in instructions.messages:
+                    if {name, envelope.recipient} & self.isolated or envelope.recipient not in self.replicas:
                         continue
-                    moved = True
-                    message = decode_replica_message(encode(addressed.message))
-                    self.replicas[addressed.recipient].receive(self.now, message)
+                    delivered = True
+                    message = decode_replica_message(encode(envelope.message))
+                    self.replicas[envelope.recipient].receive(self.now, message)
 
     @property
     def leader(self):
-        found = [one for one in self.replicas.values() if one.has_majority(self.now)]
+        found = [replica for replica in self.replicas.values() if replica.has_majority(self.now)]
         return found[0] if len(found) == 1 else None
 
     def put(self, key, value, request=""):
@@ -66,201 +66,223 @@
         return revision
 
 
-class Replicas(unittest.TestCase):
+class ReplicaTests(unittest.TestCase):
     def setUp(self):
-        self.group = Group()
-        self.group.run(6 * S)
+        self.cluster = SimulatedCluster()
+        self.cluster.run(6 * S)
 
     def test_the_first_start_elects_one_leader(self):
-        self.assertIsNotNone(self.group.leader)
-        self.assertFalse(any(one.recovering for one in self.group.replicas.values()))
-        self.assertEqual({one.leader for one in self.group.replicas.values()}, {self.group.leader.name})
+        self.assertIsNotNone(self.cluster.leader)
+        self.assertFalse(any(replica.recovering for replica in self.cluster.replicas.values()))
+        self.assertEqual(
+            {replica.leader for replica in self.cluster.replicas.values()}, {self.cluster.leader.name}
+        )
 
     def test_one_alone_leads_itself(self):
-        group = Group(1)
-        group.run(5 * S)
-        self.assertEqual(group.put("a", b"1"), 2)
-        self.assertEqual(group.leader.store.get("a").value, b"1")
+        cluster = SimulatedCluster(1)
+        cluster.run(5 * S)
+        self.assertEqual(cluster.put("a", b"1"), 2)
+        self.assertEqual(cluster.leader.store.get("a").value, b"1")
 
     def test_a_write_is_committed_everywhere(self):
-        revision = self.group.put("a", b"1", "q1")
-        self.group.run(S)
-        for replica in self.group.replicas.values():
+        revision = self.cluster.put("a", b"1", "q1")
+        self.cluster.run(S)
+        for replica in self.cluster.replicas.values():
             self.assertEqual((replica.store.revision, replica.store.get("a").value), (revision, b"1"))
 
     def test_each_entry_goes_once_to_a_follower_that_is_slow_to_answer(self):
-        leader = self.group.leader
-        self.group.deliver()
+        leader = self.cluster.leader
+        self.cluster.deliver()
         for n in range(20):
-            leader.put(self.group.now, f"k{n}", b"1", "")
+            leader.put(self.cluster.now, f"k{n}", b"1", "")
         sent = {name: [] for name in leader.others}
         messages = leader.poll().messages
-        for addressed in messages:
-            sent[addressed.recipient] += [entry.key for entry in addressed.message.entries]
+        for envelope in messages:
+            sent[envelope.recipient] += [entry.key for entry in envelope.message.entries]
         self.assertEqual(sent, {name: [f"k{n}" for n in range(20)] for name in leader.others})
-        for addressed in messages[:6]:  # the rest is lost, and goes again with the next heartbeat
-            self.group.replicas[addressed.recipient].receive(self.group.now, addressed.message)
-        self.group.run(S)
-        revisions = {one.store.revision for one in self.group.replicas.values()}
+        for envelope in messages[:6]:  # the rest is lost, and goes again with the next heartbeat
+            self.cluster.replicas[envelope.recipient].receive(self.cluster.now, envelope.message)
+        self.cluster.run(S)
+        revisions = {replica.store.revision for replica in self.cluster.replicas.values()}
         self.assertEqual(revisions, {leader.last_revision})
 
     def test_a_repeated_request_has_one_effect(self):
-        first = self.group.put("a", b"1", "q1")
-        self.group.put("a", b"2", "q2")
-        self.assertEqual(self.group.put("a", b"1", "q1"), first)
-        former = self.group.leader
-        self.group.cut = {former.name}
-        self.group.run(10 * S)
-        self.assertEqual(self.group.put("a", b"1", "q1"), first)  # the next leader knows it, too
-        self.assertEqual(self.group.leader.store.get("a").value, b"2")
+        first = self.cluster.put("a", b"1", "q1")
+        self.cluster.put("a", b"2", "q2")
+        self.assertEqual(self.cluster.put("a", b"1", "q1"), first)
+        former = self.cluster.leader
+        self.cluster.isolated = {former.name}
+        self.cluster.run(10 * S)
+        self.assertEqual(self.cluster.put("a", b"1", "q1"), first)  # the next leader knows it, too
+        self.assertEqual(self.cluster.leader.store.get("a").value, b"2")
 
     def test_a_write_that_expects_another_revision_is_refused(self):
-        revision = self.group.put("a", b"1")
-        leader = self.group.leader
+        revision = self.cluster.put("a", b"1")
+        leader = self.cluster.leader
         with self.assertRaises(ConflictError):
-            leader.put(self.group.now, "a", b"2", "", expected=revision - 1)
+            leader.put(self.cluster.now, "a", b"2", "", expected=revision - 1)
         with self.assertRaises(ConflictError):
-            leader.put(self.group.now, "new", b"2", "", expected=1)
-        leader.put(self.group.now, "a", b"2", "", expected=revision)
-        leader.put(self.group.now, "new", b"2", "", expected=0)
+            leader.put(self.cluster.now, "new", b"2", "", expected=1)
+        leader.put(self.cluster.now, "a", b"2", "", expected=revision)
+        leader.put(self.cluster.now, "new", b"2", "", expected=0)
 
     def test_without_a_majority_no_write_is_taken_and_the_age_grows(self):
-        leader = self.group.leader
-        self.group.put("a", b"1")
-        self.group.cut = {leader.name}
-        self.group.run(1_600 * MS)
+        leader = self.cluster.leader
+        self.cluster.put("a", b"1")
+        self.cluster.isolated = {leader.name}
+        self.cluster.run(1_600 * MS)
         with self.assertRaises(NoMajorityError):
-            leader.put(self.group.now, "a", b"2", "")
-        self.group.run(5 * S)
+            leader.put(self.cluster.now, "a", b"2", "")
+        self.cluster.run(5 * S)
         with self.assertRaises(NotLeaderError):
-            leader.put(self.group.now, "a", b"2", "")
+            leader.put(self.cluster.now, "a", b"2", "")
         self.assertEqual(leader.store.get("a").value, b"1")  # what is in force stays
-        self.assertGreater(leader.age(self.group.now), 6 * S)
-        self.assertLess(self.group.leader.age(self.group.now), S)
+        self.assertGreater(leader.age(self.cluster.now), 6 * S)
+        self.assertLess(self.cluster.leader.age(self.cluster.now), S)
 
     def test_a_follower_that_is_cut_off_raises_no_terms(self):
-        follower = next(one for one in self.group.replicas.values() if one is not self.group.leader)
-        term = self.group.leader.term
-        self.group.cut = {follower.name}
-        self.group.run(30 * S)
-        self.group.cut = set()
-        self.group.run(5 * S)
-        self.assertEqual({one.term for one in self.group.replicas.values()}, {term})
+        follower = next(
+            replica for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
+        )
+        term = self.cluster.leader.term
+        self.cluster.isolated = {follower.name}
+        self.cluster.run(30 * S)
+        self.cluster.isolated = set()
+        self.cluster.run(5 * S)
+        self.assertEqual({replica.term for replica in self.cluster.replicas.values()}, {term})
 
     def test_a_write_of_a_leader_that_is_cut_off_is_lost_when_it_returns(self):
-        former = self.group.leader
-        self.group.cut = {former.name}
-        former.put(self.group.now, "a", b"lost", "q1")
-        self.group.run(8 * S)
-        self.group.put("a", b"kept", "q2")
-        self.group.cut = set()
-        self.group.run(3 * S)
-        self.assertEqual({one.store.get("a").value for one in self.group.replicas.values()}, {b"kept"})
+        former = self.cluster.leader
+        self.cluster.isolated = {former.name}
+        former.put(self.cluster.now, "a", b"lost", "q1")
+        self.cluster.run(8 * S)
+        self.cluster.put("a", b"kept", "q2")
+        self.cluster.isolated = set()
+        self.cluster.run(3 * S)
+        self.assertEqual(
+            {replica.store.get("a").value for replica in self.cluster.replicas.values()}, {b"kept"}
+        )
         self.assertIs(former.role, Role.FOLLOWER)
 
     def test_one_that_missed_much_is_brought_up_to_date(self):
-        late = next(one for one in self.group.replicas.values() if one is not self.group.leader)
-        self.group.cut = {late.name}
+        late = next(
+            replica for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
+        )
+        self.cluster.isolated = {late.name}
         for n in range(50):
-            self.group.put(f"k{n % 7}", bytes([n]))
-            self.group.run(20 * MS)
-        self.group.put("k1", None)
-        self.group.cut = set()
-        self.group.run(3 * S)
-        self.assertEqual(late.store.digests, self.group.leader.store.digests)
-        self.assertEqual(late.store.revision, self.group.leader.store.revision)
+            self.cluster.put(f"k{n % 7}", bytes([n]))
+            self.cluster.run(20 * MS)
+        self.cluster.put("k1", None)
+        self.cluster.isolated = set()
+        self.cluster.run(3 * S)
+        self.assertEqual(late.store.digests, self.cluster.leader.store.digests)
+        self.assertEqual(late.store.revision, self.cluster.leader.store.revision)
 
     def test_a_replica_that_missed_forgotten_removals_serves_no_removed_key_as_leader(self):
-        first, second = [one for one in self.group.replicas.values() if one is not self.group.leader]
-        self.group.put("gone", b"1")
-        self.group.run(S)
-        self.group.cut = {second.name}
-        self.group.put("gone", None)
-        self.group.run(S)
+        first, second = [
+            replica for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
+        ]
+        self.cluster.put("gone", b"1")
+        self.cluster.run(S)
+        self.cluster.isolated = {second.name}
+        self.cluster.put("gone", None)
+        self.cluster.run(S)
         for n in range(MAX_TOMBSTONES + 1):
-            self.group.put(f"k{n}", b"1")
-            self.group.put(f"k{n}", None)
-        self.assertGreater(self.group.leader.store.forgotten, second.store.revision)
-        former = self.group.leader
-        late = self.group.make(first.name)  # begins anew from nothing, so that the state comes by an Install
+            self.cluster.put(f"k{n}", b"1")
+            self.cluster.put(f"k{n}", None)
+        self.assertGreater(self.cluster.leader.store.forgotten, second.store.revision)
+        former = self.cluster.leader
+        late = self.cluster.create_replica(
+            first.name
+        )  # begins anew from nothing, so that the state comes by an Install
         late.store, late.uncommitted = VersionedStore(), []
-        self.group.replicas[first.name] = late
-        self.group.run(2 * S)
-        self.group.cut = {former.name}
-        self.group.run(15 * S)
-        self.assertIs(self.group.leader, late)
+        self.cluster.replicas[first.name] = late
+        self.cluster.run(2 * S)
+        self.cluster.isolated = {former.name}
+        self.cluster.run(15 * S)
+        self.assertIs(self.cluster.leader, late)
         self.assertIsNone(second.store.get("gone"))
         self.assertEqual(second.store.digests, late.store.digests)
 
     def test_one_restarted_with_its_state_votes_at_once(self):
-        self.group.put("a", b"1")
-        for name in self.group.names:
-            self.group.replicas[name] = self.group.make(name)
-        self.group.run(5 * S)
-        self.assertIsNotNone(self.group.leader)
-        self.assertEqual(self.group.leader.store.get("a").value, b"1")
+        self.cluster.put("a", b"1")
+        for name in self.cluster.names:
+            self.cluster.replicas[name] = self.cluster.create_replica(name)
+        self.cluster.run(5 * S)
+        self.assertIsNotNone(self.cluster.leader)
+        self.assertEqual(self.cluster.leader.store.get("a").value, b"1")
 
     def test_a_replica_without_its_state_does_not_vote_until_a_majority_without_it_has_answered(self):
-        self.group.put("a", b"1")
-        lost = next(one.name for one in self.group.replicas.values() if one is not self.group.leader)
-        self.group.saved[lost] = None
-        empty = self.group.replicas[lost] = self.group.make(lost)
+        self.cluster.put("a", b"1")
+        lost = next(
+            replica.name for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
+        )
+        self.cluster.saved[lost] = None
+        empty = self.cluster.replicas[lost] = self.cluster.create_replica(lost)
         request = VoteRequest("c", "r9", 9, 9, 9, preliminary=False)
-        empty.receive(self.group.now, VoteRequest("c", empty.others[0], 9, 9, 9, preliminary=False))
-        empty.receive(self.group.now, request)
-        self.assertFalse([one for one in empty.poll().messages if isinstance(one.message, Vote)])
-        self.group.run(empty.timing.recovery_wait - S)
+        empty.receive(self.cluster.now, VoteRequest("c", empty.others[0], 9, 9, 9, preliminary=False))
+        empty.receive(self.cluster.now, request)
+        self.assertFalse(
+            [envelope for envelope in empty.poll().messages if isinstance(envelope.message, Vote)]
+        )
+        self.cluster.run(empty.timing.recovery_wait - S)
         self.assertTrue(empty.recovering)
         self.assertEqual(empty.store.get("a").value, b"1")  # it follows meanwhile
-        self.group.run(3 * S)
+        self.cluster.run(3 * S)
         self.assertFalse(empty.recovering)
 
     def test_one_that_lost_its_newest_state_votes_for_nobody_with_an_older_one(self):
-        lost = next(one.name for one in self.group.replicas.values() if one is not self.group.leader)
-        older = self.group.saved[lost]
-        self.group.put("a", b"1")
-        self.group.run(S)
+        lost = next(
+            replica.name for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
+        )
+        older = self.cluster.saved[lost]
+        self.cluster.put("a", b"1")
+        self.cluster.run(S)
         rng = random.Random(5)
-        again = Replica("c", lost, self.group.names, self.group.now, rng, saved=older, saved_is_newest=False)
-        self.group.replicas[lost] = again
+        again = Replica(
+            "c", lost, self.cluster.names, self.cluster.now, rng, saved=older, saved_is_newest=False
+        )
+        self.cluster.replicas[lost] = again
         candidate = VoteRequest("c", again.others[0], 99, 99, 99, preliminary=False)
-        again.receive(self.group.now, candidate)
+        again.receive(self.cluster.now, candidate)
         for other in again.others:  # blank ones don't make this a first start: it holds something
-            again.receive(self.group.now, RecoverReply("c", other, 0, again.nonce, True))
+            again.receive(self.cluster.now, RecoverReply("c", other, 0, again.nonce, True))
         self.assertTrue(again.recovering)
-        self.assertFalse([one for one in again.poll().messages if isinstance(one.message, Vote)])
-        self.group.run(again.timing.recovery_wait + 3 * S)
+        self.assertFalse(
+            [envelope for envelope in again.poll().messages if isinstance(envelope.message, Vote)]
+        )
+        self.cluster.run(again.timing.recovery_wait + 3 * S)
         self.assertEqual((again.recovering, again.store.get("a").value), (False, b"1"))
 
     def test_with_one_dead_and_one_empty_nothing_is_written(self):
-        self.group.put("a", b"1")
-        leader = self.group.leader.name
-        dead, lost = [name for name in self.group.names if name != leader]
-        del self.group.replicas[dead]
-        self.group.saved[lost] = None
-        self.group.replicas[lost] = self.group.make(lost)
-        self.group.run(30 * S)
-        self.assertIsNone(self.group.leader)  # the empty one must not make a majority
-        self.group.replicas[dead] = self.group.make(dead)
-        self.group.run(20 * S)
-        self.assertIsNotNone(self.group.leader)
-        self.assertEqual(self.group.leader.store.get("a").value, b"1")
+        self.cluster.put("a", b"1")
+        leader = self.cluster.leader.name
+        dead, lost = [name for name in self.cluster.names if name != leader]
+        del self.cluster.replicas[dead]
+        self.cluster.saved[lost] = None
+        self.cluster.replicas[lost] = self.cluster.create_replica(lost)
+        self.cluster.run(30 * S)
+        self.assertIsNone(self.cluster.leader)  # the empty one must not make a majority
+        self.cluster.replicas[dead] = self.cluster.create_replica(dead)
+        self.cluster.run(20 * S)
+        self.assertIsNotNone(self.cluster.leader)
+        self.assertEqual(self.cluster.leader.store.get("a").value, b"1")
 
     def test_a_write_over_a_limit_is_refused(self):
-        leader = self.group.leader
-        self.group.cut = set(self.group.names)
+        leader = self.cluster.leader
+        self.cluster.isolated = set(self.cluster.names)
         with self.assertRaises(OverloadedError):
             for n in range(1_000):
-                leader.put(self.group.now, f"k{n}", b"1", "")
+                leader.put(self.cluster.now, f"k{n}", b"1", "")
 
     def test_messages_of_another_cluster_or_unknown_replicas_are_ignored(self):
-        leader = self.group.leader
+        leader = self.cluster.leader
         for cluster, sender in (("other", leader.others[0]), ("c", "r9"), ("c", leader.name)):
-            leader.receive(self.group.now, VoteRequest(cluster, sender, 99, 99, 99, preliminary=False))
+            leader.receive(self.cluster.now, VoteRequest(cluster, sender, 99, 99, 99, preliminary=False))
         self.assertNotEqual(leader.term, 99)
 
 
-class Stated(unittest.TestCase):
+class BoundsTests(unittest.TestCase):
     def test_the_bounds_of_the_target_are_under_twelve_seconds(self):
         bounds = Bounds()
         self.assertLess(bounds.good, 3 * S)
