--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -78,7 +78,7 @@
             {replica.leader for replica in self.cluster.replicas.values()}, {self.cluster.leader.name}
         )
 
-    def test_one_alone_leads_itself(self):
+    def test_a_single_replica_elects_itself(self):
         cluster = SimulatedCluster(1)
         cluster.run(5 * S)
         self.assertEqual(cluster.put("a", b"1"), 2)
@@ -90,7 +90,7 @@
         for replica in self.cluster.replicas.values():
             self.assertEqual((replica.store.revision, replica.store.get("a").value), (revision, b"1"))
 
-    def test_each_entry_goes_once_to_a_follower_that_is_slow_to_answer(self):
+    def test_each_entry_is_sent_once_to_a_slow_follower(self):
         leader = self.cluster.leader
         self.cluster.deliver()
         for n in range(20):
@@ -116,7 +116,7 @@
         self.assertEqual(self.cluster.put("a", b"1", "q1"), first)  # the next leader knows it, too
         self.assertEqual(self.cluster.leader.store.get("a").value, b"2")
 
-    def test_a_write_that_expects_another_revision_is_refused(self):
+    def test_a_write_that_expects_another_revision_is_rejected(self):
         revision = self.cluster.put("a", b"1")
         leader = self.cluster.leader
         with self.assertRaises(ConflictError):
@@ -126,7 +126,7 @@
         leader.put(self.cluster.now, "a", b"2", "", expected=revision)
         leader.put(self.cluster.now, "new", b"2", "", expected=0)
 
-    def test_without_a_majority_no_write_is_taken_and_the_age_grows(self):
+    def test_without_a_majority_writes_are_rejected_and_the_age_grows(self):
         leader = self.cluster.leader
         self.cluster.put("a", b"1")
         self.cluster.isolated = {leader.name}
@@ -140,7 +140,7 @@
         self.assertGreater(leader.age(self.cluster.now), 6 * S)
         self.assertLess(self.cluster.leader.age(self.cluster.now), S)
 
-    def test_a_follower_that_is_cut_off_raises_no_terms(self):
+    def test_an_isolated_follower_does_not_raise_the_term(self):
         follower = next(
             replica for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
         )
@@ -151,7 +151,7 @@
         self.cluster.run(5 * S)
         self.assertEqual({replica.term for replica in self.cluster.replicas.values()}, {term})
 
-    def test_a_write_of_a_leader_that_is_cut_off_is_lost_when_it_returns(self):
+    def test_an_uncommitted_write_of_an_isolated_leader_is_discarded(self):
         former = self.cluster.leader
         self.cluster.isolated = {former.name}
         former.put(self.cluster.now, "a", b"lost", "q1")
@@ -164,7 +164,7 @@
         )
         self.assertIs(former.role, Role.FOLLOWER)
 
-    def test_one_that_missed_much_is_brought_up_to_date(self):
+    def test_a_lagging_follower_is_brought_up_to_date(self):
         late = next(
             replica for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
         )
@@ -178,7 +178,7 @@
         self.assertEqual(late.store.digests, self.cluster.leader.store.digests)
         self.assertEqual(late.store.revision, self.cluster.leader.store.revision)
 
-    def test_a_replica_that_missed_forgotten_removals_serves_no_removed_key_as_leader(self):
+    def test_a_replica_that_missed_dropped_tombstones_serves_no_removed_key_as_leader(self):
         first, second = [
             replica for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
         ]
@@ -204,7 +204,7 @@
         self.assertIsNone(second.store.get("gone"))
         self.assertEqual(second.store.digests, late.store.digests)
 
-    def test_one_restarted_with_its_state_votes_at_once(self):
+    def test_a_replica_restarted_with_its_state_votes_at_once(self):
         self.cluster.put("a", b"1")
         for name in self.cluster.names:
             self.cluster.replicas[name] = self.cluster.create_replica(name)
@@ -231,7 +231,7 @@
         self.cluster.run(3 * S)
         self.assertFalse(empty.recovering)
 
-    def test_one_that_lost_its_newest_state_votes_for_nobody_with_an_older_one(self):
+    def test_a_replica_with_an_outdated_state_does_not_vote(self):
         lost = next(
             replica.name for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
         )
@@ -254,7 +254,7 @@
         self.cluster.run(again.timing.recovery_wait + 3 * S)
         self.assertEqual((again.recovering, again.store.get("a").value), (False, b"1"))
 
-    def test_with_one_dead_and_one_empty_nothing_is_written(self):
+    def test_one_dead_replica_and_one_without_state_leave_no_majority(self):
         self.cluster.put("a", b"1")
         leader = self.cluster.leader.name
         dead, lost = [name for name in self.cluster.names if name != leader]
@@ -268,7 +268,7 @@
         self.assertIsNotNone(self.cluster.leader)
         self.assertEqual(self.cluster.leader.store.get("a").value, b"1")
 
-    def test_a_write_over_a_limit_is_refused(self):
+    def test_a_write_over_a_limit_is_rejected(self):
         leader = self.cluster.leader
         self.cluster.isolated = set(self.cluster.names)
         with self.assertRaises(OverloadedError):
