--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -26,40 +26,42 @@
 from embertray.cluster.replication.token_bucket import TokenBucket
 
 
-class Store(unittest.TestCase):
+class StoreTests(unittest.TestCase):
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(WRITES, st.randoms(use_true_random=False))
-    def test_entries_in_any_order_and_again_give_one_state(self, writes, rng):
+    def test_entries_in_any_order_and_repeated_give_the_same_state(self, writes, rng):
         entries = entries_from_writes(writes)
-        whole = store_from_entries(entries)
+        complete = store_from_entries(entries)
         shuffled = entries * 2
         rng.shuffle(shuffled)
         other = VersionedStore()
         for entry in shuffled:
             other.apply(entry)
-        self.assertEqual(current_entries(whole), current_entries(other))
-        self.assertEqual(whole.digests, other.digests)
-        self.assertEqual(whole.live_count, len(current_entries(other)))
-        self.assertEqual(whole.live_bytes, sum(entry.size for entry in current_entries(other).values()))
+        self.assertEqual(current_entries(complete), current_entries(other))
+        self.assertEqual(complete.digests, other.digests)
+        self.assertEqual(complete.live_count, len(current_entries(other)))
+        self.assertEqual(complete.live_bytes, sum(entry.size for entry in current_entries(other).values()))
         self.assertEqual(
-            [one.revision for one in other.entries_since(0)],
-            sorted(one.revision for one in other.entries_since(0)),
+            [entry.revision for entry in other.entries_since(0)],
+            sorted(entry.revision for entry in other.entries_since(0)),
         )
 
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(WRITES, st.integers(0, 40))
-    def test_what_was_written_since_brings_a_former_state_up_to_date(self, writes, cut):
+    def test_entries_since_bring_an_earlier_state_up_to_date(self, writes, cut):
         entries = entries_from_writes(writes)
-        whole, former = store_from_entries(entries), store_from_entries(entries[:cut])
-        changes = list(whole.entries_since(former.revision))
+        complete, earlier = store_from_entries(entries), store_from_entries(entries[:cut])
+        changes = list(complete.entries_since(earlier.revision))
         self.assertEqual(len({entry.key for entry in changes}), len(changes))  # of each key the newest
         for entry in changes:
-            former.apply(entry)
-        self.assertEqual((current_entries(former), former.digest), (current_entries(whole), whole.digest))
+            earlier.apply(entry)
+        self.assertEqual(
+            (current_entries(earlier), earlier.digest), (current_entries(complete), complete.digest)
+        )
 
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(WRITES)
-    def test_what_is_exported_is_restored(self, writes):
+    def test_exported_versions_are_restored(self, writes):
         store = store_from_entries(entries_from_writes(writes))
         again = restore_store(
             store.revision, store.term, export_versions(store), store.requests.items(), store.forgotten
@@ -72,7 +74,7 @@
         )
         self.assertEqual((again.requests, again.bytes), (store.requests, store.bytes))
 
-    def test_former_versions_are_kept_up_to_a_number(self):
+    def test_a_limited_number_of_versions_is_kept(self):
         store = store_from_entries(
             entries_from_writes([("a", bytes([n])) for n in range(3 * MAX_VERSIONS_PER_KEY)])
         )
@@ -83,17 +85,17 @@
         )
         self.assertEqual(store.bytes, sum(entry.size for entry in store.versions["a"]))
 
-    def test_the_oldest_removals_are_forgotten_and_that_is_known(self):
+    def test_the_oldest_tombstones_are_dropped_and_recorded_as_forgotten(self):
         writes = [(f"k{n}", b"x") for n in range(MAX_TOMBSTONES + 5)]
         store = store_from_entries(entries_from_writes(writes + [(key, None) for key, _ in writes]))
         self.assertEqual(store.forgotten, len(writes) + 5)
         self.assertEqual((len(store.entries), store.live_count, store.digest), (MAX_TOMBSTONES, 0, 0))
 
 
-class Budget(unittest.TestCase):
-    def test_ten_seconds_never_spend_more_than_the_budget(self):
+class TokenBucketTests(unittest.TestCase):
+    def test_no_ten_seconds_exceed_the_budget(self):
         settings = FeedSettings()
-        bucket, spent, rng = (
+        bucket, sent, rng = (
             TokenBucket(settings.sustained_bytes_per_second, settings.burst_bytes, 0),
             [],
             random.Random(1),
@@ -102,12 +104,12 @@
             size = rng.randrange(1, settings.burst_bytes)
             if bucket.allows(now, size):
                 bucket.spend(size)
-                spent.append((now, size))
-        for begin, _ in spent:
-            within = sum(size for at, size in spent if begin <= at < begin + 10 * S)
+                sent.append((now, size))
+        for begin, _ in sent:
+            within = sum(size for at, size in sent if begin <= at < begin + 10 * S)
             self.assertLessEqual(within, 10 * settings.bytes_per_second)
 
-    def test_when_a_message_may_go_is_foretold(self):
+    def test_ready_at_is_the_time_when_a_message_is_allowed(self):
         bucket = TokenBucket(1_000, 2_000, 0)
         bucket.spend(2_000)
         when = bucket.ready_at(0, 500)
@@ -115,7 +117,7 @@
         self.assertTrue(bucket.allows(when, 500))
 
 
-class Ages(unittest.TestCase):
+class FreshnessTests(unittest.TestCase):
     def test_an_age_counts_once_the_revision_is_held(self):
         freshness = Freshness()
         self.assertIsNone(freshness.age(9 * S))
@@ -137,8 +139,8 @@
         self.assertEqual(freshness.age(10 * S), 0)
 
 
-class Wire(unittest.TestCase):
-    def test_what_is_no_message_is_refused(self):
+class CodecTests(unittest.TestCase):
+    def test_malformed_messages_are_rejected(self):
         good = encode(Subscribe("c", VERSION, "s", 0, 0, 0))
         for data in (b"", b"\xc1", good[:-1], good + b"x", b"\x93\x01\x02\x03", encode(Confirm(1, 1))[1:]):
             for decode in (decode_from_subscriber, decode_to_subscriber, decode_replica_message):
@@ -149,7 +151,7 @@
         )
         self.assertRaises(MalformedMessageError, decode_from_subscriber, encode(Confirm(-1, 0)))
 
-    def test_the_largest_numbers_pass(self):
+    def test_the_largest_numbers_are_decoded(self):
         heartbeat = Heartbeat(2**62, 2**64 - 1, AGE_UNKNOWN, 2**62)
         self.assertEqual(decode_to_subscriber(encode(heartbeat)), heartbeat)
 
