--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -31,13 +31,13 @@
     def advance(self, span=0):
         """Messages that go, decoded, by subscriber."""
         self.now += span
-        out, self.silent = self.feed.advance(self.now, 0)
-        return [(one.subscriber, decode_to_subscriber(one.data)) for one in out]
+        messages, self.silent = self.feed.advance(self.now, 0)
+        return [(message.subscriber, decode_to_subscriber(message.data)) for message in messages]
 
     def updates(self, span=0):
         return [message for _, message in self.advance(span) if isinstance(message, Update)]
 
-    def test_only_the_newest_of_each_key_goes(self):
+    def test_only_the_newest_entry_of_each_key_is_sent(self):
         self.subscribe()
         self.advance()
         for n in range(5):
@@ -58,69 +58,69 @@
             self.feed.receive(self.now, "s", Confirm(0, self.now))  # it lives, and has applied nothing
             if self.updates(10 * MS):
                 sent_at.append(self.now)
-        gaps = [(later - former) // S for former, later in zip(sent_at, sent_at[1:], strict=False)]
-        self.assertEqual(gaps, [2, 4, 8, 8])
+        intervals = [(later - earlier) // S for earlier, later in zip(sent_at, sent_at[1:], strict=False)]
+        self.assertEqual(intervals, [2, 4, 8, 8])
         self.assertEqual(self.feed.retries, 5)
         self.feed.receive(self.now, "s", Confirm(2, self.now))
         self.assertEqual(self.updates(60 * MS), [])
 
-    def test_a_lot_is_paced_and_all_arrives(self):
+    def test_a_backlog_is_sent_completely_and_within_the_budget(self):
         for n in range(400):
             self.write(f"k{n}", bytes(100))
         self.subscribe()
-        total, confirmed, spent = 0, 0, []
+        total, confirmed, sent = 0, 0, []
         while confirmed < self.store.revision:
             for _, message in self.advance(10 * MS):
                 size = len(encode(message)) + 4
-                spent.append((self.now, size))
+                sent.append((self.now, size))
                 if isinstance(message, Update):
                     self.assertEqual(message.since, confirmed)
                     confirmed = message.upto
                     total += len(message.entries)
                     self.feed.receive(self.now, "s", Confirm(confirmed, self.now))
         self.assertEqual(total, 400)
-        for begin, _ in spent:
-            window = sum(size for at, size in spent if begin <= at < begin + 10 * S)
+        for begin, _ in sent:
+            window = sum(size for at, size in sent if begin <= at < begin + 10 * S)
             self.assertLessEqual(window, 10 * self.feed.settings.bytes_per_second)
         self.assertLess(
-            spent[-1][0] - spent[0][0], (400 * 160 // self.feed.settings.sustained_bytes_per_second + 2) * S
+            sent[-1][0] - sent[0][0], (400 * 160 // self.feed.settings.sustained_bytes_per_second + 2) * S
         )
 
-    def test_a_new_write_does_not_wait_for_what_a_returning_subscriber_missed(self):
+    def test_a_new_write_does_not_wait_for_the_backlog_of_a_returning_subscriber(self):
         """Guards against a write that is in force everywhere else and waits for another one's history."""
         for n in range(400):
             self.write(f"k{n}", bytes(100))
         subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
-        began, written_at, in_force_at = self.now, {}, {}
+        started_at, written_at, applied_at = self.now, {}, {}
         subscriber.connection_id, subscriber.connecting = 1, True
         subscriber.connection_opened(self.now, 1)
-        while self.now < began + 30 * S:
-            if self.now > began and self.now % S == 0 and len(written_at) < 15:
+        while self.now < started_at + 30 * S:
+            if self.now > started_at and self.now % S == 0 and len(written_at) < 15:
                 written_at[f"new{len(written_at)}"] = self.now
                 self.write(f"new{len(written_at) - 1}", bytes(100))
-            self.converse(subscriber, 10 * MS)
+            self.exchange_messages(subscriber, 10 * MS)
             for entry in subscriber.applied:
-                self.assertNotIn(entry.key, in_force_at)
-                in_force_at[entry.key] = self.now
+                self.assertNotIn(entry.key, applied_at)
+                applied_at[entry.key] = self.now
             subscriber.applied = []
-        self.assertEqual(len(in_force_at), 415)
+        self.assertEqual(len(applied_at), 415)
         self.assertEqual((subscriber.revision, subscriber.store.digest), (415, self.store.digest))
         self.assertEqual(subscriber.counters["repairs"], 0)
-        self.assertLess(max(in_force_at[key] - written_at[key] for key in written_at), 3 * S)
+        self.assertLess(max(applied_at[key] - written_at[key] for key in written_at), 3 * S)
         self.assertLess(
-            max(in_force_at.values()) - began,
+            max(applied_at.values()) - started_at,
             (415 * 160 // self.feed.settings.sustained_bytes_per_second + 3) * S,
         )
 
-    def test_a_removal_that_came_before_what_was_missed_is_not_applied_again_after_a_restart(self):
+    def test_a_removal_sent_ahead_of_the_backlog_is_not_applied_again_after_a_restart(self):
         for n in range(100):
             self.write(f"k{n}", bytes(100))
         subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
         subscriber.connection_id, subscriber.connecting = 1, True
         subscriber.connection_opened(self.now, 1)
-        self.converse(subscriber, S)
+        self.exchange_messages(subscriber, S)
         self.write("k99", None)
-        self.converse(subscriber, S)
+        self.exchange_messages(subscriber, S)
         self.assertIn(("k99", None), [(entry.key, entry.value) for entry in subscriber.applied])
         self.assertLess(subscriber.revision, 100)
         on_disk = list(subscriber.store.entries_since(0))
@@ -129,11 +129,11 @@
         )
         restarted.connection_id, restarted.connecting = 2, True
         restarted.connection_opened(self.now, 2)
-        self.converse(restarted, 20 * S)
+        self.exchange_messages(restarted, 20 * S)
         self.assertEqual(restarted.revision, 101)
         self.assertNotIn("k99", [entry.key for entry in restarted.applied])
 
-    def test_new_writes_without_end_do_not_keep_a_returning_subscriber_from_what_it_missed(self):
+    def test_continuous_writes_do_not_starve_the_backlog_of_a_returning_subscriber(self):
         for n in range(100):
             self.write(f"k{n}", bytes(100))
         self.subscribe()
@@ -146,24 +146,24 @@
                 self.feed.receive(self.now, "s", Confirm(confirmed, self.now))
         self.assertGreater(confirmed, 100)
 
-    def test_a_returning_subscriber_brings_its_remaining_budget(self):
+    def test_a_returning_subscriber_reports_its_remaining_budget(self):
         for n in range(100):
             self.write(f"k{n}", bytes(100))
         self.feed.receive(self.now, "s", Subscribe("c", VERSION, "s", 0, self.now, 0))
         self.assertEqual(self.updates(), [])
 
-    def test_the_largest_value_goes_in_one_update(self):
+    def test_the_largest_value_is_sent_in_one_update(self):
         self.write("large", bytes(self.feed.settings.max_value_bytes))
         self.write("small", b"1")
         self.subscribe()
-        found = []
+        received = []
         for _ in range(1_000):
             for update in self.updates(10 * MS):
-                found += update.entries
+                received += update.entries
                 self.feed.receive(self.now, "s", Confirm(update.upto, self.now))
-        self.assertEqual([entry.key for entry in found], ["large", "small"])
+        self.assertEqual([entry.key for entry in received], ["large", "small"])
 
-    def test_silent_subscribers_are_dropped_and_foreign_ones_rejected(self):
+    def test_silent_subscribers_are_dropped_and_invalid_messages_rejected(self):
         self.subscribe()
         self.advance()
         self.advance(self.feed.settings.silence_timeout + 2 * S)
@@ -180,7 +180,7 @@
         with self.assertRaises(SubscriberRejectedError):
             self.feed.receive(self.now, "z", Repair([0]))
 
-    def test_only_subscribers_with_events_are_looked_at(self):
+    def test_only_subscribers_with_events_are_served(self):
         for n in range(50):
             self.subscribe(f"s{n}")
         self.advance()
@@ -188,7 +188,7 @@
         self.assertEqual(list(self.feed.schedule.pending), ["s7"])
         self.assertEqual(self.feed._due(self.now), ["s7"])
 
-    def test_a_spoilt_subscriber_is_repaired(self):
+    def test_a_corrupt_subscriber_is_repaired(self):
         for n in range(30):
             self.write(f"k{n}", b"1")
         self.write("k3", None)
@@ -199,12 +199,12 @@
         for entry in own:
             subscriber.store.apply(entry)
         subscriber.store.advance(self.store.revision)
-        self.converse(subscriber, 12 * S)
+        self.exchange_messages(subscriber, 12 * S)
         self.assertEqual(current_entries(subscriber.store), current_entries(self.store))
         self.assertEqual(subscriber.store.digest, self.store.digest)
         self.assertEqual(subscriber.counters["repairs"], 1)
 
-    def test_a_subscriber_behind_all_tombstones_is_repaired(self):
+    def test_a_subscriber_behind_dropped_tombstones_is_repaired(self):
         for n in range(20):
             self.write(f"old{n}", b"1")
         subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
@@ -217,12 +217,12 @@
             self.write("other", b"1")
             self.write("other", None)
         self.assertGreater(self.store.forgotten, subscriber.revision)
-        self.converse(subscriber, 15 * S)
+        self.exchange_messages(subscriber, 15 * S)
         self.assertEqual((current_entries(subscriber.store), subscriber.store.digest), ({}, 0))
         removed = {entry.key for entry in subscriber.applied if entry.value is None}
         self.assertLessEqual({f"old{n}" for n in range(20)}, removed)
 
-    def converse(self, subscriber, span):
+    def exchange_messages(self, subscriber, span):
         """Lets feed and subscriber talk with nothing lost."""
         end = self.now + span
         subscriber.advance(self.now)
