--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -21,85 +21,89 @@
 from embertray.cluster.replication.timing import SubscriberTiming
 
 
-class Subscribing(unittest.TestCase):
+class SubscriberTests(unittest.TestCase):
     def setUp(self):
         self.now = 100 * S
         self.subscriber = Subscriber("c", "s", ["r1", "r2", "r3"], self.now, random.Random(1))
 
-    def until(self, kind):
+    def advance_until(self, kind):
         """Lets time pass until the subscriber does something of a kind."""
         for _ in range(100):
-            for action in self.take():
+            for action in self.take_actions():
                 if isinstance(action, kind):
                     return action
             self.now = max(self.now, self.subscriber.next_at())
             self.subscriber.advance(self.now)
         self.fail(f"no {kind.__name__}")
 
-    def take(self):
+    def take_actions(self):
         actions, self.subscriber.actions = self.subscriber.actions, []
         return actions
 
     def connect(self):
-        self.subscriber.connection_opened(self.now, self.until(OpenConnection).connection_id)
-        self.take()
+        self.subscriber.connection_opened(self.now, self.advance_until(OpenConnection).connection_id)
+        self.take_actions()
 
-    def hear(self, message):
+    def receive(self, message):
         self.subscriber.receive(self.now, self.subscriber.connection_id, message, 100)
 
-    def said(self):
-        return [decode_from_subscriber(one.data) for one in self.take() if isinstance(one, SendMessage)]
+    def sent_messages(self):
+        return [
+            decode_from_subscriber(action.data)
+            for action in self.take_actions()
+            if isinstance(action, SendMessage)
+        ]
 
     def test_a_gap_is_asked_for_and_not_applied(self):
         self.connect()
-        self.hear(Update(0, 2, [Entry("a", 2, 1, "", b"2")]))
-        self.hear(Update(4, 5, [Entry("b", 5, 1, "", b"5")]))  # two were missed
+        self.receive(Update(0, 2, [Entry("a", 2, 1, "", b"2")]))
+        self.receive(Update(4, 5, [Entry("b", 5, 1, "", b"5")]))  # two were missed
         self.assertEqual((self.subscriber.revision, self.subscriber.store.get("b")), (2, None))
-        self.assertEqual([type(one) for one in self.said()], [Confirm, Subscribe])
+        self.assertEqual([type(message) for message in self.sent_messages()], [Confirm, Subscribe])
 
     def test_twice_and_older_change_nothing(self):
         self.connect()
         new, old = Entry("a", 3, 1, "", b"new"), Entry("a", 2, 1, "", b"old")
-        self.hear(Update(0, 3, [new]))
-        self.hear(Update(0, 3, [new]))
-        self.hear(Update(0, 2, [old]))
+        self.receive(Update(0, 3, [new]))
+        self.receive(Update(0, 3, [new]))
+        self.receive(Update(0, 2, [old]))
         self.assertEqual(self.subscriber.applied, [new])
         self.assertEqual((self.subscriber.revision, self.subscriber.counters["duplicates"]), (3, 2))
 
     def test_a_removal_that_overtakes_nothing_stays(self):
         self.connect()
-        self.hear(Update(0, 4, [Entry("a", 4, 1, "", None)]))
-        self.hear(Update(0, 3, [Entry("a", 3, 1, "", b"before")]))
+        self.receive(Update(0, 4, [Entry("a", 4, 1, "", None)]))
+        self.receive(Update(0, 3, [Entry("a", 3, 1, "", b"before")]))
         self.assertIsNone(self.subscriber.store.get("a"))
 
     def test_what_a_former_connection_brings_is_dropped(self):
         self.connect()
-        former = self.subscriber.connection_id
-        self.subscriber.connection_lost(self.now, former)
+        earlier = self.subscriber.connection_id
+        self.subscriber.connection_lost(self.now, earlier)
         self.connect()
-        self.subscriber.receive(self.now, former, Update(0, 1, [Entry("a", 1, 1, "", b"1")]), 50)
+        self.subscriber.receive(self.now, earlier, Update(0, 1, [Entry("a", 1, 1, "", b"1")]), 50)
         self.assertEqual(self.subscriber.revision, 0)
 
     def test_a_silent_replica_is_left_for_the_next(self):
         self.connect()
-        began = self.now
-        self.until(CloseConnection)
+        started_at = self.now
+        self.advance_until(CloseConnection)
         self.assertEqual(
-            (self.now - began, self.subscriber.replica), (SubscriberTiming().silence_timeout, "r2")
+            (self.now - started_at, self.subscriber.replica), (SubscriberTiming().silence_timeout, "r2")
         )
 
     def test_a_replica_that_does_not_answer_the_dial_is_given_up(self):
-        dial = self.until(OpenConnection)
-        began = self.now
-        self.assertEqual(self.until(CloseConnection).connection_id, dial.connection_id)
-        self.assertEqual(self.now - began, SubscriberTiming().connect_timeout)
+        connect = self.advance_until(OpenConnection)
+        started_at = self.now
+        self.assertEqual(self.advance_until(CloseConnection).connection_id, connect.connection_id)
+        self.assertEqual(self.now - started_at, SubscriberTiming().connect_timeout)
 
     def test_when_none_answers_the_pauses_grow_to_a_bound(self):
-        dialled_at = []
+        connected_at = []
         for _ in range(40):
-            self.subscriber.connection_lost(self.now, self.until(OpenConnection).connection_id)
-            dialled_at.append(self.now)
-        rounds = [b - a for a, b in zip(dialled_at[::3], dialled_at[3::3], strict=False)]
+            self.subscriber.connection_lost(self.now, self.advance_until(OpenConnection).connection_id)
+            connected_at.append(self.now)
+        rounds = [b - a for a, b in zip(connected_at[::3], connected_at[3::3], strict=False)]
         self.assertGreater(rounds[-1], rounds[0])
         timing = SubscriberTiming()
         self.assertLessEqual(max(rounds), timing.max_retry_delay + 3 * timing.initial_retry_delay)
@@ -109,47 +113,49 @@
         for name in ("r1", "r2", "r3"):
             self.connect()
             self.assertEqual(self.subscriber.replica, name)
-            self.hear(Heartbeat(0, 0, stale + 1, self.now))
+            self.receive(Heartbeat(0, 0, stale + 1, self.now))
         self.connect()
-        self.hear(Heartbeat(0, 0, stale + 1, self.now))
+        self.receive(Heartbeat(0, 0, stale + 1, self.now))
         self.assertTrue(self.subscriber.connected)
         self.now += stale
-        self.hear(Heartbeat(0, 0, stale + 1, self.now))
+        self.receive(Heartbeat(0, 0, stale + 1, self.now))
         self.assertFalse(self.subscriber.connected)
 
     def test_it_goes_back_to_its_first_replica(self):
-        self.subscriber.connection_lost(self.now, self.until(OpenConnection).connection_id)
+        self.subscriber.connection_lost(self.now, self.advance_until(OpenConnection).connection_id)
         self.connect()
         self.assertEqual(self.subscriber.replica, "r2")
-        began = self.now
+        started_at = self.now
         while self.subscriber.replica != "r1":
             self.now += S
-            self.hear(Heartbeat(0, 0, 0, self.now))
+            self.receive(Heartbeat(0, 0, 0, self.now))
             self.subscriber.advance(self.now)
-        self.assertEqual(self.now - began, SubscriberTiming().failback_delay)
+        self.assertEqual(self.now - started_at, SubscriberTiming().failback_delay)
 
     def test_a_delayed_heartbeat_does_not_lower_the_age(self):
         self.connect()
-        said_after = self.now
+        stamp = self.now
         self.now += 30 * S  # the way was shut meanwhile
-        self.hear(Heartbeat(0, 0, 0, said_after))
+        self.receive(Heartbeat(0, 0, 0, stamp))
         self.assertEqual(self.subscriber.age(self.now), 30 * S)
 
     def test_restored_entries_have_their_saved_age(self):
         entry = Entry("a", 3, 1, "", b"kept")
-        again = Subscriber(
+        restarted = Subscriber(
             "c", "s", ["r"], 100 * S, random.Random(1), entries=[entry], revision=3, known_at=40 * S
         )
-        self.assertEqual((again.store.get("a"), again.revision, again.age(100 * S)), (entry, 3, 60 * S))
+        self.assertEqual(
+            (restarted.store.get("a"), restarted.revision, restarted.age(100 * S)), (entry, 3, 60 * S)
+        )
 
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(WRITES, st.lists(st.tuples(st.integers(0, 40), st.integers(0, 40)), max_size=30))
     def test_any_updates_lead_to_the_replicas_state_and_never_back(self, writes, spans):
-        whole = store_from_entries(entries_from_writes(writes))
+        complete = store_from_entries(entries_from_writes(writes))
         subscriber = Subscriber("c", "s", ["r"], 0, random.Random(1))
         subscriber.advance(0)
         subscriber.connection_opened(0, subscriber.connection_id)
-        last = whole.revision
+        last = complete.revision
         for since, upto in [*spans, (0, last)]:
             since, upto = min(since, last), min(upto, last)
             changes = [
@@ -157,7 +163,7 @@
             ]
             subscriber.receive(0, subscriber.connection_id, Update(since, upto, changes), 10)
         self.assertEqual(
-            (subscriber.revision, current_entries(subscriber.store)), (last, current_entries(whole))
+            (subscriber.revision, current_entries(subscriber.store)), (last, current_entries(complete))
         )
         newest = {}
         for entry in subscriber.applied:
@@ -166,10 +172,10 @@
 
     def test_an_inventory_removes_what_was_removed_and_asks_for_what_is_missing(self):
         self.connect()
-        self.hear(Update(0, 2, [Entry("a", 1, 1, "", b"1"), Entry("b", 2, 1, "", b"2")]))
-        self.take()
+        self.receive(Update(0, 2, [Entry("a", 1, 1, "", b"1"), Entry("b", 2, 1, "", b"2")]))
+        self.take_actions()
         bucket = next(n for n, keys in enumerate(self.subscriber.store.bucket_keys) if "a" in keys)
-        self.hear(Inventory(bucket, 2, []))
+        self.receive(Inventory(bucket, 2, []))
         self.assertIsNone(self.subscriber.store.get("a"))
         self.assertEqual(self.subscriber.applied[-1].value, None)
 
@@ -179,9 +185,9 @@
         self.subscriber.store.apply(entry)
         self.subscriber.store.advance(4)
         bucket = next(n for n, keys in enumerate(self.subscriber.store.bucket_keys) if "a" in keys)
-        self.hear(Inventory(bucket, 5, [InventoryItem("a", 5, entry.fingerprint + 1)]))
+        self.receive(Inventory(bucket, 5, [InventoryItem("a", 5, entry.fingerprint + 1)]))
         self.assertEqual(
-            (self.subscriber.store.get("a"), self.said()), (None, [])
+            (self.subscriber.store.get("a"), self.sent_messages()), (None, [])
         )  # the next update brings it
 
 
