--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -54,14 +54,14 @@
             if isinstance(action, SendMessage)
         ]
 
-    def test_a_gap_is_asked_for_and_not_applied(self):
+    def test_an_update_after_a_gap_is_not_applied_but_requested_again(self):
         self.connect()
         self.receive(Update(0, 2, [Entry("a", 2, 1, "", b"2")]))
         self.receive(Update(4, 5, [Entry("b", 5, 1, "", b"5")]))  # two were missed
         self.assertEqual((self.subscriber.revision, self.subscriber.store.get("b")), (2, None))
         self.assertEqual([type(message) for message in self.sent_messages()], [Confirm, Subscribe])
 
-    def test_twice_and_older_change_nothing(self):
+    def test_repeated_and_older_entries_are_ignored(self):
         self.connect()
         new, old = Entry("a", 3, 1, "", b"new"), Entry("a", 2, 1, "", b"old")
         self.receive(Update(0, 3, [new]))
@@ -70,13 +70,13 @@
         self.assertEqual(self.subscriber.applied, [new])
         self.assertEqual((self.subscriber.revision, self.subscriber.counters["duplicates"]), (3, 2))
 
-    def test_a_removal_that_overtakes_nothing_stays(self):
+    def test_a_removal_is_not_undone_by_an_older_entry(self):
         self.connect()
         self.receive(Update(0, 4, [Entry("a", 4, 1, "", None)]))
         self.receive(Update(0, 3, [Entry("a", 3, 1, "", b"before")]))
         self.assertIsNone(self.subscriber.store.get("a"))
 
-    def test_what_a_former_connection_brings_is_dropped(self):
+    def test_messages_of_an_earlier_connection_are_dropped(self):
         self.connect()
         earlier = self.subscriber.connection_id
         self.subscriber.connection_lost(self.now, earlier)
@@ -84,7 +84,7 @@
         self.subscriber.receive(self.now, earlier, Update(0, 1, [Entry("a", 1, 1, "", b"1")]), 50)
         self.assertEqual(self.subscriber.revision, 0)
 
-    def test_a_silent_replica_is_left_for_the_next(self):
+    def test_a_silent_replica_is_left_for_the_next_one(self):
         self.connect()
         started_at = self.now
         self.advance_until(CloseConnection)
@@ -92,13 +92,13 @@
             (self.now - started_at, self.subscriber.replica), (SubscriberTiming().silence_timeout, "r2")
         )
 
-    def test_a_replica_that_does_not_answer_the_dial_is_given_up(self):
+    def test_a_connection_attempt_times_out(self):
         connect = self.advance_until(OpenConnection)
         started_at = self.now
         self.assertEqual(self.advance_until(CloseConnection).connection_id, connect.connection_id)
         self.assertEqual(self.now - started_at, SubscriberTiming().connect_timeout)
 
-    def test_when_none_answers_the_pauses_grow_to_a_bound(self):
+    def test_the_backoff_grows_to_a_bound_when_no_replica_answers(self):
         connected_at = []
         for _ in range(40):
             self.subscriber.connection_lost(self.now, self.advance_until(OpenConnection).connection_id)
@@ -108,7 +108,7 @@
         timing = SubscriberTiming()
         self.assertLessEqual(max(rounds), timing.max_retry_delay + 3 * timing.initial_retry_delay)
 
-    def test_a_stale_replica_is_left_and_each_is_kept_a_while_once_all_are_stale(self):
+    def test_a_stale_replica_is_left_unless_all_are_stale(self):
         stale = SubscriberTiming().stale_after
         for name in ("r1", "r2", "r3"):
             self.connect()
@@ -121,7 +121,7 @@
         self.receive(Heartbeat(0, 0, stale + 1, self.now))
         self.assertFalse(self.subscriber.connected)
 
-    def test_it_goes_back_to_its_first_replica(self):
+    def test_it_fails_back_to_its_first_replica(self):
         self.subscriber.connection_lost(self.now, self.advance_until(OpenConnection).connection_id)
         self.connect()
         self.assertEqual(self.subscriber.replica, "r2")
@@ -150,7 +150,7 @@
 
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(WRITES, st.lists(st.tuples(st.integers(0, 40), st.integers(0, 40)), max_size=30))
-    def test_any_updates_lead_to_the_replicas_state_and_never_back(self, writes, spans):
+    def test_any_updates_lead_to_the_replicas_state_and_never_go_back(self, writes, spans):
         complete = store_from_entries(entries_from_writes(writes))
         subscriber = Subscriber("c", "s", ["r"], 0, random.Random(1))
         subscriber.advance(0)
@@ -170,7 +170,7 @@
             self.assertGreater(entry.revision, newest.get(entry.key, 0))
             newest[entry.key] = entry.revision
 
-    def test_an_inventory_removes_what_was_removed_and_asks_for_what_is_missing(self):
+    def test_an_inventory_removes_keys_that_the_replica_no_longer_has(self):
         self.connect()
         self.receive(Update(0, 2, [Entry("a", 1, 1, "", b"1"), Entry("b", 2, 1, "", b"2")]))
         self.take_actions()
@@ -179,7 +179,7 @@
         self.assertIsNone(self.subscriber.store.get("a"))
         self.assertEqual(self.subscriber.applied[-1].value, None)
 
-    def test_a_corrupt_entry_past_the_revision_is_not_asked_for(self):
+    def test_a_corrupt_entry_past_the_revision_is_not_requested(self):
         self.connect()
         entry = Entry("a", 5, 1, "", b"corrupt")
         self.subscriber.store.apply(entry)
