--- a/tests/test_control_formats.py
+++ b/tests/test_control_formats.py
@@ -57,13 +57,13 @@
             with self.subTest(type(message).__name__):
                 self.assertEqual(encode(message).hex(), expected)
 
-    def test_a_replica_reads_the_state_of_former_versions(self):
+    def test_a_replica_reads_the_state_saved_by_earlier_versions(self):
         saved = bytes.fromhex("9807a272322906039195a16b0201a171c401769192a171029195a16b0201a171c40176")
         state = ReplicaState(7, "r2", 41, 6, 3, [ENTRY], [("q", 2)], [ENTRY])
         self.assertEqual(msgspec.msgpack.decode(saved, type=ReplicaState), state)
         self.assertEqual(msgspec.msgpack.encode(state), saved)
 
-    def test_a_subscriber_reads_the_state_of_former_versions(self):
+    def test_a_subscriber_reads_the_state_saved_by_earlier_versions(self):
         saved = bytes.fromhex("95a16305cc82c09195a16b0201a171c40176")
         state = SubscriberState("c", 5, 130, None, [ENTRY])
         self.assertEqual(msgspec.msgpack.decode(saved, type=SubscriberState), state)
