--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -35,14 +35,14 @@
 class SilentPeer:
     """A stream that takes what is sent, or nothing, and brings nothing; and a net that gives it."""
 
-    def __init__(self, takes):
-        self.takes, self.sent = takes, []
+    def __init__(self, accepts_data):
+        self.accepts_data, self.sent = accepts_data, []
 
     async def dial(self, _address):
         return self
 
     async def send(self, data):
-        if not self.takes:
+        if not self.accepts_data:
             await anyio.sleep_forever()
         self.sent.append(data)
 
@@ -72,8 +72,8 @@
     def test_messages_whose_connection_is_closed_before_they_go_are_counted_as_dropped(self):
         """Guards against messages that are lost on a silent peer's connection and show nowhere."""
 
-        async def play():
-            clock, traffic, peer = ManualClock(), Traffic(), SilentPeer(takes=True)
+        async def run():
+            clock, traffic, peer = ManualClock(), Traffic(), SilentPeer(accepts_data=True)
             link = PeerLink(lambda: "peer", lambda: 0, peer, clock, random.Random(1), traffic)
             async with anyio.create_task_group() as group:
                 group.start_soon(link.run)
@@ -87,13 +87,13 @@
                 self.assertEqual((traffic.messages_out, traffic.dropped), (1, 1))
                 group.cancel_scope.cancel()
 
-        anyio.run(play)
+        anyio.run(run)
 
     def test_messages_that_wait_for_a_peer_that_takes_nothing_are_counted_as_dropped(self):
-        async def play():
+        async def run():
             clock, traffic = ManualClock(), Traffic()
             link = PeerLink(
-                lambda: "peer", lambda: 0, SilentPeer(takes=False), clock, random.Random(1), traffic
+                lambda: "peer", lambda: 0, SilentPeer(accepts_data=False), clock, random.Random(1), traffic
             )
             async with anyio.create_task_group() as group:
                 group.start_soon(link.run)
@@ -104,14 +104,14 @@
                 group.cancel_scope.cancel()
             self.assertEqual((traffic.messages_out, traffic.dropped), (0, 2))
 
-        anyio.run(play)
+        anyio.run(run)
 
 
-class Case(unittest.TestCase):
-    def play(self, body, count=3, keep=False, **more):
+class ClusterTestCase(unittest.TestCase):
+    def run_cluster(self, body, count=3, keep=False, **options):
         """Runs body(cluster) with all replicas up."""
         with tempfile.TemporaryDirectory() as folder:
-            cluster = ControlCluster(count, folder if keep else None, **more)
+            cluster = ControlCluster(count, folder if keep else None, **options)
 
             async def run():
                 with anyio.fail_after(3 * MAX_WAIT_S):
@@ -121,7 +121,7 @@
             anyio.run(run)
 
 
-class Writes(Case):
+class Writes(ClusterTestCase):
     def test_a_write_is_in_force_at_all_subscribers_of_all_replicas(self):
         async def body(cluster):
             for n, name in enumerate(cluster.names):
@@ -140,7 +140,7 @@
                 self.assertEqual([entry.revision for entry in applied][-1], removed)
                 self.assertEqual(sorted({e.revision for e in applied}), [e.revision for e in applied])
 
-        self.play(body)
+        self.run_cluster(body)
 
     def test_a_repeated_request_writes_once(self):
         async def body(cluster):
@@ -148,7 +148,7 @@
             self.assertEqual(await cluster.put("key", b"1", "the-request"), first)
             self.assertEqual(len((await cluster.wait_for_leader()).versions("key")), 1)
 
-        self.play(body)
+        self.run_cluster(body)
 
     def test_what_is_refused(self):
         async def body(cluster):
@@ -170,7 +170,7 @@
             leader = await cluster.wait_for_leader()
             self.assertEqual(leader.get("key").revision, revision)
 
-        self.play(body)
+        self.run_cluster(body)
 
     def test_a_follower_names_the_leader(self):
         async def body(cluster):
@@ -188,7 +188,7 @@
                     await call
                 self.assertIn(caught.exception.leader, cluster.names)
 
-        self.play(body)
+        self.run_cluster(body)
 
     def test_a_single_replica_is_its_own_majority(self):
         async def body(cluster):
@@ -196,10 +196,10 @@
             await cluster.put("key", b"1")
             await cluster.wait_until_all_hold("key", b"1")
 
-        self.play(body, count=1, keep=True)
+        self.run_cluster(body, count=1, keep=True)
 
 
-class Restarts(Case):
+class Restarts(ClusterTestCase):
     def test_a_replica_ended_and_begun_again_with_its_folder(self):
         async def body(cluster):
             await cluster.put("before", b"1")
@@ -215,7 +215,7 @@
             await cluster.put("after", b"3")
             await wait_until(lambda: server.get("after"), "it follows")
 
-        self.play(body, keep=True)
+        self.run_cluster(body, keep=True)
 
     def test_all_ended_at_once_and_begun_again(self):
         async def body(cluster):
@@ -227,7 +227,7 @@
             self.assertEqual(await cluster.put("key", b"1", "the-request"), revision)
             self.assertEqual((await cluster.wait_for_leader()).get("key").value, b"1")
 
-        self.play(body, keep=True)
+        self.run_cluster(body, keep=True)
 
     def test_a_replica_begun_again_with_nothing_is_admitted_and_counts(self):
         async def body(cluster):
@@ -243,7 +243,7 @@
             await cluster.kill(other)
             await cluster.put("with its voice", b"2")
 
-        self.play(body)
+        self.run_cluster(body)
 
     def test_a_whole_state_of_the_largest_size_travels_to_one_that_has_nothing(self):
         count = MAX_STATE_BYTES // (6_000 + 64)
@@ -289,7 +289,7 @@
             await cluster.put("other", b"2")
             self.assertEqual((await cluster.wait_for_leader()).get("key").value, b"1")
 
-        self.play(body, keep=True)
+        self.run_cluster(body, keep=True)
 
     def test_a_majority_without_disks_elects_nobody(self):
         async def body(cluster):
@@ -310,7 +310,7 @@
             self.assertIsNone(cluster.leader)
             self.assertEqual(kept.get("key").value, b"1")
 
-        self.play(body, keep=True)
+        self.run_cluster(body, keep=True)
 
     def test_a_subscriber_follows_through_a_replicas_end(self):
         async def body(cluster):
@@ -324,7 +324,7 @@
             revisions = [entry.revision for entry in cluster.applied["s1"]]
             self.assertEqual(revisions, sorted(set(revisions)))
 
-        self.play(body, keep=True)
+        self.run_cluster(body, keep=True)
 
     def test_a_subscriber_begun_again_goes_on_from_what_it_kept(self):
         async def body(cluster):
@@ -346,7 +346,7 @@
                 self.assertEqual(client.get("key").value, b"1")
                 self.assertIsNone(client.age())  # the wall clock went backwards: nobody knows
 
-        self.play(body)
+        self.run_cluster(body)
 
 
 class EarlierClock(LoopClock):
@@ -368,7 +368,7 @@
         super().write(file, data)
 
 
-class Saving(Case):
+class SaveFailures(ClusterTestCase):
     def test_a_replica_that_cannot_save_stops_and_acknowledges_nothing(self):
         async def body(cluster):
             leader = await cluster.wait_for_leader()
@@ -406,10 +406,10 @@
             await cluster.put("other", b"2")
             self.assertEqual(server.get("other").value, b"2")
 
-        self.play(body, count=1, keep=True)
+        self.run_cluster(body, count=1, keep=True)
 
 
-class Slow(Case):
+class SlowSubscribers(ClusterTestCase):
     def test_a_subscriber_that_reads_nothing_is_dropped_and_costs_nobody(self):
         async def body(cluster):
             await cluster.subscribe("s1", ["r1"])
@@ -425,13 +425,13 @@
             self.assertEqual(server.status().silent_subscribers, 1)
             self.assertEqual(server.status().subscribers, 1)
 
-        self.play(body)
+        self.run_cluster(body)
 
 
-class BadInput(Case):
+class BadInput(ClusterTestCase):
     """Each costs its sender only."""
 
-    async def ends(self, cluster, address, data):
+    async def send_until_closed(self, cluster, address, data):
         """Sends it; until the replica has ended the connection."""
         async with await TcpNet().dial(address) as stream:
             try:
@@ -444,7 +444,7 @@
     def test_what_cannot_be_read_or_is_of_strangers(self):
         subscribe = encode(Subscribe("test", 1, "s9", 0, 0, 8_000))
         vote = {"term_asked": 1, "granted": True, "preliminary": False}
-        for_subscribers = {
+        subscriber_inputs = {
             "unreadable": encode_frame(b"\xff\xff\xff"),
             "no such message": encode_frame(b"\x91\xa4nope"),
             "an empty frame": b"\0\0\0\0",
@@ -458,7 +458,7 @@
             "a replica's message": encode_frame(encode(Vote("test", "r2", 1, **vote))),
             "nothing": b"",
         }
-        for_replicas = {
+        replica_inputs = {
             "unreadable": encode_frame(b"\xff\xff\xff"),
             "other cluster": encode_frame(encode(Vote("other", "r2", 1, **vote))),
             "no replica": encode_frame(encode(Vote("test", "r9", 1, **vote))),
@@ -471,17 +471,17 @@
             await cluster.subscribe("s1", ["r1"])
             server = cluster.replicas["r1"]
             async with anyio.create_task_group() as group:
-                for data in for_subscribers.values():
-                    group.start_soon(self.ends, cluster, cluster.listen["r1"], data)
-                for data in for_replicas.values():
-                    group.start_soon(self.ends, cluster, cluster.peers["r1"], data)
+                for data in subscriber_inputs.values():
+                    group.start_soon(self.send_until_closed, cluster, cluster.listen["r1"], data)
+                for data in replica_inputs.values():
+                    group.start_soon(self.send_until_closed, cluster, cluster.peers["r1"], data)
             await wait_until(lambda: list(server.feed.subscriptions) == ["s1"], "no other is left")
-            self.assertEqual(server.traffic.rejected, len(for_subscribers) + len(for_replicas))
+            self.assertEqual(server.traffic.rejected, len(subscriber_inputs) + len(replica_inputs))
             self.assertEqual((server.subscribers.unidentified, server.peers.unidentified), ({}, {}))
             await cluster.put("key", b"1")
             await cluster.wait_until_all_hold("key", b"1")
 
-        self.play(body)
+        self.run_cluster(body)
 
     def test_connections_that_only_connect_do_not_keep_others_out(self):
         async def body(cluster):
@@ -495,7 +495,7 @@
             for stream in streams:
                 await stream.aclose()
 
-        self.play(body)
+        self.run_cluster(body)
 
     def test_a_subscriber_leaves_a_replica_that_it_cannot_read(self):
         async def body(cluster):
@@ -515,18 +515,18 @@
                 group.cancel_scope.cancel()
             await listener.aclose()
 
-        self.play(body)
+        self.run_cluster(body)
 
     def test_the_younger_connection_of_a_name_stays(self):
         async def body(cluster):
             server = cluster.replicas["r1"]
-            hello = encode_frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
+            subscribe = encode_frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
             async with await TcpNet().dial(cluster.listen["r1"]) as first:
-                await first.send(hello)
+                await first.send(subscribe)
                 await wait_until(lambda: "s1" in server.feed.subscriptions, "the first is taken")
                 older = server.subscribers.by_name["s1"]
                 async with await TcpNet().dial(cluster.listen["r1"]) as second:
-                    await second.send(hello)
+                    await second.send(subscribe)
                     await wait_until(lambda: server.subscribers.by_name.get("s1") is not older, "replaced")
                     with self.assertRaises((anyio.EndOfStream, anyio.BrokenResourceError)):
                         while True:
@@ -536,10 +536,10 @@
                         pass
                     self.assertIn("s1", server.feed.subscriptions)
 
-        self.play(body)
+        self.run_cluster(body)
 
 
-class Digests(Case):
+class Digests(ClusterTestCase):
     def test_subscribers_read_digests_of_all_64_bits(self):
         async def body(cluster):
             client = await cluster.subscribe("s1", ["r1"])
@@ -550,10 +550,10 @@
             await wait_until(lambda: client.subscriber.store.digest == digest, "the digests agree")
             self.assertEqual(client.status().traffic.rejected, 0)
 
-        self.play(body)
+        self.run_cluster(body)
 
 
-class Status(Case):
+class Status(ClusterTestCase):
     def test_what_operators_see(self):
         async def body(cluster):
             for n in range(4):
@@ -589,7 +589,7 @@
             self.assertGreaterEqual(seen.revision, revision)
             self.assertGreater(min(seen.traffic.bytes_in, seen.traffic.bytes_out), 0)
 
-        self.play(body)
+        self.run_cluster(body)
 
 
 if __name__ == "__main__":
