--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -69,7 +69,7 @@
 
 
 class PeerLinks(unittest.TestCase):
-    def test_messages_whose_connection_is_closed_before_they_go_are_counted_as_dropped(self):
+    def test_messages_unsent_when_their_connection_closes_are_counted_as_dropped(self):
         """Guards against messages that are lost on a silent peer's connection and show nowhere."""
 
         async def run():
@@ -89,7 +89,7 @@
 
         anyio.run(run)
 
-    def test_messages_that_wait_for_a_peer_that_takes_nothing_are_counted_as_dropped(self):
+    def test_messages_queued_for_a_blocked_peer_are_counted_as_dropped(self):
         async def run():
             clock, traffic = ManualClock(), Traffic()
             link = PeerLink(
@@ -122,7 +122,7 @@
 
 
 class Writes(ClusterTestCase):
-    def test_a_write_is_in_force_at_all_subscribers_of_all_replicas(self):
+    def test_a_write_reaches_all_subscribers_of_all_replicas(self):
         async def body(cluster):
             for n, name in enumerate(cluster.names):
                 await cluster.subscribe(f"s{n}", [name])
@@ -150,7 +150,7 @@
 
         self.run_cluster(body)
 
-    def test_what_is_refused(self):
+    def test_invalid_writes_are_rejected(self):
         async def body(cluster):
             most = (await cluster.wait_for_leader()).feed_settings.max_value_bytes
             revision = await cluster.put("key", b"x" * most, "largest")
@@ -200,7 +200,7 @@
 
 
 class Restarts(ClusterTestCase):
-    def test_a_replica_ended_and_begun_again_with_its_folder(self):
+    def test_a_replica_restarted_with_its_saved_state_catches_up(self):
         async def body(cluster):
             await cluster.put("before", b"1")
             leader = await cluster.wait_for_leader()
@@ -217,7 +217,7 @@
 
         self.run_cluster(body, keep=True)
 
-    def test_all_ended_at_once_and_begun_again(self):
+    def test_all_replicas_restarted_at_once_keep_their_state(self):
         async def body(cluster):
             revision = await cluster.put("key", b"1", "the-request")
             for name in cluster.names:
@@ -229,7 +229,7 @@
 
         self.run_cluster(body, keep=True)
 
-    def test_a_replica_begun_again_with_nothing_is_admitted_and_counts(self):
+    def test_a_replica_restarted_without_state_is_readmitted(self):
         async def body(cluster):
             await cluster.put("before", b"1")
             leader = await cluster.wait_for_leader()
@@ -245,7 +245,7 @@
 
         self.run_cluster(body)
 
-    def test_a_whole_state_of_the_largest_size_travels_to_one_that_has_nothing(self):
+    def test_the_largest_state_is_sent_to_a_replica_without_state(self):
         count = MAX_STATE_BYTES // (6_000 + 64)
         entries = [Entry(f"key-{n}", n + 1, 1, "", f"{n:06}".encode() * 1_000) for n in range(count)]
         state = ReplicaState(1, "", count, 1, 0, entries, [], [])
@@ -291,7 +291,7 @@
 
         self.run_cluster(body, keep=True)
 
-    def test_a_majority_without_disks_elects_nobody(self):
+    def test_a_majority_without_saved_state_elects_no_leader(self):
         async def body(cluster):
             await cluster.put("key", b"1")
             leader = (await cluster.wait_for_leader()).settings.name
@@ -312,7 +312,7 @@
 
         self.run_cluster(body, keep=True)
 
-    def test_a_subscriber_follows_through_a_replicas_end(self):
+    def test_a_subscriber_switches_when_its_replica_dies(self):
         async def body(cluster):
             client = await cluster.subscribe("s1")
             await cluster.put("key", b"1")
@@ -326,7 +326,7 @@
 
         self.run_cluster(body, keep=True)
 
-    def test_a_subscriber_begun_again_goes_on_from_what_it_kept(self):
+    def test_a_restarted_subscriber_continues_from_its_saved_state(self):
         async def body(cluster):
             with tempfile.TemporaryDirectory() as folder:
                 client = await cluster.subscribe("s1", folder=folder)
@@ -396,7 +396,7 @@
 
             anyio.run(run)
 
-    def test_a_spoilt_state_is_passed_over_for_the_one_before(self):
+    def test_a_corrupt_state_is_skipped_for_the_previous_one(self):
         async def body(cluster):
             await cluster.put("key", b"1")
             await cluster.kill("r1")
@@ -410,7 +410,7 @@
 
 
 class SlowSubscribers(ClusterTestCase):
-    def test_a_subscriber_that_reads_nothing_is_dropped_and_costs_nobody(self):
+    def test_a_subscriber_that_does_not_read_is_dropped_without_delaying_others(self):
         async def body(cluster):
             await cluster.subscribe("s1", ["r1"])
             server = cluster.replicas["r1"]
@@ -441,7 +441,7 @@
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 pass
 
-    def test_what_cannot_be_read_or_is_of_strangers(self):
+    def test_malformed_or_foreign_messages_close_only_their_connection(self):
         subscribe = encode(Subscribe("test", 1, "s9", 0, 0, 8_000))
         vote = {"term_asked": 1, "granted": True, "preliminary": False}
         subscriber_inputs = {
@@ -483,7 +483,7 @@
 
         self.run_cluster(body)
 
-    def test_connections_that_only_connect_do_not_keep_others_out(self):
+    def test_idle_connections_do_not_block_others(self):
         async def body(cluster):
             server, streams = cluster.replicas["r1"], []
             for _ in range(300):
@@ -497,7 +497,7 @@
 
         self.run_cluster(body)
 
-    def test_a_subscriber_leaves_a_replica_that_it_cannot_read(self):
+    def test_a_subscriber_leaves_a_replica_that_sends_malformed_data(self):
         async def body(cluster):
             async def garbage(stream):
                 async with stream:
@@ -517,7 +517,7 @@
 
         self.run_cluster(body)
 
-    def test_the_younger_connection_of_a_name_stays(self):
+    def test_a_newer_connection_of_the_same_name_replaces_the_older(self):
         async def body(cluster):
             server = cluster.replicas["r1"]
             subscribe = encode_frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
@@ -540,7 +540,7 @@
 
 
 class Digests(ClusterTestCase):
-    def test_subscribers_read_digests_of_all_64_bits(self):
+    def test_subscribers_accept_64_bit_digests(self):
         async def body(cluster):
             client = await cluster.subscribe("s1", ["r1"])
             for n in range(8):  # some of these states have a digest over 2**62, some over 2**63
@@ -554,7 +554,7 @@
 
 
 class Status(ClusterTestCase):
-    def test_what_operators_see(self):
+    def test_status_of_replicas_and_subscribers(self):
         async def body(cluster):
             for n in range(4):
                 await cluster.subscribe(f"s{n}", [cluster.names[n % 3]])
