--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -1,4 +1,4 @@
-"""Replicas and subscribers in one event loop, on loopback, with timing that suits tests."""
+"""Test cluster: replicas and subscribers in one event loop, over loopback sockets, with short timeouts."""
 
 import random
 from contextlib import asynccontextmanager
@@ -20,7 +20,7 @@
 from embertray.common.net.tcp import TcpNet
 from embertray.simulation.processes.ports import free_ports
 
-# elections that are won on a busy machine, too: a vote is two ways and two saves
+# Election timeouts long enough for a busy machine: a vote takes a round trip and two saves.
 REPLICA_TIMING = ReplicaTiming(80 * MILLISECOND, 500 * MILLISECOND, 1_500 * MILLISECOND, 3_000 * MILLISECOND)
 FEED_SETTINGS = FeedSettings(
     heartbeat_interval=50 * MILLISECOND,
@@ -35,24 +35,26 @@
     initial_retry_delay=20 * MILLISECOND,
     max_retry_delay=200 * MILLISECOND,
 )
-MAX_WAIT_S = 60  # that a wait takes before it fails
-POLL_INTERVAL_S = 0.005  # between two looks; what is looked at decides
+MAX_WAIT_S = 60  # after which a wait fails
+POLL_INTERVAL_S = 0.005
 
 structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
 
 
 async def wait_until(condition, description):
-    """Waits until it holds; fails after MAX_WAIT_S seconds."""
+    """Waits until condition() is true; fails after MAX_WAIT_S seconds."""
     with anyio.move_on_after(MAX_WAIT_S):
         while not condition():
             await anyio.sleep(POLL_INTERVAL_S)
         return
-    raise AssertionError(f"not within {MAX_WAIT_S} s: {description}")
+    raise AssertionError(f"timed out after {MAX_WAIT_S} s: {description}")
 
 
 class ControlCluster:
-    """Replicas r1 to rN, and subscribers that are started by name. `folder`: where states are kept, or
-    None."""
+    """Replicas r1 to rN, and subscribers that are started by name.
+
+    States are saved in `folder`, or not at all if it is None.
+    """
 
     def __init__(self, count, folder=None, feed_settings=FEED_SETTINGS):
         ports = free_ports(2 * count)
@@ -62,17 +64,17 @@
         self.folder = folder
         self.feed_settings = feed_settings
         self.clock = LoopClock()
-        self.starts = 0  # of processes and requests
-        self.replicas = {}  # name -> ReplicaServer that runs
-        self.subscribers = {}  # name -> SubscriberClient that runs
+        self.starts = 0  # number of started processes and requests
+        self.replicas = {}  # name -> running ReplicaServer
+        self.subscribers = {}  # name -> running SubscriberClient
         self.applied = {}  # name of a subscriber -> entries that it applied
-        self.scopes = {}  # name -> (cancel scope, event of its end)
+        self.scopes = {}  # name -> (cancel scope, event that is set at its end)
         self.group = None
-        self.disks = {}  # name -> Disk in place of the real one
+        self.disks = {}  # name -> Disk that replaces the real one
 
     @asynccontextmanager
     async def running(self):
-        """All replicas run; what still runs at the end is ended."""
+        """Starts all replicas; stops everything that still runs at the end."""
         async with anyio.create_task_group() as self.group:
             for name in self.names:
                 await self.start(name)
@@ -103,7 +105,7 @@
         ended.set()
 
     async def kill(self, name):
-        """Ends it at once, as a kill does: nothing is said."""
+        """Stops a replica or subscriber at once and without a goodbye, as a kill does."""
         scope, ended = self.scopes.pop(name)
         self.replicas.pop(name, None)
         self.subscribers.pop(name, None)
@@ -137,13 +139,15 @@
         return next(leaders, None)
 
     async def wait_for_leader(self):
-        """The leader, once there is one that has committed its first entry."""
+        """Waits for a leader that has committed its first entry, and returns it."""
         await wait_until(lambda: self.leader and self.leader.replica.store.revision, "a leader")
         return self.leader
 
     async def call_leader(self, call):
-        """What call(leader) gives. Asked again, as clients do, while there is no leader that a majority
-        confirms; a call has to carry a request id of its own."""
+        """Returns the result of call(leader), retried, as clients do, while no majority confirms a leader.
+
+        The call has to use its own request id.
+        """
         with anyio.fail_after(MAX_WAIT_S):
             while True:
                 leader = await self.wait_for_leader()
@@ -158,7 +162,7 @@
         return await self.call_leader(lambda leader: leader.put(key, value, request))
 
     async def wait_until_all_hold(self, key, value):
-        """Until every subscriber holds it."""
+        """Waits until every subscriber has this value of the key."""
 
         def holds(subscriber):
             entry = subscriber.subscriber and subscriber.get(key)
--- a/tests/control_histories.py
+++ b/tests/control_histories.py
@@ -1,4 +1,4 @@
-"""Histories of writes for the tests of replicated configuration."""
+"""Generated sequences of writes for the tests of replicated configuration."""
 
 from hypothesis import strategies as st
 
@@ -16,7 +16,7 @@
 
 
 def entries_from_writes(writes):
-    """Entries with rising revisions, as a history of writes."""
+    """Converts (key, value) writes to entries with ascending revisions."""
     return [
         Entry(key, revision, 1, f"q{revision}", value)
         for revision, (key, value) in enumerate(writes, start=1)
--- a/tests/control_sabotage.py
+++ b/tests/control_sabotage.py
@@ -1,5 +1,7 @@
-"""A process of the control plane with a fault built in, to show that the checkers see it:
-`control_sabotage.py FAULT SITE.xml replica|subscriber NAME --scale 0.25`."""
+"""Runs a control plane process with an injected fault, to verify that the checkers detect it.
+
+Usage: `control_sabotage.py FAULT SITE.xml replica|subscriber NAME --scale 0.25`; FAULT names a function below.
+"""
 
 import sys
 from pathlib import Path
@@ -12,12 +14,12 @@
 
 
 def commit_without_majority():
-    """A replica that takes its own voice for a majority."""
+    """A replica that counts its own vote as a majority."""
     Replica.majority = property(lambda replica: 1)
 
 
 def apply_older_versions():
-    """A subscriber that applies whatever it is sent."""
+    """A subscriber that applies every entry that it receives, newer or not."""
     original_on_update = Subscriber._on_update
 
     def on_update(subscriber, now, message):
@@ -30,7 +32,7 @@
 
 
 def report_zero_age():
-    """A subscriber whose age is always nothing."""
+    """A subscriber that always reports an age of zero."""
     Subscriber.age = lambda subscriber, now: 0
 
 
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -29,7 +29,7 @@
         self.feed.receive(self.now, name, Subscribe("c", VERSION, name, revision, self.now, 8_000))
 
     def advance(self, span=0):
-        """Messages that go, decoded, by subscriber."""
+        """Advances the feed and returns (subscriber, decoded message) pairs."""
         self.now += span
         messages, self.silent = self.feed.advance(self.now, 0)
         return [(message.subscriber, decode_to_subscriber(message.data)) for message in messages]
@@ -52,10 +52,10 @@
         self.write("a", b"1")
         self.assertEqual(len(self.updates()), 1)
         self.write("b", b"1")
-        self.assertEqual(self.updates(), [])  # the first is not confirmed
+        self.assertEqual(self.updates(), [])  # the first update is not confirmed
         sent_at = []
         for _ in range(3_000):
-            self.feed.receive(self.now, "s", Confirm(0, self.now))  # it lives, and has applied nothing
+            self.feed.receive(self.now, "s", Confirm(0, self.now))  # alive, but nothing applied
             if self.updates(10 * MS):
                 sent_at.append(self.now)
         intervals = [(later - earlier) // S for earlier, later in zip(sent_at, sent_at[1:], strict=False)]
@@ -87,7 +87,7 @@
         )
 
     def test_a_new_write_does_not_wait_for_the_backlog_of_a_returning_subscriber(self):
-        """Guards against a write that is in force everywhere else and waits for another one's history."""
+        """Guards against a new write that reaches a returning subscriber only after its whole backlog."""
         for n in range(400):
             self.write(f"k{n}", bytes(100))
         subscriber = Subscriber("c", "s", ["r"], self.now, random.Random(1))
@@ -223,7 +223,7 @@
         self.assertLessEqual({f"old{n}" for n in range(20)}, removed)
 
     def exchange_messages(self, subscriber, span):
-        """Lets feed and subscriber talk with nothing lost."""
+        """Exchanges messages between feed and subscriber for `span` ns, without loss."""
         end = self.now + span
         subscriber.advance(self.now)
         subscriber.connection_opened(self.now, subscriber.connection_id)
--- a/tests/test_control_formats.py
+++ b/tests/test_control_formats.py
@@ -1,4 +1,4 @@
-"""Replicated configuration: bytes on the wire and on disk, and words of the API, that must not change."""
+"""Replicated configuration: wire and disk formats and API names, which must not change."""
 
 import unittest
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -1,5 +1,4 @@
-"""Replicas and subscribers of the control plane on true sockets: written and followed, ended and begun again,
-and what comes of bad input."""
+"""Replicas and subscribers of the control plane over real sockets: writes, restarts and malformed input."""
 
 import random
 import shutil
@@ -33,7 +32,7 @@
 
 
 class SilentPeer:
-    """A stream that takes what is sent, or nothing, and brings nothing; and a net that gives it."""
+    """A network and its only stream, which accepts data or blocks, and never delivers any."""
 
     def __init__(self, accepts_data):
         self.accepts_data, self.sent = accepts_data, []
@@ -60,7 +59,7 @@
 
 
 class ManualClock:
-    """A clock that stands until it is set."""
+    """A clock that only advances when it is set."""
 
     time = 0
 
@@ -70,7 +69,7 @@
 
 class PeerLinks(unittest.TestCase):
     def test_messages_unsent_when_their_connection_closes_are_counted_as_dropped(self):
-        """Guards against messages that are lost on a silent peer's connection and show nowhere."""
+        """Guards against messages lost on a silent peer's connection without being counted."""
 
         async def run():
             clock, traffic, peer = ManualClock(), Traffic(), SilentPeer(accepts_data=True)
@@ -109,7 +108,7 @@
 
 class ClusterTestCase(unittest.TestCase):
     def run_cluster(self, body, count=3, keep=False, **options):
-        """Runs body(cluster) with all replicas up."""
+        """Runs body(cluster) while all replicas are running."""
         with tempfile.TemporaryDirectory() as folder:
             cluster = ControlCluster(count, folder if keep else None, **options)
 
@@ -211,9 +210,9 @@
             server = await cluster.start(name)
             self.assertFalse(server.status().recovering)
             self.assertEqual(server.get("before").value, b"1")
-            await wait_until(lambda: server.get("while"), "it catches up")
+            await wait_until(lambda: server.get("while"), "the replica catches up")
             await cluster.put("after", b"3")
-            await wait_until(lambda: server.get("after"), "it follows")
+            await wait_until(lambda: server.get("after"), "the replica follows the leader")
 
         self.run_cluster(body, keep=True)
 
@@ -237,7 +236,7 @@
             await cluster.kill(name)
             server = await cluster.start(name)
             self.assertTrue(server.status().recovering)
-            await wait_until(lambda: not server.status().recovering, "it is admitted")
+            await wait_until(lambda: not server.status().recovering, "the replica is readmitted")
             self.assertEqual(server.get("before").value, b"1")
             other = next(one for one in cluster.names if one not in (name, leader.settings.name))
             await cluster.kill(other)
@@ -252,8 +251,10 @@
 
         async def body(cluster):
             server = cluster.replicas["r3"]
-            await wait_until(lambda: server.replica.store.revision >= count, "it holds all")
-            await wait_until(lambda: not server.status().recovering, "it counts again")
+            await wait_until(
+                lambda: server.replica.store.revision >= count, "the replica has the whole state"
+            )
+            await wait_until(lambda: not server.status().recovering, "the replica is readmitted")
             kept = cluster.replicas["r1"].replica.store
             self.assertEqual(server.replica.store.digest, kept.digest)
             await cluster.put("key-0", b"1")
@@ -302,10 +303,10 @@
                     shutil.rmtree(Path(cluster.folder) / name)
                 await cluster.start(name)
             kept = cluster.replicas[leader]
-            await wait_until(lambda: kept.replica.role is Role.CANDIDATE, "it asks for votes")
+            await wait_until(lambda: kept.replica.role is Role.CANDIDATE, "the replica requests votes")
             asked = kept.traffic.messages_in
             await wait_until(
-                lambda: kept.traffic.messages_in > asked + 20, "the others speak, but do not vote"
+                lambda: kept.traffic.messages_in > asked + 20, "the others answer without voting"
             )
             self.assertIsNone(cluster.leader)
             self.assertEqual(kept.get("key").value, b"1")
@@ -332,7 +333,7 @@
                 client = await cluster.subscribe("s1", folder=folder)
                 await cluster.put("key", b"1")
                 await cluster.wait_until_all_hold("key", b"1")
-                await wait_until(lambda: client.saves, "it is saved")
+                await wait_until(lambda: client.saves, "the subscriber saves its state")
                 await cluster.kill("s1")
                 for name in cluster.names:
                     await cluster.kill(name)
@@ -344,13 +345,13 @@
                 clock = EarlierClock()
                 client = await cluster.subscribe("s1", folder=folder, clock=clock)
                 self.assertEqual(client.get("key").value, b"1")
-                self.assertIsNone(client.age())  # the wall clock went backwards: nobody knows
+                self.assertIsNone(client.age())  # unknown, as the wall clock went backwards
 
         self.run_cluster(body)
 
 
 class EarlierClock(LoopClock):
-    """Its wall clock is a day behind."""
+    """A clock whose wall clock is one day behind."""
 
     @staticmethod
     def wall():
@@ -358,7 +359,7 @@
 
 
 class FullDisk(Disk):
-    """Takes nothing once it is full."""
+    """A disk whose writes fail while `full` is set."""
 
     full = False
 
@@ -416,11 +417,11 @@
             server = cluster.replicas["r1"]
             async with await TcpNet().dial(cluster.listen["r1"]) as stream:
                 await stream.send(encode_frame(encode(Subscribe("test", 1, "slow", 0, 0, 8_000))))
-                await wait_until(lambda: "slow" in server.feed.subscriptions, "it is taken")
+                await wait_until(lambda: "slow" in server.feed.subscriptions, "the subscriber is accepted")
                 connection = server.subscribers.by_name["slow"]
                 await cluster.put("key", b"1")
                 await cluster.wait_until_all_hold("key", b"1")
-                await wait_until(lambda: "slow" not in server.feed.subscriptions, "it is dropped")
+                await wait_until(lambda: "slow" not in server.feed.subscriptions, "the subscriber is dropped")
                 self.assertLessEqual(len(connection.queue), 2)
             self.assertEqual(server.status().silent_subscribers, 1)
             self.assertEqual(server.status().subscribers, 1)
@@ -429,10 +430,10 @@
 
 
 class BadInput(ClusterTestCase):
-    """Each costs its sender only."""
+    """Malformed or foreign input closes only the sender's connection."""
 
     async def send_until_closed(self, cluster, address, data):
-        """Sends it; until the replica has ended the connection."""
+        """Sends data and waits until the replica has closed the connection."""
         async with await TcpNet().dial(address) as stream:
             try:
                 await stream.send(data)
@@ -475,7 +476,9 @@
                     group.start_soon(self.send_until_closed, cluster, cluster.listen["r1"], data)
                 for data in replica_inputs.values():
                     group.start_soon(self.send_until_closed, cluster, cluster.peers["r1"], data)
-            await wait_until(lambda: list(server.feed.subscriptions) == ["s1"], "no other is left")
+            await wait_until(
+                lambda: list(server.feed.subscriptions) == ["s1"], "all other connections are closed"
+            )
             self.assertEqual(server.traffic.rejected, len(subscriber_inputs) + len(replica_inputs))
             self.assertEqual((server.subscribers.unidentified, server.peers.unidentified), ({}, {}))
             await cluster.put("key", b"1")
@@ -523,11 +526,16 @@
             subscribe = encode_frame(encode(Subscribe("test", 1, "s1", 0, 0, 8_000)))
             async with await TcpNet().dial(cluster.listen["r1"]) as first:
                 await first.send(subscribe)
-                await wait_until(lambda: "s1" in server.feed.subscriptions, "the first is taken")
+                await wait_until(
+                    lambda: "s1" in server.feed.subscriptions, "the first connection is accepted"
+                )
                 older = server.subscribers.by_name["s1"]
                 async with await TcpNet().dial(cluster.listen["r1"]) as second:
                     await second.send(subscribe)
-                    await wait_until(lambda: server.subscribers.by_name.get("s1") is not older, "replaced")
+                    await wait_until(
+                        lambda: server.subscribers.by_name.get("s1") is not older,
+                        "the connection is replaced",
+                    )
                     with self.assertRaises((anyio.EndOfStream, anyio.BrokenResourceError)):
                         while True:
                             await first.receive()
@@ -543,11 +551,11 @@
     def test_subscribers_accept_64_bit_digests(self):
         async def body(cluster):
             client = await cluster.subscribe("s1", ["r1"])
-            for n in range(8):  # some of these states have a digest over 2**62, some over 2**63
+            for n in range(8):  # some of these digests exceed 2**62, some 2**63
                 await cluster.put(f"key-{n}", b"x")
                 await cluster.wait_until_all_hold(f"key-{n}", b"x")
             digest = cluster.replicas["r1"].replica.store.digest
-            await wait_until(lambda: client.subscriber.store.digest == digest, "the digests agree")
+            await wait_until(lambda: client.subscriber.store.digest == digest, "the digests match")
             self.assertEqual(client.status().traffic.rejected, 0)
 
         self.run_cluster(body)
@@ -568,7 +576,7 @@
                     complete and status.fleet_subscribers == 4 and status.fleet_lowest_confirmed >= revision
                 )
 
-            await wait_until(known, "the leader knows what all subscribers hold")
+            await wait_until(known, "the leader has reports of all subscribers")
             leader = await cluster.wait_for_leader()
             status = leader.status()
             self.assertEqual((status.role, status.leader, status.has_majority), ("leader", status.name, True))
@@ -578,12 +586,14 @@
             self.assertLess(status.age_s, MAX_WAIT_S)
             self.assertGreater(min(status.traffic.bytes_in, status.traffic.bytes_out), 0)
             others = [one for one in cluster.replicas.values() if one is not leader]
-            await wait_until(lambda: others[0].status().leader == status.name, "a follower knows it")
+            await wait_until(
+                lambda: others[0].status().leader == status.name, "the follower knows the leader"
+            )
             follower = others[0].status()
             self.assertEqual(follower.role, "follower")
             self.assertEqual((follower.fleet_subscribers, follower.fleet_lowest_confirmed), (None, None))
             client = cluster.subscribers["s0"]
-            await wait_until(lambda: client.status().age_s is not None, "it knows its age")
+            await wait_until(lambda: client.status().age_s is not None, "the subscriber knows its age")
             seen = client.status()
             self.assertEqual((seen.replica, seen.connected, seen.keys), ("r1", True, 1))
             self.assertGreaterEqual(seen.revision, revision)
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -20,7 +20,7 @@
 
 
 class SimulatedCluster:
-    """Replicas whose messages arrive at once, unless they are cut off."""
+    """Replicas whose messages are delivered immediately, except from and to isolated replicas."""
 
     def __init__(self, count=3):
         self.names, self.now, self.isolated = [f"r{n}" for n in range(count)], 100 * S, set()
@@ -100,7 +100,7 @@
         for envelope in messages:
             sent[envelope.recipient] += [entry.key for entry in envelope.message.entries]
         self.assertEqual(sent, {name: [f"k{n}" for n in range(20)] for name in leader.others})
-        for envelope in messages[:6]:  # the rest is lost, and goes again with the next heartbeat
+        for envelope in messages[:6]:  # the rest is lost, and sent again with the next heartbeat
             self.cluster.replicas[envelope.recipient].receive(self.cluster.now, envelope.message)
         self.cluster.run(S)
         revisions = {replica.store.revision for replica in self.cluster.replicas.values()}
@@ -113,7 +113,9 @@
         former = self.cluster.leader
         self.cluster.isolated = {former.name}
         self.cluster.run(10 * S)
-        self.assertEqual(self.cluster.put("a", b"1", "q1"), first)  # the next leader knows it, too
+        self.assertEqual(
+            self.cluster.put("a", b"1", "q1"), first
+        )  # the next leader knows the request id, too
         self.assertEqual(self.cluster.leader.store.get("a").value, b"2")
 
     def test_a_write_that_expects_another_revision_is_rejected(self):
@@ -136,7 +138,7 @@
         self.cluster.run(5 * S)
         with self.assertRaises(NotLeaderError):
             leader.put(self.cluster.now, "a", b"2", "")
-        self.assertEqual(leader.store.get("a").value, b"1")  # what is in force stays
+        self.assertEqual(leader.store.get("a").value, b"1")  # the committed value stays
         self.assertGreater(leader.age(self.cluster.now), 6 * S)
         self.assertLess(self.cluster.leader.age(self.cluster.now), S)
 
@@ -194,7 +196,7 @@
         former = self.cluster.leader
         late = self.cluster.create_replica(
             first.name
-        )  # begins anew from nothing, so that the state comes by an Install
+        )  # starts empty, so that it receives the state as an Install
         late.store, late.uncommitted = VersionedStore(), []
         self.cluster.replicas[first.name] = late
         self.cluster.run(2 * S)
@@ -227,7 +229,7 @@
         )
         self.cluster.run(empty.timing.recovery_wait - S)
         self.assertTrue(empty.recovering)
-        self.assertEqual(empty.store.get("a").value, b"1")  # it follows meanwhile
+        self.assertEqual(empty.store.get("a").value, b"1")  # it follows the leader meanwhile
         self.cluster.run(3 * S)
         self.assertFalse(empty.recovering)
 
@@ -245,7 +247,7 @@
         self.cluster.replicas[lost] = again
         candidate = VoteRequest("c", again.others[0], 99, 99, 99, preliminary=False)
         again.receive(self.cluster.now, candidate)
-        for other in again.others:  # blank ones don't make this a first start: it holds something
+        for other in again.others:  # blank replies are no first start: this replica has state
             again.receive(self.cluster.now, RecoverReply("c", other, 0, again.nonce, True))
         self.assertTrue(again.recovering)
         self.assertFalse(
@@ -262,7 +264,7 @@
         self.cluster.saved[lost] = None
         self.cluster.replicas[lost] = self.cluster.create_replica(lost)
         self.cluster.run(30 * S)
-        self.assertIsNone(self.cluster.leader)  # the empty one must not make a majority
+        self.assertIsNone(self.cluster.leader)  # the replica without state must not complete a majority
         self.cluster.replicas[dead] = self.cluster.create_replica(dead)
         self.cluster.run(20 * S)
         self.assertIsNotNone(self.cluster.leader)
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -1,4 +1,4 @@
-"""Replicated configuration: the versioned store, byte budgets, ages and the wire, without I/O."""
+"""Replicated configuration: versioned store, token bucket, freshness and codec, without I/O."""
 
 import random
 import unittest
@@ -52,7 +52,7 @@
         entries = entries_from_writes(writes)
         complete, earlier = store_from_entries(entries), store_from_entries(entries[:cut])
         changes = list(complete.entries_since(earlier.revision))
-        self.assertEqual(len({entry.key for entry in changes}), len(changes))  # of each key the newest
+        self.assertEqual(len({entry.key for entry in changes}), len(changes))  # one entry per key
         for entry in changes:
             earlier.apply(entry)
         self.assertEqual(
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -27,7 +27,7 @@
         self.subscriber = Subscriber("c", "s", ["r1", "r2", "r3"], self.now, random.Random(1))
 
     def advance_until(self, kind):
-        """Lets time pass until the subscriber does something of a kind."""
+        """Advances the time until the subscriber requests an action of the given type, and returns it."""
         for _ in range(100):
             for action in self.take_actions():
                 if isinstance(action, kind):
@@ -57,7 +57,7 @@
     def test_an_update_after_a_gap_is_not_applied_but_requested_again(self):
         self.connect()
         self.receive(Update(0, 2, [Entry("a", 2, 1, "", b"2")]))
-        self.receive(Update(4, 5, [Entry("b", 5, 1, "", b"5")]))  # two were missed
+        self.receive(Update(4, 5, [Entry("b", 5, 1, "", b"5")]))  # revisions 3 and 4 are missing
         self.assertEqual((self.subscriber.revision, self.subscriber.store.get("b")), (2, None))
         self.assertEqual([type(message) for message in self.sent_messages()], [Confirm, Subscribe])
 
@@ -135,7 +135,7 @@
     def test_a_delayed_heartbeat_does_not_lower_the_age(self):
         self.connect()
         stamp = self.now
-        self.now += 30 * S  # the way was shut meanwhile
+        self.now += 30 * S  # the heartbeat was delayed for this long
         self.receive(Heartbeat(0, 0, 0, stamp))
         self.assertEqual(self.subscriber.age(self.now), 30 * S)
 
