--- a/tests/control_sabotage.py
+++ b/tests/control_sabotage.py
@@ -1,6 +1,6 @@
 """Runs a control plane process with an injected fault, to verify that the checkers detect it.
 
-Usage: `control_sabotage.py FAULT SITE.xml replica|subscriber NAME --scale 0.25`; FAULT names a function below.
+Usage: `control_sabotage.py FAULT SITE.xml replica|subscriber NAME --scale 0.25`; FAULT is a function below.
 """
 
 import sys
