--- a/embertray/controller/core/memory_bound_runner.py
+++ b/embertray/controller/core/memory_bound_runner.py
@@ -146,7 +146,7 @@
 
     def forget_unused(self):
         """Removes identifiers that the policy no longer uses, and the records kept for them."""
-        waiting = self.intake.waiting_backends()
+        waiting = self.intake.waiting_handles()
         tables = self.outbox.tables.values()
 
         def needed(handle):
--- a/embertray/controller/report_intake.py
+++ b/embertray/controller/report_intake.py
@@ -163,7 +163,7 @@
             release_at += int((1 - self._tokens) * NS_PER_SECOND / self.rate) + 1
         return release_at if close_at is None else min(release_at, close_at)
 
-    def waiting_backends(self):
+    def waiting_handles(self):
         """Returns the handles of all waiting events and open rounds; this includes proxies."""
         in_rounds = (open_round.reports for open_round in self.rounds.values())
         return {handle for handle, _ in self.waiting}.union(*in_rounds)
