--- a/embertray/controller/stream/messages.py
+++ b/embertray/controller/stream/messages.py
@@ -16,7 +16,7 @@
 MAX_LINES = 20_000  # in one message: four times the largest known table
 
 Weight = Annotated[float, Meta(ge=0, le=1e12)]
-Share = Annotated[float, Meta(ge=0, le=1e12)]
+NonNegative = Annotated[float, Meta(ge=0, le=1e12)]
 TableId = Annotated[int, Meta(ge=1, le=65534)]
 NonceId = Annotated[int, Meta(ge=1, le=65535)]
 RetryLimit = Annotated[int, Meta(ge=0, le=3)]
@@ -31,7 +31,7 @@
     version: Count
     proxy: Name
     zone: Name
-    rate: Share = 0.0  # requests a second that the proxy usually receives
+    rate: NonNegative = 0.0  # requests a second that the proxy usually receives
     fresh: bool = False  # the proxy has only its standing table
 
 
@@ -48,7 +48,7 @@
     tries: Count
     failed: Count = 0
     latency: Time = 0  # ns, summed over the attempts that were answered
-    load: dict[Name, Share] = {}  # the newest load values among the backend's responses
+    load: dict[Name, NonNegative] = {}  # the newest load values among the backend's responses
 
 
 class ArrivalTotals(Message):
@@ -93,7 +93,7 @@
 
     table: TableId
     lines: Annotated[list[tuple[Name, Weight]], Meta(max_length=MAX_LINES)]
-    levels: list[tuple[Name, Share, RetryLimit]] = []
+    levels: list[tuple[Name, NonNegative, RetryLimit]] = []
     out: list[Name] = []
 
 
@@ -109,7 +109,7 @@
 
     table: TableId
     kinds: list[Name]  # empty: all
-    level: Share
+    level: NonNegative
     again: RetryLimit
     wait: Time = 0  # ns that rejected clients are asked to wait; 0: no such request
 
@@ -118,7 +118,7 @@
     """A controller's orders to one proxy in one step; the proxy applies them in order, atomically."""
 
     stamp: Time  # the controller's clock at the time of the order
-    cost: Share  # cost of the message in lines, its head and its nonce included
+    cost: NonNegative  # cost of the message in lines, its head and its nonce included
     do: Annotated[list[Line | Bind | Withdrawal | Level], Meta(max_length=MAX_LINES)]
     nonce: NonceId | None = None
 
