--- a/embertray/controller/channel/outbox.py
+++ b/embertray/controller/channel/outbox.py
@@ -206,7 +206,8 @@
         retry = order.retry
         retry_after = 0
         if order.level < self.unlimited_level:
-            # the degradation level's limits go out with a line that is sent anyway and never cause one
+            # the degradation level's limits are added to a Level that the policy orders anyway; a change of
+            # the degradation level alone causes no message
             retry = min(retry, self.retry_limit)
             retry_after = self.retry_after
         table.levels.update({kind: OrderedLevel(order.level, retry) for kind in kinds})
--- a/embertray/controller/channel/pacer.py
+++ b/embertray/controller/channel/pacer.py
@@ -67,7 +67,7 @@
         self.lines_waiting = 0.0
         self.lines_peak = 0.0
         self.released = 0
-        self._accounted_until = now  # ns up to which the channel's time is used
+        self._accounted_until = now  # ns; the channel time before it is already accounted for
         # Lines of the first message that still need time; negative: time left over for the next message.
         self._lines_remaining = 0.0
 
--- a/embertray/controller/channel/stall_watch.py
+++ b/embertray/controller/channel/stall_watch.py
@@ -22,7 +22,7 @@
         self._steady_since = now
 
     def check_steady(self, now):
-        """Checks the clock; call it at each step.
+        """Checks the clock; must be called at every step, since a gap between two calls counts as a stall.
 
         Args:
             now: ns.
--- a/embertray/controller/core/controller_core.py
+++ b/embertray/controller/core/controller_core.py
@@ -97,7 +97,8 @@
             The Step.
         """
         step = Step()
-        self.stall_watch.check_steady(now)  # at each step; the result is used elsewhere
+        # called at every step even though the result is unused: a long gap between calls counts as a stall
+        self.stall_watch.check_steady(now)
         self._evaluate_degradation(now, step)
         orders = self.run_step(now, self.intake.release_due(now))
         if orders:
--- a/embertray/controller/core/memory_collections.py
+++ b/embertray/controller/core/memory_collections.py
@@ -1,7 +1,7 @@
 """Lists the collections that the parts of a controller store, by the purpose of their memory account.
 
-Nothing is changed here. Counting an entry stops at handles and at the policy's states, which are counted
-once, under "names".
+The collections are only read. The size of an entry does not include handles and the policy's states, which
+are counted once, under "names".
 """
 
 from embertray.common.memory.sizing import Collection
--- a/embertray/controller/degradation/ladder.py
+++ b/embertray/controller/degradation/ladder.py
@@ -153,7 +153,10 @@
         return None
 
     def _level_to_enter(self):
-        """Returns the highest level whose entry threshold was exceeded in enough evaluations; 0: none."""
+        """Counts this evaluation and returns the highest level that may be entered; 0: none.
+
+        A level may be entered after its threshold was exceeded in ENTER_EVALUATIONS consecutive evaluations.
+        """
         target = 0
         for index in range(1, len(LEVELS)):
             above = self.lost_share > LEVELS[index].enter_above
--- a/embertray/controller/identifiers.py
+++ b/embertray/controller/identifiers.py
@@ -18,7 +18,7 @@
         backends: Name -> interface.Backend.
         proxies: Name or number -> interface.Proxy.
         zones: Name -> interface.Zone.
-        tables: Number -> interface.Table, of tables that were numbered outside (slices).
+        tables: Number -> interface.Table, of the slices' tables, whose numbers the bench assigns.
         nonces: Number -> interface.Nonce, of unacknowledged nonces.
         last_nonce_number: The number that was assigned last to a nonce; 0: none.
         last_table_number: The number that was assigned last to a table; 0: none.
@@ -53,7 +53,7 @@
         return self.get_or_create(self.proxies, i.Proxy, name)
 
     def slice_table(self, number):
-        """Returns the interface.Table of a slice, which is numbered outside."""
+        """Returns the interface.Table of a slice by the number that the bench assigned to it."""
         return self.get_or_create(self.tables, i.Table, number)
 
     def table_id(self, table):
--- a/embertray/controller/report_intake.py
+++ b/embertray/controller/report_intake.py
@@ -64,6 +64,11 @@
         self._add_arrivals(proxy, report, find_kind)
 
     def _add_attempts(self, now, proxy, zone, report, find_backend):
+        """Adds a report's attempts to the zone's round; closes the round if no other proxy is awaited.
+
+        Awaited are the zone's proxies that have reported before, except silent ones
+        (`_close_overdue_rounds`).
+        """
         current = self._round_for(now, proxy, zone)
         for totals in report.met:
             backend = find_backend(totals.backend)
@@ -154,7 +159,7 @@
         self._tokens_at = now
 
     def next_release(self):
-        """Returns when the next event may be released or round is to be closed, ns; None: nothing waits."""
+        """Returns when an event may be released or a round has to be closed next, ns; None: nothing waits."""
         close_at = min((opened.opened_at + self.cycle for opened in self.rounds.values()), default=None)
         if not self.waiting:
             return close_at
@@ -184,7 +189,10 @@
         return len(oldest)
 
     def proxy_left(self, proxy):
-        """Drops the waiting arrivals of a proxy that left, since they do not predict future requests."""
+        """Drops the waiting arrivals of a proxy that left, since they do not predict future requests.
+
+        Its attempts stay, since they describe backends, but rounds no longer wait for its reports.
+        """
         for key in [key for key in self.waiting if key[0] is proxy]:
             del self.waiting[key]
         for reported_at in self._reported_at.values():
--- a/embertray/controller/stream/messages.py
+++ b/embertray/controller/stream/messages.py
@@ -56,7 +56,7 @@
 
     kind: Name
     requests: Count
-    lost: Count = 0
+    lost: Count = 0  # admitted requests that failed
     # requests that clients marked as retries; None: clients mark none
     repeats: Count | None = None
 
@@ -92,9 +92,9 @@
     """Binds the proxy to a table and sends it whole, in place of any earlier one."""
 
     table: TableId
-    lines: Annotated[list[tuple[Name, Weight]], Meta(max_length=MAX_LINES)]
-    levels: list[tuple[Name, NonNegative, RetryLimit]] = []
-    out: list[Name] = []
+    lines: Annotated[list[tuple[Name, Weight]], Meta(max_length=MAX_LINES)]  # (backend, weight)
+    levels: list[tuple[Name, NonNegative, RetryLimit]] = []  # (request kind, admission level, retry limit)
+    out: list[Name] = []  # backends of the table that are withdrawn
 
 
 class Withdrawal(Message, tag="out"):
--- a/embertray/controller/trust/table_retention.py
+++ b/embertray/controller/trust/table_retention.py
@@ -37,7 +37,9 @@
         self.retention_period = min(TABLE_RETENTION_NS, drain_grace // DRAIN_GRACE_DIVISOR)
 
     def observe_proxy(self, proxy, attempts, failed, requests):
-        """Evaluates a load report of a proxy with tables of an earlier controller.
+        """Adds a proxy to `failing_proxies` if its load report shows that its table is useless.
+
+        That is, nearly all of its attempts failed, or requests arrived and it finished no attempt.
 
         Args:
             proxy: The proxy's name.
--- a/embertray/controller/trust/verification.py
+++ b/embertray/controller/trust/verification.py
@@ -26,7 +26,11 @@
         self.finished = False
 
     def is_waiting(self, backends):
-        """Returns whether a candidate is undecided; `backends` is name -> KnownBackend."""
+        """Returns whether undecided candidates are still to be forwarded.
+
+        Args:
+            backends: Name -> KnownBackend.
+        """
         return not self.finished and any(backend.undecided for backend in backends.values())
 
     def is_due(self, now, backends):
