--- a/embertray/controller/channel/stall_watch.py
+++ b/embertray/controller/channel/stall_watch.py
@@ -1,6 +1,6 @@
 """Detects stalls of this process, so that peers are not cut for timeouts that it caused itself.
 
-After a stall (a stopped process, a blocked event loop) the proxies' acknowledgements wait unread in our own
+After a stall (a stopped process, a blocked event loop) the proxies' acknowledgements wait unread in its
 sockets, and every timeout looks exceeded: without this check a resumed controller would cut all its streams
 at once. While it runs, the process checks the clock far more often than once in STALL_GAP_NS.
 """
