--- a/embertray/controller/core/memory_bound_runner.py
+++ b/embertray/controller/core/memory_bound_runner.py
@@ -63,7 +63,7 @@
         self.site = site
         self.kinds = {kind.external_id: kind for kind in site.kinds}
         self.outbox = Outbox(self.identifiers, site.head, {kind: kind.external_id for kind in site.kinds})
-        self.outbox.unlimited_level = self.module.context.unlimited_level if site.levels != "none" else 0.0
+        self.outbox.unlimited_level = self.policy.context.unlimited_level if site.levels != "none" else 0.0
         self.pacer = Pacer(site.channel_rate, now)
         self.intake = ReportIntake(site.reports_rate, now, site.report_interval)
         self.ladder = DegradationLadder(site.kinds, site.report_interval, site.levels == "rate", now)
--- a/embertray/controller/core/memory_collections.py
+++ b/embertray/controller/core/memory_collections.py
@@ -56,7 +56,7 @@
 
 
 def _tables(core):
-    policy = core.module
+    policy = core.policy
     ordered = list(core.outbox.tables.values())
     lines = [table.lines for table in ordered]
     for table in policy.publisher.tables.all:
@@ -86,7 +86,7 @@
         rounds += [open_round.reports, open_round.spans]
     meter = core.ladder.loss_meter
     loads = list(meter.loads.values())
-    samples = [state.samples.rows for state in (*core.module.backends, *core.module.proxies)]
+    samples = [state.samples.rows for state in (*core.policy.backends, *core.policy.proxies)]
     return [
         _dict_collection("waiting", core.intake.waiting),
         Collection("rounds", _total(rounds), _items(rounds), (), HANDLE_TYPES),
@@ -102,10 +102,10 @@
     nonces = core.identifiers.nonces
     sent_at = core.nonces.sent_at
     by_proxy = core.nonces.by_proxy
-    proxies = core.module.proxies
+    proxies = core.policy.proxies
     unacknowledged = [proxy.messages.unacknowledged for proxy in proxies]
     unacknowledged += [proxy.messages.write_times for proxy in proxies]
-    by_nonce = core.module.publisher.budget.in_flight.by_nonce
+    by_nonce = core.policy.publisher.budget.in_flight.by_nonce
     in_flight = [sent for sent, _ in by_nonce.values()]
     return [
         Collection("messages", len(queue), lambda: queue, [queue], HANDLE_TYPES),
@@ -133,8 +133,8 @@
 def _names(core):
     identifiers = core.identifiers
     handles = [identifiers.backends, identifiers.proxies, identifiers.zones]
-    backends = core.module.backends
-    proxies = core.module.proxies
+    backends = core.policy.backends
+    proxies = core.policy.proxies
     return [
         Collection("handles", _total(handles), _items(handles), handles, STATE_TYPES),
         Collection(
--- a/embertray/controller/runner.py
+++ b/embertray/controller/runner.py
@@ -24,7 +24,7 @@
 
     Attributes:
         identifiers: The Identifiers that map names and numbers to the policy's handles.
-        module: The policy.Controller.
+        policy: The policy.Controller.
         pending_events: Events that wait for the next step.
         timers: Heap of (due time in ns, number of the timer, label).
         timer_count: Number of timers that were set so far.
@@ -43,7 +43,7 @@
             now: ns.
         """
         self.identifiers = Identifiers()
-        self.module = Controller(seed, deployment(self.identifiers), now)
+        self.policy = Controller(seed, deployment(self.identifiers), now)
         self.pending_events = []
         self.timers = []
         self.timer_count = 0
@@ -115,7 +115,7 @@
         self.steps += 1
         self.events += len(events)
         orders = []
-        for order in self.module.step(now, events):
+        for order in self.policy.step(now, events):
             if isinstance(order, i.SetTimer):
                 self.timer_count += 1
                 heapq.heappush(self.timers, (now + max(1, order.after), self.timer_count, order.label))
--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -220,7 +220,7 @@
 
         def __init__(self, site, me, seed, now, *rest):
             super().__init__(site, me, seed, now, *rest)
-            self.module = policy(seed, site, now)
+            self.policy = policy(seed, site, now)
 
         def collections(self):
             """None: a baseline keeps nothing whose size is watched."""
--- a/embertray/experiments/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -76,7 +76,7 @@
 
         def enforce_memory_caps(self, now, step):
             super().enforce_memory_caps(now, step)
-            if now - self.module.context.started_at > 60 * 10**9 and "held" not in found:
+            if now - self.policy.context.started_at > 60 * 10**9 and "held" not in found:
                 gc.collect()
                 found["held"] = tracemalloc.get_traced_memory()[0] - found["start"]
                 found["accounted"] = {p: a.bytes for p, a in self.accounts.by_purpose.items()}
--- a/embertray/experiments/measure/pauses.py
+++ b/embertray/experiments/measure/pauses.py
@@ -34,7 +34,7 @@
             done = False
 
             def advance(self, now):
-                if not Set.done and now - self.module.context.started_at > 15 * 10**9:
+                if not Set.done and now - self.policy.context.started_at > 15 * 10**9:
                     Set.done = True
                     gc.collect()
                     if way == "freeze":
--- a/embertray/platform/protocol/platform_controller.py
+++ b/embertray/platform/protocol/platform_controller.py
@@ -49,7 +49,7 @@
         self.seed = configuration.numeric_seed
         super().__init__(self.seed, self.settings.deployment, now)
         self.translator = Translator(self.identifiers, self.settings.request_kinds)
-        self.order_caller = OrderCaller(self.module.context.deployment.channel_delay_max)
+        self.order_caller = OrderCaller(self.policy.context.deployment.channel_delay_max)
         self.proxies = ProxyRegistry()
         known = configuration.known_list()
         self.list_watch = EndpointListWatch(known.revision)
@@ -129,14 +129,14 @@
         """
         listed = [
             i.Endpoint(backend.handle, backend.zone, backend.state, backend.started)
-            for backend in self.module.backends
+            for backend in self.policy.backends
             if backend.state not in (None, "gone")
         ]
         for known in (self.identifiers.backends, self.identifiers.proxies):
             for handle in known.values():
                 handle.policy_state = None
         self.seed += 1
-        self.module = Controller(self.seed, self.settings.deployment(self.identifiers), now)
+        self.policy = Controller(self.seed, self.settings.deployment(self.identifiers), now)
         self.timers = []
         self.identifiers.nonces = {}
         joined = map(self.translator.proxy_event, self.proxies.joined.values())
@@ -145,8 +145,8 @@
     def clean_up(self):
         """Forget backends and proxies that left long ago, and nonces with no acknowledgement outstanding."""
         self.forget(lambda handle: handle.external_id in self.proxies.joined)
-        open_nonces = {nonce for proxy in self.module.proxies for nonce, _ in proxy.messages.unacknowledged}
-        open_nonces.update(self.module.publisher.budget.in_flight.by_nonce)
+        open_nonces = {nonce for proxy in self.policy.proxies for nonce, _ in proxy.messages.unacknowledged}
+        open_nonces.update(self.policy.publisher.budget.in_flight.by_nonce)
         self.identifiers.nonces = {
             number: nonce for number, nonce in self.identifiers.nonces.items() if nonce in open_nonces
         }
--- a/embertray/simulation/standins/fleet.py
+++ b/embertray/simulation/standins/fleet.py
@@ -88,7 +88,7 @@
         self.proxies = [i.Proxy(number) for number in range(proxies)]
         self.deployment = default_deployment(self.zones, proxies, **deployment)
         self.now = START_NS
-        self.module = controller(seed, self.deployment, self.now)
+        self.policy = controller(seed, self.deployment, self.now)
         self.pending_events = []
         self.backend_states = {}
         self.removed_at = {}
@@ -146,7 +146,7 @@
             self.deliver()
             events = self.pending_events
             self.pending_events = []
-            self.send(self.module.step(self.now, events))
+            self.send(self.policy.step(self.now, events))
             self._check_lines()
 
     def deliver(self):
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -45,7 +45,7 @@
     events, fleet.pending_events = fleet.pending_events + events, []
     sys.settrace(trace_calls)
     try:
-        orders = fleet.module.step(fleet.now, events)
+        orders = fleet.policy.step(fleet.now, events)
     finally:
         sys.settrace(None)
     fleet.send(orders)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -52,19 +52,19 @@
     def test_no_table_is_left_without_a_line_while_few_are_warm(self):
         """Guards against empty tables under congestion, when only the few warm backends get lines."""
         fleet = join_during_drains(400)
-        tables = fleet.module.publisher.tables
+        tables = fleet.policy.publisher.tables
         zone_tables = next(iter(tables.zones.values()))
         self.assertGreater(len(zone_tables.tables), 4)
         warm = {
             backend: 1.0
-            for backend in fleet.module.backends
+            for backend in fleet.policy.backends
             if backend.state == "ready" and backend.handle.external_id in ("be-150", "be-151", "be-152")
         }
         self.assertEqual(len(warm), 3)
         zone_tables.assign(warm, tables.lines_max(), tables.usual_rates())
         for table in zone_tables.tables:
             self.assertTrue(any(table.desired.values()), "a table without a line")
-        all_ready = {backend: 1.0 for backend in fleet.module.backends if backend.state == "ready"}
+        all_ready = {backend: 1.0 for backend in fleet.policy.backends if backend.state == "ready"}
         # with enough backends each table has its own again
         zone_tables.assign(all_ready, tables.lines_max(), tables.usual_rates())
         self.assertEqual(
@@ -83,7 +83,7 @@
         This happened when weights of other tables used up the channel budget in each control cycle.
         """
         fleet = join_during_drains(400)
-        empty_table = next(proxy.table for proxy in fleet.module.proxies if proxy.table)
+        empty_table = next(proxy.table for proxy in fleet.policy.proxies if proxy.table)
         empty_table.sent.clear()
         with mock.patch.object(
             ChannelBudget, "pending_lines", lambda self: 0.4 * self.context.deployment.pending_max
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -226,9 +226,9 @@
             await peer.stream.aclose()
         await anyio.sleep(120)
         self.assertEqual((len(core.identifiers.backends), len(core.identifiers.proxies)), (3, 1))
-        self.assertEqual((len(core.module.backends), len(core.module.proxies)), (3, 1))
+        self.assertEqual((len(core.policy.backends), len(core.policy.proxies)), (3, 1))
         self.assertEqual(
-            (len(core.start_times), len(core.outbox.withdrawn), len(core.module.publisher.removal.withdrawn)),
+            (len(core.start_times), len(core.outbox.withdrawn), len(core.policy.publisher.removal.withdrawn)),
             (0, 0, 0),
         )
         self.assertLessEqual(len(core.identifiers.nonces), 3)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -246,7 +246,7 @@
                         lambda: len(relay.event_queues) == limits.EVENT_STREAMS and relay.calls
                     )
                     while (
-                        service.controller.module.publisher.queue.due_at
+                        service.controller.policy.publisher.queue.due_at
                         or not service.controller.order_caller.idle
                     ):
                         await anyio.sleep(0.05)
@@ -316,7 +316,7 @@
                 for node in range(3):
                     relay.attach(node, "north")
                 await relay.wait_until(lambda: all(len(relay.lines(node)) == 2 for node in range(3)))
-                old, tables = service.controller.module, set(relay.tables)
+                old, tables = service.controller.policy, set(relay.tables)
 
                 def fault(*_):
                     raise KeyError("a fault")
@@ -324,7 +324,7 @@
                 old.weight_planner.plan = fault  # in the middle of a step: some parts have acted, some not
                 discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: all(len(relay.lines(node)) == 3 for node in range(3)))
-                self.assertIsNot(service.controller.module, old)
+                self.assertIsNot(service.controller.policy, old)
                 self.assertFalse({relay.bound[node] for node in range(3)} & tables)
                 discovery.change("be-1", phase="draining")
                 await relay.wait_until(
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -16,10 +16,10 @@
     while (
         controller.pending_events
         or not controller.order_caller.idle
-        or controller.module.publisher.queue.due_at
-        or controller.module.publisher.removal.pending
-        or controller.module.publisher.binding.pending
-        or any(proxy.messages.unacknowledged for proxy in controller.module.proxies)
+        or controller.policy.publisher.queue.due_at
+        or controller.policy.publisher.removal.pending
+        or controller.policy.publisher.binding.pending
+        or any(proxy.messages.unacknowledged for proxy in controller.policy.proxies)
     ):
         await anyio.sleep(0.02)
 
@@ -104,7 +104,7 @@
                 relay.attach(2, "north")  # told behind it
                 await relay.wait_until(lambda: relay.lines(2))
                 proxies_by_id = {
-                    proxy.handle.external_id: proxy for proxy in service.controller.module.proxies
+                    proxy.handle.external_id: proxy for proxy in service.controller.policy.proxies
                 }
                 self.assertTrue(proxies_by_id[1].messages.unacknowledged)  # its own answer is still owed
                 self.assertNotIn(
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -282,8 +282,8 @@
                 )
                 while (
                     relay.attached[1].endswith("1")
-                    or service.controller.module.publisher.queue.due_at
-                    or any(proxy.messages.unacknowledged for proxy in service.controller.module.proxies)
+                    or service.controller.policy.publisher.queue.due_at
+                    or any(proxy.messages.unacknowledged for proxy in service.controller.policy.proxies)
                 ):
                     await anyio.sleep(0.05)  # until nothing is on its way that would miss an answer
                 joined_before = dict(service.controller.proxies.joined_at)
