--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -1,5 +1,5 @@
-"""What the tests of the platform's controller share: settings, messages, and a running Service with its
-stand-ins.
+"""Shared fixtures of the tests of the platform's controller: settings, messages, and a running Service with
+stand-ins of the relay and discovery.
 """
 
 import json
@@ -97,7 +97,7 @@
 
 @asynccontextmanager
 async def running_service(prepare=lambda relay, discovery: None, **more):
-    """A running Service with its stand-ins, prepared by `before`: (service, relay, discovery)."""
+    """Yield (service, relay, discovery): a running Service with stand-ins that `prepare` has set up."""
     net = TcpNet()
     discovery = StandinDiscovery(
         net, {name: endpoint_fields(name, zone) for name, zone in (("be-1", "north"), ("be-2", "south"))}
@@ -125,7 +125,7 @@
 
 
 async def read_until_closed(stream):
-    """All that comes until the connection ends, and whether that was a reset."""
+    """Return all bytes until the connection ends, and whether it ended with a reset."""
     got = b""
     try:
         while True:
@@ -139,7 +139,7 @@
 
 
 async def read_all(stream):
-    """All that comes until the connection is closed."""
+    """Return all bytes until the connection is closed or reset."""
     got = b""
     try:
         while True:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP on loopback: what is owed, and what must not arrive any more, when one is given up."""
+"""Tests of abandoned HTTP calls on loopback: their timeouts, and that they do not arrive later."""
 
 import os
 import socket
@@ -11,11 +11,11 @@
 from embertray.common.net.tcp import TcpNet
 
 MS = 10**6
-BODY = b"x" * (16 << 20)  # more than the system takes for a peer that reads nothing
+BODY = b"x" * (16 << 20)  # more than fits into the socket buffers of a peer that does not read
 
 
 def unread_listener():
-    """A listening socket that takes connections and little of what is sent."""
+    """Return a listening socket with a small receive buffer, whose connections are not read."""
     listening = socket.socket()
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listening.bind(("127.0.0.1", 0))
@@ -24,7 +24,7 @@
 
 
 def read_to_end(listening):
-    """(bytes, whether the connection was reset) of all that still comes on the next connection."""
+    """Accept and read the next connection: (number of bytes, whether it was reset)."""
     peer, _ = listening.accept()
     received = 0
     with peer:
@@ -39,8 +39,9 @@
 
 class AbandonedCalls(unittest.TestCase):
     def run_scenario(self, body, reset, timeout=50 * MS):
-        """Asks a peer that reads nothing, gives the call up, and tells what the peer reads then and what the
-        call failed with.
+        """Call a peer that does not read, abandon the call, then let the peer read.
+
+        Returns (error of the call, descriptors closed, bytes read by the peer, whether it saw a reset).
         """
 
         async def scenario():
@@ -58,7 +59,7 @@
                     await connection.aclose(reset)
                     await anyio.sleep(
                         0
-                    )  # a transport that was told to end closes its socket in the next round
+                    )  # an aborted transport closes its socket in the next iteration of the event loop
                     after = len(os.listdir("/proc/self/fd"))
                     return failed, before - after, *await anyio.to_thread.run_sync(read_to_end, listening)
 
@@ -71,7 +72,7 @@
         self.assertLess(received, len(BODY))
 
     def test_an_abandoned_request_is_reset_and_does_not_arrive_later(self):
-        body = b"x" * 60_000  # the system takes it at once, the peer's window does not
+        body = b"x" * 60_000  # fits into the local send buffer, but not into the peer's window
         failed, closed, received, reset = self.run_scenario(body, True)
         self.assertTrue(failed.sent)
         self.assertEqual((closed, reset), (1, True))
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,6 +1,4 @@
-"""Memory by purpose: sizes against tracemalloc, caps driven to their actions, churn that leaves nothing
-behind.
-"""
+"""Tests of memory accounting: sizes compared with tracemalloc, actions at the caps, no leaks under churn."""
 
 import io
 import tracemalloc
@@ -28,7 +26,7 @@
 
 class Sizing(unittest.TestCase):
     def test_deep_size_agrees_with_the_allocator(self):
-        """Within a tenth, for what the accounts really hold: tuples, structs, dicts, objects with slots."""
+        """Within 8 percent, for the types of objects in the accounts: tuples, structs, dicts, deques."""
         for make in (
             lambda n: (n * 1000003, float(n), f"name-{n}"),
             lambda n: BackendTotals(f"b-{n}", n * 1000, 0, n * 10**9),
@@ -37,7 +35,9 @@
             lambda n: deque([n * 10**9]),
         ):
             tracemalloc.start()
-            objects = [make(n) for n in range(300, 40300)]  # many, as the allocator keeps some ready-made
+            objects = [
+                make(n) for n in range(300, 40300)
+            ]  # many objects, because the allocator reuses free ones
             allocated, _ = tracemalloc.get_traced_memory()
             tracemalloc.stop()
             computed = deep_size(objects)
@@ -60,8 +60,8 @@
         return MemoryAccounts({**dict.fromkeys(ACTIONS, 10**9), "streams": cap}, chance)
 
     def evaluate_with(self, accounts, now, count):
-        things = ["x" * 51] * count  # 100 bytes each, but one object: the sample counts it once
-        rows = [bytes(67) for _ in things]
+        things = ["x" * 51] * count  # one object, only used for the number of rows
+        rows = [bytes(67) for _ in things]  # 100 bytes each
         return accounts.evaluate(now, lambda: {"streams": [Collection("s", len(rows), lambda: rows)]})
 
     def test_a_cap_is_in_force_until_well_below_and_notified_once(self):
@@ -101,7 +101,7 @@
         site = load(SITES / "samples" / "pushed.xml")
         small, large = default_caps(site), default_caps(site.at(proxies=1000, backends=1000))
         self.assertTrue(all(small[p] >= CAP_BYTES_MIN and large[p] >= small[p] for p in small))
-        self.assertEqual(set(ACTIONS) - set(small), {"cluster"})  # nothing of it without the element
+        self.assertEqual(set(ACTIONS) - set(small), {"cluster"})  # only for sites with a cluster element
         cluster = ClusterSettings("c", S, 8 << 20, 1 << 16)
         self.assertEqual(default_caps(site.at(cluster=cluster))["cluster"], 2 * (8 << 20) + 2 * MEMBER_BYTES)
         core = ControllerCore(site.at(caps={"reports": 123}), site.controllers[0], 1, 0)
@@ -109,7 +109,7 @@
 
 
 class Caps(unittest.TestCase):
-    """Each cap driven to its action in the true daemon."""
+    """Drives each cap to its action in the real daemon."""
 
     @partial(with_daemon, caps={"streams": 60_000})
     async def test_joins_are_rejected_at_the_cap_and_joined_proxies_served(self, daemon):
@@ -166,7 +166,7 @@
         daemon.inventory.list("127.0.2.1:9000", "north")
         await anyio.sleep(100)
         self.assertFalse(core.accounts.by_purpose["list"].at_cap, core.accounts.rows())
-        self.assertIn("127.0.2.1:9000", core.state)  # requested again when there was capacity
+        self.assertIn("127.0.2.1:9000", core.state)  # requested again once usage was below the cap
 
     @partial(with_daemon, caps={"reports": 20_000}, reports_rate=5.0)
     async def test_reports_drop_the_oldest_and_say_so(self, daemon):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,5 +1,5 @@
-"""The controller on the platform: what it is told, the whole of it against stand-ins on loopback, and the
-program.
+"""Tests of the platform's controller: its configuration, the service against stand-ins on loopback, and the
+controller process.
 """
 
 import json
@@ -112,7 +112,7 @@
 
     def test_pending_reports_are_bounded_while_no_call_succeeds(self):
         controller = PlatformController(read_configuration(configuration_json()), 0, 0)
-        self.assertTrue(controller.advance(0))  # the first tables wait for a relay that is not there
+        self.assertTrue(controller.advance(0))  # the first tables are queued; there is no relay
         before = len(controller.pending_events)
         controller.add_proxy_events([ProxyJoined(1, "north", 1.0, True)])
         for _ in range(3 * limits.PENDING_EVENTS_MAX):
@@ -175,7 +175,7 @@
                     relay.next_faults, name, before = [fault] * times, f"new-{fault}", len(relay.calls)
                     discovery.change(name, locality="north", up_since_ms=0)
                     await relay.wait_until(lambda: name in relay.lines(1) and not relay.next_faults)
-                    # evidence spares a call that was carried out its repeat
+                    # an executed call is not repeated, because its nonce is acknowledged
                     first = relay.calls[before][1]
                     repeats = sum(orders == first for _, orders in relay.calls[before + 1 :])
                     self.assertEqual(repeats, times if fault in ("lose", "throttled") else 0)
@@ -234,7 +234,7 @@
                 self.assertTrue(any("given up: invalid: SET," in line.get("why", "") for line in told), told)
                 relay.is_malformed = lambda order: False
                 discovery.change("be-3", **endpoint_fields("be-3"))
-                await relay.wait_until(lambda: "be-3" in relay.lines(1))  # it goes on
+                await relay.wait_until(lambda: "be-3" in relay.lines(1))  # later orders are executed
 
         anyio.run(scenario)
 
@@ -261,10 +261,10 @@
                     )
                     self.assertFalse(
                         any(order.startswith("SYNC") for order in relay.calls[before][1])
-                    )  # a part was lost
+                    )  # the lost call is only a part of the step
                     self.assertEqual(
                         relay.calls[before + 1][1], relay.calls[before][1]
-                    )  # and goes again first
+                    )  # it is repeated before the other parts
                     self.assertEqual(
                         (
                             service.controller.order_caller.orders_given_up,
@@ -288,7 +288,7 @@
                 relay.attach(1, "north")
                 await relay.wait_until(
                     lambda: set(relay.lines(1)) == {"be-1", "be-2"}
-                )  # by the list that it was told at its start
+                )  # from the endpoint list in the configuration
                 self.assertEqual(relay.next_faults, [])
                 await alive.aclose()
 
@@ -321,7 +321,7 @@
                 def fault(*_):
                     raise KeyError("a fault")
 
-                old.weight_planner.plan = fault  # in the middle of a step: some parts have acted, some not
+                old.weight_planner.plan = fault  # fails in the middle of a step
                 discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: all(len(relay.lines(node)) == 3 for node in range(3)))
                 self.assertIsNot(service.controller.policy, old)
@@ -371,7 +371,7 @@
                 service.reload()
                 self.assertEqual(
                     service.configuration.relay.address, relay.address
-                )  # a bad file changes nothing
+                )  # an invalid file changes nothing
                 service.load_configuration = lambda: read_configuration(
                     configuration_json(other.address, elsewhere.address)
                 )
@@ -404,7 +404,7 @@
                     service.log = structlog.get_logger()
                     await group.start(
                         service.watch_hangups, SimpleNamespace(hangup_pending=True)
-                    )  # the first one at once
+                    )  # the pending hangup is handled at once
                     while rest:
                         been = anyio.Event()
                         os.kill(os.getpid(), signal.SIGHUP)
@@ -434,7 +434,7 @@
                         there.address,
                         here.address,
                         there.address,
-                    ):  # the last one counts
+                    ):  # the last one applies
                         service.load_configuration = lambda: read_configuration(
                             configuration_json(address, discovery.address)
                         )
@@ -462,7 +462,7 @@
         self.assertEqual([("probes" in one, "peers" in one) for one in told], [(True, False), (False, True)])
 
 
-# stands in for a library: tells that it is being imported, waits for a line, then makes way for the true one
+# replaces a library: reports its import, waits for a line on standard input, then imports the real library
 SLOW_IMPORT = """
 import sys
 print("importing", file=sys.stderr, flush=True)
@@ -476,8 +476,10 @@
 class ControllerProcess(unittest.TestCase):
     @contextmanager
     def program(self, slow=False, **more):
-        """(process, path of its configuration, logged): logged(word) is the next log line with that word.
-        `slow`: its imports stop until its standard input has a line."""
+        """Yield (process, configuration path, logged); logged(word) returns the next log line with the word.
+
+        `slow`: its imports block until a line is written to its standard input.
+        """
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "config.json")
             path.write_bytes(configuration_json(**more))
@@ -496,7 +498,7 @@
                 def logged(word):
                     return next((line for line in run.stderr if word in line), "{}")
 
-                watchdog = threading.Timer(60, run.kill)  # a line that never comes: then the log ends
+                watchdog = threading.Timer(60, run.kill)  # ends the log if an expected line is missing
                 watchdog.start()
                 try:
                     yield run, path, logged
@@ -520,7 +522,7 @@
                 path.write_bytes(bad)
                 run.send_signal(signal.SIGHUP)
                 self.assertIn("is not of the form address:port", json.loads(logged("can't be used"))["why"])
-            # settings hold for the process's life: at a new configuration they are not read
+            # settings are only read at startup: invalid ones in a reloaded configuration are ignored
             path.write_bytes(configuration_json(relay="127.0.0.1:2", settings={"profiles": [{}, 5]}))
             run.send_signal(signal.SIGHUP)
             self.assertEqual(json.loads(logged("new configuration"))["relay"], "127.0.0.1:2")
--- a/tests/test_platform_address.py
+++ b/tests/test_platform_address.py
@@ -1,4 +1,4 @@
-"""The controller's own address: its lines by bytes and times, and its connections on loopback."""
+"""Tests of the controller's listening address: the sans-I/O protocol, and connections on loopback."""
 
 import asyncio
 import json
@@ -138,13 +138,13 @@
             admission.reported(k)
         self.assertEqual(
             [admission.admit(k) for k in range(8, 13)], [3, 4, 5, 6, 7]
-        )  # silent ones, the oldest first
+        )  # collectors without a report, the oldest first
         for k in range(8, 13):
             admission.reported(k)
         self.assertEqual(
             [admission.admit(13), admission.admit(14)], [1, 13]
-        )  # then by the last report; the newest silent one
-        admission.reported(1)  # on its way out
+        )  # then the least recently reporting one; 13 has not reported
+        admission.reported(1)  # a report of an evicted collector
         admission.release(2)
         self.assertIsNone(admission.admit(15))
         self.assertEqual(
@@ -157,8 +157,8 @@
 
 
 class ScriptedStream:
-    """A stream by hand: gives its pieces one by one, then its end; keeps what was sent, and what was unread
-    at the close.
+    """A stub stream that delivers its pieces one by one, then its end; records the bytes sent and the number
+    of pieces left unread at the close.
     """
 
     def __init__(self, *pieces):
@@ -200,8 +200,8 @@
 
 
 class JumpingClockLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock, once `is_late`, has moved on past every limit at each look at it: what a process
-    sees that gets no processor time between two of its lines.
+    """An event loop whose clock, while `jumping`, advances by more than the reply timeout at every reading,
+    as in a process that gets no CPU time.
     """
 
     jumping = False
@@ -213,10 +213,10 @@
 
 
 class LateReplies(unittest.TestCase):
-    """Guards against a reply that is owed and lost as its time limit ran out before it was written."""
+    """Guards against a reply that is lost because its timeout expires before it is written."""
 
     def run_scenario(self, write, **loop):
-        """What a peer gets that sends what can't be read; `write(send)` is called in place of `send`."""
+        """Return what a peer that sends malformed data receives; `write(send)` replaces `send`."""
 
         async def scenario():
             async with running_service() as (service, _, _):
@@ -288,7 +288,9 @@
                 )
                 late = await joined(BACKEND_REPORT_LINE)
                 relay.attach(1, "north")
-                await relay.wait_until(lambda: relay.lines(1))  # a call had its descriptor
+                await relay.wait_until(
+                    lambda: relay.lines(1)
+                )  # a descriptor was left for a call to the relay
                 for stream in (collector, late):
                     await stream.send(BACKEND_REPORT_LINE + b'{"@type":"hb"}\n')
                     self.assertEqual(await stream.receive(), HEARTBEAT_REPLY)
@@ -308,7 +310,7 @@
                 await unfinished.send_eof()
                 self.assertEqual(
                     await read_until_closed(unfinished), (HEARTBEAT_REPLY, False)
-                )  # a line that was not ended is none
+                )  # an incomplete line is ignored
                 for _ in range(3):
                     garbled = await connect_client(service, b'{"@type":"hb"}\n\xff\n' + b"x" * 450_000)
                     self.assertEqual(await read_until_closed(garbled), (HEARTBEAT_REPLY + REJECTION, False))
@@ -323,7 +325,7 @@
                     self.assertEqual(await collector.receive(), HEARTBEAT_REPLY)
                     await collector.send(BACKEND_REPORT_LINE.replace(b"be-1", b"nobody") + b'{"unfinished')
                     if reset:
-                        await collector.send(b"\xff\n")  # what can't be read ends it; what came before counts
+                        await collector.send(b"\xff\n")  # malformed data closes it; the earlier report counts
                     await collector.send_eof()
                     self.assertEqual(await read_until_closed(collector), (b"", False))
                     self.assertEqual(service.controller.unknown_reports, k + 1)
@@ -334,7 +336,7 @@
         async def scenario():
             async with running_service() as (service, _, _):
                 host, _, number = service.address.rpartition(":")
-                for _ in range(100):  # all within one turn of the loop: nothing is taken meanwhile
+                for _ in range(100):  # within one iteration of the event loop: no accept in between
                     with socket.create_connection((host, int(number))) as gone:
                         gone.sendall(JOIN_LINE + BACKEND_REPORT_LINE)
                         gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -385,9 +387,7 @@
             def dial():
                 return resources.enter_context(socket.create_connection((host, int(number)), 30))
 
-            strangers = [
-                dial() for _ in range(120)
-            ]  # none says a word: each is turned away 1 s after it was taken
+            strangers = [dial() for _ in range(120)]  # all are silent: each is rejected 1 s after its accept
             self.assertEqual({peer.recv(100) for peer in strangers}, {REJECTION})
             last = dial()
             last.sendall(b'{"@type":"hb"}\n')
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -1,6 +1,4 @@
-"""Discovery: what is asked and what an answer means, by bytes and times, and answers that end at the wrong
-moment on loopback.
-"""
+"""Tests of discovery: requests and answers of the sans-I/O protocol, and broken answers on loopback."""
 
 import json
 import unittest
@@ -45,7 +43,7 @@
         watch.on_answer(20 * S, 200, self.body(50, True, endpoint_fields("be-1", phase="draining")))
 
     def test_an_older_list_at_a_new_address_is_ignored_too(self):
-        for now in (S, 20 * S):  # clocks may begin at zero
+        for now in (S, 20 * S):  # the monotonic clock may start near zero
             watch = EndpointListWatch()
             watch.on_answer(now, 200, self.body(43, True, endpoint_fields("be-1", phase="draining")))
             watch.on_address_change()
@@ -53,7 +51,7 @@
             self.assertIsNone(watch.on_answer(now, 200, self.body(42, True, endpoint_fields("be-1"))))
             self.assertEqual(
                 watch.next_request(now)[0], "/catalog/members"
-            )  # still: it has not told a list that counts
+            )  # again: no list was accepted yet
             self.assertEqual(
                 watch.on_answer(now + S, 200, self.body(43, True, endpoint_fields("be-1", phase="draining")))[
                     0
@@ -65,7 +63,7 @@
             self.assertIsNone(watch.on_answer(now + S, 200, self.body(1, True)))
             self.assertEqual(
                 watch.on_answer(now + S + limits.STALE_LIST_MAX_NS, 200, self.body(1, True))[0], "whole"
-            )  # it began anew
+            )  # discovery has restarted its revisions
 
     def test_immediate_answers_without_changes_slow_down_the_requests(self):
         watch = EndpointListWatch()
@@ -87,9 +85,7 @@
             pauses,
             [20 * MS, 40 * MS, 80 * MS, limits.UNCHANGED_BACKOFF_MAX_NS, limits.UNCHANGED_BACKOFF_MAX_NS],
         )
-        self.assertLess(
-            limits.UNCHANGED_BACKOFF_MAX_NS, 200 * MS
-        )  # a watch goes on if it is asked again within that
+        self.assertLess(limits.UNCHANGED_BACKOFF_MAX_NS, 200 * MS)  # a watch has to be renewed within 200 ms
         watch.next_request(2 * S)
         watch.on_answer(2 * S + limits.WATCH_HOLD_NS, 200, self.body(43, False))
         self.assertEqual(watch.request_delay(), 0)
@@ -136,7 +132,7 @@
                 members = dict(discovery.members)
                 for listed in ({}, members):
                     discovery.members, discovery.revision = listed, discovery.revision + 1
-                    service.controller.list_watch.on_address_change()  # the next answer is a whole list
+                    service.controller.list_watch.on_address_change()  # requests the complete list
                     for stream in list(discovery.connections):
                         await anyio.aclose_forcefully(stream)
                     await relay.wait_until(lambda: set(relay.lines(1)) == set(listed))
@@ -144,7 +140,7 @@
         anyio.run(scenario)
 
     def test_a_slowly_transferred_list_is_accepted(self):
-        """Longer than it may take to begin: only silence is a break."""
+        """The transfer takes longer than the timeout of the first byte, which does not apply to it."""
 
         async def scenario():
             async with running_service() as (service, relay, discovery):
@@ -179,7 +175,7 @@
                         await anyio.sleep(0.01)
 
                 discovery.answers_watches_at_once, before = True, len(discovery.request_targets)
-                for stream in list(discovery.connections):  # the watch that waits
+                for stream in list(discovery.connections):  # closes the pending watch
                     await anyio.aclose_forcefully(stream)
                 await wait_for_requests(2)
                 first = service.clock.now()
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -1,5 +1,5 @@
-"""Backends, proxies and nonces that end while something of theirs is on its way: the whole controller on
-loopback.
+"""Tests of backends, proxies and nonces that are removed while orders for them are in flight, with the
+complete controller on loopback.
 """
 
 import unittest
@@ -11,7 +11,7 @@
 
 
 async def wait_until_idle(service, relay):
-    """Until nothing is on its way."""
+    """Wait until nothing is pending or in flight."""
     controller = service.controller
     while (
         controller.pending_events
@@ -26,8 +26,10 @@
 
 class Backends(unittest.TestCase):
     def run_scenario(self, fault, *changes):
-        """A backend is added by a call that ends by `fault`; `facts` of it come once that call is there, one
-        after the other. Its weight at the proxy in the end, or None."""
+        """Add a backend with a call that ends by `fault`, and apply `changes` once the relay has the call.
+
+        Returns its final weight at the proxy, or None.
+        """
 
         async def scenario():
             async with running_service() as (service, relay, discovery):
@@ -101,12 +103,14 @@
                     )
                 )
                 relay.send_event("done", f"node=1&nonce={old_nonce}&latency=5")
-                relay.attach(2, "north")  # told behind it
+                relay.attach(2, "north")  # reported after the old nonce
                 await relay.wait_until(lambda: relay.lines(2))
                 proxies_by_id = {
                     proxy.handle.external_id: proxy for proxy in service.controller.policy.proxies
                 }
-                self.assertTrue(proxies_by_id[1].messages.unacknowledged)  # its own answer is still owed
+                self.assertTrue(
+                    proxies_by_id[1].messages.unacknowledged
+                )  # its own acknowledgement is still missing
                 self.assertNotIn(
                     old_nonce, [nonce.external_id for nonce, _ in proxies_by_id[1].messages.unacknowledged]
                 )
@@ -121,7 +125,7 @@
                 await relay.wait_until(lambda: relay.lines(1) and relay.lines(2))
                 await wait_until_idle(service, relay)
                 before = len(relay.calls)
-                del relay.bound[2]  # what is sent to its table does not reach it: it answers nothing
+                del relay.bound[2]  # orders for its table no longer reach it, so it acknowledges nothing
                 discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: "be-3" in relay.lines(2))
                 binds = [
--- a/tests/test_platform_generated.py
+++ b/tests/test_platform_generated.py
@@ -1,6 +1,4 @@
-"""Generated input for all that is parsed on the platform: any bytes, in any pieces, with an end at any
-byte.
-"""
+"""Property tests of all parsers of the platform's protocol: arbitrary bytes, split and truncated anywhere."""
 
 import contextlib
 import json
@@ -114,7 +112,7 @@
                 <= (one.attempts if isinstance(one, BackendReport) else one.requests)
             )
         late = whole.check_join_deadline(limits.JOIN_TIMEOUT_NS)
-        self.assertTrue(late or whole.zone)  # a stranger has its reply or close by then
+        self.assertTrue(late or whole.zone)  # by then a peer has joined or is closed
         if whole.zone is None and whole.close_reason:
             self.assertTrue(whole.outgoing.endswith(REJECTION))
         whole.receive(b"")
@@ -159,7 +157,7 @@
         except UnreadableAnswerError:
             answer = None
         if isinstance(answer, OrdersAccepted) and answer.count <= len(orders):
-            # but for its last figure: an answer may be asked of all proxies now
+            # without the last digit: the acknowledgement may now be requested from all proxies
             self.assertEqual(
                 [order[:-1] for order in left], [order[:-1] for order in orders[answer.count + 1 :]]
             )
@@ -220,8 +218,9 @@
         )
     )
     def test_proxy_events_form_one_consistent_sequence(self, actions):
-        """Whatever the connections do: nobody is told to leave who is not there, or to join twice; in the end
-        the story is the leader's."""
+        """However streams open and break, no proxy joins twice or leaves before it joined; in the end
+        the registry matches the leader's view.
+        """
         registry, now, open_streams, joined = ProxyRegistry(), 0, set(), set()
         for stream, action, proxy in actions:
             now += 100 * MS
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -1,4 +1,4 @@
-"""The relay: what calls, their answers and the news of proxies mean, by bytes and times."""
+"""Tests of the relay's protocol: calls, their answers and event streams."""
 
 import unittest
 
@@ -59,7 +59,7 @@
         self.assertIsNone(caller.next_call(100 * MS))
         self.assertEqual(
             caller.next_call(200 * MS + limits.ACKNOWLEDGEMENT_WAIT_NS).orders[0], "SET,1,be-1,1"
-        )  # nobody answered its mark: again
+        )  # repeated: its nonce was not acknowledged
 
     def test_a_refused_order_is_dropped_and_the_rest_is_sent(self):
         caller = self.caller()
@@ -67,7 +67,7 @@
         caller.on_answer(0, 200, ACCEPTED_ANSWER % 1)
         self.assertEqual(
             caller.next_call(0).orders, ["USE,4,1,*", "SYNC,7,1"]
-        )  # who got the first part answers, too
+        )  # proxies that got the first part must acknowledge, too
 
     def test_the_backoff_of_a_rejected_call_grows(self):
         caller, now, waits = self.caller(), 0, []
@@ -82,8 +82,10 @@
         self.assertEqual(caller.orders_given_up, 0)
 
     def run_with_rejections(self, is_invalid, word=b"invalid"):
-        """Plays a caller against a relay that takes no call with an order that `is_invalid(order)`: (caller,
-        orders taken, lines for the log)."""
+        """Run a caller against a relay that rejects every call with an order for which `is_invalid(order)`.
+
+        Returns (caller, accepted orders, log messages).
+        """
         caller, taken, log_texts, now = self.caller(), [], [], 0
         for _ in range(100):
             if caller.idle:
@@ -98,7 +100,12 @@
         self.fail("the calls have no end")
 
     def test_an_invalid_call_is_bisected_and_only_invalid_orders_are_lost(self):
-        orders = ["SET,1,be-1,1", "USE,3,1,*", "USE,4,1,*", "SYNC,7,1"]  # all are to answer: it was parted
+        orders = [
+            "SET,1,be-1,1",
+            "USE,3,1,*",
+            "USE,4,1,*",
+            "SYNC,7,1",
+        ]  # 1: by all proxies, because the call is split
         for word in (b"invalid", b"unheard"):
             for bad in orders:
                 caller, taken, log_texts = self.run_with_rejections(
@@ -110,7 +117,9 @@
                 self.assertIn(bad[:5], named[0])
         once = iter([True])
         caller, taken, _ = self.run_with_rejections(lambda order: next(once, False))
-        self.assertEqual((taken, caller.orders_given_up), (orders, 0))  # it was the answer that was wrong
+        self.assertEqual(
+            (taken, caller.orders_given_up), (orders, 0)
+        )  # no order was invalid, only the answer was wrong
         caller, taken, _ = self.run_with_rejections(lambda order: True)
         self.assertEqual((taken, caller.orders_given_up), ([], len(orders)))
 
@@ -176,7 +185,7 @@
             parser.receive(b"x" * (limits.EVENT_MAX_BYTES + 1))
 
     def registry(self):
-        """Two connections on which proxies 1 and 2 stand, both past their opening; 'a' leads."""
+        """Two synchronized streams with proxies 1 and 2 joined; 'a' is the leader."""
         registry, joins = (
             ProxyRegistry(),
             [ProxyJoined(1, "north", 1.0, True), ProxyJoined(2, "north", 1.0, True)],
@@ -256,9 +265,9 @@
                     lambda: relay.lines(1) and len(relay.event_queues) == limits.EVENT_STREAMS
                 )
                 relay.attach(2, "north")
-                while any(relay.event_queues):  # until the relay has sent it; nobody else has run since
+                while any(relay.event_queues):  # until the relay has sent the event
                     await anyio.lowlevel.checkpoint()
-                del relay.attached[2]  # it is told once, by the last bytes
+                del relay.attached[2]  # so that the event is only in the last bytes of the streams
                 for stream in list(relay.connections):
                     await anyio.aclose_forcefully(stream)
                 await relay.wait_until(
@@ -266,7 +275,7 @@
                 )
                 await relay.wait_until(lambda: len(relay.event_queues) == limits.EVENT_STREAMS)
                 while 2 in service.controller.proxies.joined:
-                    await anyio.sleep(0.02)  # and is known to have left once what stands was told
+                    await anyio.sleep(0.02)  # it leaves once the new streams are synchronized
 
         anyio.run(scenario)
 
@@ -285,14 +294,14 @@
                     or service.controller.policy.publisher.queue.due_at
                     or any(proxy.messages.unacknowledged for proxy in service.controller.policy.proxies)
                 ):
-                    await anyio.sleep(0.05)  # until nothing is on its way that would miss an answer
+                    await anyio.sleep(0.05)  # until no acknowledgement is outstanding
                 joined_before = dict(service.controller.proxies.joined_at)
                 binds = sum(order.startswith("USE,2,") for _, orders in relay.calls for order in orders)
-                del relay.bound[1]  # nobody is told
+                del relay.bound[1]  # without an event
                 relay.attached[1] = relay.attached[1].replace("cold=0", "cold=1")
                 for stream in list(relay.connections):
                     await anyio.aclose_forcefully(stream)
-                # by the news, not by the next mark that it misses: that may be long in coming
+                # detected by the join event, not by a missing acknowledgement, which may take long
                 await relay.wait_until(
                     lambda: service.controller.proxies.joined_at[1] > joined_before[1] and relay.lines(1)
                 )
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,6 +1,6 @@
-"""What former versions of the program stored is read by this one: each value, and each refusal.
+"""Tests that data stored by former versions is read: every value, and the rejection of damaged files.
 
-The files of data/old-text were written by an older text of the program (README.txt there says which and how).
+The files of data/old-text were written by an older version (README.txt there says which one and how).
 Structures are compared as plain lists in the order of the file, so that only names in Python may change.
 """
 
@@ -24,11 +24,11 @@
 TESTS = Path(__file__).resolve().parent
 OLD_FILES = TESTS / "data" / "old-text"
 SECOND_NS = 10**9
-SAVED_AT_NS = 1_700_000_000 * SECOND_NS  # the wall clock's time in all files
+SAVED_AT_NS = 1_700_000_000 * SECOND_NS  # the wall clock in all files
 
 
 class StoredFile(unittest.TestCase):
-    """A folder for one file of the older text, at the place where its reader looks for it."""
+    """A temporary folder with one file of the older version, at the path that its reader expects."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -36,7 +36,7 @@
         self.folder = Path(folder.name)
 
     def place_snapshot(self, name, flipped_byte=None):
-        """Copies a file of the older text to where the newest snapshot stands; flips one byte if asked."""
+        """Copies a file of the older version as the newest snapshot, optionally with one byte flipped."""
         content = bytearray((OLD_FILES / name).read_bytes())
         if flipped_byte is not None:
             content[flipped_byte] ^= 0xFF
@@ -161,7 +161,7 @@
 
 
 class RecordedStream(unittest.TestCase):
-    """The streams of tests/streams were recorded by the older text, too; test_recorded.py plays them all."""
+    """The older version also recorded the streams of tests/streams; test_recorded.py replays them all."""
 
     PATH = TESTS / "streams" / "kill.zst"
 
@@ -177,7 +177,7 @@
     ALL_MET = {"post": 1.0, "view": 1.0}
 
     def open_copy(self, content=None):
-        """A copy is opened: sqlite may write to what it opens."""
+        """Opens a copy, because sqlite may write to the file."""
         path = self.folder / self.PATH.name
         if content is None:
             shutil.copy(self.PATH, path)
@@ -216,7 +216,7 @@
         self.assertEqual(self.open_copy().done(), {"n=3;module;1", "n=3;even;1", "n=10;module;1"})
 
     def test_a_flipped_byte_in_its_first_bytes_is_refused(self):
-        """sqlite keeps no checksum: what it refuses is a file that does not begin as a database does."""
+        """sqlite has no checksum: it only rejects a file with a wrong header."""
         content = bytearray(self.PATH.read_bytes())
         content[3] ^= 0xFF
         with self.assertRaises(sqlite3.DatabaseError):
@@ -224,7 +224,7 @@
 
 
 def as_lists(state):
-    """A state as it stands in its file: arrays as lists, values as bytes."""
+    """A state as stored in its file: arrays as lists, values as bytes."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(state))
 
 
