--- a/embertray/cluster/limits/core.py
+++ b/embertray/cluster/limits/core.py
@@ -164,7 +164,7 @@
             return []  # duplicate, or older than the last request
         self.quota_holder.on_peer_request(sender, request)
         self.highest_ballot = max(self.highest_ballot, request.ballot)
-        self.proposer.highest_known = max(self.proposer.highest_known, request.ballot)
+        self.proposer.highest_leader_ballot = max(self.proposer.highest_leader_ballot, request.ballot)
         if request.leading and request.ballot >= self.leader_ballot:
             self.leader_ballot = request.ballot
             self.leader = sender
--- a/embertray/cluster/limits/lease.py
+++ b/embertray/cluster/limits/lease.py
@@ -98,7 +98,7 @@
         lease_ends_at: When this member's lease ends, ns by its clock.
         leader_ballot: The ballot under which it leads. Renewals without a gap keep it, unless a later ballot
             is known: members that know the later one would consider this member a former leader.
-        highest_known: The highest known ballot of a leader.
+        highest_leader_ballot: The highest known ballot of a leader.
     """
 
     def __init__(self, name, index, count, config):
@@ -121,7 +121,7 @@
         self.proposed_at = 0
         self.leader_ballot = 0
         self.lease_ends_at = 0
-        self.highest_known = 0
+        self.highest_leader_ballot = 0
 
     def holds_lease(self, now):
         """Return whether this member holds the lease.
@@ -188,7 +188,7 @@
         ends_at = self.proposed_at + self.config.lease_term
         if not self.has_majority() or ends_at <= max(now, self.lease_ends_at):
             return False
-        if not self.holds_lease(now) or self.leader_ballot < self.highest_known:
+        if not self.holds_lease(now) or self.leader_ballot < self.highest_leader_ballot:
             self.leader_ballot = self.ballot
         self.lease_ends_at = ends_at
         return True
