--- a/embertray/cluster/state/store.py
+++ b/embertray/cluster/state/store.py
@@ -87,7 +87,7 @@
                 if rank == stored_rank and written_at < stored.written_at:
                     self.entries[entry_id] = stored._replace(written_at=written_at)
                 return False
-        if not self.has_room(owner, self.growth(entry_id, entry.value)):
+        if not self.make_room(owner, self.growth(entry_id, entry.value)):
             self.shed[owner] += 1
             return False
         self.set(entry, written_at)
@@ -107,7 +107,7 @@
             if self.entries[entry_id].incarnation < incarnation:
                 self.remove(entry_id)
 
-    def has_room(self, owner, growth):
+    def make_room(self, owner, growth):
         """Return whether a received entry may be stored; evict entries of larger owners if necessary.
 
         Args:
