--- a/embertray/cluster/limits/accounts.py
+++ b/embertray/cluster/limits/accounts.py
@@ -56,7 +56,13 @@
 
 
 class Accounts:
-    """The accounts of all members during one leader's term, and the proxies that each has claimed."""
+    """The accounts of all members during one leader's term, and the proxies that each has claimed.
+
+    Attributes:
+        began_at: When the leader's term began, ns.
+        accounts: member -> MemberAccount.
+        inherited_requests: member -> its last QuotaRequest that was known when the term began.
+    """
 
     def __init__(self, names, pools, floors, config, now, earlier_requests=None):
         """Create the accounts of a new leader.
@@ -83,7 +89,9 @@
             ]
 
     def record_request(self, now, name, request):
-        """Record a member's request.
+        """Record a member's request, and drop the grants before the one that it has in force.
+
+        If it is the first request of a later incarnation, the former one becomes an IncarnationRecord.
 
         Args:
             now: The time, ns.
@@ -99,7 +107,8 @@
             return False
         former = account.request if heard else self.inherited_requests.get(name)
         if former is not None and former.incarnation < request.incarnation:
-            # Its proxies keep the quota that the former incarnation sent them.
+            # The member's proxies keep the quotas that the former incarnation sent them, so that one is still
+            # charged.
             grants = account.grants if heard else None
             account.former_incarnations.append(IncarnationRecord(former, grants, now))
             account.grants = {}
@@ -113,8 +122,9 @@
     def unclaimed_proxies(self, name, request):
         """Return the proxies of a request that no other member has claimed since.
 
-        A member claims a proxy by listing it as acknowledged (using that member's quota) in a request sent
-        with knowledge of this one. A later incarnation of the same member can claim proxies, too.
+        A member claims a proxy by listing it as acknowledged, that is, as using the claimant's quota, in a
+        request that it sent after it had received this one. A later incarnation of the same member can claim
+        proxies, too.
 
         Args:
             name: Name of the member that sent the request.
--- a/embertray/cluster/limits/election.py
+++ b/embertray/cluster/limits/election.py
@@ -58,6 +58,8 @@
     def run_election(self, now):
         """Renew the lease, or try to acquire it if no leader was heard of for half a term.
 
+        A member whose history is incomplete requests the histories of the others instead.
+
         A candidate waits for a random time before its next attempt, so that two candidates do not keep
         preempting each other's ballots.
 
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -2,8 +2,8 @@
 
 No units are granted that are charged to another member.
 
-- A member that is heard is charged the maximum of what its proxies may use and of the grants that it may
-  still apply.
+- A member that the leader hears from is charged the maximum of what its proxies may use and of the grants
+  that it may still apply.
 - A silent member is charged the same for the drift-adjusted term, because it may raise its proxies' quotas
   until then. Afterwards it cannot raise them any more, but proxies keep the quota that they were sent; so it
   is charged what its proxies may use that no other member has claimed.
@@ -88,6 +88,9 @@
     def may_raise_quotas(self, now, name, record):
         """Return whether an incarnation may still raise quotas, or may have given up proxies unnoticed.
 
+        It may raise quotas until the drift-adjusted term has passed since `heard_at`. It may have given up
+        proxies unnoticed if it is the current one and another member has received a later request of it.
+
         Args:
             now: The time, ns.
             name: Name of the member.
--- a/embertray/cluster/limits/proxy_quotas.py
+++ b/embertray/cluster/limits/proxy_quotas.py
@@ -64,7 +64,7 @@
     # ---- proxies
 
     def proxy_joined(self, proxy):
-        """Record that a proxy has connected. Until it acknowledges a quota of this member it uses another's.
+        """Record that a proxy has connected. Until it acknowledges a quota it may use another member's.
 
         Args:
             proxy: The proxy.
@@ -112,6 +112,9 @@
     def proxy_acknowledged(self, limit, proxy, units):
         """Record that a proxy uses a quota.
 
+        Only the acknowledgement of the quota that was sent last lowers the units that the proxy may use:
+        after an earlier one it may still switch to the last.
+
         Args:
             limit: The limit.
             proxy: The proxy.
--- a/embertray/cluster/link/link.py
+++ b/embertray/cluster/link/link.py
@@ -74,13 +74,13 @@
         return memory_collections(self)
 
     def set_growth_blocked(self, blocked):
-        """Set whether received entries that need more memory are shed.
+        """Set whether the store sheds received entries that would make it grow.
 
         Args:
-            blocked: Whether memory is at its cap.
+            blocked: Whether the memory account of the cluster is at its cap.
 
         Returns:
-            The number of entries shed so far.
+            The number of entries that were shed or evicted so far, because of this or of the store's own cap.
         """
         self.store.growth_blocked = blocked
         return sum(self.store.shed.values())
@@ -118,7 +118,7 @@
             await self.stopped.wait()
 
     def on_advance(self, now):
-        """Log membership changes, and apply them to the store.
+        """Log membership changes, and update the store: expired entries and this member's incarnation.
 
         Args:
             now: The time, ns.
--- a/embertray/cluster/link/state_exchange.py
+++ b/embertray/cluster/link/state_exchange.py
@@ -134,7 +134,7 @@
 
         Raises:
             AddressError: The address is not a loopback address.
-            LinkError, FrameError, msgspec.DecodeError: What came is not what is due.
+            LinkError, FrameError, msgspec.DecodeError: The received data is not the expected message.
             OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream
                 broke, or ended.
         """
--- a/embertray/cluster/link/state_stream.py
+++ b/embertray/cluster/link/state_stream.py
@@ -46,12 +46,12 @@
         """Return the next message.
 
         Args:
-            expected: The class that it has to be of.
+            expected: Class of the expected message.
 
         Raises:
-            FrameError: What came is no frame.
-            msgspec.DecodeError: It is no message.
-            UnexpectedMessageError: It is a message of another class.
+            FrameError: The received data is not a valid frame.
+            msgspec.DecodeError: The frame does not contain a valid message.
+            UnexpectedMessageError: The message is of another class.
             OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError: The stream
                 broke, or ended.
         """
--- a/embertray/cluster/link/status.py
+++ b/embertray/cluster/link/status.py
@@ -3,7 +3,7 @@
 from embertray.common.memory import Collection
 
 SECOND_NS = 10**9
-REJECTED_SHOWN = 16  # rejected messages are listed by the most frequent (reason, address) pairs
+REJECTED_SHOWN = 16  # the most frequent (reason, address) pairs of rejected messages are listed
 FACTS_KEY = "facts"  # key of the entry in which each member shares data about itself
 
 
--- a/embertray/cluster/membership/handlers.py
+++ b/embertray/cluster/membership/handlers.py
@@ -38,7 +38,10 @@
                 raise TypeError(f"no handler for {type(message).__name__}")
 
     def on_ack(self, message):
-        """End the acknowledged probe; the requester of an indirect probe is sent an Ack, too.
+        """End the acknowledged probe.
+
+        A probe of this member's own improves its local health; for a probe that was made on behalf of another
+        member, that member is sent an Ack.
 
         Args:
             message: The Ack.
@@ -100,7 +103,8 @@
         """Record that this member has joined, and make sure that its incarnation is the latest of its name.
 
         If the wall clock is behind the incarnation of a former process of this name, peers would reject all
-        messages of this one. It therefore takes the incarnation that follows the one they remember.
+        messages of this one. It therefore takes the incarnation that follows the one they remember. If it has
+        joined already, the later incarnation belongs to a newer process of this name, and this one ends.
 
         Args:
             now: The time, ns.
--- a/embertray/cluster/membership/reconnector.py
+++ b/embertray/cluster/membership/reconnector.py
@@ -10,7 +10,10 @@
     """Pings dead members, joins through seeds, and requests the full state of active members."""
 
     def reconnect(self):
-        """Run one round of all three."""
+        """Run one reconnection attempt: Pings to dead members, and Joins to an active member and to seeds.
+
+        Once this member has joined, seeds are sent a Join only while no known member is dead.
+        """
         dead = sorted(member.name for member in self.members.values() if member.state == DEAD)
         unknown_seeds = self.unknown_seeds()
         self.ping_dead_members(dead)
--- a/embertray/cluster/membership/state.py
+++ b/embertray/cluster/membership/state.py
@@ -22,7 +22,7 @@
         members: MemberTable of all other members.
         events: MemberChanged events; the caller reads and clears them.
         rejected: (reason, address) -> number of rejected messages.
-        joined: Whether a peer knows this incarnation.
+        joined: Whether a peer knows this incarnation, or there are no seeds.
         ended: Why this process has to end; "" while it runs.
         last_heard_at: When the last message from another member arrived, ns.
     """
@@ -101,7 +101,7 @@
         """Stop the state machine for good: no more probes, messages or replies.
 
         Args:
-            reason: The reason, for the log.
+            reason: The reason, for the status and the log.
         """
         self.ended = reason
         self.probes = {}
--- a/embertray/cluster/membership/statements.py
+++ b/embertray/cluster/membership/statements.py
@@ -112,7 +112,9 @@
         self.gossip.put(statement)
 
     def on_member_returned(self, member):
-        """Request the full state of a member that was considered dead: a network partition may have ended.
+        """Probe a member again that was dead or had left, and request its full state.
+
+        A network partition may have ended, in which case the member knows the other side's members.
 
         Args:
             member: The Member.
--- a/embertray/cluster/state/store.py
+++ b/embertray/cluster/state/store.py
@@ -22,7 +22,8 @@
     entries of the owner with the largest total size.
 
     Attributes:
-        shed: owner -> number of its entries that were shed or evicted because of the cap.
+        shed: owner -> number of its entries that were shed or evicted, because of the cap or of
+            `growth_blocked`.
         growth_blocked: Whether received entries that would make the store grow are shed.
         incarnations: owner -> the latest known incarnation.
         complete_up_to: owner -> (incarnation, version) up to which all of its entries are known.
@@ -108,11 +109,14 @@
                 self.remove(entry_id)
 
     def make_room(self, owner, growth):
-        """Return whether a received entry may be stored; evict entries of larger owners if necessary.
+        """Evict entries of larger owners until a received entry fits under the cap, if that is possible.
 
         Args:
             owner: Name of the entry's owner.
             growth: Growth of the store by the entry, bytes.
+
+        Returns:
+            Whether the entry may be stored; if not, some entries may have been evicted nevertheless.
         """
         if self.growth_blocked and growth > 0:
             return False
--- a/embertray/cluster/state/table.py
+++ b/embertray/cluster/state/table.py
@@ -14,6 +14,7 @@
         size_bytes: Total size of all entries, bytes.
         bytes_by_owner: owner -> total size of its entries, bytes.
         tombstones: EntryIds of deleted entries.
+        changes: Number of calls of `set` so far; it numbers the changes.
     """
 
     def __init__(self):
