--- a/embertray/cluster/replication/candidate.py
+++ b/embertray/cluster/replication/candidate.py
@@ -100,7 +100,10 @@
         return now - self.leader_last_received_at < self.timing.election_timeout_min
 
     def _is_up_to_date(self, message):
-        """Whether the sender's log is at least as new as this replica's, as Raft requires for a vote."""
+        """Whether the sender's log is at least as new as this replica's.
+
+        A candidate that a majority votes for by this rule has every committed entry.
+        """
         return (message.last_term, message.last_revision) >= self.last_position
 
     def _step_down(self, term):
--- a/embertray/cluster/replication/entry.py
+++ b/embertray/cluster/replication/entry.py
@@ -20,7 +20,7 @@
     """One version of a key. The order of the fields is the format on the wire and on disk.
 
     Attributes:
-        key: "" only for the empty entry that opens a term.
+        key: name such as "limits/search"; "" only for the empty entry that opens a term.
         revision: position of this write in the sequence of all writes of the cluster.
         term: term of the leader that proposed it.
         request: request id of the client's call, by which a repeated call is recognised.
--- a/embertray/cluster/replication/follower.py
+++ b/embertray/cluster/replication/follower.py
@@ -6,7 +6,7 @@
 
 
 class FollowerRole(ReplicaCore):
-    """Replication from the follower's side."""
+    """Replication from the follower's side. A follower never accepts a write from a client."""
 
     def __init__(self, cluster, name, names, now, *args, **kwargs):
         super().__init__(cluster, name, names, now, *args, **kwargs)
--- a/embertray/cluster/replication/recovery.py
+++ b/embertray/cluster/replication/recovery.py
@@ -18,9 +18,7 @@
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.nonce = 0  # 0 unless this replica is recovering
-        self.prior_votes_expire_at = (
-            0  # ns; until then a vote of the previous process could still elect a leader
-        )
+        self.prior_votes_expire_at = 0  # ns until which votes of the previous process may elect a leader
         self.blank_replies = set()  # names of the replicas that reported to be blank
 
     @property
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -116,7 +116,7 @@
             self.term = term
 
     def discard(self, key):
-        """Drops all versions of a key, as if it had never been written."""
+        """Drops all versions of a key, as if it had never been written. Used for repairs."""
         entry = self.entries.pop(key, None)
         if entry is None:
             return
