--- a/embertray/cluster/replication/api_messages.py
+++ b/embertray/cluster/replication/api_messages.py
@@ -29,7 +29,7 @@
     leader: Text = ""
 
 
-class Unknown(msgspec.Struct, tag="unknown", frozen=True):
+class OutcomeUnknown(msgspec.Struct, tag="unknown", frozen=True):
     """The write may or may not have been committed; repeating it with its request id settles that."""
 
     text: Text
@@ -65,13 +65,13 @@
     versions: list[Version]
 
 
-class Missing(msgspec.Struct, tag="missing", frozen=True):
+class KeyNotFound(msgspec.Struct, tag="missing", frozen=True):
     """The key does not exist."""
 
     key: Text
 
 
-Answer = Committed | Rejected | Unknown | Value | Versions | Missing
+Answer = Committed | Rejected | OutcomeUnknown | Value | Versions | KeyNotFound
 _decoder = msgspec.json.Decoder(Answer)
 
 
--- a/embertray/service/admin/control.py
+++ b/embertray/service/admin/control.py
@@ -12,9 +12,9 @@
 
 from embertray.cluster.replication.api_messages import (
     Committed,
-    Missing,
+    KeyNotFound,
+    OutcomeUnknown,
     Rejected,
-    Unknown,
     Value,
     Version,
     Versions,
@@ -126,7 +126,7 @@
             Version(entry.revision, None if entry.value is None else len(entry.value))
             for entry in self.server.versions(key)
         ]
-        return _json(200, Versions(key, versions)) if versions else _json(404, Missing(key))
+        return _json(200, Versions(key, versions)) if versions else _json(404, KeyNotFound(key))
 
     # ---- writes
 
@@ -149,7 +149,7 @@
         except WriteRejectedError as error:
             return _json(REJECTION_STATUS.get(type(error), BAD_REQUEST_STATUS), self._rejected(error))
         except OutcomeUnknownError as error:
-            return _json(UNKNOWN_OUTCOME_STATUS, Unknown(str(error)))
+            return _json(UNKNOWN_OUTCOME_STATUS, OutcomeUnknown(str(error)))
 
     def _rejected(self, error):
         leader = self.admins.get(error.leader, "") if isinstance(error, NotLeaderError) else ""
@@ -169,7 +169,7 @@
     """
     entry = get(key)
     if entry is None:
-        return _json(404, Missing(key))
+        return _json(404, KeyNotFound(key))
     return _json(200, Value(key, entry.revision, entry.value, age_s))
 
 
--- a/embertray/service/admin/control_client.py
+++ b/embertray/service/admin/control_client.py
@@ -5,7 +5,7 @@
 import anyio
 import msgspec
 
-from embertray.cluster.replication.api_messages import Rejected, Unknown, decode_answer
+from embertray.cluster.replication.api_messages import OutcomeUnknown, Rejected, decode_answer
 from embertray.common.net.exceptions import CallError
 from embertray.common.net.http_client import HttpConnection
 from embertray.common.net.tcp import TcpNet
@@ -69,7 +69,7 @@
         timeout: seconds in which further attempts begin.
 
     Returns:
-        Committed, Rejected or Unknown.
+        Committed, Rejected or OutcomeUnknown.
 
     Raises:
         UnreachableError: no replica ever received the request.
@@ -79,7 +79,7 @@
     unknown = None
     while True:
         outcome, failure = await _attempt(address, method, target, body)
-        if isinstance(outcome, Unknown):
+        if isinstance(outcome, OutcomeUnknown):
             unknown = outcome
         if not may_change(outcome) or time.monotonic() > ends_at:
             break
@@ -95,19 +95,19 @@
 
 
 async def _attempt(address, method, target, body):
-    """(outcome, "") or, if the call failed, (Unknown or None if nothing was sent, reason)."""
+    """(outcome, "") or, if the call failed, (OutcomeUnknown or None if nothing was sent, reason)."""
     try:
         return read_outcome(*await call(address, method, target, body)), ""
     except CallError as error:
         failure = f"{address}: {error}"
-        return (Unknown(failure) if error.sent else None), failure
+        return (OutcomeUnknown(failure) if error.sent else None), failure
 
 
 def may_change(outcome):
     """Whether the same call may end otherwise when it is made again; `outcome` None: it was not received."""
     if isinstance(outcome, Rejected):
         return outcome.reason in TRANSIENT_REASONS
-    return outcome is None or isinstance(outcome, Unknown)
+    return outcome is None or isinstance(outcome, OutcomeUnknown)
 
 
 def read_outcome(status, body):
