--- a/embertray/cluster/replication/link/status.py
+++ b/embertray/cluster/replication/link/status.py
@@ -94,7 +94,7 @@
     traffic: Traffic
 
 
-def seconds(age):
+def age_in_seconds(age):
     """Converts an age to seconds, rounded up to a millisecond so that it is never understated.
 
     Args:
@@ -122,7 +122,7 @@
         recovering=replica.recovering,
         revision=replica.store.revision,
         digest=replica.store.digest,
-        age_s=seconds(replica.age(now)),
+        age_s=age_in_seconds(replica.age(now)),
         keys=replica.store.live_count,
         state_bytes=replica.store.bytes,
         subscribers=feed.count,
@@ -157,7 +157,7 @@
         connected=bool(subscriber and subscriber.connected),
         revision=client.revision,
         digest=subscriber.store.digest if subscriber else 0,
-        age_s=seconds(client.age()),
+        age_s=age_in_seconds(client.age()),
         keys=subscriber.store.live_count if subscriber else 0,
         saves=client.saves,
         save_fails=client.save_fails,
--- a/embertray/service/admin/control.py
+++ b/embertray/service/admin/control.py
@@ -28,7 +28,7 @@
     OverloadedError,
     WriteRejectedError,
 )
-from embertray.cluster.replication.link.status import seconds
+from embertray.cluster.replication.link.status import age_in_seconds
 
 from .control_metrics import replica_metrics
 from .server import serve_request, text
@@ -118,7 +118,7 @@
         return text("\n".join(replica_metrics(self.server.status())) + "\n")
 
     async def _get(self, query, body):
-        return value_page(_key(query), self.server.get, seconds(self.server.age()))
+        return value_page(_key(query), self.server.get, age_in_seconds(self.server.age()))
 
     async def _versions(self, query, body):
         key = _key(query)
