--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -14,7 +14,7 @@
 from .entry_log import log_entries
 from .status import subscriber_status
 from .subscriber_connection import SubscriberConnection
-from .subscriber_saver import SubscriberSaver, known_at, usable_state
+from .subscriber_saver import SubscriberSaver, restored_known_at, usable_state
 
 NS_PER_S = 10**9
 
@@ -144,7 +144,7 @@
         if state is not None:
             saved_state["entries"] = state.entries
             saved_state["revision"] = state.revision
-            saved_state["known_at"] = known_at(state, self.clock)
+            saved_state["known_at"] = restored_known_at(state, self.clock)
         self.subscriber = Subscriber(
             self.settings.cluster,
             self.settings.name,
--- a/embertray/cluster/replication/link/subscriber_saver.py
+++ b/embertray/cluster/replication/link/subscriber_saver.py
@@ -17,7 +17,7 @@
     return state
 
 
-def known_at(state, clock):
+def restored_known_at(state, clock):
     """Time at which a saved state was certainly the newest.
 
     Args:
