--- a/embertray/cluster/replication/link/inbound_connections.py
+++ b/embertray/cluster/replication/link/inbound_connections.py
@@ -53,7 +53,7 @@
     async def serve(self, stream):
         """Serves a connection until it ends."""
         connection = Connection(stream, self.traffic, MAX_QUEUED_MESSAGES, Overflow.DROP_NEWEST)
-        self._admit(connection)
+        self._register(connection)
         try:
             async with stream:
                 with connection.scope:
@@ -68,14 +68,14 @@
             self.log.info("inbound connection rejected", peer=connection.name, reason=reason)
         finally:
             self.unidentified.pop(connection, None)
-            self._remove(connection)
+            self._unregister(connection)
 
     def close(self, name):
         """Closes the connection of a peer, if there is one."""
         if name in self.by_name:
             self.by_name[name].close()
 
-    def _admit(self, connection):
+    def _register(self, connection):
         """Registers a new connection; closes the oldest unidentified one if there are too many.
 
         Otherwise idle connections could keep others out.
@@ -104,7 +104,7 @@
             return [self.decode(data) for data in await connection.read(decoder)]
         raise ConnectionRejectedError(f"no message received within {IDENTIFY_TIMEOUT_S} s")
 
-    def _remove(self, connection):
+    def _unregister(self, connection):
         if self.by_name.get(connection.name) is connection:
             del self.by_name[connection.name]
             self.on_disconnected(connection.name)
--- a/embertray/cluster/replication/link/subscriber_connection.py
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -55,7 +55,7 @@
             with anyio.fail_after(self.subscriber.timing.connect_timeout / NS_PER_S):
                 stream = await self.net.dial(self.addresses[action.replica])
         except (*CONNECTION_ERRORS, AddressError):
-            self._lost(action.connection_id)
+            self._report_lost(action.connection_id)
             return
         connection = Connection(stream, self.traffic, MAX_QUEUED_MESSAGES, Overflow.DROP_NEWEST)
         try:
@@ -72,7 +72,7 @@
             self.log.warning("replica sent a malformed message", replica=action.replica, reason=reason)
         if self._connection is connection:
             self._connection = None
-        self._lost(action.connection_id)
+        self._report_lost(action.connection_id)
 
     async def _read(self, connection, connection_id):
         subscriber = self.subscriber
@@ -89,6 +89,6 @@
                 subscriber.receive(self.clock.now(), connection_id, decode_to_subscriber(data), size)
             self.execute_actions()
 
-    def _lost(self, connection_id):
+    def _report_lost(self, connection_id):
         self.subscriber.connection_lost(self.clock.now(), connection_id)
         self.execute_actions()
