--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -80,7 +80,7 @@
         self.subscriber = None
         self.connection = None
         self.saver = None
-        self.group = None
+        self.task_group = None
         self.timer_changed = anyio.Event()  # set when the timer has to expire earlier
         self.timer_at = 0  # ns when the timer expires
 
@@ -129,9 +129,9 @@
         state, _ = open_and_load(self.state_store, self.log)
         try:
             self._create_subscriber(usable_state(state, self.settings.cluster, self.log))
-            async with anyio.create_task_group() as self.group:
+            async with anyio.create_task_group() as self.task_group:
                 if self.saver is not None:
-                    self.group.start_soon(self.saver.run)
+                    self.task_group.start_soon(self.saver.run)
                 task_status.started()
                 await self._run_timer()
         finally:
@@ -190,7 +190,7 @@
         self.subscriber.actions = []
         for action in actions:
             if isinstance(action, OpenConnection):
-                self.group.start_soon(self.connection.open, action)
+                self.task_group.start_soon(self.connection.open, action)
             elif isinstance(action, CloseConnection):
                 self.connection.close(action)
             else:
