--- a/embertray/policy/backend.py
+++ b/embertray/policy/backend.py
@@ -7,7 +7,7 @@
 
 LONG_WINDOW = 8 * SECOND  # ns; about fifty responses of a backend, enough to average out noise
 SHORT_WINDOW = 4 * SECOND  # ns; recent reports, for health
-SPAN_MIN = SECOND // 4  # ns; a shorter report span is too short for a rate
+SPAN_MIN = SECOND // 4  # ns; one control cycle; a shorter report span gives no rate
 # load metrics in order of preference: busy share of the cores, queued requests, requests in flight
 LOAD_METRICS = ("busy", "waiting", "held")
 
@@ -57,7 +57,10 @@
         return stopped_being_ready
 
     def _reset_after_restart(self, started):
-        """Discards what was learned before the restart; capacity is learned again after the warm-up."""
+        """Resets health and discards the reports from before the restart.
+
+        Reports count towards capacity again once the warm-up time has passed.
+        """
         self.health = 1.0
         self.health_since = self.context.now
         self.reports_ignored_until = 0
--- a/embertray/policy/channel_budget.py
+++ b/embertray/policy/channel_budget.py
@@ -3,7 +3,8 @@
 Rule: every message is reserved here before it is ordered, with its lines and its overhead, at the priority of
 its content. A priority may use a share of the lines that may be pending, and reserves a part of the messages
 that a proxy may be sent within the deployment's window for more urgent content. The shares shrink while
-acknowledgements are late or the endpoint list does not answer, those of the lower priorities most.
+acknowledgements are late, those of the lower priorities most; these also shrink while the endpoint list does
+not answer.
 
 Inputs: acknowledgements of nonces and their delay (ns), limits of the deployment (pending lines, lines a
 second, messages per proxy and window). Output: how many lines of a change are sent now.
@@ -145,7 +146,10 @@
         return requested
 
     def _may_send(self, proxies, priority):
-        """Whether no proxy has reached its message limit; unacknowledged messages may yet be written."""
+        """Whether no proxy has reached its message limit.
+
+        Unacknowledged messages count, since they may yet be written.
+        """
         deployment = self.context.deployment
         is_limited = deployment.messages_max > 0
         messages_limit = deployment.messages_max - priority.messages_reserved
--- a/embertray/policy/congestion.py
+++ b/embertray/policy/congestion.py
@@ -71,7 +71,7 @@
         return sum(report.attempts for row in stats for report in row.newest)
 
     def _queue_wait(self, stats, attempts):
-        """Returns the mean queueing time in the newest reports, ns; 0 without attempts."""
+        """Records the newest mean latency, and returns its part spent in queues, ns; 0 without attempts."""
         if not attempts:
             return 0
         mean = sum(report.latency for row in stats for report in row.newest) / attempts
--- a/embertray/policy/context.py
+++ b/embertray/policy/context.py
@@ -45,7 +45,7 @@
 
     @property
     def joined_proxies(self):
-        """Proxies with an open stream, in the order in which they first joined."""
+        """Proxies with an open stream, in the order in which they became known."""
         return [proxy for proxy in self.proxies if proxy.joined]
 
     def draw(self):
--- a/embertray/policy/controller.py
+++ b/embertray/policy/controller.py
@@ -111,7 +111,7 @@
         self.publisher.publish(self.context.admission)
 
     def _prune(self):
-        """Drops the state of backends and proxies that departed long ago.
+        """Drops the state of backends and proxies that departed long ago, and compacts the tables.
 
         Otherwise memory use and the cost of a control cycle would grow without bound under hours of churn.
         """
--- a/embertray/policy/endpoint_removal.py
+++ b/embertray/policy/endpoint_removal.py
@@ -3,8 +3,9 @@
 Rule: removals do not wait for the update queue, its retries or its acknowledgements. All pending removals of
 a table are sent in one message, or at least half of them; the table that has waited longest is first. Proxies
 that are not bound yet are told to withdraw the backend from the table they hold; where tables are subsets, a
-binding costs no more than withdrawals and is sent instead. A backend that is ready again is readmitted. Until
-all removals are sent, only bindings and changes that fit into the same messages are sent besides.
+binding is sent instead, which costs no more than withdrawals and achieves more. A backend that is ready again
+is readmitted. Until all removals are sent, only bindings and changes that fit into the same messages are sent
+besides.
 
 Inputs: backends that stopped being ready, with the time of the endpoint list update (ns). Output: lines with
 weight 0 and `Withdraw` orders.
--- a/embertray/policy/interface.py
+++ b/embertray/policy/interface.py
@@ -81,7 +81,7 @@
     report_interval: int = 0  # ns between two load reports
     cold_speed: float = 1.0  # share of its full speed that a backend starts with
     warm_up_time: int = 0  # ns from the start of a backend to its full speed
-    overload_multiple: float = 0.0  # load relative to the momentary capacity under which a cold backend fails
+    overload_multiple: float = 0.0  # times its momentary capacity: load that makes a cold backend fail
     overload_time: int = 0  # ns of such load until it fails
     drain_grace: int = 0  # ns after a drain notice within which proxies have to stop sending requests there
     cross_zone_cost: float = 0.0  # cost of a cross-zone request
--- a/embertray/policy/load_shedding.py
+++ b/embertray/policy/load_shedding.py
@@ -1,12 +1,12 @@
 """Load shedding: limits the requests that proxies admit, and whether proxies may retry.
 
 Rule: once a second the queueing time of requests is evaluated. If it exceeds 0.38 of the latency objective,
-and neither falls already nor belongs to a queue that has drained, a target rate is set: the rate that the
-fleet can sustain, reduced more the longer the wait. The target holds while requests still queue. Once the
-wait is under 0.2 of the objective (0.38 while latency falls), the target grows by 1.5% a second, or by 10% if
-it was an estimate, until all offered requests are admitted again. A fleet that has lost capacity and is busy
-sheds what exceeds 1.3 times its highest observed rate before a queue forms. The excess over the target is
-shed from the request kinds with the lowest priority weight first, at most 0.97 of a kind.
+unless it is already falling or the queue has drained, a target rate is set: the rate that the fleet can
+sustain, reduced more the longer the wait. The target holds while requests still queue. Once the wait is under
+0.2 of the objective (0.38 while latency falls), the target grows by 1.5% a second, or by 10% if it was an
+estimate, until all offered requests are admitted again. A fleet that has lost capacity and is busy sheds what
+exceeds 1.3 times its highest observed rate before a queue forms. The excess over the target is shed from the
+request kinds with the lowest priority weight first, at most 0.97 of a kind.
 
 Retries are allowed, after proof that the first attempt never ran, unless more than 0.3 of the recent attempts
 failed: retries would then aggravate the fault. If some backends are cold at such a time, only 0.4 of the
@@ -33,7 +33,7 @@
 
 EVALUATION_INTERVAL = 1 * SECOND  # ns
 EVALUATIONS_KEPT = 40  # whose maximum estimates what the fleet can serve
-UNQUEUED_EVALUATIONS = 5  # evaluations without a queue until the offered rate counts as sustainable
+UNQUEUED_EVALUATIONS = 5  # evaluations without a queue until the offered rate counts as served
 WAIT_HIGH = 0.38  # of the latency objective; above it requests are shed
 WAIT_LOW = 0.2  # of the latency objective; below it more requests are admitted
 EVALUATIONS_UNTIL_LIMITS_KNOWN = 10  # evaluations after the start
@@ -127,7 +127,8 @@
     def _demand(self, state, proxies):
         """Returns the current `Demand`, and records the rate offered while nothing queued or was rejected.
 
-        The latter is recorded as measured, since many proxies with few requests are overestimated.
+        The latter is kept in the measure of `offered`, with which `_excess` compares it: the last report of a
+        proxy stands until its next one, so many proxies with few requests are counted too high.
         """
         context = self.context
         offered = sum(sum(proxy.rates.values()) for proxy in proxies)
--- a/embertray/policy/outlier_detection.py
+++ b/embertray/policy/outlier_detection.py
@@ -5,8 +5,8 @@
 Ejection rule: a backend is an outlier if its share of failed attempts in the short window exceeds the lower
 quartile of all backends with 8 or more attempts, itself included, by more than 0.35. Its weight is reduced to
 the share of attempts that it answers, but not below 6%, so that it is still reported. At most 0.6 of the
-ready backends are ejected at a time. A general fault shifts the quartile and ejects no backend. The rule is
-unreliable where few peers are reported.
+ready backends are ejected at a time. A general fault shifts the quartile and ejects no backend. The rule does
+harm where few peers are reported.
 
 Recovery rule: in each learning round the weight of an ejected backend doubles, if since the last change of
 its weight it had at least 2 attempts of which at most a quarter failed, or no attempts for 12 s. A restarted
--- a/embertray/policy/proxy.py
+++ b/embertray/policy/proxy.py
@@ -23,7 +23,7 @@
         self.zone = None
         self.joined = False
         self.joined_at = context.now
-        self.gone_at = context.now
+        self.gone_at = context.now  # counts as departed until it joins
         self.table = None
         self.usual_rate = 0.0
         self.has_standing_table_only = False
--- a/embertray/policy/proxy_binding.py
+++ b/embertray/policy/proxy_binding.py
@@ -1,7 +1,7 @@
 """Proxy binding: assigns each joining proxy a table of its zone.
 
-Rule: a proxy that joins is always bound again, whatever table it holds. Proxies are bound in the order of
-waiting time; a proxy that holds only its standing table (the installed table that it uses until a controller
+Rule: a proxy that joins is always bound again, whatever table it holds. The proxy that has waited longest is
+bound first; a proxy that holds only its standing table (the installed table that it uses until a controller
 binds it) gets a head start of a quarter of the drain grace. Ties go to the proxy with the most requests.
 
 Inputs: joined proxies that are not bound, with their join time (ns). Output: `Binding`s.
--- a/embertray/policy/publisher.py
+++ b/embertray/policy/publisher.py
@@ -104,6 +104,7 @@
         return bindings, withdrawals
 
     def _update_tables(self, proxies_by_table):
+        """Sends urgent updates, then the due tables of the queue; returns the repeated `Binding`s."""
         removals_pending = bool(self.removal.pending)
         for table, proxies in proxies_by_table.items():
             self.queue.send_urgent(table, proxies, removals_pending)
--- a/embertray/policy/records/arrivals.py
+++ b/embertray/policy/records/arrivals.py
@@ -20,7 +20,9 @@
         self.rows.append((time, arrivals))
 
     def rate(self, kind, start, default):
-        """Returns requests of a kind a second, from the reports since `start` and the latest ones.
+        """Returns requests of a kind a second, from the reports since `start`.
+
+        The last ones count however old they are: a report stands until the next one.
 
         Args:
             kind: `interface.RequestKind`.
--- a/embertray/policy/slow_start.py
+++ b/embertray/policy/slow_start.py
@@ -21,8 +21,8 @@
 COLD_FACTOR_MAX = 0.95  # maximum factor on the weight until the backend is warm
 TWO_CHOICES_FACTOR = 0.42  # proxies that pick the less busy of two lines prefer a cold backend
 WARM_SHARE_ENOUGH = 2 / 3  # of the fleet's capacity; enough to serve the offered requests
-# of the attempts at warm backends: they get twice the load that they can serve, and a cold backend with its
-# share would get all of the load under which it fails
+# of the attempts at warm backends: these then get twice the load that they can serve, and a cold backend,
+# which is given OVERLOAD_SHARE of the load under which it fails, would get all of that load
 FAILED_SHARE_MAX = 1 - OVERLOAD_SHARE
 
 
--- a/embertray/policy/subsetting.py
+++ b/embertray/policy/subsetting.py
@@ -40,9 +40,11 @@
 
     def __init__(self, context):
         deployment = context.deployment
+        # proxies of the deployment for each table that a controller uses in a zone
         per_table = max(1, deployment.controllers * PROXIES_PER_TABLE_MIN * len(deployment.zones))
         self.tables = []
-        self._tables_max = max(1, deployment.proxies // per_table)
+        self._tables_max = max(1, deployment.proxies // per_table)  # in use, for an even share of the proxies
+        # with more, a backend would be in fewer than TABLES_PER_LINE_MIN used tables of all controllers
         self._tables_max_for_coverage = self._tables_max * deployment.controllers // TABLES_PER_LINE_MIN
         self._tables_in_use = 1  # minimum number of tables in use, counted from the first
         self._first_table_offset = context.draw()  # each controller starts at a different table
@@ -91,7 +93,7 @@
     def _demand(self, rates):
         """Returns table -> requests a second, plus a share of the mean as a minimum for each.
 
-        All tables count the same while most of them have no proxies.
+        All tables count the same while fewer are in use than exist, since most may have no proxies then.
         """
         known = rates if self._tables_in_use == len(self.tables) else {}
         total = sum(known.get(table, 0.0) for table in self.tables) or 1.0
--- a/embertray/policy/update_queue.py
+++ b/embertray/policy/update_queue.py
@@ -1,13 +1,13 @@
 """Update queue: delivers changed tables to their proxies, with acknowledgements and retries.
 
-Rule: items are keyed by table and deduplicated. The changed lines of a table are sent with a nonce to all its
-proxies, largest difference first and as many as there is room for. A table leaves the queue once no line
-differs and all its proxies have acknowledged. A proxy that does not acknowledge a nonce within the
-acknowledgement timeout is bound to its table again, and the table is retried after 1, 2, 4, then 8 s. Until
-that proxy acknowledges, no proxy of the table gets ordinary updates; urgent updates and removals are still
-sent. Every 10 s a resync queues all tables at once, whatever they wait for. After an update that occupies the
-channel for some time, the next update of that table waits three times as long, at most 2 s, since each
-message costs overhead.
+Rule: items are keyed by table and deduplicated. Only the changed lines of a table are sent, once and with a
+nonce, to all its proxies, largest difference first and as many as there is room for. A table leaves the queue
+once no line differs and all its proxies have acknowledged. A proxy that does not acknowledge a nonce within
+the acknowledgement timeout is bound to its table again, and the table is retried after 1, 2, 4, then 8 s.
+Until that proxy acknowledges, no proxy of the table gets ordinary updates; urgent updates and removals are
+still sent. Every 10 s a resync queues all tables at once, whatever they wait for. After an update that
+occupies the channel for some time, the next update of that table waits three times as long, at most 2 s,
+since each message costs overhead.
 
 Urgent updates are sent before the queue in every control cycle: a weight reduced to less than half indicates
 a restarted or ejected backend, a nearly empty table leaves its proxies without a backend, and levels shed
@@ -16,7 +16,8 @@
 Inputs: changed lines of each table, unacknowledged nonces of its proxies. Output: `SetLine` and
 `SetAdmission` orders, and repeated bindings.
 
-Prevents lasting stale lines at proxies that miss a message.
+Prevents proxies that miss a message from keeping stale lines for good, as they would without the resync and
+the retries.
 """
 
 from .channel_budget import NONCE_LINES, ORDINARY_UPDATE, REMOVAL, URGENT_UPDATE
