--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -145,65 +145,65 @@
 
 
 def set_line(table, backend, weight):
-    """Sets the weight of a backend's line in a table."""
+    """Returns the line that sets the weight of a backend in a table; weight 0 removes it."""
     return f"ENDPOINT share={weight:.6g} route-table={table} backend={backend}"
 
 
 def bind(proxy, table):
-    """Binds a proxy to a table for all request kinds."""
+    """Returns the line that binds a proxy to a table for all request kinds."""
     return f"POINT proxy={proxy} route-table={table} lanes=0"
 
 
 def withdraw(backend, ejected):
-    """Withdraws a backend from all tables, or readmits it."""
+    """Returns the line that withdraws a backend from all tables, or readmits it."""
     return f"TAKE_OUT backend={backend} set={int(ejected)}"
 
 
 def set_admission(table, kinds, level, retry):
-    """Sets a table's level and retry mode for request kinds, one bit each; 0 for all."""
+    """Returns the line that sets a table's level and retry mode for kinds, one bit each; 0: all kinds."""
     return f"SET_LEVEL route-table={table} lanes={kinds} allowance={level:.6g} second-try={retry}"
 
 
 def request_acknowledgement(nonce):
-    """Asks the proxies to acknowledge a nonce once they have applied all orders before it."""
+    """Returns the line that makes proxies acknowledge a nonce once they applied all orders before it."""
     return f"CHECKPOINT set=0 epoch={nonce}"
 
 
 def set_timer(label, after):
-    """Sets a timer that fires after `after` ns."""
+    """Returns the line that sets a timer to fire after `after` ns."""
     return f"ARM label={label} wait-us={max(0, after) // NS_PER_US}"
 
 
 def subscribe(subscribed):
-    """Subscribes to the changes of the endpoint list, or unsubscribes."""
+    """Returns the line that subscribes to the changes of the endpoint list, or unsubscribes."""
     return f"WATCH set={int(subscribed)}"
 
 
 def poll_endpoint_list():
-    """Requests the whole endpoint list."""
+    """Returns the line that requests the whole endpoint list."""
     return "GET_LIST"
 
 
 def probe(backend):
-    """Requests a health check of a backend."""
+    """Returns the line that requests a health check of a backend."""
     return f"PING backend={backend}"
 
 
 def log(text):
-    """Writes a text to the log, with whitespace collapsed."""
+    """Returns the line that writes a text to the log, with whitespace collapsed."""
     return "SAY_LOG what=" + " ".join(text.split())
 
 
 def sender_line(controller):
-    """Announces that the following lines come from a controller."""
+    """Returns the line that names the controller from which the following lines come."""
     return f"FROM who={controller}"
 
 
 def failure(text):
-    """Reports that the policy failed, with the reason on one line."""
+    """Returns the line that reports a failure of the policy, with the reason on one line."""
     return f"DIE what={text}".replace("\n", " ")
 
 
 def batch_done(batch):
-    """Ends the reply to a batch."""
+    """Returns the line that ends the reply to a batch."""
     return f"DONE batch={batch}"
