--- a/embertray/benchlink/wire.py
+++ b/embertray/benchlink/wire.py
@@ -154,9 +154,9 @@
     return f"POINT proxy={proxy} route-table={table} lanes=0"
 
 
-def withdraw(backend, ejected):
+def withdraw(backend, withdrawn):
     """Returns the line that withdraws a backend from all tables, or readmits it."""
-    return f"TAKE_OUT backend={backend} set={int(ejected)}"
+    return f"TAKE_OUT backend={backend} set={int(withdrawn)}"
 
 
 def set_admission(table, kinds, level, retry):
