--- a/embertray/common/memory/account.py
+++ b/embertray/common/memory/account.py
@@ -5,7 +5,7 @@
 from .purposes import ACTIONS
 from .sizing import container_bytes, measure_entry_bytes
 
-USUAL_SIZE_EVALUATIONS = 60  # time constant of the moving mean, in evaluations
+MEAN_EVALUATIONS = 60  # time constant of the moving mean, in evaluations
 
 RELEASE_SHARE = 0.9  # of the cap: an action ends below it (hysteresis)
 NOTICE_SHARE = 0.8  # of the cap: operators are notified once it is reached,
@@ -71,7 +71,7 @@
         self.bytes = int(total)
         self.peak = max(self.peak, self.bytes)
         if self.mean_bytes:
-            self.mean_bytes += (self.bytes - self.mean_bytes) / USUAL_SIZE_EVALUATIONS
+            self.mean_bytes += (self.bytes - self.mean_bytes) / MEAN_EVALUATIONS
         else:
             self.mean_bytes += self.bytes
 
--- a/embertray/platform/protocol/proxy_registry.py
+++ b/embertray/platform/protocol/proxy_registry.py
@@ -33,10 +33,10 @@
         """Apply an event that arrived at `now`, ns."""
         if isinstance(event, ProxyJoined):
             # a second join means that the proxy left and came back, even during the initial synchronization
-            again = event.proxy in self.seen
+            rejoined = event.proxy in self.seen
             self.seen.add(event.proxy)
             self.joined[event.proxy] = event
-            self.joined_at[event.proxy] = now if again or self.synced(now) else 0
+            self.joined_at[event.proxy] = now if rejoined or self.synced(now) else 0
         elif isinstance(event, ProxyLeft):
             self.joined.pop(event.proxy, None)
             self.joined_at.pop(event.proxy, None)
@@ -131,8 +131,8 @@
             new_events += self.apply_event(now, ProxyLeft(proxy))
         for proxy, event in view.joined.items():
             known = self.joined.get(proxy)
-            came_back = view.joined_at[proxy] > self.joined_at.get(proxy, 0) + JOIN_TIME_TOLERANCE_NS
-            if known is None or known.zone != event.zone or came_back or (gap and event.without_table):
+            rejoined = view.joined_at[proxy] > self.joined_at.get(proxy, 0) + JOIN_TIME_TOLERANCE_NS
+            if known is None or known.zone != event.zone or rejoined or (gap and event.without_table):
                 new_events += self.apply_event(now, event)
         return new_events
 
@@ -140,8 +140,8 @@
         """When a stream may become the leader, ns; None if there is a leader or no stream has any data."""
         if self.leader in self.views:
             return None
-        began = [view.first_byte_at for view in self.views.values() if view.first_byte_at is not None]
-        return min(began) + SYNC_TIME_NS if began else None
+        opened_at = [view.first_byte_at for view in self.views.values() if view.first_byte_at is not None]
+        return min(opened_at) + SYNC_TIME_NS if opened_at else None
 
     def silence_reason(self, now, stream):
         """Return why a stream is to be closed for silence at `now`, ns, or "" if it is alive.
