--- a/embertray/platform/protocol/proxy_registry.py
+++ b/embertray/platform/protocol/proxy_registry.py
@@ -140,8 +140,10 @@
         """When a stream may become the leader, ns; None if there is a leader or no stream has any data."""
         if self.leader in self.views:
             return None
-        opened_at = [view.first_byte_at for view in self.views.values() if view.first_byte_at is not None]
-        return min(opened_at) + SYNC_TIME_NS if opened_at else None
+        first_byte_times = [
+            view.first_byte_at for view in self.views.values() if view.first_byte_at is not None
+        ]
+        return min(first_byte_times) + SYNC_TIME_NS if first_byte_times else None
 
     def silence_reason(self, now, stream):
         """Return why a stream is to be closed for silence at `now`, ns, or "" if it is alive.
--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -53,11 +53,11 @@
 ERROR = b"<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>"
 
 
-def endpoint_fields(ident, zone="north", **more):
-    return {"id": ident, "locality": zone, "phase": "ready", "size": 1.0, "up_since_ms": 0, **more}
+def endpoint_fields(backend, zone="north", **overrides):
+    return {"id": backend, "locality": zone, "phase": "ready", "size": 1.0, "up_since_ms": 0, **overrides}
 
 
-def configuration_json(relay="127.0.0.1:1", discovery="127.0.0.1:1", listen="127.0.0.1:0", **more):
+def configuration_json(relay="127.0.0.1:1", discovery="127.0.0.1:1", listen="127.0.0.1:0", **overrides):
     return json.dumps(
         {
             "name": "n1",
@@ -72,7 +72,7 @@
                 "complete": True,
                 "members": [endpoint_fields("be-1"), endpoint_fields("be-2")],
             },
-            **more,
+            **overrides,
         }
     ).encode()
 
@@ -96,7 +96,7 @@
 
 
 @asynccontextmanager
-async def running_service(prepare=lambda relay, discovery: None, **more):
+async def running_service(prepare=lambda relay, discovery: None, **overrides):
     """Yield (service, relay, discovery): a running Service with stand-ins that `prepare` has set up."""
     net = TcpNet()
     discovery = StandinDiscovery(
@@ -106,7 +106,7 @@
     async with anyio.create_task_group() as group:
         await group.start(discovery.run)
         await group.start(relay.run)
-        data = configuration_json(relay.address, discovery.address, **more)
+        data = configuration_json(relay.address, discovery.address, **overrides)
         prepare(relay, discovery)
         service = Service(
             read_configuration(data), LoopClock(), net, lambda: read_configuration(data), quiet()
@@ -126,24 +126,24 @@
 
 async def read_until_closed(stream):
     """Return all bytes until the connection ends, and whether it ended with a reset."""
-    got = b""
+    received = b""
     try:
         while True:
-            got += await stream.receive()
+            received += await stream.receive()
     except anyio.EndOfStream:
-        return got, False
+        return received, False
     except anyio.BrokenResourceError:
-        return got, True
+        return received, True
     finally:
         await stream.aclose()
 
 
 async def read_all(stream):
     """Return all bytes until the connection is closed or reset."""
-    got = b""
+    received = b""
     try:
         while True:
-            got += await stream.receive()
+            received += await stream.receive()
     except (anyio.EndOfStream, anyio.BrokenResourceError):
         await stream.aclose()
-        return got
+        return received
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -48,9 +48,9 @@
             def __init__(self):
                 self.big = "x" * 10**6
 
-        things = [(n, "y" * (n % 100), Other()) for n in range(10_000)]
-        measured = measure_entry_bytes(Collection("s", len(things), lambda: things, stop=(Other,)))
-        expected = deep_size([thing[:2] for thing in things]) / len(things)
+        entries = [(n, "y" * (n % 100), Other()) for n in range(10_000)]
+        measured = measure_entry_bytes(Collection("s", len(entries), lambda: entries, stop=(Other,)))
+        expected = deep_size([entry[:2] for entry in entries]) / len(entries)
         self.assertLess(abs(measured / expected - 1), 0.25)
         self.assertEqual(measure_entry_bytes(Collection("s", 0, list)), 0.0)
 
@@ -60,8 +60,8 @@
         return MemoryAccounts({**dict.fromkeys(ACTIONS, 10**9), "streams": cap}, chance)
 
     def evaluate_with(self, accounts, now, count):
-        things = ["x" * 51] * count  # one object, only used for the number of rows
-        rows = [bytes(67) for _ in things]  # 100 bytes each
+        entries = ["x" * 51] * count  # one object, only used for the number of rows
+        rows = [bytes(67) for _ in entries]  # 100 bytes each
         return accounts.evaluate(now, lambda: {"streams": [Collection("s", len(rows), lambda: rows)]})
 
     def test_a_cap_is_in_force_until_well_below_and_notified_once(self):
@@ -72,7 +72,8 @@
             notice_texts += [text for _, text, *_ in accounts.notices]
             accounts.notices.clear()
         self.assertEqual(
-            [bool(a) for a in actions], [False, False, False, True, True, True, True, False, False, False]
+            [bool(taken) for taken in actions],
+            [False, False, False, True, True, True, True, False, False, False],
         )
         self.assertEqual(
             notice_texts,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -60,19 +60,20 @@
             pairs.update({f"{part}.{k}": str(v) for k, v in SETTINGS[part].items()})
         for k, kind in enumerate(SETTINGS["profiles"]):
             pairs.update({f"profiles.{k}.{name}": str(v) for name, v in kind.items()})
-        nested, flat = (
-            vars(one.deployment(Identifiers()))
-            for one in (StartSettings.from_nested(SETTINGS), StartSettings(pairs))
+        from_nested, from_pairs = (
+            vars(start.deployment(Identifiers()))
+            for start in (StartSettings.from_nested(SETTINGS), StartSettings(pairs))
         )
-        for told in (nested, flat):
-            told["kinds"] = [vars(kind) for kind in told["kinds"]]
-            told["zones"], told["home"] = (
-                [zone.external_id for zone in told["zones"]],
-                told["home"].external_id,
+        for values in (from_nested, from_pairs):
+            values["kinds"] = [vars(kind) for kind in values["kinds"]]
+            values["zones"], values["home"] = (
+                [zone.external_id for zone in values["zones"]],
+                values["home"].external_id,
             )
-        self.assertEqual(nested, flat)
+        self.assertEqual(from_nested, from_pairs)
         self.assertEqual(
-            (nested["drain_grace"], nested["throttle"], len(nested["kinds"])), (3 * S, "share", 2)
+            (from_nested["drain_grace"], from_nested["throttle"], len(from_nested["kinds"])),
+            (3 * S, "share", 2),
         )
 
     def test_invalid_values_are_reported(self):
@@ -190,13 +191,13 @@
             async with running_service() as (service, relay, discovery):
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
-                for place in range(3):
-                    names, seen = [f"new-{place}-{k}" for k in range(3)], []
+                for position in range(3):
+                    names, seen = [f"new-{position}-{k}" for k in range(3)], []
 
                     def refuse(order):
                         if order.startswith(f"SET,{relay.bound[1]},new-"):
                             seen.append(order)
-                            return len(seen) == place + 1
+                            return len(seen) == position + 1
                         return False
 
                     relay.rejects = refuse
@@ -206,12 +207,12 @@
                     discovery.change(names[0])
                     await relay.wait_until(
                         lambda: (
-                            len(service.controller.order_caller.refused_orders) == place + 1
+                            len(service.controller.order_caller.refused_orders) == position + 1
                             and service.controller.order_caller.idle
                             and sum(name in relay.lines(1) for name in names) == 2
                         )
                     )
-                    self.assertEqual(service.controller.order_caller.refused_orders[place], seen[place])
+                    self.assertEqual(service.controller.order_caller.refused_orders[position], seen[position])
 
         anyio.run(scenario)
 
@@ -225,13 +226,15 @@
                 for name in names:
                     discovery.members[name] = endpoint_fields(name)
                     discovery.change_log.append((discovery.revision + 1, name))
-                with structlog.testing.capture_logs() as told:
+                with structlog.testing.capture_logs() as log_lines:
                     service.relay.log = structlog.get_logger()
                     discovery.change(names[0])
                     await relay.wait_until(lambda: {"new-0", "new-2"} <= set(relay.lines(1)))
                     while not service.controller.order_caller.orders_given_up:
                         await anyio.sleep(0.02)
-                self.assertTrue(any("given up: invalid: SET," in line.get("why", "") for line in told), told)
+                self.assertTrue(
+                    any("given up: invalid: SET," in line.get("why", "") for line in log_lines), log_lines
+                )
                 relay.is_malformed = lambda order: False
                 discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: "be-3" in relay.lines(1))  # later orders are executed
@@ -283,14 +286,14 @@
                     relay.next_faults.extend(["throttled"] * 9),
                 )
             ) as (service, relay, _):
-                alive = await connect_client(service, b'{"@type":"hb"}\n')
-                self.assertEqual(await alive.receive(), HEARTBEAT_REPLY)
+                peer = await connect_client(service, b'{"@type":"hb"}\n')
+                self.assertEqual(await peer.receive(), HEARTBEAT_REPLY)
                 relay.attach(1, "north")
                 await relay.wait_until(
                     lambda: set(relay.lines(1)) == {"be-1", "be-2"}
                 )  # from the endpoint list in the configuration
                 self.assertEqual(relay.next_faults, [])
-                await alive.aclose()
+                await peer.aclose()
 
         anyio.run(scenario)
 
@@ -330,7 +333,7 @@
                 await relay.wait_until(
                     lambda: all(set(relay.lines(node)) == {"be-2", "be-3"} for node in range(3))
                 )
-                for part, name, poke in (
+                for part, name, trigger in (
                     (
                         service.controller.order_caller,
                         "on_answer",
@@ -343,16 +346,16 @@
                     ),
                     (service.controller.proxies, "received", lambda: relay.attach(3, "south")),
                 ):
-                    faulty = anyio.Event()
+                    raised = anyio.Event()
 
-                    def once(*_, part=part, name=name, faulty=faulty):
+                    def once(*_, part=part, name=name, raised=raised):
                         delattr(part, name)
-                        faulty.set()
+                        raised.set()
                         raise KeyError("a fault")
 
                     setattr(part, name, once)
-                    poke()
-                    await faulty.wait()
+                    trigger()
+                    await raised.wait()
                 await relay.wait_until(lambda: all("be-4" in relay.lines(node) for node in range(4)))
 
         anyio.run(scenario)
@@ -363,25 +366,28 @@
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
                 net = TcpNet()
-                other, elsewhere = StandinRelay(net), StandinDiscovery(net, discovery.members)
-                other.state = relay.state  # the same proxies and tables behind another address
-                await group.start(other.run)
-                await group.start(elsewhere.run)
+                other_relay, other_discovery = StandinRelay(net), StandinDiscovery(net, discovery.members)
+                other_relay.state = relay.state  # the same proxies and tables behind another address
+                await group.start(other_relay.run)
+                await group.start(other_discovery.run)
                 service.load_configuration = lambda: read_configuration(b"{")
                 service.reload()
                 self.assertEqual(
                     service.configuration.relay.address, relay.address
                 )  # an invalid file changes nothing
                 service.load_configuration = lambda: read_configuration(
-                    configuration_json(other.address, elsewhere.address)
+                    configuration_json(other_relay.address, other_discovery.address)
                 )
                 service.reload()
-                await other.wait_until(lambda: other.event_queues)
+                await other_relay.wait_until(lambda: other_relay.event_queues)
                 for stream in list(relay.connections):
                     await anyio.aclose_forcefully(stream)
-                elsewhere.change("be-3", **endpoint_fields("be-3"))
-                await other.wait_until(
-                    lambda: "be-3" in other.lines(1) and len(other.event_queues) == limits.EVENT_STREAMS
+                other_discovery.change("be-3", **endpoint_fields("be-3"))
+                await other_relay.wait_until(
+                    lambda: (
+                        "be-3" in other_relay.lines(1)
+                        and len(other_relay.event_queues) == limits.EVENT_STREAMS
+                    )
                 )
                 group.cancel_scope.cancel()
 
@@ -393,23 +399,23 @@
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
                 faults = [KeyError("a"), TypeError("b"), RecursionError("c"), MemoryError()]
-                old, rest, been = service.configuration, list(faults), anyio.Event()
+                old, remaining_faults, loaded = service.configuration, list(faults), anyio.Event()
 
                 def load():
-                    been.set()
-                    raise rest.pop(0)
+                    loaded.set()
+                    raise remaining_faults.pop(0)
 
                 service.load_configuration = load
-                with structlog.testing.capture_logs() as told:
+                with structlog.testing.capture_logs() as log_lines:
                     service.log = structlog.get_logger()
                     await group.start(
                         service.watch_hangups, SimpleNamespace(hangup_pending=True)
                     )  # the pending hangup is handled at once
-                    while rest:
-                        been = anyio.Event()
+                    while remaining_faults:
+                        loaded = anyio.Event()
                         os.kill(os.getpid(), signal.SIGHUP)
-                        await been.wait()
-                    self.assertEqual([line["event"] for line in told], ["internal error"] * len(faults))
+                        await loaded.wait()
+                    self.assertEqual([line["event"] for line in log_lines], ["internal error"] * len(faults))
                 self.assertIs(service.configuration, old)
                 discovery.change("be-3", **endpoint_fields("be-3"))
                 await relay.wait_until(lambda: "be-3" in relay.lines(1))
@@ -422,27 +428,30 @@
             async with running_service() as (service, relay, discovery), anyio.create_task_group() as group:
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: relay.lines(1))
-                other = StandinRelay(TcpNet())
-                other.state = relay.state  # the same proxies and tables behind another address
-                await group.start(other.run)
-                for there, here, name in ((other, relay, "be-3"), (relay, other, "be-4")):
-                    here.next_faults, before = ["lose"], len(here.calls)
+                other_relay = StandinRelay(TcpNet())
+                other_relay.state = relay.state  # the same proxies and tables behind another address
+                await group.start(other_relay.run)
+                for new_relay, old_relay, name in (
+                    (other_relay, relay, "be-3"),
+                    (relay, other_relay, "be-4"),
+                ):
+                    old_relay.next_faults, before = ["lose"], len(old_relay.calls)
                     discovery.change(name, **endpoint_fields(name))
-                    await here.wait_until(lambda: len(here.calls) > before)
+                    await old_relay.wait_until(lambda: len(old_relay.calls) > before)
                     for address in (
-                        here.address,
-                        there.address,
-                        here.address,
-                        there.address,
+                        old_relay.address,
+                        new_relay.address,
+                        old_relay.address,
+                        new_relay.address,
                     ):  # the last one applies
                         service.load_configuration = lambda: read_configuration(
                             configuration_json(address, discovery.address)
                         )
                         service.reload()
-                    await there.wait_until(lambda: name in there.lines(1))
-                    for stream in list(here.connections):
+                    await new_relay.wait_until(lambda: name in new_relay.lines(1))
+                    for stream in list(old_relay.connections):
                         await anyio.aclose_forcefully(stream)
-                    await there.wait_until(lambda: len(there.event_queues) == limits.EVENT_STREAMS)
+                    await new_relay.wait_until(lambda: len(new_relay.event_queues) == limits.EVENT_STREAMS)
                 group.cancel_scope.cancel()
 
         anyio.run(scenario)
@@ -458,8 +467,10 @@
         self.assertEqual(controller().log_texts, [])
         with self.assertRaisesRegex(SettingsError, "partitions-n: .* does not support slices"):
             controller(specifics={**SETTINGS["specifics"], "partitions-n": 8})
-        told = controller(caps={"probes": True, "peer-messages": True}).log_texts
-        self.assertEqual([("probes" in one, "peers" in one) for one in told], [(True, False), (False, True)])
+        messages = controller(caps={"probes": True, "peer-messages": True}).log_texts
+        self.assertEqual(
+            [("probes" in text, "peers" in text) for text in messages], [(True, False), (False, True)]
+        )
 
 
 # replaces a library: reports its import, waits for a line on standard input, then imports the real library
@@ -518,8 +529,8 @@
     def test_a_reloaded_configuration_with_an_invalid_address_is_rejected(self):
         with self.program() as (run, path, logged):
             logged("listening")
-            for bad in (configuration_json(relay="nowhere"), configuration_json(discovery="10.0.0.1")):
-                path.write_bytes(bad)
+            for invalid in (configuration_json(relay="nowhere"), configuration_json(discovery="10.0.0.1")):
+                path.write_bytes(invalid)
                 run.send_signal(signal.SIGHUP)
                 self.assertIn("is not of the form address:port", json.loads(logged("can't be used"))["why"])
             # settings are only read at startup: invalid ones in a reloaded configuration are ignored
@@ -528,12 +539,12 @@
             self.assertEqual(json.loads(logged("new configuration"))["relay"], "127.0.0.1:2")
 
     def test_repeated_signals_end_the_process_even_during_its_imports(self):
-        for slow, awaited in ((True, "importing"), (False, "listening")):
-            for one in (signal.SIGTERM, signal.SIGINT):
+        for slow, log_word in ((True, "importing"), (False, "listening")):
+            for end_signal in (signal.SIGTERM, signal.SIGINT):
                 with self.program(slow) as (run, _, logged):
-                    self.assertIn(awaited, logged(awaited))
-                    run.send_signal(one)
-                    run.send_signal(one)
+                    self.assertIn(log_word, logged(log_word))
+                    run.send_signal(end_signal)
+                    run.send_signal(end_signal)
                     self.assertEqual(run.wait(timeout=20), 0)
                     self.assertNotIn("Traceback", run.stderr.read())
 
@@ -546,14 +557,14 @@
             self.assertIn("discovery", json.loads(logged("new configuration")))
 
     def test_it_can_listen_on_the_same_address_directly_after_a_kill(self):
-        with ExitStack() as open_ones:
-            with socket.create_server(("127.0.0.1", 0)) as free:
-                listen = f"127.0.0.1:{free.getsockname()[1]}"
+        with ExitStack() as resources:
+            with socket.create_server(("127.0.0.1", 0)) as free_socket:
+                listen = f"127.0.0.1:{free_socket.getsockname()[1]}"
             for _ in range(3):
                 with self.program(listen=listen) as (run, _, logged):
                     self.assertEqual(json.loads(logged("listening"))["address"], listen)
                     peers = [
-                        open_ones.enter_context(socket.create_connection(("127.0.0.1", int(listen[10:]))))
+                        resources.enter_context(socket.create_connection(("127.0.0.1", int(listen[10:]))))
                         for _ in range(50)
                     ]
                     for peer in peers:
@@ -565,11 +576,11 @@
     def test_a_thousand_connections_are_closed_when_it_ends(self):
         with (
             self.program(limits={"cores": 1.0, "memory_mb": 64, "sockets": 4096}) as (run, _, logged),
-            ExitStack() as open_ones,
+            ExitStack() as resources,
         ):
-            host, _, number = json.loads(logged("listening"))["address"].rpartition(":")
+            host, _, port = json.loads(logged("listening"))["address"].rpartition(":")
             peers = [
-                open_ones.enter_context(socket.create_connection((host, int(number)))) for _ in range(1000)
+                resources.enter_context(socket.create_connection((host, int(port)))) for _ in range(1000)
             ]
             for peer in peers:
                 peer.sendall(JOIN_LINE + b'{"@type":"hb"}\n')
--- a/tests/test_platform_address.py
+++ b/tests/test_platform_address.py
@@ -37,18 +37,20 @@
 
 class Lines(unittest.TestCase):
     def test_lines_may_be_split_at_any_byte(self):
-        whole, fed_by_byte = inbound_connection(), inbound_connection()
-        found = whole.receive(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)
+        fed_at_once, fed_by_byte = inbound_connection(), inbound_connection()
+        found = fed_at_once.receive(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)
         reports_by_byte = [
-            one
+            report
             for k in range(len(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE))
-            for one in fed_by_byte.receive((JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)[k : k + 1])
+            for report in fed_by_byte.receive(
+                (JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE)[k : k + 1]
+            )
         ]
         self.assertEqual(
-            (found, reports_by_byte, whole.outgoing, whole.zone),
+            (found, reports_by_byte, fed_at_once.outgoing, fed_at_once.zone),
             (EXPECTED_REPORTS, EXPECTED_REPORTS, b"", "north"),
         )
-        self.assertFalse(whole.check_join_deadline(10 * S))
+        self.assertFalse(fed_at_once.check_join_deadline(10 * S))
 
     def test_only_invalid_reports_are_skipped(self):
         invalid_lines = [
@@ -68,22 +70,22 @@
             b"[]\n",
         ]
         for line in invalid_lines:
-            one = inbound_connection()
+            connection = inbound_connection()
             self.assertEqual(
-                one.receive(JOIN_LINE + line + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE),
+                connection.receive(JOIN_LINE + line + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE),
                 EXPECTED_REPORTS,
                 line,
             )
-            self.assertEqual((one.invalid_reports, one.close_reason), (1, ""), line)
+            self.assertEqual((connection.invalid_reports, connection.close_reason), (1, ""), line)
 
     def test_malformed_data_closes_a_collector_without_a_reply(self):
-        one = inbound_connection()
+        connection = inbound_connection()
         self.assertEqual(
-            one.receive(JOIN_LINE + TRAFFIC_REPORT_LINE + b"\x00\xff{garbage\n" + TRAFFIC_REPORT_LINE),
+            connection.receive(JOIN_LINE + TRAFFIC_REPORT_LINE + b"\x00\xff{garbage\n" + TRAFFIC_REPORT_LINE),
             EXPECTED_REPORTS[1:],
         )
-        self.assertTrue(one.close_reason)
-        self.assertEqual(one.outgoing, b"")
+        self.assertTrue(connection.close_reason)
+        self.assertEqual(connection.outgoing, b"")
 
     def test_unjoined_peers_are_rejected(self):
         for data in (
@@ -98,35 +100,35 @@
             b"x" * (limits.UNJOINED_MAX_BYTES + 1),
             b'{"@type":"assign"}\n',
         ):
-            one = inbound_connection()
-            self.assertEqual(one.receive(data), [])
-            self.assertTrue(one.close_reason and one.outgoing.endswith(REJECTION), data[:40])
-        quiet = inbound_connection()
-        quiet.receive(b'{"@type":"hb"}\n{"@ty')
-        self.assertEqual(quiet.outgoing, HEARTBEAT_REPLY)
-        self.assertFalse(quiet.check_join_deadline(limits.JOIN_TIMEOUT_NS - 1))
-        self.assertTrue(quiet.check_join_deadline(limits.JOIN_TIMEOUT_NS))
-        self.assertEqual(quiet.outgoing, HEARTBEAT_REPLY + REJECTION)
+            connection = inbound_connection()
+            self.assertEqual(connection.receive(data), [])
+            self.assertTrue(connection.close_reason and connection.outgoing.endswith(REJECTION), data[:40])
+        silent_peer = inbound_connection()
+        silent_peer.receive(b'{"@type":"hb"}\n{"@ty')
+        self.assertEqual(silent_peer.outgoing, HEARTBEAT_REPLY)
+        self.assertFalse(silent_peer.check_join_deadline(limits.JOIN_TIMEOUT_NS - 1))
+        self.assertTrue(silent_peer.check_join_deadline(limits.JOIN_TIMEOUT_NS))
+        self.assertEqual(silent_peer.outgoing, HEARTBEAT_REPLY + REJECTION)
 
     def test_an_overlong_line_closes_a_collector(self):
-        one = inbound_connection()
-        one.receive(JOIN_LINE)
+        connection = inbound_connection()
+        connection.receive(JOIN_LINE)
         for _ in range(limits.LINE_MAX_BYTES // 65536 + 1):
-            one.receive(b"x" * 65536)
-        self.assertEqual((one.close_reason, len(one.buffer)), ("line too long", 0))
+            connection.receive(b"x" * 65536)
+        self.assertEqual((connection.close_reason, len(connection.buffer)), ("line too long", 0))
 
     def test_unjoined_peers_are_rejected_for_too_many_lines(self):
         for line in (b"\n", b'{"@type":"hb"}\n'):
-            one = inbound_connection()
-            one.receive(line * (limits.UNJOINED_MAX_BYTES // len(line)))
-            self.assertEqual(one.close_reason, "")
-            one.receive(line * 2)
-            self.assertTrue(one.close_reason)
+            connection = inbound_connection()
+            connection.receive(line * (limits.UNJOINED_MAX_BYTES // len(line)))
+            self.assertEqual(connection.close_reason, "")
+            connection.receive(line * 2)
+            self.assertTrue(connection.close_reason)
 
     def test_a_collector_of_an_unknown_zone_is_rejected(self):
-        one = inbound_connection()
-        one.receive(JOIN_LINE.replace(b"north", b"nowhere"))
-        self.assertEqual((one.zone, one.outgoing), (None, REJECTION))
+        connection = inbound_connection()
+        connection.receive(JOIN_LINE.replace(b"north", b"nowhere"))
+        self.assertEqual((connection.zone, connection.outgoing), (None, REJECTION))
 
 
 class Admission(unittest.TestCase):
@@ -164,7 +166,7 @@
     def __init__(self, *pieces):
         self.pieces, self.sent, self.unread = list(pieces), b"", None
 
-    async def receive(self, _most=65536):
+    async def receive(self, _max_bytes=65536):
         await anyio.lowlevel.checkpoint()
         if not self.pieces:
             raise anyio.EndOfStream
@@ -185,13 +187,15 @@
         async def scenario():
             async with running_service() as (service, _, _):
                 for pieces, unread in ((2, 0), (limits.LINGER_MAX_BYTES // 65536 + 3, 3)):
-                    wire, one = (
+                    stream, connection = (
                         ScriptedStream(b'{"@type":"hb"}\n\xff\n', *[b"x" * 65536] * pieces),
                         inbound_connection(),
                     )
-                    one.join_deadline = service.clock.now() + S
-                    await service.listener.handle(one, wire)
-                    self.assertEqual((wire.sent, wire.unread), (HEARTBEAT_REPLY + REJECTION + b".", unread))
+                    connection.join_deadline = service.clock.now() + S
+                    await service.listener.handle(connection, stream)
+                    self.assertEqual(
+                        (stream.sent, stream.unread), (HEARTBEAT_REPLY + REJECTION + b".", unread)
+                    )
 
         anyio.run(scenario)
 
@@ -231,36 +235,36 @@
         return anyio.run(scenario, backend_options=loop)
 
     def test_a_rejection_arrives_if_the_clock_jumps_before_the_write(self):
-        async def without_processor_time(send):
+        async def with_jumping_clock(send):
             loop = asyncio.get_running_loop()
             loop.jumping = True
             await send()
             loop.jumping = False
 
-        got = self.run_scenario(without_processor_time, loop_factory=JumpingClockLoop)
-        self.assertEqual(got, (HEARTBEAT_REPLY + REJECTION, False))
+        received = self.run_scenario(with_jumping_clock, loop_factory=JumpingClockLoop)
+        self.assertEqual(received, (HEARTBEAT_REPLY + REJECTION, False))
 
     def test_a_rejection_arrives_if_the_event_loop_is_blocked_before_the_write(self):
-        async def held(send):
+        async def with_blocked_loop(send):
             asyncio.get_running_loop().call_soon(time.sleep, LONGER_THAN_A_REPLY)
             await send()
 
         for use_uvloop in (False, True):
-            got = self.run_scenario(held, use_uvloop=use_uvloop)
-            self.assertEqual(got, (HEARTBEAT_REPLY + REJECTION, False), use_uvloop)
+            received = self.run_scenario(with_blocked_loop, use_uvloop=use_uvloop)
+            self.assertEqual(received, (HEARTBEAT_REPLY + REJECTION, False), use_uvloop)
 
 
 class OnSockets(unittest.TestCase):
     def test_hundreds_of_unjoined_peers_do_not_affect_collectors(self):
         async def scenario():
             async with running_service() as (service, relay, _):
-                strangers = [
+                unjoined_peers = [
                     await connect_client(service, b'{"@type":"hb"}\n{"half' if k % 2 else b"")
                     for k in range(300)
                 ]
                 collector = await connect_client(service, JOIN_LINE + BACKEND_REPORT_LINE)
-                got = [await read_all(stream) for stream in strangers]
-                self.assertEqual(set(got), {REJECTION, HEARTBEAT_REPLY + REJECTION})
+                received = [await read_all(stream) for stream in unjoined_peers]
+                self.assertEqual(set(received), {REJECTION, HEARTBEAT_REPLY + REJECTION})
                 await collector.send(b'{"@type":"hb"}\n')
                 self.assertEqual(await collector.receive(), HEARTBEAT_REPLY)
                 self.assertEqual((len(service.listener.unjoined), service.controller.unknown_reports), (0, 0))
@@ -277,14 +281,14 @@
                     self.assertEqual(await stream.receive(), HEARTBEAT_REPLY)
                     return stream
 
-                collector, most = (
+                collector, collectors_max = (
                     await joined(BACKEND_REPORT_LINE),
                     service.controller.admission.collectors_max,
                 )
-                silent = [await joined() for _ in range(2 * most)]
+                silent = [await joined() for _ in range(2 * collectors_max)]
                 self.assertEqual(
-                    [await read_until_closed(stream) for stream in silent[: most + 1]],
-                    [(b"", False)] * (most + 1),
+                    [await read_until_closed(stream) for stream in silent[: collectors_max + 1]],
+                    [(b"", False)] * (collectors_max + 1),
                 )
                 late = await joined(BACKEND_REPORT_LINE)
                 relay.attach(1, "north")
@@ -294,7 +298,7 @@
                 for stream in (collector, late):
                     await stream.send(BACKEND_REPORT_LINE + b'{"@type":"hb"}\n')
                     self.assertEqual(await stream.receive(), HEARTBEAT_REPLY)
-                self.assertEqual(len(service.listener.scopes), most)
+                self.assertEqual(len(service.listener.scopes), collectors_max)
                 for stream in [collector, late, *silent]:
                     await stream.aclose()
 
@@ -303,17 +307,17 @@
     def test_heartbeats_are_answered_after_a_half_close_and_before_malformed_data(self):
         async def scenario():
             async with running_service() as (service, _, _):
-                half = await connect_client(service, b'{"@type":"hb"}\n')
-                await half.send_eof()
-                self.assertEqual(await read_until_closed(half), (HEARTBEAT_REPLY, False))
+                half_closed = await connect_client(service, b'{"@type":"hb"}\n')
+                await half_closed.send_eof()
+                self.assertEqual(await read_until_closed(half_closed), (HEARTBEAT_REPLY, False))
                 unfinished = await connect_client(service, b'{"@type":"hb"}\n{"@type":"hb"}')
                 await unfinished.send_eof()
                 self.assertEqual(
                     await read_until_closed(unfinished), (HEARTBEAT_REPLY, False)
                 )  # an incomplete line is ignored
                 for _ in range(3):
-                    garbled = await connect_client(service, b'{"@type":"hb"}\n\xff\n' + b"x" * 450_000)
-                    self.assertEqual(await read_until_closed(garbled), (HEARTBEAT_REPLY + REJECTION, False))
+                    malformed = await connect_client(service, b'{"@type":"hb"}\n\xff\n' + b"x" * 450_000)
+                    self.assertEqual(await read_until_closed(malformed), (HEARTBEAT_REPLY + REJECTION, False))
 
         anyio.run(scenario)
 
@@ -335,35 +339,35 @@
     def test_connections_reset_before_the_accept_are_cleaned_up(self):
         async def scenario():
             async with running_service() as (service, _, _):
-                host, _, number = service.address.rpartition(":")
+                host, _, port = service.address.rpartition(":")
                 for _ in range(100):  # within one iteration of the event loop: no accept in between
-                    with socket.create_connection((host, int(number))) as gone:
-                        gone.sendall(JOIN_LINE + BACKEND_REPORT_LINE)
-                        gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                alive = await connect_client(service, b'{"@type":"hb"}\n')
-                self.assertEqual(await alive.receive(), HEARTBEAT_REPLY)
+                    with socket.create_connection((host, int(port))) as client_socket:
+                        client_socket.sendall(JOIN_LINE + BACKEND_REPORT_LINE)
+                        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                probe = await connect_client(service, b'{"@type":"hb"}\n')
+                self.assertEqual(await probe.receive(), HEARTBEAT_REPLY)
                 while (
                     len(service.listener.unjoined) > 1
                     or service.listener.scopes.keys() - service.listener.unjoined
                 ):
                     await anyio.sleep(0.02)
-                await alive.aclose()
+                await probe.aclose()
 
         anyio.run(scenario)
 
     def test_a_peer_that_reads_no_replies_is_closed(self):
         async def scenario():
             async with running_service() as (service, _, _):
-                with socket.socket() as deaf:
-                    deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                    host, _, number = service.address.rpartition(":")
-                    deaf.connect((host, int(number)))
-                    deaf.setblocking(False)
+                with socket.socket() as peer:
+                    peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+                    host, _, port = service.address.rpartition(":")
+                    peer.connect((host, int(port)))
+                    peer.setblocking(False)
                     loop = asyncio.get_running_loop()
-                    await loop.sock_sendall(deaf, JOIN_LINE)
+                    await loop.sock_sendall(peer, JOIN_LINE)
                     with self.assertRaises(OSError):
                         while True:
-                            await loop.sock_sendall(deaf, b'{"@type":"hb"}\n' * 4000)
+                            await loop.sock_sendall(peer, b'{"@type":"hb"}\n' * 4000)
 
         anyio.run(scenario)
 
@@ -382,13 +386,15 @@
             )
             resources.callback(run.kill)
             line = next(line for line in run.stderr if "listening" in line)
-            host, _, number = json.loads(line)["address"].rpartition(":")
+            host, _, port = json.loads(line)["address"].rpartition(":")
 
             def dial():
-                return resources.enter_context(socket.create_connection((host, int(number)), 30))
+                return resources.enter_context(socket.create_connection((host, int(port)), 30))
 
-            strangers = [dial() for _ in range(120)]  # all are silent: each is rejected 1 s after its accept
-            self.assertEqual({peer.recv(100) for peer in strangers}, {REJECTION})
+            unjoined_peers = [
+                dial() for _ in range(120)
+            ]  # all are silent: each is rejected 1 s after its accept
+            self.assertEqual({peer.recv(100) for peer in unjoined_peers}, {REJECTION})
             last = dial()
             last.sendall(b'{"@type":"hb"}\n')
             self.assertEqual(last.recv(100), HEARTBEAT_REPLY)
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -71,7 +71,7 @@
         watch.on_answer(0, 200, self.body(43, True, endpoint_fields("be-1")))
         self.assertEqual(watch.request_delay(), 0)
         pauses = []
-        for old in (
+        for answer in (
             self.body(43, False),
             self.body(42, True),
             self.body(43, True),
@@ -79,7 +79,7 @@
             self.body(43, False),
         ):
             watch.next_request(S)
-            watch.on_answer(S, 200, old)
+            watch.on_answer(S, 200, answer)
             pauses.append(watch.request_delay())
         self.assertEqual(
             pauses,
@@ -151,8 +151,8 @@
                         body = json.dumps(
                             {"revision": 99, "complete": True, "members": [endpoint_fields("be-9")]}
                         ).encode()
-                        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
-                        await side.stream.send(head + body[:9])
+                        header = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
+                        await side.stream.send(header + body[:9])
                         await anyio.sleep(1.5 * limits.LIST_FIRST_BYTE_TIMEOUT_NS / 1e9)
                         await side.stream.send(body[9:])
                         await anyio.sleep_forever()
--- a/tests/test_platform_generated.py
+++ b/tests/test_platform_generated.py
@@ -104,12 +104,12 @@
             (piecewise, parts.outgoing, parts.zone, parts.invalid_reports),
             (found, whole.outgoing, whole.zone, whole.invalid_reports),
         )
-        for one in found:
-            self.assertIsInstance(one, (BackendReport, TrafficReport))
+        for report in found:
+            self.assertIsInstance(report, (BackendReport, TrafficReport))
             self.assertTrue(
                 0
-                <= (one.failures if isinstance(one, BackendReport) else one.failures)
-                <= (one.attempts if isinstance(one, BackendReport) else one.requests)
+                <= (report.failures if isinstance(report, BackendReport) else report.failures)
+                <= (report.attempts if isinstance(report, BackendReport) else report.requests)
             )
         late = whole.check_join_deadline(limits.JOIN_TIMEOUT_NS)
         self.assertTrue(late or whole.zone)  # by then a peer has joined or is closed
@@ -121,13 +121,14 @@
     @GENERATED
     @given(st.binary(max_size=200), st.lists(st.integers(0, 10**6), max_size=8))
     def test_valid_lines_count_whatever_data_follows(self, garbage, cuts):
-        one, found = inbound_connection(), []
+        connection, found = inbound_connection(), []
         for piece in split_at(JOIN_LINE + BACKEND_REPORT_LINE + TRAFFIC_REPORT_LINE, cuts) + [
             b"\xff\n" + garbage
         ]:
-            found += one.receive(piece)
+            found += connection.receive(piece)
         self.assertEqual(
-            (found, one.zone, one.outgoing.replace(HEARTBEAT_REPLY, b"")), (EXPECTED_REPORTS, "north", b"")
+            (found, connection.zone, connection.outgoing.replace(HEARTBEAT_REPLY, b"")),
+            (EXPECTED_REPORTS, "north", b""),
         )
 
 
@@ -285,14 +286,14 @@
             watch = EndpointListWatch(3)
             watch.next_request(0)
             try:
-                got = watch.on_answer(S, status, data)
-                self.assertTrue(got is None or got[0] in ("whole", "changes"))
+                update = watch.on_answer(S, status, data)
+                self.assertTrue(update is None or update[0] in ("whole", "changes"))
                 self.assertTrue(status == 200 and watch.revision >= 3)
-                for one in got[1] if got else ():
+                for endpoint in update[1] if update else ():
                     self.assertTrue(
-                        one.backend
-                        and one.state in ("ready", "draining", "gone")
-                        and one.nominal >= 0 <= one.started
+                        endpoint.backend
+                        and endpoint.state in ("ready", "draining", "gone")
+                        and endpoint.nominal >= 0 <= endpoint.started
                     )
             except UnreadableListError:
                 self.assertEqual((watch.revision, watch.needs_whole_list), (3, True))
