--- a/embertray/cluster/limits/accounts.py
+++ b/embertray/cluster/limits/accounts.py
@@ -107,8 +107,7 @@
             return False
         former = account.request if heard else self.inherited_requests.get(name)
         if former is not None and former.incarnation < request.incarnation:
-            # The member's proxies keep the quotas that the former incarnation sent them, so that one is still
-            # charged.
+            # The member's proxies keep the quotas that the former incarnation sent them: it stays charged.
             grants = account.grants if heard else None
             account.former_incarnations.append(IncarnationRecord(former, grants, now))
             account.grants = {}
--- a/embertray/cluster/limits/ledger.py
+++ b/embertray/cluster/limits/ledger.py
@@ -8,7 +8,7 @@
   until then. Afterwards it cannot raise them any more, but proxies keep the quota that they were sent; so it
   is charged what its proxies may use that no other member has claimed.
 - Each former incarnation of a member is charged like a silent member.
-- A member that this leader has not heard yet may use everything that is not known to be used, until the
+- A member that this leader has not heard from may use everything that is not known to be used, until the
   drift-adjusted term has ended and all of its proxies are claimed.
 """
 
@@ -40,7 +40,7 @@
         return None if None in charges else sum(charges)
 
     def charge_unheard(self, now, name):
-        """Return the charge of a member that this leader has not heard yet: 0, or None as in `charge`.
+        """Return the charge of a member that this leader has not heard from: 0, or None as in `charge`.
 
         Args:
             now: The time, ns.
--- a/embertray/cluster/state/store.py
+++ b/embertray/cluster/state/store.py
@@ -1,8 +1,8 @@
 """All entries that a member knows: merging those of others, reading, and expiring.
 
 Merging is commutative, associative and idempotent. Of an owner's entries only those of the latest incarnation
-are kept, of each key the latest version, and of one version the greatest age: an entry that is older than its
-stated age would break the readers' staleness bound, one that is younger only costs a refresh.
+are kept, of each key the latest version, and of one version the greatest age: an understated age would break
+the readers' staleness bound, an overstated one only makes a reader wait for the owner's next write.
 """
 
 from collections import Counter
