--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -110,8 +110,8 @@
         first = self.cluster.put("a", b"1", "q1")
         self.cluster.put("a", b"2", "q2")
         self.assertEqual(self.cluster.put("a", b"1", "q1"), first)
-        former = self.cluster.leader
-        self.cluster.isolated = {former.name}
+        previous_leader = self.cluster.leader
+        self.cluster.isolated = {previous_leader.name}
         self.cluster.run(10 * S)
         self.assertEqual(
             self.cluster.put("a", b"1", "q1"), first
@@ -154,9 +154,9 @@
         self.assertEqual({replica.term for replica in self.cluster.replicas.values()}, {term})
 
     def test_an_uncommitted_write_of_an_isolated_leader_is_discarded(self):
-        former = self.cluster.leader
-        self.cluster.isolated = {former.name}
-        former.put(self.cluster.now, "a", b"lost", "q1")
+        previous_leader = self.cluster.leader
+        self.cluster.isolated = {previous_leader.name}
+        previous_leader.put(self.cluster.now, "a", b"lost", "q1")
         self.cluster.run(8 * S)
         self.cluster.put("a", b"kept", "q2")
         self.cluster.isolated = set()
@@ -164,21 +164,21 @@
         self.assertEqual(
             {replica.store.get("a").value for replica in self.cluster.replicas.values()}, {b"kept"}
         )
-        self.assertIs(former.role, Role.FOLLOWER)
+        self.assertIs(previous_leader.role, Role.FOLLOWER)
 
     def test_a_lagging_follower_is_brought_up_to_date(self):
-        late = next(
+        lagging = next(
             replica for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
         )
-        self.cluster.isolated = {late.name}
+        self.cluster.isolated = {lagging.name}
         for n in range(50):
             self.cluster.put(f"k{n % 7}", bytes([n]))
             self.cluster.run(20 * MS)
         self.cluster.put("k1", None)
         self.cluster.isolated = set()
         self.cluster.run(3 * S)
-        self.assertEqual(late.store.digests, self.cluster.leader.store.digests)
-        self.assertEqual(late.store.revision, self.cluster.leader.store.revision)
+        self.assertEqual(lagging.store.digests, self.cluster.leader.store.digests)
+        self.assertEqual(lagging.store.revision, self.cluster.leader.store.revision)
 
     def test_a_replica_that_missed_dropped_tombstones_serves_no_removed_key_as_leader(self):
         first, second = [
@@ -193,18 +193,18 @@
             self.cluster.put(f"k{n}", b"1")
             self.cluster.put(f"k{n}", None)
         self.assertGreater(self.cluster.leader.store.forgotten, second.store.revision)
-        former = self.cluster.leader
-        late = self.cluster.create_replica(
+        previous_leader = self.cluster.leader
+        lagging = self.cluster.create_replica(
             first.name
         )  # starts empty, so that it receives the state as an Install
-        late.store, late.uncommitted = VersionedStore(), []
-        self.cluster.replicas[first.name] = late
+        lagging.store, lagging.uncommitted = VersionedStore(), []
+        self.cluster.replicas[first.name] = lagging
         self.cluster.run(2 * S)
-        self.cluster.isolated = {former.name}
+        self.cluster.isolated = {previous_leader.name}
         self.cluster.run(15 * S)
-        self.assertIs(self.cluster.leader, late)
+        self.assertIs(self.cluster.leader, lagging)
         self.assertIsNone(second.store.get("gone"))
-        self.assertEqual(second.store.digests, late.store.digests)
+        self.assertEqual(second.store.digests, lagging.store.digests)
 
     def test_a_replica_restarted_with_its_state_votes_at_once(self):
         self.cluster.put("a", b"1")
@@ -220,18 +220,18 @@
             replica.name for replica in self.cluster.replicas.values() if replica is not self.cluster.leader
         )
         self.cluster.saved[lost] = None
-        empty = self.cluster.replicas[lost] = self.cluster.create_replica(lost)
+        stateless = self.cluster.replicas[lost] = self.cluster.create_replica(lost)
         request = VoteRequest("c", "r9", 9, 9, 9, preliminary=False)
-        empty.receive(self.cluster.now, VoteRequest("c", empty.others[0], 9, 9, 9, preliminary=False))
-        empty.receive(self.cluster.now, request)
+        stateless.receive(self.cluster.now, VoteRequest("c", stateless.others[0], 9, 9, 9, preliminary=False))
+        stateless.receive(self.cluster.now, request)
         self.assertFalse(
-            [envelope for envelope in empty.poll().messages if isinstance(envelope.message, Vote)]
+            [envelope for envelope in stateless.poll().messages if isinstance(envelope.message, Vote)]
         )
-        self.cluster.run(empty.timing.recovery_wait - S)
-        self.assertTrue(empty.recovering)
-        self.assertEqual(empty.store.get("a").value, b"1")  # it follows the leader meanwhile
+        self.cluster.run(stateless.timing.recovery_wait - S)
+        self.assertTrue(stateless.recovering)
+        self.assertEqual(stateless.store.get("a").value, b"1")  # it follows the leader meanwhile
         self.cluster.run(3 * S)
-        self.assertFalse(empty.recovering)
+        self.assertFalse(stateless.recovering)
 
     def test_a_replica_with_an_outdated_state_does_not_vote(self):
         lost = next(
@@ -241,20 +241,20 @@
         self.cluster.put("a", b"1")
         self.cluster.run(S)
         rng = random.Random(5)
-        again = Replica(
+        restarted = Replica(
             "c", lost, self.cluster.names, self.cluster.now, rng, saved=older, saved_is_newest=False
         )
-        self.cluster.replicas[lost] = again
-        candidate = VoteRequest("c", again.others[0], 99, 99, 99, preliminary=False)
-        again.receive(self.cluster.now, candidate)
-        for other in again.others:  # blank replies are no first start: this replica has state
-            again.receive(self.cluster.now, RecoverReply("c", other, 0, again.nonce, True))
-        self.assertTrue(again.recovering)
+        self.cluster.replicas[lost] = restarted
+        candidate = VoteRequest("c", restarted.others[0], 99, 99, 99, preliminary=False)
+        restarted.receive(self.cluster.now, candidate)
+        for other in restarted.others:  # blank replies are no first start: this replica has state
+            restarted.receive(self.cluster.now, RecoverReply("c", other, 0, restarted.nonce, True))
+        self.assertTrue(restarted.recovering)
         self.assertFalse(
-            [envelope for envelope in again.poll().messages if isinstance(envelope.message, Vote)]
+            [envelope for envelope in restarted.poll().messages if isinstance(envelope.message, Vote)]
         )
-        self.cluster.run(again.timing.recovery_wait + 3 * S)
-        self.assertEqual((again.recovering, again.store.get("a").value), (False, b"1"))
+        self.cluster.run(restarted.timing.recovery_wait + 3 * S)
+        self.assertEqual((restarted.recovering, restarted.store.get("a").value), (False, b"1"))
 
     def test_one_dead_replica_and_one_without_state_leave_no_majority(self):
         self.cluster.put("a", b"1")
