--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -107,10 +107,10 @@
 
 
 class ClusterTestCase(unittest.TestCase):
-    def run_cluster(self, body, count=3, keep=False, **options):
+    def run_cluster(self, body, count=3, persistent=False, **options):
         """Runs body(cluster) while all replicas are running."""
         with tempfile.TemporaryDirectory() as folder:
-            cluster = ControlCluster(count, folder if keep else None, **options)
+            cluster = ControlCluster(count, folder if persistent else None, **options)
 
             async def run():
                 with anyio.fail_after(3 * MAX_WAIT_S):
@@ -151,10 +151,10 @@
 
     def test_invalid_writes_are_rejected(self):
         async def body(cluster):
-            most = (await cluster.wait_for_leader()).feed_settings.max_value_bytes
-            revision = await cluster.put("key", b"x" * most, "largest")
+            max_value_bytes = (await cluster.wait_for_leader()).feed_settings.max_value_bytes
+            revision = await cluster.put("key", b"x" * max_value_bytes, "largest")
             cases = [
-                (TooLargeError, lambda leader: leader.put("key", b"x" * (most + 1), "request")),
+                (TooLargeError, lambda leader: leader.put("key", b"x" * (max_value_bytes + 1), "request")),
                 (BadKeyError, lambda leader: leader.put("", b"x", "request")),
                 (BadKeyError, lambda leader: leader.put("k" * 257, b"x", "request")),
                 (BadRequestError, lambda leader: leader.put("key", b"x", "")),
@@ -183,9 +183,9 @@
             )
             follower = next(filter(follows_a_leader, cluster.replicas.values()))
             for call in (follower.put("key", b"y", "request"), follower.rollback("key", 99, "request")):
-                with self.assertRaises(NotLeaderError) as caught:
+                with self.assertRaises(NotLeaderError) as raised:
                     await call
-                self.assertIn(caught.exception.leader, cluster.names)
+                self.assertIn(raised.exception.leader, cluster.names)
 
         self.run_cluster(body)
 
@@ -195,7 +195,7 @@
             await cluster.put("key", b"1")
             await cluster.wait_until_all_hold("key", b"1")
 
-        self.run_cluster(body, count=1, keep=True)
+        self.run_cluster(body, count=1, persistent=True)
 
 
 class Restarts(ClusterTestCase):
@@ -214,7 +214,7 @@
             await cluster.put("after", b"3")
             await wait_until(lambda: server.get("after"), "the replica follows the leader")
 
-        self.run_cluster(body, keep=True)
+        self.run_cluster(body, persistent=True)
 
     def test_all_replicas_restarted_at_once_keep_their_state(self):
         async def body(cluster):
@@ -226,7 +226,7 @@
             self.assertEqual(await cluster.put("key", b"1", "the-request"), revision)
             self.assertEqual((await cluster.wait_for_leader()).get("key").value, b"1")
 
-        self.run_cluster(body, keep=True)
+        self.run_cluster(body, persistent=True)
 
     def test_a_replica_restarted_without_state_is_readmitted(self):
         async def body(cluster):
@@ -255,8 +255,8 @@
                 lambda: server.replica.store.revision >= count, "the replica has the whole state"
             )
             await wait_until(lambda: not server.status().recovering, "the replica is readmitted")
-            kept = cluster.replicas["r1"].replica.store
-            self.assertEqual(server.replica.store.digest, kept.digest)
+            survivor = cluster.replicas["r1"].replica.store
+            self.assertEqual(server.replica.store.digest, survivor.digest)
             await cluster.put("key-0", b"1")
 
         with tempfile.TemporaryDirectory() as folder:
@@ -277,20 +277,20 @@
     def test_after_a_majority_lost_its_disks_one_state_can_be_copied_to_all(self):
         async def body(cluster):
             await cluster.put("key", b"1")
-            kept = next(name for name in cluster.names if cluster.replicas[name].get("key"))
+            survivor = next(name for name in cluster.names if cluster.replicas[name].get("key"))
             folders = {name: Path(cluster.folder) / name for name in cluster.names}
             for name in cluster.names:
                 await cluster.kill(name)
             for name in cluster.names:
-                if name != kept:
+                if name != survivor:
                     shutil.rmtree(folders[name])
-                    shutil.copytree(folders[kept], folders[name])
+                    shutil.copytree(folders[survivor], folders[name])
             for name in cluster.names:
                 await cluster.start(name)
             await cluster.put("other", b"2")
             self.assertEqual((await cluster.wait_for_leader()).get("key").value, b"1")
 
-        self.run_cluster(body, keep=True)
+        self.run_cluster(body, persistent=True)
 
     def test_a_majority_without_saved_state_elects_no_leader(self):
         async def body(cluster):
@@ -302,16 +302,17 @@
                 if name != leader:
                     shutil.rmtree(Path(cluster.folder) / name)
                 await cluster.start(name)
-            kept = cluster.replicas[leader]
-            await wait_until(lambda: kept.replica.role is Role.CANDIDATE, "the replica requests votes")
-            asked = kept.traffic.messages_in
+            survivor = cluster.replicas[leader]
+            await wait_until(lambda: survivor.replica.role is Role.CANDIDATE, "the replica requests votes")
+            messages_before = survivor.traffic.messages_in
             await wait_until(
-                lambda: kept.traffic.messages_in > asked + 20, "the others answer without voting"
+                lambda: survivor.traffic.messages_in > messages_before + 20,
+                "the others answer without voting",
             )
             self.assertIsNone(cluster.leader)
-            self.assertEqual(kept.get("key").value, b"1")
+            self.assertEqual(survivor.get("key").value, b"1")
 
-        self.run_cluster(body, keep=True)
+        self.run_cluster(body, persistent=True)
 
     def test_a_subscriber_switches_when_its_replica_dies(self):
         async def body(cluster):
@@ -325,7 +326,7 @@
             revisions = [entry.revision for entry in cluster.applied["s1"]]
             self.assertEqual(revisions, sorted(set(revisions)))
 
-        self.run_cluster(body, keep=True)
+        self.run_cluster(body, persistent=True)
 
     def test_a_restarted_subscriber_continues_from_its_saved_state(self):
         async def body(cluster):
@@ -375,9 +376,9 @@
             leader = await cluster.wait_for_leader()
             revision = leader.replica.store.revision
             disk.full = True
-            with self.assertRaises(Exception) as caught:
+            with self.assertRaises(Exception) as raised:
                 await leader.put("key", b"1", "request")
-            self.assertEqual(type(caught.exception).__name__, "OutcomeUnknownError")
+            self.assertEqual(type(raised.exception).__name__, "OutcomeUnknownError")
             _, ended = cluster.scopes["r1"]
             await ended.wait()
             self.assertEqual(type(leader.ended_by).__name__, "StateNotSavedError")
@@ -407,7 +408,7 @@
             await cluster.put("other", b"2")
             self.assertEqual(server.get("other").value, b"2")
 
-        self.run_cluster(body, count=1, keep=True)
+        self.run_cluster(body, count=1, persistent=True)
 
 
 class SlowSubscribers(ClusterTestCase):
@@ -594,10 +595,15 @@
             self.assertEqual((follower.fleet_subscribers, follower.fleet_lowest_confirmed), (None, None))
             client = cluster.subscribers["s0"]
             await wait_until(lambda: client.status().age_s is not None, "the subscriber knows its age")
-            seen = client.status()
-            self.assertEqual((seen.replica, seen.connected, seen.keys), ("r1", True, 1))
-            self.assertGreaterEqual(seen.revision, revision)
-            self.assertGreater(min(seen.traffic.bytes_in, seen.traffic.bytes_out), 0)
+            subscriber_status = client.status()
+            self.assertEqual(
+                (subscriber_status.replica, subscriber_status.connected, subscriber_status.keys),
+                ("r1", True, 1),
+            )
+            self.assertGreaterEqual(subscriber_status.revision, revision)
+            self.assertGreater(
+                min(subscriber_status.traffic.bytes_in, subscriber_status.traffic.bytes_out), 0
+            )
 
         self.run_cluster(body)
 
