--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -255,8 +255,8 @@
                 lambda: server.replica.store.revision >= count, "the replica has the whole state"
             )
             await wait_until(lambda: not server.status().recovering, "the replica is readmitted")
-            survivor = cluster.replicas["r1"].replica.store
-            self.assertEqual(server.replica.store.digest, survivor.digest)
+            source_store = cluster.replicas["r1"].replica.store
+            self.assertEqual(server.replica.store.digest, source_store.digest)
             await cluster.put("key-0", b"1")
 
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -194,9 +194,8 @@
             self.cluster.put(f"k{n}", None)
         self.assertGreater(self.cluster.leader.store.forgotten, second.store.revision)
         previous_leader = self.cluster.leader
-        lagging = self.cluster.create_replica(
-            first.name
-        )  # starts empty, so that it receives the state as an Install
+        # starts empty, so that it receives the state as an Install
+        lagging = self.cluster.create_replica(first.name)
         lagging.store, lagging.uncommitted = VersionedStore(), []
         self.cluster.replicas[first.name] = lagging
         self.cluster.run(2 * S)
