--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -177,7 +177,7 @@
 
     def _join(self, stream):
         service = self._service
-        self._replace_former(stream.name)
+        self._replace_previous(stream.name)
         self.by_name[stream.name] = stream
         service.counters.joins += 1
         stream.conn.put(
@@ -188,12 +188,12 @@
         service.wake()
         service.log.debug("proxy joined", proxy=stream.name, zone=stream.hello.zone)
 
-    def _replace_former(self, name):
+    def _replace_previous(self, name):
         """Cuts a proxy's former stream: the proxy came back before that one was seen broken."""
-        former = self.by_name.get(name)
-        if former is not None:
-            self._remove(former)
-            former.cut("replaced by a newer stream", "replaced")
+        previous = self.by_name.get(name)
+        if previous is not None:
+            self._remove(previous)
+            previous.cut("replaced by a newer stream", "replaced")
 
     async def _write(self, stream):
         try:
