--- a/embertray/service/daemon/control.py
+++ b/embertray/service/daemon/control.py
@@ -40,7 +40,7 @@
                 listen=me.listen,
             ),
             clock,
-            rng_of_this_start(seed, me.name, clock),
+            per_start_rng(seed, me.name, clock),
             net=net,
             replica_timing=replica_timing,
             feed_settings=feed_settings or FeedSettings(bytes_per_second=control.bytes_per_second),
@@ -99,7 +99,7 @@
             replicas={replica.name: replica.listen for replica in control.followed_by(me)},
         ),
         clock,
-        rng_of_this_start(seed, me.name, clock),
+        per_start_rng(seed, me.name, clock),
         lambda entries: log.info("configuration", keys=len(entries), revision=entries[-1].revision),
         net=net,
         timing=timing,
@@ -109,6 +109,6 @@
     )
 
 
-def rng_of_this_start(seed, name, clock):
+def per_start_rng(seed, name, clock):
     """A random.Random that differs at each start: a replica's nonces must never be drawn twice."""
     return random.Random(f"{seed} {name} {clock.wall()}")
