--- a/embertray/service/daemon/optional_tasks.py
+++ b/embertray/service/daemon/optional_tasks.py
@@ -6,7 +6,7 @@
 import msgspec
 
 FACTS_KEY = "facts"  # of the gossiped facts; other processes read it
-ALONE = "this process goes on alone"
+SERVING_CONTINUES = "this process goes on alone"
 
 
 async def run_cluster(service):
@@ -28,10 +28,10 @@
     try:
         reason = await service.cluster.run()
     except OSError as error:
-        service.log.error(f"the cluster's address can't be used; {ALONE}", why=str(error))
+        service.log.error(f"the cluster's address can't be used; {SERVING_CONTINUES}", why=str(error))
         return
     except Exception as error:  # a fault of the cluster's code must not cancel the proxies' streams
-        service.log.error(f"the cluster failed; {ALONE}", exc_info=error)
+        service.log.error(f"the cluster failed; {SERVING_CONTINUES}", exc_info=error)
         return
     if not service.stopping.is_set():
         service.log.error("ended", why=reason)
@@ -52,7 +52,7 @@
     try:
         await service.control.run()
     except Exception as error:  # a fault of the control plane's code must not cancel the proxies' streams
-        service.log.error(f"following the control plane failed; {ALONE}", exc_info=error)
+        service.log.error(f"following the control plane failed; {SERVING_CONTINUES}", exc_info=error)
 
 
 def _facts(service):
