--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -122,12 +122,12 @@
             FolderLockedError: Another process has the snapshots' folder.
             OSError: An address can't be listened on.
         """
-        async with AsyncExitStack() as ending:
+        async with AsyncExitStack() as exit_stack:
             self.snapshot_store.open()
-            ending.callback(self.snapshot_store.close)
+            exit_stack.callback(self.snapshot_store.close)
             self._start_controller()
-            listener = await self._listen(self.me.listen, ending)
-            admin = await self._listen(self.me.admin, ending)
+            listener = await self._listen(self.me.listen, exit_stack)
+            admin = await self._listen(self.me.admin, exit_stack)
             self.listen = listener.address
             self.admin = admin.address
             async with anyio.create_task_group() as group:
@@ -139,7 +139,7 @@
                 self.log.info("stopping", streams=len(self.streams))
                 group.cancel_scope.cancel()
 
-    async def _listen(self, address, ending):
+    async def _listen(self, address, exit_stack):
         """Listens until `ending`, an AsyncExitStack, closes, however the start goes on."""
         listener = await self.net.listen(address)
 
@@ -147,7 +147,7 @@
             with anyio.CancelScope(shield=True):
                 await listener.aclose()
 
-        ending.push_async_callback(close)
+        exit_stack.push_async_callback(close)
         return listener
 
     def stop(self):
