--- a/embertray/service/site/control.py
+++ b/embertray/service/site/control.py
@@ -6,7 +6,7 @@
 
 from .exceptions import SiteError
 
-FOLLOWED = 3  # replicas that a controller knows: one to follow, two to turn to
+REPLICAS_PER_CONTROLLER = 3  # replicas that a controller knows: one to follow, two to turn to
 BYTES_PER_SECOND_MIN = 1_000  # a value has to fit into what two seconds give, less 1,024 bytes
 
 
@@ -82,14 +82,14 @@
     ranked = sorted(replicas, key=lambda replica: (_score(controller, replica.name), replica.name))
     near = [replica for replica in ranked if replica.region == region]
     far = [replica for replica in ranked if replica.region != region]
-    chosen = near[: FOLLOWED - 1] if far else near[:FOLLOWED]
+    chosen = near[: REPLICAS_PER_CONTROLLER - 1] if far else near[:REPLICAS_PER_CONTROLLER]
     regions = set()
     for replica in far:
-        if len(chosen) < FOLLOWED and replica.region not in regions:
+        if len(chosen) < REPLICAS_PER_CONTROLLER and replica.region not in regions:
             regions.add(replica.region)
             chosen.append(replica)
     rest = [replica for replica in [*far, *near] if replica not in chosen]
-    return chosen + rest[: FOLLOWED - len(chosen)]
+    return chosen + rest[: REPLICAS_PER_CONTROLLER - len(chosen)]
 
 
 def _score(controller, replica):
--- a/tests/test_control_site.py
+++ b/tests/test_control_site.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings, strategies as st
 
 from embertray.service.site import SiteError, load
-from embertray.service.site.control import FOLLOWED, SiteReplica, replica_order
+from embertray.service.site.control import REPLICAS_PER_CONTROLLER, SiteReplica, replica_order
 from embertray.service.site.schema import SITE_FOLDER as SITES
 
 SAMPLE = (SITES / "samples" / "pushed.xml").read_text()
@@ -158,12 +158,12 @@
     def test_the_order_has_the_stated_form(self, regions, region, number):
         given_replicas = replicas(regions)
         order = replica_order(f"c{number}", region, given_replicas)
-        self.assertEqual(len(order), min(FOLLOWED, len(given_replicas)))
+        self.assertEqual(len(order), min(REPLICAS_PER_CONTROLLER, len(given_replicas)))
         self.assertEqual(len({one.name for one in order}), len(order))
         self.assertEqual(order, replica_order(f"c{number}", region, given_replicas[::-1]))
         if region in regions:
             self.assertEqual(order[0].region, region)
-        if len(set(regions)) > 1 and len(order) == FOLLOWED:
+        if len(set(regions)) > 1 and len(order) == REPLICAS_PER_CONTROLLER:
             self.assertGreater(len({one.region for one in order}), 1)
 
 
