--- a/embertray/service/site/reader.py
+++ b/embertray/service/site/reader.py
@@ -9,11 +9,11 @@
 from .schema import attribute_defaults
 from .values import parse_boolean, parse_duration, parse_size
 
-FORMER_RETRY_WORDS = {"uniqued": "deduplicated"}  # words of older descriptions
+RENAMED_RETRY_MODES = {"uniqued": "deduplicated"}  # words of older descriptions
 TICK_DEFAULT = "5ms"
 CLUSTER_PERIOD_MIN_NS = 50 * 10**6
 CONTROLLER_ADDRESSES = ("listen", "admin", "cluster")
-POLLED = "ask"  # the mode in which the list is requested; else the inventory sends each change
+POLL_MODE = "ask"  # the mode in which the list is requested; else the inventory sends each change
 
 
 class SiteReader:
@@ -66,7 +66,7 @@
         """Returns an element's attributes, with the schema's defaults."""
         return {**attribute_defaults().get(element.tag, {}), **element.attrib}
 
-    def _part(self, name):
+    def _section(self, name):
         return self._attributes(self._root.find(name))
 
     def _kinds(self):
@@ -86,7 +86,7 @@
             parse_duration(attributes["response-target"]),
             parse_duration(attributes["client-timeout"]),
             float(attributes["credit"]),
-            FORMER_RETRY_WORDS.get(attributes["again"], attributes["again"]),
+            RENAMED_RETRY_MODES.get(attributes["again"], attributes["again"]),
             attributes["group"],
             attributes["name"],
         )
@@ -95,7 +95,7 @@
         return kind
 
     def _proxies(self):
-        proxies = self._part("proxies")
+        proxies = self._section("proxies")
         return {
             "proxies": int(proxies["expected"]),
             "picks": proxies["picks"],
@@ -108,7 +108,7 @@
         }
 
     def _channel(self):
-        channel = self._part("channel")
+        channel = self._section("channel")
         rate = float(channel["lines-per-second"])
         if not rate > 0:
             raise self._error(self._root.find("channel"), "channel: lines-per-second must be over 0")
@@ -123,14 +123,14 @@
         }
 
     def _reports(self):
-        reports = self._part("reports")
+        reports = self._section("reports")
         return {
             "report_interval": parse_duration(reports["cycle"]),
             "reports_rate": float(reports["lines-per-second"]),
         }
 
     def _backends(self):
-        backends = self._part("backends")
+        backends = self._section("backends")
         return {
             "backends": int(backends["expected"]),
             "cold_speed": float(backends["cold-from"]),
@@ -145,11 +145,11 @@
         }
 
     def _inventory(self):
-        inventory = self._part("inventory")
+        inventory = self._section("inventory")
         self._addresses.check(self._root.find("inventory"), inventory["address"])
         return {
             "inventory": inventory["address"],
-            "ask": inventory["mode"] == POLLED,
+            "ask": inventory["mode"] == POLL_MODE,
             "ask_within": parse_duration(inventory["ask-within"]),
             "keep": inventory["keep"],
         }
@@ -173,10 +173,10 @@
         period = parse_duration(attributes["period"])
         if period < CLUSTER_PERIOD_MIN_NS:
             raise self._error(element, "cluster: a period of 50ms at least is expected")
-        for controller, its_element in zip(controllers, self._root.find("controllers"), strict=True):
+        for controller, controller_element in zip(controllers, self._root.find("controllers"), strict=True):
             if not controller.cluster or controller.cluster.endswith(ANY_FREE_PORT):
                 text = "a cluster needs its address, with a port that others know"
-                raise self._error(its_element, f"controller {controller.name}: {text}")
+                raise self._error(controller_element, f"controller {controller.name}: {text}")
         return ClusterSettings(
             name=self._root.get("name"),
             period=period,
