--- a/embertray/service/site/sample_site.py
+++ b/embertray/service/site/sample_site.py
@@ -8,8 +8,8 @@
 
 SAMPLE = SITE_FOLDER / "samples" / "pushed.xml"
 ANY_FREE_PORT = "127.0.0.1:0"
-WIDE_CHANNEL = 10**6  # lines a second: wide enough to be no limit
-WIDE_QUEUE = 2 * 10**6  # lines
+DEFAULT_CHANNEL_RATE = 10**6  # lines a second: wide enough to be no limit
+DEFAULT_QUEUE_LIMIT = 2 * 10**6  # lines
 
 
 def write_sample_site(folder, inventory, **changes):
@@ -27,8 +27,8 @@
     tree = etree.parse(str(SAMPLE))
     root = tree.getroot()
     root.find("inventory").set("address", inventory)
-    root.find("channel").set("lines-per-second", str(changes.get("rate", WIDE_CHANNEL)))
-    root.find("channel").set("lines-waiting", str(changes.get("waiting", WIDE_QUEUE)))
+    root.find("channel").set("lines-per-second", str(changes.get("rate", DEFAULT_CHANNEL_RATE)))
+    root.find("channel").set("lines-waiting", str(changes.get("waiting", DEFAULT_QUEUE_LIMIT)))
     root.find("proxies").set("expected", str(changes.get("proxies", 1000)))
     root.find("backends").set("expected", str(changes.get("backends", 500)))
     root.find("reports").set("lines-per-second", str(changes.get("reports", 0)))
