--- a/embertray/service/admin/control_client.py
+++ b/embertray/service/admin/control_client.py
@@ -74,20 +74,20 @@
     Raises:
         UnreachableError: no replica ever received the request.
     """
-    ends_at = time.monotonic() + timeout
+    deadline = time.monotonic() + timeout
     address = admin
     unknown = None
     while True:
         outcome, failure = await _attempt(address, method, target, body)
         if isinstance(outcome, OutcomeUnknown):
             unknown = outcome
-        if not may_change(outcome) or time.monotonic() > ends_at:
+        if not is_retryable(outcome) or time.monotonic() > deadline:
             break
         leader = outcome.leader if isinstance(outcome, Rejected) else ""
         if not leader or leader == address:
             await anyio.sleep(RETRY_PAUSE_S)
         address = leader or admin
-    if unknown is not None and may_change(outcome):
+    if unknown is not None and is_retryable(outcome):
         return unknown
     if outcome is None:
         raise UnreachableError(failure)
@@ -103,7 +103,7 @@
         return (OutcomeUnknown(failure) if error.sent else None), failure
 
 
-def may_change(outcome):
+def is_retryable(outcome):
     """Whether the same call may end otherwise when it is made again; `outcome` None: it was not received."""
     if isinstance(outcome, Rejected):
         return outcome.reason in TRANSIENT_REASONS
