--- a/embertray/service/__init__.py
+++ b/embertray/service/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: its task groups, the operators' HTTP, and the description of a site."""
+"""The controller service: its daemon, the operators' HTTP, and site descriptions."""
--- a/embertray/service/admin/__init__.py
+++ b/embertray/service/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP, parsed by h11."""
+"""HTTP servers and clients of the operators' pages, on h11."""
--- a/embertray/service/admin/actions.py
+++ b/embertray/service/admin/actions.py
@@ -1,4 +1,4 @@
-"""What operators do to a controller: functions (Service, query: name -> values) -> Response."""
+"""Operators' actions on a controller: functions (Service, query: name -> values) -> Response."""
 
 from .pages import level_page
 from .server import text
@@ -34,7 +34,7 @@
 
 
 def pace(service, query):
-    """Runs the channel slower: share=0.25."""
+    """Slows the channel down to a share of its rate: share=0.25."""
     pacer = service.core.pacer
     try:
         pacer.set_pace(service.clock.now(), float(query.get("share", [""])[0]))
--- a/embertray/service/admin/client.py
+++ b/embertray/service/admin/client.py
@@ -17,7 +17,7 @@
         (status, body).
 
     Raises:
-        OSError: Nobody listens.
+        OSError: Nothing listens at the address.
         h11.RemoteProtocolError: The response is malformed.
     """
     connection = h11.Connection(h11.CLIENT)
@@ -42,4 +42,4 @@
     try:
         return await stream.receive()
     except anyio.EndOfStream:
-        return b""  # h11's mark of the end
+        return b""  # h11's end-of-stream marker
--- a/embertray/service/admin/control.py
+++ b/embertray/service/admin/control.py
@@ -1,8 +1,8 @@
 """Operators' HTTP of a control replica: status, reads and writes.
 
 GET /live /ready /metrics /control /control/key?key=K /control/versions?key=K;
-PUT /control/key?key=K&request=ID (the value is the body; expected=REVISION rejects it if the key is not at
-that), DELETE the same;
+PUT /control/key?key=K&request=ID (the value is the body; with expected=REVISION it is rejected if the key
+has another revision), DELETE the same;
 POST /control/rollback?key=K&version=N&request=ID. Answers are JSON of replication/api_messages.py.
 """
 
@@ -33,12 +33,14 @@
 from .control_metrics import replica_metrics
 from .server import serve_request, text
 
-MAX_BODY_BYTES = 64 << 10  # a value that is too large for an update still gets a typed answer
-MAX_DIGITS = 18  # of a number in a query: it fits into 63 bits
+MAX_BODY_BYTES = (
+    64 << 10
+)  # above the largest value of an update, so that a larger one still gets a typed answer
+MAX_DIGITS = 18  # of a number in a query; 18 digits fit into 63 bits
 
 BAD_REQUEST_STATUS = 400
 UNKNOWN_OUTCOME_STATUS = 504
-REJECTION_STATUS = {  # of other rejections: BAD_REQUEST_STATUS
+REJECTION_STATUS = {  # other rejections get BAD_REQUEST_STATUS
     NotLeaderError: 421,
     NoMajorityError: 503,
     OverloadedError: 503,
@@ -51,7 +53,7 @@
 
 
 class ReplicaAdmin:
-    """Pages of one replica.
+    """The operators' pages of one replica.
 
     Args:
         server: the ReplicaServer.
@@ -157,12 +159,12 @@
 
 
 def value_page(key, get, age_s):
-    """The answer to a GET of a key.
+    """Answers a GET of a key.
 
     Args:
         key: its name.
-        get: get(key) returns its Entry, or None.
-        age_s: seconds, or None.
+        get: a function key -> Entry, or None if there is none.
+        age_s: age of the configuration in seconds, None if unknown.
 
     Returns:
         (status, content type, body).
--- a/embertray/service/admin/control_client.py
+++ b/embertray/service/admin/control_client.py
@@ -1,4 +1,4 @@
-"""Calls of `embertray control` to replicas: the leader is followed, and a write is repeated under its id."""
+"""HTTP client of `embertray control`: follows the leader, and retries a write under its request id."""
 
 import time
 
@@ -13,15 +13,15 @@
 NS_PER_S = 10**9
 CONNECT_TIMEOUT_NS = 1 * NS_PER_S
 SEND_TIMEOUT_NS = 5 * NS_PER_S
-ANSWER_TIMEOUT_NS = 8 * NS_PER_S  # a replica answers a write within 5 s, known or not
+ANSWER_TIMEOUT_NS = 8 * NS_PER_S  # a replica answers a write within 5 s, even if the outcome is unknown
 MAX_ANSWER_BYTES = 1 << 20
-RETRY_PAUSE_S = 0.3  # before an attempt that is not sent to a leader that was just named
-TRANSIENT_REASONS = ("NotLeader", "NoMajority", "Overloaded")  # rejections that may be over soon
-MAX_ERROR_TEXT = 200  # characters shown of an answer that is no typed one
+RETRY_PAUSE_S = 0.3  # before a retry, unless it goes to a leader that the last answer named
+TRANSIENT_REASONS = ("NotLeader", "NoMajority", "Overloaded")  # rejections after which a retry may succeed
+MAX_ERROR_TEXT = 200  # characters shown of an answer that can't be decoded
 
 
 class UnreachableError(Exception):
-    """No replica could be asked."""
+    """No replica could be reached."""
 
 
 async def ask(admin, method, target, body=b""):
@@ -46,7 +46,7 @@
 
 
 async def call(admin, method, target, body=b""):
-    """The same, but raises CallError, which tells whether the request may have been received."""
+    """Like `ask`, but raises CallError, which tells whether the request may have been received."""
     connection = await HttpConnection.dial(TcpNet(), admin, CONNECT_TIMEOUT_NS)
     try:
         await connection.send_request(method, target, SEND_TIMEOUT_NS, body, "application/octet-stream")
@@ -56,17 +56,17 @@
 
 
 async def write(admin, method, target, body, timeout):
-    """Makes a write: follows the leader, and tries again while that may help.
+    """Makes a write: follows the leader, and retries while the outcome may change.
 
-    An attempt whose outcome is unknown may still be committed. So a later rejection that may be over soon
-    does not settle it, and the outcome stays unknown; any other answer under the same request id does.
+    An attempt whose outcome is unknown may still be committed. A later transient rejection does not settle
+    it, and the outcome stays unknown; any other answer under the same request id does.
 
     Args:
-        admin: operators' address of the replica to ask first.
+        admin: operators' address of the replica that is asked first.
         method: HTTP method.
         target: path and query, with the request id.
         body: bytes.
-        timeout: seconds in which further attempts begin.
+        timeout: seconds within which further attempts begin.
 
     Returns:
         Committed, Rejected or OutcomeUnknown.
@@ -95,7 +95,7 @@
 
 
 async def _attempt(address, method, target, body):
-    """(outcome, "") or, if the call failed, (OutcomeUnknown or None if nothing was sent, reason)."""
+    """Returns (outcome, "") or, if the call failed, (OutcomeUnknown, or None if nothing was sent; reason)."""
     try:
         return read_outcome(*await call(address, method, target, body)), ""
     except CallError as error:
@@ -104,14 +104,14 @@
 
 
 def is_retryable(outcome):
-    """Whether the same call may end otherwise when it is made again; `outcome` None: it was not received."""
+    """Whether a retry of the call may have another outcome; `outcome` None: it was not received."""
     if isinstance(outcome, Rejected):
         return outcome.reason in TRANSIENT_REASONS
     return outcome is None or isinstance(outcome, OutcomeUnknown)
 
 
 def read_outcome(status, body):
-    """The typed outcome of a write's answer, given its HTTP status and body."""
+    """Returns the typed outcome of a write from its HTTP status and body."""
     try:
         return decode_answer(body)
     except msgspec.DecodeError:
--- a/embertray/service/admin/control_metrics.py
+++ b/embertray/service/admin/control_metrics.py
@@ -4,7 +4,7 @@
 
 
 def replica_metrics(status):
-    """Lines for a ReplicaStatus."""
+    """Returns the metric lines of a ReplicaStatus."""
     gauges = {
         "leads": int(status.has_majority),
         "term": status.term,
@@ -28,7 +28,7 @@
 
 
 def subscriber_metrics(status):
-    """Lines for a SubscriberStatus."""
+    """Returns the metric lines of a SubscriberStatus."""
     gauges = {
         "connected": int(status.connected),
         "revision": status.revision,
@@ -39,14 +39,11 @@
 
 
 def metric_lines(gauges, counters):
-    """One TYPE line and one value for each metric.
+    """Returns one TYPE line and one value line for each metric.
 
     Args:
         gauges: name -> value; names get the prefix embertray_control_.
-        counters: name -> value; names get the suffix _total, too.
-
-    Returns:
-        The lines.
+        counters: name -> value; names also get the suffix _total.
     """
     rows = []
     for kind, suffix, metrics in (("gauge", "", gauges), ("counter", "_total", counters)):
--- a/embertray/service/admin/http.py
+++ b/embertray/service/admin/http.py
@@ -1,9 +1,9 @@
 """The operators' HTTP of a controller: readiness, metrics, tables, the channel; graceful shutdown and pace.
 
 GET /live /ready /metrics /memory /tables /start /channel /proxies /level /cluster /control
-/control/key?key=K; POST /drain, POST /pace?share=0.25 (runs the channel slower), POST
-/set-level?pin=essential (or release=1, forbid=NAME, allow=NAME). One request a connection, on loopback.
-Programs of operators read the JSON keys and texts: they stay.
+/control/key?key=K; POST /drain, POST /pace?share=0.25 (slows the channel down), POST
+/set-level?pin=essential (or release=1, forbid=NAME, allow=NAME). One request per connection, on loopback.
+Operators' tools parse the JSON keys and texts, so these must not change.
 """
 
 from collections.abc import Callable
--- a/embertray/service/admin/metrics.py
+++ b/embertray/service/admin/metrics.py
@@ -1,4 +1,7 @@
-"""The daemon's metrics in Prometheus' text format. Operators' dashboards use the names: they stay."""
+"""The daemon's metrics in Prometheus' text format.
+
+Operators' dashboards use the names, so these must not change.
+"""
 
 GAUGE = "gauge"
 COUNTER = "counter"
@@ -27,7 +30,7 @@
 
     def __init__(self):
         self.lines = []
-        self._declared = set()  # names that have their TYPE line
+        self._declared = set()  # names whose TYPE line has been added
 
     def gauge(self, name, value, **labels):
         """Adds a gauge `embertray_NAME`."""
--- a/embertray/service/admin/pages.py
+++ b/embertray/service/admin/pages.py
@@ -1,6 +1,6 @@
 """The operators' pages of a controller's state: functions (Service, query: name -> values) -> Response.
 
-Programs of operators read the JSON keys and texts: they stay.
+Operators' tools parse the JSON keys and texts, so these must not change.
 """
 
 from .metrics import service_metrics
@@ -14,12 +14,12 @@
 
 
 def live_page(_service, _query):
-    """The process answers."""
+    """Liveness: 200 as long as the process answers."""
     return text("live\n")
 
 
 def ready_page(service, _query):
-    """Whether proxies may be sent here: it knows backends, and is not shutting down."""
+    """Readiness: 200 if the controller knows backends and is not shutting down."""
     if service.admission.draining is not None:
         return text("draining\n", UNAVAILABLE)
     reason = service.trust.describe(service.clock.now())
@@ -29,7 +29,7 @@
 
 
 def start_page(service, _query):
-    """How far the endpoint list is trusted since the start."""
+    """State of the endpoint list and of the trust in it since the start."""
     trust = service.trust
     now = service.clock.now()
     return json_response(
@@ -51,7 +51,7 @@
     """All metrics, in Prometheus' text format."""
     lines = service_metrics(service)
     if service.control is not None:
-        # imported here: a site without a control plane does not pay for its code
+        # imported here, so that a site without a control plane does not load it
         from .control_metrics import subscriber_metrics
 
         lines += subscriber_metrics(service.control.status())
@@ -64,7 +64,7 @@
 
 
 def tables_page(service, _query):
-    """The routing tables as ordered."""
+    """The routing tables as last sent to the proxies."""
     tables = service.core.outbox.tables
     return json_response([_table(table, ordered) for table, ordered in tables.items()])
 
@@ -82,7 +82,7 @@
 
 
 def channel_page(service, _query):
-    """What waits in the channel, and how fast it leaves."""
+    """Queue length and rate of the channel."""
     pacer = service.core.pacer
     return json_response(
         {
@@ -125,14 +125,14 @@
 
 
 def control_page(service, _query):
-    """How far this controller follows the control plane."""
+    """Status of this controller's subscriber of the control plane."""
     if service.control is None:
         return text(NO_CONTROL, NOT_FOUND)
     return json_response(service.control.status())
 
 
 def control_key_page(service, query):
-    """What this controller has for a key of the control plane."""
+    """This controller's value of a key of the control plane."""
     if service.control is None:
         return text(NO_CONTROL, NOT_FOUND)
     key = query.get("key", [""])[0]
--- a/embertray/service/admin/server.py
+++ b/embertray/service/admin/server.py
@@ -1,4 +1,4 @@
-"""Serves one HTTP/1.1 request a connection, with h11: read within limits, answered, closed."""
+"""Serves one HTTP/1.1 request per connection with h11, within limits of size and time."""
 
 import inspect
 from contextlib import suppress
@@ -46,13 +46,13 @@
 async def serve_request(stream, answer, body_max=BODY_MAX_BYTES):
     """Answers one request and closes the stream.
 
-    A malformed request gets status 400 and one line. A peer that closes or hangs costs its own connection
-    only: it is closed without a word, at the latest after TIMEOUT_S for each direction.
+    A malformed request gets status 400 and one line. A connection whose peer closes or hangs is closed
+    without a response, at the latest after TIMEOUT_S for each direction.
 
     Args:
         stream: The byte stream.
         answer: A function (request, body) -> Response, or a coroutine function of that kind.
-        body_max: Most bytes of the request's body.
+        body_max: Largest accepted request body, bytes.
     """
     connection = h11.Connection(h11.SERVER, max_incomplete_event_size=BODY_MAX_BYTES)
     async with stream:
@@ -61,7 +61,7 @@
         except h11.RemoteProtocolError as error:
             await _send_bad_request(connection, stream, error)
         except CONNECTION_ERRORS:
-            pass  # nobody is there any more to be answered
+            pass  # the peer is gone
 
 
 async def _answer_request(connection, stream, answer, body_max):
@@ -81,7 +81,7 @@
     """Reads a request.
 
     Returns:
-        (h11.Request, body), or None if the connection ends before.
+        (h11.Request, body), or None if the connection ends first.
 
     Raises:
         h11.RemoteProtocolError: It is malformed or too large.
@@ -108,17 +108,17 @@
     try:
         return await stream.receive()
     except anyio.EndOfStream:
-        return b""  # h11's mark of the end
+        return b""  # h11's end-of-stream marker
 
 
 async def _send_bad_request(connection, stream, error):
-    """Sends what is wrong with a request, if the peer still takes it."""
+    """Sends status 400 with the error, if the peer still reads."""
     with suppress(*CONNECTION_ERRORS), anyio.move_on_after(TIMEOUT_S):
         await _send_response(connection, stream, Response(BAD_REQUEST, PLAIN, f"{error}\n".encode()))
 
 
 async def _send_response(connection, stream, response):
-    """Sends a complete Response, unless one was begun."""
+    """Sends a complete Response, unless one was already begun."""
     if connection.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
         return
     headers = [
--- a/embertray/service/daemon/__init__.py
+++ b/embertray/service/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The running controller: tasks for its steps, its proxies' streams, its endpoint list and its HTTP."""
+"""The controller daemon: step loop, proxies' streams, endpoint list client and operators' HTTP."""
 
 from .service import Service
 
--- a/embertray/service/daemon/control.py
+++ b/embertray/service/daemon/control.py
@@ -1,4 +1,4 @@
-"""Replicated configuration in this program's processes: a replica of its own, a controller's subscriber."""
+"""Processes of the replicated configuration: a control replica, and the subscriber inside a controller."""
 
 import random
 from pathlib import Path
@@ -20,10 +20,10 @@
     """`embertray control serve`: one replica of a site, with its operators' HTTP.
 
     Args:
-        control: the site's Control.
+        control: the site's ControlSettings.
         me: the SiteReplica to run.
-        clock: the process's clock.
-        net: listens and opens connections.
+        clock: has now, wall and sleep_until, as LoopClock.
+        net: has listen and dial, as TcpNet.
         seed: whole number, the same for all processes of the site.
         replica_timing: a ReplicaTiming, None for the default.
         feed_settings: a FeedSettings, None for the site's.
@@ -77,19 +77,16 @@
 
 
 def subscriber_client(site, me, clock, net, seed, log, timing=None):
-    """The subscriber of one controller.
+    """Returns the SubscriberClient of one controller.
 
     Args:
         site: the Site.
-        me: the controller's description.
-        clock: the process's clock.
-        net: opens connections.
+        me: the SiteController.
+        clock: has now, wall and sleep_until, as LoopClock.
+        net: has dial, as TcpNet.
         seed: whole number, the same for all processes of the site.
         log: a structlog logger.
         timing: a SubscriberTiming, None for the default.
-
-    Returns:
-        A SubscriberClient.
     """
     control = site.control
     return SubscriberClient(
@@ -110,5 +107,5 @@
 
 
 def per_start_rng(seed, name, clock):
-    """A random.Random that differs at each start: a replica's nonces must never be drawn twice."""
+    """Returns a random.Random that differs at each start, since a replica must never reuse a nonce."""
     return random.Random(f"{seed} {name} {clock.wall()}")
--- a/embertray/service/daemon/counters.py
+++ b/embertray/service/daemon/counters.py
@@ -1,4 +1,4 @@
-"""What the daemon counts from its start, for metrics."""
+"""Counters of the daemon since its start, for the metrics page."""
 
 from dataclasses import asdict, dataclass
 
@@ -11,7 +11,7 @@
         joins: Proxies that joined.
         leaves: Proxies that left, for whatever reason.
         cuts: Streams that were cut.
-        refused: Streams that were ended since the peer broke the protocol.
+        refused: Streams that were ended because the peer violated the protocol.
         messages: Messages sent to proxies.
         list_news: Updates of the endpoint list.
         list_breaks: Connections to the inventory that broke or could not be made.
--- a/embertray/service/daemon/endpoint_list_client.py
+++ b/embertray/service/daemon/endpoint_list_client.py
@@ -1,4 +1,4 @@
-"""The daemon's connection to the inventory: dialled, followed, requested again, given up after a timeout."""
+"""The daemon's connection to the inventory: dial, backoff, requests, response timeout."""
 
 import anyio
 import msgspec
@@ -36,11 +36,11 @@
         self.follower = EndpointListFollower(service.me.name, chance)
         self.connected = False
         self._service = service
-        self._requests = []  # those that wait to be sent: whether each is for the complete list
+        self._requests = []  # requests to be sent: whether each is for the complete list
         self._requested = anyio.Event()
 
     def request(self, complete):
-        """Sends the next request: for the complete list, or for what is new."""
+        """Queues a request: for the complete list, or for the changes only."""
         self._requests.append(complete)
         self._requested.set()
 
@@ -66,8 +66,8 @@
     async def _follow_one_connection(self):
         """Follows the list until the connection breaks.
 
-        A peer that is down, closes, sends what can't be read or does not answer in time shows as one of the
-        errors below. It costs this connection only: tables stand, and the list is dialled again.
+        A peer that is down, closes, sends malformed data or does not answer in time raises one of the errors
+        below. Only this connection ends: the tables stay in force, and the inventory is dialled again.
         """
         try:
             stream = await self._service.net.dial(self._service.site.inventory)
@@ -75,7 +75,7 @@
                 await self._follow(stream)
         except* (*CONNECTION_ERRORS, FrameError, msgspec.DecodeError) as errors:
             error = first_error(errors)
-            self._service.log.warning("inventory broke", why=str(error) or type(error).__name__)
+            self._service.log.warning("inventory connection failed", why=str(error) or type(error).__name__)
 
     async def _wait_for_next_poll(self):
         """Notifies the policy that the poll failed, and waits until it orders the next one."""
@@ -101,7 +101,7 @@
                     self._receive(decode_response(payload))
 
     def _receive(self, response):
-        """Takes in a response: what it changes goes to the frontend."""
+        """Applies a response and passes its changes to the frontend."""
         update = self.follower.receive(response)
         if update.kind is UpdateKind.GAP:
             self.request(complete=True)
@@ -115,11 +115,11 @@
         if update.kind is not UpdateKind.FAILED:
             service.snapshots.request()
         if refetch:
-            service.log.warning("the list is asked for again: it lacks most of those who answer")
+            service.log.warning("requesting the complete list again: it lacks most backends that answer")
             self.request(complete=True)
 
     async def _send_requests(self, stream):
-        """Sends further requests on a connection that is up; several that wait are one."""
+        """Sends further requests on an open connection; several queued requests are merged into one."""
         while True:
             self._requested = anyio.Event()
             requests = self._requests
@@ -133,8 +133,8 @@
     async def _watch_timeout(self):
         """Raises TimeoutError once a request has had no answer for too long.
 
-        Against an inventory that hangs with its connection open: nothing else would end the wait.
+        Nothing else would end the wait for an inventory that hangs with its connection open.
         """
         while not self.follower.timed_out(self._service.clock.now()):
             await self._sleep(TIMEOUT_CHECK_PERIOD_NS)
-        raise TimeoutError("the list does not answer")
+        raise TimeoutError("the inventory did not answer in time")
--- a/embertray/service/daemon/memory_report.py
+++ b/embertray/service/daemon/memory_report.py
@@ -1,17 +1,17 @@
-"""What the daemon itself stores, for the memory accounts, and the memory page."""
+"""The daemon's own collections for the memory accounts, and the memory page."""
 
 import anyio
 
 from embertray.common.memory import Collection
 from embertray.common.net.process import resident_memory
 
-# Types at which a walk over a stream stops, and attributes that it does not follow: the transport's own.
+# Types and attributes that the size estimate of a stream leaves out: they belong to the transport.
 TRANSPORT_TYPES = (anyio.Event, anyio.CancelScope)
 TRANSPORT_ATTRIBUTES = ("stream", "on_sent", "read", "scope")
 
 
 def service_collections(service):
-    """Lists what the streams, the list's client and the cluster store.
+    """Returns the collections that the streams, the endpoint list client and the cluster hold.
 
     Args:
         service: The Service.
@@ -56,7 +56,7 @@
 
 
 def memory_page(service):
-    """Returns the accounts, and the process as the system measures it, as a JSON object; all in bytes."""
+    """Returns the memory accounts and the process's resident memory as a JSON object; sizes in bytes."""
     resident_bytes = resident_memory()
     purposes = service.core.accounts.rows()
     accounted = sum(row["bytes"] for row in purposes)
--- a/embertray/service/daemon/optional_tasks.py
+++ b/embertray/service/daemon/optional_tasks.py
@@ -1,19 +1,19 @@
-"""The cluster's and the control plane's tasks, on sites that have them. Neither may end what proxies need.
+"""Tasks of the cluster and the control plane, on sites that have them. Their failure leaves proxies served.
 
-Their packages are imported here, when they run: a site without them does not pay for their code.
+Their packages are imported when the tasks start, so that a site without them does not load their code.
 """
 
 import msgspec
 
-FACTS_KEY = "facts"  # of the gossiped facts; other processes read it
-SERVING_CONTINUES = "this process goes on alone"
+FACTS_KEY = "facts"  # key of the gossiped facts, which other processes read
+SERVING_CONTINUES = "proxies are still served"
 
 
 async def run_cluster(service):
     """Takes part in the cluster until the service stops.
 
-    It ends the process when a younger process has its name. Any other end or error is logged only: proxies
-    are served without the cluster, too.
+    The service stops when a newer process has taken over this member's name. Any other end or error is only
+    logged, and proxies are served without the cluster.
 
     Args:
         service: The Service, whose `cluster` is set.
@@ -56,7 +56,7 @@
 
 
 def _facts(service):
-    """What the other members get to know of this controller: key -> bytes."""
+    """Returns the facts that this controller gossips to the other members: key -> bytes."""
     facts = {
         "proxies": len(service.streams),
         "list": service.trust.epoch,
--- a/embertray/service/daemon/proxy_stream.py
+++ b/embertray/service/daemon/proxy_stream.py
@@ -17,7 +17,7 @@
         session: The ControllerSession, which has received the Hello.
 
     Attributes:
-        send_buffer: The SendBuffer: what the transport has not taken.
+        send_buffer: The SendBuffer: messages that the transport has not taken yet.
         hello: The proxy's Hello.
         scope: Cancelled when the stream is cut.
         end_reason: Why it ended, for the log.
@@ -42,7 +42,7 @@
 
         Args:
             reason: Why, for the log and the peer.
-            code: Code of the Fault that the peer is sent, as far as it takes it at once; None: none is sent.
+            code: Code of the Fault that is sent if the peer takes it at once; None: none is sent.
         """
         self.end_reason = reason
         if code:
--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -1,4 +1,4 @@
-"""The streams of proxies, from their dial to their end: handshake, reading, writing, cuts."""
+"""The proxies' streams from accept to close: handshake, reads, writes, cuts."""
 
 import contextlib
 
@@ -15,12 +15,12 @@
 from .proxy_stream import ProxyStream
 
 NS_PER_SECOND = 10**9
-CHECK_PERIOD_MIN_NS = NS_PER_SECOND // 4  # between two looks at a stream's send buffer
+CHECK_PERIOD_MIN_NS = NS_PER_SECOND // 4  # between two checks of a stream's send buffer
 UNKNOWN_PROXY = "-"  # in the log, of a stream that ended before its hello
 
 
 class ProxyStreams:
-    """The streams of a Service. Its frontend is notified of who joins, leaves and sends what.
+    """The streams of a Service. The frontend is notified of joins, leaves and received messages.
 
     Args:
         service: The Service.
@@ -47,13 +47,13 @@
         self._service.counters.messages += 1
 
     def check(self, now):
-        """Cuts proxies that do not read, and goes on with a graceful shutdown.
+        """Cuts proxies that do not read, and closes the streams that a graceful shutdown has reached.
 
         Args:
             now: ns.
 
         Returns:
-            When to check again, ns; None: not before something happens.
+            When to check again, ns; None: not before the next event.
         """
         self._cut_slow_readers(now)
         close_at = self._close_drained(now)
@@ -64,9 +64,10 @@
         return min(times, default=None)
 
     def _cut_slow_readers(self, now):
-        """Cuts proxies whose transport takes nothing: what waits for them would grow without end.
+        """Cuts proxies whose transport takes nothing: their send buffers would grow without limit.
 
-        Only when this process itself has run steadily: after a stall they may have had no chance to read.
+        Does so only if this process itself has not stalled: after a stall the proxies may have had no chance
+        to read.
         """
         if not self._service.core.stall_watch.check_steady(now):
             return
@@ -98,13 +99,13 @@
             self._service.frontend.proxy_left(self._service.clock.now(), stream.name)
             self._service.wake()
 
-    # ---- one stream
+    # ---- life of one stream
 
     async def serve(self, raw_stream):
-        """Serves one stream from its dial to its end.
+        """Serves one stream from accept to close.
 
-        No error leaves this method, so that a stranger's bytes or a fault in handling them end one stream
-        only: the listener's task group would else cancel all others.
+        No error leaves this method: the listener's task group would cancel all other streams. So malformed
+        data or a fault in handling it ends one stream only.
         """
         try:
             await self._serve(QueuedConnection(raw_stream), raw_stream)
@@ -112,7 +113,7 @@
             pass
         except* Exception as errors:
             self._service.count_fault("internal")
-            self._service.log.error("a stream's handling failed", exc_info=errors)
+            self._service.log.error("unhandled error in a stream", exc_info=errors)
 
     async def _serve(self, conn, raw_stream):
         async with raw_stream:
@@ -142,10 +143,10 @@
         """Reads until the Hello.
 
         Returns:
-            The messages, the Hello first; none if the peer closed or sent nothing in time.
+            The messages, the Hello first; none if the peer closed or sent no Hello in time.
 
         Raises:
-            ProtocolError: The peer broke the protocol.
+            ProtocolError: The peer violated the protocol.
         """
         messages = []
         with anyio.move_on_after(HANDSHAKE_TIMEOUT_NS / NS_PER_SECOND):
@@ -189,7 +190,7 @@
         service.log.debug("proxy joined", proxy=stream.name, zone=stream.hello.zone)
 
     def _replace_previous(self, name):
-        """Cuts a proxy's former stream: the proxy came back before that one was seen broken."""
+        """Cuts the previous stream of a proxy that came back before that stream was detected as broken."""
         previous = self.by_name.get(name)
         if previous is not None:
             self._remove(previous)
@@ -209,10 +210,10 @@
         if messages:
             self._service.wake()
 
-    # ---- ends
+    # ---- closing a stream
 
     async def _refuse(self, conn, name, error):
-        """Ends a stream whose peer broke the protocol: it is sent the one Fault."""
+        """Ends a stream whose peer violated the protocol, after sending it one Fault."""
         self._service.counters.refused += 1
         self._service.count_fault(error.code)
         self._service.log.warning("stream refused", proxy=name, code=error.code, why=str(error))
@@ -220,15 +221,15 @@
         await self._flush(conn)
 
     async def _reject(self, conn, rejection):
-        """Ends a stream that is not admitted: the peer is sent for how long to stay away."""
+        """Ends a stream that is not admitted, after sending the peer how long to stay away."""
         self._service.count_fault(rejection.code)
         conn.put(encode_frame(encode(Fault(rejection.code, rejection.text, rejection.retry_after))))
         await self._flush(conn)
 
     async def _flush(self, conn):
-        """Writes what is queued if the peer takes it within a tick; the stream is closed after it.
+        """Writes the queued data, as far as the peer takes it within a tick, before the stream is closed.
 
-        Not behind a frame that was begun and not ended: the peer would read the Fault as a part of it.
+        Writes nothing after an incomplete frame, since the peer would read the Fault as a part of that frame.
         """
         if conn.mid_send:
             return
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -1,9 +1,8 @@
 """One controller as a daemon: one task group; clock, net and snapshot store are handed in.
 
-Its jobs run side by side: the steps (`step_loop`), the streams of proxies (`proxy_streams`), the endpoint
+Its tasks run concurrently: the steps (`step_loop`), the streams of proxies (`proxy_streams`), the endpoint
 list (`endpoint_list_client`), the snapshots (`snapshot_writer`), the operators' HTTP, and the tasks of sites
-with a cluster or a control plane (`optional_tasks`). All that is decided is decided by the controller's
-frontend.
+with a cluster or a control plane (`optional_tasks`). The controller's frontend makes all decisions.
 """
 
 from contextlib import AsyncExitStack
@@ -28,11 +27,11 @@
 
 
 class Service:
-    """The daemon.
+    """The daemon of one controller.
 
     Attributes:
         site: The Site.
-        me: Its SiteController that this is.
+        me: The SiteController that this process runs.
         clock: Has now, wall and sleep_until, as LoopClock.
         net: Has listen and dial, as TcpNet.
         snapshot_store: Holds the snapshots, as DurableSnapshots.
@@ -41,14 +40,14 @@
         endpoint_list: The EndpointListClient.
         snapshots: The SnapshotWriter.
         counters: The ServiceCounters.
-        faults: Code of a fault or rejection -> how many peers got it.
+        faults: Code of a fault or rejection -> how many peers were sent it.
         stopping: Set by `stop`.
         listen: Address that proxies dial, once it runs.
         admin: Address of the operators' HTTP, once it runs.
         frontend: The ControllerFrontend, once it runs; `core`, `trust` and `admission` are its parts.
         cluster: The ClusterLink, on a site with a cluster, once it runs.
         control: The SubscriberClient, on a site with a control plane, once it runs.
-        resident_at_start: Bytes that the process took when it began to run.
+        resident_at_start: Resident memory of the process when `run` began, bytes.
     """
 
     def __init__(
@@ -64,19 +63,19 @@
         core_class=ControllerCore,
         trust_class=Trust,
     ):
-        """Make a daemon that does not run yet.
+        """Creates a daemon that does not run yet.
 
         Args:
             site: The Site.
-            me: Its SiteController that this is.
+            me: The SiteController that this process runs.
             clock: Has now, wall and sleep_until, as LoopClock.
             net: Has listen and dial, as TcpNet.
             snapshot_store: Holds the snapshots, as DurableSnapshots.
-            seed: For the policy's random numbers.
-            chance: A function that gives numbers from 0 to 1.
+            seed: Seed of the policy's random numbers.
+            chance: A function that returns random numbers from 0 to 1.
             log: A structlog logger; None: the default one.
-            core_class: Makes the core.
-            trust_class: Makes the trust in the list.
+            core_class: Class of the core.
+            trust_class: Class of the endpoint list's trust.
         """
         self.site = site
         self.me = me
@@ -116,10 +115,10 @@
         """Runs until `stop`.
 
         Args:
-            task_status: Its `started` gets (listen address, admin address) once both are listened on.
+            task_status: Its `started` is called with (listen address, admin address) once both are open.
 
         Raises:
-            FolderLockedError: Another process has the snapshots' folder.
+            FolderLockedError: Another process uses the snapshots' folder.
             OSError: An address can't be listened on.
         """
         async with AsyncExitStack() as exit_stack:
@@ -140,7 +139,7 @@
                 group.cancel_scope.cancel()
 
     async def _listen(self, address, exit_stack):
-        """Listens until `ending`, an AsyncExitStack, closes, however the start goes on."""
+        """Returns a listener that `exit_stack` closes, also if a later part of the start fails."""
         listener = await self.net.listen(address)
 
         async def close():
@@ -160,10 +159,10 @@
         self.wake()
 
     def _start_controller(self):
-        """Makes the controller, which starts with the newest snapshot that can be read."""
+        """Creates the controller's frontend from the newest snapshot that can be read."""
         snapshot, skipped = self.snapshot_store.load()
         for name, reason in skipped:
-            self.log.error("a snapshot can't be used", file=name, why=reason)
+            self.log.error("snapshot skipped", file=name, why=reason)
         now = self.clock.now()
         self.frontend = ControllerFrontend(
             self.site,
@@ -194,13 +193,13 @@
         if self.site.control:
             group.start_soon(follow_control, self)
         for warning in channel_budget(self.site).warnings:
-            self.log.warning("the channel is short", why=warning)
+            self.log.warning("channel capacity is low", why=warning)
         self.log.info("listening", listen=self.listen, admin=self.admin)
 
-    # ---- what the parts share
+    # ---- shared by the components
 
     def wake(self):
-        """Something happened that the next step has to handle."""
+        """Wakes the step loop to handle a new event."""
         self._steps.wake()
 
     def count_fault(self, code):
--- a/embertray/service/daemon/snapshot_writer.py
+++ b/embertray/service/daemon/snapshot_writer.py
@@ -8,7 +8,7 @@
 
 
 class SnapshotWriter:
-    """Writes a snapshot soon after each change, and from time to time while the list stands confirmed.
+    """Writes a snapshot soon after each change, and periodically while the inventory confirms the list.
 
     Args:
         service: The Service.
@@ -19,7 +19,7 @@
         self._due = anyio.Event()
 
     def request(self):
-        """Asks for a snapshot: the list has changed."""
+        """Requests a snapshot after a change of the list."""
         self._due.set()
 
     async def run(self):
@@ -38,8 +38,8 @@
     async def _write(self, now):
         """Writes a snapshot.
 
-        A full or failing disk raises OSError: it is logged and counted, and the controller serves on, since
-        the snapshot written before is still there for the next start.
+        An OSError of a full or failing disk is logged and counted. The controller serves on: the previous
+        snapshot remains for the next start.
         """
         service = self._service
         store = service.snapshot_store
@@ -52,4 +52,4 @@
             service.counters.saves += 1
         except OSError as error:
             service.counters.save_fails += 1
-            service.log.warning("the list is not kept; what was kept before stands", why=str(error))
+            service.log.warning("snapshot not written; the previous one remains", why=str(error))
--- a/embertray/service/daemon/step_loop.py
+++ b/embertray/service/daemon/step_loop.py
@@ -1,4 +1,4 @@
-"""Runs the controller's steps: wakes when something happens or is due, and does what each step asks for."""
+"""Runs the controller's steps: wakes on events and timers, and carries out the result of each step."""
 
 import anyio
 
@@ -9,7 +9,7 @@
 
 
 class StepLoop:
-    """The steps of a Service.
+    """The step loop of a Service.
 
     Args:
         service: The Service.
@@ -20,13 +20,13 @@
         self._woken = anyio.Event()
 
     def wake(self):
-        """Something happened: the next step is run as soon as the site's tick lets it."""
+        """Runs the next step as soon as the site's tick allows."""
         self._woken.set()
 
     async def run(self, group):
         """Runs steps until cancelled; probes run in the task group.
 
-        Events of one wake-up are one step, and there is at most one step a tick of the site.
+        All events of one wake-up are handled in one step, and there is at most one step per tick of the site.
         """
         clock = self._service.clock
         while True:
@@ -39,7 +39,7 @@
             await clock.sleep_until(now + self._service.site.tick)
 
     async def _wait_until(self, *times):
-        """Waits until something happens or the earliest of the times (ns; None: never)."""
+        """Waits for `wake` or the earliest of the times (ns; None: never)."""
         due = [time for time in times if time is not None]
         if not due:
             await self._woken.wait()
@@ -67,7 +67,9 @@
     def _log_changes(self, step):
         change = step.level_change
         if change is not None:
-            self._service.log.warning("level of service", old=change.old, new=change.new, why=change.reason)
+            self._service.log.warning(
+                "service level changed", old=change.old, new=change.new, why=change.reason
+            )
         for notice in step.notices:
             self._service.log.warning(
                 f"memory {notice.text}",
@@ -84,19 +86,19 @@
                 self._service.proxies.cut(now, stream, reason)
 
     def _limit_cluster(self):
-        """Closes the cluster's store to new facts while its memory cap is in force."""
+        """Blocks growth of the gossiped state while the cluster's memory account is at its cap."""
         account = self._service.core.accounts.by_purpose.get("cluster")
         if self._service.cluster and account:
             account.action_count = self._service.cluster.set_growth_blocked(account.at_cap)
 
     async def _probe(self, backend):
-        """Probes a backend: whether it accepts a connection, and how soon."""
+        """Probes whether a backend accepts a connection within PROBE_TIMEOUT_NS."""
         answered = False
         with anyio.move_on_after(PROBE_TIMEOUT_NS / NS_PER_SECOND):
             try:
                 async with await self._service.net.dial(backend):
                     answered = True
             except (*CONNECTION_ERRORS, AddressError):
-                pass  # a backend that is down or named wrongly has not answered
+                pass  # the backend is down or its address is invalid: no answer
         self._service.core.probe_finished(self._service.clock.now(), backend, answered)
         self.wake()
--- a/embertray/service/site/__init__.py
+++ b/embertray/service/site/__init__.py
@@ -1,4 +1,4 @@
-"""The description of a deployment: XML, its schema, and the loader."""
+"""Descriptions of deployments (sites): the XML schema, the loader and the model."""
 
 from .exceptions import SiteError
 from .loader import load
--- a/embertray/service/site/addresses.py
+++ b/embertray/service/site/addresses.py
@@ -1,4 +1,4 @@
-"""The addresses of one description: on parse_loopback, and each used once."""
+"""Checks that the addresses of a description are on loopback and that each is used once."""
 
 from embertray.common.net.address import parse_loopback
 from embertray.common.net.exceptions import AddressError
@@ -34,7 +34,7 @@
         """Checks an address and records its use.
 
         Raises:
-            SiteError: It is not on parse_loopback, or another element uses it.
+            SiteError: It is not on loopback, or another element uses it.
         """
         self.check(element, address)
         if not address.endswith(ANY_FREE_PORT) and address in self._lines:
--- a/embertray/service/site/control.py
+++ b/embertray/service/site/control.py
@@ -1,4 +1,4 @@
-"""What a site says of its control replicas, and which of them each controller follows."""
+"""The control replicas of a site, and the choice of those that each controller follows."""
 
 from dataclasses import dataclass
 
@@ -6,8 +6,8 @@
 
 from .exceptions import SiteError
 
-REPLICAS_PER_CONTROLLER = 3  # replicas that a controller knows: one to follow, two to turn to
-BYTES_PER_SECOND_MIN = 1_000  # a value has to fit into what two seconds give, less 1,024 bytes
+REPLICAS_PER_CONTROLLER = 3  # one that the controller follows, and two to fail over to
+BYTES_PER_SECOND_MIN = 1_000  # two seconds of it, less 1,024 bytes, limit the size of a value
 
 
 @dataclass(frozen=True)
@@ -36,8 +36,8 @@
     """The control plane of a site.
 
     Attributes:
-        cluster: The site's name, by which the processes know each other.
-        bytes_per_second: For updates to one subscriber.
+        cluster: The site's name, by which its processes recognise each other.
+        bytes_per_second: Rate limit of the updates to one subscriber.
         keep: Folder in which each controller stores its configuration; empty: none.
         replicas: The SiteReplicas.
     """
@@ -67,9 +67,9 @@
 def replica_order(controller, region, replicas):
     """Chooses the replicas that a controller follows.
 
-    Those of its region come first, but at least one is of another region; then of regions as different as can
-    be. Within these rules rendezvous hashing decides, so that controllers spread evenly and most stay with
-    their replicas when one is added or removed.
+    Replicas of the controller's region come first, but at least one is of another region if there is one; the
+    others are of as many different regions as possible. Ties are broken by rendezvous hashing, so that
+    controllers spread evenly and most keep their replicas when one is added or removed.
 
     Args:
         controller: The controller's name.
@@ -77,7 +77,7 @@
         replicas: The SiteReplicas.
 
     Returns:
-        FOLLOWED of them, or all if there are fewer, in the order of preference.
+        REPLICAS_PER_CONTROLLER of them, or all if there are fewer, in the order of preference.
     """
     ranked = sorted(replicas, key=lambda replica: (_score(controller, replica.name), replica.name))
     near = [replica for replica in ranked if replica.region == region]
--- a/embertray/service/site/loader.py
+++ b/embertray/service/site/loader.py
@@ -1,4 +1,4 @@
-"""Loads a site's description: XML checked against the schema, then what a schema can't state."""
+"""Loads a site's description: validates the XML, then makes the checks that a schema can't express."""
 
 from lxml import etree
 
@@ -27,7 +27,7 @@
 
 
 def _parse(path):
-    """Parses the file; entities and network are off, since a description may come from elsewhere."""
+    """Parses the file without entities and network access, since a description may be untrusted."""
     parser = etree.XMLParser(resolve_entities=False, no_network=True, remove_comments=True)
     try:
         return etree.parse(str(path), parser)
@@ -38,7 +38,7 @@
 
 
 def _schema_error(path, error):
-    """Returns a SiteError for an entry of lxml's log, with words in place of a pattern."""
+    """Returns a SiteError for an entry of lxml's log, with a pattern replaced by its documentation."""
     for pattern, meaning in pattern_meanings().items():
         if f"'{pattern}'" in error.message:
             what = error.message.split(" [facet")[0].split(": [facet")[0]
--- a/embertray/service/site/model.py
+++ b/embertray/service/site/model.py
@@ -1,4 +1,4 @@
-"""What a description says of a deployment: facts only, no tuned value of the policy."""
+"""The model of a site's description: facts of the deployment only, no tuned values of the policy."""
 
 from dataclasses import dataclass, field, replace
 
@@ -34,10 +34,10 @@
     """The cluster of a site.
 
     Attributes:
-        name: The site's name, by which members know each other.
+        name: The site's name, by which members recognise each other.
         period: Time between two probes, ns.
         state: Most bytes of shared state.
-        rate: Bytes a second for it.
+        rate: Rate limit of the shared state, bytes per second.
     """
 
     name: str
@@ -61,7 +61,7 @@
         picks: How proxies pick a backend: weighted, round or two.
         levels: What ordered admission levels are: share, rate or none.
         standing: Lines of a proxy's standing table.
-        base_retry: Further attempts that proxies make without an order.
+        base_retry: Retries that proxies make without an order of a controller.
         per_try: Share of a kind's latency objective that one attempt may take.
         eject_after: Failures in a row after which a proxy ejects a backend; 0: never.
         no_backend_limit: How long a proxy may be without a usable backend, ns; 0: no limit.
@@ -74,8 +74,8 @@
         messages_window: ns.
         report_interval: The proxies' report cycle, ns.
         reports_rate: Merged report lines a second for the policy; 0: no limit.
-        cold_speed: Share of its capacity that a backend has at its start.
-        warm_up_time: Time until it has all of it, ns.
+        cold_speed: Share of its capacity that a cold backend has.
+        warm_up_time: Time until a started backend has its full capacity, ns.
         overload_multiple: Multiple of its capacity at which an overloaded backend falls; 0: none does.
         overload_time: Time at that load until it falls, ns.
         drain_grace: Time that a draining backend still serves, ns.
@@ -149,11 +149,11 @@
         raise SiteError(f"{self.name}: no controller '{name}' (there are {known})")
 
     def at(self, **other):
-        """Returns this site with other facts, as for ports that are known once something listens."""
+        """Returns a copy of this site with changed fields, as for ports known only after listening."""
         return replace(self, **other)
 
     def deployment(self, me, identifiers):
-        """Returns what a controller's policy gets to know at its start.
+        """Returns the Deployment that a controller's policy is started with.
 
         Args:
             me: The SiteController.
--- a/embertray/service/site/reader.py
+++ b/embertray/service/site/reader.py
@@ -1,4 +1,4 @@
-"""Reads the elements of a valid description into a Site, with the checks that the schema can't state."""
+"""Reads the elements of a valid description into a Site, with the checks that the schema can't express."""
 
 from embertray.policy import interface as i
 
@@ -9,11 +9,11 @@
 from .schema import attribute_defaults
 from .values import parse_boolean, parse_duration, parse_size
 
-RENAMED_RETRY_MODES = {"uniqued": "deduplicated"}  # words of older descriptions
+RENAMED_RETRY_MODES = {"uniqued": "deduplicated"}  # values of `again` in older descriptions -> current ones
 TICK_DEFAULT = "5ms"
 CLUSTER_PERIOD_MIN_NS = 50 * 10**6
 CONTROLLER_ADDRESSES = ("listen", "admin", "cluster")
-POLL_MODE = "ask"  # the mode in which the list is requested; else the inventory sends each change
+POLL_MODE = "ask"  # the mode in which the list is polled; otherwise the inventory sends each change
 
 
 class SiteReader:
@@ -33,10 +33,10 @@
         """Returns the Site.
 
         Raises:
-            SiteError: A check failed that the schema can't state.
+            SiteError: A check failed that the schema can't express.
         """
         root = self._root
-        # in this order, so that the first error in the file is the one that is named
+        # in this order, so that the first error in the file is the one that is reported
         kinds = self._kinds()
         channel = self._channel()
         controllers = self._controllers()
--- a/embertray/service/site/sample_site.py
+++ b/embertray/service/site/sample_site.py
@@ -1,4 +1,4 @@
-"""Writes descriptions made from a sample: one controller at addresses of the system's choice."""
+"""Writes descriptions derived from a sample: one controller, at ports that the system chooses."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 SAMPLE = SITE_FOLDER / "samples" / "pushed.xml"
 ANY_FREE_PORT = "127.0.0.1:0"
-DEFAULT_CHANNEL_RATE = 10**6  # lines a second: wide enough to be no limit
+DEFAULT_CHANNEL_RATE = 10**6  # lines a second; high enough not to limit anything
 DEFAULT_QUEUE_LIMIT = 2 * 10**6  # lines
 
 
--- a/embertray/service/site/schema.py
+++ b/embertray/service/site/schema.py
@@ -1,11 +1,11 @@
-"""The schema of site descriptions, and what is read from it: defaults, and words for its patterns."""
+"""The schema of site descriptions, and the defaults and pattern descriptions that are read from it."""
 
 from functools import cache
 from pathlib import Path
 
 from lxml import etree
 
-SITE_FOLDER = Path(__file__).resolve().parent  # has the schema, and samples/ with descriptions
+SITE_FOLDER = Path(__file__).resolve().parent  # holds the schema, and descriptions in samples/
 SCHEMA_PATH = SITE_FOLDER / "site.xsd"
 TAG = "{http://www.w3.org/2001/XMLSchema}"
 
@@ -18,7 +18,7 @@
 
 @cache
 def pattern_meanings():
-    """Returns what each pattern stands for, in words: pattern -> its type's documentation."""
+    """Returns a description of each pattern: pattern -> documentation of its type."""
     meanings = {}
     for simple_type in etree.parse(SCHEMA_PATH).iter(TAG + "simpleType"):
         pattern = simple_type.find(f".//{TAG}pattern")
@@ -31,8 +31,8 @@
 def attribute_defaults():
     """Returns the defaults that the schema states: element's name -> attribute -> text.
 
-    They stand in the schema only. lxml fills them in while it validates, but not for elements that are left
-    out.
+    The schema is their only source. While validating, lxml fills in missing attributes, but not those of
+    missing elements.
     """
     defaults = {}
     for element in etree.parse(SCHEMA_PATH).iter(TAG + "element"):
