--- a/embertray/service/admin/control.py
+++ b/embertray/service/admin/control.py
@@ -33,9 +33,8 @@
 from .control_metrics import replica_metrics
 from .server import serve_request, text
 
-MAX_BODY_BYTES = (
-    64 << 10
-)  # above the largest value of an update, so that a larger one still gets a typed answer
+# Above the largest value of an update, so that a larger value still gets a typed answer.
+MAX_BODY_BYTES = 64 << 10
 MAX_DIGITS = 18  # of a number in a query; 18 digits fit into 63 bits
 
 BAD_REQUEST_STATUS = 400
--- a/embertray/service/site/control.py
+++ b/embertray/service/site/control.py
@@ -68,8 +68,8 @@
     """Chooses the replicas that a controller follows.
 
     Replicas of the controller's region come first, but at least one is of another region if there is one; the
-    others are of as many different regions as possible. Ties are broken by rendezvous hashing, so that
-    controllers spread evenly and most keep their replicas when one is added or removed.
+    others are of as many different regions as possible. Within these rules the order is by rendezvous
+    hashing, so that controllers spread evenly and most keep their replicas when one is added or removed.
 
     Args:
         controller: The controller's name.
