--- a/embertray/common/net/queued_connection.py
+++ b/embertray/common/net/queued_connection.py
@@ -12,7 +12,7 @@
 
     Args:
         stream: The byte stream.
-        on_sent: Called after the data of each `put` was sent; if None, queued data is sent at once.
+        on_sent: Called after the data of each `put` was sent; if None, queued items are sent together.
 
     Attributes:
         queue: Data waiting for the writer.
--- a/embertray/platform/protocol/admission.py
+++ b/embertray/platform/protocol/admission.py
@@ -11,8 +11,8 @@
     """Limits the number of collectors and selects the one to evict when the limit is exceeded.
 
     Any peer can join and then stay silent, but a real collector reports regularly. So the eviction order is
-    least recently reported first, beginning with collectors that have never reported. Collectors are
-    identified by hashable keys of the caller.
+    least recently reported first, beginning with collectors that have never reported. The caller
+    identifies collectors by hashable keys.
 
     Attributes:
         unjoined_max: Maximum number of open connections that have not joined.
--- a/embertray/platform/protocol/limits.py
+++ b/embertray/platform/protocol/limits.py
@@ -71,9 +71,9 @@
 EVENT_STREAMS = 2
 # from the first bytes of a connection until all currently joined proxies have been reported
 SYNC_TIME_NS = 300 * NS_PER_MS
-# without a byte: two keep-alives and more are missing
+# without a byte: two keep-alives have been missed, plus a margin
 SILENCE_MAX_NS = 2500 * NS_PER_MS
-# without a byte while another connection delivers data: one keep-alive is missing
+# without a byte while another connection delivers data: one keep-alive has been missed
 SILENCE_MAX_BESIDE_OTHER_NS = 1300 * NS_PER_MS
 # of one event: valid events have less than 200
 EVENT_MAX_BYTES = 64 << 10
--- a/embertray/platform/protocol/proxy_registry.py
+++ b/embertray/platform/protocol/proxy_registry.py
@@ -49,7 +49,7 @@
 class ProxyRegistry:
     """Merges the streams into one sequence of events; methods that return events return each event once.
 
-    Acknowledgements are accepted from every stream. Streams are identified by hashable keys of the caller.
+    Acknowledgements are accepted from every stream. Streams are identified by hashable objects of the caller.
 
     Attributes:
         leader: The leading stream, or None.
@@ -118,7 +118,7 @@
         return self.reconcile(now, self.views[self.leader])
 
     def reconcile(self, now, view):
-        """Return the events that make the registry match the new leader's view.
+        """Make the registry match the new leader's view. Returns the events to pass on.
 
         A proxy that is joined in both may have left and rejoined in between. If it rejoined on the new
         leader's stream, the view shows it. If no stream was open in between (a gap), a proxy without a table
--- a/embertray/platform/run/service.py
+++ b/embertray/platform/run/service.py
@@ -107,7 +107,7 @@
         """Run `task`, restarting it whenever it fails.
 
         An unexpected internal error is logged and only loses the task's current work. Ending the process
-        would cost more, because it would have to start anew.
+        would cost more, because it would have to start again.
         """
         while True:
             try:
