--- a/embertray/platform/protocol/order_caller.py
+++ b/embertray/platform/protocol/order_caller.py
@@ -32,7 +32,7 @@
 
     Attributes:
         refused_orders: Texts of orders that the relay refused.
-        orders_given_up: Number of orders dropped because they made their call invalid.
+        orders_dropped: Number of orders dropped because they made their call invalid.
         calls_repeated: Number of unanswered calls that were sent again.
         failures: Consecutive failures of the first call of the queue.
         next_call_at: Earliest time of the next call, ns.
@@ -47,7 +47,7 @@
         self.acknowledged = False  # a proxy acknowledged the first call's nonce
         self.failures = 0
         self.refused_orders = []
-        self.orders_given_up = 0
+        self.orders_dropped = 0
         self.calls_repeated = 0
 
     @property
@@ -156,11 +156,11 @@
         if error != ERROR_THROTTLED:
             call.rejections += 1
             if error == ERROR_INVALID or call.rejections > REJECTED_RETRIES_MAX:
-                return self.split_or_give_up(call, error)
+                return self.split_or_drop(call, error)
         self.schedule_retry(now)
         return f"call rejected: {error}"
 
-    def split_or_give_up(self, call, why):
+    def split_or_drop(self, call, why):
         """Split a call that the relay rejects permanently into halves, recursively; drop a single order.
 
         One order can make a whole call invalid. The other orders must still be executed, and a restarted
@@ -171,8 +171,8 @@
         """
         self.complete()
         if len(call.orders) == 1:
-            self.orders_given_up += 1
-            return f"order given up: {why}: {call.orders[0][:LOGGED_ORDER_MAX_CHARACTERS]}"
+            self.orders_dropped += 1
+            return f"order dropped: {why}: {call.orders[0][:LOGGED_ORDER_MAX_CHARACTERS]}"
         middle = len(call.orders) // 2
         first = call.orders[:middle]
         second = call.orders[middle:]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -182,7 +182,7 @@
                     self.assertEqual(repeats, times if fault in ("lose", "throttled") else 0)
                     discovery.change(name, phase="gone")
                     await relay.wait_until(lambda: name not in relay.lines(1))
-                self.assertEqual(service.controller.order_caller.orders_given_up, 0)
+                self.assertEqual(service.controller.order_caller.orders_dropped, 0)
 
         anyio.run(scenario)
 
@@ -230,10 +230,11 @@
                     service.relay.log = structlog.get_logger()
                     discovery.change(names[0])
                     await relay.wait_until(lambda: {"new-0", "new-2"} <= set(relay.lines(1)))
-                    while not service.controller.order_caller.orders_given_up:
+                    while not service.controller.order_caller.orders_dropped:
                         await anyio.sleep(0.02)
                 self.assertTrue(
-                    any("given up: invalid: SET," in line.get("why", "") for line in log_lines), log_lines
+                    any("order dropped: invalid: SET," in line.get("why", "") for line in log_lines),
+                    log_lines,
                 )
                 relay.is_malformed = lambda order: False
                 discovery.change("be-3", **endpoint_fields("be-3"))
@@ -270,7 +271,7 @@
                     )  # it is repeated before the other parts
                     self.assertEqual(
                         (
-                            service.controller.order_caller.orders_given_up,
+                            service.controller.order_caller.orders_dropped,
                             service.controller.order_caller.refused_orders,
                         ),
                         (0, []),
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -79,7 +79,7 @@
         self.assertEqual(waits, sorted(waits))
         self.assertEqual((waits[0], waits[-1]), (limits.BACKOFF_FIRST_NS, limits.BACKOFF_MAX_NS))
         self.assertEqual(caller.next_call(now).orders, self.caller().next_call(0).orders)
-        self.assertEqual(caller.orders_given_up, 0)
+        self.assertEqual(caller.orders_dropped, 0)
 
     def run_with_rejections(self, is_invalid, word=b"invalid"):
         """Run a caller against a relay that rejects every call with an order for which `is_invalid(order)`.
@@ -111,17 +111,17 @@
                 caller, taken, log_texts = self.run_with_rejections(
                     lambda order, bad=bad: order[:5] == bad[:5], word
                 )
-                self.assertEqual((taken, caller.orders_given_up), ([one for one in orders if one != bad], 1))
-                named = [line for line in log_texts if "given up" in line]
+                self.assertEqual((taken, caller.orders_dropped), ([one for one in orders if one != bad], 1))
+                named = [line for line in log_texts if "order dropped" in line]
                 self.assertEqual(len(named), 1)
                 self.assertIn(bad[:5], named[0])
         once = iter([True])
         caller, taken, _ = self.run_with_rejections(lambda order: next(once, False))
         self.assertEqual(
-            (taken, caller.orders_given_up), (orders, 0)
+            (taken, caller.orders_dropped), (orders, 0)
         )  # no order was invalid, only the answer was wrong
         caller, taken, _ = self.run_with_rejections(lambda order: True)
-        self.assertEqual((taken, caller.orders_given_up), ([], len(orders)))
+        self.assertEqual((taken, caller.orders_dropped), ([], len(orders)))
 
     def test_an_unanswered_call_is_repeated_only_without_acknowledgement(self):
         for acknowledged_at in (None, 100 * MS):
