--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -11,11 +11,11 @@
 from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.models.backend import Backend, Shape
 from embertray.simulation.models.chance import Streams
-from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.proxy import StandinProxy
+from embertray.simulation.standins.scheduler import Agenda
 
 S = 10**9
 
--- a/embertray/experiments/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -12,7 +12,7 @@
 import click
 
 from embertray.simulation.claims.control import CLAIMS
-from embertray.simulation.processes.control_play import play
+from embertray.simulation.processes.control_fault_run import play
 
 S = 10**9
 SHARES = (0.5, 0.99, 1.0)  # of the writes at each subscriber, whose times are shown
--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -25,9 +25,9 @@
 )
 from embertray.controller.stream.session import ProxySession
 from embertray.service.site.sample_site import write_sample_site
-from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.link import STREAM_ERRORS
+from embertray.simulation.standins.scheduler import Agenda
 
 S = 10**9
 
--- a/embertray/simulation/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -2,7 +2,7 @@
 
 from embertray.common.snapshots import InMemorySnapshots
 from embertray.simulation.scenarios.starts import Starts
-from embertray.simulation.standins.aged import age_in_memory
+from embertray.simulation.standins.snapshot_aging import age_in_memory
 
 from .controller import SimulatedController
 
--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -11,9 +11,9 @@
 from embertray.service.site.schema import SITE_FOLDER as SITES
 
 from .cluster_links import ClusterLinks
-from .described import describe
 from .ports import free_ports
 from .program import Program
+from .site_description import describe
 
 SAMPLE = SITES / "samples" / "pushed.xml"
 PERIOD = 200  # ms; a fifth of the default, so that a case takes seconds
--- a/embertray/simulation/processes/control_play.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -10,9 +10,9 @@
 from embertray.cluster.replication.api_messages import Committed
 from embertray.cluster.replication.propagation_bounds import Bounds
 
-from .control import ControlPlane
-from .control_pace import scaled_paces
+from .control_plane import ControlPlane
 from .control_record import ControlRecord
+from .control_timing import scaled_paces
 
 S = 10**9
 FAULTS = ("kill", "stop", "split")
--- a/embertray/simulation/processes/control.py
+++ b/embertray/simulation/processes/control_plane.py
@@ -13,9 +13,9 @@
 from embertray.service.site.schema import SITE_FOLDER as SITES
 
 from .control_links import ControlLinks
-from .described import describe
 from .ports import free_ports
 from .program import Program, embertray
+from .site_description import describe
 
 SAMPLE = SITES / "samples" / "pushed.xml"
 REGIONS = ("east", "west", "south")
--- a/embertray/simulation/processes/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -20,7 +20,7 @@
 from embertray.service.daemon.control import ReplicaProcess, subscriber_client
 from embertray.service.site import load
 
-from .control_pace import scaled_paces
+from .control_timing import scaled_paces
 
 
 @click.command()
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -8,11 +8,11 @@
 import anyio
 
 from embertray.simulation.claims.reachability import Reachability
-from embertray.simulation.standins.aged import age_on_disk
+from embertray.simulation.standins.snapshot_aging import age_on_disk
 
-from .described import describe
 from .ports import free_ports
 from .program import Program
+from .site_description import describe
 
 
 class ControllerProcesses:
--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -14,7 +14,7 @@
 
 from .cluster_links import ClusterLinks
 from .controller_processes import ControllerProcesses
-from .watch import SLACK, Watch
+from .process_monitor import SLACK, Watch
 
 
 class LinkedControllerProcesses(ControllerProcesses):
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -13,8 +13,8 @@
 from embertray.controller.core import ControllerCore
 from embertray.controller.trust import Trust
 from embertray.service.daemon import Service
-from embertray.simulation.standins.aged import age_in_memory
 from embertray.simulation.standins.process_gate import GatedClock, GatedNet, ProcessGate
+from embertray.simulation.standins.snapshot_aging import age_in_memory
 
 from .starts import Starts
 
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -5,11 +5,11 @@
 from embertray.service.admin.client import send_request
 from embertray.service.site.values import parse_duration as span
 from embertray.simulation.models.backend import Backend
-from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.proxy import StandinProxy
+from embertray.simulation.standins.scheduler import Agenda
 
 from .exceptions import DayError
 from .faults import Fault
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from embertray.cli.control import control as control_commands
-from embertray.simulation.processes.control import ControlPlane
+from embertray.simulation.processes.control_plane import ControlPlane
 from embertray.simulation.processes.ports import free_ports
 from embertray.simulation.processes.program import ROOT
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -11,8 +11,8 @@
 from embertray.cluster.replication.link.entry_log import value_digest
 from embertray.cluster.replication.propagation_bounds import Bounds
 from embertray.experiments.capacity import target
-from embertray.simulation.processes.control import MOST
-from embertray.simulation.processes.control_play import play, recorded_plane
+from embertray.simulation.processes.control_fault_run import play, recorded_plane
+from embertray.simulation.processes.control_plane import MOST
 from embertray.simulation.processes.control_record import Acknowledgement, ControlRecord, Look
 from embertray.simulation.processes.time_limits import LATE, limits_by_objective
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -27,9 +27,9 @@
 from embertray.service.site import load
 from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.scenarios.player import quiet
-from embertray.simulation.standins.agenda import Agenda
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.memory_net import MemoryNet
+from embertray.simulation.standins.scheduler import Agenda
 from embertray.simulation.standins.virtual_time import START_S, VirtualClock, run
 
 HERE = Path(__file__).resolve().parent
