--- a/embertray/cli/capacity.py
+++ b/embertray/cli/capacity.py
@@ -5,7 +5,7 @@
 
 import click
 
-from .standin import Bad
+from .standin import InputError
 
 SLOPES = Path(__file__).resolve().parents[2] / "docs" / "measured" / "capacity"
 
@@ -30,12 +30,12 @@
     from embertray.experiments.capacity.target import OPERATORS, BadTarget, load
 
     if as_json and as_page:
-        raise Bad("capacity: --json or --page, not both")
+        raise InputError("capacity: --json or --page, not both")
     try:
         by_name = load_all(slopes)
         found = compute(load(target or OPERATORS), by_name)
     except (BadTarget, BadSlope) as error:
-        raise Bad(str(error)) from None
+        raise InputError(str(error)) from None
     if as_json:
         click.echo(json.dumps(report.as_data(found)))
     elif as_page:
--- a/embertray/cli/cluster.py
+++ b/embertray/cli/cluster.py
@@ -9,7 +9,7 @@
 from embertray.common.net.exceptions import AddressError
 
 from .operators import asked
-from .standin import Bad
+from .standin import InputError
 
 
 @click.group()
@@ -27,10 +27,10 @@
     try:
         code, said = anyio.run(asked, admin, "GET", "/cluster")
         if code != 200:
-            raise Bad(said.decode().strip())
+            raise InputError(said.decode().strip())
         status = json.loads(said)
     except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
-        raise Bad(f"{admin}: {wrong or type(wrong).__name__}") from None
+        raise InputError(f"{admin}: {wrong or type(wrong).__name__}") from None
     if as_json:
         click.echo(json.dumps(status))
         return
--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -13,7 +13,7 @@
 
 from .control_calls import REJECTED_EXIT_CODE, ask, body_text, parse_json, typed_answer, write
 from .control_status import describe
-from .standin import Bad
+from .standin import InputError
 
 admin_option = click.option(
     "--admin", required=True, help="A replica's operators' address; the leader is found from any."
@@ -59,7 +59,7 @@
     try:
         anyio.run(run, backend_options={"use_uvloop": True})
     except* (OSError, FolderLockedError) as errors:
-        raise Bad(f"{site}: {_first(errors)}") from None
+        raise InputError(f"{site}: {_first(errors)}") from None
     except* StateNotSavedError as errors:
         raise click.ClickException(f"the state can't be saved: {_first(errors)}") from None
 
@@ -71,7 +71,7 @@
     """What a replica, or a controller, says of the control plane."""
     code, body = ask(admin, "GET", "/control")
     if code != 200:
-        raise Bad(f"{admin}: {body_text(body)}")
+        raise InputError(f"{admin}: {body_text(body)}")
     answer = parse_json(admin, body)
     click.echo(json.dumps(answer) if as_json else "\n".join(describe(answer)))
 
@@ -113,7 +113,7 @@
     try:
         value = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
     except OSError as error:
-        raise Bad(f"{file}: {error.strerror or error}") from None
+        raise InputError(f"{file}: {error.strerror or error}") from None
     parameters = {} if expected is None else {"expected": expected}
     write(admin, "PUT", "/control/key", key, request, within, parameters, value)
 
@@ -147,7 +147,7 @@
             raise SiteError(f"{site}: the site has no <control>")
         return site_control, site_control.replica(name)
     except SiteError as error:
-        raise Bad(str(error)) from None
+        raise InputError(str(error)) from None
 
 
 async def _stop_on_signal(process):
--- a/embertray/cli/control_calls.py
+++ b/embertray/cli/control_calls.py
@@ -11,7 +11,7 @@
 from embertray.common.net.address import parse_loopback
 from embertray.common.net.exceptions import AddressError
 
-from .standin import Bad
+from .standin import InputError
 
 REJECTED_EXIT_CODE = 1
 UNKNOWN_EXIT_CODE = 3  # 2 is bad input, or nobody could be asked
@@ -41,7 +41,7 @@
     try:
         outcome = anyio.run(write_at_leader, admin, method, target, value, within)
     except UnreachableError as error:
-        raise Bad(str(error)) from None
+        raise InputError(str(error)) from None
     _report(key, request, outcome)
 
 
@@ -81,13 +81,13 @@
     try:
         return anyio.run(ask_replica, admin, method, target)
     except UnreachableError as error:
-        raise Bad(str(error)) from None
+        raise InputError(str(error)) from None
 
 
 def typed_answer(admin, status, body):
     """The typed answer as a dict. Raises Bad for one that is none, or that refuses what was asked."""
     if status not in (200, 404) or not body.startswith(b"{"):
-        raise Bad(f"{admin}: {body_text(body)}")
+        raise InputError(f"{admin}: {body_text(body)}")
     return parse_json(admin, body)
 
 
@@ -96,7 +96,7 @@
     try:
         return json.loads(body)
     except ValueError:
-        raise Bad(f"{admin}: what it answers is no JSON") from None
+        raise InputError(f"{admin}: what it answers is no JSON") from None
 
 
 def body_text(body):
@@ -108,4 +108,4 @@
     try:
         parse_loopback(admin)
     except AddressError as error:
-        raise Bad(f"--admin: {error}") from None
+        raise InputError(f"--admin: {error}") from None
--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -46,12 +46,12 @@
     from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
     from embertray.simulation.scenarios import notation
 
-    from .standin import Bad
+    from .standin import InputError
 
     try:
         simulation = ClusterSimulation(notation.load(day), seed, members)
     except notation.DayError as wrong:
-        raise Bad(str(wrong)) from None
+        raise InputError(str(wrong)) from None
     claims = simulation.play().claims
     for name, verdict in claims.verdicts().items():
         click.echo(
--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -16,23 +16,23 @@
 from embertray.experiments.lab.one import play
 from embertray.experiments.lab.results import Results
 
-from .standin import Bad
+from .standin import InputError
 
 
 def read_experiment(path):
     try:
         return experiments.load(path)
     except experiments.BadExperiment as wrong:
-        raise Bad(str(wrong)) from None
+        raise InputError(str(wrong)) from None
 
 
 def opened(path):
     if not Path(path).is_file():
-        raise Bad(f"{path}: no such results file")
+        raise InputError(f"{path}: no such results file")
     results = Results(path)
     row = results.text()
     if not row:
-        raise Bad(f"{path}: it holds no experiment")
+        raise InputError(f"{path}: it holds no experiment")
     return results, experiments.read(row[0], path)
 
 
@@ -55,7 +55,7 @@
             found, runner.commit(), datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
         )
     except ValueError as wrong:
-        raise Bad(str(wrong)) from None
+        raise InputError(str(wrong)) from None
     if retry:
         results.forget_errors()
 
@@ -111,7 +111,7 @@
     _, experiment = opened(results)
     found = next((r for r in experiment.runs() if r.key == key), None)
     if found is None:
-        raise Bad(f"{key}: no such run; as {next(iter(experiment.runs())).key}")
+        raise InputError(f"{key}: no such run; as {next(iter(experiment.runs())).key}")
     result = play(experiment, found)
     if events:
         for event in result.events:
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -24,7 +24,7 @@
 from .emulate import emulate
 from .lab import lab
 from .operators import asked, page
-from .standin import Bad, stand_in
+from .standin import InputError, stand_in
 
 
 @click.group()
@@ -60,7 +60,7 @@
     try:
         me = description.controller(name or description.controllers[0].name)
     except SiteError as wrong:
-        raise Bad(str(wrong)) from None
+        raise InputError(str(wrong)) from None
     gc.freeze()  # what was imported lives as long as we do
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
     kept = DurableSnapshots(description.keep) if description.keep else InMemorySnapshots()
@@ -82,7 +82,7 @@
     try:
         anyio.run(run, backend_options={"use_uvloop": loop == "uvloop"})
     except* (OSError, FolderLockedError) as wrong:
-        raise Bad(f"{site}: {wrong.exceptions[0]}") from None
+        raise InputError(f"{site}: {wrong.exceptions[0]}") from None
 
 
 @main.command()
@@ -114,17 +114,17 @@
 def memory(site, admin, name, as_json):
     """What a running controller holds, by purpose, and what its caps did."""
     if not admin and not site:
-        raise Bad("memory: name a SITE.xml or --admin HOST:PORT")
+        raise InputError("memory: name a SITE.xml or --admin HOST:PORT")
     if not admin:
         description = read_site(site)
         try:
             admin = description.controller(name or description.controllers[0].name).admin
         except SiteError as wrong:
-            raise Bad(str(wrong)) from None
+            raise InputError(str(wrong)) from None
     try:
         held = json.loads(anyio.run(page, admin, "/memory"))
     except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
-        raise Bad(f"{admin}: {wrong or type(wrong).__name__}") from None
+        raise InputError(f"{admin}: {wrong or type(wrong).__name__}") from None
     if as_json:
         click.echo(json.dumps(held))
         return
@@ -156,10 +156,10 @@
         if query:
             code, said = anyio.run(asked, admin, "POST", f"/set-level?{query}")
             if code != 200:
-                raise Bad(said.decode().strip())
+                raise InputError(said.decode().strip())
         status, ready = json.loads(anyio.run(page, admin, "/level")), anyio.run(page, admin, "/ready")
     except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
-        raise Bad(f"{admin}: {wrong or type(wrong).__name__}") from None
+        raise InputError(f"{admin}: {wrong or type(wrong).__name__}") from None
     lost = "not known" if status["lost_credit"] is None else f"{status['lost_credit']:.1%}"
     click.echo(ready.decode().strip())
     click.echo(
@@ -215,7 +215,7 @@
         else:
             result = player.play(script, mode, seed, show, alone=alone, logs=logs)
     except (notation.DayError, SiteError) as wrong:
-        raise Bad(str(wrong)) from None
+        raise InputError(str(wrong)) from None
     found = result.as_json()
     if as_json:
         click.echo(json.dumps(found))
@@ -256,4 +256,4 @@
     try:
         return load_site(path)
     except SiteError as wrong:
-        raise Bad(str(wrong)) from None
+        raise InputError(str(wrong)) from None
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -20,7 +20,7 @@
 S = 10**9
 
 
-class Bad(click.ClickException):
+class InputError(click.ClickException):
     exit_code = 2
 
 
@@ -30,7 +30,7 @@
     except* KeyboardInterrupt:
         pass
     except* (OSError, AddressError) as wrong:
-        raise Bad(str(wrong.exceptions[0])) from None
+        raise InputError(str(wrong.exceptions[0])) from None
 
 
 def say(text):
@@ -78,7 +78,7 @@
     if bad := next(
         (text for text, (at, zone) in zip(backends, listed, strict=False) if not at or not zone), None
     ):
-        raise Bad(f"'{bad}' is not ADDRESS=ZONE")
+        raise InputError(f"'{bad}' is not ADDRESS=ZONE")
 
     async def main():
         agenda = Agenda(LoopClock())
@@ -110,7 +110,7 @@
     try:
         description = load_site(site)
     except SiteError as wrong:
-        raise Bad(str(wrong)) from None
+        raise InputError(str(wrong)) from None
 
     async def main():
         agenda, streams, counts = Agenda(LoopClock()), Streams(1), {"done": 0, "late": 0, "lost": 0}
