--- a/embertray/cli/cluster.py
+++ b/embertray/cli/cluster.py
@@ -8,7 +8,7 @@
 
 from embertray.common.net.exceptions import AddressError
 
-from .operators import asked
+from .operators import send_operator_request
 from .standin import InputError
 
 
@@ -25,12 +25,12 @@
     cut off.
     """
     try:
-        code, said = anyio.run(asked, admin, "GET", "/cluster")
+        code, body = anyio.run(send_operator_request, admin, "GET", "/cluster")
         if code != 200:
-            raise InputError(said.decode().strip())
-        status = json.loads(said)
-    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
-        raise InputError(f"{admin}: {wrong or type(wrong).__name__}") from None
+            raise InputError(body.decode().strip())
+        status = json.loads(body)
+    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as error:
+        raise InputError(f"{admin}: {error or type(error).__name__}") from None
     if as_json:
         click.echo(json.dumps(status))
         return
--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -50,8 +50,8 @@
 
     try:
         simulation = ClusterSimulation(notation.load(day), seed, members)
-    except notation.DayError as wrong:
-        raise InputError(str(wrong)) from None
+    except notation.DayError as error:
+        raise InputError(str(error)) from None
     claims = simulation.play().claims
     for name, verdict in claims.verdicts().items():
         click.echo(
--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -22,8 +22,8 @@
 def read_experiment(path):
     try:
         return experiments.load(path)
-    except experiments.BadExperiment as wrong:
-        raise InputError(str(wrong)) from None
+    except experiments.BadExperiment as error:
+        raise InputError(str(error)) from None
 
 
 def opened(path):
@@ -54,8 +54,8 @@
         results.begin(
             found, runner.commit(), datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
         )
-    except ValueError as wrong:
-        raise InputError(str(wrong)) from None
+    except ValueError as error:
+        raise InputError(str(error)) from None
     if retry:
         results.forget_errors()
 
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -23,7 +23,7 @@
 from .control import control
 from .emulate import emulate
 from .lab import lab
-from .operators import asked, page
+from .operators import fetch_page, send_operator_request
 from .standin import InputError, stand_in
 
 
@@ -59,8 +59,8 @@
     description = read_site(site)
     try:
         me = description.controller(name or description.controllers[0].name)
-    except SiteError as wrong:
-        raise InputError(str(wrong)) from None
+    except SiteError as error:
+        raise InputError(str(error)) from None
     gc.freeze()  # what was imported lives as long as we do
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
     kept = DurableSnapshots(description.keep) if description.keep else InMemorySnapshots()
@@ -81,8 +81,8 @@
 
     try:
         anyio.run(run, backend_options={"use_uvloop": loop == "uvloop"})
-    except* (OSError, FolderLockedError) as wrong:
-        raise InputError(f"{site}: {wrong.exceptions[0]}") from None
+    except* (OSError, FolderLockedError) as error:
+        raise InputError(f"{site}: {error.exceptions[0]}") from None
 
 
 @main.command()
@@ -119,17 +119,17 @@
         description = read_site(site)
         try:
             admin = description.controller(name or description.controllers[0].name).admin
-        except SiteError as wrong:
-            raise InputError(str(wrong)) from None
+        except SiteError as error:
+            raise InputError(str(error)) from None
     try:
-        held = json.loads(anyio.run(page, admin, "/memory"))
-    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
-        raise InputError(f"{admin}: {wrong or type(wrong).__name__}") from None
+        accounts = json.loads(anyio.run(fetch_page, admin, "/memory"))
+    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as error:
+        raise InputError(f"{admin}: {error or type(error).__name__}") from None
     if as_json:
-        click.echo(json.dumps(held))
+        click.echo(json.dumps(accounts))
         return
     click.echo(f"{'purpose':10}{'entries':>10}{'KiB':>10}{'peak':>10}{'cap':>10}{'part':>7}  at the cap")
-    for row in held["purposes"]:
+    for row in accounts["purposes"]:
         did = f"{row['action']}, {row['done']} so far" if row["acts"] else row["action"]
         click.echo(
             f"{row['purpose']:10}{row['entries']:10}{row['bytes'] / 1024:10.0f}{row['peak'] / 1024:10.0f}"
@@ -137,8 +137,8 @@
             f"{did}{' (now)' if row['acting'] else ''}"
         )
     click.echo(
-        f"resident {held['resident'] / 2**20:.1f} MiB, {held['at_start'] / 2**20:.1f} at the start, "
-        f"{held['unaccounted'] / 2**20:.1f} under no purpose"
+        f"resident {accounts['resident'] / 2**20:.1f} MiB, {accounts['at_start'] / 2**20:.1f} at the start, "
+        f"{accounts['unaccounted'] / 2**20:.1f} under no purpose"
     )
 
 
@@ -150,16 +150,19 @@
 @click.option("--allow", help="A forbidden level that may be entered again.")
 def status(admin, pin, release, forbid, allow):
     """Whether a running controller is ready, its level of service, and what that gives up."""
-    acts = {"pin": pin, "release": "1" if release else None, "forbid": forbid, "allow": allow}
-    query = "&".join(f"{name}={value}" for name, value in acts.items() if value)
+    actions = {"pin": pin, "release": "1" if release else None, "forbid": forbid, "allow": allow}
+    query = "&".join(f"{name}={value}" for name, value in actions.items() if value)
     try:
         if query:
-            code, said = anyio.run(asked, admin, "POST", f"/set-level?{query}")
+            code, body = anyio.run(send_operator_request, admin, "POST", f"/set-level?{query}")
             if code != 200:
-                raise InputError(said.decode().strip())
-        status, ready = json.loads(anyio.run(page, admin, "/level")), anyio.run(page, admin, "/ready")
-    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as wrong:
-        raise InputError(f"{admin}: {wrong or type(wrong).__name__}") from None
+                raise InputError(body.decode().strip())
+        status, ready = (
+            json.loads(anyio.run(fetch_page, admin, "/level")),
+            anyio.run(fetch_page, admin, "/ready"),
+        )
+    except (OSError, AddressError, ValueError, h11.RemoteProtocolError) as error:
+        raise InputError(f"{admin}: {error or type(error).__name__}") from None
     lost = "not known" if status["lost_credit"] is None else f"{status['lost_credit']:.1%}"
     click.echo(ready.decode().strip())
     click.echo(
@@ -214,8 +217,8 @@
             result = play_emulated(script, seed, "flows" if mode == "flows" else "reqs", progress=show)
         else:
             result = player.play(script, mode, seed, show, alone=alone, logs=logs)
-    except (notation.DayError, SiteError) as wrong:
-        raise InputError(str(wrong)) from None
+    except (notation.DayError, SiteError) as error:
+        raise InputError(str(error)) from None
     found = result.as_json()
     if as_json:
         click.echo(json.dumps(found))
@@ -229,12 +232,14 @@
         spread = found["spread_ms"]
         if spread["count"]:
             click.echo(f"  changed tables: {spread['count']}, p50 {spread['p50']} ms, max {spread['max']} ms")
-        for said, wrong in (
+        for verdicts, violations in (
             (found["rules"], result.violations),
             (result.claims or {}, result.claim_violations),
         ):
-            for rule, verdict in said.items():
-                click.echo(f"  {rule:12} {verdict}" + "".join(f"\n    {text}" for text in wrong[rule][:3]))
+            for rule, verdict in verdicts.items():
+                click.echo(
+                    f"  {rule:12} {verdict}" + "".join(f"\n    {text}" for text in violations[rule][:3])
+                )
         for name, used in (result.process_usage or {}).items():
             click.echo(
                 f"  {name}: CPU {used['cpu']:.1%}, {used['rss'] / 2**20:.0f} MiB, cluster "
@@ -255,5 +260,5 @@
 def read_site(path):
     try:
         return load_site(path)
-    except SiteError as wrong:
-        raise InputError(str(wrong)) from None
+    except SiteError as error:
+        raise InputError(str(error)) from None
--- a/embertray/cli/operators.py
+++ b/embertray/cli/operators.py
@@ -6,13 +6,13 @@
 from embertray.service.admin.client import send_request
 
 
-async def asked(address, method, path):
+async def send_operator_request(address, method, path):
     """(status, body) of one request at the operators' address."""
     with anyio.fail_after(5):
         return await send_request(TcpNet(), address, method, path)
 
 
-async def page(address, path):
+async def fetch_page(address, path):
     """The body of one operators' page."""
     with anyio.fail_after(5):
         return (await send_request(TcpNet(), address, "GET", path))[1]
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -29,8 +29,8 @@
         anyio.run(main)
     except* KeyboardInterrupt:
         pass
-    except* (OSError, AddressError) as wrong:
-        raise InputError(str(wrong.exceptions[0])) from None
+    except* (OSError, AddressError) as error:
+        raise InputError(str(error.exceptions[0])) from None
 
 
 def say(text):
@@ -109,8 +109,8 @@
     """A plain proxy of SITE.xml with clients of its own; tells what they got each second."""
     try:
         description = load_site(site)
-    except SiteError as wrong:
-        raise InputError(str(wrong)) from None
+    except SiteError as error:
+        raise InputError(str(error)) from None
 
     async def main():
         agenda, streams, counts = Agenda(LoopClock()), Streams(1), {"done": 0, "late": 0, "lost": 0}
