--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -63,11 +63,17 @@
         raise InputError(str(error)) from None
     gc.freeze()  # what was imported lives as long as we do
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
-    kept = DurableSnapshots(description.keep) if description.keep else InMemorySnapshots()
+    snapshot_store = DurableSnapshots(description.keep) if description.keep else InMemorySnapshots()
 
     async def run():
         service = Service(
-            description, me, LoopClock(), TcpNet(), kept, seed, Streams(seed).of("cuts", me.name).random
+            description,
+            me,
+            LoopClock(),
+            TcpNet(),
+            snapshot_store,
+            seed,
+            Streams(seed).of("cuts", me.name).random,
         )
         async with anyio.create_task_group() as group:
             group.start_soon(stop_on_signal, service, group.cancel_scope)
@@ -94,13 +100,13 @@
         f"{site}: {description.name}: {len(description.zones)} zones, "
         f"{len(description.kinds)} request kinds, {len(description.controllers)} controllers"
     )
-    found = channel_budget(description)
+    budget = channel_budget(description)
     click.echo(
-        f"one drain takes {found.removal / 1e9:.2f} s of the channel, one bind "
-        f"{found.bind_one / 1e9:.2f} s, binding all "
-        f"{found.bind_all / 1e9:.1f} s"
+        f"one drain takes {budget.removal / 1e9:.2f} s of the channel, one bind "
+        f"{budget.bind_one / 1e9:.2f} s, binding all "
+        f"{budget.bind_all / 1e9:.1f} s"
     )
-    for warning in found.warnings:
+    for warning in budget.warnings:
         click.echo(f"warning: {warning}", err=True)
 
 
@@ -130,11 +136,11 @@
         return
     click.echo(f"{'purpose':10}{'entries':>10}{'KiB':>10}{'peak':>10}{'cap':>10}{'part':>7}  at the cap")
     for row in accounts["purposes"]:
-        did = f"{row['action']}, {row['done']} so far" if row["acts"] else row["action"]
+        action = f"{row['action']}, {row['done']} so far" if row["acts"] else row["action"]
         click.echo(
             f"{row['purpose']:10}{row['entries']:10}{row['bytes'] / 1024:10.0f}{row['peak'] / 1024:10.0f}"
             f"{row['cap'] / 1024:10.0f}{row['bytes'] / row['cap']:7.0%}  "
-            f"{did}{' (now)' if row['acting'] else ''}"
+            f"{action}{' (now)' if row['acting'] else ''}"
         )
     click.echo(
         f"resident {accounts['resident'] / 2**20:.1f} MiB, {accounts['at_start'] / 2**20:.1f} at the start, "
@@ -210,51 +216,51 @@
     """Play DAY (a name from `embertray days`, or a file) through the true controller.
 
     Exit code 0 when all rules are kept, 1 when one is broken, 2 on bad input."""
-    show = progress() if sys.stderr.isatty() and not as_json else None
+    on_progress = progress() if sys.stderr.isatty() and not as_json else None
     try:
         script = notation.load(day)
         if mode in ("emulated", "flows"):
-            result = play_emulated(script, seed, "flows" if mode == "flows" else "reqs", progress=show)
+            result = play_emulated(script, seed, "flows" if mode == "flows" else "reqs", progress=on_progress)
         else:
-            result = player.play(script, mode, seed, show, alone=alone, logs=logs)
+            result = player.play(script, mode, seed, on_progress, alone=alone, logs=logs)
     except (notation.DayError, SiteError) as error:
         raise InputError(str(error)) from None
-    found = result.as_json()
+    summary = result.as_json()
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(summary))
     else:
         click.echo(
-            f"{script.name} ({mode}, seed {seed}): credit {found['credit']:.3f} of {found['reqs']} reqs, "
-            f"{found['wall_s']} s"
+            f"{script.name} ({mode}, seed {seed}): credit {summary['credit']:.3f} of {summary['reqs']} reqs, "
+            f"{summary['wall_s']} s"
         )
-        for kind, credit in found["credit_by_kind"].items():
+        for kind, credit in summary["credit_by_kind"].items():
             click.echo(f"  {kind:12} {credit:.3f}")
-        spread = found["spread_ms"]
+        spread = summary["spread_ms"]
         if spread["count"]:
             click.echo(f"  changed tables: {spread['count']}, p50 {spread['p50']} ms, max {spread['max']} ms")
         for verdicts, violations in (
-            (found["rules"], result.violations),
+            (summary["rules"], result.violations),
             (result.claims or {}, result.claim_violations),
         ):
             for rule, verdict in verdicts.items():
                 click.echo(
                     f"  {rule:12} {verdict}" + "".join(f"\n    {text}" for text in violations[rule][:3])
                 )
-        for name, used in (result.process_usage or {}).items():
+        for name, usage in (result.process_usage or {}).items():
             click.echo(
-                f"  {name}: CPU {used['cpu']:.1%}, {used['rss'] / 2**20:.0f} MiB, cluster "
-                f"{used['sent']} bytes/s"
+                f"  {name}: CPU {usage['cpu']:.1%}, {usage['rss'] / 2**20:.0f} MiB, cluster "
+                f"{usage['sent']} bytes/s"
             )
     sys.exit(0 if result.kept else 1)
 
 
 def progress():
-    def show(now, end, reqs):
+    def on_progress(now, end, reqs):
         click.echo(f"\r{now:6.0f} of {end:.0f} s, {reqs} reqs ended ", nl=False, err=True)
         if now >= end:
             click.echo("\r" + " " * 50 + "\r", nl=False, err=True)
 
-    return show
+    return on_progress
 
 
 def read_site(path):
