--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -27,13 +27,17 @@
 @click.option("--save", type=click.Path(), help="Each minute's accounts as JSON lines.")
 def churn(hours, backends, proxies, reqs, leaves, replaced, sockets, leak, seed, save):
     """Exit code 0 when no purpose grew after warm-up, 1 when one did."""
-    from embertray.simulation.emulator import churn as run
+    from embertray.simulation.emulator import churn as churn_simulation
 
-    plan = run.Plan(backends, proxies, reqs, hours, leaves, replaced)
-    done = run.sockets(plan, seed) if sockets else run.virtual(plan, seed, run.NeverTidies if leak else None)
+    plan = churn_simulation.Plan(backends, proxies, reqs, hours, leaves, replaced)
+    result = (
+        churn_simulation.sockets(plan, seed)
+        if sockets
+        else churn_simulation.virtual(plan, seed, churn_simulation.NeverTidies if leak else None)
+    )
     if save:
-        run.save(done, save)
-    sys.exit(0 if run.report(done) else 1)
+        churn_simulation.save(result, save)
+    sys.exit(0 if churn_simulation.report(result) else 1)
 
 
 @emulate.command()
