--- a/embertray/cli/capacity.py
+++ b/embertray/cli/capacity.py
@@ -32,14 +32,14 @@
     if as_json and as_page:
         raise InputError("capacity: --json or --page, not both")
     try:
-        by_name = load_all(slopes)
-        found = compute(load(target or OPERATORS), by_name)
+        slopes_by_name = load_all(slopes)
+        result = compute(load(target or OPERATORS), slopes_by_name)
     except (BadTarget, BadSlope) as error:
         raise InputError(str(error)) from None
     if as_json:
-        click.echo(json.dumps(report.as_data(found)))
+        click.echo(json.dumps(report.as_data(result)))
     elif as_page:
         charts = [path.name for path in Path(slopes).glob("*.png")]
-        click.echo(page.page(found, by_name, charts), nl=False)
+        click.echo(page.page(result, slopes_by_name, charts), nl=False)
     else:
-        click.echo(page.tables(found), nl=False)
+        click.echo(page.tables(result), nl=False)
--- a/embertray/cli/cluster.py
+++ b/embertray/cli/cluster.py
@@ -50,5 +50,5 @@
             f"  {member['name']:16} {member['state']:8} {member['address']:22} heard "
             f"{member['heard_s']:.1f} s ago, {age}"
         )
-    for one in status["refused"]:
-        click.echo(f"  refused {one['times']} from {one['address']}: {one['why']}")
+    for refusal in status["refused"]:
+        click.echo(f"  refused {refusal['times']} from {refusal['address']}: {refusal['why']}")
--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -59,9 +59,9 @@
     try:
         anyio.run(run, backend_options={"use_uvloop": True})
     except* (OSError, FolderLockedError) as errors:
-        raise InputError(f"{site}: {_first(errors)}") from None
+        raise InputError(f"{site}: {_first_error(errors)}") from None
     except* StateNotSavedError as errors:
-        raise click.ClickException(f"the state can't be saved: {_first(errors)}") from None
+        raise click.ClickException(f"the state can't be saved: {_first_error(errors)}") from None
 
 
 @control.command()
@@ -156,7 +156,7 @@
             process.stop()
 
 
-def _first(group):
+def _first_error(group):
     """The first exception that is no group."""
     while isinstance(group, BaseExceptionGroup):
         group = group.exceptions[0]
