--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -26,7 +26,7 @@
         raise InputError(str(error)) from None
 
 
-def opened(path):
+def open_results(path):
     if not Path(path).is_file():
         raise InputError(f"{path}: no such results file")
     results = Results(path)
@@ -48,11 +48,11 @@
 @click.option("--retry", is_flag=True, help="Play runs again that died or hung.")
 def run(experiment, out, jobs, retry):
     """Play EXPERIMENT.xml (or one that comes with the program); goes on where it was stopped."""
-    found = read_experiment(experiment)
-    results = Results(out or f"{found.name}.sqlite")
+    definition = read_experiment(experiment)
+    results = Results(out or f"{definition.name}.sqlite")
     try:
         results.begin(
-            found, runner.commit(), datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
+            definition, runner.commit(), datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
         )
     except ValueError as error:
         raise InputError(str(error)) from None
@@ -63,7 +63,7 @@
         if sys.stderr.isatty():
             click.echo(f"\r{done} of {total} runs", nl=done == total, err=True)
 
-    runner.run(found, results, jobs, on_progress)
+    runner.run(definition, results, jobs, on_progress)
     rows = list(results.rows())
     click.echo(
         f"{len(rows)} runs, {sum(1 for r in rows if r['error'])} died, "
@@ -76,7 +76,7 @@
 @click.option("--out", help="A Markdown file, with a chart beside it; default: standard output, no chart.")
 def report(results, out):
     """Tables with intervals, worst seeds, and a chart."""
-    found, experiment = opened(results)
+    results_file, experiment = open_results(results)
     charts = []
     if out:
         for end, draw in (
@@ -85,9 +85,9 @@
             ("-took.png", reports.spread_chart),
         ):
             name = Path(out).with_name(Path(out).stem + end)
-            if draw(experiment, found, name):
+            if draw(experiment, results_file, name):
                 charts.append(name.name)
-    page = reports.page(experiment, found, charts)
+    page = reports.page(experiment, results_file, charts)
     if out:
         Path(out).write_text(page)
     else:
@@ -99,7 +99,7 @@
 @click.argument("two")
 def compare(one, two):
     """The difference of two results files, run by run."""
-    click.echo(reports.compare(opened(one)[0], opened(two)[0]))
+    click.echo(reports.compare(open_results(one)[0], open_results(two)[0]))
 
 
 @lab.command()
@@ -108,11 +108,11 @@
 @click.option("--events/--no-events", default=False, help="Its whole event log.")
 def show(results, key, events):
     """Play one run of RESULTS again, by its KEY."""
-    _, experiment = opened(results)
-    found = next((r for r in experiment.runs() if r.key == key), None)
-    if found is None:
+    _, experiment = open_results(results)
+    selected = next((r for r in experiment.runs() if r.key == key), None)
+    if selected is None:
         raise InputError(f"{key}: no such run; as {next(iter(experiment.runs())).key}")
-    result = play(experiment, found)
+    result = play(experiment, selected)
     if events:
         for event in result.events:
             click.echo(f"{event.at / 1e9:.6f} {event.what} {event.who} {' '.join(map(str, event.rest))}")
@@ -142,14 +142,14 @@
         if sys.stderr.isatty():
             click.echo(f"\r{n} of {total}", nl=n == total, err=True)
 
-    found = hunting.hunt(sites, tries, seed, not credit, on_progress=on_progress, way=way, jobs=jobs)
+    findings = hunting.hunt(sites, tries, seed, not credit, on_progress=on_progress, way=way, jobs=jobs)
     Path(out).mkdir(exist_ok=True)
-    for n, (text, result) in enumerate(found):
+    for n, (text, result) in enumerate(findings):
         path = Path(out) / f"hunt-{seed}-{n + 1}.day"
         path.write_text(text)
         click.echo(f"{path}: {text.splitlines()[0][7:-1]}")
         for rule, why in result.violations.items():
             if why:
                 click.echo(f"  {rule}: {why[0]}")
-    click.echo(f"{tries} days, {0 if credit else len(found)} with a broken rule")
-    sys.exit(1 if found and not credit else 0)
+    click.echo(f"{tries} days, {0 if credit else len(findings)} with a broken rule")
+    sys.exit(1 if findings and not credit else 0)
