--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -17,14 +17,14 @@
 from embertray.simulation.standins.proxy import StandinProxy
 from embertray.simulation.standins.scheduler import Agenda
 
-S = 10**9
+NS_PER_SECOND = 10**9
 
 
 class InputError(click.ClickException):
     exit_code = 2
 
 
-def run(main):
+def run_until_interrupted(main):
     try:
         anyio.run(main)
     except* KeyboardInterrupt:
@@ -33,7 +33,7 @@
         raise InputError(str(error.exceptions[0])) from None
 
 
-def say(text):
+def print_line(text):
     click.echo(text)
     sys.stdout.flush()
 
@@ -55,16 +55,16 @@
     async def main():
         agenda = Agenda(LoopClock())
         backend = StandinBackend(
-            Backend(listen, "", Shape(cores, speed, warm_up_time=int(warm * S))),
+            Backend(listen, "", Shape(cores, speed, warm_up_time=int(warm * NS_PER_SECOND))),
             TcpNet(),
             agenda,
             Streams(1).of("failing").random,
         )
         async with anyio.create_task_group() as group:
-            say(f"backend listens on {await group.start(backend.run)}")
+            print_line(f"backend listens on {await group.start(backend.run)}")
             backend.start(cold)
 
-    run(main)
+    run_until_interrupted(main)
 
 
 @stand_in.command()
@@ -74,29 +74,29 @@
     """An inventory that lists BACKENDS, each ADDRESS=ZONE. Lines on standard input change it: ADDRESS ZONE
     STATE.
     """
-    listed = [text.rpartition("=")[::2] for text in backends]
-    if bad := next(
-        (text for text, (at, zone) in zip(backends, listed, strict=False) if not at or not zone), None
+    endpoints = [text.rpartition("=")[::2] for text in backends]
+    if invalid := next(
+        (text for text, (at, zone) in zip(backends, endpoints, strict=False) if not at or not zone), None
     ):
-        raise InputError(f"'{bad}' is not ADDRESS=ZONE")
+        raise InputError(f"'{invalid}' is not ADDRESS=ZONE")
 
     async def main():
         agenda = Agenda(LoopClock())
-        it = StandinInventory(TcpNet(), agenda)
+        standin = StandinInventory(TcpNet(), agenda)
         async with anyio.create_task_group() as group:
-            say(f"inventory listens on {await group.start(it.run, listen)}")
-            for address, zone in listed:
-                it.list(address, zone)
+            print_line(f"inventory listens on {await group.start(standin.run, listen)}")
+            for address, zone in endpoints:
+                standin.list(address, zone)
             while row := await anyio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True):
                 words = row.split()
                 if len(words) == 3 and words[2] in ("ready", "draining", "gone"):
-                    it.list(*words, agenda.now() if words[2] == "ready" else 0)
-                    say(f"epoch {it.epoch}: {row.strip()}")
+                    standin.list(*words, agenda.now() if words[2] == "ready" else 0)
+                    print_line(f"epoch {standin.epoch}: {row.strip()}")
                 elif words:
                     click.echo("wanted: ADDRESS ZONE ready|draining|gone", err=True)
             await anyio.sleep_forever()
 
-    run(main)
+    run_until_interrupted(main)
 
 
 @stand_in.command()
@@ -125,25 +125,27 @@
             rate,
         )
 
-        def ended(_, __, ___, how, ____):
-            counts[how] += 1
+        def count_outcome(_, __, ___, outcome, ____):
+            counts[outcome] += 1
 
         mix = [(kind, 1 / len(description.kinds), kind.latency_objective // 10) for kind in description.kinds]
-        clients = StandinClients(1, mix, lambda _: rate, TcpNet(), agenda, streams.of("clients"), ended=ended)
+        clients = StandinClients(
+            1, mix, lambda _: rate, TcpNet(), agenda, streams.of("clients"), ended=count_outcome
+        )
         async with anyio.create_task_group() as group:
             address = await group.start(proxy.run)
-            say(f"proxy {name} listens on {address}")
+            print_line(f"proxy {name} listens on {address}")
             group.start_soon(report, proxy, counts)
-            await clients.run(address, agenda.now() + int(seconds * S))
+            await clients.run(address, agenda.now() + int(seconds * NS_PER_SECOND))
             group.cancel_scope.cancel()
 
     async def report(proxy, counts):
         while True:
             await anyio.sleep(1)
-            say(
+            print_line(
                 f"{'joined' if proxy.joined else 'alone'}, "
                 f"{len(proxy.routing_state.routable_lines())} lines, "
-                + ", ".join(f"{how} {n}" for how, n in counts.items())
+                + ", ".join(f"{outcome} {n}" for outcome, n in counts.items())
             )
 
-    run(main)
+    run_until_interrupted(main)
