--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -16,7 +16,7 @@
 COMPACTION_SLACK = 256  # outdated items that a list may hold before it is rebuilt
 
 
-def bucket_of(key):
+def digest_bucket_index(key):
     """Index of a key's digest bucket; the same in all processes."""
     return xxhash.xxh64_intdigest(key.encode()) % DIGEST_BUCKETS
 
@@ -148,14 +148,14 @@
             self._add_live(entry)
 
     def _add_live(self, entry):
-        bucket = bucket_of(entry.key)
+        bucket = digest_bucket_index(entry.key)
         self.digests[bucket] ^= entry.fingerprint
         self.bucket_keys[bucket].add(entry.key)
         self.live_count += 1
         self.live_bytes += entry.size
 
     def _remove_live(self, entry):
-        bucket = bucket_of(entry.key)
+        bucket = digest_bucket_index(entry.key)
         self.digests[bucket] ^= entry.fingerprint
         self.bucket_keys[bucket].discard(entry.key)
         self.live_count -= 1
