--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -68,7 +68,7 @@
         self.replicas = {}  # name -> running ReplicaServer
         self.subscribers = {}  # name -> running SubscriberClient
         self.applied = {}  # name of a subscriber -> entries that it applied
-        self.scopes = {}  # name -> (cancel scope, event that is set at its end)
+        self.running_scopes = {}  # name -> (cancel scope, event that is set at its end)
         self.group = None
         self.disks = {}  # name -> Disk that replaces the real one
 
@@ -97,16 +97,16 @@
     async def _run(self, name, process, *, task_status):
         ended = anyio.Event()
         with anyio.CancelScope() as scope:
-            self.scopes[name] = scope, ended
+            self.running_scopes[name] = scope, ended
             try:
                 await process.run(task_status=task_status)
-            except Exception as failure:
-                process.ended_by = failure
+            except Exception as error:
+                process.failure = error
         ended.set()
 
     async def kill(self, name):
         """Stops a replica or subscriber at once and without a goodbye, as a kill does."""
-        scope, ended = self.scopes.pop(name)
+        scope, ended = self.running_scopes.pop(name)
         self.replicas.pop(name, None)
         self.subscribers.pop(name, None)
         scope.cancel()
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -379,9 +379,9 @@
             with self.assertRaises(Exception) as raised:
                 await leader.put("key", b"1", "request")
             self.assertEqual(type(raised.exception).__name__, "OutcomeUnknownError")
-            _, ended = cluster.scopes["r1"]
+            _, ended = cluster.running_scopes["r1"]
             await ended.wait()
-            self.assertEqual(type(leader.ended_by).__name__, "StateNotSavedError")
+            self.assertEqual(type(leader.failure).__name__, "StateNotSavedError")
             disk.full = False
             server = await cluster.start("r1")
             await cluster.wait_for_leader()
