--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -113,9 +113,8 @@
         previous_leader = self.cluster.leader
         self.cluster.isolated = {previous_leader.name}
         self.cluster.run(10 * S)
-        self.assertEqual(
-            self.cluster.put("a", b"1", "q1"), first
-        )  # the next leader knows the request id, too
+        # the next leader knows the request id, too
+        self.assertEqual(self.cluster.put("a", b"1", "q1"), first)
         self.assertEqual(self.cluster.leader.store.get("a").value, b"2")
 
     def test_a_write_that_expects_another_revision_is_rejected(self):
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -186,9 +186,8 @@
         self.subscriber.store.advance(4)
         bucket = next(n for n, keys in enumerate(self.subscriber.store.bucket_keys) if "a" in keys)
         self.receive(Inventory(bucket, 5, [InventoryItem("a", 5, entry.fingerprint + 1)]))
-        self.assertEqual(
-            (self.subscriber.store.get("a"), self.sent_messages()), (None, [])
-        )  # the next update brings it
+        # the next update brings the entry
+        self.assertEqual((self.subscriber.store.get("a"), self.sent_messages()), (None, []))
 
 
 if __name__ == "__main__":
