--- a/embertray/cli/__init__.py
+++ b/embertray/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `embertray serve|check|days|play|stand-in`."""
+"""The command line, `embertray COMMAND`: one module per group of commands."""
--- a/embertray/cli/capacity.py
+++ b/embertray/cli/capacity.py
@@ -1,4 +1,4 @@
-"""`embertray capacity`: what a fleet of a target's size costs, from measured slopes."""
+"""`embertray capacity`: estimates the cost of a fleet of a target size from measured slopes."""
 
 import json
 from pathlib import Path
@@ -12,8 +12,10 @@
 
 @click.command()
 @click.argument("target", type=click.Path(), required=False)
-@click.option("--json", "as_json", is_flag=True, help="The table as one JSON object.")
-@click.option("--page", "as_page", is_flag=True, help="The whole page, docs/CAPACITY.md, for its target.")
+@click.option("--json", "as_json", is_flag=True, help="Print the table as one JSON object.")
+@click.option(
+    "--page", "as_page", is_flag=True, help="Print the whole page, docs/CAPACITY.md, for its target."
+)
 @click.option(
     "--slopes",
     type=click.Path(),
@@ -21,9 +23,10 @@
     help="Folder of measured slopes; default: those of this repository.",
 )
 def capacity(target, as_json, as_page, slopes):
-    """What each role costs at the size that TARGET.xml describes, and which budgets it keeps.
+    """Show the cost of each role at the size that TARGET.xml describes, and which budgets are kept.
 
-    Without TARGET.xml: the operators' target, the sample that comes with the program."""
+    Without TARGET.xml, the operators' target is used, a sample that is part of the program.
+    """
     from embertray.experiments.capacity import page, report
     from embertray.experiments.capacity.slope import BadSlope, load_all
     from embertray.experiments.capacity.table import compute
--- a/embertray/cli/cluster.py
+++ b/embertray/cli/cluster.py
@@ -1,4 +1,4 @@
-"""`embertray cluster`: what a running controller knows of the others."""
+"""`embertray cluster`: the cluster as a running controller sees it."""
 
 import json
 
@@ -14,15 +14,17 @@
 
 @click.group()
 def cluster():
-    """What running controllers know of each other."""
+    """Inspect the cluster of running controllers."""
 
 
 @cluster.command(name="status")
-@click.option("--admin", required=True, help="A running controller's operators' address.")
+@click.option("--admin", required=True, help="Operators' address of a running controller.")
 @click.option("--json", "as_json", is_flag=True)
 def cluster_status(admin, as_json):
-    """Each member's state, the age of what it told, the bound now, and whether this process believes itself
-    cut off.
+    """Show the members as one controller sees them.
+
+    For each member its state and the age of its facts; for the controller itself the current bound of that
+    age, and whether it considers itself cut off.
     """
     try:
         code, body = anyio.run(send_operator_request, admin, "GET", "/cluster")
@@ -40,12 +42,12 @@
         + (f", ended: {status['ended']}" if status["ended"] else "")
     )
     click.echo(
-        f"an entry is known everywhere within {status['bound_s']} s; state {status['state_bytes']} of "
+        f"an entry reaches all members within {status['bound_s']} s; state {status['state_bytes']} of "
         f"{status['state_cap']} bytes, "
-        f"{status['left_out']} left out; own slowness {status['health']}"
+        f"{status['left_out']} left out; local health score {status['health']}"
     )
     for member in status["members"]:
-        age = "nothing told" if member["told_s"] is None else f"told {member['told_s']:.1f} s ago"
+        age = "no facts" if member["told_s"] is None else f"facts {member['told_s']:.1f} s old"
         click.echo(
             f"  {member['name']:16} {member['state']:8} {member['address']:22} heard "
             f"{member['heard_s']:.1f} s ago, {age}"
--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -1,4 +1,4 @@
-"""`embertray control`: run a control replica, read and write what it keeps."""
+"""`embertray control`: runs a control replica; reads and writes its configuration."""
 
 import json
 import signal
@@ -16,23 +16,24 @@
 from .standin import InputError
 
 admin_option = click.option(
-    "--admin", required=True, help="A replica's operators' address; the leader is found from any."
+    "--admin", required=True, help="Operators' address of any replica; the leader is found from it."
 )
 request_option = click.option(
-    "--request", help="Id of this call: said again with the same id, it writes only once. Default: a new one."
+    "--request",
+    help="Request id: a write that is repeated under the same id is made only once. Default: a new id.",
 )
 within_option = click.option(
     "--within",
     type=click.FloatRange(min=0),
     default=15.0,
     show_default=True,
-    help="Seconds in which a write is tried again: two elections.",
+    help="Seconds within which a write is retried; the default is enough for two elections.",
 )
 
 
 @click.group()
 def control():
-    """Configuration kept by control replicas."""
+    """Run a control replica; read and write the replicated configuration."""
 
 
 @control.command()
@@ -68,7 +69,7 @@
 @admin_option
 @click.option("--json", "as_json", is_flag=True)
 def status(admin, as_json):
-    """What a replica, or a controller, says of the control plane."""
+    """Show the status of a replica, or of a controller's subscriber."""
     code, body = ask(admin, "GET", "/control")
     if code != 200:
         raise InputError(f"{admin}: {body_text(body)}")
@@ -79,8 +80,10 @@
 @control.command()
 @click.argument("key")
 @admin_option
-@click.option("--json", "as_json", is_flag=True, help="With revision and age; the value as base64.")
-@click.option("--versions", is_flag=True, help="The versions that are kept, in place of the value.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print JSON with revision and age; the value as base64."
+)
+@click.option("--versions", is_flag=True, help="Print the kept versions instead of the value.")
 def get(key, admin, as_json, versions):
     """Print the value of KEY that is in force at a replica or a controller."""
     page = "versions" if versions else "key"
@@ -107,7 +110,11 @@
 @admin_option
 @request_option
 @within_option
-@click.option("--expected", type=click.IntRange(0), help="Refuse unless KEY is at this revision; 0: new.")
+@click.option(
+    "--expected",
+    type=click.IntRange(0),
+    help="Reject the write unless KEY is at this revision; 0: KEY must be new.",
+)
 def put(key, file, admin, request, within, expected):
     """Write the bytes of FILE ('-': standard input) as KEY."""
     try:
@@ -125,7 +132,7 @@
 @request_option
 @within_option
 def rollback(key, version, admin, request, within):
-    """Write the value that KEY had at VERSION again, as its newest."""
+    """Write the value that KEY had at VERSION as its newest version."""
     write(admin, "POST", "/control/rollback", key, request, within, {"version": version})
 
 
@@ -140,7 +147,7 @@
 
 
 def _replica_of(site, name):
-    """The site's Control, and the SiteReplica of that name. Raises Bad."""
+    """Returns the site's ControlSettings and the SiteReplica of that name. Raises InputError."""
     try:
         site_control = load_site(site).control
         if site_control is None:
@@ -157,7 +164,7 @@
 
 
 def _first_error(group):
-    """The first exception that is no group."""
+    """Returns the first exception in nested exception groups."""
     while isinstance(group, BaseExceptionGroup):
         group = group.exceptions[0]
     return group
--- a/embertray/cli/control_calls.py
+++ b/embertray/cli/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the `embertray control` commands, and what becomes of them: a line, and an exit code."""
+"""HTTP calls of the `embertray control` commands, with one line and an exit code for each outcome."""
 
 import json
 import sys
@@ -14,24 +14,24 @@
 from .standin import InputError
 
 REJECTED_EXIT_CODE = 1
-UNKNOWN_EXIT_CODE = 3  # 2 is bad input, or nobody could be asked
+UNKNOWN_EXIT_CODE = 3  # 2: invalid input, or no replica could be reached
 
 
 def write(admin, method, path, key, request, within, parameters, value=b""):
-    """Makes a write, says in one line what came of it, and exits unless it is committed.
+    """Makes a write, prints its outcome in one line, and exits unless it is committed.
 
     Args:
         admin: operators' address of any replica.
         method: HTTP method.
-        path: of the page.
+        path: path of the page.
         key: name of the key.
-        request: id of the call; None for a new one.
-        within: seconds in which attempts begin.
+        request: request id; None for a new one.
+        within: seconds within which attempts begin.
         parameters: further parameters of the query.
-        value: bytes.
+        value: bytes to write.
 
     Raises:
-        Bad: the address is none, or no replica could be asked.
+        InputError: the address is invalid, or no replica could be reached.
     """
     from embertray.service.admin.control_client import UnreachableError, write as write_at_leader
 
@@ -55,7 +55,7 @@
         sys.exit(REJECTED_EXIT_CODE)
     else:
         click.echo(
-            f"{key}: unknown whether it is written: {outcome.text}; ask again with --request {request}",
+            f"{key}: unknown whether it is written: {outcome.text}; repeat it with --request {request}",
             err=True,
         )
         sys.exit(UNKNOWN_EXIT_CODE)
@@ -73,7 +73,7 @@
         (status, body).
 
     Raises:
-        Bad: the address is none, or there was no answer.
+        InputError: the address is invalid, or there was no answer.
     """
     from embertray.service.admin.control_client import UnreachableError, ask as ask_replica
 
@@ -85,22 +85,22 @@
 
 
 def typed_answer(admin, status, body):
-    """The typed answer as a dict. Raises Bad for one that is none, or that refuses what was asked."""
+    """Returns a typed answer as a dict. Raises InputError if it is not typed or rejects the request."""
     if status not in (200, 404) or not body.startswith(b"{"):
         raise InputError(f"{admin}: {body_text(body)}")
     return parse_json(admin, body)
 
 
 def parse_json(admin, body):
-    """What a JSON body says. Raises Bad."""
+    """Returns the content of a JSON body. Raises InputError."""
     try:
         return json.loads(body)
     except ValueError:
-        raise InputError(f"{admin}: what it answers is no JSON") from None
+        raise InputError(f"{admin}: the answer is not JSON") from None
 
 
 def body_text(body):
-    """A body as text for people."""
+    """Returns a body as text for people."""
     return body.decode("utf-8", "replace").strip()
 
 
--- a/embertray/cli/control_status.py
+++ b/embertray/cli/control_status.py
@@ -1,14 +1,14 @@
-"""The status of a replica or a subscriber, in lines for people."""
+"""Formats the status of a replica or a subscriber for people."""
 
 
 def describe(status):
-    """Describes a process of the replicated configuration.
+    """Formats the status of a process of the replicated configuration.
 
     Args:
         status: a ReplicaStatus or SubscriberStatus as decoded JSON.
 
     Returns:
-        Lines.
+        A list of lines.
     """
     age = "not known" if status["age_s"] is None else f"{status['age_s']:.1f} s"
     if status["type"] == "subscriber":
--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`embertray emulate churn`: hours of churn through the true daemon, and whether its memory is flat."""
+"""`embertray emulate`: simulated churn that checks the daemon's memory, and faults on a simulated cluster."""
 
 import sys
 
@@ -7,26 +7,29 @@
 
 @click.group()
 def emulate():
-    """Whole fleets as flows, in virtual time."""
+    """Simulate whole fleets in virtual time."""
 
 
 @emulate.command()
 @click.option("--hours", default=0.5, show_default=True)
 @click.option("--backends", default=92, show_default=True)
 @click.option("--proxies", default=157, show_default=True)
-@click.option("--reqs", default=920.0, show_default=True, help="A second, all proxies together.")
+@click.option("--reqs", default=920.0, show_default=True, help="Requests per second of all proxies together.")
 @click.option(
-    "--leaves", default=30.0, show_default=True, help="Proxies a minute that leave for good; others come."
+    "--leaves", default=30.0, show_default=True, help="Proxies per minute that leave for good; new ones join."
 )
-@click.option("--replaced", default=4.0, show_default=True, help="Backends a minute that are replaced.")
+@click.option("--replaced", default=4.0, show_default=True, help="Backends per minute that are replaced.")
 @click.option(
     "--sockets/--virtual", default=False, help="Over loopback in real time, or in virtual time (default)."
 )
-@click.option("--leak", is_flag=True, help="With a leak on purpose: the check must fail.")
+@click.option("--leak", is_flag=True, help="Add a leak, with which the check must fail.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--save", type=click.Path(), help="Each minute's accounts as JSON lines.")
+@click.option("--save", type=click.Path(), help="File for the memory accounts of each minute, as JSON lines.")
 def churn(hours, backends, proxies, reqs, leaves, replaced, sockets, leak, seed, save):
-    """Exit code 0 when no purpose grew after warm-up, 1 when one did."""
+    """Run hours of churn through the real daemon and check that its memory does not grow.
+
+    Exit code 0 when no purpose grew after warm-up, 1 when one did.
+    """
     from embertray.simulation.emulator import churn as churn_simulation
 
     plan = churn_simulation.Plan(backends, proxies, reqs, hours, leaves, replaced)
@@ -42,11 +45,13 @@
 
 @emulate.command()
 @click.argument("day")
-@click.option("--members", type=int, help="More members than the day's controllers.")
+@click.option("--members", type=int, help="Number of members; default: the number of the day's controllers.")
 @click.option("--seed", default=1, show_default=True)
 def cluster(day, members, seed):
-    """The wounds that DAY does to controllers and links, on a cluster's members in virtual time. Exit code 0
-    when every claim is kept, 1 when one is broken, 2 on bad input."""
+    """Apply the faults of DAY on controllers and links to the members of a cluster.
+
+    Exit code 0 when every claim is kept, 1 when one is broken, 2 on invalid input.
+    """
     from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
     from embertray.simulation.scenarios import notation
 
@@ -59,12 +64,12 @@
     claims = simulation.play().claims
     for name, verdict in claims.verdicts().items():
         click.echo(
-            f"  {name:12} {verdict}, asked for {claims.checks[name]} times"
+            f"  {name:12} {verdict}, checked {claims.checks[name]} times"
             + "".join(f"\n    {text}" for text in claims.broken[name][:3])
         )
     probes, state = simulation.bytes()
     click.echo(
-        f"greatest age of its bound {claims.worst:.2f}; bytes a second a member: probes "
+        f"greatest age as a share of its bound {claims.worst:.2f}; bytes per second and member: probes "
         f"{probes:.0f}, state {state:.0f}"
     )
     sys.exit(1 if any(claims.broken.values()) else 0)
--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -1,4 +1,4 @@
-"""`embertray lab run|report|compare|show|hunt`."""
+"""`embertray lab`: runs experiments on simulated fleets and reports their results."""
 
 import datetime
 import os
@@ -20,6 +20,7 @@
 
 
 def read_experiment(path):
+    """Returns the experiment that a file or a name stands for. Raises InputError."""
     try:
         return experiments.load(path)
     except experiments.BadExperiment as error:
@@ -27,27 +28,28 @@
 
 
 def open_results(path):
+    """Returns (Results, experiment) of a results file. Raises InputError."""
     if not Path(path).is_file():
         raise InputError(f"{path}: no such results file")
     results = Results(path)
     row = results.text()
     if not row:
-        raise InputError(f"{path}: it holds no experiment")
+        raise InputError(f"{path}: it contains no experiment")
     return results, experiments.read(row[0], path)
 
 
 @click.group()
 def lab():
-    """Experiments on whole fleets, in virtual time."""
+    """Run experiments on whole fleets in virtual time."""
 
 
 @lab.command("run")
 @click.argument("experiment")
 @click.option("--out", help="The results file; default: the experiment's name with .sqlite.")
 @click.option("--jobs", default=os.cpu_count(), show_default=True)
-@click.option("--retry", is_flag=True, help="Play runs again that died or hung.")
+@click.option("--retry", is_flag=True, help="Repeat the runs that died or hung.")
 def run(experiment, out, jobs, retry):
-    """Play EXPERIMENT.xml (or one that comes with the program); goes on where it was stopped."""
+    """Run EXPERIMENT.xml (or a built-in experiment); resume it if it was stopped."""
     definition = read_experiment(experiment)
     results = Results(out or f"{definition.name}.sqlite")
     try:
@@ -75,7 +77,7 @@
 @click.argument("results")
 @click.option("--out", help="A Markdown file, with a chart beside it; default: standard output, no chart.")
 def report(results, out):
-    """Tables with intervals, worst seeds, and a chart."""
+    """Print tables with intervals, the worst seeds and a chart."""
     results_file, experiment = open_results(results)
     charts = []
     if out:
@@ -98,20 +100,20 @@
 @click.argument("one")
 @click.argument("two")
 def compare(one, two):
-    """The difference of two results files, run by run."""
+    """Compare two results files run by run."""
     click.echo(reports.compare(open_results(one)[0], open_results(two)[0]))
 
 
 @lab.command()
 @click.argument("results")
 @click.argument("key")
-@click.option("--events/--no-events", default=False, help="Its whole event log.")
+@click.option("--events/--no-events", default=False, help="Print its whole event log.")
 def show(results, key, events):
-    """Play one run of RESULTS again, by its KEY."""
+    """Repeat one run of RESULTS by its KEY."""
     _, experiment = open_results(results)
     selected = next((r for r in experiment.runs() if r.key == key), None)
     if selected is None:
-        raise InputError(f"{key}: no such run; as {next(iter(experiment.runs())).key}")
+        raise InputError(f"{key}: no such run; a valid key is {next(iter(experiment.runs())).key}")
     result = play(experiment, selected)
     if events:
         for event in result.events:
@@ -124,19 +126,19 @@
 @click.option("--tries", default=30, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 @click.option(
-    "--credit", is_flag=True, help="The day of the least credit, in place of days that break a rule."
+    "--credit", is_flag=True, help="Find the day of the least credit instead of days that break a rule."
 )
 @click.option(
     "--way",
     type=click.Choice(["emulated", "virtual"]),
     default="emulated",
     show_default=True,
-    help="Without streams, or through the daemon's own, in memory (three times slower).",
+    help="emulated: without streams; virtual: through the daemon's streams, in memory (three times slower).",
 )
 @click.option("--jobs", default=os.cpu_count(), show_default=True)
 @click.option("--out", default="found", show_default=True, help="Folder for the day files.")
 def hunt(sites, tries, seed, credit, way, jobs, out):
-    """Look for days on which a rule breaks; exit code 1 if one is found."""
+    """Search for days on which a rule breaks; exit code 1 if one is found."""
 
     def on_progress(n, total):
         if sys.stderr.isatty():
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -1,4 +1,4 @@
-"""Sub-commands, by click. Bad input: one line on standard error and exit code 2."""
+"""The commands of `embertray`, by click. Invalid input: one line on standard error and exit code 2."""
 
 import gc
 import json
@@ -32,7 +32,7 @@
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 @click.version_option(package_name=None, version="0.2.0", prog_name="embertray")
 def main(log_format, log_level):
-    """embertray publishes routing tables to a fleet of plain proxies."""
+    """Publishes routing tables to a fleet of plain proxies."""
     logs.configure_logging(log_format, log_level)
 
 
@@ -61,7 +61,7 @@
         me = description.controller(name or description.controllers[0].name)
     except SiteError as error:
         raise InputError(str(error)) from None
-    gc.freeze()  # what was imported lives as long as we do
+    gc.freeze()  # imported objects live as long as the process
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
     snapshot_store = DurableSnapshots(description.keep) if description.keep else InMemorySnapshots()
 
@@ -94,7 +94,7 @@
 @main.command()
 @click.argument("site", type=click.Path())
 def check(site):
-    """Check SITE.xml against its schema; exit 2 with file, line and what was expected if it is wrong."""
+    """Check SITE.xml against its schema; exit 2 with file, line and what was expected if it is invalid."""
     description = read_site(site)
     click.echo(
         f"{site}: {description.name}: {len(description.zones)} zones, "
@@ -113,14 +113,14 @@
 @main.command()
 @click.argument("site", type=click.Path(), required=False)
 @click.option(
-    "--admin", help="A running controller's operators' address; or name its SITE.xml and --controller."
+    "--admin", help="Operators' address of a running controller; or give its SITE.xml and --controller."
 )
 @click.option("--controller", "name")
 @click.option("--json", "as_json", is_flag=True)
 def memory(site, admin, name, as_json):
-    """What a running controller holds, by purpose, and what its caps did."""
+    """Show the memory of a running controller by purpose, and the actions taken at its caps."""
     if not admin and not site:
-        raise InputError("memory: name a SITE.xml or --admin HOST:PORT")
+        raise InputError("memory: SITE.xml or --admin HOST:PORT is required")
     if not admin:
         description = read_site(site)
         try:
@@ -144,18 +144,18 @@
         )
     click.echo(
         f"resident {accounts['resident'] / 2**20:.1f} MiB, {accounts['at_start'] / 2**20:.1f} at the start, "
-        f"{accounts['unaccounted'] / 2**20:.1f} under no purpose"
+        f"{accounts['unaccounted'] / 2**20:.1f} unaccounted"
     )
 
 
 @main.command()
-@click.option("--admin", required=True, help="A running controller's operators' address.")
-@click.option("--pin", help="Hold this level of service.")
-@click.option("--release", is_flag=True, help="Let the level go by what is measured again.")
-@click.option("--forbid", help="A level that is not to be entered.")
-@click.option("--allow", help="A forbidden level that may be entered again.")
+@click.option("--admin", required=True, help="Operators' address of a running controller.")
+@click.option("--pin", help="Pin this service level.")
+@click.option("--release", is_flag=True, help="Unpin the level: it follows the measurements again.")
+@click.option("--forbid", help="Forbid entering this level.")
+@click.option("--allow", help="Allow entering a forbidden level again.")
 def status(admin, pin, release, forbid, allow):
-    """Whether a running controller is ready, its level of service, and what that gives up."""
+    """Show whether a running controller is ready, its service level, and what that level gives up."""
     actions = {"pin": pin, "release": "1" if release else None, "forbid": forbid, "allow": allow}
     query = "&".join(f"{name}={value}" for name, value in actions.items() if value)
     try:
@@ -183,7 +183,7 @@
 
 @main.command()
 def days():
-    """List the days that come with the program."""
+    """List the built-in days."""
     for name in notation.names():
         click.echo(f"{name:24} {notation.load(name).about}")
 
@@ -200,22 +200,23 @@
     "--processes",
     "mode",
     flag_value="processes",
-    help="As --sockets, with links that break between the processes, and a cluster.",
+    help="As --sockets, with a cluster, and with faults on the links between the processes.",
 )
-@click.option("--alone", is_flag=True, help="With --processes: without the cluster that the day asks for.")
+@click.option("--alone", is_flag=True, help="With --processes: without the cluster that the day configures.")
 @click.option(
     "--logs",
     type=click.Path(file_okay=False),
-    help="With --processes: a folder where descriptions and logs stay.",
+    help="With --processes: folder in which site descriptions and logs are kept.",
 )
-@click.option("--emulated", "mode", flag_value="emulated", help="Without streams, req by req.")
-@click.option("--flows", "mode", flag_value="flows", help="Without streams, reqs as flows.")
+@click.option("--emulated", "mode", flag_value="emulated", help="Without streams, request by request.")
+@click.option("--flows", "mode", flag_value="flows", help="Without streams, requests as aggregate flows.")
 @click.option("--json", "as_json", is_flag=True, help="The result as one JSON object.")
 @click.option("--seed", type=int, default=1, show_default=True)
 def play(day, mode, alone, logs, as_json, seed):
-    """Play DAY (a name from `embertray days`, or a file) through the true controller.
+    """Play DAY (a name from `embertray days`, or a file) against the real controller.
 
-    Exit code 0 when all rules are kept, 1 when one is broken, 2 on bad input."""
+    Exit code 0 when all rules are kept, 1 when one is broken, 2 on invalid input.
+    """
     on_progress = progress() if sys.stderr.isatty() and not as_json else None
     try:
         script = notation.load(day)
@@ -255,6 +256,8 @@
 
 
 def progress():
+    """Returns a function (simulated seconds, last second, requests) that prints one progress line."""
+
     def on_progress(now, end, reqs):
         click.echo(f"\r{now:6.0f} of {end:.0f} s, {reqs} reqs ended ", nl=False, err=True)
         if now >= end:
@@ -264,6 +267,7 @@
 
 
 def read_site(path):
+    """Returns the Site that a file describes. Raises InputError."""
     try:
         return load_site(path)
     except SiteError as error:
--- a/embertray/cli/operators.py
+++ b/embertray/cli/operators.py
@@ -1,4 +1,4 @@
-"""Requests at a running controller's operators' address, for the commands that show what it says."""
+"""HTTP requests to the operators' address of a running controller."""
 
 import anyio
 
@@ -7,12 +7,12 @@
 
 
 async def send_operator_request(address, method, path):
-    """(status, body) of one request at the operators' address."""
+    """Sends one request to the operators' address and returns (status, body)."""
     with anyio.fail_after(5):
         return await send_request(TcpNet(), address, method, path)
 
 
 async def fetch_page(address, path):
-    """The body of one operators' page."""
+    """Returns the body of one of the operators' pages."""
     with anyio.fail_after(5):
         return (await send_request(TcpNet(), address, "GET", path))[1]
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -1,4 +1,4 @@
-"""`embertray stand-in backend|proxy|inventory`: one stand-in by hand, on loopback."""
+"""`embertray stand-in backend|proxy|inventory`: runs one stand-in on loopback."""
 
 import sys
 
@@ -21,10 +21,13 @@
 
 
 class InputError(click.ClickException):
+    """Invalid input: click prints the message on standard error and exits with code 2."""
+
     exit_code = 2
 
 
 def run_until_interrupted(main):
+    """Runs an async function until its end or Ctrl-C. Raises InputError for an OSError or AddressError."""
     try:
         anyio.run(main)
     except* KeyboardInterrupt:
@@ -34,23 +37,24 @@
 
 
 def print_line(text):
+    """Prints a line and flushes it, so that a reader of a pipe gets it at once."""
     click.echo(text)
     sys.stdout.flush()
 
 
 @click.group("stand-in")
 def stand_in():
-    """Run one stand-in by hand, until interrupted."""
+    """Run one stand-in until interrupted."""
 
 
 @stand_in.command()
 @click.option("--listen", default="127.0.0.1:0", show_default=True)
 @click.option("--cores", default=2, show_default=True)
 @click.option("--speed", default=1.0, show_default=True)
-@click.option("--cold", is_flag=True, help="Starts cold, with the warming of --warm seconds.")
+@click.option("--cold", is_flag=True, help="Start cold; the warm-up takes --warm seconds.")
 @click.option("--warm", default=10.0, show_default=True)
 def backend(listen, cores, speed, cold, warm):
-    """A backend that does reqs."""
+    """Run a backend that serves requests."""
 
     async def main():
         agenda = Agenda(LoopClock())
@@ -71,8 +75,9 @@
 @click.argument("backends", nargs=-1, required=True)
 @click.option("--listen", default="127.0.0.1:0", show_default=True)
 def inventory(backends, listen):
-    """An inventory that lists BACKENDS, each ADDRESS=ZONE. Lines on standard input change it: ADDRESS ZONE
-    STATE.
+    """Run an inventory that lists BACKENDS, each ADDRESS=ZONE.
+
+    Lines on standard input change the list: ADDRESS ZONE ready|draining|gone.
     """
     endpoints = [text.rpartition("=")[::2] for text in backends]
     if invalid := next(
@@ -93,7 +98,7 @@
                     standin.list(*words, agenda.now() if words[2] == "ready" else 0)
                     print_line(f"epoch {standin.epoch}: {row.strip()}")
                 elif words:
-                    click.echo("wanted: ADDRESS ZONE ready|draining|gone", err=True)
+                    click.echo("expected: ADDRESS ZONE ready|draining|gone", err=True)
             await anyio.sleep_forever()
 
     run_until_interrupted(main)
@@ -102,11 +107,11 @@
 @stand_in.command()
 @click.argument("site", type=click.Path())
 @click.option("--name", default="p1", show_default=True)
-@click.option("--zone", help="Default: the site's first.")
-@click.option("--rate", default=10.0, show_default=True, help="Reqs a second of its own clients.")
+@click.option("--zone", help="Default: the site's first zone.")
+@click.option("--rate", default=10.0, show_default=True, help="Requests per second of its clients.")
 @click.option("--seconds", default=3600.0, show_default=True)
 def proxy(site, name, zone, rate, seconds):
-    """A plain proxy of SITE.xml with clients of its own; tells what they got each second."""
+    """Run a plain proxy of SITE.xml with clients; print the outcomes of their requests each second."""
     try:
         description = load_site(site)
     except SiteError as error:
