--- a/embertray/experiments/measure/cluster.py
+++ b/embertray/experiments/measure/cluster.py
@@ -11,7 +11,7 @@
 from embertray.cluster.membership import DEAD, Membership
 from embertray.simulation.emulator.detectors import Heartbeats, Phi
 from embertray.simulation.emulator.engine import NS_PER_SECOND as S
-from embertray.simulation.emulator.gossip import MembershipSimulation
+from embertray.simulation.emulator.membership_simulation import MembershipSimulation
 
 MAKES = {"swim": Membership, "heartbeats": Heartbeats, "phi": Phi}
 
--- a/embertray/experiments/measure/control_day.py
+++ b/embertray/experiments/measure/control_day.py
@@ -10,7 +10,7 @@
 
 import click
 
-from embertray.simulation.emulator.control.day import ControlDay, DayPlan
+from embertray.simulation.emulator.control.day_simulation import ControlDay, DayPlan
 
 S = 10**9
 SHARES = (0.5, 0.99, 0.999, 1.0)
--- a/embertray/experiments/measure/limits.py
+++ b/embertray/experiments/measure/limits.py
@@ -8,7 +8,7 @@
 import click
 
 from embertray.simulation.emulator.engine import NS_PER_SECOND as S
-from embertray.simulation.emulator.limits import LimitsSimulation
+from embertray.simulation.emulator.limits_simulation import LimitsSimulation
 
 
 def wounded(seed):
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from embertray.cluster.membership import MembershipConfig
-from embertray.simulation.emulator.collector import rare_collections
-from embertray.simulation.emulator.gossip import MembershipSimulation
+from embertray.simulation.emulator.garbage_collection import rare_collections
+from embertray.simulation.emulator.membership_simulation import MembershipSimulation
 from embertray.simulation.emulator.state_exchanger import StateExchanger
 
 from .fleet import MARKS, Summary
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -31,7 +31,7 @@
 from embertray.simulation.standins.scheduler import Agenda
 from embertray.simulation.standins.virtual_time import VirtualClock, run as run_virtual
 
-from .flows import FlowFleet
+from .flow_fleet import FlowFleet
 
 S = 10**9
 FLAT, SMALL, SMALL_BY = 0.05, 64 * 1024, 8 * 1024
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -16,9 +16,9 @@
 from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.words import LINKS
 
-from .collector import rare_collections
 from .engine import NS_PER_MS, NS_PER_SECOND
-from .gossip import MembershipSimulation
+from .garbage_collection import rare_collections
+from .membership_simulation import MembershipSimulation
 from .state_exchanger import StateExchanger
 from .web_links import WebLinks
 
--- a/embertray/simulation/emulator/control/__init__.py
+++ b/embertray/simulation/emulator/control/__init__.py
@@ -5,6 +5,6 @@
 """
 
 from .faults import draw_faults
-from .play import ControlPlay, Settings
+from .simulation import ControlPlay, Settings
 
 __all__ = ["ControlPlay", "Settings", "draw_faults"]
--- a/embertray/simulation/emulator/control/day.py
+++ b/embertray/simulation/emulator/control/day_simulation.py
@@ -9,7 +9,7 @@
 from embertray.simulation.claims.control import ControlClaims
 from embertray.simulation.emulator.engine import NS_PER_SECOND
 
-from .play import ControlPlay, Settings
+from .simulation import ControlPlay, Settings
 
 DAY_NS = 86_400 * NS_PER_SECOND
 # Time until a failed machine is replaced, and until a rack and a zone are back.
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -19,7 +19,7 @@
 from .endpoint_list import SimulatedEndpointList
 from .engine import NS_PER_SECOND, Engine
 from .outcome_observer import OutcomeObserver
-from .playable import check_playable
+from .playable_days import check_playable
 from .proxy import SimulatedProxy
 
 # Where time begins, ns: what started "long ago" lies before it.
--- a/embertray/simulation/emulator/play.py
+++ b/embertray/simulation/emulator/play.py
@@ -5,7 +5,7 @@
 from embertray.simulation.scenarios.result import judge
 
 from .day_simulation import DaySimulation
-from .fluid import FluidSimulation
+from .fluid_simulation import FluidSimulation
 
 
 def play(day, seed=1, fidelity="reqs", core=None, trust=None, on_stage=None, watched=True, progress=None):
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -22,7 +22,7 @@
     encode,
 )
 from embertray.simulation.emulator.engine import NS_PER_MS as MS, NS_PER_SECOND as S
-from embertray.simulation.emulator.gossip import MembershipSimulation
+from embertray.simulation.emulator.membership_simulation import MembershipSimulation
 
 CONFIG = MembershipConfig()
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 from embertray.experiments.lab import experiment, hunt, policies, report, run
 from embertray.experiments.lab.results import Results
 from embertray.simulation.emulator.engine import Engine, StuckClockError
-from embertray.simulation.emulator.queues import (
+from embertray.simulation.emulator.queueing import (
     batch_interval,
     erlang_c,
     fixed_service,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -19,7 +19,7 @@
 from embertray.experiments.measure.explore import Found, explore, walk
 from embertray.experiments.measure.models import LeaderModel, LoansModel
 from embertray.simulation.emulator.engine import NS_PER_SECOND as S
-from embertray.simulation.emulator.limits import LimitsSimulation
+from embertray.simulation.emulator.limits_simulation import LimitsSimulation
 
 
 def simulate(seed, make=Limits, drift=0.01, fault_count=10):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -34,7 +34,7 @@
 from embertray.service.site import ClusterSettings
 from embertray.simulation.emulator.cluster_simulation import ClusterSimulation
 from embertray.simulation.emulator.engine import NS_PER_MS as MS, NS_PER_SECOND as S
-from embertray.simulation.emulator.gossip import START_NS, MembershipSimulation
+from embertray.simulation.emulator.membership_simulation import START_NS, MembershipSimulation
 from embertray.simulation.emulator.random_faults import random_faults
 from embertray.simulation.emulator.state_exchanger import StateExchanger, encode_state_message
 from embertray.simulation.processes.ports import free_ports
