--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -32,15 +32,15 @@
     """
     from embertray.simulation.emulator import churn as churn_simulation
 
-    plan = churn_simulation.Plan(backends, proxies, reqs, hours, leaves, replaced)
+    plan = churn_simulation.ChurnPlan(backends, proxies, reqs, hours, leaves, replaced)
     result = (
-        churn_simulation.sockets(plan, seed)
+        churn_simulation.play_on_sockets(plan, seed)
         if sockets
-        else churn_simulation.virtual(plan, seed, churn_simulation.NeverTidies if leak else None)
+        else churn_simulation.play_virtual(plan, seed, churn_simulation.LeakingCore if leak else None)
     )
     if save:
-        churn_simulation.save(result, save)
-    sys.exit(0 if churn_simulation.report(result) else 1)
+        churn_simulation.save_rows(result, save)
+    sys.exit(0 if churn_simulation.print_report(result) else 1)
 
 
 @emulate.command()
--- a/embertray/experiments/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -33,7 +33,7 @@
 
 def main():
     if len(sys.argv) > 1:
-        churn.virtual(churn.Plan(hours=0.02), 1, {"with": None, "without": NoAccounts}[sys.argv[1]])
+        churn.play_virtual(churn.ChurnPlan(hours=0.02), 1, {"with": None, "without": NoAccounts}[sys.argv[1]])
         return
     print(
         "CPU of 72 s of churn (92 backends, 157 proxies, 920 reqs/s), virtual, with the whole emulator in it:"
@@ -57,7 +57,7 @@
 
     MemoryAccounts.evaluate = timed
     before = time.process_time()
-    churn.virtual(churn.Plan(hours=0.02), 1)
+    churn.play_virtual(churn.ChurnPlan(hours=0.02), 1)
     total = time.process_time() - before
     MemoryAccounts.evaluate = look
     print(
@@ -96,7 +96,7 @@
                 found["ours"] = sum(stat.size for stat in only.statistics("filename"))
 
     tracemalloc.start()
-    churn.virtual(churn.Plan(hours=0.02), 1, Traced)
+    churn.play_virtual(churn.ChurnPlan(hours=0.02), 1, Traced)
     ours = sum(size for purpose, size in found["accounted"].items() if purpose not in ("streams",))
     print(
         "After 60 s: accounts (without streams) "
--- a/embertray/experiments/measure/pauses.py
+++ b/embertray/experiments/measure/pauses.py
@@ -44,7 +44,7 @@
                     gc.callbacks.append(watch)
                 return super().advance(now)
 
-        churn.virtual(churn.Plan(proxies=1000, hours=45 / 3600), 1, Set)
+        churn.play_virtual(churn.ChurnPlan(proxies=1000, hours=45 / 3600), 1, Set)
         gc.callbacks.remove(watch)
         gc.unfreeze()
         gc.set_threshold(700, 10, 10)
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -33,41 +33,41 @@
 
 from .flow_fleet import FlowFleet
 
-S = 10**9
-FLAT, SMALL, SMALL_BY = 0.05, 64 * 1024, 8 * 1024
+NS_PER_SECOND = 10**9
+MAX_CHANGE, SMALL_PURPOSE_BYTES, MAX_SMALL_CHANGE_BYTES = 0.05, 64 * 1024, 8 * 1024
 
 
 @dataclass
-class Plan:
+class ChurnPlan:
     """Hours are of the run's own clock. `leaves`: proxies a minute; `replaced`: backends a minute."""
 
     backends: int = 92
     proxies: int = 157
-    reqs: float = 920.0
+    request_rate: float = 920.0
     hours: float = 1.0
-    leaves: float = 30.0
-    replaced: float = 4.0
+    proxies_replaced: float = 30.0
+    backends_replaced: float = 4.0
     warm_up: float = 0.25  # of the run
-    strangers: int = 0  # report lines a minute that name backends no list ever had
+    unknown_report_lines: int = 0  # report lines a minute that name backends no list ever had
     site: str = "pushed"
     facts: dict = field(default_factory=dict)
 
 
-class NeverTidies(ControllerCore):
+class LeakingCore(ControllerCore):
     """A leak on purpose: ids of who is gone for good are kept."""
 
     def forget_unused(self):
         pass
 
 
-class Churn:
+class ChurnRun:
     """One run. `look()` gives the daemon's memory page."""
 
     def __init__(self, plan, net, clock, seed):
         self.plan, self.net, self.clock, self.streams = plan, net, clock, Streams(seed)
         self.rng, self.rows, self.fleet, self.site = self.streams.of("churn"), [], None, None
 
-    async def prepare(self, group, where):
+    async def prepare(self, group, start_service):
         plan = self.plan
         site = load(SITES / "samples" / f"{plan.site}.xml")
         self.inventory = StandinInventory(self.net, Agenda(self.clock))
@@ -81,9 +81,9 @@
             **plan.facts,
         }
         self.site = site.at(inventory=address, **facts)
-        return await where(self)
+        return await start_service(self)
 
-    async def play(self, group, address, look):
+    async def play(self, group, address, read_memory):
         plan, site, rng = self.plan, self.site, self.rng
         self.fleet = fleet = FlowFleet(
             self.net,
@@ -94,33 +94,33 @@
             [k.external_id for k in site.kinds],
         )
         fleet.group = group
-        each = plan.reqs / plan.backends / 0.6  # the fleet is 60 percent full
+        capacity = plan.request_rate / plan.backends / 0.6  # the fleet is 60 percent full
         for n in range(plan.backends):
-            fleet.add_backend(site.zones[n % len(site.zones)], each * (0.7 + 0.6 * rng.random()))
-        rate = plan.reqs / plan.proxies
+            fleet.add_backend(site.zones[n % len(site.zones)], capacity * (0.7 + 0.6 * rng.random()))
+        rate = plan.request_rate / plan.proxies
         for n in range(plan.proxies):
             fleet.add_proxy(site.zones[n % len(site.zones)], rate)
-        end, minute = int(plan.hours * 3600), 0
-        began = self.clock.now()
-        for second in range(end):
-            await self.clock.sleep_until(began + second * S)
+        duration_s, minute = int(plan.hours * 3600), 0
+        started_at = self.clock.now()
+        for second in range(duration_s):
+            await self.clock.sleep_until(started_at + second * NS_PER_SECOND)
             await fleet.tick()
-            due = [
-                int((second + 1) * each_minute / 60)
-                - int(second * each_minute / 60)  # evenly: chance in how many
-                for each_minute in (plan.leaves, plan.replaced)
+            replacements = [
+                int((second + 1) * per_minute / 60)
+                - int(second * per_minute / 60)  # evenly: chance in how many
+                for per_minute in (plan.proxies_replaced, plan.backends_replaced)
             ]  # are about would hide a leak
-            for _ in range(due[0]):
+            for _ in range(replacements[0]):
                 proxy = fleet.proxies.pop(list(fleet.proxies)[int(rng.integers(len(fleet.proxies)))])
                 proxy.leave()
                 fleet.add_proxy(proxy.zone, rate)
-            for _ in range(due[1]):
-                group.start_soon(self.replace, each)
+            for _ in range(replacements[1]):
+                group.start_soon(self.replace, capacity)
             if second // 60 > minute:
                 minute = second // 60
-                self.rows.append({"minute": minute, **await look()})
+                self.rows.append({"minute": minute, **await read_memory()})
 
-    async def replace(self, each):
+    async def replace(self, capacity):
         """One backend drains, goes, and another comes under a new name, cold."""
         fleet, site = self.fleet, self.site
         ready = [n for n, e in self.inventory.entries.items() if e.state == "ready"]
@@ -128,27 +128,27 @@
             return
         backend = fleet.backends[ready[int(self.rng.integers(len(ready)))]]
         self.inventory.list(backend.name, backend.zone, "draining", backend.started)
-        await self.clock.sleep_until(self.clock.now() + 4 * S)
+        await self.clock.sleep_until(self.clock.now() + 4 * NS_PER_SECOND)
         self.inventory.list(backend.name, backend.zone, "gone", backend.started)
         fleet.backends.pop(backend.name, None)
         fleet.add_backend(
             backend.zone,
-            each * (0.7 + 0.6 * self.rng.random()),
+            capacity * (0.7 + 0.6 * self.rng.random()),
             self.clock.now(),
             site.cold_speed,
             site.warm_up_time,
         )
 
 
-def virtual(plan, seed=1, core=None):
+def play_virtual(plan, seed=1, core=None):
     """Plays a Plan in virtual time; the Churn with its rows."""
 
     async def main():
         net, clock = MemoryNet(), VirtualClock()
-        churn = Churn(plan, net, clock, seed)
+        churn = ChurnRun(plan, net, clock, seed)
         async with anyio.create_task_group() as group:
 
-            async def where(churn):
+            async def start_service(churn):
                 service = Service(
                     churn.site,
                     churn.site.controllers[0],
@@ -164,14 +164,14 @@
                 listen, _ = await group.start(service.run)
                 return listen
 
-            address = await churn.prepare(group, where)
+            address = await churn.prepare(group, start_service)
 
-            async def look():
+            async def read_memory():
                 gc.collect()
                 return churn.service.memory()
 
-            await churn.play(group, address, look)
-            churn.left = {
+            await churn.play(group, address, read_memory)
+            churn.totals = {
                 "backends ever": churn.fleet.backends_added,
                 "proxies ever": churn.fleet.proxies_added,
             }
@@ -181,16 +181,16 @@
     return run_virtual(main)
 
 
-def sockets(plan, seed=1):
+def play_on_sockets(plan, seed=1):
     """The same over loopback sockets and in real time, the controller a process of its own."""
     from embertray.service.site.sample_site import write_sample_site
 
     async def main():
-        churn = Churn(plan, TcpNet(), LoopClock(), seed)
+        churn = ChurnRun(plan, TcpNet(), LoopClock(), seed)
         with tempfile.TemporaryDirectory() as folder:
             async with anyio.create_task_group() as group:
 
-                async def where(churn):
+                async def start_service(churn):
                     path = write_sample_site(
                         folder,
                         churn.site.inventory,
@@ -200,29 +200,29 @@
                         proxies=plan.proxies,
                         backends=plan.backends,
                     )
-                    churn.program = subprocess.Popen(
+                    churn.process = subprocess.Popen(
                         [sys.executable, "-m", "embertray", "--log-format", "json", "serve", str(path)],
                         stderr=subprocess.PIPE,
                         text=True,
                     )
                     while True:
-                        row = json.loads(await anyio.to_thread.run_sync(churn.program.stderr.readline))
+                        row = json.loads(await anyio.to_thread.run_sync(churn.process.stderr.readline))
                         if row["event"] == "listening":
                             churn.admin = row["admin"]
-                            group.start_soon(anyio.to_thread.run_sync, churn.program.stderr.read)
+                            group.start_soon(anyio.to_thread.run_sync, churn.process.stderr.read)
                             return row["listen"]
 
-                address = await churn.prepare(group, where)
+                address = await churn.prepare(group, start_service)
 
-                async def look():
+                async def read_memory():
                     return json.loads((await send_request(churn.net, churn.admin, "GET", "/memory"))[1])
 
                 try:
-                    await churn.play(group, address, look)
+                    await churn.play(group, address, read_memory)
                 finally:
-                    churn.program.terminate()
-                    churn.program.wait()
-                churn.left = {
+                    churn.process.terminate()
+                    churn.process.wait()
+                churn.totals = {
                     "backends ever": churn.fleet.backends_added,
                     "proxies ever": churn.fleet.proxies_added,
                 }
@@ -232,7 +232,7 @@
     return anyio.run(main)
 
 
-def drift(rows, warm_up):
+def memory_changes(rows, warm_up):
     """{purpose: (mean of the first quarter after warm-up, of the last quarter, flat | fell | GREW)}; also
     `resident`.
     """
@@ -242,43 +242,43 @@
     def means(values):
         return sum(values[:quarter]) / quarter, sum(values[-quarter:]) / quarter
 
-    found = {}
+    changes = {}
     names = [account["purpose"] for account in rows[0]["purposes"]]
     for n, name in enumerate(names):
         first, last = means([row["purposes"][n]["usual"] for row in rows])
-        found[name] = first, last, within(first, last)
+        changes[name] = first, last, classify_change(first, last)
     first, last = means([row["resident"] for row in rows])
-    found["resident"] = first, last, within(first, last)
-    return found
+    changes["resident"] = first, last, classify_change(first, last)
+    return changes
 
 
-def within(first, last):
-    free = max(FLAT * first, SMALL_BY if first < SMALL else 0)
-    return "flat" if abs(last - first) <= free else "fell" if last < first else "GREW"
+def classify_change(first, last):
+    allowed = max(MAX_CHANGE * first, MAX_SMALL_CHANGE_BYTES if first < SMALL_PURPOSE_BYTES else 0)
+    return "flat" if abs(last - first) <= allowed else "fell" if last < first else "GREW"
 
 
-def report(churn, file=sys.stdout):
+def print_report(churn, file=sys.stdout):
     """A table in Markdown; True when nothing grew."""
-    found = drift(churn.rows, churn.plan.warm_up)
+    changes = memory_changes(churn.rows, churn.plan.warm_up)
     print(
         "| purpose | KiB, first quarter | KiB, last quarter | change | verdict |\n" + "| --- " * 5 + "|",
         file=file,
     )
-    for name, (first, last, flat) in found.items():
+    for name, (first, last, verdict) in changes.items():
         print(
             f"| {name} | {first / 1024:.1f} | {last / 1024:.1f} | {last / first - 1 if first else 0:+.1%} | "
-            f"{flat} |",
+            f"{verdict} |",
             file=file,
         )
     print(
         "\n"
-        + ", ".join(f"{name} {n}" for name, n in churn.left.items())
+        + ", ".join(f"{name} {n}" for name, n in churn.totals.items())
         + f"; reqs {churn.fleet.requests}, errored {churn.fleet.failures}"
         + f", without a line {churn.fleet.unrouted}",
         file=file,
     )
-    return all(verdict != "GREW" for _, _, verdict in found.values())
+    return all(verdict != "GREW" for _, _, verdict in changes.values())
 
 
-def save(churn, path):
+def save_rows(churn, path):
     Path(path).write_text("\n".join(json.dumps(row) for row in churn.rows) + "\n")
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -236,19 +236,21 @@
 
 
 class Churn(unittest.TestCase):
-    PLAN = dict(backends=8, proxies=12, reqs=60.0, hours=0.3, leaves=30.0, replaced=6.0)
+    PLAN = dict(
+        backends=8, proxies=12, request_rate=60.0, hours=0.3, proxies_replaced=30.0, backends_replaced=6.0
+    )
 
     def report_of_churn(self, core=None):
-        done = churn.virtual(churn.Plan(**self.PLAN), 1, core)
+        done = churn.play_virtual(churn.ChurnPlan(**self.PLAN), 1, core)
         report = io.StringIO()
-        return churn.report(done, report), report.getvalue()
+        return churn.print_report(done, report), report.getvalue()
 
     def test_every_purpose_is_flat_under_churn(self):
         flat, report = self.report_of_churn()
         self.assertTrue(flat, report)
 
     def test_a_leak_is_found(self):
-        flat, report = self.report_of_churn(churn.NeverTidies)
+        flat, report = self.report_of_churn(churn.LeakingCore)
         self.assertFalse(flat, report)
 
 
