--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -1,9 +1,9 @@
-"""Hours of churn through the true daemon: proxies and backends leave for good, others come, each under a new
-name.
+"""Runs the production daemon under hours of churn and checks that its memory use stays flat.
 
-Each minute the accounts are read (usual sizes). At the end each purpose must be flat: its mean over the last
-quarter within 5 percent of its mean over the first quarter after warm-up (purposes under 64 KiB: within 8
-KiB). One that fell by more is said to have fallen, which is no leak.
+Proxies and backends leave for good and are replaced under new names. Each simulated minute the memory accounts
+are read, per purpose. A purpose is flat if its mean over the last quarter is within MAX_CHANGE of its mean over
+the first quarter after warm-up (small purposes: within MAX_SMALL_CHANGE_BYTES). A decrease is reported as
+such, but is not a leak.
 """
 
 import gc
@@ -34,12 +34,26 @@
 from .flow_fleet import FlowFleet
 
 NS_PER_SECOND = 10**9
+# The greatest change of a flat purpose, as a part of its first mean; for small purposes, bytes.
 MAX_CHANGE, SMALL_PURPOSE_BYTES, MAX_SMALL_CHANGE_BYTES = 0.05, 64 * 1024, 8 * 1024
 
 
 @dataclass
 class ChurnPlan:
-    """Hours are of the run's own clock. `leaves`: proxies a minute; `replaced`: backends a minute."""
+    """Size, load and churn of a run.
+
+    Attributes:
+        backends: Number of backends.
+        proxies: Number of proxies.
+        request_rate: Requests a second of all proxies together.
+        hours: Duration by the run's own clock.
+        proxies_replaced: Proxies a minute that leave for good and are replaced.
+        backends_replaced: Backends a minute that are drained and replaced.
+        warm_up: Part of the run before the first measured quarter.
+        unknown_report_lines: Report lines a minute for backends that were never listed.
+        site: Name of the sample site.
+        facts: Further settings of the site.
+    """
 
     backends: int = 92
     proxies: int = 157
@@ -47,27 +61,47 @@
     hours: float = 1.0
     proxies_replaced: float = 30.0
     backends_replaced: float = 4.0
-    warm_up: float = 0.25  # of the run
-    unknown_report_lines: int = 0  # report lines a minute that name backends no list ever had
+    warm_up: float = 0.25
+    unknown_report_lines: int = 0
     site: str = "pushed"
     facts: dict = field(default_factory=dict)
 
 
 class LeakingCore(ControllerCore):
-    """A leak on purpose: ids of who is gone for good are kept."""
+    """A core with a deliberate leak: it keeps the identifiers of proxies and backends that are gone."""
 
     def forget_unused(self):
-        pass
+        """Keeps all identifiers."""
 
 
 class ChurnRun:
-    """One run. `look()` gives the daemon's memory page."""
+    """One run of a plan.
+
+    Args:
+        plan: The ChurnPlan.
+        net: The network on which the daemon listens.
+        clock: The run's clock.
+        seed: Seed of all random draws.
+
+    Attributes:
+        rows: The daemon's memory page at each minute, with the minute's number.
+        totals: Count of backends and proxies that ever existed, by label.
+    """
 
     def __init__(self, plan, net, clock, seed):
         self.plan, self.net, self.clock, self.streams = plan, net, clock, Streams(seed)
         self.rng, self.rows, self.fleet, self.site = self.streams.of("churn"), [], None, None
 
     async def prepare(self, group, start_service):
+        """Starts the endpoint list and the daemon.
+
+        Args:
+            group: The task group of the run.
+            start_service: Starts the daemon for this run; returns the address for proxies.
+
+        Returns:
+            The address at which proxies join.
+        """
         plan = self.plan
         site = load(SITES / "samples" / f"{plan.site}.xml")
         self.inventory = StandinInventory(self.net, Agenda(self.clock))
@@ -84,6 +118,13 @@
         return await start_service(self)
 
     async def play(self, group, address, read_memory):
+        """Starts the fleet, and replaces proxies and backends second by second until the plan's end.
+
+        Args:
+            group: The task group of proxies and replacements.
+            address: The address at which proxies join.
+            read_memory: Returns the daemon's memory page.
+        """
         plan, site, rng = self.plan, self.site, self.rng
         self.fleet = fleet = FlowFleet(
             self.net,
@@ -106,10 +147,10 @@
             await self.clock.sleep_until(started_at + second * NS_PER_SECOND)
             await fleet.tick()
             replacements = [
-                int((second + 1) * per_minute / 60)
-                - int(second * per_minute / 60)  # evenly: chance in how many
+                # Spread evenly: a random count of live proxies and backends would hide a leak.
+                int((second + 1) * per_minute / 60) - int(second * per_minute / 60)
                 for per_minute in (plan.proxies_replaced, plan.backends_replaced)
-            ]  # are about would hide a leak
+            ]
             for _ in range(replacements[0]):
                 proxy = fleet.proxies.pop(list(fleet.proxies)[int(rng.integers(len(fleet.proxies)))])
                 proxy.leave()
@@ -121,7 +162,11 @@
                 self.rows.append({"minute": minute, **await read_memory()})
 
     async def replace(self, capacity):
-        """One backend drains, goes, and another comes under a new name, cold."""
+        """Drains and removes one backend, and adds a cold one under a new name.
+
+        Args:
+            capacity: Mean capacity of a backend, requests a second.
+        """
         fleet, site = self.fleet, self.site
         ready = [n for n, e in self.inventory.entries.items() if e.state == "ready"]
         if len(ready) < 3:
@@ -141,7 +186,16 @@
 
 
 def play_virtual(plan, seed=1, core=None):
-    """Plays a Plan in virtual time; the Churn with its rows."""
+    """Runs a plan in virtual time, with the daemon in this process.
+
+    Args:
+        plan: The ChurnPlan.
+        seed: Seed of all random draws.
+        core: Type of the controller's core; None: the production one.
+
+    Returns:
+        The finished ChurnRun.
+    """
 
     async def main():
         net, clock = MemoryNet(), VirtualClock()
@@ -182,7 +236,15 @@
 
 
 def play_on_sockets(plan, seed=1):
-    """The same over loopback sockets and in real time, the controller a process of its own."""
+    """Runs a plan in real time over loopback sockets, with the daemon as a separate process.
+
+    Args:
+        plan: The ChurnPlan.
+        seed: Seed of all random draws.
+
+    Returns:
+        The finished ChurnRun.
+    """
     from embertray.service.site.sample_site import write_sample_site
 
     async def main():
@@ -233,8 +295,15 @@
 
 
 def memory_changes(rows, warm_up):
-    """{purpose: (mean of the first quarter after warm-up, of the last quarter, flat | fell | GREW)}; also
-    `resident`.
+    """Compares each purpose's memory at the start and at the end of a run.
+
+    Args:
+        rows: The rows of a ChurnRun.
+        warm_up: Part of the rows that is skipped.
+
+    Returns:
+        purpose -> (mean bytes of the first quarter, of the last quarter, "flat", "fell" or "GREW"); the process's
+        resident memory is the purpose "resident".
     """
     rows = rows[int(len(rows) * warm_up) :]
     quarter = max(1, len(rows) // 4)
@@ -253,12 +322,29 @@
 
 
 def classify_change(first, last):
+    """Judges the change between two means.
+
+    Args:
+        first: Bytes.
+        last: Bytes.
+
+    Returns:
+        "flat", "fell" or "GREW".
+    """
     allowed = max(MAX_CHANGE * first, MAX_SMALL_CHANGE_BYTES if first < SMALL_PURPOSE_BYTES else 0)
     return "flat" if abs(last - first) <= allowed else "fell" if last < first else "GREW"
 
 
 def print_report(churn, file=sys.stdout):
-    """A table in Markdown; True when nothing grew."""
+    """Prints the comparison as a Markdown table.
+
+    Args:
+        churn: The finished ChurnRun.
+        file: Where it is printed.
+
+    Returns:
+        Whether no purpose grew.
+    """
     changes = memory_changes(churn.rows, churn.plan.warm_up)
     print(
         "| purpose | KiB, first quarter | KiB, last quarter | change | verdict |\n" + "| --- " * 5 + "|",
@@ -281,4 +367,10 @@
 
 
 def save_rows(churn, path):
+    """Writes the rows as JSON lines.
+
+    Args:
+        churn: The finished ChurnRun.
+        path: The file.
+    """
     Path(path).write_text("\n".join(json.dumps(row) for row in churn.rows) + "\n")
