--- a/embertray/experiments/measure/cluster.py
+++ b/embertray/experiments/measure/cluster.py
@@ -9,11 +9,11 @@
 import click
 
 from embertray.cluster.membership import DEAD, Membership
-from embertray.simulation.emulator.detectors import Heartbeats, Phi
+from embertray.simulation.emulator.detectors import HeartbeatDetector, PhiAccrualDetector
 from embertray.simulation.emulator.engine import NS_PER_SECOND as S
 from embertray.simulation.emulator.membership_simulation import MembershipSimulation
 
-MAKES = {"swim": Membership, "heartbeats": Heartbeats, "phi": Phi}
+MAKES = {"swim": Membership, "heartbeats": HeartbeatDetector, "phi": PhiAccrualDetector}
 
 
 def start(how, members, seed):
--- a/embertray/simulation/emulator/detectors.py
+++ b/embertray/simulation/emulator/detectors.py
@@ -9,24 +9,27 @@
 from embertray.cluster.membership.member import ALIVE, DEAD, Member, Statement
 from embertray.cluster.membership.messages import VERSION, Ping
 
-KEPT = 100  # gaps between heartbeats that phi goes by
-SPREAD = 0.1  # of the period: least deviation, against a certainty that chance alone gives
+MAX_GAPS = 100  # gaps between heartbeats that phi goes by
+MIN_DEVIATION = 0.1  # of the period: least deviation, against a certainty that chance alone gives
 
 
-class Heartbeats:
+class HeartbeatDetector:
     """Dead after `limit` periods without a heartbeat. The interface of Membership, as far as its
     simulation needs it.
     """
 
-    limit = 5.0
+    max_silent_periods = 5.0
 
-    def __init__(self, cluster, name, address, wall, now, chance, seeds, config):
+    def __init__(self, cluster, name, address, wall, now, rng, seeds, config):
         self.cluster, self.config, self.local = cluster, config, Statement(name, address, wall, 0, ALIVE)
         self.members = {
             other: Member(Statement(other, other, 0, 0, ALIVE), now) for other in seeds if other != name
         }
-        self.gaps = {other: deque(maxlen=KEPT) for other in self.members}
-        self.beat_at, self.look_at = now + chance.randrange(config.probe_period), now + config.probe_period
+        self.gaps = {other: deque(maxlen=MAX_GAPS) for other in self.members}
+        self.next_heartbeat_at, self.next_check_at = (
+            now + rng.randrange(config.probe_period),
+            now + config.probe_period,
+        )
         self.events, self.rejected, self.ended, self.last_sequence = [], Counter(), "", 0
 
     @property
@@ -34,28 +37,28 @@
         return [m for m in self.members.values() if m.active]
 
     def next_at(self):
-        return min(self.beat_at, self.look_at)
+        return min(self.next_heartbeat_at, self.next_check_at)
 
     def advance(self, now):
-        out = []
-        if now >= self.beat_at:
-            self.beat_at += self.config.probe_period
+        messages = []
+        if now >= self.next_heartbeat_at:
+            self.next_heartbeat_at += self.config.probe_period
             self.last_sequence += 1
-            out = [
+            messages = [
                 (m.address, Ping(self.cluster, VERSION, self.local, 0, self.last_sequence, []))
                 for m in self.members.values()
             ]
-        if now >= self.look_at:
-            self.look_at = now + self.config.probe_period // 5
+        if now >= self.next_check_at:
+            self.next_check_at = now + self.config.probe_period // 5
             for member in self.active_members:
-                if self.gone(now, member):
-                    self.set(member, DEAD)
-        return out
+                if self._is_dead(now, member):
+                    self._set_state(member, DEAD)
+        return messages
 
-    def gone(self, now, member):
-        return now - member.last_heard_at > self.limit * self.config.probe_period
+    def _is_dead(self, now, member):
+        return now - member.last_heard_at > self.max_silent_periods * self.config.probe_period
 
-    def set(self, member, state):
+    def _set_state(self, member, state):
         member.statement = Statement(member.name, member.address, 0, 0, state)
         self.events.append(MemberChanged(member.name, state, member.address))
 
@@ -64,24 +67,24 @@
         self.gaps[member.name].append(now - member.last_heard_at)
         member.last_heard_at = now
         if member.state == DEAD:
-            self.set(member, ALIVE)
+            self._set_state(member, ALIVE)
         return []
 
 
-class Phi(Heartbeats):
+class PhiAccrualDetector(HeartbeatDetector):
     """Dead when, by the gaps seen so far, a heartbeat so late has a chance under 10^-threshold (Hayashibara's
     phi).
     """
 
-    threshold = 8.0
+    phi_threshold = 8.0
 
-    def gone(self, now, member):
+    def _is_dead(self, now, member):
         gaps = self.gaps[member.name]
         if len(gaps) < 5:
-            return super().gone(now, member)
+            return super()._is_dead(now, member)
         mean = sum(gaps) / len(gaps)
         deviation = max(
-            SPREAD * self.config.probe_period, sqrt(sum((gap - mean) ** 2 for gap in gaps) / len(gaps))
+            MIN_DEVIATION * self.config.probe_period, sqrt(sum((gap - mean) ** 2 for gap in gaps) / len(gaps))
         )
-        chance = 0.5 * erfc((now - member.last_heard_at - mean) / deviation / sqrt(2))
-        return chance <= 0 or -log10(chance) > self.threshold
+        probability = 0.5 * erfc((now - member.last_heard_at - mean) / deviation / sqrt(2))
+        return probability <= 0 or -log10(probability) > self.phi_threshold
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,12 +12,12 @@
 from embertray.experiments.lab.results import Results
 from embertray.simulation.emulator.engine import Engine, StuckClockError
 from embertray.simulation.emulator.queueing import (
-    batch_interval,
+    batch_confidence_interval,
     erlang_c,
-    fixed_service,
-    shared,
-    two_choices,
-    wait_of,
+    md1_wait,
+    power_of_choices_wait,
+    processor_sharing_delay,
+    simulate_waits,
 )
 
 TEXT = """<experiment name="t" seconds="60">
@@ -37,26 +37,32 @@
     """Waits within the confidence interval of batch means."""
 
     def near(self, values, expected, also=0.0):
-        mean, half = batch_interval(values)
+        mean, half = batch_confidence_interval(values)
         self.assertLess(abs(mean - expected), half + also, (mean, expected, half))
         self.assertLess(half, 0.3 * expected + 0.02)  # an interval so wide would prove nothing
 
     def test_one_and_many_cores(self):
         for cores, load in ((1, 0.5), (1, 0.8), (4, 0.7)):
-            self.near(wait_of(1, cores, load, 24_000, np.random.default_rng(cores)), erlang_c(cores, load))
+            self.near(
+                simulate_waits(1, cores, load, 24_000, np.random.default_rng(cores)), erlang_c(cores, load)
+            )
 
     def test_fixed_service(self):
-        self.near(wait_of(1, 1, 0.7, 24_000, np.random.default_rng(2), "fixed"), fixed_service(0.7))
+        self.near(simulate_waits(1, 1, 0.7, 24_000, np.random.default_rng(2), "fixed"), md1_wait(0.7))
 
     def test_processor_sharing_is_insensitive_to_the_service(self):
         for cores, load, service in ((1, 0.6, "exp"), (1, 0.6, "fixed"), (4, 0.8, "fixed")):
-            waits = wait_of(1, cores, load, 24_000, np.random.default_rng(cores), service, sharing=True)
-            self.near(waits, shared(cores, load))
+            waits = simulate_waits(
+                1, cores, load, 24_000, np.random.default_rng(cores), service, sharing=True
+            )
+            self.near(waits, processor_sharing_delay(cores, load))
 
     def test_the_shorter_of_two(self):
-        waits = wait_of(100, 1, 0.8, 24_000, np.random.default_rng(3), choices=2)
-        self.near(waits, two_choices(0.8), also=0.04)  # the limit is of many queues; here are 100
-        self.assertLess(waits.mean(), 0.5 * wait_of(100, 1, 0.8, 24_000, np.random.default_rng(3)).mean())
+        waits = simulate_waits(100, 1, 0.8, 24_000, np.random.default_rng(3), choices=2)
+        self.near(waits, power_of_choices_wait(0.8), also=0.04)  # the limit is of many queues; here are 100
+        self.assertLess(
+            waits.mean(), 0.5 * simulate_waits(100, 1, 0.8, 24_000, np.random.default_rng(3)).mean()
+        )
 
     def test_ties_go_in_the_order_of_their_planning_and_time_never_stands_still(self):
         engine, seen = Engine(), []
