--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -1,9 +1,9 @@
 """Runs the production daemon under hours of churn and checks that its memory use stays flat.
 
-Proxies and backends leave for good and are replaced under new names. Each simulated minute the memory accounts
-are read, per purpose. A purpose is flat if its mean over the last quarter is within MAX_CHANGE of its mean over
-the first quarter after warm-up (small purposes: within MAX_SMALL_CHANGE_BYTES). A decrease is reported as
-such, but is not a leak.
+Proxies and backends leave for good and are replaced under new names. Each simulated minute the memory
+accounts are read, per purpose. A purpose is flat if its mean over the last quarter is within MAX_CHANGE of
+its mean over the first quarter after warm-up (small purposes: within MAX_SMALL_CHANGE_BYTES). A decrease is
+reported as such, but is not a leak.
 """
 
 import gc
@@ -302,8 +302,8 @@
         warm_up: Part of the rows that is skipped.
 
     Returns:
-        purpose -> (mean bytes of the first quarter, of the last quarter, "flat", "fell" or "GREW"); the process's
-        resident memory is the purpose "resident".
+        purpose -> (mean bytes of the first quarter, of the last quarter, "flat", "fell" or "GREW"); the
+        process's resident memory is the purpose "resident".
     """
     rows = rows[int(len(rows) * warm_up) :]
     quarter = max(1, len(rows) // 4)
--- a/embertray/simulation/emulator/detectors.py
+++ b/embertray/simulation/emulator/detectors.py
@@ -1,5 +1,6 @@
-"""Detectors to compare with: plain heartbeats, and phi accrual, both from each member to each other. Who is
-there is told at the start.
+"""Failure detectors that membership is compared with: plain heartbeats and phi accrual.
+
+Each member sends heartbeats to each other; all members are known from the start.
 """
 
 from collections import Counter, deque
@@ -9,13 +10,31 @@
 from embertray.cluster.membership.member import ALIVE, DEAD, Member, Statement
 from embertray.cluster.membership.messages import VERSION, Ping
 
-MAX_GAPS = 100  # gaps between heartbeats that phi goes by
-MIN_DEVIATION = 0.1  # of the period: least deviation, against a certainty that chance alone gives
+# Gaps between a member's last heartbeats from which phi is computed.
+MAX_GAPS = 100
+# Least standard deviation of the gaps, as a part of the period: nearly equal gaps must not make phi jump.
+MIN_DEVIATION = 0.1
 
 
 class HeartbeatDetector:
-    """Dead after `limit` periods without a heartbeat. The interface of Membership, as far as its
-    simulation needs it.
+    """Declares a member dead after `max_silent_periods` without a heartbeat.
+
+    It has the interface of Membership as far as MembershipSimulation needs it.
+
+    Args:
+        cluster: The cluster's name.
+        name: The local member's name.
+        address: Its address.
+        wall: Its wall clock, ns; used as its incarnation.
+        now: The monotonic clock, ns.
+        rng: A random.Random.
+        seeds: Addresses, which are also the names, of all members.
+        config: The MembershipConfig.
+
+    Attributes:
+        gaps: Time between a member's last heartbeats, ns, by its name.
+        next_heartbeat_at: When the next heartbeats are due, ns.
+        next_check_at: When silent members are looked for next, ns.
     """
 
     max_silent_periods = 5.0
@@ -34,12 +53,26 @@
 
     @property
     def active_members(self):
+        """The other members that are not dead."""
         return [m for m in self.members.values() if m.active]
 
     def next_at(self):
+        """When `advance` is due.
+
+        Returns:
+            ns.
+        """
         return min(self.next_heartbeat_at, self.next_check_at)
 
     def advance(self, now):
+        """Sends heartbeats and checks for silent members, whichever is due.
+
+        Args:
+            now: ns.
+
+        Returns:
+            (receiver's address, message) pairs to send.
+        """
         messages = []
         if now >= self.next_heartbeat_at:
             self.next_heartbeat_at += self.config.probe_period
@@ -63,6 +96,16 @@
         self.events.append(MemberChanged(member.name, state, member.address))
 
     def receive(self, now, address, message):
+        """Handles a heartbeat; a dead member that sends one is alive again.
+
+        Args:
+            now: ns.
+            address: The sender's address.
+            message: The Ping.
+
+        Returns:
+            Messages to send: none.
+        """
         member = self.members[message.sender.name]
         self.gaps[member.name].append(now - member.last_heard_at)
         member.last_heard_at = now
@@ -72,8 +115,9 @@
 
 
 class PhiAccrualDetector(HeartbeatDetector):
-    """Dead when, by the gaps seen so far, a heartbeat so late has a chance under 10^-threshold (Hayashibara's
-    phi).
+    """Declares a member dead once phi exceeds `phi_threshold` (Hayashibara's phi accrual detector).
+
+    Phi is -log10 of the probability that a heartbeat comes this late, if gaps are normally distributed.
     """
 
     phi_threshold = 8.0
--- a/embertray/simulation/emulator/queueing.py
+++ b/embertray/simulation/emulator/queueing.py
@@ -1,8 +1,8 @@
-"""Queues by themselves, to hold the backend's model and the engine to theory.
+"""Queueing systems that check the backend model and the engine against theory.
 
-`simulate_waits` runs requests through model.backend.Backend with an event loop of its own; theory: Erlang's C,
-Pollaczek-Khinchine, and the fluid limit of the shortest of two queues. Times in the model are whole ns; a
-mean service here is 1e9 ns.
+`simulate_waits` runs requests through models.backend.Backend on an Engine of its own. The theory: Erlang's C
+formula, the Pollaczek-Khinchine formula, and the fluid limit of the power of two choices. Times of the model
+are whole ns; the mean service time is 1e9 ns.
 """
 
 import math
@@ -15,7 +15,7 @@
 
 
 class BackendFarm:
-    """Backends behind one picker.
+    """Backends behind one load balancer.
 
     Args:
         engine: The Engine.
@@ -27,7 +27,9 @@
         sharing: Whether the backends share their processors.
 
     Attributes:
-        waits: ns from each request's arrival to the start of its service.
+        waits: Time of each request from its arrival to its end beyond its work, ns.
+        arrivals: request -> (time of its arrival, its work), ns.
+        next_end_at: Backend name -> time of the scheduled end of work, ns, or None.
     """
 
     def __init__(self, engine, servers, cores, pick, work, rng, sharing=False):
@@ -37,8 +39,8 @@
         self.rng = rng
         self.backends = []
         self.waits = []
-        self.arrivals = {}  # request -> (when it came, its work), ns
-        self.next_end_at = {}  # backend name -> when its next end is scheduled, ns, or None
+        self.arrivals = {}
+        self.next_end_at = {}
         for n in range(servers):
             backend = Backend(str(n), "z", Shape(cores=cores, queue=10**9, cap=10**9, sharing=sharing))
             backend.start(0, cold=False)
@@ -85,13 +87,13 @@
 
 
 def simulate_waits(servers, cores, load, requests, rng, service="exp", choices=1, sharing=False):
-    """Measures the waits of requests that come by Poisson.
+    """Simulates Poisson arrivals and returns how long the requests waited.
 
     Args:
         servers: How many backends.
         cores: Cores of each.
-        load: Part of what all can do.
-        requests: How many come.
+        load: Utilization, as a part of the capacity of all backends.
+        requests: How many arrive; the first tenth is a warm-up and not returned.
         rng: The random generator.
         service: "exp" or "fixed".
         choices: Backends drawn for each request; the shortest queue gets it.
@@ -119,13 +121,22 @@
 
 
 def batch_confidence_interval(values, batches=20, deviations=3.0):
-    """(mean, half width) by means of batches: waits are not independent, batches nearly are."""
+    """Computes a confidence interval by batch means: waits are correlated, means of batches hardly are.
+
+    Args:
+        values: A numpy array.
+        batches: Number of batches.
+        deviations: Half width of the interval, in standard deviations of the mean.
+
+    Returns:
+        (mean, half width).
+    """
     means = np.array([chunk.mean() for chunk in np.array_split(values, batches)])
     return means.mean(), deviations * means.std(ddof=1) / math.sqrt(batches)
 
 
 def erlang_c(cores, load):
-    """Mean wait of M/M/c in units of the mean service."""
+    """Mean wait in an M/M/c queue, in units of the mean service time."""
     offered = load * cores
     lower_terms = sum(offered**n / math.factorial(n) for n in range(cores))
     top = offered**cores / math.factorial(cores) / (1 - load)
@@ -133,18 +144,18 @@
 
 
 def md1_wait(load):
-    """Mean wait of M/D/1 (Pollaczek-Khinchine)."""
+    """Mean wait in an M/D/1 queue (Pollaczek-Khinchine), in units of the service time."""
     return load / (2 * (1 - load))
 
 
 def processor_sharing_delay(cores, load):
-    """Mean of what M/G/c with processor sharing takes beyond the work.
+    """Mean time that a request takes beyond its work in an M/G/c queue with processor sharing.
 
-    It is Erlang's C for any distribution of the service (insensitivity).
+    It is Erlang's C formula for any distribution of the service time (insensitivity).
     """
     return erlang_c(cores, load)
 
 
 def power_of_choices_wait(load, choices=2):
-    """Mean wait of many queues with the shortest of those drawn, at the fluid limit."""
+    """Mean wait in the fluid limit of many queues, if each request joins the shortest of `choices` drawn."""
     return sum(load ** ((choices**n - choices) / (choices - 1)) for n in range(1, 40)) - 1
