--- a/embertray/experiments/measure/limits.py
+++ b/embertray/experiments/measure/limits.py
@@ -15,16 +15,22 @@
     """(units over, of the total; share used at the end, a minute after the last wound)"""
     simulation = LimitsSimulation(seed, 3 + seed % 5, 12 + seed % 9).run(15 * S)
     for _ in range(10):
-        simulation.strike(simulation.chance.randint(1, 20) * S)
-        simulation.run(simulation.chance.randint(0, 9) * S)
+        simulation.inject_fault(simulation.rng.randint(1, 20) * S)
+        simulation.run(simulation.rng.randint(0, 9) * S)
     simulation.run(60 * S)
-    return simulation.over, simulation.used[-1]
+    return simulation.max_excess, simulation.utilization[-1]
 
 
 def calm(case):
     members, skew = case
     simulation = LimitsSimulation(1, members, 4 * members, skew=skew).run(60 * S)
-    return members, skew, simulation.used[-1], simulation.over, simulation.sent / 60 / members
+    return (
+        members,
+        skew,
+        simulation.utilization[-1],
+        simulation.max_excess,
+        simulation.messages_sent / 60 / members,
+    )
 
 
 def split(case):
@@ -33,17 +39,17 @@
     """
     cut, lasts = case
     simulation = LimitsSimulation(5, 5, 20).run(30 * S)
-    before = simulation.used[-1]
-    pairs = simulation.web.parted([simulation.names[:cut], simulation.names[cut:]])
-    simulation.web.bend(simulation.engine.time, pairs, open=False)
+    before = simulation.utilization[-1]
+    pairs = simulation.links.parted([simulation.names[:cut], simulation.names[cut:]])
+    simulation.links.bend(simulation.engine.time, pairs, open=False)
     simulation.run(lasts * S)
-    during = simulation.used[-1]
-    simulation.web.straight(simulation.engine.time, pairs, ("open",))
+    during = simulation.utilization[-1]
+    simulation.links.straight(simulation.engine.time, pairs, ("open",))
     for second in range(120):  # noqa: B007 (used after the loop)
-        if simulation.used[-1] >= 0.98 * before:
+        if simulation.utilization[-1] >= 0.98 * before:
             break
         simulation.run(S)
-    return cut, lasts, before, during, simulation.over, second
+    return cut, lasts, before, during, simulation.max_excess, second
 
 
 def killed(case):
@@ -54,15 +60,15 @@
     least = 1.0
     for second in range(120):  # noqa: B007 (used after the loop)
         simulation.run(S)
-        least = min(least, simulation.used[-1])
-        if second > 2 and simulation.used[-1] >= 0.93:
+        least = min(least, simulation.utilization[-1])
+        if second > 2 and simulation.utilization[-1] >= 0.93:
             break
     return (
         case,
         least,
-        second + 1 if simulation.used[-1] >= 0.93 else None,
-        simulation.used[-1],
-        simulation.over,
+        second + 1 if simulation.utilization[-1] >= 0.93 else None,
+        simulation.utilization[-1],
+        simulation.max_excess,
     )
 
 
--- a/embertray/simulation/emulator/limits_faults.py
+++ b/embertray/simulation/emulator/limits_faults.py
@@ -20,11 +20,11 @@
         if not member.alive:
             return
         member.alive = False
-        for proxy in [proxy for proxy, home in self.home.items() if home is member]:
-            self.home[proxy] = None
-            self.join_later(proxy)
+        for proxy in [proxy for proxy, joined in self.joined_member.items() if joined is member]:
+            self.joined_member[proxy] = None
+            self.rejoin_later(proxy)
 
-    def up(self, name):
+    def start_member(self, name):
         """Starts a member's process, unless it runs.
 
         Args:
@@ -50,7 +50,7 @@
         if self.members[name].paused:
             self.members[name].resume()
 
-    def strike(self, duration):
+    def inject_fault(self, duration):
         """Draws one fault and whom it strikes, and schedules its end.
 
         Args:
@@ -59,38 +59,38 @@
         Returns:
             The fault's name, one of FAULTS.
         """
-        names = self.chance.sample(self.names, self.chance.randint(1, max(1, len(self.names) // 2)))
-        fault = self.chance.choice(FAULTS)
+        names = self.rng.sample(self.names, self.rng.randint(1, max(1, len(self.names) // 2)))
+        fault = self.rng.choice(FAULTS)
         if fault == "kill":
-            self._strike_members(names, self.kill, self.up, duration)
+            self._fault_members(names, self.kill, self.start_member, duration)
         elif fault == "stop":
-            self._strike_members(names, self.pause, self.resume, duration)
+            self._fault_members(names, self.pause, self.resume, duration)
         elif fault == "move":
             self._move_proxies()
         else:
-            self._strike_links(fault, names, duration)
+            self._fault_links(fault, names, duration)
         return fault
 
-    def _strike_members(self, names, begin, end, duration):
+    def _fault_members(self, names, begin, end, duration):
         for name in names:
             begin(name)
             self.engine.after(duration, end, name)
 
     def _move_proxies(self):
         """Breaks the streams of half of the proxies."""
-        for proxy in self.chance.sample(sorted(self.home), len(self.home) // 2):
-            if self.home[proxy] is not None:
-                self.leave(proxy)
+        for proxy in self.rng.sample(sorted(self.joined_member), len(self.joined_member) // 2):
+            if self.joined_member[proxy] is not None:
+                self.break_stream(proxy)
 
-    def _strike_links(self, fault, names, duration):
+    def _fault_links(self, fault, names, duration):
         """Partitions the members named from the rest, or bends links that are drawn."""
-        pairs = self.web.pairs()
+        pairs = self.links.pairs()
         if fault == "split":
-            pairs = self.web.parted([names, [name for name in self.names if name not in names]])
+            pairs = self.links.parted([names, [name for name in self.names if name not in names]])
         else:
-            pairs = self.chance.sample(pairs, self.chance.randint(1, len(pairs)))
+            pairs = self.rng.sample(pairs, self.rng.randint(1, len(pairs)))
         change = {"drop": LOSS} if fault == "lossy" else {"open": False}
         now = self.engine.time
-        self.web.bend(now, pairs, **change)
+        self.links.bend(now, pairs, **change)
         # `now` stays the time of the strike: nothing here reads when a link was healed.
-        self.engine.after(duration, self.web.straight, now, pairs, tuple(change))
+        self.engine.after(duration, self.links.straight, now, pairs, tuple(change))
--- a/embertray/simulation/emulator/limits_member.py
+++ b/embertray/simulation/emulator/limits_member.py
@@ -9,7 +9,7 @@
 # Time between two steps of a member's core.
 STEP_PERIOD_NS = 100 * NS_PER_MS
 # Time from a member's order to its effect at a proxy.
-PUSH_NS = 100 * NS_PER_MS
+PUSH_DELAY_NS = 100 * NS_PER_MS
 # A member's clock begins at a whole second below this.
 LATEST_CLOCK_START_S = 10**6
 
@@ -59,18 +59,18 @@
         self.alive = True
         self.paused = False
         self._deferred = []  # calls without parameters that arrived while paused
-        random_draws = simulation.chance
+        random_draws = simulation.rng
         simulation.incarnations += 1
         rate = 1 + simulation.drift * random_draws.uniform(-1, 1)
         start = random_draws.randrange(1, LATEST_CLOCK_START_S) * NS_PER_SECOND
         self.clock = DriftingClock(simulation.engine, rate, start)
-        self.core = simulation.make(
+        self.core = simulation.core_type(
             name,
             simulation.names,
             {LIMIT: simulation.total},
             self.clock.now(),
             random.Random(f"{simulation.seed} {name} {simulation.incarnations}"),
-            simulation.pace,
+            simulation.config,
             first,
             simulation.incarnations << 32,
         )
@@ -102,7 +102,7 @@
 
     def _push_quotas(self):
         for _limit, proxy, units in self.core.quota_holder.quota_updates(self.clock.now()):
-            self.simulation.engine.after(PUSH_NS, self.simulation.on_quota, self, proxy, units)
+            self.simulation.engine.after(PUSH_DELAY_NS, self.simulation.on_quota, self, proxy, units)
 
     def notify(self, event, *args):
         """Calls the quota holder; a paused process learns of it when it goes on.
--- a/embertray/simulation/emulator/limits_simulation.py
+++ b/embertray/simulation/emulator/limits_simulation.py
@@ -14,9 +14,9 @@
 from .limits_member import LIMIT, LimitsMember
 
 # The least and the most time until a proxy whose stream broke has joined another member.
-REDIAL_NS = (NS_PER_SECOND // 2, 2 * NS_PER_SECOND)
+REJOIN_DELAY_NS = (NS_PER_SECOND // 2, 2 * NS_PER_SECOND)
 # The least and the most time of a message between members, ms.
-MESSAGE_MS = (1, 5)
+MESSAGE_DELAY_MS = (1, 5)
 # Time between two records of how much of the limit is used.
 OBSERVATION_PERIOD_NS = NS_PER_SECOND // 2
 
@@ -45,32 +45,40 @@
     """
 
     def __init__(
-        self, seed, members, proxies, total=10_000, drift=0.01, pace=DEFAULT_CONFIG, make=Limits, skew=1.0
+        self,
+        seed,
+        members,
+        proxies,
+        total=10_000,
+        drift=0.01,
+        config=DEFAULT_CONFIG,
+        core_type=Limits,
+        skew=1.0,
     ):
         self.engine = Engine(NS_PER_SECOND)
         self.seed = seed
-        self.chance = random.Random(f"limits {seed}")
-        self.pace = pace
+        self.rng = random.Random(f"limits {seed}")
+        self.config = config
         self.drift = drift
         self.names = [f"c{n + 1}" for n in range(members)]
         self.total = total
-        self.make = make
+        self.core_type = core_type
         self.incarnations = 0
-        self.web = Web(self.names, seed)
-        self.home = {}
+        self.links = Web(self.names, seed)
+        self.joined_member = {}
         self.quotas = {}
-        self.over = 0
-        self.over_at = 0
-        self.used = []
-        self.sent = 0
-        self.wants = self._draw_wants(members, proxies, skew)
+        self.max_excess = 0
+        self.max_excess_at = 0
+        self.utilization = []
+        self.messages_sent = 0
+        self.demand = self._draw_demand(members, proxies, skew)
         self.members = {name: LimitsMember(self, name, True) for name in self.names}
         for n in range(proxies):
-            self.home[f"p{n + 1}"] = None
+            self.joined_member[f"p{n + 1}"] = None
             self._join(f"p{n + 1}", self.names[n % members])
         self.engine.after(0, self._observe)
 
-    def _draw_wants(self, members, proxies, skew):
+    def _draw_demand(self, members, proxies, skew):
         """What each proxy wants: together the limit."""
         factors = [skew if n % members == 0 else 1.0 for n in range(proxies)]
         unit = self.total / sum(factors)
@@ -97,7 +105,7 @@
         Returns:
             The sum.
         """
-        return sum(self.wants[proxy] for proxy, home in self.home.items() if home is member)
+        return sum(self.demand[proxy] for proxy, joined in self.joined_member.items() if joined is member)
 
     def send(self, member, messages):
         """Puts a member's messages on the links.
@@ -106,10 +114,10 @@
             member: The LimitsMember that sends them.
             messages: (receiver's name, message) pairs.
         """
-        self.sent += len(messages)
+        self.messages_sent += len(messages)
         for receiver, message in messages:
-            for extra_delay in self.web.way(member.name, receiver).copies():
-                delay = self.chance.randint(*MESSAGE_MS) * NS_PER_MS + extra_delay
+            for extra_delay in self.links.way(member.name, receiver).copies():
+                delay = self.rng.randint(*MESSAGE_DELAY_MS) * NS_PER_MS + extra_delay
                 self.engine.after(delay, self._deliver, member.name, receiver, message)
 
     def _deliver(self, sender, receiver, message):
@@ -120,32 +128,32 @@
     def _join(self, proxy, name):
         member = self.members[name]
         if member.alive:
-            self.home[proxy] = member
+            self.joined_member[proxy] = member
             member.notify("proxy_joined", proxy)
         else:
-            self.join_later(proxy)
+            self.rejoin_later(proxy)
 
-    def join_later(self, proxy):
+    def rejoin_later(self, proxy):
         """Has a proxy dial a member that is drawn, after a pause that is drawn.
 
         Args:
             proxy: Its name.
         """
         # The pause is drawn first: a run's draws keep their order.
-        pause = self.chance.randint(*REDIAL_NS)
-        self.engine.after(pause, self._join, proxy, self.chance.choice(self.names))
+        pause = self.rng.randint(*REJOIN_DELAY_NS)
+        self.engine.after(pause, self._join, proxy, self.rng.choice(self.names))
 
-    def leave(self, proxy):
+    def break_stream(self, proxy):
         """Breaks a proxy's stream: it joins a member after a while, and uses its last quota until then.
 
         Args:
             proxy: Its name.
         """
-        member = self.home[proxy]
-        self.home[proxy] = None
+        member = self.joined_member[proxy]
+        self.joined_member[proxy] = None
         if member is not None:
             member.notify("proxy_left", proxy)
-        self.join_later(proxy)
+        self.rejoin_later(proxy)
 
     def on_quota(self, member, proxy, units):
         """Puts a quota into effect at a proxy, unless its stream broke meanwhile.
@@ -157,15 +165,15 @@
             proxy: The proxy's name.
             units: What the proxy may use.
         """
-        if self.home[proxy] is not member or not member.alive:
+        if self.joined_member[proxy] is not member or not member.alive:
             return
         self.quotas[proxy] = units
-        over = sum(self.quotas.values()) - self.total
-        if over > self.over:
-            self.over = over
-            self.over_at = self.engine.time
+        excess = sum(self.quotas.values()) - self.total
+        if excess > self.max_excess:
+            self.max_excess = excess
+            self.max_excess_at = self.engine.time
         member.notify("proxy_acknowledged", LIMIT, proxy, units)
 
     def _observe(self):
-        self.used.append(sum(self.quotas.values()) / self.total)
+        self.utilization.append(sum(self.quotas.values()) / self.total)
         self.engine.after(OBSERVATION_PERIOD_NS, self._observe)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -22,11 +22,13 @@
 from embertray.simulation.emulator.limits_simulation import LimitsSimulation
 
 
-def simulate(seed, make=Limits, drift=0.01, fault_count=10):
-    simulation = LimitsSimulation(seed, 3 + seed % 5, 12 + seed % 9, drift=drift, make=make).run(15 * S)
+def simulate(seed, core_type=Limits, drift=0.01, fault_count=10):
+    simulation = LimitsSimulation(seed, 3 + seed % 5, 12 + seed % 9, drift=drift, core_type=core_type).run(
+        15 * S
+    )
     for _ in range(fault_count):
-        simulation.strike(simulation.chance.randint(1, 20) * S)
-        simulation.run(simulation.chance.randint(0, 9) * S)
+        simulation.inject_fault(simulation.rng.randint(1, 20) * S)
+        simulation.run(simulation.rng.randint(0, 9) * S)
     return simulation
 
 
@@ -113,38 +115,40 @@
             with self.subTest(seed=seed):
                 simulation = simulate(seed)
                 simulation.run(60 * S)
-                self.assertEqual(simulation.over, 0)
-                self.assertGreater(simulation.used[-1], 0.94)  # all but the floors of members without proxies
+                self.assertEqual(simulation.max_excess, 0)
+                self.assertGreater(
+                    simulation.utilization[-1], 0.94
+                )  # all but the floors of members without proxies
 
     def test_limit_is_used_with_demand_skewed_twenty_to_one(self):
         for members in (2, 5, 12):
             simulation = LimitsSimulation(1, members, 4 * members, skew=20.0).run(60 * S)
-            self.assertGreater(simulation.used[-1], 0.95)
-            self.assertEqual(simulation.over, 0)
+            self.assertGreater(simulation.utilization[-1], 0.95)
+            self.assertEqual(simulation.max_excess, 0)
 
     def test_units_of_a_dead_member_are_used_again_within_the_term(self):
         simulation = LimitsSimulation(3, 5, 20).run(30 * S)
-        before = simulation.used[-1]
+        before = simulation.utilization[-1]
         leader = next(
             name for name, member in simulation.members.items() if member.core.is_leader(member.clock.now())
         )
         simulation.kill(next(name for name in simulation.names if name != leader))
-        simulation.run(int(simulation.pace.lease_term) + S)
-        self.assertGreater(simulation.used[-1], before - 0.02)
+        simulation.run(int(simulation.config.lease_term) + S)
+        self.assertGreater(simulation.utilization[-1], before - 0.02)
 
     def test_a_limit_below_the_number_of_members(self):
         simulation = LimitsSimulation(2, 5, 10, total=3).run(60 * S)
-        self.assertEqual(simulation.over, 0)
+        self.assertEqual(simulation.max_excess, 0)
 
     def test_the_same_seed_is_the_same_run(self):
         one = simulate(7, fault_count=4)
         two = simulate(7, fault_count=4)
-        self.assertEqual((one.used, one.quotas), (two.used, two.quotas))
+        self.assertEqual((one.utilization, one.quotas), (two.utilization, two.quotas))
 
 
 class Sabotaged(unittest.TestCase):
     def over(self, *seeds, **parts):
-        return max(simulate(seed, sabotaged(**parts)).over for seed in seeds or range(16))
+        return max(simulate(seed, sabotaged(**parts)).max_excess for seed in seeds or range(16))
 
     def test_member_that_forgets_departed_proxies_exceeds_the_limit(self):
         self.assertGreater(self.over(holder=ForgetsDepartedProxies), 0)
