--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -70,13 +70,19 @@
     bound, age = (2 * (members - 1) + 2 + 1), simulation.told()
     began, before = (
         simulation.engine.time,
-        (sum(simulation.membership.bytes.values()), sum(s.bytes for s in simulation.exchangers.values())),
+        (
+            sum(simulation.membership.bytes_sent.values()),
+            sum(s.bytes for s in simulation.exchangers.values()),
+        ),
     )
     simulation.engine.run(began + CALM * S)
     rates = [
         (now - was) / CALM / members
         for now, was in zip(
-            (sum(simulation.membership.bytes.values()), sum(s.bytes for s in simulation.exchangers.values())),
+            (
+                sum(simulation.membership.bytes_sent.values()),
+                sum(s.bytes for s in simulation.exchangers.values()),
+            ),
             before,
             strict=False,
         )
--- a/embertray/experiments/measure/cluster.py
+++ b/embertray/experiments/measure/cluster.py
@@ -17,11 +17,11 @@
 
 
 def start(how, members, seed):
-    simulation = MembershipSimulation(seed, make=MAKES[how])
+    simulation = MembershipSimulation(seed, core_type=MAKES[how])
     if how == "swim":
-        return simulation.gather(members)
+        return simulation.start_cluster(members)
     for n in range(members):
-        simulation.up(f"m{n}", [f"m{k}" for k in range(members)])
+        simulation.start_member(f"m{n}", [f"m{k}" for k in range(members)])
     simulation.run(20 * S)
     return simulation
 
@@ -29,7 +29,11 @@
 def false_deaths(simulation, but=()):
     """Members taken for dead wrongly, each once, whoever said so."""
     return len(
-        {change.name for _, _, change in simulation.notes if change.state == DEAD and change.name not in but}
+        {
+            change.name
+            for _, _, change in simulation.changes
+            if change.state == DEAD and change.name not in but
+        }
     )
 
 
@@ -38,25 +42,25 @@
     one after the other.
     """
     simulation, chance = start(how, members, seed), random.Random(seed)
-    simulation.links.loss, before, began = loss, sum(simulation.bytes.values()), simulation.engine.time
+    simulation.links.loss, before, began = loss, sum(simulation.bytes_sent.values()), simulation.engine.time
     for _second in range(0, calm, 20):
         if pause:
-            who = simulation.at[f"m{chance.randrange(members)}"]
+            who = simulation.processes[f"m{chance.randrange(members)}"]
             who.pause()
             simulation.run(pause)
             who.resume()
         simulation.run(20 * S - pause)
     span = (simulation.engine.time - began) / S
     rate, wrong, took = (
-        (sum(simulation.bytes.values()) - before) / span / members,
+        (sum(simulation.bytes_sent.values()) - before) / span / members,
         false_deaths(simulation),
         [],
     )
     for n in range(kills):
         name = f"m{members - 1 - n}"
         simulation.kill(name)
-        gone = simulation.until(
-            lambda: all(p.core.members[name].state == DEAD for p in simulation.living()), 300 * S
+        gone = simulation.run_until(
+            lambda: all(p.core.members[name].state == DEAD for p in simulation.running_processes()), 300 * S
         )
         took.append(300.0 if gone is None else gone / S)
     return took, wrong, rate
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -49,7 +49,7 @@
     def start(self, name):
         address = self.addresses[name]
         peers = [other for other in self.addresses.values() if other != address]
-        process = self.membership.up(name, peers, address)
+        process = self.membership.start_member(name, peers, address)
         self.exchangers[address] = StateExchanger(
             process, lambda: self.exchangers, self.membership.links, self.seed, facts=lambda _: self.facts
         )
@@ -57,9 +57,11 @@
     def read(self):
         for name, meter in self.meters.items():
             address = self.addresses[name]
-            probes, state = self.membership.bytes[address], self.exchangers[address].bytes
+            probes, state = self.membership.bytes_sent[address], self.exchangers[address].bytes
             parts = {"probes": probes, "state": state}
-            meter.read(self.engine.time, Counters(probes + state, 0, self.membership.sent[address], parts))
+            meter.read(
+                self.engine.time, Counters(probes + state, 0, self.membership.messages_sent[address], parts)
+            )
 
     def mark(self, number):
         self.exchangers[self.addresses[self.marker]].store.put(self.engine.time, MARK, str(number).encode())
@@ -102,7 +104,7 @@
             oldest.append(members.oldest())
     meters, seen = (
         members.meters.values(),
-        [p.core.members.active_count + 1 for p in members.membership.living()],
+        [p.core.members.active_count + 1 for p in members.membership.running_processes()],
     )
     return Summary(
         size=size,
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -116,7 +116,7 @@
         await self.engine.sleep_until(self.engine.time + START_TIME_NS + delay)
         peers = [other for other in self.links.members if other != name]
         self.exchangers[name] = StateExchanger(
-            self.membership.up(name, peers),
+            self.membership.start_member(name, peers),
             lambda: self.exchangers,
             self.membership.links,
             self.seed,
@@ -153,7 +153,7 @@
         Args:
             name: The member's name.
         """
-        process = self.membership.at.get(name)
+        process = self.membership.processes.get(name)
         if self.exchangers.get(name) is not None:
             self.membership.send(process, process.core.leave(self.engine.time))
             self.kill(name)
@@ -166,7 +166,7 @@
             name: The member's name.
         """
         if self.exchangers.get(name) is not None:
-            self.membership.at[name].pause()
+            self.membership.processes[name].pause()
             self.claims.reachability.process_paused(self.engine.time, name)
 
     def thaw(self, name):
@@ -175,8 +175,8 @@
         Args:
             name: The member's name.
         """
-        if self.exchangers.get(name) is not None and self.membership.at[name].paused:
-            self.membership.at[name].resume()
+        if self.exchangers.get(name) is not None and self.membership.processes[name].paused:
+            self.membership.processes[name].resume()
             self.claims.reachability.process_resumed(self.engine.time, name)
 
     # ---- the day
@@ -216,6 +216,6 @@
         """
         seconds = (self.engine.time - self.zero) / NS_PER_SECOND
         running = [exchanger for exchanger in self.exchangers.values() if exchanger is not None]
-        membership = sum(self.membership.bytes.values()) / seconds / len(self.links.members)
+        membership = sum(self.membership.bytes_sent.values()) / seconds / len(self.links.members)
         state = sum(exchanger.bytes for exchanger in running) / seconds / max(1, len(running))
         return membership, state
--- a/embertray/simulation/emulator/member_links.py
+++ b/embertray/simulation/emulator/member_links.py
@@ -30,7 +30,7 @@
         self.corruption = corruption
         self.broken = set()
         self.sides = {}
-        self.lag = {}
+        self.extra_delay = {}
 
     def carries(self, sender, receiver):
         """Whether the link is open.
@@ -61,7 +61,7 @@
         for _ in range(2 if self.random.random() < self.duplication else 1):
             if self.random.random() < self.corruption:
                 data = self._corrupt(data)
-            yield self.random.randint(*self.delay) + self.lag.get(receiver, 0), data
+            yield self.random.randint(*self.delay) + self.extra_delay.get(receiver, 0), data
 
     def _corrupt(self, data):
         """Flips bits of a byte at an odd place, or cuts the data at an even one."""
--- a/embertray/simulation/emulator/member_process.py
+++ b/embertray/simulation/emulator/member_process.py
@@ -53,7 +53,7 @@
             self._deferred.append((sender, message))
             return
         if message is None:
-            self.simulation.unreadable += 1
+            self.simulation.unreadable_datagrams += 1
             return
         self._finish_step(self.core.receive(self.simulation.engine.time, sender, message))
 
--- a/embertray/simulation/emulator/membership_simulation.py
+++ b/embertray/simulation/emulator/membership_simulation.py
@@ -18,7 +18,7 @@
 START_NS = 100_000 * NS_PER_SECOND
 # Time between two members' starts when a cluster is gathered, and until all know all.
 JOIN_PERIOD_NS = 50 * NS_PER_MS
-GATHER_TIME_NS = 20 * NS_PER_SECOND
+SETTLE_TIME_NS = 20 * NS_PER_SECOND
 # Time between two looks at a condition that is waited for.
 POLL_PERIOD_NS = 10 * NS_PER_MS
 
@@ -56,20 +56,20 @@
         incarnations: Processes started so far.
     """
 
-    def __init__(self, seed=1, pace=DEFAULT_CONFIG, make=Membership, **links):
+    def __init__(self, seed=1, config=DEFAULT_CONFIG, core_type=Membership, **links):
         self.engine = Engine(START_NS)
         self.seed = seed
-        self.pace = pace
-        self.make = make
+        self.config = config
+        self.core_type = core_type
         self.links = Links(random.Random(seed), **links)
-        self.at = {}
-        self.notes = []
-        self.bytes = Counter()
-        self.sent = Counter()
-        self.unreadable = 0
+        self.processes = {}
+        self.changes = []
+        self.bytes_sent = Counter()
+        self.messages_sent = Counter()
+        self.unreadable_datagrams = 0
         self.incarnations = 0
 
-    def up(self, name, seeds=("m0",), address=None, clock=0, cluster="c"):
+    def start_member(self, name, seeds=("m0",), address=None, clock=0, cluster="c"):
         """Starts a member's process.
 
         Args:
@@ -85,7 +85,7 @@
         self.incarnations += 1
         now = self.engine.time
         address = address or name
-        core = self.make(
+        core = self.core_type(
             cluster,
             name,
             address,
@@ -93,14 +93,14 @@
             now,
             random.Random(f"{self.seed} {self.incarnations}"),
             list(seeds),
-            self.pace,
+            self.config,
         )
         process = MemberProcess(self, core)
-        self.at[address] = process
+        self.processes[address] = process
         process.schedule_step()
         return process
 
-    def gather(self, count):
+    def start_cluster(self, count):
         """Starts members one after the other, and gives them time to know each other.
 
         Args:
@@ -110,9 +110,9 @@
             The simulation itself.
         """
         for number in range(count):
-            self.up(f"m{number}", [] if number == 0 else ["m0"])
+            self.start_member(f"m{number}", [] if number == 0 else ["m0"])
             self.run(JOIN_PERIOD_NS)
-        self.run(GATHER_TIME_NS)
+        self.run(SETTLE_TIME_NS)
         return self
 
     def kill(self, address):
@@ -121,7 +121,7 @@
         Args:
             address: The member's address.
         """
-        self.at[address].alive = False
+        self.processes[address].alive = False
 
     def send(self, process, messages):
         """Puts messages on the links.
@@ -133,15 +133,15 @@
         sender = process.core.local.address
         for receiver, message in messages:
             data = encode(message)
-            self.bytes[sender] += len(data)
-            self.sent[sender] += 1
+            self.bytes_sent[sender] += len(data)
+            self.messages_sent[sender] += 1
             for delay, arrived in self.links.deliveries(sender, receiver, data):
                 decoded = message if arrived is data else decode_or_none(arrived)
                 self.engine.at(self.engine.time + delay, self._deliver, sender, receiver, decoded)
 
     def _deliver(self, sender, receiver, message):
-        if receiver in self.at:
-            self.at[receiver].receive(sender, message)
+        if receiver in self.processes:
+            self.processes[receiver].receive(sender, message)
 
     def record_changes(self, process):
         """Moves a core's new changes to the notes.
@@ -150,7 +150,7 @@
             process: The MemberProcess.
         """
         for change in process.core.events:
-            self.notes.append((self.engine.time, process.core.local.name, change))
+            self.changes.append((self.engine.time, process.core.local.name, change))
         process.core.events.clear()
 
     def run(self, duration):
@@ -161,7 +161,7 @@
         """
         self.engine.run(self.engine.time + duration)
 
-    def until(self, condition, timeout):
+    def run_until(self, condition, timeout):
         """Lets time pass until a condition holds.
 
         Args:
@@ -178,15 +178,15 @@
             self.run(POLL_PERIOD_NS)
         return None
 
-    def living(self):
+    def running_processes(self):
         """The processes that run.
 
         Returns:
             A list of MemberProcess items.
         """
-        return [process for process in self.at.values() if process.alive and not process.core.ended]
+        return [process for process in self.processes.values() if process.alive and not process.core.ended]
 
-    def agree(self, group=None):
+    def views_agree(self, group=None):
         """Whether each living member takes exactly the living members for active.
 
         Args:
@@ -195,6 +195,6 @@
         Returns:
             Whether they agree.
         """
-        cores = [p.core for p in self.living() if group is None or p.core.local.address in group]
+        cores = [p.core for p in self.running_processes() if group is None or p.core.local.address in group]
         names = {core.local.name for core in cores}
         return all({m.name for m in core.active_members} == names - {core.local.name} for core in cores)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -91,7 +91,7 @@
         sides = ({"c1", "c2", "c3"}, {"c4", "c5"})
 
         def deaths_on_own_side(**makes):
-            notes = self.simulation(**makes).play().membership.notes
+            notes = self.simulation(**makes).play().membership.changes
             return [
                 (who, change.name)
                 for _, who, change in notes
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -88,19 +88,19 @@
     """Membership alone: lost, repeated and spoilt datagrams, a death, a standstill, a life begun again."""
     simulation = MembershipSimulation(7)
     traffic = Traffic().watch(simulation)
-    simulation.gather(12)
+    simulation.start_cluster(12)
     simulation.links.loss, simulation.links.duplication, simulation.links.corruption = 0.2, 0.1, 0.05
     simulation.run(30 * S)
     simulation.kill("m3")
-    simulation.at["m5"].pause()
+    simulation.processes["m5"].pause()
     simulation.run(20 * S)
-    simulation.at["m5"].resume()
-    simulation.up("m3", ["m0"], clock=5 * MS)
+    simulation.processes["m5"].resume()
+    simulation.start_member("m3", ["m0"], clock=5 * MS)
     simulation.links.split([f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 12)])
     simulation.run(40 * S)
     simulation.links.heal()
     simulation.run(40 * S)
-    return (*traffic.figures, len(simulation.notes)), traffic.misread
+    return (*traffic.figures, len(simulation.changes)), traffic.misread
 
 
 def simulation_traffic(text, seed):
@@ -185,7 +185,11 @@
     exchangers = {}
     for name, owners in zip(("a", "b"), KNOWN, strict=True):
         exchangers[name] = exchanger = StateExchanger(
-            simulation.up(name, []), lambda: exchangers, simulation.links, 1, facts=lambda _: b"f" * 60
+            simulation.start_member(name, []),
+            lambda: exchangers,
+            simulation.links,
+            1,
+            facts=lambda _: b"f" * 60,
         )
         exchanger.facts_at, exchanger.exchange.next_at = 10 * START_NS, 10 * START_NS
         filled(exchanger.store, START_NS, owners)
