--- a/embertray/cluster/replication/exceptions.py
+++ b/embertray/cluster/replication/exceptions.py
@@ -45,7 +45,7 @@
     reason = "NotLeader"
 
     def __init__(self, leader):
-        super().__init__(f"not the leader; the leader is {leader}" if leader else "no leader is known")
+        super().__init__(f"the leader is {leader}" if leader else "no leader is known")
         self.leader = leader
 
 
--- a/embertray/cluster/replication/link/pending_writes.py
+++ b/embertray/cluster/replication/link/pending_writes.py
@@ -30,9 +30,9 @@
         TooLargeError: the value is too large.
     """
     if not key or len(key.encode()) > MAX_KEY_BYTES:
-        raise BadKeyError(f"the key must have 1 to {MAX_KEY_BYTES} bytes")
+        raise BadKeyError(f"a key has 1 to {MAX_KEY_BYTES} bytes")
     if not request or len(request.encode()) > MAX_REQUEST_ID_BYTES:
-        raise BadRequestError(f"the request id must have 1 to {MAX_REQUEST_ID_BYTES} bytes")
+        raise BadRequestError(f"a request id has 1 to {MAX_REQUEST_ID_BYTES} bytes")
     if value is not None and len(value) > max_value_bytes:
         raise TooLargeError(f"{len(value)} bytes, {max_value_bytes} at most")
 
@@ -78,7 +78,7 @@
         with anyio.move_on_after(timeout):
             await self.done.wait()
         if not self.done.is_set():
-            raise OutcomeUnknownError(f"no majority confirmed the write within {timeout} s")
+            raise OutcomeUnknownError(f"no majority confirmed it within {timeout} s")
         if self.error is not None:
             raise self.error
         return self.revision
@@ -112,7 +112,7 @@
             elif store.requests.get(write.request) == write.revision:
                 write.succeed()
             else:
-                write.fail(OutcomeUnknownError("another leader's write replaced it"))
+                write.fail(OutcomeUnknownError("another leader's write took its place"))
         self._writes = waiting
 
     def fail_all(self, reason):
--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -105,7 +105,7 @@
             await self._serve(task_status)
         finally:
             if self.writes is not None:
-                self.writes.pending.fail_all("the replica is stopping")
+                self.writes.pending.fail_all("the replica stops")
             if self.state_store is not None:
                 self.state_store.close()
 
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -114,7 +114,7 @@
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
         if not self.has_majority(now):
-            raise NoMajorityError("no majority of the replicas has confirmed the leader")
+            raise NoMajorityError("no majority of the replicas answers")
         if request and (known := self._revision_of_request(request)):
             return known
         newest = self._newest_entry(key)
--- a/embertray/cluster/replication/replica_core.py
+++ b/embertray/cluster/replication/replica_core.py
@@ -98,11 +98,11 @@
     def _check_capacity(self, key, value):
         """Raises OverloadedError for a write that would exceed a limit."""
         if len(self.uncommitted) >= MAX_PENDING_PROPOSALS:
-            raise OverloadedError(f"limit of {MAX_PENDING_PROPOSALS} uncommitted writes reached")
+            raise OverloadedError(f"{MAX_PENDING_PROPOSALS} writes wait for a majority")
         if value is not None and self.store.get(key) is None and self.store.live_count >= MAX_LIVE_KEYS:
-            raise OverloadedError(f"limit of {MAX_LIVE_KEYS} keys reached")
+            raise OverloadedError(f"{MAX_LIVE_KEYS} keys are held")
         if self.store.bytes + len(value or b"") > MAX_STATE_BYTES:
-            raise OverloadedError(f"limit of {MAX_STATE_BYTES} stored bytes reached")
+            raise OverloadedError(f"{MAX_STATE_BYTES} bytes are held")
 
     # ---- durable state and messages
 
