--- a/embertray/cluster/replication/candidate.py
+++ b/embertray/cluster/replication/candidate.py
@@ -82,7 +82,11 @@
         self._send(message.sender, vote)
 
     def _grant_vote(self, now, message):
-        """Votes for the sender, unless its term is over, it is not up to date, or another has the vote."""
+        """Votes for the sender; returns whether it did.
+
+        The vote is refused if the sender's term is over, if this replica voted for another one in that term,
+        or if the sender's log is older than this replica's.
+        """
         if message.term > self.term:
             self._step_down(message.term)
         if message.term < self.term or self.voted_for not in ("", message.sender):
--- a/embertray/cluster/replication/link/durable_state.py
+++ b/embertray/cluster/replication/link/durable_state.py
@@ -95,5 +95,5 @@
     state_store.open()
     state, unreadable = state_store.load()
     for file_name, reason in unreadable:
-        log.error("saved state unreadable, falling back to an older one", file=file_name, reason=reason)
+        log.error("saved state unreadable, trying an older one", file=file_name, reason=reason)
     return state, not unreadable
--- a/embertray/cluster/replication/link/peer_link.py
+++ b/embertray/cluster/replication/link/peer_link.py
@@ -1,4 +1,4 @@
-"""The outbound connection to another replica. It only sends; the other replica opens its own in return."""
+"""The outbound connection to another replica. It only sends; the other replica has one of its own."""
 
 import anyio
 
@@ -11,7 +11,7 @@
 INITIAL_RETRY_DELAY_S = 0.05  # pause between connection attempts, doubled each time
 MAX_RETRY_DELAY_S = 1.0  # shorter than an election
 MAX_QUEUED_MESSAGES = 16  # the newest are kept, as the replica sends again what still matters
-PEER_SILENCE_TIMEOUT_NS = 5 * NS_PER_S  # without a message from the peer; then the connection is renewed
+PEER_SILENCE_TIMEOUT_NS = 5 * NS_PER_S  # silence of the peer after which the connection is renewed
 
 
 class PeerLink:
@@ -37,7 +37,7 @@
         self.connected_at = 0
 
     def put(self, data):
-        """Sends an encoded message, or drops it if there is no connection."""
+        """Queues an encoded message, or drops it if there is no connection. Renews a stalled connection."""
         if self.connection is None:
             self.traffic.dropped += 1
             return
--- a/embertray/cluster/replication/link/replica_server.py
+++ b/embertray/cluster/replication/link/replica_server.py
@@ -44,7 +44,7 @@
 
 
 class ReplicaServer:
-    """One replica.
+    """Runs one replica: its state machines, listeners, links to other replicas and saved state.
 
     Args:
         settings: a ReplicaSettings.
--- a/embertray/cluster/replication/link/status.py
+++ b/embertray/cluster/replication/link/status.py
@@ -17,7 +17,7 @@
         term: the newest term that it has seen.
         leader: name of the leader, "" if it is not known.
         has_majority: whether it leads, confirmed by a majority.
-        recovering: whether it lost its state and may not vote yet.
+        recovering: whether it started without its newest state and may not vote yet.
         revision: revision of the last committed entry.
         digest: digest of the committed state.
         age_s: time since it was certain that nothing newer was committed; None if it never was.
--- a/embertray/cluster/replication/link/subscriber_client.py
+++ b/embertray/cluster/replication/link/subscriber_client.py
@@ -35,7 +35,7 @@
 
 
 class SubscriberClient:
-    """One subscriber.
+    """Runs one subscriber: its state machine, connection and saved state.
 
     Args:
         settings: a SubscriberSettings.
--- a/embertray/cluster/replication/link/subscriber_connection.py
+++ b/embertray/cluster/replication/link/subscriber_connection.py
@@ -50,7 +50,10 @@
             self._connection = None
 
     async def open(self, action):
-        """Executes an OpenConnection: connects, and reads until the connection ends."""
+        """Executes an OpenConnection: connects, and reads until the connection ends.
+
+        A failed attempt and the end of the connection are reported to the Subscriber.
+        """
         try:
             with anyio.fail_after(self.subscriber.timing.connect_timeout / NS_PER_S):
                 stream = await self.net.dial(self.addresses[action.replica])
--- a/embertray/cluster/replication/messages.py
+++ b/embertray/cluster/replication/messages.py
@@ -127,7 +127,7 @@
 
 
 class RecoverRequest(ReplicaMessage, tag="recover-request", frozen=True):
-    """A replica that lost its state asks the others whether they hold any."""
+    """A replica that started without its state asks the others whether they hold any."""
 
     nonce: Count
 
--- a/embertray/cluster/replication/replica.py
+++ b/embertray/cluster/replication/replica.py
@@ -75,7 +75,10 @@
         return self.freshness.advertised_age(now)
 
     def _refresh_leader_freshness(self, now):
-        """Updates the freshness of a leader: after a commit in its own term it holds everything committed."""
+        """Updates the freshness of a leader.
+
+        After a commit in its own term it holds everything committed, as long as it leads.
+        """
         if self.role is Role.LEADER and self.store.term == self.term:
             self.freshness.observe_commit(
                 self.quorum_confirmed_at, self.store.revision, 0, self.store.revision
--- a/embertray/cluster/replication/replica_selector.py
+++ b/embertray/cluster/replication/replica_selector.py
@@ -1,7 +1,7 @@
 """Selection of the replica that a subscriber follows."""
 
 MAX_BACKOFF_DOUBLINGS = 8
-NEVER_NS = 2**62  # ns
+NEVER_NS = 2**62  # later than any clock reading
 
 
 class ReplicaSelector:
--- a/embertray/cluster/replication/store.py
+++ b/embertray/cluster/replication/store.py
@@ -8,9 +8,9 @@
 from .messages import InventoryItem
 
 MAX_VERSIONS_PER_KEY = 8  # including the newest; the others are kept for rollbacks
-MAX_TOMBSTONES = 1_024  # a subscriber that lags further behind is repaired by comparing digests
+MAX_TOMBSTONES = 1_024  # newest removals kept; a subscriber further behind is repaired by digest comparison
 MAX_REQUEST_IDS = 4_096  # newest request ids, kept to deduplicate repeated calls
-DIGEST_BUCKETS = 64  # partitions of the key space, each with its digest; 63 keys each with 4,000 keys
+DIGEST_BUCKETS = 64  # partitions of the key space with a digest each; 4,000 keys make 63 per partition
 
 MAX_KEY = "\U0010ffff" * 2  # sorts after every key
 COMPACTION_SLACK = 256  # outdated items that a list may hold before it is rebuilt
@@ -116,7 +116,10 @@
             self.term = term
 
     def discard(self, key):
-        """Drops all versions of a key, as if it had never been written. Used for repairs."""
+        """Drops all versions of a key, as if it had never been written.
+
+        Used for repairs and to drop tombstones.
+        """
         entry = self.entries.pop(key, None)
         if entry is None:
             return
@@ -180,6 +183,7 @@
             self._drop_outdated()
 
     def _drop_outdated(self):
+        """Counts one more outdated version; rebuilds `history` without them once there are too many."""
         self.outdated += 1
         if self.outdated > len(self.history) // 2 + COMPACTION_SLACK:
             kept = (entry for versions in self.versions.values() for entry in versions)
--- a/embertray/cluster/replication/subscriber.py
+++ b/embertray/cluster/replication/subscriber.py
@@ -190,7 +190,11 @@
         self._send(Confirm(self.revision, now))
 
     def _check_digest(self, now, message):
-        """Requests a repair if the digests differ at the same revision, as an entry is then corrupt."""
+        """Requests a repair if the digests differ at the same revision.
+
+        An entry of this subscriber or of the replica is then corrupt, or this subscriber missed a removal
+        whose tombstone was dropped.
+        """
         same_revision = message.commit == self.revision
         if same_revision and message.digest != self.store.digest and now >= self.next_repair_at:
             self.next_repair_at = now + self.timing.silence_timeout
--- a/embertray/cluster/replication/subscriber_feed.py
+++ b/embertray/cluster/replication/subscriber_feed.py
@@ -200,7 +200,10 @@
         return True
 
     def _send_missing(self, now, subscription, messages):
-        """Sends missing entries within the budget, unless that allows less than the minimum update."""
+        """Sends as many missing entries as the budget allows.
+
+        While more entries wait, it sends nothing below the minimum update; `pack_missing` has the exact rule.
+        """
         available_bytes = self._available_bytes(now, subscription)
         update = pack_missing(self.store(), subscription, available_bytes, self.settings.min_update_bytes)
         if update is not None:
--- a/embertray/cluster/replication/timing.py
+++ b/embertray/cluster/replication/timing.py
@@ -15,8 +15,8 @@
         election_timeout_min: lower bound of the election timeout.
         election_timeout_max: upper bound; the timeout is drawn at random each time, so that candidates
             rarely tie.
-        recovery_wait: how long a replica that lost its state waits for votes of its previous process to
-            expire; twice election_timeout_max.
+        recovery_wait: how long a replica that started without its state waits for votes of its previous
+            process to expire; twice election_timeout_max.
     """
 
     heartbeat_interval: int = 400 * MILLISECOND
