--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -15,65 +15,65 @@
 from embertray.simulation.scenarios import notation, player
 from embertray.simulation.scenarios.rules import RULES
 
-HERE = Path(__file__).resolve().parent
+TESTS_FOLDER = Path(__file__).resolve().parent
 
-DIGEST = """
+DIGEST_SCRIPT = """
 import sys, zlib
 from embertray.simulation.scenarios import notation, player
 print(zlib.crc32(repr(player.play(notation.load("kill"), seed=int(sys.argv[1])).events).encode()))
 """
 
 
-def verdict(name):
+def play_day(name):
     result = player.play(notation.load(name), seed=2)
     return name, result.violations, result.credit, result.requests
 
 
-def day(text):
+def read_day(text):
     return notation.read(text, "told-here.day")
 
 
-class Scripts(unittest.TestCase):
+class BuiltInDays(unittest.TestCase):
     def test_every_day_keeps_the_rules_in_virtual_time(self):
         with ProcessPoolExecutor(4) as pool:
             for name, rules, credit, reqs in pool.map(
-                verdict, [n for n in notation.names() if not notation.load(n).linked]
+                play_day, [n for n in notation.names() if not notation.load(n).linked]
             ):
                 with self.subTest(day=name):
                     self.assertEqual({rule: why for rule, why in rules.items() if why}, {})
-                    floor = notation.load(name).expect.get("credit", "0.5")
-                    self.assertGreater(credit, float(floor))
+                    credit_min = notation.load(name).expect.get("credit", "0.5")
+                    self.assertGreater(credit, float(credit_min))
                     self.assertGreater(reqs, 0)
 
-    def test_same_seed_same_run_and_another_seed_another(self):
+    def test_the_seed_determines_the_run(self):
         """Also in another process, whose hashes and addresses are others."""
         one, two = (
             subprocess.run(
-                [sys.executable, "-c", DIGEST, "5"],
+                [sys.executable, "-c", DIGEST_SCRIPT, "5"],
                 capture_output=True,
                 text=True,
                 timeout=60,
-                cwd=HERE.parent,
+                cwd=TESTS_FOLDER.parent,
                 env={**os.environ, "PYTHONHASHSEED": salt},
             )
             for salt in "12"
         )
         self.assertTrue(one.stdout, one.stderr)
         self.assertEqual(one.stdout, two.stdout)
-        three = player.play(notation.load("kill"), seed=6)
-        self.assertNotEqual(one.stdout.strip(), str(zlib.crc32(repr(three.events).encode())))
+        other_seed = player.play(notation.load("kill"), seed=6)
+        self.assertNotEqual(one.stdout.strip(), str(zlib.crc32(repr(other_seed.events).encode())))
 
 
-class Sockets(unittest.TestCase):
+class DaysOverSockets(unittest.TestCase):
     """The proof: the true program as processes on loopback, in real time, with the same verdict."""
 
-    def test_the_main_job(self):
+    def test_the_first_day_keeps_the_rules(self):
         result = player.play(notation.load("first"), mode="sockets")
         self.assertEqual(result.verdicts(), dict.fromkeys(RULES, "kept"))
         self.assertGreater(result.credit, 0.95)
 
     def test_killed_and_stopped_controllers_and_a_drain(self):
-        rough = day(
+        rough = read_day(
             "site pushed\nfleet backends=6 proxies=6 controllers=2\nload 40/s for 14s\n"
             "at 2s deploy b1 drain=4s\nat 3s kill c1 for 1s\nat 6s stall c2 for 2s\nat 7s deploy "
             "b2 drain=5s\n"
@@ -85,95 +85,98 @@
         self.assertGreater(len(result.spread), 5)
 
 
-class Sabotage(unittest.TestCase):
+class RuleChecks(unittest.TestCase):
     """Each check is shown to fail."""
 
-    def broken(self, text, core):
-        told = day(text)
-        honest, spoilt = player.play(told), player.play(told, core=core)
+    def broken_rules(self, text, core):
+        script = read_day(text)
+        honest, sabotaged = player.play(script), player.play(script, core=core)
         self.assertEqual({k: v for k, v in honest.violations.items() if v}, {})
-        return {rule for rule, why in spoilt.violations.items() if why}
+        return {rule for rule, why in sabotaged.violations.items() if why}
 
-    def test_lost(self):
+    def test_empty_tables_break_lost(self):
         self.assertIn(
-            "lost", self.broken("fleet backends=3 proxies=2\nload 10/s for 5s", sabotage.SendsEmptyTables)
+            "lost",
+            self.broken_rules("fleet backends=3 proxies=2\nload 10/s for 5s", sabotage.SendsEmptyTables),
         )
 
-    def test_duplicate(self):
+    def test_retries_of_non_replayable_requests_break_duplicate(self):
         self.assertIn(
             "duplicate",
-            self.broken(
+            self.broken_rules(
                 "site sealed\nfleet backends=4 proxies=3\nload 30/s for 10s\nat 2s errors b1 for 6s share=1",
                 sabotage.RetriesNonReplayable,
             ),
         )
 
-    def test_drain(self):
+    def test_dropped_removals_break_drain(self):
         self.assertIn(
             "drain",
-            self.broken(
+            self.broken_rules(
                 "fleet backends=4 proxies=3\nload 30/s for 14s\nat 3s deploy b1 drain=8s",
                 sabotage.DropsRemovals,
             ),
         )
 
-    def test_failback(self):
+    def test_overloaded_cold_backends_break_failback(self):
         self.assertIn(
             "failback",
-            self.broken(
+            self.broken_rules(
                 "fleet backends=4 proxies=4\nload 60/s for 25s\nat 3s crash b1 for 3s",
                 sabotage.OverloadsColdBackends,
             ),
         )
 
-    def test_backlog_by_lines(self):
+    def test_resent_tables_break_backlog(self):
         self.assertIn(
             "backlog",
-            self.broken("fleet backends=6 proxies=6\nload 20/s for 20s", sabotage.ResendsUnchangedTables),
+            self.broken_rules(
+                "fleet backends=6 proxies=6\nload 20/s for 20s", sabotage.ResendsUnchangedTables
+            ),
         )
 
-    def test_backlog_by_messages(self):
+    def test_too_many_messages_break_backlog(self):
         self.assertIn(
             "backlog",
-            self.broken(
+            self.broken_rules(
                 "site sealed\nfleet backends=4 proxies=3\nload 20/s for 20s", sabotage.TooManyMessages
             ),
         )
 
 
 class CommandLine(unittest.TestCase):
-    def run_it(self, *words):
+    def run_embertray(self, *arguments):
         return subprocess.run(
-            [sys.executable, "-m", "embertray", *words],
+            [sys.executable, "-m", "embertray", *arguments],
             capture_output=True,
             text=True,
             timeout=60,
-            cwd=HERE.parent,
+            cwd=TESTS_FOLDER.parent,
         )
 
-    def test_bad_input_is_one_clear_error_and_code_2(self):
-        for words, said in (
+    def test_invalid_input_gives_one_error_line_and_exit_code_2(self):
+        for arguments, expected in (
             (("play", "no-such-day"), "no such day"),
             (("check", "no.xml"), "no.xml"),
             (("serve", "no.xml"), "no.xml"),
         ):
-            done = self.run_it(*words)
-            self.assertEqual((done.returncode, done.stdout), (2, ""))
-            self.assertEqual(done.stderr.count("\n"), 1)
-            self.assertIn(said, done.stderr)
+            completed = self.run_embertray(*arguments)
+            self.assertEqual((completed.returncode, completed.stdout), (2, ""))
+            self.assertEqual(completed.stderr.count("\n"), 1)
+            self.assertIn(expected, completed.stderr)
 
     def test_days_are_listed(self):
-        self.assertEqual(len(self.run_it("days").stdout.splitlines()), len(notation.names()))
+        self.assertEqual(len(self.run_embertray("days").stdout.splitlines()), len(notation.names()))
 
-    def test_a_broken_rule_is_exit_code_1_in_json_too(self):
-        done = self.run_it("play", str(HERE / "days" / "beyond.day"), "--json")
-        self.assertEqual(done.returncode, 1, done.stdout + done.stderr)
-        self.assertIn('"drain": "broken"', done.stdout)
+    def test_a_broken_rule_gives_exit_code_1_also_with_json(self):
+        completed = self.run_embertray("play", str(TESTS_FOLDER / "days" / "beyond.day"), "--json")
+        self.assertEqual(completed.returncode, 1, completed.stdout + completed.stderr)
+        self.assertIn('"drain": "broken"', completed.stdout)
 
 
 class Notation(unittest.TestCase):
     def test_errors_name_line_and_column(self):
-        for text, words in (
+        for text, expected in (
             ("load 5/s for 3s\nat 2s crush b1", ("here.day:2:7", "no trouble 'crush'")),
             ("at 2s crash c1", ("can't strike c1",)),
             ("at 2s crash b9", ("there is no b9",)),
@@ -182,9 +185,9 @@
             ("at 2s crash", ("must name what it strikes",)),
         ):
             with self.subTest(text=text), self.assertRaises(notation.DayError) as caught:
-                day(text)
-            for word in words:
-                self.assertIn(word, str(caught.exception))
+                read_day(text)
+            for part in expected:
+                self.assertIn(part, str(caught.exception))
 
 
 if __name__ == "__main__":
