--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,5 +1,6 @@
-"""Full-path days: every script in virtual time, some over sockets, and each rule's check on a sabotaged
-controller.
+"""Days against the whole daemon: all in virtual time, some over sockets, and the rules' checks on sabotage.
+
+A sabotaged controller breaks one rule on purpose, which shows that the check of that rule can fail.
 """
 
 import os
@@ -25,6 +26,7 @@
 
 
 def play_day(name):
+    """Returns (name, violations by rule, credit, number of requests) of a built-in day."""
     result = player.play(notation.load(name), seed=2)
     return name, result.violations, result.credit, result.requests
 
@@ -46,7 +48,7 @@
                     self.assertGreater(reqs, 0)
 
     def test_the_seed_determines_the_run(self):
-        """Also in another process, whose hashes and addresses are others."""
+        """Two processes with different hash seeds and addresses must give the same events."""
         one, two = (
             subprocess.run(
                 [sys.executable, "-c", DIGEST_SCRIPT, "5"],
@@ -65,7 +67,7 @@
 
 
 class DaysOverSockets(unittest.TestCase):
-    """The proof: the true program as processes on loopback, in real time, with the same verdict."""
+    """The real program, as processes on loopback in real time, gives the same verdicts."""
 
     def test_the_first_day_keeps_the_rules(self):
         result = player.play(notation.load("first"), mode="sockets")
@@ -86,9 +88,10 @@
 
 
 class RuleChecks(unittest.TestCase):
-    """Each check is shown to fail."""
+    """The check of each rule fails on a controller that breaks the rule."""
 
     def broken_rules(self, text, core):
+        """Returns the rules that a sabotaged core breaks on a day on which the real one keeps all."""
         script = read_day(text)
         honest, sabotaged = player.play(script), player.play(script, core=core)
         self.assertEqual({k: v for k, v in honest.violations.items() if v}, {})
