--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -5,12 +5,12 @@
 from pathlib import Path
 
 from embertray.controller.identifiers import Identifiers
-from embertray.service.site import SITE_FOLDER as SITES, SiteError, load
+from embertray.service.site import SITE_FOLDER, SiteError, load
 
 
 class SiteDescriptions(unittest.TestCase):
     def test_samples_load(self):
-        sites = {p.stem: load(p) for p in (SITES / "samples").glob("*.xml")}
+        sites = {p.stem: load(p) for p in (SITE_FOLDER / "samples").glob("*.xml")}
         self.assertEqual(sorted(sites), ["asked", "pushed", "sealed"])
         self.assertEqual(
             (sites["asked"].ask, sites["pushed"].levels, sites["sealed"].messages_max), (True, "rate", 20)
@@ -20,8 +20,8 @@
         self.assertEqual(sites["asked"].kinds[1].again, "deduplicated")
 
     def test_errors_name_the_line_and_what_was_expected(self):
-        good = (SITES / "samples" / "pushed.xml").read_text()
-        for old, new, words in (
+        good = (SITE_FOLDER / "samples" / "pushed.xml").read_text()
+        for old, new, expected in (
             ('"800ms"', '"800"', ("time", ":6:")),
             ('zone="north" listen', 'zone="moon" listen', ("moon",)),
             ("127.0.0.1:7001", "10.0.0.1:7001", ("address",)),
@@ -36,11 +36,11 @@
                 path.write_text(good.replace(old, new, 1))
                 with self.assertRaises(SiteError) as caught:
                     load(path)
-                for word in ("site.xml:", *words):
-                    self.assertIn(word, str(caught.exception))
+                for part in ("site.xml:", *expected):
+                    self.assertIn(part, str(caught.exception))
 
-    def test_the_former_word_for_deduplicated_is_read(self):
-        text = (SITES / "samples" / "asked.xml").read_text()
+    def test_uniqued_is_read_as_deduplicated(self):
+        text = (SITE_FOLDER / "samples" / "asked.xml").read_text()
         self.assertIn('"deduplicated"', text)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "site.xml")
