--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -1,4 +1,4 @@
-"""Descriptions of sites: samples, errors, former words."""
+"""Site descriptions: samples, errors, and values of older descriptions."""
 
 import tempfile
 import unittest
