--- a/tests/test_control_site.py
+++ b/tests/test_control_site.py
@@ -9,9 +9,9 @@
 
 from embertray.service.site import SiteError, load
 from embertray.service.site.control import REPLICAS_PER_CONTROLLER, SiteReplica, replica_order
-from embertray.service.site.schema import SITE_FOLDER as SITES
+from embertray.service.site.schema import SITE_FOLDER
 
-SAMPLE = (SITES / "samples" / "pushed.xml").read_text()
+SAMPLE = (SITE_FOLDER / "samples" / "pushed.xml").read_text()
 CONTROL = """
   <control keep="/var/lib/control">
     <replica name="k1" region="east" address="127.0.0.1:7201" listen="127.0.0.1:7301"
@@ -25,7 +25,7 @@
 WITH_CONTROL = SAMPLE.replace("  <controllers>", CONTROL.strip("\n"), 1)
 
 
-def loaded(text):
+def load_text(text):
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "site.xml"
         path.write_text(text)
@@ -37,9 +37,9 @@
     return [SiteReplica(f"k{n}", region, "", "", "", "") for n, region in enumerate(regions)]
 
 
-class Described(unittest.TestCase):
+class ControlElement(unittest.TestCase):
     def test_a_control_plane_is_read(self):
-        site = loaded(WITH_CONTROL.replace('zone="north" listen', 'zone="north" region="west" listen', 1))
+        site = load_text(WITH_CONTROL.replace('zone="north" listen', 'zone="north" region="west" listen', 1))
         control = site.control
         self.assertEqual((control.cluster, control.bytes_per_second), ("pushed", 4_000))
         self.assertEqual(control.keep, "/var/lib/control")
@@ -47,24 +47,24 @@
             control.replica("k2"),
             SiteReplica("k2", "east", "127.0.0.1:7202", "127.0.0.1:7302", "127.0.0.1:7402", "/k2"),
         )
-        self.assertEqual([one.region for one in site.controllers], ["west", ""])
+        self.assertEqual([controller.region for controller in site.controllers], ["west", ""])
         followed = control.followed_by(site.controllers[0])
         self.assertEqual((followed[0].name, len(followed)), ("k3", 3))
         with self.assertRaisesRegex(SiteError, "no replica 'k9' .there are k1, k2, k3"):
             control.replica("k9")
 
-    def test_a_site_without_control_is_as_before(self):
-        site = loaded(SAMPLE)
+    def test_a_site_without_control_has_none(self):
+        site = load_text(SAMPLE)
         self.assertIsNone(site.control)
-        self.assertEqual({one.region for one in site.controllers}, {""})
+        self.assertEqual({controller.region for controller in site.controllers}, {""})
 
     def test_sizes_have_a_unit_down_to_bytes(self):
         for text, size in (("1000B", 1_000), ("4KiB", 4_096), ("1MiB", 1 << 20)):
             site = WITH_CONTROL.replace("<control ", f'<control bytes-per-second="{text}" ', 1)
-            self.assertEqual(loaded(site).control.bytes_per_second, size)
+            self.assertEqual(load_text(site).control.bytes_per_second, size)
 
     def test_errors_name_the_line_and_what_was_expected(self):
-        for old, new, words in (
+        for old, new, expected in (
             ("<control ", '<control bytes-per-second="4000" ', ("4000B",)),
             ("<control ", '<control bytes-per-second="999B" ', ("1000B at least",)),
             ('address="127.0.0.1:7201"', 'address="10.0.0.1:7201"', ("loopback",)),
@@ -82,12 +82,12 @@
         ):
             with self.subTest(new=new):
                 with self.assertRaises(SiteError) as caught:
-                    loaded(WITH_CONTROL.replace(old, new, 1))
-                for word in ("site.xml:", *words):
-                    self.assertIn(word, str(caught.exception))
+                    load_text(WITH_CONTROL.replace(old, new, 1))
+                for part in ("site.xml:", *expected):
+                    self.assertIn(part, str(caught.exception))
 
-    def test_one_to_sixteen_replicas(self):
-        def described(count):
+    def test_one_to_sixteen_replicas_are_accepted(self):
+        def site_text(count):
             rows = "".join(
                 f'<replica name="k{n}" region="east" address="127.0.0.1:{8000 + n}" '
                 f'listen="127.0.0.1:{8100 + n}" admin="127.0.0.1:0" keep="/k{n}"/>'
@@ -95,13 +95,13 @@
             )
             return SAMPLE.replace("  <controllers>", f"<control>{rows}</control><controllers>", 1)
 
-        self.assertEqual(len(loaded(described(16)).control.replicas), 16)
+        self.assertEqual(len(load_text(site_text(16)).control.replicas), 16)
         for count in (0, 17):
             with self.assertRaisesRegex(SiteError, "site.xml"):
-                loaded(described(count))
+                load_text(site_text(count))
 
-    def test_4096_controllers_and_no_more(self):
-        def described(count):
+    def test_at_most_4096_controllers_are_accepted(self):
+        def site_text(count):
             head, rest = SAMPLE.split("<controllers>")
             tail = rest.split("</controllers>")[1]
             rows = "".join(
@@ -111,41 +111,43 @@
             )
             return f"{head}<controllers>{rows}</controllers>{tail}"
 
-        self.assertEqual(len(loaded(described(4096)).controllers), 4096)
+        self.assertEqual(len(load_text(site_text(4096)).controllers), 4096)
         with self.assertRaisesRegex(SiteError, "site.xml"):
-            loaded(described(4097))
+            load_text(site_text(4097))
 
 
-class Order(unittest.TestCase):
-    def test_those_of_the_region_come_first_then_others_of_other_regions(self):
-        eight = replicas(["a", "a", "b", "b", "c", "d", "e", "f"])
+class ReplicaOrder(unittest.TestCase):
+    def test_replicas_of_the_region_come_first_then_other_regions(self):
+        eight_replicas = replicas(["a", "a", "b", "b", "c", "d", "e", "f"])
         for number in range(100):
-            order = replica_order(f"c{number}", "a", eight)
-            self.assertEqual([one.region == "a" for one in order], [True, True, False])
-            order = replica_order(f"c{number}", "c", eight)
-            self.assertEqual([one.region == "c" for one in order], [True, False, False])
-            self.assertEqual(len({one.region for one in order}), 3)
+            order = replica_order(f"c{number}", "a", eight_replicas)
+            self.assertEqual([replica.region == "a" for replica in order], [True, True, False])
+            order = replica_order(f"c{number}", "c", eight_replicas)
+            self.assertEqual([replica.region == "c" for replica in order], [True, False, False])
+            self.assertEqual(len({replica.region for replica in order}), 3)
 
     def test_a_region_with_many_replicas_still_has_one_elsewhere(self):
         order = replica_order("c1", "a", replicas(["a"] * 5 + ["b"]))
-        self.assertEqual([one.region for one in order], ["a", "a", "b"])
+        self.assertEqual([replica.region for replica in order], ["a", "a", "b"])
         order = replica_order("c1", "a", replicas(["a"] * 5))
-        self.assertEqual([one.region for one in order], ["a"] * 3)
+        self.assertEqual([replica.region for replica in order], ["a"] * 3)
 
-    def test_load_spreads(self):
-        eight = replicas(["a", "a", "b", "b", "c", "d", "e", "f"])
-        first = Counter(replica_order(f"c{n}", "a", eight)[0].name for n in range(470))
+    def test_controllers_spread_over_the_replicas(self):
+        eight_replicas = replicas(["a", "a", "b", "b", "c", "d", "e", "f"])
+        first = Counter(replica_order(f"c{n}", "a", eight_replicas)[0].name for n in range(470))
         self.assertEqual(set(first), {"k0", "k1"})
         self.assertLess(max(first.values()), 1.25 * 470 / 2)
-        without_region = Counter(replica_order(f"c{n}", "", eight)[0].name for n in range(4_000))
+        without_region = Counter(replica_order(f"c{n}", "", eight_replicas)[0].name for n in range(4_000))
         self.assertEqual(len(without_region), 8)
         self.assertLess(max(without_region.values()), 1.25 * 4_000 / 8)
 
-    def test_a_removed_replica_moves_only_those_who_followed_it(self):
-        eight = replicas(["a", "a", "a", "b", "b", "b", "c", "c"])
+    def test_a_removed_replica_moves_only_its_own_controllers(self):
+        eight_replicas = replicas(["a", "a", "a", "b", "b", "b", "c", "c"])
         for number in range(200):
-            before = replica_order(f"c{number}", "a", eight)[0]
-            after = replica_order(f"c{number}", "a", [one for one in eight if one.name != "k1"])[0]
+            before = replica_order(f"c{number}", "a", eight_replicas)[0]
+            after = replica_order(
+                f"c{number}", "a", [replica for replica in eight_replicas if replica.name != "k1"]
+            )[0]
             if before.name != "k1":
                 self.assertEqual(after, before)
 
@@ -155,16 +157,16 @@
         st.integers(0, 99),
     )
     @settings(deadline=None)
-    def test_the_order_has_the_stated_form(self, regions, region, number):
+    def test_the_order_keeps_its_rules_for_any_regions(self, regions, region, number):
         given_replicas = replicas(regions)
         order = replica_order(f"c{number}", region, given_replicas)
         self.assertEqual(len(order), min(REPLICAS_PER_CONTROLLER, len(given_replicas)))
-        self.assertEqual(len({one.name for one in order}), len(order))
+        self.assertEqual(len({replica.name for replica in order}), len(order))
         self.assertEqual(order, replica_order(f"c{number}", region, given_replicas[::-1]))
         if region in regions:
             self.assertEqual(order[0].region, region)
         if len(set(regions)) > 1 and len(order) == REPLICAS_PER_CONTROLLER:
-            self.assertGreater(len({one.region for one in order}), 1)
+            self.assertGreater(len({replica.region for replica in order}), 1)
 
 
 if __name__ == "__main__":
