--- a/tests/test_control_site.py
+++ b/tests/test_control_site.py
@@ -1,4 +1,4 @@
-"""What a site says of its control replicas: schema, loader, and who follows whom."""
+"""The control element of a site: schema, loader, and the choice of the replicas that a controller follows."""
 
 import tempfile
 import unittest
@@ -33,7 +33,7 @@
 
 
 def replicas(regions):
-    """One for each named region, in order."""
+    """Returns one replica for each region, in order."""
     return [SiteReplica(f"k{n}", region, "", "", "", "") for n, region in enumerate(regions)]
 
 
