--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -14,7 +14,7 @@
 from embertray.simulation.processes.ports import free_ports
 from embertray.simulation.processes.program import ROOT
 
-NOT_KNOWN = 10**6  # a revision that no test reaches
+UNKNOWN_REVISION = 10**6  # a revision that no test reaches
 
 
 def embertray(*arguments):
@@ -25,11 +25,11 @@
 
 def control(*arguments):
     """A command of `embertray control` in this process: the same but for the interpreter's start."""
-    done = CliRunner().invoke(control_commands, arguments)
-    return subprocess.CompletedProcess(arguments, done.exit_code, done.stdout, done.stderr)
+    completed = CliRunner().invoke(control_commands, arguments)
+    return subprocess.CompletedProcess(arguments, completed.exit_code, completed.stdout, completed.stderr)
 
 
-class Commands(unittest.TestCase):
+class ControlCommands(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
         folder = tempfile.TemporaryDirectory()
@@ -47,21 +47,21 @@
         """The revision at which it is committed."""
         path = self.folder / "value"
         path.write_text(text)
-        done = self.control("put", key, str(path), *more, at=at)
-        self.assertEqual((done.returncode, done.stderr), (0, ""))
-        self.assertRegex(done.stdout, f"^{key}: committed at revision [0-9]+\n$")
-        return int(done.stdout.split()[-1])
+        completed = self.control("put", key, str(path), *more, at=at)
+        self.assertEqual((completed.returncode, completed.stderr), (0, ""))
+        self.assertRegex(completed.stdout, f"^{key}: committed at revision [0-9]+\n$")
+        return int(completed.stdout.split()[-1])
 
     def get(self, key, at="k1"):
-        done = self.control("get", key, at=at)
-        return done.stdout if done.returncode == 0 else done.returncode
+        completed = self.control("get", key, at=at)
+        return completed.stdout if completed.returncode == 0 else completed.returncode
 
-    def test_written_read_rolled_back_and_removed_at_any_replica(self):
+    def test_values_are_written_read_rolled_back_and_removed_at_any_replica(self):
         first = self.put("limits/search", "10\n", at="k1")
         second = self.put("limits/search", "20\n", at="k2")
         self.assertGreater(second, first)
-        done = self.control("rollback", "limits/search", str(first), at="k3")
-        self.assertEqual(done.returncode, 0, done.stderr)
+        completed = self.control("rollback", "limits/search", str(first), at="k3")
+        self.assertEqual(completed.returncode, 0, completed.stderr)
         for name in ("k1", "k2", "k3", "c1"):
             self.plane.wait(
                 lambda name=name: self.get("limits/search", name) == "10\n", f"rolled back at {name}"
@@ -70,8 +70,8 @@
         self.assertEqual([line.split()[1] for line in versions], ["3", "3", "3"])
         answer = json.loads(self.control("get", "limits/search", "--json").stdout)
         self.assertEqual((answer["type"], answer["value"]), ("value", "MTAK"))
-        done = self.control("remove", "limits/search")
-        self.assertEqual(done.returncode, 0, done.stderr)
+        completed = self.control("remove", "limits/search")
+        self.assertEqual(completed.returncode, 0, completed.stderr)
         for name in ("k1", "k2", "k3", "c1"):
             self.plane.wait(lambda name=name: self.get("limits/search", name) == 1, f"removed at {name}")
         applied = [row for row in self.plane.applied("c1") if row[0] == "limits/search"]
@@ -81,71 +81,74 @@
     def test_a_repeated_request_writes_once(self):
         first = self.put("repeated", "1", "--request", "the-request", at="k1")
         self.assertEqual(self.put("repeated", "1", "--request", "the-request", at="k2"), first)
-        done = self.control("rollback", "repeated", str(first), "--request", "the-request")
-        self.assertEqual(done.stdout, f"repeated: committed at revision {first}\n")
+        completed = self.control("rollback", "repeated", str(first), "--request", "the-request")
+        self.assertEqual(completed.stdout, f"repeated: committed at revision {first}\n")
 
-    def test_what_is_refused_says_why_in_one_line(self):
+    def test_a_rejected_call_prints_one_line_with_the_reason(self):
         revision = self.put("refused", "1")
-        most = self.folder / "most"
-        most.write_bytes(b"x" * 8_000)
+        oversized = self.folder / "most"
+        oversized.write_bytes(b"x" * 8_000)
         huge = self.folder / "huge"
         huge.write_bytes(b"x" * 100_000)
         value = str(self.folder / "value")
         cases = (
             (("put", "refused", value, "--expected", "0"), f"at revision {revision}, not 0 .Conflict."),
-            (("put", "refused", value, "--expected", str(NOT_KNOWN)), "Conflict"),
+            (("put", "refused", value, "--expected", str(UNKNOWN_REVISION)), "Conflict"),
             (("put", "k" * 257, value), "1 to 256 bytes .BadKey."),
-            (("put", "refused", str(most)), "8000 bytes, 6976 at most .TooLarge."),
+            (("put", "refused", str(oversized)), "8000 bytes, 6976 at most .TooLarge."),
             (("put", "refused", str(huge)), "a body of over 65536 bytes"),
             (("put", "refused", value, "--request", "r" * 65), "BadRequest"),
-            (("rollback", "refused", str(NOT_KNOWN)), f"not kept at version {NOT_KNOWN} .VersionNotKept."),
+            (
+                ("rollback", "refused", str(UNKNOWN_REVISION)),
+                f"not kept at version {UNKNOWN_REVISION} .VersionNotKept.",
+            ),
             (("get", "no-such-key"), "there is no such key"),
         )
-        for arguments, words in cases:
-            with self.subTest(words=words):
-                done = self.control(*arguments)
-                self.assertEqual((done.returncode, done.stdout), (1, ""))
-                self.assertRegex(done.stderr, words)
-                self.assertEqual(len(done.stderr.splitlines()), 1)
+        for arguments, expected in cases:
+            with self.subTest(expected=expected):
+                completed = self.control(*arguments)
+                self.assertEqual((completed.returncode, completed.stdout), (1, ""))
+                self.assertRegex(completed.stderr, expected)
+                self.assertEqual(len(completed.stderr.splitlines()), 1)
         self.assertEqual(self.put("refused", "2", "--expected", str(revision)), self.revision("refused"))
 
     def revision(self, key):
         leader = self.plane.leader()
         return json.loads(self.control("get", key, "--json", at=leader).stdout)["revision"]
 
-    def test_bad_input_is_one_line_and_code_2(self):
-        nobody = f"127.0.0.1:{free_ports(1)[0]}"
+    def test_invalid_input_gives_an_error_and_exit_code_2(self):
+        unused_address = f"127.0.0.1:{free_ports(1)[0]}"
         value = self.folder / "some"
         value.write_text("1")
         site = str(self.plane.described("k1"))
-        without = ROOT / "embertray" / "service" / "site" / "samples" / "pushed.xml"
+        site_without_control = ROOT / "embertray" / "service" / "site" / "samples" / "pushed.xml"
         cases = (
-            (("status", "--admin", nobody), nobody),
-            (("put", "key", str(value), "--admin", nobody), nobody),
+            (("status", "--admin", unused_address), unused_address),
+            (("put", "key", str(value), "--admin", unused_address), unused_address),
             (("get", "key", "--admin", "10.0.0.1:80"), "not a loopback address"),
             (("put", "key", str(value), "--admin", "nonsense"), "not of the form host:port"),
-            (("put", "key", str(self.folder / "missing"), "--admin", nobody), "No such file"),
-            (("rollback", "key", "0", "--admin", nobody), "0"),
-            (("rollback", "key", "first", "--admin", nobody), "first"),
+            (("put", "key", str(self.folder / "missing"), "--admin", unused_address), "No such file"),
+            (("rollback", "key", "0", "--admin", unused_address), "0"),
+            (("rollback", "key", "first", "--admin", unused_address), "first"),
             (("put", "key", str(value)), "--admin"),
             (("serve", site, "--replica", "k9"), "no replica 'k9'"),
-            (("serve", str(without), "--replica", "k1"), "no <control>"),
+            (("serve", str(site_without_control), "--replica", "k1"), "no <control>"),
             (("serve", str(self.folder / "missing.xml"), "--replica", "k1"), "missing.xml"),
             (("serve", site, "--replica", "k1"), "in use"),
         )
-        for arguments, words in cases:
+        for arguments, expected in cases:
             with self.subTest(arguments=arguments):
-                done = control(*arguments)
-                self.assertEqual(done.returncode, 2, done)
-                self.assertIn(words, done.stderr)
-                self.assertNotIn("Traceback", done.stderr)
+                completed = control(*arguments)
+                self.assertEqual(completed.returncode, 2, completed)
+                self.assertIn(expected, completed.stderr)
+                self.assertNotIn("Traceback", completed.stderr)
 
-    def test_the_program_has_these_commands(self):
-        done = embertray("control", "status", "--admin", self.plane.admin("k1"), "--json")
-        self.assertEqual((done.returncode, done.stderr), (0, ""))
-        self.assertEqual(json.loads(done.stdout)["name"], "k1")
+    def test_the_program_has_the_control_commands(self):
+        completed = embertray("control", "status", "--admin", self.plane.admin("k1"), "--json")
+        self.assertEqual((completed.returncode, completed.stderr), (0, ""))
+        self.assertEqual(json.loads(completed.stdout)["name"], "k1")
 
-    def test_calls_that_are_none_get_a_line(self):
+    def test_invalid_requests_get_an_error_status(self):
         for method, page, status in (
             ("GET", "/nothing", 404),
             ("POST", "/control/key", 405),
@@ -155,10 +158,10 @@
             ("PUT", "/control/key?key=x", 400),
         ):
             with self.subTest(method=method, page=page):
-                self.assertEqual(self.asked("k1", method, page), status)
+                self.assertEqual(self.request_status("k1", method, page), status)
         self.assertEqual(self.plane.ask("c1", "/control/key")[0], 400)
 
-    def asked(self, name, method, page):
+    def request_status(self, name, method, page):
         import http.client
 
         connection = http.client.HTTPConnection(self.plane.admin(name), timeout=5)
@@ -185,7 +188,7 @@
         self.assertIn(b"embertray_control_connected 1", self.plane.ask("c1", "/metrics")[1])
 
 
-class Ended(unittest.TestCase):
+class StoppedProcesses(unittest.TestCase):
     """Cases that end processes, each with its own."""
 
     def plane(self, **more):
@@ -199,43 +202,45 @@
         self.value.write_text("1")
         return plane
 
-    def test_a_write_goes_on_with_the_next_leader(self):
+    def test_a_write_succeeds_with_the_next_leader(self):
         plane = self.plane()
         leader = plane.leader()
         other = next(name for name in plane.replicas if name != leader)
         plane.kill(leader)
-        done = control("put", "key", str(self.value), "--admin", plane.admin(other))
-        self.assertEqual((done.returncode, done.stderr), (0, ""))
+        completed = control("put", "key", str(self.value), "--admin", plane.admin(other))
+        self.assertEqual((completed.returncode, completed.stderr), (0, ""))
 
-    def test_without_a_majority_a_write_is_refused_or_unknown_and_says_so(self):
+    def test_without_a_majority_a_write_is_rejected_or_unknown(self):
         plane = self.plane()
-        left = plane.leader()
-        for name in [name for name in plane.replicas if name != left]:
+        survivor = plane.leader()
+        for name in [name for name in plane.replicas if name != survivor]:
             plane.kill(name)
         put = ("put", "key", str(self.value))
-        done = control(*put, "--within", "3", "--admin", plane.admin(left))
-        self.assertIn(done.returncode, (1, 3))
-        self.assertRegex(done.stderr, "^key: (refused, nothing is written|unknown whether it is written): ")
-        status = control("status", "--admin", plane.admin(left)).stdout
+        completed = control(*put, "--within", "3", "--admin", plane.admin(survivor))
+        self.assertIn(completed.returncode, (1, 3))
+        self.assertRegex(
+            completed.stderr, "^key: (refused, nothing is written|unknown whether it is written): "
+        )
+        status = control("status", "--admin", plane.admin(survivor)).stdout
         self.assertRegex(status, "NO LEADER KNOWN|WITHOUT A MAJORITY")
-        self.assertEqual(plane.ask(left, "/ready")[0], 503)
+        self.assertEqual(plane.ask(survivor, "/ready")[0], 503)
 
-    def test_a_replica_ends_on_sigterm_and_goes_on_with_what_it_kept(self):
+    def test_a_replica_stops_on_sigterm_and_restarts_from_its_state(self):
         plane = self.plane(replicas=1, controllers=1)
-        done = control("put", "key", str(self.value), "--admin", plane.admin("k1"))
-        self.assertEqual(done.returncode, 0, done.stderr)
+        completed = control("put", "key", str(self.value), "--admin", plane.admin("k1"))
+        self.assertEqual(completed.returncode, 0, completed.stderr)
         plane.wait(lambda: plane.ask("c1", "/control/key?key=key")[0] == 200, "in force at the controller")
         program = plane.running.pop("k1")
         program.ask_to_end()
         self.assertEqual(program.ended(), 0)
         plane.up("k1")
         plane.wait(plane.leader, "it leads again")
-        done = control("get", "key", "--admin", plane.admin("k1"))
-        self.assertEqual((done.returncode, done.stdout), (0, "1"))
+        completed = control("get", "key", "--admin", plane.admin("k1"))
+        self.assertEqual((completed.returncode, completed.stdout), (0, "1"))
 
 
-class Off(unittest.TestCase):
-    def test_without_control_nothing_of_it_is_imported(self):
+class WithoutControl(unittest.TestCase):
+    def test_without_control_its_modules_are_not_imported(self):
         for modules in (
             "embertray.cli.main, embertray.service.daemon.service, embertray.service.admin.http",
             "embertray.platform.run.service",
@@ -245,8 +250,8 @@
                 f"import sys; import {modules}; print([name for name in sys.modules "
                 "if name.startswith(('embertray.cluster.replication', 'embertray.service.daemon.control'))])"
             )
-            done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT)
-            self.assertEqual((done.stdout, done.stderr), ("[]\n", ""))
+            completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT)
+            self.assertEqual((completed.stdout, completed.stderr), ("[]\n", ""))
 
     def test_a_controller_of_a_site_without_control_has_none(self):
         folder = tempfile.TemporaryDirectory()
