--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -1,4 +1,4 @@
-"""`embertray control` against true processes: three replicas and a controller that follows them."""
+"""`embertray control` against real processes: three replicas and a controller that follows them."""
 
 import json
 import subprocess
@@ -18,13 +18,13 @@
 
 
 def embertray(*arguments):
-    """A command as a process, run to its end."""
+    """Runs a command as a process and returns the CompletedProcess."""
     command = [sys.executable, "-m", "embertray", *arguments]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
 
 
 def control(*arguments):
-    """A command of `embertray control` in this process: the same but for the interpreter's start."""
+    """Runs a command of `embertray control` in this process, which saves the start of an interpreter."""
     completed = CliRunner().invoke(control_commands, arguments)
     return subprocess.CompletedProcess(arguments, completed.exit_code, completed.stdout, completed.stderr)
 
@@ -44,7 +44,7 @@
         return control(*arguments, "--admin", self.plane.admin(at))
 
     def put(self, key, text, *more, at="k1"):
-        """The revision at which it is committed."""
+        """Writes a value and returns the revision at which it is committed."""
         path = self.folder / "value"
         path.write_text(text)
         completed = self.control("put", key, str(path), *more, at=at)
@@ -189,7 +189,7 @@
 
 
 class StoppedProcesses(unittest.TestCase):
-    """Cases that end processes, each with its own."""
+    """Tests that stop processes; each starts its own."""
 
     def plane(self, **more):
         folder = tempfile.TemporaryDirectory()
