--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -25,15 +25,15 @@
 from embertray.controller.stream.session import ProxySession
 from embertray.service.daemon import Service
 from embertray.service.site import load
-from embertray.service.site.schema import SITE_FOLDER as SITES
+from embertray.service.site.schema import SITE_FOLDER
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.memory_net import MemoryNet
 from embertray.simulation.standins.scheduler import Agenda
 from embertray.simulation.standins.virtual_time import START_S, VirtualClock, run
 
-HERE = Path(__file__).resolve().parent
-S = 10**9
+TESTS_FOLDER = Path(__file__).resolve().parent
+NS_PER_SECOND = 10**9
 
 
 class ScriptedProxy:
@@ -80,7 +80,7 @@
         await self.group.start(self.inventory.run, "127.0.0.1:0")
         for n in range(3):
             self.inventory.list(f"127.0.0.1:900{n}", "north")
-        site = load(SITES / "samples" / "pushed.xml").at(
+        site = load(SITE_FOLDER / "samples" / "pushed.xml").at(
             inventory=self.inventory.address, **self.site_changes
         )
         self.service = Service(
@@ -124,23 +124,23 @@
 
 
 def with_daemon(test, **site_changes):
-    def runs(self, *args):
+    def run_test(self, *args):
         async def main():
             async with RunningDaemon(**site_changes) as daemon:
                 await test(self, daemon, *args)
 
         run(main)
 
-    runs.__name__, runs.__doc__ = test.__name__, test.__doc__
-    return runs
+    run_test.__name__, run_test.__doc__ = test.__name__, test.__doc__
+    return run_test
 
 
-class Streams(unittest.TestCase):
+class ProxyStreamTests(unittest.TestCase):
     @with_daemon
     async def test_a_joined_proxy_is_bound_to_a_table_with_all_lines(self, daemon):
-        peer = await daemon.connect_proxy("p1")
-        self.assertEqual((await peer.receive_until(Welcome)).kinds, ["view", "post"])
-        orders = await peer.receive_until(Orders)
+        proxy = await daemon.connect_proxy("p1")
+        self.assertEqual((await proxy.receive_until(Welcome)).kinds, ["view", "post"])
+        orders = await proxy.receive_until(Orders)
         self.assertEqual([type(do) for do in orders.do], [Bind])
         self.assertEqual(len(orders.do[0].lines), 3)
 
@@ -156,8 +156,8 @@
 
     @with_daemon
     async def test_each_protocol_error_gets_one_fault_and_other_streams_go_on(self, daemon):
-        good = await daemon.connect_proxy("good")
-        await good.receive_until(Orders)
+        good_proxy = await daemon.connect_proxy("good")
+        await good_proxy.receive_until(Orders)
         for data, code in (
             (b"\xff\xff\xff\xff", "oversized"),
             (b"\0\0\0\0", "empty"),
@@ -173,70 +173,70 @@
                     await stream.send(data)
                 if code is None:
                     await stream.send_eof()
-                end = ProxySession("x", "z", 0, True)
-                found = []
+                client_session = ProxySession("x", "z", 0, True)
+                replies = []
                 try:
                     while data_in := await stream.receive():
-                        found += end.receive(data_in)
+                        replies += client_session.receive(data_in)
                 except (anyio.EndOfStream, ProtocolError):
                     pass
-                self.assertEqual([type(m) for m in found], [Fault])
-                self.assertEqual(found[0].code, code or "cut")
+                self.assertEqual([type(m) for m in replies], [Fault])
+                self.assertEqual(replies[0].code, code or "cut")
         daemon.inventory.list("127.0.0.1:9000", "north", "draining")
-        self.assertIsNotNone(await good.receive_until(Orders))
+        self.assertIsNotNone(await good_proxy.receive_until(Orders))
         self.assertEqual(len(daemon.service.streams), 1)
 
     @with_daemon
     async def test_an_acknowledgement_of_no_open_nonce_ends_that_stream(self, daemon):
-        peer = await daemon.connect_proxy("p1")
-        orders = await peer.receive_until(Orders)
-        await peer.stream.send(peer.session.pack(Acknowledgement(orders.nonce)))
-        self.assertEqual((await peer.receive_until(Fault)).code, "order")
+        proxy = await daemon.connect_proxy("p1")
+        orders = await proxy.receive_until(Orders)
+        await proxy.stream.send(proxy.session.pack(Acknowledgement(orders.nonce)))
+        self.assertEqual((await proxy.receive_until(Fault)).code, "order")
 
     @with_daemon
     async def test_a_nonce_of_a_former_stream_can_not_be_acknowledged(self, daemon):
-        peer = await daemon.connect_proxy("p1")
-        orders = await peer.receive_until(Orders, acknowledge=False)
-        await peer.stream.aclose()
-        again = await daemon.connect_proxy("p1")
-        await again.receive_until(Orders, acknowledge=False)
-        await again.stream.send(again.session.pack(Acknowledgement(orders.nonce)))
-        self.assertEqual((await again.receive_until(Fault, acknowledge=False)).code, "order")
+        proxy = await daemon.connect_proxy("p1")
+        orders = await proxy.receive_until(Orders, acknowledge=False)
+        await proxy.stream.aclose()
+        second_stream = await daemon.connect_proxy("p1")
+        await second_stream.receive_until(Orders, acknowledge=False)
+        await second_stream.stream.send(second_stream.session.pack(Acknowledgement(orders.nonce)))
+        self.assertEqual((await second_stream.receive_until(Fault, acknowledge=False)).code, "order")
 
     @with_daemon
     async def test_a_proxy_that_never_reads_is_cut_and_rejected_for_a_while(self, daemon):
-        quick, slow = await daemon.connect_proxy("quick"), await daemon.connect_proxy("slow")
-        await quick.receive_until(Orders)
+        fast_proxy, slow_proxy = await daemon.connect_proxy("quick"), await daemon.connect_proxy("slow")
+        await fast_proxy.receive_until(Orders)
         stream = daemon.service.streams["slow"]
         stream.conn.stream.peer.buffered = (
             1 << 20
         )  # the socket's buffers are full and the proxy does not read
         for n in range(5):
             daemon.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START_S * 1e9))
-            self.assertIsNotNone(await quick.receive_until(Orders))
+            self.assertIsNotNone(await fast_proxy.receive_until(Orders))
             await anyio.sleep(1.5)
         await anyio.sleep(UNSENT_AGE_MAX_NS / 1e9)
         self.assertEqual((daemon.service.counters.cuts, list(daemon.service.streams)), (1, ["quick"]))
-        self.assertIsNotNone(slow)
-        again = await daemon.connect_proxy("slow")
-        fault = await again.receive_until((Fault, Welcome))
+        self.assertIsNotNone(slow_proxy)
+        second_stream = await daemon.connect_proxy("slow")
+        fault = await second_stream.receive_until((Fault, Welcome))
         self.assertTrue(isinstance(fault, Welcome) or fault.code == "later" and fault.wait > 0)
 
     @partial(with_daemon, proxies=1000)
     async def test_a_thousand_proxies_that_dial_at_once_are_bound_within_the_channel_rate(self, daemon):
         began = daemon.clock.now()
-        peers = [await daemon.connect_proxy(f"p{n}") for n in range(1000)]
-        seen = []
+        joined_proxies = [await daemon.connect_proxy(f"p{n}") for n in range(1000)]
+        bind_times = []
 
-        async def bound(peer):
-            orders = await peer.receive_until(Orders)
-            seen.append((daemon.clock.now() - began, len(orders.do)))
+        async def await_bind(proxy):
+            orders = await proxy.receive_until(Orders)
+            bind_times.append((daemon.clock.now() - began, len(orders.do)))
 
         async with anyio.create_task_group() as group:
-            for peer in peers:
-                group.start_soon(bound, peer)
+            for proxy in joined_proxies:
+                group.start_soon(await_bind, proxy)
         cost = 1000 * (4 + 1 + 1 + 3)
-        self.assertLess(max(at for at, _ in seen) / S, 1.5 * cost / 1200)
+        self.assertLess(max(at for at, _ in bind_times) / NS_PER_SECOND, 1.5 * cost / 1200)
         self.assertLessEqual(daemon.service.core.pacer.lines_peak, daemon.service.site.pending_max)
 
     @with_daemon
@@ -244,7 +244,7 @@
         silent = await daemon.connect_proxy("silent")
         self.assertIsNone(await silent.receive_until(Fault, acknowledge=False))
         self.assertEqual(daemon.service.counters.cuts, 1)
-        self.assertTrue(60 < daemon.clock.now() / S - START_S < 80)
+        self.assertTrue(60 < daemon.clock.now() / NS_PER_SECOND - START_S < 80)
         self.assertEqual(
             (daemon.service.core.nonces.outstanding, daemon.service.core.identifiers.nonces), ({}, {})
         )
@@ -259,10 +259,10 @@
         )
     )
     def test_random_bytes_on_the_listener_leave_no_handshake_and_no_internal_fault(self, pieces):
-        self.noise(pieces)
+        self.send_pieces(pieces)
 
     @with_daemon
-    async def noise(self, daemon, pieces):
+    async def send_pieces(self, daemon, pieces):
         stream = await daemon.dial()
         try:
             for piece in pieces:
@@ -272,18 +272,18 @@
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         await anyio.sleep(6)
-        good = await daemon.connect_proxy("good")
-        self.assertIsNotNone(await good.receive_until(Orders))
+        good_proxy = await daemon.connect_proxy("good")
+        self.assertIsNotNone(await good_proxy.receive_until(Orders))
         self.assertEqual(
             (daemon.service.admission.handshakes, daemon.service.faults.get("internal", 0)), (0, 0)
         )
 
 
-class Operators(unittest.TestCase):
+class OperatorPages(unittest.TestCase):
     @with_daemon
     async def test_pages_answer_with_their_status(self, daemon):
-        peer = await daemon.connect_proxy("p1")
-        await peer.receive_until(Orders)
+        proxy = await daemon.connect_proxy("p1")
+        await proxy.receive_until(Orders)
         self.assertEqual(await daemon.request("GET", "/ready"), (200, "ready: discovery has spoken\n"))
         self.assertIn("embertray_proxies 1\n", (await daemon.request("GET", "/metrics"))[1])
         tables = json.loads((await daemon.request("GET", "/tables"))[1])
@@ -302,24 +302,31 @@
 
     @with_daemon
     async def test_a_graceful_shutdown_closes_streams_step_by_step_and_rejects_joins(self, daemon):
-        peers = [await daemon.connect_proxy(f"p{n}") for n in range(5)]
-        for peer in peers:
-            await peer.receive_until(Orders)
+        joined_proxies = [await daemon.connect_proxy(f"p{n}") for n in range(5)]
+        for proxy in joined_proxies:
+            await proxy.receive_until(Orders)
         self.assertEqual((await daemon.request("POST", "/drain"))[0], 202)
-        self.assertEqual({(await peer.receive_until(Fault)).code for peer in peers}, {"draining"})
+        self.assertEqual({(await proxy.receive_until(Fault)).code for proxy in joined_proxies}, {"draining"})
         self.assertEqual((await daemon.request("GET", "/ready"))[0], 503)
         rejected = await (await daemon.connect_proxy("late")).receive_until(Fault)
         self.assertEqual(rejected.code, "draining")
         self.assertGreater(rejected.wait, 0)
 
 
-class Process(unittest.TestCase):
+class DaemonProcess(unittest.TestCase):
     """The daemon as a process."""
 
     def test_only_loopback_addresses_are_accepted(self):
-        for bad in ("10.0.0.1:1", "0.0.0.0:1", "example.org:1", "127.0.0.1", "127.0.0.1:70000", ":1"):
+        for invalid_address in (
+            "10.0.0.1:1",
+            "0.0.0.0:1",
+            "example.org:1",
+            "127.0.0.1",
+            "127.0.0.1:70000",
+            ":1",
+        ):
             with self.assertRaises(AddressError):
-                parse_loopback(bad)
+                parse_loopback(invalid_address)
         self.assertEqual(parse_loopback("[::1]:5"), ("::1", 5))
 
         async def main():
@@ -331,16 +338,21 @@
     def test_a_start_without_inventory_serves_from_the_snapshot_and_stops_on_sigterm(self):
         with tempfile.TemporaryDirectory() as folder:
             folder = Path(folder)
-            kept = DurableSnapshots(folder / "list")
-            kept.open()
-            wall, boot, mono = kept.clock_reading()
-            kept.save(
+            snapshot_store = DurableSnapshots(folder / "list")
+            snapshot_store.open()
+            wall, boot, mono = snapshot_store.clock_reading()
+            snapshot_store.save(
                 Snapshot(
-                    4, 5 * S, wall, boot, mono, [SnapshotEntry("127.0.0.1:9000", "north", "ready", 0, wall)]
+                    4,
+                    5 * NS_PER_SECOND,
+                    wall,
+                    boot,
+                    mono,
+                    [SnapshotEntry("127.0.0.1:9000", "north", "ready", 0, wall)],
                 )
             )
-            kept.close()
-            text = (SITES / "samples" / "pushed.xml").read_text()
+            snapshot_store.close()
+            text = (SITE_FOLDER / "samples" / "pushed.xml").read_text()
             for old, new in (
                 ("127.0.0.1:7001", "127.0.0.1:0"),
                 ("127.0.0.1:7011", "127.0.0.1:0"),
@@ -349,7 +361,7 @@
             ):
                 text = text.replace(old, new)
             (folder / "site.xml").write_text(text)
-            program = subprocess.Popen(
+            process = subprocess.Popen(
                 [
                     sys.executable,
                     "-m",
@@ -361,54 +373,54 @@
                 ],
                 stderr=subprocess.PIPE,
                 text=True,
-                cwd=HERE.parent,
+                cwd=TESTS_FOLDER.parent,
                 env={**os.environ},
             )
             try:
-                rows = iter(map(json.loads, program.stderr))
-                listen = next(row for row in rows if row["event"] == "listening")["listen"]
+                log_rows = iter(map(json.loads, process.stderr))
+                listen = next(row for row in log_rows if row["event"] == "listening")["listen"]
 
                 async def main():
                     with anyio.fail_after(20):
-                        peer = await ScriptedProxy(await TcpNet().dial(listen), "p1").hello()
-                        orders = await peer.receive_until(Orders)
+                        proxy = await ScriptedProxy(await TcpNet().dial(listen), "p1").hello()
+                        orders = await proxy.receive_until(Orders)
                         self.assertEqual(orders.do[0].lines[0][0], "127.0.0.1:9000")
-                        program.send_signal(signal.SIGTERM)
-                        self.assertIsNone(await peer.receive_until(Fault))
-                        await peer.stream.aclose()
+                        process.send_signal(signal.SIGTERM)
+                        self.assertIsNone(await proxy.receive_until(Fault))
+                        await proxy.stream.aclose()
 
                 anyio.run(main)
-                self.assertEqual(program.wait(10), 0)
-                self.assertIn("stopping", [row["event"] for row in rows])
+                self.assertEqual(process.wait(10), 0)
+                self.assertIn("stopping", [row["event"] for row in log_rows])
             finally:
-                program.kill()
-                program.wait()
-                program.stderr.close()
+                process.kill()
+                process.wait()
+                process.stderr.close()
 
 
 class FailedStarts(unittest.TestCase):
     def test_a_start_that_fails_leaves_neither_listener_nor_lock(self):
         """If the admin address is in use, the start fails and must release the listener and the lock."""
 
-        async def play(folder):
+        async def start_and_check(folder):
             net = TcpNet(parse_loopback)
-            taken = await net.listen("127.0.0.1:0")
-            free = await net.listen("127.0.0.1:0")
-            address = free.address
-            await free.aclose()
-            site = load(SITES / "samples" / "pushed.xml")
+            used_listener = await net.listen("127.0.0.1:0")
+            free_listener = await net.listen("127.0.0.1:0")
+            address = free_listener.address
+            await free_listener.aclose()
+            site = load(SITE_FOLDER / "samples" / "pushed.xml")
             me = site.controllers[0]
-            me = replace(me, listen=address, admin=taken.address)
+            me = replace(me, listen=address, admin=used_listener.address)
             store = DurableSnapshots(folder)
             service = Service(site, me, LoopClock(), net, store, 1, lambda: 0.5, quiet())
             with self.assertRaises(OSError):
                 await service.run()
             DurableSnapshots(folder).open()
             await (await net.listen(address)).aclose()
-            await taken.aclose()
+            await used_listener.aclose()
 
         with tempfile.TemporaryDirectory() as folder:
-            anyio.run(play, Path(folder))
+            anyio.run(start_and_check, Path(folder))
 
 
 if __name__ == "__main__":
