--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon over its streams: protocol errors, slow proxies, duplicate names, admin pages, signals."""
+"""The daemon: protocol errors, slow proxies, duplicate names, operators' pages, signals, failed starts."""
 
 import json
 import os
@@ -124,6 +124,8 @@
 
 
 def with_daemon(test, **site_changes):
+    """Makes a test of an async method that is called with a RunningDaemon, in virtual time."""
+
     def run_test(self, *args):
         async def main():
             async with RunningDaemon(**site_changes) as daemon:
@@ -208,9 +210,8 @@
         fast_proxy, slow_proxy = await daemon.connect_proxy("quick"), await daemon.connect_proxy("slow")
         await fast_proxy.receive_until(Orders)
         stream = daemon.service.streams["slow"]
-        stream.conn.stream.peer.buffered = (
-            1 << 20
-        )  # the socket's buffers are full and the proxy does not read
+        # the socket's buffers are full and the proxy does not read
+        stream.conn.stream.peer.buffered = 1 << 20
         for n in range(5):
             daemon.inventory.list(f"127.0.0.1:91{n}0", "north", "ready", int(START_S * 1e9))
             self.assertIsNotNone(await fast_proxy.receive_until(Orders))
@@ -314,7 +315,7 @@
 
 
 class DaemonProcess(unittest.TestCase):
-    """The daemon as a process."""
+    """The daemon as a process with real sockets."""
 
     def test_only_loopback_addresses_are_accepted(self):
         for invalid_address in (
