--- a/embertray/platform/protocol/endpoint_list.py
+++ b/embertray/platform/protocol/endpoint_list.py
@@ -63,7 +63,7 @@
         path = WATCH_PATH % (self.revision, WATCH_HOLD_NS // NS_PER_MS)
         return ListRequest(path, WATCH_HOLD_NS + LIST_FIRST_BYTE_TIMEOUT_NS)
 
-    def on_address_change(self):
+    def request_whole_list(self):
         """Request the complete list next, because the address of discovery has changed.
 
         Revisions belong to the list, not to an address, so a lagging agent at the new address can't revert
--- a/embertray/platform/run/list_connection.py
+++ b/embertray/platform/run/list_connection.py
@@ -36,7 +36,7 @@
 
     def on_address_change(self):
         """Cancel the current request and request the complete list from the new address of discovery."""
-        self.list_watch.on_address_change()
+        self.list_watch.request_whole_list()
         if self.scope:
             self.scope.cancel()
 
@@ -59,7 +59,7 @@
             await anyio.sleep(self.list_watch.on_failure() / NS_PER_S)
         except Exception:
             # an internal error while handling a list may have lost a part of it: request the complete list
-            self.list_watch.on_address_change()
+            self.list_watch.request_whole_list()
             raise
         finally:
             if connection:
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -46,7 +46,7 @@
         for now in (S, 20 * S):  # the monotonic clock may start near zero
             watch = EndpointListWatch()
             watch.on_answer(now, 200, self.body(43, True, endpoint_fields("be-1", phase="draining")))
-            watch.on_address_change()
+            watch.request_whole_list()
             self.assertEqual(watch.next_request(now)[0], "/catalog/members")
             self.assertIsNone(watch.on_answer(now, 200, self.body(42, True, endpoint_fields("be-1"))))
             self.assertEqual(
@@ -59,7 +59,7 @@
                 "whole",
             )
             self.assertEqual(watch.next_request(now)[0], "/catalog/members?from=43&hold_ms=2000")
-            watch.on_address_change()
+            watch.request_whole_list()
             self.assertIsNone(watch.on_answer(now + S, 200, self.body(1, True)))
             self.assertEqual(
                 watch.on_answer(now + S + limits.STALE_LIST_MAX_NS, 200, self.body(1, True))[0], "whole"
@@ -132,7 +132,7 @@
                 members = dict(discovery.members)
                 for listed in ({}, members):
                     discovery.members, discovery.revision = listed, discovery.revision + 1
-                    service.controller.list_watch.on_address_change()  # requests the complete list
+                    service.controller.list_watch.request_whole_list()  # requests the complete list
                     for stream in list(discovery.connections):
                         await anyio.aclose_forcefully(stream)
                     await relay.wait_until(lambda: set(relay.lines(1)) == set(listed))
@@ -160,7 +160,7 @@
                 discovery.serve = serve_slowly
                 for stream in list(discovery.connections):
                     await anyio.aclose_forcefully(stream)
-                service.controller.list_watch.on_address_change()
+                service.controller.list_watch.request_whole_list()
                 relay.attach(1, "north")
                 await relay.wait_until(lambda: set(relay.lines(1)) == {"be-9"})
 
