--- a/embertray/common/memory/account.py
+++ b/embertray/common/memory/account.py
@@ -57,7 +57,8 @@
 
         Args:
             collections: The Collections of the purpose.
-            measure: Whether to measure again the bytes per entry.
+            measure: Whether to measure the bytes per entry of all of them again; a collection without a
+                measurement is always measured once it has entries.
         """
         entries = 0
         total = 0.0
--- a/embertray/common/memory/caps.py
+++ b/embertray/common/memory/caps.py
@@ -37,9 +37,8 @@
         "probes": PROBES_IN_FLIGHT_MAX * KIB,
     }
     if site.cluster:
-        sizes["cluster"] = (
-            _cluster_bytes(site) // FLEET_HEADROOM
-        )  # the cluster's own limit is exact: no headroom
+        # the cluster's own limit is exact: the division cancels the headroom added below
+        sizes["cluster"] = _cluster_bytes(site) // FLEET_HEADROOM
     return {purpose: max(CAP_BYTES_MIN, FLEET_HEADROOM * size) for purpose, size in sizes.items()}
 
 
--- a/embertray/platform/protocol/endpoint_list.py
+++ b/embertray/platform/protocol/endpoint_list.py
@@ -64,7 +64,7 @@
         return ListRequest(path, WATCH_HOLD_NS + LIST_FIRST_BYTE_TIMEOUT_NS)
 
     def request_whole_list(self):
-        """Request the complete list next, because the address of discovery has changed.
+        """Make the next request ask for the complete list, such as after a change of discovery's address.
 
         Revisions belong to the list, not to an address, so a lagging agent at the new address can't revert
         the cached list either.
--- a/embertray/platform/protocol/limits.py
+++ b/embertray/platform/protocol/limits.py
@@ -9,80 +9,81 @@
 
 # ---- the controller's listening address
 
-# after this time the protocol allows an unjoined connection to be closed
+# the protocol allows a connection that has not joined after this time to be closed
 JOIN_TIMEOUT_NS = 1000 * NS_PER_MS
-# for the peer to accept a reply, including the last one before the connection is closed
+# timeout for writing a reply, including the last one before the connection is closed
 REPLY_TIMEOUT_NS = 1000 * NS_PER_MS
-# input is discarded for this long, or this much of it, after the last reply: closing a socket with unread
-# bytes causes a reset
+# after the last reply, input is read and discarded up to these limits: closing a socket with unread bytes
+# causes a reset
 LINGER_TIMEOUT_NS = 200 * NS_PER_MS
 LINGER_MAX_BYTES = 256 << 10
-# accepted from a connection before it joins: its first line takes less than 200
+# maximum that a connection may send before it joins: its first line takes less than 200 bytes
 UNJOINED_MAX_BYTES = 16 << 10
-# defined by the protocol
+# maximum length of a line, defined by the protocol
 LINE_MAX_BYTES = 1 << 20
 # share of the file descriptors for unjoined connections; the rest is for collectors
 UNJOINED_SHARE = 0.5
 # file descriptors reserved for the relay, discovery and the process itself
 RESERVED_DESCRIPTORS = 48
-# minimum of descriptors for each kind of connection, even if the process has fewer
+# minimum number of connections of each kind, even if the process has fewer descriptors
 UNJOINED_MIN = 16
 COLLECTORS_MIN = 8
-# attempts or requests in one report: a hundred times the capacity of a zone per minute
+# maximum of attempts or requests in one report: a hundred times the capacity of a zone per minute
 COUNT_MAX = 10**6
-# milliseconds; longer than any mean latency or report interval
+# maximum time in a report: longer than any mean latency or report interval
 REPORT_TIME_MAX_MS = 600_000
-# value in a load report: larger than any queue length, utilization or latency in ms
+# maximum value in a load report: larger than any queue length, utilization or latency in ms
 LOAD_VALUE_MAX = 10**6
 NAME_MAX_CHARACTERS = 256
 
 # ---- the relay's calls
 
-# orders in one call, defined by the protocol
+# maximum size of the orders in one call, defined by the protocol
 ORDERS_MAX_BYTES = 60_000
-# of those, reserved for the acknowledgement request
+# part of ORDERS_MAX_BYTES that is reserved for the acknowledgement request
 ACKNOWLEDGEMENT_REQUEST_MAX_BYTES = 64
-# connections within the same network are established faster or not at all
+# timeout for connecting: connections within the same network are established faster or not at all
 CONNECT_TIMEOUT_NS = 300 * NS_PER_MS
-# for a request to be sent: a call has at most 100 kB and stays within the same network
+# timeout for sending a request: a call has at most 100 kB and stays within the same network
 SEND_TIMEOUT_NS = 400 * NS_PER_MS
-# the relay answers within 50 ms or not at all; the rest allows for a process without CPU time
+# timeout for an answer: the relay answers within 50 ms or not at all; the rest allows for a process without
+# CPU time
 ANSWER_TIMEOUT_NS = 400 * NS_PER_MS
 # added to the maximum push delay when waiting for the acknowledgement of an unanswered call
 ACKNOWLEDGEMENT_WAIT_NS = 150 * NS_PER_MS
-# before a rejected call or a failed list request is repeated; doubles from first to max
+# delay before a rejected call or a failed list request is repeated; doubles from first to max
 BACKOFF_FIRST_NS = 20 * NS_PER_MS
 BACKOFF_MAX_NS = 250 * NS_PER_MS
-# doublings after which a backoff has reached its maximum
+# maximum number of doublings: a backoff has reached its maximum by then
 BACKOFF_DOUBLINGS_MAX = 6
 # retries of a call after an error code that the protocol does not define
 REJECTED_RETRIES_MAX = 5
-# of an order in a log message: valid orders have less than 100
+# an order is truncated to this length in a log message: valid orders have less than 100 characters
 LOGGED_ORDER_MAX_CHARACTERS = 200
-# of an order count: one call has less than 60,000 orders
+# maximum length of the order count in an answer: one call has less than 60,000 orders
 ORDER_COUNT_MAX_DIGITS = 9
 ERROR_CODE_MAX_CHARACTERS = 63
-# of an answer: valid answers have less than 200
+# maximum size of an answer: valid answers have less than 200 bytes
 ANSWER_MAX_BYTES = 64 << 10
 
 # ---- the relay's event stream
 
-# redundant connections: no event is lost if one of them breaks
+# number of redundant connections: no event is lost if one of them breaks
 EVENT_STREAMS = 2
-# from the first bytes of a connection until all currently joined proxies have been reported
+# time from the first bytes of a connection until all currently joined proxies have been reported
 SYNC_TIME_NS = 300 * NS_PER_MS
-# without a byte: two keep-alives have been missed, plus a margin
+# a connection without data for this long is closed: two keep-alives have been missed, plus a margin
 SILENCE_MAX_NS = 2500 * NS_PER_MS
-# without a byte while another connection delivers data: one keep-alive has been missed
+# the same while another connection delivers data: one keep-alive has been missed
 SILENCE_MAX_BESIDE_OTHER_NS = 1300 * NS_PER_MS
-# of one event: valid events have less than 200
+# maximum size of one event: valid events have less than 200 bytes
 EVENT_MAX_BYTES = 64 << 10
-# by which the times of a proxy's join may differ between two connections
+# maximum difference between the times at which two connections report the same join of a proxy
 JOIN_TIME_TOLERANCE_NS = 300 * NS_PER_MS
-# between checks of a silent connection: well below the shortest time above
+# interval between checks of a silent connection: well below the shortest time above
 SILENCE_CHECK_PERIOD_NS = 100 * NS_PER_MS
-# before reconnecting; doubles from first to max. The maximum is short: the relay has few such connections,
-# and the controller depends on the events
+# delay before reconnecting; doubles from first to max. The maximum is short: the relay has few such
+# connections, and the controller depends on the events
 RECONNECT_FIRST_NS = 100 * NS_PER_MS
 RECONNECT_MAX_NS = 500 * NS_PER_MS
 # a connection that lasted this long counts as stable and resets the reconnect backoff
@@ -90,31 +91,34 @@
 
 # ---- discovery
 
-# before the next request after immediate answers without changes; doubles from BACKOFF_FIRST_NS. A watch has
-# to be renewed within 200 ms
+# maximum delay before the next request after immediate answers without changes; doubles from
+# BACKOFF_FIRST_NS. A watch has to be renewed within 200 ms
 UNCHANGED_BACKOFF_MAX_NS = 150 * NS_PER_MS
-# for which a watch may be held open; an agent that stopped answering is detected this much later
+# time for which a watch may be held open; an agent that stopped answering is detected this much later
 WATCH_HOLD_NS = 2000 * NS_PER_MS
 # an answer without changes that arrives sooner counts as immediate
 IMMEDIATE_ANSWER_NS = WATCH_HOLD_NS // 2
-# added to the hold time for the first byte of an answer: it comes from the same machine
+# timeout for the first byte of an answer, added to the hold time: the answer comes from the same machine
 LIST_FIRST_BYTE_TIMEOUT_NS = 700 * NS_PER_MS
-# from the first byte to the end of an answer: a slow connection may delay a list by this much after the hold
+# timeout from the first byte to the end of an answer: a slow connection may delay a list by this much after
+# the hold
 LIST_TRANSFER_TIMEOUT_NS = 2000 * NS_PER_MS
-# of an answer: sufficient for 40,000 backends
+# maximum size of an answer: sufficient for 40,000 backends
 LIST_MAX_BYTES = 8 << 20
-# for which lists older than the cached one are ignored; after that, discovery has restarted its revisions
+# time for which lists older than the cached one are ignored; if they are still older after it, discovery has
+# restarted its revisions
 STALE_LIST_MAX_NS = 10 * NS_PER_S
-# consecutive failures that are logged, so that an outage is not logged every 2 s
+# number of consecutive failures that are logged, so that an outage is not logged every 2 s
 LIST_FAILURES_LOGGED = 3
 
 # ---- the process
 
-# before a task that failed with an internal error is restarted: avoids a busy loop if it fails again at once
+# delay before a task that failed with an internal error is restarted: avoids a busy loop if it fails again
+# at once
 FAULT_BACKOFF_NS = 500 * NS_PER_MS
-# between steps: events that arrive together are handled in one step
+# minimum interval between steps: events that arrive together are handled in one step
 STEP_INTERVAL_NS = 4 * NS_PER_MS
-# pending events while no call succeeds: over a minute of reports; older reports have no value
+# maximum of pending events while no call succeeds: over a minute of reports; older reports have no value
 PENDING_EVENTS_MAX = 8000
-# between removals of unused identifiers: the same period as the module's own cleanup
+# interval between removals of unused identifiers: the same as that of the module's own cleanup
 CLEANUP_PERIOD_NS = 10 * NS_PER_S
--- a/embertray/platform/protocol/order_caller.py
+++ b/embertray/platform/protocol/order_caller.py
@@ -67,9 +67,8 @@
         part = []
         size = 0
         for order in orders:
-            order_size = (
-                len(order.encode()) + 1
-            )  # the relay's limit is in bytes: names may contain multi-byte characters
+            # encoded: the relay's limit is in bytes, and names may contain multi-byte characters
+            order_size = len(order.encode()) + 1
             if part and size + order_size > ORDERS_MAX_BYTES - ACKNOWLEDGEMENT_REQUEST_MAX_BYTES:
                 self.queue.append(OrderCall(part))
                 part = []
@@ -206,7 +205,7 @@
         return why
 
     def schedule_retry(self, now):
-        """Send the call in flight again after a backoff."""
+        """Schedule the call in flight to be sent again after a backoff."""
         doublings = min(self.failures, BACKOFF_DOUBLINGS_MAX)
         self.next_call_at = now + min(BACKOFF_MAX_NS, BACKOFF_FIRST_NS << doublings)
         self.failures += 1
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -132,7 +132,7 @@
                 members = dict(discovery.members)
                 for listed in ({}, members):
                     discovery.members, discovery.revision = listed, discovery.revision + 1
-                    service.controller.list_watch.request_whole_list()  # requests the complete list
+                    service.controller.list_watch.request_whole_list()
                     for stream in list(discovery.connections):
                         await anyio.aclose_forcefully(stream)
                     await relay.wait_until(lambda: set(relay.lines(1)) == set(listed))
