--- a/embertray/platform/run/relay_connections.py
+++ b/embertray/platform/run/relay_connections.py
@@ -19,7 +19,10 @@
 
 
 def should_log_failure(failures):
-    """Whether to log a failure, by the number of consecutive failures: at 0, 1, 2, 4, 8 and so on."""
+    """Whether to log a failure, by the number of consecutive failures: at 0, 1, 2, 4, 8 and so on.
+
+    A long outage is thus logged less and less often.
+    """
     return not failures & (failures - 1)
 
 
@@ -44,8 +47,8 @@
     def on_address_change(self):
         """Move event streams to the relay's new address.
 
-        All streams but the leader reconnect now. The leader is closed by the old relay, when another stream
-        can take over.
+        All streams but the leader reconnect now. The leader stays connected until the old relay closes it; by
+        then another stream can take over.
         """
         leader = self.controller.proxies.leader
         for name in [name for name in self.stream_scopes if name is not leader]:
