--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -67,7 +67,7 @@
             f"  {name:12} {verdict}, checked {claims.checks[name]} times"
             + "".join(f"\n    {text}" for text in claims.broken[name][:3])
         )
-    probes, state = simulation.bytes()
+    probes, state = simulation.mean_traffic()
     click.echo(
         f"greatest age as a share of its bound {claims.worst:.2f}; bytes per second and member: probes "
         f"{probes:.0f}, state {state:.0f}"
--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -59,7 +59,7 @@
     simulation = Moments(
         notation.read(f"fleet controllers={members} cluster=yes period=1s\nload 1/s for 1s"),
         seed,
-        look=10_000 * S,
+        observation_period=10_000 * S,
     )
     names = list(simulation.links.members)
     simulation.engine.start(simulation.all_up(names))
@@ -72,7 +72,7 @@
         simulation.engine.time,
         (
             sum(simulation.membership.bytes_sent.values()),
-            sum(s.bytes for s in simulation.exchangers.values()),
+            sum(s.bytes_sent for s in simulation.exchangers.values()),
         ),
     )
     simulation.engine.run(began + CALM * S)
@@ -81,7 +81,7 @@
         for now, was in zip(
             (
                 sum(simulation.membership.bytes_sent.values()),
-                sum(s.bytes for s in simulation.exchangers.values()),
+                sum(s.bytes_sent for s in simulation.exchangers.values()),
             ),
             before,
             strict=False,
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -57,7 +57,7 @@
     def read(self):
         for name, meter in self.meters.items():
             address = self.addresses[name]
-            probes, state = self.membership.bytes_sent[address], self.exchangers[address].bytes
+            probes, state = self.membership.bytes_sent[address], self.exchangers[address].bytes_sent
             parts = {"probes": probes, "state": state}
             meter.read(
                 self.engine.time, Counters(probes + state, 0, self.membership.messages_sent[address], parts)
@@ -120,7 +120,7 @@
         seen_mean=sum(seen) / size,
         oldest=None if None in oldest else max(oldest),
         delays={mark: (len(delays), max(delays)) for mark, delays in members.delays.items()},
-        failures=sum(one.failed for one in members.exchangers.values()),
+        failures=sum(one.exchanges_failed for one in members.exchangers.values()),
         parts={
             name: sum(meter.part_rates()[name] for meter in meters) / size for name in ("probes", "state")
         },
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -61,19 +61,19 @@
         day,
         seed=1,
         members=None,
-        make=Membership,
-        exchange=AntiEntropyExchange,
-        store=EntryStore,
-        look=NS_PER_SECOND // 4,
+        membership_type=Membership,
+        exchange_type=AntiEntropyExchange,
+        store_type=EntryStore,
+        observation_period=NS_PER_SECOND // 4,
     ):
         names = [f"c{n + 1}" for n in range(members or int(day.fleet["controllers"]))]
         period = parse_duration(day.fleet["period"])
         self.day = day
         self.seed = seed
-        self.state_types = (exchange, store)
-        self.look_period = look
+        self.state_types = (exchange_type, store_type)
+        self.observation_period = observation_period
         self.links = Web(names, seed, OTHER_ENDS)
-        self.membership = MembershipSimulation(seed, MembershipConfig.for_period(period), make)
+        self.membership = MembershipSimulation(seed, MembershipConfig.for_period(period), membership_type)
         self.membership.links = WebLinks(random.Random(f"{seed} links"), self.links)
         self.engine = self.membership.engine
         self.exchangers = {}
@@ -191,7 +191,7 @@
             states = {member.name: member.state.label for member in core.members.values()}
             ages = {known.owner: known.age_ns for known in exchanger.store.latest_values(now, "facts")}
             self.claims.look(now, name, states, ages, core.cut_off(now))
-        self.engine.at(now + self.look_period, self._observe)
+        self.engine.at(now + self.observation_period, self._observe)
 
     def play(self):
         """Plays the day.
@@ -208,7 +208,7 @@
             self.engine.run(self.zero + self.day.lasts + SETTLE_NS)
         return self
 
-    def bytes(self):
+    def mean_traffic(self):
         """Mean traffic of a member since the day began.
 
         Returns:
@@ -217,5 +217,5 @@
         seconds = (self.engine.time - self.zero) / NS_PER_SECOND
         running = [exchanger for exchanger in self.exchangers.values() if exchanger is not None]
         membership = sum(self.membership.bytes_sent.values()) / seconds / len(self.links.members)
-        state = sum(exchanger.bytes for exchanger in running) / seconds / max(1, len(running))
+        state = sum(exchanger.bytes_sent for exchanger in running) / seconds / max(1, len(running))
         return membership, state
--- a/embertray/simulation/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -15,7 +15,7 @@
 STEPS_PER_PROBE_PERIOD = 20
 
 
-def timestamp_facts(now):
+def timestamp_as_facts(now):
     """Facts that say nothing but when they were written.
 
     Args:
@@ -49,7 +49,14 @@
     """
 
     def __init__(
-        self, process, others, links, seed, make=AntiEntropyExchange, store=EntryStore, facts=timestamp_facts
+        self,
+        process,
+        others,
+        links,
+        seed,
+        exchange_type=AntiEntropyExchange,
+        store_type=EntryStore,
+        facts=timestamp_as_facts,
     ):
         core = process.core
         self.engine = process.simulation.engine
@@ -58,17 +65,17 @@
         self.others = others
         self.links = links
         self.facts = facts
-        self.store = store(core.local.name, core.local.incarnation)
-        self.exchange = make(
+        self.store = store_type(core.local.name, core.local.incarnation)
+        self.exchange = exchange_type(
             self.store,
             random.Random(f"{seed} {core.local.name} {core.local.incarnation}"),
             now,
             core.config.probe_period,
         )
-        self.facts_at = now
-        self.bytes = 0
-        self.failed = 0
-        self.made = 0
+        self.next_facts_at = now
+        self.bytes_sent = 0
+        self.exchanges_failed = 0
+        self.exchanges_begun = 0
         self._number = 0  # of the exchange under way; what belongs to an older one is void
         self._step_period = core.config.probe_period // STEPS_PER_PROBE_PERIOD  # ns
         self.engine.at(now, self._step)
@@ -92,7 +99,7 @@
         addresses = self._peer_addresses() if now >= self.exchange.next_at else {}
         peer = self.exchange.next_peer(now, addresses)
         if peer is None:
-            due = min(self.exchange.next_at, self.facts_at)
+            due = min(self.exchange.next_at, self.next_facts_at)
             self.engine.at(max(now + self._step_period, due), self._step)
         else:
             self._begin(now, addresses[peer])
@@ -102,8 +109,8 @@
         self.store.expire(now, core.members.departed)
         if core.local.incarnation != self.store.incarnation:
             self.store.adopt_incarnation(core.local.incarnation)
-        if now >= self.facts_at:
-            self.facts_at = now + FACTS_PERIOD_NS
+        if now >= self.next_facts_at:
+            self.next_facts_at = now + FACTS_PERIOD_NS
             self.store.put(now, "facts", self.facts(now))
 
     def _peer_addresses(self):
@@ -113,7 +120,7 @@
 
     def _begin(self, now, address):
         self._number += 1
-        self.made += 1
+        self.exchanges_begun += 1
         number = self._number
         self.engine.at(now + EXCHANGE_TIMEOUT_NS, self._on_timeout, number)
 
@@ -127,14 +134,14 @@
             self._fail()
 
     def _fail(self):
-        self.failed += 1
+        self.exchanges_failed += 1
         self._finish()
 
     def _finish(self):
         self._number += 1
         self.engine.at(self.engine.time + self._step_period, self._step)
 
-    def _pass_message(self, number, address, outgoing, then):
+    def _pass_message(self, number, address, outgoing, on_arrival):
         """Passes one message of an exchange's stream on.
 
         A message waits on a silent link, or for a paused process, until the exchange times out.
@@ -154,10 +161,10 @@
         delay = None if self._is_stalled(peer) else self._stream_delay(address, outgoing)
         if delay is None:
             self.engine.at(
-                self.engine.time + POLL_PERIOD_NS, self._pass_message, number, address, outgoing, then
+                self.engine.time + POLL_PERIOD_NS, self._pass_message, number, address, outgoing, on_arrival
             )
         else:
-            self.engine.at(self.engine.time + delay, self._deliver, number, address, then)
+            self.engine.at(self.engine.time + delay, self._deliver, number, address, on_arrival)
 
     def _is_stalled(self, peer):
         return peer.process.paused or self.process.paused
@@ -168,15 +175,15 @@
             return self.links.stream_delay(here, address)
         return self.links.stream_delay(address, here)
 
-    def _deliver(self, number, address, then):
+    def _deliver(self, number, address, on_arrival):
         """Hands a message over; either process may have been paused or killed since it was sent."""
         peer = self.others().get(address)
         if number != self._number or not self.running or peer is None or not peer.running:
             return
         if self._is_stalled(peer):
-            self.engine.at(self.engine.time + POLL_PERIOD_NS, self._deliver, number, address, then)
+            self.engine.at(self.engine.time + POLL_PERIOD_NS, self._deliver, number, address, on_arrival)
         else:
-            then()
+            on_arrival()
 
     def count(self, message):
         """Counts a message's bytes.
@@ -187,7 +194,7 @@
         Returns:
             The message.
         """
-        self.bytes += len(encode_state_message(message)) + PREFIX.size
+        self.bytes_sent += len(encode_state_message(message)) + PREFIX.size
         return message
 
     def send_offer(self, number, address):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -72,17 +72,17 @@
     def test_the_same_seed_is_the_same_run(self):
         one, two = (ClusterSimulation(notation.load("wounds"), 3).play() for _ in range(2))
         self.assertEqual(
-            (one.claims.checks, one.claims.worst, one.bytes()),
-            (two.claims.checks, two.claims.worst, two.bytes()),
+            (one.claims.checks, one.claims.worst, one.mean_traffic()),
+            (two.claims.checks, two.claims.worst, two.mean_traffic()),
         )
 
 
 class Sabotaged(unittest.TestCase):
-    def simulation(self, **makes):
-        return ClusterSimulation(notation.read(SPLIT), **makes)
+    def simulation(self, **types):
+        return ClusterSimulation(notation.read(SPLIT), **types)
 
     def test_member_that_never_suspects_breaks_seen(self):
-        self.assertIn("seen", broken_claims(self.simulation(make=NeverSuspects)))
+        self.assertIn("seen", broken_claims(self.simulation(membership_type=NeverSuspects)))
 
     def test_member_that_accepts_reported_deaths_declares_its_own_side_dead(self):
         """Guards against deaths on a member's own side when a partition ends and the other side's statements
@@ -90,25 +90,25 @@
         """
         sides = ({"c1", "c2", "c3"}, {"c4", "c5"})
 
-        def deaths_on_own_side(**makes):
-            notes = self.simulation(**makes).play().membership.changes
+        def deaths_on_own_side(**types):
+            changes = self.simulation(**types).play().membership.changes
             return [
                 (who, change.name)
-                for _, who, change in notes
+                for _, who, change in changes
                 if change.state == DEAD and any({who, change.name} <= side for side in sides)
             ]
 
         self.assertEqual(deaths_on_own_side(), [])
-        self.assertGreater(len(deaths_on_own_side(make=AcceptsReportedDeaths)), 0)
+        self.assertGreater(len(deaths_on_own_side(membership_type=AcceptsReportedDeaths)), 0)
 
     def test_member_that_is_never_cut_off_breaks_alone(self):
-        self.assertEqual(broken_claims(self.simulation(make=NeverCutOff)), {"alone"})
+        self.assertEqual(broken_claims(self.simulation(membership_type=NeverCutOff)), {"alone"})
 
     def test_exchange_that_drops_entries_breaks_fresh(self):
-        self.assertIn("fresh", broken_claims(self.simulation(exchange=DropsDeltaEntries)))
+        self.assertIn("fresh", broken_claims(self.simulation(exchange_type=DropsDeltaEntries)))
 
     def test_store_that_reports_zero_ages_breaks_young(self):
-        self.assertIn("young", broken_claims(self.simulation(store=ReportsZeroAge)))
+        self.assertIn("young", broken_claims(self.simulation(store_type=ReportsZeroAge)))
 
 
 class Processes(unittest.TestCase):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -191,12 +191,12 @@
             1,
             facts=lambda _: b"f" * 60,
         )
-        exchanger.facts_at, exchanger.exchange.next_at = 10 * START_NS, 10 * START_NS
+        exchanger.next_facts_at, exchanger.exchange.next_at = 10 * START_NS, 10 * START_NS
         filled(exchanger.store, START_NS, owners)
     simulation.run(0)
     exchangers["a"].send_offer(0, "b")
     simulation.run(0)
-    return exchangers["a"].bytes, exchangers["b"].bytes
+    return exchangers["a"].bytes_sent, exchangers["b"].bytes_sent
 
 
 async def linked_exchange():
