--- a/embertray/experiments/measure/control_day.py
+++ b/embertray/experiments/measure/control_day.py
@@ -43,22 +43,24 @@
 
 def summary(day):
     """The figures of a played ControlDay."""
-    play, claims = day.play, day.claims
-    seconds = day.plan.span / S
-    subscribers = list(play.subscribers.values())
+    simulation, claims = day.simulation, day.claims
+    seconds = day.plan.duration / S
+    subscribers = list(simulation.subscribers.values())
     return {
         "seconds": seconds,
-        "events": {**day.counts, "writes acknowledged": play.writer.acknowledged},
-        "writes_given_up": play.writer.given_up,
-        "in_force_s": shares_of(claims.while_reached),
-        "after_return_s": shares_of(claims.after_return),
+        "events": {**day.counts, "writes acknowledged": simulation.writer.acknowledged},
+        "writes_given_up": simulation.writer.given_up,
+        "in_force_s": shares_of(claims.delays_while_reachable),
+        "after_return_s": shares_of(claims.delays_after_return),
         "subscriber_bytes_a_second": {
             "mean": round(
                 sum(one.bytes_in + one.bytes_out for one in subscribers) / len(subscribers) / seconds
             ),
-            "worst 10 s": round(max(one.worst_window for one in subscribers) / 10),
+            "worst 10 s": round(max(one.max_window_bytes for one in subscribers) / 10),
         },
-        "replica_bytes_out_a_second": round(max(one.bytes_out for one in play.replicas.values()) / seconds),
+        "replica_bytes_out_a_second": round(
+            max(one.bytes_out for one in simulation.replicas.values()) / seconds
+        ),
         "held": dict(claims.checks),
         "broken": dict(claims.counts),
         "examples": [one.text for one in claims.broken[:5]],
--- a/embertray/simulation/emulator/control/__init__.py
+++ b/embertray/simulation/emulator/control/__init__.py
@@ -5,6 +5,6 @@
 """
 
 from .faults import draw_faults
-from .simulation import ControlPlay, Settings
+from .simulation import ControlPlaneSimulation, Settings
 
-__all__ = ["ControlPlay", "Settings", "draw_faults"]
+__all__ = ["ControlPlaneSimulation", "Settings", "draw_faults"]
--- a/embertray/simulation/emulator/control/day_simulation.py
+++ b/embertray/simulation/emulator/control/day_simulation.py
@@ -9,7 +9,7 @@
 from embertray.simulation.claims.control import ControlClaims
 from embertray.simulation.emulator.engine import NS_PER_SECOND
 
-from .simulation import ControlPlay, Settings
+from .simulation import ControlPlaneSimulation, Settings
 
 DAY_NS = 86_400 * NS_PER_SECOND
 # Time until a failed machine is replaced, and until a rack and a zone are back.
@@ -41,15 +41,15 @@
     machines_failing: int = 22
     restarts: int = 830
     racks: int = 1
-    rack: int = 24
+    rack_size: int = 24
     zones_lost: int = 1
     regions_apart: int = 1
-    apart: int = 300 * NS_PER_SECOND  # ns
+    partition_duration: int = 300 * NS_PER_SECOND  # ns
     compress: int = 24
     seed: int = 1
 
     @property
-    def span(self):
+    def duration(self):
         """The play's duration, ns."""
         return DAY_NS // self.compress
 
@@ -67,9 +67,9 @@
 
     def __init__(self):
         super().__init__()
-        self.reached_since = {}
-        self.while_reached = []
-        self.after_return = []
+        self.reachable_since = {}
+        self.delays_while_reachable = []
+        self.delays_after_return = []
 
     def applied(self, now, subscriber, entry):
         """Records that a subscriber applied a write.
@@ -83,11 +83,11 @@
         at = self._acknowledged_at(entry.revision)
         if at is None:
             return
-        since = self.reached_since.get(subscriber, 0)
+        since = self.reachable_since.get(subscriber, 0)
         if since <= at:
-            self.while_reached.append(now - at)
+            self.delays_while_reachable.append(now - at)
         else:
-            self.after_return.append(now - since)
+            self.delays_after_return.append(now - since)
 
     def out_of_reach(self, now, subscriber):
         """Records that a subscriber reaches no majority now.
@@ -97,10 +97,10 @@
             subscriber: Its name.
         """
         super().out_of_reach(now, subscriber)
-        self.reached_since[subscriber] = now
+        self.reachable_since[subscriber] = now
 
     def _acknowledged_at(self, revision):
-        position = bisect_right(self.acknowledged, revision - 1, key=lambda one: one.revision)
+        position = bisect_right(self.acknowledged, revision - 1, key=lambda write: write.revision)
         if position < len(self.acknowledged) and self.acknowledged[position].revision == revision:
             return self.acknowledged[position].at
         return None
@@ -128,18 +128,18 @@
             regions=plan.regions,
             keys=plan.keys,
             value=plan.value,
-            write_every=plan.span // plan.changes,
-            prefilled=plan.keys,
-            keep=True,
+            write_every=plan.duration // plan.changes,
+            initial_keys=plan.keys,
+            persistent=True,
         )
         self.claims = TimedClaims()
-        self.play = ControlPlay(settings, self.claims)
-        self.chance = self.play.draw("day")
-        self.machines = [*self.play.replicas.values(), *self.play.subscribers.values()]
+        self.simulation = ControlPlaneSimulation(settings, self.claims)
+        self.rng = self.simulation.random_for("day")
+        self.machines = [*self.simulation.replicas.values(), *self.simulation.subscribers.values()]
         self.counts = {}
-        self.apart = []
+        self.partitioned = []
 
-    def run(self, warm=WARM_UP_NS):
+    def run(self, warm_up=WARM_UP_NS):
         """Plays the whole day, and checks what has to hold after it.
 
         Args:
@@ -148,95 +148,99 @@
         Returns:
             The ControlDay itself.
         """
-        play = self.play
+        simulation = self.simulation
         plan = self.plan
-        play.start()
-        play.run(warm)
-        for one in play.subscribers.values():
-            one.bytes_in = one.bytes_out = one.worst_window = 0
-        self._plan_events(play.engine.time)
-        play.run(plan.span)
-        self._join_regions()
+        simulation.start()
+        simulation.run(warm_up)
+        for subscriber in simulation.subscribers.values():
+            subscriber.bytes_in = subscriber.bytes_out = subscriber.max_window_bytes = 0
+        self._plan_events(simulation.engine.time)
+        simulation.run(plan.duration)
+        self._heal_region()
         for machine in self.machines:
             self._up(machine)
-        play.settle()
+        simulation.settle()
         return self
 
     def _plan_events(self, start):
         plan = self.plan
-        self._spread(start, plan.machines_failing, "machine", self._fail_machine)
+        self._schedule_events(start, plan.machines_failing, "machine", self._fail_machine)
         batches = plan.restarts // BATCHED_RESTARTS // BATCH_SIZE
-        self._spread(start, plan.restarts - batches * BATCH_SIZE, "restart", self._restart_one)
-        self._spread(start, batches, "bunch of restarts", self._restart_batch)
-        self._spread(start, plan.racks, "rack", lambda: self._fail_together(plan.rack, RACK_DOWN_NS))
+        self._schedule_events(start, plan.restarts - batches * BATCH_SIZE, "restart", self._restart_one)
+        self._schedule_events(start, batches, "bunch of restarts", self._restart_batch)
+        self._schedule_events(
+            start, plan.racks, "rack", lambda: self._fail_together(plan.rack_size, RACK_DOWN_NS)
+        )
         zone = len(self.machines) // plan.zones
-        self._spread(start, plan.zones_lost, "zone", lambda: self._fail_together(zone, ZONE_DOWN_NS))
-        self._spread(start, plan.regions_apart, "region apart", self._part_region)
+        self._schedule_events(start, plan.zones_lost, "zone", lambda: self._fail_together(zone, ZONE_DOWN_NS))
+        self._schedule_events(start, plan.regions_apart, "region apart", self._partition_region)
 
-    def _spread(self, start, count, name, callback):
+    def _schedule_events(self, start, count, name, callback):
         self.counts[name] = count
-        engine = self.play.engine
+        engine = self.simulation.engine
         for _ in range(count):
-            engine.at(start + self.chance.randrange(self.plan.span), callback)
+            engine.at(start + self.rng.randrange(self.plan.duration), callback)
 
     # ---- events
 
     def _fail_machine(self):
-        self._down(self.chance.choice(self.machines), MACHINE_DOWN_NS, silent=True)
+        self._down(self.rng.choice(self.machines), MACHINE_DOWN_NS, silent=True)
 
     def _restart_one(self):
-        self._down(self.chance.choice(self.machines), self.chance.randint(*RESTART_DOWN_NS), silent=False)
+        self._down(self.rng.choice(self.machines), self.rng.randint(*RESTART_DOWN_NS), silent=False)
 
     def _restart_batch(self):
-        engine = self.play.engine
-        for machine in self.chance.sample(list(self.play.subscribers.values()), BATCH_SIZE):
-            when = engine.time + self.chance.randrange(BATCH_SPREAD_NS)
-            engine.at(when, self._down, machine, self.chance.randint(*RESTART_DOWN_NS), False)
+        engine = self.simulation.engine
+        for machine in self.rng.sample(list(self.simulation.subscribers.values()), BATCH_SIZE):
+            when = engine.time + self.rng.randrange(BATCH_SPREAD_NS)
+            engine.at(when, self._down, machine, self.rng.randint(*RESTART_DOWN_NS), False)
 
-    def _fail_together(self, count, lasts):
+    def _fail_together(self, count, duration):
         """Machines that stand together: neighbours in the order of their numbers in one region."""
-        first = self.chance.choice(list(self.play.subscribers.values()))
-        region = self.play.links.region
-        near = [one for one in self.machines if region[one.name] == region[first.name]]
-        begin = self.chance.randrange(max(1, len(near) - count))
+        first = self.rng.choice(list(self.simulation.subscribers.values()))
+        region = self.simulation.links.region
+        near = [machine for machine in self.machines if region[machine.name] == region[first.name]]
+        begin = self.rng.randrange(max(1, len(near) - count))
         for machine in near[begin : begin + count]:
-            self._down(machine, lasts, silent=True)
+            self._down(machine, duration, silent=True)
 
-    def _down(self, machine, lasts, silent):
+    def _down(self, machine, duration, silent):
         if not machine.alive:
             return
         machine.kill(silent)
-        self._changed(machine)
-        self.play.engine.at(self.play.engine.time + lasts, self._up, machine)
+        self._restart_bounds(machine)
+        self.simulation.engine.at(self.simulation.engine.time + duration, self._up, machine)
 
     def _up(self, machine):
         if not machine.alive:
             machine.start()
-            self._changed(machine)
+            self._restart_bounds(machine)
 
-    def _changed(self, machine):
+    def _restart_bounds(self, machine):
         """Bounds count anew for whom it concerns; a subscriber is back when it has started."""
-        if machine.name in self.play.subscribers:
-            self.play.change(machine.name)
-            self.claims.reached_since[machine.name] = self.play.engine.time
+        if machine.name in self.simulation.subscribers:
+            self.simulation.restart_bounds(machine.name)
+            self.claims.reachable_since[machine.name] = self.simulation.engine.time
         else:
-            self.play.change()
-
-    def _part_region(self):
-        region = self.play.links.region
-        chosen = self.chance.randrange(self.plan.regions)
-        self.apart = [name for name in region if region[name] == chosen]
-        self.play.links.split([name for name in region if region[name] != chosen], self.apart)
-        self.play.change()
-        self.play.engine.at(self.play.engine.time + self.plan.apart, self._join_regions)
-
-    def _join_regions(self):
-        apart = self.apart
-        self.apart = []
-        if not apart:
+            self.simulation.restart_bounds()
+
+    def _partition_region(self):
+        region = self.simulation.links.region
+        chosen = self.rng.randrange(self.plan.regions)
+        self.partitioned = [name for name in region if region[name] == chosen]
+        self.simulation.links.split([name for name in region if region[name] != chosen], self.partitioned)
+        self.simulation.restart_bounds()
+        self.simulation.engine.at(
+            self.simulation.engine.time + self.plan.partition_duration, self._heal_region
+        )
+
+    def _heal_region(self):
+        partitioned = self.partitioned
+        self.partitioned = []
+        if not partitioned:
             return
-        self.play.links.heal()
-        self.play.change()
-        for name in apart:
-            if name in self.play.subscribers:
-                self.claims.reached_since[name] = self.play.engine.time
+        self.simulation.links.heal()
+        self.simulation.restart_bounds()
+        for name in partitioned:
+            if name in self.simulation.subscribers:
+                self.claims.reachable_since[name] = self.simulation.engine.time
--- a/embertray/simulation/emulator/control/faults.py
+++ b/embertray/simulation/emulator/control/faults.py
@@ -5,8 +5,8 @@
 from embertray.simulation.emulator.engine import NS_PER_SECOND
 
 # The least and the most time that a drawn fault lasts.
-LEAST_DURATION_NS = 1 * NS_PER_SECOND
-LONGEST_DURATION_NS = 14 * NS_PER_SECOND
+MIN_DURATION_NS = 1 * NS_PER_SECOND
+MAX_DURATION_NS = 14 * NS_PER_SECOND
 
 
 @dataclass(frozen=True)
@@ -21,7 +21,7 @@
 
     kind: str
     targets: tuple
-    lasts: int
+    duration: int
 
 
 KINDS = (
@@ -37,7 +37,9 @@
 )
 
 
-def draw_faults(chance, play, count, kinds=KINDS, least=LEAST_DURATION_NS, most=LONGEST_DURATION_NS):
+def draw_faults(
+    rng, simulation, count, kinds=KINDS, min_duration=MIN_DURATION_NS, max_duration=MAX_DURATION_NS
+):
     """Draws faults among the processes of a play.
 
     Args:
@@ -53,24 +55,24 @@
     """
     faults = []
     for _ in range(count):
-        kind = chance.choice(kinds)
-        replicas, subscribers = play.replica_names, sorted(play.subscribers)
+        kind = rng.choice(kinds)
+        replicas, subscribers = simulation.replica_names, sorted(simulation.subscribers)
         if kind == "split":
-            targets = tuple(chance.sample(replicas, chance.randint(1, len(replicas) - 1)))
-            targets += tuple(chance.sample(subscribers, len(subscribers) // 2))
+            targets = tuple(rng.sample(replicas, rng.randint(1, len(replicas) - 1)))
+            targets += tuple(rng.sample(subscribers, len(subscribers) // 2))
         elif kind == "one way":
-            targets = tuple(chance.sample(replicas + subscribers, 2))
+            targets = tuple(rng.sample(replicas + subscribers, 2))
         elif kind == "cut subscriber":
-            targets = (chance.choice(subscribers), chance.choice(replicas))
+            targets = (rng.choice(subscribers), rng.choice(replicas))
         elif kind.endswith("subscriber"):
-            targets = (chance.choice(subscribers),)
+            targets = (rng.choice(subscribers),)
         else:
-            targets = (chance.choice(replicas),)
-        faults.append(Fault(kind, targets, chance.randrange(least, most)))
+            targets = (rng.choice(replicas),)
+        faults.append(Fault(kind, targets, rng.randrange(min_duration, max_duration)))
     return faults
 
 
-def strike(play, fault):
+def inject_fault(simulation, fault):
     """Makes a fault happen now.
 
     Args:
@@ -78,29 +80,35 @@
         fault: The Fault.
     """
     first = fault.targets[0]
-    play.change(*([first] if fault.kind.endswith(" subscriber") else []))
-    process = play.replicas.get(first) or play.subscribers[first]
+    simulation.restart_bounds(*([first] if fault.kind.endswith(" subscriber") else []))
+    process = simulation.replicas.get(first) or simulation.subscribers[first]
     if fault.kind in ("kill replica", "kill subscriber"):
         process.kill()
     elif fault.kind == "vanish replica":
         process.kill(silent=True)
     elif fault.kind == "lose disk":
         process.kill()
-        if all(one.alive and not one.core.recovering for one in play.replicas.values() if one is not process):
+        if all(
+            replica.alive and not replica.core.recovering
+            for replica in simulation.replicas.values()
+            if replica is not process
+        ):
             process.lose_disk()
     elif fault.kind in ("stop replica", "stop subscriber"):
         process.stop()
     elif fault.kind == "split":
-        others = [name for name in (*play.replicas, *play.subscribers) if name not in fault.targets]
-        play.links.split(others, fault.targets)
+        others = [
+            name for name in (*simulation.replicas, *simulation.subscribers) if name not in fault.targets
+        ]
+        simulation.links.split(others, fault.targets)
     elif fault.kind == "one way":
-        play.links.close(*fault.targets)
+        simulation.links.close(*fault.targets)
     else:
-        play.links.close(first, fault.targets[1])
-        play.links.close(fault.targets[1], first)
+        simulation.links.close(first, fault.targets[1])
+        simulation.links.close(fault.targets[1], first)
 
 
-def play_faults(play, faults, pause, together=1):
+def play_faults(simulation, faults, pause, group_size=1):
     """Plays faults, each group of them followed by a time without any.
 
     Args:
@@ -109,10 +117,10 @@
         pause: Time without faults after each group, ns.
         together: How many make a group.
     """
-    for start in range(0, len(faults), together):
-        group = faults[start : start + together]
+    for start in range(0, len(faults), group_size):
+        group = faults[start : start + group_size]
         for fault in group:
-            strike(play, fault)
-            play.run(fault.lasts // len(group))
-        play.heal()
-        play.run(pause)
+            inject_fault(simulation, fault)
+            simulation.run(fault.duration // len(group))
+        simulation.heal()
+        simulation.run(pause)
--- a/embertray/simulation/emulator/control/links.py
+++ b/embertray/simulation/emulator/control/links.py
@@ -27,9 +27,9 @@
         streams: (sender, receiver) -> the Streams that queue something, in the order of their first message.
     """
 
-    def __init__(self, engine, chance, region, near=NEAR_DELAY_NS, far=FAR_DELAY_NS):
+    def __init__(self, engine, rng, region, near=NEAR_DELAY_NS, far=FAR_DELAY_NS):
         self.engine = engine
-        self.chance = chance
+        self.rng = rng
         self.region = region
         self.near = near
         self.far = far
@@ -51,17 +51,17 @@
             return False
         return self.groups.get(sender, 0) == self.groups.get(receiver, 0)
 
-    def both_ways(self, one, other):
+    def bidirectional(self, first, second):
         """Whether messages pass in both directions.
 
         Args:
-            one: A machine.
-            other: A machine.
+            first: A machine.
+            second: A machine.
 
         Returns:
             Whether they do.
         """
-        return self.open(one, other) and self.open(other, one)
+        return self.open(first, second) and self.open(second, first)
 
     def delay(self, sender, receiver):
         """Draws the time of a message.
@@ -74,7 +74,7 @@
             ns.
         """
         near = self.region.get(sender) == self.region.get(receiver)
-        return self.chance.randint(*(self.near if near else self.far))
+        return self.rng.randint(*(self.near if near else self.far))
 
     # ---- faults
 
--- a/embertray/simulation/emulator/control/process.py
+++ b/embertray/simulation/emulator/control/process.py
@@ -24,16 +24,16 @@
         bytes_out, bytes_in, messages_out: Its traffic.
     """
 
-    def __init__(self, play, name):
-        self.play = play
-        self.engine = play.engine
+    def __init__(self, simulation, name):
+        self.simulation = simulation
+        self.engine = simulation.engine
         self.name = name
         self.alive = False
         self.stopped = False
         self.busy = False
-        self.life = 0
-        self.waiting = deque()
-        self.planned = None  # the Timer of the next tick
+        self.incarnation = 0
+        self.deferred = deque()
+        self.tick_timer = None  # the Timer of the next tick
         self.bytes_out = 0
         self.bytes_in = 0
         self.messages_out = 0
@@ -48,37 +48,37 @@
         if not self.alive:
             return
         if self.stopped or self.busy:
-            self.waiting.append((callback, args))
+            self.deferred.append((callback, args))
             return
         callback(*args)
-        self.settle()
+        self.after_call()
 
-    def settle(self):
+    def after_call(self):
         """Does what follows from a call."""
         raise NotImplementedError
 
     def drain(self):
         """Makes the calls that have waited, until the process is stopped or busy again."""
-        while self.waiting and self.alive and not self.stopped and not self.busy:
-            callback, args = self.waiting.popleft()
+        while self.deferred and self.alive and not self.stopped and not self.busy:
+            callback, args = self.deferred.popleft()
             callback(*args)
-            self.settle()
+            self.after_call()
 
-    def plan(self, when):
+    def schedule_tick(self, when):
         """Schedules the next tick in place of the one that was scheduled.
 
         Args:
             when: ns.
         """
-        if self.planned is not None:
-            if self.planned.when == when and not self.planned.cancelled:
+        if self.tick_timer is not None:
+            if self.tick_timer.when == when and not self.tick_timer.cancelled:
                 return
-            self.planned.cancel()
-        self.planned = self.engine.at(max(when, self.engine.time), self._wake, self.life)
+            self.tick_timer.cancel()
+        self.tick_timer = self.engine.at(max(when, self.engine.time), self._wake, self.incarnation)
 
-    def _wake(self, life):
-        self.planned = None
-        if life == self.life:
+    def _wake(self, incarnation):
+        self.tick_timer = None
+        if incarnation == self.incarnation:
             self.call(self.tick)
 
     def tick(self):
@@ -89,7 +89,7 @@
         """Stops the process, as SIGSTOP does."""
         self.stopped = True
 
-    def go_on(self):
+    def resume(self):
         """Continues the process, as SIGCONT does."""
         self.stopped = False
         self.call(self.tick)
@@ -116,13 +116,16 @@
         self.replica = replica
         self.number = number
         self.ended = False
-        replica_life = replica.life
-        subscriber_life = subscriber.life
+        replica_life = replica.incarnation
+        subscriber_life = subscriber.incarnation
         self.up = Stream(
-            links, subscriber.name, replica.name, lambda data: replica.hears(self, replica_life, data)
+            links, subscriber.name, replica.name, lambda data: replica.on_message(self, replica_life, data)
         )
         self.down = Stream(
-            links, replica.name, subscriber.name, lambda data: subscriber.hears(self, subscriber_life, data)
+            links,
+            replica.name,
+            subscriber.name,
+            lambda data: subscriber.on_message(self, subscriber_life, data),
         )
 
     def end(self):
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -29,8 +29,8 @@
         name: Its name.
 
     Attributes:
-        make_core: Type of its core; tests replace it by faulty ones.
-        make_feed: Type of its feed; the same.
+        core_type: Type of its core; tests replace it by faulty ones.
+        feed_type: Type of its feed; the same.
         core: The Replica.
         feed: The SubscriberFeed.
         disk: The ReplicaState on its disk, or None.
@@ -39,11 +39,11 @@
         peers: Stream to each other replica, by its name.
     """
 
-    make_core = Replica
-    make_feed = SubscriberFeed
+    core_type = Replica
+    feed_type = SubscriberFeed
 
-    def __init__(self, play, name):
-        super().__init__(play, name)
+    def __init__(self, simulation, name):
+        super().__init__(simulation, name)
         self.disk = self._first_disk()
         self.lost_disks = []
         self.connections = {}
@@ -51,23 +51,23 @@
 
     def _first_disk(self):
         """None, as before a first start, or what is prefilled."""
-        entries = self.play.prefill
+        entries = self.simulation.initial_entries
         return ReplicaState(1, "", len(entries), 1, 0, list(entries), [], []) if entries else None
 
     def start(self):
         """Starts a process with what is on its disk."""
         now = self.engine.time
-        settings = self.play.settings
-        self.life += 1
+        settings = self.simulation.settings
+        self.incarnation += 1
         self.alive = True
         self.stopped = False
         self.busy = False
-        self.waiting.clear()
-        chance = self.play.draw(f"{self.name} {self.life}")
-        self.core = self.make_core(
-            settings.cluster, self.name, self.play.replica_names, now, chance, settings.replica, self.disk
+        self.deferred.clear()
+        rng = self.simulation.random_for(f"{self.name} {self.incarnation}")
+        self.core = self.core_type(
+            settings.cluster, self.name, self.simulation.replica_names, now, rng, settings.replica, self.disk
         )
-        self.feed = self.make_feed(settings.cluster, lambda: self.core.store, now, settings.feed)
+        self.feed = self.feed_type(settings.cluster, lambda: self.core.store, now, settings.feed)
         self.core.feed = self.feed
         self.writes = {}  # request -> what is called with the committed Entry
         self.call(self.tick)
@@ -79,10 +79,10 @@
             silent: Whether its connections stay open, as when a machine is gone.
         """
         self.alive = False
-        self.life += 1
+        self.incarnation += 1
         for connection in list(self.connections.values()):
             if not silent:
-                self.play.reset(connection)
+                self.simulation.reset(connection)
             connection.end()
         self.connections = {}
         for stream in self.peers.values():
@@ -113,14 +113,14 @@
         if now >= self.core.next_at():
             self.core.advance(now)
 
-    def hears_replica(self, life, data):
+    def on_replica_message(self, incarnation, data):
         """Handles a message from another replica.
 
         Args:
             life: The incarnation that it was sent to.
             data: bytes.
         """
-        if life == self.life:
+        if incarnation == self.incarnation:
             self.bytes_in += len(data) + FRAME_BYTES
             self.call(self._receive_replica, data)
 
@@ -131,7 +131,7 @@
             return
         self.core.receive(self.engine.time, message)
 
-    def accepts(self, connection):
+    def on_connection_accepted(self, connection):
         """Marks a subscriber's connection as accepted.
 
         Args:
@@ -139,7 +139,7 @@
         """
         connection.accepted = True
 
-    def hears(self, connection, life, data):
+    def on_message(self, connection, incarnation, data):
         """Handles a message from a subscriber.
 
         Args:
@@ -147,7 +147,7 @@
             life: The incarnation that it was sent to.
             data: bytes.
         """
-        if life == self.life:
+        if incarnation == self.incarnation:
             self.bytes_in += len(data) + FRAME_BYTES
             self.call(self._receive_subscriber, connection, data)
 
@@ -166,7 +166,7 @@
         except SubscriberRejectedError:
             self.drop(connection)
 
-    def hung_up(self, connection):
+    def on_connection_closed(self, connection):
         """Handles a connection that its subscriber closed.
 
         Args:
@@ -210,18 +210,18 @@
 
     # ---- what follows
 
-    def settle(self):
+    def after_call(self):
         """Saves the core's state, if it changed, and then does what the core asks for."""
         step = self.core.poll()
         if step.state is not None:
             self.busy = True
-            delay = self.play.chance.randint(*SAVE_NS)
-            self.engine.at(self.engine.time + delay, self._saved, self.life, step)
+            delay = self.simulation.rng.randint(*SAVE_NS)
+            self.engine.at(self.engine.time + delay, self._saved, self.incarnation, step)
         else:
             self._carry_out(step)
 
-    def _saved(self, life, step):
-        if life != self.life:
+    def _saved(self, incarnation, step):
+        if incarnation != self.incarnation:
             return  # it died before the state was on disk
         self.disk = step.state
         self.busy = False
@@ -232,7 +232,7 @@
         for addressed in step.messages:
             self._send_replica(addressed)
         for entry in step.committed:
-            self.play.claims.committed(self.engine.time, self.name, entry)
+            self.simulation.claims.committed(self.engine.time, self.name, entry)
             done = self.writes.pop(entry.request, None)
             if done is not None:
                 done(entry)
@@ -250,24 +250,24 @@
         for name in silent:
             connection = self.connections.pop(name, None)
             if connection is not None:
-                self.play.reset(connection)
+                self.simulation.reset(connection)
                 connection.end()
-        self.plan(min(self.core.next_at(), self.feed.next_at(now)))
+        self.schedule_tick(min(self.core.next_at(), self.feed.next_at(now)))
 
     def _send_replica(self, addressed):
-        receiver = self.play.replicas[addressed.recipient]
+        receiver = self.simulation.replicas[addressed.recipient]
         if not receiver.alive:
             return
         stream = self.peers.get(addressed.recipient)
-        if stream is None or stream.life != receiver.life:
-            life = receiver.life
+        if stream is None or stream.incarnation != receiver.incarnation:
+            incarnation = receiver.incarnation
             stream = Stream(
-                self.play.links,
+                self.simulation.links,
                 self.name,
                 addressed.recipient,
-                lambda data: receiver.hears_replica(life, data),
+                lambda data: receiver.on_replica_message(incarnation, data),
             )
-            stream.life = life
+            stream.incarnation = incarnation
             self.peers[addressed.recipient] = stream
         data = encode(addressed.message)
         self.bytes_out += len(data) + FRAME_BYTES
--- a/embertray/simulation/emulator/control/simulation.py
+++ b/embertray/simulation/emulator/control/simulation.py
@@ -17,9 +17,9 @@
 # Where time begins, ns.
 START_NS = 1_000 * NS_PER_SECOND
 # Time between two observations of every subscriber.
-LOOK_PERIOD_NS = 250 * NS_PER_MS
+OBSERVATION_PERIOD_NS = 250 * NS_PER_MS
 # Replicas that a subscriber may follow.
-LISTED_REPLICAS = 3
+PREFERRED_REPLICAS = 3
 
 
 @dataclass(frozen=True)
@@ -34,14 +34,14 @@
     value: tuple = (20, 400)  # bytes, least and most
     write_every: int = 2 * NS_PER_SECOND  # ns, the mean
     cluster: str = "play"
-    prefilled: int = 0  # keys that everybody holds at the start
-    keep: bool = False  # subscribers have a disk, and start with what they held
+    initial_keys: int = 0  # keys that everybody holds at the start
+    persistent: bool = False  # subscribers have a disk, and start with what they held
     replica: ReplicaTiming = field(default_factory=ReplicaTiming)
     feed: FeedSettings = field(default_factory=FeedSettings)
     subscriber: SubscriberTiming = field(default_factory=SubscriberTiming)
 
 
-class ControlPlay:
+class ControlPlaneSimulation:
     """All that takes part in one play.
 
     Args:
@@ -62,33 +62,35 @@
         self.settings = settings
         self.engine = Engine(START_NS)
         self.claims = claims or ControlClaims()
-        self.chance = self.draw("play")
+        self.rng = self.random_for("play")
         self.bounds = Bounds(settings.replica, settings.feed, settings.subscriber)
         self.replica_names = [f"r{number}" for number in range(settings.replicas)]
         names = [f"s{number:03d}" for number in range(settings.subscribers)]
         region = {name: number % settings.regions for number, name in enumerate(self.replica_names)}
         region |= {name: number % settings.regions for number, name in enumerate(names)}
-        self.links = Links(self.engine, self.draw("links"), region)
-        self.prefill = self._prefill()
+        self.links = Links(self.engine, self.random_for("links"), region)
+        self.initial_entries = self._make_initial_entries()
         make_replica = replica_process or ReplicaProcess
         make_subscriber = subscriber_process or SubscriberProcess
         self.replicas = {name: make_replica(self, name) for name in self.replica_names}
-        self.subscribers = {name: make_subscriber(self, name, self._listed(name, region)) for name in names}
+        self.subscribers = {
+            name: make_subscriber(self, name, self._preferred_replicas(name, region)) for name in names
+        }
         self.writer = Writer(self, settings)
-        self.changed_at = dict.fromkeys(names, self.engine.time)
+        self.bounds_restarted_at = dict.fromkeys(names, self.engine.time)
 
-    def _prefill(self):
+    def _make_initial_entries(self):
         """Entries that were committed before the start."""
-        values = [self.chance.randint(*self.settings.value) for _ in range(self.settings.prefilled)]
+        values = [self.rng.randint(*self.settings.value) for _ in range(self.settings.initial_keys)]
         entries = [
-            Entry(f"key/{number}", number + 1, 1, "", self.chance.randbytes(size))
+            Entry(f"key/{number}", number + 1, 1, "", self.rng.randbytes(size))
             for number, size in enumerate(values)
         ]
         for entry in entries:
             self.claims.committed(self.engine.time, "start", entry)
         return entries
 
-    def draw(self, purpose):
+    def random_for(self, purpose):
         """Makes the random generator of a purpose.
 
         Args:
@@ -99,10 +101,10 @@
         """
         return random.Random(f"{self.settings.seed} {purpose}")
 
-    def _listed(self, name, region):
+    def _preferred_replicas(self, name, region):
         """Replicas of the own region first, then others, in an order of the subscriber's own."""
-        order = self.draw(f"order {name}").sample(self.replica_names, len(self.replica_names))
-        return sorted(order, key=lambda replica: region[replica] != region[name])[:LISTED_REPLICAS]
+        order = self.random_for(f"order {name}").sample(self.replica_names, len(self.replica_names))
+        return sorted(order, key=lambda replica: region[replica] != region[name])[:PREFERRED_REPLICAS]
 
     # ---- time
 
@@ -110,36 +112,39 @@
         """Starts all processes at once, and the writer."""
         for process in [*self.replicas.values(), *self.subscribers.values()]:
             process.start()
-        self.engine.at(self.engine.time + LOOK_PERIOD_NS, self._look)
+        self.engine.at(self.engine.time + OBSERVATION_PERIOD_NS, self._observe)
         self.writer.start()
 
-    def run(self, span):
+    def run(self, duration):
         """Lets time pass.
 
         Args:
             span: ns.
         """
-        self.engine.run(self.engine.time + span)
+        self.engine.run(self.engine.time + duration)
 
     def settle(self):
         """Heals everything, stops writing, and lets the longest bound pass."""
         self.writer.stop()
         self.heal()
-        self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog) + 4 * LOOK_PERIOD_NS)
+        self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog) + 4 * OBSERVATION_PERIOD_NS)
         self.claims.alike(
             self.engine.time,
-            {name: (one.core.revision, one.core.store.digest) for name, one in self.subscribers.items()},
+            {
+                name: (process.core.revision, process.core.store.digest)
+                for name, process in self.subscribers.items()
+            },
         )
 
     @property
     def backlog(self):
         """Bytes of everything that is in force: the most that a subscriber can lack."""
-        return max(one.core.store.live_bytes for one in self.living)
+        return max(replica.core.store.live_bytes for replica in self.running_replicas)
 
     @property
-    def living(self):
+    def running_replicas(self):
         """Replicas that run."""
-        return [one for one in self.replicas.values() if one.alive and not one.stopped]
+        return [replica for replica in self.replicas.values() if replica.alive and not replica.stopped]
 
     # ---- connections
 
@@ -151,19 +156,19 @@
         """
         subscriber = connection.subscriber
         replica = connection.replica
-        if not self.links.both_ways(subscriber.name, replica.name):
+        if not self.links.bidirectional(subscriber.name, replica.name):
             return
         there = self.links.delay(subscriber.name, replica.name)
         back = self.links.delay(replica.name, subscriber.name)
-        self.engine.at(self.engine.time + there + back, self._dialled, connection, replica.life)
+        self.engine.at(self.engine.time + there + back, self._finish_dial, connection, replica.incarnation)
 
-    def _dialled(self, connection, life):
+    def _finish_dial(self, connection, incarnation):
         if connection.ended:
             return
-        if connection.replica.alive and connection.replica.life == life:
-            connection.subscriber.connected(connection)
+        if connection.replica.alive and connection.replica.incarnation == incarnation:
+            connection.subscriber.on_connected(connection)
         else:
-            connection.subscriber.reset(connection.number)
+            connection.subscriber.on_connection_lost(connection.number)
 
     def hang_up(self, connection):
         """Has a replica notice that a subscriber closed a connection, if the link is open.
@@ -173,7 +178,7 @@
         """
         if self.links.open(connection.subscriber.name, connection.replica.name):
             when = self.engine.time + self.links.delay(connection.subscriber.name, connection.replica.name)
-            self.engine.at(when, connection.replica.hung_up, connection)
+            self.engine.at(when, connection.replica.on_connection_closed, connection)
 
     def reset(self, connection):
         """Has a subscriber notice that a replica's end is gone, if the link is open.
@@ -183,18 +188,18 @@
         """
         if self.links.open(connection.replica.name, connection.subscriber.name):
             when = self.engine.time + self.links.delay(connection.replica.name, connection.subscriber.name)
-            self.engine.at(when, connection.subscriber.reset, connection.number)
+            self.engine.at(when, connection.subscriber.on_connection_lost, connection.number)
 
     # ---- faults
 
-    def change(self, *subscribers):
+    def restart_bounds(self, *subscribers):
         """Has bounds count from now: something failed, or works again.
 
         Args:
             *subscribers: Names of those whom it concerns; none: all.
         """
         for name in subscribers or self.subscribers:
-            self.changed_at[name] = self.engine.time
+            self.bounds_restarted_at[name] = self.engine.time
 
     def heal(self):
         """Opens all links, and has all processes run."""
@@ -203,8 +208,8 @@
             if not process.alive:
                 process.start()
             elif process.stopped:
-                process.go_on()
-        self.change()
+                process.resume()
+        self.restart_bounds()
 
     # ---- what holds
 
@@ -216,34 +221,34 @@
         Returns:
             A set of names; empty: there is no such majority.
         """
-        able = [one.name for one in self.living if not one.core.recovering]
+        able = [replica.name for replica in self.running_replicas if not replica.core.recovering]
         for name in able:
             near = [other for other in able if self.links.open(name, other) or self.links.open(other, name)]
-            whole = all(self.links.both_ways(a, b) for a in near for b in near if a != b)
+            whole = all(self.links.bidirectional(a, b) for a in near for b in near if a != b)
             if whole and 2 * len(near) > len(self.replica_names):
                 return set(near)
         return set()
 
-    def _look(self):
+    def _observe(self):
         now = self.engine.time
         group = self.majority_group()
-        waiting = self.bounds.waiting(self.backlog) if self.living else 0
+        waiting = self.bounds.waiting(self.backlog) if self.running_replicas else 0
         for name, process in self.subscribers.items():
             if process.alive and not process.stopped:
-                self._look_at(now, name, process, group, waiting)
-        self.engine.at(now + LOOK_PERIOD_NS, self._look)
+                self._observe_subscriber(now, name, process, group, waiting)
+        self.engine.at(now + OBSERVATION_PERIOD_NS, self._observe)
 
-    def _look_at(self, now, name, process, group, waiting):
+    def _observe_subscriber(self, now, name, process, group, waiting):
         core = process.core
         self.claims.look(now, name, core.revision, core.age(now))
         reached = any(
-            replica in group and self.links.both_ways(name, replica) for replica in process.replica_names
+            replica in group and self.links.bidirectional(name, replica) for replica in process.replica_names
         )
-        since = self.changed_at[name] if reached else None
+        since = self.bounds_restarted_at[name] if reached else None
         if not reached:
             self.claims.out_of_reach(now, name)
-        late = self.bounds.any_fault + waiting + LOOK_PERIOD_NS
+        late = self.bounds.any_fault + waiting + OBSERVATION_PERIOD_NS
         self.claims.reach(now, name, core.revision, since, late)
         calm = None if since is None else since + late
-        prompt = self.bounds.good + self.bounds.waiting(self.writer.burst_bytes) + LOOK_PERIOD_NS
+        prompt = self.bounds.good + self.bounds.waiting(self.writer.burst_bytes) + OBSERVATION_PERIOD_NS
         self.claims.reach(now, name, core.revision, calm, prompt, "prompt")
--- a/embertray/simulation/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -22,46 +22,46 @@
         replicas: Names of the replicas that it may follow, the preferred first.
 
     Attributes:
-        make_core: Type of its core; tests replace it by faulty ones.
+        core_type: Type of its core; tests replace it by faulty ones.
         core: The Subscriber.
         connection: The Connection, or None.
         kept: What its disk has: (entries, revision, when known) or nothing.
         worst_window: The most bytes in and out within WINDOW_NS.
     """
 
-    make_core = Subscriber
+    core_type = Subscriber
 
-    def __init__(self, play, name, replicas):
-        super().__init__(play, name)
+    def __init__(self, simulation, name, replicas):
+        super().__init__(simulation, name)
         self.replica_names = replicas
         self.connection = None
-        entries = play.prefill
-        self.kept = (list(entries), len(entries), None) if entries else ()
-        self.worst_window = 0
-        self.in_window = 0
+        entries = simulation.initial_entries
+        self.disk = (list(entries), len(entries), None) if entries else ()
+        self.max_window_bytes = 0
+        self.window_bytes = 0
         self.window = deque()
 
     def start(self):
         """Starts a process with what is on its disk, if anything is."""
         now = self.engine.time
-        settings = self.play.settings
-        self.life += 1
+        settings = self.simulation.settings
+        self.incarnation += 1
         self.alive = True
         self.stopped = False
-        self.waiting.clear()
-        chance = self.play.draw(f"{self.name} {self.life}")
-        self.core = self.make_core(
+        self.deferred.clear()
+        rng = self.simulation.random_for(f"{self.name} {self.incarnation}")
+        self.core = self.core_type(
             settings.cluster,
             self.name,
             self.replica_names,
             now,
-            chance,
+            rng,
             settings.subscriber,
             settings.feed,
-            *self.kept,
+            *self.disk,
         )
-        if not self.kept:
-            self.play.claims.forgets(self.name)
+        if not self.disk:
+            self.simulation.claims.forgets(self.name)
         self.call(self.tick)
 
     def kill(self, silent=False):
@@ -71,10 +71,10 @@
             silent: Whether its connections stay open, as when a machine is gone.
         """
         self.alive = False
-        self.life += 1
-        if self.play.settings.keep:
+        self.incarnation += 1
+        if self.simulation.settings.persistent:
             store = self.core.store
-            self.kept = (list(store.entries_since(0)), store.revision, self.core.freshness.known_at)
+            self.disk = (list(store.entries_since(0)), store.revision, self.core.freshness.known_at)
         if self.connection is not None:
             self._close(silent)
 
@@ -84,7 +84,7 @@
         if now >= self.core.next_at():
             self.core.advance(now)
 
-    def hears(self, connection, life, data):
+    def on_message(self, connection, incarnation, data):
         """Handles a message from a replica.
 
         Args:
@@ -92,7 +92,7 @@
             life: The incarnation that it was sent to.
             data: bytes.
         """
-        if life == self.life:
+        if incarnation == self.incarnation:
             self._count(len(data) + FRAME_BYTES)
             self.call(self._receive, connection, data)
 
@@ -101,7 +101,7 @@
         size = len(data) + FRAME_BYTES
         self.core.receive(self.engine.time, connection.number, message, size)
 
-    def connected(self, connection):
+    def on_connected(self, connection):
         """Handles a connection that was accepted.
 
         Args:
@@ -109,7 +109,7 @@
         """
         self.call(self.core.connection_opened, self.engine.time, connection.number)
 
-    def reset(self, number):
+    def on_connection_lost(self, number):
         """Handles a connection that was refused, or ended.
 
         Args:
@@ -120,7 +120,7 @@
     def _lost(self, number):
         self.core.connection_lost(self.engine.time, number)
 
-    def settle(self):
+    def after_call(self):
         """Carries out the core's instructions and tells the claims what it applied."""
         actions = self.core.actions
         self.core.actions = []
@@ -134,15 +134,15 @@
         applied = self.core.applied
         self.core.applied = []
         for entry in applied:
-            self.play.claims.applied(self.engine.time, self.name, entry)
-        self.plan(self.core.next_at())
+            self.simulation.claims.applied(self.engine.time, self.name, entry)
+        self.schedule_tick(self.core.next_at())
 
     def _dial(self, action):
         if self.connection is not None:
             self._close(False)
-        replica = self.play.replicas[action.replica]
-        self.connection = Connection(self.play.links, self, replica, action.connection_id)
-        self.play.dial(self.connection)
+        replica = self.simulation.replicas[action.replica]
+        self.connection = Connection(self.simulation.links, self, replica, action.connection_id)
+        self.simulation.dial(self.connection)
 
     def _send(self, action):
         if self.connection is not None and self.connection.number == action.connection_id:
@@ -154,7 +154,7 @@
         connection = self.connection
         self.connection = None
         if not connection.ended and not silent:
-            self.play.hang_up(connection)
+            self.simulation.hang_up(connection)
         connection.end()
 
     def _count(self, size):
@@ -165,7 +165,7 @@
         """Bytes in and out of the last ten seconds, and the most there were."""
         now = self.engine.time
         self.window.append((now, size))
-        self.in_window += size
+        self.window_bytes += size
         while self.window[0][0] <= now - WINDOW_NS:
-            self.in_window -= self.window.popleft()[1]
-        self.worst_window = max(self.worst_window, self.in_window)
+            self.window_bytes -= self.window.popleft()[1]
+        self.max_window_bytes = max(self.max_window_bytes, self.window_bytes)
--- a/embertray/simulation/emulator/control/writer.py
+++ b/embertray/simulation/emulator/control/writer.py
@@ -10,15 +10,15 @@
 # Time until a call that was rejected is made again.
 RETRY_PAUSE_NS = 300 * NS_PER_MS
 # Parts of the writes that remove a key, and that restore its former value.
-REMOVED = 0.1
-ROLLED_BACK = 0.1
+REMOVED_PART = 0.1
+ROLLED_BACK_PART = 0.1
 MAX_ATTEMPTS = 20
 # Bytes of a write besides its value, at the most.
 WRITE_OVERHEAD_BYTES = 300
 
 
 @dataclass
-class Call:
+class Write:
     """One write.
 
     Attributes:
@@ -50,10 +50,10 @@
         burst_bytes: The size of a write that others may wait behind.
     """
 
-    def __init__(self, play, settings):
-        self.play = play
+    def __init__(self, simulation, settings):
+        self.simulation = simulation
         self.settings = settings
-        self.chance = play.draw("writer")
+        self.rng = simulation.random_for("writer")
         self.count = 0
         self.acknowledged = 0
         self.given_up = 0
@@ -70,72 +70,79 @@
         self.running = False
 
     def _plan(self):
-        wait = int(self.chance.expovariate(1 / self.settings.write_every))
-        self.play.engine.at(self.play.engine.time + wait, self._write)
+        wait = int(self.rng.expovariate(1 / self.settings.write_every))
+        self.simulation.engine.at(self.simulation.engine.time + wait, self._start_write)
 
-    def _write(self):
+    def _start_write(self):
         if not self.running:
             return
         self._plan()
         self.count += 1
-        key = f"key/{self.chance.randrange(self.settings.keys)}"
-        self.begin(Call(key, self._value(key), f"q{self.count}"))
+        key = f"key/{self.rng.randrange(self.settings.keys)}"
+        self.begin(Write(key, self._value(key), f"q{self.count}"))
 
     def _value(self, key):
-        draw = self.chance.random()
-        if draw < REMOVED:
+        draw = self.rng.random()
+        if draw < REMOVED_PART:
             return None
-        former = self._former(key) if draw < REMOVED + ROLLED_BACK else None
-        return former or self.chance.randbytes(self.chance.randint(*self.settings.value))
+        oldest = self._oldest_value(key) if draw < REMOVED_PART + ROLLED_BACK_PART else None
+        return oldest or self.rng.randbytes(self.rng.randint(*self.settings.value))
 
-    def _former(self, key):
+    def _oldest_value(self, key):
         """The value of the oldest version that some replica keeps: a rollback."""
-        living = self.play.living
-        versions = living[0].core.store.versions.get(key, ()) if living else ()
+        running = self.simulation.running_replicas
+        versions = running[0].core.store.versions.get(key, ()) if running else ()
         return versions[0].value if versions else None
 
-    def begin(self, call):
+    def begin(self, write):
         """Makes the first attempt of a write.
 
         Args:
             call: The Call.
         """
-        self._attempt(call, self.chance.choice(self.play.replica_names))
+        self._attempt(write, self.rng.choice(self.simulation.replica_names))
 
-    def _attempt(self, call, name):
-        if call.done:
+    def _attempt(self, write, name):
+        if write.done:
             return
-        if call.attempts >= MAX_ATTEMPTS:
+        if write.attempts >= MAX_ATTEMPTS:
             self.given_up += 1
-            call.done = True
+            write.done = True
             return
-        call.attempts += 1
-        attempt = call.attempts
-        replica = self.play.replicas[name]
+        write.attempts += 1
+        attempt = write.attempts
+        replica = self.simulation.replicas[name]
         replica.put(
-            call.key, call.value, call.request, lambda outcome: self._known(call, attempt, name, outcome)
+            write.key,
+            write.value,
+            write.request,
+            lambda outcome: self._on_outcome(write, attempt, name, outcome),
+        )
+        self.simulation.engine.at(
+            self.simulation.engine.time + ANSWER_TIMEOUT_NS, self._on_timeout, write, attempt
         )
-        self.play.engine.at(self.play.engine.time + ANSWER_TIMEOUT_NS, self._overdue, call, attempt)
 
-    def _overdue(self, call, attempt):
-        if not call.done and call.attempts == attempt:
-            self._attempt(call, self.chance.choice(self.play.replica_names))
+    def _on_timeout(self, write, attempt):
+        if not write.done and write.attempts == attempt:
+            self._attempt(write, self.rng.choice(self.simulation.replica_names))
 
-    def _known(self, call, attempt, name, outcome):
-        if call.done:
+    def _on_outcome(self, write, attempt, name, outcome):
+        if write.done:
             return
         if not isinstance(outcome, WriteRejectedError):
-            self._acknowledge(call, outcome)
-        elif call.attempts == attempt:
+            self._acknowledge(write, outcome)
+        elif write.attempts == attempt:
             elsewhere = isinstance(outcome, NotLeaderError) and outcome.leader
-            target = outcome.leader if elsewhere else self.chance.choice(self.play.replica_names)
-            self.play.engine.at(self.play.engine.time + RETRY_PAUSE_NS, self._attempt, call, target)
+            target = outcome.leader if elsewhere else self.rng.choice(self.simulation.replica_names)
+            self.simulation.engine.at(
+                self.simulation.engine.time + RETRY_PAUSE_NS, self._attempt, write, target
+            )
 
-    def _acknowledge(self, call, entry):
-        call.done = True
+    def _acknowledge(self, write, entry):
+        write.done = True
         self.acknowledged += 1
-        now = self.play.engine.time
-        replicas = self.play.replicas.values()
+        now = self.simulation.engine.time
+        replicas = self.simulation.replicas.values()
         durable = sum(replica.has_saved(entry.revision) for replica in replicas)
         majority = len(replicas) // 2 + 1
-        self.play.claims.acknowledge(now, entry.revision, call.key, call.value, durable, majority)
+        self.simulation.claims.acknowledge(now, entry.revision, write.key, write.value, durable, majority)
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -11,8 +11,8 @@
 from embertray.cluster.replication.replica_state import ReplicaState
 from embertray.cluster.replication.subscriber import Subscriber
 from embertray.cluster.replication.subscriber_feed import SubscriberFeed
-from embertray.simulation.emulator.control import ControlPlay, Settings, draw_faults
-from embertray.simulation.emulator.control.faults import KINDS, Fault, play_faults, strike
+from embertray.simulation.emulator.control import ControlPlaneSimulation, Settings, draw_faults
+from embertray.simulation.emulator.control.faults import KINDS, Fault, inject_fault, play_faults
 from embertray.simulation.emulator.control.replica_process import ReplicaProcess
 from embertray.simulation.emulator.control.subscriber_process import SubscriberProcess
 
@@ -20,151 +20,165 @@
 CALM = 50 * S  # past the longest bound after a fault: writes are then due within the bound for good links
 
 
-def played(seed, faults=8, pause=4 * S, together=1, **more):
+def simulate(seed, faults=8, pause=4 * S, group_size=1, **more):
     """A finished play of drawn faults."""
-    play = ControlPlay(Settings(seed=seed, **more))
-    play.start()
-    play.run(10 * S)
-    play_faults(play, draw_faults(random.Random(seed), play, faults), pause, together)
-    play.settle()
-    return play
+    simulation = ControlPlaneSimulation(Settings(seed=seed, **more))
+    simulation.start()
+    simulation.run(10 * S)
+    play_faults(simulation, draw_faults(random.Random(seed), simulation, faults), pause, group_size)
+    simulation.settle()
+    return simulation
 
 
 class Plays(unittest.TestCase):
-    def assert_kept(self, play):
-        self.assertEqual((dict(play.claims.counts), play.claims.broken[:3]), ({}, []))
-        self.assertGreater(play.writer.acknowledged, 0)
-        for subscriber in play.subscribers.values():
-            self.assertLessEqual(subscriber.worst_window, 10 * play.settings.feed.bytes_per_second)
+    def assert_kept(self, simulation):
+        self.assertEqual((dict(simulation.claims.counts), simulation.claims.broken[:3]), ({}, []))
+        self.assertGreater(simulation.writer.acknowledged, 0)
+        for subscriber in simulation.subscribers.values():
+            self.assertLessEqual(subscriber.max_window_bytes, 10 * simulation.settings.feed.bytes_per_second)
 
     def test_each_kind_of_fault(self):
         for kind in KINDS:
             with self.subTest(kind):
-                play = ControlPlay(Settings(seed=1, write_every=S // 2))
-                play.start()
-                play.run(10 * S)
-                faults = draw_faults(random.Random(7), play, 3, kinds=(kind,))
-                play_faults(play, faults, 4 * S)
-                play.settle()
-                self.assert_kept(play)
+                simulation = ControlPlaneSimulation(Settings(seed=1, write_every=S // 2))
+                simulation.start()
+                simulation.run(10 * S)
+                faults = draw_faults(random.Random(7), simulation, 3, kinds=(kind,))
+                play_faults(simulation, faults, 4 * S)
+                simulation.settle()
+                self.assert_kept(simulation)
 
     def test_drawn_faults_of_several_sizes(self):
         for seed, more in enumerate(
             ({}, {"replicas": 5, "regions": 3}, {"replicas": 8, "regions": 6, "subscribers": 12})
         ):
             with self.subTest(**more):
-                self.assert_kept(played(seed, together=1 + seed, **more))
+                self.assert_kept(simulate(seed, group_size=1 + seed, **more))
 
     def test_long_after_the_last_fault_writes_are_prompt(self):
-        play = played(5, faults=3, pause=CALM, write_every=S // 2)
-        self.assert_kept(play)
-        self.assertGreater(len(play.claims.took["prompt"]), 100)
-        self.assertLess(max(play.claims.took["prompt"]), play.bounds.good)
+        simulation = simulate(5, faults=3, pause=CALM, write_every=S // 2)
+        self.assert_kept(simulation)
+        self.assertGreater(len(simulation.claims.took["prompt"]), 100)
+        self.assertLess(max(simulation.claims.took["prompt"]), simulation.bounds.good)
 
     def test_with_replicas_dead_writes_are_in_force_within_the_stated_time(self):
         for dead, seed in ((1, 11), (1, 12), (2, 13), (2, 14)):
             with self.subTest(dead=dead, seed=seed):
-                play = ControlPlay(Settings(seed=seed, replicas=5, subscribers=20, write_every=S // 4))
-                play.start()
-                play.run(20 * S)
+                simulation = ControlPlaneSimulation(
+                    Settings(seed=seed, replicas=5, subscribers=20, write_every=S // 4)
+                )
+                simulation.start()
+                simulation.run(20 * S)
                 leader = next(
-                    n for n, one in play.replicas.items() if one.core.has_majority(play.engine.time)
+                    n
+                    for n, one in simulation.replicas.items()
+                    if one.core.has_majority(simulation.engine.time)
                 )
-                other = next(name for name in play.replica_names if name != leader)
+                other = next(name for name in simulation.replica_names if name != leader)
                 for name in (leader, other)[:dead]:
-                    play.replicas[name].kill(silent=True)
-                play.change()
-                died, bound = play.engine.time, play.bounds.replicas_dead(dead)
+                    simulation.replicas[name].kill(silent=True)
+                simulation.restart_bounds()
+                died, bound = simulation.engine.time, simulation.bounds.replicas_dead(dead)
                 for _ in range(120):
-                    play.run(S // 4)
-                    for name, one in play.subscribers.items():
-                        play.claims.reach(play.engine.time, name, one.core.revision, died, bound, "prompt")
-                self.assertTrue(play.claims.kept, play.claims.broken)
-                self.assertGreater(play.claims.checks["prompt"], 500)
+                    simulation.run(S // 4)
+                    for name, one in simulation.subscribers.items():
+                        simulation.claims.reach(
+                            simulation.engine.time, name, one.core.revision, died, bound, "prompt"
+                        )
+                self.assertTrue(simulation.claims.kept, simulation.claims.broken)
+                self.assertGreater(simulation.claims.checks["prompt"], 500)
 
     def test_the_same_seed_gives_the_same_play(self):
-        first, second = played(3), played(3)
+        first, second = simulate(3), simulate(3)
         self.assertEqual(first.claims.history, second.claims.history)
         self.assertEqual(first.engine.done, second.engine.done)
         for one, other in zip(first.subscribers.values(), second.subscribers.values(), strict=True):
             self.assertEqual((one.bytes_in, one.bytes_out), (other.bytes_in, other.bytes_out))
 
     def test_a_region_apart_for_an_hour_catches_up_within_its_budget(self):
-        play = ControlPlay(
+        simulation = ControlPlaneSimulation(
             Settings(seed=2, replicas=5, regions=5, subscribers=10, keys=200, write_every=4 * S)
         )
-        play.start()
-        play.run(10 * S)
-        apart = [name for name in play.links.region if play.links.region[name] == 1]
-        together = [name for name in play.links.region if name not in apart]
-        play.change()
-        play.links.split(together, apart)
-        play.run(3_600 * S)
-        away = play.subscribers["s001"].core
-        self.assertGreater(away.age(play.engine.time), 3_590 * S)
-        lacking = sum(entry.size for entry in play.replicas["r0"].core.store.entries_since(away.revision))
-        play.heal()
-        limit = play.bounds.any_fault + play.bounds.waiting(lacking)
-        play.run(limit)
-        self.assertLess(away.age(play.engine.time), 5 * S)
-        play.settle()
-        self.assert_kept(play)
+        simulation.start()
+        simulation.run(10 * S)
+        apart = [name for name in simulation.links.region if simulation.links.region[name] == 1]
+        together = [name for name in simulation.links.region if name not in apart]
+        simulation.restart_bounds()
+        simulation.links.split(together, apart)
+        simulation.run(3_600 * S)
+        away = simulation.subscribers["s001"].core
+        self.assertGreater(away.age(simulation.engine.time), 3_590 * S)
+        lacking = sum(
+            entry.size for entry in simulation.replicas["r0"].core.store.entries_since(away.revision)
+        )
+        simulation.heal()
+        limit = simulation.bounds.any_fault + simulation.bounds.waiting(lacking)
+        simulation.run(limit)
+        self.assertLess(away.age(simulation.engine.time), 5 * S)
+        simulation.settle()
+        self.assert_kept(simulation)
 
     def test_all_starting_at_once_stay_within_their_budgets(self):
-        play = ControlPlay(Settings(seed=4, subscribers=30, keys=300, write_every=20_000_000))
-        play.start()
-        play.run(25 * S)
-        play.writer.stop()
-        play.run(10 * S)
-        for process in play.subscribers.values():
+        simulation = ControlPlaneSimulation(
+            Settings(seed=4, subscribers=30, keys=300, write_every=20_000_000)
+        )
+        simulation.start()
+        simulation.run(25 * S)
+        simulation.writer.stop()
+        simulation.run(10 * S)
+        for process in simulation.subscribers.values():
             process.kill()
-        play.heal()
-        play.settle()
-        self.assert_kept(play)
-        lowest = min(one.core.revision for one in play.subscribers.values())
-        self.assertEqual(lowest, play.replicas["r0"].core.store.revision)
+        simulation.heal()
+        simulation.settle()
+        self.assert_kept(simulation)
+        lowest = min(one.core.revision for one in simulation.subscribers.values())
+        self.assertEqual(lowest, simulation.replicas["r0"].core.store.revision)
 
     def test_a_rollback_while_the_faulty_version_arrives_wins_everywhere(self):
-        play = ControlPlay(Settings(seed=6, subscribers=12, write_every=10**6 * S))
-        play.start()
-        play.run(10 * S)
-        leader = next(one for one in play.replicas.values() if one.core.has_majority(play.engine.time))
+        simulation = ControlPlaneSimulation(Settings(seed=6, subscribers=12, write_every=10**6 * S))
+        simulation.start()
+        simulation.run(10 * S)
+        leader = next(
+            one for one in simulation.replicas.values() if one.core.has_majority(simulation.engine.time)
+        )
         good, faulty = b"good" * 50, b"faulty" * 500
         leader.put("route", good, "q1", lambda outcome: None)
-        play.run(5 * S)
+        simulation.run(5 * S)
         leader.put("route", faulty, "q2", lambda outcome: None)
-        while not any(one.core.store.get("route").value == faulty for one in play.subscribers.values()):
-            play.run(S // 1_000)
+        while not any(one.core.store.get("route").value == faulty for one in simulation.subscribers.values()):
+            simulation.run(S // 1_000)
         leader.put("route", good, "q3", lambda outcome: None)  # some hold the faulty one, some not yet
-        play.run(play.bounds.good)
-        values = {one.core.store.get("route").value for one in play.subscribers.values()}
+        simulation.run(simulation.bounds.good)
+        values = {one.core.store.get("route").value for one in simulation.subscribers.values()}
         self.assertEqual(values, {good})
-        play.settle()
-        self.assertTrue(play.claims.kept, play.claims.broken)
+        simulation.settle()
+        self.assertTrue(simulation.claims.kept, simulation.claims.broken)
 
     def test_a_replica_killed_in_the_middle_of_a_delta(self):
-        play = ControlPlay(Settings(seed=8, keys=100, write_every=10**6 * S))
-        play.start()
-        play.run(10 * S)
-        subscriber = play.subscribers["s000"]
-        others = [name for name in (*play.replicas, *play.subscribers) if name != "s000"]
-        play.links.split(others, ["s000"])
-        leader = next(one for one in play.replicas.values() if one.core.has_majority(play.engine.time))
+        simulation = ControlPlaneSimulation(Settings(seed=8, keys=100, write_every=10**6 * S))
+        simulation.start()
+        simulation.run(10 * S)
+        subscriber = simulation.subscribers["s000"]
+        others = [name for name in (*simulation.replicas, *simulation.subscribers) if name != "s000"]
+        simulation.links.split(others, ["s000"])
+        leader = next(
+            one for one in simulation.replicas.values() if one.core.has_majority(simulation.engine.time)
+        )
         for n in range(60):
             leader.put(f"k{n}", bytes(300), f"q{n}", lambda outcome: None)
-            play.run(S // 10)
-        play.heal()
+            simulation.run(S // 10)
+        simulation.heal()
         before = subscriber.core.revision
         while subscriber.core.revision == before:
-            play.run(S // 100)
+            simulation.run(S // 100)
         self.assertLess(subscriber.core.revision, leader.core.store.revision)
-        strike(play, Fault("kill replica", (subscriber.core.replica,), S))
-        play.settle()
-        self.assert_no_gap(play, subscriber)
+        inject_fault(simulation, Fault("kill replica", (subscriber.core.replica,), S))
+        simulation.settle()
+        self.assert_no_gap(simulation, subscriber)
 
-    def assert_no_gap(self, play, subscriber):
-        self.assertTrue(play.claims.kept, play.claims.broken)
-        digests = {one.core.store.digest for one in play.replicas.values()}
+    def assert_no_gap(self, simulation, subscriber):
+        self.assertTrue(simulation.claims.kept, simulation.claims.broken)
+        digests = {one.core.store.digest for one in simulation.replicas.values()}
         self.assertEqual({subscriber.core.store.digest}, digests)
 
 
@@ -224,11 +238,11 @@
 
 
 def replicas_of(core=Replica, feed=SubscriberFeed):
-    return type("Spoilt", (ReplicaProcess,), {"make_core": core, "make_feed": feed})
+    return type("Spoilt", (ReplicaProcess,), {"core_type": core, "feed_type": feed})
 
 
 def subscribers_of(core):
-    return type("Spoilt", (SubscriberProcess,), {"make_core": core})
+    return type("Spoilt", (SubscriberProcess,), {"core_type": core})
 
 
 class Sabotage(unittest.TestCase):
@@ -237,12 +251,12 @@
     def broken(self, seeds=range(1, 6), **spoilt):
         found = set()
         for seed in seeds:
-            play = ControlPlay(Settings(seed=seed, write_every=S // 4, keys=5), **spoilt)
-            play.start()
-            play.run(10 * S)
-            play_faults(play, draw_faults(random.Random(seed), play, 6), 4 * S, together=2)
-            play.settle()
-            found |= set(play.claims.counts)
+            simulation = ControlPlaneSimulation(Settings(seed=seed, write_every=S // 4, keys=5), **spoilt)
+            simulation.start()
+            simulation.run(10 * S)
+            play_faults(simulation, draw_faults(random.Random(seed), simulation, 6), 4 * S, group_size=2)
+            simulation.settle()
+            found |= set(simulation.claims.counts)
         return found
 
     def test_a_replica_that_answers_without_a_majority(self):
@@ -252,13 +266,15 @@
         kinds = ("lose disk", "split", "kill replica")
         found = set()
         for seed in range(1, 13):
-            play = ControlPlay(
+            simulation = ControlPlaneSimulation(
                 Settings(seed=seed, write_every=S // 8, keys=5), replica_process=replicas_of(Forgetful)
             )
-            play.start()
-            play.run(8 * S)
-            play_faults(play, draw_faults(random.Random(seed), play, 10, kinds), S // 2, together=3)
-            found |= set(play.claims.counts)
+            simulation.start()
+            simulation.run(8 * S)
+            play_faults(
+                simulation, draw_faults(random.Random(seed), simulation, 10, kinds), S // 2, group_size=3
+            )
+            found |= set(simulation.claims.counts)
             if found:
                 break
         self.assertIn("history", found)
@@ -278,11 +294,11 @@
 
     def test_a_feed_without_a_budget(self):
         large = Settings(seed=1, write_every=S // 4, value=(2_000, 4_000))
-        play = ControlPlay(large, replica_process=replicas_of(feed=Eager))
-        play.start()
-        play.run(30 * S)
-        worst = max(one.worst_window for one in play.subscribers.values())
-        self.assertGreater(worst, 10 * play.settings.feed.bytes_per_second)
+        simulation = ControlPlaneSimulation(large, replica_process=replicas_of(feed=Eager))
+        simulation.start()
+        simulation.run(30 * S)
+        worst = max(one.max_window_bytes for one in simulation.subscribers.values())
+        self.assertGreater(worst, 10 * simulation.settings.feed.bytes_per_second)
 
 
 if __name__ == "__main__":
