--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -81,7 +81,8 @@
     """
     endpoints = [text.rpartition("=")[::2] for text in backends]
     if invalid := next(
-        (text for text, (at, zone) in zip(backends, endpoints, strict=False) if not at or not zone), None
+        (text for text, (address, zone) in zip(backends, endpoints, strict=False) if not address or not zone),
+        None,
     ):
         raise InputError(f"'{invalid}' is not ADDRESS=ZONE")
 
@@ -140,11 +141,11 @@
         async with anyio.create_task_group() as group:
             address = await group.start(proxy.run)
             print_line(f"proxy {name} listens on {address}")
-            group.start_soon(report, proxy, counts)
+            group.start_soon(print_counts, proxy, counts)
             await clients.run(address, agenda.now() + int(seconds * NS_PER_SECOND))
             group.cancel_scope.cancel()
 
-    async def report(proxy, counts):
+    async def print_counts(proxy, counts):
         while True:
             await anyio.sleep(1)
             print_line(
