--- a/embertray/service/daemon/proxy_streams.py
+++ b/embertray/service/daemon/proxy_streams.py
@@ -104,8 +104,8 @@
     async def serve(self, raw_stream):
         """Serves one stream from accept to close.
 
-        No error leaves this method: the listener's task group would cancel all other streams. So malformed
-        data or a fault in handling it ends one stream only.
+        No error leaves this method, since the listener's task group would then cancel all other streams.
+        Malformed data, or a fault in handling it, ends this stream only.
         """
         try:
             await self._serve(QueuedConnection(raw_stream), raw_stream)
