--- a/embertray/simulation/emulator/control/__init__.py
+++ b/embertray/simulation/emulator/control/__init__.py
@@ -1,7 +1,7 @@
-"""The control plane under virtual time, on production cores.
+"""Simulation of the control plane in virtual time, with production cores.
 
-Links delay, close and queue; processes are killed, stopped, restarted and lose their state. Messages travel
-as bytes.
+Links delay messages, close, and queue; processes are killed, stopped, restarted and lose their state.
+Messages are sent as encoded bytes.
 """
 
 from .faults import draw_faults
--- a/embertray/simulation/emulator/control/day_simulation.py
+++ b/embertray/simulation/emulator/control/day_simulation.py
@@ -1,6 +1,6 @@
-"""A day of the control plane at the size of the operators' target, with its changes, restarts and failures.
+"""Simulates a day of the control plane at the operators' target size, with its writes, restarts and failures.
 
-It is compressed: all of a day's events fall into a part of it, which is harsher than the day.
+The day is compressed: all of its events happen in a fraction of a day, which is harsher than the day itself.
 """
 
 from bisect import bisect_right
@@ -12,16 +12,16 @@
 from .simulation import ControlPlaneSimulation, Settings
 
 DAY_NS = 86_400 * NS_PER_SECOND
-# Time until a failed machine is replaced, and until a rack and a zone are back.
+# Time until a failed machine is replaced, and until a failed rack or zone is back.
 MACHINE_DOWN_NS = 300 * NS_PER_SECOND
 RACK_DOWN_NS = 300 * NS_PER_SECOND
 ZONE_DOWN_NS = 600 * NS_PER_SECOND
 # The least and the most time that a restart takes.
 RESTART_DOWN_NS = (3 * NS_PER_SECOND, 15 * NS_PER_SECOND)
-# Controllers that a rollout restarts together, and within which time.
+# Controllers that a rollout restarts together, and the time over which their restarts are spread.
 BATCH_SIZE = 47
 BATCH_SPREAD_NS = 10 * NS_PER_SECOND
-# One restart in so many comes in batches.
+# One in this many restarts belongs to a batch.
 BATCHED_RESTARTS = 3
 # Time from the start to the day's first event.
 WARM_UP_NS = 30 * NS_PER_SECOND
@@ -29,7 +29,26 @@
 
 @dataclass(frozen=True)
 class DayPlan:
-    """What happens in a day; the defaults are the operators' target."""
+    """Size and events of a day; the defaults are the operators' target.
+
+    Attributes:
+        controllers: Number of subscribers.
+        replicas: Number of replicas.
+        regions: Number of regions.
+        zones: Number of zones, each an equal part of all machines.
+        keys: Number of keys.
+        value: The least and the greatest size of a value, bytes.
+        changes: Writes in the day.
+        machines_failing: Machines that fail alone.
+        restarts: Restarts of controllers and replicas.
+        racks: Rack failures.
+        rack_size: Machines of a rack.
+        zones_lost: Zone failures.
+        regions_apart: Partitions of a region from the others.
+        partition_duration: Duration of such a partition, ns.
+        compress: By which factor the day is shortened.
+        seed: Seed of all random draws.
+    """
 
     controllers: int = 470
     replicas: int = 8
@@ -44,25 +63,26 @@
     rack_size: int = 24
     zones_lost: int = 1
     regions_apart: int = 1
-    partition_duration: int = 300 * NS_PER_SECOND  # ns
+    partition_duration: int = 300 * NS_PER_SECOND
     compress: int = 24
     seed: int = 1
 
     @property
     def duration(self):
-        """The play's duration, ns."""
+        """Duration of the compressed day, ns."""
         return DAY_NS // self.compress
 
 
 class TimedClaims(ControlClaims):
-    """Also records how long writes took.
+    """Also records the time from a write's acknowledgement to its effect at each subscriber.
 
-    A write that a newer one of its key overtook is not counted.
+    Writes that a newer write of the same key superseded before they arrived are not counted.
 
     Attributes:
-        reached_since: When each subscriber was last within reach again, ns.
-        while_reached: ns from acknowledgement to effect, where the subscriber was within reach meanwhile.
-        after_return: ns from a subscriber's return to the effect, for the others.
+        reachable_since: Since when each subscriber can reach a majority, ns.
+        delays_while_reachable: Time from acknowledgement to effect at subscribers that were reachable all the
+            time, ns.
+        delays_after_return: Time from a subscriber's return to the effect, at the other subscribers, ns.
     """
 
     def __init__(self):
@@ -90,7 +110,7 @@
             self.delays_after_return.append(now - since)
 
     def out_of_reach(self, now, subscriber):
-        """Records that a subscriber reaches no majority now.
+        """Records that a subscriber cannot reach a majority now.
 
         Args:
             now: ns.
@@ -107,16 +127,16 @@
 
 
 class ControlDay:
-    """Plays a DayPlan.
+    """Simulates the day of a DayPlan.
 
     Args:
         plan: The DayPlan.
 
     Attributes:
         claims: The TimedClaims.
-        play: The ControlPlay.
-        counts: Events by kind.
-        apart: Machines of the region that is cut off now.
+        simulation: The ControlPlaneSimulation.
+        counts: Number of events by kind.
+        partitioned: Machines of the region that is partitioned from the others now.
     """
 
     def __init__(self, plan):
@@ -140,10 +160,10 @@
         self.partitioned = []
 
     def run(self, warm_up=WARM_UP_NS):
-        """Plays the whole day, and checks what has to hold after it.
+        """Simulates the whole day, and checks the claims that must hold after it.
 
         Args:
-            warm: Time before the day's first event, ns.
+            warm_up: Time before the day's first event, ns.
 
         Returns:
             The ControlDay itself.
@@ -196,7 +216,7 @@
             engine.at(when, self._down, machine, self.rng.randint(*RESTART_DOWN_NS), False)
 
     def _fail_together(self, count, duration):
-        """Machines that stand together: neighbours in the order of their numbers in one region."""
+        """Fails machines of one rack or zone: neighbours by number within one region."""
         first = self.rng.choice(list(self.simulation.subscribers.values()))
         region = self.simulation.links.region
         near = [machine for machine in self.machines if region[machine.name] == region[first.name]]
@@ -217,7 +237,7 @@
             self._restart_bounds(machine)
 
     def _restart_bounds(self, machine):
-        """Bounds count anew for whom it concerns; a subscriber is back when it has started."""
+        """Restarts the bounds of the subscribers affected; a subscriber is reachable from its start."""
         if machine.name in self.simulation.subscribers:
             self.simulation.restart_bounds(machine.name)
             self.claims.reachable_since[machine.name] = self.simulation.engine.time
--- a/embertray/simulation/emulator/control/faults.py
+++ b/embertray/simulation/emulator/control/faults.py
@@ -1,10 +1,10 @@
-"""Faults drawn by a seed and played one after the other, or several at a time."""
+"""Random faults, injected one after the other or in groups."""
 
 from dataclasses import dataclass
 
 from embertray.simulation.emulator.engine import NS_PER_SECOND
 
-# The least and the most time that a drawn fault lasts.
+# The shortest and the longest duration of a random fault.
 MIN_DURATION_NS = 1 * NS_PER_SECOND
 MAX_DURATION_NS = 14 * NS_PER_SECOND
 
@@ -15,8 +15,8 @@
 
     Attributes:
         kind: One of KINDS.
-        targets: Names of the processes that it strikes.
-        lasts: How long, ns.
+        targets: Names of the processes affected.
+        duration: ns.
     """
 
     kind: str
@@ -40,15 +40,15 @@
 def draw_faults(
     rng, simulation, count, kinds=KINDS, min_duration=MIN_DURATION_NS, max_duration=MAX_DURATION_NS
 ):
-    """Draws faults among the processes of a play.
+    """Draws random faults on the processes of a simulation.
 
     Args:
-        chance: A random.Random.
-        play: The ControlPlay.
-        count: How many.
-        kinds: What kinds, of KINDS.
-        least: The least time that one lasts, ns.
-        most: The most, ns.
+        rng: A random.Random.
+        simulation: The ControlPlaneSimulation.
+        count: Number of faults.
+        kinds: Kinds to draw from, of KINDS.
+        min_duration: The shortest duration of a fault, ns.
+        max_duration: The longest duration of a fault, ns.
 
     Returns:
         A list of Faults.
@@ -73,10 +73,10 @@
 
 
 def inject_fault(simulation, fault):
-    """Makes a fault happen now.
+    """Begins a fault now; `ControlPlaneSimulation.heal` ends it.
 
     Args:
-        play: The ControlPlay.
+        simulation: The ControlPlaneSimulation.
         fault: The Fault.
     """
     first = fault.targets[0]
@@ -109,13 +109,13 @@
 
 
 def play_faults(simulation, faults, pause, group_size=1):
-    """Plays faults, each group of them followed by a time without any.
+    """Injects faults in groups, and heals everything after each group.
 
     Args:
-        play: The ControlPlay.
+        simulation: The ControlPlaneSimulation.
         faults: The Faults.
         pause: Time without faults after each group, ns.
-        together: How many make a group.
+        group_size: Number of faults in a group.
     """
     for start in range(0, len(faults), group_size):
         group = faults[start : start + group_size]
--- a/embertray/simulation/emulator/control/links.py
+++ b/embertray/simulation/emulator/control/links.py
@@ -1,24 +1,24 @@
-"""Links between machines, one way each, open or closed, and the streams that keep their order over them."""
+"""Unidirectional links between machines, and ordered message streams over them."""
 
 from collections import deque
 
 from embertray.simulation.emulator.engine import NS_PER_MS
 
-# The least and the most time of a message within a region, and between regions.
+# The shortest and the longest delay of a message within a region, and between regions.
 NEAR_DELAY_NS = (1 * NS_PER_MS, 3 * NS_PER_MS)
 FAR_DELAY_NS = (20 * NS_PER_MS, 80 * NS_PER_MS)
 
 
 class Links:
-    """All links of a play.
+    """All links of a simulation.
 
-    A closed pair carries nothing; what a stream queues for it leaves when it opens again, as TCP retransmits.
+    A closed link carries nothing; streams queue their messages until it opens again, as TCP retransmits.
 
     Args:
         engine: The Engine.
-        chance: A random.Random.
+        rng: A random.Random.
         region: Machine -> region.
-        near: The least and the most time of a message within a region, ns.
+        near: The shortest and the longest delay of a message within a region, ns.
         far: The same between regions, ns.
 
     Attributes:
@@ -35,7 +35,7 @@
         self.far = far
         self.closed = set()
         self.groups = {}
-        self.streams = {}  # the values are dicts, as ordered sets: runs of one seed must be alike
+        self.streams = {}  # values are dicts used as ordered sets, so that a seed always gives the same run
 
     def open(self, sender, receiver):
         """Whether a message passes now.
@@ -103,7 +103,7 @@
         self._release()
 
     def enqueue(self, stream):
-        """Has a stream resumed when its link opens.
+        """Registers a stream to be resumed when its link opens.
 
         Args:
             stream: The Stream.
@@ -153,19 +153,19 @@
             return
         engine = self.links.engine
         delay = self.links.delay(self.sender, self.receiver)
-        # One ns after the message before it at least: a stream keeps its order.
+        # At least 1 ns after the previous message, since a stream keeps its order.
         self._last_arrival_at = max(self._last_arrival_at + 1, engine.time + delay)
         engine.at(self._last_arrival_at, self._arrive, data)
 
     def resume(self):
-        """Sends what is queued: the link is open again."""
+        """Sends the queued messages after the link has opened."""
         queued = self.queued
         self.queued = deque()
         for data in queued:
             self.send(data)
 
     def end(self):
-        """Drops what is queued; what is under way is not delivered."""
+        """Drops queued messages and those in flight."""
         self.ended = True
         self.queued.clear()
 
--- a/embertray/simulation/emulator/control/process.py
+++ b/embertray/simulation/emulator/control/process.py
@@ -1,26 +1,26 @@
-"""A process under virtual time, and a connection between a subscriber and a replica."""
+"""A simulated process, and a connection between a subscriber and a replica."""
 
 from collections import deque
 
 from .links import Stream
 
-# Bytes of the length before each message.
+# Length of the prefix that each message has on the wire, bytes.
 FRAME_BYTES = 4
 
 
 class Process:
-    """Something that handles calls, one at a time, and may be dead, stopped or busy.
+    """A process that handles one call at a time, and may be dead, stopped or busy.
 
     Args:
-        play: The ControlPlay.
+        simulation: The ControlPlaneSimulation.
         name: The process's name.
 
     Attributes:
         alive: Whether it runs; a stopped process is alive.
-        stopped: Whether it is stopped; calls wait.
-        busy: Whether it waits for its disk; calls wait.
-        life: Its incarnation; it changes with each start and each death.
-        waiting: (callback, args) that wait.
+        stopped: Whether it is stopped; calls are deferred.
+        busy: Whether it waits for its disk; calls are deferred.
+        incarnation: A number that changes with each start and each kill.
+        deferred: (callback, args) of deferred calls.
         bytes_out, bytes_in, messages_out: Its traffic.
     """
 
@@ -39,7 +39,7 @@
         self.messages_out = 0
 
     def call(self, callback, *args):
-        """Calls now, or when the process is free again; a dead process misses it.
+        """Calls now, or once the process is neither stopped nor busy; a dead process drops the call.
 
         Args:
             callback: What to call.
@@ -54,18 +54,18 @@
         self.after_call()
 
     def after_call(self):
-        """Does what follows from a call."""
+        """Carries out what the core requested during a call."""
         raise NotImplementedError
 
     def drain(self):
-        """Makes the calls that have waited, until the process is stopped or busy again."""
+        """Makes the deferred calls, until the process is stopped or busy again."""
         while self.deferred and self.alive and not self.stopped and not self.busy:
             callback, args = self.deferred.popleft()
             callback(*args)
             self.after_call()
 
     def schedule_tick(self, when):
-        """Schedules the next tick in place of the one that was scheduled.
+        """Schedules the next tick, and cancels the one that was scheduled before.
 
         Args:
             when: ns.
@@ -82,7 +82,7 @@
             self.call(self.tick)
 
     def tick(self):
-        """Does what is due."""
+        """Advances the core, if it is due."""
         raise NotImplementedError
 
     def stop(self):
@@ -103,7 +103,7 @@
         links: The Links.
         subscriber: The SubscriberProcess.
         replica: The ReplicaProcess.
-        number: The subscriber's number for it.
+        number: The subscriber's identifier for it.
 
     Attributes:
         up: The Stream to the replica.
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -1,4 +1,4 @@
-"""A replica under virtual time: its core, feed, disk and connections."""
+"""A simulated replica: its core, feed, disk and connections."""
 
 from embertray.cluster.replication.codec import decode_from_subscriber, decode_replica_message, encode
 from embertray.cluster.replication.entry import Entry
@@ -15,9 +15,9 @@
 from .links import Stream
 from .process import FRAME_BYTES, Process
 
-# The least and the most time until a state is on disk.
+# The shortest and the longest time to save a state to disk.
 SAVE_NS = (2 * NS_PER_MS, 20 * NS_PER_MS)
-# Messages to another replica that a closed link queues; the oldest are dropped.
+# Most messages to another replica that a closed link queues; beyond it, the oldest are dropped.
 MAX_QUEUED_MESSAGES = 64
 
 
@@ -25,16 +25,16 @@
     """A replica, its feed, its disk and its connections.
 
     Args:
-        play: The ControlPlay.
+        simulation: The ControlPlaneSimulation.
         name: Its name.
 
     Attributes:
-        core_type: Type of its core; tests replace it by faulty ones.
-        feed_type: Type of its feed; the same.
+        core_type: Type of the core; tests replace it by faulty ones.
+        feed_type: Type of the feed; tests replace it likewise.
         core: The Replica.
         feed: The SubscriberFeed.
         disk: The ReplicaState on its disk, or None.
-        lost_disks: What was on the disks that it lost.
+        lost_disks: The states of the disks that it has lost.
         connections: Connection by subscriber.
         peers: Stream to each other replica, by its name.
     """
@@ -50,12 +50,12 @@
         self.peers = {}
 
     def _first_disk(self):
-        """None, as before a first start, or what is prefilled."""
+        """The state with the simulation's initial entries, or None as before a first start."""
         entries = self.simulation.initial_entries
         return ReplicaState(1, "", len(entries), 1, 0, list(entries), [], []) if entries else None
 
     def start(self):
-        """Starts a process with what is on its disk."""
+        """Starts the process with the state on its disk."""
         now = self.engine.time
         settings = self.simulation.settings
         self.incarnation += 1
@@ -69,7 +69,7 @@
         )
         self.feed = self.feed_type(settings.cluster, lambda: self.core.store, now, settings.feed)
         self.core.feed = self.feed
-        self.writes = {}  # request -> what is called with the committed Entry
+        self.writes = {}  # request -> callback that takes the committed Entry
         self.call(self.tick)
 
     def kill(self, silent=False):
@@ -90,12 +90,12 @@
         self.peers = {}
 
     def lose_disk(self):
-        """Loses what was saved."""
+        """Loses the state on the disk."""
         self.lost_disks.append(self.disk)
         self.disk = None
 
     def has_saved(self, revision):
-        """Whether a write has ever been on its disk.
+        """Whether a write has ever been saved, also on a disk lost since.
 
         Args:
             revision: The write's revision.
@@ -117,7 +117,7 @@
         """Handles a message from another replica.
 
         Args:
-            life: The incarnation that it was sent to.
+            incarnation: The incarnation that it was sent to.
             data: bytes.
         """
         if incarnation == self.incarnation:
@@ -144,7 +144,7 @@
 
         Args:
             connection: The Connection that carried it.
-            life: The incarnation that it was sent to.
+            incarnation: The incarnation that it was sent to.
             data: bytes.
         """
         if incarnation == self.incarnation:
@@ -186,13 +186,13 @@
             self.feed.unsubscribe(name)
 
     def put(self, key, value, request, done, expected=None):
-        """Takes a write.
+        """Handles a write request.
 
         Args:
-            key: Its key.
+            key: The key.
             value: bytes; None removes the key.
-            request: Its idempotency key.
-            done: Called with the committed Entry or a WriteRejectedError, once it is known.
+            request: The idempotency key.
+            done: Called with the committed Entry or a WriteRejectedError, once the outcome is known.
             expected: The revision that the key must have; None: any.
         """
         self.call(self._put, key, value, request, done, expected)
@@ -203,15 +203,15 @@
         except WriteRejectedError as error:
             done(error)
             return
-        if revision <= self.core.store.revision:  # a repeated call whose first one was committed
+        if revision <= self.core.store.revision:  # a retry of a request that is committed already
             done(Entry(key, revision, 0, request, value))
         else:
             self.writes[request] = done
 
-    # ---- what follows
+    # ---- the core's requests
 
     def after_call(self):
-        """Saves the core's state, if it changed, and then does what the core asks for."""
+        """Saves the core's state, if it changed, and then carries out the core's step."""
         step = self.core.poll()
         if step.state is not None:
             self.busy = True
@@ -222,7 +222,7 @@
 
     def _saved(self, incarnation, step):
         if incarnation != self.incarnation:
-            return  # it died before the state was on disk
+            return  # it was killed before the state was on disk
         self.disk = step.state
         self.busy = False
         self._carry_out(step)
--- a/embertray/simulation/emulator/control/simulation.py
+++ b/embertray/simulation/emulator/control/simulation.py
@@ -1,4 +1,4 @@
-"""A play of the control plane: replicas, subscribers and a writer on one engine, held against claims."""
+"""Simulates replicas, subscribers and a writer on one engine, and checks claims about them."""
 
 import random
 from dataclasses import dataclass, field
@@ -18,35 +18,51 @@
 START_NS = 1_000 * NS_PER_SECOND
 # Time between two observations of every subscriber.
 OBSERVATION_PERIOD_NS = 250 * NS_PER_MS
-# Replicas that a subscriber may follow.
+# Replicas that a subscriber may connect to.
 PREFERRED_REPLICAS = 3
 
 
 @dataclass(frozen=True)
 class Settings:
-    """What is played."""
+    """Size, load and timing of a simulation.
+
+    Attributes:
+        seed: Seed of all random draws.
+        replicas: Number of replicas.
+        subscribers: Number of subscribers.
+        regions: Number of regions.
+        keys: Number of keys.
+        value: The least and the greatest size of a value, bytes.
+        write_every: Mean time between writes, ns.
+        cluster: The cluster's name.
+        initial_keys: Keys that all replicas and subscribers hold at the start.
+        persistent: Whether subscribers have a disk and restart with the state on it.
+        replica: Timing of the replicas.
+        feed: Settings of the feeds.
+        subscriber: Timing of the subscribers.
+    """
 
     seed: int = 1
     replicas: int = 3
     subscribers: int = 6
     regions: int = 1
     keys: int = 40
-    value: tuple = (20, 400)  # bytes, least and most
-    write_every: int = 2 * NS_PER_SECOND  # ns, the mean
+    value: tuple = (20, 400)
+    write_every: int = 2 * NS_PER_SECOND
     cluster: str = "play"
-    initial_keys: int = 0  # keys that everybody holds at the start
-    persistent: bool = False  # subscribers have a disk, and start with what they held
+    initial_keys: int = 0
+    persistent: bool = False
     replica: ReplicaTiming = field(default_factory=ReplicaTiming)
     feed: FeedSettings = field(default_factory=FeedSettings)
     subscriber: SubscriberTiming = field(default_factory=SubscriberTiming)
 
 
 class ControlPlaneSimulation:
-    """All that takes part in one play.
+    """All processes and links of one simulation.
 
     Args:
         settings: The Settings.
-        claims: The ControlClaims that are held against it; None: new ones.
+        claims: The ControlClaims to check; None: new ones.
         replica_process: Type of the replicas; None: ReplicaProcess.
         subscriber_process: Type of the subscribers; None: SubscriberProcess.
 
@@ -54,8 +70,9 @@
         replicas: ReplicaProcess by name.
         subscribers: SubscriberProcess by name.
         links: The Links.
-        bounds: The Bounds that the claims go by.
-        changed_at: When something last changed that concerns a subscriber, ns, by its name.
+        bounds: The Bounds that the claims are checked against.
+        bounds_restarted_at: Time of the last fault or repair that affects a subscriber, from which its bounds
+            count, ns, by its name.
     """
 
     def __init__(self, settings, claims=None, replica_process=None, subscriber_process=None):
@@ -102,7 +119,7 @@
         return random.Random(f"{self.settings.seed} {purpose}")
 
     def _preferred_replicas(self, name, region):
-        """Replicas of the own region first, then others, in an order of the subscriber's own."""
+        """A subscriber's replicas: those of its region first, each group in random order."""
         order = self.random_for(f"order {name}").sample(self.replica_names, len(self.replica_names))
         return sorted(order, key=lambda replica: region[replica] != region[name])[:PREFERRED_REPLICAS]
 
@@ -119,12 +136,12 @@
         """Lets time pass.
 
         Args:
-            span: ns.
+            duration: ns.
         """
         self.engine.run(self.engine.time + duration)
 
     def settle(self):
-        """Heals everything, stops writing, and lets the longest bound pass."""
+        """Stops writing, heals everything, lets the longest bound pass, and compares final states."""
         self.writer.stop()
         self.heal()
         self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog) + 4 * OBSERVATION_PERIOD_NS)
@@ -138,18 +155,18 @@
 
     @property
     def backlog(self):
-        """Bytes of everything that is in force: the most that a subscriber can lack."""
+        """Bytes of all live entries: the most that a subscriber can lack."""
         return max(replica.core.store.live_bytes for replica in self.running_replicas)
 
     @property
     def running_replicas(self):
-        """Replicas that run."""
+        """Replicas that are neither dead nor stopped."""
         return [replica for replica in self.replicas.values() if replica.alive and not replica.stopped]
 
     # ---- connections
 
     def dial(self, connection):
-        """Opens a subscriber's connection: it comes up, is refused, or nothing answers.
+        """Opens a subscriber's connection: it is accepted, refused, or gets no answer.
 
         Args:
             connection: The Connection.
@@ -171,7 +188,7 @@
             connection.subscriber.on_connection_lost(connection.number)
 
     def hang_up(self, connection):
-        """Has a replica notice that a subscriber closed a connection, if the link is open.
+        """Notifies a replica that a subscriber closed a connection, if the link is open.
 
         Args:
             connection: The Connection.
@@ -181,7 +198,7 @@
             self.engine.at(when, connection.replica.on_connection_closed, connection)
 
     def reset(self, connection):
-        """Has a subscriber notice that a replica's end is gone, if the link is open.
+        """Notifies a subscriber that the replica's end of a connection is closed, if the link is open.
 
         Args:
             connection: The Connection.
@@ -193,16 +210,16 @@
     # ---- faults
 
     def restart_bounds(self, *subscribers):
-        """Has bounds count from now: something failed, or works again.
+        """Restarts the bounds after a fault or a repair.
 
         Args:
-            *subscribers: Names of those whom it concerns; none: all.
+            *subscribers: Names of the subscribers affected; none: all.
         """
         for name in subscribers or self.subscribers:
             self.bounds_restarted_at[name] = self.engine.time
 
     def heal(self):
-        """Opens all links, and has all processes run."""
+        """Opens all links, starts dead processes and resumes stopped ones."""
         self.links.heal()
         for process in [*self.replicas.values(), *self.subscribers.values()]:
             if not process.alive:
@@ -211,12 +228,12 @@
                 process.resume()
         self.restart_bounds()
 
-    # ---- what holds
+    # ---- checks
 
     def majority_group(self):
         """The replicas that run, have recovered and all reach each other, if they are a majority.
 
-        Where some reach each other in one direction only, nothing is claimed.
+        Nothing is claimed where some reach each other in one direction only.
 
         Returns:
             A set of names; empty: there is no such majority.
--- a/embertray/simulation/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -1,4 +1,4 @@
-"""A subscriber under virtual time: its core, its connection, and the bytes that both cost."""
+"""A simulated subscriber: its core, its connection and its traffic."""
 
 from collections import deque
 
@@ -9,7 +9,7 @@
 
 from .process import FRAME_BYTES, Connection, Process
 
-# Traffic is held against its budget over this time.
+# Traffic is compared with its budget over a sliding window of this length.
 WINDOW_NS = 10 * NS_PER_SECOND
 
 
@@ -17,16 +17,16 @@
     """A subscriber and its connection.
 
     Args:
-        play: The ControlPlay.
+        simulation: The ControlPlaneSimulation.
         name: Its name.
-        replicas: Names of the replicas that it may follow, the preferred first.
+        replicas: Names of the replicas that it may connect to, in order of preference.
 
     Attributes:
         core_type: Type of its core; tests replace it by faulty ones.
         core: The Subscriber.
         connection: The Connection, or None.
-        kept: What its disk has: (entries, revision, when known) or nothing.
-        worst_window: The most bytes in and out within WINDOW_NS.
+        disk: The state on its disk: (entries, revision, time in ns for which it is known), or empty.
+        max_window_bytes: The most bytes sent and received within WINDOW_NS.
     """
 
     core_type = Subscriber
@@ -42,7 +42,7 @@
         self.window = deque()
 
     def start(self):
-        """Starts a process with what is on its disk, if anything is."""
+        """Starts the process with the state on its disk, if there is one."""
         now = self.engine.time
         settings = self.simulation.settings
         self.incarnation += 1
@@ -89,7 +89,7 @@
 
         Args:
             connection: The Connection that carried it.
-            life: The incarnation that it was sent to.
+            incarnation: The incarnation that it was sent to.
             data: bytes.
         """
         if incarnation == self.incarnation:
@@ -110,7 +110,7 @@
         self.call(self.core.connection_opened, self.engine.time, connection.number)
 
     def on_connection_lost(self, number):
-        """Handles a connection that was refused, or ended.
+        """Handles a connection that was refused or closed.
 
         Args:
             number: The connection's number.
@@ -121,7 +121,7 @@
         self.core.connection_lost(self.engine.time, number)
 
     def after_call(self):
-        """Carries out the core's instructions and tells the claims what it applied."""
+        """Carries out the core's instructions and reports applied entries to the claims."""
         actions = self.core.actions
         self.core.actions = []
         for action in actions:
@@ -162,7 +162,7 @@
         self._count_window(size)
 
     def _count_window(self, size):
-        """Bytes in and out of the last ten seconds, and the most there were."""
+        """Adds traffic to the sliding window and updates its maximum."""
         now = self.engine.time
         self.window.append((now, size))
         self.window_bytes += size
--- a/embertray/simulation/emulator/control/writer.py
+++ b/embertray/simulation/emulator/control/writer.py
@@ -1,19 +1,19 @@
-"""A writer: puts, removes and rolls back keys, and retries a call under its idempotency key."""
+"""A client that puts, removes and rolls back keys, and retries a write under its idempotency key."""
 
 from dataclasses import dataclass
 
 from embertray.cluster.replication.exceptions import NotLeaderError, WriteRejectedError
 from embertray.simulation.emulator.engine import NS_PER_MS, NS_PER_SECOND
 
-# Time until a call without an answer is made again, elsewhere.
+# Time until a write without an answer is retried at another replica.
 ANSWER_TIMEOUT_NS = 3 * NS_PER_SECOND
-# Time until a call that was rejected is made again.
+# Time until a rejected write is retried.
 RETRY_PAUSE_NS = 300 * NS_PER_MS
-# Parts of the writes that remove a key, and that restore its former value.
+# Parts of the writes that remove a key, and that restore its oldest kept value.
 REMOVED_PART = 0.1
 ROLLED_BACK_PART = 0.1
 MAX_ATTEMPTS = 20
-# Bytes of a write besides its value, at the most.
+# Upper bound of a write's encoded size beyond its value, bytes.
 WRITE_OVERHEAD_BYTES = 300
 
 
@@ -26,7 +26,7 @@
         value: bytes; None removes the key.
         request: Its idempotency key.
         attempts: Attempts made.
-        done: Whether its result is known, or it was given up.
+        done: Whether its outcome is known or it was given up.
     """
 
     key: str
@@ -37,17 +37,17 @@
 
 
 class Writer:
-    """Writes to one replica after the other until the leader takes it.
+    """Sends writes to one replica after the other until the leader accepts them.
 
     Args:
-        play: The ControlPlay.
+        simulation: The ControlPlaneSimulation.
         settings: Its Settings.
 
     Attributes:
         count: Writes begun.
         acknowledged: Writes that are known to be committed.
-        given_up: Writes that were tried too often.
-        burst_bytes: The size of a write that others may wait behind.
+        given_up: Writes abandoned after MAX_ATTEMPTS.
+        burst_bytes: The largest size of a write, which may delay the writes behind it.
     """
 
     def __init__(self, simulation, settings):
@@ -66,7 +66,7 @@
         self._plan()
 
     def stop(self):
-        """Stops writing; what has begun goes on."""
+        """Begins no more writes; those in flight continue."""
         self.running = False
 
     def _plan(self):
@@ -89,7 +89,7 @@
         return oldest or self.rng.randbytes(self.rng.randint(*self.settings.value))
 
     def _oldest_value(self, key):
-        """The value of the oldest version that some replica keeps: a rollback."""
+        """The value of the oldest version that a replica keeps, for a rollback."""
         running = self.simulation.running_replicas
         versions = running[0].core.store.versions.get(key, ()) if running else ()
         return versions[0].value if versions else None
@@ -98,7 +98,7 @@
         """Makes the first attempt of a write.
 
         Args:
-            call: The Call.
+            write: The Write.
         """
         self._attempt(write, self.rng.choice(self.simulation.replica_names))
 
