--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -15,7 +15,7 @@
 from embertray.controller.channel.budget import channel_budget
 from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.emulator.play import play as play_emulated
-from embertray.simulation.models.chance import Streams
+from embertray.simulation.models.random_streams import Streams
 from embertray.simulation.scenarios import notation, player
 
 from .capacity import capacity
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -10,7 +10,7 @@
 from embertray.common.net.tcp import TcpNet
 from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.models.backend import Backend, Shape
-from embertray.simulation.models.chance import Streams
+from embertray.simulation.models.random_streams import Streams
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
 from embertray.simulation.standins.inventory import StandinInventory
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -24,7 +24,7 @@
 from embertray.service.daemon import Service
 from embertray.service.site import load
 from embertray.service.site.schema import SITE_FOLDER as SITES
-from embertray.simulation.models.chance import Streams
+from embertray.simulation.models.random_streams import Streams
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.memory_net import MemoryNet
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -11,8 +11,8 @@
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.service.site.values import parse_duration
 from embertray.simulation.claims.cluster import ClusterClaims
-from embertray.simulation.models.chance import Streams
-from embertray.simulation.models.web import Web
+from embertray.simulation.models.network import Web
+from embertray.simulation.models.random_streams import Streams
 from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.words import LINKS
 
--- a/embertray/simulation/emulator/limits_simulation.py
+++ b/embertray/simulation/emulator/limits_simulation.py
@@ -7,7 +7,7 @@
 import random
 
 from embertray.cluster.limits import DEFAULT_CONFIG, Limits
-from embertray.simulation.models.web import Web
+from embertray.simulation.models.network import Web
 
 from .engine import NS_PER_MS, NS_PER_SECOND, Engine
 from .limits_faults import LimitsFaults
--- a/embertray/simulation/models/web.py
+++ b/embertray/simulation/models/network.py
@@ -2,7 +2,7 @@
 
 import random
 
-from .way import STRAIGHT, Way
+from .link import STRAIGHT, Way
 
 
 class Web:
--- a/embertray/simulation/processes/cluster_links.py
+++ b/embertray/simulation/processes/cluster_links.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from embertray.cluster.membership.messages import PingRequest, UnreadableMessageError, decode, encode
-from embertray.simulation.models.web import Web
+from embertray.simulation.models.network import Web
 
 from .ports import free_ports
 from .tcp_relay import TcpRelay
--- a/embertray/simulation/processes/control_links.py
+++ b/embertray/simulation/processes/control_links.py
@@ -5,7 +5,7 @@
 import anyio
 from anyio.from_thread import start_blocking_portal
 
-from embertray.simulation.models.web import Web
+from embertray.simulation.models.network import Web
 
 from .ports import free_ports
 from .tcp_relay import TcpRelay
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -10,9 +10,9 @@
 from embertray.service.site import load as load_site
 from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.service.site.values import parse_duration as span
+from embertray.simulation.models.arrivals import Bursts, Poisson, Varying, flash, wave
 from embertray.simulation.models.backend import Shape
-from embertray.simulation.models.chance import Streams
-from embertray.simulation.models.load import Bursts, Poisson, Varying, flash, wave
+from embertray.simulation.models.random_streams import Streams
 
 from .exceptions import DayError
 from .outcome_summary import OutcomeSummary
--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -1,11 +1,11 @@
 """Clients on sockets: requests by chance at a rate, with time-outs and retries of their own
-(model/client.py).
+(models/client.py).
 """
 
 import anyio
 
+from embertray.simulation.models.arrivals import Poisson
 from embertray.simulation.models.client import Clients
-from embertray.simulation.models.load import Poisson
 
 from .link import Link
 from .messages import End, Req, encode, read
@@ -15,7 +15,7 @@
 
 class StandinClients:
     """The clients of one proxy. `mix`: [(RequestKind, share, mean work ns)]; `rate(now)` requests a second,
-    or a source of model/load.py; `ended(now, at, kind, how, took)` for each request, how: done | late | lost.
+    or a source of models/arrivals.py; `ended(now, at, kind, how, took)` for each request, how: done | late | lost.
     """
 
     def __init__(self, number, mix, rate, net, agenda, rng, retries=1, wait=S // 5, ended=None):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,9 +18,9 @@
 from embertray.experiments.lab import policies
 from embertray.simulation.emulator.engine import Engine
 from embertray.simulation.emulator.play import play
+from embertray.simulation.models.arrivals import Bursts, Poisson, Recorded, Varying, flash, wave
 from embertray.simulation.models.backend import Backend, Shape
 from embertray.simulation.models.client import Clients
-from embertray.simulation.models.load import Bursts, Poisson, Recorded, Varying, flash, wave
 from embertray.simulation.models.proxy import EJECT, Proxy
 from embertray.simulation.scenarios import notation, player
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -30,7 +30,7 @@
 from embertray.controller.trust.table_retention import TABLE_RETENTION_NS, TABLE_RETENTION_UNLISTED_NS
 from embertray.controller.trust.tombstones import TOMBSTONE_PERIOD_NS
 from embertray.controller.trust.verification import VERIFICATION_PERIOD_NS
-from embertray.simulation.models.chance import Streams
+from embertray.simulation.models.random_streams import Streams
 from embertray.simulation.scenarios import notation, player
 
 S = 10**9
