--- a/embertray/experiments/measure/emulated.py
+++ b/embertray/experiments/measure/emulated.py
@@ -39,7 +39,7 @@
     engine = stages[0].engine
     steps = sum(controller.frontend.core.steps for controller in stages[0].held.running.values())
     return {
-        "events": engine.done,
+        "events": engine.calls_made,
         "wall": wall,
         "virtual": (engine.time - stages[0].zero) / S,
         "reqs": result.requests,
--- a/embertray/simulation/emulator/backend.py
+++ b/embertray/simulation/emulator/backend.py
@@ -89,8 +89,8 @@
         self._schedule_end()
 
     def _end(self, underway, attempt, outcome, load):
-        found = self._in_flight.get(underway)
-        if found is None or found[1] != attempt:  # the proxy gave it up
+        in_flight = self._in_flight.get(underway)
+        if in_flight is None or in_flight[1] != attempt:  # the proxy gave it up
             return
         proxy, _ = self._in_flight.pop(underway)
         delay = self.simulation.network_delay(proxy.zone, self.model.zone)
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -53,7 +53,7 @@
         self.saver.schedule(now + CONFIRMATION_PERIOD_NS)
         self.list_client.start()
 
-    def when_awake(self, callback, *args):
+    def call_when_running(self, callback, *args):
         """Calls now, or when the process continues; never if it is killed before.
 
         Args:
@@ -71,7 +71,7 @@
         deferred = self._deferred
         self._deferred = []
         for callback, args in deferred:
-            self.when_awake(callback, *args)
+            self.call_when_running(callback, *args)
         self.wake()
 
     def kill(self):
@@ -130,7 +130,7 @@
         model = self.simulation.models.get(backend)
         healthy = model is not None and model.state != "dead"
         delay = 0 if healthy else PROBE_TIMEOUT_NS
-        self.simulation.engine.after(delay, self.when_awake, self._on_probe_result, backend, healthy)
+        self.simulation.engine.after(delay, self.call_when_running, self._on_probe_result, backend, healthy)
 
     def _on_probe_result(self, backend, healthy):
         self.frontend.core.probe_finished(self.simulation.engine.time, backend, healthy)
--- a/embertray/simulation/emulator/endpoint_list.py
+++ b/embertray/simulation/emulator/endpoint_list.py
@@ -52,7 +52,7 @@
         if client.connection is not connection or connection is None:  # it broke since the request
             return
         if self.down:
-            client.controller.when_awake(client.on_message, RequestFailed("down"))
+            client.controller.call_when_running(client.on_message, RequestFailed("down"))
             return
         if isinstance(request, WatchRequest):
             self.subscriptions[client] = request.enabled
@@ -62,13 +62,13 @@
 
     def _send(self, client, event):
         self.simulation.eyes.told(self.simulation.engine.time, client.controller.name, event)
-        client.controller.when_awake(client.on_message, event)
+        client.controller.call_when_running(client.on_message, event)
 
     def go_down(self):
         """Makes the list unreachable: its connections break."""
         self.down = True
         for client in list(self.subscriptions):
-            client.controller.when_awake(client.on_connection_lost)
+            client.controller.call_when_running(client.on_connection_lost)
         self.subscriptions.clear()
 
     def come_back(self):
--- a/embertray/simulation/emulator/endpoint_list_client.py
+++ b/embertray/simulation/emulator/endpoint_list_client.py
@@ -34,7 +34,7 @@
         if not self.controller.alive or self.connection is not None:
             return
         if self.controller.frozen:
-            self.controller.when_awake(self.connect)
+            self.controller.call_when_running(self.connect)
         elif self.simulation.inventory.down:
             self.on_connection_lost()
         else:
--- a/embertray/simulation/emulator/engine.py
+++ b/embertray/simulation/emulator/engine.py
@@ -74,11 +74,11 @@
     """
 
     # Calls at one instant after which the simulation counts as looping.
-    MOST_AT_ONCE = 1_000_000
+    MAX_CALLS_AT_ONCE = 1_000_000
 
     def __init__(self, now=0):
         self.time = now
-        self.done = 0
+        self.calls_made = 0
         self._heap = []  # (time, number, Timer, its queue or None)
         self._scheduled = 0
         self._queues = {}  # delay, ns -> deque of Timers
@@ -148,22 +148,22 @@
             StuckClockError: Time does not advance.
         """
         heap = self._heap
-        at_once = 0
+        calls_at_once = 0
         while heap and (until is None or heap[0][0] <= until):
             when, _, timer, queue = heapq.heappop(heap)
             if queue is not None:
                 self._advance_queue(queue)
             if timer.callback is None:
                 continue
-            at_once = at_once + 1 if when == self.time else 0
-            if at_once > self.MOST_AT_ONCE:
-                raise StuckClockError(at_once, when)
+            calls_at_once = calls_at_once + 1 if when == self.time else 0
+            if calls_at_once > self.MAX_CALLS_AT_ONCE:
+                raise StuckClockError(calls_at_once, when)
             self.time = when
             timer.callback(*timer.args)
-            self.done += 1
+            self.calls_made += 1
         if until is not None:
             self.time = max(self.time, until)
-        return self.done
+        return self.calls_made
 
     def _advance_queue(self, queue):
         """Takes the first entry out of a queue; the next that is not cancelled goes to the heap."""
--- a/embertray/simulation/emulator/fluid_proxy.py
+++ b/embertray/simulation/emulator/fluid_proxy.py
@@ -10,7 +10,7 @@
         place: Its row in the simulation's arrays.
     """
 
-    place = 0
+    row = 0
 
     def apply(self, session, orders):
         """Puts orders into effect, as SimulatedProxy does.
@@ -20,12 +20,12 @@
             orders: The Orders.
         """
         super().apply(session, orders)
-        self.simulation.tables.changed.add(self.place)
+        self.simulation.tables.changed.add(self.row)
 
     def break_stream(self):
         """Breaks the stream, if there is one; its tables may change by that."""
         super().break_stream()
-        self.simulation.tables.changed.add(self.place)
+        self.simulation.tables.changed.add(self.row)
 
     def on_joined(self, controller):
         """Handles an accepted dial: a new controller hears only what is met from now on.
@@ -34,13 +34,13 @@
             controller: The SimulatedController.
         """
         super().on_joined(controller)
-        self.simulation.totals.clear(self.place, self.simulation.engine.time)
+        self.simulation.totals.clear(self.row, self.simulation.engine.time)
 
     def report(self):
         """Sends a load report, if it can, and schedules the next."""
         simulation = self.simulation
         if self.session is not None and not self.still:
-            self._send_report(simulation.draw_report(self.place))
+            self._send_report(simulation.draw_report(self.row))
         else:
-            simulation.totals.clear(self.place, simulation.engine.time)
+            simulation.totals.clear(self.row, simulation.engine.time)
         simulation.engine.after(simulation.site.report_interval, self.report)
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -70,17 +70,17 @@
         self.tables = FluidTables(self.count, self.kinds, self.site)
         self.totals = FluidTotals(self.count, self.kinds, self.engine.time)
         self._outcomes = FluidOutcomes(self.kinds, self.site.late_credit)
-        self._pourer = FluidBackends(mix, self.retries, STEP_NS)
+        self._fluid_backends = FluidBackends(mix, self.retries, STEP_NS)
         self._kind_shares = np.array([share for _, share, _ in mix])
         self._unrecorded = np.zeros((self.count, 0))  # requests to restricted backends, see _record
         self._recorded = 0
         self._client_retries = deque()
         self._rng = self.chance.of("flows")
         self._rates = [self.rate(n, self.day.rate * share) for n, share in enumerate(shares)]
-        for place, proxy in enumerate(self.proxies):
-            proxy.place = place
+        for row, proxy in enumerate(self.proxies):
+            proxy.row = row
 
-    def draw_report(self, place):
+    def draw_report(self, row):
         """Draws a proxy's load report and clears its totals.
 
         Args:
@@ -89,7 +89,7 @@
         Returns:
             The LoadReport.
         """
-        return self.totals.draw_report(place, self.engine.time, self._rng, self.backends)
+        return self.totals.draw_report(row, self.engine.time, self._rng, self.backends)
 
     def load(self, shares, until):
         """Starts the steps.
@@ -138,7 +138,7 @@
         paused = np.array([proxy.still for proxy in self.proxies])
         admitted = mass * self.tables.admitted_part(mass, paused, STEP_S)
         by_backend = self.tables.weights.T @ admitted
-        results = self._pourer.pour(
+        results = self._fluid_backends.pour(
             now,
             self.backends,
             by_backend,
@@ -176,25 +176,25 @@
         kind = self.kinds[k]
         admitted_k = admitted[:, k]
         failed = admitted_k * failed_part
-        retried_well = 0.0
+        retried_successfully = 0.0
         retried = self._retried_by_proxies(k, failed)
         if attempt == 1 and retried.any():
             failed = failed - retried * (1 - failed_part)
-            retried_well = (retried * (1 - failed_part)).sum()
+            retried_successfully = (retried * (1 - failed_part)).sum()
         self.totals.lost[:, k] += failed
         answered = admitted_k * (1 - failed_part)
         in_time_part = self.tables.weights @ ((1 - results.failed[:, k]) * (1 - results.late[:, k]))
         in_time = np.minimum(admitted_k * in_time_part, answered)
-        done = in_time.sum() + retried_well
+        done = in_time.sum() + retried_successfully
         late = max(0.0, (answered - in_time).sum())
         rejected = mass[:, k] - admitted_k
         lost, sent_again = self._split_unsuccessful(kind, rejected, failed, attempt)
         asked = mass[:, k].sum() if attempt == 1 else 0.0
         self._outcomes.add(second_of(now, self.zero), kind, asked, done, late, lost)
         if sent_again.any():
-            again = np.zeros_like(mass)
-            again[:, k] = sent_again
-            self._client_retries.append(ClientRetry(now + CLIENT_BACKOFF_NS, again, attempt + 1))
+            retry_mass = np.zeros_like(mass)
+            retry_mass[:, k] = sent_again
+            self._client_retries.append(ClientRetry(now + CLIENT_BACKOFF_NS, retry_mass, attempt + 1))
 
     def _retried_by_proxies(self, k, failed):
         """The failed requests that proxies retry by themselves, by proxy."""
@@ -222,13 +222,13 @@
 
     def _failing_pairs(self):
         """1 where a backend fails for that proxy alone, proxies x backends; None if it is nowhere so."""
-        struck = [(column, backend) for column, backend in enumerate(self.backends) if backend.bad_for]
-        if not struck:
+        affected = [(column, backend) for column, backend in enumerate(self.backends) if backend.bad_for]
+        if not affected:
             return None
         failing = np.zeros_like(self.tables.weights)
-        for column, backend in struck:
-            for place, proxy in enumerate(self.proxies):
-                failing[place, column] = proxy.name in backend.bad_for
+        for column, backend in affected:
+            for row, proxy in enumerate(self.proxies):
+                failing[row, column] = proxy.name in backend.bad_for
         return failing
 
     # ---- events for the rules
@@ -243,10 +243,10 @@
         weights = self.tables.weights[:, column]
         unrecorded = self._unrecorded[:, column]
         unrecorded += weights / weights.sum() * total
-        for place in np.flatnonzero((unrecorded >= 1) & (weights > 0)):
-            proxy = self.proxies[place]
-            whole = int(unrecorded[place])
-            unrecorded[place] -= whole
+        for row in np.flatnonzero((unrecorded >= 1) & (weights > 0)):
+            proxy = self.proxies[row]
+            whole = int(unrecorded[row])
+            unrecorded[row] -= whole
             if not proxy.still:
                 self._record_one(now, proxy, backend.model, int(whole * work))
 
--- a/embertray/simulation/emulator/fluid_tables.py
+++ b/embertray/simulation/emulator/fluid_tables.py
@@ -45,27 +45,27 @@
         Args:
             proxies: All FluidProxy items, by row.
         """
-        for place in sorted(self.changed):
-            routing_state = proxies[place].model.routing_state
-            self._read_weights(place, routing_state)
-            self._read_levels(place, routing_state)
+        for row in sorted(self.changed):
+            routing_state = proxies[row].model.routing_state
+            self._read_weights(row, routing_state)
+            self._read_levels(row, routing_state)
         self.changed.clear()
 
-    def _read_weights(self, place, routing_state):
-        row = self.weights[place]
-        row[:] = 0.0
+    def _read_weights(self, row, routing_state):
+        weights = self.weights[row]
+        weights[:] = 0.0
         for name, weight in routing_state.routable_lines().items():
-            row[self.columns[name]] = weight
-        total = row.sum()
+            weights[self.columns[name]] = weight
+        total = weights.sum()
         if total > 0:
-            row /= total
+            weights /= total
 
-    def _read_levels(self, place, routing_state):
+    def _read_levels(self, row, routing_state):
         default = (self._free_level, self.site.base_retry)
         for k, kind in enumerate(self.kinds):
             level, retry_level = routing_state.levels.get(kind.external_id, default)
-            self.levels[place, k] = self._free_level if self.site.levels == "none" else level
-            self.retry_levels[place, k] = retry_level
+            self.levels[row, k] = self._free_level if self.site.levels == "none" else level
+            self.retry_levels[row, k] = retry_level
 
     def admitted_part(self, mass, paused, step_s):
         """The part of the arriving requests that the proxies admit.
--- a/embertray/simulation/emulator/fluid_totals.py
+++ b/embertray/simulation/emulator/fluid_totals.py
@@ -45,7 +45,7 @@
         self.failures = append_columns(self.failures, count)
         self.latency = append_columns(self.latency, count)
 
-    def clear(self, place, now):
+    def clear(self, row, now):
         """Forgets what a proxy has met.
 
         Args:
@@ -53,10 +53,10 @@
             now: ns.
         """
         for array in (self.attempts, self.failures, self.latency, self.arrivals, self.retries, self.lost):
-            array[place] = 0.0
-        self._since[place] = now
+            array[row] = 0.0
+        self._since[row] = now
 
-    def draw_report(self, place, now, rng, backends):
+    def draw_report(self, row, now, rng, backends):
         """Draws a load report and clears the proxy's totals.
 
         Its whole numbers have the masses as their means, and spread as those of Poisson arrivals.
@@ -70,36 +70,36 @@
         Returns:
             The LoadReport.
         """
-        met = self._draw_backend_totals(place, now, rng, backends)
-        arrivals = [self._draw_arrivals(place, k, kind, rng) for k, kind in enumerate(self.kinds)]
-        duration = int(now - self._since[place])
-        self.clear(place, now)
+        met = self._draw_backend_totals(row, now, rng, backends)
+        arrivals = [self._draw_arrivals(row, k, kind, rng) for k, kind in enumerate(self.kinds)]
+        duration = int(now - self._since[row])
+        self.clear(row, now)
         return LoadReport(duration, met, [totals for totals in arrivals if totals.requests])
 
-    def _draw_backend_totals(self, place, now, rng, backends):
-        attempts = self.attempts[place]
+    def _draw_backend_totals(self, row, now, rng, backends):
+        attempts = self.attempts[row]
         columns = np.flatnonzero(attempts > LEAST_MASS)
         counts = rng.poisson(attempts[columns])
         met = []
         for column, count in zip(columns.tolist(), counts.tolist(), strict=True):
             if count:
-                failed = self._draw_failures(place, column, count, rng)
-                answered = max(LEAST_MASS, attempts[column] - self.failures[place, column])
-                mean_latency = self.latency[place, column] / answered
+                failed = self._draw_failures(row, column, count, rng)
+                answered = max(LEAST_MASS, attempts[column] - self.failures[row, column])
+                mean_latency = self.latency[row, column] / answered
                 model = backends[column].model
                 load = model.report(now) if model.state == "up" else {}
                 latency = int(mean_latency * (count - failed))
                 met.append(BackendTotals(model.name, count, failed, latency, load))
         return met
 
-    def _draw_failures(self, place, column, count, rng):
-        failures = self.failures[place, column]
+    def _draw_failures(self, row, column, count, rng):
+        failures = self.failures[row, column]
         if failures <= 0:
             return 0
-        return int(rng.binomial(count, min(1.0, failures / self.attempts[place, column])))
+        return int(rng.binomial(count, min(1.0, failures / self.attempts[row, column])))
 
-    def _draw_arrivals(self, place, k, kind, rng):
-        retries = self.retries[place, k]
-        first = max(0.0, self.arrivals[place, k] - retries)
-        first, retries, lost = rng.poisson([first, retries, self.lost[place, k]]).tolist()
+    def _draw_arrivals(self, row, k, kind, rng):
+        retries = self.retries[row, k]
+        first = max(0.0, self.arrivals[row, k] - retries)
+        first, retries, lost = rng.poisson([first, retries, self.lost[row, k]]).tolist()
         return ArrivalTotals(kind.external_id, first + retries, lost, retries)
--- a/embertray/simulation/emulator/proxy_stream.py
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -75,7 +75,7 @@
             self._redial(0)
             return
         if controller.frozen:  # its socket accepts, and it answers when it runs again
-            controller.when_awake(self.dial)
+            controller.call_when_running(self.dial)
             return
         retry_after = controller.join(self, self._hello())
         if retry_after is None:
@@ -119,7 +119,7 @@
             return
         self.model.left()
         self.simulation.eyes.left(self.simulation.engine.time, self.name)
-        controller.when_awake(controller.on_stream_closed, self)
+        controller.call_when_running(controller.on_stream_closed, self)
         self._unread.clear()
         self._redial(0)
 
@@ -186,7 +186,7 @@
             message: A LoadReport or an Acknowledgement.
         """
         if session is self.session and session is not None:
-            self.controller.when_awake(self.controller.on_message, self, session, message)
+            self.controller.call_when_running(self.controller.on_message, self, session, message)
 
     def report(self):
         """Sends a load report and schedules the next."""
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -91,7 +91,7 @@
     def test_the_same_seed_gives_the_same_play(self):
         first, second = simulate(3), simulate(3)
         self.assertEqual(first.claims.history, second.claims.history)
-        self.assertEqual(first.engine.done, second.engine.done)
+        self.assertEqual(first.engine.calls_made, second.engine.calls_made)
         for one, other in zip(first.subscribers.values(), second.subscribers.values(), strict=True):
             self.assertEqual((one.bytes_in, one.bytes_out), (other.bytes_in, other.bytes_out))
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -77,7 +77,7 @@
             engine.at(engine.time, again)
 
         again()
-        engine.MOST_AT_ONCE = 1000
+        engine.MAX_CALLS_AT_ONCE = 1000
         with self.assertRaises(StuckClockError):
             engine.run()
 
