--- a/embertray/experiments/__init__.py
+++ b/embertray/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments in virtual time, measurements of the true program, and what a target size costs."""
+"""Experiments in virtual time, measurements of the real program, and the cost of a target size."""
--- a/embertray/experiments/measure/__init__.py
+++ b/embertray/experiments/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the true program on this machine; each is a module to be run, and prints a table."""
+"""Measurements of the real program; each module is run by itself and prints a table or writes slopes."""
--- a/embertray/experiments/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -1,5 +1,9 @@
-"""`python -m embertray.experiments.measure.accounting`: CPU of the same churn with and without accounts, in
-turn in one run; and how far the accounts are from tracemalloc and from the process's size."""
+"""Measures what the memory accounts cost, and how accurate they are.
+
+`python -m embertray.experiments.measure.accounting` compares the processor time of the same churn with and
+without the accounts, alternating between the two, and the accounts' sizes with those that tracemalloc
+reports.
+"""
 
 import gc
 import resource
@@ -15,16 +19,17 @@
 
 
 class NoAccounts(ControllerCore):
-    """Memory is not looked at."""
+    """A core that does not evaluate its memory accounts."""
 
     def enforce_memory_caps(self, now, step):
+        """Only forgets unused state every 10 s."""
         if now >= self.forget_at:
             self.forget_at = now + 10**10
             self.forget_unused()
 
 
 def cpu(way):
-    """CPU of one run in a process of its own."""
+    """Returns the processor seconds of one run in a process of its own."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     subprocess.run([sys.executable, "-m", "embertray.experiments.measure.accounting", way], check=True)
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
@@ -32,6 +37,7 @@
 
 
 def main():
+    """Prints the comparison; with an argument, runs one churn (`with` or `without` accounts)."""
     if len(sys.argv) > 1:
         churn.play_virtual(churn.ChurnPlan(hours=0.02), 1, {"with": None, "without": NoAccounts}[sys.argv[1]])
         return
@@ -40,7 +46,7 @@
     )
     print("| with accounts s | without s | ratio |\n| --- | --- | --- |")
     ratios = []
-    for n in range(6):  # in turn, now one first, now the other
+    for n in range(6):  # alternates which variant runs first
         found = {way: cpu(way) for way in (("with", "without") if n % 2 else ("without", "with"))}
         ratios.append(found["with"] / found["without"])
         print(f"| {found['with']:.2f} | {found['without']:.2f} | {ratios[-1]:.3f} |", flush=True)
--- a/embertray/experiments/measure/capacity/__init__.py
+++ b/embertray/experiments/measure/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the slopes behind docs/CAPACITY.md."""
+"""Measurements of the slopes that docs/CAPACITY.md is computed from."""
--- a/embertray/experiments/measure/capacity/charts.py
+++ b/embertray/experiments/measure/capacity/charts.py
@@ -1,4 +1,4 @@
-"""Charts of docs/CAPACITY.md: processor time, bytes and time to all against size, the budget as a line."""
+"""Charts of docs/CAPACITY.md: processor time, bytes and time to all by size, with the budget as a line."""
 
 import matplotlib
 
@@ -8,12 +8,12 @@
 from embertray.experiments.capacity import reckon  # noqa: E402
 from embertray.experiments.capacity.figure import REPORTED  # noqa: E402
 
-SIZES = (8, 16, 32, 64, 128, 256, 470)  # at which reckoned curves are drawn
+SIZES = (8, 16, 32, 64, 128, 256, 470)  # at which calculated curves are drawn
 LIMITS = 1
 
 
 def curve(axis, slopes, name, label):
-    """One slope's medians and its law, if it is at hand; else the reported one."""
+    """Draws one slope's medians and fit; the reported slope if there is no measured one."""
     found = next((one for one in (name, REPORTED + name) if one in slopes.by_name), None)
     if found is None:
         return
@@ -26,15 +26,18 @@
 
 
 def budget(axis, value, label):
+    """Draws a budget as a horizontal dashed line."""
     axis.axhline(value, color="black", linestyle="--", linewidth=1, label=label)
 
 
 def finish(axis, **words):
+    """Sets logarithmic axes, the labels and the legend."""
     axis.set(xscale="log", yscale="log", **words)
     axis.legend(fontsize=7)
 
 
 def processor(found, path):
+    """Draws the processor time of decisions, gossip and the control plane."""
     slopes, target = found.slopes, found.target
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.4), sharey=True)
     for proxies in (68, 320):
@@ -54,6 +57,7 @@
 
 
 def bytes_a_second(found, path):
+    """Draws the bytes per second of gossip, the control plane and the limits."""
     slopes, target = found.slopes, found.target
     figure, axis = pyplot.subplots(figsize=(6, 3.6))
     curve(axis, slopes, "cluster-sent-bytes", "gossip, a member sends")
@@ -72,6 +76,7 @@
 
 
 def time_to_all(found, path):
+    """Draws how long a change takes to reach all members."""
     slopes, target = found.slopes, found.target
     figure, axis = pyplot.subplots(figsize=(6, 3.6))
     curve(axis, slopes, "cluster-oldest", "gossip, oldest entry held")
@@ -86,12 +91,14 @@
 
 
 def save(figure, path):
+    """Writes a figure to a PNG file and closes it."""
     figure.tight_layout()
     figure.savefig(path, dpi=80)
     pyplot.close(figure)
 
 
 def draw(found, folder):
+    """Draws all charts into a folder."""
     processor(found, folder / "processor.png")
     bytes_a_second(found, folder / "bytes.png")
     time_to_all(found, folder / "time.png")
--- a/embertray/experiments/measure/capacity/decisions.py
+++ b/embertray/experiments/measure/capacity/decisions.py
@@ -1,4 +1,7 @@
-"""The decision module under simulated fleets: processor time a simulated second, the dearest step, memory."""
+"""Measures the decision module under simulated fleets.
+
+The figures are processor time per simulated second, the most expensive step, and memory.
+"""
 
 import multiprocessing
 import random
@@ -12,22 +15,23 @@
 
 MS, S = 10**6, 10**9
 BEAT = 100 * MS  # simulated ns between two steps
-BETWEEN = 5 * MS  # from a beat to the step that is given news
-NEWS = 5  # steps with news of each sort
-SETTLE = 8  # simulated seconds between the joins and the count
+BETWEEN = 5 * MS  # simulated ns from a regular step to the extra step that is given a list update
+NEWS = 5  # extra steps with a list update of each kind
+SETTLE = 8  # simulated seconds between the joins and the measurement
 
 
 @dataclass(frozen=True)
 class Load:
-    """Which backends are heard of in a second: all, or as many as there are requests."""
+    """Which backends are reported on in a second: all of them, or one for each proxy's request."""
 
     name: str
     about: str
     everyone: bool
     silent: bool
-    channel: dict  # of the fleet's settings: lines a second, lines that may wait
+    channel: dict  # settings of the fleet's channel: lines per second, lines that may wait
 
     def heard(self, fleet, chance):
+        """Returns the backends that are reported on in the next second."""
         if self.silent:
             return []
         if self.everyone:
@@ -49,6 +53,13 @@
 
 @dataclass(frozen=True)
 class Cost:
+    """What a fleet of one size costs.
+
+    `cores` is processor seconds per simulated second, `worst_step` the processor seconds of the longest
+    step, `memory` is in bytes, `change` and `whole` are the processor seconds of a step that is given one
+    changed entry or the whole list.
+    """
+
     backends: int
     cores: float
     worst_step: float
@@ -59,12 +70,13 @@
 
 
 class Timed:
-    """Stands where the module is made: processor seconds of each step."""
+    """A factory of decision modules that records the processor seconds of each step."""
 
     def __init__(self):
         self.steps = []
 
     def __call__(self, seed, site, now=0):
+        """Makes a module whose steps are timed."""
         module = Controller(seed, site, now)
         step = module.step
 
@@ -79,7 +91,7 @@
 
 
 def measure(proxies, backends, load, seconds, beat=BEAT):
-    """One fleet in this process: all join, SETTLE seconds pass, then `seconds` are counted."""
+    """Measures one fleet in this process: all proxies join, SETTLE s pass, then `seconds` are measured."""
     before, timed, chance = resident_memory(), Timed(), random.Random(1)
     fleet = Fleet(timed, backends, proxies, **load.channel)
     fleet.run(11 * S, beat)
@@ -103,8 +115,9 @@
 
 
 def cost_of_news(fleet, steps):
-    """Processor seconds of a step of its own that is given one changed entry, and of one that is given the
-    whole list again: medians of NEWS steps each.
+    """Returns the processor seconds of one changed entry and of a whole list, each in a step of its own.
+
+    Each is the median of NEWS steps.
     """
     changed, whole = [], []
     for number in range(1, NEWS + 1):
@@ -121,12 +134,13 @@
 
 
 def measure_apart(*arguments):
-    """The same in a process of its own: no size warms up another's memory."""
+    """Runs `measure` in a process of its own, so that no size warms up the memory of another."""
     with multiprocessing.get_context("spawn").Pool(1) as pool:
         return pool.apply(measure, arguments)
 
 
 def run(recording, proxies, sizes, seconds, runs):
+    """Measures the module against backends under each load, and saves the slopes."""
     for load in (AT_TARGET, SILENT, EVERYONE, WHOLE_TABLES):
         costs = [measure_apart(proxies, backends, load, seconds) for _ in range(runs) for backends in sizes]
         note = (
@@ -147,6 +161,7 @@
 
 
 def run_by_proxies(recording, sizes, backends, seconds, runs):
+    """Measures the module against proxies, and saves the slopes."""
     costs = [
         (proxies, measure_apart(proxies, backends, AT_TARGET, seconds))
         for _ in range(runs)
@@ -161,7 +176,7 @@
 
 
 def run_by_steps(recording, steps_a_second, proxies, backends, seconds):
-    """Whether the cost comes with steps or with the module's own beat."""
+    """Measures whether the cost comes with the steps or with the module's own interval."""
     costs = [
         (steps, measure_apart(proxies, backends, SILENT, seconds, S // steps)) for steps in steps_a_second
     ]
--- a/embertray/experiments/measure/capacity/entries.py
+++ b/embertray/experiments/measure/capacity/entries.py
@@ -1,4 +1,4 @@
-"""The list as a controller takes it in: bytes, processor time to read it, memory."""
+"""Measures the endpoint list as a controller reads it: bytes, processor time, memory."""
 
 import random
 import time
@@ -9,12 +9,12 @@
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, WatchEvent, decode_response, encode
 
-TURNS = 31  # readings of each; the median counts
+TURNS = 31  # measurements of each, of which the median is taken
 ZONES = 19
 
 
 def listed(count):
-    """Entries as discovery tells them: an address, a zone, a start of its own."""
+    """Returns entries as discovery sends them, each with its own address, zone and start."""
     chance = random.Random(1)
     return [
         EndpointEntry(
@@ -29,13 +29,14 @@
 
 
 def reading(follower, payload):
-    """Processor seconds to decode one answer and to take it in."""
+    """Returns the processor seconds to decode one response and apply it."""
     began = time.process_time()
     follower.receive(decode_response(payload))
     return time.process_time() - began
 
 
 def measure(count):
+    """Returns the figures of a list with `count` entries, by the names in UNITS."""
     entries, follower = listed(count), EndpointListFollower()
     whole = encode(WatchEvent(1, 0, 2**60, entries))
     whole_costs = [reading(follower, whole) for _ in range(TURNS)]
@@ -62,6 +63,7 @@
 
 
 def run(recording, sizes):
+    """Measures each size, and saves the slopes."""
     rows = [(size, measure(size)) for size in sizes]
     for name, unit in UNITS.items():
         recording.save(
--- a/embertray/experiments/measure/capacity/picks.py
+++ b/embertray/experiments/measure/capacity/picks.py
@@ -1,4 +1,4 @@
-"""A stand-in proxy's pick: processor time a request, with its table as it was and just after a change."""
+"""Measures a stand-in proxy's pick: processor time, with an unchanged table and just after a change."""
 
 import time
 
@@ -10,11 +10,12 @@
 from embertray.service.site.schema import SITE_FOLDER
 from embertray.simulation.models.proxy import Proxy
 
-PICKS, CHANGES = 5000, 300  # counted; picks right after a changed line
+PICKS, CHANGES = 5000, 300  # measured picks with an unchanged table; picks just after a changed line
 MS = 10**6
 
 
 def proxy(picks, lines):
+    """Returns a proxy with a bound table of `lines` lines."""
     site = load(SITE_FOLDER / "samples" / "pushed.xml").at(picks=picks)
     made = Proxy(site, np.random.default_rng(1))
     made.apply(Orders(0, 0, [Bind(1, [(f"b{number}", 1.0 + number % 7) for number in range(lines)])]))
@@ -22,13 +23,14 @@
 
 
 def timed_pick(made, now):
+    """Returns the processor seconds of one pick."""
     began = time.thread_time_ns()
     made.pick(now, [])
     return (time.thread_time_ns() - began) / 1e9
 
 
 def measure(picks, lines):
-    """(steady picks, picks after a change), processor seconds each."""
+    """Returns the processor seconds of each pick, (with an unchanged table, just after a change)."""
     made = proxy(picks, lines)
     for now in range(100):
         made.pick(now * MS, [])
@@ -41,6 +43,7 @@
 
 
 def run(recording, sizes):
+    """Measures each way to pick, and saves the slopes."""
     for picks in ("weighted", "round", "two"):
         rows = [(size, *measure(picks, size)) for size in sizes]
         note = f"the stand-in's model, pick '{picks}'; {PICKS} picks, {CHANGES} right after a changed line"
--- a/embertray/experiments/measure/capacity/record.py
+++ b/embertray/experiments/measure/capacity/record.py
@@ -1,4 +1,4 @@
-"""Slopes with where they come from: command, commit, machine, date."""
+"""Saves slopes with their origin: command, commit, machine and date."""
 
 import os
 import platform
@@ -14,11 +14,13 @@
 
 
 def machine():
+    """Describes the machine's cores, memory and Python version."""
     memory = psutil.virtual_memory().total / 2**30
     return f"{os.cpu_count()} shared cores, {memory:.0f} GiB, Python {platform.python_version()}"
 
 
 def git(*arguments):
+    """Runs git; returns None if it is not installed."""
     try:
         return subprocess.run(["git", *arguments], capture_output=True, text=True, check=False)
     except OSError:
@@ -26,7 +28,10 @@
 
 
 def commit():
-    """The text that ran; `+` where files under embertray/ other than measurements differ from it."""
+    """Returns the short hash of the commit that runs.
+
+    A `+` follows if files under embertray/ other than the measurements differ from it.
+    """
     head = git("rev-parse", "--short", "HEAD")
     if head is None or head.returncode:
         return "not known"
@@ -35,12 +40,13 @@
 
 
 class Recording:
-    """The slopes of one command."""
+    """Saves the slopes that one command measures."""
 
     def __init__(self, command, folder=FOLDER):
         self.command, self.folder, self.commit = command, folder, commit()
 
     def save(self, name, unit, size_of, points, note=""):
+        """Saves one slope and prints its points."""
         load = os.getloadavg()[0]
         save(
             self.folder,
--- a/embertray/experiments/measure/capacity/streams.py
+++ b/embertray/experiments/measure/capacity/streams.py
@@ -1,5 +1,7 @@
-"""A true controller under bare proxy streams: processor time, bytes and memory by its proxies; how long one
-more proxy waits for its first table, by the list.
+"""Measures a real controller under bare proxy streams.
+
+The figures are processor time, bytes and memory by its proxies, and how long one more proxy waits for its
+first table by the size of the list.
 """
 
 import random
@@ -12,22 +14,22 @@
 
 from embertray.experiments.measure.fleet import Bare, controller, part
 
-SETTLE, QUIET, REPORTING = 6, 10, 30  # seconds: after the joins; without reports; with them
-WINDOW = 10  # seconds of the worst mean
-JOINS, APART = 20, 0.25  # proxies that come one after the other, seconds from one to the next
-OTHERS = 67  # proxies that are there already
+SETTLE, QUIET, REPORTING = 6, 10, 30  # seconds after the joins, without reports, with reports
+WINDOW = 10  # consecutive seconds of the worst mean
+JOINS, APART = 20, 0.25  # proxies that join one after the other; seconds between two of them
+OTHERS = 67  # proxies that have joined before
 
 
 @dataclass
 class Phase:
-    """What one controller used while nothing else changed. Bytes are those that its proxies count."""
+    """What one controller used while nothing else changed; bytes per second as its proxies count them."""
 
     cores: float
     received: list
     sent: list
 
     def worst(self, values):
-        """The greatest mean over WINDOW seconds."""
+        """Returns the greatest mean over WINDOW consecutive seconds."""
         return max(mean(values[at : at + WINDOW]) for at in range(max(1, len(values) - WINDOW + 1)))
 
 
@@ -38,14 +40,16 @@
         self.process, self.fleet = psutil.Process(pid), fleet
 
     def processor(self):
+        """Returns the controller's processor seconds so far."""
         times = self.process.cpu_times()
         return times.user + times.system
 
     def bytes(self):
-        """(into the controller, out of it) so far."""
+        """Returns the bytes (into the controller, out of it) so far."""
         return sum(proxy.sent for proxy in self.fleet), sum(proxy.received for proxy in self.fleet)
 
     async def phase(self, seconds, each_second):
+        """Measures `seconds`, in each of which it calls `each_second` with the time that second ends."""
         began, processor, received, sent = time.monotonic(), self.processor(), [], []
         for second in range(seconds):
             before = self.bytes()
@@ -58,11 +62,15 @@
 
 
 async def nothing(_):
+    """Sends no reports."""
     pass
 
 
 async def load(backends, proxies):
-    """(quiet, reporting, bytes of memory that the proxies brought, bytes of memory in all)"""
+    """Measures one controller without and with reports.
+
+    Returns (quiet phase, reporting phase, bytes of memory added by the proxies, bytes of memory in all).
+    """
     chance = random.Random(1)
     async with controller(backends, proxies, lambda *_: None, proxies=proxies) as (
         _,
@@ -74,7 +82,7 @@
         meter = Meter(pid, fleet)
 
         async def report(until):
-            """One request of each proxy, spread over the second."""
+            """Sends a report of one request from each proxy, spread over the second."""
             for number, proxy in enumerate(fleet):
                 await proxy.sums([chance.choice(names)], ["view"])
                 left = until - time.monotonic()
@@ -89,7 +97,11 @@
 
 
 async def joins(backends):
-    """(seconds each of JOINS proxies waited for its first orders, bytes each got, processor seconds each)"""
+    """Measures proxies that join one after the other.
+
+    Returns (seconds that each waited for its first orders, bytes that each received, processor seconds
+    each).
+    """
     waits, received = [], []
     async with (
         controller(backends, OTHERS, lambda *_: None, proxies=OTHERS + JOINS) as (_, _, fleet, pid, _),
@@ -112,16 +124,19 @@
 
 
 def run_load(recording, sizes, backends):
+    """Measures a controller against proxies, and saves the slopes."""
     rows = [(size, *anyio.run(load, backends, size)) for size in sizes]
     save_load(recording, rows, "proxies", "", f"{backends} backends")
 
 
 def run_load_by_backends(recording, sizes, proxies):
+    """Measures a controller against backends, and saves the slopes."""
     rows = [(size, *anyio.run(load, size, proxies)) for size in sizes]
     save_load(recording, rows, "backends", "-by-backends", f"{proxies} proxies")
 
 
 def save_load(recording, rows, size_of, suffix, constant):
+    """Saves the slopes of both phases."""
     note = (
         f"python -m embertray.experiments.measure.timed, which serves as `embertray serve`; "
         f"{constant}, channel not "
@@ -155,6 +170,7 @@
 
 
 def run_joins(recording, sizes):
+    """Measures joining proxies against the entries of the list, and saves the slopes."""
     rows = [(size, *anyio.run(joins, size)) for size in sizes]
     note = f"{JOINS} proxies join {OTHERS}, one by one; channel not paced; loopback; wall time from the dial"
     for name, unit, pick in (
--- a/embertray/experiments/measure/charts.py
+++ b/embertray/experiments/measure/charts.py
@@ -1,8 +1,9 @@
-"""`python -m embertray.experiments.measure.charts OUT.png CHURN.jsonl [TITLE]`: each purpose's usual size
-over a churn's minutes.
+"""Draws charts of measurements.
 
-With a file that ends in .md, the table of embertray.experiments.measure.start: credit by the share replaced,
-for each way.
+`python -m embertray.experiments.measure.charts OUT.png CHURN.jsonl [TITLE]` draws the usual size of each
+memory purpose over a churn's minutes. For a file that ends in .md, the table that
+embertray.experiments.measure.start prints, it draws credit by the share of backends replaced, for each
+variant.
 """
 
 import json
@@ -15,6 +16,7 @@
 
 
 def churn(out, source, title):
+    """Draws the usual size of each memory purpose, and resident memory, over a churn's minutes."""
     with open(source) as lines:
         rows = [json.loads(row) for row in lines]
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 3.6), gridspec_kw={"width_ratios": (3, 1)})
@@ -31,7 +33,7 @@
 
 
 def start(out, source):
-    """From the report's table: lists an hour old, as the tables and behind them."""
+    """Draws the rows of the table of `start` whose snapshot is an hour old."""
     with open(source) as lines:
         rows = [
             [cell.strip() for cell in row.strip("| \n").split("|")] for row in lines if row.startswith("| ")
--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -1,7 +1,9 @@
-"""`python -m embertray.experiments.measure.claims`: days of wounds drawn by seed on members in virtual time,
-each look
-held against what the cluster claims; then one split into halves that heals, and one death, at sizes up to
-256. Prints Markdown tables; --chart writes one."""
+"""Checks the cluster's claims on random fault days, and measures convergence, under virtual time.
+
+`python -m embertray.experiments.measure.claims` plays days with random faults and checks every observation
+against the claims; then it measures a partition into halves, its healing, and a death, at several sizes.
+Prints Markdown tables; `--chart` writes a PNG of the second.
+"""
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
@@ -13,25 +15,32 @@
 from embertray.simulation.scenarios import notation
 
 S = 10**9
-CALM, CUT = 20, 40  # s before the split, and that it lasts at the least
+CALM, CUT = 20, 40  # s before the partition, and its minimal duration
 
 
 def drawn(seed, members):
+    """Plays one day with random faults.
+
+    Returns checks by claim, violations by claim, and the greatest age of shared state as a fraction of
+    its bound.
+    """
     claims = ClusterSimulation(notation.read(random_faults(seed, members)), seed).play().claims
     return dict(claims.checks), {name: len(why) for name, why in claims.broken.items()}, claims.worst
 
 
 class Moments(ClusterSimulation):
-    """Also: when all took all for what they are, after each wound."""
+    """A cluster simulation that measures how long all members take to agree after a fault."""
 
     def split(self, names):
+        """Partitions the members into halves; returns name -> the members of its half."""
         half = len(names) // 2
         self.links.split(names[:half], names[half:], now=self.engine.time)
         return {name: set(names[:half] if name in names[:half] else names[half:]) for name in names}
 
     def until(self, wanted, most):
-        """s until `wanted(name, those that it takes to be there)` holds at all; None if it does not within
-        `most` s.
+        """Runs until `wanted(name, active members as seen by name)` holds at every member.
+
+        Returns the seconds that passed; None if it does not hold within `most` s.
         """
         began = self.engine.time
         while self.engine.time < began + most * S:
@@ -44,7 +53,7 @@
         return None
 
     def told(self):
-        """Greatest age that anybody holds of anybody, s; None while something is not held."""
+        """Returns the greatest age of any member's facts at any member, in s; None while one lacks some."""
         now, count = self.engine.time, len(self.exchangers)
         rows = [
             [known.age_ns for known in exchanger.store.latest_values(now, "facts")]
@@ -54,8 +63,12 @@
 
 
 def moments(members, loss, seed):
-    """(members, loss, s until a split is seen by all, s until all are whole again, s until one's death is
-    seen by all, greatest age before any wound, its bound, bytes/s of probes and of state before any wound)"""
+    """Measures a partition, its healing and a death in one cluster.
+
+    Returns (members, loss, seconds until all members see the partition, until all see each other again,
+    until all see the death; the greatest age of facts in s before any fault and its bound; bytes per
+    second and member of probes and of state, before any fault).
+    """
     simulation = Moments(
         notation.read(f"fleet controllers={members} cluster=yes period=1s\nload 1/s for 1s"),
         seed,
@@ -97,6 +110,7 @@
 
 
 def shown(value):
+    """Formats seconds for the table, with a dash for None."""
     return "-" if value is None else f"{value:.1f}"
 
 
@@ -105,11 +119,12 @@
 @click.option("--members", default="3,8,32,128", show_default=True)
 @click.option("--loss", default="0,0.3", show_default=True)
 @click.option("--workers", default=4, show_default=True)
-@click.option("--chart", type=click.Path(), help="A PNG of the second table.")
+@click.option("--chart", type=click.Path(), help="Write a PNG of the second table.")
 def main(count, members, loss, workers, chart):
+    """Runs the days and the measurements in parallel processes, and prints the tables."""
     sizes, shares = [int(n) for n in members.split(",")], [float(p) for p in loss.split(",")]
     with ProcessPoolExecutor(workers) as pool:
-        cases = sorted(((n, p) for n in sizes for p in shares), reverse=True)  # the longest first
+        cases = sorted(((n, p) for n in sizes for p in shares), reverse=True)  # the slowest first
         later = {case: pool.submit(moments, *case, 1) for case in cases}
         found = list(pool.map(drawn, range(count), [3 + seed % 6 for seed in range(count)]))
         click.echo("| claim | asked for | broken |\n| --- | --- | --- |")
@@ -119,7 +134,7 @@
                 f"{sum(broken[name] for _, broken, _ in found)} |"
             )
         click.echo(
-            f"\n{count} days of 3 to 8 members, greatest age of its bound "
+            f"\n{count} days of 3 to 8 members, greatest age as a fraction of its bound "
             f"{max(worst for *_, worst in found):.2f}\n"
         )
         click.echo(
@@ -139,6 +154,7 @@
 
 
 def draw(rows, path):
+    """Draws the convergence times and the ages against the number of members."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/embertray/experiments/measure/cluster.py
+++ b/embertray/experiments/measure/cluster.py
@@ -1,7 +1,8 @@
-"""`python -m embertray.experiments.measure.cluster`: the detector against plain heartbeats and phi accrual
-under virtual
-time: time until every living member takes a killed one for dead, false deaths, bytes; a row for each size and
-loss. Prints a Markdown table."""
+"""Compares the failure detector with plain heartbeats and phi accrual under virtual time.
+
+`python -m embertray.experiments.measure.cluster` prints a Markdown table with a row for each size, loss and
+detector: the time until every living member takes a killed one for dead, false deaths, and bytes sent.
+"""
 
 import random
 import sys
@@ -17,6 +18,7 @@
 
 
 def start(how, members, seed):
+    """Starts a simulated cluster with the given detector; detectors without joins get 20 s to converge."""
     simulation = MembershipSimulation(seed, core_type=MAKES[how])
     if how == "swim":
         return simulation.start_cluster(members)
@@ -27,7 +29,7 @@
 
 
 def false_deaths(simulation, but=()):
-    """Members taken for dead wrongly, each once, whoever said so."""
+    """Counts the living members that were declared dead, each once, by whichever member."""
     return len(
         {
             change.name
@@ -38,8 +40,10 @@
 
 
 def one(how, members, loss, seed, calm, kills, pause=0):
-    """One cluster: `calm` seconds with loss (and one member stopped for `pause` ns each 20 s), then kills,
-    one after the other.
+    """Runs one cluster: `calm` seconds with loss, then `kills` members killed one after the other.
+
+    During the first phase a random member is stopped for `pause` ns every 20 s. Returns the detection
+    times in s (300 if not detected), the number of false deaths, and bytes per second and member.
     """
     simulation, chance = start(how, members, seed), random.Random(seed)
     simulation.links.loss, before, began = loss, sum(simulation.bytes_sent.values()), simulation.engine.time
@@ -68,13 +72,14 @@
 
 @click.command()
 @click.option("--seeds", default=10, show_default=True)
-@click.option("--calm", default=120, show_default=True, help="Seconds before the kills.")
+@click.option("--calm", default=120, show_default=True, help="Seconds with loss before the kills.")
 @click.option("--members", default="3,8,32,128", show_default=True)
 @click.option("--loss", default="0,0.1,0.3", show_default=True)
 @click.option(
-    "--pause", default=0.0, show_default=True, help="One member stands still so many seconds, each 20 s."
+    "--pause", default=0.0, show_default=True, help="Seconds for which one member is stopped, every 20 s."
 )
 def main(seeds, calm, members, loss, pause):
+    """Runs every size, loss and detector over all seeds, and prints the table."""
     click.echo(
         "| members | lost | detector | dead at all: p50 | p99 | max, s | false deaths an hour of a "
         "member | bytes/s a member |"
--- a/embertray/experiments/measure/clustered.py
+++ b/embertray/experiments/measure/clustered.py
@@ -1,7 +1,9 @@
-"""`python -m embertray.experiments.measure.clustered DAY..`: days through true processes with the rig's
-links, without
-and with the cluster that the day asks for: credit, rules and claims, and what a process uses. Prints a
-Markdown table, a row a day and way; figures are means over the seeds."""
+"""Compares controllers with and without their cluster on scripted days, run as real processes.
+
+`python -m embertray.experiments.measure.clustered DAY...` plays each day through processes on loopback, once
+with the cluster that the day asks for and once without (`--alone`), and prints a Markdown table: credit,
+broken rules and claims, and the resources of a process. Each figure is taken over all seeds.
+"""
 
 import json
 import subprocess
@@ -13,7 +15,7 @@
 
 
 def played(day, seed, alone):
-    """The JSON of one play, by the program itself."""
+    """Runs `embertray play` for one day in a subprocess and returns its JSON result."""
     done = subprocess.run(
         [
             sys.executable,
@@ -36,6 +38,7 @@
 
 
 def row(day, alone, found):
+    """Formats the results of one day, over all seeds, as a row of the table."""
     broken = sorted(
         {
             name
@@ -59,8 +62,11 @@
 @click.command()
 @click.argument("days", nargs=-1, required=True)
 @click.option("--seeds", default=3, show_default=True)
-@click.option("--beside", default=2, show_default=True, help="Plays at once; each takes about a core.")
+@click.option(
+    "--beside", default=2, show_default=True, help="Plays that run in parallel; each takes about a core."
+)
 def main(days, seeds, beside):
+    """Plays each day with and without the cluster, and prints a Markdown table."""
     click.echo(
         "| day | way | plays | credit, mean | least | broken | greatest age of its bound | CPU, "
         "ms/s a process | MiB a process | cluster bytes/s a process |"
--- a/embertray/experiments/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -1,8 +1,7 @@
-"""A control plane of true processes that faults strike while writes go on.
+"""Injects faults into a control plane of real processes while writes go on.
 
-`python -m embertray.experiments.measure.control --faults 20`: so many of kill, stop and split each. Prints
-what was
-claimed, how often that was held against what happened, and the time until writes were in force. Exit code 1
+`python -m embertray.experiments.measure.control --faults 20` injects as many kills, stops and splits each.
+Prints the claims, how often each was checked and broken, and the time until writes were in force. Exit code 1
 if a claim is broken.
 """
 
@@ -15,21 +14,24 @@
 from embertray.simulation.processes.control_fault_run import play
 
 S = 10**9
-SHARES = (0.5, 0.99, 1.0)  # of the writes at each subscriber, whose times are shown
+SHARES = (0.5, 0.99, 1.0)  # quantiles of the times that are shown
 
 
 @click.command()
-@click.option("--faults", default=20, show_default=True, help="Of each kind.")
+@click.option("--faults", default=20, show_default=True, help="Number of faults of each kind.")
 @click.option("--replicas", default=3, show_default=True)
 @click.option("--subscribers", default=6, show_default=True)
 @click.option(
-    "--scale", default=1.0, show_default=True, help="Of all times of the control plane and the faults."
+    "--scale",
+    default=1.0,
+    show_default=True,
+    help="Factor for all times of the control plane and the faults.",
 )
 @click.option("--seed", default=1, show_default=True)
-@click.option("--folder", type=click.Path(file_okay=False), help="Where logs and states stay.")
+@click.option("--folder", type=click.Path(file_okay=False), help="Folder that keeps logs and states.")
 @click.option("--json", "as_json", is_flag=True)
 def main(faults, replicas, subscribers, scale, seed, folder, as_json):
-    """Plays it, and shows what was found."""
+    """Runs the faults, and prints what was found."""
     show = (lambda text: None) if as_json else click.echo
     found = play(faults, seed, scale, replicas, subscribers, folder, show)
     told = summary(found)
@@ -38,7 +40,7 @@
 
 
 def summary(found):
-    """A PlayResult as figures."""
+    """Returns the figures of a PlayResult, ready for JSON."""
     claims = found.claims
     kinds = sorted({one.kind for one in found.faults})
     return {
@@ -54,14 +56,14 @@
 
 
 def shares_of(took):
-    """Times in s under which these SHARES of all lie; {} if there are none."""
+    """Returns the quantiles of times (ns) in s, for each of SHARES; {} if there are none."""
     ordered = sorted(took)
     last = len(ordered) - 1
     return {str(share): round(ordered[round(share * last)] / S, 3) for share in SHARES} if ordered else {}
 
 
 def lines(told):
-    """A Markdown table and what is beside it."""
+    """Yields a Markdown table of the claims and the lines around it."""
     faults = ", ".join(f"{count} {kind}" for kind, count in told["faults"].items())
     yield f"{faults} in {told['seconds']} s; writes: {told['outcomes']}"
     yield "| claim | held against | broken |"
@@ -70,7 +72,7 @@
         yield f"| {claim} | {count} | {told['broken'][claim]} |"
     for claim, took in told["took_s"].items():
         yield f"{claim}, s until in force at a subscriber by share of writes: {took or 'none'}"
-    yield f"caught up {told['settled_s']} s after a fault's end at the latest"
+    yield f"recovered at most {told['settled_s']} s after the end of a fault"
     yield from told["examples"]
 
 
--- a/embertray/experiments/measure/control_day.py
+++ b/embertray/experiments/measure/control_day.py
@@ -1,7 +1,7 @@
-"""A day of the control plane at the operators' target, compressed, under virtual time.
+"""Plays a day of the control plane at the operators' target, compressed, under virtual time.
 
-`python -m embertray.experiments.measure.control_day --compress 24`: prints times until writes were in force,
-bytes and what was claimed, as JSON. Exit code 1 if a claim is broken.
+`python -m embertray.experiments.measure.control_day --compress 24` prints the times until writes were in
+force, bytes, and checks of the claims, as JSON. Exit code 1 if a claim is broken.
 """
 
 import json
@@ -17,14 +17,14 @@
 
 
 @click.command()
-@click.option("--compress", default=24, show_default=True, help="How much shorter than a day the play is.")
+@click.option("--compress", default=24, show_default=True, help="Factor by which the day is shortened.")
 @click.option("--controllers", default=470, show_default=True)
 @click.option("--replicas", default=8, show_default=True)
 @click.option("--keys", default=3_840, show_default=True)
-@click.option("--changes", default=1_500, show_default=True, help="Writes that fall into the play.")
+@click.option("--changes", default=1_500, show_default=True, help="Number of writes.")
 @click.option("--seed", default=1, show_default=True)
 def main(compress, controllers, replicas, keys, changes, seed):
-    """Plays it, and prints what was found."""
+    """Plays the day, and prints its figures as JSON."""
     plan = DayPlan(
         controllers=controllers,
         replicas=replicas,
@@ -42,7 +42,7 @@
 
 
 def summary(day):
-    """The figures of a played ControlDay."""
+    """Returns the figures of a finished ControlDay, ready for JSON."""
     simulation, claims = day.simulation, day.claims
     seconds = day.plan.duration / S
     subscribers = list(simulation.subscribers.values())
@@ -68,7 +68,7 @@
 
 
 def shares_of(times):
-    """Times in s under which these SHARES of all lie, and how many there are."""
+    """Returns the count of times (ns) and their quantiles in s, for each of SHARES."""
     ordered = sorted(times)
     last = len(ordered) - 1
     found = {str(share): round(ordered[round(share * last)] / S, 2) for share in SHARES} if ordered else {}
--- a/embertray/experiments/measure/emulated.py
+++ b/embertray/experiments/measure/emulated.py
@@ -1,5 +1,8 @@
-"""`python -m embertray.experiments.measure.emulated`: what the emulator costs by the fleet's size, both
-fidelities, each run a process of its own (its peak memory is then its own). Prints a Markdown table."""
+"""Measures what the emulator costs by the size of the fleet, at both fidelities.
+
+`python -m embertray.experiments.measure.emulated` prints a Markdown table. Each run has a process of its own,
+so that its peak memory is its own.
+"""
 
 import json
 import resource
@@ -12,10 +15,11 @@
 
 S = 10**9
 SIZES = ((25, 40), (90, 150), (300, 500), (1000, 5000))
-EACH = 10  # reqs a second for each backend: a third of what it can do
+EACH = 10  # requests/s for each backend: a third of its capacity
 
 
 def text(backends, proxies, seconds, controllers=1):
+    """Returns the script of a day with steady load and one deployment."""
     return (
         f"site pushed proxies={proxies} backends={backends} channel_rate=20000 pending_max=40000 "
         "reports_rate=2000\n"
@@ -26,6 +30,7 @@
 
 
 def one(backends, proxies, fidelity, seconds):
+    """Emulates one fleet, and returns its counts, wall time, virtual time in s and peak memory in MiB."""
     stages = []
     began = time.monotonic()
     result = play(
@@ -50,6 +55,7 @@
 
 
 def main():
+    """Measures every size and fidelity in subprocesses; with arguments, runs one and prints JSON."""
     if len(sys.argv) > 1:
         backends, proxies, fidelity, seconds = sys.argv[1:]
         print(json.dumps(one(int(backends), int(proxies), fidelity, int(seconds))))
--- a/embertray/experiments/measure/explore.py
+++ b/embertray/experiments/measure/explore.py
@@ -1,10 +1,10 @@
-"""Every state that a small machine of true cores can come to, breadth first."""
+"""Explores the states that a small model built of real protocol cores can reach."""
 
 from collections import deque
 
 
 class Found(AssertionError):
-    """A state that breaks the property; `path` of moves that leads to it."""
+    """Raised for a state that violates the property; `path` holds the moves that lead to it."""
 
     def __init__(self, what, path):
         super().__init__(f"{what}, after {len(path)} moves: " + "; ".join(path))
@@ -12,8 +12,10 @@
 
 
 def clone(thing, fresh=("here", "acted", "away", "asks", "listed", "granted", "wants", "heard", "voices")):
-    """A copy of a core whose containers hold what never changes; those named in `fresh` are copied, dicts of
-    dicts two deep.
+    """Returns a copy of a core that can be changed without changing the original.
+
+    The attributes named in `fresh` are copied; of the dicts `may` and `sent` the inner containers are
+    copied too. All other attributes hold values that never change and are shared.
     """
     copy = object.__new__(type(thing))
     for name, value in thing.__dict__.items():
@@ -26,8 +28,12 @@
 
 
 def explore(start, most):
-    """`start`: an object with `moves()` -> [(text, function name, *args)], `copy()`, `wrong()` -> text or "",
-    `key()` -> hashable. Gives (states, whether all were looked at). Raises Found."""
+    """Explores all reachable states, breadth first, up to `most` states.
+
+    `start` has `moves()` -> [(text, method name, *args)], `copy()`, `wrong()` -> the violation or "", and
+    `key()` -> a hashable value equal for equal states. Returns (number of states, whether all were
+    explored). Raises Found at the first violation.
+    """
     seen, queue = {start.key()}, deque([(start, None, "")])
     while queue:
         node = queue.popleft()
@@ -51,7 +57,10 @@
 
 
 def walk(start, walks, length, chance):
-    """Paths drawn by `chance`, where all states are too many: how many moves were made. Raises Found."""
+    """Takes random walks of at most `length` moves, for models with too many states to explore.
+
+    Returns the number of moves made. Raises Found at the first violation.
+    """
     made = 0
     for _ in range(walks):
         state, path = start.copy(), []
--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -1,5 +1,6 @@
-"""A fleet of bare proxy streams on loopback, to load one controller: they join, answer nonces and send
-sums.
+"""A fleet of bare proxy streams on loopback that loads one controller.
+
+The streams join, acknowledge nonces and send load reports, without clients behind them.
 """
 
 import json
@@ -33,7 +34,9 @@
 
 
 class Bare:
-    """One proxy's stream. `saw(name, now, orders, bytes)` for each message; `received` and `sent` count
+    """One proxy's stream.
+
+    Calls `saw(name, now in ns, orders, bytes)` for each message of orders; `received` and `sent` count
     bytes.
     """
 
@@ -46,10 +49,11 @@
             anyio.Event(),
         )
         self.received = self.sent = 0
-        self.writing = anyio.Lock()  # answers and sums come from different tasks
+        self.writing = anyio.Lock()  # acknowledgements and load reports are sent by different tasks
         self.address = None
 
     async def run(self, address):
+        """Dials the controller and acknowledges its orders until the stream ends."""
         self.address = address
         self.stream = await TcpNet().dial(address)
         try:
@@ -69,19 +73,25 @@
             pass
 
     async def send(self, data):
+        """Sends bytes, one message at a time."""
         self.sent += len(data)
         async with self.writing:
             await self.stream.send(data)
 
     async def sums(self, backends, kinds):
+        """Sends a load report of 1 s with fixed totals for each backend and request kind."""
         met = [BackendTotals(backend, 3, 0, 150_000_000, {"busy": 0.4}) for backend in backends]
         await self.send(self.end.pack(LoadReport(S, met, [ArrivalTotals(kind, 5, 0) for kind in kinds])))
 
 
 @asynccontextmanager
 async def controller(backends, count, saw, **changes):
-    """(inventory, names of backends, Bare proxies all bound, process id, result): a controller of its own
-    process under so many streams. `result` is filled after the end: CPU by part, peak memory."""
+    """Runs a controller in a process of its own under `count` proxy streams.
+
+    Yields (inventory, names of the backends, Bare proxies that are all bound, process id, result).
+    `result` holds memory in KiB and the seconds until all were bound; after the end also processor
+    seconds by part and peak memory.
+    """
     with tempfile.TemporaryDirectory() as folder:
         async with anyio.create_task_group() as group:
             inventory = StandinInventory(TcpNet(), Agenda(LoopClock()))
@@ -130,16 +140,17 @@
 
 
 def kib(pid):
-    """KiB in memory."""
+    """Returns the resident memory of a process in KiB."""
     return resident_memory(pid) // 1024
 
 
 def cpu(pid):
-    """Seconds of CPU used so far."""
+    """Returns the processor seconds that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def part(values, share):
+    """Returns the quantile `share` (0 to 1) of the values."""
     values = sorted(values)
     return values[min(len(values) - 1, int(share * len(values)))]
--- a/embertray/experiments/measure/limits.py
+++ b/embertray/experiments/measure/limits.py
@@ -1,7 +1,9 @@
-"""`python -m embertray.experiments.measure.limits`: limits of the whole fleet under virtual time: over and
-use under
-wounds drawn by seed; use against skew and members; what a split leaves usable, by its length. Prints Markdown
-tables."""
+"""Measures the fleet-wide limits under virtual time.
+
+`python -m embertray.experiments.measure.limits` prints Markdown tables: excess and utilization under random
+faults; utilization by skew of the demand and number of members; utilization during and after a network
+partition; recovery after members are killed.
+"""
 
 from concurrent.futures import ProcessPoolExecutor
 
@@ -12,7 +14,10 @@
 
 
 def wounded(seed):
-    """(units over, of the total; share used at the end, a minute after the last wound)"""
+    """Runs one simulation with ten random faults.
+
+    Returns the greatest excess over the limits in units, and the share in use 60 s after the last fault.
+    """
     simulation = LimitsSimulation(seed, 3 + seed % 5, 12 + seed % 9).run(15 * S)
     for _ in range(10):
         simulation.inject_fault(simulation.rng.randint(1, 20) * S)
@@ -22,6 +27,11 @@
 
 
 def calm(case):
+    """Runs one simulation without faults; `case` is (members, skew of the demand).
+
+    Returns members, skew, the share in use, the greatest excess in units, and messages per second and
+    member.
+    """
     members, skew = case
     simulation = LimitsSimulation(1, members, 4 * members, skew=skew).run(60 * S)
     return (
@@ -34,8 +44,10 @@
 
 
 def split(case):
-    """One of five members (or two) cut off for so many s: used at its end, of what was used before; over; s
-    until all is used again.
+    """Cuts some of five members off for a time; `case` is (members cut off, duration in s).
+
+    Returns both, the share in use before and at the end of the partition, the greatest excess in units,
+    and the seconds after its end until 98% of the former share is in use again.
     """
     cut, lasts = case
     simulation = LimitsSimulation(5, 5, 20).run(30 * S)
@@ -53,7 +65,11 @@
 
 
 def killed(case):
-    """k of five killed at once, for good."""
+    """Kills `case` of five members at once, without a restart.
+
+    Returns the count, the lowest share in use, the seconds until 93% is in use again (None if never), the
+    share then, and the greatest excess in units.
+    """
     simulation = LimitsSimulation(6, 5, 20).run(30 * S)
     for name in simulation.names[:case]:
         simulation.kill(name)
@@ -76,14 +92,15 @@
 @click.option("--plays", default=1000, show_default=True)
 @click.option("--workers", default=4, show_default=True)
 def main(plays, workers):
+    """Runs the simulations in parallel processes, and prints the tables."""
     with ProcessPoolExecutor(workers) as pool:
         found = list(pool.map(wounded, range(plays), chunksize=10))
         used = sorted(share for _, share in found)
         click.echo(
-            f"{plays} plays of 3 to 7 members and ten wounds each: over in "
-            f"{sum(over > 0 for over, _ in found)}, most "
-            f"{max(0, *(over for over, _ in found))} of 10,000 units; used a minute after the last "
-            f"wound: least {used[0]:.3f}, p50 {used[len(used) // 2]:.3f}\n"
+            f"{plays} simulations of 3 to 7 members with ten faults each: limit exceeded in "
+            f"{sum(over > 0 for over, _ in found)}, at most "
+            f"{max(0, *(over for over, _ in found))} of 10,000 units; in use a minute after the last "
+            f"fault: least {used[0]:.3f}, p50 {used[len(used) // 2]:.3f}\n"
         )
         click.echo("| members | skew | used | over | messages/s a member |\n| --- | --- | --- | --- | --- |")
         for members, skew, share, over, sent in pool.map(
--- a/embertray/experiments/measure/models/__init__.py
+++ b/embertray/experiments/measure/models/__init__.py
@@ -1,5 +1,6 @@
-"""The limits' true cores at small size: messages lost, repeated, delayed; members that crash, stand still and
-wake; clocks that run apart.
+"""Small models of the limits' real protocol cores, explored in every order of events.
+
+Messages are lost, repeated and delayed; members crash, stop and resume; clocks drift apart.
 """
 
 from .leader import LeaderModel
--- a/embertray/experiments/measure/models/__main__.py
+++ b/embertray/experiments/measure/models/__main__.py
@@ -1,5 +1,7 @@
-"""`python -m embertray.experiments.measure.models`: prints how many states of each model were looked at, and
-what was found.
+"""Explores the models of the limits.
+
+`python -m embertray.experiments.measure.models` prints how many states of each model were explored, and fails
+with the moves that lead to a violation.
 """
 
 import time
@@ -12,8 +14,9 @@
 
 
 @click.command()
-@click.option("--most", default=2_000_000, show_default=True, help="States of each at most.")
+@click.option("--most", default=2_000_000, show_default=True, help="Maximal number of states of each model.")
 def main(most):
+    """Explores each model up to a number of states."""
     for model in (LeaderModel(), LeaderModel(rounds=3, ticks=4, crashes=0), LoansModel()):
         began = time.monotonic()
         try:
@@ -21,8 +24,8 @@
         except Found as found:
             raise click.ClickException(str(found)) from None
         click.echo(
-            f"{type(model).__name__}: {states:,} states, {'all' if whole else 'not all'} looked "
-            f"at, none wrong, {time.monotonic() - began:.0f} s"
+            f"{type(model).__name__}: {states:,} states, {'all' if whole else 'not all'} "
+            f"explored, no violation, {time.monotonic() - began:.0f} s"
         )
 
 
--- a/embertray/experiments/measure/models/leader.py
+++ b/embertray/experiments/measure/models/leader.py
@@ -1,4 +1,4 @@
-"""Who leads, in every order of events."""
+"""Model of the leader's lease."""
 
 from embertray.cluster.limits.lease import Acceptor, Proposer
 from embertray.cluster.limits.messages import Accepted, Prepare, Promise, Propose
@@ -8,9 +8,12 @@
 
 
 class LeaderModel:
-    """Three acceptors, two that try to lead. A message stays on its way and may arrive again and again, or
-    never. One clock may stand still for one tick (it is slow within the drift), one member may crash and
-    forget all. Property: never two that hold the lease."""
+    """Three acceptors and two proposers of a lease.
+
+    A message stays in flight and may arrive once, repeatedly or never. One clock may miss one tick, which
+    is within the drift that the lease allows for; one member may crash and lose its state. Property: two
+    proposers never hold the lease at once.
+    """
 
     names = ("a", "b", "c")
 
@@ -29,6 +32,7 @@
         self.network = set()
 
     def copy(self):
+        """Returns a copy that can be changed without changing this state."""
         other = clone(self)
         other.acceptors = {name: clone(one) for name, one in self.acceptors.items()}
         other.proposers = {name: clone(one) for name, one in self.proposers.items()}
@@ -36,6 +40,7 @@
         return other
 
     def key(self):
+        """Returns a hashable value that is equal for equal states."""
         return (
             tuple(
                 (a.promised_ballot, a.holder, a.lease_ends_at, a.silent_until)
@@ -62,11 +67,12 @@
         )
 
     def moves(self):
+        """Returns the possible moves: (text, method name, argument)."""
         found = [("tick", "tick", None)] if self.ticks else []
         if self.ticks and self.lags:
-            found += [(f"tick, {name}'s clock stands", "tick", name) for name in self.names]
+            found += [(f"tick, {name}'s clock stops", "tick", name) for name in self.names]
         if self.rounds:
-            found += [(f"{name} tries", "tries", name) for name in self.proposers]
+            found += [(f"{name} starts a round", "tries", name) for name in self.proposers]
         if self.crashes:
             found += [(f"{name} crashes", "crash", name) for name in self.names]
         return found + [
@@ -74,11 +80,13 @@
         ]
 
     def tick(self, slow):
+        """Advances all clocks by a tick but that of `slow`, if given."""
         self.ticks, self.lags = self.ticks - 1, self.lags - (slow is not None)
         for name in self.names:
             self.clock[name] += name != slow
 
     def tries(self, name):
+        """A proposer starts a round with a ballot above all promised ones."""
         self.rounds -= 1
         proposer = self.proposers[name]
         self.to_all(
@@ -86,6 +94,7 @@
         )
 
     def crash(self, name):
+        """A member restarts without its state."""
         self.crashes -= 1
         self.acceptors[name] = self.make(self.pace, self.clock[name])
         if name in self.proposers:
@@ -93,6 +102,7 @@
             self.proposers[name] = Proposer(name, old.index, 3, self.pace)
 
     def to_all(self, sender, message):
+        """Sends a message to all members; the sender receives its own at once."""
         for name in self.names:
             if name == sender:
                 self.receive(sender, name, message)
@@ -100,14 +110,16 @@
                 self.network.add((sender, name, message))
 
     def deliver(self, one):
+        """Delivers a message in flight, and drops those that can no longer have an effect."""
         self.receive(*one)
         self.network = {
             (sender, to, message) for sender, to, message in self.network if self.matters(to, message)
         }
 
     def matters(self, to, message):
-        """Whether it can still do anything: others are dropped, which changes nothing and halves the
-        states.
+        """Whether a message can still have an effect.
+
+        Dropping the others leaves the reachable outcomes the same and halves the number of states.
         """
         if isinstance(message, (Prepare, Propose)):
             return message.ballot >= self.acceptors[to].promised_ballot
@@ -116,6 +128,7 @@
         )
 
     def receive(self, sender, to, message):
+        """A member handles a message; its answer is put in flight."""
         now = self.clock[to]
         if isinstance(message, (Prepare, Propose)):
             acceptor = self.acceptors[to]
@@ -136,6 +149,7 @@
             self.proposers[to].on_accepted(now, message, sender)
 
     def wrong(self):
+        """Returns the violation of the property, "" if there is none."""
         holders = [
             name for name, proposer in self.proposers.items() if proposer.holds_lease(self.clock[name])
         ]
--- a/embertray/experiments/measure/models/loans.py
+++ b/embertray/experiments/measure/models/loans.py
@@ -1,4 +1,4 @@
-"""What is lent, in every order of events."""
+"""Model of the quota that a leader grants."""
 
 from embertray.cluster.limits.ledger import Ledger
 from embertray.cluster.limits.messages import QuotaGrant, QuotaRequest
@@ -9,9 +9,11 @@
 
 
 class LoansModel:
-    """One leader, members x and y with a proxy each, a limit of two units, no floors. Asks and grants are
-    lost, repeated, delayed; x may stand still and wake, or crash and start anew; its proxy may move to y.
-    Property: the proxies never act on more than two units together."""
+    """One leader, members x and y with a proxy each, and a limit of two units without a floor.
+
+    Requests and grants are lost, repeated and delayed; x may stop and resume, or crash and restart; its
+    proxy may move to y. Property: the proxies never use more than two units together.
+    """
 
     def __init__(self, asks=2, ticks=4, breaks=1, moves=1, holder=QuotaHolder, ledger=Ledger, pace=Ticks):
         self.pace, self.make, self.now, self.asks, self.ticks = (
@@ -36,6 +38,7 @@
         self.holders["x"].demand, self.holders["y"].demand = {"l": 2}, {"l": 2}
 
     def copy(self):
+        """Returns a copy that can be changed without changing this state."""
         other = clone(self)
         other.asks, other.lives, other.learns = self.asks.copy(), self.lives.copy(), self.learns.copy()
         other.home, other.parts, other.network = self.home.copy(), self.parts.copy(), self.network.copy()
@@ -53,6 +56,7 @@
         return other
 
     def key(self):
+        """Returns a hashable value that is equal for equal states."""
         lines = tuple(
             (
                 row.request and (row.request.incarnation, row.request.sequence),
@@ -99,13 +103,14 @@
         )
 
     def moves(self):
+        """Returns the possible moves: (text, method name, *args)."""
         found = [("tick", "tick")] if self.ticks else []
         awake = [name for name in "xy" if not (self.still and name == "x")]
-        found += [(f"{name} asks", "ask", name) for name in awake if self.asks[name]]
+        found += [(f"{name} requests a quota", "ask", name) for name in awake if self.asks[name]]
         if self.breaks:
-            found += [("x stands still", "stop"), ("x crashes and starts", "crash")]
+            found += [("x stops", "stop"), ("x crashes and restarts", "crash")]
         if self.still:
-            found.append(("x wakes", "wake"))
+            found.append(("x resumes", "wake"))
         if self.moving and self.home["p"] == "x":
             found.append(("p moves to y", "move"))
         for n, (to, sender, message, _) in enumerate(self.network):
@@ -115,29 +120,34 @@
                 )
         for name in awake:
             for _limit, proxy, units in self.holders[name].quota_updates(self.now):
-                found.append((f"{name} tells {proxy} {units}", "push", name))
+                found.append((f"{name} sends {proxy} a quota of {units}", "push", name))
                 break
         return found
 
     def tick(self):
+        """Advances the clock by a tick."""
         self.now, self.ticks = self.now + 1, self.ticks - 1
 
     def ask(self, name):
+        """A member sends a quota request to the leader and to its peer."""
         self.asks[name] -= 1
         ask = self.holders[name].make_request(self.now, 1, False)
         for to in ("leader", "y" if name == "x" else "x"):
             self.network.append((to, name, ask, f"{to} {ask!r}"))
 
     def stop(self):
+        """Member x stops: it handles nothing until it resumes."""
         self.breaks, self.still = self.breaks - 1, True
 
     def wake(self):
+        """Member x resumes, and learns which proxies left meanwhile."""
         self.still = False
         for what, proxy in self.learns:
             getattr(self.holders["x"], what)(proxy)
         self.learns = []
 
     def crash(self):
+        """Member x restarts with a new incarnation, and its proxies join again."""
         self.breaks, self.still, self.learns = self.breaks - 1, False, []
         self.lives["x"] += 1
         self.holders["x"] = self.make("x", {"l": 0}, self.pace, self.lives["x"] << 8)
@@ -146,6 +156,7 @@
             self.holders["x"].proxy_joined(proxy)
 
     def move(self):
+        """Proxy p moves from x to y."""
         self.moving, self.home["p"] = self.moving - 1, "y"
         if self.still:
             self.learns.append(("proxy_left", "p"))
@@ -154,6 +165,7 @@
         self.holders["y"].proxy_joined("p")
 
     def deliver(self, n):
+        """Delivers message `n` in flight; it stays and may be delivered again."""
         to, sender, message, _ = self.network[n]
         if to == "leader":
             if self.ledger.record_request(self.now, sender, message):
@@ -165,10 +177,11 @@
             self.holders[to].apply_grant(self.now, message, 1)
 
     def push(self, name):
-        """Orders reach their proxies at once, and are answered."""
+        """A member sends its quota updates; the proxies apply and acknowledge them at once."""
         for limit, proxy, units in self.holders[name].quota_updates(self.now):
             self.parts[proxy] = units
             self.holders[name].proxy_acknowledged(limit, proxy, units)
 
     def wrong(self):
-        return f"proxies act on {sum(self.parts.values())} of 2" if sum(self.parts.values()) > 2 else ""
+        """Returns the violation of the property, "" if there is none."""
+        return f"proxies use {sum(self.parts.values())} of 2 units" if sum(self.parts.values()) > 2 else ""
--- a/embertray/experiments/measure/models/ticks.py
+++ b/embertray/experiments/measure/models/ticks.py
@@ -1,7 +1,7 @@
-"""A pace for models."""
+"""Timing of the limits for models."""
 
 
 class Ticks:
-    """A pace in whole ticks."""
+    """Lease and request times in whole ticks."""
 
     lease_term, drift_adjusted_term, request_period = 2, 3, 1
--- a/embertray/experiments/measure/names.py
+++ b/embertray/experiments/measure/names.py
@@ -1,5 +1,7 @@
-"""How many lines hold a word as an identifier, by package: `python -m embertray.experiments.measure.names
-WORD...`. Prose, strings and what stands within f-strings are not counted.
+"""Counts the lines that hold a word as an identifier, by package.
+
+`python -m embertray.experiments.measure.names WORD...` ignores comments, strings and the expressions within
+f-strings.
 """
 
 import tokenize
@@ -12,12 +14,13 @@
 
 
 def package_of(path):
+    """Returns the package of a file as shown: the first two folders of its path."""
     parts = path.relative_to(ROOT).parts
     return "/".join(parts[:2]) if len(parts) > 2 else parts[0]
 
 
 def lines_with(words, paths):
-    """word -> package -> lines."""
+    """Returns word -> package -> number of lines that hold the word as an identifier."""
     found = defaultdict(lambda: defaultdict(int))
     for path in paths:
         with tokenize.open(path) as file:
@@ -32,6 +35,7 @@
 @click.command()
 @click.argument("words", nargs=-1, required=True)
 def main(words):
+    """Prints the counts of each word, the packages with the most lines first."""
     paths = sorted(path for folder in ("embertray", "tests") for path in (ROOT / folder).rglob("*.py"))
     found = lines_with(frozenset(words), paths)
     for word in words:
--- a/embertray/experiments/measure/news.py
+++ b/embertray/experiments/measure/news.py
@@ -1,6 +1,8 @@
-"""`python -m embertray.experiments.measure.news [PROXIES ...]`: from the inventory's news of a drain to each
-proxy's
-socket, over loopback, beside a bare loop that writes the same bytes to as many sockets in the same run."""
+"""Measures the time from a drain in the inventory to each proxy's socket, over loopback.
+
+`python -m embertray.experiments.measure.news [PROXIES ...]` compares it with a bare asyncio loop that writes
+as many bytes to as many sockets in the same run, and prints a Markdown table.
+"""
 
 import subprocess
 import sys
@@ -14,7 +16,7 @@
 
 ROUNDS, BACKENDS = 10, 60
 
-# the bare loop: one process, one write a socket, nothing else
+# the baseline: one process that makes a single write to each socket
 BARE = """
 import asyncio, sys, time
 count, size = int(sys.argv[1]), int(sys.argv[2])
@@ -38,6 +40,7 @@
 
 
 async def bare(count, size):
+    """Returns the delays in ns of the bare loop, which sends `size` bytes to `count` sockets."""
     program = subprocess.Popen(
         [sys.executable, "-c", BARE, str(count), str(size)],
         text=True,
@@ -64,6 +67,7 @@
 
 
 async def measure(proxies):
+    """Drains one backend after the other under so many proxies, and prints a row of the table."""
     seen, sizes, told, gone = [], [], 0, None
 
     def saw(_, now, orders, size):
@@ -92,6 +96,7 @@
 
 
 def ms(values, share):
+    """Formats a quantile of values in ns as milliseconds."""
     return f"{part(values, share) / 1e6:.1f}"
 
 
--- a/embertray/experiments/measure/pauses.py
+++ b/embertray/experiments/measure/pauses.py
@@ -1,5 +1,6 @@
-"""`python -m embertray.experiments.measure.pauses`: the garbage collector's longest pause at 1,000 proxies,
-three ways of setting it.
+"""Measures the longest pause of the garbage collector at 1,000 proxies, under three settings.
+
+`python -m embertray.experiments.measure.pauses` prints a Markdown table.
 """
 
 import gc
@@ -16,6 +17,7 @@
 
 
 def main():
+    """Runs the same churn under each setting, and prints the table."""
     print(
         "| way | collections | longest pause ms | of the oldest generation | total ms a virtual minute |\n"
         + "| --- " * 5
--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -1,10 +1,10 @@
-"""Streams of events as modules were given them, to be played again.
+"""Records the events given to decision modules, and replays them to compare the orders.
 
-A change that must decide nothing else gives the same orders, byte for byte:
-`python -m embertray.experiments.measure.recorded record NAME --out FILE` records, where NAME is a day (played
-without streams), `crowd` (a fleet of hundreds that all joins at once) or `drawn-SEED` (a fleet under faults
-that the seed draws); `... orders FILE` prints all orders, `... check FILE` holds their digest against the
-recorded one. A file is zstandard of JSON rows, one for each step.
+A change that must not alter any decision yields the same orders, byte for byte. `python -m
+embertray.experiments.measure.recorded record NAME --out FILE` records, where NAME is a day (played without
+streams), `crowd` (hundreds of proxies that join at once) or `drawn-SEED` (a fleet under faults drawn from the
+seed); `... orders FILE` prints all orders; `... check FILE` compares their digest with the recorded one. A
+file is zstandard-compressed JSON with one row for each step.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 
 from .recorded_fleets import crowd, drawn
 
-# types and fields of the interface as the recorded files name them: written before they were renamed
+# interface type or field -> its name in recorded files, which keep the names of the time they were written
 RECORDED_TYPES = {
     "BackendReport": "Heard",
     "ArrivalReport": "Arrivals",
@@ -55,7 +55,7 @@
 
 
 def recorded_name(kind):
-    """The name of a type of the interface in recorded files."""
+    """Returns the name of an interface type in recorded files."""
     return RECORDED_TYPES.get(kind.__name__, kind.__name__)
 
 
@@ -64,12 +64,16 @@
 
 
 class Names:
-    """Objects to rows and back. A handle is its type and a number: the order in which it was first met."""
+    """Converts objects of the interface to rows of JSON and back.
+
+    A handle or request kind is written as its type and a number, in the order of first use.
+    """
 
     def __init__(self):
         self.numbers, self.things, self.counts = {}, {}, {}
 
     def row(self, thing):
+        """Returns the row of an object."""
         if isinstance(thing, (i.Handle, i.RequestKind)):
             if thing not in self.numbers:
                 name = type(thing).__name__
@@ -87,6 +91,7 @@
         return thing
 
     def thing(self, row):
+        """Returns the object of a row; a handle that is new is created."""
         if isinstance(row, list):
             return [self.thing(one) for one in row]
         if isinstance(row, dict) and "at" in row:
@@ -102,7 +107,10 @@
         return row
 
     def start(self, seed, site, now):
-        """A start's row; request kinds stand there whole, later by number."""
+        """Returns the first row of a stream.
+
+        It holds the request kinds in full; later rows refer to them by number.
+        """
         kinds = [
             [kind.latency_objective, kind.client_timeout, kind.credit, kind.again, kind.group]
             for kind in site.kinds
@@ -110,6 +118,7 @@
         return {"seed": seed, "now": now, "kinds": kinds, "site": self.row(site)}
 
     def begin(self, row):
+        """Returns (seed, deployment, time in ns) from the first row of a stream."""
         for n, kind in enumerate(row["kinds"], 1):
             self.things["RequestKind", n] = made = i.RequestKind(*kind)
             self.numbers[made], self.counts["RequestKind"] = ["RequestKind", n], n
@@ -117,12 +126,13 @@
 
 
 class Recorder:
-    """Stands where the module is made: each one made gets a list of rows."""
+    """A factory of decision modules that records what each is given, a list of rows for each module."""
 
     def __init__(self, made=Controller):
         self.made, self.streams = made, []
 
     def __call__(self, seed, site, now=0):
+        """Makes a module whose steps are recorded."""
         names, rows, module = Names(), [], self.made(seed, site, now)
         rows.append(names.start(seed, site, now))
         self.streams.append(rows)
@@ -131,7 +141,7 @@
         def recorded(now, events):
             rows.append([now, names.row(events)])
             orders = step(now, events)
-            names.row(orders)  # numbers its tables and nonces
+            names.row(orders)  # assigns numbers to new tables and nonces
             return orders
 
         module.step = recorded
@@ -139,12 +149,12 @@
 
 
 def orders(rows, made=Controller, with_logs=True):
-    """What a module of today orders when it is given the recorded events: lines of text.
+    """Replays recorded events to a new module, and yields its orders as lines of JSON.
 
     Args:
         rows: a recorded stream.
         made: makes the module.
-        with_logs: whether log orders are among them.
+        with_logs: whether log orders are included.
     """
     names = Names()
     module = made(*names.begin(rows[0]))
@@ -157,11 +167,12 @@
 
 
 def digest(rows, made=Controller):
-    """The digest of all orders but log lines, whose texts decide nothing."""
+    """Returns the digest of all orders but log lines, whose texts decide nothing."""
     return hashlib.sha256(b"\n".join(orders(rows, made, with_logs=False))).hexdigest()
 
 
 def day(name, made, seed=1):
+    """Plays a scripted day, at the fidelity of single requests, with modules made by `made`."""
     from embertray.simulation.emulator.play import play
     from embertray.simulation.scenarios import notation
 
@@ -170,7 +181,10 @@
 
 
 def save(path, name, recorder, steps):
-    """The longest streams first, until so many steps are in."""
+    """Writes the longest streams to a file until they hold `steps` steps.
+
+    Returns the number of steps and of bytes written.
+    """
     kept, count = [], 0
     for rows in sorted(recorder.streams, key=len, reverse=True):
         if count < steps:
@@ -182,19 +196,24 @@
 
 
 def load(path):
+    """Reads a file of recorded streams."""
     return msgspec.json.decode(zstandard.ZstdDecompressor().decompress(Path(path).read_bytes()))
 
 
 @click.group()
 def main():
+    """Records events and replays them."""
     pass
 
 
 @main.command()
 @click.argument("name")
 @click.option("--out", required=True)
-@click.option("--steps", default=1200, show_default=True, help="Streams are kept until so many steps are in.")
+@click.option(
+    "--steps", default=1200, show_default=True, help="Keep streams until they hold this many steps."
+)
 def record(name, out, steps):
+    """Records a day, the crowd or a fleet under random faults."""
     recorder = Recorder()
     if name == "crowd":
         crowd(recorder)
@@ -208,6 +227,7 @@
 @main.command(name="orders")
 @click.argument("file")
 def print_orders(file):
+    """Prints the orders that a replay of FILE yields."""
     for stream in load(file)["streams"]:
         for line in orders(stream["rows"]):
             click.echo(line)
@@ -216,6 +236,7 @@
 @main.command()
 @click.argument("files", nargs=-1)
 def check(files):
+    """Compares the replay of each file with its recorded digest; exit code 1 if one differs."""
     same = True
     for file in files:
         for stream in load(file)["streams"]:
--- a/embertray/experiments/measure/recorded_fleets.py
+++ b/embertray/experiments/measure/recorded_fleets.py
@@ -1,4 +1,4 @@
-"""Fleets whose events `recorded` records: a crowd that joins at once, and small ones under drawn faults."""
+"""Fleets whose events `recorded` records: a crowd that joins at once, and fleets under random faults."""
 
 import random
 
@@ -9,9 +9,7 @@
 
 
 def crowd(made, backends=100, proxies=400):
-    """All proxies come at once in the middle of a replacement, with sums of what they meet; then 30 s of
-    it.
-    """
+    """Runs a fleet whose proxies all join within 4 s, during a replacement of backends, for 30 s."""
     from embertray.simulation.standins.fleet import Fleet
 
     fleet = Fleet(made, backends, proxies)
@@ -39,7 +37,7 @@
         fleet.run(fleet.now + S)
 
 
-DRAWN_SITES = (  # settings that lead to decisions which the scripted days do not reach
+DRAWN_SITES = (  # settings for decisions that the scripted days do not exercise
     {"throttle": "rate", "pick": "weighted", "cross_zone_cost": 0.0},
     {"throttle": "share", "ask": True, "messages_max": 0},
     {"throttle": "rate", "channel_rate": 60.0, "pending_max": 480.0, "messages_max": 6},
@@ -47,13 +45,15 @@
     {"throttle": "none", "ask": True, "pending_max": 10.0**6, "channel_rate": 10.0**6, "drain_grace": 0},
 )
 DRAWN_PROXIES = 60
-DRAWN_SECONDS = 110  # past the time after which those that left are forgotten
+DRAWN_SECONDS = 110  # longer than departed proxies are remembered
 
 
 class _DrawnDay:
-    """A small fleet under settings and faults that a seed draws: releases with cold successors, backends that
-    fail, hang and recover, a lost zone, bursts, proxies that leave, come back or do not answer, and lists
-    that fail, come whole or name changes only.
+    """A small fleet under settings and faults drawn from a seed.
+
+    The faults: releases with cold successors; backends that fail, hang and recover; a lost zone; bursts;
+    proxies that leave, come back or do not answer; and endpoint lists that fail, come whole or hold
+    changes only.
     """
 
     def __init__(self, made, seed):
@@ -65,7 +65,7 @@
         silent = self.silent
 
         class LossyFleet(Fleet):
-            """Answers of silent proxies are lost."""
+            """Loses the acknowledgements of silent proxies."""
 
             def deliver(self):
                 super().deliver()
@@ -124,7 +124,7 @@
         fleet.change_list("changes", new, "ready", fleet.now)
 
     def draw_return(self):
-        """All that left lately are back, cold."""
+        """Returns the three backends that left last, cold."""
         gone = [backend for backend, state in self.fleet.backend_states.items() if state != "ready"]
         self.fleet.change_list("changes", gone[-3:], "ready", self.fleet.now)
 
@@ -140,7 +140,7 @@
     def draw_proxies(self):
         fleet, chance = self.fleet, self.chance
         count = chance.choice((5, 40))
-        if count > 5:  # removals while many are not bound yet
+        if count > 5:  # so that backends are removed while many proxies are not bound yet
             self.draw_release()
         for proxy in chance.sample(fleet.proxies, count):
             if proxy in self.away:
@@ -154,7 +154,7 @@
                 fleet.pending_events.append(i.ProxyLeft(proxy))
 
     def draw_silence(self):
-        """Proxies that leave their nonces unanswered for a while."""
+        """Chooses proxies that leave their nonces unacknowledged for a while."""
         self.silent.clear()
         self.silent.update(self.chance.sample(self.fleet.proxies, self.chance.choice((0, 3, 10))))
 
@@ -187,4 +187,5 @@
 
 
 def drawn(made, seed):
+    """Runs a small fleet under the settings and faults drawn from the seed."""
     _DrawnDay(made, seed).play()
--- a/embertray/experiments/measure/scale/__init__.py
+++ b/embertray/experiments/measure/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: hollow members, the true cores with sockets of their own on loopback, many to a process."""
+"""Scale tests with hollow members: real protocol cores and sockets on loopback, many in one process."""
--- a/embertray/experiments/measure/scale/__main__.py
+++ b/embertray/experiments/measure/scale/__main__.py
@@ -1,5 +1,8 @@
-"""`python -m embertray.experiments.measure.scale cluster|control|virtual`: hollow members at several sizes;
-writes slopes to docs/measured/capacity/."""
+"""Measures cluster and control plane at several sizes with hollow members.
+
+`python -m embertray.experiments.measure.scale cluster|control|virtual` writes slopes to
+docs/measured/capacity/.
+"""
 
 import shlex
 import sys
@@ -15,31 +18,36 @@
 
 
 def sizes(text):
+    """Parses a comma-separated list of sizes."""
     return [int(part) for part in text.split(",")]
 
 
 def recording(folder, keep=False):
-    """Made first, as it names the commit that is measured. `keep`: points of other sizes stay."""
+    """Returns a recording that names this command and the commit that is measured.
+
+    It is made before the measurement, while the commit is the one that runs. With `keep`, recorded points
+    of other sizes are kept.
+    """
     kind = KeepingRecording if keep else Recording
     return kind("python -m embertray.experiments.measure.scale " + shlex.join(sys.argv[1:]), folder)
 
 
 def out_options(command):
-    """Options of where slopes go, and whether they replace what is there."""
-    command = click.option("--keep", is_flag=True, help="Points of other sizes that are there stay.")(command)
-    return click.option("--out", default=str(FOLDER), show_default=True, help="Folder of the slopes.")(
+    """Adds the options for where slopes are written and whether recorded points are kept."""
+    command = click.option("--keep", is_flag=True, help="Keep recorded points of other sizes.")(command)
+    return click.option("--out", default=str(FOLDER), show_default=True, help="Folder for the slopes.")(
         command
     )
 
 
 def spans_options(spread, settle, window):
-    """Options of when members start and how long they are measured."""
+    """Returns a decorator that adds the options for when members start and how long they are measured."""
 
     def decorated(command):
         for name, value, text in (
-            ("--window", window, "Seconds that are measured."),
-            ("--settle", settle, "Seconds from the last start to these."),
-            ("--spread", spread, "Seconds between two starts."),
+            ("--window", window, "Seconds of the measured window."),
+            ("--settle", settle, "Seconds from the last start to the window."),
+            ("--spread", spread, "Seconds between the starts of two members."),
         ):
             command = click.option(name, default=value, show_default=True, help=text)(command)
         return command
@@ -55,12 +63,12 @@
 @main.command()
 @click.option("--sizes", "wanted", default="8,32,64,128,256,470", show_default=True)
 @click.option("--processes", default=8, show_default=True)
-@click.option("--period", default=1.0, show_default=True, help="Seconds.")
-@click.option("--facts", default=60, show_default=True, help="Bytes that each tells of itself.")
+@click.option("--period", default=1.0, show_default=True, help="Protocol period in seconds.")
+@click.option("--facts", default=60, show_default=True, help="Bytes of facts of each member.")
 @spans_options(0.1, 20.0, 30.0)
 @out_options
 def cluster(wanted, processes, period, facts, spread, settle, window, out, keep):
-    """Members of a cluster on loopback."""
+    """Measures members of a cluster on loopback."""
     recorder, spans, found = recording(out, keep), fleet.Spans(spread, settle, window), []
     for size in sizes(wanted):
         reports = fleet.run(fleet.cluster_plans(size, processes, spans, int(period * S), facts))
@@ -72,14 +80,14 @@
 
 @main.command()
 @click.option("--sizes", "wanted", default="60,120,240,470", show_default=True)
-@click.option("--processes", default=8, show_default=True, help="Of subscribers.")
-@click.option("--replicas", default=8, show_default=True, help="Each a process.")
+@click.option("--processes", default=8, show_default=True, help="Processes of subscribers.")
+@click.option("--replicas", default=8, show_default=True, help="Replicas, each a process.")
 @click.option("--keys", default=60, show_default=True)
 @click.option("--value", default=200, show_default=True, help="Bytes of a value.")
 @spans_options(0.02, 30.0, 60.0)
 @out_options
 def control(wanted, processes, replicas, keys, value, spread, settle, window, out, keep):
-    """Replicas and subscribers of the control plane on loopback."""
+    """Measures replicas and subscribers of the control plane on loopback."""
     recorder, spans = recording(out, keep), fleet.Spans(spread, settle, window)
     found = {"subscriber": [], "replica": []}
     for size in sizes(wanted):
@@ -96,12 +104,12 @@
 
 @main.command(name="virtual")
 @click.option("--sizes", "wanted", default="8,32,64,128,256,470", show_default=True)
-@click.option("--period", default=1.0, show_default=True, help="Seconds.")
-@click.option("--facts", default=60, show_default=True, help="Bytes that each tells of itself.")
+@click.option("--period", default=1.0, show_default=True, help="Protocol period in seconds.")
+@click.option("--facts", default=60, show_default=True, help="Bytes of facts of each member.")
 @spans_options(0.1, 20.0, 30.0)
 @out_options
 def virtual_command(wanted, period, facts, spread, settle, window, out, keep):
-    """Members of a cluster under virtual time: the same cores, addresses and facts, no sockets."""
+    """Measures members of a cluster under virtual time: the same cores, addresses and facts, no sockets."""
     recorder, spans, found = recording(out, keep), fleet.Spans(spread, settle, window), []
     for size in sizes(wanted):
         found.append(virtual.measure(size, spans, int(period * S), facts))
@@ -114,7 +122,7 @@
 @click.option("--size", default=128, show_default=True)
 @spans_options(0.1, 20.0, 30.0)
 def parts(size, spread, settle, window):
-    """What makes the bytes of a member under virtual time: facts, addresses and names, one by one."""
+    """Shows what facts, addresses and names add to the bytes of a member, under virtual time."""
     spans = fleet.Spans(spread, settle, window)
     for text, facts, naming in (
         ("names of 2 to 4 bytes for addresses, 15 bytes of facts", 15, virtual.Naming("c", False)),
--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -1,4 +1,4 @@
-"""Hollow members of a cluster: true links, no proxies behind them."""
+"""Hollow members of a cluster: real cluster links without proxies behind them."""
 
 from collections import namedtuple
 
@@ -8,14 +8,14 @@
 
 from .meter import Counters
 
-UNLIMITED = 1 << 24  # bytes of state, and bytes a second for it: what is measured is the want, not the cap
-MARK = "mark"  # key of the entry that is written to be seen by all
+UNLIMITED = 1 << 24  # bytes, and bytes/s: caps so high that the demand is measured
+MARK = "mark"  # key of the entry whose time until all members see it is measured
 
 Me = namedtuple("Me", "name cluster")
 
 
 class ClusterMember:
-    """One link, with facts that are as large as a controller's."""
+    """One cluster link whose facts have the size of a controller's."""
 
     def __init__(self, name, plan):
         self.name, self.plan, self.clock = name, plan, LoopClock()
@@ -23,6 +23,7 @@
         self.link, self.delays = None, {}
 
     async def run(self):
+        """Runs the link until it is cancelled."""
         addresses, unlimited = self.plan.all_addresses, UNLIMITED
         peers = [address for other, address in addresses.items() if other != self.name]
         self.link = ClusterLink(
@@ -36,11 +37,12 @@
         await self.link.run()
 
     async def mark(self, mark):
+        """Writes a mark if this member is the one that writes them."""
         if self.name == self.plan.marker:
             self.link.store.put(self.clock.now(), MARK, str(mark).encode())
 
     def look(self, now):
-        """Notes when a mark is seen first."""
+        """Records the delay in ns of a mark that is seen for the first time."""
         if self.link is None:
             return
         held = self.link.store.entries.get((self.plan.marker, MARK))
@@ -48,22 +50,26 @@
             self.delays.setdefault(int(held.value), now - int(held.value))
 
     def counters(self):
+        """Returns the link's totals; bytes sent are divided into state and probes."""
         counters = self.link.counters
         state = counters.state_bytes_sent
         parts = {"state": state, "probes": counters.bytes_sent - state}
         return Counters(counters.bytes_sent, counters.bytes_received, counters.sent, parts)
 
     def seen(self):
+        """Returns the number of members it takes to be alive, itself included."""
         return self.link.membership.members.active_count + 1
 
     def oldest(self, now):
-        """ns; None if it lacks a member's facts."""
+        """Returns the greatest age of a member's facts in ns; None if it lacks some."""
         ages = [known.age_ns for known in self.link.store.latest_values(now, "facts")]
         return max(ages) if len(ages) >= self.seen() else None
 
     def failures(self):
+        """Returns the number of failed exchanges."""
         return self.link.counters.exchanges_failed
 
 
 def members(plan):
+    """Returns the members of a ClusterPlan."""
     return [ClusterMember(name, plan) for name in plan.names]
--- a/embertray/experiments/measure/scale/fleet.py
+++ b/embertray/experiments/measure/scale/fleet.py
@@ -1,4 +1,4 @@
-"""One size of hollow members: plans for its processes, their start and end, their reports together."""
+"""Runs one size of hollow members: plans its processes, starts them, and combines their reports."""
 
 import subprocess
 import sys
@@ -13,20 +13,20 @@
 from .messages import ClusterPlan, ReplicaPlan, Report, SubscriberPlan, Timetable
 
 MS, S = 10**6, 10**9
-COME_UP = 4 * S  # ns until all processes have read their plans
-GRACE = 120  # s past the window that a worker may take to report
-MARKS = 3  # writes whose way to all is timed
-MEMBERS_LEAST = 8  # of a worker: what measuring itself costs is shared by so many
-FOLLOWED = 3  # replicas that a subscriber turns to
+COME_UP = 4 * S  # ns from the plans to the first start: all processes have read them by then
+GRACE = 120  # s after the window within which a worker has to report
+MARKS = 3  # writes whose time until all members see them is measured
+MEMBERS_LEAST = 8  # per worker, so that they share the cost of the measurement itself
+FOLLOWED = 3  # replicas that each subscriber may connect to
 
 
 class WorkerFailed(RuntimeError):
-    """A process of hollow members ended before it reported."""
+    """A worker process ended before it reported."""
 
 
 @dataclass(frozen=True)
 class Spans:
-    """Seconds: between the starts of two members, from the last start to the window, of the window."""
+    """Seconds between the starts of two members, from the last start to the window, and of the window."""
 
     spread: float
     settle: float
@@ -34,7 +34,7 @@
 
 
 def timetables(size, spans, workers):
-    """A Timetable for each worker; member n of all is of worker n modulo their number."""
+    """Returns a Timetable for each worker; member n belongs to worker n modulo their number."""
     first = time.monotonic_ns() + COME_UP
     starts = [first + int(n * spans.spread * S) for n in range(size)]
     begin = starts[-1] + int(spans.settle * S)
@@ -44,6 +44,7 @@
 
 
 def cluster_plans(size, workers, spans, period, facts_bytes):
+    """Returns the plans of at most `workers` processes that share the members of a cluster."""
     names = [f"controller-{n}" for n in range(size)]
     addresses = {name: f"127.0.0.1:{port}" for name, port in zip(names, free_ports(size), strict=True)}
     workers = min(workers, max(1, size // MEMBERS_LEAST))
@@ -54,7 +55,7 @@
 
 
 def control_plans(size, workers, spans, replicas, keys, value_bytes):
-    """A process for each replica, the subscribers on `workers` others."""
+    """Returns plans with a process for each replica, and `workers` processes for the subscribers."""
     names = [f"replica-{n}" for n in range(replicas)]
     ports = free_ports(2 * replicas)
     peers = {name: f"127.0.0.1:{ports[n]}" for n, name in enumerate(names)}
@@ -70,7 +71,7 @@
 
 
 def run(plans):
-    """The reports of processes with these plans."""
+    """Runs a worker process for each plan, and returns their reports."""
     command = [sys.executable, "-m", "embertray.experiments.measure.scale.worker"]
     processes = []
     try:
@@ -88,18 +89,18 @@
                 process.kill()
                 process.wait()
     if failed := [process.returncode for process in processes if process.returncode]:
-        raise WorkerFailed(f"{len(failed)} of {len(processes)} processes failed; stderr says why")
+        raise WorkerFailed(f"{len(failed)} of {len(processes)} worker processes failed; see stderr")
     return [msgspec.json.decode(output, type=Report) for output in outputs]
 
 
 @dataclass
 class Summary:
-    """All members of one role at one size."""
+    """The figures of all members of one role at one size; rates are bytes or messages per second."""
 
     size: int
     count: int
-    processor: float  # cores a member
-    memory: float  # bytes a member, without what its process holds before it has members
+    processor: float  # cores per member
+    memory: float  # bytes per member, without those of the process before its members are made
     sent: float
     received: float
     sent_worst: float
@@ -114,7 +115,7 @@
 
 
 def summary(size, role, reports, window):
-    """The reports of one role together."""
+    """Combines the reports of one role."""
     reports = [report for report in reports if report.role == role]
     members = [member for report in reports for member in report.members]
     count = len(members)
--- a/embertray/experiments/measure/scale/keeping.py
+++ b/embertray/experiments/measure/scale/keeping.py
@@ -1,4 +1,4 @@
-"""Slopes that grow by sizes measured later."""
+"""Recordings that keep the points of sizes that are not measured again."""
 
 from pathlib import Path
 
@@ -7,9 +7,13 @@
 
 
 class KeepingRecording(Recording):
-    """Points of sizes that are not measured again stay; the note says of which commit they are."""
+    """Merges new points into a recorded slope.
+
+    Points of sizes that are not measured again stay; the note names their commit and command.
+    """
 
     def save(self, name, unit, size_of, points, note=""):
+        """Writes a slope, together with the recorded points of other sizes."""
         path = Path(self.folder) / f"{name}.json"
         if path.exists():
             former = load(path)
--- a/embertray/experiments/measure/scale/messages.py
+++ b/embertray/experiments/measure/scale/messages.py
@@ -1,20 +1,25 @@
-"""What the measuring process tells its workers, and what they report. Times are ns of the machine's monotonic
-clock, which all processes share."""
+"""Plans that the measuring process sends to its workers, and the reports that they return.
+
+Times are ns of the machine's monotonic clock, which all processes share.
+"""
 
 import msgspec
 
 
 class Timetable(msgspec.Struct, frozen=True):
-    """When members start, when they are measured, and when something is written that all have to see."""
+    """When members start, when they are measured, and when marks are written that all have to see."""
 
-    starts: list[int]  # one a member of the worker
+    starts: list[int]  # for each member of the worker
     window_from: int
     window_until: int
     marks: list[int]
 
 
 class ClusterPlan(msgspec.Struct, tag="cluster", frozen=True):
-    """Hollow members of a cluster. `all_addresses`: every member's, by name; `names`: this worker's."""
+    """Hollow members of a cluster.
+
+    `all_addresses` holds the address of every member by name; `names` are those of this worker.
+    """
 
     timetable: Timetable
     names: list[str]
@@ -25,7 +30,7 @@
 
 
 class ReplicaPlan(msgspec.Struct, tag="replica", frozen=True):
-    """One control replica. `keys` entries of `value_bytes` are written before the marks."""
+    """One control replica; `keys` entries of `value_bytes` are written before the marks."""
 
     timetable: Timetable
     names: list[str]
@@ -36,7 +41,7 @@
 
 
 class SubscriberPlan(msgspec.Struct, tag="subscriber", frozen=True):
-    """Hollow subscribers. `follows`: for each, the replicas in the order of preference."""
+    """Hollow subscribers; `follows` holds the replicas of each in the order of preference."""
 
     timetable: Timetable
     names: list[str]
@@ -48,7 +53,10 @@
 
 
 class MemberReport(msgspec.Struct):
-    """One member's window. Rates a second; worst: of any ten seconds in a row."""
+    """One member's figures over the window.
+
+    Rates are per second; the worst ones are the greatest mean of any ten consecutive seconds.
+    """
 
     name: str
     sent: float
@@ -56,15 +64,18 @@
     sent_worst: float
     received_worst: float
     messages: float
-    seen: int  # members that it takes to be there, itself included
-    oldest: float | None  # s; the oldest that it held in the window, None if it lacked something
-    delays: dict[int, float]  # mark -> s until it was seen here
-    failures: int  # exchanges, or connections, that failed since the start
-    parts: dict[str, float] = {}  # bytes sent a second, by what for
+    seen: int  # members that it takes to be alive, itself included
+    oldest: float | None  # s; the greatest age of an entry in the window, None if it lacked one
+    delays: dict[int, float]  # mark -> s until this member saw it
+    failures: int  # failed exchanges, writes or messages since the start
+    parts: dict[str, float] = {}  # bytes sent per second, by purpose
 
 
 class Report(msgspec.Struct):
-    """One worker's. `processor`: seconds that its process spent in the window, its own measuring included."""
+    """One worker's figures.
+
+    `processor` is the processor seconds of its process in the window, its own measuring included.
+    """
 
     role: str
     processor: float
--- a/embertray/experiments/measure/scale/meter.py
+++ b/embertray/experiments/measure/scale/meter.py
@@ -1,30 +1,31 @@
-"""Counters read once a second, and what they come to."""
+"""Rates of counters that are read once a second."""
 
 from collections import namedtuple
 
 S = 10**9
-WORST = 10  # seconds in a row that the worst rate is of
+WORST = 10  # consecutive seconds of the worst rate
 
 Counters = namedtuple("Counters", "sent received messages parts")  # totals since the start
 
 
 class Meter:
-    """One member's counters, read once a second."""
+    """The readings of one member's counters."""
 
     def __init__(self):
         self.times, self.readings = [], []
 
     def read(self, now, counters):
+        """Adds a reading; `now` is in ns."""
         self.times.append(now)
         self.readings.append(counters)
 
     def rate(self, field):
-        """Mean a second over the window."""
+        """Returns the mean per second over the window."""
         first, last = (getattr(self.readings[n], field) for n in (0, -1))
         return (last - first) * S / (self.times[-1] - self.times[0])
 
     def worst(self, field):
-        """The greatest mean a second over ten seconds in a row."""
+        """Returns the greatest mean per second of any ten consecutive seconds."""
         values = [getattr(one, field) for one in self.readings]
         width = min(WORST, len(values) - 1)
         rates = [
@@ -34,7 +35,7 @@
         return max(rates)
 
     def part_rates(self):
-        """Mean a second of each part of what was sent."""
+        """Returns the mean bytes per second of each part of what was sent."""
         span = (self.times[-1] - self.times[0]) / S
         first, last = self.readings[0].parts, self.readings[-1].parts
         return {name: (last[name] - first.get(name, 0)) / span for name in last}
--- a/embertray/experiments/measure/scale/slopes.py
+++ b/embertray/experiments/measure/scale/slopes.py
@@ -1,10 +1,10 @@
-"""Summaries as slopes and as lines."""
+"""Prints summaries and saves them as slopes."""
 
 import sys
 
 
 def show(one):
-    """One line for each size, at once."""
+    """Prints a summary as one line, and flushes it."""
     delays = ", ".join(f"{last:.2f} s ({count})" for count, last in one.delays.values())
     parts = ", ".join(f"{name} {rate:,.0f}" for name, rate in one.parts.items())
     oldest = "something missing" if one.oldest is None else f"{one.oldest:.1f} s"
@@ -19,19 +19,21 @@
 
 
 def points(found, value):
-    """[(size, value)], those of which there is none left out."""
+    """Returns [(size, value)] without the sizes that have no value."""
     pairs = [(one.size, value(one)) for one in found]
     return [(size, number) for size, number in pairs if number is not None]
 
 
 def time_to_all(one):
-    """The slowest mark that all saw, s; None if one was not seen by all."""
+    """Returns the seconds of the slowest mark until all saw it; None if one was not seen by all."""
     if not one.delays or any(count < one.count for count, _ in one.delays.values()):
         return None
     return max(last for _, last in one.delays.values())
 
 
 def save_cluster(recording, found, note):
+    """Saves the slopes of a cluster on loopback."""
+
     def save(name, unit, value):
         if rows := points(found, value):
             recording.save(f"cluster-{name}", unit, "members of the cluster", rows, note)
@@ -48,6 +50,8 @@
 
 
 def save_virtual(recording, found, note):
+    """Saves the slopes of a cluster under virtual time."""
+
     def save(name, unit, value):
         recording.save(f"virtual-cluster-{name}", unit, "members of the cluster", points(found, value), note)
 
@@ -58,6 +62,8 @@
 
 
 def save_control(recording, found, note):
+    """Saves the slopes of replicas and subscribers of the control plane."""
+
     def save(role, name, unit, value):
         if rows := points(found[role], value):
             recording.save(f"control-{name}", unit, "subscribers", rows, note)
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -1,4 +1,4 @@
-"""The same members under virtual time: the cores, names, addresses and facts of hollow members."""
+"""The cluster of hollow members under virtual time: the same cores, names, addresses and facts."""
 
 from dataclasses import dataclass
 
@@ -12,21 +12,23 @@
 
 MS, S = 10**6, 10**9
 MARK = "mark"
-LOOK = 100 * MS  # as workers look
+LOOK = 100 * MS  # ns between checks for marks, as in worker
 FIRST_PORT = 20_000
 
 
 @dataclass(frozen=True)
 class Naming:
-    """How members are called. Without `addresses` their names stand in place of addresses."""
+    """Names and addresses of the members; without `addresses` the names stand in for them."""
 
     prefix: str = "controller-"
     addresses: bool = True
 
     def name(self, number):
+        """Returns the name of member `number`."""
         return f"{self.prefix}{number}"
 
     def address(self, number):
+        """Returns the address of member `number`."""
         return f"127.0.0.1:{FIRST_PORT + number}" if self.addresses else self.name(number)
 
 
@@ -41,12 +43,13 @@
         self.engine, self.facts = self.membership.engine, b"f" * facts_bytes
         self.addresses = {naming.name(n): naming.address(n) for n in range(size)}
         self.marker, self.exchangers, self.delays, self.seed = naming.name(0), {}, {}, seed
-        self.unseen = {}  # mark -> exchangers that have not seen it
+        self.unseen = {}  # mark -> addresses that have not seen it
         self.meters = {name: Meter() for name in self.addresses}
         for n, name in enumerate(self.addresses):
             self.engine.at(self.engine.time + int(n * spans.spread * S), self.start, name)
 
     def start(self, name):
+        """Starts a member with its exchange of state."""
         address = self.addresses[name]
         peers = [other for other in self.addresses.values() if other != address]
         process = self.membership.start_member(name, peers, address)
@@ -55,6 +58,7 @@
         )
 
     def read(self):
+        """Reads the counters of all members."""
         for name, meter in self.meters.items():
             address = self.addresses[name]
             probes, state = self.membership.bytes_sent[address], self.exchangers[address].bytes_sent
@@ -64,12 +68,13 @@
             )
 
     def mark(self, number):
+        """Writes a mark at the first member, and starts to look for it at all."""
         self.exchangers[self.addresses[self.marker]].store.put(self.engine.time, MARK, str(number).encode())
         self.unseen[number] = set(self.exchangers)
         self.look(number, self.engine.time)
 
     def look(self, number, written_at):
-        """Until all have seen it."""
+        """Records the delays of a mark in s, and repeats until all members have seen it."""
         value = str(number).encode()
         for address in list(self.unseen[number]):
             held = self.exchangers[address].store.entries.get((self.marker, MARK))
@@ -80,7 +85,7 @@
             self.engine.at(self.engine.time + LOOK, self.look, number, written_at)
 
     def oldest(self):
-        """s; None if something is missing somewhere."""
+        """Returns the greatest age of any member's facts anywhere in s; None if one lacks some."""
         now, size = self.engine.time, len(self.addresses)
         ages = [
             [known.age_ns for known in one.store.latest_values(now, "facts")]
@@ -90,7 +95,10 @@
 
 
 def measure(size, spans, period, facts_bytes, naming=Naming()):
-    """The Summary of one size; no processor time, no memory: nothing runs that a member would be."""
+    """Returns the Summary of one size.
+
+    Processor time and memory are 0: no process runs that a member's would be.
+    """
     with rare_collections():
         members = VirtualMembers(size, spans, period, facts_bytes, naming)
         engine = members.engine
--- a/embertray/experiments/measure/scale/worker.py
+++ b/embertray/experiments/measure/scale/worker.py
@@ -1,6 +1,6 @@
-"""One process of hollow members: reads its plan from stdin, runs, writes its report to stdout.
+"""One process of hollow members: reads its plan from stdin, runs it, writes its report to stdout.
 
-python -m embertray.experiments.measure.scale.worker
+Started as `python -m embertray.experiments.measure.scale.worker`.
 """
 
 import sys
@@ -18,10 +18,12 @@
 from .meter import Meter
 
 MS, S = 10**6, 10**9
-LOOK = 100 * MS  # ns between two looks for marks: what a delay may be told too long
-OLDEST_EVERY = 5  # readings between two of the oldest entry, which costs a walk over all
+LOOK = 100 * MS  # ns between checks for marks; a measured delay may be too long by this
+OLDEST_EVERY = (
+    5  # readings of the counters for each reading of the oldest entry, which walks over all entries
+)
 
-ROLES = {  # plan -> (role, module that has its members, function that makes them)
+ROLES = {  # plan -> (role, module of its members, function that makes them)
     ClusterPlan: ("member", "cluster_role", "members"),
     ReplicaPlan: ("replica", "control_role", "replicas"),
     SubscriberPlan: ("subscriber", "control_role", "subscribers"),
@@ -34,14 +36,17 @@
     def __init__(self, plan):
         self.plan, self.clock = plan, LoopClock()
         self.role, module, make = ROLES[type(plan)]
-        role = import_module(f".{module}", __package__)  # only what this role needs counts as its memory
+        role = import_module(
+            f".{module}", __package__
+        )  # imported here so that memory_before holds only what this role needs
         self.memory_before = psutil.Process().memory_info().rss
         self.members = getattr(role, make)(plan)
         self.meters = [Meter() for _ in self.members]
-        self.oldest = [0] * len(self.members)  # ns, None once one lacked something
+        self.oldest = [0] * len(self.members)  # ns for each member; None once it lacked an entry
         self.processor = 0.0
 
     async def run(self):
+        """Runs the members until the window ends, and returns the Report."""
         async with anyio.create_task_group() as group:
             for member, when in zip(self.members, self.plan.timetable.starts, strict=True):
                 group.start_soon(self.start, member, when)
@@ -52,10 +57,12 @@
         return self.report()
 
     async def start(self, member, when):
+        """Starts a member at its time (ns)."""
         await self.clock.sleep_until(when)
         await member.run()
 
     async def look(self):
+        """Looks for new marks at all members, at a fixed interval."""
         while True:
             await self.clock.sleep_until(self.clock.now() + LOOK)
             now = self.clock.now()
@@ -63,12 +70,14 @@
                 member.look(now)
 
     async def write_marks(self):
+        """Writes each mark at its time."""
         for mark in self.plan.timetable.marks:
             await self.clock.sleep_until(mark)
             for member in self.members:
                 await member.mark(mark)
 
     async def measure(self):
+        """Reads all counters once a second during the window."""
         timetable, number = self.plan.timetable, 0
         await self.clock.sleep_until(timetable.window_from)
         processor = time.process_time()
@@ -80,6 +89,7 @@
         self.processor = time.process_time() - processor
 
     def read(self, now, ages):
+        """Reads all counters, and with `ages` also the oldest entry of each member."""
         for n, (member, meter) in enumerate(zip(self.members, self.meters, strict=True)):
             meter.read(now, member.counters())
             if ages and self.oldest[n] is not None:
@@ -87,6 +97,7 @@
                 self.oldest[n] = None if age is None else max(self.oldest[n], age)
 
     def report(self):
+        """Returns the Report of all members."""
         rows = zip(self.members, self.meters, self.oldest, strict=True)
         memory = psutil.Process().memory_info().rss
         return Report(
@@ -99,6 +110,7 @@
 
     @staticmethod
     def member_report(member, meter, oldest):
+        """Returns the MemberReport of one member."""
         return MemberReport(
             name=member.name,
             sent=meter.rate("sent"),
@@ -115,11 +127,12 @@
 
 
 async def measured(plan):
-    """The Report of a plan's members, which need a running loop's clock."""
+    """Runs a plan within an event loop, which the members' clocks need, and returns the Report."""
     return await Worker(plan).run()
 
 
 def main():
+    """Reads the plan, runs it without log lines, and writes the report."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     plan = msgspec.json.decode(sys.stdin.buffer.read(), type=Plan)
     sys.stdout.buffer.write(msgspec.json.encode(anyio.run(measured, plan)))
--- a/embertray/experiments/measure/snapshots.py
+++ b/embertray/experiments/measure/snapshots.py
@@ -1,5 +1,6 @@
-"""`python -m embertray.experiments.measure.snapshots [FOLDER]`: cost of a snapshot's write and read by the
-number of backends.
+"""Measures the cost of writing and reading a snapshot by the number of backends.
+
+`python -m embertray.experiments.measure.snapshots [FOLDER]` prints a Markdown table.
 """
 
 import sys
@@ -15,6 +16,7 @@
 
 
 def main():
+    """Writes snapshots with and without fsync, reads them, and prints the table."""
     rng = np.random.default_rng(1)
     print(
         "| backends | bytes | as msgpack | write p50 ms | p99 ms | without fsync p50 ms | read p50 ms |\n"
--- a/embertray/experiments/measure/start.py
+++ b/embertray/experiments/measure/start.py
@@ -1,7 +1,9 @@
-"""`python -m embertray.experiments.measure.start`: a controller starts from its disk while discovery is
-down, in virtual
-time: by the list's age and how much of it was replaced, against one that trusts it in full and one that waits
-for discovery."""
+"""Measures how a controller starts from its snapshot while discovery is down, under virtual time.
+
+`python -m embertray.experiments.measure.start [WORKERS]` prints a Markdown table by the age of the snapshot
+and the share of backends replaced since. The usual trust by age is compared with a controller that trusts the
+snapshot in full and one that waits for discovery.
+"""
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
@@ -14,9 +16,10 @@
 
 
 class Fully(Trust):
-    """Whatever its age, the list is as told now."""
+    """Trusts the snapshot as if it had just been received, whatever its age."""
 
     def start(self, now, snapshot, clocks):
+        """Forwards every backend of the snapshot at once."""
         super().start(now, snapshot, clocks)
         self.retention.candidate_count = 0
         for known in self.backends.values():
@@ -26,16 +29,19 @@
 
 
 class Waits(Trust):
-    """Nothing is done before discovery speaks."""
+    """Does nothing before discovery answers."""
 
     def start(self, now, snapshot, clocks):
+        """Starts with an empty list, without the snapshot."""
         super().start(now, None, clocks)
         return TrustDecision(UpdateKind.CACHED, [])
 
     def retains_tables(self, now, fresh, name):
+        """Keeps the tables of proxies until discovery has answered."""
         return not self.discovery_answered
 
     def is_settled(self, now):
+        """Whether discovery has answered."""
         return self.discovery_answered
 
 
@@ -43,6 +49,12 @@
 
 
 def one(job):
+    """Plays one day for a job (variant, age, replaced percent, seed, whether the tables are newer).
+
+    Returns the job's variant, age, share and flag, then credit, whether all rules held, the seconds from
+    the restart to the first orders, from discovery's recovery to the last bind, and the requests that
+    failed because their backend was gone.
+    """
     way, age, replaced, seed, behind = job
     early = "at 4s preempt 50% batch=4 drain=3s\n" if behind else ""
     day = notation.read(
@@ -81,6 +93,7 @@
 
 
 def main():
+    """Runs all jobs in parallel processes, and prints the table."""
     jobs = [
         (way, age, replaced, seed, behind)
         for behind in (False, True)
--- a/embertray/experiments/measure/steady.py
+++ b/embertray/experiments/measure/steady.py
@@ -1,5 +1,6 @@
-"""`python -m embertray.experiments.measure.steady [BACKENDSxPROXIES ...]`: CPU a second of one controller
-with reports flowing.
+"""Measures the processor time per second of one controller with load reports flowing.
+
+`python -m embertray.experiments.measure.steady [BACKENDSxPROXIES ...]` prints a Markdown table.
 """
 
 import sys
@@ -12,6 +13,7 @@
 
 
 async def measure(backends, proxies):
+    """Measures one size for 15 s after 3 s of warm-up, and prints its row."""
     async with controller(backends, proxies, lambda *_: None) as (_, names, fleet, pid, result):
         used = []
         for n in range(SECONDS + 3):
@@ -19,7 +21,7 @@
             until = anyio.current_time() + 1
             for k, proxy in enumerate(fleet):
                 await proxy.sums(names, ["view", "post"])
-                if k % 20 == 19:  # spread over the second as clocks do
+                if k % 20 == 19:  # spread over the second, as independent proxies are
                     await anyio.sleep(max(0.0, until - anyio.current_time()) * 20 / (len(fleet) - k + 20))
             await anyio.sleep(max(0.0, until - anyio.current_time()))
             if n >= 3:
--- a/embertray/experiments/measure/timed.py
+++ b/embertray/experiments/measure/timed.py
@@ -1,6 +1,9 @@
-"""`python -m embertray.experiments.measure.timed SITE.xml CONTROLLER`: serves as `embertray serve` does, and
-at its end
-prints how much CPU went into the module, the codec and the rest, as one JSON line on standard output."""
+"""Serves as `embertray serve` does, and reports where processor time went.
+
+`python -m embertray.experiments.measure.timed SITE.xml CONTROLLER` prints a JSON line with its addresses at
+the start and one at the end (SIGTERM): seconds spent in the decision module, in the codec and in all, and
+peak memory.
+"""
 
 import json
 import resource
@@ -22,10 +25,14 @@
 
 
 class Spent:
+    """Seconds spent in each part of the program."""
+
     def __init__(self):
         self.by = {"module": 0.0, "codec": 0.0}
 
     def timing(self, part, what):
+        """Returns `what` wrapped so that its time is added to `part`."""
+
         def timed(*args):
             began = time.perf_counter()
             try:
@@ -37,6 +44,7 @@
 
 
 async def run(site, name):
+    """Serves one controller of a site until SIGTERM."""
     service = Service(
         site, site.controller(name), LoopClock(), TcpNet(), InMemorySnapshots(), 1, lambda: 0.5, quiet()
     )
@@ -58,6 +66,7 @@
 
 
 def main():
+    """Instruments the module and the codec, serves, and prints the totals."""
     spent, site = Spent(), load(sys.argv[1])
     Controller.step = spent.timing("module", Controller.step)
     proxy_streams.encode = spent.timing("codec", proxy_streams.encode)
--- a/embertray/experiments/measure/wounds.py
+++ b/embertray/experiments/measure/wounds.py
@@ -1,8 +1,10 @@
-"""`python -m embertray.experiments.measure.wounds`: true processes on loopback with the rig's links between
-them; kills,
-stops and splits, one after the other. Times in periods (the table) from the wound until every process says
-what holds, and from its end until all are alive at all again; the greatest age of what is told, against the
-bound, looked at after each. Prints a Markdown table."""
+"""Measures how real cluster processes on loopback recover from kills, stops and partitions.
+
+`python -m embertray.experiments.measure.wounds` injects faults one after the other and prints a Markdown
+table. Times are in protocol periods: from the fault until every process reports it, and from its end until
+every process sees all others alive. After each fault the greatest age of the shared state is compared with
+its bound.
+"""
 
 import tempfile
 import time
@@ -14,6 +16,7 @@
 
 
 def kill(site, n):
+    """Kills a process and starts it again; yields the condition that all others take it for dead."""
     name = site.names[n % len(site.names)]
     site.kill(name)
     yield lambda: site.all_see(**{name: "dead"})
@@ -21,6 +24,7 @@
 
 
 def stop(site, n):
+    """Stops a process and resumes it; yields the condition that all others take it for dead."""
     name = site.names[n % len(site.names)]
     site.stop(name)
     yield lambda: site.all_see(**{name: "dead"})
@@ -28,6 +32,10 @@
 
 
 def split(site, n):
+    """Partitions the processes into halves and heals the links.
+
+    Yields the condition that each process sees only its own half alive.
+    """
     half = len(site.names) // 2
     order = site.names[n % len(site.names) :] + site.names[: n % len(site.names)]
     one, other = order[:half], order[half:]
@@ -41,17 +49,21 @@
 
 
 def play(site, wound, times):
-    """[(s to be seen by all, s to be whole again)], greatest age over the bound's share."""
+    """Injects a fault `times` times, and waits for detection and recovery each time.
+
+    Returns [(seconds until all saw it, seconds until all were alive again)] and the greatest age of the
+    shared state as a fraction of its bound.
+    """
     alive, rows, worst = dict.fromkeys(site.names, "alive"), [], 0.0
-    site.wait(lambda: site.all_see(**alive), "all know all")
+    site.wait(lambda: site.all_see(**alive), "every process sees all others alive")
     for n in range(times):
         steps = wound(site, n)
-        seen = site.wait(next(steps), f"{wound.__name__} {n} is seen by all", 60)
+        seen = site.wait(next(steps), f"{wound.__name__} {n} is detected by all", 60)
         next(steps, None)
         began = time.monotonic()
-        site.wait(lambda: site.all_see(**alive), "all are alive at all", 60)
+        site.wait(lambda: site.all_see(**alive), "every process sees all others alive again", 60)
         rows.append((seen, time.monotonic() - began))
-        site.wait(site.fresh, "what each told is within the bound", site.bound() + 10)
+        site.wait(site.fresh, "the shared state is within its bound", site.bound() + 10)
         age, bound = site.oldest(5)
         worst = max(worst, age / bound)
     return rows, worst
@@ -68,6 +80,7 @@
     default=["kill", "stop", "split"],
 )
 def main(members, times, only):
+    """Injects the chosen faults into a fresh cluster each, and prints the table."""
     click.echo(
         "| wound | times | seen by all: p50 | p99 | max | whole again: p50 | p99 | max | greatest "
         "age of the bound |"
