--- a/embertray/simulation/emulator/__init__.py
+++ b/embertray/simulation/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Simulations under virtual time: days, clusters, limits and the control plane on production cores."""
+"""Simulations in virtual time with production cores: days, clusters, limits and the control plane."""
--- a/embertray/simulation/emulator/backend.py
+++ b/embertray/simulation/emulator/backend.py
@@ -1,6 +1,6 @@
-"""A backend without sockets: attempts arrive and end as scheduled calls."""
+"""A simulated backend: attempts arrive and end as scheduled calls."""
 
-# Simulated backends get addresses in 127.0.0.0/8: the last two octets count in this base.
+# Addresses of simulated backends are in 127.0.0.0/8; the lower two octets count in this base.
 OCTET_VALUES = 255
 
 
@@ -19,12 +19,12 @@
 
 
 class SimulatedBackend:
-    """A backend model with the connections that proxies have to it.
+    """A backend model and the proxies' connections to it.
 
     Args:
         simulation: The DaySimulation.
         model: The Backend.
-        draw: A function that gives numbers from 0 to 1, for failures.
+        draw: A function that returns random numbers from 0 to 1, which decide on failures.
 
     Attributes:
         bad_for: Names of proxies whose requests fail here.
@@ -40,15 +40,15 @@
         self._next_end_at = None  # ns; None: no end is scheduled
 
     def on_request(self, proxy, underway, attempt, kind, work, until):
-        """Handles an attempt; its end goes back to `proxy.on_attempt_ended`.
+        """Handles an attempt; its outcome is reported to `proxy.on_attempt_ended`.
 
         Args:
             proxy: The SimulatedProxy that sent it.
             underway: The request's Underway.
             attempt: The attempt's number.
             kind: External id of the request's kind.
-            work: ns of a core of speed 1.
-            until: When the client gives up, ns.
+            work: Time that the request takes on a core of speed 1, ns.
+            until: Deadline of the client, ns.
         """
         now = self.simulation.engine.time
         if proxy not in self._connected:
@@ -73,7 +73,7 @@
         return self.model.state == "up" and not self.model.connect(now)
 
     def _schedule_end(self):
-        """Schedules the next end of work, if it is sooner than the one that is scheduled."""
+        """Schedules the next completion, if it is sooner than the one that is scheduled."""
         when = self.model.next_at()
         if when is not None and (self._next_end_at is None or when < self._next_end_at):
             self._next_end_at = when
@@ -90,7 +90,7 @@
 
     def _end(self, underway, attempt, outcome, load):
         in_flight = self._in_flight.get(underway)
-        if in_flight is None or in_flight[1] != attempt:  # the proxy gave it up
+        if in_flight is None or in_flight[1] != attempt:  # the proxy has cancelled it
             return
         proxy, _ = self._in_flight.pop(underway)
         delay = self.simulation.network_delay(proxy.zone, self.model.zone)
@@ -101,7 +101,7 @@
             proxy.on_attempt_ended(underway, attempt, outcome, load)
 
     def cancel(self, underway):
-        """Forgets an attempt that its proxy gave up; its work is done all the same.
+        """Drops an attempt that its proxy cancelled; the backend still does its work.
 
         Args:
             underway: The request's Underway.
@@ -120,7 +120,7 @@
         """Ends the process.
 
         Args:
-            silent: Whether its connections stay open without answers, as when a machine is gone.
+            silent: Whether its connections stay open without answers, as after a machine failure.
         """
         self.model.die(silent)
         self._next_end_at = None
--- a/embertray/simulation/emulator/clients.py
+++ b/embertray/simulation/emulator/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a proxy without sockets: their requests are scheduled calls."""
+"""The simulated clients of a proxy: their requests are scheduled calls."""
 
 from embertray.simulation.standins.messages import Req
 
@@ -8,8 +8,8 @@
 
     Args:
         simulation: The DaySimulation.
-        model: The Clients, which decide what to ask and whether to retry.
-        source: When requests come: `next(now, rng, until)` gives (ns or None, kind or None, work).
+        model: The Clients, which choose requests and decide on retries.
+        source: The arrival process: `next(now, rng, until)` returns (time in ns or None, kind or None, work).
         proxy: Their SimulatedProxy.
         rng: Their random generator.
         until: When the load ends, ns.
@@ -24,7 +24,7 @@
         self.until = until
 
     def schedule_next(self):
-        """Schedules the next request, if there is one before the load's end."""
+        """Schedules the next request, if one arrives before the load ends."""
         when, kind, work = self.source.next(self.simulation.engine.time, self.rng, self.until)
         if when is not None:
             self.simulation.engine.at(when, self._send_new, kind, work)
@@ -35,7 +35,7 @@
         self.schedule_next()
 
     def _new_ask(self, now, kind, work):
-        if kind is None:  # the source gives times only
+        if kind is None:  # the source determines arrival times only
             return self.model.draw(now)
         return self.model.ask(now, self.model.kinds[kind], work)
 
@@ -55,7 +55,7 @@
     def _on_ended(self, ident, attempt, outcome, retry_after=0):
         engine = self.simulation.engine
         found = self.model.heard(engine.time, ident, attempt, outcome, retry_after)
-        if found is None:  # the attempt was over already
+        if found is None:  # the attempt has ended already
             return
         ask, verdict, duration = found
         ask.timer.cancel()
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -1,7 +1,7 @@
-"""A day's faults on the members of a cluster under virtual time, held against the cluster's claims.
+"""Simulates a day's faults on the members of a cluster in virtual time, and checks the cluster's claims.
 
-The faults and claims are those of true processes. Only what strikes controllers and links is played: there is
-no fleet here.
+The faults and claims are those of runs with real processes. Only faults on controllers and links are
+injected, since no proxies and backends are simulated.
 """
 
 import random
@@ -22,17 +22,17 @@
 from .state_exchanger import StateExchanger
 from .web_links import WebLinks
 
-# Faults that are played here; there are no streams that "reset" could end.
+# Faults that are injected here; there are no streams that "reset" could end.
 FAULTS = {"kill", "stall", "restart", "slow-start", *LINKS} - {"reset"}
-# Ends of links that days may name besides members; nothing is sent to or from them here.
+# Link ends that days may name besides members; nothing is sent to or from them here.
 OTHER_ENDS = ("list", "px")
-# Time that a process takes to start.
+# Time until a started process runs.
 START_TIME_NS = NS_PER_SECOND // 2
 # Time from the first member's start to the day's beginning.
 WARM_UP_NS = NS_PER_SECOND
-# Time that the simulation goes on after the day, as days have it.
+# Time that the simulation continues after the day, as in other runs of days.
 SETTLE_NS = 4 * NS_PER_SECOND
-# The claims' allowance for the time between an event and its record.
+# Allowance of the claims for the time between an event and its record.
 CLAIMS_MARGIN_NS = 50 * NS_PER_MS
 
 
@@ -41,15 +41,15 @@
 
     Args:
         day: The Day.
-        seed: Of all random draws.
-        members: How many members; None: as many as the day has controllers.
-        make: Type of the members' membership core.
-        exchange: Type of their state exchange.
-        store: Type of their store.
-        look: Time between two observations of each member, ns.
+        seed: Seed of all random draws.
+        members: Number of members; None: as many as the day has controllers.
+        membership_type: Type of the members' membership core.
+        exchange_type: Type of their state exchange.
+        store_type: Type of their store.
+        observation_period: Time between two observations of each member, ns.
 
     Attributes:
-        claims: The ClusterClaims, which say what was broken.
+        claims: The ClusterClaims.
         membership: The MembershipSimulation.
         exchangers: StateExchanger by address; None: the process is starting.
         links: The Web.
@@ -86,29 +86,29 @@
         self.zero = self.engine.time + WARM_UP_NS
 
     def note(self, *_):
-        """Drops an event that a fault records: the claims are told directly."""
+        """Drops an event that a fault records, since the claims are notified directly."""
 
     def strike(self, targets, things):
-        """Draws who is struck.
+        """Draws the targets of a fault.
 
         Args:
-            targets: Parts of the things, 0 to 1.
-            things: What may be struck.
+            targets: Parts of the candidates, 0 to 1.
+            things: The candidates.
 
         Returns:
-            Those that are.
+            The candidates drawn.
         """
         order = self.chance.of("strike", len(things)).permutation(len(things))
         return [things[k] for part in targets for k in order[: max(1, round(part * len(things)))]]
 
-    # ---- what faults do to members
+    # ---- interface of faults
 
     async def up(self, name, delay=0):
         """Starts a member's process, unless it runs or is starting.
 
         Args:
             name: The member's name.
-            delay: ns that the start takes longer.
+            delay: Additional time of the start, ns.
         """
         if name in self.exchangers:
             return
@@ -125,11 +125,11 @@
         self.claims.reachability.process_started(self.engine.time, name)
 
     async def all_up(self, names, delay=0):
-        """Starts members at once.
+        """Starts members at the same time.
 
         Args:
             names: Their names.
-            delay: ns that each start takes longer.
+            delay: Additional time of each start, ns.
         """
         for name in names:
             self.engine.start(self.up(name, delay))
@@ -182,7 +182,7 @@
     # ---- the day
 
     def _observe(self):
-        """Shows the claims what each running member takes the others for, and how old their facts are."""
+        """Reports to the claims each running member's view of the others, and the age of their facts."""
         now = self.engine.time
         for name, exchanger in self.exchangers.items():
             if exchanger is None or exchanger.process.paused:
@@ -194,7 +194,7 @@
         self.engine.at(now + self.observation_period, self._observe)
 
     def play(self):
-        """Plays the day.
+        """Simulates the day.
 
         Returns:
             The simulation itself.
@@ -212,7 +212,7 @@
         """Mean traffic of a member since the day began.
 
         Returns:
-            Bytes a second of (membership, state).
+            (membership, state), bytes a second.
         """
         seconds = (self.engine.time - self.zero) / NS_PER_SECOND
         running = [exchanger for exchanger in self.exchangers.values() if exchanger is not None]
--- a/embertray/simulation/emulator/control/links.py
+++ b/embertray/simulation/emulator/control/links.py
@@ -82,7 +82,7 @@
         """Partitions the network.
 
         Args:
-            *groups: The machines of each side; who is in none is in the first.
+            *groups: The machines of each side; those in no group belong to the first.
         """
         self.groups = {name: number for number, group in enumerate(groups) for name in group}
         self._release()
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -1,4 +1,4 @@
-"""A controller without sockets: its main loop and its streams to proxies are scheduled calls."""
+"""A simulated controller: its main loop and its streams to proxies are scheduled calls."""
 
 from embertray.common.snapshots import CONFIRMATION_PERIOD_NS
 from embertray.controller.channel.timeouts import PROBE_TIMEOUT_NS
@@ -15,14 +15,14 @@
         simulation: The DaySimulation.
         name: The controller's name.
         description: The site's description of it.
-        incarnation: How many incarnations it had before.
-        snapshots: Its InMemorySnapshots, which survive the process.
+        incarnation: Its number, from 0.
+        snapshots: Its InMemorySnapshots, which outlive the process.
 
     Attributes:
         frontend: The production frontend, with the policy inside.
         streams: Joined proxies by name.
         alive: Whether the process runs; a frozen process is alive.
-        frozen: Whether the process is stopped.
+        frozen: Whether the process is stopped, as by SIGSTOP.
     """
 
     def __init__(self, simulation, name, description, incarnation, snapshots):
@@ -54,7 +54,7 @@
         self.list_client.start()
 
     def call_when_running(self, callback, *args):
-        """Calls now, or when the process continues; never if it is killed before.
+        """Calls now, or when the process continues; drops the call if the process is killed before.
 
         Args:
             callback: What to call.
@@ -66,7 +66,7 @@
             callback(*args)
 
     def thaw(self):
-        """Continues a frozen process: it handles all that arrived meanwhile, in that order."""
+        """Continues a frozen process: it handles what arrived meanwhile, in the order of arrival."""
         self.frozen = False
         deferred = self._deferred
         self._deferred = []
@@ -84,7 +84,7 @@
     # ---- main loop
 
     def wake(self):
-        """Schedules a step as soon as the site's tick allows: something has happened."""
+        """Schedules a step after an event, as soon as the site's tick allows."""
         self._schedule_step(self.simulation.engine.time)
 
     def _schedule_step(self, when):
@@ -94,7 +94,7 @@
             self.simulation.engine.at(when, self._step, when)
 
     def _step(self, when):
-        # An earlier step was scheduled after this one, or the process is gone: this call is void.
+        # An earlier step has replaced this one, or the process was killed.
         if self._next_step_at != when or not self.alive:
             return
         self._next_step_at = None
@@ -108,7 +108,7 @@
             self._schedule_step(max(later, now))
 
     def _carry_out(self, now, step):
-        """Does what a step of the core asks for, in the daemon's order."""
+        """Carries out the result of a step of the core, in the same order as the daemon."""
         if step.level_change is not None:
             self.simulation.ladder.append((now, self.name, step.level_change))
         for name, orders in step.outgoing:
@@ -126,7 +126,7 @@
             self._probe(backend)
 
     def _probe(self, backend):
-        """Checks a backend's health: one that is dead is known as such when the probe times out."""
+        """Probes a backend; the probe of a dead one fails by its timeout."""
         model = self.simulation.models.get(backend)
         healthy = model is not None and model.state != "dead"
         delay = 0 if healthy else PROBE_TIMEOUT_NS
@@ -139,14 +139,14 @@
     # ---- proxies
 
     def join(self, proxy, hello):
-        """Admits a proxy that has dialled, or rejects it.
+        """Admits or rejects a proxy that has dialled.
 
         Args:
             proxy: The SimulatedProxy.
             hello: Its Hello.
 
         Returns:
-            ns after which it may dial again, or None: it has joined.
+            The time after which a rejected proxy may dial again, ns; None: it has joined.
         """
         rejection = self.frontend.admit_proxy(self.simulation.engine.time, proxy.name)
         if rejection:
--- a/embertray/simulation/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -8,7 +8,7 @@
 
 
 class SnapshotClock:
-    """The clocks by which snapshots are dated: both are simulated time.
+    """The clocks that date snapshots: both show simulated time.
 
     Args:
         engine: The Engine.
@@ -35,17 +35,17 @@
 
 
 class SimulatedControllers(Starts):
-    """All controllers by name: what faults kill, freeze and start again.
+    """All controllers by name; faults kill, freeze and restart them.
 
     Args:
         simulation: The DaySimulation.
 
     Attributes:
         at: Each controller's description in the site, by name.
-        running: SimulatedController by name, those that run.
-        incarnations: How often each was started, by name.
-        snapshots: InMemorySnapshots by name; they survive a process.
-        clock: The clock that faults wait by.
+        running: The running SimulatedController items by name.
+        incarnations: Number of starts of each controller, by name.
+        snapshots: InMemorySnapshots by name; they outlive a process.
+        clock: The clock of the faults.
     """
 
     def __init__(self, simulation):
@@ -85,17 +85,17 @@
             controller.kill()
 
     def age(self, name, by, from_start):
-        """Makes a controller's snapshot older than it is.
+        """Makes a controller's snapshot appear older than it is.
 
         Args:
             name: The controller's name.
-            by: How much older, ns.
-            from_start: Whether the first snapshot counts, not the newest.
+            by: Additional age, ns.
+            from_start: Whether to age the first snapshot, not the newest.
         """
         age_in_memory(self.snapshots[name], by, from_start)
 
     def freeze(self, name):
-        """Stops a controller's process, if it runs; what arrives waits.
+        """Stops a controller's process, if it runs; what arrives is deferred.
 
         Args:
             name: Its name.
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -1,7 +1,7 @@
-"""A day without sockets: production controllers, and models of all else, round one event heap.
+"""Simulates a day without sockets: production controllers and models of everything else on one event heap.
 
-The same scenario text, faults and models as on sockets; a message is a scheduled call, not bytes. What needs
-byte streams (half a message, garbage) is rejected.
+Scenario texts, faults and models are the same as on sockets; a message is a scheduled call instead of bytes.
+Days with faults that need byte streams (half a message, garbage) are rejected.
 """
 
 from embertray.controller.core import ControllerCore
@@ -22,31 +22,31 @@
 from .playable_days import check_playable
 from .proxy import SimulatedProxy
 
-# Where time begins, ns: what started "long ago" lies before it.
+# Initial time, ns; processes that started "long ago" started before it.
 START_NS = 1000 * NS_PER_SECOND
 
 
 class DaySimulation(ScenarioSetup):
-    """All that takes part in a day.
+    """All components of one simulated day.
 
     Args:
         day: The Day.
-        seed: Of all random draws.
+        seed: Seed of all random draws.
         core: Type of the controllers' core; None: the production one.
-        trust: Type of their judgement of the endpoint list; None: the production one.
-        watched: Whether events are recorded, for the rules' judgement.
+        trust: Type that judges the endpoint list in controllers; None: the production one.
+        watched: Whether events are recorded, so that the rules can be checked.
 
     Attributes:
-        engine: The Engine; also the clock and agenda that faults use.
+        engine: The Engine; also the clock and the scheduler of faults.
         eyes: The Observer.
         backends_by_name: SimulatedBackend by name.
-        cross_zone_delay: Time of a message between zones, ns.
+        cross_zone_delay: Delay of a message between zones, ns.
         ladder: (ns, controller name, LevelChange) of each change of the service level.
         inventory: The SimulatedEndpointList.
         held: The SimulatedControllers.
 
     Raises:
-        DayError: The day can't be played here.
+        DayError: The day needs byte streams or separate processes.
     """
 
     proxy = SimulatedProxy
@@ -68,10 +68,10 @@
         self.held = SimulatedControllers(self)
 
     def network_delay(self, zone, other_zone):
-        """Time of a message between a proxy and a backend, one way.
+        """One-way delay between a proxy and a backend.
 
         Args:
-            zone: The zone of one.
+            zone: The zone of one of them.
             other_zone: The zone of the other.
 
         Returns:
@@ -85,9 +85,9 @@
         Args:
             number: Its number, from 0.
             zone: Its zone.
-            speed: Work done a second by one of its cores.
+            speed: Speed of its cores, in seconds of work a second.
             cold: Whether it starts now and needs to warm up; otherwise it started long ago.
-            listed: Whether the endpoint list has it at once.
+            listed: Whether it is added to the endpoint list at once.
 
         Returns:
             The SimulatedBackend.
@@ -105,12 +105,12 @@
         return backend
 
     async def admin(self, name, method, target):
-        """Makes the one admin request that faults make of a controller: its channel's pace.
+        """Handles the only admin request that faults make: setting the pace of a controller's channel.
 
         Args:
             name: The controller's name.
-            method: The HTTP method, which does not matter here.
-            target: The request's target; after `=` stands the pace.
+            method: The HTTP method, which is ignored.
+            target: The request's target, with the pace after `=`.
 
         Raises:
             ConnectionRefusedError: The controller does not run.
@@ -122,7 +122,7 @@
         controller.wake()
 
     async def run(self):
-        """Plays the day, as a process of the engine."""
+        """Sets up and runs the day, as a process of the engine."""
         for number, zone, speed in self.machines():
             await self.add(number, zone, speed, cold=False)
         for name in self.held.at:
@@ -154,14 +154,14 @@
         return self.proxy(self, f"p{index + 1}", zone, rate, rng, initial_backends, self.way(index))
 
     def prepare(self, shares):
-        """Hook: the proxies exist and none has dialled yet.
+        """Hook for subclasses, called when the proxies exist and none has dialled yet.
 
         Args:
             shares: Each proxy's share of the requests.
         """
 
     def load(self, shares, until):
-        """Starts the clients, who send requests one by one.
+        """Starts the clients, which send single requests.
 
         Args:
             shares: Each proxy's share of the requests.
@@ -176,11 +176,11 @@
             SimulatedClients(self, model, source, proxy, rng, until).schedule_next()
 
     def play(self, progress=None):
-        """Plays the day, from its start until the last requests must have ended.
+        """Simulates the day, until the last requests must have ended.
 
         Args:
-            progress: Called each simulated second with the seconds played, the seconds of the day and the
-                count of requests that have ended; or None.
+            progress: Called each simulated second with the seconds simulated, the seconds of the day and the
+                number of requests that have ended; or None.
 
         Returns:
             The simulation itself.
--- a/embertray/simulation/emulator/endpoint_list.py
+++ b/embertray/simulation/emulator/endpoint_list.py
@@ -1,18 +1,18 @@
-"""The endpoint list without sockets: watch events and answers are scheduled calls."""
+"""The simulated endpoint list: watch events and answers are scheduled calls."""
 
 from embertray.controller.endpoint_list.messages import RequestFailed, WatchRequest
 from embertray.simulation.models.inventory import Inventory
 
 
 class SimulatedEndpointList(Inventory):
-    """The list, with the controllers that are connected to it.
+    """The endpoint list and the controllers that are connected to it.
 
     Args:
         simulation: The DaySimulation.
-        answer_delay: Time to the answer of a request, ns.
+        answer_delay: Time from a request to its answer, ns.
 
     Attributes:
-        subscriptions: EndpointListClient -> whether it watches.
+        subscriptions: EndpointListClient -> whether it watches the list.
     """
 
     def __init__(self, simulation, answer_delay):
@@ -22,13 +22,13 @@
         self.subscriptions = {}
 
     def list(self, name, zone, state="ready", started=0):
-        """Changes a backend's entry and notifies those that watch.
+        """Changes a backend's entry and notifies the controllers that watch.
 
         Args:
             name: The backend's name.
             zone: Its zone.
             state: "ready", "draining" or "gone".
-            started: When it started, ns; 0: long ago.
+            started: When it started, ns; 0: long ago, so that it is warm.
         """
         entry = self.change(name, zone, state, started)
         if self.down:
@@ -39,7 +39,7 @@
                 self._send(client, event)
 
     def call(self, client, request):
-        """Takes a request, to be answered later.
+        """Schedules the answer to a request.
 
         Args:
             client: The EndpointListClient.
@@ -49,7 +49,7 @@
         engine.at(engine.time + self.answer_delay, self._answer, client, client.connection, request)
 
     def _answer(self, client, connection, request):
-        if client.connection is not connection or connection is None:  # it broke since the request
+        if client.connection is not connection or connection is None:  # it was closed after the request
             return
         if self.down:
             client.controller.call_when_running(client.on_message, RequestFailed("down"))
@@ -65,12 +65,12 @@
         client.controller.call_when_running(client.on_message, event)
 
     def go_down(self):
-        """Makes the list unreachable: its connections break."""
+        """Makes the list unreachable, and breaks its connections."""
         self.down = True
         for client in list(self.subscriptions):
             client.controller.call_when_running(client.on_connection_lost)
         self.subscriptions.clear()
 
     def come_back(self):
-        """Makes the list reachable again; controllers connect by themselves."""
+        """Makes the list reachable again; controllers reconnect after their backoff."""
         self.down = False
--- a/embertray/simulation/emulator/endpoint_list_client.py
+++ b/embertray/simulation/emulator/endpoint_list_client.py
@@ -5,14 +5,14 @@
 
 
 class EndpointListClient:
-    """Carries the requests of the production follower to the simulated list, and its answers back.
+    """Passes the requests of the production follower to the simulated list, and its answers back.
 
     Args:
         controller: The SimulatedController.
-        random: A function that gives numbers from 0 to 1.
+        random: A function that returns numbers from 0 to 1.
 
     Attributes:
-        connection: An object that stands for the present connection, or None: disconnected.
+        connection: An object that identifies the current connection; None: disconnected.
     """
 
     def __init__(self, controller, random):
@@ -30,7 +30,7 @@
         engine.at(engine.time + self.follower.initial_delay(has_list), self.connect)
 
     def connect(self):
-        """Connects and sends the first request, when the process runs; nothing if connected already."""
+        """Connects and sends the first request, once the process runs; does nothing if connected already."""
         if not self.controller.alive or self.connection is not None:
             return
         if self.controller.frozen:
@@ -43,12 +43,12 @@
             self.simulation.inventory.call(self, self.follower.connected(self.simulation.engine.time))
 
     def disconnect(self):
-        """Drops the connection without another attempt: the process has ended."""
+        """Drops the connection without reconnecting."""
         self.connection = None
         self.simulation.inventory.subscriptions.pop(self, None)
 
     def on_connection_lost(self):
-        """Handles a connection that broke or could not be made."""
+        """Handles a connection that broke or could not be opened."""
         self.disconnect()
         backoff = self.follower.connection_failed()
         engine = self.simulation.engine
--- a/embertray/simulation/emulator/engine.py
+++ b/embertray/simulation/emulator/engine.py
@@ -1,10 +1,11 @@
-"""A discrete-event engine: a heap of scheduled calls under virtual time.
+"""A discrete-event engine: a heap of calls scheduled in virtual time.
 
-Calls that share a delay fall due in the order of their scheduling, so each frequent delay has a queue of its
-own and only the queue's first entry stands in the heap. Most of these calls are timeouts that are cancelled.
+Calls with the same delay fall due in the order in which they were scheduled. Each frequent delay therefore
+has a queue, of which only the first entry is in the heap. Most of these calls are timeouts that are
+cancelled.
 
-Processes are coroutines that await `sleep_until`: the faults of a scenario run in the engine as they run in
-an event loop.
+Processes are coroutines that await `sleep_until`, so that the faults of a scenario run in the engine as in an
+event loop.
 """
 
 import heapq
@@ -14,8 +15,8 @@
 
 NS_PER_MS = 10**6
 NS_PER_SECOND = 10**9
-# Delays that have a queue of their own. A rarer delay goes to the heap, so that many one-off delays do not
-# leave many empty queues behind.
+# Most delays that get a queue. Calls with further delays go to the heap, so that one-off delays do not leave
+# empty queues behind.
 MAX_DELAY_QUEUES = 64
 
 
@@ -24,8 +25,8 @@
 
     Args:
         when: Its time, ns.
-        number: Its place in the order of scheduling, which decides between calls of one time.
-        callback: What is called; None once cancelled.
+        number: Its sequence number, which orders calls of the same time.
+        callback: The function to call; None once cancelled.
         args: Its arguments.
     """
 
@@ -39,17 +40,17 @@
 
     @property
     def cancelled(self):
-        """Whether the call was dropped."""
+        """Whether the call was cancelled."""
         return self.callback is None
 
     def cancel(self):
-        """Drops the call, and the references to all that it would have used."""
+        """Cancels the call, and releases its callback and arguments."""
         self.callback = None
         self.args = None
 
 
 class Sleep:
-    """What a process awaits to be resumed later.
+    """An awaitable that suspends a process until a time.
 
     Args:
         when: The time to resume, ns.
@@ -63,17 +64,17 @@
 
 
 class Engine:
-    """Makes scheduled calls in the order of their times; those of one time in the order of scheduling.
+    """Makes scheduled calls in the order of their times; those of the same time in the order of scheduling.
 
     Args:
-        now: Where time begins, ns.
+        now: The initial time, ns.
 
     Attributes:
-        time: The present, ns.
-        done: Calls made so far.
+        time: The current time, ns.
+        calls_made: Calls made so far.
     """
 
-    # Calls at one instant after which the simulation counts as looping.
+    # Calls at one instant after which the simulation is taken to loop.
     MAX_CALLS_AT_ONCE = 1_000_000
 
     def __init__(self, now=0):
@@ -84,7 +85,7 @@
         self._queues = {}  # delay, ns -> deque of Timers
 
     def now(self):
-        """The present.
+        """The current time.
 
         Returns:
             ns.
@@ -113,7 +114,7 @@
         return timer
 
     def after(self, delay, callback, *args):
-        """Schedules a call after a delay that is used again and again.
+        """Schedules a call after a delay; meant for delays that are used often.
 
         Args:
             delay: ns.
@@ -142,7 +143,7 @@
             until: The last time to reach, ns; None: until nothing is scheduled.
 
         Returns:
-            How many calls were made since the engine began.
+            Calls made since the engine was created.
 
         Raises:
             StuckClockError: Time does not advance.
@@ -166,7 +167,7 @@
         return self.calls_made
 
     def _advance_queue(self, queue):
-        """Takes the first entry out of a queue; the next that is not cancelled goes to the heap."""
+        """Removes the first entry of a queue, and moves the next one that is not cancelled to the heap."""
         queue.popleft()
         while queue and queue[0].callback is None:
             queue.popleft()
@@ -184,12 +185,12 @@
             when: The time to resume, ns.
 
         Returns:
-            What to await.
+            An awaitable.
         """
         return Sleep(when)
 
     def start(self, coroutine):
-        """Runs a process up to its first sleep, and further as time goes on.
+        """Runs a process up to its first sleep, and schedules its continuation.
 
         Args:
             coroutine: The process; it awaits `sleep_until` and nothing else.
--- a/embertray/simulation/emulator/exceptions.py
+++ b/embertray/simulation/emulator/exceptions.py
@@ -6,28 +6,28 @@
 
 
 class StuckClockError(EmulatorError, RuntimeError):
-    """Too many events fell due at one instant: simulated time does not advance.
+    """Too many calls fell due at one instant: simulated time does not advance.
 
     Args:
-        events: Events at that instant.
+        events: Calls at that instant.
         now: That instant, ns.
     """
 
     def __init__(self, events, now):
-        super().__init__(f"{events} events at {now} ns: time stands still")
+        super().__init__(f"{events} calls at {now} ns: simulated time does not advance")
         self.events = events
         self.now = now
 
 
 class PastEventError(EmulatorError, ValueError):
-    """An event was scheduled before the present.
+    """A call was scheduled for a time that has passed.
 
     Args:
         when: Its time, ns.
-        now: The present, ns.
+        now: The current time, ns.
     """
 
     def __init__(self, when, now):
-        super().__init__(f"{when} is before now, {now}")
+        super().__init__(f"call scheduled for {when} ns, before the current time, {now} ns")
         self.when = when
         self.now = now
--- a/embertray/simulation/emulator/flow_fleet.py
+++ b/embertray/simulation/emulator/flow_fleet.py
@@ -1,8 +1,8 @@
-"""Proxies and backends as flows: a second's requests of a proxy are one draw, and a request is no object.
+"""A fleet of proxies and backends whose requests are flows: counts per report cycle instead of objects.
 
-The proxies are real peers of the controller: they dial, hold tables, acknowledge orders and send load
-reports. What they met is drawn each report cycle: requests by Poisson, their spread over the backends by the
-weights. The backends are model.Backend, by `pour`.
+The proxies talk to a real controller: they dial, hold tables, acknowledge orders and send load reports. Each
+report cycle, a proxy's request count is drawn from a Poisson distribution and split over the backends by
+weight. The backends are models.backend.Backend, through `pour`.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 # Cores of a backend.
 CORES = 2
-# Time until a request is given up.
+# Time until a client gives up a request.
 CLIENT_TIMEOUT_NS = 2 * NS_PER_SECOND
 # Backend addresses count through the second and third octets, and ports, in these.
 ADDRESS_OCTET_VALUES = 250
@@ -43,8 +43,8 @@
 
     Attributes:
         proxy: The FlowProxy.
-        requests: How many came.
-        attempts: How many of them each backend got, by name; empty: the proxy has no tables.
+        requests: Number of requests.
+        attempts: Number of them at each backend, by name; empty: the proxy has no tables.
     """
 
     proxy: FlowProxy
@@ -53,14 +53,14 @@
 
 
 class FlowFleet:
-    """Backends and proxies round one controller's address.
+    """Backends, and proxies that dial one controller.
 
     Args:
-        net: Where streams are dialled.
+        net: The network on which proxies dial.
         clock: The clock.
         address: The controller's address.
-        rng: The generator of requests.
-        inventory: The endpoint list that has the backends.
+        rng: The random generator of requests.
+        inventory: The endpoint list to which backends are added.
         kinds: External ids of the request kinds.
         cycle: A report cycle, ns.
         work: Mean work of a request, ns of a core of speed 1.
@@ -69,9 +69,9 @@
         backends: Backend by name.
         proxies: FlowProxy by name.
         group: The task group of the proxies; set before the first is added.
-        requests: Requests that came so far.
+        requests: Requests so far.
         failures: Requests that failed at a backend.
-        unrouted: Requests that came to a proxy without tables.
+        unrouted: Requests to a proxy without tables.
         backends_added: Backends added so far.
         proxies_added: Proxies added so far.
     """
@@ -97,12 +97,12 @@
         self.proxies_added = 0
 
     def add_backend(self, zone, capacity, started=0, cold_speed=1.0, warm_up_time=0):
-        """Starts a backend under a new name, and lists it.
+        """Starts a backend under a new name, and adds it to the endpoint list.
 
         Args:
             zone: Its zone.
-            capacity: Requests a second that it can do.
-            started: When it started, ns; 0: long ago, so it is warm.
+            capacity: Requests a second that it can process.
+            started: When it started, ns; 0: long ago, so that it is warm.
             cold_speed: Its speed at the start, as a part of its full speed.
             warm_up_time: Time until its full speed, ns.
 
@@ -135,7 +135,7 @@
         return proxy
 
     async def tick(self):
-        """Plays one report cycle: draws all requests, settles all backends, sends all load reports."""
+        """Simulates one report cycle: draws requests, processes them at the backends, sends load reports."""
         now = self.clock.now()
         cycles = [self._draw(proxy) for proxy in self.proxies.values()]
         arrivals = self._arrivals(cycles)
@@ -153,7 +153,7 @@
             cycle.proxy.report(LoadReport(self.cycle, met, self._arrival_totals(cycle.requests)))
 
     def _draw(self, proxy):
-        """Draws a proxy's requests, and their spread by the weights of its tables."""
+        """Draws a proxy's requests, and splits them by the weights of its tables."""
         count = int(self.rng.poisson(proxy.rate * self.cycle / NS_PER_SECOND))
         weights = proxy.routing_state.routable_lines()
         self.requests += count
@@ -167,7 +167,7 @@
 
     @staticmethod
     def _arrivals(cycles):
-        """Requests that each backend got, by name."""
+        """Number of requests at each backend, by name."""
         arrivals = {}
         for cycle in cycles:
             for name, count in cycle.attempts.items():
@@ -176,14 +176,14 @@
 
     @staticmethod
     def _backend_totals(name, count, result, load):
-        """What a proxy met at one backend; without a result all failed, since the backend is gone."""
+        """A proxy's totals at one backend; without a result the backend is gone, and all requests failed."""
         if result is None:
             return BackendTotals(name, count, count, 0, load)
         failed = round(count * (1 - result.done))
         return BackendTotals(name, count, failed, (count - failed) * result.took, load)
 
     def _arrival_totals(self, requests):
-        """Spreads requests evenly over the kinds; the first gets what remains."""
+        """Splits requests evenly over the kinds; the first kind gets the remainder."""
         counts = [requests // len(self.kinds)] * len(self.kinds)
         counts[0] += requests - sum(counts)
         return [ArrivalTotals(kind, count, 0) for kind, count in zip(self.kinds, counts, strict=True)]
--- a/embertray/simulation/emulator/flow_proxy.py
+++ b/embertray/simulation/emulator/flow_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy whose requests are counts: a real peer of the controller on a stream."""
+"""The proxy of a FlowFleet: it talks to a real controller, and its requests are counts."""
 
 import anyio
 
@@ -9,12 +9,12 @@
 from embertray.controller.stream.session import ProxySession
 from embertray.simulation.standins.link import STREAM_ERRORS
 
-# The least pause before the next dial.
+# The shortest pause before the next dial.
 REDIAL_NS = 10**9 // 2
 
 
 class FlowProxy:
-    """One proxy's stream to the controller, and the tables that it was given.
+    """One proxy's stream to the controller, and its routing tables.
 
     Args:
         name: The proxy's name.
@@ -39,7 +39,7 @@
         self._scope = anyio.CancelScope()
 
     async def run(self):
-        """Stays joined, dialling again after a break, until `leave`."""
+        """Keeps the proxy joined until `leave`; dials again after a broken stream."""
         clock = self.fleet.clock
         with self._scope:
             while True:
@@ -47,16 +47,16 @@
                 try:
                     pause = max(pause, await self._join())
                 except* (*STREAM_ERRORS, ProtocolError):
-                    # The controller closed the stream or can't be reached: dialling again after the pause is
-                    # all that a proxy can do.
+                    # The controller closed the stream or cannot be reached: the proxy dials again after the
+                    # pause.
                     pass
                 await clock.sleep_until(clock.now() + pause)
 
     async def _join(self):
-        """Joins, and handles what the controller sends until the stream is over.
+        """Joins, and handles the controller's messages until the stream ends.
 
         Returns:
-            ns that a rejected proxy is to stay away, else 0.
+            The time after which a rejected proxy may dial again, ns; otherwise 0.
         """
         self._session = ProxySession(self.name, self.zone, self.rate, True)
         retry_after = 0
@@ -98,5 +98,5 @@
             self._connection.put(self._session.pack(load_report))
 
     def leave(self):
-        """Leaves for good; also before `run` has started."""
+        """Leaves for good; it may be called before `run` has started."""
         self._scope.cancel()
--- a/embertray/simulation/emulator/fluid_backends.py
+++ b/embertray/simulation/emulator/fluid_backends.py
@@ -1,21 +1,21 @@
-"""The backends of a FluidSimulation: what becomes of the masses that reach them."""
+"""The backends of a FluidSimulation."""
 
 from dataclasses import dataclass
 
 import numpy as np
 
-# Least capacity that is divided by, cores.
+# Lower bound of the capacity in divisions, cores.
 LEAST_CAPACITY = 1e-9
 
 
 @dataclass
 class BackendResults:
-    """What became of masses; arrays of backends x kinds.
+    """Outcomes of one step's requests; arrays of backends x kinds.
 
     Attributes:
-        failed: Parts that failed.
-        latency: ns that the rest took.
-        late: Parts of the rest that came too late.
+        failed: Part of the requests that failed.
+        latency: Mean latency of the others, ns.
+        late: Part of the others that exceeded the latency objective.
     """
 
     failed: np.ndarray
@@ -24,11 +24,11 @@
 
 
 class FluidBackends:
-    """Pours masses into the backends' models.
+    """Passes flows of requests to the backend models.
 
     Args:
         mix: (RequestKind, share, mean work in ns) items.
-        retries: Attempts of a client after the first.
+        retries: Number of a client's retries.
         step: Length of a step, ns.
     """
 
@@ -40,13 +40,13 @@
         self._timeout = min(kind.client_timeout for kind in self.kinds) // (2 if retries else 1)
 
     def pour(self, now, backends, masses, on_poured):
-        """Pours one step's masses.
+        """Processes one step's requests.
 
         Args:
             now: ns.
             backends: The SimulatedBackends.
-            masses: Requests; backends x kinds.
-            on_poured: Called with (column, backend, mean work in ns) after each that got any or was busy.
+            masses: Numbers of requests; backends x kinds.
+            on_poured: Called with (column, backend, mean work in ns) for each that got requests or was busy.
 
         Returns:
             The BackendResults.
@@ -75,11 +75,11 @@
 
 
 def late_part(mean_wait, allowed):
-    """The part of requests that wait too long, if waits spread exponentially.
+    """The part of requests that wait too long, if waits are distributed exponentially.
 
     Args:
         mean_wait: ns.
-        allowed: The longest wait that is in time, ns.
+        allowed: The longest wait within the latency objective, ns.
 
     Returns:
         A part, 0 to 1.
--- a/embertray/simulation/emulator/fluid_outcomes.py
+++ b/embertray/simulation/emulator/fluid_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a FluidSimulation."""
+"""Outcomes of the requests of a FluidSimulation."""
 
 import numpy as np
 
@@ -10,15 +10,15 @@
 
 
 class FluidOutcomes:
-    """Sums of all requests' ends.
+    """Totals of outcomes, credits and durations.
 
     Args:
         kinds: The RequestKinds.
-        late_credit: Credit of a late request, as a part of its kind's credit, by kind.
+        late_credit: Credit of a late request as a part of its kind's credit, by kind.
 
     Attributes:
         counts: kind -> [asked, done, late, lost].
-        durations: A histogram, us.
+        durations: A histogram of durations, us.
     """
 
     def __init__(self, kinds, late_credit):
@@ -26,13 +26,15 @@
         self.durations = histogram()
         self._late_credit = late_credit
         self._credits = {}  # second -> [credit asked, credit earned]
-        self._remainders = np.zeros((0, len(kinds)))  # requests not yet in the histogram; backends x kinds
+        self._remainders = np.zeros(
+            (0, len(kinds))
+        )  # fractions of requests not yet in the histogram; backends x kinds
 
     def add_rows(self, count):
         """Adds backends.
 
         Args:
-            count: How many.
+            count: Their number.
         """
         self._remainders = np.vstack([self._remainders, np.zeros((count, self._remainders.shape[1]))])
 
@@ -42,7 +44,7 @@
         Args:
             second: Second of the day.
             kind: The RequestKind.
-            asked: Requests whose first attempt this was.
+            asked: Requests that clients sent for the first time.
             done: Requests done in time.
             late: Requests done too late.
             lost: Requests lost.
@@ -56,11 +58,11 @@
         credits[1] += kind.credit * (done + late * self._late_credit[kind])
 
     def add_durations(self, k, answered, latency):
-        """Adds answered requests of one kind to the histogram, once they make whole ones.
+        """Adds answered requests of one kind to the histogram, in whole numbers.
 
         Args:
             k: The kind's index.
-            answered: Requests, by backend; 0 where none was sent.
+            answered: Number of requests, by backend.
             latency: ns, by backend.
         """
         for row in np.flatnonzero(answered > 0):
@@ -72,10 +74,10 @@
                 self.durations.record_value(duration, whole)
 
     def earned_by_second(self):
-        """Credit earned of credit asked.
+        """The earned part of the credit that was asked for.
 
         Returns:
-            A part, or None where nothing was asked, for each second.
+            For each second, a part from 0 to 1, or None where there were no requests.
         """
         seconds = (self._credits.get(n, (0.0, 0.0)) for n in range(max(self._credits, default=-1) + 1))
         return [round(min(1.0, earned / asked), 4) if asked else None for asked, earned in seconds]
--- a/embertray/simulation/emulator/fluid_proxy.py
+++ b/embertray/simulation/emulator/fluid_proxy.py
@@ -1,13 +1,13 @@
-"""A simulated proxy whose requests are masses."""
+"""The proxy of a FluidSimulation."""
 
 from .proxy import SimulatedProxy
 
 
 class FluidProxy(SimulatedProxy):
-    """A proxy of a FluidSimulation, which keeps its tables and totals in arrays.
+    """A proxy whose tables and totals are rows of the simulation's arrays.
 
     Attributes:
-        place: Its row in the simulation's arrays.
+        row: Its row in the simulation's arrays.
     """
 
     row = 0
@@ -23,12 +23,12 @@
         self.simulation.tables.changed.add(self.row)
 
     def break_stream(self):
-        """Breaks the stream, if there is one; its tables may change by that."""
+        """Breaks the stream, if there is one, which may change the tables."""
         super().break_stream()
         self.simulation.tables.changed.add(self.row)
 
     def on_joined(self, controller):
-        """Handles an accepted dial: a new controller hears only what is met from now on.
+        """Handles an accepted dial: load reports to a new controller count from now on.
 
         Args:
             controller: The SimulatedController.
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -1,12 +1,12 @@
-"""The same day as flows: requests are masses that are poured by the tables each step.
+"""Simulates a day as flows: in each step, real-valued numbers of requests are split by the routing tables.
 
-A run costs by proxies x backends and not by requests. Controllers, tables, channel and endpoint list are
-those of day_simulation.py; backends are model.Backend, by `pour`.
+The cost of a run depends on proxies x backends, and not on the number of requests. Controllers, tables,
+channel and endpoint list are those of day_simulation.py; backends are models.backend.Backend, through `pour`.
 
-What is approximated: a request's second attempt goes to the average backend, not to another; a wait's spread
-is exponential; a client gives up on the mean, so timeouts are all or nothing for a kind and backend in a
-step. Round robin and power of two choices go by weight. docs/measured/emulator.md says how far that is from
-request by request.
+Approximations: a request's second attempt goes to the average backend, not to a different one; waits are
+distributed exponentially; a client's timeout is compared with the mean time, so that in a step all or none of
+the requests of a kind to a backend time out. Round robin and power of two choices select by weight.
+docs/measured/emulator.md compares the results with those of single requests.
 """
 
 from collections import deque
@@ -24,23 +24,23 @@
 from .fluid_tables import FluidTables, append_columns
 from .fluid_totals import FluidTotals
 
-# A quarter of the shortest period that the policy knows.
+# A quarter of the shortest period of the policy.
 STEP_NS = NS_PER_SECOND // 20
 STEP_S = STEP_NS / NS_PER_SECOND
 # Time from a failed attempt to the client's next one.
 CLIENT_BACKOFF_NS = NS_PER_SECOND // 5
-# From this retry level on a proxy retries what failed; one above it, all of it.
+# Retry level from which a proxy retries failed requests; at one above it, it retries all of them.
 RETRY_LEVEL = 1
 
 
 @dataclass
 class ClientRetry:
-    """Requests that clients send again.
+    """Requests that clients will retry.
 
     Attributes:
-        when: ns.
-        mass: Requests; proxies x kinds.
-        attempt: 2 for the first retry.
+        when: Time of the retry, ns.
+        mass: Number of requests; proxies x kinds.
+        attempt: Number of the attempt, 2 for the first retry.
     """
 
     when: int
@@ -49,7 +49,7 @@
 
 
 class FluidSimulation(DaySimulation):
-    """A day whose requests are masses.
+    """A day whose requests are flows.
 
     Attributes:
         tables: The FluidTables.
@@ -59,7 +59,7 @@
     proxy = FluidProxy
 
     def prepare(self, shares):
-        """Makes the arrays: the proxies exist and none has dialled yet.
+        """Creates the arrays; the proxies exist, and none has dialled yet.
 
         Args:
             shares: Each proxy's share of the requests.
@@ -72,7 +72,9 @@
         self._outcomes = FluidOutcomes(self.kinds, self.site.late_credit)
         self._fluid_backends = FluidBackends(mix, self.retries, STEP_NS)
         self._kind_shares = np.array([share for _, share, _ in mix])
-        self._unrecorded = np.zeros((self.count, 0))  # requests to restricted backends, see _record
+        self._unrecorded = np.zeros(
+            (self.count, 0)
+        )  # fractions of requests to restricted backends, see _record
         self._recorded = 0
         self._client_retries = deque()
         self._rng = self.chance.of("flows")
@@ -81,10 +83,10 @@
             proxy.row = row
 
     def draw_report(self, row):
-        """Draws a proxy's load report and clears its totals.
+        """Draws a proxy's load report and resets its totals.
 
         Args:
-            place: The proxy's row.
+            row: The proxy's row.
 
         Returns:
             The LoadReport.
@@ -113,7 +115,7 @@
             self.engine.after(STEP_NS, self._step, until)
 
     def _add_columns(self):
-        """Adds the backends that are new to all arrays."""
+        """Adds new backends to all arrays."""
         new = [backend.model.name for backend in self.backends[len(self.tables.columns) :]]
         if new:
             self.tables.add_columns(new)
@@ -128,10 +130,10 @@
             self._outcomes.counts[kind][0] += mass[:, k].sum()
         self._pour(now, mass, 1)
 
-    # ---- one mass
+    # ---- one step's requests
 
     def _pour(self, now, mass, attempt):
-        """Has masses (proxies x kinds) arrive, be admitted, spread, and meet the backends."""
+        """Admits requests (proxies x kinds), splits them over the backends, and settles their outcomes."""
         self.totals.arrivals += mass
         if attempt > 1:
             self.totals.retries += mass
@@ -155,10 +157,10 @@
             self._outcomes.add_durations(k, answered, results.latency[:, k])
 
     def _add_pair_failures(self, k, admitted, results, failing):
-        """Counts attempts that fail for one proxy alone.
+        """Counts attempts at backends that fail for one proxy only.
 
         Returns:
-            Their part of what was admitted, by proxy.
+            Their part of the admitted requests, by proxy.
         """
         each = self.tables.weights * admitted[:, k : k + 1]
         answered_part = 1 - results.failed[:, k]
@@ -172,7 +174,7 @@
         self.totals.latency += each * ((1 - results.failed[:, k]) * results.latency[:, k])
 
     def _settle(self, now, k, mass, admitted, results, failed_part, attempt):
-        """Counts what became of the masses of one kind, and schedules what its clients send again."""
+        """Counts the outcomes of one kind's requests, and schedules their clients' retries."""
         kind = self.kinds[k]
         admitted_k = admitted[:, k]
         failed = admitted_k * failed_part
@@ -197,18 +199,18 @@
             self._client_retries.append(ClientRetry(now + CLIENT_BACKOFF_NS, retry_mass, attempt + 1))
 
     def _retried_by_proxies(self, k, failed):
-        """The failed requests that proxies retry by themselves, by proxy."""
+        """The failed requests that proxies retry, by proxy."""
         level = self.tables.retry_levels[:, k]
         part = np.minimum(1.0, level - RETRY_LEVEL)
         return np.where(level >= RETRY_LEVEL + 1, failed * part, 0.0)
 
     def _split_unsuccessful(self, kind, rejected, failed, attempt):
-        """Splits requests without an answer into those lost and those that clients send again.
+        """Splits requests without an answer into those lost and those that clients retry.
 
-        Rejected requests never ran, so they may be sent again whatever their kind.
+        Rejected requests never ran, so they may be retried whatever their kind.
 
         Returns:
-            (requests lost, requests sent again by proxy).
+            (requests lost, retried requests by proxy).
         """
         if kind.again == "non-replayable":
             lost = failed.sum()
@@ -221,7 +223,7 @@
         return lost, sent_again
 
     def _failing_pairs(self):
-        """1 where a backend fails for that proxy alone, proxies x backends; None if it is nowhere so."""
+        """1 where a backend fails for that proxy only, proxies x backends; None if there is no such pair."""
         affected = [(column, backend) for column, backend in enumerate(self.backends) if backend.bad_for]
         if not affected:
             return None
@@ -231,10 +233,10 @@
                 failing[row, column] = proxy.name in backend.bad_for
         return failing
 
-    # ---- events for the rules
+    # ---- events that the rules check
 
     def _record(self, now, column, backend, masses, work):
-        """Records requests to a backend that is warming up, draining or gone, once they make whole ones."""
+        """Records whole requests to a backend that is warming up, draining or gone."""
         if not self.watched or not self._is_restricted(now, backend.model):
             return
         total = masses.sum()
@@ -265,7 +267,7 @@
     # ---- results
 
     def outcomes(self):
-        """What became of the requests.
+        """The outcomes of all requests.
 
         Returns:
             kind -> (asked, done, late, lost).
@@ -273,7 +275,7 @@
         return {kind: tuple(counts) for kind, counts in self._outcomes.counts.items()}
 
     def took(self):
-        """How long requests took, by each step's mean at each backend.
+        """The durations of requests, by each step's mean at each backend.
 
         Returns:
             A histogram, us.
@@ -281,9 +283,9 @@
         return self._outcomes.durations
 
     def line(self):
-        """Credit by when requests met a backend: retries count in the second of the retry.
+        """Credit by the time of the attempt: retries count in the second of the retry.
 
         Returns:
-            Credit earned of credit asked, or None where nothing was asked, for each second.
+            For each second, the earned part of the credit asked for, or None where there were no requests.
         """
         return self._outcomes.earned_by_second()
--- a/embertray/simulation/emulator/fluid_tables.py
+++ b/embertray/simulation/emulator/fluid_tables.py
@@ -1,21 +1,21 @@
-"""The tables of all proxies of a FluidSimulation as arrays."""
+"""The routing tables of a FluidSimulation's proxies as arrays."""
 
 import numpy as np
 
 
 class FluidTables:
-    """What the proxies' tables say, a row for each proxy.
+    """Weights, admission levels and retry levels, with a row for each proxy.
 
     Args:
-        proxies: How many proxies.
+        proxies: Number of proxies.
         kinds: The RequestKinds.
         site: The Site.
 
     Attributes:
         columns: Column of each backend, by name.
-        weights: Parts of a proxy's requests that go to each backend; proxies x backends.
-        levels: Admission: requests a second or a part, as the site has it; proxies x kinds.
-        retry_levels: How the proxy retries; proxies x kinds.
+        weights: Part of a proxy's requests that goes to each backend; proxies x backends.
+        levels: Admission levels, as requests a second or as a part, depending on the site; proxies x kinds.
+        retry_levels: Retry levels; proxies x kinds.
         changed: Rows that are out of date.
     """
 
@@ -40,7 +40,7 @@
         self.weights = append_columns(self.weights, len(names))
 
     def refresh(self, proxies):
-        """Reads the tables of the proxies whose rows are out of date.
+        """Updates the rows that are out of date from the proxies' tables.
 
         Args:
             proxies: All FluidProxy items, by row.
@@ -92,7 +92,7 @@
 
     Args:
         array: An array of two dimensions.
-        count: How many columns.
+        count: Number of columns.
 
     Returns:
         A new array.
--- a/embertray/simulation/emulator/fluid_totals.py
+++ b/embertray/simulation/emulator/fluid_totals.py
@@ -1,4 +1,4 @@
-"""What the proxies of a FluidSimulation have met since their last load reports."""
+"""Totals of the requests of a FluidSimulation's proxies since their last load reports."""
 
 import numpy as np
 
@@ -6,23 +6,23 @@
 
 from .fluid_tables import append_columns
 
-# Masses below this are rounding errors of sums, requests.
+# Requests; smaller sums are rounding errors.
 LEAST_MASS = 1e-9
 
 
 class FluidTotals:
-    """Masses since each proxy's last load report.
+    """Request totals since each proxy's last load report; fractions of requests are possible.
 
     Args:
-        proxies: How many proxies.
+        proxies: Number of proxies.
         kinds: The RequestKinds.
         now: ns.
 
     Attributes:
-        attempts, failures: Requests; proxies x backends.
+        attempts, failures: Attempts at backends, and those that failed; proxies x backends.
         latency: Sum over the attempts that were answered, ns; proxies x backends.
-        arrivals, retries, lost: Requests that came, those of them that came again, those lost; proxies x
-            kinds.
+        arrivals, retries, lost: Requests of clients, those of them that are retries, and those lost;
+            proxies x kinds.
     """
 
     def __init__(self, proxies, kinds, now):
@@ -39,17 +39,17 @@
         """Adds backends.
 
         Args:
-            count: How many.
+            count: Their number.
         """
         self.attempts = append_columns(self.attempts, count)
         self.failures = append_columns(self.failures, count)
         self.latency = append_columns(self.latency, count)
 
     def clear(self, row, now):
-        """Forgets what a proxy has met.
+        """Resets a proxy's totals.
 
         Args:
-            place: The proxy's row.
+            row: The proxy's row.
             now: ns.
         """
         for array in (self.attempts, self.failures, self.latency, self.arrivals, self.retries, self.lost):
@@ -57,12 +57,12 @@
         self._since[row] = now
 
     def draw_report(self, row, now, rng, backends):
-        """Draws a load report and clears the proxy's totals.
+        """Draws a load report and resets the proxy's totals.
 
-        Its whole numbers have the masses as their means, and spread as those of Poisson arrivals.
+        The totals are the means of the report's whole numbers, which vary as Poisson arrivals do.
 
         Args:
-            place: The proxy's row.
+            row: The proxy's row.
             now: ns.
             rng: The random generator.
             backends: The SimulatedBackends, by column.
--- a/embertray/simulation/emulator/garbage_collection.py
+++ b/embertray/simulation/emulator/garbage_collection.py
@@ -1,18 +1,18 @@
-"""Python's cyclic garbage collector, while hundreds of thousands of messages are under way."""
+"""Configures Python's cyclic garbage collector for simulations with many messages in flight."""
 
 import gc
 from contextlib import contextmanager
 
-# Allocations between two searches of the youngest objects; Python's default is 700.
+# Allocations between two collections of the youngest generation; Python's default is 700.
 ALLOCATIONS = 1_000_000
 
 
 @contextmanager
 def rare_collections():
-    """Makes searches for garbage rare while the block runs.
+    """Makes garbage collections rare while the block runs.
 
-    A search walks all that lives, and messages under way are no garbage: at 256 members that start at once
-    the searches took a third of the time.
+    A collection traverses all live objects, and messages in flight are not garbage: with 256 members that
+    start at the same time, collections took a third of the run time.
     """
     before = gc.get_threshold()
     gc.set_threshold(ALLOCATIONS, *before[1:])
--- a/embertray/simulation/emulator/limits_faults.py
+++ b/embertray/simulation/emulator/limits_faults.py
@@ -3,15 +3,15 @@
 from .limits_member import LimitsMember
 
 FAULTS = ("kill", "stop", "split", "oneway", "lossy", "move")
-# Part of the messages that a lossy link loses.
+# Part of the messages that a lossy link drops.
 LOSS = 0.5
 
 
 class LimitsFaults:
-    """What can be done to the members, proxies and links of a LimitsSimulation, which inherits this."""
+    """Mixin of LimitsSimulation with faults on its members, proxies and links."""
 
     def kill(self, name):
-        """Kills a member's process, if it runs; its proxies join others.
+        """Kills a member's process, if it runs; its proxies join other members.
 
         Args:
             name: The member's name.
@@ -51,10 +51,10 @@
             self.members[name].resume()
 
     def inject_fault(self, duration):
-        """Draws one fault and whom it strikes, and schedules its end.
+        """Injects a random fault on random members or links, and schedules its end.
 
         Args:
-            duration: Time until its end, ns.
+            duration: Duration of the fault, ns.
 
         Returns:
             The fault's name, one of FAULTS.
@@ -83,7 +83,7 @@
                 self.break_stream(proxy)
 
     def _fault_links(self, fault, names, duration):
-        """Partitions the members named from the rest, or bends links that are drawn."""
+        """Partitions the named members from the others, or closes or degrades random links."""
         pairs = self.links.pairs()
         if fault == "split":
             pairs = self.links.parted([names, [name for name in self.names if name not in names]])
@@ -92,5 +92,5 @@
         change = {"drop": LOSS} if fault == "lossy" else {"open": False}
         now = self.engine.time
         self.links.bend(now, pairs, **change)
-        # `now` stays the time of the strike: nothing here reads when a link was healed.
+        # The time of the repair is given as that of the fault; nothing in this simulation reads it.
         self.engine.after(duration, self.links.straight, now, pairs, tuple(change))
--- a/embertray/simulation/emulator/limits_member.py
+++ b/embertray/simulation/emulator/limits_member.py
@@ -1,4 +1,4 @@
-"""A simulated member that holds a part of a fleet-wide limit."""
+"""A simulated member that holds a quota of a fleet-wide limit."""
 
 import random
 
@@ -8,19 +8,19 @@
 LIMIT = "l"
 # Time between two steps of a member's core.
 STEP_PERIOD_NS = 100 * NS_PER_MS
-# Time from a member's order to its effect at a proxy.
+# Time until a quota that a member sends takes effect at a proxy.
 PUSH_DELAY_NS = 100 * NS_PER_MS
-# A member's clock begins at a whole second below this.
+# Upper bound of the initial value of a member's clock, seconds.
 LATEST_CLOCK_START_S = 10**6
 
 
 class DriftingClock:
-    """A clock that runs fast or slow, from a beginning of its own.
+    """A clock with an offset and a drift from simulated time.
 
     Args:
         engine: The Engine.
-        rate: How much faster than time it runs.
-        start: What it shows now, ns.
+        rate: Its speed, as a multiple of simulated time.
+        start: Its initial value, ns.
     """
 
     def __init__(self, engine, rate, start):
@@ -30,7 +30,7 @@
         self.started_at = engine.time
 
     def now(self):
-        """What the clock shows.
+        """The clock's value.
 
         Returns:
             ns.
@@ -44,13 +44,13 @@
     Args:
         simulation: The LimitsSimulation.
         name: The member's name.
-        first: Whether the cluster begins with it.
+        first: Whether it is a member of the new cluster, and not started again.
 
     Attributes:
         core: The Limits.
         clock: Its DriftingClock.
         alive: Whether the process has not been killed.
-        paused: Whether the process is stopped; what arrives waits.
+        paused: Whether the process is stopped; what arrives is deferred.
     """
 
     def __init__(self, simulation, name, first):
@@ -105,7 +105,7 @@
             self.simulation.engine.after(PUSH_DELAY_NS, self.simulation.on_quota, self, proxy, units)
 
     def notify(self, event, *args):
-        """Calls the quota holder; a paused process learns of it when it goes on.
+        """Calls the quota holder; a paused process makes the call when it resumes.
 
         Args:
             event: The name of a method of the quota holder.
@@ -121,7 +121,7 @@
         self.paused = True
 
     def resume(self):
-        """Continues the process: it handles all that arrived meanwhile, in that order."""
+        """Continues the process: it handles what arrived meanwhile, in the order of arrival."""
         self.paused = False
         deferred = self._deferred
         self._deferred = []
--- a/embertray/simulation/emulator/limits_simulation.py
+++ b/embertray/simulation/emulator/limits_simulation.py
@@ -1,7 +1,7 @@
-"""Members that hold fleet-wide limits together, and their proxies, under virtual time.
+"""Simulates members that enforce fleet-wide limits, and their proxies, in virtual time.
 
-The cores are the production ones; clocks drift and links break. At every change the quotas that all proxies
-may use are held against the limit.
+The cores are the production ones; clocks drift and links break. At every change the sum of all proxies'
+quotas is compared with the limit.
 """
 
 import random
@@ -13,35 +13,35 @@
 from .limits_faults import LimitsFaults
 from .limits_member import LIMIT, LimitsMember
 
-# The least and the most time until a proxy whose stream broke has joined another member.
+# The shortest and the longest time until a proxy whose stream broke has joined another member.
 REJOIN_DELAY_NS = (NS_PER_SECOND // 2, 2 * NS_PER_SECOND)
-# The least and the most time of a message between members, ms.
+# The shortest and the longest delay of a message between members, ms.
 MESSAGE_DELAY_MS = (1, 5)
-# Time between two records of how much of the limit is used.
+# Time between two records of the limit's utilization.
 OBSERVATION_PERIOD_NS = NS_PER_SECOND // 2
 
 
 class LimitsSimulation(LimitsFaults):
-    """Members with one limit, and proxies that want to use all of it.
+    """Members with one limit, and proxies whose demand together equals the limit.
 
     Args:
-        seed: Of all random draws.
-        members: How many members.
-        proxies: How many proxies.
+        seed: Seed of all random draws.
+        members: Number of members.
+        proxies: Number of proxies.
         total: The limit, units.
-        drift: The most that a clock runs fast or slow, as a part of time.
-        pace: The members' configuration.
-        make: Type of their core.
-        skew: How many times as much the proxies of the first member want.
+        drift: The greatest clock drift, as a part of time.
+        config: The members' configuration.
+        core_type: Type of their core.
+        skew: Demand of a proxy of the first member, as a multiple of that of the others.
 
     Attributes:
-        over: The most units that all proxies together were allowed beyond the limit.
-        over_at: When that was, ns.
-        used: Part of the limit in use, at each observation.
-        sent: Messages that members have sent.
-        home: The LimitsMember that each proxy has joined, or None.
+        max_excess: The most units by which the sum of all quotas exceeded the limit.
+        max_excess_at: When that was, ns.
+        utilization: Part of the limit that the quotas allow, at each observation.
+        messages_sent: Messages that members have sent.
+        joined_member: The LimitsMember that each proxy has joined, or None.
         quotas: Units that each proxy may use.
-        wants: Units that each proxy's clients ask for.
+        demand: Units that each proxy's clients ask for.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self.engine.after(0, self._observe)
 
     def _draw_demand(self, members, proxies, skew):
-        """What each proxy wants: together the limit."""
+        """Splits the limit into the demand of each proxy."""
         factors = [skew if n % members == 0 else 1.0 for n in range(proxies)]
         unit = self.total / sum(factors)
         return {f"p{n + 1}": int(unit * factor) for n, factor in enumerate(factors)}
@@ -108,7 +108,7 @@
         return sum(self.demand[proxy] for proxy, joined in self.joined_member.items() if joined is member)
 
     def send(self, member, messages):
-        """Puts a member's messages on the links.
+        """Sends a member's messages over the links.
 
         Args:
             member: The LimitsMember that sends them.
@@ -134,17 +134,17 @@
             self.rejoin_later(proxy)
 
     def rejoin_later(self, proxy):
-        """Has a proxy dial a member that is drawn, after a pause that is drawn.
+        """Schedules a proxy to join a random member after a random pause.
 
         Args:
             proxy: Its name.
         """
-        # The pause is drawn first: a run's draws keep their order.
+        # The order of draws determines the run of a seed: the pause is drawn before the member.
         pause = self.rng.randint(*REJOIN_DELAY_NS)
         self.engine.after(pause, self._join, proxy, self.rng.choice(self.names))
 
     def break_stream(self, proxy):
-        """Breaks a proxy's stream: it joins a member after a while, and uses its last quota until then.
+        """Breaks a proxy's stream: it uses its last quota until it joins a member again.
 
         Args:
             proxy: Its name.
@@ -156,9 +156,9 @@
         self.rejoin_later(proxy)
 
     def on_quota(self, member, proxy, units):
-        """Puts a quota into effect at a proxy, unless its stream broke meanwhile.
+        """Applies a quota at a proxy, unless its stream broke meanwhile.
 
-        A member that is paused by now has sent the quota before, so it takes effect.
+        A quota of a member that has been paused since is applied, since it was sent before.
 
         Args:
             member: The LimitsMember that sent it.
--- a/embertray/simulation/emulator/member_links.py
+++ b/embertray/simulation/emulator/member_links.py
@@ -1,4 +1,4 @@
-"""Links between the simulated members of a cluster: they lose, delay, repeat, corrupt and break."""
+"""Links between simulated members, which drop, delay, duplicate and corrupt messages."""
 
 from .engine import NS_PER_MS
 
@@ -7,19 +7,19 @@
 
 
 class Links:
-    """What each ordered pair of addresses does to messages.
+    """The link of each ordered pair of addresses.
 
     Args:
         random: A random.Random.
         loss: Part of the messages that are lost, 0 to 1.
-        delay: The least and the most time of a message, ns.
+        delay: The shortest and the longest delay of a message, ns.
         duplication: Part of the messages that arrive twice, 0 to 1.
-        corruption: Part of the messages that arrive changed or cut short, 0 to 1.
+        corruption: Part of the messages that arrive changed or truncated, 0 to 1.
 
     Attributes:
-        broken: Pairs (from, to) that carry nothing.
+        broken: Pairs (sender, receiver) whose link carries nothing.
         sides: Address -> number of its side in a network partition.
-        lag: Address -> ns that messages to it take longer.
+        extra_delay: Address -> additional delay of messages to it, ns.
     """
 
     def __init__(self, random, loss=0.0, delay=(NS_PER_MS, 5 * NS_PER_MS), duplication=0.0, corruption=0.0):
@@ -46,7 +46,7 @@
         return (sender, receiver) not in self.broken and same_side
 
     def deliveries(self, sender, receiver, data):
-        """Draws what becomes of a datagram.
+        """Draws the fate of a datagram.
 
         Args:
             sender: An address.
@@ -64,14 +64,14 @@
             yield self.random.randint(*self.delay) + self.extra_delay.get(receiver, 0), data
 
     def _corrupt(self, data):
-        """Flips bits of a byte at an odd place, or cuts the data at an even one."""
+        """Flips bits of a random byte, or truncates the data there if its index is even."""
         place = self.random.randrange(len(data))
         if place % 2 == 0:
             return data[:place]
         return data[:place] + bytes([data[place] ^ FLIPPED_BITS]) + data[place + 1 :]
 
     def stream_delay(self, sender, receiver):
-        """Draws the time of a part of a stream.
+        """Draws the delay of a part of a stream.
 
         Args:
             sender: An address.
@@ -86,7 +86,7 @@
         """Partitions the network.
 
         Args:
-            *groups: Addresses of each side; who is in none is with the first.
+            *groups: Addresses of each side; those in no group belong to the first.
         """
         self.sides = {address: number for number, group in enumerate(groups) for address in group}
 
--- a/embertray/simulation/emulator/member_process.py
+++ b/embertray/simulation/emulator/member_process.py
@@ -1,4 +1,4 @@
-"""A process of a simulated member of a cluster."""
+"""The process of a simulated cluster member."""
 
 
 class MemberProcess:
@@ -9,7 +9,7 @@
         core: The Membership.
 
     Attributes:
-        paused: Whether the process is stopped; what arrives waits.
+        paused: Whether the process is stopped; what arrives is deferred.
         alive: Whether it has not been killed.
     """
 
@@ -45,7 +45,7 @@
 
         Args:
             sender: The address that it came from.
-            message: What it says; None: it could not be decoded.
+            message: The decoded message; None: it could not be decoded.
         """
         if not self.alive:
             return
@@ -62,7 +62,7 @@
         self.paused = True
 
     def resume(self):
-        """Continues the process: it handles all that arrived meanwhile, in that order."""
+        """Continues the process: it handles what arrived meanwhile, in the order of arrival."""
         self.paused = False
         self._next_step_at = None
         deferred = self._deferred
--- a/embertray/simulation/emulator/membership_simulation.py
+++ b/embertray/simulation/emulator/membership_simulation.py
@@ -1,7 +1,7 @@
-"""Members of a cluster under virtual time: production membership cores on links that fail.
+"""Simulates cluster membership in virtual time: production cores on unreliable links.
 
-Each message is encoded, counted and lost as bytes. A receiver whose copy arrives intact is handed the message
-itself, since decoding the bytes gives an equal one (tests/test_scale.py checks this).
+Messages are encoded, and counted and dropped as bytes. A receiver whose copy arrives intact gets the message
+object itself, since decoding the bytes gives an equal one (tests/test_scale.py checks this).
 """
 
 import random
@@ -14,12 +14,12 @@
 from .member_links import Links
 from .member_process import MemberProcess
 
-# Where time begins, ns: late enough for wall clocks that are hours off.
+# Initial time, ns: late enough for wall clocks that are hours behind.
 START_NS = 100_000 * NS_PER_SECOND
-# Time between two members' starts when a cluster is gathered, and until all know all.
+# Time between the starts of two members of a new cluster, and time for all to learn of each other.
 JOIN_PERIOD_NS = 50 * NS_PER_MS
 SETTLE_TIME_NS = 20 * NS_PER_SECOND
-# Time between two looks at a condition that is waited for.
+# Time between two checks of a condition that is waited for.
 POLL_PERIOD_NS = 10 * NS_PER_MS
 
 
@@ -42,17 +42,17 @@
     """All members of one cluster.
 
     Args:
-        seed: Of all random draws.
-        pace: The members' MembershipConfig.
-        make: Type of the members' core.
+        seed: Seed of all random draws.
+        config: The members' MembershipConfig.
+        core_type: Type of the members' core.
         **links: Settings of the Links.
 
     Attributes:
-        at: MemberProcess by address, the newest of each.
-        notes: (ns, member name, change) of each change in a member's view of the cluster.
-        bytes: Bytes sent by address.
-        sent: Messages sent by address.
-        unreadable: Datagrams that could not be decoded.
+        processes: The newest MemberProcess of each address.
+        changes: (ns, member name, change) of each change in a member's view of the cluster.
+        bytes_sent: Bytes sent by address.
+        messages_sent: Messages sent by address.
+        unreadable_datagrams: Number of datagrams that could not be decoded.
         incarnations: Processes started so far.
     """
 
@@ -74,9 +74,9 @@
 
         Args:
             name: The member's name.
-            seeds: Addresses that it joins by.
+            seeds: Addresses of the members through which it joins.
             address: Its address; None: its name.
-            clock: How far its wall clock is off, ns.
+            clock: Offset of its wall clock, ns.
             cluster: The cluster's name.
 
         Returns:
@@ -101,10 +101,10 @@
         return process
 
     def start_cluster(self, count):
-        """Starts members one after the other, and gives them time to know each other.
+        """Starts members one after the other, and lets time pass until they know each other.
 
         Args:
-            count: How many; they are called m0, m1 and so on.
+            count: Number of members; their names are m0, m1 and so on.
 
         Returns:
             The simulation itself.
@@ -116,7 +116,7 @@
         return self
 
     def kill(self, address):
-        """Kills a member's process; nobody is notified.
+        """Kills a member's process without notifying other members.
 
         Args:
             address: The member's address.
@@ -124,7 +124,7 @@
         self.processes[address].alive = False
 
     def send(self, process, messages):
-        """Puts messages on the links.
+        """Sends messages over the links.
 
         Args:
             process: The MemberProcess that sends them.
@@ -144,7 +144,7 @@
             self.processes[receiver].receive(sender, message)
 
     def record_changes(self, process):
-        """Moves a core's new changes to the notes.
+        """Moves a core's new events to the recorded changes.
 
         Args:
             process: The MemberProcess.
@@ -165,11 +165,11 @@
         """Lets time pass until a condition holds.
 
         Args:
-            condition: A function without parameters.
-            timeout: The most time to pass, ns.
+            condition: A function without parameters, called every POLL_PERIOD_NS.
+            timeout: The longest time to wait, ns.
 
         Returns:
-            ns until it held, by a look at every POLL_PERIOD_NS; None: it did not.
+            Time until the condition held, ns; None: it did not hold within the timeout.
         """
         began = self.engine.time
         while self.engine.time < began + timeout:
@@ -179,7 +179,7 @@
         return None
 
     def running_processes(self):
-        """The processes that run.
+        """The processes that are alive and have not left the cluster.
 
         Returns:
             A list of MemberProcess items.
@@ -187,13 +187,13 @@
         return [process for process in self.processes.values() if process.alive and not process.core.ended]
 
     def views_agree(self, group=None):
-        """Whether each living member takes exactly the living members for active.
+        """Whether the active members in each running member's view are exactly the running members.
 
         Args:
-            group: Addresses of those that count; None: all.
+            group: Addresses of the members to compare; None: all.
 
         Returns:
-            Whether they agree.
+            Whether all views agree.
         """
         cores = [p.core for p in self.running_processes() if group is None or p.core.local.address in group]
         names = {core.local.name for core in cores}
--- a/embertray/simulation/emulator/outcome_observer.py
+++ b/embertray/simulation/emulator/outcome_observer.py
@@ -1,10 +1,10 @@
-"""An observer for simulations that are measured, not judged."""
+"""An observer for simulations whose rules are not checked."""
 
 from embertray.simulation.scenarios.observer import Observer
 
 
 class OutcomeObserver(Observer):
-    """Records the outcomes of requests and no events, of which there are many more."""
+    """Records the outcomes of requests but no events, which are far more numerous."""
 
     def note(self, at, what, who, *rest):
         """Drops an event.
@@ -12,6 +12,6 @@
         Args:
             at: Its time, ns.
             what: Its kind.
-            who: Whose it is.
+            who: The component that it concerns.
             *rest: Its details.
         """
--- a/embertray/simulation/emulator/play.py
+++ b/embertray/simulation/emulator/play.py
@@ -1,4 +1,4 @@
-"""Plays a day without sockets, request by request or as flows."""
+"""Runs a day without sockets, with single requests or with flows."""
 
 import time
 
@@ -9,17 +9,17 @@
 
 
 def play(day, seed=1, fidelity="reqs", core=None, trust=None, on_stage=None, watched=True, progress=None):
-    """Plays a day, as scenarios.player.play does on sockets.
+    """Runs a day, as scenarios.player.play does on sockets.
 
     Args:
         day: The Day.
-        seed: Of all random draws.
-        fidelity: "reqs": each request is an object; "flows": they are masses.
+        seed: Seed of all random draws.
+        fidelity: "reqs": each request is an object; "flows": requests are flows.
         core: Type of the controllers' core; None: the production one.
-        trust: Type of their judgement of the endpoint list; None: the production one.
+        trust: Type that judges the endpoint list in controllers; None: the production one.
         on_stage: Called with the simulation before it begins; or None.
-        watched: Whether events are recorded, for the rules' judgement.
-        progress: As DaySimulation.play has it.
+        watched: Whether events are recorded, so that the rules can be checked.
+        progress: As in DaySimulation.play.
 
     Returns:
         The Result.
--- a/embertray/simulation/emulator/playable_days.py
+++ b/embertray/simulation/emulator/playable_days.py
@@ -1,4 +1,4 @@
-"""Which days can be played without sockets."""
+"""Checks which days can be simulated without sockets."""
 
 from embertray.simulation.scenarios.exceptions import DayError
 
@@ -7,7 +7,7 @@
 
 
 def check_playable(day):
-    """Rejects a day with faults that this simulation does not have.
+    """Rejects a day with faults that this simulation does not support.
 
     Args:
         day: The Day.
@@ -18,10 +18,10 @@
     for fault in day.faults:
         if fault.name in STREAM_FAULTS:
             raise DayError(
-                f"{day.name}:{fault.line}: '{fault.name}' needs true streams: play it on sockets or in memory"
+                f"{day.name}:{fault.line}: '{fault.name}' needs byte streams: run it on sockets or in memory"
             )
     if day.linked:
         raise DayError(
-            f"{day.name}:{day.linked.line}: '{day.linked.name}' strikes links between "
-            "processes: play it with --processes"
+            f"{day.name}:{day.linked.line}: '{day.linked.name}' affects links between "
+            "processes: run it with --processes"
         )
--- a/embertray/simulation/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy without sockets: the requests that it forwards are scheduled calls."""
+"""A simulated proxy: it forwards requests as scheduled calls instead of over sockets."""
 
 from embertray.simulation.standins.messages import Req
 
@@ -9,7 +9,7 @@
     """A proxy with its stream, its clients' requests and its attempts at backends.
 
     Attributes:
-        bad: Names of backends that it can't reach.
+        bad: Names of backends that it cannot reach.
     """
 
     def __init__(self, *args):
@@ -21,7 +21,8 @@
 
         Args:
             request: The Req.
-            respond: Called with the request, its outcome and, if it was rejected, ns to stay away.
+            respond: Called with the request, its outcome and, if it was rejected, the least delay of a retry,
+                ns.
         """
         if self.still:
             self.held_back.append((self.on_request, request, respond))
@@ -33,7 +34,7 @@
             self._attempt(underway)
 
     def _attempt(self, underway):
-        """Sends a request to the backend that the tables give, or ends it if there is none."""
+        """Sends a request to a backend chosen by the routing table, or ends it if there is none."""
         engine = self.simulation.engine
         outcome = self.model.attempt(engine.time, underway)
         if outcome:
--- a/embertray/simulation/emulator/proxy_stream.py
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -1,35 +1,37 @@
-"""A proxy's stream to a controller as scheduled calls: dials, orders, acknowledgements, load reports."""
+"""A simulated proxy's stream to a controller: dials, orders, acknowledgements and load reports."""
 
 from embertray.controller.stream.messages import Acknowledgement, Hello
 from embertray.simulation.models.proxy import Proxy, StandsStill
 from embertray.simulation.standins.proxy import REDIAL
 
 PROTOCOL_VERSION = 1
-# The pause before the next dial: the first, and the longest that the backoff grows to.
+# The initial and the longest backoff between dials.
 FIRST_REDIAL_NS, LONGEST_REDIAL_NS = REDIAL
 
 
 class ProxyStream(StandsStill):
-    """A proxy as the controllers see it.
+    """The side of a proxy that talks to controllers.
 
     Args:
         simulation: The DaySimulation.
         name: The proxy's name.
         zone: Its zone.
-        rate: Requests a second that its clients send on average.
+        rate: Mean rate of its clients' requests, requests a second.
         rng: Its random generator.
-        initial_backends: Names that it sends to before any controller has spoken.
-        order_delay: A function that gives ns from an order's arrival to its effect.
+        initial_backends: Names of the backends that it uses until a controller sends tables.
+        order_delay: A function that returns the time from an order's arrival to its effect, ns.
 
     Attributes:
-        model: The plain proxy without sockets.
+        model: The Proxy, which decides about requests.
         first: The initial backends.
         fresh: Whether it has never joined a controller.
         controller: The SimulatedController that it has joined, or None.
-        session: The Hello of the present stream, or None.
+        session: The Hello of the current stream, or None.
         home: Index of the controller that it dials first.
-        lag: ns that its load reports are under way.
+        lag: Delay of its load reports, ns.
         cut_off: Whether it can reach no controller.
+        still: Whether its process is stopped.
+        held_back: Calls deferred until the process continues, as (callback, *args).
     """
 
     def __init__(self, simulation, name, zone, rate, rng, initial_backends, order_delay):
@@ -52,14 +54,14 @@
         self._next_controller = 0
         self._failed_dials = 0
         self._backoff = FIRST_REDIAL_NS
-        self._last_effect_at = 0  # ns; orders take effect one after the other
+        self._last_effect_at = 0  # ns; orders take effect in the order of arrival
         self._reading = True
-        self._unread = []  # (controller, orders) that wait in its socket
+        self._unread = []  # (controller, orders) in its socket buffer
 
     # ---- dialling
 
     def start(self):
-        """Starts the proxy: it dials, and reports its load from now on."""
+        """Starts dialling and load reports."""
         engine = self.simulation.engine
         self._next_controller = self.home
         self.model.joined(engine.time)
@@ -67,14 +69,14 @@
         self.dial()
 
     def dial(self):
-        """Dials the next controller; one that does not answer or rejects is followed by another, later."""
+        """Dials the next controller; after a failure or a rejection it dials another one later."""
         names = list(self.simulation.held.at)
         name = names[self._next_controller % len(names)]
         controller = self.simulation.held.running.get(name)
         if controller is None or self.cut_off:
             self._redial(0)
             return
-        if controller.frozen:  # its socket accepts, and it answers when it runs again
+        if controller.frozen:  # the kernel accepts the connection; the process answers when it runs again
             controller.call_when_running(self.dial)
             return
         retry_after = controller.join(self, self._hello())
@@ -87,7 +89,7 @@
         return Hello(PROTOCOL_VERSION, self.name, self.zone, self.rate, self.fresh)
 
     def _redial(self, retry_after):
-        """Dials again after a backoff with jitter, which grows once all controllers were tried."""
+        """Schedules the next dial after a backoff with jitter, which doubles after a round of failures."""
         self._next_controller += 1
         self._failed_dials += 1
         pause = max(retry_after, int(self._backoff * (0.5 + self.rng.random())))
@@ -111,7 +113,7 @@
         self.simulation.eyes.joined(now, self.name, controller.name)
 
     def break_stream(self):
-        """Breaks the stream, if there is one; the proxy dials again."""
+        """Breaks the stream, if there is one, and schedules the next dial."""
         controller = self.controller
         self.controller = None
         self.session = None
@@ -127,7 +129,7 @@
 
     @property
     def deaf(self):
-        """Whether the proxy leaves what arrives in its socket unread."""
+        """Whether the proxy does not read from its socket."""
         return not self._reading
 
     @deaf.setter
@@ -139,7 +141,7 @@
             self._read(controller, orders)
 
     def on_orders(self, controller, orders):
-        """Handles orders that have arrived in the proxy's socket.
+        """Handles orders that arrive at the proxy's socket.
 
         Args:
             controller: The SimulatedController that sent them.
@@ -160,7 +162,7 @@
         self.simulation.engine.at(self._last_effect_at, self.apply, self.session, orders)
 
     def apply(self, session, orders):
-        """Puts orders into effect and acknowledges them, unless their stream broke meanwhile.
+        """Applies and acknowledges orders, unless their stream broke meanwhile.
 
         Args:
             session: The Hello of the stream that carried them.
@@ -182,7 +184,7 @@
         """Sends a message to the controller, unless the stream broke meanwhile.
 
         Args:
-            session: The Hello of the stream that is to carry it.
+            session: The Hello of the stream to use.
             message: A LoadReport or an Acknowledgement.
         """
         if session is self.session and session is not None:
@@ -190,7 +192,7 @@
 
     def report(self):
         """Sends a load report and schedules the next."""
-        # Taken even if it can't be sent: totals are those of one report cycle.
+        # Taken even if it cannot be sent, since a report covers one report cycle only.
         load_report = self.model.sums(self.simulation.engine.time)
         if self.session is not None and not self.still:
             self._send_report(load_report)
--- a/embertray/simulation/emulator/random_faults.py
+++ b/embertray/simulation/emulator/random_faults.py
@@ -1,19 +1,19 @@
-"""Days of faults drawn by seed, for the emulator and for true processes."""
+"""Days with random faults, for simulations and for runs with real processes."""
 
 import random
 
 
 def random_faults(seed, members, lasts=120, count=4, extra=""):
-    """Draws faults on members and links of a cluster, several at once.
+    """Draws faults on members and links of a cluster, which may overlap.
 
-    They begin in the day's first half, so that all claims are checked after them too.
+    They begin in the first half of the day, so that all claims are also checked after them.
 
     Args:
-        seed: Of the draws.
-        members: How many members.
+        seed: Seed of the draws.
+        members: Number of members.
         lasts: The day's duration, seconds.
-        count: How many faults.
-        extra: More settings of the fleet.
+        count: Number of faults.
+        extra: Further settings of the fleet.
 
     Returns:
         The day's text.
--- a/embertray/simulation/emulator/snapshot_saver.py
+++ b/embertray/simulation/emulator/snapshot_saver.py
@@ -1,10 +1,10 @@
-"""When a simulated controller saves the endpoint list."""
+"""Schedules the endpoint list snapshots of a simulated controller."""
 
 from embertray.common.snapshots import CONFIRMATION_PERIOD_NS, SNAPSHOT_PERIOD_NS
 
 
 class SnapshotSaver:
-    """Saves a controller's list soon after a change, and regularly to confirm that it still holds.
+    """Saves a controller's endpoint list soon after a change, and regularly to confirm that it is valid.
 
     Args:
         controller: The SimulatedController.
@@ -43,7 +43,7 @@
         self.schedule(now + CONFIRMATION_PERIOD_NS)
 
     def _is_confirmed(self):
-        """Whether the list is known to hold now: its source is connected and has answered."""
+        """Whether the list is known to be current: its source is connected and has answered."""
         controller = self.controller
         return (
             controller.list_client.connection is not None
--- a/embertray/simulation/emulator/state_exchanger.py
+++ b/embertray/simulation/emulator/state_exchanger.py
@@ -1,4 +1,4 @@
-"""State exchanges under virtual time: production stores and exchanges, over streams that links break."""
+"""Simulates state exchanges: production stores and exchanges, over streams on unreliable links."""
 
 import random
 
@@ -9,14 +9,14 @@
 
 from .engine import NS_PER_MS
 
-# Time between two looks at a link that carries nothing, or at a process that is paused.
+# Time between two checks of a link that carries nothing, or of a paused process.
 POLL_PERIOD_NS = 20 * NS_PER_MS
-# Looks at what is due, for each probe period.
+# Checks of what is due in each probe period.
 STEPS_PER_PROBE_PERIOD = 20
 
 
 def timestamp_as_facts(now):
-    """Facts that say nothing but when they were written.
+    """Facts that consist of the time at which they were written.
 
     Args:
         now: ns.
@@ -32,20 +32,20 @@
 
     Args:
         process: The MemberProcess that it belongs to.
-        others: A function that gives the StateExchanger items by address.
+        others: A function that returns all StateExchanger items by address.
         links: The Links.
-        seed: Of the choice of peers.
-        make: Type of the exchange.
-        store: Type of the store.
-        facts: A function that gives the facts to write, bytes, for a time in ns.
+        seed: Seed of the choice of peers.
+        exchange_type: Type of the exchange.
+        store_type: Type of the store.
+        facts: A function that returns the facts to write at a time in ns, as bytes.
 
     Attributes:
         store: The EntryStore.
         exchange: The AntiEntropyExchange.
-        facts_at: When the facts are written next, ns.
-        bytes: Bytes that it sent, in its own exchanges and in others', with the frames' lengths.
-        made: Exchanges begun.
-        failed: Exchanges that failed.
+        next_facts_at: When the facts are written next, ns.
+        bytes_sent: Bytes sent in its own exchanges and in those of others, frame prefixes included.
+        exchanges_begun: Exchanges that it began.
+        exchanges_failed: Those of them that failed.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self.bytes_sent = 0
         self.exchanges_failed = 0
         self.exchanges_begun = 0
-        self._number = 0  # of the exchange under way; what belongs to an older one is void
+        self._number = 0  # of the exchange in progress; calls of older ones are ignored
         self._step_period = core.config.probe_period // STEPS_PER_PROBE_PERIOD  # ns
         self.engine.at(now, self._step)
 
@@ -88,7 +88,7 @@
     # ---- what is due
 
     def _step(self):
-        """Does what is due; begins an exchange, or schedules the next step."""
+        """Maintains the store, and begins an exchange or schedules the next step."""
         if not self.running:
             return
         now = self.engine.time
@@ -116,7 +116,7 @@
     def _peer_addresses(self):
         return {member.name: member.address for member in self.process.core.active_members}
 
-    # ---- an exchange: connection, its acceptance, the offer, what each lacks
+    # ---- an exchange: connection, acceptance, offer, and the deltas of both sides
 
     def _begin(self, now, address):
         self._number += 1
@@ -142,15 +142,15 @@
         self.engine.at(self.engine.time + self._step_period, self._step)
 
     def _pass_message(self, number, address, outgoing, on_arrival):
-        """Passes one message of an exchange's stream on.
+        """Sends one message of an exchange's stream.
 
-        A message waits on a silent link, or for a paused process, until the exchange times out.
+        It waits until the exchange times out, while the link carries nothing or a process is paused.
 
         Args:
             number: The exchange's number.
             address: The peer's address.
             outgoing: Whether the message goes to the peer, not from it.
-            then: Called when it arrives.
+            on_arrival: Called when it arrives.
         """
         if number != self._number or not self.running:
             return
@@ -176,7 +176,7 @@
         return self.links.stream_delay(address, here)
 
     def _deliver(self, number, address, on_arrival):
-        """Hands a message over; either process may have been paused or killed since it was sent."""
+        """Delivers a message; either process may have been paused or killed since it was sent."""
         peer = self.others().get(address)
         if number != self._number or not self.running or peer is None or not peer.running:
             return
@@ -189,7 +189,7 @@
         """Counts a message's bytes.
 
         Args:
-            message: A state message that is sent now.
+            message: A state message to send.
 
         Returns:
             The message.
@@ -198,7 +198,7 @@
         return message
 
     def send_offer(self, number, address):
-        """Sends the offer of an exchange whose stream is open.
+        """Sends the offer of an exchange, once its stream is open.
 
         Args:
             number: The exchange's number.
--- a/embertray/simulation/emulator/web_links.py
+++ b/embertray/simulation/emulator/web_links.py
@@ -1,10 +1,10 @@
-"""Links of simulated members that faults bend."""
+"""Links between simulated members that are subject to a day's faults."""
 
 from .member_links import Links
 
 
 class WebLinks(Links):
-    """The links of members that follow a Web, which faults bend.
+    """Links whose state is that of a Web, which faults change.
 
     Args:
         random: A random.Random.
@@ -16,7 +16,7 @@
         self.web = web
 
     def deliveries(self, sender, receiver, data):
-        """Draws what becomes of a datagram, as Links do; nothing is corrupted.
+        """Draws the fate of a datagram, as Links do; nothing is corrupted.
 
         Args:
             sender: An address.
@@ -30,7 +30,7 @@
             yield self.random.randint(*self.delay) + extra_delay, data
 
     def stream_delay(self, sender, receiver):
-        """Draws the time of a part of a stream.
+        """Draws the delay of a part of a stream.
 
         Args:
             sender: An address.
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -102,7 +102,7 @@
 
     def test_what_needs_streams_is_refused_by_line(self):
         text = "site pushed\nload 10/s for 5s\nat 2s half-message p1\n"
-        with self.assertRaisesRegex(notation.DayError, "here:3: 'half-message' needs true streams"):
+        with self.assertRaisesRegex(notation.DayError, "here:3: 'half-message' needs byte streams"):
             play(day(text))
         with self.assertRaisesRegex(notation.DayError, "emulated only"):
             player.play(day("site pushed\nfleet cross=4ms\nload 10/s for 5s\n"))
