--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -13,7 +13,7 @@
 from .cluster_links import ClusterLinks
 from .ports import free_ports
 from .program import Program
-from .site_description import describe
+from .site_description import write_site_description
 
 SAMPLE = SITES / "samples" / "pushed.xml"
 PERIOD = 200  # ms; a fifth of the default, so that a case takes seconds
@@ -36,12 +36,12 @@
         self.names = [f"c{n + 1}" for n in range(count)]
         self.running = {}
         ports = free_ports(3 * count)
-        self.path = self.describe(
+        self.path = self.write_description(
             "site", {name: ports[3 * n : 3 * n + 3] for n, name in enumerate(self.names)}, clustered
         )
         self.admin = {name: f"127.0.0.1:{ports[3 * n + 1]}" for n, name in enumerate(self.names)}
 
-    def describe(self, file, ports, clustered=True):
+    def write_description(self, file, ports, clustered=True):
         """Writes a description; `ports`: name -> those of listen, admin and cluster."""
         rows = [
             (
@@ -52,7 +52,7 @@
             )
             for name, three in ports.items()
         ]
-        return describe(
+        return write_site_description(
             SAMPLE,
             self.folder / f"{file}.xml",
             rows,
@@ -179,7 +179,7 @@
         }
         self.ways = ClusterLinks({name: three[2] for name, three in ports.items()}, seed)
         self.files = {
-            name: self.describe(
+            name: self.write_description(
                 name,
                 {
                     other: three[:2] + [three[2] if other == name else self.ways.port(name, other)]
--- a/embertray/simulation/processes/control_plane.py
+++ b/embertray/simulation/processes/control_plane.py
@@ -15,7 +15,7 @@
 from .control_links import ControlLinks
 from .ports import free_ports
 from .program import Program, embertray
-from .site_description import describe
+from .site_description import write_site_description
 
 SAMPLE = SITES / "samples" / "pushed.xml"
 REGIONS = ("east", "west", "south")
@@ -71,14 +71,14 @@
         port = self.links.port(name, other) if linked else self._true_port(name, other)
         return f"127.0.0.1:{port}"
 
-    def described(self, name):
+    def write_description(self, name):
         """The site's file as this process is to know it."""
         rows = [
             (one, "north", f"127.0.0.1:{self.ports[one][0]}", self.admin(one), None)
             for one in self.controllers
         ]
         rows = rows or [("c0", "north", "127.0.0.1:0", "127.0.0.1:0", None)]  # a site has one at the least
-        path = describe(SAMPLE, self.folder / f"{name}.xml", rows, "127.0.0.1:1")
+        path = write_site_description(SAMPLE, self.folder / f"{name}.xml", rows, "127.0.0.1:1")
         if not self.replicas:
             return path
         tree = etree.parse(str(path))
@@ -106,7 +106,7 @@
     def up(self, name):
         """Starts a process."""
         log = self.folder / f"{name}.log"
-        path = str(self.described(name))
+        path = str(self.write_description(name))
         self.running[name] = Program(log, None, name, command=self._command(name, path))
 
     def _command(self, name, path):
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -12,7 +12,7 @@
 
 from .ports import free_ports
 from .program import Program
-from .site_description import describe
+from .site_description import write_site_description
 
 
 class ControllerProcesses:
@@ -47,9 +47,9 @@
     async def prepare(self):
         """What has to be there before the first process."""
 
-    def described(self, name):
+    def write_description(self, name):
         """The day's site as a file, with the addresses of this run as this process is to know them."""
-        return describe(
+        return write_site_description(
             self.stage.sample,
             self.folder / f"{name}.xml",
             [(me.name, me.zone, me.listen, me.admin, self.seen(name, me)) for me in self.at.values()],
@@ -72,7 +72,7 @@
         if name in self.running:
             return
         self.running[name] = program = Program(
-            self.folder / f"{name}.log", self.described(name), name, self.seed
+            self.folder / f"{name}.log", self.write_description(name), name, self.seed
         )
         if still:
             program.stop()
--- a/embertray/simulation/processes/site_description.py
+++ b/embertray/simulation/processes/site_description.py
@@ -3,7 +3,7 @@
 from lxml import etree
 
 # a fact's place in the description, for those that a day's text may change in both ways of playing
-PLACES = {
+FACT_ATTRIBUTES = {
     "channel_rate": ("channel", "lines-per-second"),
     "pending_max": ("channel", "lines-waiting"),
     "messages_max": ("channel", "messages"),
@@ -11,7 +11,7 @@
 }
 
 
-def describe(sample, path, controllers, inventory, keep=None, period=None, facts=None):
+def write_site_description(sample, path, controllers, inventory, keep=None, period=None, facts=None):
     """Writes a description.
 
     Args:
@@ -48,7 +48,7 @@
         parent.addprevious(etree.Element("cluster", period=period))
     for key, value in (facts or {}).items():
         for element in root.iter():
-            if PLACES.get(key, (None, None))[0] == element.tag:
-                element.set(PLACES[key][1], value)
+            if FACT_ATTRIBUTES.get(key, (None, None))[0] == element.tag:
+                element.set(FACT_ATTRIBUTES[key][1], value)
     tree.write(str(path))
     return path
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -103,7 +103,7 @@
             for element in etree.parse(str(site.path)).getroot().find("controllers")
             for name in [element.get("name")]
         }
-        path = site.describe("other", known_ports | {"c2": ports})
+        path = site.write_description("other", known_ports | {"c2": ports})
         site.up("c2", path, "younger")
         older = site.running.pop("c2")
         self.assertEqual(older.ended(), 0)
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -120,7 +120,7 @@
         unused_address = f"127.0.0.1:{free_ports(1)[0]}"
         value = self.folder / "some"
         value.write_text("1")
-        site = str(self.plane.described("k1"))
+        site = str(self.plane.write_description("k1"))
         site_without_control = ROOT / "embertray" / "service" / "site" / "samples" / "pushed.xml"
         cases = (
             (("status", "--admin", unused_address), unused_address),
@@ -159,7 +159,7 @@
         ):
             with self.subTest(method=method, page=page):
                 self.assertEqual(self.request_status("k1", method, page), status)
-        self.assertEqual(self.plane.ask("c1", "/control/key")[0], 400)
+        self.assertEqual(self.plane.get_page("c1", "/control/key")[0], 400)
 
     def request_status(self, name, method, page):
         import http.client
@@ -179,13 +179,13 @@
         )
         follower = next(name for name in self.plane.replicas if name != leader)
         self.assertRegex(self.control("status", at=follower).stdout, f"follower, {leader} leads")
-        self.assertEqual(self.plane.ask(leader, "/ready")[0], 200)
-        self.assertIn(b"embertray_control_leads 1", self.plane.ask(leader, "/metrics")[1])
+        self.assertEqual(self.plane.get_page(leader, "/ready")[0], 200)
+        self.assertIn(b"embertray_control_leads 1", self.plane.get_page(leader, "/metrics")[1])
         self.plane.wait(lambda: (self.plane.status("c1") or {}).get("connected"), "the controller follows")
         status = self.plane.status("c1")
         self.assertEqual((status["type"], status["cluster"]), ("subscriber", "pushed"))
         self.assertRegex(self.control("status", at="c1").stdout, "^c1 in pushed: follows k[123]\nrevision ")
-        self.assertIn(b"embertray_control_connected 1", self.plane.ask("c1", "/metrics")[1])
+        self.assertIn(b"embertray_control_connected 1", self.plane.get_page("c1", "/metrics")[1])
 
 
 class StoppedProcesses(unittest.TestCase):
@@ -223,16 +223,16 @@
         )
         status = control("status", "--admin", plane.admin(survivor)).stdout
         self.assertRegex(status, "NO LEADER KNOWN|WITHOUT A MAJORITY")
-        self.assertEqual(plane.ask(survivor, "/ready")[0], 503)
+        self.assertEqual(plane.get_page(survivor, "/ready")[0], 503)
 
     def test_a_replica_stops_on_sigterm_and_restarts_from_its_state(self):
         plane = self.plane(replicas=1, controllers=1)
         completed = control("put", "key", str(self.value), "--admin", plane.admin("k1"))
         self.assertEqual(completed.returncode, 0, completed.stderr)
-        plane.wait(lambda: plane.ask("c1", "/control/key?key=key")[0] == 200, "in force at the controller")
+        plane.wait(lambda: plane.get_page("c1", "/control/key?key=key")[0] == 200, "in force at the controller")
         program = plane.running.pop("k1")
-        program.ask_to_end()
-        self.assertEqual(program.ended(), 0)
+        program.terminate()
+        self.assertEqual(program.wait_ended(), 0)
         plane.up("k1")
         plane.wait(plane.leader, "it leads again")
         completed = control("get", "key", "--admin", plane.admin("k1"))
@@ -259,10 +259,10 @@
         plane = ControlPlane(folder.name, replicas=0, controllers=1)
         self.addCleanup(plane.end)
         plane.up("c1")
-        plane.wait(lambda: plane.ask("c1", "/live")[0] == 200, "it lives")
-        code, body = plane.ask("c1")
+        plane.wait(lambda: plane.get_page("c1", "/live")[0] == 200, "it lives")
+        code, body = plane.get_page("c1")
         self.assertEqual((code, body), (404, b"no control plane: the site has no <control>\n"))
-        self.assertNotIn(b"embertray_control_", plane.ask("c1", "/metrics")[1])
+        self.assertNotIn(b"embertray_control_", plane.get_page("c1", "/metrics")[1])
 
 
 if __name__ == "__main__":
