--- a/embertray/experiments/measure/wounds.py
+++ b/embertray/experiments/measure/wounds.py
@@ -26,9 +26,9 @@
 def stop(site, n):
     """Stops a process and resumes it; yields the condition that all others take it for dead."""
     name = site.names[n % len(site.names)]
-    site.stop(name)
+    site.pause(name)
     yield lambda: site.all_see(**{name: "dead"})
-    site.go_on(name)
+    site.resume(name)
 
 
 def split(site, n):
--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -92,7 +92,7 @@
         """
         began = time.monotonic()
         while time.monotonic() < began + most:
-            ended = [name for name, program in self.running.items() if program.over]
+            ended = [name for name, program in self.running.items() if program.has_ended]
             if ended:
                 raise AssertionError(
                     f"{ended[0]} has ended: " + (self.folder / f"{ended[0]}.log").read_text()[-300:]
@@ -145,15 +145,15 @@
             default=0.0,
         ), bound
 
-    def stop(self, name):
+    def pause(self, name):
         """It stands still until `go_on`, and is not asked meanwhile."""
         self.running["stopped"] = self.running.pop(name)
-        self.running["stopped"].stop()
+        self.running["stopped"].pause()
 
-    def go_on(self, name):
+    def resume(self, name):
         """It goes on as if no time had passed."""
         self.running[name] = self.running.pop("stopped")
-        self.running[name].go_on()
+        self.running[name].resume()
 
     def kill(self, name):
         """Ends a process at once (SIGKILL)."""
@@ -162,9 +162,9 @@
     def end(self):
         """Asks all that still run to end, and waits until they have."""
         for program in self.running.values():
-            program.ask_to_end()
+            program.terminate()
         for program in self.running.values():
-            program.ended()
+            program.wait_ended()
 
 
 class LinkedClusterMembers(ClusterMembers):
--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -140,9 +140,9 @@
     def _stop(self):
         name = self._victim()
         self.record.fault([] if name in self.plane.replicas else [name])
-        self.plane.stop(name)
+        self.plane.pause(name)
         time.sleep(FAULT_SECONDS * self.scale)
-        self.plane.go_on(name)
+        self.plane.resume(name)
         self.record.fault_over(name)
         return Struck("stop", f"{name} stopped")
 
--- a/embertray/simulation/processes/control_plane.py
+++ b/embertray/simulation/processes/control_plane.py
@@ -14,7 +14,7 @@
 
 from .control_links import ControlLinks
 from .ports import free_ports
-from .program import Program, embertray
+from .program import Program, embertray_command
 from .site_description import write_site_description
 
 SAMPLE = SITES / "samples" / "pushed.xml"
@@ -116,8 +116,8 @@
             role = "replica" if replica else "subscriber"
             return [sys.executable, *program, path, role, name, "--scale", str(self.scale)]
         if replica:
-            return embertray("control", "serve", path, "--replica", name, level="debug")
-        return embertray("serve", path, "--controller", name, level="debug")
+            return embertray_command("control", "serve", path, "--replica", name, level="debug")
+        return embertray_command("serve", path, "--controller", name, level="debug")
 
     def all_up(self):
         """Starts all."""
@@ -128,15 +128,15 @@
         """Ends a process at once (SIGKILL)."""
         self.running.pop(name).kill()
 
-    def stop(self, name):
+    def pause(self, name):
         """It stands still (SIGSTOP) until `go_on`."""
-        self.running[name].stop()
+        self.running[name].pause()
         self.stopped.add(name)
 
-    def go_on(self, name):
+    def resume(self, name):
         """It goes on (SIGCONT) as if no time had passed."""
         self.stopped.discard(name)
-        self.running[name].go_on()
+        self.running[name].resume()
 
     def forget(self, name):
         """What a replica that does not run has on disk is gone."""
@@ -196,7 +196,7 @@
         """
         began = time.monotonic()
         while time.monotonic() < began + most:
-            ended = [name for name, program in self.running.items() if program.over]
+            ended = [name for name, program in self.running.items() if program.has_ended]
             if ended:
                 log = (self.folder / f"{ended[0]}.log").read_text()[-400:]
                 raise AssertionError(f"{ended[0]} has ended: {log}")
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -75,10 +75,10 @@
             self.folder / f"{name}.log", self.write_description(name), name, self.seed
         )
         if still:
-            program.stop()
+            program.pause()
             await anyio.sleep(still / 1e9)
-            program.go_on()
-        await program.listening()
+            program.resume()
+        await program.wait_listening()
         self.notify(Reachability.process_started, name)
 
     async def all_up(self, names, still=0):
@@ -115,8 +115,8 @@
             program = self.running.pop(name)
             self.still.discard(name)
             self.notify(Reachability.process_ended, name)
-            program.ask_to_end()
-            await anyio.to_thread.run_sync(program.ended)
+            program.terminate()
+            await anyio.to_thread.run_sync(program.wait_ended)
         await self.up(name)
 
     def age(self, name, by, from_start):
@@ -127,13 +127,13 @@
         """A process stands still (SIGSTOP) until `thaw`."""
         if name in self.running:
             self.still.add(name)
-            self.running[name].stop()
+            self.running[name].pause()
             self.notify(Reachability.process_paused, name)
 
     def thaw(self, name):
         """A process goes on (SIGCONT) as if no time had passed."""
         if name in self.running:
-            self.running[name].go_on()
+            self.running[name].resume()
             self.still.discard(name)
             self.notify(Reachability.process_resumed, name)
 
@@ -143,6 +143,6 @@
     async def stop(self):
         """Asks all to end, and waits until they have."""
         for program in self.running.values():
-            program.ask_to_end()
+            program.terminate()
         for program in self.running.values():
-            await anyio.to_thread.run_sync(program.ended)
+            await anyio.to_thread.run_sync(program.wait_ended)
--- a/embertray/simulation/processes/process_monitor.py
+++ b/embertray/simulation/processes/process_monitor.py
@@ -58,8 +58,8 @@
 
     async def look(self, now, name, program):
         """Takes what a process uses, and what it says of the cluster."""
-        if (used := program.used()) is not None:
-            self.last[name, program.log, program.from_] = used
+        if (used := program.resource_usage()) is not None:
+            self.last[name, program.log, program.log_offset] = used
         if (
             self.claims is None
             or (body := await self.page(name, "/cluster")) is None
--- a/embertray/simulation/processes/program.py
+++ b/embertray/simulation/processes/program.py
@@ -13,7 +13,7 @@
 POLL_S = 0.02  # between two looks at its log
 
 
-def embertray(*arguments, level="info"):
+def embertray_command(*arguments, level="info"):
     """The command line of a sub-command that logs as JSON."""
     return [sys.executable, "-m", "embertray", "--log-format", "json", "--log-level", level, *arguments]
 
@@ -24,19 +24,19 @@
     def __init__(self, log, path, name, seed=1, command=None):
         self.name = name
         self.log = Path(log)
-        self.from_ = self.log.stat().st_size if self.log.exists() else 0
-        command = command or embertray("serve", str(path), "--controller", name, "--seed", str(seed))
+        self.log_offset = self.log.stat().st_size if self.log.exists() else 0
+        command = command or embertray_command("serve", str(path), "--controller", name, "--seed", str(seed))
         with open(self.log, "ab") as out:
             self.process = psutil.Popen(command, cwd=ROOT, stdout=out, stderr=out)
 
-    def said(self):
+    def log_rows(self):
         """What this life logged so far."""
         with open(self.log, "rb") as log:
-            log.seek(self.from_)
+            log.seek(self.log_offset)
             lines = log.read().split(b"\n")[:-1]
         return [json.loads(line) for line in lines if line.startswith(b"{")]
 
-    async def listening(self):
+    async def wait_listening(self):
         """What it says of its addresses once it listens.
 
         Raises:
@@ -44,21 +44,21 @@
         """
         with anyio.move_on_after(START_TIMEOUT_S):
             while self.process.poll() is None:
-                if found := next((row for row in self.said() if row["event"] == "listening"), None):
+                if found := next((row for row in self.log_rows() if row["event"] == "listening"), None):
                     return found
                 await anyio.sleep(POLL_S)
         raise RuntimeError(f"{self.name} does not listen: {self.log.read_text()[-400:]}")
 
     @property
-    def over(self):
+    def has_ended(self):
         """Whether it has ended."""
         return self.process.poll() is not None
 
-    def stop(self):
+    def pause(self):
         """It stands still (SIGSTOP) until `go_on`."""
         self.process.suspend()
 
-    def go_on(self):
+    def resume(self):
         """It goes on (SIGCONT) as if no time had passed."""
         self.process.resume()
 
@@ -67,13 +67,13 @@
         self.process.kill()
         self.process.wait(END_TIMEOUT_S)
 
-    def ask_to_end(self):
+    def terminate(self):
         """It is asked to end (SIGTERM), if it has not."""
-        if not self.over:
+        if not self.has_ended:
             self.process.resume()
             self.process.terminate()
 
-    def ended(self):
+    def wait_ended(self):
         """Its exit code, once it has ended; it is killed if it does not end when asked."""
         try:
             return self.process.wait(END_TIMEOUT_S)
@@ -81,7 +81,7 @@
             self.process.kill()
             return self.process.wait()
 
-    def used(self):
+    def resource_usage(self):
         """(s of CPU, bytes of memory) so far; None once it has ended."""
         try:
             with self.process.oneshot():
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -68,9 +68,9 @@
         took = site.wait(lambda: site.all_see(**alive | {"c4": "dead"}), "c4 is dead")
         self.assertLessEqual(took, bound_s + 2)  # plus the time that this machine needs to poll
 
-        site.stop("c3")
+        site.pause("c3")
         site.wait(lambda: site.all_see(c3="dead"), "c3 is stopped and considered dead")
-        site.go_on("c3")
+        site.resume("c3")
         site.wait(lambda: site.all_see(c1="alive", c2="alive", c3="alive"), "c3 is back")
         self.assertNotIn(
             '"dead"',
@@ -106,7 +106,7 @@
         path = site.write_description("other", known_ports | {"c2": ports})
         site.up("c2", path, "younger")
         older = site.running.pop("c2")
-        self.assertEqual(older.ended(), 0)
+        self.assertEqual(older.wait_ended(), 0)
         self.assertIn("a younger process has the name c2", (Path(self.folder) / "c2.log").read_text())
         site.admin["c2"] = f"127.0.0.1:{ports[1]}"
         site.wait(
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -54,11 +54,11 @@
         """Writes more than the budget of `name` lets through at once; returns when it has a part of it."""
         plane = record.plane
         record.fault([name])
-        plane.stop(name)  # so that it has nothing when the last is written, however long that took
+        plane.pause(name)  # so that it has nothing when the last is written, however long that took
         first = self.put(record, "large-0", LARGE)
         for number in range(1, 14):
             last = self.put(record, f"large-{number}", LARGE)
-        plane.go_on(name)
+        plane.resume(name)
         record.fault_over("written")
         plane.wait(lambda: first <= plane.status(name)["revision"] < last, f"{name} holds a part")
         return last
@@ -88,12 +88,12 @@
             plane = record.plane
             former = plane.wait(plane.leader, "a leader")
             record.fault()
-            plane.stop(former)
+            plane.pause(former)
             leader = plane.wait(lambda: plane.leader(), "another leads")
             revision = self.put(record, "while", b"1", at=leader)
             plane.wait(lambda: plane.status("c1")["revision"] >= revision, "in force without it")
             plane.wait(lambda: plane.status("c2")["revision"] >= revision, "in force without it")
-            plane.go_on(former)
+            plane.resume(former)
             plane.wait(lambda: plane.status(former)["revision"] >= revision, "it follows")
             self.put(record, "after", b"2")
 
@@ -256,11 +256,11 @@
             plane = record.plane
             followed = self.followed(record, "c1")
             record.fault(["c1"])
-            plane.stop("c1")
+            plane.pause("c1")
             last = self.put(record, "key", LARGE)
             plane.wait(lambda: plane.status("c2")["revision"] >= last, "others are not held up")
             plane.wait(lambda: plane.status(followed)["silent_subscribers"], "it is dropped")
-            plane.go_on("c1")
+            plane.resume("c1")
             plane.wait(lambda: plane.status("c1")["revision"] >= last, "it is back")
 
         self.held(body)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -91,8 +91,8 @@
 
     def test_one_that_ends_says_so(self):
         def case(site):
-            site.running["c3"].ask_to_end()
-            self.assertEqual(site.running.pop("c3").ended(), 0)
+            site.running["c3"].terminate()
+            self.assertEqual(site.running.pop("c3").wait_ended(), 0)
             site.wait(lambda: site.all_see(c1="alive", c2="alive", c3="left"), "c3 has left")
             site.up("c3")
 
