--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -20,7 +20,7 @@
 
     clustered = False
     links = None
-    used = None  # what each process used, once the day is over
+    resource_usage = None  # what each process used, once the day is over
 
     def __init__(self, seed, folder):
         self.seed = seed
--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -14,7 +14,7 @@
 
 from .cluster_links import ClusterLinks
 from .controller_processes import ControllerProcesses
-from .process_monitor import SLACK, Watch
+from .process_monitor import DELAY_SLACK_NS, ProcessMonitor
 
 
 class LinkedControllerProcesses(ControllerProcesses):
@@ -31,12 +31,12 @@
     async def start(self, stage):
         """As ControllerProcesses; looks at the processes all the while."""
         await super().start(stage)
-        self.watch = Watch(self, stage.net, stage.clock, self.claims)
-        stage.group.start_soon(self.watch.run)
+        self.monitor = ProcessMonitor(self, stage.net, stage.clock, self.claims)
+        stage.group.start_soon(self.monitor.run)
 
     async def closing(self):
         """Keeps what each process used."""
-        self.used = await self.watch.used()
+        self.resource_usage = await self.monitor.resource_usage()
 
     async def prepare(self):
         """Makes the links, and what the cluster's claims are judged by."""
@@ -58,7 +58,7 @@
         self.links.watching.append(self.bent)
         if self.clustered:
             self.claims = ClusterClaims(
-                self.links, span(self.stage.day.fleet["period"]), EXCHANGE_TIMEOUT_NS, SLACK
+                self.links, span(self.stage.day.fleet["period"]), EXCHANGE_TIMEOUT_NS, DELAY_SLACK_NS
             )
 
     def passed(self, name, decoder, data):
--- a/embertray/simulation/processes/process_monitor.py
+++ b/embertray/simulation/processes/process_monitor.py
@@ -9,12 +9,12 @@
 from embertray.simulation.standins.link import STREAM_ERRORS
 
 SECOND_NS = 10**9
-LOOK_PERIOD_NS = SECOND_NS // 4  # between two looks at a process
+POLL_PERIOD_NS = SECOND_NS // 4  # between two looks at a process
 ANSWER_TIMEOUT_S = 1.0  # one that stands still gives no answer
-SLACK = SECOND_NS  # ns that a look may be late: processes and their links share this machine's cores
+DELAY_SLACK_NS = SECOND_NS  # ns that a look may be late: processes and their links share this machine's cores
 
 
-class Watch:
+class ProcessMonitor:
     """Follows processes until it is cancelled.
 
     Args:
@@ -29,8 +29,8 @@
         self.net = net
         self.clock = clock
         self.claims = claims
-        self.last = {}  # (name, log, where a life begins in it) -> what that life used so far
-        self.began = clock.now()
+        self.usage = {}  # (name, log, where a life begins in it) -> what that life used so far
+        self.started_at = clock.now()
 
     async def run(self):
         """Looks at all, each in a task of its own."""
@@ -44,10 +44,10 @@
             now = self.clock.now()
             program = self.processes.running.get(name)
             if program is not None and name not in self.processes.still:
-                await self.look(now, name, program)
-            await self.clock.sleep_until(now + LOOK_PERIOD_NS)
+                await self.poll(now, name, program)
+            await self.clock.sleep_until(now + POLL_PERIOD_NS)
 
-    async def page(self, name, page):
+    async def get_page(self, name, page):
         """A body, or None: it is down, starting or standing still."""
         with anyio.move_on_after(ANSWER_TIMEOUT_S):
             try:
@@ -56,13 +56,13 @@
             except (*STREAM_ERRORS, ValueError, h11.RemoteProtocolError):
                 return None  # it went while it answered
 
-    async def look(self, now, name, program):
+    async def poll(self, now, name, program):
         """Takes what a process uses, and what it says of the cluster."""
         if (used := program.resource_usage()) is not None:
-            self.last[name, program.log, program.log_offset] = used
+            self.usage[name, program.log, program.log_offset] = used
         if (
             self.claims is None
-            or (body := await self.page(name, "/cluster")) is None
+            or (body := await self.get_page(name, "/cluster")) is None
             or self.processes.running.get(name) is not program
         ):
             return
@@ -78,17 +78,17 @@
             said["cut_off"],
         )
 
-    async def used(self):
+    async def resource_usage(self):
         """What each running process used until now.
 
         Returns:
             name -> {cpu: s of processor a second, rss: bytes now, sent: bytes a second of its last life for
             the cluster}.
         """
-        span = (self.clock.now() - self.began) / SECOND_NS
+        span = (self.clock.now() - self.started_at) / SECOND_NS
         found = {}
         for name, _program in self.processes.running.items():
-            body = await self.page(name, "/metrics")
+            body = await self.get_page(name, "/metrics")
             sent = next(
                 (
                     sample.value
@@ -98,7 +98,7 @@
                 ),
                 0.0,
             )
-            rows = [row for (who, *_), row in self.last.items() if who == name]
+            rows = [row for (who, *_), row in self.usage.items() if who == name]
             found[name] = {
                 "cpu": round(sum(cpu for cpu, _ in rows) / span, 4),
                 "rss": rows[-1][1] if rows else 0,
--- a/embertray/simulation/scenarios/result.py
+++ b/embertray/simulation/scenarios/result.py
@@ -154,7 +154,7 @@
 def cluster_fields(controllers):
     """The fields of a Result that only controllers in processes of their own fill."""
     claims = getattr(controllers, "claims", None)
-    fields = {"process_usage": getattr(controllers, "used", None)}
+    fields = {"process_usage": getattr(controllers, "resource_usage", None)}
     if claims:
         fields["claims"] = claims.verdicts()
         fields["claim_violations"] = claims.broken
