--- a/embertray/experiments/measure/wounds.py
+++ b/embertray/experiments/measure/wounds.py
@@ -12,7 +12,7 @@
 import anyio
 import click
 
-from embertray.simulation.processes.cluster_members import PERIOD, LinkedClusterMembers
+from embertray.simulation.processes.cluster_members import PROBE_PERIOD_MS, LinkedClusterMembers
 
 
 def kill(site, n):
@@ -110,7 +110,7 @@
 
         def at(part, column):
             ranked = sorted(row[column] for row in rows)
-            return f"{ranked[min(len(ranked) - 1, int(part * len(ranked)))] * 1000 / PERIOD:.1f}"
+            return f"{ranked[min(len(ranked) - 1, int(part * len(ranked)))] * 1000 / PROBE_PERIOD_MS:.1f}"
 
         click.echo(
             f"| {name} | {len(rows)} | "
--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -16,8 +16,8 @@
 from .site_description import write_site_description
 
 SAMPLE = SITES / "samples" / "pushed.xml"
-PERIOD = 200  # ms; a fifth of the default, so that a case takes seconds
-MOST = 30  # s that a wait takes before it fails
+PROBE_PERIOD_MS = 200  # ms; a fifth of the default, so that a case takes seconds
+WAIT_TIMEOUT_S = 30  # s that a wait takes before it fails
 
 
 class ClusterMembers:
@@ -57,7 +57,7 @@
             self.folder / f"{file}.xml",
             rows,
             "127.0.0.1:1",
-            period=f"{PERIOD}ms" if clustered else None,
+            period=f"{PROBE_PERIOD_MS}ms" if clustered else None,
         )
 
     def up(self, name, path=None, key=None):
@@ -84,7 +84,7 @@
         status = self.status(name)
         return status and {m["name"]: m["state"] for m in status["members"]}
 
-    def wait(self, wanted, what, most=MOST):
+    def wait(self, wanted, what, most=WAIT_TIMEOUT_S):
         """Waits until `wanted()` holds, and gives the seconds that it took.
 
         Raises:
--- a/embertray/simulation/processes/control_plane.py
+++ b/embertray/simulation/processes/control_plane.py
@@ -19,8 +19,8 @@
 
 SAMPLE = SITES / "samples" / "pushed.xml"
 REGIONS = ("east", "west", "south")
-MOST = 60  # s that a wait takes before it fails
-LOOK = 0.02  # s between two looks; what is looked at decides
+WAIT_TIMEOUT_S = 60  # s that a wait takes before it fails
+POLL_INTERVAL_S = 0.02  # s between two looks; what is looked at decides
 
 
 class ControlPlane:
@@ -188,7 +188,7 @@
                 return name
         return None
 
-    def wait(self, wanted, what, most=MOST):
+    def wait(self, wanted, what, most=WAIT_TIMEOUT_S):
         """What `wanted()` gives, once that is true.
 
         Raises:
@@ -202,7 +202,7 @@
                 raise AssertionError(f"{ended[0]} has ended: {log}")
             if found := wanted():
                 return found
-            time.sleep(LOOK)
+            time.sleep(POLL_INTERVAL_S)
         raise AssertionError(f"not within {most} s: {what}; {[self.status(name) for name in self.asked]}")
 
     def lines(self, name):
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -11,7 +11,7 @@
 from lxml import etree
 
 from embertray.cluster.membership import MembershipConfig
-from embertray.simulation.processes.cluster_members import PERIOD, ClusterMembers
+from embertray.simulation.processes.cluster_members import PROBE_PERIOD_MS, ClusterMembers
 from embertray.simulation.processes.ports import free_ports
 from embertray.simulation.processes.program import ROOT
 
@@ -60,7 +60,7 @@
         )  # they are updated each second
         self.assertEqual(account()["action"], "leave out")
 
-        config = MembershipConfig(probe_period=PERIOD * 10**6)
+        config = MembershipConfig(probe_period=PROBE_PERIOD_MS * 10**6)
         bound_s = (
             2 * 3 * config.probe_period + config.suspicion_timeout(4, 0) + 8 * config.probe_period
         ) / 1e9  # the detection bound for four members
@@ -140,7 +140,7 @@
 
         with tempfile.TemporaryDirectory() as folder:
             site = ClusterMembers(folder, 2)
-            self.assertEqual(load(site.path).cluster.period, PERIOD * 10**6)
+            self.assertEqual(load(site.path).cluster.period, PROBE_PERIOD_MS * 10**6)
             text = site.path.read_text()
             without_address = (
                 text[: text.index(" cluster=")]
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -12,7 +12,7 @@
 from embertray.cluster.replication.propagation_bounds import Bounds
 from embertray.experiments.capacity import target
 from embertray.simulation.processes.control_fault_run import play, recorded_plane
-from embertray.simulation.processes.control_plane import MOST
+from embertray.simulation.processes.control_plane import WAIT_TIMEOUT_S
 from embertray.simulation.processes.control_record import Acknowledgement, ControlRecord, Look
 from embertray.simulation.processes.time_limits import LATE, limits_by_objective
 
@@ -46,7 +46,7 @@
         """Its revision; it has to be committed."""
         at = at or record.plane.wait(record.plane.leader, "a leader")
         request = request or f"{key} {record.newest}"
-        outcome = record.put(at, key, value, request, within=MOST)
+        outcome = record.put(at, key, value, request, within=WAIT_TIMEOUT_S)
         self.assertIsInstance(outcome, Committed)
         return outcome.revision
 
@@ -186,7 +186,10 @@
 
             record.fault(["c1"])
             plane.links.part([alone, "c1"], [*others, "c2"])
-            both = [threading.Thread(target=write, args=one) for one in ((alone, 1.0), (others[0], MOST))]
+            both = [
+                threading.Thread(target=write, args=one)
+                for one in ((alone, 1.0), (others[0], WAIT_TIMEOUT_S))
+            ]
             for writer in both:
                 writer.start()
             for writer in both:
@@ -241,7 +244,7 @@
             self.half_sent(record, "c1")
             faulty = self.put(record, "key", b"faulty")
             leader = plane.wait(plane.leader, "a leader")
-            outcome = record.rollback(leader, "key", good, b"good", "rollback", within=MOST)
+            outcome = record.rollback(leader, "key", good, b"good", "rollback", within=WAIT_TIMEOUT_S)
             self.assertIsInstance(outcome, Committed)
             self.assertGreater(outcome.revision, faulty)
             for name in plane.controllers:
