--- a/embertray/experiments/measure/wounds.py
+++ b/embertray/experiments/measure/wounds.py
@@ -19,7 +19,7 @@
     """Kills a process and starts it again; yields the condition that all others take it for dead."""
     name = site.names[n % len(site.names)]
     site.kill(name)
-    yield lambda: site.all_see(**{name: "dead"})
+    yield lambda: site.all_report(**{name: "dead"})
     site.up(name)
 
 
@@ -27,7 +27,7 @@
     """Stops a process and resumes it; yields the condition that all others take it for dead."""
     name = site.names[n % len(site.names)]
     site.pause(name)
-    yield lambda: site.all_see(**{name: "dead"})
+    yield lambda: site.all_report(**{name: "dead"})
     site.resume(name)
 
 
@@ -39,13 +39,13 @@
     half = len(site.names) // 2
     order = site.names[n % len(site.names) :] + site.names[: n % len(site.names)]
     one, other = order[:half], order[half:]
-    site.ways.split(one, other)
+    site.links.split(one, other)
     yield lambda: all(
         site.states(name)
         == {m: "alive" if (m in one) == (name in one) else "dead" for m in site.names if m != name}
         for name in site.names
     )
-    site.ways.heal()
+    site.links.heal()
 
 
 def play(site, wound, times):
@@ -55,16 +55,16 @@
     shared state as a fraction of its bound.
     """
     alive, rows, worst = dict.fromkeys(site.names, "alive"), [], 0.0
-    site.wait(lambda: site.all_see(**alive), "every process sees all others alive")
+    site.wait(lambda: site.all_report(**alive), "every process sees all others alive")
     for n in range(times):
         steps = wound(site, n)
         seen = site.wait(next(steps), f"{wound.__name__} {n} is detected by all", 60)
         next(steps, None)
         began = time.monotonic()
-        site.wait(lambda: site.all_see(**alive), "every process sees all others alive again", 60)
+        site.wait(lambda: site.all_report(**alive), "every process sees all others alive again", 60)
         rows.append((seen, time.monotonic() - began))
-        site.wait(site.fresh, "the shared state is within its bound", site.bound() + 10)
-        age, bound = site.oldest(5)
+        site.wait(site.all_within_bound, "the shared state is within its bound", site.staleness_bound() + 10)
+        age, bound = site.max_entry_age(5)
         worst = max(worst, age / bound)
     return rows, worst
 
@@ -92,7 +92,7 @@
 
             async def run():
                 async with anyio.create_task_group() as group:
-                    await group.start(site.ways.run)
+                    await group.start(site.links.run)
                     for one in site.names:
                         site.up(one)
                     found.append(
--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -64,7 +64,7 @@
         """Starts a process; `key`: its name here and of its log, if that is another."""
         self.running[key or name] = Program(self.folder / f"{key or name}.log", path or self.path, name)
 
-    def ask(self, name, page="/cluster"):
+    def get_page(self, name, page="/cluster"):
         """The body of a page, or None if the process does not answer."""
         try:
             with urllib.request.urlopen(f"http://{self.admin[name]}{page}", timeout=5) as answer:
@@ -76,7 +76,7 @@
 
     def status(self, name):
         """What a process says of the cluster as a dict, or None."""
-        said = self.ask(name)
+        said = self.get_page(name)
         return json.loads(said) if said and said.startswith(b"{") else None
 
     def states(self, name):
@@ -104,7 +104,7 @@
             f"not within {most} s: {what}; " + "; ".join(f"{n}: {self.states(n)}" for n in self.names)
         )
 
-    def all_see(self, **states):
+    def all_report(self, **states):
         """Whether each running process takes each named member for so; itself left out."""
         for name in [n for n in self.names if n in self.running]:
             seen = self.states(name)
@@ -114,7 +114,7 @@
                 return False
         return True
 
-    def ages(self):
+    def entry_ages(self):
         """How old what each running process holds of each living other is, s; None: nothing."""
         return [
             m["told_s"]
@@ -124,26 +124,26 @@
             if m["state"] == "alive"
         ]
 
-    def bound(self):
+    def staleness_bound(self):
         """s: the stated bound, and a second until an owner tells its facts anew."""
         return self.status(next(n for n in self.names if n in self.running))["bound_s"] + 1
 
-    def fresh(self):
+    def all_within_bound(self):
         """Whether each running process holds of each living other what is within the bound."""
-        ages = self.ages()
-        bound = self.bound()
-        return bool(ages) and all(age is not None and age <= bound for age in ages)
+        entry_ages = self.entry_ages()
+        staleness_bound = self.staleness_bound()
+        return bool(entry_ages) and all(age is not None and age <= staleness_bound for age in entry_ages)
 
-    def oldest(self, looks=20):
+    def max_entry_age(self, looks=20):
         """Looks again and again, and gives the greatest age at any look and the bound, s.
 
         Something that is lacking counts as infinitely old.
         """
-        bound = self.bound()
+        staleness_bound = self.staleness_bound()
         return max(
-            (age if age is not None else float("inf") for _ in range(looks) for age in self.ages()),
+            (age if age is not None else float("inf") for _ in range(looks) for age in self.entry_ages()),
             default=0.0,
-        ), bound
+        ), staleness_bound
 
     def pause(self, name):
         """It stands still until `go_on`, and is not asked meanwhile."""
@@ -177,12 +177,12 @@
             e.get("name"): [int(e.get(k).rpartition(":")[2]) for k in ("listen", "admin", "cluster")]
             for e in root.find("controllers")
         }
-        self.ways = ClusterLinks({name: three[2] for name, three in ports.items()}, seed)
+        self.links = ClusterLinks({name: three[2] for name, three in ports.items()}, seed)
         self.files = {
             name: self.write_description(
                 name,
                 {
-                    other: three[:2] + [three[2] if other == name else self.ways.port(name, other)]
+                    other: three[:2] + [three[2] if other == name else self.links.port(name, other)]
                     for other, three in ports.items()
                 },
             )
@@ -193,7 +193,7 @@
         """Starts a process; `key`: its name here and of its log, if that is another."""
         super().up(name, path or self.files[name], key)
 
-    def wounds(self):
+    def failed_members(self):
         """Members that a running process takes for suspect or dead."""
         return {
             (n, other): state
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -36,9 +36,9 @@
     def test_killed_stopped_and_started_again(self):
         site = self.site(4)
         alive = dict.fromkeys(site.names, "alive")
-        site.wait(lambda: site.all_see(**alive), "all members know each other")
-        site.wait(site.fresh, "each member knows the facts of every other")
-        self.assertLessEqual(*site.oldest())
+        site.wait(lambda: site.all_report(**alive), "all members know each other")
+        site.wait(site.all_within_bound, "each member knows the facts of every other")
+        self.assertLessEqual(*site.max_entry_age())
         status_output = subprocess.run(
             [sys.executable, "-m", "embertray", "cluster", "status", "--admin", site.admin["c1"]],
             cwd=ROOT,
@@ -51,7 +51,7 @@
         )
 
         def account():
-            return {row["purpose"]: row for row in json.loads(site.ask("c1", "/memory"))["purposes"]}[
+            return {row["purpose"]: row for row in json.loads(site.get_page("c1", "/memory"))["purposes"]}[
                 "cluster"
             ]
 
@@ -65,13 +65,13 @@
             2 * 3 * config.probe_period + config.suspicion_timeout(4, 0) + 8 * config.probe_period
         ) / 1e9  # the detection bound for four members
         site.kill("c4")
-        took = site.wait(lambda: site.all_see(**alive | {"c4": "dead"}), "c4 is dead")
+        took = site.wait(lambda: site.all_report(**alive | {"c4": "dead"}), "c4 is dead")
         self.assertLessEqual(took, bound_s + 2)  # plus the time that this machine needs to poll
 
         site.pause("c3")
-        site.wait(lambda: site.all_see(c3="dead"), "c3 is stopped and considered dead")
+        site.wait(lambda: site.all_report(c3="dead"), "c3 is stopped and considered dead")
         site.resume("c3")
-        site.wait(lambda: site.all_see(c1="alive", c2="alive", c3="alive"), "c3 is back")
+        site.wait(lambda: site.all_report(c1="alive", c2="alive", c3="alive"), "c3 is back")
         self.assertNotIn(
             '"dead"',
             "".join(
@@ -82,21 +82,21 @@
         )  # c3 has declared nobody dead
 
         site.up("c4")
-        site.wait(lambda: site.all_see(**alive), "c4 is alive again")
+        site.wait(lambda: site.all_report(**alive), "c4 is alive again")
 
     def test_all_members_restart_at_once(self):
         site = self.site(3)
         alive = dict.fromkeys(site.names, "alive")
-        site.wait(lambda: site.all_see(**alive), "all members know each other")
+        site.wait(lambda: site.all_report(**alive), "all members know each other")
         for name in site.names:
             site.kill(name)
         for name in site.names:
             site.up(name)
-        site.wait(lambda: site.all_see(**alive), "all members know each other after all were killed")
+        site.wait(lambda: site.all_report(**alive), "all members know each other after all were killed")
 
     def test_newer_process_of_a_name_replaces_the_older(self):
         site = self.site(2)
-        site.wait(lambda: site.all_see(c1="alive", c2="alive"), "both members know each other")
+        site.wait(lambda: site.all_report(c1="alive", c2="alive"), "both members know each other")
         ports = free_ports(3)
         known_ports = {
             name: [int(element.get(key).rpartition(":")[2]) for key in ("listen", "admin", "cluster")]
@@ -120,9 +120,9 @@
 
     def test_without_a_cluster_nothing_of_it_runs(self):
         site = self.site(1, clustered=False)
-        site.wait(lambda: site.ask("c1", "/live") == b"live\n", "c1 lives")
-        self.assertIn(b"no cluster", site.ask("c1"))
-        self.assertNotIn(b'"cluster"', site.ask("c1", "/memory"))
+        site.wait(lambda: site.get_page("c1", "/live") == b"live\n", "c1 lives")
+        self.assertIn(b"no cluster", site.get_page("c1"))
+        self.assertNotIn(b'"cluster"', site.get_page("c1", "/memory"))
         code = (
             "import sys; import embertray.cli.main, embertray.service.daemon.service, "
             "embertray.service.admin.http; "
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -19,7 +19,7 @@
 
         async def main():
             async with anyio.create_task_group() as group:
-                await group.start(site.ways.run)
+                await group.start(site.links.run)
                 for name in site.names:
                     site.up(name)
                 await anyio.to_thread.run_sync(self.through, site, case)
@@ -29,16 +29,20 @@
 
     def through(self, site, case):
         alive = dict.fromkeys(site.names, "alive")
-        site.wait(lambda: site.all_see(**alive), "all know all")
+        site.wait(lambda: site.all_report(**alive), "all know all")
         case(site)
-        site.ways.heal()
-        site.wait(lambda: site.all_see(**alive), "all know all after the wound's end")
-        site.wait(site.fresh, "what each told is within the bound again", most=site.bound() + 10)
-        self.assertLessEqual(*site.oldest())
+        site.links.heal()
+        site.wait(lambda: site.all_report(**alive), "all know all after the wound's end")
+        site.wait(
+            site.all_within_bound,
+            "what each told is within the bound again",
+            most=site.staleness_bound() + 10,
+        )
+        self.assertLessEqual(*site.max_entry_age())
 
     def test_split_in_two(self):
         def case(site):
-            site.ways.split(["c1", "c2"], ["c3", "c4"])
+            site.links.split(["c1", "c2"], ["c3", "c4"])
             site.wait(
                 lambda: (
                     site.states("c1") == {"c2": "alive", "c3": "dead", "c4": "dead"}
@@ -51,7 +55,7 @@
 
     def test_one_is_cut_off_and_knows(self):
         def case(site):
-            site.ways.split(["c1"], ["c2", "c3"])
+            site.links.split(["c1"], ["c2", "c3"])
             site.wait(lambda: site.status("c1")["cut_off"], "c1 believes itself cut off")
             site.wait(lambda: site.states("c2") == {"c1": "dead", "c3": "alive"}, "the others go on")
             self.assertFalse(site.status("c2")["cut_off"])
@@ -60,22 +64,22 @@
 
     def test_one_way_and_thirty_percent_lost_are_no_deaths(self):
         def case(site):
-            site.ways.way("c1", "c2").open = False
+            site.links.way("c1", "c2").open = False
             counts = {name: site.status(name)["received"] for name in site.names}
             site.wait(
                 lambda: all(site.status(n)["received"] > counts[n] + 100 for n in ("c1", "c3")),
                 "a hundred messages more at c1 and c3",
             )
-            self.assertNotIn("dead", site.wounds().values())
-            site.ways.heal()
-            site.ways.each(drop=0.3, again=0.1, jitter=20 * 10**6)
+            self.assertNotIn("dead", site.failed_members().values())
+            site.links.heal()
+            site.links.each(drop=0.3, again=0.1, jitter=20 * 10**6)
             counts = {name: site.status(name)["received"] for name in site.names}
             site.wait(
                 lambda: all(site.status(n)["received"] > counts[n] + 150 for n in site.names),
                 "150 messages more at each",
             )
-            self.assertNotIn("dead", site.wounds().values())
-            self.assertGreater(sum(way.lost for way in site.ways.ways.values()), 50)
+            self.assertNotIn("dead", site.failed_members().values())
+            self.assertGreater(sum(way.lost for way in site.links.ways.values()), 50)
 
         self.play(4, case)
 
@@ -83,7 +87,7 @@
         """A split that splits nothing: the same wait as above does not end."""
 
         def case(site):
-            site.ways.split(["c1", "c2", "c3"])
+            site.links.split(["c1", "c2", "c3"])
             with self.assertRaises(AssertionError):
                 site.wait(lambda: site.status("c1")["cut_off"], "cut off", most=4)
 
@@ -93,7 +97,7 @@
         def case(site):
             site.running["c3"].terminate()
             self.assertEqual(site.running.pop("c3").wait_ended(), 0)
-            site.wait(lambda: site.all_see(c1="alive", c2="alive", c3="left"), "c3 has left")
+            site.wait(lambda: site.all_report(c1="alive", c2="alive", c3="left"), "c3 has left")
             site.up("c3")
 
         self.play(3, case)
