--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -84,24 +84,24 @@
         status = self.status(name)
         return status and {m["name"]: m["state"] for m in status["members"]}
 
-    def wait(self, wanted, what, most=WAIT_TIMEOUT_S):
+    def wait(self, condition, what, timeout_s=WAIT_TIMEOUT_S):
         """Waits until `wanted()` holds, and gives the seconds that it took.
 
         Raises:
             AssertionError: it is not so within `most` s, or a process has ended.
         """
-        began = time.monotonic()
-        while time.monotonic() < began + most:
+        started_at = time.monotonic()
+        while time.monotonic() < started_at + timeout_s:
             ended = [name for name, program in self.running.items() if program.has_ended]
             if ended:
                 raise AssertionError(
                     f"{ended[0]} has ended: " + (self.folder / f"{ended[0]}.log").read_text()[-300:]
                 )
-            if wanted():
-                return time.monotonic() - began
+            if condition():
+                return time.monotonic() - started_at
             time.sleep(0.02)  # between two looks; what is looked at decides
         raise AssertionError(
-            f"not within {most} s: {what}; " + "; ".join(f"{n}: {self.states(n)}" for n in self.names)
+            f"not within {timeout_s} s: {what}; " + "; ".join(f"{n}: {self.states(n)}" for n in self.names)
         )
 
     def all_report(self, **states):
--- a/embertray/simulation/processes/control_plane.py
+++ b/embertray/simulation/processes/control_plane.py
@@ -188,22 +188,24 @@
                 return name
         return None
 
-    def wait(self, wanted, what, most=WAIT_TIMEOUT_S):
+    def wait(self, condition, what, timeout_s=WAIT_TIMEOUT_S):
         """What `wanted()` gives, once that is true.
 
         Raises:
             AssertionError: it is not within `most` s, or a process has ended.
         """
-        began = time.monotonic()
-        while time.monotonic() < began + most:
+        started_at = time.monotonic()
+        while time.monotonic() < started_at + timeout_s:
             ended = [name for name, program in self.running.items() if program.has_ended]
             if ended:
                 log = (self.folder / f"{ended[0]}.log").read_text()[-400:]
                 raise AssertionError(f"{ended[0]} has ended: {log}")
-            if found := wanted():
+            if found := condition():
                 return found
             time.sleep(POLL_INTERVAL_S)
-        raise AssertionError(f"not within {most} s: {what}; {[self.status(name) for name in self.asked]}")
+        raise AssertionError(
+            f"not within {timeout_s} s: {what}; {[self.status(name) for name in self.asked]}"
+        )
 
     def lines(self, name):
         """What a process logged in all its lives, as dicts."""
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -36,7 +36,7 @@
         site.wait(
             site.all_within_bound,
             "what each told is within the bound again",
-            most=site.staleness_bound() + 10,
+            timeout_s=site.staleness_bound() + 10,
         )
         self.assertLessEqual(*site.max_entry_age())
 
@@ -89,7 +89,7 @@
         def case(site):
             site.links.split(["c1", "c2", "c3"])
             with self.assertRaises(AssertionError):
-                site.wait(lambda: site.status("c1")["cut_off"], "cut off", most=4)
+                site.wait(lambda: site.status("c1")["cut_off"], "cut off", timeout_s=4)
 
         self.play(3, case)
 
