--- a/embertray/simulation/processes/cluster_links.py
+++ b/embertray/simulation/processes/cluster_links.py
@@ -28,15 +28,15 @@
         taps: (from, to) -> TcpRelay's tap.
     """
 
-    def __init__(self, at, seed=1, ends=(), to=None, taps=None):
-        super().__init__(list(at), seed, ends)
-        self.at = at
-        self.to = dict(to or {})
+    def __init__(self, member_ports, seed=1, ends=(), targets=None, taps=None):
+        super().__init__(list(member_ports), seed, ends)
+        self.member_ports = member_ports
+        self.targets = dict(targets or {})
         self.taps = dict(taps or {})
-        self.unreadable = 0
-        self.out = None
-        dialled = [*self.pairs(), *self.to]
-        self.ports = dict(zip(dialled, free_ports(len(dialled)), strict=True))
+        self.unreadable_count = 0
+        self.sender_socket = None
+        dialed_pairs = [*self.pairs(), *self.targets]
+        self.ports = dict(zip(dialed_pairs, free_ports(len(dialed_pairs)), strict=True))
 
     def port(self, a, b):
         """Where `a` is to dial to reach `b`."""
@@ -44,13 +44,13 @@
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
         """Relays on all links until cancelled."""
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as self.out:
-            self.out.setblocking(False)
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as self.sender_socket:
+            self.sender_socket.setblocking(False)
             async with anyio.create_task_group() as group:
                 for pair in self.pairs():
-                    await group.start(self.datagrams, pair, group)
+                    await group.start(self.relay_datagrams, pair, group)
                 for (a, b), port in self.ports.items():
-                    target = self.to.get((a, b)) or (lambda b=b: f"127.0.0.1:{self.at[b]}")
+                    target = self.targets.get((a, b)) or (lambda b=b: f"127.0.0.1:{self.member_ports[b]}")
                     await group.start(
                         TcpRelay(
                             port,
@@ -63,7 +63,7 @@
                     )
                 task_status.started()
 
-    async def datagrams(self, pair, group, *, task_status):
+    async def relay_datagrams(self, pair, group, *, task_status):
         """Relays the datagrams of one ordered pair, rewritten, as its link says."""
         way = self.ways[pair]
         receiver = pair[1]
@@ -73,17 +73,17 @@
             task_status.started()
             async for data, _ in udp:
                 try:
-                    data = self.rewritten(receiver, decode(data))
+                    data = self.rewrite_addresses(receiver, decode(data))
                 except UnreadableMessageError:
-                    self.unreadable += 1
+                    self.unreadable_count += 1
                     continue
                 for wait in way.copies():
                     if wait:
-                        group.start_soon(self.later, data, receiver, wait)
+                        group.start_soon(self.deliver_later, data, receiver, wait)
                     else:
                         self.deliver(data, receiver)
 
-    async def later(self, data, receiver, wait):
+    async def deliver_later(self, data, receiver, wait):
         """Delivers a datagram after `wait` ns."""
         await anyio.sleep(wait / 1e9)
         self.deliver(data, receiver)
@@ -91,18 +91,23 @@
     def deliver(self, data, receiver):
         """Sends a datagram to a member's true port."""
         with suppress(OSError):  # lost, as it would be on a full way
-            self.out.sendto(data, ("127.0.0.1", self.at[receiver]))
+            self.sender_socket.sendto(data, ("127.0.0.1", self.member_ports[receiver]))
 
-    def rewritten(self, receiver, message):
+    def rewrite_addresses(self, receiver, message):
         """As `receiver` is to see it: every other member behind its own link to it."""
 
-        def seen(said):
-            if said.name == receiver:
-                return msgspec.structs.replace(said, address=f"127.0.0.1:{self.at[receiver]}")
-            port = self.ports.get((receiver, said.name))
-            return said if port is None else msgspec.structs.replace(said, address=f"127.0.0.1:{port}")
-
-        changed = {"sender": seen(message.sender), "gossip": [seen(said) for said in message.gossip]}
+        def with_link_address(statement):
+            if statement.name == receiver:
+                return msgspec.structs.replace(statement, address=f"127.0.0.1:{self.member_ports[receiver]}")
+            port = self.ports.get((receiver, statement.name))
+            return (
+                statement if port is None else msgspec.structs.replace(statement, address=f"127.0.0.1:{port}")
+            )
+
+        changed = {
+            "sender": with_link_address(message.sender),
+            "gossip": [with_link_address(statement) for statement in message.gossip],
+        }
         if isinstance(message, PingRequest):
-            changed["target"] = seen(message.target)
+            changed["target"] = with_link_address(message.target)
         return encode(msgspec.structs.replace(message, **changed))
--- a/embertray/simulation/processes/control_links.py
+++ b/embertray/simulation/processes/control_links.py
@@ -25,8 +25,8 @@
         super().__init__(replicas, seed, subscribers)
         self.target = target
         self.portal = None
-        dialled = [(a, b) for a in [*replicas, *subscribers] for b in replicas if a != b]
-        self.ports = dict(zip(dialled, free_ports(len(dialled)), strict=True))
+        dialed_pairs = [(a, b) for a in [*replicas, *subscribers] for b in replicas if a != b]
+        self.ports = dict(zip(dialed_pairs, free_ports(len(dialed_pairs)), strict=True))
 
     def port(self, a, b):
         """Where `a` is to dial to reach `b`."""
