--- a/embertray/simulation/processes/ports.py
+++ b/embertray/simulation/processes/ports.py
@@ -5,13 +5,13 @@
 import socket
 
 # under the range from which the system takes ports for calls: none is taken between now and the start
-FIRST = 20_000
-COUNT = 12_000
+FIRST_PORT = 20_000
+PORT_COUNT = 12_000
 START_STEP = 131  # tests that run beside each other begin elsewhere, by their process ids
-given = itertools.count(os.getpid() * START_STEP)
+candidate_numbers = itertools.count(os.getpid() * START_STEP)
 
 
-def free(port):
+def is_free(port):
     """Whether nobody listens on a port, for UDP and TCP."""
     try:
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
@@ -29,10 +29,10 @@
         OSError: there are not so many.
     """
     found = []
-    for number in itertools.islice(given, COUNT):
-        port = FIRST + number % COUNT
-        if free(port):
+    for number in itertools.islice(candidate_numbers, PORT_COUNT):
+        port = FIRST_PORT + number % PORT_COUNT
+        if is_free(port):
             found.append(port)
             if len(found) == count:
                 return found
-    raise OSError(f"no {count} free ports from {FIRST} to {FIRST + COUNT}")
+    raise OSError(f"no {count} free ports from {FIRST_PORT} to {FIRST_PORT + PORT_COUNT}")
--- a/embertray/simulation/processes/tcp_relay.py
+++ b/embertray/simulation/processes/tcp_relay.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-BROKEN = (
+STREAM_END_ERRORS = (
     OSError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
@@ -14,7 +14,7 @@
 )
 SECOND_NS = 10**9
 POLL_S = 0.02  # between two looks at a closed link by a stream that waits on it
-PARTS = 64  # parts of a stream that are under way at most: then its sender feels it
+MAX_CHUNKS_IN_FLIGHT = 64  # parts of a stream that are under way at most: then its sender feels it
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of no time: closing sends a reset, drops what was unsent
 
 
@@ -35,34 +35,34 @@
         tap: gives for each stream a function that sees the bytes that came back, when they are passed on.
     """
 
-    def __init__(self, port, target, there, back, streams, tap=None):
+    def __init__(self, port, target, forward, backward, streams, make_tap=None):
         self.port = port
         self.target = target
-        self.there = there
-        self.back = back
+        self.forward = forward
+        self.backward = backward
         self.streams = streams
-        self.tap = tap or (lambda: _ignore)
+        self.make_tap = make_tap or (lambda: _ignore)
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
         """Listens until cancelled."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=self.port)
         async with listener:
             task_status.started()
-            await listener.serve(self.stream)
+            await listener.serve(self.relay_stream)
 
-    async def stream(self, near):
+    async def relay_stream(self, client):
         """Relays one stream both ways; when either end closes, so does the other."""
         try:
-            async with near:
-                while not self.there.open:  # a machine that is cut off answers no call
+            async with client:
+                while not self.forward.open:  # a machine that is cut off answers no call
                     await anyio.sleep(POLL_S)
                 host, _, port = self.target().rpartition(":")
-                async with await anyio.connect_tcp(host, int(port)) as far:
-                    await self._relay(near, far)
-        except* BROKEN:
+                async with await anyio.connect_tcp(host, int(port)) as server:
+                    await self._relay(client, server)
+        except* STREAM_END_ERRORS:
             pass
 
-    async def _relay(self, near, far):
+    async def _relay(self, client, server):
         was_reset = False
         async with anyio.create_task_group() as group:
 
@@ -73,39 +73,39 @@
 
             self.streams.add(reset)
             try:
-                group.start_soon(self._carry, self.there, near, far, group, _ignore)
-                await self._carry(self.back, far, near, group, self.tap())
+                group.start_soon(self._carry, self.forward, client, server, group, _ignore)
+                await self._carry(self.backward, server, client, group, self.make_tap())
                 group.cancel_scope.cancel()
             finally:
                 self.streams.discard(reset)
                 if was_reset:
-                    for end in (near, far):
+                    for end in (client, server):
                         raw = end.extra(anyio.abc.SocketAttribute.raw_socket)
                         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
     async def _carry(self, link, source, sink, group, on_passed):
         """Carries parts in their order, each held back as the link says."""
-        put, take = anyio.create_memory_object_stream(PARTS)
+        chunk_sender, chunk_receiver = anyio.create_memory_object_stream(MAX_CHUNKS_IN_FLIGHT)
         try:
-            async with put, take, anyio.create_task_group() as both:
-                both.start_soon(self._deliver, link, take, sink, group, on_passed)
+            async with chunk_sender, chunk_receiver, anyio.create_task_group() as carry_group:
+                carry_group.start_soon(self._deliver, link, chunk_receiver, sink, group, on_passed)
                 while True:
                     data = await source.receive()
-                    await put.send((now() + link.hold(), data))
-        except* BROKEN:
+                    await chunk_sender.send((now() + link.hold(), data))
+        except* STREAM_END_ERRORS:
             group.cancel_scope.cancel()
 
-    async def _deliver(self, link, take, sink, group, on_passed):
+    async def _deliver(self, link, chunk_receiver, sink, group, on_passed):
         try:
             while True:
-                due, data = await take.receive()
+                due, data = await chunk_receiver.receive()
                 if (wait := due - now()) > 0:
                     await anyio.sleep(wait / SECOND_NS)
                 while not link.open:
                     await anyio.sleep(POLL_S)
                 await sink.send(data)
                 on_passed(data)
-        except BROKEN:
+        except STREAM_END_ERRORS:
             group.cancel_scope.cancel()
 
 
