--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -12,7 +12,7 @@
 
 from .control_plane import ControlPlane
 from .control_record import ControlRecord
-from .control_timing import scaled_paces
+from .control_timing import scaled_timings
 
 S = 10**9
 FAULTS = ("kill", "stop", "split")
@@ -62,7 +62,7 @@
     """
     plane = ControlPlane(folder, replicas, subscribers, scale)
     plane.programs.update(programs or {})
-    bounds = Bounds(*scaled_paces(scale))
+    bounds = Bounds(*scaled_timings(scale))
     with plane.linked(seed).running():
         record = ControlRecord(plane, bounds, limits)
         looker = threading.Thread(target=record.keep_looking)
--- a/embertray/simulation/processes/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -20,7 +20,7 @@
 from embertray.service.daemon.control import ReplicaProcess, subscriber_client
 from embertray.service.site import load
 
-from .control_timing import scaled_paces
+from .control_timing import scaled_timings
 
 
 @click.command()
@@ -37,7 +37,7 @@
 
 async def run_replica(site, name, scale):
     """A ReplicaProcess at this scale."""
-    replica_timing, feed_settings, _ = scaled_paces(
+    replica_timing, feed_settings, _ = scaled_timings(
         scale, FeedSettings(bytes_per_second=site.control.bytes_per_second)
     )
     me = site.control.replica(name)
@@ -53,7 +53,7 @@
 async def run_subscriber(site, name, scale):
     """A SubscriberClient at this scale, with its status at its controller's operators' address."""
     log, net, me = structlog.get_logger(), TcpNet(), site.controller(name)
-    _, _, pace = scaled_paces(scale, FeedSettings())
+    _, _, pace = scaled_timings(scale, FeedSettings())
     client = subscriber_client(site, me, LoopClock(), net, 1, log, pace)
     log.info("started", subscriber=name)
 
--- a/embertray/simulation/processes/control_timing.py
+++ b/embertray/simulation/processes/control_timing.py
@@ -4,15 +4,15 @@
 
 from embertray.cluster.replication.timing import FeedSettings, ReplicaTiming, SubscriberTiming
 
-FEED_TIMES = ("heartbeat_interval", "initial_retry_delay", "max_retry_delay", "silence_timeout")
+SCALED_FEED_FIELDS = ("heartbeat_interval", "initial_retry_delay", "max_retry_delay", "silence_timeout")
 
 
-def scaled_paces(scale, feed=None):
+def scaled_timings(scale, feed=None):
     """(ReplicaTiming, FeedSettings, SubscriberTiming): times multiplied by `scale`; rates and sizes stay."""
     return (
-        _scaled(ReplicaTiming(), scale, [one.name for one in fields(ReplicaTiming)]),
-        _scaled(feed or FeedSettings(), scale, FEED_TIMES),
-        _scaled(SubscriberTiming(), scale, [one.name for one in fields(SubscriberTiming)]),
+        _scaled(ReplicaTiming(), scale, [timing_field.name for timing_field in fields(ReplicaTiming)]),
+        _scaled(feed or FeedSettings(), scale, SCALED_FEED_FIELDS),
+        _scaled(SubscriberTiming(), scale, [timing_field.name for timing_field in fields(SubscriberTiming)]),
     )
 
 
--- a/embertray/simulation/processes/time_limits.py
+++ b/embertray/simulation/processes/time_limits.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 SECOND_NS = 10**9
-LATE = 1 * SECOND_NS  # ns that a look, or a process on a busy machine, may be late
+DELAY_SLACK_NS = 1 * SECOND_NS  # ns that a look, or a process on a busy machine, may be late
 
 
 @dataclass(frozen=True)
@@ -20,9 +20,9 @@
 
 def limits_by_bounds(bounds):
     """The TimeLimits that a Bounds states, for processes that this busy machine may run late."""
-    return TimeLimits(in_force=bounds.any_fault + LATE, prompt=bounds.good + LATE)
+    return TimeLimits(in_force=bounds.any_fault + DELAY_SLACK_NS, prompt=bounds.good + DELAY_SLACK_NS)
 
 
-def limits_by_objective(within):
+def limits_by_objective(objective):
     """The TimeLimits of an objective that holds everywhere, ns: a late process is no excuse."""
-    return TimeLimits(in_force=within, prompt=within)
+    return TimeLimits(in_force=objective, prompt=objective)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -14,7 +14,7 @@
 from embertray.simulation.processes.control_fault_run import play, recorded_plane
 from embertray.simulation.processes.control_plane import WAIT_TIMEOUT_S
 from embertray.simulation.processes.control_record import Acknowledgement, ControlRecord, Look
-from embertray.simulation.processes.time_limits import LATE, limits_by_objective
+from embertray.simulation.processes.time_limits import DELAY_SLACK_NS, limits_by_objective
 
 HERE = Path(__file__).resolve().parent
 SCALE = 0.4  # of all times, so that a case takes seconds, and an election is won on a busy machine
@@ -380,10 +380,12 @@
     def test_without_an_objective_the_stated_bounds_count(self):
         long_ago = self.WRITTEN_AT - 3_600 * S
         bounds = Bounds()
-        self.assertEqual(self.broken_by(bounds.good + LATE, long_ago, None), set())
-        self.assertEqual(self.broken_by(bounds.good + LATE + 1, long_ago, None), {"prompt"})
-        self.assertEqual(self.broken_by(bounds.any_fault + LATE, long_ago, None), {"prompt"})
-        self.assertEqual(self.broken_by(bounds.any_fault + LATE + 1, long_ago, None), {"in force", "prompt"})
+        self.assertEqual(self.broken_by(bounds.good + DELAY_SLACK_NS, long_ago, None), set())
+        self.assertEqual(self.broken_by(bounds.good + DELAY_SLACK_NS + 1, long_ago, None), {"prompt"})
+        self.assertEqual(self.broken_by(bounds.any_fault + DELAY_SLACK_NS, long_ago, None), {"prompt"})
+        self.assertEqual(
+            self.broken_by(bounds.any_fault + DELAY_SLACK_NS + 1, long_ago, None), {"in force", "prompt"}
+        )
 
 
 class Play(unittest.TestCase):
