--- a/embertray/experiments/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -11,7 +11,7 @@
 import click
 
 from embertray.simulation.claims.control import CLAIMS
-from embertray.simulation.processes.control_fault_run import play
+from embertray.simulation.processes.control_fault_run import run_with_faults
 
 S = 10**9
 SHARES = (0.5, 0.99, 1.0)  # quantiles of the times that are shown
@@ -33,7 +33,7 @@
 def main(faults, replicas, subscribers, scale, seed, folder, as_json):
     """Runs the faults, and prints what was found."""
     show = (lambda text: None) if as_json else click.echo
-    found = play(faults, seed, scale, replicas, subscribers, folder, show)
+    found = run_with_faults(faults, seed, scale, replicas, subscribers, folder, show)
     told = summary(found)
     click.echo(json.dumps(told) if as_json else "\n".join(lines(told)))
     sys.exit(0 if found.claims.kept else 1)
--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -15,21 +15,21 @@
 from .control_timing import scaled_timings
 
 S = 10**9
-FAULTS = ("kill", "stop", "split")
-FAULT_SECONDS = 10.0  # that a process stands still, or links are broken, at scale 1
-DOWN_SECONDS = 3.0  # that a killed process stays away at the most, at scale 1
-CALM_SECONDS = 1.0  # between the end of one fault and the next one, at scale 1
-CALM_AT_END = 8.0  # of writes with nothing broken, after the bound on any faults, at scale 1
-KEYS = 20
-REMOVED = 0.1  # share of the writes that remove a key
-ROLLED_BACK = 0.1  # share of the writes that go back to an earlier version
-FORGETFUL = 4  # each so many kills, one of a replica takes what it had on disk
-WRITE_PAUSE = 0.05  # s between two writes of one writer
-WRITERS = 2
+FAULT_KINDS = ("kill", "stop", "split")
+FAULT_DURATION_S = 10.0  # that a process stands still, or links are broken, at scale 1
+MAX_DOWNTIME_S = 3.0  # that a killed process stays away at the most, at scale 1
+PAUSE_AFTER_FAULT_S = 1.0  # between the end of one fault and the next one, at scale 1
+FINAL_QUIET_S = 8.0  # of writes with nothing broken, after the bound on any faults, at scale 1
+KEY_COUNT = 20
+REMOVE_SHARE = 0.1  # share of the writes that remove a key
+ROLLBACK_SHARE = 0.1  # share of the writes that go back to an earlier version
+KILLS_PER_DISK_LOSS = 4  # each so many kills, one of a replica takes what it had on disk
+WRITE_PAUSE_S = 0.05  # s between two writes of one writer
+WRITER_COUNT = 2
 
 
 @dataclass
-class Struck:
+class InjectedFault:
     """One fault, and the seconds from its end until all had all that was acknowledged."""
 
     kind: str
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class PlayResult:
+class FaultRunResult:
     """What a play found."""
 
     claims: object
@@ -65,7 +65,7 @@
     bounds = Bounds(*scaled_timings(scale))
     with plane.linked(seed).running():
         record = ControlRecord(plane, bounds, limits)
-        looker = threading.Thread(target=record.keep_looking)
+        sampler = threading.Thread(target=record.keep_looking)
         try:
             plane.all_up()
             plane.wait(plane.leader, "a leader")
@@ -74,120 +74,122 @@
             # fault that takes one of the others meanwhile leaves no majority, and no write is committed.
             plane.wait(lambda: all(map(plane.votes, plane.replicas)), "all replicas vote")
             plane.wait(lambda: all(map(plane.knows_age, plane.controllers)), "subscribers know their age")
-            looker.start()
+            sampler.start()
             yield record
         finally:
             record.ending.set()
-            if looker.ident is not None:
-                looker.join()
+            if sampler.ident is not None:
+                sampler.join()
             plane.end()
 
 
-class ControlPlay:
+class FaultRun:
     """Strikes a ControlRecord's plane; all choices come from `seed`."""
 
     def __init__(self, record, scale, seed):
         self.record = record
         self.plane = record.plane
         self.scale = scale
-        self.chance = random.Random(f"{seed} faults")
+        self.rng = random.Random(f"{seed} faults")
         self.kills = 0
         self.seed = seed
-        self.strikes = []
+        self.injected = []
 
-    def run(self, each, show=lambda text: None):
+    def run(self, count_per_kind, show=lambda text: None):
         """`each` faults of each kind, in a random order; a PlayResult."""
-        began = time.monotonic()
-        writers = [threading.Thread(target=self._keep_writing, args=(n,)) for n in range(WRITERS)]
+        started_at = time.monotonic()
+        writers = [threading.Thread(target=self._keep_writing, args=(n,)) for n in range(WRITER_COUNT)]
         for writer in writers:
             writer.start()
-        kinds = [kind for kind in FAULTS for _ in range(each)]
-        self.chance.shuffle(kinds)
+        kinds = [kind for kind in FAULT_KINDS for _ in range(count_per_kind)]
+        self.rng.shuffle(kinds)
         try:
             for kind in kinds:
-                struck = getattr(self, f"_{kind}")()
-                struck.settled_s = self._settle()
-                self.strikes.append(struck)
-                settled = f"all had caught up {struck.settled_s:.1f} s later"
-                show(f"{len(self.strikes)} of {len(kinds)}: {struck.what}, {settled}")
-                time.sleep(CALM_SECONDS * self.scale)
-            time.sleep(self.record.bounds.any_fault / S + CALM_AT_END * self.scale)
+                injected_fault = getattr(self, f"_{kind}")()
+                injected_fault.settled_s = self._settle()
+                self.injected.append(injected_fault)
+                settled = f"all had caught up {injected_fault.settled_s:.1f} s later"
+                show(f"{len(self.injected)} of {len(kinds)}: {injected_fault.what}, {settled}")
+                time.sleep(PAUSE_AFTER_FAULT_S * self.scale)
+            time.sleep(self.record.bounds.any_fault / S + FINAL_QUIET_S * self.scale)
         finally:
             self.record.ending.set()
             for writer in writers:
                 writer.join()
         self._settle()
         claims = self.record.judge()
-        return PlayResult(claims, self.strikes, dict(self.record.outcomes), time.monotonic() - began)
+        return FaultRunResult(
+            claims, self.injected, dict(self.record.outcomes), time.monotonic() - started_at
+        )
 
     # ---- faults
 
     def _kill(self):
-        name = self._victim()
+        name = self._choose_target()
         replica = name in self.plane.replicas
         self.kills += replica
-        forgets = replica and self.kills % FORGETFUL == 0
+        loses_disk = replica and self.kills % KILLS_PER_DISK_LOSS == 0
         self.record.fault([] if replica else [name])
         self.plane.kill(name)
-        if forgets:
+        if loses_disk:
             self.plane.forget(name)
-        time.sleep(self.chance.random() * DOWN_SECONDS * self.scale)
+        time.sleep(self.rng.random() * MAX_DOWNTIME_S * self.scale)
         self.plane.up(name)
         self.plane.wait(lambda: self.plane.status(name), f"{name} answers")
         self.record.fault_over(name)
-        return Struck("kill", f"{name} killed" + (", its disk lost" if forgets else ""))
+        return InjectedFault("kill", f"{name} killed" + (", its disk lost" if loses_disk else ""))
 
     def _stop(self):
-        name = self._victim()
+        name = self._choose_target()
         self.record.fault([] if name in self.plane.replicas else [name])
         self.plane.pause(name)
-        time.sleep(FAULT_SECONDS * self.scale)
+        time.sleep(FAULT_DURATION_S * self.scale)
         self.plane.resume(name)
         self.record.fault_over(name)
-        return Struck("stop", f"{name} stopped")
+        return InjectedFault("stop", f"{name} stopped")
 
     def _split(self):
         everyone = [*self.plane.replicas, *self.plane.controllers]
         self.record.fault(self.plane.controllers)
-        if self.chance.random() < 0.5:
-            pairs = self.chance.sample(sorted(self.plane.links.ways), 4)
+        if self.rng.random() < 0.5:
+            pairs = self.rng.sample(sorted(self.plane.links.ways), 4)
             self.plane.links.close(*pairs)
             what = "one way: " + ", ".join(f"{a} to {b}" for a, b in pairs)
         else:
-            self.chance.shuffle(everyone)
-            cut = self.chance.randrange(1, len(everyone))
+            self.rng.shuffle(everyone)
+            cut = self.rng.randrange(1, len(everyone))
             self.plane.links.part(everyone[:cut], everyone[cut:])
             what = f"split: {' '.join(sorted(everyone[:cut]))} from the others"
-        time.sleep(FAULT_SECONDS * self.scale)
+        time.sleep(FAULT_DURATION_S * self.scale)
         self.plane.links.mend()
         self.record.fault_over("split")
-        return Struck("split", what)
+        return InjectedFault("split", what)
 
-    def _victim(self):
+    def _choose_target(self):
         """A replica as often as a subscriber; of the replicas the leader as often as not."""
-        if self.chance.random() < 0.5:
-            return self.chance.choice(self.plane.controllers)
-        if self.chance.random() < 0.5 and (leader := self.plane.leader()):
+        if self.rng.random() < 0.5:
+            return self.rng.choice(self.plane.controllers)
+        if self.rng.random() < 0.5 and (leader := self.plane.leader()):
             return leader
-        return self.chance.choice(self.plane.replicas)
+        return self.rng.choice(self.plane.replicas)
 
     # ---- the rest
 
     def _keep_writing(self, number):
         """Writes keys, removes some, and rolls some back to what this writer wrote before."""
-        chance = random.Random(f"{self.seed} writer {number}")
+        rng = random.Random(f"{self.seed} writer {number}")
         count = 0
         written = {}  # key -> (revision, value) that this writer wrote last
-        while not self.record.ending.wait(WRITE_PAUSE):
+        while not self.record.ending.wait(WRITE_PAUSE_S):
             count += 1
-            key = f"key-{chance.randrange(KEYS)}"
-            at = chance.choice(self.plane.replicas)
+            key = f"key-{rng.randrange(KEY_COUNT)}"
+            at = rng.choice(self.plane.replicas)
             request = f"{self.seed}-{number}-{count}"
-            kind = chance.random()
-            value = f"{number} {count}".encode() * chance.randrange(1, 20)
-            if kind < REMOVED:
+            kind = rng.random()
+            value = f"{number} {count}".encode() * rng.randrange(1, 20)
+            if kind < REMOVE_SHARE:
                 value = None
-            if kind > 1 - ROLLED_BACK and key in written:
+            if kind > 1 - ROLLBACK_SHARE and key in written:
                 version, value = written[key]
                 outcome = self.record.rollback(at, key, version, value, request, within=2.0)
             else:
@@ -197,19 +199,21 @@
 
     def _settle(self):
         """Seconds until all hold all that was acknowledged until now."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         revision = self.record.newest
-        most = (2 * self.record.bounds.any_fault) / S
+        timeout_s = (2 * self.record.bounds.any_fault) / S
 
-        def reached():
+        def caught_up():
             statuses = [self.plane.status(name) for name in self.plane.running]
             return None not in statuses and min(one["revision"] for one in statuses) >= revision
 
-        self.plane.wait(reached, f"all hold revision {revision}", most)
-        return time.monotonic() - began
+        self.plane.wait(caught_up, f"all hold revision {revision}", timeout_s)
+        return time.monotonic() - started_at
 
 
-def play(faults, seed, scale, replicas=3, subscribers=6, folder=None, show=lambda text: None, limits=None):
+def run_with_faults(
+    faults, seed, scale, replicas=3, subscribers=6, folder=None, show=lambda text: None, limits=None
+):
     """Plays `faults` of each kind, and gives a PlayResult.
 
     `folder` is where logs and states stay, a temporary one if None; the others are those of recorded_plane.
@@ -217,4 +221,4 @@
     with tempfile.TemporaryDirectory() as temporary:
         where = folder or temporary
         with recorded_plane(where, replicas, subscribers, scale, seed, limits=limits) as record:
-            return ControlPlay(record, scale, seed).run(faults, show)
+            return FaultRun(record, scale, seed).run(faults, show)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -11,7 +11,7 @@
 from embertray.cluster.replication.link.entry_log import value_digest
 from embertray.cluster.replication.propagation_bounds import Bounds
 from embertray.experiments.capacity import target
-from embertray.simulation.processes.control_fault_run import play, recorded_plane
+from embertray.simulation.processes.control_fault_run import recorded_plane, run_with_faults
 from embertray.simulation.processes.control_plane import WAIT_TIMEOUT_S
 from embertray.simulation.processes.control_record import Acknowledgement, ControlRecord, Look
 from embertray.simulation.processes.time_limits import DELAY_SLACK_NS, limits_by_objective
@@ -390,7 +390,7 @@
 
 class Play(unittest.TestCase):
     def test_a_fault_of_each_kind_while_writes_go_on(self):
-        found = play(1, seed=3, scale=SCALE, subscribers=3, limits=LIMITS)
+        found = run_with_faults(1, seed=3, scale=SCALE, subscribers=3, limits=LIMITS)
         self.assertEqual(found.claims.broken, [])
         self.assertEqual(sorted(one.kind for one in found.faults), ["kill", "split", "stop"])
         self.assertGreater(found.outcomes["Committed"], 0)
