--- a/embertray/simulation/processes/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -53,8 +53,8 @@
 async def run_subscriber(site, name, scale):
     """A SubscriberClient at this scale, with its status at its controller's operators' address."""
     log, net, me = structlog.get_logger(), TcpNet(), site.controller(name)
-    _, _, pace = scaled_timings(scale, FeedSettings())
-    client = subscriber_client(site, me, LoopClock(), net, 1, log, pace)
+    _, _, subscriber_timing = scaled_timings(scale, FeedSettings())
+    client = subscriber_client(site, me, LoopClock(), net, 1, log, subscriber_timing)
     log.info("started", subscriber=name)
 
     def answer(request, body):
--- a/embertray/simulation/processes/control_timing.py
+++ b/embertray/simulation/processes/control_timing.py
@@ -16,5 +16,5 @@
     )
 
 
-def _scaled(pace, scale, names):
-    return replace(pace, **{name: round(getattr(pace, name) * scale) for name in names})
+def _scaled(timing, scale, names):
+    return replace(timing, **{name: round(getattr(timing, name) * scale) for name in names})
