--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -63,7 +63,7 @@
     plane = ControlPlane(folder, replicas, subscribers, scale)
     plane.programs.update(programs or {})
     bounds = Bounds(*scaled_timings(scale))
-    with plane.linked(seed).running():
+    with plane.add_links(seed).running():
         record = ControlRecord(plane, bounds, limits)
         sampler = threading.Thread(target=record.keep_looking)
         try:
@@ -72,7 +72,7 @@
             # On a busy machine two replicas may elect a leader while the third has not heard that all began
             # with nothing. It has no vote then until its silence is over and the leader has admitted it: a
             # fault that takes one of the others meanwhile leaves no majority, and no write is committed.
-            plane.wait(lambda: all(map(plane.votes, plane.replicas)), "all replicas vote")
+            plane.wait(lambda: all(map(plane.is_voter, plane.replicas)), "all replicas vote")
             plane.wait(lambda: all(map(plane.knows_age, plane.controllers)), "subscribers know their age")
             sampler.start()
             yield record
@@ -132,7 +132,7 @@
         self.record.fault([] if replica else [name])
         self.plane.kill(name)
         if loses_disk:
-            self.plane.forget(name)
+            self.plane.delete_stored_state(name)
         time.sleep(self.rng.random() * MAX_DOWNTIME_S * self.scale)
         self.plane.up(name)
         self.plane.wait(lambda: self.plane.status(name), f"{name} answers")
@@ -153,15 +153,15 @@
         self.record.fault(self.plane.controllers)
         if self.rng.random() < 0.5:
             pairs = self.rng.sample(sorted(self.plane.links.ways), 4)
-            self.plane.links.close(*pairs)
+            self.plane.links.block(*pairs)
             what = "one way: " + ", ".join(f"{a} to {b}" for a, b in pairs)
         else:
             self.rng.shuffle(everyone)
             cut = self.rng.randrange(1, len(everyone))
-            self.plane.links.part(everyone[:cut], everyone[cut:])
+            self.plane.links.partition(everyone[:cut], everyone[cut:])
             what = f"split: {' '.join(sorted(everyone[:cut]))} from the others"
         time.sleep(FAULT_DURATION_S * self.scale)
-        self.plane.links.mend()
+        self.plane.links.restore()
         self.record.fault_over("split")
         return InjectedFault("split", what)
 
--- a/embertray/simulation/processes/control_links.py
+++ b/embertray/simulation/processes/control_links.py
@@ -53,14 +53,14 @@
 
     # ---- faults
 
-    def part(self, *groups):
+    def partition(self, *groups):
         """Only those of one group reach each other; who is in none reaches all."""
         self.portal.call(lambda: self.split(*groups))
 
-    def close(self, *pairs):
+    def block(self, *pairs):
         """Nothing passes from the first of each pair to the second; streams between them stay silent."""
         self.portal.call(lambda: self.bend(0, pairs, open=False))
 
-    def mend(self):
+    def restore(self):
         """All links are good again; what they held back is delivered."""
         self.portal.call(self.heal)
--- a/embertray/simulation/processes/control_plane.py
+++ b/embertray/simulation/processes/control_plane.py
@@ -49,7 +49,7 @@
 
     # ---- descriptions
 
-    def linked(self, seed=1):
+    def add_links(self, seed=1):
         """The ControlLinks that lie between all processes from now on; they have to run."""
         self.links = ControlLinks(self.replicas, self.controllers, self._true_port, seed)
         return self.links
@@ -138,12 +138,12 @@
         self.stopped.discard(name)
         self.running[name].resume()
 
-    def forget(self, name):
+    def delete_stored_state(self, name):
         """What a replica that does not run has on disk is gone."""
         shutil.rmtree(self.folder / "kept" / name, ignore_errors=True)
 
     @property
-    def asked(self):
+    def active_names(self):
         """Names of processes that can answer."""
         return [name for name in list(self.running) if name not in self.stopped]
 
@@ -155,7 +155,7 @@
 
     # ---- what they say
 
-    def ask(self, name, page="/control"):
+    def get_page(self, name, page="/control"):
         """(status, body), or (None, b"") if it does not answer."""
         try:
             with urllib.request.urlopen(f"http://{self.admin(name)}{page}", timeout=5) as answer:
@@ -167,7 +167,7 @@
 
     def status(self, name):
         """A process's status of the control plane as a dict, or None."""
-        code, body = self.ask(name)
+        code, body = self.get_page(name)
         return json.loads(body) if code == 200 else None
 
     def knows_age(self, name):
@@ -175,7 +175,7 @@
         status = self.status(name)
         return status is not None and status["age_s"] is not None
 
-    def votes(self, name):
+    def is_voter(self, name):
         """Whether a replica answers, and counts in majorities: it does not recover."""
         status = self.status(name)
         return status is not None and not status["recovering"]
@@ -183,7 +183,7 @@
     def leader(self):
         """The name of the replica that leads with a majority, or None."""
         for name in self.replicas:
-            status = self.status(name) if name in self.asked else None
+            status = self.status(name) if name in self.active_names else None
             if status and status["has_majority"]:
                 return name
         return None
@@ -204,10 +204,10 @@
                 return found
             time.sleep(POLL_INTERVAL_S)
         raise AssertionError(
-            f"not within {timeout_s} s: {what}; {[self.status(name) for name in self.asked]}"
+            f"not within {timeout_s} s: {what}; {[self.status(name) for name in self.active_names]}"
         )
 
-    def lines(self, name):
+    def log_rows(self, name):
         """What a process logged in all its lives, as dicts."""
         path = self.folder / f"{name}.log"
         text = path.read_text() if path.exists() else ""
@@ -215,5 +215,5 @@
 
     def applied(self, name):
         """(key, revision, digest of the value or None) of all that a controller applied, in all its lives."""
-        rows = [row for row in self.lines(name) if row["event"] == "applied"]
+        rows = [row for row in self.log_rows(name) if row["event"] == "applied"]
         return [(row["key"], row["revision"], row["digest"]) for row in rows]
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -122,7 +122,7 @@
     def look(self):
         """Asks each subscriber that can answer."""
         for name in self.plane.controllers:
-            if name not in self.plane.asked:
+            if name not in self.plane.active_names:
                 continue
             since = self.since[name]
             now = time.time_ns()
@@ -169,7 +169,7 @@
                 claims.forgets(name)
             else:
                 claims.applied(now, name, entry_of(said))
-        statuses = {name: plane.status(name) for name in plane.controllers if name in plane.asked}
+        statuses = {name: plane.status(name) for name in plane.controllers if name in plane.active_names}
         final = {name: (one["revision"], one["digest"]) for name, one in statuses.items() if one}
         claims.alike(time.time_ns(), final)
         return claims
@@ -189,7 +189,7 @@
         wanted = {"replica": ("committed", "saved"), "subscriber": ("started", "applied", "restored")}
         for name in [*self.plane.replicas, *self.plane.controllers]:
             events = wanted["replica" if name in self.plane.replicas else "subscriber"]
-            for row in self.plane.lines(name):
+            for row in self.plane.log_rows(name):
                 if row["event"] in events:
                     yield time_of(row), name, row
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -32,7 +32,7 @@
             recorded_plane(folder, scale=SCALE, limits=LIMITS, **more) as record,
         ):
             body(record)
-            record.plane.links.mend()
+            record.plane.links.restore()
             record.fault_over("end")
             newest = record.newest
             record.plane.wait(lambda: record.all_at(newest), f"all are alike at {newest} or later")
@@ -106,7 +106,7 @@
             name = next(one for one in plane.replicas if one != plane.leader())
             record.fault()
             plane.kill(name)
-            plane.forget(name)
+            plane.delete_stored_state(name)
             plane.up(name)
             plane.wait(
                 lambda: (
@@ -129,7 +129,7 @@
             cut = self.followed(record, "c1")
             others = [name for name in plane.replicas if name != cut]
             record.fault()
-            plane.links.part([cut], others)
+            plane.links.partition([cut], others)
             at = plane.wait(lambda: next((n for n in others if n == plane.leader()), None), "others lead")
             revision = self.put(record, "key", b"1", at=at)
             plane.wait(lambda: plane.status("c1")["revision"] >= revision, "it turned to another one")
@@ -145,7 +145,7 @@
             cut = self.followed(record, "c1")
             others = [name for name in plane.replicas if name != cut]
             record.fault(["c1"])
-            plane.links.part([cut, "c1"], [*others, "c2"])
+            plane.links.partition([cut, "c1"], [*others, "c2"])
             at = plane.wait(lambda: next((n for n in others if n == plane.leader()), None), "others lead")
             after = self.put(record, "key", b"2", at=at)
             plane.wait(lambda: plane.status("c2")["revision"] >= after, "in force on the other side")
@@ -163,7 +163,7 @@
             deaf = next(name for name in plane.replicas if name != leader)
             followed = self.followed(record, "c1")
             record.fault()
-            plane.links.close((leader, deaf), (followed, "c1"))
+            plane.links.block((leader, deaf), (followed, "c1"))
             revision = self.put(record, "key", b"1")
             for name in plane.controllers:
                 plane.wait(
@@ -185,7 +185,7 @@
                 outcomes[at] = record.put(at, "key", at.encode(), f"by-{at}", within)
 
             record.fault(["c1"])
-            plane.links.part([alone, "c1"], [*others, "c2"])
+            plane.links.partition([alone, "c1"], [*others, "c2"])
             both = [
                 threading.Thread(target=write, args=one)
                 for one in ((alone, 1.0), (others[0], WAIT_TIMEOUT_S))
@@ -196,7 +196,7 @@
                 writer.join()
             self.assertIsInstance(outcomes[others[0]], Committed)
             self.assertNotIsInstance(outcomes[alone], Committed)
-            plane.links.mend()
+            plane.links.restore()
             record.fault_over("split")
             wanted = value_digest(others[0].encode())
             for name in plane.controllers:
@@ -218,7 +218,7 @@
             last = self.half_sent(record, "c1")
             name = self.followed(record, "c1")
             record.fault()
-            record.plane.links.part([name], ["c1"])
+            record.plane.links.partition([name], ["c1"])
             record.plane.wait(lambda: record.plane.status("c1")["revision"] >= last, "the rest came")
             self.assertNotEqual(record.plane.status("c1")["replica"], name)
 
@@ -286,7 +286,7 @@
     def test_replicas_that_answer_without_a_majority(self):
         def body(record):
             plane = record.plane
-            plane.links.part(["k1"], ["k2"], ["k3"])
+            plane.links.partition(["k1"], ["k2"], ["k3"])
             for name in plane.replicas:
                 told = plane.wait(
                     lambda name=name: (said := plane.status(name)) and said["has_majority"], f"{name} leads"
@@ -301,7 +301,7 @@
         def body(record):
             plane = record.plane
             followed = self.followed(record, "c1")
-            plane.links.close(("c1", followed))  # it is sent again what it can't confirm
+            plane.links.block(("c1", followed))  # it is sent again what it can't confirm
             self.put(record, "key", b"1")
             plane.wait(lambda: len(plane.applied("c1")) > 1, "it applied that twice")
 
@@ -312,7 +312,7 @@
             plane = record.plane
             followed = self.followed(record, "c1")
             record.fault(["c1"])
-            plane.links.close(("c1", followed))
+            plane.links.block(("c1", followed))
             self.put(record, "key", b"1")
             plane.wait(lambda: (plane.status("c1") or {})["counted"]["duplicates"], "it was sent that twice")
             self.assertEqual(len(plane.applied("c1")), 1)
@@ -322,7 +322,7 @@
     def test_a_subscriber_that_says_it_is_fresh(self):
         def body(record):
             plane = record.plane
-            plane.links.part(["c1"], plane.replicas)
+            plane.links.partition(["c1"], plane.replicas)
             revision = self.put(record, "key", b"1")
             plane.wait(lambda: plane.status("c2")["revision"] >= revision, "in force elsewhere")
             plane.wait(lambda: "age" in record.judge().counts, "it is found out")
@@ -336,10 +336,10 @@
     def __init__(self, written_at):
         self.replicas = ["k1", "k2", "k3"]
         self.controllers = ["c1"]
-        self.asked = []
+        self.active_names = []
         self.written_at = written_at
 
-    def lines(self, name):
+    def log_rows(self, name):
         """Log lines of a process."""
         if name in self.controllers:
             return []
