--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -65,7 +65,7 @@
     bounds = Bounds(*scaled_timings(scale))
     with plane.add_links(seed).running():
         record = ControlRecord(plane, bounds, limits)
-        sampler = threading.Thread(target=record.keep_looking)
+        sampler = threading.Thread(target=record.sample_until_stopped)
         try:
             plane.all_up()
             plane.wait(plane.leader, "a leader")
@@ -77,7 +77,7 @@
             sampler.start()
             yield record
         finally:
-            record.ending.set()
+            record.stop_requested.set()
             if sampler.ident is not None:
                 sampler.join()
             plane.end()
@@ -113,7 +113,7 @@
                 time.sleep(PAUSE_AFTER_FAULT_S * self.scale)
             time.sleep(self.record.bounds.any_fault / S + FINAL_QUIET_S * self.scale)
         finally:
-            self.record.ending.set()
+            self.record.stop_requested.set()
             for writer in writers:
                 writer.join()
         self._settle()
@@ -129,28 +129,28 @@
         replica = name in self.plane.replicas
         self.kills += replica
         loses_disk = replica and self.kills % KILLS_PER_DISK_LOSS == 0
-        self.record.fault([] if replica else [name])
+        self.record.fault_started([] if replica else [name])
         self.plane.kill(name)
         if loses_disk:
             self.plane.delete_stored_state(name)
         time.sleep(self.rng.random() * MAX_DOWNTIME_S * self.scale)
         self.plane.up(name)
         self.plane.wait(lambda: self.plane.status(name), f"{name} answers")
-        self.record.fault_over(name)
+        self.record.fault_ended(name)
         return InjectedFault("kill", f"{name} killed" + (", its disk lost" if loses_disk else ""))
 
     def _stop(self):
         name = self._choose_target()
-        self.record.fault([] if name in self.plane.replicas else [name])
+        self.record.fault_started([] if name in self.plane.replicas else [name])
         self.plane.pause(name)
         time.sleep(FAULT_DURATION_S * self.scale)
         self.plane.resume(name)
-        self.record.fault_over(name)
+        self.record.fault_ended(name)
         return InjectedFault("stop", f"{name} stopped")
 
     def _split(self):
         everyone = [*self.plane.replicas, *self.plane.controllers]
-        self.record.fault(self.plane.controllers)
+        self.record.fault_started(self.plane.controllers)
         if self.rng.random() < 0.5:
             pairs = self.rng.sample(sorted(self.plane.links.ways), 4)
             self.plane.links.block(*pairs)
@@ -162,7 +162,7 @@
             what = f"split: {' '.join(sorted(everyone[:cut]))} from the others"
         time.sleep(FAULT_DURATION_S * self.scale)
         self.plane.links.restore()
-        self.record.fault_over("split")
+        self.record.fault_ended("split")
         return InjectedFault("split", what)
 
     def _choose_target(self):
@@ -180,7 +180,7 @@
         rng = random.Random(f"{self.seed} writer {number}")
         count = 0
         written = {}  # key -> (revision, value) that this writer wrote last
-        while not self.record.ending.wait(WRITE_PAUSE_S):
+        while not self.record.stop_requested.wait(WRITE_PAUSE_S):
             count += 1
             key = f"key-{rng.randrange(KEY_COUNT)}"
             at = rng.choice(self.plane.replicas)
@@ -200,7 +200,7 @@
     def _settle(self):
         """Seconds until all hold all that was acknowledged until now."""
         started_at = time.monotonic()
-        revision = self.record.newest
+        revision = self.record.newest_acknowledged
         timeout_s = (2 * self.record.bounds.any_fault) / S
 
         def caught_up():
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -21,12 +21,12 @@
 from .time_limits import limits_by_bounds
 
 SECOND_NS = 10**9
-LOOK_PERIOD_S = 0.1  # between two looks at a subscriber
+SAMPLE_PERIOD_S = 0.1  # between two looks at a subscriber
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 
 
 @dataclass(frozen=True)
-class Look:
+class StatusSample:
     """What a subscriber said.
 
     `since`: ns from when it was within reach of all it needs, None: it was not; `calm`: the same, from when
@@ -36,8 +36,8 @@
     subscriber: str
     revision: int
     age: int | None
-    since: int | None
-    calm: int | None
+    in_reach_since: int | None
+    good_links_since: int | None
 
 
 @dataclass(frozen=True)
@@ -63,23 +63,23 @@
         self.bounds = bounds
         self.limits = limits or limits_by_bounds(bounds)
         self.events = []  # (ns, what) of writers and looks
-        self.since = {}  # subscriber -> ns from when it is within reach, None: it is not
+        self.in_reach_since = {}  # subscriber -> ns from when it is within reach, None: it is not
         self.outcomes = {}  # kind of a write's outcome -> how many
-        self.ending = threading.Event()
+        self.stop_requested = threading.Event()
         self.lock = threading.Lock()
-        self.fault_over("start")
+        self.fault_ended("start")
 
     # ---- faults
 
-    def fault(self, cut=()):
+    def fault_started(self, cut=()):
         """Something is broken from now on; subscribers in `cut` miss what they need."""
         now = time.time_ns()
-        self.since = {name: None if name in cut else now for name in self.plane.controllers}
+        self.in_reach_since = {name: None if name in cut else now for name in self.plane.controllers}
 
-    def fault_over(self, what):
+    def fault_ended(self, what):
         """All runs, and all links are good."""
         now = time.time_ns()
-        self.since = dict.fromkeys(self.plane.controllers, now)
+        self.in_reach_since = dict.fromkeys(self.plane.controllers, now)
 
     # ---- writes
 
@@ -105,12 +105,12 @@
             kind = "Unreachable" if outcome is None else type(outcome).__name__
             self.outcomes[kind] = self.outcomes.get(kind, 0) + 1
             if isinstance(outcome, Committed):
-                said = Acknowledgement(outcome.revision, query["key"], value_digest(value))
-                self.events.append((time.time_ns(), said))
+                acknowledgement = Acknowledgement(outcome.revision, query["key"], value_digest(value))
+                self.events.append((time.time_ns(), acknowledgement))
         return outcome
 
     @property
-    def newest(self):
+    def newest_acknowledged(self):
         """The newest revision that was acknowledged."""
         with self.lock:
             return max(
@@ -119,27 +119,29 @@
 
     # ---- looks
 
-    def look(self):
+    def sample(self):
         """Asks each subscriber that can answer."""
         for name in self.plane.controllers:
             if name not in self.plane.active_names:
                 continue
-            since = self.since[name]
+            in_reach_since = self.in_reach_since[name]
             now = time.time_ns()
             status = self.plane.status(name)
-            if status is None or since != self.since[name]:
+            if status is None or in_reach_since != self.in_reach_since[name]:
                 continue
             age = None if status["age_s"] is None else round(status["age_s"] * SECOND_NS)
-            calm = None if since is None else since + self.bounds.any_fault
+            good_links_since = None if in_reach_since is None else in_reach_since + self.bounds.any_fault
             with self.lock:
-                self.events.append((now, Look(name, status["revision"], age, since, calm)))
+                self.events.append(
+                    (now, StatusSample(name, status["revision"], age, in_reach_since, good_links_since))
+                )
 
-    def keep_looking(self):
+    def sample_until_stopped(self):
         """Until `ending` is set; for a thread of its own."""
-        while not self.ending.wait(LOOK_PERIOD_S):
-            self.look()
+        while not self.stop_requested.wait(SAMPLE_PERIOD_S):
+            self.sample()
 
-    def all_at(self, revision):
+    def all_identical_at(self, revision):
         """Whether all replicas and subscribers hold everything up to there, and nothing else."""
         statuses = [self.plane.status(name) for name in self.plane.running]
         if None in statuses or min(one["revision"] for one in statuses) < revision:
@@ -148,39 +150,41 @@
 
     # ---- verdict
 
-    def judge(self):
+    def check_claims(self):
         """The ControlClaims after all that happened."""
         claims = ControlClaims()
         plane = self.plane
         majority = len(plane.replicas) // 2 + 1
         saved = dict.fromkeys(plane.replicas, 0)
-        for now, name, said in sorted(self._all_events(), key=lambda event: event[0]):
-            if isinstance(said, Acknowledgement):
-                durable = sum(revision >= said.revision for revision in saved.values())
-                value = None if said.digest is None else said.digest.encode()
-                claims.acknowledge(now, said.revision, said.key, value, durable, majority)
-            elif isinstance(said, Look):
-                self._judge_look(claims, now, said)
-            elif said["event"] == "saved":
-                saved[name] = said["revision"]
-            elif said["event"] == "committed":
-                claims.committed(now, name, entry_of(said))
-            elif said["event"] == "started":
+        for now, name, event in sorted(self._all_events(), key=lambda one: one[0]):
+            if isinstance(event, Acknowledgement):
+                durable = sum(revision >= event.revision for revision in saved.values())
+                value = None if event.digest is None else event.digest.encode()
+                claims.acknowledge(now, event.revision, event.key, value, durable, majority)
+            elif isinstance(event, StatusSample):
+                self._check_sample(claims, now, event)
+            elif event["event"] == "saved":
+                saved[name] = event["revision"]
+            elif event["event"] == "committed":
+                claims.committed(now, name, entry_from_row(event))
+            elif event["event"] == "started":
                 claims.forgets(name)
             else:
-                claims.applied(now, name, entry_of(said))
+                claims.applied(now, name, entry_from_row(event))
         statuses = {name: plane.status(name) for name in plane.controllers if name in plane.active_names}
         final = {name: (one["revision"], one["digest"]) for name, one in statuses.items() if one}
         claims.alike(time.time_ns(), final)
         return claims
 
-    def _judge_look(self, claims, now, look):
-        claims.look(now, look.subscriber, look.revision, look.age)
-        claims.reach(now, look.subscriber, look.revision, look.since, self.limits.in_force)
-        if look.calm is None or now < look.calm:
-            claims.reach(now, look.subscriber, look.revision, None, 0, "prompt")
+    def _check_sample(self, claims, now, sample):
+        claims.look(now, sample.subscriber, sample.revision, sample.age)
+        claims.reach(now, sample.subscriber, sample.revision, sample.in_reach_since, self.limits.in_force)
+        if sample.good_links_since is None or now < sample.good_links_since:
+            claims.reach(now, sample.subscriber, sample.revision, None, 0, "prompt")
         else:
-            claims.reach(now, look.subscriber, look.revision, look.calm, self.limits.prompt, "prompt")
+            claims.reach(
+                now, sample.subscriber, sample.revision, sample.good_links_since, self.limits.prompt, "prompt"
+            )
 
     def _all_events(self):
         """(time, process, what) of writers, looks and logs."""
@@ -191,16 +195,16 @@
             events = wanted["replica" if name in self.plane.replicas else "subscriber"]
             for row in self.plane.log_rows(name):
                 if row["event"] in events:
-                    yield time_of(row), name, row
+                    yield row_time_ns(row), name, row
 
 
-def time_of(row):
+def row_time_ns(row):
     """When a log line was written, ns."""
     microseconds = (datetime.fromisoformat(row["timestamp"]) - EPOCH) // timedelta(microseconds=1)
     return microseconds * 1_000
 
 
-def entry_of(row):
+def entry_from_row(row):
     """The Entry of a log line, with the digest in place of its value."""
     value = None if row["digest"] is None else row["digest"].encode()
     return Entry(row["key"], row["revision"], row["term"], row["request"], value)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -13,7 +13,7 @@
 from embertray.experiments.capacity import target
 from embertray.simulation.processes.control_fault_run import recorded_plane, run_with_faults
 from embertray.simulation.processes.control_plane import WAIT_TIMEOUT_S
-from embertray.simulation.processes.control_record import Acknowledgement, ControlRecord, Look
+from embertray.simulation.processes.control_record import Acknowledgement, ControlRecord, StatusSample
 from embertray.simulation.processes.time_limits import DELAY_SLACK_NS, limits_by_objective
 
 HERE = Path(__file__).resolve().parent
@@ -33,11 +33,11 @@
         ):
             body(record)
             record.plane.links.restore()
-            record.fault_over("end")
-            newest = record.newest
-            record.plane.wait(lambda: record.all_at(newest), f"all are alike at {newest} or later")
-            record.look()  # after the last write: the looks beside the case may all have come before
-            claims = record.judge()
+            record.fault_ended("end")
+            newest = record.newest_acknowledged
+            record.plane.wait(lambda: record.all_identical_at(newest), f"all are alike at {newest} or later")
+            record.sample()  # after the last write: the looks beside the case may all have come before
+            claims = record.check_claims()
             self.assertEqual(claims.broken, [])
             for claim in ("history", "acknowledged", "once", "age", "in force", "alike"):
                 self.assertGreater(claims.checks[claim], 0, claim)
@@ -45,7 +45,7 @@
     def put(self, record, key, value, at=None, request=None):
         """Its revision; it has to be committed."""
         at = at or record.plane.wait(record.plane.leader, "a leader")
-        request = request or f"{key} {record.newest}"
+        request = request or f"{key} {record.newest_acknowledged}"
         outcome = record.put(at, key, value, request, within=WAIT_TIMEOUT_S)
         self.assertIsInstance(outcome, Committed)
         return outcome.revision
@@ -53,13 +53,13 @@
     def half_sent(self, record, name):
         """Writes more than the budget of `name` lets through at once; returns when it has a part of it."""
         plane = record.plane
-        record.fault([name])
+        record.fault_started([name])
         plane.pause(name)  # so that it has nothing when the last is written, however long that took
         first = self.put(record, "large-0", LARGE)
         for number in range(1, 14):
             last = self.put(record, f"large-{number}", LARGE)
         plane.resume(name)
-        record.fault_over("written")
+        record.fault_ended("written")
         plane.wait(lambda: first <= plane.status(name)["revision"] < last, f"{name} holds a part")
         return last
 
@@ -76,7 +76,7 @@
         def body(record):
             last = self.half_sent(record, "c1")
             name = self.followed(record, "c1")
-            record.fault()
+            record.fault_started()
             record.plane.kill(name)
             record.plane.wait(lambda: record.plane.status("c1")["revision"] >= last, "the rest came")
             record.plane.up(name)
@@ -87,7 +87,7 @@
         def body(record):
             plane = record.plane
             former = plane.wait(plane.leader, "a leader")
-            record.fault()
+            record.fault_started()
             plane.pause(former)
             leader = plane.wait(lambda: plane.leader(), "another leads")
             revision = self.put(record, "while", b"1", at=leader)
@@ -104,7 +104,7 @@
             plane = record.plane
             revision = self.put(record, "before", b"1")
             name = next(one for one in plane.replicas if one != plane.leader())
-            record.fault()
+            record.fault_started()
             plane.kill(name)
             plane.delete_stored_state(name)
             plane.up(name)
@@ -128,7 +128,7 @@
             plane = record.plane
             cut = self.followed(record, "c1")
             others = [name for name in plane.replicas if name != cut]
-            record.fault()
+            record.fault_started()
             plane.links.partition([cut], others)
             at = plane.wait(lambda: next((n for n in others if n == plane.leader()), None), "others lead")
             revision = self.put(record, "key", b"1", at=at)
@@ -144,7 +144,7 @@
             plane.wait(lambda: plane.status("c1")["revision"] >= before, "in force")
             cut = self.followed(record, "c1")
             others = [name for name in plane.replicas if name != cut]
-            record.fault(["c1"])
+            record.fault_started(["c1"])
             plane.links.partition([cut, "c1"], [*others, "c2"])
             at = plane.wait(lambda: next((n for n in others if n == plane.leader()), None), "others lead")
             after = self.put(record, "key", b"2", at=at)
@@ -162,7 +162,7 @@
             leader = plane.wait(plane.leader, "a leader")
             deaf = next(name for name in plane.replicas if name != leader)
             followed = self.followed(record, "c1")
-            record.fault()
+            record.fault_started()
             plane.links.block((leader, deaf), (followed, "c1"))
             revision = self.put(record, "key", b"1")
             for name in plane.controllers:
@@ -184,7 +184,7 @@
             def write(at, within):
                 outcomes[at] = record.put(at, "key", at.encode(), f"by-{at}", within)
 
-            record.fault(["c1"])
+            record.fault_started(["c1"])
             plane.links.partition([alone, "c1"], [*others, "c2"])
             both = [
                 threading.Thread(target=write, args=one)
@@ -197,7 +197,7 @@
             self.assertIsInstance(outcomes[others[0]], Committed)
             self.assertNotIsInstance(outcomes[alone], Committed)
             plane.links.restore()
-            record.fault_over("split")
+            record.fault_ended("split")
             wanted = value_digest(others[0].encode())
             for name in plane.controllers:
                 plane.wait(
@@ -217,7 +217,7 @@
         def body(record):
             last = self.half_sent(record, "c1")
             name = self.followed(record, "c1")
-            record.fault()
+            record.fault_started()
             record.plane.links.partition([name], ["c1"])
             record.plane.wait(lambda: record.plane.status("c1")["revision"] >= last, "the rest came")
             self.assertNotEqual(record.plane.status("c1")["replica"], name)
@@ -258,7 +258,7 @@
         def body(record):
             plane = record.plane
             followed = self.followed(record, "c1")
-            record.fault(["c1"])
+            record.fault_started(["c1"])
             plane.pause("c1")
             last = self.put(record, "key", LARGE)
             plane.wait(lambda: plane.status("c2")["revision"] >= last, "others are not held up")
@@ -281,7 +281,7 @@
             recorded_plane(folder, scale=SCALE, programs=programs) as record,
         ):
             body(record)
-            return set(record.judge().counts)
+            return set(record.check_claims().counts)
 
     def test_replicas_that_answer_without_a_majority(self):
         def body(record):
@@ -311,7 +311,7 @@
         def body(record):
             plane = record.plane
             followed = self.followed(record, "c1")
-            record.fault(["c1"])
+            record.fault_started(["c1"])
             plane.links.block(("c1", followed))
             self.put(record, "key", b"1")
             plane.wait(lambda: (plane.status("c1") or {})["counted"]["duplicates"], "it was sent that twice")
@@ -325,7 +325,7 @@
             plane.links.partition(["c1"], plane.replicas)
             revision = self.put(record, "key", b"1")
             plane.wait(lambda: plane.status("c2")["revision"] >= revision, "in force elsewhere")
-            plane.wait(lambda: "age" in record.judge().counts, "it is found out")
+            plane.wait(lambda: "age" in record.check_claims().counts, "it is found out")
 
         self.assertIn("age", self.broken(body, "report_zero_age", ["c1"]))
 
@@ -358,10 +358,12 @@
         """Claims broken if a subscriber lacks a write `late` ns after it; within reach since `since`."""
         record = ControlRecord(RecordedOnly(self.WRITTEN_AT - S), Bounds(), limits)
         written = Acknowledgement(1, "key", value_digest(b"1"))
-        calm = None if since is None else since + record.bounds.any_fault
-        look = Look("c1", revision=0, age=None, since=since, calm=calm)
-        record.events += [(self.WRITTEN_AT, written), (self.WRITTEN_AT + late, look)]
-        return set(record.judge().counts)
+        good_links_since = None if since is None else since + record.bounds.any_fault
+        sample = StatusSample(
+            "c1", revision=0, age=None, in_reach_since=since, good_links_since=good_links_since
+        )
+        record.events += [(self.WRITTEN_AT, written), (self.WRITTEN_AT + late, sample)]
+        return set(record.check_claims().counts)
 
     def test_the_objective_is_the_operators_twelve_seconds(self):
         self.assertEqual((LIMITS.in_force, LIMITS.prompt), (12 * S, 12 * S))
