--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -28,7 +28,7 @@
 YOUNG = "young"
 ALONE = "alone"
 NAMES = (SEEN, WRONG, FRESH, YOUNG, ALONE)
-TEXTS_KEPT = 10  # of each claim that is broken
+MAX_TEXTS_PER_CLAIM = 10  # of each claim that is broken
 UNKNOWN_AGE_FACTOR = 99  # an entry that a member lacks counts as so many times the bound
 
 
@@ -115,7 +115,7 @@
         if view.state not in ("dead", "left", None):
             seconds = view.out_of_reach_for / SECOND_NS
             text = f"{view.holder} takes {view.member} for {view.state}, out of reach for {seconds:.1f} s"
-            self._break(SEEN, view.now, text)
+            self._record_violation(SEEN, view.now, text)
 
     def _check_wrong(self, view):
         if view.in_reach_for <= self.recovery + self.slack:
@@ -124,7 +124,7 @@
         if view.state not in ("alive", "suspect"):
             seconds = view.in_reach_for / SECOND_NS
             text = f"{view.holder} takes {view.member} for {view.state}, within reach for {seconds:.1f} s"
-            self._break(WRONG, view.now, text)
+            self._record_violation(WRONG, view.now, text)
 
     def _check_fresh(self, view):
         direct = self.reachability.direct.get((view.holder, view.member))
@@ -140,7 +140,7 @@
         if view.age is None or view.age > most + self.slack:
             old = "nothing" if view.age is None else f"{view.age / SECOND_NS:.2f} s old"
             text = f"{view.holder} holds of {view.member} what is {old}, over {most / SECOND_NS:.2f} s"
-            self._break(FRESH, view.now, text)
+            self._record_violation(FRESH, view.now, text)
 
     def _check_young(self, view):
         if not view.out_of_reach_for or view.age is None:
@@ -153,7 +153,7 @@
             age = view.age / SECOND_NS
             silence = silent / SECOND_NS
             text = f"{view.holder} holds of {view.member} what is {age:.2f} s old, silent for {silence:.2f} s"
-            self._break(YOUNG, view.now, text)
+            self._record_violation(YOUNG, view.now, text)
 
     def _check_alone(self, now, holder, others, cut_off):
         reachability = self.reachability
@@ -162,12 +162,12 @@
         if others and all(reachability.out_of_reach_for(now, holder, other) > apart for other in others):
             self.checks[ALONE] += 1
             if not cut_off:
-                self._break(ALONE, now, f"{holder} does not say that it is cut off")
+                self._record_violation(ALONE, now, f"{holder} does not say that it is cut off")
         elif any(reachability.in_reach_for(now, holder, other) > together for other in others):
             self.checks[ALONE] += 1
             if cut_off:
-                self._break(ALONE, now, f"{holder} says that it is cut off")
+                self._record_violation(ALONE, now, f"{holder} says that it is cut off")
 
-    def _break(self, claim, now, text):
-        if len(self.broken[claim]) < TEXTS_KEPT:
+    def _record_violation(self, claim, now, text):
+        if len(self.broken[claim]) < MAX_TEXTS_PER_CLAIM:
             self.broken[claim].append(f"at {now / SECOND_NS:.2f} s: {text}")
--- a/embertray/simulation/claims/control.py
+++ b/embertray/simulation/claims/control.py
@@ -18,12 +18,12 @@
 from dataclasses import dataclass
 
 SECOND_NS = 10**9
-BROKEN_KEPT = 50  # texts that are kept; all are counted
+MAX_VIOLATIONS_KEPT = 50  # texts that are kept; all are counted
 CLAIMS = ("history", "acknowledged", "request", "once", "committed", "age", "in force", "prompt", "alike")
 
 
 @dataclass(frozen=True)
-class Broken:
+class Violation:
     """One claim that was found broken."""
 
     claim: str
@@ -47,7 +47,7 @@
         self.requests = {}  # request -> revision
         self.acknowledged = []  # in order
         self.newest = []  # by position in `acknowledged`: the newest revision until then
-        self.applied_at = {}  # (subscriber, key) -> revision
+        self.applied_revisions = {}  # (subscriber, key) -> revision
         self.checked = {}  # (claim, subscriber) -> position in `acknowledged` up to which all was in force
         self.broken = []
         self.counts = Counter()  # claim -> how often it was found broken
@@ -67,19 +67,23 @@
         self.checks["history"] += 1
         known = self.history.setdefault(entry.revision, entry)
         if known != entry:
-            self._break("history", now, f"{replica} committed {entry}, before it was {known}")
+            self._record_violation("history", now, f"{replica} committed {entry}, before it was {known}")
         if entry.request and self.requests.setdefault(entry.request, entry.revision) != entry.revision:
             text = f"{replica} committed {entry.request} twice, at {entry.revision}"
-            self._break("request", now, text)
+            self._record_violation("request", now, text)
 
     def acknowledge(self, now, revision, key, value, durable, majority):
         """A writer got the answer that its write is committed; `durable` replicas have it on disk."""
         self.checks["acknowledged"] += 1
         entry = self.history.get(revision)
         if entry is None or (entry.key, entry.value) != (key, value):
-            self._break("acknowledged", now, f"{key} at {revision} was acknowledged, committed is {entry}")
+            self._record_violation(
+                "acknowledged", now, f"{key} at {revision} was acknowledged, committed is {entry}"
+            )
         if durable < majority:
-            self._break("acknowledged", now, f"revision {revision} is on {durable} disks, {majority} needed")
+            self._record_violation(
+                "acknowledged", now, f"revision {revision} is on {durable} disks, {majority} needed"
+            )
         newest = max(revision, self.newest[-1] if self.newest else 0)
         self.acknowledged.append(Acknowledged(now, revision))
         self.newest.append(newest)
@@ -88,16 +92,20 @@
         """A subscriber applied an entry. A removal found by a repair has term 0."""
         self.checks["once"] += 1
         place = (subscriber, entry.key)
-        before = self.applied_at.get(place, 0)
+        before = self.applied_revisions.get(place, 0)
         if entry.revision <= before:
-            self._break("once", now, f"{subscriber} applied {entry.key} at {entry.revision} after {before}")
-        self.applied_at[place] = max(before, entry.revision)
+            self._record_violation(
+                "once", now, f"{subscriber} applied {entry.key} at {entry.revision} after {before}"
+            )
+        self.applied_revisions[place] = max(before, entry.revision)
         if entry.term and self.history.get(entry.revision) != entry:
-            self._break("committed", now, f"{subscriber} applied {entry}, which nobody committed")
+            self._record_violation("committed", now, f"{subscriber} applied {entry}, which nobody committed")
 
     def forgets(self, subscriber):
         """A subscriber starts with nothing."""
-        self.applied_at = {place: at for place, at in self.applied_at.items() if place[0] != subscriber}
+        self.applied_revisions = {
+            place: at for place, at in self.applied_revisions.items() if place[0] != subscriber
+        }
 
     def out_of_reach(self, now, subscriber):
         """Nothing is claimed of a subscriber now."""
@@ -113,7 +121,7 @@
         position = bisect_right(self.acknowledged, now - age, key=lambda one: one.at)
         if position and self.newest[position - 1] > revision:
             late = self.newest[position - 1]
-            self._break(
+            self._record_violation(
                 "age",
                 now,
                 f"{subscriber} at {revision} says {age / SECOND_NS:.2f} s, {late} was acknowledged by then",
@@ -141,7 +149,7 @@
                 text = (
                     f"{subscriber} is at {revision}, {write.revision} was due after {bound / SECOND_NS:.1f} s"
                 )
-                self._break(claim, now, text)
+                self._record_violation(claim, now, text)
             else:
                 break
             position += 1
@@ -159,9 +167,11 @@
             self.checks["alike"] += 1
             first = by_revision.setdefault(revision, (subscriber, digest))
             if first[1] != digest:
-                self._break("alike", now, f"{subscriber} and {first[0]} differ at revision {revision}")
+                self._record_violation(
+                    "alike", now, f"{subscriber} and {first[0]} differ at revision {revision}"
+                )
 
-    def _break(self, claim, now, text):
+    def _record_violation(self, claim, now, text):
         self.counts[claim] += 1
-        if len(self.broken) < BROKEN_KEPT:
-            self.broken.append(Broken(claim, now, text))
+        if len(self.broken) < MAX_VIOLATIONS_KEPT:
+            self.broken.append(Violation(claim, now, text))
