--- a/embertray/simulation/claims/control.py
+++ b/embertray/simulation/claims/control.py
@@ -62,7 +62,7 @@
 
     # ---- what happens
 
-    def committed(self, now, replica, entry):
+    def entry_committed(self, now, replica, entry):
         """A replica committed an entry."""
         self.checks["history"] += 1
         known = self.history.setdefault(entry.revision, entry)
@@ -72,7 +72,7 @@
             text = f"{replica} committed {entry.request} twice, at {entry.revision}"
             self._record_violation("request", now, text)
 
-    def acknowledge(self, now, revision, key, value, durable, majority):
+    def write_acknowledged(self, now, revision, key, value, durable, majority):
         """A writer got the answer that its write is committed; `durable` replicas have it on disk."""
         self.checks["acknowledged"] += 1
         entry = self.history.get(revision)
@@ -88,7 +88,7 @@
         self.acknowledged.append(Acknowledged(now, revision))
         self.newest.append(newest)
 
-    def applied(self, now, subscriber, entry):
+    def entry_applied(self, now, subscriber, entry):
         """A subscriber applied an entry. A removal found by a repair has term 0."""
         self.checks["once"] += 1
         place = (subscriber, entry.key)
@@ -101,19 +101,19 @@
         if entry.term and self.history.get(entry.revision) != entry:
             self._record_violation("committed", now, f"{subscriber} applied {entry}, which nobody committed")
 
-    def forgets(self, subscriber):
+    def subscriber_emptied(self, subscriber):
         """A subscriber starts with nothing."""
         self.applied_revisions = {
             place: at for place, at in self.applied_revisions.items() if place[0] != subscriber
         }
 
-    def out_of_reach(self, now, subscriber):
+    def count_out_of_reach(self, now, subscriber):
         """Nothing is claimed of a subscriber now."""
         self.checks["out of reach"] += 1
 
     # ---- what is looked at
 
-    def look(self, now, subscriber, revision, age):
+    def check_age(self, now, subscriber, revision, age):
         """A subscriber says the age of what it holds (None: it does not know)."""
         if age is None:
             return
@@ -127,7 +127,7 @@
                 f"{subscriber} at {revision} says {age / SECOND_NS:.2f} s, {late} was acknowledged by then",
             )
 
-    def reach(self, now, subscriber, revision, since, bound, claim="in force"):
+    def check_in_force(self, now, subscriber, revision, since, bound, claim="in force"):
         """Checks which writes are in force at a subscriber that holds everything up to `revision`.
 
         Args:
@@ -160,7 +160,7 @@
         if since is not None and since <= write.at:
             self.took[claim].append(now - write.at)
 
-    def alike(self, now, final):
+    def check_identical(self, now, final):
         """`final`: subscriber -> (revision, digest), at the end."""
         by_revision = {}
         for subscriber, (revision, digest) in sorted(final.items()):
--- a/embertray/simulation/emulator/control/day_simulation.py
+++ b/embertray/simulation/emulator/control/day_simulation.py
@@ -91,7 +91,7 @@
         self.delays_while_reachable = []
         self.delays_after_return = []
 
-    def applied(self, now, subscriber, entry):
+    def entry_applied(self, now, subscriber, entry):
         """Records that a subscriber applied a write.
 
         Args:
@@ -99,7 +99,7 @@
             subscriber: Its name.
             entry: The Entry.
         """
-        super().applied(now, subscriber, entry)
+        super().entry_applied(now, subscriber, entry)
         at = self._acknowledged_at(entry.revision)
         if at is None:
             return
@@ -109,14 +109,14 @@
         else:
             self.delays_after_return.append(now - since)
 
-    def out_of_reach(self, now, subscriber):
+    def count_out_of_reach(self, now, subscriber):
         """Records that a subscriber cannot reach a majority now.
 
         Args:
             now: ns.
             subscriber: Its name.
         """
-        super().out_of_reach(now, subscriber)
+        super().count_out_of_reach(now, subscriber)
         self.reachable_since[subscriber] = now
 
     def _acknowledged_at(self, revision):
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -232,7 +232,7 @@
         for addressed in step.messages:
             self._send_replica(addressed)
         for entry in step.committed:
-            self.simulation.claims.committed(self.engine.time, self.name, entry)
+            self.simulation.claims.entry_committed(self.engine.time, self.name, entry)
             done = self.writes.pop(entry.request, None)
             if done is not None:
                 done(entry)
--- a/embertray/simulation/emulator/control/simulation.py
+++ b/embertray/simulation/emulator/control/simulation.py
@@ -104,7 +104,7 @@
             for number, size in enumerate(values)
         ]
         for entry in entries:
-            self.claims.committed(self.engine.time, "start", entry)
+            self.claims.entry_committed(self.engine.time, "start", entry)
         return entries
 
     def random_for(self, purpose):
@@ -145,7 +145,7 @@
         self.writer.stop()
         self.heal()
         self.run(self.bounds.any_fault + self.bounds.waiting(self.backlog) + 4 * OBSERVATION_PERIOD_NS)
-        self.claims.alike(
+        self.claims.check_identical(
             self.engine.time,
             {
                 name: (process.core.revision, process.core.store.digest)
@@ -257,15 +257,15 @@
 
     def _observe_subscriber(self, now, name, process, group, waiting):
         core = process.core
-        self.claims.look(now, name, core.revision, core.age(now))
+        self.claims.check_age(now, name, core.revision, core.age(now))
         reached = any(
             replica in group and self.links.bidirectional(name, replica) for replica in process.replica_names
         )
         since = self.bounds_restarted_at[name] if reached else None
         if not reached:
-            self.claims.out_of_reach(now, name)
+            self.claims.count_out_of_reach(now, name)
         late = self.bounds.any_fault + waiting + OBSERVATION_PERIOD_NS
-        self.claims.reach(now, name, core.revision, since, late)
+        self.claims.check_in_force(now, name, core.revision, since, late)
         calm = None if since is None else since + late
         prompt = self.bounds.good + self.bounds.waiting(self.writer.burst_bytes) + OBSERVATION_PERIOD_NS
-        self.claims.reach(now, name, core.revision, calm, prompt, "prompt")
+        self.claims.check_in_force(now, name, core.revision, calm, prompt, "prompt")
--- a/embertray/simulation/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -61,7 +61,7 @@
             *self.disk,
         )
         if not self.disk:
-            self.simulation.claims.forgets(self.name)
+            self.simulation.claims.subscriber_emptied(self.name)
         self.call(self.tick)
 
     def kill(self, silent=False):
@@ -134,7 +134,7 @@
         applied = self.core.applied
         self.core.applied = []
         for entry in applied:
-            self.simulation.claims.applied(self.engine.time, self.name, entry)
+            self.simulation.claims.entry_applied(self.engine.time, self.name, entry)
         self.schedule_tick(self.core.next_at())
 
     def _dial(self, action):
--- a/embertray/simulation/emulator/control/writer.py
+++ b/embertray/simulation/emulator/control/writer.py
@@ -145,4 +145,6 @@
         replicas = self.simulation.replicas.values()
         durable = sum(replica.has_saved(entry.revision) for replica in replicas)
         majority = len(replicas) // 2 + 1
-        self.simulation.claims.acknowledge(now, entry.revision, write.key, write.value, durable, majority)
+        self.simulation.claims.write_acknowledged(
+            now, entry.revision, write.key, write.value, durable, majority
+        )
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -160,29 +160,31 @@
             if isinstance(event, Acknowledgement):
                 durable = sum(revision >= event.revision for revision in saved.values())
                 value = None if event.digest is None else event.digest.encode()
-                claims.acknowledge(now, event.revision, event.key, value, durable, majority)
+                claims.write_acknowledged(now, event.revision, event.key, value, durable, majority)
             elif isinstance(event, StatusSample):
                 self._check_sample(claims, now, event)
             elif event["event"] == "saved":
                 saved[name] = event["revision"]
             elif event["event"] == "committed":
-                claims.committed(now, name, entry_from_row(event))
+                claims.entry_committed(now, name, entry_from_row(event))
             elif event["event"] == "started":
-                claims.forgets(name)
+                claims.subscriber_emptied(name)
             else:
-                claims.applied(now, name, entry_from_row(event))
+                claims.entry_applied(now, name, entry_from_row(event))
         statuses = {name: plane.status(name) for name in plane.controllers if name in plane.active_names}
         final = {name: (one["revision"], one["digest"]) for name, one in statuses.items() if one}
-        claims.alike(time.time_ns(), final)
+        claims.check_identical(time.time_ns(), final)
         return claims
 
     def _check_sample(self, claims, now, sample):
-        claims.look(now, sample.subscriber, sample.revision, sample.age)
-        claims.reach(now, sample.subscriber, sample.revision, sample.in_reach_since, self.limits.in_force)
+        claims.check_age(now, sample.subscriber, sample.revision, sample.age)
+        claims.check_in_force(
+            now, sample.subscriber, sample.revision, sample.in_reach_since, self.limits.in_force
+        )
         if sample.good_links_since is None or now < sample.good_links_since:
-            claims.reach(now, sample.subscriber, sample.revision, None, 0, "prompt")
+            claims.check_in_force(now, sample.subscriber, sample.revision, None, 0, "prompt")
         else:
-            claims.reach(
+            claims.check_in_force(
                 now, sample.subscriber, sample.revision, sample.good_links_since, self.limits.prompt, "prompt"
             )
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -229,7 +229,9 @@
         plane = self.plane(replicas=1, controllers=1)
         completed = control("put", "key", str(self.value), "--admin", plane.admin("k1"))
         self.assertEqual(completed.returncode, 0, completed.stderr)
-        plane.wait(lambda: plane.get_page("c1", "/control/key?key=key")[0] == 200, "in force at the controller")
+        plane.wait(
+            lambda: plane.get_page("c1", "/control/key?key=key")[0] == 200, "in force at the controller"
+        )
         program = plane.running.pop("k1")
         program.terminate()
         self.assertEqual(program.wait_ended(), 0)
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -82,7 +82,7 @@
                 for _ in range(120):
                     simulation.run(S // 4)
                     for name, one in simulation.subscribers.items():
-                        simulation.claims.reach(
+                        simulation.claims.check_in_force(
                             simulation.engine.time, name, one.core.revision, died, bound, "prompt"
                         )
                 self.assertTrue(simulation.claims.kept, simulation.claims.broken)
