--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -25,7 +25,7 @@
     its bound.
     """
     claims = ClusterSimulation(notation.read(random_faults(seed, members)), seed).play().claims
-    return dict(claims.checks), {name: len(why) for name, why in claims.broken.items()}, claims.worst
+    return dict(claims.checks), {name: len(why) for name, why in claims.broken.items()}, claims.max_age_ratio
 
 
 class Moments(ClusterSimulation):
--- a/embertray/experiments/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -50,7 +50,7 @@
         "held": {claim: claims.checks[claim] for claim in CLAIMS},
         "broken": {claim: claims.counts[claim] for claim in CLAIMS},
         "examples": [f"{one.claim}: {one.text}" for one in claims.broken],
-        "took_s": {claim: shares_of(took) for claim, took in claims.took.items()},
+        "took_s": {claim: shares_of(took) for claim, took in claims.propagation_times.items()},
         "settled_s": max((round(one.settled_s, 2) for one in found.faults), default=0.0),
     }
 
--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -68,10 +68,10 @@
         self.recovery = recovery_bound(len(self.names), period)
         self.broken = {name: [] for name in NAMES}
         self.checks = dict.fromkeys(NAMES, 0)
-        self.worst = 0.0
-        self.looks = 0
+        self.max_age_ratio = 0.0
+        self.report_count = 0
 
-    def look(self, now, holder, states, ages, cut_off):
+    def check_report(self, now, holder, states, ages, cut_off):
         """Checks what one member says; whoever looks while a change is under way asks for nothing.
 
         Args:
@@ -85,7 +85,7 @@
         reachability.apply_starts()
         if not reachability.is_running(holder):
             return
-        self.looks += 1
+        self.report_count += 1
         others = [name for name in self.names if name != holder]
         for member in others:
             in_reach_for = reachability.in_reach_for(now, holder, member)
@@ -136,7 +136,7 @@
             return
         self.checks[FRESH] += 1
         age = view.age if view.age is not None else UNKNOWN_AGE_FACTOR * most
-        self.worst = max(self.worst, age / most)
+        self.max_age_ratio = max(self.max_age_ratio, age / most)
         if view.age is None or view.age > most + self.slack:
             old = "nothing" if view.age is None else f"{view.age / SECOND_NS:.2f} s old"
             text = f"{view.holder} holds of {view.member} what is {old}, over {most / SECOND_NS:.2f} s"
@@ -145,14 +145,16 @@
     def _check_young(self, view):
         if not view.out_of_reach_for or view.age is None:
             return
-        silent = view.now - self.reachability.last_contact[view.holder][view.member]
-        if silent <= self.exchange + self.slack:
+        silence = view.now - self.reachability.last_contact[view.holder][view.member]
+        if silence <= self.exchange + self.slack:
             return
         self.checks[YOUNG] += 1
-        if view.age < silent - self.exchange - self.slack:
+        if view.age < silence - self.exchange - self.slack:
             age = view.age / SECOND_NS
-            silence = silent / SECOND_NS
-            text = f"{view.holder} holds of {view.member} what is {age:.2f} s old, silent for {silence:.2f} s"
+            silence_s = silence / SECOND_NS
+            text = (
+                f"{view.holder} holds of {view.member} what is {age:.2f} s old, silent for {silence_s:.2f} s"
+            )
             self._record_violation(YOUNG, view.now, text)
 
     def _check_alone(self, now, holder, others, cut_off):
--- a/embertray/simulation/claims/control.py
+++ b/embertray/simulation/claims/control.py
@@ -46,14 +46,15 @@
         self.history = {}  # revision -> Entry
         self.requests = {}  # request -> revision
         self.acknowledged = []  # in order
-        self.newest = []  # by position in `acknowledged`: the newest revision until then
+        self.max_revisions = []  # by position in `acknowledged`: the newest revision until then
         self.applied_revisions = {}  # (subscriber, key) -> revision
-        self.checked = {}  # (claim, subscriber) -> position in `acknowledged` up to which all was in force
+        # (claim, subscriber) -> position in `acknowledged` up to which all was in force
+        self.checked_positions = {}
         self.broken = []
         self.counts = Counter()  # claim -> how often it was found broken
         self.checks = Counter()  # claim -> how often it was checked
         # claim -> ns that each write took at each subscriber within reach, in steps of the looks
-        self.took = {"in force": [], "prompt": []}
+        self.propagation_times = {"in force": [], "prompt": []}
 
     @property
     def kept(self):
@@ -84,9 +85,9 @@
             self._record_violation(
                 "acknowledged", now, f"revision {revision} is on {durable} disks, {majority} needed"
             )
-        newest = max(revision, self.newest[-1] if self.newest else 0)
+        newest = max(revision, self.max_revisions[-1] if self.max_revisions else 0)
         self.acknowledged.append(Acknowledged(now, revision))
-        self.newest.append(newest)
+        self.max_revisions.append(newest)
 
     def entry_applied(self, now, subscriber, entry):
         """A subscriber applied an entry. A removal found by a repair has term 0."""
@@ -119,8 +120,8 @@
             return
         self.checks["age"] += 1
         position = bisect_right(self.acknowledged, now - age, key=lambda one: one.at)
-        if position and self.newest[position - 1] > revision:
-            late = self.newest[position - 1]
+        if position and self.max_revisions[position - 1] > revision:
+            late = self.max_revisions[position - 1]
             self._record_violation(
                 "age",
                 now,
@@ -139,7 +140,7 @@
             claim: what is broken by a write that is late.
         """
         place = (claim, subscriber)
-        position = self.checked.get(place, 0)
+        position = self.checked_positions.get(place, 0)
         while position < len(self.acknowledged):
             write = self.acknowledged[position]
             late = since is not None and now > max(write.at, since) + bound
@@ -153,12 +154,12 @@
             else:
                 break
             position += 1
-        self.checked[place] = position
+        self.checked_positions[place] = position
 
     def _on_time(self, now, write, since, claim):
         self.checks[claim] += 1
         if since is not None and since <= write.at:
-            self.took[claim].append(now - write.at)
+            self.propagation_times[claim].append(now - write.at)
 
     def check_identical(self, now, final):
         """`final`: subscriber -> (revision, digest), at the end."""
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -190,7 +190,7 @@
             core = exchanger.process.core
             states = {member.name: member.state.label for member in core.members.values()}
             ages = {known.owner: known.age_ns for known in exchanger.store.latest_values(now, "facts")}
-            self.claims.look(now, name, states, ages, core.cut_off(now))
+            self.claims.check_report(now, name, states, ages, core.cut_off(now))
         self.engine.at(now + self.observation_period, self._observe)
 
     def play(self):
--- a/embertray/simulation/processes/process_monitor.py
+++ b/embertray/simulation/processes/process_monitor.py
@@ -67,7 +67,7 @@
         ):
             return
         said = msgspec.json.decode(body)
-        self.claims.look(
+        self.claims.check_report(
             now,
             name,
             {m["name"]: m["state"] for m in said["members"]},
--- a/embertray/simulation/scenarios/result.py
+++ b/embertray/simulation/scenarios/result.py
@@ -158,5 +158,5 @@
     if claims:
         fields["claims"] = claims.verdicts()
         fields["claim_violations"] = claims.broken
-        fields["worst_age"] = claims.worst
+        fields["worst_age"] = claims.max_age_ratio
     return fields
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -72,8 +72,8 @@
     def test_the_same_seed_is_the_same_run(self):
         one, two = (ClusterSimulation(notation.load("wounds"), 3).play() for _ in range(2))
         self.assertEqual(
-            (one.claims.checks, one.claims.worst, one.mean_traffic()),
-            (two.claims.checks, two.claims.worst, two.mean_traffic()),
+            (one.claims.checks, one.claims.max_age_ratio, one.mean_traffic()),
+            (two.claims.checks, two.claims.max_age_ratio, two.mean_traffic()),
         )
 
 
--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -58,8 +58,8 @@
     def test_long_after_the_last_fault_writes_are_prompt(self):
         simulation = simulate(5, faults=3, pause=CALM, write_every=S // 2)
         self.assert_kept(simulation)
-        self.assertGreater(len(simulation.claims.took["prompt"]), 100)
-        self.assertLess(max(simulation.claims.took["prompt"]), simulation.bounds.good)
+        self.assertGreater(len(simulation.claims.propagation_times["prompt"]), 100)
+        self.assertLess(max(simulation.claims.propagation_times["prompt"]), simulation.bounds.good)
 
     def test_with_replicas_dead_writes_are_in_force_within_the_stated_time(self):
         for dead, seed in ((1, 11), (1, 12), (2, 13), (2, 14)):
