--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -96,7 +96,7 @@
         self.injected = []
 
     def run(self, count_per_kind, show=lambda text: None):
-        """`each` faults of each kind, in a random order; a PlayResult."""
+        """Injects `count_per_kind` faults of each kind in a random order; returns a FaultRunResult."""
         started_at = time.monotonic()
         writers = [threading.Thread(target=self._keep_writing, args=(n,)) for n in range(WRITER_COUNT)]
         for writer in writers:
@@ -117,7 +117,7 @@
             for writer in writers:
                 writer.join()
         self._settle()
-        claims = self.record.judge()
+        claims = self.record.check_claims()
         return FaultRunResult(
             claims, self.injected, dict(self.record.outcomes), time.monotonic() - started_at
         )
@@ -214,7 +214,7 @@
 def run_with_faults(
     faults, seed, scale, replicas=3, subscribers=6, folder=None, show=lambda text: None, limits=None
 ):
-    """Plays `faults` of each kind, and gives a PlayResult.
+    """Injects `faults` of each kind into a new control plane, and returns a FaultRunResult.
 
     `folder` is where logs and states stay, a temporary one if None; the others are those of recorded_plane.
     """
