--- a/embertray/cli/emulate.py
+++ b/embertray/cli/emulate.py
@@ -69,7 +69,8 @@
         )
     probes, state = simulation.mean_traffic()
     click.echo(
-        f"greatest age as a share of its bound {claims.max_age_ratio:.2f}; bytes per second and member: probes "
+        f"greatest age as a share of its bound {claims.max_age_ratio:.2f}; "
+        f"bytes per second and member: probes "
         f"{probes:.0f}, state {state:.0f}"
     )
     sys.exit(1 if any(claims.broken.values()) else 0)
--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -15,7 +15,8 @@
 
 class StandinClients:
     """The clients of one proxy. `mix`: [(RequestKind, share, mean work ns)]; `rate(now)` requests a second,
-    or a source of models/arrivals.py; `ended(now, at, kind, how, took)` for each request, how: done | late | lost.
+    or a source of models/arrivals.py; `ended(now, at, kind, how, took)` for each request, how: done | late |
+    lost.
     """
 
     def __init__(self, number, mix, rate, net, agenda, rng, retries=1, wait=S // 5, ended=None):
