--- a/embertray/experiments/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -40,7 +40,7 @@
 
 
 def summary(found):
-    """Returns the figures of a PlayResult, ready for JSON."""
+    """Returns the figures of a FaultRunResult, ready for JSON."""
     claims = found.claims
     kinds = sorted({one.kind for one in found.faults})
     return {
