--- a/embertray/experiments/measure/explore.py
+++ b/embertray/experiments/measure/explore.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 
-class Found(AssertionError):
+class PropertyViolationError(AssertionError):
     """Raised for a state that violates the property; `path` holds the moves that lead to it."""
 
     def __init__(self, what, path):
@@ -32,7 +32,7 @@
 
     `start` has `moves()` -> [(text, method name, *args)], `copy()`, `wrong()` -> the violation or "", and
     `key()` -> a hashable value equal for equal states. Returns (number of states, whether all were
-    explored). Raises Found at the first violation.
+    explored). Raises PropertyViolationError at the first violation.
     """
     seen, queue = {start.key()}, deque([(start, None, "")])
     while queue:
@@ -49,7 +49,7 @@
                 while at[1] is not None:
                     path.append(at[2])
                     at = at[1]
-                raise Found(what, path[::-1])
+                raise PropertyViolationError(what, path[::-1])
             if len(seen) >= most:
                 return len(seen), False
             queue.append((state, node, text))
@@ -59,7 +59,7 @@
 def walk(start, walks, length, chance):
     """Takes random walks of at most `length` moves, for models with too many states to explore.
 
-    Returns the number of moves made. Raises Found at the first violation.
+    Returns the number of moves made. Raises PropertyViolationError at the first violation.
     """
     made = 0
     for _ in range(walks):
@@ -73,5 +73,5 @@
             path.append(text)
             made += 1
             if what := state.wrong():
-                raise Found(what, path)
+                raise PropertyViolationError(what, path)
     return made
--- a/embertray/experiments/measure/models/__main__.py
+++ b/embertray/experiments/measure/models/__main__.py
@@ -8,7 +8,7 @@
 
 import click
 
-from embertray.experiments.measure.explore import Found, explore
+from embertray.experiments.measure.explore import PropertyViolationError, explore
 
 from . import LeaderModel, LoansModel
 
@@ -21,7 +21,7 @@
         began = time.monotonic()
         try:
             states, whole = explore(model, most)
-        except Found as found:
+        except PropertyViolationError as found:
             raise click.ClickException(str(found)) from None
         click.echo(
             f"{type(model).__name__}: {states:,} states, {'all' if whole else 'not all'} "
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,7 +16,7 @@
 from embertray.cluster.limits.ledger import Ledger
 from embertray.cluster.limits.messages import QuotaGrant
 from embertray.cluster.limits.quota_holder import QuotaHolder
-from embertray.experiments.measure.explore import Found, explore, walk
+from embertray.experiments.measure.explore import PropertyViolationError, explore, walk
 from embertray.experiments.measure.models import LeaderModel, LoansModel
 from embertray.simulation.emulator.engine import NS_PER_SECOND as S
 from embertray.simulation.emulator.limits_simulation import LimitsSimulation
@@ -173,7 +173,7 @@
         self.assertGreater(walk(LeaderModel(rounds=3, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
     def test_acceptor_that_answers_at_once_after_a_restart_is_detected(self):
-        with self.assertRaisesRegex(Found, "two hold the lease"):
+        with self.assertRaisesRegex(PropertyViolationError, "two hold the lease"):
             walk(LeaderModel(rounds=3, ticks=8, acceptor=AnswersAtOnce), 4000, 60, random.Random(1))
 
     def test_accepted_lease_outlasts_a_holder_with_a_slow_clock(self):
