--- a/embertray/experiments/measure/explore.py
+++ b/embertray/experiments/measure/explore.py
@@ -27,10 +27,10 @@
     return copy
 
 
-def explore(start, most):
-    """Explores all reachable states, breadth first, up to `most` states.
+def explore(start, max_states):
+    """Explores all reachable states, breadth first, up to `max_states` states.
 
-    `start` has `moves()` -> [(text, method name, *args)], `copy()`, `wrong()` -> the violation or "", and
+    `start` has `moves()` -> [(text, method name, *args)], `copy()`, `violation()` -> the violation or "", and
     `key()` -> a hashable value equal for equal states. Returns (number of states, whether all were
     explored). Raises PropertyViolationError at the first violation.
     """
@@ -44,34 +44,34 @@
             if key in seen:
                 continue
             seen.add(key)
-            if what := state.wrong():
-                path, at = [text], node
-                while at[1] is not None:
-                    path.append(at[2])
-                    at = at[1]
+            if what := state.violation():
+                path, ancestor = [text], node
+                while ancestor[1] is not None:
+                    path.append(ancestor[2])
+                    ancestor = ancestor[1]
                 raise PropertyViolationError(what, path[::-1])
-            if len(seen) >= most:
+            if len(seen) >= max_states:
                 return len(seen), False
             queue.append((state, node, text))
     return len(seen), True
 
 
-def walk(start, walks, length, chance):
+def random_walks(start, walks, length, rng):
     """Takes random walks of at most `length` moves, for models with too many states to explore.
 
     Returns the number of moves made. Raises PropertyViolationError at the first violation.
     """
-    made = 0
+    move_count = 0
     for _ in range(walks):
         state, path = start.copy(), []
         for _ in range(length):
             moves = state.moves()
             if not moves:
                 break
-            text, name, *args = chance.choice(moves)
+            text, name, *args = rng.choice(moves)
             getattr(state, name)(*args)
             path.append(text)
-            made += 1
-            if what := state.wrong():
+            move_count += 1
+            if what := state.violation():
                 raise PropertyViolationError(what, path)
-    return made
+    return move_count
--- a/embertray/experiments/measure/models/leader.py
+++ b/embertray/experiments/measure/models/leader.py
@@ -148,7 +148,7 @@
         elif isinstance(message, Accepted):
             self.proposers[to].on_accepted(now, message, sender)
 
-    def wrong(self):
+    def violation(self):
         """Returns the violation of the property, "" if there is none."""
         holders = [
             name for name, proposer in self.proposers.items() if proposer.holds_lease(self.clock[name])
--- a/embertray/experiments/measure/models/loans.py
+++ b/embertray/experiments/measure/models/loans.py
@@ -182,6 +182,6 @@
             self.parts[proxy] = units
             self.holders[name].proxy_acknowledged(limit, proxy, units)
 
-    def wrong(self):
+    def violation(self):
         """Returns the violation of the property, "" if there is none."""
         return f"proxies use {sum(self.parts.values())} of 2 units" if sum(self.parts.values()) > 2 else ""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,7 +16,7 @@
 from embertray.cluster.limits.ledger import Ledger
 from embertray.cluster.limits.messages import QuotaGrant
 from embertray.cluster.limits.quota_holder import QuotaHolder
-from embertray.experiments.measure.explore import PropertyViolationError, explore, walk
+from embertray.experiments.measure.explore import PropertyViolationError, explore, random_walks
 from embertray.experiments.measure.models import LeaderModel, LoansModel
 from embertray.simulation.emulator.engine import NS_PER_SECOND as S
 from embertray.simulation.emulator.limits_simulation import LimitsSimulation
@@ -170,11 +170,11 @@
 
     def test_never_two_leaders(self):
         explore(LeaderModel(rounds=2, ticks=3, crashes=1), 8_000)
-        self.assertGreater(walk(LeaderModel(rounds=3, ticks=8), 1000, 60, random.Random(1)), 10_000)
+        self.assertGreater(random_walks(LeaderModel(rounds=3, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
     def test_acceptor_that_answers_at_once_after_a_restart_is_detected(self):
         with self.assertRaisesRegex(PropertyViolationError, "two hold the lease"):
-            walk(LeaderModel(rounds=3, ticks=8, acceptor=AnswersAtOnce), 4000, 60, random.Random(1))
+            random_walks(LeaderModel(rounds=3, ticks=8, acceptor=AnswersAtOnce), 4000, 60, random.Random(1))
 
     def test_accepted_lease_outlasts_a_holder_with_a_slow_clock(self):
         """One fixed path: the holder's clock stops for a tick, and another member tries to acquire the lease
@@ -188,7 +188,7 @@
             model.tick(None)
             model.tries("b")
             self.deliver_between(model, "b")
-            self.assertEqual(bool(model.wrong()), expect_two_leaders)
+            self.assertEqual(bool(model.violation()), expect_two_leaders)
 
     def deliver_between(self, model, name):
         """Deliver all messages between this member and c until none is in flight."""
@@ -199,7 +199,7 @@
 
     def test_quotas_never_exceed_the_limit_in_explored_states(self):
         explore(LoansModel(asks=2, ticks=4), 5_000)
-        self.assertGreater(walk(LoansModel(asks=5, ticks=8), 1000, 60, random.Random(1)), 10_000)
+        self.assertGreater(random_walks(LoansModel(asks=5, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
 
 class Quotas(unittest.TestCase):
