--- a/embertray/experiments/measure/models/__init__.py
+++ b/embertray/experiments/measure/models/__init__.py
@@ -4,6 +4,6 @@
 """
 
 from .leader import LeaderModel
-from .loans import LoansModel
+from .quota import QuotaModel
 
-__all__ = ["LeaderModel", "LoansModel"]
+__all__ = ["LeaderModel", "QuotaModel"]
--- a/embertray/experiments/measure/models/__main__.py
+++ b/embertray/experiments/measure/models/__main__.py
@@ -10,14 +10,14 @@
 
 from embertray.experiments.measure.explore import PropertyViolationError, explore
 
-from . import LeaderModel, LoansModel
+from . import LeaderModel, QuotaModel
 
 
 @click.command()
 @click.option("--most", default=2_000_000, show_default=True, help="Maximal number of states of each model.")
 def main(most):
     """Explores each model up to a number of states."""
-    for model in (LeaderModel(), LeaderModel(rounds=3, ticks=4, crashes=0), LoansModel()):
+    for model in (LeaderModel(), LeaderModel(rounds=3, ticks=4, crashes=0), QuotaModel()):
         began = time.monotonic()
         try:
             states, whole = explore(model, most)
--- a/embertray/experiments/measure/models/loans.py
+++ b/embertray/experiments/measure/models/quota.py
@@ -8,7 +8,7 @@
 from .ticks import Ticks
 
 
-class LoansModel:
+class QuotaModel:
     """One leader, members x and y with a proxy each, and a limit of two units without a floor.
 
     Requests and grants are lost, repeated and delayed; x may stop and resume, or crash and restart; its
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
 from embertray.cluster.limits.messages import QuotaGrant
 from embertray.cluster.limits.quota_holder import QuotaHolder
 from embertray.experiments.measure.explore import PropertyViolationError, explore, random_walks
-from embertray.experiments.measure.models import LeaderModel, LoansModel
+from embertray.experiments.measure.models import LeaderModel, QuotaModel
 from embertray.simulation.emulator.engine import NS_PER_SECOND as S
 from embertray.simulation.emulator.limits_simulation import LimitsSimulation
 
@@ -198,8 +198,8 @@
                     model.receive(*envelope)
 
     def test_quotas_never_exceed_the_limit_in_explored_states(self):
-        explore(LoansModel(asks=2, ticks=4), 5_000)
-        self.assertGreater(random_walks(LoansModel(asks=5, ticks=8), 1000, 60, random.Random(1)), 10_000)
+        explore(QuotaModel(asks=2, ticks=4), 5_000)
+        self.assertGreater(random_walks(QuotaModel(asks=5, ticks=8), 1000, 60, random.Random(1)), 10_000)
 
 
 class Quotas(unittest.TestCase):
