--- a/embertray/experiments/measure/models/leader.py
+++ b/embertray/experiments/measure/models/leader.py
@@ -4,7 +4,7 @@
 from embertray.cluster.limits.messages import Accepted, Prepare, Promise, Propose
 from embertray.experiments.measure.explore import clone
 
-from .ticks import Ticks
+from .timing import TickTiming
 
 
 class LeaderModel:
@@ -17,18 +17,18 @@
 
     names = ("a", "b", "c")
 
-    def __init__(self, rounds=2, ticks=5, crashes=1, acceptor=Acceptor, pace=Ticks):
-        self.rounds, self.ticks, self.crashes, self.lags, self.make, self.pace = (
+    def __init__(self, rounds=2, ticks=5, crashes=1, acceptor=Acceptor, config=TickTiming):
+        self.rounds, self.ticks, self.crashes, self.lags, self.make, self.config = (
             rounds,
             ticks,
             crashes,
             1,
             acceptor,
-            pace,
+            config,
         )
         self.clock = dict.fromkeys(self.names, 10)
-        self.acceptors = {name: acceptor(pace, 10, True) for name in self.names}
-        self.proposers = {name: Proposer(name, n, 3, pace) for n, name in enumerate(self.names[:2])}
+        self.acceptors = {name: acceptor(config, 10, True) for name in self.names}
+        self.proposers = {name: Proposer(name, n, 3, config) for n, name in enumerate(self.names[:2])}
         self.network = set()
 
     def copy(self):
@@ -96,10 +96,10 @@
     def crash(self, name):
         """A member restarts without its state."""
         self.crashes -= 1
-        self.acceptors[name] = self.make(self.pace, self.clock[name])
+        self.acceptors[name] = self.make(self.config, self.clock[name])
         if name in self.proposers:
             old = self.proposers[name]
-            self.proposers[name] = Proposer(name, old.index, 3, self.pace)
+            self.proposers[name] = Proposer(name, old.index, 3, self.config)
 
     def to_all(self, sender, message):
         """Sends a message to all members; the sender receives its own at once."""
--- a/embertray/experiments/measure/models/quota.py
+++ b/embertray/experiments/measure/models/quota.py
@@ -5,7 +5,7 @@
 from embertray.cluster.limits.quota_holder import QuotaHolder
 from embertray.experiments.measure.explore import clone
 
-from .ticks import Ticks
+from .timing import TickTiming
 
 
 class QuotaModel:
@@ -15,9 +15,11 @@
     proxy may move to y. Property: the proxies never use more than two units together.
     """
 
-    def __init__(self, asks=2, ticks=4, breaks=1, moves=1, holder=QuotaHolder, ledger=Ledger, pace=Ticks):
-        self.pace, self.make, self.now, self.asks, self.ticks = (
-            pace,
+    def __init__(
+        self, asks=2, ticks=4, breaks=1, moves=1, holder=QuotaHolder, ledger=Ledger, config=TickTiming
+    ):
+        self.config, self.make, self.now, self.asks, self.ticks = (
+            config,
             holder,
             10,
             {"x": asks, "y": asks},
@@ -30,8 +32,8 @@
             {"x": 1, "y": 1},
             [],
         )
-        self.ledger = ledger(["x", "y"], {"l": 2}, {"l": 0}, pace, 10)
-        self.holders = {name: holder(name, {"l": 0}, pace, 1 << 8) for name in "xy"}
+        self.ledger = ledger(["x", "y"], {"l": 2}, {"l": 0}, config, 10)
+        self.holders = {name: holder(name, {"l": 0}, config, 1 << 8) for name in "xy"}
         self.home, self.parts, self.network = {"p": "x", "q": "y"}, {"p": 0, "q": 0}, []
         for proxy, name in self.home.items():
             self.holders[name].proxy_joined(proxy)
@@ -150,7 +152,7 @@
         """Member x restarts with a new incarnation, and its proxies join again."""
         self.breaks, self.still, self.learns = self.breaks - 1, False, []
         self.lives["x"] += 1
-        self.holders["x"] = self.make("x", {"l": 0}, self.pace, self.lives["x"] << 8)
+        self.holders["x"] = self.make("x", {"l": 0}, self.config, self.lives["x"] << 8)
         self.holders["x"].demand = {"l": 2}
         for proxy in [proxy for proxy, home in self.home.items() if home == "x"]:
             self.holders["x"].proxy_joined(proxy)
--- a/embertray/experiments/measure/models/ticks.py
+++ b/embertray/experiments/measure/models/timing.py
@@ -1,7 +1,7 @@
 """Timing of the limits for models."""
 
 
-class Ticks:
+class TickTiming:
     """Lease and request times in whole ticks."""
 
     lease_term, drift_adjusted_term, request_period = 2, 3, 1
