--- a/embertray/experiments/measure/models/leader.py
+++ b/embertray/experiments/measure/models/leader.py
@@ -18,7 +18,7 @@
     names = ("a", "b", "c")
 
     def __init__(self, rounds=2, ticks=5, crashes=1, acceptor=Acceptor, config=TickTiming):
-        self.rounds, self.ticks, self.crashes, self.lags, self.make, self.config = (
+        self.rounds, self.ticks, self.crashes, self.missed_ticks_left, self.acceptor_type, self.config = (
             rounds,
             ticks,
             crashes,
@@ -34,8 +34,8 @@
     def copy(self):
         """Returns a copy that can be changed without changing this state."""
         other = clone(self)
-        other.acceptors = {name: clone(one) for name, one in self.acceptors.items()}
-        other.proposers = {name: clone(one) for name, one in self.proposers.items()}
+        other.acceptors = {name: clone(core) for name, core in self.acceptors.items()}
+        other.proposers = {name: clone(core) for name, core in self.proposers.items()}
         other.clock, other.network = self.clock.copy(), self.network.copy()
         return other
 
@@ -62,46 +62,47 @@
             self.rounds,
             self.ticks,
             self.crashes,
-            self.lags,
+            self.missed_ticks_left,
             frozenset(self.network),
         )
 
     def moves(self):
         """Returns the possible moves: (text, method name, argument)."""
         found = [("tick", "tick", None)] if self.ticks else []
-        if self.ticks and self.lags:
+        if self.ticks and self.missed_ticks_left:
             found += [(f"tick, {name}'s clock stops", "tick", name) for name in self.names]
         if self.rounds:
-            found += [(f"{name} starts a round", "tries", name) for name in self.proposers]
+            found += [(f"{name} starts a round", "start_round", name) for name in self.proposers]
         if self.crashes:
             found += [(f"{name} crashes", "crash", name) for name in self.names]
         return found + [
-            (f"{one[0]}>{one[1]} {one[2]}", "deliver", one) for one in sorted(self.network, key=repr)
+            (f"{envelope[0]}>{envelope[1]} {envelope[2]}", "deliver", envelope)
+            for envelope in sorted(self.network, key=repr)
         ]
 
     def tick(self, slow):
         """Advances all clocks by a tick but that of `slow`, if given."""
-        self.ticks, self.lags = self.ticks - 1, self.lags - (slow is not None)
+        self.ticks, self.missed_ticks_left = self.ticks - 1, self.missed_ticks_left - (slow is not None)
         for name in self.names:
             self.clock[name] += name != slow
 
-    def tries(self, name):
+    def start_round(self, name):
         """A proposer starts a round with a ballot above all promised ones."""
         self.rounds -= 1
         proposer = self.proposers[name]
-        self.to_all(
+        self.broadcast(
             name, proposer.start(max(acceptor.promised_ballot for acceptor in self.acceptors.values()))
         )
 
     def crash(self, name):
         """A member restarts without its state."""
         self.crashes -= 1
-        self.acceptors[name] = self.make(self.config, self.clock[name])
+        self.acceptors[name] = self.acceptor_type(self.config, self.clock[name])
         if name in self.proposers:
             old = self.proposers[name]
             self.proposers[name] = Proposer(name, old.index, 3, self.config)
 
-    def to_all(self, sender, message):
+    def broadcast(self, sender, message):
         """Sends a message to all members; the sender receives its own at once."""
         for name in self.names:
             if name == sender:
@@ -109,14 +110,14 @@
             else:
                 self.network.add((sender, name, message))
 
-    def deliver(self, one):
+    def deliver(self, envelope):
         """Delivers a message in flight, and drops those that can no longer have an effect."""
-        self.receive(*one)
+        self.receive(*envelope)
         self.network = {
-            (sender, to, message) for sender, to, message in self.network if self.matters(to, message)
+            (sender, to, message) for sender, to, message in self.network if self.has_effect(to, message)
         }
 
-    def matters(self, to, message):
+    def has_effect(self, to, message):
         """Whether a message can still have an effect.
 
         Dropping the others leaves the reachable outcomes the same and halves the number of states.
@@ -144,7 +145,7 @@
                     self.network.add((to, sender, answer))
         elif isinstance(message, Promise):
             if (propose := self.proposers[to].on_promise(now, message, sender)) is not None:
-                self.to_all(to, propose)
+                self.broadcast(to, propose)
         elif isinstance(message, Accepted):
             self.proposers[to].on_accepted(now, message, sender)
 
--- a/embertray/experiments/measure/models/quota.py
+++ b/embertray/experiments/measure/models/quota.py
@@ -16,17 +16,17 @@
     """
 
     def __init__(
-        self, asks=2, ticks=4, breaks=1, moves=1, holder=QuotaHolder, ledger=Ledger, config=TickTiming
+        self, asks=2, ticks=4, faults=1, moves=1, holder=QuotaHolder, ledger=Ledger, config=TickTiming
     ):
-        self.config, self.make, self.now, self.asks, self.ticks = (
+        self.config, self.holder_type, self.now, self.asks, self.ticks = (
             config,
             holder,
             10,
             {"x": asks, "y": asks},
             ticks,
         )
-        self.breaks, self.moving, self.still, self.lives, self.learns = (
-            breaks,
+        self.faults_left, self.moves_left, self.stopped, self.incarnations, self.missed_events = (
+            faults,
             moves,
             False,
             {"x": 1, "y": 1},
@@ -34,7 +34,7 @@
         )
         self.ledger = ledger(["x", "y"], {"l": 2}, {"l": 0}, config, 10)
         self.holders = {name: holder(name, {"l": 0}, config, 1 << 8) for name in "xy"}
-        self.home, self.parts, self.network = {"p": "x", "q": "y"}, {"p": 0, "q": 0}, []
+        self.home, self.used, self.network = {"p": "x", "q": "y"}, {"p": 0, "q": 0}, []
         for proxy, name in self.home.items():
             self.holders[name].proxy_joined(proxy)
         self.holders["x"].demand, self.holders["y"].demand = {"l": 2}, {"l": 2}
@@ -42,18 +42,27 @@
     def copy(self):
         """Returns a copy that can be changed without changing this state."""
         other = clone(self)
-        other.asks, other.lives, other.learns = self.asks.copy(), self.lives.copy(), self.learns.copy()
-        other.home, other.parts, other.network = self.home.copy(), self.parts.copy(), self.network.copy()
-        other.holders = {name: clone(one) for name, one in self.holders.items()}
+        other.asks, other.incarnations, other.missed_events = (
+            self.asks.copy(),
+            self.incarnations.copy(),
+            self.missed_events.copy(),
+        )
+        other.home, other.used, other.network = self.home.copy(), self.used.copy(), self.network.copy()
+        other.holders = {name: clone(core) for name, core in self.holders.items()}
         other.ledger = clone(self.ledger)
         other.ledger.accounts = {}
-        for name, line in self.ledger.accounts.items():
-            mine = other.ledger.accounts[name] = type(line)()
-            mine.request, mine.heard_at, mine.grants, mine.former_incarnations = (
-                line.request,
-                line.heard_at,
-                line.grants.copy(),
-                line.former_incarnations.copy(),
+        for name, account in self.ledger.accounts.items():
+            account_copy = other.ledger.accounts[name] = type(account)()
+            (
+                account_copy.request,
+                account_copy.heard_at,
+                account_copy.grants,
+                account_copy.former_incarnations,
+            ) = (
+                account.request,
+                account.heard_at,
+                account.grants.copy(),
+                account.former_incarnations.copy(),
             )
         return other
 
@@ -61,12 +70,12 @@
         """Returns a hashable value that is equal for equal states."""
         lines = tuple(
             (
-                row.request and (row.request.incarnation, row.request.sequence),
-                row.heard_at,
-                repr(row.grants),
-                tuple((g[0].sequence, g[2]) for g in row.former_incarnations),
+                account.request and (account.request.incarnation, account.request.sequence),
+                account.heard_at,
+                repr(account.grants),
+                tuple((g[0].sequence, g[2]) for g in account.former_incarnations),
             )
-            for row in self.ledger.accounts.values()
+            for account in self.ledger.accounts.values()
         )
         holders = tuple(
             (
@@ -92,13 +101,13 @@
             self.now,
             tuple(self.asks.values()),
             self.ticks,
-            self.breaks,
-            self.moving,
-            self.still,
-            repr(self.learns),
-            tuple(self.lives.values()),
+            self.faults_left,
+            self.moves_left,
+            self.stopped,
+            repr(self.missed_events),
+            tuple(self.incarnations.values()),
             tuple(self.home.values()),
-            tuple(self.parts.values()),
+            tuple(self.used.values()),
             frozenset(text for *_, text in self.network),
             lines,
             holders,
@@ -107,13 +116,13 @@
     def moves(self):
         """Returns the possible moves: (text, method name, *args)."""
         found = [("tick", "tick")] if self.ticks else []
-        awake = [name for name in "xy" if not (self.still and name == "x")]
+        awake = [name for name in "xy" if not (self.stopped and name == "x")]
         found += [(f"{name} requests a quota", "ask", name) for name in awake if self.asks[name]]
-        if self.breaks:
+        if self.faults_left:
             found += [("x stops", "stop"), ("x crashes and restarts", "crash")]
-        if self.still:
-            found.append(("x resumes", "wake"))
-        if self.moving and self.home["p"] == "x":
+        if self.stopped:
+            found.append(("x resumes", "resume"))
+        if self.moves_left and self.home["p"] == "x":
             found.append(("p moves to y", "move"))
         for n, (to, sender, message, _) in enumerate(self.network):
             if to in ("leader", *awake):
@@ -139,29 +148,29 @@
 
     def stop(self):
         """Member x stops: it handles nothing until it resumes."""
-        self.breaks, self.still = self.breaks - 1, True
+        self.faults_left, self.stopped = self.faults_left - 1, True
 
-    def wake(self):
+    def resume(self):
         """Member x resumes, and learns which proxies left meanwhile."""
-        self.still = False
-        for what, proxy in self.learns:
+        self.stopped = False
+        for what, proxy in self.missed_events:
             getattr(self.holders["x"], what)(proxy)
-        self.learns = []
+        self.missed_events = []
 
     def crash(self):
         """Member x restarts with a new incarnation, and its proxies join again."""
-        self.breaks, self.still, self.learns = self.breaks - 1, False, []
-        self.lives["x"] += 1
-        self.holders["x"] = self.make("x", {"l": 0}, self.config, self.lives["x"] << 8)
+        self.faults_left, self.stopped, self.missed_events = self.faults_left - 1, False, []
+        self.incarnations["x"] += 1
+        self.holders["x"] = self.holder_type("x", {"l": 0}, self.config, self.incarnations["x"] << 8)
         self.holders["x"].demand = {"l": 2}
         for proxy in [proxy for proxy, home in self.home.items() if home == "x"]:
             self.holders["x"].proxy_joined(proxy)
 
     def move(self):
         """Proxy p moves from x to y."""
-        self.moving, self.home["p"] = self.moving - 1, "y"
-        if self.still:
-            self.learns.append(("proxy_left", "p"))
+        self.moves_left, self.home["p"] = self.moves_left - 1, "y"
+        if self.stopped:
+            self.missed_events.append(("proxy_left", "p"))
         else:
             self.holders["x"].proxy_left("p")
         self.holders["y"].proxy_joined("p")
@@ -181,9 +190,9 @@
     def push(self, name):
         """A member sends its quota updates; the proxies apply and acknowledge them at once."""
         for limit, proxy, units in self.holders[name].quota_updates(self.now):
-            self.parts[proxy] = units
+            self.used[proxy] = units
             self.holders[name].proxy_acknowledged(limit, proxy, units)
 
     def violation(self):
         """Returns the violation of the property, "" if there is none."""
-        return f"proxies use {sum(self.parts.values())} of 2 units" if sum(self.parts.values()) > 2 else ""
+        return f"proxies use {sum(self.used.values())} of 2 units" if sum(self.used.values()) > 2 else ""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -182,11 +182,11 @@
         """
         for acceptor, expect_two_leaders in ((Acceptor, False), (IgnoresClockDrift, True)):
             model = LeaderModel(acceptor=acceptor)
-            model.tries("a")
+            model.start_round("a")
             self.deliver_between(model, "a")
             model.tick("a")
             model.tick(None)
-            model.tries("b")
+            model.start_round("b")
             self.deliver_between(model, "b")
             self.assertEqual(bool(model.violation()), expect_two_leaders)
 
