--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -17,7 +17,9 @@
 from embertray.simulation.emulator.control.subscriber_process import SubscriberProcess
 
 S = 10**9
-CALM = 50 * S  # past the longest bound after a fault: writes are then due within the bound for good links
+SETTLE_TIME = (
+    50 * S
+)  # past the longest bound after a fault: writes are then due within the bound for good links
 
 
 def simulate(seed, faults=8, pause=4 * S, group_size=1, **more):
@@ -30,7 +32,7 @@
     return simulation
 
 
-class Plays(unittest.TestCase):
+class RandomFaults(unittest.TestCase):
     def assert_kept(self, simulation):
         self.assertEqual((dict(simulation.claims.counts), simulation.claims.broken[:3]), ({}, []))
         self.assertGreater(simulation.writer.acknowledged, 0)
@@ -48,20 +50,20 @@
                 simulation.settle()
                 self.assert_kept(simulation)
 
-    def test_drawn_faults_of_several_sizes(self):
+    def test_random_faults_at_several_sizes(self):
         for seed, more in enumerate(
             ({}, {"replicas": 5, "regions": 3}, {"replicas": 8, "regions": 6, "subscribers": 12})
         ):
             with self.subTest(**more):
                 self.assert_kept(simulate(seed, group_size=1 + seed, **more))
 
-    def test_long_after_the_last_fault_writes_are_prompt(self):
-        simulation = simulate(5, faults=3, pause=CALM, write_every=S // 2)
+    def test_writes_are_prompt_once_fault_bounds_have_passed(self):
+        simulation = simulate(5, faults=3, pause=SETTLE_TIME, write_every=S // 2)
         self.assert_kept(simulation)
         self.assertGreater(len(simulation.claims.propagation_times["prompt"]), 100)
         self.assertLess(max(simulation.claims.propagation_times["prompt"]), simulation.bounds.good)
 
-    def test_with_replicas_dead_writes_are_in_force_within_the_stated_time(self):
+    def test_writes_take_effect_within_the_bound_for_dead_replicas(self):
         for dead, seed in ((1, 11), (1, 12), (2, 13), (2, 14)):
             with self.subTest(dead=dead, seed=seed):
                 simulation = ControlPlaneSimulation(
@@ -88,14 +90,14 @@
                 self.assertTrue(simulation.claims.kept, simulation.claims.broken)
                 self.assertGreater(simulation.claims.checks["prompt"], 500)
 
-    def test_the_same_seed_gives_the_same_play(self):
+    def test_the_same_seed_gives_the_same_run(self):
         first, second = simulate(3), simulate(3)
         self.assertEqual(first.claims.history, second.claims.history)
         self.assertEqual(first.engine.calls_made, second.engine.calls_made)
         for one, other in zip(first.subscribers.values(), second.subscribers.values(), strict=True):
             self.assertEqual((one.bytes_in, one.bytes_out), (other.bytes_in, other.bytes_out))
 
-    def test_a_region_apart_for_an_hour_catches_up_within_its_budget(self):
+    def test_region_partitioned_for_an_hour_catches_up_within_its_budget(self):
         simulation = ControlPlaneSimulation(
             Settings(seed=2, replicas=5, regions=5, subscribers=10, keys=200, write_every=4 * S)
         )
@@ -118,7 +120,7 @@
         simulation.settle()
         self.assert_kept(simulation)
 
-    def test_all_starting_at_once_stay_within_their_budgets(self):
+    def test_subscribers_starting_at_once_stay_within_their_budgets(self):
         simulation = ControlPlaneSimulation(
             Settings(seed=4, subscribers=30, keys=300, write_every=20_000_000)
         )
@@ -134,7 +136,7 @@
         lowest = min(one.core.revision for one in simulation.subscribers.values())
         self.assertEqual(lowest, simulation.replicas["r0"].core.store.revision)
 
-    def test_a_rollback_while_the_faulty_version_arrives_wins_everywhere(self):
+    def test_rollback_overrides_a_version_that_is_still_being_sent(self):
         simulation = ControlPlaneSimulation(Settings(seed=6, subscribers=12, write_every=10**6 * S))
         simulation.start()
         simulation.run(10 * S)
@@ -154,7 +156,7 @@
         simulation.settle()
         self.assertTrue(simulation.claims.kept, simulation.claims.broken)
 
-    def test_a_replica_killed_in_the_middle_of_a_delta(self):
+    def test_replica_killed_in_the_middle_of_a_delta(self):
         simulation = ControlPlaneSimulation(Settings(seed=8, keys=100, write_every=10**6 * S))
         simulation.start()
         simulation.run(10 * S)
@@ -182,21 +184,21 @@
         self.assertEqual({subscriber.core.store.digest}, digests)
 
 
-class Hasty(Replica):
+class AnswersWithoutMajority(Replica):
     """Answers without a majority."""
 
     majority = property(lambda self: 1)
 
 
-class Forgetful(Replica):
+class TreatsLostStateAsFirstStart(Replica):
     """Takes its start with nothing for a first start."""
 
-    def __init__(self, *given, saved=None, **named):
-        given = [*given[:6], given[6] or ReplicaState(0, "", 0, 0, 0, [], [], [])]
-        super().__init__(*given, **named)
+    def __init__(self, *args, saved=None, **kwargs):
+        args = [*args[:6], args[6] or ReplicaState(0, "", 0, 0, 0, [], [], [])]
+        super().__init__(*args, **kwargs)
 
 
-class Backwards(Subscriber):
+class AppliesOlderVersions(Subscriber):
     """Takes what it is sent, newer or not."""
 
     def _apply(self, entry):
@@ -204,21 +206,21 @@
         return super()._apply(entry)
 
 
-class Boastful(Subscriber):
+class ReportsZeroAge(Subscriber):
     """Says that it is fresh."""
 
     def age(self, now):
         return 0
 
 
-class Stuck(SubscriberFeed):
+class SendsNoUpdates(SubscriberFeed):
     """Sends heartbeats, and never an update."""
 
     def _send_update(self, now, one, out):
         pass
 
 
-class Eager(SubscriberFeed):
+class IgnoresBudget(SubscriberFeed):
     """Knows no budget: sends everything, again and again."""
 
     def _send_update(self, now, one, out):
@@ -227,7 +229,7 @@
         one.in_flight = None
 
 
-class Unaware(SubscriberFeed):
+class IgnoresReplicaAge(SubscriberFeed):
     """Counts the age of what it holds from the heartbeat's arrival."""
 
     def _send(self, now, one, data, out):
@@ -237,64 +239,78 @@
             out[-1] = type(out[-1])(one.name, encode(Heartbeat(store.revision, store.digest, 0, one.stamp)))
 
 
-def replicas_of(core=Replica, feed=SubscriberFeed):
-    return type("Spoilt", (ReplicaProcess,), {"core_type": core, "feed_type": feed})
+def replica_process_type(core=Replica, feed=SubscriberFeed):
+    return type("Sabotaged", (ReplicaProcess,), {"core_type": core, "feed_type": feed})
 
 
-def subscribers_of(core):
-    return type("Spoilt", (SubscriberProcess,), {"core_type": core})
+def subscriber_process_type(core):
+    return type("Sabotaged", (SubscriberProcess,), {"core_type": core})
 
 
 class Sabotage(unittest.TestCase):
     """Each claim's check notices what breaks it."""
 
-    def broken(self, seeds=range(1, 6), **spoilt):
-        found = set()
+    def broken_claims(self, seeds=range(1, 6), **process_types):
+        broken_names = set()
         for seed in seeds:
-            simulation = ControlPlaneSimulation(Settings(seed=seed, write_every=S // 4, keys=5), **spoilt)
+            simulation = ControlPlaneSimulation(
+                Settings(seed=seed, write_every=S // 4, keys=5), **process_types
+            )
             simulation.start()
             simulation.run(10 * S)
             play_faults(simulation, draw_faults(random.Random(seed), simulation, 6), 4 * S, group_size=2)
             simulation.settle()
-            found |= set(simulation.claims.counts)
-        return found
+            broken_names |= set(simulation.claims.counts)
+        return broken_names
 
-    def test_a_replica_that_answers_without_a_majority(self):
-        self.assertLessEqual({"history", "acknowledged"}, self.broken(replica_process=replicas_of(Hasty)))
+    def test_replica_that_answers_without_a_majority(self):
+        self.assertLessEqual(
+            {"history", "acknowledged"},
+            self.broken_claims(replica_process=replica_process_type(AnswersWithoutMajority)),
+        )
 
-    def test_a_replica_that_votes_although_it_lost_its_state(self):
+    def test_replica_that_votes_after_losing_its_state(self):
         kinds = ("lose disk", "split", "kill replica")
-        found = set()
+        broken_names = set()
         for seed in range(1, 13):
             simulation = ControlPlaneSimulation(
-                Settings(seed=seed, write_every=S // 8, keys=5), replica_process=replicas_of(Forgetful)
+                Settings(seed=seed, write_every=S // 8, keys=5),
+                replica_process=replica_process_type(TreatsLostStateAsFirstStart),
             )
             simulation.start()
             simulation.run(8 * S)
             play_faults(
                 simulation, draw_faults(random.Random(seed), simulation, 10, kinds), S // 2, group_size=3
             )
-            found |= set(simulation.claims.counts)
-            if found:
+            broken_names |= set(simulation.claims.counts)
+            if broken_names:
                 break
-        self.assertIn("history", found)
-
-    def test_a_subscriber_that_takes_an_older_version(self):
-        feed = replicas_of(feed=Eager)
-        self.assertIn("once", self.broken(replica_process=feed, subscriber_process=subscribers_of(Backwards)))
+        self.assertIn("history", broken_names)
+
+    def test_subscriber_that_applies_older_versions(self):
+        feed = replica_process_type(feed=IgnoresBudget)
+        self.assertIn(
+            "once",
+            self.broken_claims(
+                replica_process=feed, subscriber_process=subscriber_process_type(AppliesOlderVersions)
+            ),
+        )
 
-    def test_a_subscriber_that_says_it_is_fresh(self):
-        self.assertIn("age", self.broken(subscriber_process=subscribers_of(Boastful)))
+    def test_subscriber_that_reports_zero_age(self):
+        self.assertIn("age", self.broken_claims(subscriber_process=subscriber_process_type(ReportsZeroAge)))
 
-    def test_a_feed_that_says_the_replica_is_fresh(self):
-        self.assertIn("age", self.broken(replica_process=replicas_of(feed=Unaware)))
+    def test_feed_that_ignores_the_replica_age(self):
+        self.assertIn("age", self.broken_claims(replica_process=replica_process_type(feed=IgnoresReplicaAge)))
 
-    def test_a_feed_that_sends_no_update(self):
-        self.assertIn("in force", self.broken(seeds=[1], replica_process=replicas_of(feed=Stuck)))
+    def test_feed_that_sends_no_updates(self):
+        self.assertIn(
+            "in force",
+            self.broken_claims(seeds=[1], replica_process=replica_process_type(feed=SendsNoUpdates)),
+        )
 
-    def test_a_feed_without_a_budget(self):
+    def test_feed_that_ignores_its_budget(self):
         large = Settings(seed=1, write_every=S // 4, value=(2_000, 4_000))
-        simulation = ControlPlaneSimulation(large, replica_process=replicas_of(feed=Eager))
+        simulation = ControlPlaneSimulation(large, replica_process=replica_process_type(feed=IgnoresBudget))
         simulation.start()
         simulation.run(30 * S)
         worst = max(one.max_window_bytes for one in simulation.subscribers.values())
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -26,9 +26,11 @@
 
 S = 10**9
 HERE = Path(__file__).resolve().parent
-TEN = ("crash", "deploy", "errors", "hang", "kill", "list-down", "preempt", "reconnect", "rough", "vanish")
-MARGIN = 0.02  # of credit between a day with streams and one without: other draws where a req is tried again
-DIGEST = """
+DAYS = ("crash", "deploy", "errors", "hang", "kill", "list-down", "preempt", "reconnect", "rough", "vanish")
+CREDIT_MARGIN = (
+    0.02  # of credit between a day with streams and one without: other draws where a req is tried again
+)
+EVENTS_DIGEST_CODE = """
 import sys, zlib
 from embertray.simulation.scenarios import notation
 from embertray.simulation.emulator.play import play
@@ -36,35 +38,35 @@
 """
 
 
-def both(name):
+def run_on_sockets_and_simulated(name):
     day = notation.load(name)
     found = player.play(day, seed=3), play(day, 3), play(day, 3, "flows")
-    return name, [(broken(result), result.credit, len(result.spread) > 0) for result in found]
+    return name, [(broken_rules(result), result.credit, len(result.spread) > 0) for result in found]
 
 
-def broken(result):
+def broken_rules(result):
     return {rule: why for rule, why in result.violations.items() if why}
 
 
-def day(text):
+def read_day(text):
     return notation.read(text, "here.day")
 
 
 class Days(unittest.TestCase):
-    def test_ten_days_without_streams_come_out_as_with_them(self):
+    def test_ten_days_simulated_match_runs_on_streams(self):
         with ProcessPoolExecutor(4) as pool:
-            for name, (streams, reqs, flows) in pool.map(both, TEN):
+            for name, (streams, reqs, flows) in pool.map(run_on_sockets_and_simulated, DAYS):
                 with self.subTest(day=name):
                     self.assertEqual((reqs[0], flows[0]), ({}, {}))
-                    self.assertLess(abs(streams[1] - reqs[1]), MARGIN)
-                    self.assertLess(abs(streams[1] - flows[1]), 2 * MARGIN)
+                    self.assertLess(abs(streams[1] - reqs[1]), CREDIT_MARGIN)
+                    self.assertLess(abs(streams[1] - flows[1]), 2 * CREDIT_MARGIN)
                     self.assertEqual(streams[2], reqs[2])
 
-    def test_twice_the_same_bytes_in_any_process(self):
+    def test_same_seed_gives_same_events_in_any_process(self):
         for fidelity in ("reqs", "flows"):
             one, two = (
                 subprocess.run(
-                    [sys.executable, "-c", DIGEST, fidelity],
+                    [sys.executable, "-c", EVENTS_DIGEST_CODE, fidelity],
                     capture_output=True,
                     text=True,
                     timeout=60,
@@ -76,11 +78,11 @@
             self.assertTrue(one)
             self.assertEqual(one, two)
 
-    def test_one_more_fault_redraws_nothing_else(self):
+    def test_an_added_fault_does_not_change_other_random_draws(self):
         plain = "site pushed\nfleet backends=6 proxies=4\nload 40/s for 12s\nat 3s slow 30% for 4s times 4\n"
         stages = []
         for text in (plain, plain + "at 5s reconnect p2\n"):
-            play(day(text), 7, on_stage=stages.append)
+            play(read_day(text), 7, on_stage=stages.append)
         first, second = (
             {at: kind.external_id for at, kind, _, _ in stage.eyes.outcomes if at < stage.zero + 4 * S}
             for stage in stages
@@ -90,48 +92,48 @@
         speeds = [[backend.model.shape.speed for backend in stage.backends] for stage in stages]
         self.assertEqual(*speeds)
 
-    def test_a_sabotaged_controller_breaks_its_rule_here_too(self):
-        rough = day(
+    def test_sabotaged_controller_breaks_its_rule_in_simulation(self):
+        rough = read_day(
             "site pushed\nfleet backends=6 proxies=6\nload 60/s for 20s\nat 4s deploy b1 b2 "
             "batch=2 drain=8s by 1s\n"
         )
         for fidelity in ("reqs", "flows"):
             result = play(rough, 2, fidelity, core=sabotage.DropsRemovals)
-            self.assertIn("drain", broken(result), fidelity)
-            self.assertEqual(broken(play(rough, 2, fidelity)), {})
+            self.assertIn("drain", broken_rules(result), fidelity)
+            self.assertEqual(broken_rules(play(rough, 2, fidelity)), {})
 
-    def test_what_needs_streams_is_refused_by_line(self):
+    def test_faults_that_need_streams_are_rejected_with_their_line(self):
         text = "site pushed\nload 10/s for 5s\nat 2s half-message p1\n"
         with self.assertRaisesRegex(notation.DayError, "here:3: 'half-message' needs byte streams"):
-            play(day(text))
+            play(read_day(text))
         with self.assertRaisesRegex(notation.DayError, "emulated only"):
-            player.play(day("site pushed\nfleet cross=4ms\nload 10/s for 5s\n"))
+            player.play(read_day("site pushed\nfleet cross=4ms\nload 10/s for 5s\n"))
 
-    def test_ways_between_zones_take_their_time(self):
+    def test_delay_between_zones_adds_to_latency(self):
         text = "site pushed\nfleet backends=6 proxies=6 cross={}\nload 30/s for 10s\n"
         for policy, least in (("even", 35_000), ("module", 0)):  # two of three backends are in another zone
             near, far = (
-                play(day(text.format(way)), 4, core=policies.core(policy)).latencies.get_value_at_percentile(
-                    50
-                )
+                play(
+                    read_day(text.format(way)), 4, core=policies.core(policy)
+                ).latencies.get_value_at_percentile(50)
                 for way in ("0ms", "40ms")
             )
             self.assertGreater(far, near + least)
 
-    def test_in_flows_every_req_has_one_end(self):
+    def test_in_flows_outcomes_add_up_to_requests(self):
         stages = []
         result = play(notation.load("overload"), 2, "flows", on_stage=stages.append)
         for kind, (asked, *ends) in stages[0].outcomes().items():
             self.assertAlmostEqual(asked, sum(ends), delta=0.01 * asked, msg=kind.external_id)
         self.assertLess(result.credit, 0.99)
 
-    def test_a_flash_crowd_is_seen_second_by_second(self):
+    def test_flash_crowd_lowers_credit_of_its_seconds(self):
         text = (
             "site pushed\nfleet backends=6 proxies=6\nload 40/s for 16s source=flash times=12 "
             "at=6s period=4s\n"
         )
         for fidelity in ("reqs", "flows"):
-            line = play(day(text), 1, fidelity).credit_by_second
+            line = play(read_day(text), 1, fidelity).credit_by_second
             self.assertGreater(min(x for x in line[1:5] if x is not None), 0.97)
             self.assertLess(min(line[6:11]), 0.9)
 
@@ -145,7 +147,7 @@
                 return np.array(found)
             found.append(now)
 
-    def test_means_and_spreads(self):
+    def test_constant_rate_gives_poisson_counts(self):
         for source in (Poisson(lambda now: 50.0), Varying(lambda now: 50.0)):
             counts = np.bincount(self.times(source, 400) // S, minlength=400)
             self.assertAlmostEqual(counts.mean(), 50, delta=1.5)
@@ -153,13 +155,13 @@
                 counts.var() / counts.mean(), 1, delta=0.25
             )  # Poisson: as much as the mean
 
-    def test_bursts_keep_the_mean_and_spread_wider(self):
+    def test_bursts_keep_the_mean_and_increase_the_variance(self):
         bursts = Bursts(6, 8 * S, 2 * S, np.random.default_rng(5))
         counts = np.bincount(self.times(Varying(lambda now: 20 * bursts(now)), 3000) // S, minlength=3000)
         self.assertAlmostEqual(counts.mean(), 20, delta=2)
         self.assertGreater(counts.var() / counts.mean(), 8)
 
-    def test_wave_and_flash(self):
+    def test_wave_and_flash_rates(self):
         rate = wave(0.5, 10 * S)
         counts = (
             np.bincount(self.times(Varying(lambda now: 100 * rate(now)), 200) // S, minlength=200)
@@ -171,7 +173,7 @@
         crowd = flash(5, 10 * S, S, 4 * S, 2 * S)
         self.assertEqual([round(crowd(t * S), 2) for t in (0, 9, 11, 14, 17, 19)], [1, 1, 5, 5, 3, 2])
 
-    def test_no_load_ends_and_records_are_played_in_order(self):
+    def test_zero_rate_ends_and_recorded_requests_keep_their_order(self):
         self.assertEqual(len(self.times(Poisson(lambda now: 0.0), 5)), 0)
         self.assertEqual(len(self.times(Varying(lambda now: 0.0), 5)), 0)
         record = Recorded([(S, "view", 5), (2 * S, "post", 6), (9 * S, "view", 7)], fast=2.0)
@@ -186,8 +188,8 @@
             wrong.next(0, rng, S * 9)
 
 
-class Engines(unittest.TestCase):
-    def test_lines_and_heap_keep_one_order(self):
+class EngineOrder(unittest.TestCase):
+    def test_delay_queues_and_heap_keep_one_order(self):
         engine, seen = Engine(), []
         engine.after(5, seen.append, "a")
         engine.at(5, seen.append, "b")
@@ -200,7 +202,7 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(st.booleans(), st.integers(0, 6), st.booleans()), max_size=40))
-    def test_any_plan_runs_in_time_then_planning_order(self, plan):
+    def test_calls_run_by_time_then_by_order_of_scheduling(self, plan):
         engine, seen, wanted = Engine(), [], []
         for n, (line, span, cancelled) in enumerate(plan):
             timer = (engine.after if line else engine.at)(span, seen.append, (span, n))
@@ -211,7 +213,7 @@
         engine.run()
         self.assertEqual(seen, sorted(wanted))
 
-    def test_processes(self):
+    def test_processes_resume_after_their_sleep(self):
         engine, seen = Engine(), []
 
         async def walk():
@@ -230,7 +232,7 @@
         backend.start(0, cold=False)
         return backend
 
-    def test_what_thrashes_is_slower_the_more_waits(self):
+    def test_thrashing_backend_slows_down_with_its_queue(self):
         ends = []
         for thrash in (0.0, 2.0):
             backend = self.backend(thrash=thrash)
@@ -243,7 +245,7 @@
         self.assertEqual(ends[0], 4 * S)
         self.assertGreater(ends[1], 5 * S)
 
-    def test_shared_cores_end_together_and_keep_their_work(self):
+    def test_processor_sharing_ends_equal_work_together(self):
         backend = self.backend(sharing=True)
         for n in range(4):
             backend.offer(0, n, "view", S, None)
@@ -253,7 +255,7 @@
             self.assertIsNone(backend.offer(2 * S, n, "view", S, None))
         self.assertEqual(backend.offer(2 * S, 99, "view", S, None), "full")
 
-    def test_a_flow_keeps_its_mass_and_its_queue_its_room(self):
+    def test_flow_outcomes_add_up_and_queue_stays_within_its_limit(self):
         backend = self.backend()
         done = full = 0.0
         for n in range(100):  # 4 a second where 2 are possible
@@ -285,7 +287,7 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(st.floats(0, 5), min_size=1, max_size=6), st.sampled_from(["weighted", "round", "two"]))
-    def test_no_pick_without_weight_and_none_twice(self, weights, how):
+    def test_picks_only_weighted_backends_and_none_twice(self, weights, how):
         proxy = self.proxy([(f"b{n}", w) for n, w in enumerate(weights)], picks=how)
         for _ in range(5):
             tried, held = [], {f"b{n}" for n, w in enumerate(weights) if w > 0}
@@ -293,13 +295,13 @@
                 tried.append(name)
             self.assertEqual(sorted(tried), sorted(held))
 
-    def test_rounds_follow_the_weights_exactly(self):
+    def test_round_robin_follows_the_weights_exactly(self):
         proxy = self.proxy([("a", 3.0), ("b", 1.0)], picks="round")
         picked = [proxy.pick(0, []) for _ in range(40)]
         self.assertEqual((picked.count("a"), picked.count("b")), (30, 10))
         self.assertNotIn("b,b", ",".join(picked))
 
-    def test_it_tries_again_as_told_and_ejects_for_a_while(self):
+    def test_proxy_retries_by_its_level_and_ejects_for_a_while(self):
         proxy = self.proxy([("a", 1.0), ("b", 1.0)], eject_after=1)
         under = proxy.arrive(0, self.req(), None)
         self.assertIsNone(proxy.attempt(0, under))
@@ -315,7 +317,7 @@
         self.assertEqual(sorted((m.tries, m.failed) for m in sums.met), [(1, 0), (1, 1)])
         self.assertEqual(proxy.sums(6).met, [])
 
-    def test_clients_ask_again_only_what_may_run_twice(self):
+    def test_clients_retry_only_replayable_or_rejected_requests(self):
         kind = SimpleNamespace(
             external_id="post", again="non-replayable", latency_objective=S, client_timeout=2 * S
         )
