--- a/tests/test_control_plays.py
+++ b/tests/test_control_plays.py
@@ -1,5 +1,5 @@
-"""Plays of the control plane under virtual time: each kind of fault, drawn faults, and checkers that must
-notice.
+"""Tests of the simulated control plane: its claims hold under each kind of fault and under random faults, and
+sabotaged parts break them.
 """
 
 import random
@@ -17,13 +17,12 @@
 from embertray.simulation.emulator.control.subscriber_process import SubscriberProcess
 
 S = 10**9
-SETTLE_TIME = (
-    50 * S
-)  # past the longest bound after a fault: writes are then due within the bound for good links
+# Longer than any bound after a fault, so that writes are then due within the bound for good links.
+SETTLE_TIME = 50 * S
 
 
 def simulate(seed, faults=8, pause=4 * S, group_size=1, **more):
-    """A finished play of drawn faults."""
+    """Runs a simulation with random faults to its end."""
     simulation = ControlPlaneSimulation(Settings(seed=seed, **more))
     simulation.start()
     simulation.run(10 * S)
@@ -149,7 +148,9 @@
         leader.put("route", faulty, "q2", lambda outcome: None)
         while not any(one.core.store.get("route").value == faulty for one in simulation.subscribers.values()):
             simulation.run(S // 1_000)
-        leader.put("route", good, "q3", lambda outcome: None)  # some hold the faulty one, some not yet
+        leader.put(
+            "route", good, "q3", lambda outcome: None
+        )  # some subscribers have the faulty value, others not yet
         simulation.run(simulation.bounds.good)
         values = {one.core.store.get("route").value for one in simulation.subscribers.values()}
         self.assertEqual(values, {good})
@@ -185,13 +186,13 @@
 
 
 class AnswersWithoutMajority(Replica):
-    """Answers without a majority."""
+    """A sabotaged replica: it acknowledges writes without a majority."""
 
     majority = property(lambda self: 1)
 
 
 class TreatsLostStateAsFirstStart(Replica):
-    """Takes its start with nothing for a first start."""
+    """A sabotaged replica: it takes a start without saved state for the first start of the cluster."""
 
     def __init__(self, *args, saved=None, **kwargs):
         args = [*args[:6], args[6] or ReplicaState(0, "", 0, 0, 0, [], [], [])]
@@ -199,7 +200,7 @@
 
 
 class AppliesOlderVersions(Subscriber):
-    """Takes what it is sent, newer or not."""
+    """A sabotaged subscriber: it applies every entry that it receives, newer or not."""
 
     def _apply(self, entry):
         self.store.discard(entry.key)
@@ -207,21 +208,21 @@
 
 
 class ReportsZeroAge(Subscriber):
-    """Says that it is fresh."""
+    """A sabotaged subscriber: it reports an age of zero."""
 
     def age(self, now):
         return 0
 
 
 class SendsNoUpdates(SubscriberFeed):
-    """Sends heartbeats, and never an update."""
+    """A sabotaged feed: it sends heartbeats but no updates."""
 
     def _send_update(self, now, one, out):
         pass
 
 
 class IgnoresBudget(SubscriberFeed):
-    """Knows no budget: sends everything, again and again."""
+    """A sabotaged feed: it ignores its byte budget, and sends everything repeatedly."""
 
     def _send_update(self, now, one, out):
         one.token_bucket.tokens = self.total_bucket.tokens = 10**9
@@ -230,7 +231,7 @@
 
 
 class IgnoresReplicaAge(SubscriberFeed):
-    """Counts the age of what it holds from the heartbeat's arrival."""
+    """A sabotaged feed: its heartbeats state an age of zero, whatever the replica's age is."""
 
     def _send(self, now, one, data, out):
         super()._send(now, one, data, out)
@@ -248,7 +249,7 @@
 
 
 class Sabotage(unittest.TestCase):
-    """Each claim's check notices what breaks it."""
+    """Each claim is broken by a sabotaged part."""
 
     def broken_claims(self, seeds=range(1, 6), **process_types):
         broken_names = set()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,5 +1,5 @@
-"""The emulator: days without streams against days with them, flows against reqs, sources, engine, and the
-models.
+"""Tests of the emulator: simulated days compared with days on streams, flows compared with single requests,
+arrival processes, the engine, and the models of backends, proxies and clients.
 """
 
 import math
@@ -27,9 +27,8 @@
 S = 10**9
 HERE = Path(__file__).resolve().parent
 DAYS = ("crash", "deploy", "errors", "hang", "kill", "list-down", "preempt", "reconnect", "rough", "vanish")
-CREDIT_MARGIN = (
-    0.02  # of credit between a day with streams and one without: other draws where a req is tried again
-)
+# Allowed difference of credit between a day on streams and a simulated one: retries use other random draws.
+CREDIT_MARGIN = 0.02
 EVENTS_DIGEST_CODE = """
 import sys, zlib
 from embertray.simulation.scenarios import notation
@@ -151,9 +150,8 @@
         for source in (Poisson(lambda now: 50.0), Varying(lambda now: 50.0)):
             counts = np.bincount(self.times(source, 400) // S, minlength=400)
             self.assertAlmostEqual(counts.mean(), 50, delta=1.5)
-            self.assertAlmostEqual(
-                counts.var() / counts.mean(), 1, delta=0.25
-            )  # Poisson: as much as the mean
+            # The variance of a Poisson distribution equals its mean.
+            self.assertAlmostEqual(counts.var() / counts.mean(), 1, delta=0.25)
 
     def test_bursts_keep_the_mean_and_increase_the_variance(self):
         bursts = Bursts(6, 8 * S, 2 * S, np.random.default_rng(5))
@@ -249,7 +247,7 @@
         backend = self.backend(sharing=True)
         for n in range(4):
             backend.offer(0, n, "view", S, None)
-        self.assertEqual(backend.next_at(), 2 * S)  # four on two cores
+        self.assertEqual(backend.next_at(), 2 * S)  # four requests share two cores
         self.assertEqual(backend.advance(2 * S), [0, 1, 2, 3])
         for n in range(12):
             self.assertIsNone(backend.offer(2 * S, n, "view", S, None))
@@ -258,12 +256,12 @@
     def test_flow_outcomes_add_up_and_queue_stays_within_its_limit(self):
         backend = self.backend()
         done = full = 0.0
-        for n in range(100):  # 4 a second where 2 are possible
+        for n in range(100):  # 4 requests a second at a capacity of 2
             met = backend.pour(n * S // 10, S // 10, 0.4, S, 100 * S)
             self.assertAlmostEqual(met.done + met.full + met.late, 1)
             done, full = done + met.done * 0.4, full + met.full * 0.4
         self.assertLessEqual(backend.waits, 10 * S)
-        self.assertAlmostEqual(done, 2 * 10 + 10, delta=1.5)  # what it can do, and what waits
+        self.assertAlmostEqual(done, 2 * 10 + 10, delta=1.5)  # the capacity of 10 s, and the queue
         self.assertAlmostEqual(full, 10, delta=1.5)
 
     def proxy(self, lines, **site):
@@ -310,7 +308,7 @@
         self.assertIsNone(proxy.attempt(1, under))
         self.assertNotEqual(under.backend, first)
         self.assertEqual(proxy.ended(2, under, under.attempt, "done", {}), "done")
-        self.assertIsNone(proxy.ended(3, under, under.attempt, "done", {}))  # a late answer finds nothing
+        self.assertIsNone(proxy.ended(3, under, under.attempt, "done", {}))  # a late answer is ignored
         self.assertEqual({proxy.pick(10, []) for _ in range(20)}, {"a", "b"} - {first})
         self.assertEqual({proxy.pick(2 + EJECT, []) for _ in range(40)}, {"a", "b"})
         sums = proxy.sums(5)
