--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -78,7 +78,7 @@
     simulation.engine.start(simulation.all_up(names))
     simulation.engine.run(simulation.zero)
     simulation.until(lambda name, here: here == set(names), 200)
-    simulation.links.each(now=simulation.engine.time, drop=loss)
+    simulation.links.set_all_conditions(now=simulation.engine.time, drop=loss)
     simulation.engine.run(simulation.engine.time + max(CALM, 2 * members + 5) * S)
     bound, age = (2 * (members - 1) + 2 + 1), simulation.told()
     began, before = (
@@ -102,7 +102,7 @@
     ]
     side = simulation.split(names)
     seen = simulation.until(lambda name, here: here == side[name], 400)
-    simulation.links.straight(simulation.engine.time, simulation.links.pairs(), ("open",))
+    simulation.links.restore_conditions(simulation.engine.time, simulation.links.pairs(), ("open",))
     whole = simulation.until(lambda name, here: here == set(names), 400)
     simulation.kill(names[-1])
     death = simulation.until(lambda name, here: here == set(names[:-1]), 400)
--- a/embertray/experiments/measure/limits.py
+++ b/embertray/experiments/measure/limits.py
@@ -52,11 +52,11 @@
     cut, lasts = case
     simulation = LimitsSimulation(5, 5, 20).run(30 * S)
     before = simulation.utilization[-1]
-    pairs = simulation.links.parted([simulation.names[:cut], simulation.names[cut:]])
-    simulation.links.bend(simulation.engine.time, pairs, open=False)
+    pairs = simulation.links.pairs_between([simulation.names[:cut], simulation.names[cut:]])
+    simulation.links.set_conditions(simulation.engine.time, pairs, open=False)
     simulation.run(lasts * S)
     during = simulation.utilization[-1]
-    simulation.links.straight(simulation.engine.time, pairs, ("open",))
+    simulation.links.restore_conditions(simulation.engine.time, pairs, ("open",))
     for second in range(120):  # noqa: B007 (used after the loop)
         if simulation.utilization[-1] >= 0.98 * before:
             break
--- a/embertray/simulation/claims/reachability.py
+++ b/embertray/simulation/claims/reachability.py
@@ -33,7 +33,7 @@
         self._starting = set()
         self._starting_at = 0
         self._read_links()
-        links.watching.append(self.links_changed)
+        links.listeners.append(self.links_changed)
 
     # ---- what happens
 
@@ -107,12 +107,12 @@
                     continue
                 if self._is_good(name, other):
                     self._good_links[name].add(other)
-                if self.links.way(name, other).open:
+                if self.links.link(name, other).open:
                     self._open_links[name].add(other)
                     self._open_links[other].add(name)
 
     def _is_good(self, name, other):
-        link = self.links.way(name, other)
+        link = self.links.link(name, other)
         latest = link.delay + link.jitter
         return link.open and link.drop <= LOSS_MOST and latest <= self.period // DELAY_SHARE_MOST
 
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -11,7 +11,7 @@
 from embertray.cluster.state import AntiEntropyExchange, EntryStore
 from embertray.service.site.values import parse_duration
 from embertray.simulation.claims.cluster import ClusterClaims
-from embertray.simulation.models.network import Web
+from embertray.simulation.models.network import Network
 from embertray.simulation.models.random_streams import Streams
 from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.words import LINKS
@@ -19,8 +19,8 @@
 from .engine import NS_PER_MS, NS_PER_SECOND
 from .garbage_collection import rare_collections
 from .membership_simulation import MembershipSimulation
+from .network_links import NetworkLinks
 from .state_exchanger import StateExchanger
-from .web_links import WebLinks
 
 # Faults that are injected here; there are no streams that "reset" could end.
 FAULTS = {"kill", "stall", "restart", "slow-start", *LINKS} - {"reset"}
@@ -72,9 +72,9 @@
         self.seed = seed
         self.state_types = (exchange_type, store_type)
         self.observation_period = observation_period
-        self.links = Web(names, seed, OTHER_ENDS)
+        self.links = Network(names, seed, OTHER_ENDS)
         self.membership = MembershipSimulation(seed, MembershipConfig.for_period(period), membership_type)
-        self.membership.links = WebLinks(random.Random(f"{seed} links"), self.links)
+        self.membership.links = NetworkLinks(random.Random(f"{seed} links"), self.links)
         self.engine = self.membership.engine
         self.exchangers = {}
         self.chance = Streams(seed)
--- a/embertray/simulation/emulator/limits_faults.py
+++ b/embertray/simulation/emulator/limits_faults.py
@@ -86,11 +86,11 @@
         """Partitions the named members from the others, or closes or degrades random links."""
         pairs = self.links.pairs()
         if fault == "split":
-            pairs = self.links.parted([names, [name for name in self.names if name not in names]])
+            pairs = self.links.pairs_between([names, [name for name in self.names if name not in names]])
         else:
             pairs = self.rng.sample(pairs, self.rng.randint(1, len(pairs)))
         change = {"drop": LOSS} if fault == "lossy" else {"open": False}
         now = self.engine.time
-        self.links.bend(now, pairs, **change)
+        self.links.set_conditions(now, pairs, **change)
         # The time of the repair is given as that of the fault; nothing in this simulation reads it.
-        self.engine.after(duration, self.links.straight, now, pairs, tuple(change))
+        self.engine.after(duration, self.links.restore_conditions, now, pairs, tuple(change))
--- a/embertray/simulation/emulator/limits_simulation.py
+++ b/embertray/simulation/emulator/limits_simulation.py
@@ -7,7 +7,7 @@
 import random
 
 from embertray.cluster.limits import DEFAULT_CONFIG, Limits
-from embertray.simulation.models.network import Web
+from embertray.simulation.models.network import Network
 
 from .engine import NS_PER_MS, NS_PER_SECOND, Engine
 from .limits_faults import LimitsFaults
@@ -64,7 +64,7 @@
         self.total = total
         self.core_type = core_type
         self.incarnations = 0
-        self.links = Web(self.names, seed)
+        self.links = Network(self.names, seed)
         self.joined_member = {}
         self.quotas = {}
         self.max_excess = 0
@@ -116,7 +116,7 @@
         """
         self.messages_sent += len(messages)
         for receiver, message in messages:
-            for extra_delay in self.links.way(member.name, receiver).copies():
+            for extra_delay in self.links.link(member.name, receiver).copy_delays():
                 delay = self.rng.randint(*MESSAGE_DELAY_MS) * NS_PER_MS + extra_delay
                 self.engine.after(delay, self._deliver, member.name, receiver, message)
 
--- a/embertray/simulation/emulator/web_links.py
+++ b/embertray/simulation/emulator/network_links.py
@@ -3,17 +3,17 @@
 from .member_links import Links
 
 
-class WebLinks(Links):
-    """Links whose state is that of a Web, which faults change.
+class NetworkLinks(Links):
+    """Links whose state is that of a Network, which faults change.
 
     Args:
         random: A random.Random.
-        web: The Web.
+        network: The Network.
     """
 
-    def __init__(self, random, web):
+    def __init__(self, random, network):
         super().__init__(random)
-        self.web = web
+        self.network = network
 
     def deliveries(self, sender, receiver, data):
         """Draws the fate of a datagram, as Links do; nothing is corrupted.
@@ -26,7 +26,7 @@
         Yields:
             (delay in ns, bytes) for each copy that arrives.
         """
-        for extra_delay in self.web.way(sender, receiver).copies():
+        for extra_delay in self.network.link(sender, receiver).copy_delays():
             yield self.random.randint(*self.delay) + extra_delay, data
 
     def stream_delay(self, sender, receiver):
@@ -39,5 +39,5 @@
         Returns:
             ns, or None while the link is not open.
         """
-        way = self.web.way(sender, receiver)
-        return self.random.randint(*self.delay) + way.hold() if way.open else None
+        link = self.network.link(sender, receiver)
+        return self.random.randint(*self.delay) + link.stream_delay() if link.open else None
--- a/embertray/simulation/models/link.py
+++ b/embertray/simulation/models/link.py
@@ -6,50 +6,52 @@
 from dataclasses import dataclass
 
 MS = 10**6
-RESEND = 200 * MS  # ns that a lost part of a stream comes later: a system's first time to send again
-STRAIGHT = {"open": True, "drop": 0.0, "again": 0.0, "delay": 0, "jitter": 0}
+RETRANSMISSION_DELAY_NS = 200 * MS  # a system's first time to send a lost part of a stream again
+UNIMPAIRED = {"open": True, "drop": 0.0, "duplicated": 0.0, "delay": 0, "jitter": 0}
 
 
 @dataclass
-class Way:
+class DirectedLink:
     """One ordered pair of processes. `open`: False loses datagrams and holds streams silent, as a machine cut
     off does. `at`: when it was last bent or made straight."""
 
-    chance: random.Random
+    rng: random.Random
     open: bool = True
     drop: float = 0.0
-    again: float = 0.0
+    duplicated: float = 0.0
     delay: int = 0
     jitter: int = 0
     passed: int = 0
     lost: int = 0
-    at: int = 0
+    changed_at: int = 0
 
     @property
-    def straight(self):
-        return all(getattr(self, name) == value for name, value in STRAIGHT.items())
+    def is_unimpaired(self):
+        return all(getattr(self, name) == value for name, value in UNIMPAIRED.items())
 
-    def set(self, now, **how):
-        for name, value in how.items():
+    def set(self, now, **conditions):
+        for name, value in conditions.items():
             setattr(self, name, value)
-        self.at = now
+        self.changed_at = now
 
-    def heal(self, now, names=tuple(STRAIGHT)):
-        self.set(now, **{name: STRAIGHT[name] for name in names})
+    def heal(self, now, names=tuple(UNIMPAIRED)):
+        self.set(now, **{name: UNIMPAIRED[name] for name in names})
 
-    def late(self):
-        return self.delay + (self.chance.randrange(self.jitter) if self.jitter else 0)
+    def draw_delay(self):
+        return self.delay + (self.rng.randrange(self.jitter) if self.jitter else 0)
 
-    def copies(self):
+    def copy_delays(self):
         """ns to hold back each copy of a datagram that arrives; none if it is lost. Jitter past the gaps
         reorders them.
         """
-        if not self.open or self.chance.random() < self.drop:
+        if not self.open or self.rng.random() < self.drop:
             self.lost += 1
             return []
         self.passed += 1
-        return [self.late() for _ in range(2 if self.chance.random() < self.again else 1)]
+        return [self.draw_delay() for _ in range(2 if self.rng.random() < self.duplicated else 1)]
 
-    def hold(self):
+    def stream_delay(self):
         """ns to hold back a part of a stream, which keeps its order."""
-        return self.late() + (RESEND if self.drop and self.chance.random() < self.drop else 0)
+        return self.draw_delay() + (
+            RETRANSMISSION_DELAY_NS if self.drop and self.rng.random() < self.drop else 0
+        )
--- a/embertray/simulation/models/network.py
+++ b/embertray/simulation/models/network.py
@@ -2,65 +2,67 @@
 
 import random
 
-from .link import STRAIGHT, Way
+from .link import UNIMPAIRED, DirectedLink
 
 
-class Web:
+class Network:
     """`ends`: names that only members reach, and that reach members only."""
 
     def __init__(self, members, seed=1, ends=()):
-        self.members, self.others = list(members), list(ends)
+        self.members, self.outer_ends = list(members), list(ends)
         pairs = [(a, b) for a in members for b in members if a != b]
         pairs += [pair for a in members for b in ends for pair in ((a, b), (b, a))]
-        self.ways = {(a, b): Way(random.Random(f"{seed} {a} {b}")) for a, b in pairs}
-        self.watching = []  # each called with the time after ways were bent or made straight
+        self.links = {(a, b): DirectedLink(random.Random(f"{seed} {a} {b}")) for a, b in pairs}
+        self.listeners = []  # each called with the time after ways were bent or made straight
         self.streams = {
             pair: set() for pair in pairs
         }  # what ends a stream that was opened by the first towards the second
 
-    def way(self, a, b):
+    def link(self, a, b):
         """Raises KeyError for a link that is not there."""
-        return self.ways[a, b]
+        return self.links[a, b]
 
     def pairs(self, all_ends=False):
-        return [(a, b) for a, b in self.ways if all_ends or a not in self.others and b not in self.others]
+        return [
+            (a, b) for a, b in self.links if all_ends or a not in self.outer_ends and b not in self.outer_ends
+        ]
 
     # ---- wounds
 
-    def bend(self, now, pairs, **how):
+    def set_conditions(self, now, pairs, **conditions):
         """Sets values of the ways of these pairs."""
         for pair in pairs:
-            self.ways[pair].set(now, **how)
-        self.changed(now)
+            self.links[pair].set(now, **conditions)
+        self.notify_listeners(now)
 
-    def straight(self, now, pairs, names=tuple(STRAIGHT)):
+    def restore_conditions(self, now, pairs, names=tuple(UNIMPAIRED)):
         """Makes these values of these ways good again."""
         for pair in pairs:
-            self.ways[pair].heal(now, names)
-        self.changed(now)
+            self.links[pair].heal(now, names)
+        self.notify_listeners(now)
 
-    def changed(self, now):
-        for call in self.watching:
+    def notify_listeners(self, now):
+        for call in self.listeners:
             call(now)
 
-    def each(self, now=0, **how):
-        self.bend(now, self.pairs(), **how)
+    def set_all_conditions(self, now=0, **conditions):
+        self.set_conditions(now, self.pairs(), **conditions)
 
-    def parted(self, groups):
+    def pairs_between(self, groups):
         """The ordered pairs that lie between two of the groups; who is named in none reaches all."""
         side = {name: n for n, group in enumerate(groups) for name in group}
-        return [(a, b) for a, b in self.ways if a in side and b in side and side[a] != side[b]]
+        return [(a, b) for a, b in self.links if a in side and b in side and side[a] != side[b]]
 
     def split(self, *groups, now=0):
         """Only those of one group reach each other."""
-        self.bend(now, self.ways, open=True)
-        self.bend(now, self.parted(groups), open=False)
+        self.set_conditions(now, self.links, open=True)
+        self.set_conditions(now, self.pairs_between(groups), open=False)
 
     def heal(self, now=0):
-        self.straight(now, self.ways)
+        self.restore_conditions(now, self.links)
 
     def reset(self, a, b):
         """Streams between the two, whoever opened them, end now."""
         for pair in ((a, b), (b, a)):
-            for end in list(self.streams.get(pair, ())):
-                end()
+            for close_stream in list(self.streams.get(pair, ())):
+                close_stream()
--- a/embertray/simulation/processes/cluster_links.py
+++ b/embertray/simulation/processes/cluster_links.py
@@ -11,13 +11,13 @@
 import msgspec
 
 from embertray.cluster.membership.messages import PingRequest, UnreadableMessageError, decode, encode
-from embertray.simulation.models.network import Web
+from embertray.simulation.models.network import Network
 
 from .ports import free_ports
 from .tcp_relay import TcpRelay
 
 
-class ClusterLinks(Web):
+class ClusterLinks(Network):
     """`port(a, b)` is where a reaches b, `way(a, b)` what lies between.
 
     Args:
@@ -55,8 +55,8 @@
                         TcpRelay(
                             port,
                             target,
-                            self.ways[a, b],
-                            self.ways[b, a],
+                            self.links[a, b],
+                            self.links[b, a],
                             self.streams[a, b],
                             self.taps.get((a, b)),
                         ).run
@@ -65,7 +65,7 @@
 
     async def relay_datagrams(self, pair, group, *, task_status):
         """Relays the datagrams of one ordered pair, rewritten, as its link says."""
-        way = self.ways[pair]
+        link = self.links[pair]
         receiver = pair[1]
         async with await anyio.create_udp_socket(
             family=socket.AF_INET, local_host="127.0.0.1", local_port=self.ports[pair]
@@ -77,7 +77,7 @@
                 except UnreadableMessageError:
                     self.unreadable_count += 1
                     continue
-                for wait in way.copies():
+                for wait in link.copy_delays():
                     if wait:
                         group.start_soon(self.deliver_later, data, receiver, wait)
                     else:
--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -152,7 +152,7 @@
         everyone = [*self.plane.replicas, *self.plane.controllers]
         self.record.fault_started(self.plane.controllers)
         if self.rng.random() < 0.5:
-            pairs = self.rng.sample(sorted(self.plane.links.ways), 4)
+            pairs = self.rng.sample(sorted(self.plane.links.links), 4)
             self.plane.links.block(*pairs)
             what = "one way: " + ", ".join(f"{a} to {b}" for a, b in pairs)
         else:
--- a/embertray/simulation/processes/control_links.py
+++ b/embertray/simulation/processes/control_links.py
@@ -5,13 +5,13 @@
 import anyio
 from anyio.from_thread import start_blocking_portal
 
-from embertray.simulation.models.network import Web
+from embertray.simulation.models.network import Network
 
 from .ports import free_ports
 from .tcp_relay import TcpRelay
 
 
-class ControlLinks(Web):
+class ControlLinks(Network):
     """Runs in a thread of its own; the methods here may be called from any other.
 
     Args:
@@ -46,9 +46,9 @@
         async with anyio.create_task_group() as group:
             for (a, b), port in self.ports.items():
                 address = f"127.0.0.1:{self.target(a, b)}"
-                ways = (self.ways[a, b], self.ways[b, a])
+                links = (self.links[a, b], self.links[b, a])
                 streams = self.streams[a, b]
-                await group.start(TcpRelay(port, lambda address=address: address, *ways, streams).run)
+                await group.start(TcpRelay(port, lambda address=address: address, *links, streams).run)
             task_status.started()
 
     # ---- faults
@@ -59,7 +59,7 @@
 
     def block(self, *pairs):
         """Nothing passes from the first of each pair to the second; streams between them stay silent."""
-        self.portal.call(lambda: self.bend(0, pairs, open=False))
+        self.portal.call(lambda: self.set_conditions(0, pairs, open=False))
 
     def restore(self):
         """All links are good again; what they held back is delivered."""
--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -55,7 +55,7 @@
             taps,
         )
         await self.stage.group.start(self.links.run)
-        self.links.watching.append(self.bent)
+        self.links.listeners.append(self.on_links_changed)
         if self.clustered:
             self.claims = ClusterClaims(
                 self.links, span(self.stage.day.fleet["period"]), EXCHANGE_TIMEOUT_NS, DELAY_SLACK_NS
@@ -67,13 +67,15 @@
             if isinstance(news := decode_response(payload), WatchEvent):
                 self.stage.eyes.told(self.stage.clock.now(), name, news)
 
-    def bent(self, at):
+    def on_links_changed(self, at):
         """Notes controllers whose proxies are not heard, or hear nothing, or late.
 
         What such proxies do is not their controller's doing.
         """
         for name in self.at:
-            poor = not (self.links.way(name, "px").straight and self.links.way("px", name).straight)
+            poor = not (
+                self.links.link(name, "px").is_unimpaired and self.links.link("px", name).is_unimpaired
+            )
             if poor != (name in self.poor):
                 (self.poor.add if poor else self.poor.discard)(name)
                 self.stage.eyes.note(at, "unheard" if poor else "heard", name)
--- a/embertray/simulation/processes/tcp_relay.py
+++ b/embertray/simulation/processes/tcp_relay.py
@@ -29,8 +29,8 @@
     Args:
         port: of loopback, where it listens.
         target: gives the address when a stream is opened.
-        there: the Way towards the target.
-        back: the Way from it.
+        there: the DirectedLink towards the target.
+        back: the DirectedLink from it.
         streams: a set in which each stream's function that resets it stands while the stream is open.
         tap: gives for each stream a function that sees the bytes that came back, when they are passed on.
     """
@@ -91,7 +91,7 @@
                 carry_group.start_soon(self._deliver, link, chunk_receiver, sink, group, on_passed)
                 while True:
                     data = await source.receive()
-                    await chunk_sender.send((now() + link.hold(), data))
+                    await chunk_sender.send((now() + link.stream_delay(), data))
         except* STREAM_END_ERRORS:
             group.cancel_scope.cancel()
 
--- a/embertray/simulation/scenarios/faults/links.py
+++ b/embertray/simulation/scenarios/faults/links.py
@@ -17,48 +17,50 @@
 
     def pairs(self):
         """The ordered pairs of processes whose links the targets name."""
-        web = self.stage.held.links
+        network = self.stage.held.links
         found = []
         for target in self.spec.targets:
             if isinstance(target, float):
-                found += self.stage.strike([target], web.pairs())
+                found += self.stage.strike([target], network.pairs())
             else:
                 found += ordered(target)
         return found
 
-    async def bend(self, pairs, **how):
+    async def set_for_duration(self, pairs, **conditions):
         """Sets properties of links (`how`) for the fault's length."""
-        web = self.stage.held.links
+        network = self.stage.held.links
         now = self.stage.clock.now
-        web.bend(now(), pairs, **how)
+        network.set_conditions(now(), pairs, **conditions)
         await self.wait(self.spec.lasts)
-        web.straight(now(), pairs, how)
+        network.restore_conditions(now(), pairs, conditions)
 
     async def do_lossy(self):
         """Datagrams are lost: a `share` of them, 30% by default."""
-        await self.bend(self.pairs(), drop=share(self.spec.options.get("share", "30%")))
+        await self.set_for_duration(self.pairs(), drop=share(self.spec.options.get("share", "30%")))
 
     async def do_repeated(self):
         """Datagrams come twice: a `share` of them, 10% by default."""
-        await self.bend(self.pairs(), again=share(self.spec.options.get("share", "10%")))
+        await self.set_for_duration(self.pairs(), duplicated=share(self.spec.options.get("share", "10%")))
 
     async def do_lagged(self):
         """`jitter=` past the gaps of datagrams reorders them; streams keep their order."""
-        await self.bend(self.pairs(), delay=self.spec.by, jitter=span(self.spec.options.get("jitter", "0ms")))
+        await self.set_for_duration(
+            self.pairs(), delay=self.spec.by, jitter=span(self.spec.options.get("jitter", "0ms"))
+        )
 
     async def do_silent(self):
         """Nothing passes for `for`."""
-        await self.bend(self.pairs(), open=False)
+        await self.set_for_duration(self.pairs(), open=False)
 
     async def do_flutter(self):
         """Silent and open in turns of `by`, `times` so often."""
         pairs = self.pairs()
-        web = self.stage.held.links
+        network = self.stage.held.links
         now = self.stage.clock.now
         for _ in range(max(1, int(self.spec.times))):
-            web.bend(now(), pairs, open=False)
+            network.set_conditions(now(), pairs, open=False)
             await self.wait(self.spec.by)
-            web.straight(now(), pairs, ("open",))
+            network.restore_conditions(now(), pairs, ("open",))
             await self.wait(self.spec.by)
 
     async def do_reset(self):
@@ -71,16 +73,16 @@
 
         Groups are groups=c1,c2,list/c3, or shares as 30%/70%.
         """
-        web = self.stage.held.links
+        network = self.stage.held.links
         parts = self.spec.options["groups"].split("/")
         if "%" in parts[0]:
-            rest = list(self.stage.strike([1.0], web.members))
+            rest = list(self.stage.strike([1.0], network.members))
             groups = []
             for part in parts:
-                size = max(1, round(share(part) * len(web.members)))
+                size = max(1, round(share(part) * len(network.members)))
                 groups.append(rest[:size])
                 rest = rest[size:]
             groups[-1] += rest
         else:
             groups = [group.split(",") for group in parts]
-        await self.bend(web.parted(groups), open=False)
+        await self.set_for_duration(network.pairs_between(groups), open=False)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -64,7 +64,7 @@
 
     def test_one_way_and_thirty_percent_lost_are_no_deaths(self):
         def case(site):
-            site.links.way("c1", "c2").open = False
+            site.links.link("c1", "c2").open = False
             counts = {name: site.status(name)["received"] for name in site.names}
             site.wait(
                 lambda: all(site.status(n)["received"] > counts[n] + 100 for n in ("c1", "c3")),
@@ -72,14 +72,14 @@
             )
             self.assertNotIn("dead", site.failed_members().values())
             site.links.heal()
-            site.links.each(drop=0.3, again=0.1, jitter=20 * 10**6)
+            site.links.set_all_conditions(drop=0.3, duplicated=0.1, jitter=20 * 10**6)
             counts = {name: site.status(name)["received"] for name in site.names}
             site.wait(
                 lambda: all(site.status(n)["received"] > counts[n] + 150 for n in site.names),
                 "150 messages more at each",
             )
             self.assertNotIn("dead", site.failed_members().values())
-            self.assertGreater(sum(way.lost for way in site.links.ways.values()), 50)
+            self.assertGreater(sum(link.lost for link in site.links.links.values()), 50)
 
         self.play(4, case)
 
