--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -13,8 +13,8 @@
     report as reports,
     run as runner,
 )
-from embertray.experiments.lab.one import play
 from embertray.experiments.lab.results import Results
+from embertray.experiments.lab.single_run import play
 
 from .standin import InputError
 
--- a/embertray/experiments/lab/run.py
+++ b/embertray/experiments/lab/run.py
@@ -31,7 +31,7 @@
     job = json.dumps({"text": experiment.text, "key": run.key})
     try:
         done = subprocess.run(
-            [sys.executable, "-m", "embertray.experiments.lab.one"],
+            [sys.executable, "-m", "embertray.experiments.lab.single_run"],
             input=job,
             text=True,
             capture_output=True,
--- a/embertray/experiments/lab/one.py
+++ b/embertray/experiments/lab/single_run.py
@@ -1,5 +1,5 @@
-"""`python -m embertray.experiments.lab.one`: one run, described as JSON on standard input; its result as
-JSON on standard output.
+"""`python -m embertray.experiments.lab.single_run`: plays one run, described as JSON on standard
+input; its result is JSON on standard output.
 """
 
 import json
