--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -23,7 +23,7 @@
     """Returns the experiment that a file or a name stands for. Raises InputError."""
     try:
         return experiments.load(path)
-    except experiments.BadExperiment as error:
+    except experiments.ExperimentError as error:
         raise InputError(str(error)) from None
 
 
--- a/embertray/experiments/lab/experiment.py
+++ b/embertray/experiments/lab/experiment.py
@@ -10,10 +10,10 @@
 
 from embertray.simulation.scenarios import notation
 
-HERE = Path(__file__).resolve().parent
+PACKAGE_FOLDER = Path(__file__).resolve().parent
 
 
-class BadExperiment(ValueError):
+class ExperimentError(ValueError):
     """Names file, line and what was expected."""
 
 
@@ -41,13 +41,13 @@
     factors: tuple  # ((name, (level, ...)), ...)
     arms: tuple  # ((name, policy, facts), ...)
     seeds: tuple
-    seconds: int  # of wall time that a run may take
-    way: str = "virtual"  # how days are played: virtual | emulated | flows
+    timeout_s: int  # of wall time that a run may take
+    simulator: str = "virtual"  # how days are played: virtual | emulated | flows
 
     def runs(self):
         """All runs; the same seed in every arm, so that arms meet the same requests and faults."""
         for levels in itertools.product(
-            *(tuple((name, level) for level in found) for name, found in self.factors)
+            *(tuple((name, level) for level in factor_levels) for name, factor_levels in self.factors)
         ):
             for seed in self.seeds:
                 for arm, policy, facts in self.arms:
@@ -64,36 +64,36 @@
 
 @cache
 def schema():
-    return etree.XMLSchema(etree.parse(HERE / "lab.xsd"))
+    return etree.XMLSchema(etree.parse(PACKAGE_FOLDER / "lab.xsd"))
 
 
 def load(path):
     """The Experiment of a file, or of one that comes with the program. Raises BadExperiment."""
-    found = Path(path)
-    if not found.suffix and not found.is_file():
-        found = HERE / "experiments" / f"{path}.xml"
+    file = Path(path)
+    if not file.suffix and not file.is_file():
+        file = PACKAGE_FOLDER / "experiments" / f"{path}.xml"
     try:
-        text = found.read_text()
-    except OSError as wrong:
-        raise BadExperiment(
-            f"{path}: {wrong.strerror}; there are "
-            f"{', '.join(sorted(p.stem for p in (HERE / 'experiments').glob('*.xml')))}"
+        text = file.read_text()
+    except OSError as error:
+        raise ExperimentError(
+            f"{path}: {error.strerror}; there are "
+            f"{', '.join(sorted(p.stem for p in (PACKAGE_FOLDER / 'experiments').glob('*.xml')))}"
         ) from None
-    return read(text, str(found))
+    return read(text, str(file))
 
 
 def read(text, path="experiment"):
     try:
         root = etree.fromstring(text.encode(), etree.XMLParser(resolve_entities=False, no_network=True))
-    except etree.XMLSyntaxError as wrong:
-        raise BadExperiment(f"{path}:{wrong.lineno}: not well-formed XML: {wrong.msg}") from None
+    except etree.XMLSyntaxError as error:
+        raise ExperimentError(f"{path}:{error.lineno}: not well-formed XML: {error.msg}") from None
     if not schema().validate(root):
         first = schema().error_log[0]
-        raise BadExperiment(f"{path}:{first.line}: {first.message}")
+        raise ExperimentError(f"{path}:{first.line}: {first.message}")
     seeds = root.find("seeds")
     first, last = int(seeds.get("from", "1")), int(seeds.get("to"))
     day = "\n".join(row.strip() for row in root.findtext("day").strip().split("\n"))
-    found = Experiment(
+    experiment = Experiment(
         root.get("name"),
         (root.findtext("about") or "").strip(),
         text,
@@ -105,9 +105,9 @@
         root.get("way", "virtual"),
     )
     try:
-        for run in found.runs():
+        for run in experiment.runs():
             if run.seed == first:
-                found.day_of(run)
-    except (notation.DayError, KeyError, ValueError) as wrong:
-        raise BadExperiment(f"{path}:{root.find('day').sourceline}: the day can't be used: {wrong}") from None
-    return found
+                experiment.day_of(run)
+    except (notation.DayError, KeyError, ValueError) as error:
+        raise ExperimentError(f"{path}:{root.find('day').sourceline}: the day can't be used: {error}") from None
+    return experiment
--- a/embertray/experiments/lab/run.py
+++ b/embertray/experiments/lab/run.py
@@ -35,11 +35,11 @@
             input=job,
             text=True,
             capture_output=True,
-            timeout=experiment.seconds,
+            timeout=experiment.timeout_s,
             cwd=Path(__file__).resolve().parents[3],
         )
     except subprocess.TimeoutExpired:
-        return None, f"hung: not done within {experiment.seconds} s", time.monotonic() - began
+        return None, f"hung: not done within {experiment.timeout_s} s", time.monotonic() - began
     wall = time.monotonic() - began
     if done.returncode:
         last = (done.stderr.strip().splitlines() or ["no word"])[-1]
--- a/embertray/experiments/lab/single_run.py
+++ b/embertray/experiments/lab/single_run.py
@@ -11,25 +11,25 @@
 from . import experiment, policies
 
 
-def play(told, run):
+def play(definition, run):
     """The Result of one run."""
-    day = told.day_of(run)
+    day = definition.day_of(run)
     core = policies.core(run.policy)
     stages = []
     if run.policy == "oracle":
         policies.Oracle.truth = staticmethod(lambda: stages[0].models if stages else {})
-    if told.way == "virtual":
+    if definition.simulator == "virtual":
         return player.play(day, seed=run.seed, core=core, on_stage=stages.append)
     return play_emulated(
-        day, run.seed, "flows" if told.way == "flows" else "reqs", core, on_stage=stages.append
+        day, run.seed, "flows" if definition.simulator == "flows" else "reqs", core, on_stage=stages.append
     )
 
 
 def main():
-    job = json.load(sys.stdin)
-    told = experiment.read(job["text"])
-    run = next(run for run in told.runs() if run.key == job["key"])
-    result = play(told, run)
+    request = json.load(sys.stdin)
+    definition = experiment.read(request["text"])
+    run = next(run for run in definition.runs() if run.key == request["key"])
+    result = play(definition, run)
     json.dump(
         {**result.as_json(), "took": result.latencies.encode().decode(), "line": result.credit_by_second},
         sys.stdout,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -165,7 +165,7 @@
             ("</about>", "", "not well-formed"),
             ('<seeds to="2"/>', "", "Missing child"),
         ):
-            with self.subTest(new=new), self.assertRaises(experiment.BadExperiment) as caught:
+            with self.subTest(new=new), self.assertRaises(experiment.ExperimentError) as caught:
                 experiment.read(TEXT.replace(old, new), "x.xml")
             self.assertIn("x.xml:", str(caught.exception))
             self.assertIn(word, str(caught.exception))
