--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -32,7 +32,7 @@
     if not Path(path).is_file():
         raise InputError(f"{path}: no such results file")
     results = Results(path)
-    row = results.text()
+    row = results.experiment_header()
     if not row:
         raise InputError(f"{path}: it contains no experiment")
     return results, experiments.read(row[0], path)
@@ -54,12 +54,14 @@
     results = Results(out or f"{definition.name}.sqlite")
     try:
         results.begin(
-            definition, runner.commit(), datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
+            definition,
+            runner.source_commit(),
+            datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds"),
         )
     except ValueError as error:
         raise InputError(str(error)) from None
     if retry:
-        results.forget_errors()
+        results.delete_failed_runs()
 
     def on_progress(done, total):
         if sys.stderr.isatty():
--- a/embertray/experiments/lab/report.py
+++ b/embertray/experiments/lab/report.py
@@ -40,7 +40,7 @@
 def page(experiment, results, charts=()):
     """The report in Markdown."""
     rows, rng = list(results.rows()), np.random.default_rng(1)
-    _, commit, began = results.text()
+    _, commit, began = results.experiment_header()
     broken = [row for row in rows if row["kept"] == 0 and row["arm"] == experiment.arms[0][0]]
     dead = [row for row in rows if row["error"]]
     wanted = sum(1 for _ in experiment.runs())
--- a/embertray/experiments/lab/results.py
+++ b/embertray/experiments/lab/results.py
@@ -30,41 +30,41 @@
                     (experiment.name, experiment.text, commit, "1", began),
                 )
 
-    def done(self):
+    def finished_keys(self):
         return {key for (key,) in self.db.execute("select key from runs")}
 
-    def add(self, run, found, error, wall):
-        spread = found.get("spread_ms", {}) if found else {}
-        row = (run.key, json.dumps(dict(run.levels)), run.arm, run.seed, wall, error)
+    def add(self, run, result, error, wall_time_s):
+        latencies = result.get("spread_ms", {}) if result else {}
+        row = (run.key, json.dumps(dict(run.levels)), run.arm, run.seed, wall_time_s, error)
         row += (
             (None,) * 10
             if error
             else (
-                int(not found["broken"]),
-                json.dumps(found["broken"]),
-                found["credit"],
-                json.dumps(found["credit_by_kind"]),
-                found["reqs"],
-                spread.get("p50"),
-                spread.get("p99"),
-                spread.get("max"),
-                found.get("took"),
-                json.dumps(found.get("line", [])),
+                int(not result["broken"]),
+                json.dumps(result["broken"]),
+                result["credit"],
+                json.dumps(result["credit_by_kind"]),
+                result["reqs"],
+                latencies.get("p50"),
+                latencies.get("p99"),
+                latencies.get("max"),
+                result.get("took"),
+                json.dumps(result.get("line", [])),
             )
         )
         with self.db:
             self.db.execute("insert or replace into runs values (?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)", row)
 
-    def forget_errors(self):
+    def delete_failed_runs(self):
         with self.db:
             self.db.execute("delete from runs where error is not null")
 
-    def text(self):
+    def experiment_header(self):
         return self.db.execute("select text, commit_id, began from experiment").fetchone()
 
     def rows(self):
         """Dicts, in the order of their keys: the order in which runs ended says nothing."""
-        names = (
+        columns = (
             "key",
             "levels",
             "arm",
@@ -82,9 +82,9 @@
             "took",
             "line",
         )
-        for row in self.db.execute(f"select {', '.join(names)} from runs order by key"):
-            found = dict(zip(names, row, strict=False))
-            found["levels"] = json.loads(found["levels"])
-            for name, none in (("broken", {}), ("by_kind", {}), ("line", [])):
-                found[name] = json.loads(found[name]) if found[name] else none
-            yield found
+        for row in self.db.execute(f"select {', '.join(columns)} from runs order by key"):
+            row_by_name = dict(zip(columns, row, strict=False))
+            row_by_name["levels"] = json.loads(row_by_name["levels"])
+            for name, empty in (("broken", {}), ("by_kind", {}), ("line", [])):
+                row_by_name[name] = json.loads(row_by_name[name]) if row_by_name[name] else empty
+            yield row_by_name
--- a/embertray/experiments/lab/run.py
+++ b/embertray/experiments/lab/run.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 
-def commit():
+def source_commit():
     """The checkout's commit, with + if it has changes; "" outside one."""
     root = Path(__file__).resolve().parents[3]
     try:
@@ -25,14 +25,14 @@
         return ""
 
 
-def one(experiment, run):
+def run_in_process(experiment, run):
     """(result or None, error or None, seconds)"""
     began = time.monotonic()
-    job = json.dumps({"text": experiment.text, "key": run.key})
+    request = json.dumps({"text": experiment.text, "key": run.key})
     try:
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "embertray.experiments.lab.single_run"],
-            input=job,
+            input=request,
             text=True,
             capture_output=True,
             timeout=experiment.timeout_s,
@@ -40,24 +40,24 @@
         )
     except subprocess.TimeoutExpired:
         return None, f"hung: not done within {experiment.timeout_s} s", time.monotonic() - began
-    wall = time.monotonic() - began
-    if done.returncode:
-        last = (done.stderr.strip().splitlines() or ["no word"])[-1]
-        return None, f"died with {done.returncode}: {last[:300]}", wall
-    return json.loads(done.stdout), None, wall
+    wall_time_s = time.monotonic() - began
+    if process.returncode:
+        last_line = (process.stderr.strip().splitlines() or ["no word"])[-1]
+        return None, f"died with {process.returncode}: {last_line[:300]}", wall_time_s
+    return json.loads(process.stdout), None, wall_time_s
 
 
 def run(experiment, results, jobs, on_progress=lambda done, total: None):
     """Plays what is missing in the results. How many processes there are changes nothing in the rows but wall
     times.
     """
-    have = results.done()
-    todo = [found for found in experiment.runs() if found.key not in have]
-    total, done = len(todo) + len(have), len(have)
+    finished = results.finished_keys()
+    unfinished = [pending for pending in experiment.runs() if pending.key not in finished]
+    total, done = len(unfinished) + len(finished), len(finished)
     on_progress(done, total)
     with ThreadPoolExecutor(jobs) as pool:
-        waiting = {pool.submit(one, experiment, found): found for found in todo}
-        for future in as_completed(waiting):
-            results.add(waiting[future], *future.result())
+        run_of_future = {pool.submit(run_in_process, experiment, pending): pending for pending in unfinished}
+        for future in as_completed(run_of_future):
+            results.add(run_of_future[future], *future.result())
             done += 1
             on_progress(done, total)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -102,7 +102,7 @@
         whole, half = self.results(), self.results(self.path.with_name("half.sqlite"))
         run.run(self.told, whole, jobs=4)
         for found in list(self.told.runs())[3:0:-1]:
-            half.add(found, *run.one(self.told, found))
+            half.add(found, *run.run_in_process(self.told, found))
         run.run(self.told, half, jobs=1)
         self.assertEqual(len(self.rows(whole)), 8)
         self.assertEqual(self.rows(whole), self.rows(half))
@@ -115,7 +115,7 @@
         self.addCleanup(results.db.close)
         results.begin(hasty, "", "now")
         runs = list(hasty.runs())
-        results.add(runs[0], *run.one(hasty, runs[0]))
+        results.add(runs[0], *run.run_in_process(hasty, runs[0]))
         results.add(runs[2], {"broken": {}, "credit": 0.9, "credit_by_kind": {}, "reqs": 5}, None, 1.0)
         self.assertIn("hung", next(results.rows())["error"] or list(results.rows())[1]["error"])
         page = report.page(hasty, results)
@@ -175,7 +175,7 @@
             told = experiment.read(
                 TEXT.replace('policy="even"', f'policy="{name}"').replace('name="even"', 'name="it"')
             )
-            found, error, _ = run.one(
+            found, error, _ = run.run_in_process(
                 told, next(r for r in told.runs() if r.arm == "it" and r.levels == (("n", "10"),))
             )
             self.assertIsNone(error)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -188,7 +188,7 @@
         return results
 
     def test_the_experiment_is_read(self):
-        text, commit, began = self.open_copy().text()
+        text, commit, began = self.open_copy().experiment_header()
         self.assertEqual((commit, began), ("5b12911", "2026-12-03T05:00:00+00:00"))
         runs = [run.key for run in experiment.read(text).runs()]
         self.assertEqual(runs, ["n=3;module;1", "n=3;even;1", "n=10;module;1", "n=10;even;1"])
