--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -84,9 +84,9 @@
     charts = []
     if out:
         for end, draw in (
-            (".png", reports.chart),
-            ("-by-second.png", reports.lines_chart),
-            ("-took.png", reports.spread_chart),
+            (".png", reports.factor_chart),
+            ("-by-second.png", reports.credit_timeline_chart),
+            ("-took.png", reports.latency_chart),
         ):
             name = Path(out).with_name(Path(out).stem + end)
             if draw(experiment, results_file, name):
@@ -146,7 +146,7 @@
         if sys.stderr.isatty():
             click.echo(f"\r{n} of {total}", nl=n == total, err=True)
 
-    findings = hunting.hunt(sites, tries, seed, not credit, on_progress=on_progress, way=way, jobs=jobs)
+    findings = hunting.hunt(sites, tries, seed, not credit, on_progress=on_progress, simulator=way, jobs=jobs)
     Path(out).mkdir(exist_ok=True)
     for n, (text, result) in enumerate(findings):
         path = Path(out) / f"hunt-{seed}-{n + 1}.day"
--- a/embertray/experiments/lab/report.py
+++ b/embertray/experiments/lab/report.py
@@ -10,31 +10,33 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-DRAWS, SURE = 2000, 0.95
-PANELS = 6  # cells in the chart by second
-TAIL = 10  # x the median: a worst spread so far out makes its mean meaningless
+BOOTSTRAP_SAMPLES, CONFIDENCE_LEVEL = 2000, 0.95
+MAX_PANELS = 6  # cells in the chart by second
+HEAVY_TAIL_FACTOR = 10  # x the median: a worst spread so far out makes its mean meaningless
 
 
-def interval(values, rng):
+def confidence_interval(values, rng):
     """(low, high) of the mean, by bootstrap."""
     values = np.asarray(values, float)
     if len(values) < 2:
         return float(values[0]), float(values[0])
-    means = values[rng.integers(0, len(values), (DRAWS, len(values)))].mean(axis=1)
-    return tuple(np.quantile(means, [(1 - SURE) / 2, (1 + SURE) / 2]))
+    means = values[rng.integers(0, len(values), (BOOTSTRAP_SAMPLES, len(values)))].mean(axis=1)
+    return tuple(np.quantile(means, [(1 - CONFIDENCE_LEVEL) / 2, (1 + CONFIDENCE_LEVEL) / 2]))
 
 
-def cells(rows):
-    found = defaultdict(lambda: defaultdict(list))
+def group_by_cell(rows):
+    rows_by_cell = defaultdict(lambda: defaultdict(list))
     for row in rows:
-        found[tuple(sorted(row["levels"].items()))][row["arm"]].append(row)
-    return found
+        rows_by_cell[tuple(sorted(row["levels"].items()))][row["arm"]].append(row)
+    return rows_by_cell
 
 
-def ordered(found, factors):
+def sorted_cells(rows_by_cell, factors):
     """Cells in the order of the experiment's levels."""
-    place = {name: {level: n for n, level in enumerate(levels)} for name, levels in factors}
-    return sorted(found.items(), key=lambda item: [place[name][dict(item[0])[name]] for name, _ in factors])
+    position = {name: {level: n for n, level in enumerate(levels)} for name, levels in factors}
+    return sorted(
+        rows_by_cell.items(), key=lambda item: [position[name][dict(item[0])[name]] for name, _ in factors]
+    )
 
 
 def page(experiment, results, charts=()):
@@ -42,25 +44,25 @@
     rows, rng = list(results.rows()), np.random.default_rng(1)
     _, commit, began = results.experiment_header()
     broken = [row for row in rows if row["kept"] == 0 and row["arm"] == experiment.arms[0][0]]
-    dead = [row for row in rows if row["error"]]
-    wanted = sum(1 for _ in experiment.runs())
+    failed = [row for row in rows if row["error"]]
+    planned = sum(1 for _ in experiment.runs())
     lines = []
     if broken:
-        names = sorted({rule for row in broken for rule in row["broken"]})
+        broken_rules = sorted({rule for row in broken for rule in row["broken"]})
         lines.append(
             f"**{len(broken)} of {len(rows)} runs of arm {experiment.arms[0][0]} BREAK A RULE "
-            f"({', '.join(names)}): "
+            f"({', '.join(broken_rules)}): "
             f"{', '.join(row['key'] for row in broken[:8])}**"
         )
     else:
         lines.append(f"No rule is broken in arm {experiment.arms[0][0]}.")
-    if dead:
+    if failed:
         lines.append(
-            f"\n**{len(dead)} runs died or hung:** "
-            + "; ".join(f"{r['key']}: {r['error']}" for r in dead[:8])
+            f"\n**{len(failed)} runs died or hung:** "
+            + "; ".join(f"{r['key']}: {r['error']}" for r in failed[:8])
         )
-    if len(rows) < wanted:
-        lines.append(f"\n**{wanted - len(rows)} of {wanted} runs are missing.**")
+    if len(rows) < planned:
+        lines.append(f"\n**{planned - len(rows)} of {planned} runs are missing.**")
     lines += [
         f"\n# {experiment.name}",
         "",
@@ -73,13 +75,13 @@
     ]
     lines += [f"![{chart}]({chart})" for chart in charts]
     arms, first = [name for name, *_ in experiment.arms], experiment.arms[0][0]
-    names = [name for name, _ in experiment.factors]
+    factor_names = [name for name, _ in experiment.factors]
     lines += [
         "",
         "| "
         + " | ".join(
             [
-                *names,
+                *factor_names,
                 *(f"{arm}" for arm in arms),
                 *(f"{a} - {first}" for a in arms[1:]),
                 "rules broken",
@@ -88,32 +90,42 @@
         )
         + " |",
     ]
-    lines.append("| --- " * (len(names) + 2 * len(arms) + 1) + "|")
+    lines.append("| --- " * (len(factor_names) + 2 * len(arms) + 1) + "|")
     worst = []
-    for levels, by_arm in ordered(cells(rows), experiment.factors):
-        row = [dict(levels)[name] for name in names]
-        good = {arm: {r["seed"]: r["credit"] for r in by_arm[arm] if not r["error"]} for arm in arms}
+    for levels, by_arm in sorted_cells(group_by_cell(rows), experiment.factors):
+        row = [dict(levels)[name] for name in factor_names]
+        credit_by_seed = {
+            arm: {r["seed"]: r["credit"] for r in by_arm[arm] if not r["error"]} for arm in arms
+        }
         for arm in arms:
-            lost = sum(1 for r in by_arm[arm] if r["error"])
-            values = list(good[arm].values())
-            if lost or not values:
-                row.append(f"{lost} of {len(by_arm[arm])} died" if lost else "-")
+            failures = sum(1 for r in by_arm[arm] if r["error"])
+            values = list(credit_by_seed[arm].values())
+            if failures or not values:
+                row.append(f"{failures} of {len(by_arm[arm])} died" if failures else "-")
             else:
-                low, high = interval(values, rng)
+                low, high = confidence_interval(values, rng)
                 row.append(f"{np.mean(values):.3f} ({low:.3f} to {high:.3f})")
         for arm in arms[1:]:
-            both = [good[arm][s] - good[first][s] for s in good[arm] if s in good[first]]
-            if len(both) < len(by_arm[first]) or not both:
+            differences = [
+                credit_by_seed[arm][s] - credit_by_seed[first][s]
+                for s in credit_by_seed[arm]
+                if s in credit_by_seed[first]
+            ]
+            if len(differences) < len(by_arm[first]) or not differences:
                 row.append("-")
             else:
-                low, high = interval(both, rng)
-                row.append(f"{np.mean(both):+.3f} ({low:+.3f} to {high:+.3f})")
+                low, high = confidence_interval(differences, rng)
+                row.append(f"{np.mean(differences):+.3f} ({low:+.3f} to {high:+.3f})")
         row.append(" / ".join(str(sum(1 for r in by_arm[arm] if r["kept"] == 0)) for arm in arms))
-        spreads = [r for r in by_arm[first] if r["p50"] is not None]
-        if spreads:
-            middle, most = np.median([r["p50"] for r in spreads]), max(r["worst"] for r in spreads)
+        with_latency = [r for r in by_arm[first] if r["p50"] is not None]
+        if with_latency:
+            median, slowest = (
+                np.median([r["p50"] for r in with_latency]),
+                max(r["worst"] for r in with_latency),
+            )
             row.append(
-                f"{middle:.0f} / {most:.0f}" + (" (heavy tail: no mean)" if most > TAIL * middle else "")
+                f"{median:.0f} / {slowest:.0f}"
+                + (" (heavy tail: no mean)" if slowest > HEAVY_TAIL_FACTOR * median else "")
             )
         else:
             row.append("-")
@@ -124,13 +136,13 @@
         f"Worst of {first}: " + "; ".join(f"{key} {credit:.3f}" for credit, key in sorted(worst)[:5]),
         "",
         "What done and late reqs took (merged histograms):",
-        times(experiment, results),
+        latency_table(experiment, results),
         "",
     ]
     return "\n".join(lines)
 
 
-def chart(experiment, results, path):
+def factor_chart(experiment, results, path):
     """Credit by the first factor whose levels are numbers, a line an arm, with intervals; False if there is
     none.
     """
@@ -140,23 +152,25 @@
     from matplotlib import pyplot
 
     numeric = [
-        name for name, levels in experiment.factors if all(number(level) is not None for level in levels)
+        name
+        for name, levels in experiment.factors
+        if all(parse_number(level) is not None for level in levels)
     ]
     if not numeric:
         return False
     rows, rng, name = [r for r in results.rows() if not r["error"]], np.random.default_rng(1), numeric[0]
     figure, axis = pyplot.subplots(figsize=(7, 4))
     for arm, *_ in experiment.arms:
-        by = defaultdict(list)
+        credits_by_level = defaultdict(list)
         for row in rows:
             if row["arm"] == arm:
-                by[number(row["levels"][name])].append(row["credit"])
-        at = sorted(by)
-        if at:
-            middles = [np.mean(by[x]) for x in at]
-            bands = [interval(by[x], rng) for x in at]
-            axis.plot(at, middles, marker="o", label=arm)
-            axis.fill_between(at, [b[0] for b in bands], [b[1] for b in bands], alpha=0.15)
+                credits_by_level[parse_number(row["levels"][name])].append(row["credit"])
+        levels_shown = sorted(credits_by_level)
+        if levels_shown:
+            means = [np.mean(credits_by_level[x]) for x in levels_shown]
+            intervals = [confidence_interval(credits_by_level[x], rng) for x in levels_shown]
+            axis.plot(levels_shown, means, marker="o", label=arm)
+            axis.fill_between(levels_shown, [b[0] for b in intervals], [b[1] for b in intervals], alpha=0.15)
     axis.set(xlabel=name, ylabel="credit", title=experiment.name, ylim=(0, 1.02))
     axis.legend(fontsize=8)
     figure.tight_layout()
@@ -165,20 +179,20 @@
     return True
 
 
-def merged(rows):
+def merge_histograms(rows):
     """One histogram of all the rows' requests, or None. Counts add up: nothing is averaged."""
-    whole = None
+    total = None
     for row in rows:
         if row["took"]:
-            one = HdrHistogram.decode(row["took"])
-            if whole is None:
-                whole = one
+            histogram = HdrHistogram.decode(row["took"])
+            if total is None:
+                total = histogram
             else:
-                whole.add(one)
-    return whole
+                total.add(histogram)
+    return total
 
 
-def times(experiment, results):
+def latency_table(experiment, results):
     """A table of what requests took, by arm and levels, from merged histograms."""
     names = [name for name, _ in experiment.factors]
     lines = [
@@ -186,20 +200,22 @@
         "| " + " | ".join([*names, "arm", "done", "p50 ms", "p90", "p99", "p99.9"]) + " |",
         "| --- " * (len(names) + 6) + "|",
     ]
-    for levels, by_arm in ordered(cells(results.rows()), experiment.factors):
+    for levels, by_arm in sorted_cells(group_by_cell(results.rows()), experiment.factors):
         for arm, *_ in experiment.arms:
-            whole = merged(by_arm[arm])
-            if whole is not None and whole.total_count:
-                values = [f"{whole.get_value_at_percentile(p) / 1000:.0f}" for p in (50, 90, 99, 99.9)]
+            histogram = merge_histograms(by_arm[arm])
+            if histogram is not None and histogram.total_count:
+                values = [f"{histogram.get_value_at_percentile(p) / 1000:.0f}" for p in (50, 90, 99, 99.9)]
                 lines.append(
                     "| "
-                    + " | ".join([*(dict(levels)[n] for n in names), arm, str(whole.total_count), *values])
+                    + " | ".join(
+                        [*(dict(levels)[n] for n in names), arm, str(histogram.total_count), *values]
+                    )
                     + " |"
                 )
     return "\n".join(lines)
 
 
-def lines_chart(experiment, results, path):
+def credit_timeline_chart(experiment, results, path):
     """Credit by second, a line an arm (mean over seeds), one panel a cell, with the day's faults shaded;
     False if no row has one.
     """
@@ -208,12 +224,14 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    found = ordered(cells(r for r in results.rows() if r["line"]), experiment.factors)[:PANELS]
-    if not found:
+    shown = sorted_cells(group_by_cell(r for r in results.rows() if r["line"]), experiment.factors)[
+        :MAX_PANELS
+    ]
+    if not shown:
         return False
-    figure, axes = pyplot.subplots(len(found), 1, figsize=(8, 2.2 * len(found)), squeeze=False, sharex=True)
+    figure, axes = pyplot.subplots(len(shown), 1, figsize=(8, 2.2 * len(shown)), squeeze=False, sharex=True)
     first = next(iter(experiment.runs()))
-    for axis, (levels, by_arm) in zip(axes[:, 0], found, strict=False):
+    for axis, (levels, by_arm) in zip(axes[:, 0], shown, strict=False):
         day = experiment.day_of(
             replace(first, levels=tuple((n, dict(levels)[n]) for n, _ in experiment.factors))
         )
@@ -223,15 +241,15 @@
         for arm, *_ in experiment.arms:
             rows = [row["line"] for row in by_arm[arm]]
             if rows:
-                span = max(map(len, rows))
-                held = np.array(
+                seconds = max(map(len, rows))
+                credit_by_second = np.array(
                     [
-                        [np.nan if n >= len(row) or row[n] is None else row[n] for n in range(span)]
+                        [np.nan if n >= len(row) or row[n] is None else row[n] for n in range(seconds)]
                         for row in rows
                     ]
                 )
-                counts = np.maximum(1, (~np.isnan(held)).sum(axis=0))
-                axis.plot(np.nansum(held, axis=0) / counts, label=arm, linewidth=1)
+                counts = np.maximum(1, (~np.isnan(credit_by_second)).sum(axis=0))
+                axis.plot(np.nansum(credit_by_second, axis=0) / counts, label=arm, linewidth=1)
         axis.set(ylim=(0, 1.03), ylabel="credit", title=", ".join(f"{k}={v}" for k, v in levels))
     axes[0, 0].legend(fontsize=6, ncols=4)
     axes[-1, 0].set(xlabel="s")
@@ -241,7 +259,7 @@
     return True
 
 
-def spread_chart(experiment, results, path):
+def latency_chart(experiment, results, path):
     """The distribution of what requests took, a line an arm, all cells together; False if there is none."""
     import matplotlib
 
@@ -251,11 +269,13 @@
     figure, axis = pyplot.subplots(figsize=(7, 4))
     drawn = False
     for arm, *_ in experiment.arms:
-        whole = merged(r for r in results.rows() if r["arm"] == arm)
-        if whole is not None and whole.total_count:
-            parts = 100 - np.geomspace(100, 0.01, 200)
+        histogram = merge_histograms(r for r in results.rows() if r["arm"] == arm)
+        if histogram is not None and histogram.total_count:
+            percentiles = 100 - np.geomspace(100, 0.01, 200)
             axis.plot(
-                [max(0.1, whole.get_value_at_percentile(p) / 1000) for p in parts], 100 - parts, label=arm
+                [max(0.1, histogram.get_value_at_percentile(p) / 1000) for p in percentiles],
+                100 - percentiles,
+                label=arm,
             )
             drawn = True
     axis.set(xscale="log", yscale="log", xlabel="ms", ylabel="% that took longer", title=experiment.name)
@@ -266,32 +286,36 @@
     return drawn
 
 
-def number(text):
+def parse_number(text):
     try:
         return float(text)
     except ValueError:
         return None
 
 
-def compare(one, two, rng=None):
+def compare(before, after, rng=None):
     """Rows by arm and levels: mean difference of credit (two - one) over the runs in both, with its
     interval.
     """
     rng = rng or np.random.default_rng(1)
-    first, second = ({r["key"]: r for r in results.rows()} for results in (one, two))
-    found = defaultdict(list)
-    for key in sorted(first.keys() & second.keys()):
-        a, b = first[key], second[key]
+    before_by_key, after_by_key = ({r["key"]: r for r in results.rows()} for results in (before, after))
+    differences = defaultdict(list)
+    for key in sorted(before_by_key.keys() & after_by_key.keys()):
+        a, b = before_by_key[key], after_by_key[key]
         if not a["error"] and not b["error"]:
-            found[a["arm"], tuple(sorted(a["levels"].items()))].append(b["credit"] - a["credit"])
+            differences[a["arm"], tuple(sorted(a["levels"].items()))].append(b["credit"] - a["credit"])
     lines = ["| arm | levels | runs | difference of credit |", "| --- | --- | --- | --- |"]
-    for (arm, levels), values in found.items():
-        low, high = interval(values, rng)
-        said = ", ".join(f"{k}={v}" for k, v in levels) or "-"
+    for (arm, levels), values in differences.items():
+        low, high = confidence_interval(values, rng)
+        level_text = ", ".join(f"{k}={v}" for k, v in levels) or "-"
         lines.append(
-            f"| {arm} | {said} | {len(values)} | {np.mean(values):+.4f} ({low:+.4f} to {high:+.4f}) |"
+            f"| {arm} | {level_text} | {len(values)} | {np.mean(values):+.4f} ({low:+.4f} to {high:+.4f}) |"
         )
-    only = len(first.keys() ^ second.keys())
-    errors = sum(1 for key in first.keys() & second.keys() if first[key]["error"] or second[key]["error"])
-    lines.append(f"\n{only} runs are in one file only, {errors} died in one or both.")
+    unmatched = len(before_by_key.keys() ^ after_by_key.keys())
+    failed = sum(
+        1
+        for key in before_by_key.keys() & after_by_key.keys()
+        if before_by_key[key]["error"] or after_by_key[key]["error"]
+    )
+    lines.append(f"\n{unmatched} runs are in one file only, {failed} died in one or both.")
     return "\n".join(lines)
