--- a/embertray/experiments/lab/results.py
+++ b/embertray/experiments/lab/results.py
@@ -85,6 +85,6 @@
         for row in self.db.execute(f"select {', '.join(columns)} from runs order by key"):
             row_by_name = dict(zip(columns, row, strict=False))
             row_by_name["levels"] = json.loads(row_by_name["levels"])
-            for name, empty in (("broken", {}), ("by_kind", {}), ("line", [])):
-                row_by_name[name] = json.loads(row_by_name[name]) if row_by_name[name] else empty
+            for name, none in (("broken", {}), ("by_kind", {}), ("line", [])):
+                row_by_name[name] = json.loads(row_by_name[name]) if row_by_name[name] else none
             yield row_by_name
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -213,7 +213,7 @@
         )
 
     def test_the_runs_of_it_count_as_done(self):
-        self.assertEqual(self.open_copy().done(), {"n=3;module;1", "n=3;even;1", "n=10;module;1"})
+        self.assertEqual(self.open_copy().finished_keys(), {"n=3;module;1", "n=3;even;1", "n=10;module;1"})
 
     def test_a_flipped_byte_in_its_first_bytes_is_refused(self):
         """sqlite has no checksum: it only rejects a file with a wrong header."""
