--- a/embertray/simulation/emulator/control/day_simulation.py
+++ b/embertray/simulation/emulator/control/day_simulation.py
@@ -178,7 +178,7 @@
         simulation.run(plan.duration)
         self._heal_region()
         for machine in self.machines:
-            self._up(machine)
+            self._bring_up(machine)
         simulation.settle()
         return self
 
@@ -204,16 +204,16 @@
     # ---- events
 
     def _fail_machine(self):
-        self._down(self.rng.choice(self.machines), MACHINE_DOWN_NS, silent=True)
+        self._take_down(self.rng.choice(self.machines), MACHINE_DOWN_NS, silent=True)
 
     def _restart_one(self):
-        self._down(self.rng.choice(self.machines), self.rng.randint(*RESTART_DOWN_NS), silent=False)
+        self._take_down(self.rng.choice(self.machines), self.rng.randint(*RESTART_DOWN_NS), silent=False)
 
     def _restart_batch(self):
         engine = self.simulation.engine
         for machine in self.rng.sample(list(self.simulation.subscribers.values()), BATCH_SIZE):
             when = engine.time + self.rng.randrange(BATCH_SPREAD_NS)
-            engine.at(when, self._down, machine, self.rng.randint(*RESTART_DOWN_NS), False)
+            engine.at(when, self._take_down, machine, self.rng.randint(*RESTART_DOWN_NS), False)
 
     def _fail_together(self, count, duration):
         """Fails machines of one rack or zone: neighbours by number within one region."""
@@ -222,16 +222,16 @@
         near = [machine for machine in self.machines if region[machine.name] == region[first.name]]
         begin = self.rng.randrange(max(1, len(near) - count))
         for machine in near[begin : begin + count]:
-            self._down(machine, duration, silent=True)
+            self._take_down(machine, duration, silent=True)
 
-    def _down(self, machine, duration, silent):
+    def _take_down(self, machine, duration, silent):
         if not machine.alive:
             return
         machine.kill(silent)
         self._restart_bounds(machine)
-        self.simulation.engine.at(self.simulation.engine.time + duration, self._up, machine)
+        self.simulation.engine.at(self.simulation.engine.time + duration, self._bring_up, machine)
 
-    def _up(self, machine):
+    def _bring_up(self, machine):
         if not machine.alive:
             machine.start()
             self._restart_bounds(machine)
--- a/embertray/simulation/emulator/control/process.py
+++ b/embertray/simulation/emulator/control/process.py
@@ -57,7 +57,7 @@
         """Carries out what the core requested during a call."""
         raise NotImplementedError
 
-    def drain(self):
+    def run_deferred(self):
         """Makes the deferred calls, until the process is stopped or busy again."""
         while self.deferred and self.alive and not self.stopped and not self.busy:
             callback, args = self.deferred.popleft()
@@ -93,7 +93,7 @@
         """Continues the process, as SIGCONT does."""
         self.stopped = False
         self.call(self.tick)
-        self.drain()
+        self.run_deferred()
 
 
 class Connection:
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -226,7 +226,7 @@
         self.disk = step.state
         self.busy = False
         self._carry_out(step)
-        self.drain()
+        self.run_deferred()
 
     def _carry_out(self, step):
         for addressed in step.messages:
--- a/embertray/simulation/emulator/flow_fleet.py
+++ b/embertray/simulation/emulator/flow_fleet.py
@@ -145,12 +145,12 @@
         }
         loads = {name: backend.report(now) for name, backend in self.backends.items()}
         for cycle in cycles:
-            met = [
+            backend_totals = [
                 self._backend_totals(name, count, results.get(name), loads.get(name, {}))
                 for name, count in cycle.attempts.items()
             ]
-            self.failures += sum(totals.failed for totals in met)
-            cycle.proxy.report(LoadReport(self.cycle, met, self._arrival_totals(cycle.requests)))
+            self.failures += sum(totals.failed for totals in backend_totals)
+            cycle.proxy.report(LoadReport(self.cycle, backend_totals, self._arrival_totals(cycle.requests)))
 
     def _draw(self, proxy):
         """Draws a proxy's requests, and splits them by the weights of its tables."""
--- a/embertray/simulation/emulator/fluid_backends.py
+++ b/embertray/simulation/emulator/fluid_backends.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 # Lower bound of the capacity in divisions, cores.
-LEAST_CAPACITY = 1e-9
+MIN_CAPACITY = 1e-9
 
 
 @dataclass
@@ -39,39 +39,39 @@
         # A client that retries gives the first attempt half of its time.
         self._timeout = min(kind.client_timeout for kind in self.kinds) // (2 if retries else 1)
 
-    def pour(self, now, backends, masses, on_poured):
+    def process(self, now, backends, flows, on_processed):
         """Processes one step's requests.
 
         Args:
             now: ns.
             backends: The SimulatedBackends.
-            masses: Numbers of requests; backends x kinds.
-            on_poured: Called with (column, backend, mean work in ns) for each that got requests or was busy.
+            flows: Numbers of requests; backends x kinds.
+            on_processed: Called with (column, backend, mean work in ns) for each that got requests or was busy.
 
         Returns:
             The BackendResults.
         """
-        results = BackendResults(np.zeros_like(masses), np.zeros_like(masses), np.zeros_like(masses))
-        loads = masses.sum(axis=1)
+        results = BackendResults(np.zeros_like(flows), np.zeros_like(flows), np.zeros_like(flows))
+        loads = flows.sum(axis=1)
         for column, backend in enumerate(backends):
             requests = loads[column]
             if requests <= 0 and backend.model.waits <= 0:
                 continue
-            work = float(masses[column] @ self.works / requests) if requests > 0 else float(self.works.mean())
-            self._pour_one(now, column, backend.model, requests, work, results)
-            on_poured(column, backend, work)
+            work = float(flows[column] @ self.works / requests) if requests > 0 else float(self.works.mean())
+            self._process_backend(now, column, backend.model, requests, work, results)
+            on_processed(column, backend, work)
         return results
 
-    def _pour_one(self, now, column, model, requests, work, results):
-        poured = model.pour(now, self.step, requests, work, self._timeout)
-        slowdown = model.shape.cores / max(LEAST_CAPACITY, model.capacity(now))
-        wait = max(0.0, poured.took - work * slowdown)
+    def _process_backend(self, now, column, model, requests, work, results):
+        result = model.pour(now, self.step, requests, work, self._timeout)
+        slowdown = model.shape.cores / max(MIN_CAPACITY, model.capacity(now))
+        wait = max(0.0, result.took - work * slowdown)
         for k, kind in enumerate(self.kinds):
             service = self.works[k] * slowdown
             results.latency[column, k] = wait + service
             results.late[column, k] = late_part(wait, kind.latency_objective - service)
             fails = kind.external_id in model.ills.kinds
-            results.failed[column, k] = 1.0 if fails else 1 - poured.done
+            results.failed[column, k] = 1.0 if fails else 1 - result.done
 
 
 def late_part(mean_wait, allowed):
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -39,12 +39,12 @@
 
     Attributes:
         when: Time of the retry, ns.
-        mass: Number of requests; proxies x kinds.
+        flow: Number of requests; proxies x kinds.
         attempt: Number of the attempt, 2 for the first retry.
     """
 
     when: int
-    mass: np.ndarray
+    flow: np.ndarray
     attempt: int
 
 
@@ -107,10 +107,10 @@
         self._add_columns()
         self.tables.refresh(self.proxies)
         if now < until:
-            self._pour_new(now)
+            self._process_new(now)
         while self._client_retries and self._client_retries[0].when <= now:
             retry = self._client_retries.popleft()
-            self._pour(now, retry.mass, retry.attempt)
+            self._process(now, retry.flow, retry.attempt)
         if now < until or self._client_retries:
             self.engine.after(STEP_NS, self._step, until)
 
@@ -123,24 +123,24 @@
             self._outcomes.add_rows(len(new))
             self._unrecorded = append_columns(self._unrecorded, len(new))
 
-    def _pour_new(self, now):
+    def _process_new(self, now):
         rates = np.array([rate(now) for rate in self._rates])
-        mass = (np.maximum(0.0, rates) * STEP_S)[:, None] * self._kind_shares
+        flow = (np.maximum(0.0, rates) * STEP_S)[:, None] * self._kind_shares
         for k, kind in enumerate(self.kinds):
-            self._outcomes.counts[kind][0] += mass[:, k].sum()
-        self._pour(now, mass, 1)
+            self._outcomes.counts[kind][0] += flow[:, k].sum()
+        self._process(now, flow, 1)
 
     # ---- one step's requests
 
-    def _pour(self, now, mass, attempt):
+    def _process(self, now, flow, attempt):
         """Admits requests (proxies x kinds), splits them over the backends, and settles their outcomes."""
-        self.totals.arrivals += mass
+        self.totals.arrivals += flow
         if attempt > 1:
-            self.totals.retries += mass
+            self.totals.retries += flow
         paused = np.array([proxy.still for proxy in self.proxies])
-        admitted = mass * self.tables.admitted_part(mass, paused, STEP_S)
+        admitted = flow * self.tables.admitted_part(flow, paused, STEP_S)
         by_backend = self.tables.weights.T @ admitted
-        results = self._fluid_backends.pour(
+        results = self._fluid_backends.process(
             now,
             self.backends,
             by_backend,
@@ -152,7 +152,7 @@
             if failing is not None:
                 failed_part[:, k] += self._add_pair_failures(k, admitted, results, failing)
             self._add_attempts(k, admitted, results)
-            self._settle(now, k, mass, admitted, results, failed_part[:, k], attempt)
+            self._settle(now, k, flow, admitted, results, failed_part[:, k], attempt)
             answered = by_backend[:, k] * (1 - results.failed[:, k])
             self._outcomes.add_durations(k, answered, results.latency[:, k])
 
@@ -173,7 +173,7 @@
         self.totals.failures += each * results.failed[:, k]
         self.totals.latency += each * ((1 - results.failed[:, k]) * results.latency[:, k])
 
-    def _settle(self, now, k, mass, admitted, results, failed_part, attempt):
+    def _settle(self, now, k, flow, admitted, results, failed_part, attempt):
         """Counts the outcomes of one kind's requests, and schedules their clients' retries."""
         kind = self.kinds[k]
         admitted_k = admitted[:, k]
@@ -189,14 +189,14 @@
         in_time = np.minimum(admitted_k * in_time_part, answered)
         done = in_time.sum() + retried_successfully
         late = max(0.0, (answered - in_time).sum())
-        rejected = mass[:, k] - admitted_k
+        rejected = flow[:, k] - admitted_k
         lost, sent_again = self._split_unsuccessful(kind, rejected, failed, attempt)
-        asked = mass[:, k].sum() if attempt == 1 else 0.0
+        asked = flow[:, k].sum() if attempt == 1 else 0.0
         self._outcomes.add(second_of(now, self.zero), kind, asked, done, late, lost)
         if sent_again.any():
-            retry_mass = np.zeros_like(mass)
-            retry_mass[:, k] = sent_again
-            self._client_retries.append(ClientRetry(now + CLIENT_BACKOFF_NS, retry_mass, attempt + 1))
+            retry_flow = np.zeros_like(flow)
+            retry_flow[:, k] = sent_again
+            self._client_retries.append(ClientRetry(now + CLIENT_BACKOFF_NS, retry_flow, attempt + 1))
 
     def _retried_by_proxies(self, k, failed):
         """The failed requests that proxies retry, by proxy."""
@@ -235,11 +235,11 @@
 
     # ---- events that the rules check
 
-    def _record(self, now, column, backend, masses, work):
+    def _record(self, now, column, backend, flows, work):
         """Records whole requests to a backend that is warming up, draining or gone."""
         if not self.watched or not self._is_restricted(now, backend.model):
             return
-        total = masses.sum()
+        total = flows.sum()
         if total <= 0:
             return
         weights = self.tables.weights[:, column]
--- a/embertray/simulation/emulator/fluid_tables.py
+++ b/embertray/simulation/emulator/fluid_tables.py
@@ -67,11 +67,11 @@
             self.levels[row, k] = self._free_level if self.site.levels == "none" else level
             self.retry_levels[row, k] = retry_level
 
-    def admitted_part(self, mass, paused, step_s):
+    def admitted_part(self, flow, paused, step_s):
         """The part of the arriving requests that the proxies admit.
 
         Args:
-            mass: Requests that arrive; proxies x kinds.
+            flow: Requests that arrive; proxies x kinds.
             paused: Which proxies' processes are stopped.
             step_s: Length of a step, seconds.
 
@@ -80,7 +80,7 @@
         """
         if self.site.levels == "rate":
             quota = self.levels * step_s
-            part = np.divide(np.minimum(mass, quota), mass, out=np.ones_like(mass), where=mass > 0)
+            part = np.divide(np.minimum(flow, quota), flow, out=np.ones_like(flow), where=flow > 0)
         else:
             part = np.minimum(1.0, self.levels)
         without_backends = self.weights.sum(axis=1) <= 0
--- a/embertray/simulation/emulator/fluid_totals.py
+++ b/embertray/simulation/emulator/fluid_totals.py
@@ -7,7 +7,7 @@
 from .fluid_tables import append_columns
 
 # Requests; smaller sums are rounding errors.
-LEAST_MASS = 1e-9
+MIN_FLOW = 1e-9
 
 
 class FluidTotals:
@@ -70,27 +70,27 @@
         Returns:
             The LoadReport.
         """
-        met = self._draw_backend_totals(row, now, rng, backends)
+        backend_totals = self._draw_backend_totals(row, now, rng, backends)
         arrivals = [self._draw_arrivals(row, k, kind, rng) for k, kind in enumerate(self.kinds)]
         duration = int(now - self._since[row])
         self.clear(row, now)
-        return LoadReport(duration, met, [totals for totals in arrivals if totals.requests])
+        return LoadReport(duration, backend_totals, [totals for totals in arrivals if totals.requests])
 
     def _draw_backend_totals(self, row, now, rng, backends):
         attempts = self.attempts[row]
-        columns = np.flatnonzero(attempts > LEAST_MASS)
+        columns = np.flatnonzero(attempts > MIN_FLOW)
         counts = rng.poisson(attempts[columns])
-        met = []
+        backend_totals = []
         for column, count in zip(columns.tolist(), counts.tolist(), strict=True):
             if count:
                 failed = self._draw_failures(row, column, count, rng)
-                answered = max(LEAST_MASS, attempts[column] - self.failures[row, column])
+                answered = max(MIN_FLOW, attempts[column] - self.failures[row, column])
                 mean_latency = self.latency[row, column] / answered
                 model = backends[column].model
                 load = model.report(now) if model.state == "up" else {}
                 latency = int(mean_latency * (count - failed))
-                met.append(BackendTotals(model.name, count, failed, latency, load))
-        return met
+                backend_totals.append(BackendTotals(model.name, count, failed, latency, load))
+        return backend_totals
 
     def _draw_failures(self, row, column, count, rng):
         failures = self.failures[row, column]
