--- a/embertray/simulation/emulator/fluid_backends.py
+++ b/embertray/simulation/emulator/fluid_backends.py
@@ -46,7 +46,7 @@
             now: ns.
             backends: The SimulatedBackends.
             flows: Numbers of requests; backends x kinds.
-            on_processed: Called with (column, backend, mean work in ns) for each that got requests or was busy.
+            on_processed: Called with (column, backend, mean work in ns) for each that had work.
 
         Returns:
             The BackendResults.
