--- a/embertray/simulation/emulator/control/day_simulation.py
+++ b/embertray/simulation/emulator/control/day_simulation.py
@@ -174,7 +174,7 @@
         simulation.run(warm_up)
         for subscriber in simulation.subscribers.values():
             subscriber.bytes_in = subscriber.bytes_out = subscriber.max_window_bytes = 0
-        self._plan_events(simulation.engine.time)
+        self._schedule_day(simulation.engine.time)
         simulation.run(plan.duration)
         self._heal_region()
         for machine in self.machines:
@@ -182,7 +182,7 @@
         simulation.settle()
         return self
 
-    def _plan_events(self, start):
+    def _schedule_day(self, start):
         plan = self.plan
         self._schedule_events(start, plan.machines_failing, "machine", self._fail_machine)
         batches = plan.restarts // BATCHED_RESTARTS // BATCH_SIZE
@@ -219,9 +219,9 @@
         """Fails machines of one rack or zone: neighbours by number within one region."""
         first = self.rng.choice(list(self.simulation.subscribers.values()))
         region = self.simulation.links.region
-        near = [machine for machine in self.machines if region[machine.name] == region[first.name]]
-        begin = self.rng.randrange(max(1, len(near) - count))
-        for machine in near[begin : begin + count]:
+        nearby = [machine for machine in self.machines if region[machine.name] == region[first.name]]
+        begin = self.rng.randrange(max(1, len(nearby) - count))
+        for machine in nearby[begin : begin + count]:
             self._take_down(machine, duration, silent=True)
 
     def _take_down(self, machine, duration, silent):
--- a/embertray/simulation/emulator/control/process.py
+++ b/embertray/simulation/emulator/control/process.py
@@ -33,7 +33,7 @@
         self.busy = False
         self.incarnation = 0
         self.deferred = deque()
-        self.tick_timer = None  # the Timer of the next tick
+        self.tick_timer = None  # of the next tick; None: none is scheduled
         self.bytes_out = 0
         self.bytes_in = 0
         self.messages_out = 0
@@ -106,8 +106,8 @@
         number: The subscriber's identifier for it.
 
     Attributes:
-        up: The Stream to the replica.
-        down: The Stream to the subscriber.
+        to_replica: The Stream to the replica.
+        to_subscriber: The Stream to the subscriber.
         ended: Whether it is closed.
     """
 
@@ -116,20 +116,23 @@
         self.replica = replica
         self.number = number
         self.ended = False
-        replica_life = replica.incarnation
-        subscriber_life = subscriber.incarnation
-        self.up = Stream(
-            links, subscriber.name, replica.name, lambda data: replica.on_message(self, replica_life, data)
+        replica_incarnation = replica.incarnation
+        subscriber_incarnation = subscriber.incarnation
+        self.to_replica = Stream(
+            links,
+            subscriber.name,
+            replica.name,
+            lambda data: replica.on_message(self, replica_incarnation, data),
         )
-        self.down = Stream(
+        self.to_subscriber = Stream(
             links,
             replica.name,
             subscriber.name,
-            lambda data: subscriber.on_message(self, subscriber_life, data),
+            lambda data: subscriber.on_message(self, subscriber_incarnation, data),
         )
 
     def end(self):
         """Ends both directions."""
         self.ended = True
-        self.up.end()
-        self.down.end()
+        self.to_replica.end()
+        self.to_subscriber.end()
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -246,7 +246,7 @@
             if connection is not None:
                 self.bytes_out += len(outgoing.data) + FRAME_BYTES
                 self.messages_out += 1
-                connection.down.send(outgoing.data)
+                connection.to_subscriber.send(outgoing.data)
         for name in silent:
             connection = self.connections.pop(name, None)
             if connection is not None:
--- a/embertray/simulation/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -148,7 +148,7 @@
         if self.connection is not None and self.connection.number == action.connection_id:
             self.bytes_out += len(action.data) + FRAME_BYTES
             self._count_window(len(action.data) + FRAME_BYTES)
-            self.connection.up.send(action.data)
+            self.connection.to_replica.send(action.data)
 
     def _close(self, silent):
         connection = self.connection
--- a/embertray/simulation/emulator/control/writer.py
+++ b/embertray/simulation/emulator/control/writer.py
@@ -63,20 +63,20 @@
     def start(self):
         """Starts writing."""
         self.running = True
-        self._plan()
+        self._schedule_next()
 
     def stop(self):
         """Begins no more writes; those in flight continue."""
         self.running = False
 
-    def _plan(self):
+    def _schedule_next(self):
         wait = int(self.rng.expovariate(1 / self.settings.write_every))
         self.simulation.engine.at(self.simulation.engine.time + wait, self._start_write)
 
     def _start_write(self):
         if not self.running:
             return
-        self._plan()
+        self._schedule_next()
         self.count += 1
         key = f"key/{self.rng.randrange(self.settings.keys)}"
         self.begin(Write(key, self._value(key), f"q{self.count}"))
