--- a/embertray/experiments/measure/capacity/picks.py
+++ b/embertray/experiments/measure/capacity/picks.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from embertray.controller.stream.messages import Bind, Line, Orders
-from embertray.experiments.measure.fleet import part
+from embertray.experiments.measure.fleet import quantile
 from embertray.service.site import load
 from embertray.service.site.schema import SITE_FOLDER
 from embertray.simulation.models.proxy import Proxy
@@ -57,6 +57,6 @@
                 f"{name}-{picks}",
                 "s of processor a pick",
                 "lines of the table",
-                [(size, part(found[which], share)) for size, *found in rows],
+                [(size, quantile(found[which], share)) for size, *found in rows],
                 note,
             )
--- a/embertray/experiments/measure/capacity/streams.py
+++ b/embertray/experiments/measure/capacity/streams.py
@@ -12,7 +12,7 @@
 import anyio
 import psutil
 
-from embertray.experiments.measure.fleet import Bare, controller, part
+from embertray.experiments.measure.fleet import BareProxy, quantile, run_controller
 
 SETTLE, QUIET, REPORTING = 6, 10, 30  # seconds after the joins, without reports, with reports
 WINDOW = 10  # consecutive seconds of the worst mean
@@ -72,7 +72,7 @@
     Returns (quiet phase, reporting phase, bytes of memory added by the proxies, bytes of memory in all).
     """
     chance = random.Random(1)
-    async with controller(backends, proxies, lambda *_: None, proxies=proxies) as (
+    async with run_controller(backends, proxies, lambda *_: None, proxies=proxies) as (
         _,
         names,
         fleet,
@@ -84,7 +84,7 @@
         async def report(until):
             """Sends a report of one request from each proxy, spread over the second."""
             for number, proxy in enumerate(fleet):
-                await proxy.sums([chance.choice(names)], ["view"])
+                await proxy.send_load_report([chance.choice(names)], ["view"])
                 left = until - time.monotonic()
                 await anyio.sleep(max(0.0, left / (len(fleet) - number + 1)))
 
@@ -104,14 +104,14 @@
     """
     waits, received = [], []
     async with (
-        controller(backends, OTHERS, lambda *_: None, proxies=OTHERS + JOINS) as (_, _, fleet, pid, _),
+        run_controller(backends, OTHERS, lambda *_: None, proxies=OTHERS + JOINS) as (_, _, fleet, pid, _),
         anyio.create_task_group() as group,
     ):
         meter = Meter(pid, fleet)
         quiet = await meter.phase(QUIET, nothing)
         before, began = meter.processor(), time.monotonic()
         for number in range(JOINS):
-            proxy = Bare(f"late{number}", "north", lambda *_: None)
+            proxy = BareProxy(f"late{number}", "north", lambda *_: None)
             started = time.monotonic()
             group.start_soon(proxy.run, fleet[0].address)
             await proxy.bound.wait()
@@ -175,7 +175,7 @@
     note = f"{JOINS} proxies join {OTHERS}, one by one; channel not paced; loopback; wall time from the dial"
     for name, unit, pick in (
         ("join-wait", "s a joining proxy, p50", lambda waits, *_: median(waits)),
-        ("join-wait-most", f"s a joining proxy, longest of {JOINS}", lambda waits, *_: part(waits, 1)),
+        ("join-wait-most", f"s a joining proxy, longest of {JOINS}", lambda waits, *_: quantile(waits, 1)),
         ("join-bytes", "bytes a joining proxy", lambda _, received, __: median(received)),
         ("join-processor", "s of processor a joining proxy", lambda _, __, spent: max(0.0, spent)),
     ):
--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -33,17 +33,17 @@
 S = 10**9
 
 
-class Bare:
+class BareProxy:
     """One proxy's stream.
 
-    Calls `saw(name, now in ns, orders, bytes)` for each message of orders; `received` and `sent` count
+    Calls `on_orders(name, now in ns, orders, bytes)` for each message of orders; `received` and `sent` count
     bytes.
     """
 
-    def __init__(self, name, zone, saw):
-        self.name, self.saw, self.end, self.stream, self.bound = (
+    def __init__(self, name, zone, on_orders):
+        self.name, self.on_orders, self.session, self.stream, self.bound = (
             name,
-            saw,
+            on_orders,
             ProxySession(name, zone, 10.0, True),
             None,
             anyio.Event(),
@@ -58,17 +58,17 @@
         self.stream = await TcpNet().dial(address)
         try:
             async with self.stream:
-                await self.send(self.end.start())
+                await self.send(self.session.start())
                 while True:
                     data = await self.stream.receive()
                     self.received += len(data)
                     now = time.monotonic_ns()
-                    for message in self.end.receive(data):
+                    for message in self.session.receive(data):
                         if isinstance(message, Orders):
                             self.bound.set()
-                            self.saw(self.name, now, message, len(data))
+                            self.on_orders(self.name, now, message, len(data))
                             if message.nonce:
-                                await self.send(self.end.pack(Acknowledgement(message.nonce)))
+                                await self.send(self.session.pack(Acknowledgement(message.nonce)))
         except STREAM_ERRORS:
             pass
 
@@ -78,17 +78,19 @@
         async with self.writing:
             await self.stream.send(data)
 
-    async def sums(self, backends, kinds):
+    async def send_load_report(self, backends, kinds):
         """Sends a load report of 1 s with fixed totals for each backend and request kind."""
-        met = [BackendTotals(backend, 3, 0, 150_000_000, {"busy": 0.4}) for backend in backends]
-        await self.send(self.end.pack(LoadReport(S, met, [ArrivalTotals(kind, 5, 0) for kind in kinds])))
+        totals = [BackendTotals(backend, 3, 0, 150_000_000, {"busy": 0.4}) for backend in backends]
+        await self.send(
+            self.session.pack(LoadReport(S, totals, [ArrivalTotals(kind, 5, 0) for kind in kinds]))
+        )
 
 
 @asynccontextmanager
-async def controller(backends, count, saw, **changes):
+async def run_controller(backends, count, on_orders, **site_settings):
     """Runs a controller in a process of its own under `count` proxy streams.
 
-    Yields (inventory, names of the backends, Bare proxies that are all bound, process id, result).
+    Yields (inventory, names of the backends, BareProxy streams that are all bound, process id, result).
     `result` holds memory in KiB and the seconds until all were bound; after the end also processor
     seconds by part and peak memory.
     """
@@ -107,7 +109,7 @@
                     "embertray.experiments.measure.timed",
                     str(
                         write_sample_site(
-                            folder, inventory.address, **{"backends": max(500, backends)} | changes
+                            folder, inventory.address, **{"backends": max(500, backends)} | site_settings
                         )
                     ),
                     "c1",
@@ -121,8 +123,8 @@
                 row = await anyio.to_thread.run_sync(program.stdout.readline)
                 address = json.loads(row)["listen"]
                 await anyio.sleep(0.5)
-                result["idle_kib"] = kib(program.pid)
-                fleet = [Bare(f"p{n}", zones[n % 3], saw) for n in range(count)]
+                result["idle_kib"] = resident_kib(program.pid)
+                fleet = [BareProxy(f"p{n}", zones[n % 3], on_orders) for n in range(count)]
                 began = time.monotonic()
                 for proxy in fleet:
                     group.start_soon(proxy.run, address)
@@ -130,7 +132,7 @@
                     await proxy.bound.wait()
                 result["bound_s"] = time.monotonic() - began
                 await anyio.sleep(2)
-                result["joined_kib"] = kib(program.pid)
+                result["joined_kib"] = resident_kib(program.pid)
                 yield inventory, names, fleet, program.pid, result
             finally:
                 program.terminate()
@@ -139,18 +141,18 @@
                 group.cancel_scope.cancel()
 
 
-def kib(pid):
+def resident_kib(pid):
     """Returns the resident memory of a process in KiB."""
     return resident_memory(pid) // 1024
 
 
-def cpu(pid):
+def cpu_seconds(pid):
     """Returns the processor seconds that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def part(values, share):
+def quantile(values, share):
     """Returns the quantile `share` (0 to 1) of the values."""
     values = sorted(values)
     return values[min(len(values) - 1, int(share * len(values)))]
--- a/embertray/experiments/measure/news.py
+++ b/embertray/experiments/measure/news.py
@@ -12,7 +12,7 @@
 
 from embertray.common.net.tcp import TcpNet
 
-from .fleet import controller, part
+from .fleet import quantile, run_controller
 
 ROUNDS, BACKENDS = 10, 60
 
@@ -70,12 +70,12 @@
     """Drains one backend after the other under so many proxies, and prints a row of the table."""
     seen, sizes, told, gone = [], [], 0, None
 
-    def saw(_, now, orders, size):
+    def on_orders(_, now, orders, size):
         if gone and any(getattr(do, "weight", 1) == 0 and do.backend == gone for do in orders.do):
             seen.append(now - told)
             sizes.append(size)
 
-    async with controller(BACKENDS, proxies, saw) as (inventory, names, _, _, result):
+    async with run_controller(BACKENDS, proxies, on_orders) as (inventory, names, _, _, result):
         for n in range(ROUNDS):
             gone, told, wanted = names[n], time.monotonic_ns(), len(seen) + proxies
             inventory.list(gone, ("north", "south", "west")[n % 3], "draining")
@@ -83,11 +83,11 @@
                 while len(seen) < wanted:
                     await anyio.sleep(0.05)
             await anyio.sleep(0.6)
-    loop = await bare(proxies, max(16, part(sizes, 0.5)))
+    loop = await bare(proxies, max(16, quantile(sizes, 0.5)))
     print(
         f"| {proxies} | {len(seen)} of {ROUNDS * proxies} | {ms(seen, 0.5)} | {ms(seen, 0.99)} | "
         f"{ms(seen, 1)} | "
-        f"{ms(loop, 0.5)} | {ms(loop, 0.99)} | {ms(loop, 1)} | {part(seen, 1) / part(loop, 1):.1f} | "
+        f"{ms(loop, 0.5)} | {ms(loop, 0.99)} | {ms(loop, 1)} | {quantile(seen, 1) / quantile(loop, 1):.1f} | "
         f"{result['bound_s']:.2f} | {(result['joined_kib'] - result['idle_kib']) / proxies:.1f} | "
         f"{result['module']:.2f} / {result['codec']:.2f} / "
         f"{result['cpu'] - result['module'] - result['codec']:.2f} |",
@@ -97,7 +97,7 @@
 
 def ms(values, share):
     """Formats a quantile of values in ns as milliseconds."""
-    return f"{part(values, share) / 1e6:.1f}"
+    return f"{quantile(values, share) / 1e6:.1f}"
 
 
 if __name__ == "__main__":
--- a/embertray/experiments/measure/snapshots.py
+++ b/embertray/experiments/measure/snapshots.py
@@ -12,7 +12,7 @@
 
 from embertray.common.snapshots import DurableSnapshots, Snapshot, SnapshotEntry
 
-from .fleet import part
+from .fleet import quantile
 
 
 def main():
@@ -53,9 +53,9 @@
             size = kept.store.path_of(kept.store.generations()[-1]).stat().st_size
         print(
             f"| {count} | {size} | {len(msgspec.msgpack.encode(snapshot))} | "
-            f"{part(writes, 0.5) * 1000:.2f} | "
-            f"{part(writes, 0.99) * 1000:.2f} | {part(quick, 0.5) * 1000:.2f} | "
-            f"{part(reads, 0.5) * 1000:.2f} |"
+            f"{quantile(writes, 0.5) * 1000:.2f} | "
+            f"{quantile(writes, 0.99) * 1000:.2f} | {quantile(quick, 0.5) * 1000:.2f} | "
+            f"{quantile(reads, 0.5) * 1000:.2f} |"
         )
 
 
