--- a/embertray/experiments/measure/news.py
+++ b/embertray/experiments/measure/news.py
@@ -17,7 +17,7 @@
 ROUNDS, BACKENDS = 10, 60
 
 # the baseline: one process that makes a single write to each socket
-BARE = """
+BASELINE_PROGRAM = """
 import asyncio, sys, time
 count, size = int(sys.argv[1]), int(sys.argv[2])
 async def main():
@@ -39,23 +39,23 @@
 """
 
 
-async def bare(count, size):
+async def measure_baseline(count, size):
     """Returns the delays in ns of the bare loop, which sends `size` bytes to `count` sockets."""
     program = subprocess.Popen(
-        [sys.executable, "-c", BARE, str(count), str(size)],
+        [sys.executable, "-c", BASELINE_PROGRAM, str(count), str(size)],
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.DEVNULL,
     )
     port = int(await anyio.to_thread.run_sync(program.stdout.readline))
-    took = []
+    delays = []
 
     async def peer():
         async with await TcpNet().dial(f"127.0.0.1:{port}") as stream:
             try:
                 while True:
                     data = await stream.receive()
-                    took.append(time.monotonic_ns() - int.from_bytes(data[:8], "big"))
+                    delays.append(time.monotonic_ns() - int.from_bytes(data[:8], "big"))
             except anyio.EndOfStream:
                 pass
 
@@ -63,31 +63,33 @@
         for _ in range(count):
             group.start_soon(peer)
     program.wait()
-    return took
+    return delays
 
 
 async def measure(proxies):
     """Drains one backend after the other under so many proxies, and prints a row of the table."""
-    seen, sizes, told, gone = [], [], 0, None
+    delays, sizes, drained_at, drained = [], [], 0, None
 
     def on_orders(_, now, orders, size):
-        if gone and any(getattr(do, "weight", 1) == 0 and do.backend == gone for do in orders.do):
-            seen.append(now - told)
+        if drained and any(getattr(do, "weight", 1) == 0 and do.backend == drained for do in orders.do):
+            delays.append(now - drained_at)
             sizes.append(size)
 
     async with run_controller(BACKENDS, proxies, on_orders) as (inventory, names, _, _, result):
         for n in range(ROUNDS):
-            gone, told, wanted = names[n], time.monotonic_ns(), len(seen) + proxies
-            inventory.list(gone, ("north", "south", "west")[n % 3], "draining")
+            drained, drained_at, expected = names[n], time.monotonic_ns(), len(delays) + proxies
+            inventory.list(drained, ("north", "south", "west")[n % 3], "draining")
             with anyio.move_on_after(20):
-                while len(seen) < wanted:
+                while len(delays) < expected:
                     await anyio.sleep(0.05)
             await anyio.sleep(0.6)
-    loop = await bare(proxies, max(16, quantile(sizes, 0.5)))
+    baseline = await measure_baseline(proxies, max(16, quantile(sizes, 0.5)))
     print(
-        f"| {proxies} | {len(seen)} of {ROUNDS * proxies} | {ms(seen, 0.5)} | {ms(seen, 0.99)} | "
-        f"{ms(seen, 1)} | "
-        f"{ms(loop, 0.5)} | {ms(loop, 0.99)} | {ms(loop, 1)} | {quantile(seen, 1) / quantile(loop, 1):.1f} | "
+        f"| {proxies} | {len(delays)} of {ROUNDS * proxies} | {quantile_ms(delays, 0.5)} | "
+        f"{quantile_ms(delays, 0.99)} | "
+        f"{quantile_ms(delays, 1)} | "
+        f"{quantile_ms(baseline, 0.5)} | {quantile_ms(baseline, 0.99)} | {quantile_ms(baseline, 1)} | "
+        f"{quantile(delays, 1) / quantile(baseline, 1):.1f} | "
         f"{result['bound_s']:.2f} | {(result['joined_kib'] - result['idle_kib']) / proxies:.1f} | "
         f"{result['module']:.2f} / {result['codec']:.2f} / "
         f"{result['cpu'] - result['module'] - result['codec']:.2f} |",
@@ -95,7 +97,7 @@
     )
 
 
-def ms(values, share):
+def quantile_ms(values, share):
     """Formats a quantile of values in ns as milliseconds."""
     return f"{quantile(values, share) / 1e6:.1f}"
 
