--- a/embertray/experiments/measure/timed.py
+++ b/embertray/experiments/measure/timed.py
@@ -24,21 +24,21 @@
 from embertray.simulation.scenarios.player import quiet
 
 
-class Spent:
+class PartTimes:
     """Seconds spent in each part of the program."""
 
     def __init__(self):
-        self.by = {"module": 0.0, "codec": 0.0}
+        self.seconds = {"module": 0.0, "codec": 0.0}
 
-    def timing(self, part, what):
-        """Returns `what` wrapped so that its time is added to `part`."""
+    def instrument(self, part, function):
+        """Returns `function` wrapped so that its time is added to `part`."""
 
         def timed(*args):
             began = time.perf_counter()
             try:
-                return what(*args)
+                return function(*args)
             finally:
-                self.by[part] += time.perf_counter() - began
+                self.seconds[part] += time.perf_counter() - began
 
         return timed
 
@@ -67,14 +67,15 @@
 
 def main():
     """Instruments the module and the codec, serves, and prints the totals."""
-    spent, site = Spent(), load(sys.argv[1])
-    Controller.step = spent.timing("module", Controller.step)
-    proxy_streams.encode = spent.timing("codec", proxy_streams.encode)
-    ControllerSession.receive = spent.timing("codec", ControllerSession.receive)
+    times, site = PartTimes(), load(sys.argv[1])
+    Controller.step = times.instrument("module", Controller.step)
+    proxy_streams.encode = times.instrument("codec", proxy_streams.encode)
+    ControllerSession.receive = times.instrument("codec", ControllerSession.receive)
     anyio.run(run, site, sys.argv[2], backend_options={"use_uvloop": True})
     used = resource.getrusage(resource.RUSAGE_SELF)
     print(
-        json.dumps({**spent.by, "cpu": used.ru_utime + used.ru_stime, "peak_kib": used.ru_maxrss}), flush=True
+        json.dumps({**times.seconds, "cpu": used.ru_utime + used.ru_stime, "peak_kib": used.ru_maxrss}),
+        flush=True,
     )
 
 
