--- a/embertray/experiments/measure/limits.py
+++ b/embertray/experiments/measure/limits.py
@@ -13,7 +13,7 @@
 from embertray.simulation.emulator.limits_simulation import LimitsSimulation
 
 
-def wounded(seed):
+def run_with_faults(seed):
     """Runs one simulation with ten random faults.
 
     Returns the greatest excess over the limits in units, and the share in use 60 s after the last fault.
@@ -26,7 +26,7 @@
     return simulation.max_excess, simulation.utilization[-1]
 
 
-def calm(case):
+def run_without_faults(case):
     """Runs one simulation without faults; `case` is (members, skew of the demand).
 
     Returns members, skew, the share in use, the greatest excess in units, and messages per second and
@@ -43,28 +43,28 @@
     )
 
 
-def split(case):
+def run_with_partition(case):
     """Cuts some of five members off for a time; `case` is (members cut off, duration in s).
 
     Returns both, the share in use before and at the end of the partition, the greatest excess in units,
     and the seconds after its end until 98% of the former share is in use again.
     """
-    cut, lasts = case
+    isolated, duration_s = case
     simulation = LimitsSimulation(5, 5, 20).run(30 * S)
     before = simulation.utilization[-1]
-    pairs = simulation.links.pairs_between([simulation.names[:cut], simulation.names[cut:]])
+    pairs = simulation.links.pairs_between([simulation.names[:isolated], simulation.names[isolated:]])
     simulation.links.set_conditions(simulation.engine.time, pairs, open=False)
-    simulation.run(lasts * S)
+    simulation.run(duration_s * S)
     during = simulation.utilization[-1]
     simulation.links.restore_conditions(simulation.engine.time, pairs, ("open",))
     for second in range(120):  # noqa: B007 (used after the loop)
         if simulation.utilization[-1] >= 0.98 * before:
             break
         simulation.run(S)
-    return cut, lasts, before, during, simulation.max_excess, second
+    return isolated, duration_s, before, during, simulation.max_excess, second
 
 
-def killed(case):
+def run_with_kills(case):
     """Kills `case` of five members at once, without a restart.
 
     Returns the count, the lowest share in use, the seconds until 93% is in use again (None if never), the
@@ -73,15 +73,15 @@
     simulation = LimitsSimulation(6, 5, 20).run(30 * S)
     for name in simulation.names[:case]:
         simulation.kill(name)
-    least = 1.0
+    lowest = 1.0
     for second in range(120):  # noqa: B007 (used after the loop)
         simulation.run(S)
-        least = min(least, simulation.utilization[-1])
+        lowest = min(lowest, simulation.utilization[-1])
         if second > 2 and simulation.utilization[-1] >= 0.93:
             break
     return (
         case,
-        least,
+        lowest,
         second + 1 if simulation.utilization[-1] >= 0.93 else None,
         simulation.utilization[-1],
         simulation.max_excess,
@@ -94,34 +94,35 @@
 def main(plays, workers):
     """Runs the simulations in parallel processes, and prints the tables."""
     with ProcessPoolExecutor(workers) as pool:
-        found = list(pool.map(wounded, range(plays), chunksize=10))
-        used = sorted(share for _, share in found)
+        results = list(pool.map(run_with_faults, range(plays), chunksize=10))
+        used = sorted(share for _, share in results)
         click.echo(
             f"{plays} simulations of 3 to 7 members with ten faults each: limit exceeded in "
-            f"{sum(over > 0 for over, _ in found)}, at most "
-            f"{max(0, *(over for over, _ in found))} of 10,000 units; in use a minute after the last "
+            f"{sum(excess > 0 for excess, _ in results)}, at most "
+            f"{max(0, *(excess for excess, _ in results))} of 10,000 units; in use a minute after the last "
             f"fault: least {used[0]:.3f}, p50 {used[len(used) // 2]:.3f}\n"
         )
         click.echo("| members | skew | used | over | messages/s a member |\n| --- | --- | --- | --- | --- |")
-        for members, skew, share, over, sent in pool.map(
-            calm, [(n, skew) for n in (2, 5, 12, 32) for skew in (1.0, 20.0)]
+        for members, skew, share, excess, sent in pool.map(
+            run_without_faults, [(n, skew) for n in (2, 5, 12, 32) for skew in (1.0, 20.0)]
         ):
-            click.echo(f"| {members} | {skew:.0f} | {share:.3f} | {over} | {sent:.1f} |")
+            click.echo(f"| {members} | {skew:.0f} | {share:.3f} | {excess} | {sent:.1f} |")
         click.echo(
             "\n| cut off of 5 | for, s | used before | at its end | over | whole again, s |\n| --- "
             "| --- | --- | --- | --- | --- |"
         )
-        for cut, lasts, before, during, over, second in pool.map(
-            split, [(cut, lasts) for cut in (1, 2) for lasts in (2, 6, 20, 60)]
+        for isolated, duration_s, before, during, excess, second in pool.map(
+            run_with_partition,
+            [(isolated, duration_s) for isolated in (1, 2) for duration_s in (2, 6, 20, 60)],
         ):
-            click.echo(f"| {cut} | {lasts} | {before:.3f} | {during:.3f} | {over} | {second} |")
+            click.echo(f"| {isolated} | {duration_s} | {before:.3f} | {during:.3f} | {excess} | {second} |")
         click.echo(
             "\n| killed of 5 | least used | used 0.93 again after, s | used then | over |\n| --- | "
             "--- | --- | --- | --- |"
         )
-        for count, least, second, share, over in pool.map(killed, (1, 2, 3)):
+        for count, lowest, second, share, excess in pool.map(run_with_kills, (1, 2, 3)):
             click.echo(
-                f"| {count} | {least:.3f} | {'-' if second is None else second} | {share:.3f} | {over} |"
+                f"| {count} | {lowest:.3f} | {'-' if second is None else second} | {share:.3f} | {excess} |"
             )
 
 
