--- a/embertray/experiments/measure/cluster.py
+++ b/embertray/experiments/measure/cluster.py
@@ -14,13 +14,13 @@
 from embertray.simulation.emulator.engine import NS_PER_SECOND as S
 from embertray.simulation.emulator.membership_simulation import MembershipSimulation
 
-MAKES = {"swim": Membership, "heartbeats": HeartbeatDetector, "phi": PhiAccrualDetector}
+DETECTORS = {"swim": Membership, "heartbeats": HeartbeatDetector, "phi": PhiAccrualDetector}
 
 
-def start(how, members, seed):
+def start_simulation(detector, members, seed):
     """Starts a simulated cluster with the given detector; detectors without joins get 20 s to converge."""
-    simulation = MembershipSimulation(seed, core_type=MAKES[how])
-    if how == "swim":
+    simulation = MembershipSimulation(seed, core_type=DETECTORS[detector])
+    if detector == "swim":
         return simulation.start_cluster(members)
     for n in range(members):
         simulation.start_member(f"m{n}", [f"m{k}" for k in range(members)])
@@ -28,34 +28,34 @@
     return simulation
 
 
-def false_deaths(simulation, but=()):
+def false_deaths(simulation, excluded=()):
     """Counts the living members that were declared dead, each once, by whichever member."""
     return len(
         {
             change.name
             for _, _, change in simulation.changes
-            if change.state == DEAD and change.name not in but
+            if change.state == DEAD and change.name not in excluded
         }
     )
 
 
-def one(how, members, loss, seed, calm, kills, pause=0):
+def measure_run(detector, members, loss, seed, calm, kills, pause=0):
     """Runs one cluster: `calm` seconds with loss, then `kills` members killed one after the other.
 
     During the first phase a random member is stopped for `pause` ns every 20 s. Returns the detection
     times in s (300 if not detected), the number of false deaths, and bytes per second and member.
     """
-    simulation, chance = start(how, members, seed), random.Random(seed)
+    simulation, rng = start_simulation(detector, members, seed), random.Random(seed)
     simulation.links.loss, before, began = loss, sum(simulation.bytes_sent.values()), simulation.engine.time
     for _second in range(0, calm, 20):
         if pause:
-            who = simulation.processes[f"m{chance.randrange(members)}"]
-            who.pause()
+            paused = simulation.processes[f"m{rng.randrange(members)}"]
+            paused.pause()
             simulation.run(pause)
-            who.resume()
+            paused.resume()
         simulation.run(20 * S - pause)
     span = (simulation.engine.time - began) / S
-    rate, wrong, took = (
+    rate, false_count, detection_times = (
         (sum(simulation.bytes_sent.values()) - before) / span / members,
         false_deaths(simulation),
         [],
@@ -63,11 +63,11 @@
     for n in range(kills):
         name = f"m{members - 1 - n}"
         simulation.kill(name)
-        gone = simulation.run_until(
+        elapsed = simulation.run_until(
             lambda: all(p.core.members[name].state == DEAD for p in simulation.running_processes()), 300 * S
         )
-        took.append(300.0 if gone is None else gone / S)
-    return took, wrong, rate
+        detection_times.append(300.0 if elapsed is None else elapsed / S)
+    return detection_times, false_count, rate
 
 
 @click.command()
@@ -87,18 +87,22 @@
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for count in map(int, members.split(",")):
         for share in map(float, loss.split(",")):
-            for how in MAKES:
+            for detector in DETECTORS:
                 runs = [
-                    one(how, count, share, seed, calm, 1 if count < 8 else 3, int(pause * S))
+                    measure_run(detector, count, share, seed, calm, 1 if count < 8 else 3, int(pause * S))
                     for seed in range(seeds)
                 ]
-                took = sorted(second for found, _, _ in runs for second in found)
-                wrong = sum(bad for _, bad, _ in runs) / (seeds * calm * count) * 3600
+                detection_times = sorted(second for times, _, _ in runs for second in times)
+                false_count = sum(deaths for _, deaths, _ in runs) / (seeds * calm * count) * 3600
                 rate = sum(rate for _, _, rate in runs) / seeds
-                p50, p99 = took[len(took) // 2], took[min(len(took) - 1, int(0.99 * len(took)))]
+                p50, p99 = (
+                    detection_times[len(detection_times) // 2],
+                    detection_times[min(len(detection_times) - 1, int(0.99 * len(detection_times)))],
+                )
                 click.echo(
-                    f"| {count} | {share:.0%} | {how} | {p50:.1f} | {p99:.1f} | {took[-1]:.1f} | "
-                    f"{wrong:.2f} | {rate:.0f} |"
+                    f"| {count} | {share:.0%} | {detector} | {p50:.1f} | {p99:.1f} | "
+                    f"{detection_times[-1]:.1f} | "
+                    f"{false_count:.2f} | {rate:.0f} |"
                 )
                 sys.stdout.flush()
 
