--- a/embertray/experiments/measure/clustered.py
+++ b/embertray/experiments/measure/clustered.py
@@ -14,7 +14,7 @@
 import click
 
 
-def played(day, seed, alone):
+def run_play(day, seed, alone):
     """Runs `embertray play` for one day in a subprocess and returns its JSON result."""
     done = subprocess.run(
         [
@@ -37,25 +37,26 @@
     return json.loads(done.stdout)
 
 
-def row(day, alone, found):
+def table_row(day, alone, results):
     """Formats the results of one day, over all seeds, as a row of the table."""
     broken = sorted(
         {
             name
-            for one in found
+            for result in results
             for part in ("rules", "claims")
-            for name, verdict in one.get(part, {}).items()
+            for name, verdict in result.get(part, {}).items()
             if verdict == "broken"
         }
     )
-    used = [use for one in found for use in one["used"].values()]
+    usages = [usage for result in results for usage in result["used"].values()]
     return (
-        f"| {day} | {'alone' if alone else 'cluster'} | {len(found)} | "
-        f"{mean(one['credit'] for one in found):.3f} | "
-        f"{min(one['credit'] for one in found):.3f} | {', '.join(broken) or 'none'} | "
-        f"{max(one.get('age_of_bound', 0.0) for one in found):.2f} | "
-        f"{mean(use['cpu'] for use in used) * 1000:.0f} | "
-        f"{mean(use['rss'] for use in used) / 2**20:.1f} | {mean(use['sent'] for use in used):.0f} |"
+        f"| {day} | {'alone' if alone else 'cluster'} | {len(results)} | "
+        f"{mean(result['credit'] for result in results):.3f} | "
+        f"{min(result['credit'] for result in results):.3f} | {', '.join(broken) or 'none'} | "
+        f"{max(result.get('age_of_bound', 0.0) for result in results):.2f} | "
+        f"{mean(usage['cpu'] for usage in usages) * 1000:.0f} | "
+        f"{mean(usage['rss'] for usage in usages) / 2**20:.1f} | "
+        f"{mean(usage['sent'] for usage in usages):.0f} |"
     )
 
 
@@ -74,12 +75,12 @@
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     with ThreadPoolExecutor(beside) as pool:
         plays = {
-            (day, alone): [pool.submit(played, day, seed + 1, alone) for seed in range(seeds)]
+            (day, alone): [pool.submit(run_play, day, seed + 1, alone) for seed in range(seeds)]
             for day in days
             for alone in (True, False)
         }
-        for (day, alone), found in plays.items():
-            click.echo(row(day, alone, [one.result() for one in found]))
+        for (day, alone), results in plays.items():
+            click.echo(table_row(day, alone, [future.result() for future in results]))
 
 
 if __name__ == "__main__":
