--- a/embertray/experiments/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -14,7 +14,7 @@
 from embertray.simulation.processes.control_fault_run import run_with_faults
 
 S = 10**9
-SHARES = (0.5, 0.99, 1.0)  # quantiles of the times that are shown
+QUANTILES = (0.5, 0.99, 1.0)  # quantiles of the times that are shown
 
 
 @click.command()
@@ -33,47 +33,51 @@
 def main(faults, replicas, subscribers, scale, seed, folder, as_json):
     """Runs the faults, and prints what was found."""
     show = (lambda text: None) if as_json else click.echo
-    found = run_with_faults(faults, seed, scale, replicas, subscribers, folder, show)
-    told = summary(found)
-    click.echo(json.dumps(told) if as_json else "\n".join(lines(told)))
-    sys.exit(0 if found.claims.kept else 1)
+    result = run_with_faults(faults, seed, scale, replicas, subscribers, folder, show)
+    figures = summary(result)
+    click.echo(json.dumps(figures) if as_json else "\n".join(lines(figures)))
+    sys.exit(0 if result.claims.kept else 1)
 
 
-def summary(found):
+def summary(result):
     """Returns the figures of a FaultRunResult, ready for JSON."""
-    claims = found.claims
-    kinds = sorted({one.kind for one in found.faults})
+    claims = result.claims
+    kinds = sorted({fault.kind for fault in result.faults})
     return {
-        "seconds": round(found.seconds, 1),
-        "faults": {kind: sum(one.kind == kind for one in found.faults) for kind in kinds},
-        "outcomes": found.outcomes,
+        "seconds": round(result.seconds, 1),
+        "faults": {kind: sum(fault.kind == kind for fault in result.faults) for kind in kinds},
+        "outcomes": result.outcomes,
         "held": {claim: claims.checks[claim] for claim in CLAIMS},
         "broken": {claim: claims.counts[claim] for claim in CLAIMS},
-        "examples": [f"{one.claim}: {one.text}" for one in claims.broken],
-        "took_s": {claim: shares_of(took) for claim, took in claims.propagation_times.items()},
-        "settled_s": max((round(one.settled_s, 2) for one in found.faults), default=0.0),
+        "examples": [f"{violation.claim}: {violation.text}" for violation in claims.broken],
+        "took_s": {claim: quantiles(took) for claim, took in claims.propagation_times.items()},
+        "settled_s": max((round(fault.settled_s, 2) for fault in result.faults), default=0.0),
     }
 
 
-def shares_of(took):
-    """Returns the quantiles of times (ns) in s, for each of SHARES; {} if there are none."""
+def quantiles(took):
+    """Returns the quantiles of times (ns) in s, for each of QUANTILES; {} if there are none."""
     ordered = sorted(took)
     last = len(ordered) - 1
-    return {str(share): round(ordered[round(share * last)] / S, 3) for share in SHARES} if ordered else {}
+    return (
+        {str(quantile): round(ordered[round(quantile * last)] / S, 3) for quantile in QUANTILES}
+        if ordered
+        else {}
+    )
 
 
-def lines(told):
+def lines(figures):
     """Yields a Markdown table of the claims and the lines around it."""
-    faults = ", ".join(f"{count} {kind}" for kind, count in told["faults"].items())
-    yield f"{faults} in {told['seconds']} s; writes: {told['outcomes']}"
+    faults = ", ".join(f"{count} {kind}" for kind, count in figures["faults"].items())
+    yield f"{faults} in {figures['seconds']} s; writes: {figures['outcomes']}"
     yield "| claim | held against | broken |"
     yield "| --- | --- | --- |"
-    for claim, count in told["held"].items():
-        yield f"| {claim} | {count} | {told['broken'][claim]} |"
-    for claim, took in told["took_s"].items():
+    for claim, count in figures["held"].items():
+        yield f"| {claim} | {count} | {figures['broken'][claim]} |"
+    for claim, took in figures["took_s"].items():
         yield f"{claim}, s until in force at a subscriber by share of writes: {took or 'none'}"
-    yield f"recovered at most {told['settled_s']} s after the end of a fault"
-    yield from told["examples"]
+    yield f"recovered at most {figures['settled_s']} s after the end of a fault"
+    yield from figures["examples"]
 
 
 if __name__ == "__main__":
--- a/embertray/experiments/measure/control_day.py
+++ b/embertray/experiments/measure/control_day.py
@@ -13,7 +13,7 @@
 from embertray.simulation.emulator.control.day_simulation import ControlDay, DayPlan
 
 S = 10**9
-SHARES = (0.5, 0.99, 0.999, 1.0)
+QUANTILES = (0.5, 0.99, 0.999, 1.0)
 
 
 @click.command()
@@ -35,9 +35,9 @@
     )
     began = time.process_time()
     day = ControlDay(plan).run()
-    found = summary(day)
-    found["emulator_processor_s"] = round(time.process_time() - began, 1)
-    click.echo(json.dumps(found, indent=1))
+    figures = summary(day)
+    figures["emulator_processor_s"] = round(time.process_time() - began, 1)
+    click.echo(json.dumps(figures, indent=1))
     sys.exit(0 if day.claims.kept else 1)
 
 
@@ -50,29 +50,35 @@
         "seconds": seconds,
         "events": {**day.counts, "writes acknowledged": simulation.writer.acknowledged},
         "writes_given_up": simulation.writer.given_up,
-        "in_force_s": shares_of(claims.delays_while_reachable),
-        "after_return_s": shares_of(claims.delays_after_return),
+        "in_force_s": quantiles(claims.delays_while_reachable),
+        "after_return_s": quantiles(claims.delays_after_return),
         "subscriber_bytes_a_second": {
             "mean": round(
-                sum(one.bytes_in + one.bytes_out for one in subscribers) / len(subscribers) / seconds
+                sum(subscriber.bytes_in + subscriber.bytes_out for subscriber in subscribers)
+                / len(subscribers)
+                / seconds
             ),
-            "worst 10 s": round(max(one.max_window_bytes for one in subscribers) / 10),
+            "worst 10 s": round(max(subscriber.max_window_bytes for subscriber in subscribers) / 10),
         },
         "replica_bytes_out_a_second": round(
-            max(one.bytes_out for one in simulation.replicas.values()) / seconds
+            max(replica.bytes_out for replica in simulation.replicas.values()) / seconds
         ),
         "held": dict(claims.checks),
         "broken": dict(claims.counts),
-        "examples": [one.text for one in claims.broken[:5]],
+        "examples": [violation.text for violation in claims.broken[:5]],
     }
 
 
-def shares_of(times):
-    """Returns the count of times (ns) and their quantiles in s, for each of SHARES."""
+def quantiles(times):
+    """Returns the count of times (ns) and their quantiles in s, for each of QUANTILES."""
     ordered = sorted(times)
     last = len(ordered) - 1
-    found = {str(share): round(ordered[round(share * last)] / S, 2) for share in SHARES} if ordered else {}
-    return {"count": len(ordered), **found}
+    figures = (
+        {str(quantile): round(ordered[round(quantile * last)] / S, 2) for quantile in QUANTILES}
+        if ordered
+        else {}
+    )
+    return {"count": len(ordered), **figures}
 
 
 if __name__ == "__main__":
