--- a/embertray/experiments/measure/emulated.py
+++ b/embertray/experiments/measure/emulated.py
@@ -15,26 +15,27 @@
 
 S = 10**9
 SIZES = ((25, 40), (90, 150), (300, 500), (1000, 5000))
-EACH = 10  # requests/s for each backend: a third of its capacity
+REQUESTS_PER_BACKEND = 10  # requests/s for each backend: a third of its capacity
 
 
-def text(backends, proxies, seconds, controllers=1):
+def day_text(backends, proxies, seconds, controllers=1):
     """Returns the script of a day with steady load and one deployment."""
     return (
         f"site pushed proxies={proxies} backends={backends} channel_rate=20000 pending_max=40000 "
         "reports_rate=2000\n"
         f"fleet backends={backends} proxies={proxies} controllers={controllers} speed=0.8..1.3\n"
-        f"load {backends * EACH}/s for {seconds}s\nat 3s deploy 10% batch={max(1, backends // 40)} "
+        f"load {backends * REQUESTS_PER_BACKEND}/s for {seconds}s\nat 3s deploy 10% "
+        f"batch={max(1, backends // 40)} "
         "drain=4s by 1s\n"
     )
 
 
-def one(backends, proxies, fidelity, seconds):
+def measure(backends, proxies, fidelity, seconds):
     """Emulates one fleet, and returns its counts, wall time, virtual time in s and peak memory in MiB."""
     stages = []
     began = time.monotonic()
     result = play(
-        notation.read(text(backends, proxies, seconds), "size.day"),
+        notation.read(day_text(backends, proxies, seconds), "size.day"),
         1,
         fidelity,
         on_stage=stages.append,
@@ -58,7 +59,7 @@
     """Measures every size and fidelity in subprocesses; with arguments, runs one and prints JSON."""
     if len(sys.argv) > 1:
         backends, proxies, fidelity, seconds = sys.argv[1:]
-        print(json.dumps(one(int(backends), int(proxies), fidelity, int(seconds))))
+        print(json.dumps(measure(int(backends), int(proxies), fidelity, int(seconds))))
         return
     print("| fleet | fidelity | reqs/s | events a second | virtual seconds a second | peak MiB | credit |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
@@ -81,11 +82,12 @@
             if done.returncode:
                 print(f"| {backends}x{proxies} | {fidelity} | died: {done.stderr.strip().splitlines()[-1]} |")
                 continue
-            got = json.loads(done.stdout)
+            figures = json.loads(done.stdout)
             print(
-                f"| {backends}x{proxies} | {fidelity} | {backends * EACH} | "
-                f"{got['events'] / got['wall']:,.0f} | "
-                f"{got['virtual'] / got['wall']:.2f} | {got['MiB']:.0f} | {got['credit']:.3f} |",
+                f"| {backends}x{proxies} | {fidelity} | {backends * REQUESTS_PER_BACKEND} | "
+                f"{figures['events'] / figures['wall']:,.0f} | "
+                f"{figures['virtual'] / figures['wall']:.2f} | {figures['MiB']:.0f} | "
+                f"{figures['credit']:.3f} |",
                 flush=True,
             )
 
