--- a/embertray/experiments/measure/accounting.py
+++ b/embertray/experiments/measure/accounting.py
@@ -18,7 +18,7 @@
 from embertray.simulation.emulator import churn
 
 
-class NoAccounts(ControllerCore):
+class CoreWithoutAccounts(ControllerCore):
     """A core that does not evaluate its memory accounts."""
 
     def enforce_memory_caps(self, now, step):
@@ -28,10 +28,10 @@
             self.forget_unused()
 
 
-def cpu(way):
+def cpu_seconds(variant):
     """Returns the processor seconds of one run in a process of its own."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
-    subprocess.run([sys.executable, "-m", "embertray.experiments.measure.accounting", way], check=True)
+    subprocess.run([sys.executable, "-m", "embertray.experiments.measure.accounting", variant], check=True)
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
     return after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
 
@@ -39,7 +39,9 @@
 def main():
     """Prints the comparison; with an argument, runs one churn (`with` or `without` accounts)."""
     if len(sys.argv) > 1:
-        churn.play_virtual(churn.ChurnPlan(hours=0.02), 1, {"with": None, "without": NoAccounts}[sys.argv[1]])
+        churn.play_virtual(
+            churn.ChurnPlan(hours=0.02), 1, {"with": None, "without": CoreWithoutAccounts}[sys.argv[1]]
+        )
         return
     print(
         "CPU of 72 s of churn (92 backends, 157 proxies, 920 reqs/s), virtual, with the whole emulator in it:"
@@ -47,17 +49,20 @@
     print("| with accounts s | without s | ratio |\n| --- | --- | --- |")
     ratios = []
     for n in range(6):  # alternates which variant runs first
-        found = {way: cpu(way) for way in (("with", "without") if n % 2 else ("without", "with"))}
-        ratios.append(found["with"] / found["without"])
-        print(f"| {found['with']:.2f} | {found['without']:.2f} | {ratios[-1]:.3f} |", flush=True)
+        figures = {
+            variant: cpu_seconds(variant)
+            for variant in (("with", "without") if n % 2 else ("without", "with"))
+        }
+        ratios.append(figures["with"] / figures["without"])
+        print(f"| {figures['with']:.2f} | {figures['without']:.2f} | {ratios[-1]:.3f} |", flush=True)
     print(f"median ratio {sorted(ratios)[2] / 2 + sorted(ratios)[3] / 2:.3f}\n")
 
-    spent, look = [0.0], MemoryAccounts.evaluate
+    spent, original_evaluate = [0.0], MemoryAccounts.evaluate
 
     def timed(*args):
         began = time.thread_time()
         try:
-            return look(*args)
+            return original_evaluate(*args)
         finally:
             spent[0] += time.thread_time() - began
 
@@ -65,27 +70,27 @@
     before = time.process_time()
     churn.play_virtual(churn.ChurnPlan(hours=0.02), 1)
     total = time.process_time() - before
-    MemoryAccounts.evaluate = look
+    MemoryAccounts.evaluate = original_evaluate
     print(
         f"within one run: {spent[0]:.3f} s of {total:.2f} s CPU go into the accounts: "
         f"{spent[0] / total:.2%}; "
         f"{spent[0] / 72 * 1000:.2f} ms a second of the fleet's time\n"
     )
-    found = {}
+    figures = {}
 
-    class Traced(ControllerCore):
+    class TracedCore(ControllerCore):
         def __init__(self, *rest):
             gc.collect()
-            found["start"], found["rss"] = tracemalloc.get_traced_memory()[0], resident_memory()
+            figures["start"], figures["rss"] = tracemalloc.get_traced_memory()[0], resident_memory()
             super().__init__(*rest)
-            found["it"] = self
+            figures["it"] = self
 
         def enforce_memory_caps(self, now, step):
             super().enforce_memory_caps(now, step)
-            if now - self.policy.context.started_at > 60 * 10**9 and "held" not in found:
+            if now - self.policy.context.started_at > 60 * 10**9 and "held" not in figures:
                 gc.collect()
-                found["held"] = tracemalloc.get_traced_memory()[0] - found["start"]
-                found["accounted"] = {p: a.bytes for p, a in self.accounts.by_purpose.items()}
+                figures["held"] = tracemalloc.get_traced_memory()[0] - figures["start"]
+                figures["accounted"] = {p: a.bytes for p, a in self.accounts.by_purpose.items()}
                 only = tracemalloc.take_snapshot().filter_traces(
                     [
                         tracemalloc.Filter(True, f"*/embertray/{name}")
@@ -99,15 +104,17 @@
                         )
                     ]
                 )
-                found["ours"] = sum(stat.size for stat in only.statistics("filename"))
+                figures["ours"] = sum(stat.size for stat in only.statistics("filename"))
 
     tracemalloc.start()
-    churn.play_virtual(churn.ChurnPlan(hours=0.02), 1, Traced)
-    ours = sum(size for purpose, size in found["accounted"].items() if purpose not in ("streams",))
+    churn.play_virtual(churn.ChurnPlan(hours=0.02), 1, TracedCore)
+    accounted_bytes = sum(
+        size for purpose, size in figures["accounted"].items() if purpose not in ("streams",)
+    )
     print(
         "After 60 s: accounts (without streams) "
-        f"{ours / 1024:.0f} KiB; tracemalloc, allocated in policy, core, identifiers, channel, "
-        f"reports {found['ours'] / 1024:.0f} KiB; ratio {ours / found['ours']:.2f}"
+        f"{accounted_bytes / 1024:.0f} KiB; tracemalloc, allocated in policy, core, identifiers, channel, "
+        f"reports {figures['ours'] / 1024:.0f} KiB; ratio {accounted_bytes / figures['ours']:.2f}"
     )
 
 
