--- a/embertray/experiments/measure/start.py
+++ b/embertray/experiments/measure/start.py
@@ -12,10 +12,15 @@
 from embertray.controller.trust import Trust, TrustDecision
 from embertray.simulation.scenarios import notation, player
 
-AGES, REPLACED, SEEDS, DOWN = ("0s", "1min", "60min", "1440min"), (0, 10, 50, 90), (1, 2, 3), 15
+LIST_AGES, REPLACED_PERCENTS, SEEDS, DISCOVERY_DOWN_S = (
+    ("0s", "1min", "60min", "1440min"),
+    (0, 10, 50, 90),
+    (1, 2, 3),
+    15,
+)
 
 
-class Fully(Trust):
+class FullTrust(Trust):
     """Trusts the snapshot as if it had just been received, whatever its age."""
 
     def start(self, now, snapshot, clocks):
@@ -28,7 +33,7 @@
         return TrustDecision(UpdateKind.CACHED, [known.entry for known in self.backends.values()])
 
 
-class Waits(Trust):
+class DiscoveryOnlyTrust(Trust):
     """Does nothing before discovery answers."""
 
     def start(self, now, snapshot, clocks):
@@ -45,82 +50,87 @@
         return self.discovery_answered
 
 
-WAYS = {"by age": None, "in full": Fully, "waits": Waits}
+TRUST_VARIANTS = {"by age": None, "in full": FullTrust, "waits": DiscoveryOnlyTrust}
 
 
-def one(job):
+def measure(job):
     """Plays one day for a job (variant, age, replaced percent, seed, whether the tables are newer).
 
     Returns the job's variant, age, share and flag, then credit, whether all rules held, the seconds from
     the restart to the first orders, from discovery's recovery to the last bind, and the requests that
     failed because their backend was gone.
     """
-    way, age, replaced, seed, behind = job
-    early = "at 4s preempt 50% batch=4 drain=3s\n" if behind else ""
+    variant, age, replaced, seed, list_is_older = job
+    early = "at 4s preempt 50% batch=4 drain=3s\n" if list_is_older else ""
     day = notation.read(
         f"site pushed\nfleet backends=10 proxies=12 controllers=1\nload 70/s for 45s\n{early}"
-        f"at 16s old-list c1 for 2s age={age} replaced={replaced}% down={DOWN}s"
-        + (" kept=first" if behind else "")
+        f"at 16s old-list c1 for 2s age={age} replaced={replaced}% down={DISCOVERY_DOWN_S}s"
+        + (" kept=first" if list_is_older else "")
     )
-    result = player.play(day, seed=seed, trust=WAYS[way])
+    result = player.play(day, seed=seed, trust=TRUST_VARIANTS[variant])
     events = result.events
-    killed = next(e.at for e in events if e.what == "killed")
-    up = killed + 2 * 10**9
-    first = min((e.at for e in events if e.what == "applied" and e.at > up), default=0)
-    spoke = min((e.at for e in events if e.what == "told" and e.at > up), default=0)
-    last = max(
+    killed_at = next(e.at for e in events if e.what == "killed")
+    restarted_at = killed_at + 2 * 10**9
+    first_orders_at = min((e.at for e in events if e.what == "applied" and e.at > restarted_at), default=0)
+    recovered_at = min((e.at for e in events if e.what == "told" and e.at > restarted_at), default=0)
+    last_bind_at = max(
         (
             e.at
             for e in events
             if e.what == "applied"
-            and spoke < e.at < spoke + 8 * 10**9
+            and recovered_at < e.at < recovered_at + 8 * 10**9
             and any(type(do).__name__ == "Bind" for do in e.rest[0].do)
         ),
-        default=spoke,
+        default=recovered_at,
+    )
+    failed_requests = sum(
+        1 for e in events if e.what == "failed" and e.at > restarted_at and e.rest[2] in ("refused", "broken")
     )
-    lost = sum(1 for e in events if e.what == "failed" and e.at > up and e.rest[2] in ("refused", "broken"))
     return (
-        way,
+        variant,
         age,
         replaced,
-        behind,
+        list_is_older,
         result.credit,
         result.kept,
-        (first - up) / 1e9,
-        (last - spoke) / 1e9,
-        lost,
+        (first_orders_at - restarted_at) / 1e9,
+        (last_bind_at - recovered_at) / 1e9,
+        failed_requests,
     )
 
 
 def main():
     """Runs all jobs in parallel processes, and prints the table."""
     jobs = [
-        (way, age, replaced, seed, behind)
-        for behind in (False, True)
-        for age in AGES
-        for replaced in REPLACED
-        for way in WAYS
+        (variant, age, replaced, seed, list_is_older)
+        for list_is_older in (False, True)
+        for age in LIST_AGES
+        for replaced in REPLACED_PERCENTS
+        for variant in TRUST_VARIANTS
         for seed in SEEDS
-        if not behind or age == "60min"
+        if not list_is_older or age == "60min"
     ]
     cells = {}
     with ProcessPoolExecutor(int(sys.argv[1]) if len(sys.argv) > 1 else 6) as pool:
-        for way, age, replaced, behind, *figures in pool.map(one, jobs):
-            cells.setdefault((behind, age, replaced), {}).setdefault(way, []).append(figures)
+        for variant, age, replaced, list_is_older, *figures in pool.map(measure, jobs):
+            cells.setdefault((list_is_older, age, replaced), {}).setdefault(variant, []).append(figures)
     print(
         "| list | age | replaced | credit: by age / in full / waits | first orders after, s | last "
         "bind after recovery, s "
         "| reqs to who is not there | rules |\n" + "| --- " * 8 + "|"
     )
-    for (behind, age, replaced), ways in cells.items():
+    for (list_is_older, age, replaced), by_variant in cells.items():
 
-        def mean(n, form):
-            return " / ".join(format(sum(row[n] for row in ways[way]) / len(ways[way]), form) for way in WAYS)
+        def mean(n, format_spec):
+            return " / ".join(
+                format(sum(row[n] for row in by_variant[variant]) / len(by_variant[variant]), format_spec)
+                for variant in TRUST_VARIANTS
+            )
 
-        kept = all(row[1] for rows in ways.values() for row in rows)
-        broken = ", ".join(way for way, rows in ways.items() if not all(row[1] for row in rows))
+        kept = all(row[1] for rows in by_variant.values() for row in rows)
+        broken = ", ".join(variant for variant, rows in by_variant.items() if not all(row[1] for row in rows))
         print(
-            f"| {'behind the tables' if behind else 'as the tables'} | {age} | {replaced}% | "
+            f"| {'behind the tables' if list_is_older else 'as the tables'} | {age} | {replaced}% | "
             f"{mean(0, '.3f')} | "
             f"{mean(2, '.1f')} | {mean(3, '.1f')} | {mean(4, '.0f')} | "
             f"{'kept' if kept else 'BROKEN: ' + broken} |"
