--- a/embertray/experiments/measure/names.py
+++ b/embertray/experiments/measure/names.py
@@ -21,15 +21,15 @@
 
 def lines_with(words, paths):
     """Returns word -> package -> number of lines that hold the word as an identifier."""
-    found = defaultdict(lambda: defaultdict(int))
+    counts = defaultdict(lambda: defaultdict(int))
     for path in paths:
         with tokenize.open(path) as file:
             tokens = list(tokenize.generate_tokens(file.readline))
         names = {(token.string, token.start[0]) for token in tokens if token.type == tokenize.NAME}
         for word, _ in sorted(names):
             if word in words:
-                found[word][package_of(path)] += 1
-    return found
+                counts[word][package_of(path)] += 1
+    return counts
 
 
 @click.command()
@@ -37,11 +37,11 @@
 def main(words):
     """Prints the counts of each word, the packages with the most lines first."""
     paths = sorted(path for folder in ("embertray", "tests") for path in (ROOT / folder).rglob("*.py"))
-    found = lines_with(frozenset(words), paths)
+    counts = lines_with(frozenset(words), paths)
     for word in words:
-        packages = sorted(found[word].items(), key=lambda item: -item[1])
-        each = ", ".join(f"{name} {count}" for name, count in packages)
-        click.echo(f"{word}: {sum(found[word].values())}" + (f" ({each})" if each else ""))
+        packages = sorted(counts[word].items(), key=lambda item: -item[1])
+        per_package = ", ".join(f"{name} {count}" for name, count in packages)
+        click.echo(f"{word}: {sum(counts[word].values())}" + (f" ({per_package})" if per_package else ""))
 
 
 if __name__ == "__main__":
--- a/embertray/experiments/measure/pauses.py
+++ b/embertray/experiments/measure/pauses.py
@@ -9,7 +9,7 @@
 from embertray.controller.core import ControllerCore
 from embertray.simulation.emulator import churn
 
-WAYS = {
+GC_SETTINGS = {
     "as Python sets it": None,
     "gc.freeze once all have joined": "freeze",
     "thresholds 50,000/20/100": (50_000, 20, 100),
@@ -23,31 +23,31 @@
         + "| --- " * 5
         + "|"
     )
-    for name, way in WAYS.items():
+    for name, setting in GC_SETTINGS.items():
         pauses, began = [], [0.0]
 
-        def watch(phase, info):
+        def on_collection(phase, info):
             if phase == "start":
                 began[0] = time.perf_counter()
             else:
                 pauses.append((time.perf_counter() - began[0], info["generation"]))
 
-        class Set(ControllerCore):
+        class ConfiguredCore(ControllerCore):
             done = False
 
             def advance(self, now):
-                if not Set.done and now - self.policy.context.started_at > 15 * 10**9:
-                    Set.done = True
+                if not ConfiguredCore.done and now - self.policy.context.started_at > 15 * 10**9:
+                    ConfiguredCore.done = True
                     gc.collect()
-                    if way == "freeze":
+                    if setting == "freeze":
                         gc.freeze()
-                    elif way:
-                        gc.set_threshold(*way)
-                    gc.callbacks.append(watch)
+                    elif setting:
+                        gc.set_threshold(*setting)
+                    gc.callbacks.append(on_collection)
                 return super().advance(now)
 
-        churn.play_virtual(churn.ChurnPlan(proxies=1000, hours=45 / 3600), 1, Set)
-        gc.callbacks.remove(watch)
+        churn.play_virtual(churn.ChurnPlan(proxies=1000, hours=45 / 3600), 1, ConfiguredCore)
+        gc.callbacks.remove(on_collection)
         gc.unfreeze()
         gc.set_threshold(700, 10, 10)
         oldest = [p for p, g in pauses if g == 2]
