--- a/embertray/experiments/measure/wounds.py
+++ b/embertray/experiments/measure/wounds.py
@@ -15,56 +15,58 @@
 from embertray.simulation.processes.cluster_members import PROBE_PERIOD_MS, LinkedClusterMembers
 
 
-def kill(site, n):
+def kill(cluster, n):
     """Kills a process and starts it again; yields the condition that all others take it for dead."""
-    name = site.names[n % len(site.names)]
-    site.kill(name)
-    yield lambda: site.all_report(**{name: "dead"})
-    site.up(name)
+    name = cluster.names[n % len(cluster.names)]
+    cluster.kill(name)
+    yield lambda: cluster.all_report(**{name: "dead"})
+    cluster.up(name)
 
 
-def stop(site, n):
+def stop(cluster, n):
     """Stops a process and resumes it; yields the condition that all others take it for dead."""
-    name = site.names[n % len(site.names)]
-    site.pause(name)
-    yield lambda: site.all_report(**{name: "dead"})
-    site.resume(name)
+    name = cluster.names[n % len(cluster.names)]
+    cluster.pause(name)
+    yield lambda: cluster.all_report(**{name: "dead"})
+    cluster.resume(name)
 
 
-def split(site, n):
+def split(cluster, n):
     """Partitions the processes into halves and heals the links.
 
     Yields the condition that each process sees only its own half alive.
     """
-    half = len(site.names) // 2
-    order = site.names[n % len(site.names) :] + site.names[: n % len(site.names)]
-    one, other = order[:half], order[half:]
-    site.links.split(one, other)
+    half = len(cluster.names) // 2
+    order = cluster.names[n % len(cluster.names) :] + cluster.names[: n % len(cluster.names)]
+    first, second = order[:half], order[half:]
+    cluster.links.split(first, second)
     yield lambda: all(
-        site.states(name)
-        == {m: "alive" if (m in one) == (name in one) else "dead" for m in site.names if m != name}
-        for name in site.names
+        cluster.states(name)
+        == {m: "alive" if (m in first) == (name in first) else "dead" for m in cluster.names if m != name}
+        for name in cluster.names
     )
-    site.links.heal()
+    cluster.links.heal()
 
 
-def play(site, wound, times):
+def inject_faults(cluster, fault, times):
     """Injects a fault `times` times, and waits for detection and recovery each time.
 
     Returns [(seconds until all saw it, seconds until all were alive again)] and the greatest age of the
     shared state as a fraction of its bound.
     """
-    alive, rows, worst = dict.fromkeys(site.names, "alive"), [], 0.0
-    site.wait(lambda: site.all_report(**alive), "every process sees all others alive")
+    alive, rows, worst = dict.fromkeys(cluster.names, "alive"), [], 0.0
+    cluster.wait(lambda: cluster.all_report(**alive), "every process sees all others alive")
     for n in range(times):
-        steps = wound(site, n)
-        seen = site.wait(next(steps), f"{wound.__name__} {n} is detected by all", 60)
+        steps = fault(cluster, n)
+        detected_s = cluster.wait(next(steps), f"{fault.__name__} {n} is detected by all", 60)
         next(steps, None)
         began = time.monotonic()
-        site.wait(lambda: site.all_report(**alive), "every process sees all others alive again", 60)
-        rows.append((seen, time.monotonic() - began))
-        site.wait(site.all_within_bound, "the shared state is within its bound", site.staleness_bound() + 10)
-        age, bound = site.max_entry_age(5)
+        cluster.wait(lambda: cluster.all_report(**alive), "every process sees all others alive again", 60)
+        rows.append((detected_s, time.monotonic() - began))
+        cluster.wait(
+            cluster.all_within_bound, "the shared state is within its bound", cluster.staleness_bound() + 10
+        )
+        age, bound = cluster.max_entry_age(5)
         worst = max(worst, age / bound)
     return rows, worst
 
@@ -88,16 +90,16 @@
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for name in only:
         with tempfile.TemporaryDirectory() as folder:
-            site, found = LinkedClusterMembers(folder, members), []
+            cluster, results = LinkedClusterMembers(folder, members), []
 
             async def run():
                 async with anyio.create_task_group() as group:
-                    await group.start(site.links.run)
-                    for one in site.names:
-                        site.up(one)
-                    found.append(
+                    await group.start(cluster.links.run)
+                    for member in cluster.names:
+                        cluster.up(member)
+                    results.append(
                         await anyio.to_thread.run_sync(
-                            play, site, {"kill": kill, "stop": stop, "split": split}[name], times
+                            inject_faults, cluster, {"kill": kill, "stop": stop, "split": split}[name], times
                         )
                     )
                     group.cancel_scope.cancel()
@@ -105,16 +107,16 @@
             try:
                 anyio.run(run)
             finally:
-                site.end()
-        rows, worst = found[0]
+                cluster.end()
+        rows, worst = results[0]
 
-        def at(part, column):
+        def quantile_periods(share, column):
             ranked = sorted(row[column] for row in rows)
-            return f"{ranked[min(len(ranked) - 1, int(part * len(ranked)))] * 1000 / PROBE_PERIOD_MS:.1f}"
+            return f"{ranked[min(len(ranked) - 1, int(share * len(ranked)))] * 1000 / PROBE_PERIOD_MS:.1f}"
 
         click.echo(
             f"| {name} | {len(rows)} | "
-            + " | ".join(at(p, c) for c in (0, 1) for p in (0.5, 0.99, 1.0))
+            + " | ".join(quantile_periods(p, c) for c in (0, 1) for p in (0.5, 0.99, 1.0))
             + f" | {worst:.2f} |"
         )
 
