--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -12,12 +12,12 @@
 
 SECOND_NS = 10**9
 WAKE_PERIOD_NS = SECOND_NS // 4  # between two wakes that a baseline asks for
-SUBSET = 5  # backends a proxy in the random subset
-LOAD_PERIOD_NS = 2 * SECOND_NS  # between two moves by reported load
-REORDER_SHARE = 0.1  # a weight is ordered again if it is off by more than this share of itself
-LEAST_LOAD = 0.1  # added to a reported load, so that an idle backend's weight is bounded
-UNKNOWN_LOAD = 0.5  # of a backend that has reported none
-ORACLE_MOST_FAILURES = 0.5  # share of failures from which the oracle leaves a backend out
+SUBSET_SIZE = 5  # backends a proxy in the random subset
+REWEIGHT_PERIOD_NS = 2 * SECOND_NS  # between two moves by reported load
+MIN_RELATIVE_CHANGE = 0.1  # a weight is ordered again if it is off by more than this share of itself
+LOAD_OFFSET = 0.1  # added to a reported load, so that an idle backend's weight is bounded
+DEFAULT_LOAD = 0.5  # of a backend that has reported none
+ORACLE_MAX_FAILURE_SHARE = 0.5  # share of failures from which the oracle leaves a backend out
 
 
 class JoinedProxy:
@@ -54,29 +54,29 @@
         self.tables = {}  # key -> Table
         self.ordered = {}  # key -> {backend: weight} as last ordered
         self.loads = {}  # backend -> reported share of its cores that is busy
-        self.moved_at = 0
+        self.reweight_at = 0
         self.backends = []
 
     def step(self, now, events):
         """Takes in events at `now` ns and returns the orders that follow from them."""
         self.now = now
         for event in events:
-            self.take_in(event)
+            self.apply_event(event)
         orders = []
-        keys = dict.fromkeys(self.key(proxy, joined.zone) for proxy, joined in self.proxies.items())
-        for key in keys:
-            orders += self.update(key)
+        keys = dict.fromkeys(self.table_key(proxy, joined.zone) for proxy, joined in self.proxies.items())
+        for table_key in keys:
+            orders += self.update_table(table_key)
         orders += self.bind_proxies()
         if now >= self.wake_at:
             self.wake_at = now + WAKE_PERIOD_NS
             orders.append(i.SetTimer(0, WAKE_PERIOD_NS))
         return orders
 
-    def take_in(self, event):
+    def apply_event(self, event):
         """Notes what an event says of the list, of a proxy or of a backend's load."""
         if isinstance(event, i.EndpointListUpdate):
             if event.how != "failed":
-                self.take_in_list(event)
+                self.apply_list(event)
         elif isinstance(event, i.ProxyJoined):
             self.proxies[event.proxy] = JoinedProxy(event.zone)
         elif isinstance(event, i.ProxyLeft):
@@ -84,47 +84,47 @@
         elif isinstance(event, i.BackendReport) and "busy" in event.load:
             self.loads[event.backend] = event.load["busy"]
 
-    def take_in_list(self, news):
+    def apply_list(self, update):
         """Notes which backends are ready, from a complete list or from changes to it."""
-        if news.how != "changes":
-            named = {entry.backend for entry in news.entries}
-            self.ready = {backend: entry for backend, entry in self.ready.items() if backend in named}
-        for entry in news.entries:
+        if update.how != "changes":
+            listed = {entry.backend for entry in update.entries}
+            self.ready = {backend: entry for backend, entry in self.ready.items() if backend in listed}
+        for entry in update.entries:
             if entry.state == "ready":
                 self.ready[entry.backend] = entry
             else:
                 self.ready.pop(entry.backend, None)
 
-    def update(self, key):
+    def update_table(self, table_key):
         """The orders that bring a table from what was ordered to what is wanted."""
-        table = self.tables.setdefault(key, i.Table())
-        ordered = self.ordered.setdefault(key, {})
-        want = self.want(key)
+        table = self.tables.setdefault(table_key, i.Table())
+        ordered = self.ordered.setdefault(table_key, {})
+        desired_weights = self.desired_weights(table_key)
         orders = [
             i.SetLine(table, backend, weight)
-            for backend, weight in want.items()
-            if abs(ordered.get(backend, 0) - weight) > REORDER_SHARE * weight
+            for backend, weight in desired_weights.items()
+            if abs(ordered.get(backend, 0) - weight) > MIN_RELATIVE_CHANGE * weight
         ]
-        orders += [i.SetLine(table, backend, 0) for backend in ordered if backend not in want]
+        orders += [i.SetLine(table, backend, 0) for backend in ordered if backend not in desired_weights]
         if orders:
-            self.ordered[key] = dict(want)
+            self.ordered[table_key] = dict(desired_weights)
         return orders
 
     def bind_proxies(self):
         """The bindings of proxies to tables that have lines, where they are not bound to them."""
         orders = []
         for proxy, joined in self.proxies.items():
-            key = self.key(proxy, joined.zone)
-            if joined.bound_key != key and self.ordered.get(key):
-                joined.bound_key = key
-                orders.append(i.Bind(proxy, self.tables[key]))
+            table_key = self.table_key(proxy, joined.zone)
+            if joined.bound_key != table_key and self.ordered.get(table_key):
+                joined.bound_key = table_key
+                orders.append(i.Bind(proxy, self.tables[table_key]))
         return orders
 
-    def key(self, proxy, zone):
+    def table_key(self, proxy, zone):
         """What names the table of a proxy of that zone; proxies of one key share a table."""
         return "all"
 
-    def want(self, key):
+    def desired_weights(self, table_key):
         """The weights of a table: {backend: weight}."""
         return dict.fromkeys(self.ready, 1.0)
 
@@ -132,28 +132,28 @@
 class ZoneLocal(Baseline):
     """Each proxy the ready backends of its zone, evenly; all, if its zone has none."""
 
-    def key(self, proxy, zone):
+    def table_key(self, proxy, zone):
         """One table a zone."""
         return zone
 
-    def want(self, key):
+    def desired_weights(self, table_key):
         """The ready backends of the zone, or all."""
-        near = [backend for backend, entry in self.ready.items() if entry.zone is key]
-        return dict.fromkeys(near or self.ready, 1.0)
+        local = [backend for backend, entry in self.ready.items() if entry.zone is table_key]
+        return dict.fromkeys(local or self.ready, 1.0)
 
 
 class Subset(Baseline):
     """Each proxy its own few, drawn; who goes is replaced."""
 
-    def key(self, proxy, zone):
+    def table_key(self, proxy, zone):
         """One table a proxy."""
         return proxy
 
-    def want(self, key):
+    def desired_weights(self, table_key):
         """Those of the proxy's few that are still ready, and others drawn in place of the rest."""
-        chosen = [backend for backend in self.ordered.get(key, {}) if backend in self.ready]
+        chosen = [backend for backend in self.ordered.get(table_key, {}) if backend in self.ready]
         others = [backend for backend in self.ready if backend not in chosen]
-        missing = min(SUBSET - len(chosen), len(others))
+        missing = min(SUBSET_SIZE - len(chosen), len(others))
         if missing > 0:
             chosen += [others[int(n)] for n in self.rng.choice(len(others), missing, replace=False)]
         return dict.fromkeys(chosen, 1.0)
@@ -162,12 +162,12 @@
 class LeastLoad(Baseline):
     """By inverse reported load, moved now and then."""
 
-    def want(self, key):
+    def desired_weights(self, table_key):
         """The weights of the last move; 1 for backends that came after it."""
-        if self.now >= self.moved_at:
-            self.moved_at = self.now + LOAD_PERIOD_NS
+        if self.now >= self.reweight_at:
+            self.reweight_at = self.now + REWEIGHT_PERIOD_NS
             self.weights = {
-                backend: 1 / (LEAST_LOAD + self.loads.get(backend, UNKNOWN_LOAD)) for backend in self.ready
+                backend: 1 / (LOAD_OFFSET + self.loads.get(backend, DEFAULT_LOAD)) for backend in self.ready
             }
         return {backend: self.weights.get(backend, 1.0) for backend in self.ready}
 
@@ -178,11 +178,11 @@
     An upper mark, no policy.
     """
 
-    truth = staticmethod(dict)  # name -> model.backend.Backend; whoever plays sets it
+    backend_models = staticmethod(dict)  # name -> model.backend.Backend; whoever plays sets it
 
-    def want(self, key):
+    def desired_weights(self, table_key):
         """Each backend that answers, by its capacity; all evenly, if none does."""
-        models = self.truth()
+        models = self.backend_models()
         capacities = {}
         for backend in self.ready:
             model = models.get(backend.external_id)
@@ -196,7 +196,7 @@
         ills = model.ills
         if model.state != "up" or ills.hang:
             return False
-        return ills.fails < ORACLE_MOST_FAILURES and not ills.kinds
+        return ills.fails < ORACLE_MAX_FAILURE_SHARE and not ills.kinds
 
 
 POLICIES = {
--- a/embertray/experiments/lab/single_run.py
+++ b/embertray/experiments/lab/single_run.py
@@ -17,7 +17,7 @@
     core = policies.core(run.policy)
     stages = []
     if run.policy == "oracle":
-        policies.Oracle.truth = staticmethod(lambda: stages[0].models if stages else {})
+        policies.Oracle.backend_models = staticmethod(lambda: stages[0].models if stages else {})
     if definition.simulator == "virtual":
         return player.play(day, seed=run.seed, core=core, on_stage=stages.append)
     return play_emulated(
