--- a/embertray/experiments/lab/__init__.py
+++ b/embertray/experiments/lab/__init__.py
@@ -1,3 +1,1 @@
-"""Experiments on whole fleets: factors by levels by seeds, results in one file, reports, and hunts for bad
-days.
-"""
+"""Experiments on simulated fleets: factorial designs, results, reports, searches for failing days."""
--- a/embertray/experiments/lab/experiment.py
+++ b/embertray/experiments/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Reads an experiment (XML checked against lab.xsd) and tells its runs: levels by arms by seeds."""
+"""Reads an experiment (XML checked against lab.xsd) and lists its runs: all levels, arms and seeds."""
 
 import itertools
 import string
@@ -14,12 +14,12 @@
 
 
 class ExperimentError(ValueError):
-    """Names file, line and what was expected."""
+    """The experiment cannot be used; the text names the file, the line and what was expected."""
 
 
 @dataclass(frozen=True)
 class Run:
-    """One run. `key` names it in a results file."""
+    """One simulation of the experiment: a level of each factor, an arm and a seed."""
 
     levels: tuple  # ((factor, level), ...)
     arm: str
@@ -29,23 +29,26 @@
 
     @property
     def key(self):
+        """The name of the run in a results file."""
         return ";".join([*(f"{k}={v}" for k, v in self.levels), self.arm, str(self.seed)])
 
 
 @dataclass(frozen=True)
 class Experiment:
+    """The content of an experiment file."""
+
     name: str
     about: str
-    text: str  # of the whole file, kept with the results
-    day: str
+    text: str  # the whole file, stored with the results
+    day: str  # text of the day, with $factor placeholders
     factors: tuple  # ((name, (level, ...)), ...)
     arms: tuple  # ((name, policy, facts), ...)
     seeds: tuple
-    timeout_s: int  # of wall time that a run may take
-    simulator: str = "virtual"  # how days are played: virtual | emulated | flows
+    timeout_s: int  # wall time that a run may take
+    simulator: str = "virtual"  # virtual | emulated | flows
 
     def runs(self):
-        """All runs; the same seed in every arm, so that arms meet the same requests and faults."""
+        """Yields all runs; every arm has the same seeds, so that arms meet the same requests and faults."""
         for levels in itertools.product(
             *(tuple((name, level) for level in factor_levels) for name, factor_levels in self.factors)
         ):
@@ -54,7 +57,7 @@
                     yield Run(levels, arm, policy, facts, seed)
 
     def day_of(self, run):
-        """The Day of a run. Raises notation.DayError."""
+        """Returns the Day of a run, with its levels and its arm's facts. Raises notation.DayError."""
         text = string.Template(self.day).substitute(dict(run.levels))
         if run.facts:
             facts = string.Template(run.facts).substitute(dict(run.levels))
@@ -64,11 +67,12 @@
 
 @cache
 def schema():
+    """Returns the parsed lab.xsd."""
     return etree.XMLSchema(etree.parse(PACKAGE_FOLDER / "lab.xsd"))
 
 
 def load(path):
-    """The Experiment of a file, or of one that comes with the program. Raises BadExperiment."""
+    """Returns the Experiment of a file, or of a built-in experiment by its name. Raises ExperimentError."""
     file = Path(path)
     if not file.suffix and not file.is_file():
         file = PACKAGE_FOLDER / "experiments" / f"{path}.xml"
@@ -76,13 +80,14 @@
         text = file.read_text()
     except OSError as error:
         raise ExperimentError(
-            f"{path}: {error.strerror}; there are "
+            f"{path}: {error.strerror}; built-in experiments: "
             f"{', '.join(sorted(p.stem for p in (PACKAGE_FOLDER / 'experiments').glob('*.xml')))}"
         ) from None
     return read(text, str(file))
 
 
 def read(text, path="experiment"):
+    """Returns the Experiment of an XML text; `path` names it in errors. Raises ExperimentError."""
     try:
         root = etree.fromstring(text.encode(), etree.XMLParser(resolve_entities=False, no_network=True))
     except etree.XMLSyntaxError as error:
@@ -109,7 +114,5 @@
             if run.seed == first:
                 experiment.day_of(run)
     except (notation.DayError, KeyError, ValueError) as error:
-        raise ExperimentError(
-            f"{path}:{root.find('day').sourceline}: the day can't be used: {error}"
-        ) from None
+        raise ExperimentError(f"{path}:{root.find('day').sourceline}: the day is invalid: {error}") from None
     return experiment
--- a/embertray/experiments/lab/hunt.py
+++ b/embertray/experiments/lab/hunt.py
@@ -1,4 +1,4 @@
-"""Looks for days on which a rule breaks or credit is lost, and cuts them down to what matters."""
+"""Searches random days for broken rules or low credit, and minimizes the days it finds."""
 
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
@@ -10,7 +10,7 @@
 from embertray.simulation.emulator.play import play as play_emulated
 from embertray.simulation.scenarios import notation, player
 
-# fault -> how a line of it may be drawn
+# fault -> template of its arguments in a day
 FAULT_ARGUMENTS = {
     "crash": "{b} for {s}s",
     "vanish": "{b} for {s}s",
@@ -39,7 +39,7 @@
 
 
 def draw_day(site, rng):
-    """A day's text: fleet, load, one to four faults."""
+    """Returns the lines of a random day: the site, the fleet, the load and one to four faults."""
     backends, proxies = int(rng.integers(4, 11)), int(rng.integers(2, 11))
     lines = [
         f"site {site}",
@@ -72,6 +72,7 @@
 
 
 def play_day(lines, seed, core=None, simulator="emulated"):
+    """Plays a day and returns its Result. `core`: type of the controllers' core; None: the production one."""
     day = notation.read("\n".join(lines), "hunt.day")
     if simulator == "emulated":
         return play_emulated(day, seed, core=core)
@@ -79,7 +80,7 @@
 
 
 def minimize(lines, seed, reproduces, core=None, simulator="emulated"):
-    """Takes out one fault after the other for as long as `still(result)` holds."""
+    """Removes faults one by one as long as `reproduces(result)` holds, and returns the remaining lines."""
     header, faults = lines[:3], lines[3:]
     removed = True
     while removed:
@@ -93,8 +94,11 @@
 
 
 def try_day(sites, seed, core, simulator, n):
-    """Try n: (n, lines, broken rules, credit). Each is drawn from its own number, so a hunt may be cut short,
-    gone on with, or spread over processes."""
+    """Draws and plays day n; returns (n, lines, broken rules, credit).
+
+    Each day is drawn from its own number, so that a search can be interrupted, continued or spread over
+    processes with the same days.
+    """
     lines = draw_day(sites[n % len(sites)], np.random.default_rng([seed, n]))
     result = play_day(lines, n + 1, core, simulator)
     return n, lines, sorted(rule for rule, why in result.violations.items() if why), result.credit
@@ -110,8 +114,22 @@
     simulator="emulated",
     jobs=1,
 ):
-    """[(text, result)] of days found: with `rules` those on which a rule breaks, cut down; else the one of
-    the least credit."""
+    """Searches `tries` random days.
+
+    Args:
+        sites: Names of sample sites, taken in turn.
+        tries: How many days are drawn.
+        seed: Of the days' random draws.
+        find_broken_rules: Whether to return every day that breaks a rule, minimized; otherwise only the day
+            of the lowest credit is returned, as it was drawn.
+        core: Type of the controllers' core; None: the production one.
+        on_progress: Called with the count of days played and `tries`.
+        simulator: "emulated" or "virtual".
+        jobs: Count of processes.
+
+    Returns:
+        [(text of the day, Result)].
+    """
     try_numbered = partial(try_day, sites, seed, core, simulator)
     if jobs > 1:
         with ProcessPoolExecutor(jobs) as pool:
@@ -147,4 +165,5 @@
 
 
 def day_text(lines, seed, finding):
+    """Returns the text of a day file that says what was found on it."""
     return f'about "Found by a hunt, {finding}, seed {seed}"\n' + "\n".join(lines) + "\n"
--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -1,8 +1,8 @@
-"""Baselines to compare the module with; none of them is on the product's path.
+"""Baseline policies that the production policy is compared with; production code uses none of them.
 
-Each stands in the place of the decision module inside core.ControllerCore, so that identifiers, channel and
-protocol are the same. They follow the list and order tables, and guard no rule: no ledger, no pace for cold
-ones, no levels.
+Each takes the place of the policy inside ControllerCore, so that identifiers, channel and protocol are the
+same. Baselines follow the endpoint list and set tables, and enforce no rule: they keep no account of load,
+do not slow-start cold backends, and set no admission levels.
 """
 
 import numpy as np
@@ -11,36 +11,36 @@
 from embertray.policy import interface as i
 
 SECOND_NS = 10**9
-WAKE_PERIOD_NS = SECOND_NS // 4  # between two wakes that a baseline asks for
-SUBSET_SIZE = 5  # backends a proxy in the random subset
-REWEIGHT_PERIOD_NS = 2 * SECOND_NS  # between two moves by reported load
-MIN_RELATIVE_CHANGE = 0.1  # a weight is ordered again if it is off by more than this share of itself
-LOAD_OFFSET = 0.1  # added to a reported load, so that an idle backend's weight is bounded
-DEFAULT_LOAD = 0.5  # of a backend that has reported none
-ORACLE_MAX_FAILURE_SHARE = 0.5  # share of failures from which the oracle leaves a backend out
+WAKE_PERIOD_NS = SECOND_NS // 4  # between two timer events
+SUBSET_SIZE = 5  # backends per proxy
+REWEIGHT_PERIOD_NS = 2 * SECOND_NS  # between two updates of weights by reported load
+MIN_RELATIVE_CHANGE = 0.1  # smaller changes, relative to the new weight, are not sent
+LOAD_OFFSET = 0.1  # added to reported loads: bounds the weight of an idle backend
+DEFAULT_LOAD = 0.5  # of a backend that has not reported its load
+ORACLE_MAX_FAILURE_SHARE = 0.5  # the oracle excludes backends that fail at least this share
 
 
 class JoinedProxy:
     """A proxy that joined.
 
     Args:
-        zone: its zone.
+        zone: Its zone.
     """
 
     def __init__(self, zone):
         self.zone = zone
-        self.bound_key = None  # key of the table that it was bound to
+        self.bound_key = None  # key of the table that it is bound to
 
 
 class Baseline:
-    """What ControllerCore needs of a module: every proxy gets all ready backends, evenly.
+    """What ControllerCore needs of a policy; gives every proxy all ready backends with equal weights.
 
-    Policies override `key`, which names a proxy's table, and `want`, which gives the table's weights.
+    Subclasses override `table_key`, which names a proxy's table, and `desired_weights`, the table's weights.
 
     Args:
-        seed: what the policy draws from.
-        site: the site's description.
-        now: the time, ns.
+        seed: Of the policy's random draws.
+        site: The site's description.
+        now: The time, ns.
     """
 
     def __init__(self, seed, site, now):
@@ -52,13 +52,13 @@
         self.ready = {}  # backend -> its entry of the list
         self.proxies = {}  # proxy -> JoinedProxy
         self.tables = {}  # key -> Table
-        self.ordered = {}  # key -> {backend: weight} as last ordered
+        self.ordered = {}  # key -> {backend: weight} as last set
         self.loads = {}  # backend -> reported share of its cores that is busy
         self.reweight_at = 0
         self.backends = []
 
     def step(self, now, events):
-        """Takes in events at `now` ns and returns the orders that follow from them."""
+        """Applies events at `now` ns and returns the actions that follow from them."""
         self.now = now
         for event in events:
             self.apply_event(event)
@@ -73,7 +73,7 @@
         return orders
 
     def apply_event(self, event):
-        """Notes what an event says of the list, of a proxy or of a backend's load."""
+        """Applies an event of the endpoint list, of a proxy or of a backend's load; ignores all others."""
         if isinstance(event, i.EndpointListUpdate):
             if event.how != "failed":
                 self.apply_list(event)
@@ -85,7 +85,7 @@
             self.loads[event.backend] = event.load["busy"]
 
     def apply_list(self, update):
-        """Notes which backends are ready, from a complete list or from changes to it."""
+        """Updates the ready backends from a complete list or from changes to it."""
         if update.how != "changes":
             listed = {entry.backend for entry in update.entries}
             self.ready = {backend: entry for backend, entry in self.ready.items() if backend in listed}
@@ -96,7 +96,7 @@
                 self.ready.pop(entry.backend, None)
 
     def update_table(self, table_key):
-        """The orders that bring a table from what was ordered to what is wanted."""
+        """Returns the actions that bring a table to its desired weights."""
         table = self.tables.setdefault(table_key, i.Table())
         ordered = self.ordered.setdefault(table_key, {})
         desired_weights = self.desired_weights(table_key)
@@ -111,7 +111,7 @@
         return orders
 
     def bind_proxies(self):
-        """The bindings of proxies to tables that have lines, where they are not bound to them."""
+        """Binds each proxy to its table, once the table has lines."""
         orders = []
         for proxy, joined in self.proxies.items():
             table_key = self.table_key(proxy, joined.zone)
@@ -121,36 +121,36 @@
         return orders
 
     def table_key(self, proxy, zone):
-        """What names the table of a proxy of that zone; proxies of one key share a table."""
+        """Returns the key of the table of a proxy in that zone; proxies with equal keys share a table."""
         return "all"
 
     def desired_weights(self, table_key):
-        """The weights of a table: {backend: weight}."""
+        """Returns the weights of a table: {backend: weight}."""
         return dict.fromkeys(self.ready, 1.0)
 
 
 class ZoneLocal(Baseline):
-    """Each proxy the ready backends of its zone, evenly; all, if its zone has none."""
+    """Gives each proxy the ready backends of its zone with equal weights; all if the zone has none."""
 
     def table_key(self, proxy, zone):
-        """One table a zone."""
+        """Returns the zone: one table per zone."""
         return zone
 
     def desired_weights(self, table_key):
-        """The ready backends of the zone, or all."""
+        """Returns equal weights of the zone's ready backends, or of all."""
         local = [backend for backend, entry in self.ready.items() if entry.zone is table_key]
         return dict.fromkeys(local or self.ready, 1.0)
 
 
 class Subset(Baseline):
-    """Each proxy its own few, drawn; who goes is replaced."""
+    """Gives each proxy a random subset of backends; those that leave are replaced."""
 
     def table_key(self, proxy, zone):
-        """One table a proxy."""
+        """Returns the proxy: one table per proxy."""
         return proxy
 
     def desired_weights(self, table_key):
-        """Those of the proxy's few that are still ready, and others drawn in place of the rest."""
+        """Returns equal weights of the subset's backends that are still ready and of random replacements."""
         chosen = [backend for backend in self.ordered.get(table_key, {}) if backend in self.ready]
         others = [backend for backend in self.ready if backend not in chosen]
         missing = min(SUBSET_SIZE - len(chosen), len(others))
@@ -160,10 +160,10 @@
 
 
 class LeastLoad(Baseline):
-    """By inverse reported load, moved now and then."""
+    """Sets weights inversely to reported load, every REWEIGHT_PERIOD_NS."""
 
     def desired_weights(self, table_key):
-        """The weights of the last move; 1 for backends that came after it."""
+        """Returns the weights of the last update; 1 for backends that came after it."""
         if self.now >= self.reweight_at:
             self.reweight_at = self.now + REWEIGHT_PERIOD_NS
             self.weights = {
@@ -173,15 +173,15 @@
 
 
 class Oracle(Baseline):
-    """Sees the truth of every backend at once: what it can do now, whether it answers.
+    """Reads the simulated state of every backend without delay: its capacity and whether it answers.
 
-    An upper mark, no policy.
+    It is an upper bound for comparison, since no real policy can know this.
     """
 
-    backend_models = staticmethod(dict)  # name -> model.backend.Backend; whoever plays sets it
+    backend_models = staticmethod(dict)  # returns {name: Backend model}; set by the caller
 
     def desired_weights(self, table_key):
-        """Each backend that answers, by its capacity; all evenly, if none does."""
+        """Returns weights by capacity of the backends that answer; equal weights of all if none does."""
         models = self.backend_models()
         capacities = {}
         for backend in self.ready:
@@ -192,7 +192,7 @@
 
     @staticmethod
     def answers(model):
-        """Whether a backend answers most requests of every kind."""
+        """Returns whether a backend answers most requests of every kind."""
         ills = model.ills
         if model.state != "up" or ills.hang:
             return False
@@ -210,20 +210,20 @@
 
 
 def core(name):
-    """The core.ControllerCore with that policy; None for the module itself."""
+    """Returns a ControllerCore class with that policy; None for the production policy ("module")."""
     policy = POLICIES[name]
     if policy is None:
         return None
 
     class Core(ControllerCore):
-        """A core whose decision module is the policy."""
+        """A ControllerCore that runs the baseline policy."""
 
         def __init__(self, site, me, seed, now, *rest):
             super().__init__(site, me, seed, now, *rest)
             self.policy = policy(seed, site, now)
 
         def collections(self):
-            """None: a baseline keeps nothing whose size is watched."""
+            """Returns no collections: the sizes of a baseline's collections are not monitored."""
             return {}
 
     return Core
--- a/embertray/experiments/lab/report.py
+++ b/embertray/experiments/lab/report.py
@@ -1,7 +1,8 @@
-"""A page of results: broken rules first, then errors, then tables by level and arm, worst seeds, and charts.
+"""The report of an experiment: broken rules, errors, tables by level and arm, worst seeds, and charts.
 
-Differences are paired by seed (arms meet the same requests), their intervals by bootstrap. A cell in which a
-run died shows no mean: a mean over the survivors is not the mean.
+A cell is one combination of factor levels. Differences between arms are paired by seed, because all arms meet
+the same requests; confidence intervals are by bootstrap. A cell in which a run died shows no mean: the mean of
+the remaining runs would be biased.
 """
 
 from collections import defaultdict
@@ -11,12 +12,12 @@
 from hdrh.histogram import HdrHistogram
 
 BOOTSTRAP_SAMPLES, CONFIDENCE_LEVEL = 2000, 0.95
-MAX_PANELS = 6  # cells in the chart by second
-HEAVY_TAIL_FACTOR = 10  # x the median: a worst spread so far out makes its mean meaningless
+MAX_PANELS = 6  # cells shown in the chart by second
+HEAVY_TAIL_FACTOR = 10  # x the median: a worst spread beyond it makes the mean meaningless
 
 
 def confidence_interval(values, rng):
-    """(low, high) of the mean, by bootstrap."""
+    """Returns the (low, high) bounds of the mean, by bootstrap."""
     values = np.asarray(values, float)
     if len(values) < 2:
         return float(values[0]), float(values[0])
@@ -25,6 +26,7 @@
 
 
 def group_by_cell(rows):
+    """Returns {levels: {arm: rows}}."""
     rows_by_cell = defaultdict(lambda: defaultdict(list))
     for row in rows:
         rows_by_cell[tuple(sorted(row["levels"].items()))][row["arm"]].append(row)
@@ -32,7 +34,7 @@
 
 
 def sorted_cells(rows_by_cell, factors):
-    """Cells in the order of the experiment's levels."""
+    """Returns the cells in the order in which the experiment lists the levels."""
     position = {name: {level: n for n, level in enumerate(levels)} for name, levels in factors}
     return sorted(
         rows_by_cell.items(), key=lambda item: [position[name][dict(item[0])[name]] for name, _ in factors]
@@ -40,7 +42,7 @@
 
 
 def page(experiment, results, charts=()):
-    """The report in Markdown."""
+    """Returns the report in Markdown; `charts` are the file names of its charts."""
     rows, rng = list(results.rows()), np.random.default_rng(1)
     _, commit, began = results.experiment_header()
     broken = [row for row in rows if row["kept"] == 0 and row["arm"] == experiment.arms[0][0]]
@@ -143,8 +145,10 @@
 
 
 def factor_chart(experiment, results, path):
-    """Credit by the first factor whose levels are numbers, a line an arm, with intervals; False if there is
-    none.
+    """Draws mean credit by the first factor whose levels are numbers, with intervals, one line per arm.
+
+    Returns:
+        False if no factor has numeric levels; nothing is drawn then.
     """
     import matplotlib
 
@@ -180,7 +184,7 @@
 
 
 def merge_histograms(rows):
-    """One histogram of all the rows' requests, or None. Counts add up: nothing is averaged."""
+    """Returns one histogram of the latencies of all rows, or None. Counts are added; nothing is averaged."""
     total = None
     for row in rows:
         if row["took"]:
@@ -193,7 +197,7 @@
 
 
 def latency_table(experiment, results):
-    """A table of what requests took, by arm and levels, from merged histograms."""
+    """Returns a table of latency percentiles by levels and arm, from merged histograms."""
     names = [name for name, _ in experiment.factors]
     lines = [
         "",
@@ -216,8 +220,10 @@
 
 
 def credit_timeline_chart(experiment, results, path):
-    """Credit by second, a line an arm (mean over seeds), one panel a cell, with the day's faults shaded;
-    False if no row has one.
+    """Draws credit by second: one panel per cell, one line per arm (mean over seeds), faults shaded.
+
+    Returns:
+        False if no row has credit by second; nothing is drawn then.
     """
     import matplotlib
 
@@ -260,7 +266,11 @@
 
 
 def latency_chart(experiment, results, path):
-    """The distribution of what requests took, a line an arm, all cells together; False if there is none."""
+    """Draws the latency distribution of all cells together, one line per arm.
+
+    Returns:
+        False if no row has latencies; nothing is drawn then.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
@@ -287,6 +297,7 @@
 
 
 def parse_number(text):
+    """Returns the text as a float, or None if it is no number."""
     try:
         return float(text)
     except ValueError:
@@ -294,8 +305,9 @@
 
 
 def compare(before, after, rng=None):
-    """Rows by arm and levels: mean difference of credit (two - one) over the runs in both, with its
-    interval.
+    """Returns a table of the mean difference of credit, after - before, by arm and levels.
+
+    Only runs that succeeded in both results files count; each mean has its confidence interval.
     """
     rng = rng or np.random.default_rng(1)
     before_by_key, after_by_key = ({r["key"]: r for r in results.rows()} for results in (before, after))
--- a/embertray/experiments/lab/results.py
+++ b/embertray/experiments/lab/results.py
@@ -1,4 +1,4 @@
-"""One sqlite file of results: a row a run, also for one that died or hung; with commit, settings and seed."""
+"""Results of an experiment in an sqlite file: one row per run, including runs that died or hung."""
 
 import json
 import sqlite3
@@ -12,17 +12,24 @@
 
 
 class Results:
-    """Rows are written as runs end, each in a transaction: a kill loses no finished run."""
+    """A results file.
+
+    Each row is written in its own transaction as its run ends: if the process is killed, no finished run is
+    lost.
+
+    Args:
+        path: The file; it is created if it does not exist.
+    """
 
     def __init__(self, path):
         self.db = sqlite3.connect(path)
         self.db.executescript(SCHEMA)
 
     def begin(self, experiment, commit, began):
-        """Raises ValueError if the file belongs to another experiment's text."""
+        """Stores the experiment in a new file. Raises ValueError if the file holds another text."""
         row = self.db.execute("select text from experiment").fetchone()
         if row and row[0] != experiment.text:
-            raise ValueError("the results file belongs to another experiment, or to another text of this one")
+            raise ValueError("the results file holds another experiment, or another version of this one")
         if not row:
             with self.db:
                 self.db.execute(
@@ -31,9 +38,11 @@
                 )
 
     def finished_keys(self):
+        """Returns the keys of all runs that have a row, also of failed ones."""
         return {key for (key,) in self.db.execute("select key from runs")}
 
     def add(self, run, result, error, wall_time_s):
+        """Stores a run with its result, or with its error."""
         latencies = result.get("spread_ms", {}) if result else {}
         row = (run.key, json.dumps(dict(run.levels)), run.arm, run.seed, wall_time_s, error)
         row += (
@@ -56,14 +65,16 @@
             self.db.execute("insert or replace into runs values (?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)", row)
 
     def delete_failed_runs(self):
+        """Deletes the rows of runs that died or hung, so that they are run again."""
         with self.db:
             self.db.execute("delete from runs where error is not null")
 
     def experiment_header(self):
+        """Returns (text of the experiment, commit, time of its start); None for an empty file."""
         return self.db.execute("select text, commit_id, began from experiment").fetchone()
 
     def rows(self):
-        """Dicts, in the order of their keys: the order in which runs ended says nothing."""
+        """Yields each row as a dict, by run key: the order in which runs ended carries no information."""
         columns = (
             "key",
             "levels",
--- a/embertray/experiments/lab/run.py
+++ b/embertray/experiments/lab/run.py
@@ -1,6 +1,4 @@
-"""Runs an experiment: each run a process of its own, so that one that dies or hangs is a row with its
-error.
-"""
+"""Runs an experiment, each run in its own process: one that dies or hangs becomes a row with its error."""
 
 import json
 import subprocess
@@ -11,7 +9,7 @@
 
 
 def source_commit():
-    """The checkout's commit, with + if it has changes; "" outside one."""
+    """Returns the commit of the checkout, with "+" if its code has changes; "" outside a checkout."""
     root = Path(__file__).resolve().parents[3]
     try:
         head = subprocess.run(
@@ -26,7 +24,7 @@
 
 
 def run_in_process(experiment, run):
-    """(result or None, error or None, seconds)"""
+    """Returns (result or None, error or None, wall time in s) of one run."""
     began = time.monotonic()
     request = json.dumps({"text": experiment.text, "key": run.key})
     try:
@@ -42,15 +40,13 @@
         return None, f"hung: not done within {experiment.timeout_s} s", time.monotonic() - began
     wall_time_s = time.monotonic() - began
     if process.returncode:
-        last_line = (process.stderr.strip().splitlines() or ["no word"])[-1]
+        last_line = (process.stderr.strip().splitlines() or ["no error output"])[-1]
         return None, f"died with {process.returncode}: {last_line[:300]}", wall_time_s
     return json.loads(process.stdout), None, wall_time_s
 
 
 def run(experiment, results, jobs, on_progress=lambda done, total: None):
-    """Plays what is missing in the results. How many processes there are changes nothing in the rows but wall
-    times.
-    """
+    """Runs what the results lack, `jobs` processes at a time; their count changes nothing but wall times."""
     finished = results.finished_keys()
     unfinished = [pending for pending in experiment.runs() if pending.key not in finished]
     total, done = len(unfinished) + len(finished), len(finished)
--- a/embertray/experiments/lab/single_run.py
+++ b/embertray/experiments/lab/single_run.py
@@ -1,5 +1,7 @@
-"""`python -m embertray.experiments.lab.single_run`: plays one run, described as JSON on standard
-input; its result is JSON on standard output.
+"""`python -m embertray.experiments.lab.single_run` plays one run.
+
+Standard input: a JSON object with the text of the experiment and the key of the run. Standard output: the
+result as a JSON object.
 """
 
 import json
@@ -12,7 +14,7 @@
 
 
 def play(definition, run):
-    """The Result of one run."""
+    """Plays one run of an experiment and returns its Result."""
     day = definition.day_of(run)
     core = policies.core(run.policy)
     stages = []
@@ -26,6 +28,7 @@
 
 
 def main():
+    """Reads the request from standard input and writes the result to standard output."""
     request = json.load(sys.stdin)
     definition = experiment.read(request["text"])
     run = next(run for run in definition.runs() if run.key == request["key"])
