--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -33,38 +33,41 @@
 </experiment>"""
 
 
-class Theory(unittest.TestCase):
+class QueueingTheoryTest(unittest.TestCase):
     """Waits within the confidence interval of batch means."""
 
-    def near(self, values, expected, also=0.0):
+    def assert_mean_near(self, values, expected, tolerance=0.0):
         mean, half = batch_confidence_interval(values)
-        self.assertLess(abs(mean - expected), half + also, (mean, expected, half))
+        self.assertLess(abs(mean - expected), half + tolerance, (mean, expected, half))
         self.assertLess(half, 0.3 * expected + 0.02)  # an interval so wide would prove nothing
 
-    def test_one_and_many_cores(self):
+    def test_one_and_several_cores(self):
         for cores, load in ((1, 0.5), (1, 0.8), (4, 0.7)):
-            self.near(
+            self.assert_mean_near(
                 simulate_waits(1, cores, load, 24_000, np.random.default_rng(cores)), erlang_c(cores, load)
             )
 
-    def test_fixed_service(self):
-        self.near(simulate_waits(1, 1, 0.7, 24_000, np.random.default_rng(2), "fixed"), md1_wait(0.7))
+    def test_deterministic_service(self):
+        self.assert_mean_near(
+            simulate_waits(1, 1, 0.7, 24_000, np.random.default_rng(2), "fixed"), md1_wait(0.7)
+        )
 
-    def test_processor_sharing_is_insensitive_to_the_service(self):
+    def test_processor_sharing_is_insensitive_to_the_service_distribution(self):
         for cores, load, service in ((1, 0.6, "exp"), (1, 0.6, "fixed"), (4, 0.8, "fixed")):
             waits = simulate_waits(
                 1, cores, load, 24_000, np.random.default_rng(cores), service, sharing=True
             )
-            self.near(waits, processor_sharing_delay(cores, load))
+            self.assert_mean_near(waits, processor_sharing_delay(cores, load))
 
-    def test_the_shorter_of_two(self):
+    def test_shorter_of_two_queues(self):
         waits = simulate_waits(100, 1, 0.8, 24_000, np.random.default_rng(3), choices=2)
-        self.near(waits, power_of_choices_wait(0.8), also=0.04)  # the limit is of many queues; here are 100
+        # the formula is the limit for many queues; here are 100
+        self.assert_mean_near(waits, power_of_choices_wait(0.8), tolerance=0.04)
         self.assertLess(
             waits.mean(), 0.5 * simulate_waits(100, 1, 0.8, 24_000, np.random.default_rng(3)).mean()
         )
 
-    def test_ties_go_in_the_order_of_their_planning_and_time_never_stands_still(self):
+    def test_simultaneous_calls_run_in_scheduling_order_and_a_stuck_clock_is_an_error(self):
         engine, seen = Engine(), []
         for n in range(5):
             engine.at(7, seen.append, n)
@@ -82,51 +85,53 @@
             engine.run()
 
 
-class Lab(unittest.TestCase):
+class LabTest(unittest.TestCase):
     def setUp(self):
         box = tempfile.TemporaryDirectory()
         self.addCleanup(box.cleanup)
         self.path = Path(box.name) / "r.sqlite"
-        self.told = experiment.read(TEXT)
+        self.definition = experiment.read(TEXT)
 
     def results(self, path=None):
         results = Results(path or self.path)
         self.addCleanup(results.db.close)
-        results.begin(self.told, "abc", "now")
+        results.begin(self.definition, "abc", "now")
         return results
 
     def rows(self, results):
         return [{k: v for k, v in row.items() if k != "wall"} for row in results.rows()]
 
-    def test_it_goes_on_where_it_was_stopped_and_the_rows_are_the_same(self):
+    def test_a_resumed_experiment_has_the_same_rows(self):
         whole, half = self.results(), self.results(self.path.with_name("half.sqlite"))
-        run.run(self.told, whole, jobs=4)
-        for found in list(self.told.runs())[3:0:-1]:
-            half.add(found, *run.run_in_process(self.told, found))
-        run.run(self.told, half, jobs=1)
+        run.run(self.definition, whole, jobs=4)
+        for found in list(self.definition.runs())[3:0:-1]:
+            half.add(found, *run.run_in_process(self.definition, found))
+        run.run(self.definition, half, jobs=1)
         self.assertEqual(len(self.rows(whole)), 8)
         self.assertEqual(self.rows(whole), self.rows(half))
-        self.assertIn("| 3 |", report.page(self.told, whole))
+        self.assertIn("| 3 |", report.page(self.definition, whole))
         self.assertIn("+0.0000", report.compare(whole, half))
 
-    def test_a_run_that_hangs_or_dies_is_a_row_and_no_mean_is_shown(self):
-        hasty = experiment.read(TEXT.replace('seconds="60"', 'seconds="1"').replace("for 3s", "for 900s"))
+    def test_a_run_that_hangs_or_dies_is_reported_and_its_cell_shows_no_mean(self):
+        short_timeout = experiment.read(
+            TEXT.replace('seconds="60"', 'seconds="1"').replace("for 3s", "for 900s")
+        )
         results = Results(self.path)
         self.addCleanup(results.db.close)
-        results.begin(hasty, "", "now")
-        runs = list(hasty.runs())
-        results.add(runs[0], *run.run_in_process(hasty, runs[0]))
+        results.begin(short_timeout, "", "now")
+        runs = list(short_timeout.runs())
+        results.add(runs[0], *run.run_in_process(short_timeout, runs[0]))
         results.add(runs[2], {"broken": {}, "credit": 0.9, "credit_by_kind": {}, "reqs": 5}, None, 1.0)
         self.assertIn("hung", next(results.rows())["error"] or list(results.rows())[1]["error"])
-        page = report.page(hasty, results)
+        page = report.page(short_timeout, results)
         self.assertIn("1 runs died or hung", page)
         self.assertIn("1 of 2 died", page)
         self.assertIn("runs are missing", page)
         self.assertNotIn("0.900", page.split("Worst")[0])
 
-    def test_a_broken_rule_in_one_run_is_on_the_first_line(self):
+    def test_a_rule_broken_in_one_run_is_on_the_first_line(self):
         results = self.results()
-        for n, found in enumerate(self.told.runs()):
+        for n, found in enumerate(self.definition.runs()):
             broken = {"drain": ["at 3 s"]} if n == 4 else {}
             results.add(
                 found,
@@ -143,11 +148,11 @@
         (
             first,
             *_,
-        ) = report.page(self.told, results).split("\n")
+        ) = report.page(self.definition, results).split("\n")
         self.assertIn("BREAK A RULE (drain)", first)
-        self.assertIn("heavy tail", report.page(self.told, results))
+        self.assertIn("heavy tail", report.page(self.definition, results))
 
-    def test_another_experiment_is_not_mixed_in(self):
+    def test_a_results_file_rejects_another_experiment(self):
         self.results()
         other = experiment.read(TEXT.replace("Small", "Other"))
         results = Results(self.path)
@@ -157,7 +162,7 @@
         with self.assertRaises(sqlite3.OperationalError):
             Results(self.path.parent)
 
-    def test_bad_experiments_name_the_line(self):
+    def test_errors_of_invalid_experiments_name_the_line(self):
         for old, new, word in (
             ('policy="even"', 'policy="best"', "best"),
             ("$n proxies", "$m proxies", "'m'"),
@@ -170,20 +175,20 @@
             self.assertIn("x.xml:", str(caught.exception))
             self.assertIn(word, str(caught.exception))
 
-    def test_every_baseline_serves(self):
+    def test_every_policy_serves_requests(self):
         for name in policies.POLICIES:
-            told = experiment.read(
+            definition = experiment.read(
                 TEXT.replace('policy="even"', f'policy="{name}"').replace('name="even"', 'name="it"')
             )
             found, error, _ = run.run_in_process(
-                told, next(r for r in told.runs() if r.arm == "it" and r.levels == (("n", "10"),))
+                definition, next(r for r in definition.runs() if r.arm == "it" and r.levels == (("n", "10"),))
             )
             self.assertIsNone(error)
             self.assertGreater(found["credit"], 0.95, name)
 
 
-class Hunt(unittest.TestCase):
-    def test_finds_what_a_sabotaged_controller_breaks_and_cuts_the_day_down(self):
+class HuntTest(unittest.TestCase):
+    def test_finds_and_minimizes_a_day_on_which_a_sabotaged_controller_breaks_a_rule(self):
         found = hunt.hunt(["pushed"], 8, seed=3, core=sabotage.DropsRemovals)
         self.assertTrue(found)
         text, result = found[0]
