--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab and the emulator's engine: theory, resumption, rows for what dies, reports that hide nothing."""
+"""Tests of the lab and the emulator's engine: queueing theory, resumed experiments, failed runs, reports."""
 
 import sqlite3
 import tempfile
@@ -34,12 +34,12 @@
 
 
 class QueueingTheoryTest(unittest.TestCase):
-    """Waits within the confidence interval of batch means."""
+    """Simulated waits agree with queueing theory within the confidence interval of batch means."""
 
     def assert_mean_near(self, values, expected, tolerance=0.0):
         mean, half = batch_confidence_interval(values)
         self.assertLess(abs(mean - expected), half + tolerance, (mean, expected, half))
-        self.assertLess(half, 0.3 * expected + 0.02)  # an interval so wide would prove nothing
+        self.assertLess(half, 0.3 * expected + 0.02)  # a wider interval would prove nothing
 
     def test_one_and_several_cores(self):
         for cores, load in ((1, 0.5), (1, 0.8), (4, 0.7)):
