--- a/embertray/experiments/lab/report.py
+++ b/embertray/experiments/lab/report.py
@@ -1,8 +1,8 @@
 """The report of an experiment: broken rules, errors, tables by level and arm, worst seeds, and charts.
 
-A cell is one combination of factor levels. Differences between arms are paired by seed, because all arms meet
-the same requests; confidence intervals are by bootstrap. A cell in which a run died shows no mean: the mean of
-the remaining runs would be biased.
+A cell is one combination of factor levels. Differences between arms are paired by seed, because all arms
+meet the same requests; confidence intervals are by bootstrap. A cell in which a run died shows no mean: the
+mean of the remaining runs would be biased.
 """
 
 from collections import defaultdict
