--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -15,7 +15,7 @@
 from embertray.controller.channel.budget import channel_budget
 from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.emulator.play import play as play_emulated
-from embertray.simulation.models.random_streams import Streams
+from embertray.simulation.models.random_streams import RandomStreams
 from embertray.simulation.scenarios import notation, player
 
 from .capacity import capacity
@@ -73,7 +73,7 @@
             TcpNet(),
             snapshot_store,
             seed,
-            Streams(seed).of("cuts", me.name).random,
+            RandomStreams(seed).of("cuts", me.name).random,
         )
         async with anyio.create_task_group() as group:
             group.start_soon(stop_on_signal, service, group.cancel_scope)
--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -10,7 +10,7 @@
 from embertray.common.net.tcp import TcpNet
 from embertray.service.site import SiteError, load as load_site
 from embertray.simulation.models.backend import Backend, Shape
-from embertray.simulation.models.random_streams import Streams
+from embertray.simulation.models.random_streams import RandomStreams
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
 from embertray.simulation.standins.inventory import StandinInventory
@@ -62,7 +62,7 @@
             Backend(listen, "", Shape(cores, speed, warm_up_time=int(warm * NS_PER_SECOND))),
             TcpNet(),
             agenda,
-            Streams(1).of("failing").random,
+            RandomStreams(1).of("failing").random,
         )
         async with anyio.create_task_group() as group:
             print_line(f"backend listens on {await group.start(backend.run)}")
@@ -119,7 +119,7 @@
         raise InputError(str(error)) from None
 
     async def main():
-        agenda, streams, counts = Agenda(LoopClock()), Streams(1), {"done": 0, "late": 0, "lost": 0}
+        agenda, streams, counts = Agenda(LoopClock()), RandomStreams(1), {"done": 0, "late": 0, "lost": 0}
         proxy = StandinProxy(
             name,
             zone or description.zones[0],
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -24,7 +24,7 @@
 from embertray.service.daemon import Service
 from embertray.service.site import load
 from embertray.service.site.schema import SITE_FOLDER as SITES
-from embertray.simulation.models.random_streams import Streams
+from embertray.simulation.models.random_streams import RandomStreams
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.memory_net import MemoryNet
@@ -89,7 +89,7 @@
     """
 
     def __init__(self, plan, net, clock, seed):
-        self.plan, self.net, self.clock, self.streams = plan, net, clock, Streams(seed)
+        self.plan, self.net, self.clock, self.streams = plan, net, clock, RandomStreams(seed)
         self.rng, self.rows, self.fleet, self.site = self.streams.of("churn"), [], None, None
 
     async def prepare(self, group, start_service):
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -12,7 +12,7 @@
 from embertray.service.site.values import parse_duration
 from embertray.simulation.claims.cluster import ClusterClaims
 from embertray.simulation.models.network import Network
-from embertray.simulation.models.random_streams import Streams
+from embertray.simulation.models.random_streams import RandomStreams
 from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.words import LINKS
 
@@ -77,7 +77,7 @@
         self.membership.links = NetworkLinks(random.Random(f"{seed} links"), self.links)
         self.engine = self.membership.engine
         self.exchangers = {}
-        self.chance = Streams(seed)
+        self.chance = RandomStreams(seed)
         self.claims = ClusterClaims(self.links, period, EXCHANGE_TIMEOUT_NS, CLAIMS_MARGIN_NS)
         self.clock = self.engine
         self.held = self
--- a/embertray/simulation/models/random_streams.py
+++ b/embertray/simulation/models/random_streams.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 
-class Streams:
+class RandomStreams:
     """`of("clients", 3)` is always the same generator's start for the same seed."""
 
     def __init__(self, seed):
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -12,7 +12,7 @@
 from embertray.service.site.values import parse_duration as span
 from embertray.simulation.models.arrivals import Bursts, Poisson, Varying, flash, wave
 from embertray.simulation.models.backend import Shape
-from embertray.simulation.models.random_streams import Streams
+from embertray.simulation.models.random_streams import RandomStreams
 
 from .exceptions import DayError
 from .outcome_summary import OutcomeSummary
@@ -44,7 +44,7 @@
 
     def __init__(self, day, seed):
         self.day = day
-        self.chance = Streams(seed)
+        self.chance = RandomStreams(seed)
         self.sample = Path(day.site)
         if not self.sample.suffix:
             self.sample = SITES / "samples" / f"{day.site}.xml"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -30,7 +30,7 @@
 from embertray.controller.trust.table_retention import TABLE_RETENTION_NS, TABLE_RETENTION_UNLISTED_NS
 from embertray.controller.trust.tombstones import TOMBSTONE_PERIOD_NS
 from embertray.controller.trust.verification import VERIFICATION_PERIOD_NS
-from embertray.simulation.models.random_streams import Streams
+from embertray.simulation.models.random_streams import RandomStreams
 from embertray.simulation.scenarios import notation, player
 
 S = 10**9
@@ -449,7 +449,7 @@
                     now += follower.connection_failed()
             return max(at.values())
 
-        streams = Streams(1)
+        streams = RandomStreams(1)
         self.assertEqual(largest_load([lambda: 1.0] * 1000), 1000)
         self.assertLess(largest_load([streams.of("start", n).random for n in range(1000)]), 200)
 
