--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -193,10 +193,10 @@
     @staticmethod
     def answers(model):
         """Returns whether a backend answers most requests of every kind."""
-        ills = model.ills
-        if model.state != "up" or ills.hang:
+        faults = model.faults
+        if model.state != "up" or faults.hang:
             return False
-        return ills.fails < ORACLE_MAX_FAILURE_SHARE and not ills.kinds
+        return faults.error_share < ORACLE_MAX_FAILURE_SHARE and not faults.failing_kinds
 
 
 POLICIES = {
--- a/embertray/simulation/emulator/flow_fleet.py
+++ b/embertray/simulation/emulator/flow_fleet.py
@@ -140,7 +140,7 @@
         cycles = [self._draw(proxy) for proxy in self.proxies.values()]
         arrivals = self._arrivals(cycles)
         results = {
-            name: backend.pour(now, self.cycle, arrivals.get(name, 0), self.work, CLIENT_TIMEOUT_NS)
+            name: backend.serve_flow(now, self.cycle, arrivals.get(name, 0), self.work, CLIENT_TIMEOUT_NS)
             for name, backend in self.backends.items()
         }
         loads = {name: backend.report(now) for name, backend in self.backends.items()}
@@ -180,7 +180,7 @@
         if result is None:
             return BackendTotals(name, count, count, 0, load)
         failed = round(count * (1 - result.done))
-        return BackendTotals(name, count, failed, (count - failed) * result.took, load)
+        return BackendTotals(name, count, failed, (count - failed) * result.latency, load)
 
     def _arrival_totals(self, requests):
         """Splits requests evenly over the kinds; the first kind gets the remainder."""
--- a/embertray/simulation/emulator/fluid_backends.py
+++ b/embertray/simulation/emulator/fluid_backends.py
@@ -55,7 +55,7 @@
         loads = flows.sum(axis=1)
         for column, backend in enumerate(backends):
             requests = loads[column]
-            if requests <= 0 and backend.model.waits <= 0:
+            if requests <= 0 and backend.model.queued_work <= 0:
                 continue
             work = float(flows[column] @ self.works / requests) if requests > 0 else float(self.works.mean())
             self._process_backend(now, column, backend.model, requests, work, results)
@@ -63,14 +63,14 @@
         return results
 
     def _process_backend(self, now, column, model, requests, work, results):
-        result = model.pour(now, self.step, requests, work, self._timeout)
+        result = model.serve_flow(now, self.step, requests, work, self._timeout)
         slowdown = model.shape.cores / max(MIN_CAPACITY, model.capacity(now))
-        wait = max(0.0, result.took - work * slowdown)
+        wait = max(0.0, result.latency - work * slowdown)
         for k, kind in enumerate(self.kinds):
             service = self.works[k] * slowdown
             results.latency[column, k] = wait + service
             results.late[column, k] = late_part(wait, kind.latency_objective - service)
-            fails = kind.external_id in model.ills.kinds
+            fails = kind.external_id in model.faults.failing_kinds
             results.failed[column, k] = 1.0 if fails else 1 - result.done
 
 
--- a/embertray/simulation/emulator/queueing.py
+++ b/embertray/simulation/emulator/queueing.py
@@ -42,7 +42,9 @@
         self.arrivals = {}
         self.next_end_at = {}
         for n in range(servers):
-            backend = Backend(str(n), "z", Shape(cores=cores, queue=10**9, cap=10**9, sharing=sharing))
+            backend = Backend(
+                str(n), "z", Shape(cores=cores, queue=10**9, connections_max=10**9, sharing=sharing)
+            )
             backend.start(0, cold=False)
             self.backends.append(backend)
 
--- a/embertray/simulation/scenarios/faults/backends.py
+++ b/embertray/simulation/scenarios/faults/backends.py
@@ -26,35 +26,35 @@
         for backend in struck:
             self.come_back(backend)
 
-    async def ills(self, **ills):
+    async def set_faults(self, **faults):
         """Sets fields of the struck backends' ills for the fault's length, then their defaults again."""
         for backend in (struck := self.backends()):
-            for name, value in ills.items():
-                setattr(backend.model.ills, name, value)
+            for name, value in faults.items():
+                setattr(backend.model.faults, name, value)
         await self.wait(self.spec.lasts)
         for backend in struck:
-            for name in ills:
-                setattr(backend.model.ills, name, type(backend.model.ills)().__getattribute__(name))
+            for name in faults:
+                setattr(backend.model.faults, name, type(backend.model.faults)().__getattribute__(name))
 
     async def do_slow(self):
         """Their work takes `times` as long."""
-        await self.ills(slow=self.spec.times)
+        await self.set_faults(slowdown=self.spec.times)
 
     async def do_hang(self):
         """They take requests and answer none."""
-        await self.ills(hang=True)
+        await self.set_faults(hang=True)
 
     async def do_errors(self):
         """They fail a `share` of requests, all by default."""
-        await self.ills(fails=float(self.spec.options.get("share", "1")))
+        await self.set_faults(error_share=float(self.spec.options.get("share", "1")))
 
     async def do_kind_fails(self):
         """They fail all requests of the kinds in `kind`."""
-        await self.ills(kinds=set(self.spec.options["kind"].split(",")))
+        await self.set_faults(failing_kinds=set(self.spec.options["kind"].split(",")))
 
     async def do_false_reports(self):
         """They report `times` their load; a tenth by default."""
-        await self.ills(lies=self.spec.times if self.spec.times != 1 else 0.1)
+        await self.set_faults(report_factor=self.spec.times if self.spec.times != 1 else 0.1)
 
     async def do_flap(self):
         """They die and come back `times` over, `by` down and `by` up."""
--- a/embertray/simulation/scenarios/faults/base.py
+++ b/embertray/simulation/scenarios/faults/base.py
@@ -66,6 +66,6 @@
     def come_back(self, backend):
         """Starts a backend that died, cold and well; the list learns of it after `notice`."""
         backend.start(cold=True)
-        backend.model.ills.__init__()
+        backend.model.faults.__init__()
         self.note("started", backend.model.name)
         self.list(backend, "ready", span(self.fleet["notice"]))
--- a/embertray/simulation/standins/backend.py
+++ b/embertray/simulation/standins/backend.py
@@ -40,7 +40,7 @@
 
     def on_end(self, link):
         if self.links.pop(link, self) is not self:
-            self.model.closed()
+            self.model.disconnect()
 
     def on_req(self, link, req):
         if not isinstance(req, Req):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -226,7 +226,7 @@
 
 class Models(unittest.TestCase):
     def backend(self, **shape):
-        backend = Backend("b", "z", Shape(cores=2, queue=10, cap=99, warm_up_time=0, **shape))
+        backend = Backend("b", "z", Shape(cores=2, queue=10, connections_max=99, warm_up_time=0, **shape))
         backend.start(0, cold=False)
         return backend
 
@@ -257,10 +257,10 @@
         backend = self.backend()
         done = full = 0.0
         for n in range(100):  # 4 requests a second at a capacity of 2
-            met = backend.pour(n * S // 10, S // 10, 0.4, S, 100 * S)
-            self.assertAlmostEqual(met.done + met.full + met.late, 1)
+            met = backend.serve_flow(n * S // 10, S // 10, 0.4, S, 100 * S)
+            self.assertAlmostEqual(met.done + met.full + met.timed_out, 1)
             done, full = done + met.done * 0.4, full + met.full * 0.4
-        self.assertLessEqual(backend.waits, 10 * S)
+        self.assertLessEqual(backend.queued_work, 10 * S)
         self.assertAlmostEqual(done, 2 * 10 + 10, delta=1.5)  # the capacity of 10 s, and the queue
         self.assertAlmostEqual(full, 10, delta=1.5)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -340,7 +340,7 @@
         backend.start(3 * S, cold=True)
         backend.offer(3 * S, 9, "view", S, None)
         self.assertEqual(backend.next_at(), 5 * S)
-        backend.ills.hang = True
+        backend.faults.hang = True
         self.assertEqual(backend.advance(9 * S), [])
 
 
