--- a/embertray/simulation/emulator/clients.py
+++ b/embertray/simulation/emulator/clients.py
@@ -31,22 +31,30 @@
 
     def _send_new(self, kind, work):
         now = self.simulation.engine.time
-        self._attempt(self._new_ask(now, kind, work))
+        self._attempt(self._new_request(now, kind, work))
         self.schedule_next()
 
-    def _new_ask(self, now, kind, work):
+    def _new_request(self, now, kind, work):
         if kind is None:  # the source determines arrival times only
-            return self.model.draw(now)
-        return self.model.ask(now, self.model.kinds[kind], work)
+            return self.model.draw_request(now)
+        return self.model.new_request(now, self.model.kinds[kind], work)
 
-    def _attempt(self, ask):
+    def _attempt(self, client_request):
         engine = self.simulation.engine
-        within = self.model.attempt(engine.time, ask)
+        within = self.model.attempt(engine.time, client_request)
         if within is None:
-            self.simulation.eyes.ended(engine.time, ask.at, ask.kind, "lost", 0)
+            self.simulation.eyes.ended(engine.time, client_request.arrived_at, client_request.kind, "lost", 0)
             return
-        ask.timer = engine.after(within, self._on_ended, ask.ident, ask.tries, "timeout")
-        request = Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries)
+        client_request.timer = engine.after(
+            within, self._on_ended, client_request.ident, client_request.attempts, "timeout"
+        )
+        request = Req(
+            client_request.ident,
+            client_request.kind.external_id,
+            client_request.work,
+            within,
+            client_request.attempts,
+        )
         self.proxy.on_request(request, self._on_response)
 
     def _on_response(self, request, outcome, retry_after=0):
@@ -54,12 +62,14 @@
 
     def _on_ended(self, ident, attempt, outcome, retry_after=0):
         engine = self.simulation.engine
-        found = self.model.heard(engine.time, ident, attempt, outcome, retry_after)
+        found = self.model.attempt_ended(engine.time, ident, attempt, outcome, retry_after)
         if found is None:  # the attempt has ended already
             return
-        ask, verdict, duration = found
-        ask.timer.cancel()
+        client_request, verdict, duration = found
+        client_request.timer.cancel()
         if verdict == "again":
-            engine.at(engine.time + duration, self._attempt, ask)
+            engine.at(engine.time + duration, self._attempt, client_request)
         else:
-            self.simulation.eyes.ended(engine.time, ask.at, ask.kind, verdict, duration)
+            self.simulation.eyes.ended(
+                engine.time, client_request.arrived_at, client_request.kind, verdict, duration
+            )
--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -50,7 +50,7 @@
 
     def send(self, kind, work):
         now, model = self.agenda.now(), self.model
-        self.put(model.draw(now) if kind is None else model.ask(now, model.kinds[kind], work))
+        self.put(model.draw_request(now) if kind is None else model.new_request(now, model.kinds[kind], work))
         self.plan()
 
     def put(self, ask):
@@ -60,15 +60,15 @@
         if within is None:
             self.close(ask, "lost")
             return
-        ask.timer = self.agenda.after(within, self.heard, ask.ident, ask.tries, "timeout")
-        self.link.put(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.tries))
+        ask.timer = self.agenda.after(within, self.heard, ask.ident, ask.attempts, "timeout")
+        self.link.put(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.attempts))
 
     def on_end(self, end):
         if isinstance(end, End):
             self.heard(end.ident, end.attempt, end.how, end.wait)
 
     def heard(self, ident, tries, how, stay=0):
-        found = self.model.heard(self.agenda.now(), ident, tries, how, stay)
+        found = self.model.attempt_ended(self.agenda.now(), ident, tries, how, stay)
         if found is None:
             return
         ask, verdict, span = found
@@ -80,9 +80,9 @@
 
     def close(self, ask, how, took=0):
         if self.ended:
-            self.ended(self.agenda.now(), ask.at, ask.kind, how, took)
+            self.ended(self.agenda.now(), ask.arrived_at, ask.kind, how, took)
         self.look()
 
     def look(self):
-        if not self.model.open and not self.until:
+        if not self.model.pending and not self.until:
             self.idle.set()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -321,12 +321,12 @@
         )
         clients = Clients(1, [(kind, 1.0, S // 10)], np.random.default_rng(2))
         for how, verdict in (("error", "lost"), ("timeout", "lost"), ("denied", "again")):
-            ask = clients.draw(0)
+            ask = clients.draw_request(0)
             self.assertEqual(clients.attempt(0, ask), S)
-            self.assertEqual(clients.heard(1, ask.ident, 1, how)[1], verdict)
+            self.assertEqual(clients.attempt_ended(1, ask.ident, 1, how)[1], verdict)
         self.assertEqual(clients.attempt(S, ask), S)
-        self.assertEqual(clients.heard(S + 5, ask.ident, 2, "done")[1:], ("late", S + 5))
-        self.assertEqual(clients.open, {})
+        self.assertEqual(clients.attempt_ended(S + 5, ask.ident, 2, "done")[1:], ("late", S + 5))
+        self.assertEqual(clients.pending, {})
 
 
 if __name__ == "__main__":
