--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -51,7 +51,7 @@
     "omission_removes": "drops_bind",
     "report_interval": "report_cycle",
 }
-FIELDS = {recorded: field for field, recorded in RECORDED_FIELDS.items()}
+FIELDS_BY_RECORDED_NAME = {recorded: field for field, recorded in RECORDED_FIELDS.items()}
 
 
 def recorded_name(kind):
@@ -59,54 +59,58 @@
     return RECORDED_TYPES.get(kind.__name__, kind.__name__)
 
 
-KINDS = {recorded_name(kind): kind for kind in vars(i).values() if isinstance(kind, type)}
+TYPES_BY_RECORDED_NAME = {recorded_name(kind): kind for kind in vars(i).values() if isinstance(kind, type)}
 MS, S = 10**6, 10**9
 
 
-class Names:
+class RowCodec:
     """Converts objects of the interface to rows of JSON and back.
 
     A handle or request kind is written as its type and a number, in the order of first use.
     """
 
     def __init__(self):
-        self.numbers, self.things, self.counts = {}, {}, {}
+        self.numbers, self.objects, self.counts = {}, {}, {}
 
-    def row(self, thing):
+    def to_row(self, thing):
         """Returns the row of an object."""
         if isinstance(thing, (i.Handle, i.RequestKind)):
             if thing not in self.numbers:
                 name = type(thing).__name__
                 self.counts[name] = n = self.counts.get(name, 0) + 1
                 self.numbers[thing] = [name, n]
-                self.things[name, n] = thing
+                self.objects[name, n] = thing
             return {"at": self.numbers[thing]}
         if dataclasses.is_dataclass(thing):
             return {"of": recorded_name(type(thing))} | {
-                RECORDED_FIELDS.get(field.name, field.name): self.row(getattr(thing, field.name))
+                RECORDED_FIELDS.get(field.name, field.name): self.to_row(getattr(thing, field.name))
                 for field in dataclasses.fields(thing)
             }
         if isinstance(thing, (list, tuple)):
-            return [self.row(one) for one in thing]
+            return [self.to_row(one) for one in thing]
         return thing
 
-    def thing(self, row):
+    def from_row(self, row):
         """Returns the object of a row; a handle that is new is created."""
         if isinstance(row, list):
-            return [self.thing(one) for one in row]
+            return [self.from_row(one) for one in row]
         if isinstance(row, dict) and "at" in row:
             name, n = row["at"]
-            if (name, n) not in self.things:
-                self.things[name, n] = made = KINDS[name]()
-                self.numbers[made] = row["at"]
+            if (name, n) not in self.objects:
+                self.objects[name, n] = created = TYPES_BY_RECORDED_NAME[name]()
+                self.numbers[created] = row["at"]
                 self.counts[name] = max(n, self.counts.get(name, 0))
-            return self.things[name, n]
+            return self.objects[name, n]
         if isinstance(row, dict) and "of" in row:
-            fields = {FIELDS.get(key, key): self.thing(value) for key, value in row.items() if key != "of"}
-            return KINDS[row["of"]](**fields)
+            fields = {
+                FIELDS_BY_RECORDED_NAME.get(key, key): self.from_row(value)
+                for key, value in row.items()
+                if key != "of"
+            }
+            return TYPES_BY_RECORDED_NAME[row["of"]](**fields)
         return row
 
-    def start(self, seed, site, now):
+    def encode_start(self, seed, site, now):
         """Returns the first row of a stream.
 
         It holds the request kinds in full; later rows refer to them by number.
@@ -115,14 +119,14 @@
             [kind.latency_objective, kind.client_timeout, kind.credit, kind.again, kind.group]
             for kind in site.kinds
         ]
-        return {"seed": seed, "now": now, "kinds": kinds, "site": self.row(site)}
+        return {"seed": seed, "now": now, "kinds": kinds, "site": self.to_row(site)}
 
-    def begin(self, row):
+    def decode_start(self, row):
         """Returns (seed, deployment, time in ns) from the first row of a stream."""
         for n, kind in enumerate(row["kinds"], 1):
-            self.things["RequestKind", n] = made = i.RequestKind(*kind)
-            self.numbers[made], self.counts["RequestKind"] = ["RequestKind", n], n
-        return row["seed"], self.thing(row["site"]), row["now"]
+            self.objects["RequestKind", n] = created = i.RequestKind(*kind)
+            self.numbers[created], self.counts["RequestKind"] = ["RequestKind", n], n
+        return row["seed"], self.from_row(row["site"]), row["now"]
 
 
 class Recorder:
@@ -133,15 +137,15 @@
 
     def __call__(self, seed, site, now=0):
         """Makes a module whose steps are recorded."""
-        names, rows, module = Names(), [], self.made(seed, site, now)
-        rows.append(names.start(seed, site, now))
+        codec, rows, module = RowCodec(), [], self.made(seed, site, now)
+        rows.append(codec.encode_start(seed, site, now))
         self.streams.append(rows)
         step = module.step
 
         def recorded(now, events):
-            rows.append([now, names.row(events)])
+            rows.append([now, codec.to_row(events)])
             orders = step(now, events)
-            names.row(orders)  # assigns numbers to new tables and nonces
+            codec.to_row(orders)  # assigns numbers to new tables and nonces
             return orders
 
         module.step = recorded
@@ -156,14 +160,14 @@
         made: makes the module.
         with_logs: whether log orders are included.
     """
-    names = Names()
-    module = made(*names.begin(rows[0]))
+    codec = RowCodec()
+    module = made(*codec.decode_start(rows[0]))
     for now, events in rows[1:]:
-        given = [names.thing(event) for event in events]
+        given = [codec.from_row(event) for event in events]
         ordered = module.step(now, given)
         if not with_logs:
             ordered = [order for order in ordered if not isinstance(order, i.Log)]
-        yield msgspec.json.encode([now, names.row(ordered)])
+        yield msgspec.json.encode([now, codec.to_row(ordered)])
 
 
 def digest(rows, made=Controller):
