--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -19,7 +19,7 @@
 
 from embertray.policy import Controller, interface as i
 
-from .recorded_fleets import crowd, drawn
+from .recorded_fleets import run_crowd, run_random_faults
 
 # interface type or field -> its name in recorded files, which keep the names of the time they were written
 RECORDED_TYPES = {
@@ -72,23 +72,23 @@
     def __init__(self):
         self.numbers, self.objects, self.counts = {}, {}, {}
 
-    def to_row(self, thing):
+    def to_row(self, value):
         """Returns the row of an object."""
-        if isinstance(thing, (i.Handle, i.RequestKind)):
-            if thing not in self.numbers:
-                name = type(thing).__name__
+        if isinstance(value, (i.Handle, i.RequestKind)):
+            if value not in self.numbers:
+                name = type(value).__name__
                 self.counts[name] = n = self.counts.get(name, 0) + 1
-                self.numbers[thing] = [name, n]
-                self.objects[name, n] = thing
-            return {"at": self.numbers[thing]}
-        if dataclasses.is_dataclass(thing):
-            return {"of": recorded_name(type(thing))} | {
-                RECORDED_FIELDS.get(field.name, field.name): self.to_row(getattr(thing, field.name))
-                for field in dataclasses.fields(thing)
+                self.numbers[value] = [name, n]
+                self.objects[name, n] = value
+            return {"at": self.numbers[value]}
+        if dataclasses.is_dataclass(value):
+            return {"of": recorded_name(type(value))} | {
+                RECORDED_FIELDS.get(field.name, field.name): self.to_row(getattr(value, field.name))
+                for field in dataclasses.fields(value)
             }
-        if isinstance(thing, (list, tuple)):
-            return [self.to_row(one) for one in thing]
-        return thing
+        if isinstance(value, (list, tuple)):
+            return [self.to_row(one) for one in value]
+        return value
 
     def from_row(self, row):
         """Returns the object of a row; a handle that is new is created."""
@@ -132,12 +132,12 @@
 class Recorder:
     """A factory of decision modules that records what each is given, a list of rows for each module."""
 
-    def __init__(self, made=Controller):
-        self.made, self.streams = made, []
+    def __init__(self, make_module=Controller):
+        self.make_module, self.streams = make_module, []
 
     def __call__(self, seed, site, now=0):
         """Makes a module whose steps are recorded."""
-        codec, rows, module = RowCodec(), [], self.made(seed, site, now)
+        codec, rows, module = RowCodec(), [], self.make_module(seed, site, now)
         rows.append(codec.encode_start(seed, site, now))
         self.streams.append(rows)
         step = module.step
@@ -152,35 +152,35 @@
         return module
 
 
-def orders(rows, made=Controller, with_logs=True):
+def replay(rows, make_module=Controller, with_logs=True):
     """Replays recorded events to a new module, and yields its orders as lines of JSON.
 
     Args:
         rows: a recorded stream.
-        made: makes the module.
+        make_module: makes the module.
         with_logs: whether log orders are included.
     """
     codec = RowCodec()
-    module = made(*codec.decode_start(rows[0]))
+    module = make_module(*codec.decode_start(rows[0]))
     for now, events in rows[1:]:
-        given = [codec.from_row(event) for event in events]
-        ordered = module.step(now, given)
+        decoded = [codec.from_row(event) for event in events]
+        ordered = module.step(now, decoded)
         if not with_logs:
             ordered = [order for order in ordered if not isinstance(order, i.Log)]
         yield msgspec.json.encode([now, codec.to_row(ordered)])
 
 
-def digest(rows, made=Controller):
+def digest(rows, make_module=Controller):
     """Returns the digest of all orders but log lines, whose texts decide nothing."""
-    return hashlib.sha256(b"\n".join(orders(rows, made, with_logs=False))).hexdigest()
+    return hashlib.sha256(b"\n".join(replay(rows, make_module, with_logs=False))).hexdigest()
 
 
-def day(name, made, seed=1):
-    """Plays a scripted day, at the fidelity of single requests, with modules made by `made`."""
+def record_day(name, make_module, seed=1):
+    """Plays a scripted day, at the fidelity of single requests, with modules made by `make_module`."""
     from embertray.simulation.emulator.play import play
     from embertray.simulation.scenarios import notation
 
-    with mock.patch("embertray.controller.runner.Controller", made):
+    with mock.patch("embertray.controller.runner.Controller", make_module):
         play(notation.load(name), seed, "reqs")
 
 
@@ -220,11 +220,11 @@
     """Records a day, the crowd or a fleet under random faults."""
     recorder = Recorder()
     if name == "crowd":
-        crowd(recorder)
+        run_crowd(recorder)
     elif name.startswith("drawn-"):
-        drawn(recorder, int(name.removeprefix("drawn-")))
+        run_random_faults(recorder, int(name.removeprefix("drawn-")))
     else:
-        day(name, recorder)
+        record_day(name, recorder)
     click.echo("{} steps, {} bytes".format(*save(out, name, recorder, steps)))
 
 
@@ -233,7 +233,7 @@
 def print_orders(file):
     """Prints the orders that a replay of FILE yields."""
     for stream in load(file)["streams"]:
-        for line in orders(stream["rows"]):
+        for line in replay(stream["rows"]):
             click.echo(line)
 
 
@@ -241,15 +241,15 @@
 @click.argument("files", nargs=-1)
 def check(files):
     """Compares the replay of each file with its recorded digest; exit code 1 if one differs."""
-    same = True
+    all_same = True
     for file in files:
         for stream in load(file)["streams"]:
             found = digest(stream["rows"])
-            same = same and found == stream["digest"]
+            all_same = all_same and found == stream["digest"]
             click.echo(
                 f"{file}: {len(stream['rows'])} steps: {'same' if found == stream['digest'] else 'OTHER'}"
             )
-    sys.exit(0 if same else 1)
+    sys.exit(0 if all_same else 1)
 
 
 if __name__ == "__main__":
--- a/embertray/experiments/measure/recorded_fleets.py
+++ b/embertray/experiments/measure/recorded_fleets.py
@@ -8,7 +8,7 @@
 S = 10**9  # ns
 
 
-def crowd(made, backends=100, proxies=400):
+def run_crowd(made, backends=100, proxies=400):
     """Runs a fleet whose proxies all join within 4 s, during a replacement of backends, for 30 s."""
     from embertray.simulation.standins.fleet import Fleet
 
@@ -186,6 +186,6 @@
                 fleet.pending_events.append(i.ArrivalReport(proxy, kind, count, 0, 2 * S))
 
 
-def drawn(made, seed):
+def run_random_faults(made, seed):
     """Runs a small fleet under the settings and faults drawn from the seed."""
     _DrawnDay(made, seed).play()
