--- a/embertray/experiments/measure/recorded_fleets.py
+++ b/embertray/experiments/measure/recorded_fleets.py
@@ -8,11 +8,11 @@
 S = 10**9  # ns
 
 
-def run_crowd(made, backends=100, proxies=400):
+def run_crowd(make_module, backends=100, proxies=400):
     """Runs a fleet whose proxies all join within 4 s, during a replacement of backends, for 30 s."""
     from embertray.simulation.standins.fleet import Fleet
 
-    fleet = Fleet(made, backends, proxies)
+    fleet = Fleet(make_module, backends, proxies)
     fleet.run(11 * S)
     kinds = fleet.deployment.kinds
     for second in range(30):
@@ -25,10 +25,10 @@
             new = [i.Backend(f"be-{1000 + second * 20 + k}") for k in range(20)]
             fleet.change_list("changes", new, "ready", fleet.now)
         for n, backend in enumerate(fleet.backends[second % 2 :: 2]):
-            bad = 9 if n % 11 == 0 and second > 12 else 0
+            failures = 9 if n % 11 == 0 and second > 12 else 0
             slow = (250 + 40 * (n % 7) + (600 if 15 < second < 24 else 0)) * MS
             fleet.pending_events.append(
-                i.BackendReport(backend, fleet.zones[n % 2], 10, bad, slow, 2 * S, {"waiting": n % 5})
+                i.BackendReport(backend, fleet.zones[n % 2], 10, failures, slow, 2 * S, {"waiting": n % 5})
             )
         for proxy in fleet.proxies[second % 4 :: 4]:
             fleet.pending_events.append(
@@ -37,18 +37,18 @@
         fleet.run(fleet.now + S)
 
 
-DRAWN_SITES = (  # settings for decisions that the scripted days do not exercise
+RANDOM_SETTINGS = (  # settings for decisions that the scripted days do not exercise
     {"throttle": "rate", "pick": "weighted", "cross_zone_cost": 0.0},
     {"throttle": "share", "ask": True, "messages_max": 0},
     {"throttle": "rate", "channel_rate": 60.0, "pending_max": 480.0, "messages_max": 6},
     {"throttle": "share", "controllers": 1, "channel_rate": 120.0, "pending_max": 900.0},
     {"throttle": "none", "ask": True, "pending_max": 10.0**6, "channel_rate": 10.0**6, "drain_grace": 0},
 )
-DRAWN_PROXIES = 60
-DRAWN_SECONDS = 110  # longer than departed proxies are remembered
+PROXIES = 60
+DURATION_S = 110  # longer than departed proxies are remembered
 
 
-class _DrawnDay:
+class _RandomFaultDay:
     """A small fleet under settings and faults drawn from a seed.
 
     The faults: releases with cold successors; backends that fail, hang and recover; a lost zone; bursts;
@@ -56,12 +56,12 @@
     changes only.
     """
 
-    def __init__(self, made, seed):
+    def __init__(self, make_module, seed):
         from embertray.simulation.standins.fleet import Fleet
 
-        self.chance = random.Random(seed)
-        given = DRAWN_SITES[seed % len(DRAWN_SITES)]
-        self.faults, self.away, self.silent = {}, set(), set()
+        self.rng = random.Random(seed)
+        settings = RANDOM_SETTINGS[seed % len(RANDOM_SETTINGS)]
+        self.faults, self.departed, self.silent = {}, set(), set()
         silent = self.silent
 
         class LossyFleet(Fleet):
@@ -75,8 +75,8 @@
                     if not (isinstance(event, i.NonceAcknowledged) and event.proxy in silent)
                 ]
 
-        zones = self.chance.randint(2, 3)
-        self.fleet = LossyFleet(made, self.chance.randint(10, 24), DRAWN_PROXIES, zones=zones, **given)
+        zones = self.rng.randint(2, 3)
+        self.fleet = LossyFleet(make_module, self.rng.randint(10, 24), PROXIES, zones=zones, **settings)
         self.burst = 1.0
         self.made_backends = len(self.fleet.backends)
 
@@ -84,15 +84,15 @@
         fleet = self.fleet
         fleet.run(10 * S + 500 * MS, 250 * MS)
         fleet.join(fleet.proxies, lambda proxy: fleet.backends[:5])
-        for second in range(DRAWN_SECONDS):
+        for second in range(DURATION_S):
             if second > 6:
                 self.draw_event()
             self.report()
             fleet.run(fleet.now + S, 250 * MS)
 
     def draw_event(self):
-        chance = self.chance
-        event = chance.choices(
+        rng = self.rng
+        event = rng.choices(
             ("none", "fault", "recover", "release", "return", "zone", "burst", "proxies", "silence", "list"),
             (4, 4, 3, 3, 2, 1, 2, 2, 2, 3),
         )[0]
@@ -102,22 +102,20 @@
         return [backend for backend in self.fleet.backends if self.fleet.backend_states[backend] == "ready"]
 
     def draw_fault(self):
-        ready, count = self.ready(), self.chance.choice((2, 3, 3, 100))
-        for backend in self.chance.sample(ready, min(count, len(ready))):
+        ready, count = self.ready(), self.rng.choice((2, 3, 3, 100))
+        for backend in self.rng.sample(ready, min(count, len(ready))):
             every = count > len(ready)
-            self.faults[backend] = (
-                "fails" if every else self.chance.choice(("fails", "slow", "silent", "busy"))
-            )
+            self.faults[backend] = "fails" if every else self.rng.choice(("fails", "slow", "silent", "busy"))
 
     def draw_recover(self):
         for backend in list(self.faults)[:4]:
             del self.faults[backend]
 
     def draw_release(self):
-        fleet, count = self.fleet, self.chance.randint(1, 5)
+        fleet, count = self.fleet, self.rng.randint(1, 5)
         ready = self.ready()
         if len(ready) > 6:
-            fleet.change_list("changes", ready[:count], self.chance.choice(("draining", "gone")))
+            fleet.change_list("changes", ready[:count], self.rng.choice(("draining", "gone")))
         new = [i.Backend(f"be-{self.made_backends + k}") for k in range(count)]
         self.made_backends += count
         fleet.backends = [*fleet.backends, *new]
@@ -135,19 +133,19 @@
             fleet.change_list("changes", lost, "gone")
 
     def draw_burst(self):
-        self.burst = self.chance.choice((0.3, 1.0, 1.0, 2.5, 5.0))
+        self.burst = self.rng.choice((0.3, 1.0, 1.0, 2.5, 5.0))
 
     def draw_proxies(self):
-        fleet, chance = self.fleet, self.chance
-        count = chance.choice((5, 40))
+        fleet, rng = self.fleet, self.rng
+        count = rng.choice((5, 40))
         if count > 5:  # so that backends are removed while many proxies are not bound yet
             self.draw_release()
-        for proxy in chance.sample(fleet.proxies, count):
-            if proxy in self.away:
-                self.away.discard(proxy)
+        for proxy in rng.sample(fleet.proxies, count):
+            if proxy in self.departed:
+                self.departed.discard(proxy)
                 fleet.join([proxy], lambda _: self.ready()[:5])
             else:
-                self.away.add(proxy)
+                self.departed.add(proxy)
                 fleet.bound.pop(proxy, None)
                 fleet.lines.pop(proxy, None)
                 fleet.joined_at.pop(proxy, None)
@@ -156,36 +154,38 @@
     def draw_silence(self):
         """Chooses proxies that leave their nonces unacknowledged for a while."""
         self.silent.clear()
-        self.silent.update(self.chance.sample(self.fleet.proxies, self.chance.choice((0, 3, 10))))
+        self.silent.update(self.rng.sample(self.fleet.proxies, self.rng.choice((0, 3, 10))))
 
     def draw_list(self):
-        fleet, how = self.fleet, self.chance.choice(("failed", "failed", "whole", "cached"))
-        if how == "failed":
+        fleet, update_kind = self.fleet, self.rng.choice(("failed", "failed", "whole", "cached"))
+        if update_kind == "failed":
             fleet.pending_events.append(i.EndpointListUpdate("failed"))
         else:
-            fleet.change_list(how, self.ready(), "ready")
+            fleet.change_list(update_kind, self.ready(), "ready")
 
     def report(self):
-        fleet, chance = self.fleet, self.chance
+        fleet, rng = self.fleet, self.rng
         load = ("busy", "waiting", "held")[fleet.deployment.controllers % 3]
         for number, backend in enumerate(self.ready()):
             fault = self.faults.get(backend)
-            if fault == "silent" or chance.random() < 0.2:
+            if fault == "silent" or rng.random() < 0.2:
                 continue
             tries = max(1, int(12 * self.burst))
-            failed = int(tries * 0.8) if fault == "fails" else int(chance.random() < 0.1)
+            failed = int(tries * 0.8) if fault == "fails" else int(rng.random() < 0.1)
             slow = 900 * MS if fault == "slow" else 120 * MS * (1 + number % 4)
-            latency = int(slow * max(1.0, self.burst) * (0.8 + 0.4 * chance.random()))
-            told = {load: (9.0 if fault == "busy" else 0.2 + 0.3 * self.burst * chance.random())}
-            zone = chance.choice(fleet.zones)
-            fleet.pending_events.append(i.BackendReport(backend, zone, tries, failed, latency, 2 * S, told))
+            latency = int(slow * max(1.0, self.burst) * (0.8 + 0.4 * rng.random()))
+            reported_load = {load: (9.0 if fault == "busy" else 0.2 + 0.3 * self.burst * rng.random())}
+            zone = rng.choice(fleet.zones)
+            fleet.pending_events.append(
+                i.BackendReport(backend, zone, tries, failed, latency, 2 * S, reported_load)
+            )
         for proxy in fleet.proxies:
-            if proxy not in self.away and chance.random() < 0.5:
-                kind = chance.choice(fleet.deployment.kinds)
-                count = max(1, int(chance.choice((1, 2, 4)) * self.burst))
+            if proxy not in self.departed and rng.random() < 0.5:
+                kind = rng.choice(fleet.deployment.kinds)
+                count = max(1, int(rng.choice((1, 2, 4)) * self.burst))
                 fleet.pending_events.append(i.ArrivalReport(proxy, kind, count, 0, 2 * S))
 
 
-def run_random_faults(made, seed):
+def run_random_faults(make_module, seed):
     """Runs a small fleet under the settings and faults drawn from the seed."""
-    _DrawnDay(made, seed).play()
+    _RandomFaultDay(make_module, seed).play()
