--- a/embertray/experiments/measure/scale/fleet.py
+++ b/embertray/experiments/measure/scale/fleet.py
@@ -20,7 +20,7 @@
 FOLLOWED = 3  # replicas that each subscriber may connect to
 
 
-class WorkerFailed(RuntimeError):
+class WorkerFailedError(RuntimeError):
     """A worker process ended before it reported."""
 
 
@@ -89,7 +89,7 @@
                 process.kill()
                 process.wait()
     if failed := [process.returncode for process in processes if process.returncode]:
-        raise WorkerFailed(f"{len(failed)} of {len(processes)} worker processes failed; see stderr")
+        raise WorkerFailedError(f"{len(failed)} of {len(processes)} worker processes failed; see stderr")
     return [msgspec.json.decode(output, type=Report) for output in outputs]
 
 
