--- a/embertray/experiments/measure/scale/__main__.py
+++ b/embertray/experiments/measure/scale/__main__.py
@@ -12,7 +12,7 @@
 from embertray.experiments.measure.capacity.record import FOLDER, Recording
 
 from . import fleet, slopes, virtual
-from .keeping import KeepingRecording
+from .merging import MergingRecording
 
 S = 10**9
 
@@ -28,7 +28,7 @@
     It is made before the measurement, while the commit is the one that runs. With `keep`, recorded points
     of other sizes are kept.
     """
-    kind = KeepingRecording if keep else Recording
+    kind = MergingRecording if keep else Recording
     return kind("python -m embertray.experiments.measure.scale " + shlex.join(sys.argv[1:]), folder)
 
 
--- a/embertray/experiments/measure/scale/keeping.py
+++ b/embertray/experiments/measure/scale/merging.py
@@ -6,7 +6,7 @@
 from embertray.experiments.measure.capacity.record import Recording
 
 
-class KeepingRecording(Recording):
+class MergingRecording(Recording):
     """Merges new points into a recorded slope.
 
     Points of sizes that are not measured again stay; the note names their commit and command.
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from embertray.experiments.capacity.slope import load
 from embertray.experiments.measure.capacity.record import Recording
 from embertray.experiments.measure.scale import cluster_role, control_role, fleet, slopes, virtual
-from embertray.experiments.measure.scale.keeping import KeepingRecording
+from embertray.experiments.measure.scale.merging import MergingRecording
 from embertray.experiments.measure.scale.messages import (
     ClusterPlan,
     MemberReport,
@@ -272,7 +272,7 @@
     def test_sizes_measured_later_join_those_that_are_there(self):
         with tempfile.TemporaryDirectory() as folder, contextlib.redirect_stdout(io.StringIO()):
             Recording("first", folder).save("some", "s a change", "members", [(8, 1.0), (32, 2.0)], "calm")
-            KeepingRecording("second", folder).save("some", "s a change", "members", [(32, 3.0), (64, 4.0)])
+            MergingRecording("second", folder).save("some", "s a change", "members", [(32, 3.0), (64, 4.0)])
             slope = load(Path(folder) / "some.json")
         self.assertEqual(slope.points, [(8, 1.0), (32, 3.0), (64, 4.0)])
         self.assertIn("sizes 8 of commit", slope.note)
