--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -8,7 +8,7 @@
 
 from .meter import Counters
 
-UNLIMITED = 1 << 24  # bytes, and bytes/s: caps so high that the demand is measured
+UNREACHED_CAP = 1 << 24  # bytes, and bytes/s: caps so high that the demand is measured
 MARK = "mark"  # key of the entry whose time until all members see it is measured
 
 Me = namedtuple("Me", "name cluster")
@@ -24,10 +24,10 @@
 
     async def run(self):
         """Runs the link until it is cancelled."""
-        addresses, unlimited = self.plan.all_addresses, UNLIMITED
+        addresses, cap = self.plan.all_addresses, UNREACHED_CAP
         peers = [address for other, address in addresses.items() if other != self.name]
         self.link = ClusterLink(
-            ClusterSettings("scale", self.plan.period, unlimited, unlimited),
+            ClusterSettings("scale", self.plan.period, cap, cap),
             Me(self.name, addresses[self.name]),
             peers,
             self.clock,
--- a/embertray/experiments/measure/scale/fleet.py
+++ b/embertray/experiments/measure/scale/fleet.py
@@ -13,11 +13,11 @@
 from .messages import ClusterPlan, ReplicaPlan, Report, SubscriberPlan, Timetable
 
 MS, S = 10**6, 10**9
-COME_UP = 4 * S  # ns from the plans to the first start: all processes have read them by then
-GRACE = 120  # s after the window within which a worker has to report
+START_DELAY = 4 * S  # ns from the plans to the first start: all processes have read them by then
+REPORT_TIMEOUT_S = 120  # s after the window within which a worker has to report
 MARKS = 3  # writes whose time until all members see them is measured
-MEMBERS_LEAST = 8  # per worker, so that they share the cost of the measurement itself
-FOLLOWED = 3  # replicas that each subscriber may connect to
+MIN_MEMBERS_PER_WORKER = 8  # per worker, so that they share the cost of the measurement itself
+REPLICAS_PER_SUBSCRIBER = 3  # replicas that each subscriber may connect to
 
 
 class WorkerFailedError(RuntimeError):
@@ -35,7 +35,7 @@
 
 def timetables(size, spans, workers):
     """Returns a Timetable for each worker; member n belongs to worker n modulo their number."""
-    first = time.monotonic_ns() + COME_UP
+    first = time.monotonic_ns() + START_DELAY
     starts = [first + int(n * spans.spread * S) for n in range(size)]
     begin = starts[-1] + int(spans.settle * S)
     end = begin + int(spans.window * S)
@@ -47,7 +47,7 @@
     """Returns the plans of at most `workers` processes that share the members of a cluster."""
     names = [f"controller-{n}" for n in range(size)]
     addresses = {name: f"127.0.0.1:{port}" for name, port in zip(names, free_ports(size), strict=True)}
-    workers = min(workers, max(1, size // MEMBERS_LEAST))
+    workers = min(workers, max(1, size // MIN_MEMBERS_PER_WORKER))
     return [
         ClusterPlan(timetable, names[n::workers], addresses, period, facts_bytes, names[0])
         for n, timetable in enumerate(timetables(size, spans, workers))
@@ -61,7 +61,10 @@
     peers = {name: f"127.0.0.1:{ports[n]}" for n, name in enumerate(names)}
     listen = {name: f"127.0.0.1:{ports[replicas + n]}" for n, name in enumerate(names)}
     subscribers = [f"controller-{n}" for n in range(size)]
-    follows = [[names[(n + k) % replicas] for k in range(min(FOLLOWED, replicas))] for n in range(size)]
+    follows = [
+        [names[(n + k) % replicas] for k in range(min(REPLICAS_PER_SUBSCRIBER, replicas))]
+        for n in range(size)
+    ]
     tables = timetables(size, spans, workers)
     at_once = msgspec.structs.replace(tables[0], starts=[tables[0].starts[0] - S])
     return [ReplicaPlan(at_once, [name], peers, listen, keys, value_bytes) for name in names] + [
@@ -81,7 +84,7 @@
             process.stdin.write(msgspec.json.encode(plan))
             process.stdin.close()
             process.stdin = None
-        until = plans[0].timetable.window_until / S + GRACE
+        until = plans[0].timetable.window_until / S + REPORT_TIMEOUT_S
         outputs = [process.communicate(timeout=until - time.monotonic())[0] for process in processes]
     finally:
         for process in processes:
--- a/embertray/experiments/measure/scale/meter.py
+++ b/embertray/experiments/measure/scale/meter.py
@@ -3,7 +3,7 @@
 from collections import namedtuple
 
 S = 10**9
-WORST = 10  # consecutive seconds of the worst rate
+WORST_WINDOW_S = 10  # consecutive seconds of the worst rate
 
 Counters = namedtuple("Counters", "sent received messages parts")  # totals since the start
 
@@ -27,7 +27,7 @@
     def worst(self, field):
         """Returns the greatest mean per second of any ten consecutive seconds."""
         values = [getattr(one, field) for one in self.readings]
-        width = min(WORST, len(values) - 1)
+        width = min(WORST_WINDOW_S, len(values) - 1)
         rates = [
             (values[n + width] - values[n]) * S / (self.times[n + width] - self.times[n])
             for n in range(len(values) - width)
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -12,7 +12,7 @@
 
 MS, S = 10**6, 10**9
 MARK = "mark"
-LOOK = 100 * MS  # ns between checks for marks, as in worker
+MARK_CHECK_INTERVAL = 100 * MS  # ns between checks for marks, as in worker
 FIRST_PORT = 20_000
 
 
@@ -82,7 +82,7 @@
                 self.unseen[number].discard(address)
                 self.delays.setdefault(number, []).append((self.engine.time - written_at) / S)
         if self.unseen[number]:
-            self.engine.at(self.engine.time + LOOK, self.look, number, written_at)
+            self.engine.at(self.engine.time + MARK_CHECK_INTERVAL, self.look, number, written_at)
 
     def oldest(self):
         """Returns the greatest age of any member's facts anywhere in s; None if one lacks some."""
--- a/embertray/experiments/measure/scale/worker.py
+++ b/embertray/experiments/measure/scale/worker.py
@@ -18,8 +18,8 @@
 from .meter import Meter
 
 MS, S = 10**6, 10**9
-LOOK = 100 * MS  # ns between checks for marks; a measured delay may be too long by this
-OLDEST_EVERY = (
+MARK_CHECK_INTERVAL = 100 * MS  # ns between checks for marks; a measured delay may be too long by this
+READINGS_PER_AGE = (
     5  # readings of the counters for each reading of the oldest entry, which walks over all entries
 )
 
@@ -64,7 +64,7 @@
     async def look(self):
         """Looks for new marks at all members, at a fixed interval."""
         while True:
-            await self.clock.sleep_until(self.clock.now() + LOOK)
+            await self.clock.sleep_until(self.clock.now() + MARK_CHECK_INTERVAL)
             now = self.clock.now()
             for member in self.members:
                 member.look(now)
@@ -82,7 +82,7 @@
         await self.clock.sleep_until(timetable.window_from)
         processor = time.process_time()
         while (now := self.clock.now()) < timetable.window_until:
-            self.read(now, number % OLDEST_EVERY == 0)
+            self.read(now, number % READINGS_PER_AGE == 0)
             number += 1
             await self.clock.sleep_until(min(timetable.window_from + number * S, timetable.window_until))
         self.read(self.clock.now(), True)
