--- a/embertray/experiments/measure/scale/cluster_role.py
+++ b/embertray/experiments/measure/scale/cluster_role.py
@@ -11,7 +11,7 @@
 UNREACHED_CAP = 1 << 24  # bytes, and bytes/s: caps so high that the demand is measured
 MARK = "mark"  # key of the entry whose time until all members see it is measured
 
-Me = namedtuple("Me", "name cluster")
+MemberAddress = namedtuple("MemberAddress", "name cluster")
 
 
 class ClusterMember:
@@ -28,7 +28,7 @@
         peers = [address for other, address in addresses.items() if other != self.name]
         self.link = ClusterLink(
             ClusterSettings("scale", self.plan.period, cap, cap),
-            Me(self.name, addresses[self.name]),
+            MemberAddress(self.name, addresses[self.name]),
             peers,
             self.clock,
             1,
@@ -41,13 +41,13 @@
         if self.name == self.plan.marker:
             self.link.store.put(self.clock.now(), MARK, str(mark).encode())
 
-    def look(self, now):
+    def check_marks(self, now):
         """Records the delay in ns of a mark that is seen for the first time."""
         if self.link is None:
             return
-        held = self.link.store.entries.get((self.plan.marker, MARK))
-        if held is not None:
-            self.delays.setdefault(int(held.value), now - int(held.value))
+        entry = self.link.store.entries.get((self.plan.marker, MARK))
+        if entry is not None:
+            self.delays.setdefault(int(entry.value), now - int(entry.value))
 
     def counters(self):
         """Returns the link's totals; bytes sent are divided into state and probes."""
--- a/embertray/experiments/measure/scale/control_role.py
+++ b/embertray/experiments/measure/scale/control_role.py
@@ -30,15 +30,15 @@
         settings = ReplicaSettings("scale", name, plan.peers, plan.listen[name])
         self.name, self.plan, self.clock, self.delays = name, plan, LoopClock(), {}
         self.server = ReplicaServer(settings, self.clock, random.Random(name))
-        self.refused = 0
+        self.rejected_writes = 0
 
     async def run(self):
         """Runs the server and writes the keys while this replica leads."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.server.run)
-            await self.fill()
+            await self.write_keys()
 
-    async def fill(self):
+    async def write_keys(self):
         """Writes the keys; each is written by whichever replica leads at that time."""
         value = b"v" * self.plan.value_bytes
         for number in range(self.plan.keys):
@@ -56,7 +56,7 @@
         try:
             await self.server.put(key, value, request)
         except (WriteRejectedError, OutcomeUnknownError):
-            self.refused += 1
+            self.rejected_writes += 1
             return False
         return True
 
@@ -65,7 +65,7 @@
         if self.server.replica.has_majority(self.clock.now()):
             await self.write(MARK, str(mark).encode().ljust(self.plan.value_bytes), f"mark-{mark}")
 
-    def look(self, now):
+    def check_marks(self, now):
         """Does nothing: delays are measured at the subscribers."""
 
     def counters(self):
@@ -82,7 +82,7 @@
 
     def failures(self):
         """Returns the number of rejected writes and messages."""
-        return self.refused + self.server.traffic.rejected
+        return self.rejected_writes + self.server.traffic.rejected
 
 
 class SubscriberMember:
@@ -91,7 +91,7 @@
     def __init__(self, name, plan, follows):
         settings = SubscriberSettings("scale", name, {replica: plan.listen[replica] for replica in follows})
         self.name, self.clock, self.delays = name, LoopClock(), {}
-        self.client = SubscriberClient(settings, self.clock, random.Random(name), self.applied)
+        self.client = SubscriberClient(settings, self.clock, random.Random(name), self.on_applied)
 
     async def run(self):
         """Runs the client until it is cancelled."""
@@ -100,7 +100,7 @@
     async def mark(self, mark):
         """Does nothing: replicas write the marks."""
 
-    def applied(self, entries):
+    def on_applied(self, entries):
         """Records the delay in ns of marks that are applied for the first time."""
         now = self.clock.now()
         for entry in entries:
@@ -108,7 +108,7 @@
                 mark = int(entry.value)
                 self.delays.setdefault(mark, now - mark)
 
-    def look(self, now):
+    def check_marks(self, now):
         """Does nothing: marks are recorded when they are applied."""
 
     def counters(self):
--- a/embertray/experiments/measure/scale/fleet.py
+++ b/embertray/experiments/measure/scale/fleet.py
@@ -65,11 +65,11 @@
         [names[(n + k) % replicas] for k in range(min(REPLICAS_PER_SUBSCRIBER, replicas))]
         for n in range(size)
     ]
-    tables = timetables(size, spans, workers)
-    at_once = msgspec.structs.replace(tables[0], starts=[tables[0].starts[0] - S])
-    return [ReplicaPlan(at_once, [name], peers, listen, keys, value_bytes) for name in names] + [
+    schedules = timetables(size, spans, workers)
+    replica_timetable = msgspec.structs.replace(schedules[0], starts=[schedules[0].starts[0] - S])
+    return [ReplicaPlan(replica_timetable, [name], peers, listen, keys, value_bytes) for name in names] + [
         SubscriberPlan(timetable, subscribers[n::workers], listen, follows[n::workers])
-        for n, timetable in enumerate(tables)
+        for n, timetable in enumerate(schedules)
     ]
 
 
@@ -109,7 +109,7 @@
     sent_worst: float
     received_worst: float
     messages: float
-    seen_least: int
+    seen_min: int
     seen_mean: float
     oldest: float | None
     delays: dict  # mark -> (members that saw it, s until the last did)
@@ -137,7 +137,7 @@
         sent_worst=max(member.sent_worst for member in members),
         received_worst=max(member.received_worst for member in members),
         messages=mean(member.messages for member in members),
-        seen_least=min(member.seen for member in members),
+        seen_min=min(member.seen for member in members),
         seen_mean=mean(member.seen for member in members),
         oldest=None if None in ages else max(ages),
         delays={mark: (len(delays), max(delays)) for mark, delays in sorted(seen.items())},
--- a/embertray/experiments/measure/scale/meter.py
+++ b/embertray/experiments/measure/scale/meter.py
@@ -26,7 +26,7 @@
 
     def worst(self, field):
         """Returns the greatest mean per second of any ten consecutive seconds."""
-        values = [getattr(one, field) for one in self.readings]
+        values = [getattr(reading, field) for reading in self.readings]
         width = min(WORST_WINDOW_S, len(values) - 1)
         rates = [
             (values[n + width] - values[n]) * S / (self.times[n + width] - self.times[n])
--- a/embertray/experiments/measure/scale/slopes.py
+++ b/embertray/experiments/measure/scale/slopes.py
@@ -12,7 +12,7 @@
         f"{one.size}: {one.count} members, sent {one.sent:,.0f} (worst {one.sent_worst:,.0f}; {parts}), "
         f"received {one.received:,.0f} (worst {one.received_worst:,.0f}) bytes/s, "
         f"{one.messages:.1f} messages/s, {one.processor:.5f} cores, {one.memory / 1024:,.0f} KiB, "
-        f"seen {one.seen_least} at least, {one.seen_mean:.1f} on average, oldest {oldest}, "
+        f"seen {one.seen_min} at least, {one.seen_mean:.1f} on average, oldest {oldest}, "
         f"to all {delays}, {one.failures} failures"
     )
     sys.stdout.flush()
@@ -46,7 +46,7 @@
     save("memory", "bytes a member", lambda one: one.memory)
     save("time-to-all", "s a change", time_to_all)
     save("oldest", "s a member", lambda one: one.oldest)
-    save("members-seen", "members a member", lambda one: one.seen_least)
+    save("members-seen", "members a member", lambda one: one.seen_min)
 
 
 def save_virtual(recording, found, note):
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -71,25 +71,25 @@
         """Writes a mark at the first member, and starts to look for it at all."""
         self.exchangers[self.addresses[self.marker]].store.put(self.engine.time, MARK, str(number).encode())
         self.unseen[number] = set(self.exchangers)
-        self.look(number, self.engine.time)
+        self.check_marks(number, self.engine.time)
 
-    def look(self, number, written_at):
+    def check_marks(self, number, written_at):
         """Records the delays of a mark in s, and repeats until all members have seen it."""
         value = str(number).encode()
         for address in list(self.unseen[number]):
-            held = self.exchangers[address].store.entries.get((self.marker, MARK))
-            if held is not None and held.value == value:
+            entry = self.exchangers[address].store.entries.get((self.marker, MARK))
+            if entry is not None and entry.value == value:
                 self.unseen[number].discard(address)
                 self.delays.setdefault(number, []).append((self.engine.time - written_at) / S)
         if self.unseen[number]:
-            self.engine.at(self.engine.time + MARK_CHECK_INTERVAL, self.look, number, written_at)
+            self.engine.at(self.engine.time + MARK_CHECK_INTERVAL, self.check_marks, number, written_at)
 
     def oldest(self):
         """Returns the greatest age of any member's facts anywhere in s; None if one lacks some."""
         now, size = self.engine.time, len(self.addresses)
         ages = [
-            [known.age_ns for known in one.store.latest_values(now, "facts")]
-            for one in self.exchangers.values()
+            [known.age_ns for known in exchanger.store.latest_values(now, "facts")]
+            for exchanger in self.exchangers.values()
         ]
         return max(map(max, ages)) / S if all(len(row) == size for row in ages) else None
 
@@ -124,11 +124,11 @@
         sent_worst=max(meter.worst("sent") for meter in meters),
         received_worst=0.0,
         messages=sum(meter.rate("messages") for meter in meters) / size,
-        seen_least=min(seen),
+        seen_min=min(seen),
         seen_mean=sum(seen) / size,
         oldest=None if None in oldest else max(oldest),
         delays={mark: (len(delays), max(delays)) for mark, delays in members.delays.items()},
-        failures=sum(one.exchanges_failed for one in members.exchangers.values()),
+        failures=sum(exchanger.exchanges_failed for exchanger in members.exchangers.values()),
         parts={
             name: sum(meter.part_rates()[name] for meter in meters) / size for name in ("probes", "state")
         },
--- a/embertray/experiments/measure/scale/worker.py
+++ b/embertray/experiments/measure/scale/worker.py
@@ -35,12 +35,12 @@
 
     def __init__(self, plan):
         self.plan, self.clock = plan, LoopClock()
-        self.role, module, make = ROLES[type(plan)]
+        self.role, module, factory = ROLES[type(plan)]
         role = import_module(
             f".{module}", __package__
         )  # imported here so that memory_before holds only what this role needs
         self.memory_before = psutil.Process().memory_info().rss
-        self.members = getattr(role, make)(plan)
+        self.members = getattr(role, factory)(plan)
         self.meters = [Meter() for _ in self.members]
         self.oldest = [0] * len(self.members)  # ns for each member; None once it lacked an entry
         self.processor = 0.0
@@ -50,7 +50,7 @@
         async with anyio.create_task_group() as group:
             for member, when in zip(self.members, self.plan.timetable.starts, strict=True):
                 group.start_soon(self.start, member, when)
-            group.start_soon(self.look)
+            group.start_soon(self.check_marks)
             group.start_soon(self.write_marks)
             await self.measure()
             group.cancel_scope.cancel()
@@ -61,13 +61,13 @@
         await self.clock.sleep_until(when)
         await member.run()
 
-    async def look(self):
+    async def check_marks(self):
         """Looks for new marks at all members, at a fixed interval."""
         while True:
             await self.clock.sleep_until(self.clock.now() + MARK_CHECK_INTERVAL)
             now = self.clock.now()
             for member in self.members:
-                member.look(now)
+                member.check_marks(now)
 
     async def write_marks(self):
         """Writes each mark at its time."""
@@ -126,7 +126,7 @@
         )
 
 
-async def measured(plan):
+async def run_plan(plan):
     """Runs a plan within an event loop, which the members' clocks need, and returns the Report."""
     return await Worker(plan).run()
 
@@ -135,7 +135,7 @@
     """Reads the plan, runs it without log lines, and writes the report."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     plan = msgspec.json.decode(sys.stdin.buffer.read(), type=Plan)
-    sys.stdout.buffer.write(msgspec.json.encode(anyio.run(measured, plan)))
+    sys.stdout.buffer.write(msgspec.json.encode(anyio.run(run_plan, plan)))
 
 
 if __name__ == "__main__":
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -241,7 +241,7 @@
                 one = virtual.measure(size, SPANS, S, 60)
                 found = one.parts["probes"], one.parts["state"], one.messages
                 self.assertEqual([round(value * size * SPANS.window) for value in found], recorded)
-                self.assertEqual((one.seen_least, one.failures), (size, 0))
+                self.assertEqual((one.seen_min, one.failures), (size, 0))
                 self.assertEqual([count for count, _ in one.delays.values()], [size] * 3)
 
     def test_the_collector_is_left_as_it_was(self):
@@ -341,7 +341,7 @@
             while not all(mark in member.delays for member in members):
                 await anyio.sleep(0.01)
                 for member in members:
-                    member.look(member.clock.now())
+                    member.check_marks(member.clock.now())
         group.cancel_scope.cancel()
     return members
 
