--- a/embertray/experiments/measure/scale/__main__.py
+++ b/embertray/experiments/measure/scale/__main__.py
@@ -69,13 +69,13 @@
 @out_options
 def cluster(wanted, processes, period, facts, spread, settle, window, out, keep):
     """Measures members of a cluster on loopback."""
-    recorder, spans, found = recording(out, keep), fleet.Spans(spread, settle, window), []
+    recorder, spans, summaries = recording(out, keep), fleet.Spans(spread, settle, window), []
     for size in sizes(wanted):
         reports = fleet.run(fleet.cluster_plans(size, processes, spans, int(period * S), facts))
-        found.append(fleet.summary(size, "member", reports, window))
-        slopes.show(found[-1])
+        summaries.append(fleet.summary(size, "member", reports, window))
+        slopes.print_summary(summaries[-1])
     note = f"period {period:g} s, {facts} bytes of facts, at most {processes} processes, {window:g} s a size"
-    slopes.save_cluster(recorder, found, note)
+    slopes.save_cluster(recorder, summaries, note)
 
 
 @main.command()
@@ -89,17 +89,17 @@
 def control(wanted, processes, replicas, keys, value, spread, settle, window, out, keep):
     """Measures replicas and subscribers of the control plane on loopback."""
     recorder, spans = recording(out, keep), fleet.Spans(spread, settle, window)
-    found = {"subscriber": [], "replica": []}
+    summaries = {"subscriber": [], "replica": []}
     for size in sizes(wanted):
         reports = fleet.run(fleet.control_plans(size, processes, spans, replicas, keys, value))
-        for role, rows in found.items():
+        for role, rows in summaries.items():
             rows.append(fleet.summary(size, role, reports, window))
-            slopes.show(rows[-1])
+            slopes.print_summary(rows[-1])
     note = (
         f"{replicas} replicas, {keys} keys and 3 writes of {value} bytes, {window:g} s a size, loopback: "
         "no delay between machines, nothing kept on disk"
     )
-    slopes.save_control(recorder, found, note)
+    slopes.save_control(recorder, summaries, note)
 
 
 @main.command(name="virtual")
@@ -110,12 +110,12 @@
 @out_options
 def virtual_command(wanted, period, facts, spread, settle, window, out, keep):
     """Measures members of a cluster under virtual time: the same cores, addresses and facts, no sockets."""
-    recorder, spans, found = recording(out, keep), fleet.Spans(spread, settle, window), []
+    recorder, spans, summaries = recording(out, keep), fleet.Spans(spread, settle, window), []
     for size in sizes(wanted):
-        found.append(virtual.measure(size, spans, int(period * S), facts))
-        slopes.show(found[-1])
+        summaries.append(virtual.measure(size, spans, int(period * S), facts))
+        slopes.print_summary(summaries[-1])
     note = f"virtual time, period {period:g} s, {facts} bytes of facts, {window:g} s a size"
-    slopes.save_virtual(recorder, found, note)
+    slopes.save_virtual(recorder, summaries, note)
 
 
 @main.command()
@@ -131,7 +131,7 @@
         ("and names of 12 to 14 bytes", 60, virtual.Naming()),
     ):
         click.echo(f"{text}:")
-        slopes.show(virtual.measure(size, spans, S, facts, naming))
+        slopes.print_summary(virtual.measure(size, spans, S, facts, naming))
 
 
 if __name__ == "__main__":
