--- a/embertray/experiments/measure/capacity/decisions.py
+++ b/embertray/experiments/measure/capacity/decisions.py
@@ -14,9 +14,9 @@
 from embertray.simulation.standins.fleet import Fleet
 
 MS, S = 10**6, 10**9
-BEAT = 100 * MS  # simulated ns between two steps
-BETWEEN = 5 * MS  # simulated ns from a regular step to the extra step that is given a list update
-NEWS = 5  # extra steps with a list update of each kind
+STEP_INTERVAL = 100 * MS  # simulated ns between two steps
+UPDATE_DELAY = 5 * MS  # simulated ns from a regular step to the extra step that is given a list update
+LIST_UPDATES = 5  # extra steps with a list update of each kind
 SETTLE = 8  # simulated seconds between the joins and the measurement
 
 
@@ -26,21 +26,21 @@
 
     name: str
     about: str
-    everyone: bool
+    all_backends: bool
     silent: bool
     channel: dict  # settings of the fleet's channel: lines per second, lines that may wait
 
-    def heard(self, fleet, chance):
+    def reported_backends(self, fleet, rng):
         """Returns the backends that are reported on in the next second."""
         if self.silent:
             return []
-        if self.everyone:
+        if self.all_backends:
             return fleet.backends
-        return [fleet.backends[chance.randrange(len(fleet.backends))] for _ in fleet.proxies]
+        return [fleet.backends[rng.randrange(len(fleet.backends))] for _ in fleet.proxies]
 
 
 AT_TARGET = Load("", "each proxy tells of one request a second, of a backend by chance", False, False, {})
-EVERYONE = Load("-all-heard", "every backend is heard of each second: the worst case", True, False, {})
+ALL_BACKENDS = Load("-all-heard", "every backend is heard of each second: the worst case", True, False, {})
 SILENT = Load("-silent", "nothing is heard of any backend and no request comes", False, True, {})
 WHOLE_TABLES = Load(
     "-whole-tables",
@@ -56,7 +56,8 @@
     """What a fleet of one size costs.
 
     `cores` is processor seconds per simulated second, `worst_step` the processor seconds of the longest
-    step, `memory` is in bytes, `change` and `whole` are the processor seconds of a step that is given one
+    step, `memory` is in bytes,
+    `changed_entry` and `whole_list` are the processor seconds of a step that is given one
     changed entry or the whole list.
     """
 
@@ -65,11 +66,11 @@
     worst_step: float
     memory: int
     steps: int
-    change: float
-    whole: float
+    changed_entry: float
+    whole_list: float
 
 
-class Timed:
+class StepTimer:
     """A factory of decision modules that records the processor seconds of each step."""
 
     def __init__(self):
@@ -80,60 +81,65 @@
         module = Controller(seed, site, now)
         step = module.step
 
-        def timed(now, events):
+        def timer(now, events):
             began = time.process_time()
             orders = step(now, events)
             self.steps.append(time.process_time() - began)
             return orders
 
-        module.step = timed
+        module.step = timer
         return module
 
 
-def measure(proxies, backends, load, seconds, beat=BEAT):
+def measure(proxies, backends, load, seconds, step_interval=STEP_INTERVAL):
     """Measures one fleet in this process: all proxies join, SETTLE s pass, then `seconds` are measured."""
-    before, timed, chance = resident_memory(), Timed(), random.Random(1)
-    fleet = Fleet(timed, backends, proxies, **load.channel)
-    fleet.run(11 * S, beat)
+    before, timer, rng = resident_memory(), StepTimer(), random.Random(1)
+    fleet = Fleet(timer, backends, proxies, **load.channel)
+    fleet.run(11 * S, step_interval)
     fleet.join(fleet.proxies, lambda _: fleet.backends[:5])
     kind = fleet.deployment.kinds[0]
     for second in range(SETTLE + seconds):
         if second == SETTLE:
-            timed.steps.clear()
-        for number, backend in enumerate(load.heard(fleet, chance)):
+            timer.steps.clear()
+        for number, backend in enumerate(load.reported_backends(fleet, rng)):
             zone = fleet.zones[number % len(fleet.zones)]
             fleet.pending_events.append(
-                i.BackendReport(backend, zone, 10 if load.everyone else 1, 0, 250 * MS, S, {"waiting": 0})
+                i.BackendReport(backend, zone, 10 if load.all_backends else 1, 0, 250 * MS, S, {"waiting": 0})
             )
         if not load.silent:
             fleet.pending_events += [i.ArrivalReport(proxy, kind, 1, 0, S) for proxy in fleet.proxies]
-        fleet.run(fleet.now + S, beat)
-    memory, steps = resident_memory() - before, list(timed.steps)
+        fleet.run(fleet.now + S, step_interval)
+    memory, steps = resident_memory() - before, list(timer.steps)
     return Cost(
-        backends, sum(steps) / seconds, max(steps), memory, len(steps), *cost_of_news(fleet, timed.steps)
+        backends,
+        sum(steps) / seconds,
+        max(steps),
+        memory,
+        len(steps),
+        *cost_of_list_updates(fleet, timer.steps),
     )
 
 
-def cost_of_news(fleet, steps):
+def cost_of_list_updates(fleet, steps):
     """Returns the processor seconds of one changed entry and of a whole list, each in a step of its own.
 
-    Each is the median of NEWS steps.
+    Each is the median of LIST_UPDATES steps.
     """
-    changed, whole = [], []
-    for number in range(1, NEWS + 1):
-        for costs, how, backends, state in (
+    changed, whole_list = [], []
+    for number in range(1, LIST_UPDATES + 1):
+        for costs, update_kind, backends, state in (
             (changed, "changes", fleet.backends[-number:][:1], "draining"),
-            (whole, "whole", fleet.backends[:-number], "ready"),
+            (whole_list, "whole", fleet.backends[:-number], "ready"),
         ):
-            fleet.run(fleet.now + S, BEAT)
+            fleet.run(fleet.now + S, STEP_INTERVAL)
             steps.clear()
-            fleet.change_list(how, backends, state)
-            fleet.run(fleet.now + BETWEEN, BETWEEN)
+            fleet.change_list(update_kind, backends, state)
+            fleet.run(fleet.now + UPDATE_DELAY, UPDATE_DELAY)
             costs.append(sum(steps))
-    return [median(changed), median(whole)]
+    return [median(changed), median(whole_list)]
 
 
-def measure_apart(*arguments):
+def measure_in_subprocess(*arguments):
     """Runs `measure` in a process of its own, so that no size warms up the memory of another."""
     with multiprocessing.get_context("spawn").Pool(1) as pool:
         return pool.apply(measure, arguments)
@@ -141,44 +147,47 @@
 
 def run(recording, proxies, sizes, seconds, runs):
     """Measures the module against backends under each load, and saves the slopes."""
-    for load in (AT_TARGET, SILENT, EVERYONE, WHOLE_TABLES):
-        costs = [measure_apart(proxies, backends, load, seconds) for _ in range(runs) for backends in sizes]
+    for load in (AT_TARGET, SILENT, ALL_BACKENDS, WHOLE_TABLES):
+        costs = [
+            measure_in_subprocess(proxies, backends, load, seconds) for _ in range(runs) for backends in sizes
+        ]
         note = (
             f"{proxies} proxies; {load.about}; {seconds} simulated s after {SETTLE} s, {runs} runs of "
-            f"{costs[0].steps} steps of {BEAT // MS} ms"
+            f"{costs[0].steps} steps of {STEP_INTERVAL // MS} ms"
         )
 
-        def save(name, unit, pick, costs=costs, note=note, load=load):
-            points = [(cost.backends, pick(cost)) for cost in costs]
+        def save(name, unit, value_of, costs=costs, note=note, load=load):
+            points = [(cost.backends, value_of(cost)) for cost in costs]
             recording.save(f"{name}-{proxies}{load.name}", unit, "backends", points, note)
 
         save("decisions-processor", "cores a controller", lambda cost: cost.cores)
         save("decisions-step", "s of processor, worst step", lambda cost: cost.worst_step)
         save("decisions-memory", "bytes a controller", lambda cost: cost.memory)
         if load is AT_TARGET:
-            save("change-processor", "s of processor a changed entry", lambda cost: cost.change)
-            save("list-apply-processor", "s of processor a whole list", lambda cost: cost.whole)
+            save("change-processor", "s of processor a changed entry", lambda cost: cost.changed_entry)
+            save("list-apply-processor", "s of processor a whole list", lambda cost: cost.whole_list)
 
 
 def run_by_proxies(recording, sizes, backends, seconds, runs):
     """Measures the module against proxies, and saves the slopes."""
     costs = [
-        (proxies, measure_apart(proxies, backends, AT_TARGET, seconds))
+        (proxies, measure_in_subprocess(proxies, backends, AT_TARGET, seconds))
         for _ in range(runs)
         for proxies in sizes
     ]
     note = f"{backends} backends; {AT_TARGET.about}; {seconds} simulated s after {SETTLE} s, {runs} runs"
-    for name, unit, pick in (
+    for name, unit, value_of in (
         ("decisions-processor-by-proxies", "cores a controller", lambda cost: cost.cores),
         ("decisions-memory-by-proxies", "bytes a controller", lambda cost: cost.memory),
     ):
-        recording.save(name, unit, "proxies", [(size, pick(cost)) for size, cost in costs], note)
+        recording.save(name, unit, "proxies", [(size, value_of(cost)) for size, cost in costs], note)
 
 
 def run_by_steps(recording, steps_a_second, proxies, backends, seconds):
     """Measures whether the cost comes with the steps or with the module's own interval."""
     costs = [
-        (steps, measure_apart(proxies, backends, SILENT, seconds, S // steps)) for steps in steps_a_second
+        (steps, measure_in_subprocess(proxies, backends, SILENT, seconds, S // steps))
+        for steps in steps_a_second
     ]
     note = f"{proxies} proxies, {backends} backends; {SILENT.about}; {seconds} simulated s after {SETTLE} s"
     points = [(steps, cost.cores) for steps, cost in costs]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -359,7 +359,7 @@
     """That they run and count, at small sizes; no time is judged."""
 
     def test_the_module_is_stepped_as_often_as_said_under_each_load(self):
-        for made in (decisions.AT_TARGET, decisions.SILENT, decisions.EVERYONE, decisions.WHOLE_TABLES):
+        for made in (decisions.AT_TARGET, decisions.SILENT, decisions.ALL_BACKENDS, decisions.WHOLE_TABLES):
             with self.subTest(made.name):
                 cost = decisions.measure(5, 17, made, 2)
                 self.assertEqual((cost.backends, cost.steps), (17, 20))
