--- a/embertray/experiments/measure/capacity/entries.py
+++ b/embertray/experiments/measure/capacity/entries.py
@@ -9,26 +9,26 @@
 from embertray.controller.endpoint_list import EndpointListFollower
 from embertray.controller.endpoint_list.messages import EndpointEntry, WatchEvent, decode_response, encode
 
-TURNS = 31  # measurements of each, of which the median is taken
+REPEATS = 31  # measurements of each, of which the median is taken
 ZONES = 19
 
 
-def listed(count):
+def make_entries(count):
     """Returns entries as discovery sends them, each with its own address, zone and start."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     return [
         EndpointEntry(
-            f"127.{chance.randrange(256)}.{chance.randrange(256)}.{chance.randrange(1, 255)}:"
-            f"{chance.randrange(1024, 65536)}",
+            f"127.{rng.randrange(256)}.{rng.randrange(256)}.{rng.randrange(1, 255)}:"
+            f"{rng.randrange(1024, 65536)}",
             f"zone-{number % ZONES}",
             "ready",
-            chance.randrange(2**40),
+            rng.randrange(2**40),
         )
         for number in range(count)
     ]
 
 
-def reading(follower, payload):
+def apply_cost(follower, payload):
     """Returns the processor seconds to decode one response and apply it."""
     began = time.process_time()
     follower.receive(decode_response(payload))
@@ -37,13 +37,13 @@
 
 def measure(count):
     """Returns the figures of a list with `count` entries, by the names in UNITS."""
-    entries, follower = listed(count), EndpointListFollower()
+    entries, follower = make_entries(count), EndpointListFollower()
     whole = encode(WatchEvent(1, 0, 2**60, entries))
-    whole_costs = [reading(follower, whole) for _ in range(TURNS)]
+    whole_costs = [apply_cost(follower, whole) for _ in range(REPEATS)]
     change_costs = []
-    for turn in range(TURNS):
+    for turn in range(REPEATS):
         change = encode(WatchEvent(2 + turn, 1 + turn, 2**60, [entries[turn % count]]))
-        change_costs.append(reading(follower, change))
+        change_costs.append(apply_cost(follower, change))
     return {
         "list-bytes": len(encode_frame(whole)),
         "list-processor": median(whole_costs),
@@ -70,6 +70,6 @@
             name,
             unit,
             "entries of the list",
-            [(size, found[name]) for size, found in rows],
-            f"decoded and followed, without the module; median of {TURNS}; names of 15 to 21 characters",
+            [(size, figures[name]) for size, figures in rows],
+            f"decoded and followed, without the module; median of {REPEATS}; names of 15 to 21 characters",
         )
--- a/embertray/experiments/measure/capacity/picks.py
+++ b/embertray/experiments/measure/capacity/picks.py
@@ -14,31 +14,31 @@
 MS = 10**6
 
 
-def proxy(picks, lines):
+def bound_proxy(picks, lines):
     """Returns a proxy with a bound table of `lines` lines."""
     site = load(SITE_FOLDER / "samples" / "pushed.xml").at(picks=picks)
-    made = Proxy(site, np.random.default_rng(1))
-    made.apply(Orders(0, 0, [Bind(1, [(f"b{number}", 1.0 + number % 7) for number in range(lines)])]))
-    return made
+    proxy = Proxy(site, np.random.default_rng(1))
+    proxy.apply(Orders(0, 0, [Bind(1, [(f"b{number}", 1.0 + number % 7) for number in range(lines)])]))
+    return proxy
 
 
-def timed_pick(made, now):
+def timed_pick(proxy, now):
     """Returns the processor seconds of one pick."""
     began = time.thread_time_ns()
-    made.pick(now, [])
+    proxy.pick(now, [])
     return (time.thread_time_ns() - began) / 1e9
 
 
 def measure(picks, lines):
     """Returns the processor seconds of each pick, (with an unchanged table, just after a change)."""
-    made = proxy(picks, lines)
+    proxy = bound_proxy(picks, lines)
     for now in range(100):
-        made.pick(now * MS, [])
-    steady = [timed_pick(made, now * MS) for now in range(PICKS)]
+        proxy.pick(now * MS, [])
+    steady = [timed_pick(proxy, now * MS) for now in range(PICKS)]
     changed = []
     for turn in range(CHANGES):
-        made.apply(Orders(0, 0, [Line(1, f"b{turn % lines}", 2.0 + turn % 5)]))
-        changed.append(timed_pick(made, turn * MS))
+        proxy.apply(Orders(0, 0, [Line(1, f"b{turn % lines}", 2.0 + turn % 5)]))
+        changed.append(timed_pick(proxy, turn * MS))
     return steady, changed
 
 
@@ -47,7 +47,7 @@
     for picks in ("weighted", "round", "two"):
         rows = [(size, *measure(picks, size)) for size in sizes]
         note = f"the stand-in's model, pick '{picks}'; {PICKS} picks, {CHANGES} right after a changed line"
-        for name, which, share in (
+        for name, index, share in (
             ("pick-p50", 0, 0.5),
             ("pick-p99", 0, 0.99),
             ("pick-changed-p50", 1, 0.5),
@@ -57,6 +57,6 @@
                 f"{name}-{picks}",
                 "s of processor a pick",
                 "lines of the table",
-                [(size, quantile(found[which], share)) for size, *found in rows],
+                [(size, quantile(costs[index], share)) for size, *costs in rows],
                 note,
             )
