--- a/embertray/experiments/measure/capacity/record.py
+++ b/embertray/experiments/measure/capacity/record.py
@@ -13,7 +13,7 @@
 FOLDER = Path("docs/measured/capacity")
 
 
-def machine():
+def describe_machine():
     """Describes the machine's cores, memory and Python version."""
     memory = psutil.virtual_memory().total / 2**30
     return f"{os.cpu_count()} shared cores, {memory:.0f} GiB, Python {platform.python_version()}"
@@ -57,7 +57,7 @@
                 sorted(points, key=lambda point: point[0]),
                 self.command,
                 self.commit,
-                machine(),
+                describe_machine(),
                 time.strftime("%Y-%m-%d"),
                 "measured",
                 f"{note}{'; ' if note else ''}load of the machine at the end {load:.1f}",
--- a/embertray/experiments/measure/capacity/streams.py
+++ b/embertray/experiments/measure/capacity/streams.py
@@ -16,8 +16,8 @@
 
 SETTLE, QUIET, REPORTING = 6, 10, 30  # seconds after the joins, without reports, with reports
 WINDOW = 10  # consecutive seconds of the worst mean
-JOINS, APART = 20, 0.25  # proxies that join one after the other; seconds between two of them
-OTHERS = 67  # proxies that have joined before
+JOINS, JOIN_INTERVAL_S = 20, 0.25  # proxies that join one after the other; seconds between two of them
+JOINED = 67  # proxies that have joined before
 
 
 @dataclass
@@ -61,17 +61,17 @@
         return Phase((self.processor() - processor) / (time.monotonic() - began), received, sent)
 
 
-async def nothing(_):
+async def send_no_reports(_):
     """Sends no reports."""
     pass
 
 
-async def load(backends, proxies):
+async def measure_load(backends, proxies):
     """Measures one controller without and with reports.
 
     Returns (quiet phase, reporting phase, bytes of memory added by the proxies, bytes of memory in all).
     """
-    chance = random.Random(1)
+    rng = random.Random(1)
     async with run_controller(backends, proxies, lambda *_: None, proxies=proxies) as (
         _,
         names,
@@ -84,19 +84,19 @@
         async def report(until):
             """Sends a report of one request from each proxy, spread over the second."""
             for number, proxy in enumerate(fleet):
-                await proxy.send_load_report([chance.choice(names)], ["view"])
+                await proxy.send_load_report([rng.choice(names)], ["view"])
                 left = until - time.monotonic()
                 await anyio.sleep(max(0.0, left / (len(fleet) - number + 1)))
 
         await meter.phase(SETTLE, report)
-        quiet = await meter.phase(QUIET, nothing)
+        quiet = await meter.phase(QUIET, send_no_reports)
         await meter.phase(2, report)
         reporting = await meter.phase(REPORTING, report)
         memory = meter.process.memory_info().rss
     return quiet, reporting, memory - result["idle_kib"] * 1024, memory
 
 
-async def joins(backends):
+async def measure_joins(backends):
     """Measures proxies that join one after the other.
 
     Returns (seconds that each waited for its first orders, bytes that each received, processor seconds
@@ -104,11 +104,11 @@
     """
     waits, received = [], []
     async with (
-        run_controller(backends, OTHERS, lambda *_: None, proxies=OTHERS + JOINS) as (_, _, fleet, pid, _),
+        run_controller(backends, JOINED, lambda *_: None, proxies=JOINED + JOINS) as (_, _, fleet, pid, _),
         anyio.create_task_group() as group,
     ):
         meter = Meter(pid, fleet)
-        quiet = await meter.phase(QUIET, nothing)
+        quiet = await meter.phase(QUIET, send_no_reports)
         before, began = meter.processor(), time.monotonic()
         for number in range(JOINS):
             proxy = BareProxy(f"late{number}", "north", lambda *_: None)
@@ -116,7 +116,7 @@
             group.start_soon(proxy.run, fleet[0].address)
             await proxy.bound.wait()
             waits.append(time.monotonic() - started)
-            await anyio.sleep(APART)
+            await anyio.sleep(JOIN_INTERVAL_S)
             received.append(proxy.received)
         spent = meter.processor() - before - quiet.cores * (time.monotonic() - began)
         group.cancel_scope.cancel()
@@ -125,13 +125,13 @@
 
 def run_load(recording, sizes, backends):
     """Measures a controller against proxies, and saves the slopes."""
-    rows = [(size, *anyio.run(load, backends, size)) for size in sizes]
+    rows = [(size, *anyio.run(measure_load, backends, size)) for size in sizes]
     save_load(recording, rows, "proxies", "", f"{backends} backends")
 
 
 def run_load_by_backends(recording, sizes, proxies):
     """Measures a controller against backends, and saves the slopes."""
-    rows = [(size, *anyio.run(load, size, proxies)) for size in sizes]
+    rows = [(size, *anyio.run(measure_load, size, proxies)) for size in sizes]
     save_load(recording, rows, "backends", "-by-backends", f"{proxies} proxies")
 
 
@@ -143,7 +143,7 @@
         f"paced; loopback, payload bytes; {QUIET} s quiet, {REPORTING} s with one sum of one request a "
         "proxy a second"
     )
-    for name, unit, pick in (
+    for name, unit, value_of in (
         ("streams-processor", "cores a controller", lambda quiet, *_: quiet.cores),
         (
             "reports-processor",
@@ -165,20 +165,20 @@
         ("streams-memory", "bytes a controller", lambda _, __, brought, ___: brought),
         ("controller-memory", "bytes a controller", lambda _, __, ___, whole: whole),
     ):
-        points = [(size, pick(*found)) for size, *found in rows]
+        points = [(size, value_of(*figures)) for size, *figures in rows]
         recording.save(name + suffix, unit, size_of, points, note)
 
 
 def run_joins(recording, sizes):
     """Measures joining proxies against the entries of the list, and saves the slopes."""
-    rows = [(size, *anyio.run(joins, size)) for size in sizes]
-    note = f"{JOINS} proxies join {OTHERS}, one by one; channel not paced; loopback; wall time from the dial"
-    for name, unit, pick in (
+    rows = [(size, *anyio.run(measure_joins, size)) for size in sizes]
+    note = f"{JOINS} proxies join {JOINED}, one by one; channel not paced; loopback; wall time from the dial"
+    for name, unit, value_of in (
         ("join-wait", "s a joining proxy, p50", lambda waits, *_: median(waits)),
         ("join-wait-most", f"s a joining proxy, longest of {JOINS}", lambda waits, *_: quantile(waits, 1)),
         ("join-bytes", "bytes a joining proxy", lambda _, received, __: median(received)),
         ("join-processor", "s of processor a joining proxy", lambda _, __, spent: max(0.0, spent)),
     ):
         recording.save(
-            name, unit, "entries of the list", [(size, pick(*found)) for size, *found in rows], note
+            name, unit, "entries of the list", [(size, value_of(*figures)) for size, *figures in rows], note
         )
