--- a/embertray/experiments/measure/capacity/decisions.py
+++ b/embertray/experiments/measure/capacity/decisions.py
@@ -13,7 +13,7 @@
 from embertray.policy import Controller, interface as i
 from embertray.simulation.standins.fleet import Fleet
 
-MS, S = 10**6, 10**9
+MS, S = 10**6, 10**9  # ns
 STEP_INTERVAL = 100 * MS  # simulated ns between two steps
 UPDATE_DELAY = 5 * MS  # simulated ns from a regular step to the extra step that is given a list update
 LIST_UPDATES = 5  # extra steps with a list update of each kind
@@ -56,9 +56,8 @@
     """What a fleet of one size costs.
 
     `cores` is processor seconds per simulated second, `worst_step` the processor seconds of the longest
-    step, `memory` is in bytes,
-    `changed_entry` and `whole_list` are the processor seconds of a step that is given one
-    changed entry or the whole list.
+    step, and `memory` is in bytes. `changed_entry` and `whole_list` are the processor seconds of a step that
+    is given one changed entry or the whole list.
     """
 
     backends: int
@@ -81,13 +80,13 @@
         module = Controller(seed, site, now)
         step = module.step
 
-        def timer(now, events):
+        def timed_step(now, events):
             began = time.process_time()
             orders = step(now, events)
             self.steps.append(time.process_time() - began)
             return orders
 
-        module.step = timer
+        module.step = timed_step
         return module
 
 
--- a/embertray/experiments/measure/capacity/picks.py
+++ b/embertray/experiments/measure/capacity/picks.py
@@ -11,7 +11,7 @@
 from embertray.simulation.models.proxy import Proxy
 
 PICKS, CHANGES = 5000, 300  # measured picks with an unchanged table; picks just after a changed line
-MS = 10**6
+MS = 10**6  # ns
 
 
 def bound_proxy(picks, lines):
--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -14,7 +14,7 @@
 from embertray.simulation.emulator.random_faults import random_faults
 from embertray.simulation.scenarios import notation
 
-S = 10**9
+S = 10**9  # ns
 CALM_S, PARTITION_S = 20, 40  # s before the partition, and its minimal duration
 
 
--- a/embertray/experiments/measure/control.py
+++ b/embertray/experiments/measure/control.py
@@ -13,7 +13,7 @@
 from embertray.simulation.claims.control import CLAIMS
 from embertray.simulation.processes.control_fault_run import run_with_faults
 
-S = 10**9
+S = 10**9  # ns
 QUANTILES = (0.5, 0.99, 1.0)  # quantiles of the times that are shown
 
 
--- a/embertray/experiments/measure/control_day.py
+++ b/embertray/experiments/measure/control_day.py
@@ -12,7 +12,7 @@
 
 from embertray.simulation.emulator.control.day_simulation import ControlDay, DayPlan
 
-S = 10**9
+S = 10**9  # ns
 QUANTILES = (0.5, 0.99, 0.999, 1.0)
 
 
--- a/embertray/experiments/measure/emulated.py
+++ b/embertray/experiments/measure/emulated.py
@@ -13,7 +13,7 @@
 from embertray.simulation.emulator.play import play
 from embertray.simulation.scenarios import notation
 
-S = 10**9
+S = 10**9  # ns
 SIZES = ((25, 40), (90, 150), (300, 500), (1000, 5000))
 REQUESTS_PER_BACKEND = 10  # requests/s for each backend: a third of its capacity
 
--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -30,7 +30,7 @@
 from embertray.simulation.standins.link import STREAM_ERRORS
 from embertray.simulation.standins.scheduler import Agenda
 
-S = 10**9
+S = 10**9  # ns
 
 
 class BareProxy:
--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -60,7 +60,7 @@
 
 
 TYPES_BY_RECORDED_NAME = {recorded_name(kind): kind for kind in vars(i).values() if isinstance(kind, type)}
-MS, S = 10**6, 10**9
+MS, S = 10**6, 10**9  # ns
 
 
 class RowCodec:
--- a/embertray/experiments/measure/scale/__main__.py
+++ b/embertray/experiments/measure/scale/__main__.py
@@ -14,7 +14,7 @@
 from . import fleet, slopes, virtual
 from .merging import MergingRecording
 
-S = 10**9
+S = 10**9  # ns
 
 
 def sizes(text):
--- a/embertray/experiments/measure/scale/fleet.py
+++ b/embertray/experiments/measure/scale/fleet.py
@@ -12,7 +12,7 @@
 
 from .messages import ClusterPlan, ReplicaPlan, Report, SubscriberPlan, Timetable
 
-MS, S = 10**6, 10**9
+MS, S = 10**6, 10**9  # ns
 START_DELAY = 4 * S  # ns from the plans to the first start: all processes have read them by then
 REPORT_TIMEOUT_S = 120  # s after the window within which a worker has to report
 MARKS = 3  # writes whose time until all members see them is measured
--- a/embertray/experiments/measure/scale/meter.py
+++ b/embertray/experiments/measure/scale/meter.py
@@ -2,7 +2,7 @@
 
 from collections import namedtuple
 
-S = 10**9
+S = 10**9  # ns
 WORST_WINDOW_S = 10  # consecutive seconds of the worst rate
 
 Counters = namedtuple("Counters", "sent received messages parts")  # totals since the start
--- a/embertray/experiments/measure/scale/slopes.py
+++ b/embertray/experiments/measure/scale/slopes.py
@@ -12,8 +12,8 @@
         f"{summary.size}: {summary.count} members, sent {summary.sent:,.0f} (worst "
         f"{summary.sent_worst:,.0f}; {parts}), "
         f"received {summary.received:,.0f} (worst {summary.received_worst:,.0f}) bytes/s, "
-        f"{summary.messages:.1f} messages/s, {summary.processor:.5f} cores, {summary.memory / 1024:,.0f} "
-        f"KiB, "
+        f"{summary.messages:.1f} messages/s, {summary.processor:.5f} cores, "
+        f"{summary.memory / 1024:,.0f} KiB, "
         f"seen {summary.seen_min} at least, {summary.seen_mean:.1f} on average, oldest {oldest}, "
         f"to all {delays}, {summary.failures} failures"
     )
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -10,7 +10,7 @@
 from .fleet import MARKS, Summary
 from .meter import Counters, Meter
 
-MS, S = 10**6, 10**9
+MS, S = 10**6, 10**9  # ns
 MARK = "mark"
 MARK_CHECK_INTERVAL = 100 * MS  # ns between checks for marks, as in worker
 FIRST_PORT = 20_000
--- a/embertray/experiments/measure/scale/worker.py
+++ b/embertray/experiments/measure/scale/worker.py
@@ -17,11 +17,9 @@
 from .messages import ClusterPlan, MemberReport, Plan, ReplicaPlan, Report, SubscriberPlan
 from .meter import Meter
 
-MS, S = 10**6, 10**9
+MS, S = 10**6, 10**9  # ns
 MARK_CHECK_INTERVAL = 100 * MS  # ns between checks for marks; a measured delay may be too long by this
-READINGS_PER_AGE = (
-    5  # readings of the counters for each reading of the oldest entry, which walks over all entries
-)
+READINGS_PER_AGE = 5  # readings of the counters per reading of the oldest entry, which walks all entries
 
 ROLES = {  # plan -> (role, module of its members, function that makes them)
     ClusterPlan: ("member", "cluster_role", "members"),
