--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -144,7 +144,7 @@
 }
 
 
-class SameTraffic(unittest.TestCase):
+class RecordedTraffic(unittest.TestCase):
     def test_membership_sends_the_recorded_bytes(self):
         figures, misread = membership_traffic()
         self.assertEqual(figures, MEMBERSHIP)
@@ -221,7 +221,7 @@
     return [(link.counters.state_bytes_sent, link.counters.state_bytes_received) for link in links]
 
 
-class SameCounts(unittest.TestCase):
+class ExchangeBytes(unittest.TestCase):
     def test_an_exchange_costs_as_many_bytes_under_virtual_time_as_through_sockets(self):
         first, second = emulated_exchange()
         self.assertEqual(anyio.run(linked_exchange), [(first, second), (second, first)])
@@ -235,7 +235,7 @@
 
 
 class VirtualMembers(unittest.TestCase):
-    def test_they_send_the_recorded_counts(self):
+    def test_members_send_the_recorded_counts(self):
         for size, recorded in VIRTUAL.items():
             with self.subTest(size):
                 one = virtual.measure(size, SPANS, S, 60)
@@ -244,7 +244,7 @@
                 self.assertEqual((one.seen_min, one.failures), (size, 0))
                 self.assertEqual([count for count, _ in one.delays.values()], [size] * 3)
 
-    def test_the_collector_is_left_as_it_was(self):
+    def test_garbage_collector_thresholds_are_restored(self):
         before = gc.get_threshold()
         virtual.measure(2, fleet.Spans(0.1, 1.0, 2.0), S, 60)
         self.assertEqual(gc.get_threshold(), before)
@@ -261,7 +261,7 @@
         self.assertEqual(meter.worst("received"), 2_000)
         self.assertEqual(meter.part_rates(), {"state": 5_200 / 14})
 
-    def test_a_window_shorter_than_ten_seconds_is_worst_as_a_whole(self):
+    def test_worst_rate_of_a_shorter_window_is_its_mean(self):
         meter = Meter()
         for second, total in enumerate((0, 10, 40)):
             meter.read(second * S, Counters(total, 0, 0, {}))
@@ -269,7 +269,7 @@
 
 
 class Recordings(unittest.TestCase):
-    def test_sizes_measured_later_join_those_that_are_there(self):
+    def test_recorded_points_of_other_sizes_are_kept(self):
         with tempfile.TemporaryDirectory() as folder, contextlib.redirect_stdout(io.StringIO()):
             Recording("first", folder).save("some", "s a change", "members", [(8, 1.0), (32, 2.0)], "calm")
             MergingRecording("second", folder).save("some", "s a change", "members", [(32, 3.0), (64, 4.0)])
@@ -280,7 +280,7 @@
 
 
 class Plans(unittest.TestCase):
-    def test_each_member_is_of_one_process_and_starts_once(self):
+    def test_each_member_belongs_to_one_process_and_starts_once(self):
         plans = fleet.cluster_plans(37, 4, SPANS, S, 60)
         names = [name for plan in plans for name in plan.names]
         starts = sorted(start for plan in plans for start in plan.timetable.starts)
@@ -289,10 +289,10 @@
         self.assertEqual(len({plan.timetable.window_from for plan in plans}), 1)
         self.assertTrue(all(plan.timetable.window_from >= starts[-1] + 10 * S for plan in plans))
 
-    def test_few_members_share_a_process_so_that_measuring_is_shared(self):
+    def test_few_members_share_fewer_processes(self):
         self.assertEqual(len(fleet.cluster_plans(20, 8, SPANS, S, 60)), 2)
 
-    def test_subscribers_are_spread_evenly_and_have_two_more_to_turn_to(self):
+    def test_subscribers_are_spread_evenly_and_have_two_more_replicas(self):
         plans = fleet.control_plans(48, 4, SPANS, 8, 10, 100)
         replicas = [plan for plan in plans if isinstance(plan, ReplicaPlan)]
         follows = [row for plan in plans if isinstance(plan, SubscriberPlan) for row in plan.follows]
@@ -310,7 +310,7 @@
 
 
 class Summaries(unittest.TestCase):
-    def test_reports_of_one_role_come_together(self):
+    def test_reports_of_one_role_are_combined(self):
         rows = [("member", "a", {1: 0.5, 2: 3.0}), ("member", "b", {1: 0.7}), ("other", "c", {})]
         reports = [
             Report(role, 3.0, 1_000, 5_000, [member_report(name, delays)]) for role, name, delays in rows
@@ -347,7 +347,7 @@
 
 
 class HollowMembers(unittest.TestCase):
-    def test_true_links_see_each_other_and_a_mark(self):
+    def test_links_see_each_other_and_a_mark(self):
         members = anyio.run(linked_members, 4)
         counted = [member.counters() for member in members]
         self.assertTrue(all(one.parts["state"] + one.parts["probes"] == one.sent for one in counted))
@@ -374,8 +374,8 @@
     return leaders, followers
 
 
-class HollowControl(unittest.TestCase):
-    def test_true_replicas_and_subscribers_carry_a_mark(self):
+class HollowControlPlane(unittest.TestCase):
+    def test_subscribers_apply_a_mark_written_to_the_replicas(self):
         leaders, followers = anyio.run(control_members, 3, 5)
         self.assertEqual(sum(member.seen() for member in leaders), 5)
         self.assertTrue(all(member.counters().received for member in leaders + followers))
