--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -40,8 +40,8 @@
 from embertray.simulation.processes.ports import free_ports
 from embertray.simulation.scenarios import notation
 
-Me = namedtuple("Me", "name cluster")
-MOST = 20  # s that a wait takes before it fails
+MemberAddress = namedtuple("MemberAddress", "name cluster")
+WAIT_TIMEOUT_S = 20  # s that a wait takes before it fails
 
 
 def setUpModule():
@@ -57,20 +57,20 @@
 
     def __init__(self):
         self.messages, self.bytes, self.digest = 0, 0, hashlib.sha256()
-        self.misread = []  # messages whose bytes stand for another one
+        self.not_reproduced = []  # messages whose bytes stand for another one
 
     def add(self, data):
         self.messages += 1
         self.bytes += len(data)
         self.digest.update(data)
 
-    def watch(self, simulation):
+    def record_sends(self, simulation):
         sent = simulation.send
 
         def send(process, out):
             for address, message in out:
                 if decode(encode(message)) != message:
-                    self.misread.append(message)
+                    self.not_reproduced.append(message)
                 head = f"{simulation.engine.time} {process.core.local.address} {address} ".encode()
                 self.digest.update(head)
                 self.add(encode(message))
@@ -87,7 +87,7 @@
 def membership_traffic():
     """Membership alone: lost, repeated and spoilt datagrams, a death, a standstill, a life begun again."""
     simulation = MembershipSimulation(7)
-    traffic = Traffic().watch(simulation)
+    traffic = Traffic().record_sends(simulation)
     simulation.start_cluster(12)
     simulation.links.loss, simulation.links.duplication, simulation.links.corruption = 0.2, 0.1, 0.05
     simulation.run(30 * S)
@@ -100,13 +100,13 @@
     simulation.run(40 * S)
     simulation.links.heal()
     simulation.run(40 * S)
-    return (*traffic.figures, len(simulation.changes)), traffic.misread
+    return (*traffic.figures, len(simulation.changes)), traffic.not_reproduced
 
 
 def simulation_traffic(text, seed):
     """Membership and state: (datagrams' figures, state's figures, what was asked of each claim)."""
     simulation = ClusterSimulation(notation.read(text), seed)
-    datagrams, state, counted = Traffic().watch(simulation.membership), Traffic(), StateExchanger.count
+    datagrams, state, counted = Traffic().record_sends(simulation.membership), Traffic(), StateExchanger.count
 
     def count(exchanger, message):
         state.add(encode_state_message(message))
@@ -117,7 +117,7 @@
     return datagrams.figures, state.figures, tuple(claims.checks.values())
 
 
-MEMBERSHIP = (11624, 1275768, "b38abda91d644fad", 2325)
+MEMBERSHIP_FIGURES = (11624, 1275768, "b38abda91d644fad", 2325)
 DAYS = {  # name: (text, seed), datagrams, state, how often each claim was asked for
     "drawn 3": (
         (random_faults(3, 6), 3),
@@ -146,9 +146,9 @@
 
 class RecordedTraffic(unittest.TestCase):
     def test_membership_sends_the_recorded_bytes(self):
-        figures, misread = membership_traffic()
-        self.assertEqual(figures, MEMBERSHIP)
-        self.assertEqual(misread, [], "a simulation hands on messages in place of their bytes")
+        figures, not_reproduced = membership_traffic()
+        self.assertEqual(figures, MEMBERSHIP_FIGURES)
+        self.assertEqual(not_reproduced, [], "a simulation hands on messages in place of their bytes")
 
     def test_members_with_state_send_the_recorded_bytes(self):
         for name, (day, *recorded) in DAYS.items():
@@ -168,7 +168,7 @@
     wall = now
 
 
-def filled(store, now, owners):
+def fill_store(store, now, owners):
     """A store that holds entries of other owners, each told some seconds ago."""
     entries = [Entry(f"m{n}", "facts", 1, n, n * S, b"f" * 60) for n in owners]
     store.merge(now, entries)
@@ -176,14 +176,14 @@
     store.put(now, "facts", b"f" * 60)
 
 
-KNOWN = range(10, 40), range(25, 70)  # owners that the one who begins holds, and the other
+KNOWN_OWNERS = range(10, 40), range(25, 70)  # owners that the one who begins holds, and the other
 
 
 def emulated_exchange():
     """Bytes of state that each of two members sent in one exchange under virtual time."""
     simulation = MembershipSimulation(1, delay=(0, 0))
     exchangers = {}
-    for name, owners in zip(("a", "b"), KNOWN, strict=True):
+    for name, owners in zip(("a", "b"), KNOWN_OWNERS, strict=True):
         exchangers[name] = exchanger = StateExchanger(
             simulation.start_member(name, []),
             lambda: exchangers,
@@ -192,7 +192,7 @@
             facts=lambda _: b"f" * 60,
         )
         exchanger.next_facts_at, exchanger.exchange.next_at = 10 * START_NS, 10 * START_NS
-        filled(exchanger.store, START_NS, owners)
+        fill_store(exchanger.store, START_NS, owners)
     simulation.run(0)
     exchangers["a"].send_offer(0, "b")
     simulation.run(0)
@@ -202,10 +202,10 @@
 async def linked_exchange():
     """The same exchange of two members with sockets: (sent, received) of each, bytes of state."""
     links, served = [], anyio.Event()
-    for name, owners, port in zip(("a", "b"), KNOWN, free_ports(2), strict=True):
-        me = Me(name, f"127.0.0.1:{port}")
+    for name, owners, port in zip(("a", "b"), KNOWN_OWNERS, free_ports(2), strict=True):
+        me = MemberAddress(name, f"127.0.0.1:{port}")
         link = ClusterLink(ClusterSettings("c", S, 1 << 20, 1 << 20), me, [], FixedClock(START_NS), 1, dict)
-        filled(link.store, START_NS, owners)
+        fill_store(link.store, START_NS, owners)
         links.append(link)
 
     async def serve(stream):
@@ -228,7 +228,7 @@
 
 
 SPANS = fleet.Spans(spread=0.5, settle=10.0, window=20.0)
-VIRTUAL = {  # members: bytes of probes, of state, and datagrams, of all in the window
+VIRTUAL_FIGURES = {  # members: bytes of probes, of state, and datagrams, of all in the window
     4: [15296, 43223, 192],
     12: [62203, 375092, 576],
 }
@@ -236,7 +236,7 @@
 
 class VirtualMembers(unittest.TestCase):
     def test_members_send_the_recorded_counts(self):
-        for size, recorded in VIRTUAL.items():
+        for size, recorded in VIRTUAL_FIGURES.items():
             with self.subTest(size):
                 one = virtual.measure(size, SPANS, S, 60)
                 found = one.parts["probes"], one.parts["state"], one.messages
@@ -327,13 +327,13 @@
 async def linked_members(count):
     """Hollow members on loopback until all have seen a mark: them."""
     addresses = {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(free_ports(count))}
-    never = Timetable([], 0, 0, [])
-    plan = ClusterPlan(never, list(addresses), addresses, S // 20, 60, "m0")
+    unused_timetable = Timetable([], 0, 0, [])
+    plan = ClusterPlan(unused_timetable, list(addresses), addresses, S // 20, 60, "m0")
     members = cluster_role.members(plan)
     async with anyio.create_task_group() as group:
         for member in members:
             group.start_soon(member.run)
-        with anyio.fail_after(MOST):
+        with anyio.fail_after(WAIT_TIMEOUT_S):
             while not all(member.link and member.seen() == count for member in members):
                 await anyio.sleep(0.01)
             mark = members[0].clock.now()
@@ -362,7 +362,7 @@
     async with anyio.create_task_group() as group:
         for member in leaders + followers:
             group.start_soon(member.run)
-        with anyio.fail_after(MOST):
+        with anyio.fail_after(WAIT_TIMEOUT_S):
             while not all(member.client.revision >= 3 for member in followers):
                 await anyio.sleep(0.01)
             mark = followers[0].clock.now()
