--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,8 @@
-"""What members of a cluster send for a fixed seed, counted and digested: a change that is to save processor
-time alone must not move one byte. The figures were recorded before the cores were made faster."""
+"""Tests of the scale measurements: recorded traffic, virtual members and hollow members.
+
+What members of a cluster send for a fixed seed is counted and digested: a change that only saves processor
+time must not alter a byte of it. The figures were recorded before the cores were optimized.
+"""
 
 import contextlib
 import gc
@@ -41,7 +44,7 @@
 from embertray.simulation.scenarios import notation
 
 MemberAddress = namedtuple("MemberAddress", "name cluster")
-WAIT_TIMEOUT_S = 20  # s that a wait takes before it fails
+WAIT_TIMEOUT_S = 20  # s after which a wait fails
 
 
 def setUpModule():
@@ -53,11 +56,11 @@
 
 
 class Traffic:
-    """Counts messages and bytes, and digests them in the order in which they were sent."""
+    """Counts messages and bytes, and digests them in the order they were sent."""
 
     def __init__(self):
         self.messages, self.bytes, self.digest = 0, 0, hashlib.sha256()
-        self.not_reproduced = []  # messages whose bytes stand for another one
+        self.not_reproduced = []  # messages that differ from their encoded and decoded form
 
     def add(self, data):
         self.messages += 1
@@ -85,7 +88,7 @@
 
 
 def membership_traffic():
-    """Membership alone: lost, repeated and spoilt datagrams, a death, a standstill, a life begun again."""
+    """Membership alone, with lost, duplicated and corrupted datagrams, a death, a pause and a restart."""
     simulation = MembershipSimulation(7)
     traffic = Traffic().record_sends(simulation)
     simulation.start_cluster(12)
@@ -104,7 +107,7 @@
 
 
 def simulation_traffic(text, seed):
-    """Membership and state: (datagrams' figures, state's figures, what was asked of each claim)."""
+    """Membership and state: (figures of datagrams, figures of state, checks of each claim)."""
     simulation = ClusterSimulation(notation.read(text), seed)
     datagrams, state, counted = Traffic().record_sends(simulation.membership), Traffic(), StateExchanger.count
 
@@ -118,7 +121,7 @@
 
 
 MEMBERSHIP_FIGURES = (11624, 1275768, "b38abda91d644fad", 2325)
-DAYS = {  # name: (text, seed), datagrams, state, how often each claim was asked for
+DAYS = {  # name: (text, seed), datagrams, state, checks of each claim
     "drawn 3": (
         (random_faults(3, 6), 3),
         (8551, 489925, "16bdd3ae3ede9ee4"),
@@ -148,7 +151,7 @@
     def test_membership_sends_the_recorded_bytes(self):
         figures, not_reproduced = membership_traffic()
         self.assertEqual(figures, MEMBERSHIP_FIGURES)
-        self.assertEqual(not_reproduced, [], "a simulation hands on messages in place of their bytes")
+        self.assertEqual(not_reproduced, [], "messages differ from what their bytes decode to")
 
     def test_members_with_state_send_the_recorded_bytes(self):
         for name, (day, *recorded) in DAYS.items():
@@ -157,7 +160,7 @@
 
 
 class FixedClock:
-    """Time stands still: ages, and so the bytes of an exchange, depend on nothing else."""
+    """A clock that stands still, so that ages, and with them the bytes of an exchange, are fixed."""
 
     def __init__(self, now):
         self.time = now
@@ -169,18 +172,18 @@
 
 
 def fill_store(store, now, owners):
-    """A store that holds entries of other owners, each told some seconds ago."""
+    """Fills a store with entries of other owners, each some seconds old."""
     entries = [Entry(f"m{n}", "facts", 1, n, n * S, b"f" * 60) for n in owners]
     store.merge(now, entries)
     store.mark_complete({entry.owner: (entry.incarnation, entry.version) for entry in entries})
     store.put(now, "facts", b"f" * 60)
 
 
-KNOWN_OWNERS = range(10, 40), range(25, 70)  # owners that the one who begins holds, and the other
+KNOWN_OWNERS = range(10, 40), range(25, 70)  # owners known to the initiator and to its peer
 
 
 def emulated_exchange():
-    """Bytes of state that each of two members sent in one exchange under virtual time."""
+    """Returns the bytes of state that each of two members sent in one exchange under virtual time."""
     simulation = MembershipSimulation(1, delay=(0, 0))
     exchangers = {}
     for name, owners in zip(("a", "b"), KNOWN_OWNERS, strict=True):
@@ -200,7 +203,7 @@
 
 
 async def linked_exchange():
-    """The same exchange of two members with sockets: (sent, received) of each, bytes of state."""
+    """Returns (sent, received) bytes of state of each member in the same exchange through sockets."""
     links, served = [], anyio.Event()
     for name, owners, port in zip(("a", "b"), KNOWN_OWNERS, free_ports(2), strict=True):
         me = MemberAddress(name, f"127.0.0.1:{port}")
@@ -228,7 +231,7 @@
 
 
 SPANS = fleet.Spans(spread=0.5, settle=10.0, window=20.0)
-VIRTUAL_FIGURES = {  # members: bytes of probes, of state, and datagrams, of all in the window
+VIRTUAL_FIGURES = {  # members: bytes of probes, bytes of state and datagrams, of all members in the window
     4: [15296, 43223, 192],
     12: [62203, 375092, 576],
 }
@@ -319,13 +322,13 @@
         self.assertEqual((one.count, one.processor, one.memory, one.failures), (2, 0.3, 4_000, 2))
         self.assertEqual((one.sent, one.sent_worst, one.oldest), (100.0, 300.0, 4.5))
         self.assertEqual(one.delays, {1: (2, 0.7), 2: (1, 3.0)})
-        self.assertIsNone(slopes.time_to_all(one), "one did not see the second mark: that is no time to all")
+        self.assertIsNone(slopes.time_to_all(one), "one member did not see the second mark")
         one.delays.pop(2)
         self.assertEqual(slopes.time_to_all(one), 0.7)
 
 
 async def linked_members(count):
-    """Hollow members on loopback until all have seen a mark: them."""
+    """Runs hollow members on loopback until all have seen a mark, and returns them."""
     addresses = {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(free_ports(count))}
     unused_timetable = Timetable([], 0, 0, [])
     plan = ClusterPlan(unused_timetable, list(addresses), addresses, S // 20, 60, "m0")
@@ -355,7 +358,7 @@
 
 
 async def control_members(replicas, subscribers):
-    """Hollow replicas and subscribers on loopback, once the latter hold the keys and have seen a mark."""
+    """Runs hollow replicas and subscribers until all subscribers hold the keys and have seen a mark."""
     plans = fleet.control_plans(subscribers, 1, SPANS, replicas, 3, 50)
     leaders = [member for plan in plans[:replicas] for member in control_role.replicas(plan)]
     followers = control_role.subscribers(plans[replicas])
@@ -368,7 +371,7 @@
             mark = followers[0].clock.now()
             while not all(mark in member.delays for member in followers):
                 for member in leaders:
-                    await member.mark(mark)  # whoever leads; told again it writes nothing
+                    await member.mark(mark)  # only the leader writes; a repeated request is not written again
                 await anyio.sleep(0.01)
         group.cancel_scope.cancel()
     return leaders, followers
