--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -28,7 +28,7 @@
         self.stage = None
         self.running = {}  # name -> Program
         self.at = {}  # name -> its SiteController, with the addresses of this run
-        self.still = set()  # names of those that stand still
+        self.paused = set()  # names of those that stand still
         self.claims = None
 
     async def start(self, stage):
@@ -52,40 +52,43 @@
         return write_site_description(
             self.stage.sample,
             self.folder / f"{name}.xml",
-            [(me.name, me.zone, me.listen, me.admin, self.seen(name, me)) for me in self.at.values()],
-            self.inventory(name),
+            [
+                (me.name, me.zone, me.listen, me.admin, self.cluster_address(name, me))
+                for me in self.at.values()
+            ],
+            self.endpoint_list_address(name),
             self.folder / f"{name}.list",
             self.stage.day.fleet["period"] if self.clustered else None,
             self.stage.day.facts,
         )
 
-    def inventory(self, name):
+    def endpoint_list_address(self, name):
         """Where `name` finds the endpoint list."""
         return self.stage.site.inventory
 
-    def seen(self, name, other):
+    def cluster_address(self, name, other):
         """Where `name` finds `other`'s cluster address."""
         return other.cluster
 
-    async def up(self, name, still=0):
+    async def up(self, name, paused_for=0):
         """Starts it, unless another fault has done so already; `still`: ns that it stands still first."""
         if name in self.running:
             return
         self.running[name] = program = Program(
             self.folder / f"{name}.log", self.write_description(name), name, self.seed
         )
-        if still:
+        if paused_for:
             program.pause()
-            await anyio.sleep(still / 1e9)
+            await anyio.sleep(paused_for / 1e9)
             program.resume()
         await program.wait_listening()
         self.notify(Reachability.process_started, name)
 
-    async def all_up(self, names, still=0):
+    async def all_up(self, names, paused_for=0):
         """At once."""
         async with anyio.create_task_group() as group:
             for name in names:
-                group.start_soon(self.up, name, still)
+                group.start_soon(self.up, name, paused_for)
 
     up_slowly = all_up
 
@@ -105,7 +108,7 @@
     def kill(self, name):
         """Ends a process at once (SIGKILL), if it runs."""
         if name in self.running:
-            self.still.discard(name)
+            self.paused.discard(name)
             self.running.pop(name).kill()
             self.notify(Reachability.process_ended, name)
 
@@ -113,7 +116,7 @@
         """By SIGTERM, and up again once it has ended."""
         if name in self.running:
             program = self.running.pop(name)
-            self.still.discard(name)
+            self.paused.discard(name)
             self.notify(Reachability.process_ended, name)
             program.terminate()
             await anyio.to_thread.run_sync(program.wait_ended)
@@ -126,7 +129,7 @@
     def freeze(self, name):
         """A process stands still (SIGSTOP) until `thaw`."""
         if name in self.running:
-            self.still.add(name)
+            self.paused.add(name)
             self.running[name].pause()
             self.notify(Reachability.process_paused, name)
 
@@ -134,7 +137,7 @@
         """A process goes on (SIGCONT) as if no time had passed."""
         if name in self.running:
             self.running[name].resume()
-            self.still.discard(name)
+            self.paused.discard(name)
             self.notify(Reachability.process_resumed, name)
 
     async def closing(self):
--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -26,7 +26,7 @@
     def __init__(self, seed, folder, clustered=True):
         super().__init__(seed, folder)
         self.clustered = clustered
-        self.poor = set()  # controllers whose links from or to the proxies are not good
+        self.impaired = set()  # controllers whose links from or to the proxies are not good
 
     async def start(self, stage):
         """As ControllerProcesses; looks at the processes all the while."""
@@ -45,7 +45,7 @@
         self.stage.inventory.on_news = None  # what passed the link counts
         for name in self.at:
             to[name, "list"] = lambda: self.stage.inventory.address
-            taps[name, "list"] = lambda name=name: partial(self.passed, name, FrameDecoder())
+            taps[name, "list"] = lambda name=name: partial(self.on_list_data, name, FrameDecoder())
             to["px", name] = lambda name=name: self.at[name].listen
         self.links = ClusterLinks(
             {name: int((at.cluster or "0:0").rpartition(":")[2]) for name, at in self.at.items()},
@@ -61,7 +61,7 @@
                 self.links, span(self.stage.day.fleet["period"]), EXCHANGE_TIMEOUT_NS, DELAY_SLACK_NS
             )
 
-    def passed(self, name, decoder, data):
+    def on_list_data(self, name, decoder, data):
         """Bytes of the list that reach a controller."""
         for payload in decoder.feed(data):
             if isinstance(news := decode_response(payload), WatchEvent):
@@ -73,18 +73,18 @@
         What such proxies do is not their controller's doing.
         """
         for name in self.at:
-            poor = not (
+            impaired = not (
                 self.links.link(name, "px").is_unimpaired and self.links.link("px", name).is_unimpaired
             )
-            if poor != (name in self.poor):
-                (self.poor.add if poor else self.poor.discard)(name)
-                self.stage.eyes.note(at, "unheard" if poor else "heard", name)
+            if impaired != (name in self.impaired):
+                (self.impaired.add if impaired else self.impaired.discard)(name)
+                self.stage.eyes.note(at, "unheard" if impaired else "heard", name)
 
-    def inventory(self, name):
+    def endpoint_list_address(self, name):
         """Where `name` finds the endpoint list: behind its own link."""
         return f"127.0.0.1:{self.links.port(name, 'list')}"
 
-    def seen(self, name, other):
+    def cluster_address(self, name, other):
         """Where `name` finds `other`'s cluster address: behind its own link."""
         return other.cluster and (
             other.cluster if name == other.name else f"127.0.0.1:{self.links.port(name, other.name)}"
--- a/embertray/simulation/processes/process_monitor.py
+++ b/embertray/simulation/processes/process_monitor.py
@@ -43,7 +43,7 @@
         while True:
             now = self.clock.now()
             program = self.processes.running.get(name)
-            if program is not None and name not in self.processes.still:
+            if program is not None and name not in self.processes.paused:
                 await self.poll(now, name, program)
             await self.clock.sleep_until(now + POLL_PERIOD_NS)
 
