--- a/embertray/simulation/__init__.py
+++ b/embertray/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Models, stand-ins, scenarios, the emulator, and true processes under faults."""
+"""Models, stand-ins, scenarios, the emulator, and tests with real processes under faults."""
--- a/embertray/simulation/processes/__init__.py
+++ b/embertray/simulation/processes/__init__.py
@@ -1,1 +1,1 @@
-"""True processes of the program on loopback, and the links between them, which break as a play says."""
+"""Real embertray processes on loopback, and relays between them that inject network faults."""
--- a/embertray/simulation/processes/cluster_links.py
+++ b/embertray/simulation/processes/cluster_links.py
@@ -1,7 +1,7 @@
-"""The links of true processes: for each ordered pair an address of its own, UDP and TCP, that relays.
+"""UDP and TCP relays between the members of a cluster: each ordered pair has an address of its own.
 
-A member knows the others by the addresses that it hears, and passes them on; so statements are rewritten on
-the way: to each member, every other one lives behind that member's own link to it.
+Members learn each other's addresses from gossip and pass them on. The relays therefore rewrite the addresses
+in each message, so that a member reaches every other one only through its own link to it.
 """
 
 import socket
@@ -18,14 +18,14 @@
 
 
 class ClusterLinks(Network):
-    """`port(a, b)` is where a reaches b, `way(a, b)` what lies between.
+    """The faulty links between the members of a cluster, and between members and other endpoints.
 
     Args:
-        at: name -> the true cluster port of each member.
-        seed: of what the links lose, delay and repeat.
-        ends: names that only members reach, and that reach members only.
-        to: (from, to) -> a function that gives the address, for the ends that are no members.
-        taps: (from, to) -> TcpRelay's tap.
+        member_ports: name -> cluster port on which the member's process listens.
+        seed: seed of the random losses, delays and duplicates.
+        ends: names of endpoints that are not members; they have links to and from members only.
+        targets: (from, to) -> a function that returns the target's address, for pairs with such an endpoint.
+        taps: (from, to) -> the `make_tap` of the pair's TcpRelay.
     """
 
     def __init__(self, member_ports, seed=1, ends=(), targets=None, taps=None):
@@ -39,11 +39,11 @@
         self.ports = dict(zip(dialed_pairs, free_ports(len(dialed_pairs)), strict=True))
 
     def port(self, a, b):
-        """Where `a` is to dial to reach `b`."""
+        """Returns the port that `a` dials to reach `b`."""
         return self.ports[a, b]
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
-        """Relays on all links until cancelled."""
+        """Relays on all links until cancelled; has started once all relays listen."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as self.sender_socket:
             self.sender_socket.setblocking(False)
             async with anyio.create_task_group() as group:
@@ -64,7 +64,7 @@
                 task_status.started()
 
     async def relay_datagrams(self, pair, group, *, task_status):
-        """Relays the datagrams of one ordered pair, rewritten, as its link says."""
+        """Relays the datagrams of one ordered pair, with rewritten addresses and the faults of its link."""
         link = self.links[pair]
         receiver = pair[1]
         async with await anyio.create_udp_socket(
@@ -89,12 +89,12 @@
         self.deliver(data, receiver)
 
     def deliver(self, data, receiver):
-        """Sends a datagram to a member's true port."""
-        with suppress(OSError):  # lost, as it would be on a full way
+        """Sends a datagram to the port on which a member listens."""
+        with suppress(OSError):  # the datagram is lost, as on a congested link
             self.sender_socket.sendto(data, ("127.0.0.1", self.member_ports[receiver]))
 
     def rewrite_addresses(self, receiver, message):
-        """As `receiver` is to see it: every other member behind its own link to it."""
+        """Encodes a message for `receiver`, with the address of its own link in place of each member's."""
 
         def with_link_address(statement):
             if statement.name == receiver:
--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -1,4 +1,4 @@
-"""True processes of the program that form a cluster, with or without links that break between them."""
+"""Controller processes that form a cluster, with or without faulty links between them."""
 
 import json
 import time
@@ -16,18 +16,18 @@
 from .site_description import write_site_description
 
 SAMPLE = SITES / "samples" / "pushed.xml"
-PROBE_PERIOD_MS = 200  # ms; a fifth of the default, so that a case takes seconds
-WAIT_TIMEOUT_S = 30  # s that a wait takes before it fails
+PROBE_PERIOD_MS = 200  # a fifth of the default, so that a test takes seconds
+WAIT_TIMEOUT_S = 30
 
 
 class ClusterMembers:
-    """Controllers c1 to cN of one site; no endpoint list answers, none is needed.
+    """The controller processes c1 to cN of one site, without an endpoint list.
 
-    Each wait is on what a process says of itself or of the others, with a limit.
+    Waits poll the status pages of the processes, with a timeout.
 
     Args:
-        folder: where descriptions and logs stand.
-        count: how many.
+        folder: where site descriptions and logs are written.
+        count: number of controllers.
         clustered: whether they form a cluster.
     """
 
@@ -42,7 +42,13 @@
         self.admin = {name: f"127.0.0.1:{ports[3 * n + 1]}" for n, name in enumerate(self.names)}
 
     def write_description(self, file, ports, clustered=True):
-        """Writes a description; `ports`: name -> those of listen, admin and cluster."""
+        """Writes a site description and returns its path.
+
+        Args:
+            file: name of the file, without its suffix.
+            ports: name -> listen, admin and cluster port of each controller.
+            clustered: whether the controllers form a cluster.
+        """
         rows = [
             (
                 name,
@@ -61,11 +67,11 @@
         )
 
     def up(self, name, path=None, key=None):
-        """Starts a process; `key`: its name here and of its log, if that is another."""
+        """Starts a process; `key`: key in `running` and name of its log, if not the controller's name."""
         self.running[key or name] = Program(self.folder / f"{key or name}.log", path or self.path, name)
 
     def get_page(self, name, page="/cluster"):
-        """The body of a page, or None if the process does not answer."""
+        """Returns the body of an admin page, or None if the process does not answer."""
         try:
             with urllib.request.urlopen(f"http://{self.admin[name]}{page}", timeout=5) as answer:
                 return answer.read()
@@ -75,20 +81,20 @@
             return None
 
     def status(self, name):
-        """What a process says of the cluster as a dict, or None."""
+        """Returns a process's cluster status as a dict, or None if it has none."""
         said = self.get_page(name)
         return json.loads(said) if said and said.startswith(b"{") else None
 
     def states(self, name):
-        """Name -> state, as a process takes the members, or None."""
+        """Returns member -> state as a process sees the others, or None if it does not answer."""
         status = self.status(name)
         return status and {m["name"]: m["state"] for m in status["members"]}
 
     def wait(self, condition, what, timeout_s=WAIT_TIMEOUT_S):
-        """Waits until `wanted()` holds, and gives the seconds that it took.
+        """Waits until `condition()` holds, and returns the seconds that this took.
 
         Raises:
-            AssertionError: it is not so within `most` s, or a process has ended.
+            AssertionError: it does not hold within `timeout_s`, or a process has ended.
         """
         started_at = time.monotonic()
         while time.monotonic() < started_at + timeout_s:
@@ -99,13 +105,13 @@
                 )
             if condition():
                 return time.monotonic() - started_at
-            time.sleep(0.02)  # between two looks; what is looked at decides
+            time.sleep(0.02)  # between two polls of the condition
         raise AssertionError(
             f"not within {timeout_s} s: {what}; " + "; ".join(f"{n}: {self.states(n)}" for n in self.names)
         )
 
     def all_report(self, **states):
-        """Whether each running process takes each named member for so; itself left out."""
+        """Whether every running process reports these states of the other members."""
         for name in [n for n in self.names if n in self.running]:
             seen = self.states(name)
             if seen is None or any(
@@ -115,7 +121,7 @@
         return True
 
     def entry_ages(self):
-        """How old what each running process holds of each living other is, s; None: nothing."""
+        """Returns the age in s of each running process's entry of each alive member; None: no entry."""
         return [
             m["told_s"]
             for n in self.running
@@ -125,19 +131,19 @@
         ]
 
     def staleness_bound(self):
-        """s: the stated bound, and a second until an owner tells its facts anew."""
+        """Returns the reported staleness bound plus the second until an owner publishes again, s."""
         return self.status(next(n for n in self.names if n in self.running))["bound_s"] + 1
 
     def all_within_bound(self):
-        """Whether each running process holds of each living other what is within the bound."""
+        """Whether every running process has an entry within the staleness bound of each alive member."""
         entry_ages = self.entry_ages()
         staleness_bound = self.staleness_bound()
         return bool(entry_ages) and all(age is not None and age <= staleness_bound for age in entry_ages)
 
     def max_entry_age(self, looks=20):
-        """Looks again and again, and gives the greatest age at any look and the bound, s.
+        """Polls the entry ages `looks` times; returns the greatest age and the staleness bound, s.
 
-        Something that is lacking counts as infinitely old.
+        A missing entry counts as infinitely old.
         """
         staleness_bound = self.staleness_bound()
         return max(
@@ -146,21 +152,21 @@
         ), staleness_bound
 
     def pause(self, name):
-        """It stands still until `go_on`, and is not asked meanwhile."""
+        """Suspends a process (SIGSTOP) until `resume`; it is not polled meanwhile."""
         self.running["stopped"] = self.running.pop(name)
         self.running["stopped"].pause()
 
     def resume(self, name):
-        """It goes on as if no time had passed."""
+        """Resumes a suspended process (SIGCONT)."""
         self.running[name] = self.running.pop("stopped")
         self.running[name].resume()
 
     def kill(self, name):
-        """Ends a process at once (SIGKILL)."""
+        """Kills a process (SIGKILL)."""
         self.running.pop(name).kill()
 
     def end(self):
-        """Asks all that still run to end, and waits until they have."""
+        """Terminates the processes that still run, and waits until they have ended."""
         for program in self.running.values():
             program.terminate()
         for program in self.running.values():
@@ -168,7 +174,13 @@
 
 
 class LinkedClusterMembers(ClusterMembers):
-    """As ClusterMembers; each process knows the others by its own links to them."""
+    """ClusterMembers whose processes reach each other through ClusterLinks only.
+
+    Args:
+        folder: where site descriptions and logs are written.
+        count: number of controllers.
+        seed: seed of the links' random faults.
+    """
 
     def __init__(self, folder, count, seed=1):
         super().__init__(folder, count)
@@ -190,11 +202,11 @@
         }
 
     def up(self, name, path=None, key=None):
-        """Starts a process; `key`: its name here and of its log, if that is another."""
+        """Starts a process with the description that holds its links, as ClusterMembers.up."""
         super().up(name, path or self.files[name], key)
 
     def failed_members(self):
-        """Members that a running process takes for suspect or dead."""
+        """Returns (process, member) -> state for each member that a process does not report as alive."""
         return {
             (n, other): state
             for n in self.running
--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -1,4 +1,4 @@
-"""A control plane of true processes that faults strike one after the other, while writes go on."""
+"""Injects faults into a control plane of processes, one after the other, while writers run."""
 
 import random
 import tempfile
@@ -16,21 +16,21 @@
 
 S = 10**9
 FAULT_KINDS = ("kill", "stop", "split")
-FAULT_DURATION_S = 10.0  # that a process stands still, or links are broken, at scale 1
-MAX_DOWNTIME_S = 3.0  # that a killed process stays away at the most, at scale 1
-PAUSE_AFTER_FAULT_S = 1.0  # between the end of one fault and the next one, at scale 1
-FINAL_QUIET_S = 8.0  # of writes with nothing broken, after the bound on any faults, at scale 1
+FAULT_DURATION_S = 10.0  # of a suspended process or of faulty links, at scale 1
+MAX_DOWNTIME_S = 3.0  # before a killed process is restarted, at scale 1
+PAUSE_AFTER_FAULT_S = 1.0  # at scale 1
+FINAL_QUIET_S = 8.0  # of writes without faults, after the bound for any fault, at scale 1
 KEY_COUNT = 20
-REMOVE_SHARE = 0.1  # share of the writes that remove a key
-ROLLBACK_SHARE = 0.1  # share of the writes that go back to an earlier version
-KILLS_PER_DISK_LOSS = 4  # each so many kills, one of a replica takes what it had on disk
-WRITE_PAUSE_S = 0.05  # s between two writes of one writer
+REMOVE_SHARE = 0.1  # of the writes
+ROLLBACK_SHARE = 0.1  # of the writes
+KILLS_PER_DISK_LOSS = 4  # one in so many killed replicas also loses its stored state
+WRITE_PAUSE_S = 0.05  # between two writes of one writer
 WRITER_COUNT = 2
 
 
 @dataclass
 class InjectedFault:
-    """One fault, and the seconds from its end until all had all that was acknowledged."""
+    """One fault, and the seconds from its end until all processes held all acknowledged writes."""
 
     kind: str
     what: str
@@ -39,7 +39,7 @@
 
 @dataclass
 class FaultRunResult:
-    """What a play found."""
+    """The outcome of a FaultRun: claims, faults, counts of write outcomes and the duration in s."""
 
     claims: object
     faults: list = field(default_factory=list)
@@ -49,16 +49,18 @@
 
 @contextmanager
 def recorded_plane(folder, replicas=3, subscribers=2, scale=0.25, seed=1, programs=None, limits=None):
-    """A ControlRecord of a control plane that runs, with links and a leader, looked at all the while.
+    """Runs a control plane with links, and yields its ControlRecord once it has a leader.
+
+    Subscribers are sampled until the context ends.
 
     Args:
-        folder: where descriptions, logs and saved states stand.
-        replicas: how many.
-        subscribers: how many.
-        scale: of all times of the control plane.
-        seed: of what the links do by chance.
-        programs: name -> what runs in place of control_process.py.
-        limits: the TimeLimits to judge by; None: those of the stated bounds.
+        folder: where site descriptions, logs and stored states are written.
+        replicas: number of replicas.
+        subscribers: number of subscribers.
+        scale: factor of all times of the control plane.
+        seed: seed of the links' random faults.
+        programs: name -> Python arguments that run in place of control_process.py.
+        limits: the TimeLimits that the claims are checked by; None: those of the stated bounds.
     """
     plane = ControlPlane(folder, replicas, subscribers, scale)
     plane.programs.update(programs or {})
@@ -69,9 +71,9 @@
         try:
             plane.all_up()
             plane.wait(plane.leader, "a leader")
-            # On a busy machine two replicas may elect a leader while the third has not heard that all began
-            # with nothing. It has no vote then until its silence is over and the leader has admitted it: a
-            # fault that takes one of the others meanwhile leaves no majority, and no write is committed.
+            # On a busy machine two replicas may elect a leader before the third has heard that all of them
+            # started empty. The third then has no vote until its recovery silence is over and the leader has
+            # admitted it. A fault of another replica meanwhile leaves no majority, and no write is committed.
             plane.wait(lambda: all(map(plane.is_voter, plane.replicas)), "all replicas vote")
             plane.wait(lambda: all(map(plane.knows_age, plane.controllers)), "subscribers know their age")
             sampler.start()
@@ -84,7 +86,13 @@
 
 
 class FaultRun:
-    """Strikes a ControlRecord's plane; all choices come from `seed`."""
+    """Injects faults into the control plane of a ControlRecord while writers run.
+
+    Args:
+        record: the ControlRecord.
+        scale: factor of the durations.
+        seed: seed of all random choices.
+    """
 
     def __init__(self, record, scale, seed):
         self.record = record
@@ -166,17 +174,17 @@
         return InjectedFault("split", what)
 
     def _choose_target(self):
-        """A replica as often as a subscriber; of the replicas the leader as often as not."""
+        """Chooses a subscriber or a replica with equal chances, and half of the replicas as the leader."""
         if self.rng.random() < 0.5:
             return self.rng.choice(self.plane.controllers)
         if self.rng.random() < 0.5 and (leader := self.plane.leader()):
             return leader
         return self.rng.choice(self.plane.replicas)
 
-    # ---- the rest
+    # ---- writers
 
     def _keep_writing(self, number):
-        """Writes keys, removes some, and rolls some back to what this writer wrote before."""
+        """Writes keys, removes some, and rolls some back to a version that this writer wrote before."""
         rng = random.Random(f"{self.seed} writer {number}")
         count = 0
         written = {}  # key -> (revision, value) that this writer wrote last
@@ -198,7 +206,7 @@
                 written[key] = outcome.revision, value
 
     def _settle(self):
-        """Seconds until all hold all that was acknowledged until now."""
+        """Waits until all processes hold all writes acknowledged so far; returns the seconds it took."""
         started_at = time.monotonic()
         revision = self.record.newest_acknowledged
         timeout_s = (2 * self.record.bounds.any_fault) / S
@@ -216,7 +224,8 @@
 ):
     """Injects `faults` of each kind into a new control plane, and returns a FaultRunResult.
 
-    `folder` is where logs and states stay, a temporary one if None; the others are those of recorded_plane.
+    Logs and states are kept in `folder`, a temporary one if None; the other arguments are those of
+    recorded_plane.
     """
     with tempfile.TemporaryDirectory() as temporary:
         where = folder or temporary
--- a/embertray/simulation/processes/control_links.py
+++ b/embertray/simulation/processes/control_links.py
@@ -1,4 +1,4 @@
-"""The links of a control plane of true processes: TCP relays among replicas and from subscribers."""
+"""TCP relays between the processes of a control plane: among replicas, and from subscribers to replicas."""
 
 from contextlib import contextmanager
 
@@ -12,13 +12,13 @@
 
 
 class ControlLinks(Network):
-    """Runs in a thread of its own; the methods here may be called from any other.
+    """The faulty links of a control plane; they run in their own thread, and any thread may call the methods.
 
     Args:
-        replicas: their names.
-        subscribers: their names.
-        target: target(a, b) gives the true port where `a` would reach the replica `b`.
-        seed: of what the links do by chance.
+        replicas: names of the replicas.
+        subscribers: names of the subscribers.
+        target: target(a, b) returns the port on which the replica `b` listens for `a`.
+        seed: seed of the links' random faults.
     """
 
     def __init__(self, replicas, subscribers, target, seed=1):
@@ -29,12 +29,12 @@
         self.ports = dict(zip(dialed_pairs, free_ports(len(dialed_pairs)), strict=True))
 
     def port(self, a, b):
-        """Where `a` is to dial to reach `b`."""
+        """Returns the port that `a` dials to reach `b`."""
         return self.ports[a, b]
 
     @contextmanager
     def running(self):
-        """Links run as long as the context lasts."""
+        """Runs the links while the context is open."""
         with start_blocking_portal() as self.portal:
             task, _ = self.portal.start_task(self._run)
             try:
@@ -54,13 +54,13 @@
     # ---- faults
 
     def partition(self, *groups):
-        """Only those of one group reach each other; who is in none reaches all."""
+        """Splits the network: processes of different groups cannot reach each other."""
         self.portal.call(lambda: self.split(*groups))
 
     def block(self, *pairs):
-        """Nothing passes from the first of each pair to the second; streams between them stay silent."""
+        """Blocks traffic from the first to the second of each pair; their streams stay open and silent."""
         self.portal.call(lambda: self.set_conditions(0, pairs, open=False))
 
     def restore(self):
-        """All links are good again; what they held back is delivered."""
+        """Removes all faults; data that was held back is delivered."""
         self.portal.call(self.heal)
--- a/embertray/simulation/processes/control_plane.py
+++ b/embertray/simulation/processes/control_plane.py
@@ -1,4 +1,4 @@
-"""A control plane of true processes on loopback: replicas, controllers that follow them, links between."""
+"""A control plane of processes on loopback: replicas, controllers that subscribe to them, and links."""
 
 import json
 import shutil
@@ -19,19 +19,19 @@
 
 SAMPLE = SITES / "samples" / "pushed.xml"
 REGIONS = ("east", "west", "south")
-WAIT_TIMEOUT_S = 60  # s that a wait takes before it fails
-POLL_INTERVAL_S = 0.02  # s between two looks; what is looked at decides
+WAIT_TIMEOUT_S = 60
+POLL_INTERVAL_S = 0.02
 
 
 class ControlPlane:
-    """Replicas k1 to kN and controllers c1 to cM, each started and ended by its name.
+    """The replica processes k1 to kN and controller processes c1 to cM.
 
     Args:
-        folder: where descriptions, logs and saved states stand.
-        replicas: how many.
-        controllers: how many.
-        scale: None runs the program itself, a number the processes of control_process.py at that scale.
-        rate: the bytes a second of a subscriber, as in a description.
+        folder: where site descriptions, logs and stored states are written.
+        replicas: number of replicas.
+        controllers: number of controllers.
+        scale: None runs `embertray` itself, a number runs control_process.py with its times scaled by it.
+        rate: bytes per second of a subscriber, in the form of the site description.
     """
 
     def __init__(self, folder, replicas=3, controllers=0, scale=None, rate="4000B"):
@@ -45,12 +45,12 @@
         self.ports = {name: [next(ports) for _ in range(3)] for name in self.replicas + self.controllers}
         self.running = {}
         self.stopped = set()
-        self.programs = {}  # name -> what runs in place of control_process.py
+        self.programs = {}  # name -> Python arguments that run in place of control_process.py
 
     # ---- descriptions
 
     def add_links(self, seed=1):
-        """The ControlLinks that lie between all processes from now on; they have to run."""
+        """Puts ControlLinks between processes started from now on; the caller runs the returned links."""
         self.links = ControlLinks(self.replicas, self.controllers, self._true_port, seed)
         return self.links
 
@@ -58,26 +58,28 @@
         return self.ports[other][0 if name in self.replicas else 2]
 
     def region(self, name):
-        """Replicas and controllers are dealt out to the regions in turn."""
+        """Returns the region of a process; regions are assigned in turn."""
         return REGIONS[(int(name[1:]) - 1) % len(REGIONS)]
 
     def admin(self, name):
-        """Where operators reach a process."""
+        """Returns the address of a process's admin pages."""
         return f"127.0.0.1:{self.ports[name][1]}"
 
     def address(self, name, other):
-        """Where `name` reaches the replica `other`."""
+        """Returns the address at which `name` reaches the replica `other`."""
         linked = self.links is not None and name != other
         port = self.links.port(name, other) if linked else self._true_port(name, other)
         return f"127.0.0.1:{port}"
 
     def write_description(self, name):
-        """The site's file as this process is to know it."""
+        """Writes the site description for one process, with its links as addresses; returns the path."""
         rows = [
             (one, "north", f"127.0.0.1:{self.ports[one][0]}", self.admin(one), None)
             for one in self.controllers
         ]
-        rows = rows or [("c0", "north", "127.0.0.1:0", "127.0.0.1:0", None)]  # a site has one at the least
+        rows = rows or [
+            ("c0", "north", "127.0.0.1:0", "127.0.0.1:0", None)
+        ]  # a site needs at least one controller
         path = write_site_description(SAMPLE, self.folder / f"{name}.xml", rows, "127.0.0.1:1")
         if not self.replicas:
             return path
@@ -120,43 +122,43 @@
         return embertray_command("serve", path, "--controller", name, level="debug")
 
     def all_up(self):
-        """Starts all."""
+        """Starts all processes."""
         for name in self.ports:
             self.up(name)
 
     def kill(self, name):
-        """Ends a process at once (SIGKILL)."""
+        """Kills a process (SIGKILL)."""
         self.running.pop(name).kill()
 
     def pause(self, name):
-        """It stands still (SIGSTOP) until `go_on`."""
+        """Suspends a process (SIGSTOP) until `resume`."""
         self.running[name].pause()
         self.stopped.add(name)
 
     def resume(self, name):
-        """It goes on (SIGCONT) as if no time had passed."""
+        """Resumes a suspended process (SIGCONT)."""
         self.stopped.discard(name)
         self.running[name].resume()
 
     def delete_stored_state(self, name):
-        """What a replica that does not run has on disk is gone."""
+        """Deletes the files of a replica that does not run."""
         shutil.rmtree(self.folder / "kept" / name, ignore_errors=True)
 
     @property
     def active_names(self):
-        """Names of processes that can answer."""
+        """Names of the processes that run and are not suspended."""
         return [name for name in list(self.running) if name not in self.stopped]
 
     def end(self):
-        """Ends all that still run."""
+        """Kills the processes that still run."""
         for program in self.running.values():
             program.kill()
         self.running.clear()
 
-    # ---- what they say
+    # ---- status and logs
 
     def get_page(self, name, page="/control"):
-        """(status, body), or (None, b"") if it does not answer."""
+        """Returns (HTTP status, body) of an admin page, or (None, b"") without an answer."""
         try:
             with urllib.request.urlopen(f"http://{self.admin(name)}{page}", timeout=5) as answer:
                 return answer.status, answer.read()
@@ -166,22 +168,22 @@
             return None, b""
 
     def status(self, name):
-        """A process's status of the control plane as a dict, or None."""
+        """Returns a process's control-plane status as a dict, or None if it has none."""
         code, body = self.get_page(name)
         return json.loads(body) if code == 200 else None
 
     def knows_age(self, name):
-        """Whether a process answers, and can say how old what it holds is."""
+        """Whether a process answers, and knows the age of its entries."""
         status = self.status(name)
         return status is not None and status["age_s"] is not None
 
     def is_voter(self, name):
-        """Whether a replica answers, and counts in majorities: it does not recover."""
+        """Whether a replica answers and counts in majorities, which a recovering one does not."""
         status = self.status(name)
         return status is not None and not status["recovering"]
 
     def leader(self):
-        """The name of the replica that leads with a majority, or None."""
+        """Returns the name of the leader that has a majority, or None."""
         for name in self.replicas:
             status = self.status(name) if name in self.active_names else None
             if status and status["has_majority"]:
@@ -189,10 +191,10 @@
         return None
 
     def wait(self, condition, what, timeout_s=WAIT_TIMEOUT_S):
-        """What `wanted()` gives, once that is true.
+        """Waits until `condition()` is true, and returns its value.
 
         Raises:
-            AssertionError: it is not within `most` s, or a process has ended.
+            AssertionError: it is not true within `timeout_s`, or a process has ended.
         """
         started_at = time.monotonic()
         while time.monotonic() < started_at + timeout_s:
@@ -208,12 +210,12 @@
         )
 
     def log_rows(self, name):
-        """What a process logged in all its lives, as dicts."""
+        """Returns the log rows of a process and its former incarnations, as dicts."""
         path = self.folder / f"{name}.log"
         text = path.read_text() if path.exists() else ""
         return [json.loads(line) for line in text.split("\n")[:-1] if line.startswith("{")]
 
     def applied(self, name):
-        """(key, revision, digest of the value or None) of all that a controller applied, in all its lives."""
+        """Returns (key, revision, digest or None) of each entry that a controller's incarnations applied."""
         rows = [row for row in self.log_rows(name) if row["event"] == "applied"]
         return [(row["key"], row["revision"], row["digest"]) for row in rows]
--- a/embertray/simulation/processes/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -1,6 +1,6 @@
-"""One process of a control plane whose times are shorter by a factor, for tests and plays.
+"""One process of a control plane with scaled timings, for tests and fault runs.
 
-It is a control replica, or a subscriber alone, without a controller round it.
+It is a control replica, or a subscriber without the rest of a controller.
 
 `python -m embertray.simulation.processes.control_process SITE.xml replica|subscriber NAME --scale 0.2`
 """
@@ -36,7 +36,7 @@
 
 
 async def run_replica(site, name, scale):
-    """A ReplicaProcess at this scale."""
+    """Runs a ReplicaProcess with times multiplied by `scale`."""
     replica_timing, feed_settings, _ = scaled_timings(
         scale, FeedSettings(bytes_per_second=site.control.bytes_per_second)
     )
@@ -51,7 +51,7 @@
 
 
 async def run_subscriber(site, name, scale):
-    """A SubscriberClient at this scale, with its status at its controller's operators' address."""
+    """Runs a SubscriberClient with times multiplied by `scale`; serves its status as /control."""
     log, net, me = structlog.get_logger(), TcpNet(), site.controller(name)
     _, _, subscriber_timing = scaled_timings(scale, FeedSettings())
     client = subscriber_client(site, me, LoopClock(), net, 1, log, subscriber_timing)
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -1,7 +1,7 @@
-"""What happens to a control plane of true processes, recorded, and judged by its claims at the end.
+"""Records the events of a control plane of processes, and checks its claims at the end.
 
-Entries that were committed, saved, applied or restored come from the processes' logs; acknowledged writes and
-looks at subscribers are added here. All times are of the machine's wall clock, ns.
+Committed, saved, applied and restored entries are read from the processes' logs; acknowledged writes and
+samples of the subscribers' status are recorded here. All times are ns of the machine's wall clock.
 """
 
 import threading
@@ -21,16 +21,20 @@
 from .time_limits import limits_by_bounds
 
 SECOND_NS = 10**9
-SAMPLE_PERIOD_S = 0.1  # between two looks at a subscriber
+SAMPLE_PERIOD_S = 0.1  # between two samples of a subscriber
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 
 
 @dataclass(frozen=True)
 class StatusSample:
-    """What a subscriber said.
-
-    `since`: ns from when it was within reach of all it needs, None: it was not; `calm`: the same, from when
-    the bound for good links counts.
+    """The status of a subscriber at one time.
+
+    Attributes:
+        subscriber: its name.
+        revision: the newest revision that it holds.
+        age: reported age of its entries, ns; None: it does not know.
+        in_reach_since: ns since when it has been within reach of all it needs; None: it is not.
+        good_links_since: ns since when the bound for good links applies; None: it does not.
     """
 
     subscriber: str
@@ -42,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Acknowledgement:
-    """A writer was told that its write is committed."""
+    """The answer to a writer that its write is committed."""
 
     revision: int
     key: str
@@ -50,21 +54,21 @@
 
 
 class ControlRecord:
-    """A record of one ControlPlane that runs.
+    """Records the events of a running ControlPlane, and writes to it.
 
     Args:
         plane: the ControlPlane.
         bounds: the replication's Bounds at the plane's scale.
-        limits: the TimeLimits to judge by; None: those of the bounds.
+        limits: the TimeLimits that the claims are checked by; None: those of the bounds.
     """
 
     def __init__(self, plane, bounds, limits=None):
         self.plane = plane
         self.bounds = bounds
         self.limits = limits or limits_by_bounds(bounds)
-        self.events = []  # (ns, what) of writers and looks
-        self.in_reach_since = {}  # subscriber -> ns from when it is within reach, None: it is not
-        self.outcomes = {}  # kind of a write's outcome -> how many
+        self.events = []  # (ns, Acknowledgement or StatusSample)
+        self.in_reach_since = {}  # subscriber -> ns since when it is within reach; None: it is not
+        self.outcomes = {}  # class name of a write's outcome -> count
         self.stop_requested = threading.Event()
         self.lock = threading.Lock()
         self.fault_ended("start")
@@ -72,24 +76,24 @@
     # ---- faults
 
     def fault_started(self, cut=()):
-        """Something is broken from now on; subscribers in `cut` miss what they need."""
+        """Marks the start of a fault; `cut`: subscribers that cannot reach all they need."""
         now = time.time_ns()
         self.in_reach_since = {name: None if name in cut else now for name in self.plane.controllers}
 
     def fault_ended(self, what):
-        """All runs, and all links are good."""
+        """Marks the time from which all processes run and all links are good."""
         now = time.time_ns()
         self.in_reach_since = dict.fromkeys(self.plane.controllers, now)
 
     # ---- writes
 
     def put(self, at, key, value, request, within=10.0):
-        """Writes at the replica `at`; the outcome, or None if it could not be asked."""
+        """Writes through the replica `at`; returns the outcome, or None if the replica is unreachable."""
         method = "DELETE" if value is None else "PUT"
         return self._write(at, method, "/control/key", {"key": key, "request": request}, value, within)
 
     def rollback(self, at, key, version, value, request, within=10.0):
-        """The same for a rollback; `value`: what the key had at that version."""
+        """Rolls a key back through the replica `at`, as `put`; `value`: its value at that version."""
         query = {"key": key, "version": version, "request": request}
         return self._write(at, "POST", "/control/rollback", query, value, within)
 
@@ -111,16 +115,16 @@
 
     @property
     def newest_acknowledged(self):
-        """The newest revision that was acknowledged."""
+        """The newest acknowledged revision; 0 if there is none."""
         with self.lock:
             return max(
                 (one.revision for _, one in self.events if isinstance(one, Acknowledgement)), default=0
             )
 
-    # ---- looks
+    # ---- samples
 
     def sample(self):
-        """Asks each subscriber that can answer."""
+        """Records the status of each subscriber that can answer."""
         for name in self.plane.controllers:
             if name not in self.plane.active_names:
                 continue
@@ -137,21 +141,21 @@
                 )
 
     def sample_until_stopped(self):
-        """Until `ending` is set; for a thread of its own."""
+        """Takes samples until `stop_requested` is set; to be run in a thread."""
         while not self.stop_requested.wait(SAMPLE_PERIOD_S):
             self.sample()
 
     def all_identical_at(self, revision):
-        """Whether all replicas and subscribers hold everything up to there, and nothing else."""
+        """Whether all running processes hold the same entries, at `revision` or later."""
         statuses = [self.plane.status(name) for name in self.plane.running]
         if None in statuses or min(one["revision"] for one in statuses) < revision:
             return False
         return len({(one["revision"], one["digest"]) for one in statuses}) == 1
 
-    # ---- verdict
+    # ---- claims
 
     def check_claims(self):
-        """The ControlClaims after all that happened."""
+        """Returns ControlClaims that were given all events in the order of time."""
         claims = ControlClaims()
         plane = self.plane
         majority = len(plane.replicas) // 2 + 1
@@ -189,7 +193,7 @@
             )
 
     def _all_events(self):
-        """(time, process, what) of writers, looks and logs."""
+        """Yields (ns, process name or "", event) of writers, samples and logs."""
         with self.lock:
             yield from ((now, "", said) for now, said in self.events)
         wanted = {"replica": ("committed", "saved"), "subscriber": ("started", "applied", "restored")}
@@ -201,12 +205,12 @@
 
 
 def row_time_ns(row):
-    """When a log line was written, ns."""
+    """Returns the time at which a log row was written, ns since the epoch."""
     microseconds = (datetime.fromisoformat(row["timestamp"]) - EPOCH) // timedelta(microseconds=1)
     return microseconds * 1_000
 
 
 def entry_from_row(row):
-    """The Entry of a log line, with the digest in place of its value."""
+    """Returns the Entry of a log row, with the digest in place of the value."""
     value = None if row["digest"] is None else row["digest"].encode()
     return Entry(row["key"], row["revision"], row["term"], row["request"], value)
--- a/embertray/simulation/processes/control_timing.py
+++ b/embertray/simulation/processes/control_timing.py
@@ -1,4 +1,4 @@
-"""The control plane's times, shorter by a factor, so that a test of many timeouts takes seconds."""
+"""The control plane's timings scaled by a factor, so that a test of many timeouts takes seconds."""
 
 from dataclasses import fields, replace
 
@@ -8,7 +8,7 @@
 
 
 def scaled_timings(scale, feed=None):
-    """(ReplicaTiming, FeedSettings, SubscriberTiming): times multiplied by `scale`; rates and sizes stay."""
+    """Returns (ReplicaTiming, FeedSettings, SubscriberTiming) with times scaled; rates and sizes stay."""
     return (
         _scaled(ReplicaTiming(), scale, [timing_field.name for timing_field in fields(ReplicaTiming)]),
         _scaled(feed or FeedSettings(), scale, SCALED_FEED_FIELDS),
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -1,7 +1,4 @@
-"""A day's controllers as true processes of the program.
-
-The faults of a day act on these.
-"""
+"""The controllers of a day as processes of their own, to which the day's faults are applied."""
 
 from dataclasses import replace
 
@@ -16,11 +13,16 @@
 
 
 class ControllerProcesses:
-    """Each controller `embertray serve` on loopback; killed, stopped and gone on with by its id."""
+    """Runs each controller as an `embertray serve` process on loopback.
+
+    Args:
+        seed: seed of the controllers.
+        folder: where site descriptions, logs and snapshots are written.
+    """
 
     clustered = False
     links = None
-    resource_usage = None  # what each process used, once the day is over
+    resource_usage = None  # the usage of each process, once the day is over
 
     def __init__(self, seed, folder):
         self.seed = seed
@@ -28,11 +30,11 @@
         self.stage = None
         self.running = {}  # name -> Program
         self.at = {}  # name -> its SiteController, with the addresses of this run
-        self.paused = set()  # names of those that stand still
+        self.paused = set()  # names of the suspended processes
         self.claims = None
 
     async def start(self, stage):
-        """All at once."""
+        """Starts the controllers of a stage, all at once."""
         self.stage = stage
         chosen = stage.site.controllers[: int(stage.day.fleet["controllers"])]
         ports = iter(free_ports(3 * len(chosen)))
@@ -45,10 +47,10 @@
         await self.all_up(self.at)
 
     async def prepare(self):
-        """What has to be there before the first process."""
+        """Hook for what is needed before the first process starts."""
 
     def write_description(self, name):
-        """The day's site as a file, with the addresses of this run as this process is to know them."""
+        """Writes the site description for one process, with the addresses of this run; returns the path."""
         return write_site_description(
             self.stage.sample,
             self.folder / f"{name}.xml",
@@ -63,15 +65,15 @@
         )
 
     def endpoint_list_address(self, name):
-        """Where `name` finds the endpoint list."""
+        """Returns the address at which `name` reaches the endpoint list."""
         return self.stage.site.inventory
 
     def cluster_address(self, name, other):
-        """Where `name` finds `other`'s cluster address."""
+        """Returns the cluster address at which `name` reaches `other`."""
         return other.cluster
 
     async def up(self, name, paused_for=0):
-        """Starts it, unless another fault has done so already; `still`: ns that it stands still first."""
+        """Starts a process, unless it runs already; `paused_for`: ns for which it is suspended first."""
         if name in self.running:
             return
         self.running[name] = program = Program(
@@ -85,7 +87,7 @@
         self.notify(Reachability.process_started, name)
 
     async def all_up(self, names, paused_for=0):
-        """At once."""
+        """Starts processes, all at once."""
         async with anyio.create_task_group() as group:
             for name in names:
                 group.start_soon(self.up, name, paused_for)
@@ -93,27 +95,27 @@
     up_slowly = all_up
 
     def notify(self, change, name):
-        """Tells the claims of a member's process; `change`: a method of Reachability."""
+        """Passes a process's state change to the claims; `change`: a method of Reachability."""
         if self.claims is not None:
             change(self.claims.reachability, self.stage.clock.now(), name)
 
     def addresses(self):
-        """Where proxies dial, in the controllers' order."""
+        """Returns the addresses that proxies dial, in the controllers' order."""
         return [at.listen for at in self.at.values()]
 
     def admin(self, name):
-        """Where operators reach a process."""
+        """Returns the address of a process's admin pages."""
         return self.at[name].admin
 
     def kill(self, name):
-        """Ends a process at once (SIGKILL), if it runs."""
+        """Kills a process (SIGKILL), if it runs."""
         if name in self.running:
             self.paused.discard(name)
             self.running.pop(name).kill()
             self.notify(Reachability.process_ended, name)
 
     async def restart(self, name):
-        """By SIGTERM, and up again once it has ended."""
+        """Terminates a process (SIGTERM), and starts it again once it has ended."""
         if name in self.running:
             program = self.running.pop(name)
             self.paused.discard(name)
@@ -123,28 +125,28 @@
         await self.up(name)
 
     def age(self, name, by, from_start):
-        """Makes what a process has on disk older."""
+        """Makes a process's stored snapshot `by` ns older; `from_start`: its first one, not its newest."""
         age_on_disk(self.folder / f"{name}.list", by, from_start)
 
     def freeze(self, name):
-        """A process stands still (SIGSTOP) until `thaw`."""
+        """Suspends a process (SIGSTOP) until `thaw`."""
         if name in self.running:
             self.paused.add(name)
             self.running[name].pause()
             self.notify(Reachability.process_paused, name)
 
     def thaw(self, name):
-        """A process goes on (SIGCONT) as if no time had passed."""
+        """Resumes a suspended process (SIGCONT)."""
         if name in self.running:
             self.running[name].resume()
             self.paused.discard(name)
             self.notify(Reachability.process_resumed, name)
 
     async def closing(self):
-        """The day is over, and all still run."""
+        """Hook for the end of the day, while all processes still run."""
 
     async def stop(self):
-        """Asks all to end, and waits until they have."""
+        """Terminates all processes, and waits until they have ended."""
         for program in self.running.values():
             program.terminate()
         for program in self.running.values():
--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -1,7 +1,6 @@
-"""A day's controllers as true processes of the program, with links around them that break.
+"""A day's controllers as processes, with faulty links among them, to the endpoint list and from proxies.
 
-The links lie between the processes, to the endpoint list and from the proxies; the cluster's claims are
-judged all the while.
+The cluster's claims are checked throughout the day.
 """
 
 from functools import partial
@@ -18,31 +17,34 @@
 
 
 class LinkedControllerProcesses(ControllerProcesses):
-    """ControllerProcesses with links between the processes, to the endpoint list and from the proxies.
+    """ControllerProcesses that are reached through links, and are polled by a ProcessMonitor.
 
-    `clustered`: whether they form a cluster.
+    Args:
+        seed: seed of the controllers and the links.
+        folder: where site descriptions, logs and snapshots are written.
+        clustered: whether the controllers form a cluster.
     """
 
     def __init__(self, seed, folder, clustered=True):
         super().__init__(seed, folder)
         self.clustered = clustered
-        self.impaired = set()  # controllers whose links from or to the proxies are not good
+        self.impaired = set()  # names of controllers whose links to or from the proxies have faults
 
     async def start(self, stage):
-        """As ControllerProcesses; looks at the processes all the while."""
+        """Starts the controllers, and polls them from now on."""
         await super().start(stage)
         self.monitor = ProcessMonitor(self, stage.net, stage.clock, self.claims)
         stage.group.start_soon(self.monitor.run)
 
     async def closing(self):
-        """Keeps what each process used."""
+        """Keeps the resource usage of each process."""
         self.resource_usage = await self.monitor.resource_usage()
 
     async def prepare(self):
-        """Makes the links, and what the cluster's claims are judged by."""
+        """Creates and starts the links, and the claims of the cluster."""
         to = {}
         taps = {}
-        self.stage.inventory.on_news = None  # what passed the link counts
+        self.stage.inventory.on_news = None  # the observer is told what the link has delivered instead
         for name in self.at:
             to[name, "list"] = lambda: self.stage.inventory.address
             taps[name, "list"] = lambda name=name: partial(self.on_list_data, name, FrameDecoder())
@@ -62,15 +64,15 @@
             )
 
     def on_list_data(self, name, decoder, data):
-        """Bytes of the list that reach a controller."""
+        """Reports the endpoint-list events in data that reaches a controller to the observer."""
         for payload in decoder.feed(data):
             if isinstance(news := decode_response(payload), WatchEvent):
                 self.stage.eyes.told(self.stage.clock.now(), name, news)
 
     def on_links_changed(self, at):
-        """Notes controllers whose proxies are not heard, or hear nothing, or late.
+        """Notes controllers whose links to or from the proxies become faulty or good again.
 
-        What such proxies do is not their controller's doing.
+        A controller is not held responsible for its proxies while these links have faults.
         """
         for name in self.at:
             impaired = not (
@@ -81,15 +83,15 @@
                 self.stage.eyes.note(at, "unheard" if impaired else "heard", name)
 
     def endpoint_list_address(self, name):
-        """Where `name` finds the endpoint list: behind its own link."""
+        """Returns the address of `name`'s own link to the endpoint list."""
         return f"127.0.0.1:{self.links.port(name, 'list')}"
 
     def cluster_address(self, name, other):
-        """Where `name` finds `other`'s cluster address: behind its own link."""
+        """Returns the address of `name`'s own link to `other`; empty without a cluster."""
         return other.cluster and (
             other.cluster if name == other.name else f"127.0.0.1:{self.links.port(name, other.name)}"
         )
 
     def addresses(self):
-        """Where proxies dial, in the controllers' order: behind the links."""
+        """Returns the addresses of the proxies' links, in the controllers' order."""
         return [f"127.0.0.1:{self.links.port('px', name)}" for name in self.at]
--- a/embertray/simulation/processes/ports.py
+++ b/embertray/simulation/processes/ports.py
@@ -1,18 +1,18 @@
-"""Ports of loopback for processes that are yet to be started."""
+"""Chooses free loopback ports for processes that are started later."""
 
 import itertools
 import os
 import socket
 
-# under the range from which the system takes ports for calls: none is taken between now and the start
+# below the range of ephemeral ports, so that no outgoing connection takes one before the process starts
 FIRST_PORT = 20_000
 PORT_COUNT = 12_000
-START_STEP = 131  # tests that run beside each other begin elsewhere, by their process ids
+START_STEP = 131  # per process id, so that concurrent tests begin at different ports
 candidate_numbers = itertools.count(os.getpid() * START_STEP)
 
 
 def is_free(port):
-    """Whether nobody listens on a port, for UDP and TCP."""
+    """Whether a port can be bound for both TCP and UDP."""
     try:
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
             with socket.socket(socket.AF_INET, kind) as probe:
@@ -23,7 +23,7 @@
 
 
 def free_ports(count):
-    """Ports that nobody listens on now, and that were not given before.
+    """Returns ports that are free now, and that this process has not returned before.
 
     Raises:
         OSError: there are not so many.
--- a/embertray/simulation/processes/process_monitor.py
+++ b/embertray/simulation/processes/process_monitor.py
@@ -1,4 +1,4 @@
-"""Asks each process again and again what it says of the cluster and what it uses, and tells the claims."""
+"""Polls the cluster status and resource usage of each process, and passes them to the claims."""
 
 import anyio
 import h11
@@ -9,18 +9,18 @@
 from embertray.simulation.standins.link import STREAM_ERRORS
 
 SECOND_NS = 10**9
-POLL_PERIOD_NS = SECOND_NS // 4  # between two looks at a process
-ANSWER_TIMEOUT_S = 1.0  # one that stands still gives no answer
-DELAY_SLACK_NS = SECOND_NS  # ns that a look may be late: processes and their links share this machine's cores
+POLL_PERIOD_NS = SECOND_NS // 4  # between two polls of a process
+ANSWER_TIMEOUT_S = 1.0  # a suspended process does not answer
+DELAY_SLACK_NS = SECOND_NS  # delay of a poll: processes and links share this machine's cores
 
 
 class ProcessMonitor:
-    """Follows processes until it is cancelled.
+    """Polls processes until it is cancelled.
 
     Args:
         processes: the LinkedControllerProcesses, started.
-        net: by which they are asked.
-        clock: of the claims.
+        net: the net for requests to them.
+        clock: the clock of the claims.
         claims: the ClusterClaims; None without a cluster.
     """
 
@@ -29,17 +29,17 @@
         self.net = net
         self.clock = clock
         self.claims = claims
-        self.usage = {}  # (name, log, where a life begins in it) -> what that life used so far
+        self.usage = {}  # (name, log, offset of the incarnation in it) -> its resource usage
         self.started_at = clock.now()
 
     async def run(self):
-        """Looks at all, each in a task of its own."""
+        """Polls all processes, each in a task of its own."""
         async with anyio.create_task_group() as group:
             for name in self.processes.at:
                 group.start_soon(self.follow, name)
 
     async def follow(self, name):
-        """Looks at one process again and again."""
+        """Polls one process periodically, except while it is down or suspended."""
         while True:
             now = self.clock.now()
             program = self.processes.running.get(name)
@@ -48,16 +48,16 @@
             await self.clock.sleep_until(now + POLL_PERIOD_NS)
 
     async def get_page(self, name, page):
-        """A body, or None: it is down, starting or standing still."""
+        """Returns the body of an admin page; None if the process is down, starting or suspended."""
         with anyio.move_on_after(ANSWER_TIMEOUT_S):
             try:
                 code, body = await send_request(self.net, self.processes.admin(name), "GET", page)
                 return body if code == 200 else None
             except (*STREAM_ERRORS, ValueError, h11.RemoteProtocolError):
-                return None  # it went while it answered
+                return None  # the process ended while it answered
 
     async def poll(self, now, name, program):
-        """Takes what a process uses, and what it says of the cluster."""
+        """Records a process's resource usage, and has the claims check its cluster status."""
         if (used := program.resource_usage()) is not None:
             self.usage[name, program.log, program.log_offset] = used
         if (
@@ -79,11 +79,11 @@
         )
 
     async def resource_usage(self):
-        """What each running process used until now.
+        """Returns what each running process has used until now.
 
         Returns:
-            name -> {cpu: s of processor a second, rss: bytes now, sent: bytes a second of its last life for
-            the cluster}.
+            name -> {cpu: CPU seconds per second, rss: resident bytes now, sent: cluster bytes per second that
+            its last incarnation has sent}.
         """
         span = (self.clock.now() - self.started_at) / SECOND_NS
         found = {}
--- a/embertray/simulation/processes/program.py
+++ b/embertray/simulation/processes/program.py
@@ -1,4 +1,4 @@
-"""One true process of the program: started, stopped and gone on with, ended, by its id; its log is kept."""
+"""One embertray process: starts it, sends it signals and reads its log."""
 
 import json
 import sys
@@ -8,18 +8,26 @@
 import psutil
 
 ROOT = Path(__file__).resolve().parents[3]
-START_TIMEOUT_S = 30  # until it listens
-END_TIMEOUT_S = 10  # that an asked end may take
-POLL_S = 0.02  # between two looks at its log
+START_TIMEOUT_S = 30  # until the process listens
+END_TIMEOUT_S = 10  # after SIGTERM
+POLL_S = 0.02  # between two reads of the log
 
 
 def embertray_command(*arguments, level="info"):
-    """The command line of a sub-command that logs as JSON."""
+    """Returns the command line of an embertray sub-command that logs as JSON."""
     return [sys.executable, "-m", "embertray", "--log-format", "json", "--log-level", level, *arguments]
 
 
 class Program:
-    """`embertray serve` of one description, or another `command`. `log`: a file that is added to."""
+    """A process that runs `embertray serve`, or another command.
+
+    Args:
+        log: path of the log, to which the output is appended.
+        path: path of the site description.
+        name: name of the controller.
+        seed: seed of the controller.
+        command: command line to run instead.
+    """
 
     def __init__(self, log, path, name, seed=1, command=None):
         self.name = name
@@ -30,17 +38,17 @@
             self.process = psutil.Popen(command, cwd=ROOT, stdout=out, stderr=out)
 
     def log_rows(self):
-        """What this life logged so far."""
+        """Returns the rows that this process has logged so far, as dicts."""
         with open(self.log, "rb") as log:
             log.seek(self.log_offset)
             lines = log.read().split(b"\n")[:-1]
         return [json.loads(line) for line in lines if line.startswith(b"{")]
 
     async def wait_listening(self):
-        """What it says of its addresses once it listens.
+        """Waits until the process listens; returns its log row with the addresses.
 
         Raises:
-            RuntimeError: it ends, or does not listen in time.
+            RuntimeError: the process ends, or does not listen in time.
         """
         with anyio.move_on_after(START_TIMEOUT_S):
             while self.process.poll() is None:
@@ -51,30 +59,30 @@
 
     @property
     def has_ended(self):
-        """Whether it has ended."""
+        """Whether the process has ended."""
         return self.process.poll() is not None
 
     def pause(self):
-        """It stands still (SIGSTOP) until `go_on`."""
+        """Suspends the process (SIGSTOP) until `resume`."""
         self.process.suspend()
 
     def resume(self):
-        """It goes on (SIGCONT) as if no time had passed."""
+        """Resumes the process (SIGCONT)."""
         self.process.resume()
 
     def kill(self):
-        """It ends at once (SIGKILL)."""
+        """Kills the process (SIGKILL)."""
         self.process.kill()
         self.process.wait(END_TIMEOUT_S)
 
     def terminate(self):
-        """It is asked to end (SIGTERM), if it has not."""
+        """Sends SIGTERM, if the process has not ended; a suspended process is resumed first."""
         if not self.has_ended:
             self.process.resume()
             self.process.terminate()
 
     def wait_ended(self):
-        """Its exit code, once it has ended; it is killed if it does not end when asked."""
+        """Waits until the process has ended, and kills it after END_TIMEOUT_S; returns its exit code."""
         try:
             return self.process.wait(END_TIMEOUT_S)
         except psutil.TimeoutExpired:
@@ -82,7 +90,7 @@
             return self.process.wait()
 
     def resource_usage(self):
-        """(s of CPU, bytes of memory) so far; None once it has ended."""
+        """Returns (CPU time in s, resident memory in bytes); None once the process has ended."""
         try:
             with self.process.oneshot():
                 times = self.process.cpu_times()
--- a/embertray/simulation/processes/site_description.py
+++ b/embertray/simulation/processes/site_description.py
@@ -1,8 +1,8 @@
-"""A site's description as each process is given it: a sample with other addresses and facts."""
+"""Writes site descriptions for processes: a sample with other addresses and settings."""
 
 from lxml import etree
 
-# a fact's place in the description, for those that a day's text may change in both ways of playing
+# setting -> (element, attribute) of the description, for settings that a day may change in processes too
 FACT_ATTRIBUTES = {
     "channel_rate": ("channel", "lines-per-second"),
     "pending_max": ("channel", "lines-waiting"),
@@ -12,16 +12,16 @@
 
 
 def write_site_description(sample, path, controllers, inventory, keep=None, period=None, facts=None):
-    """Writes a description.
+    """Writes a site description that differs from a sample.
 
     Args:
-        sample: path of the description to begin with.
+        sample: path of the description to start from.
         path: where it is written; also returned.
         controllers: rows of name, zone and addresses (listen, admin, cluster or None).
         inventory: address of the endpoint list.
-        keep: folder of the snapshots, None for the sample's.
-        period: of the cluster, as in the description; None: there is no cluster.
-        facts: name -> value of the PLACES to change.
+        keep: folder of the snapshots; None for the sample's.
+        period: the cluster's probe period, in the form of the description; None: there is no cluster.
+        facts: setting of FACT_ATTRIBUTES -> its value.
     """
     tree = etree.parse(str(sample))
     root = tree.getroot()
--- a/embertray/simulation/processes/tcp_relay.py
+++ b/embertray/simulation/processes/tcp_relay.py
@@ -1,4 +1,4 @@
-"""A TCP address behind which streams are relayed to another one, through a link for each direction."""
+"""Relays TCP streams to another address, with the faults of a simulated link in each direction."""
 
 import socket
 import struct
@@ -13,9 +13,9 @@
     anyio.BusyResourceError,
 )
 SECOND_NS = 10**9
-POLL_S = 0.02  # between two looks at a closed link by a stream that waits on it
-MAX_CHUNKS_IN_FLIGHT = 64  # parts of a stream that are under way at most: then its sender feels it
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of no time: closing sends a reset, drops what was unsent
+POLL_S = 0.02  # between two checks of whether a blocked link is open again
+MAX_CHUNKS_IN_FLIGHT = 64  # per direction; beyond it the sender is blocked by back-pressure
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # zero SO_LINGER: closing sends a reset and drops unsent data
 
 
 def now():
@@ -24,15 +24,16 @@
 
 
 class TcpRelay:
-    """Relays each stream from a port to an address.
+    """Relays each stream from a loopback port to an address.
 
     Args:
-        port: of loopback, where it listens.
-        target: gives the address when a stream is opened.
-        there: the DirectedLink towards the target.
-        back: the DirectedLink from it.
-        streams: a set in which each stream's function that resets it stands while the stream is open.
-        tap: gives for each stream a function that sees the bytes that came back, when they are passed on.
+        port: the port on which it listens.
+        target: called for each stream; returns the address to relay to.
+        forward: the link towards the target.
+        backward: the link from the target.
+        streams: a set that holds, for each open stream, a function that resets it.
+        make_tap: called for each stream; returns a function that is called with the target's data once it has
+            been delivered.
     """
 
     def __init__(self, port, target, forward, backward, streams, make_tap=None):
@@ -44,7 +45,7 @@
         self.make_tap = make_tap or (lambda: _ignore)
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
-        """Listens until cancelled."""
+        """Listens and relays until cancelled."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=self.port)
         async with listener:
             task_status.started()
@@ -54,7 +55,7 @@
         """Relays one stream both ways; when either end closes, so does the other."""
         try:
             async with client:
-                while not self.forward.open:  # a machine that is cut off answers no call
+                while not self.forward.open:  # an unreachable machine does not answer
                     await anyio.sleep(POLL_S)
                 host, _, port = self.target().rpartition(":")
                 async with await anyio.connect_tcp(host, int(port)) as server:
@@ -84,7 +85,7 @@
                         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
     async def _carry(self, link, source, sink, group, on_passed):
-        """Carries parts in their order, each held back as the link says."""
+        """Relays one direction in order, each chunk delayed as the link decides."""
         chunk_sender, chunk_receiver = anyio.create_memory_object_stream(MAX_CHUNKS_IN_FLIGHT)
         try:
             async with chunk_sender, chunk_receiver, anyio.create_task_group() as carry_group:
@@ -110,4 +111,4 @@
 
 
 def _ignore(data):
-    """Stands for a tap where nobody looks."""
+    """The tap of a direction that is not observed."""
--- a/embertray/simulation/processes/time_limits.py
+++ b/embertray/simulation/processes/time_limits.py
@@ -1,17 +1,18 @@
-"""By when a write has to be in force, for the verdict on a control plane of true processes."""
+"""Time limits by which a write has to be in force on a control plane of processes."""
 
 from dataclasses import dataclass
 
 SECOND_NS = 10**9
-DELAY_SLACK_NS = 1 * SECOND_NS  # ns that a look, or a process on a busy machine, may be late
+DELAY_SLACK_NS = 1 * SECOND_NS  # allowance for the delays of sampling and of a busy machine
 
 
 @dataclass(frozen=True)
 class TimeLimits:
-    """Within how many ns a write has to be in force at a subscriber that is within reach.
+    """Limits in ns for a write to be in force at a subscriber that is within reach.
 
-    `in_force`: counted from the write's acknowledgement or the end of the last fault, whichever is later;
-    `prompt`: the same long after the last fault, when all links are good.
+    Attributes:
+        in_force: from the write's acknowledgement or the end of the last fault, whichever is later.
+        prompt: the same, long after the last fault, while all links are good.
     """
 
     in_force: int
@@ -19,10 +20,10 @@
 
 
 def limits_by_bounds(bounds):
-    """The TimeLimits that a Bounds states, for processes that this busy machine may run late."""
+    """Returns the TimeLimits of a Bounds, plus an allowance for a busy machine."""
     return TimeLimits(in_force=bounds.any_fault + DELAY_SLACK_NS, prompt=bounds.good + DELAY_SLACK_NS)
 
 
 def limits_by_objective(objective):
-    """The TimeLimits of an objective that holds everywhere, ns: a late process is no excuse."""
+    """Returns the TimeLimits of an objective in ns; it allows no delay of the machine."""
     return TimeLimits(in_force=objective, prompt=objective)
