--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -140,14 +140,14 @@
         staleness_bound = self.staleness_bound()
         return bool(entry_ages) and all(age is not None and age <= staleness_bound for age in entry_ages)
 
-    def max_entry_age(self, looks=20):
-        """Polls the entry ages `looks` times; returns the greatest age and the staleness bound, s.
+    def max_entry_age(self, polls=20):
+        """Polls the entry ages `polls` times; returns the greatest age and the staleness bound, s.
 
         A missing entry counts as infinitely old.
         """
         staleness_bound = self.staleness_bound()
         return max(
-            (age if age is not None else float("inf") for _ in range(looks) for age in self.entry_ages()),
+            (age if age is not None else float("inf") for _ in range(polls) for age in self.entry_ages()),
             default=0.0,
         ), staleness_bound
 
--- a/embertray/simulation/processes/control_plane.py
+++ b/embertray/simulation/processes/control_plane.py
@@ -74,12 +74,11 @@
     def write_description(self, name):
         """Writes the site description for one process, with its links as addresses; returns the path."""
         rows = [
-            (one, "north", f"127.0.0.1:{self.ports[one][0]}", self.admin(one), None)
-            for one in self.controllers
+            (other, "north", f"127.0.0.1:{self.ports[other][0]}", self.admin(other), None)
+            for other in self.controllers
         ]
-        rows = rows or [
-            ("c0", "north", "127.0.0.1:0", "127.0.0.1:0", None)
-        ]  # a site needs at least one controller
+        # a site needs at least one controller
+        rows = rows or [("c0", "north", "127.0.0.1:0", "127.0.0.1:0", None)]
         path = write_site_description(SAMPLE, self.folder / f"{name}.xml", rows, "127.0.0.1:1")
         if not self.replicas:
             return path
@@ -87,16 +86,16 @@
         root = tree.getroot()
         attributes = {"keep": str(self.folder / "held"), "bytes-per-second": self.rate}
         control = etree.Element("control", attributes)
-        for one in self.replicas:
+        for other in self.replicas:
             if name in self.replicas:
-                address = self.address(name, one)
-                listen = f"127.0.0.1:{self.ports[one][2]}"
+                address = self.address(name, other)
+                listen = f"127.0.0.1:{self.ports[other][2]}"
             else:
-                address = f"127.0.0.1:{self.ports[one][0]}"
-                listen = self.address(name, one)
-            keep = str(self.folder / "kept" / one)
-            attributes = {"address": address, "listen": listen, "admin": self.admin(one), "keep": keep}
-            etree.SubElement(control, "replica", name=one, region=self.region(one), **attributes)
+                address = f"127.0.0.1:{self.ports[other][0]}"
+                listen = self.address(name, other)
+            keep = str(self.folder / "kept" / other)
+            attributes = {"address": address, "listen": listen, "admin": self.admin(other), "keep": keep}
+            etree.SubElement(control, "replica", name=other, region=self.region(other), **attributes)
         root.find("controllers").addprevious(control)
         for element in root.find("controllers"):
             element.set("region", self.region(element.get("name")))
