--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -15,7 +15,7 @@
 from embertray.simulation.standins.client import StandinClients
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.proxy import StandinProxy
-from embertray.simulation.standins.scheduler import Agenda
+from embertray.simulation.standins.scheduler import Scheduler
 
 NS_PER_SECOND = 10**9
 
@@ -57,7 +57,7 @@
     """Run a backend that serves requests."""
 
     async def main():
-        agenda = Agenda(LoopClock())
+        agenda = Scheduler(LoopClock())
         backend = StandinBackend(
             Backend(listen, "", Shape(cores, speed, warm_up_time=int(warm * NS_PER_SECOND))),
             TcpNet(),
@@ -87,7 +87,7 @@
         raise InputError(f"'{invalid}' is not ADDRESS=ZONE")
 
     async def main():
-        agenda = Agenda(LoopClock())
+        agenda = Scheduler(LoopClock())
         standin = StandinInventory(TcpNet(), agenda)
         async with anyio.create_task_group() as group:
             print_line(f"inventory listens on {await group.start(standin.run, listen)}")
@@ -119,7 +119,7 @@
         raise InputError(str(error)) from None
 
     async def main():
-        agenda, streams, counts = Agenda(LoopClock()), RandomStreams(1), {"done": 0, "late": 0, "lost": 0}
+        agenda, streams, counts = Scheduler(LoopClock()), RandomStreams(1), {"done": 0, "late": 0, "lost": 0}
         proxy = StandinProxy(
             name,
             zone or description.zones[0],
--- a/embertray/experiments/measure/fleet.py
+++ b/embertray/experiments/measure/fleet.py
@@ -28,7 +28,7 @@
 from embertray.service.site.sample_site import write_sample_site
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.link import STREAM_ERRORS
-from embertray.simulation.standins.scheduler import Agenda
+from embertray.simulation.standins.scheduler import Scheduler
 
 S = 10**9  # ns
 
@@ -96,7 +96,7 @@
     """
     with tempfile.TemporaryDirectory() as folder:
         async with anyio.create_task_group() as group:
-            inventory = StandinInventory(TcpNet(), Agenda(LoopClock()))
+            inventory = StandinInventory(TcpNet(), Scheduler(LoopClock()))
             await group.start(inventory.run, "127.0.0.1:0")
             names = [f"127.{1 + n // 60000}.{n // 250 % 240}.{n % 250 + 1}:9000" for n in range(backends)]
             zones = ("north", "south", "west")
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -28,7 +28,7 @@
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.memory_net import MemoryNet
-from embertray.simulation.standins.scheduler import Agenda
+from embertray.simulation.standins.scheduler import Scheduler
 from embertray.simulation.standins.virtual_time import VirtualClock, run as run_virtual
 
 from .flow_fleet import FlowFleet
@@ -104,7 +104,7 @@
         """
         plan = self.plan
         site = load(SITES / "samples" / f"{plan.site}.xml")
-        self.inventory = StandinInventory(self.net, Agenda(self.clock))
+        self.inventory = StandinInventory(self.net, Scheduler(self.clock))
         address = await group.start(self.inventory.run, "127.0.0.1:0")
         facts = {
             "proxies": plan.proxies,
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -9,7 +9,7 @@
 from embertray.simulation.standins.client import StandinClients
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.proxy import StandinProxy
-from embertray.simulation.standins.scheduler import Agenda
+from embertray.simulation.standins.scheduler import Scheduler
 
 from .exceptions import DayError
 from .faults import Fault
@@ -41,7 +41,7 @@
         self.clock = clock
         self.held = held
         self.progress = progress
-        self.agenda = Agenda(clock)
+        self.agenda = Scheduler(clock)
         self.eyes = Observer()
         self.clients = []  # (StandinClients, address of its proxy)
         self.group = None
--- a/embertray/simulation/standins/scheduler.py
+++ b/embertray/simulation/standins/scheduler.py
@@ -5,7 +5,7 @@
 NS_PER_S = 1e9
 
 
-class Agenda:
+class Scheduler:
     """Callbacks at times, ns of the loop's clock. To be used in the loop's thread only.
 
     Args:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -29,7 +29,7 @@
 from embertray.simulation.scenarios.player import quiet
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.memory_net import MemoryNet
-from embertray.simulation.standins.scheduler import Agenda
+from embertray.simulation.standins.scheduler import Scheduler
 from embertray.simulation.standins.virtual_time import START_S, VirtualClock, run
 
 TESTS_FOLDER = Path(__file__).resolve().parent
@@ -76,7 +76,7 @@
         self.net, self.clock = MemoryNet(), VirtualClock()
         self.group = anyio.create_task_group()
         await self.group.__aenter__()
-        self.inventory = StandinInventory(self.net, Agenda(self.clock))
+        self.inventory = StandinInventory(self.net, Scheduler(self.clock))
         await self.group.start(self.inventory.run, "127.0.0.1:0")
         for n in range(3):
             self.inventory.list(f"127.0.0.1:900{n}", "north")
