--- a/embertray/simulation/emulator/clients.py
+++ b/embertray/simulation/emulator/clients.py
@@ -1,6 +1,6 @@
 """The simulated clients of a proxy: their requests are scheduled calls."""
 
-from embertray.simulation.standins.messages import Req
+from embertray.simulation.standins.messages import Request
 
 
 class SimulatedClients:
@@ -48,7 +48,7 @@
         client_request.timer = engine.after(
             within, self._on_ended, client_request.ident, client_request.attempts, "timeout"
         )
-        request = Req(
+        request = Request(
             client_request.ident,
             client_request.kind.external_id,
             client_request.work,
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from embertray.simulation.standins.messages import Req
+from embertray.simulation.standins.messages import Request
 
 from .day_simulation import DaySimulation
 from .engine import NS_PER_SECOND
@@ -261,7 +261,7 @@
     def _record_one(self, now, proxy, model, work):
         self._recorded += 1
         number = self._recorded
-        request = Req(number, self.kinds[0].external_id, work, NS_PER_SECOND, 1, proxy.name)
+        request = Request(number, self.kinds[0].external_id, work, NS_PER_SECOND, 1, proxy.name)
         self.eyes.sent(now, proxy.name, model.name, request, (number, 1))
 
     # ---- results
--- a/embertray/simulation/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -1,6 +1,6 @@
 """A simulated proxy: it forwards requests as scheduled calls instead of over sockets."""
 
-from embertray.simulation.standins.messages import Req
+from embertray.simulation.standins.messages import Request
 
 from .proxy_stream import ProxyStream
 
@@ -61,7 +61,7 @@
     def _record_attempt(self, underway):
         now = self.simulation.engine.time
         request = underway.req
-        attempt = Req(
+        attempt = Request(
             underway.attempt,
             request.kind,
             request.work,
--- a/embertray/simulation/standins/backend.py
+++ b/embertray/simulation/standins/backend.py
@@ -3,7 +3,7 @@
 import anyio
 
 from .link import Link
-from .messages import End, Req, encode, read
+from .messages import Request, RequestEnd, encode, read
 
 
 class StandinBackend:
@@ -43,7 +43,7 @@
             self.model.disconnect()
 
     def on_req(self, link, req):
-        if not isinstance(req, Req):
+        if not isinstance(req, Request):
             return
         now = self.agenda.now()
         if self.saw:
@@ -51,11 +51,11 @@
         if self.model.state != "up":
             return
         if req.sender in self.bad_for:
-            link.put(End(req.ident, req.attempt, "error"))
+            link.put(RequestEnd(req.ident, req.attempt, "error"))
             return
         how = self.model.offer(now, (link, req), req.kind, req.work, now + req.within, self.draw())
         if how:
-            link.put(End(req.ident, req.attempt, how, self.model.report(now)))
+            link.put(RequestEnd(req.ident, req.attempt, how, self.model.report(now)))
         self.plan()
 
     def plan(self):
@@ -67,7 +67,7 @@
     def due(self):
         now = self.agenda.now()
         for link, req in self.model.advance(now):
-            link.put(End(req.ident, req.attempt, "done", self.model.report(now)))
+            link.put(RequestEnd(req.ident, req.attempt, "done", self.model.report(now)))
         self.timer = None
         self.plan()
 
--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -8,7 +8,7 @@
 from embertray.simulation.models.client import Clients
 
 from .link import Link
-from .messages import End, Req, encode, read
+from .messages import Request, RequestEnd, encode, read
 
 S = 10**9
 
@@ -61,10 +61,10 @@
             self.close(ask, "lost")
             return
         ask.timer = self.agenda.after(within, self.heard, ask.ident, ask.attempts, "timeout")
-        self.link.put(Req(ask.ident, ask.kind.external_id, ask.work, within, ask.attempts))
+        self.link.put(Request(ask.ident, ask.kind.external_id, ask.work, within, ask.attempts))
 
     def on_end(self, end):
-        if isinstance(end, End):
+        if isinstance(end, RequestEnd):
             self.heard(end.ident, end.attempt, end.how, end.wait)
 
     def heard(self, ident, tries, how, stay=0):
--- a/embertray/simulation/standins/messages.py
+++ b/embertray/simulation/standins/messages.py
@@ -7,7 +7,7 @@
 from embertray.controller.stream.messages import Message
 
 
-class Req(Message, tag="req"):
+class Request(Message, tag="req"):
     """`work`: ns of a core of speed 1; `within`: ns until whoever sent it gives up; `attempt`: 1 for the
     first.
     """
@@ -20,7 +20,7 @@
     sender: str = ""
 
 
-class End(Message, tag="end"):
+class RequestEnd(Message, tag="end"):
     """`how`: done | denied | full | error"""
 
     ident: int
@@ -31,4 +31,4 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-read = msgspec.msgpack.Decoder(Req | End).decode
+read = msgspec.msgpack.Decoder(Request | RequestEnd).decode
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -12,7 +12,7 @@
 from embertray.simulation.models.proxy import Proxy, StandsStill
 
 from .link import STREAM_ERRORS, Link
-from .messages import End, Req, encode, read
+from .messages import Request, RequestEnd, encode, read
 
 S = 10**9
 REDIAL = (S // 5, 2 * S)  # ns; delay before the next dial, first and longest
@@ -166,7 +166,7 @@
             return
         under = self.model.arrive(self.agenda.now(), req, link)
         if under is None:
-            link.put(End(req.ident, req.attempt, "denied", wait=self.model.wait_of(req.kind)))
+            link.put(RequestEnd(req.ident, req.attempt, "denied", wait=self.model.wait_of(req.kind)))
         else:
             self.attempt(under)
 
@@ -220,7 +220,7 @@
         self.reqs[under.attempt] = under
         req = under.req
         within = max(1, under.until - self.agenda.now())
-        sent = Req(under.attempt, req.kind, req.work, within, len(under.tried), self.name)
+        sent = Request(under.attempt, req.kind, req.work, within, len(under.tried), self.name)
         target.link.put(sent)
         if self.eyes:
             self.eyes.sent(self.agenda.now(), self.name, under.backend, sent, (req.ident, req.attempt))
@@ -253,4 +253,4 @@
             self.finish(under, verdict)
 
     def finish(self, under, how):
-        under.back.put(End(under.req.ident, under.req.attempt, how))
+        under.back.put(RequestEnd(under.req.ident, under.req.attempt, how))
