--- a/embertray/simulation/emulator/backend.py
+++ b/embertray/simulation/emulator/backend.py
@@ -34,7 +34,7 @@
         self.simulation = simulation
         self.model = model
         self.draw = draw
-        self.bad_for = set()
+        self.failing_proxies = set()
         self._connected = set()  # proxies
         self._in_flight = {}  # Underway -> (proxy, attempt)
         self._next_end_at = None  # ns; None: no end is scheduled
@@ -59,7 +59,7 @@
         self._in_flight[underway] = proxy, attempt
         if self.model.state != "up":  # the process hangs: the attempt ends by its timeout
             return
-        if proxy.name in self.bad_for:
+        if proxy.name in self.failing_proxies:
             self._end(underway, attempt, "error", {})
             return
         outcome = self.model.offer(now, (underway, attempt), kind, work, until, self.draw())
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -224,13 +224,15 @@
 
     def _failing_pairs(self):
         """1 where a backend fails for that proxy only, proxies x backends; None if there is no such pair."""
-        affected = [(column, backend) for column, backend in enumerate(self.backends) if backend.bad_for]
+        affected = [
+            (column, backend) for column, backend in enumerate(self.backends) if backend.failing_proxies
+        ]
         if not affected:
             return None
         failing = np.zeros_like(self.tables.weights)
         for column, backend in affected:
             for row, proxy in enumerate(self.proxies):
-                failing[row, column] = proxy.name in backend.bad_for
+                failing[row, column] = proxy.name in backend.failing_proxies
         return failing
 
     # ---- events that the rules check
--- a/embertray/simulation/scenarios/faults/backends.py
+++ b/embertray/simulation/scenarios/faults/backends.py
@@ -75,10 +75,10 @@
             if proxy.home == int(self.spec.options.get("controller", "c1")[1:]) - 1
         }
         for backend in (struck := self.backends()):
-            backend.bad_for |= names
+            backend.failing_proxies |= names
         await self.wait(self.spec.lasts)
         for backend in struck:
-            backend.bad_for -= names
+            backend.failing_proxies -= names
 
     async def do_deploy(self):
         """By batches: drain, stop, start anew, cold."""
--- a/embertray/simulation/standins/backend.py
+++ b/embertray/simulation/standins/backend.py
@@ -13,7 +13,7 @@
 
     def __init__(self, model, net, agenda, draw, saw=None):
         self.model, self.net, self.agenda, self.draw, self.saw = model, net, agenda, draw, saw
-        self.links, self.reqs, self.timer, self.listener, self.bad_for = {}, {}, None, None, set()
+        self.links, self.reqs, self.timer, self.listener, self.failing_proxies = {}, {}, None, None, set()
         self.scope = None
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
@@ -50,7 +50,7 @@
             self.saw(now, self.model.name, req)
         if self.model.state != "up":
             return
-        if req.sender in self.bad_for:
+        if req.sender in self.failing_proxies:
             link.put(RequestEnd(req.ident, req.attempt, "error"))
             return
         how = self.model.offer(now, (link, req), req.kind, req.work, now + req.within, self.draw())
