--- a/embertray/simulation/emulator/proxy_stream.py
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -2,11 +2,11 @@
 
 from embertray.controller.stream.messages import Acknowledgement, Hello
 from embertray.simulation.models.proxy import Proxy, StandsStill
-from embertray.simulation.standins.proxy import REDIAL
+from embertray.simulation.standins.proxy import REDIAL_DELAYS_NS
 
 PROTOCOL_VERSION = 1
 # The initial and the longest backoff between dials.
-FIRST_REDIAL_NS, LONGEST_REDIAL_NS = REDIAL
+FIRST_REDIAL_NS, LONGEST_REDIAL_NS = REDIAL_DELAYS_NS
 
 
 class ProxyStream(StandsStill):
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -15,11 +15,11 @@
 from .messages import Request, RequestEnd, encode, read
 
 S = 10**9
-REDIAL = (S // 5, 2 * S)  # ns; delay before the next dial, first and longest
-CONNECT = S // 4  # ns a connection may take
+REDIAL_DELAYS_NS = (S // 5, 2 * S)  # ns; delay before the next dial, first and longest
+CONNECT_TIMEOUT_NS = S // 4  # ns a connection may take
 
 
-class Target:
+class BackendConnection:
     """One backend as this proxy has it: a connection, and what waits for it."""
 
     def __init__(self):
@@ -60,20 +60,20 @@
 
     async def follow(self):
         """Dials the controllers in turn, from its own on; waits longer when none answers."""
-        at, wait, tries = self.home, REDIAL[0], 0
+        at, wait, tries = self.home, REDIAL_DELAYS_NS[0], 0
         while True:
             asked = 0
             if not self.cut_off:
                 try:
                     asked = await self.stay(self.controllers[at % len(self.controllers)])
-                    wait, tries = REDIAL[0], 0
+                    wait, tries = REDIAL_DELAYS_NS[0], 0
                 except* (*STREAM_ERRORS, ProtocolError):
                     pass
             at += 1
             tries += 1
             pause = max(asked, wait * (0.5 + self.rng.random()))
             if tries % len(self.controllers) == 0:
-                wait = min(REDIAL[1], wait * 2)
+                wait = min(REDIAL_DELAYS_NS[1], wait * 2)
             await anyio.sleep(pause / 1e9)
 
     async def stay(self, address):
@@ -173,7 +173,7 @@
     def target(self, name):
         found = self.targets.get(name)
         if found is None:
-            found = self.targets[name] = Target()
+            found = self.targets[name] = BackendConnection()
         return found
 
     def attempt(self, under):
@@ -195,7 +195,7 @@
     async def connect(self, name, target):
         link = None
         try:
-            with anyio.move_on_after(CONNECT / 1e9):
+            with anyio.move_on_after(CONNECT_TIMEOUT_NS / 1e9):
                 if name in self.bad:
                     raise ConnectionRefusedError
                 stream = await self.net.dial(name)
