--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -53,7 +53,7 @@
         membership: The MembershipSimulation.
         exchangers: StateExchanger by address; None: the process is starting.
         links: The Web.
-        clock, held, eyes, proxies, zero: What faults ask of the stage that they are played on.
+        clock, held, eyes, proxies, zero: The interface that faults expect of a scenario's stage.
     """
 
     def __init__(
--- a/embertray/simulation/emulator/control/replica_process.py
+++ b/embertray/simulation/emulator/control/replica_process.py
@@ -76,7 +76,7 @@
         """Kills the process.
 
         Args:
-            silent: Whether its connections stay open, as when a machine is gone.
+            silent: Whether its connections stay open, as after a machine failure.
         """
         self.alive = False
         self.incarnation += 1
--- a/embertray/simulation/emulator/control/subscriber_process.py
+++ b/embertray/simulation/emulator/control/subscriber_process.py
@@ -68,7 +68,7 @@
         """Kills the process.
 
         Args:
-            silent: Whether its connections stay open, as when a machine is gone.
+            silent: Whether its connections stay open, as after a machine failure.
         """
         self.alive = False
         self.incarnation += 1
--- a/embertray/simulation/emulator/queueing.py
+++ b/embertray/simulation/emulator/queueing.py
@@ -19,7 +19,7 @@
 
     Args:
         engine: The Engine.
-        servers: How many backends.
+        servers: Number of backends.
         cores: Cores of each.
         pick: A function that chooses one of a list of Backends.
         work: A function that draws a request's work, ns.
@@ -92,10 +92,10 @@
     """Simulates Poisson arrivals and returns how long the requests waited.
 
     Args:
-        servers: How many backends.
+        servers: Number of backends.
         cores: Cores of each.
         load: Utilization, as a part of the capacity of all backends.
-        requests: How many arrive; the first tenth is a warm-up and not returned.
+        requests: Number of requests; the first tenth is a warm-up and not returned.
         rng: The random generator.
         service: "exp" or "fixed".
         choices: Backends drawn for each request; the shortest queue gets it.
