--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -57,11 +57,11 @@
     """Run a backend that serves requests."""
 
     async def main():
-        agenda = Scheduler(LoopClock())
+        scheduler = Scheduler(LoopClock())
         backend = StandinBackend(
             Backend(listen, "", Shape(cores, speed, warm_up_time=int(warm * NS_PER_SECOND))),
             TcpNet(),
-            agenda,
+            scheduler,
             RandomStreams(1).of("failing").random,
         )
         async with anyio.create_task_group() as group:
@@ -87,8 +87,8 @@
         raise InputError(f"'{invalid}' is not ADDRESS=ZONE")
 
     async def main():
-        agenda = Scheduler(LoopClock())
-        standin = StandinInventory(TcpNet(), agenda)
+        scheduler = Scheduler(LoopClock())
+        standin = StandinInventory(TcpNet(), scheduler)
         async with anyio.create_task_group() as group:
             print_line(f"inventory listens on {await group.start(standin.run, listen)}")
             for address, zone in endpoints:
@@ -96,7 +96,7 @@
             while row := await anyio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True):
                 words = row.split()
                 if len(words) == 3 and words[2] in ("ready", "draining", "gone"):
-                    standin.list(*words, agenda.now() if words[2] == "ready" else 0)
+                    standin.list(*words, scheduler.now() if words[2] == "ready" else 0)
                     print_line(f"epoch {standin.epoch}: {row.strip()}")
                 elif words:
                     click.echo("expected: ADDRESS ZONE ready|draining|gone", err=True)
@@ -119,14 +119,18 @@
         raise InputError(str(error)) from None
 
     async def main():
-        agenda, streams, counts = Scheduler(LoopClock()), RandomStreams(1), {"done": 0, "late": 0, "lost": 0}
+        scheduler, streams, counts = (
+            Scheduler(LoopClock()),
+            RandomStreams(1),
+            {"done": 0, "late": 0, "lost": 0},
+        )
         proxy = StandinProxy(
             name,
             zone or description.zones[0],
             description,
             [c.listen for c in description.controllers],
             TcpNet(),
-            agenda,
+            scheduler,
             streams.of("proxy"),
             rate,
         )
@@ -136,13 +140,13 @@
 
         mix = [(kind, 1 / len(description.kinds), kind.latency_objective // 10) for kind in description.kinds]
         clients = StandinClients(
-            1, mix, lambda _: rate, TcpNet(), agenda, streams.of("clients"), ended=count_outcome
+            1, mix, lambda _: rate, TcpNet(), scheduler, streams.of("clients"), ended=count_outcome
         )
         async with anyio.create_task_group() as group:
             address = await group.start(proxy.run)
             print_line(f"proxy {name} listens on {address}")
             group.start_soon(print_counts, proxy, counts)
-            await clients.run(address, agenda.now() + int(seconds * NS_PER_SECOND))
+            await clients.run(address, scheduler.now() + int(seconds * NS_PER_SECOND))
             group.cancel_scope.cancel()
 
     async def print_counts(proxy, counts):
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -59,7 +59,7 @@
         self.watched = watched
         self.engine = Engine(START_NS)
         self.clock = self.engine
-        self.agenda = self.engine
+        self.scheduler = self.engine
         self.eyes = Observer() if watched else OutcomeObserver()
         self.backends_by_name = {}
         self.cross_zone_delay = parse_duration(day.fleet["cross"])
--- a/embertray/simulation/scenarios/faults/base.py
+++ b/embertray/simulation/scenarios/faults/base.py
@@ -54,7 +54,7 @@
 
     def later(self, time, what, *args):
         """Calls `what` with its arguments `time` ns from now."""
-        self.stage.agenda.after(time, what, *args)
+        self.stage.scheduler.after(time, what, *args)
 
     def list(self, backend, state, late):
         """The inventory learns of a backend's state `late` ns from now."""
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -41,11 +41,11 @@
         self.clock = clock
         self.held = held
         self.progress = progress
-        self.agenda = Scheduler(clock)
+        self.scheduler = Scheduler(clock)
         self.eyes = Observer()
         self.clients = []  # (StandinClients, address of its proxy)
         self.group = None
-        self.inventory = StandinInventory(net, self.agenda, span(day.fleet["answers"]), self.eyes.told)
+        self.inventory = StandinInventory(net, self.scheduler, span(day.fleet["answers"]), self.eyes.told)
         if span(day.fleet["cross"]):
             raise DayError(f"{day.name}: ways between zones (cross) are emulated only")
 
@@ -73,7 +73,7 @@
             The StandinBackend.
         """
         model = Backend("127.0.0.1:0", zone, self.shape(speed))
-        backend = StandinBackend(model, self.net, self.agenda, self.chance.of("failing", number).random)
+        backend = StandinBackend(model, self.net, self.scheduler, self.chance.of("failing", number).random)
         await self.group.start(backend.run)
         self.models[model.name] = model
         self.backends.append(backend)
@@ -111,7 +111,7 @@
             self.site,
             addresses,
             self.net,
-            self.agenda,
+            self.scheduler,
             rng,
             self.day.rate * share,
             self.standing(rng, zone, ready),
@@ -128,7 +128,7 @@
             mix,
             self.source(n, self.day.rate * share),
             self.net,
-            self.agenda,
+            self.scheduler,
             self.chance.of("clients", n),
             int(self.day.load["retries"]),
             ended=self.eyes.ended,
--- a/embertray/simulation/standins/backend.py
+++ b/embertray/simulation/standins/backend.py
@@ -11,8 +11,8 @@
     for each request that its socket brings; `draw()` gives numbers from 0 to 1.
     """
 
-    def __init__(self, model, net, agenda, draw, saw=None):
-        self.model, self.net, self.agenda, self.draw, self.saw = model, net, agenda, draw, saw
+    def __init__(self, model, net, scheduler, draw, saw=None):
+        self.model, self.net, self.scheduler, self.draw, self.saw = model, net, scheduler, draw, saw
         self.links, self.reqs, self.timer, self.listener, self.failing_proxies = {}, {}, None, None, set()
         self.scope = None
 
@@ -29,7 +29,7 @@
                 await self.listener.aclose()
 
     async def accept(self, stream):
-        now = self.agenda.now()
+        now = self.scheduler.now()
         if self.model.state == "dead" or self.model.state == "up" and not self.model.connect(now):
             await stream.aclose()
             return
@@ -45,7 +45,7 @@
     def on_req(self, link, req):
         if not isinstance(req, Request):
             return
-        now = self.agenda.now()
+        now = self.scheduler.now()
         if self.saw:
             self.saw(now, self.model.name, req)
         if self.model.state != "up":
@@ -62,10 +62,10 @@
         when = self.model.next_at()
         if self.timer:
             self.timer.cancel()
-        self.timer = self.agenda.at(when, self.due) if when is not None else None
+        self.timer = self.scheduler.at(when, self.due) if when is not None else None
 
     def due(self):
-        now = self.agenda.now()
+        now = self.scheduler.now()
         for link, req in self.model.advance(now):
             link.put(RequestEnd(req.ident, req.attempt, "done", self.model.report(now)))
         self.timer = None
@@ -80,4 +80,4 @@
     def start(self, cold=True):
         for link in list(self.links):  # of the process before: they break now at the latest
             link.cut()
-        self.model.start(self.agenda.now(), cold)
+        self.model.start(self.scheduler.now(), cold)
--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -19,10 +19,10 @@
     lost.
     """
 
-    def __init__(self, number, mix, rate, net, agenda, rng, retries=1, wait=S // 5, ended=None):
+    def __init__(self, number, mix, rate, net, scheduler, rng, retries=1, wait=S // 5, ended=None):
         self.model, self.rng = Clients(number, mix, rng, retries, wait), rng
         self.source = rate if hasattr(rate, "next") else Poisson(rate)
-        self.net, self.agenda, self.ended = net, agenda, ended
+        self.net, self.scheduler, self.ended = net, scheduler, ended
         self.link, self.until = None, 0
         self.idle = anyio.Event()
 
@@ -38,29 +38,29 @@
             group.cancel_scope.cancel()
 
     def plan(self):
-        when, kind, work = self.source.next(self.agenda.now(), self.rng, self.until)
+        when, kind, work = self.source.next(self.scheduler.now(), self.rng, self.until)
         if when is None:
-            self.agenda.at(self.until, self.settle)
+            self.scheduler.at(self.until, self.settle)
         else:
-            self.agenda.at(when, self.send, kind, work)
+            self.scheduler.at(when, self.send, kind, work)
 
     def settle(self):
         self.until = 0
         self.look()
 
     def send(self, kind, work):
-        now, model = self.agenda.now(), self.model
+        now, model = self.scheduler.now(), self.model
         self.put(model.draw_request(now) if kind is None else model.new_request(now, model.kinds[kind], work))
         self.plan()
 
     def put(self, ask):
         """One try; the client gives up on the whole request at its client timeout."""
-        now = self.agenda.now()
+        now = self.scheduler.now()
         within = self.model.attempt(now, ask)
         if within is None:
             self.close(ask, "lost")
             return
-        ask.timer = self.agenda.after(within, self.heard, ask.ident, ask.attempts, "timeout")
+        ask.timer = self.scheduler.after(within, self.heard, ask.ident, ask.attempts, "timeout")
         self.link.put(Request(ask.ident, ask.kind.external_id, ask.work, within, ask.attempts))
 
     def on_end(self, end):
@@ -68,19 +68,19 @@
             self.heard(end.ident, end.attempt, end.how, end.wait)
 
     def heard(self, ident, tries, how, stay=0):
-        found = self.model.attempt_ended(self.agenda.now(), ident, tries, how, stay)
+        found = self.model.attempt_ended(self.scheduler.now(), ident, tries, how, stay)
         if found is None:
             return
         ask, verdict, span = found
         ask.timer.cancel()
         if verdict == "again":
-            self.agenda.after(span, self.put, ask)
+            self.scheduler.after(span, self.put, ask)
         else:
             self.close(ask, verdict, span)
 
     def close(self, ask, how, took=0):
         if self.ended:
-            self.ended(self.agenda.now(), ask.arrived_at, ask.kind, how, took)
+            self.ended(self.scheduler.now(), ask.arrived_at, ask.kind, how, took)
         self.look()
 
     def look(self):
--- a/embertray/simulation/standins/inventory.py
+++ b/embertray/simulation/standins/inventory.py
@@ -12,9 +12,9 @@
     """`on_news(now, sender, news)` for each WatchEvent that goes to a controller's socket. Calls are answered
     after `answers` ns; while `down` they fail and no change is told."""
 
-    def __init__(self, net, agenda, answers=0, on_news=None):
+    def __init__(self, net, scheduler, answers=0, on_news=None):
         super().__init__()
-        self.net, self.agenda, self.answers, self.on_news = net, agenda, answers, on_news
+        self.net, self.scheduler, self.answers, self.on_news = net, scheduler, answers, on_news
         self.links, self.names, self.address = {}, {}, None
 
     async def run(self, address, *, task_status=anyio.TASK_STATUS_IGNORED):
@@ -48,12 +48,12 @@
         if not self.down:
             for link, watches in list(self.links.items()):
                 if watches:
-                    self.send(link, self.news(self.agenda.now(), self.epoch - 1, [entry]))
+                    self.send(link, self.news(self.scheduler.now(), self.epoch - 1, [entry]))
 
     def on_call(self, link, call):
         if isinstance(call, WatchRequest):
             self.names[link] = call.sender
-        self.agenda.after(self.answers, self.reply, link, call)
+        self.scheduler.after(self.answers, self.reply, link, call)
 
     def reply(self, link, call):
         if link.over:
@@ -63,13 +63,13 @@
             return
         if isinstance(call, WatchRequest):
             self.links[link] = call.enabled
-        if (news := self.answer(self.agenda.now(), call)) is not None:
+        if (news := self.answer(self.scheduler.now(), call)) is not None:
             self.send(link, news)
 
     def send(self, link, news):
         link.put(news)
         if self.on_news:
-            self.on_news(self.agenda.now(), self.names.get(link, ""), news)
+            self.on_news(self.scheduler.now(), self.names.get(link, ""), news)
 
     def go_down(self):
         self.down = True
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -31,9 +31,27 @@
     that an order takes from the socket to its effect."""
 
     def __init__(
-        self, name, zone, site, controllers, net, agenda, rng, rate=0.0, standing=(), eyes=None, way=lambda: 0
+        self,
+        name,
+        zone,
+        site,
+        controllers,
+        net,
+        scheduler,
+        rng,
+        rate=0.0,
+        standing=(),
+        eyes=None,
+        way=lambda: 0,
     ):
-        self.name, self.zone, self.site, self.net, self.agenda, self.rng = name, zone, site, net, agenda, rng
+        self.name, self.zone, self.site, self.net, self.scheduler, self.rng = (
+            name,
+            zone,
+            site,
+            net,
+            scheduler,
+            rng,
+        )
         self.controllers, self.rate, self.eyes, self.way = list(controllers), rate, eyes, way
         self.first = list(standing)
         self.model, self.fresh, self.joined = Proxy(site, rng, standing), True, None
@@ -102,22 +120,22 @@
                         self.joined, self.conn = None, None
                         self.model.left()
                         if self.eyes:
-                            self.eyes.left(self.agenda.now(), self.name)
+                            self.eyes.left(self.scheduler.now(), self.name)
                 group.cancel_scope.cancel()
         return asked
 
     def on_joined(self, end, address, welcome):
         self.joined, self.fresh = end, False
-        self.model.joined(self.agenda.now())
+        self.model.joined(self.scheduler.now())
         if self.eyes:
-            self.eyes.joined(self.agenda.now(), self.name, welcome.controller)
+            self.eyes.joined(self.scheduler.now(), self.name, welcome.controller)
 
     def on_orders(self, end, orders):
-        now = self.agenda.now()
+        now = self.scheduler.now()
         if self.eyes:
             self.eyes.orders(now, self.name, orders)
         self.last_due = max(self.last_due + 1, now + self.way())
-        self.agenda.at(self.last_due, self.apply, end, orders)
+        self.scheduler.at(self.last_due, self.apply, end, orders)
 
     def apply(self, end, orders):
         if end is not self.joined:  # the stream broke while it was under way
@@ -127,7 +145,7 @@
             return
         self.model.apply(orders)
         if self.eyes:
-            self.eyes.applied(self.agenda.now(), self.name, orders)
+            self.eyes.applied(self.scheduler.now(), self.name, orders)
         if orders.nonce is not None:
             self.say(end, Acknowledgement(orders.nonce))
 
@@ -150,9 +168,9 @@
         """Sums each cycle to whom it is joined to; `lag` ns late."""
         while True:
             await anyio.sleep(self.site.report_interval / 1e9)
-            end, sums = self.joined, self.model.sums(self.agenda.now())
+            end, sums = self.joined, self.model.sums(self.scheduler.now())
             if end and not self.still:
-                self.agenda.after(self.lag, self.say, end, sums)
+                self.scheduler.after(self.lag, self.say, end, sums)
 
     # ---- requests
 
@@ -164,7 +182,7 @@
         if self.still:
             self.held_back.append((self.on_req, link, req))
             return
-        under = self.model.arrive(self.agenda.now(), req, link)
+        under = self.model.arrive(self.scheduler.now(), req, link)
         if under is None:
             link.put(RequestEnd(req.ident, req.attempt, "denied", wait=self.model.wait_of(req.kind)))
         else:
@@ -177,13 +195,13 @@
         return found
 
     def attempt(self, under):
-        how = self.model.attempt(self.agenda.now(), under)
+        how = self.model.attempt(self.scheduler.now(), under)
         if how:
             self.finish(under, how)
             return
         name = under.backend
         target = self.target(name)
-        under.timer = self.agenda.after(under.within, self.ended, under, under.attempt, "timeout", {})
+        under.timer = self.scheduler.after(under.within, self.ended, under, under.attempt, "timeout", {})
         if target.link is None or target.link.over:
             target.waiting.append((under, under.attempt))
             if not target.dialling:
@@ -219,11 +237,11 @@
     def send_req(self, target, under):
         self.reqs[under.attempt] = under
         req = under.req
-        within = max(1, under.until - self.agenda.now())
+        within = max(1, under.until - self.scheduler.now())
         sent = Request(under.attempt, req.kind, req.work, within, len(under.tried), self.name)
         target.link.put(sent)
         if self.eyes:
-            self.eyes.sent(self.agenda.now(), self.name, under.backend, sent, (req.ident, req.attempt))
+            self.eyes.sent(self.scheduler.now(), self.name, under.backend, sent, (req.ident, req.attempt))
 
     def on_broken(self, name, target, link):
         """The connection is gone: what was out on it may have run."""
@@ -239,7 +257,7 @@
             self.ended(under, end.ident, end.how, end.load)
 
     def ended(self, under, attempt, how, load):
-        now, name = self.agenda.now(), under.backend
+        now, name = self.scheduler.now(), under.backend
         verdict = self.model.ended(now, under, attempt, how, load)
         if verdict is None:
             return
