--- a/embertray/experiments/measure/charts.py
+++ b/embertray/experiments/measure/charts.py
@@ -42,12 +42,12 @@
     figure, axes = pyplot.subplots(1, 2, figsize=(9, 3.4), sharey=True)
     for axis, kind in zip(axes, ("as the tables", "behind the tables"), strict=False):
         mine = [row for row in rows if row[0] == kind]
-        for n, way in enumerate(("by age", "in full", "waits")):
+        for n, variant in enumerate(("by age", "in full", "waits")):
             axis.plot(
                 [float(row[2].rstrip("%")) for row in mine],
                 [float(row[3].split("/")[n]) for row in mine],
                 marker="o",
-                label=way,
+                label=variant,
             )
         axis.set(xlabel="replaced, percent", title=f"list an hour old, {kind}", ylim=(0, 1.02))
     axes[0].set(ylabel="credit")
--- a/embertray/experiments/measure/explore.py
+++ b/embertray/experiments/measure/explore.py
@@ -11,14 +11,14 @@
         self.path = path
 
 
-def clone(thing, fresh=("here", "acted", "away", "asks", "listed", "granted", "wants", "heard", "voices")):
+def clone(core, fresh=("here", "acted", "away", "asks", "listed", "granted", "wants", "heard", "voices")):
     """Returns a copy of a core that can be changed without changing the original.
 
     The attributes named in `fresh` are copied; of the dicts `may` and `sent` the inner containers are
     copied too. All other attributes hold values that never change and are shared.
     """
-    copy = object.__new__(type(thing))
-    for name, value in thing.__dict__.items():
+    copy = object.__new__(type(core))
+    for name, value in core.__dict__.items():
         if name in fresh:
             value = value.copy()
         elif name in ("may", "sent"):
