--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -68,7 +68,7 @@
             )
 
     def mark(self, number):
-        """Writes a mark at the first member, and starts to look for it at all."""
+        """Writes a mark at the first member, and starts to look for it at all members."""
         self.exchangers[self.addresses[self.marker]].store.put(self.engine.time, MARK, str(number).encode())
         self.unseen[number] = set(self.exchangers)
         self.check_marks(number, self.engine.time)
@@ -97,7 +97,7 @@
 def measure(size, spans, period, facts_bytes, naming=Naming()):
     """Returns the Summary of one size.
 
-    Processor time and memory are 0: no process runs that a member's would be.
+    Processor time and memory are 0, as members under virtual time have no processes of their own.
     """
     with rare_collections():
         members = VirtualMembers(size, spans, period, facts_bytes, naming)
