--- a/embertray/simulation/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -14,7 +14,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.bad = set()
+        self.unreachable_backends = set()
 
     def on_request(self, request, respond):
         """Handles a client's request.
@@ -43,7 +43,7 @@
         underway.timer = engine.after(underway.within, self._on_timeout, underway, underway.attempt)
         if self.simulation.watched:
             self._record_attempt(underway)
-        if underway.backend in self.bad:
+        if underway.backend in self.unreachable_backends:
             self.on_attempt_ended(underway, underway.attempt, "refused", {})
         else:
             self._send_to_backend(underway)
--- a/embertray/simulation/emulator/proxy_stream.py
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -42,12 +42,12 @@
         self.rng = rng
         self.order_delay = order_delay
         self.model = Proxy(simulation.site, rng, initial_backends)
-        self.first = list(initial_backends)
+        self.initial_backends = list(initial_backends)
         self.fresh = True
         self.controller = None
         self.session = None
         self.home = 0
-        self.lag = 0
+        self.report_delay = 0
         self.still = False
         self.cut_off = False
         self.held_back = []
@@ -199,8 +199,8 @@
         self.simulation.engine.after(self.simulation.site.report_interval, self.report)
 
     def _send_report(self, load_report):
-        if self.lag:
+        if self.report_delay:
             engine = self.simulation.engine
-            engine.at(engine.time + self.lag, self.send, self.session, load_report)
+            engine.at(engine.time + self.report_delay, self.send, self.session, load_report)
         else:
             self.send(self.session, load_report)
--- a/embertray/simulation/scenarios/faults/proxies.py
+++ b/embertray/simulation/scenarios/faults/proxies.py
@@ -46,10 +46,10 @@
     async def do_late_reports(self):
         """Their load reports leave `by` late."""
         for proxy in (struck := self.proxies()):
-            proxy.lag = self.spec.by
+            proxy.report_delay = self.spec.by
         await self.wait(self.spec.lasts)
         for proxy in struck:
-            proxy.lag = 0
+            proxy.report_delay = 0
 
     async def do_hot(self):
         """Their load is multiplied by `times`."""
--- a/embertray/simulation/scenarios/result.py
+++ b/embertray/simulation/scenarios/result.py
@@ -109,7 +109,7 @@
     Returns:
         Its Result.
     """
-    standing_tables = {proxy.name: proxy.first for proxy in stage.proxies}
+    standing_tables = {proxy.name: proxy.initial_backends for proxy in stage.proxies}
     checker = RuleChecker(stage.site, standing_tables, stage.eyes.events, stage.models)
     violations = checker.check()
     credit, credit_by_kind, requests = earned_credit(stage)
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -53,13 +53,13 @@
             rng,
         )
         self.controllers, self.rate, self.eyes, self.way = list(controllers), rate, eyes, way
-        self.first = list(standing)
+        self.initial_backends = list(standing)
         self.model, self.fresh, self.joined = Proxy(site, rng, standing), True, None
         self.targets, self.reqs = {}, {}
         self.group, self.scope, self.conn = None, None, None
         self.cut_off = self.still = self.deaf = False
-        self.held_back, self.lag, self.last_due, self.home = [], 0, 0, 0
-        self.bad = set()  # backends that it can't reach
+        self.held_back, self.report_delay, self.last_due, self.home = [], 0, 0, 0
+        self.unreachable_backends = set()  # backends that it can't reach
 
     # ---- its stream to a controller
 
@@ -170,7 +170,7 @@
             await anyio.sleep(self.site.report_interval / 1e9)
             end, sums = self.joined, self.model.sums(self.scheduler.now())
             if end and not self.still:
-                self.scheduler.after(self.lag, self.say, end, sums)
+                self.scheduler.after(self.report_delay, self.say, end, sums)
 
     # ---- requests
 
@@ -214,7 +214,7 @@
         link = None
         try:
             with anyio.move_on_after(CONNECT_TIMEOUT_NS / 1e9):
-                if name in self.bad:
+                if name in self.unreachable_backends:
                     raise ConnectionRefusedError
                 stream = await self.net.dial(name)
                 link = target.link = Link(
