--- a/embertray/simulation/emulator/backend.py
+++ b/embertray/simulation/emulator/backend.py
@@ -36,15 +36,15 @@
         self.draw = draw
         self.failing_proxies = set()
         self._connected = set()  # proxies
-        self._in_flight = {}  # Underway -> (proxy, attempt)
+        self._in_flight = {}  # PendingRequest -> (proxy, attempt)
         self._next_end_at = None  # ns; None: no end is scheduled
 
-    def on_request(self, proxy, underway, attempt, kind, work, until):
+    def on_request(self, proxy, pending, attempt, kind, work, until):
         """Handles an attempt; its outcome is reported to `proxy.on_attempt_ended`.
 
         Args:
             proxy: The SimulatedProxy that sent it.
-            underway: The request's Underway.
+            pending: The request's PendingRequest.
             attempt: The attempt's number.
             kind: External id of the request's kind.
             work: Time that the request takes on a core of speed 1, ns.
@@ -53,18 +53,18 @@
         now = self.simulation.engine.time
         if proxy not in self._connected:
             if self._refuses_connection(now):
-                proxy.on_attempt_ended(underway, attempt, "broken", {})
+                proxy.on_attempt_ended(pending, attempt, "broken", {})
                 return
             self._connected.add(proxy)
-        self._in_flight[underway] = proxy, attempt
+        self._in_flight[pending] = proxy, attempt
         if self.model.state != "up":  # the process hangs: the attempt ends by its timeout
             return
         if proxy.name in self.failing_proxies:
-            self._end(underway, attempt, "error", {})
+            self._end(pending, attempt, "error", {})
             return
-        outcome = self.model.offer(now, (underway, attempt), kind, work, until, self.draw())
+        outcome = self.model.offer(now, (pending, attempt), kind, work, until, self.draw())
         if outcome:
-            self._end(underway, attempt, outcome, self.model.report(now))
+            self._end(pending, attempt, outcome, self.model.report(now))
         self._schedule_end()
 
     def _refuses_connection(self, now):
@@ -84,37 +84,37 @@
             return
         self._next_end_at = None
         now = self.simulation.engine.time
-        for underway, attempt in self.model.advance(now):
-            self._end(underway, attempt, "done", self.model.report(now))
+        for pending, attempt in self.model.advance(now):
+            self._end(pending, attempt, "done", self.model.report(now))
         self._schedule_end()
 
-    def _end(self, underway, attempt, outcome, load):
-        in_flight = self._in_flight.get(underway)
+    def _end(self, pending, attempt, outcome, load):
+        in_flight = self._in_flight.get(pending)
         if in_flight is None or in_flight[1] != attempt:  # the proxy has cancelled it
             return
-        proxy, _ = self._in_flight.pop(underway)
+        proxy, _ = self._in_flight.pop(pending)
         delay = self.simulation.network_delay(proxy.zone, self.model.zone)
         if delay:
             engine = self.simulation.engine
-            engine.after(delay, proxy.on_attempt_ended, underway, attempt, outcome, load)
+            engine.after(delay, proxy.on_attempt_ended, pending, attempt, outcome, load)
         else:
-            proxy.on_attempt_ended(underway, attempt, outcome, load)
+            proxy.on_attempt_ended(pending, attempt, outcome, load)
 
-    def cancel(self, underway):
+    def cancel(self, pending):
         """Drops an attempt that its proxy cancelled; the backend still does its work.
 
         Args:
-            underway: The request's Underway.
+            pending: The request's PendingRequest.
         """
-        self._in_flight.pop(underway, None)
+        self._in_flight.pop(pending, None)
 
     def break_links(self):
         """Breaks all connections; attempts in flight end as broken."""
         self._connected.clear()
         in_flight = self._in_flight
         self._in_flight = {}
-        for underway, (proxy, attempt) in in_flight.items():
-            proxy.on_attempt_ended(underway, attempt, "broken", {})
+        for pending, (proxy, attempt) in in_flight.items():
+            proxy.on_attempt_ended(pending, attempt, "broken", {})
 
     def die(self, silent=False):
         """Ends the process.
--- a/embertray/simulation/emulator/fluid_proxy.py
+++ b/embertray/simulation/emulator/fluid_proxy.py
@@ -39,7 +39,7 @@
     def report(self):
         """Sends a load report, if it can, and schedules the next."""
         simulation = self.simulation
-        if self.session is not None and not self.still:
+        if self.session is not None and not self.paused:
             self._send_report(simulation.draw_report(self.row))
         else:
             simulation.totals.clear(self.row, simulation.engine.time)
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -137,7 +137,7 @@
         self.totals.arrivals += flow
         if attempt > 1:
             self.totals.retries += flow
-        paused = np.array([proxy.still for proxy in self.proxies])
+        paused = np.array([proxy.paused for proxy in self.proxies])
         admitted = flow * self.tables.admitted_part(flow, paused, STEP_S)
         by_backend = self.tables.weights.T @ admitted
         results = self._fluid_backends.process(
@@ -251,7 +251,7 @@
             proxy = self.proxies[row]
             whole = int(unrecorded[row])
             unrecorded[row] -= whole
-            if not proxy.still:
+            if not proxy.paused:
                 self._record_one(now, proxy, backend.model, int(whole * work))
 
     def _is_restricted(self, now, model):
--- a/embertray/simulation/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -24,78 +24,78 @@
             respond: Called with the request, its outcome and, if it was rejected, the least delay of a retry,
                 ns.
         """
-        if self.still:
-            self.held_back.append((self.on_request, request, respond))
+        if self.paused:
+            self.deferred_calls.append((self.on_request, request, respond))
             return
-        underway = self.model.arrive(self.simulation.engine.time, request, respond)
-        if underway is None:
-            respond(request, "denied", self.model.wait_of(request.kind))
+        pending = self.model.arrive(self.simulation.engine.time, request, respond)
+        if pending is None:
+            respond(request, "denied", self.model.retry_after(request.kind))
         else:
-            self._attempt(underway)
+            self._attempt(pending)
 
-    def _attempt(self, underway):
+    def _attempt(self, pending):
         """Sends a request to a backend chosen by the routing table, or ends it if there is none."""
         engine = self.simulation.engine
-        outcome = self.model.attempt(engine.time, underway)
+        outcome = self.model.attempt(engine.time, pending)
         if outcome:
-            underway.back(underway.req, outcome)
+            pending.reply_to(pending.request, outcome)
             return
-        underway.timer = engine.after(underway.within, self._on_timeout, underway, underway.attempt)
+        pending.timer = engine.after(pending.timeout, self._on_timeout, pending, pending.attempt)
         if self.simulation.watched:
-            self._record_attempt(underway)
-        if underway.backend in self.unreachable_backends:
-            self.on_attempt_ended(underway, underway.attempt, "refused", {})
+            self._record_attempt(pending)
+        if pending.backend in self.unreachable_backends:
+            self.on_attempt_ended(pending, pending.attempt, "refused", {})
         else:
-            self._send_to_backend(underway)
+            self._send_to_backend(pending)
 
-    def _send_to_backend(self, underway):
-        backend = self.simulation.backends_by_name[underway.backend]
-        request = underway.req
-        args = self, underway, underway.attempt, request.kind, request.work, underway.until
+    def _send_to_backend(self, pending):
+        backend = self.simulation.backends_by_name[pending.backend]
+        request = pending.request
+        args = self, pending, pending.attempt, request.kind, request.work, pending.deadline
         delay = self.simulation.network_delay(self.zone, backend.model.zone)
         if delay:
             self.simulation.engine.after(delay, backend.on_request, *args)
         else:
             backend.on_request(*args)
 
-    def _record_attempt(self, underway):
+    def _record_attempt(self, pending):
         now = self.simulation.engine.time
-        request = underway.req
+        request = pending.request
         attempt = Request(
-            underway.attempt,
+            pending.attempt,
             request.kind,
             request.work,
-            max(1, underway.until - now),
-            len(underway.tried),
+            max(1, pending.deadline - now),
+            len(pending.tried),
             self.name,
         )
         key = request.ident, request.attempt
-        self.simulation.eyes.sent(now, self.name, underway.backend, attempt, key)
+        self.simulation.eyes.sent(now, self.name, pending.backend, attempt, key)
 
-    def _on_timeout(self, underway, attempt):
-        if underway.attempt == attempt and underway.backend is not None:
-            self.simulation.backends_by_name[underway.backend].cancel(underway)
-            self.on_attempt_ended(underway, attempt, "timeout", {})
+    def _on_timeout(self, pending, attempt):
+        if pending.attempt == attempt and pending.backend is not None:
+            self.simulation.backends_by_name[pending.backend].cancel(pending)
+            self.on_attempt_ended(pending, attempt, "timeout", {})
 
-    def on_attempt_ended(self, underway, attempt, outcome, load):
+    def on_attempt_ended(self, pending, attempt, outcome, load):
         """Handles the end of an attempt; the model decides whether another follows.
 
         Args:
-            underway: The request's Underway.
+            pending: The request's PendingRequest.
             attempt: The attempt's number; one that is over already is ignored.
             outcome: "done", "full", "error", "broken", "timeout" or "refused".
             load: The backend's load report.
         """
         now = self.simulation.engine.time
-        backend = underway.backend
-        verdict = self.model.ended(now, underway, attempt, outcome, load)
+        backend = pending.backend
+        verdict = self.model.attempt_ended(now, pending, attempt, outcome, load)
         if verdict is None:
             return
-        underway.timer.cancel()
+        pending.timer.cancel()
         if outcome != "done" and self.simulation.watched:
-            key = underway.req.ident, underway.req.attempt
+            key = pending.request.ident, pending.request.attempt
             self.simulation.eyes.failed(now, self.name, backend, key, outcome)
         if verdict == "again":
-            self._attempt(underway)
+            self._attempt(pending)
         else:
-            underway.back(underway.req, verdict)
+            pending.reply_to(pending.request, verdict)
--- a/embertray/simulation/emulator/proxy_stream.py
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -1,7 +1,7 @@
 """A simulated proxy's stream to a controller: dials, orders, acknowledgements and load reports."""
 
 from embertray.controller.stream.messages import Acknowledgement, Hello
-from embertray.simulation.models.proxy import Proxy, StandsStill
+from embertray.simulation.models.proxy import PausableProcess, Proxy
 from embertray.simulation.standins.proxy import REDIAL_DELAYS_NS
 
 PROTOCOL_VERSION = 1
@@ -9,7 +9,7 @@
 FIRST_REDIAL_NS, LONGEST_REDIAL_NS = REDIAL_DELAYS_NS
 
 
-class ProxyStream(StandsStill):
+class ProxyStream(PausableProcess):
     """The side of a proxy that talks to controllers.
 
     Args:
@@ -30,8 +30,8 @@
         home: Index of the controller that it dials first.
         lag: Delay of its load reports, ns.
         cut_off: Whether it can reach no controller.
-        still: Whether its process is stopped.
-        held_back: Calls deferred until the process continues, as (callback, *args).
+        paused: Whether its process is stopped.
+        deferred_calls: Calls deferred until the process continues, as (callback, *args).
     """
 
     def __init__(self, simulation, name, zone, rate, rng, initial_backends, order_delay):
@@ -48,9 +48,9 @@
         self.session = None
         self.home = 0
         self.report_delay = 0
-        self.still = False
+        self.paused = False
         self.cut_off = False
-        self.held_back = []
+        self.deferred_calls = []
         self._next_controller = 0
         self._failed_dials = 0
         self._backoff = FIRST_REDIAL_NS
@@ -119,7 +119,7 @@
         self.session = None
         if controller is None:
             return
-        self.model.left()
+        self.model.disconnected()
         self.simulation.eyes.left(self.simulation.engine.time, self.name)
         controller.call_when_running(controller.on_stream_closed, self)
         self._unread.clear()
@@ -170,8 +170,8 @@
         """
         if session is not self.session:
             return
-        if self.still:
-            self.held_back.append((self.apply, session, orders))
+        if self.paused:
+            self.deferred_calls.append((self.apply, session, orders))
             return
         self.model.apply(orders)
         self.simulation.eyes.applied(self.simulation.engine.time, self.name, orders)
@@ -193,8 +193,8 @@
     def report(self):
         """Sends a load report and schedules the next."""
         # Taken even if it cannot be sent, since a report covers one report cycle only.
-        load_report = self.model.sums(self.simulation.engine.time)
-        if self.session is not None and not self.still:
+        load_report = self.model.take_load_report(self.simulation.engine.time)
+        if self.session is not None and not self.paused:
             self._send_report(load_report)
         self.simulation.engine.after(self.simulation.site.report_interval, self.report)
 
--- a/embertray/simulation/scenarios/faults/controllers.py
+++ b/embertray/simulation/scenarios/faults/controllers.py
@@ -91,14 +91,14 @@
                 self.stage.held.freeze(name)
             for proxy in proxies:
                 self.note("out", proxy.name)
-                proxy.stand_still()
+                proxy.pause()
             await self.wait(self.spec.lasts)
             for name in controllers:
                 self.stage.held.thaw(name)
                 self.note("thawed", name)
             for proxy in proxies:
                 self.note("back", proxy.name)
-                proxy.go_on()
+                proxy.resume()
             await self.wait(self.spec.by)
 
     async def do_slow_channel(self):
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -9,7 +9,7 @@
 from embertray.controller.stream.exceptions import ProtocolError
 from embertray.controller.stream.messages import Acknowledgement, Orders
 from embertray.controller.stream.session import ProxySession
-from embertray.simulation.models.proxy import Proxy, StandsStill
+from embertray.simulation.models.proxy import PausableProcess, Proxy
 
 from .link import STREAM_ERRORS, Link
 from .messages import Request, RequestEnd, encode, read
@@ -26,7 +26,7 @@
         self.link, self.dialling, self.waiting = None, False, []
 
 
-class StandinProxy(StandsStill):
+class StandinProxy(PausableProcess):
     """`eyes` sees what crosses its sockets: joined, left, orders, sent (days/observer.py). `way()` gives ns
     that an order takes from the socket to its effect."""
 
@@ -57,8 +57,8 @@
         self.model, self.fresh, self.joined = Proxy(site, rng, standing), True, None
         self.targets, self.reqs = {}, {}
         self.group, self.scope, self.conn = None, None, None
-        self.cut_off = self.still = self.deaf = False
-        self.held_back, self.report_delay, self.last_due, self.home = [], 0, 0, 0
+        self.cut_off = self.paused = self.deaf = False
+        self.deferred_calls, self.report_delay, self.last_due, self.home = [], 0, 0, 0
         self.unreachable_backends = set()  # backends that it can't reach
 
     # ---- its stream to a controller
@@ -118,7 +118,7 @@
                 finally:
                     if self.joined is end:
                         self.joined, self.conn = None, None
-                        self.model.left()
+                        self.model.disconnected()
                         if self.eyes:
                             self.eyes.left(self.scheduler.now(), self.name)
                 group.cancel_scope.cancel()
@@ -140,8 +140,8 @@
     def apply(self, end, orders):
         if end is not self.joined:  # the stream broke while it was under way
             return
-        if self.still:
-            self.held_back.append((self.apply, end, orders))
+        if self.paused:
+            self.deferred_calls.append((self.apply, end, orders))
             return
         self.model.apply(orders)
         if self.eyes:
@@ -168,8 +168,8 @@
         """Sums each cycle to whom it is joined to; `lag` ns late."""
         while True:
             await anyio.sleep(self.site.report_interval / 1e9)
-            end, sums = self.joined, self.model.sums(self.scheduler.now())
-            if end and not self.still:
+            end, sums = self.joined, self.model.take_load_report(self.scheduler.now())
+            if end and not self.paused:
                 self.scheduler.after(self.report_delay, self.say, end, sums)
 
     # ---- requests
@@ -179,12 +179,12 @@
         await link.run()
 
     def on_req(self, link, req):
-        if self.still:
-            self.held_back.append((self.on_req, link, req))
+        if self.paused:
+            self.deferred_calls.append((self.on_req, link, req))
             return
         under = self.model.arrive(self.scheduler.now(), req, link)
         if under is None:
-            link.put(RequestEnd(req.ident, req.attempt, "denied", wait=self.model.wait_of(req.kind)))
+            link.put(RequestEnd(req.ident, req.attempt, "denied", wait=self.model.retry_after(req.kind)))
         else:
             self.attempt(under)
 
@@ -201,7 +201,7 @@
             return
         name = under.backend
         target = self.target(name)
-        under.timer = self.scheduler.after(under.within, self.ended, under, under.attempt, "timeout", {})
+        under.timer = self.scheduler.after(under.timeout, self.ended, under, under.attempt, "timeout", {})
         if target.link is None or target.link.over:
             target.waiting.append((under, under.attempt))
             if not target.dialling:
@@ -236,8 +236,8 @@
 
     def send_req(self, target, under):
         self.reqs[under.attempt] = under
-        req = under.req
-        within = max(1, under.until - self.scheduler.now())
+        req = under.request
+        within = max(1, under.deadline - self.scheduler.now())
         sent = Request(under.attempt, req.kind, req.work, within, len(under.tried), self.name)
         target.link.put(sent)
         if self.eyes:
@@ -258,17 +258,17 @@
 
     def ended(self, under, attempt, how, load):
         now, name = self.scheduler.now(), under.backend
-        verdict = self.model.ended(now, under, attempt, how, load)
+        verdict = self.model.attempt_ended(now, under, attempt, how, load)
         if verdict is None:
             return
         self.reqs.pop(attempt, None)
         under.timer.cancel()
         if how != "done" and self.eyes:
-            self.eyes.failed(now, self.name, name, (under.req.ident, under.req.attempt), how)
+            self.eyes.failed(now, self.name, name, (under.request.ident, under.request.attempt), how)
         if verdict == "again":
             self.attempt(under)
         else:
             self.finish(under, verdict)
 
     def finish(self, under, how):
-        under.back.put(RequestEnd(under.req.ident, under.req.attempt, how))
+        under.reply_to.put(RequestEnd(under.request.ident, under.request.attempt, how))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,7 +21,7 @@
 from embertray.simulation.models.arrivals import Bursts, Poisson, Recorded, Varying, flash, wave
 from embertray.simulation.models.backend import Backend, Shape
 from embertray.simulation.models.client import Clients
-from embertray.simulation.models.proxy import EJECT, Proxy
+from embertray.simulation.models.proxy import EJECTION_NS, Proxy
 from embertray.simulation.scenarios import notation, player
 
 S = 10**9
@@ -301,19 +301,21 @@
 
     def test_proxy_retries_by_its_level_and_ejects_for_a_while(self):
         proxy = self.proxy([("a", 1.0), ("b", 1.0)], eject_after=1)
-        under = proxy.arrive(0, self.req(), None)
-        self.assertIsNone(proxy.attempt(0, under))
-        first = under.backend
-        self.assertEqual(proxy.ended(1, under, under.attempt, "error", {}), "again")
-        self.assertIsNone(proxy.attempt(1, under))
-        self.assertNotEqual(under.backend, first)
-        self.assertEqual(proxy.ended(2, under, under.attempt, "done", {}), "done")
-        self.assertIsNone(proxy.ended(3, under, under.attempt, "done", {}))  # a late answer is ignored
+        pending = proxy.arrive(0, self.req(), None)
+        self.assertIsNone(proxy.attempt(0, pending))
+        first = pending.backend
+        self.assertEqual(proxy.attempt_ended(1, pending, pending.attempt, "error", {}), "again")
+        self.assertIsNone(proxy.attempt(1, pending))
+        self.assertNotEqual(pending.backend, first)
+        self.assertEqual(proxy.attempt_ended(2, pending, pending.attempt, "done", {}), "done")
+        self.assertIsNone(
+            proxy.attempt_ended(3, pending, pending.attempt, "done", {})
+        )  # a late answer is ignored
         self.assertEqual({proxy.pick(10, []) for _ in range(20)}, {"a", "b"} - {first})
-        self.assertEqual({proxy.pick(2 + EJECT, []) for _ in range(40)}, {"a", "b"})
-        sums = proxy.sums(5)
-        self.assertEqual(sorted((m.tries, m.failed) for m in sums.met), [(1, 0), (1, 1)])
-        self.assertEqual(proxy.sums(6).met, [])
+        self.assertEqual({proxy.pick(2 + EJECTION_NS, []) for _ in range(40)}, {"a", "b"})
+        report = proxy.take_load_report(5)
+        self.assertEqual(sorted((m.tries, m.failed) for m in report.met), [(1, 0), (1, 1)])
+        self.assertEqual(proxy.take_load_report(6).met, [])
 
     def test_clients_retry_only_replayable_or_rejected_requests(self):
         kind = SimpleNamespace(
