--- a/embertray/experiments/capacity/control.py
+++ b/embertray/experiments/capacity/control_plane.py
@@ -7,7 +7,7 @@
 from embertray.cluster.replication.messages import Confirm, Heartbeat, Update
 from embertray.cluster.replication.propagation_bounds import Bounds
 
-from . import reckon
+from . import formulas
 from .figure import reckoned
 from .names import Design, Part, Quantity, Role, Situation
 from .row import Rows
@@ -18,21 +18,21 @@
 
 
 def framed(message):
-    return reckon.FRAME_BYTES + len(encode(message))
+    return formulas.FRAME_BYTES + len(encode(message))
 
 
 def heartbeat_bytes():
-    number = reckon.BUSY_NUMBER
+    number = formulas.BUSY_NUMBER
     return framed(Heartbeat(number, 2**64 - 1, number, number))
 
 
 def confirm_bytes():
-    return framed(Confirm(reckon.BUSY_NUMBER, reckon.BUSY_NUMBER))
+    return framed(Confirm(formulas.BUSY_NUMBER, formulas.BUSY_NUMBER))
 
 
 def update_bytes(entry_bytes):
     """An update of one changed key."""
-    number = reckon.BUSY_NUMBER
+    number = formulas.BUSY_NUMBER
     entry = Entry("", number, number, "", b"")
     return framed(Update(number, number, [entry])) + int(entry_bytes)
 
@@ -51,7 +51,7 @@
         update_bytes(target.assumed("entry-bytes")),
     )
     beats = S / Bounds().feed.heartbeat_interval
-    bunched = target.assumed("changes-in-worst-10s") / reckon.WORST
+    bunched = target.assumed("changes-in-worst-10s") / formulas.WORST
     table.add(
         Part.CONFIGURATION,
         Quantity.BYTES_IN,
@@ -87,7 +87,7 @@
 def replica(target):
     table, update = Rows(target, Role.REPLICA, Situation.PEAK), update_bytes(target.assumed("entry-bytes"))
     beats, each = S / Bounds().feed.heartbeat_interval, target.controllers / target.control_machines
-    bunched = target.assumed("changes-in-worst-10s") / reckon.WORST
+    bunched = target.assumed("changes-in-worst-10s") / formulas.WORST
     table.add(
         Part.REPLICATION,
         Quantity.BYTES_OUT,
--- a/embertray/experiments/capacity/controller.py
+++ b/embertray/experiments/capacity/controller.py
@@ -1,6 +1,6 @@
 """What a controller spends while nothing fails: rows by part, calm and at the peak."""
 
-from . import reckon
+from . import formulas
 from .figure import derived, no_mechanism, reckoned
 from .names import Design, Part, Quantity, Role, Situation
 from .row import ONLY_ALL, Rows
@@ -253,22 +253,22 @@
 def staleness(target):
     return reckoned(
         "2 (n - 1) T + E + T; T 1 s, E 2 s (docs/design/cluster.md)",
-        reckon.staleness_promised(target.controllers),
+        formulas.staleness_promised(target.controllers),
     )
 
 
 def add_limits(rows, target):
     shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
-    ask = reckon.ask_bytes(target.proxies_per_controller, target.assumed("limits"), target.controllers - 1)
+    ask = formulas.ask_bytes(target.proxies_per_controller, target.assumed("limits"), target.controllers - 1)
     for cost, designs, mechanism, formula in (
         (
-            reckon.limits_each_to_each(*shape),
+            formulas.limits_each_to_each(*shape),
             GOSSIP,
             "cluster/limits (not in service yet): an ask from each to all others each second",
             f"(controllers - 1) x an ask of {ask:,} bytes / 1 s",
         ),
         (
-            reckon.limits_through_replicas(*shape),
+            formulas.limits_through_replicas(*shape),
             REPLICAS,
             "not built: an ask to one's replica each second, a grant back",
             "bytes of an ask that names nobody else / 1 s; of a grant / 1 s",
@@ -284,7 +284,7 @@
     rows.add(
         Part.LIMITS,
         Quantity.STATE,
-        reckoned("controllers x bytes of an ask", reckon.limits_each_to_each(*shape).state),
+        reckoned("controllers x bytes of an ask", formulas.limits_each_to_each(*shape).state),
         "cluster/limits: the last ask of each member, at whoever keeps",
         designs=GOSSIP,
     )
--- a/embertray/experiments/capacity/others.py
+++ b/embertray/experiments/capacity/other_roles.py
@@ -1,6 +1,6 @@
 """What the other roles spend while nothing fails: control machines, proxies, backends, discovery."""
 
-from . import reckon
+from . import formulas
 from .controller import REPLICAS, list_changes_a_second
 from .figure import derived, reckoned, unknown
 from .names import Part, Quantity, Role, Situation
@@ -37,7 +37,7 @@
             designs=REPLICAS,
         )
     shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
-    shares = reckon.limits_through_replicas(*shape)
+    shares = formulas.limits_through_replicas(*shape)
     for quantity, value, formula in (
         (
             Quantity.BYTES_IN,
@@ -123,7 +123,7 @@
         "endpoint_list/: each controller follows the list itself",
         worst=derived(
             "one change in 10 s to all controllers",
-            lambda size: size * target.controllers / reckon.WORST,
+            lambda size: size * target.controllers / formulas.WORST,
             slopes.at("change-bytes", target.backends),
         ),
         readings=ONLY_ALL,
--- a/embertray/experiments/capacity/page.py
+++ b/embertray/experiments/capacity/page.py
@@ -1,9 +1,9 @@
 """The table as Markdown, and docs/CAPACITY.md round it."""
 
-from . import reckon
+from . import formulas
 from .figure import REPORTED
 from .names import Design, Origin, Quantity, Reading, Situation, Verdict
-from .reach import reaches
+from .size_limits import reaches
 from .table import FAILURES, STEADY, varied
 from .text import digits, percent, quantity, source, table, verdict
 
@@ -224,7 +224,7 @@
     rows = []
     for limits in dict.fromkeys((1, int(target.assumed("limits")), target.services)):
         shape = (target.controllers, target.proxies_per_controller, limits)
-        each, through = reckon.limits_each_to_each(*shape), reckon.limits_through_replicas(*shape)
+        each, through = formulas.limits_each_to_each(*shape), formulas.limits_through_replicas(*shape)
         rows.append(
             (
                 digits(limits),
--- a/embertray/experiments/capacity/reach.py
+++ b/embertray/experiments/capacity/size_limits.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from . import reckon
+from . import formulas
 
 SIZE_MOST = 1_000_000  # sizes are looked for up to here
 
@@ -91,14 +91,14 @@
     for what, grows, unit, budget, formula in (
         (
             "gossip, staleness promised",
-            reckon.staleness_promised,
+            formulas.staleness_promised,
             "s",
             target.in_force_within,
             "reckoned: 2 (n - 1) T + E + T",
         ),
         (
             "limits, each to each, bytes sent",
-            lambda size: reckon.limits_each_to_each(size, proxies, target.assumed("limits")).controller_out,
+            lambda size: formulas.limits_each_to_each(size, proxies, target.assumed("limits")).controller_out,
             "bytes/s",
             target.bytes_a_second,
             "reckoned: (n - 1) x bytes of an ask",
--- a/embertray/experiments/capacity/table.py
+++ b/embertray/experiments/capacity/table.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from . import control, controller, failures, others
+from . import control_plane, controller, failures, other_roles
 from .figure import Slopes
 from .names import UNITS, Design, Quantity, Reading, Role, Situation, Verdict
 from .row import Judged, budget_of, judge
@@ -68,8 +68,8 @@
     slopes = Slopes(by_name)
     rows = (
         *controller.steady(target, slopes),
-        *others.steady(target, slopes),
-        *control.rows(target),
+        *other_roles.steady(target, slopes),
+        *control_plane.rows(target),
         *failures.rows(target, slopes),
     )
     order = list(Situation)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from embertray.cli.main import main
-from embertray.experiments.capacity import page, reckon
+from embertray.experiments.capacity import formulas, page
 from embertray.experiments.capacity.figure import Slopes, derived, reckoned, unknown
 from embertray.experiments.capacity.fit import fit
 from embertray.experiments.capacity.names import (
@@ -28,8 +28,8 @@
     Situation,
     Verdict,
 )
-from embertray.experiments.capacity.reach import SIZE_MOST, largest_within, reaches
 from embertray.experiments.capacity.row import Row, judge
+from embertray.experiments.capacity.size_limits import SIZE_MOST, largest_within, reaches
 from embertray.experiments.capacity.slope import BadSlope, Slope, load_all, save
 from embertray.experiments.capacity.table import FAILURES, STEADY, compute, varied
 from embertray.experiments.capacity.target import OPERATORS, BadTarget, load
@@ -348,10 +348,10 @@
         self.assertEqual(found["proxies-per-backend", 32].target.proxies_per_controller, 272)
 
     def test_limits_each_to_each_grow_with_the_square_and_through_replicas_not_with_controllers(self):
-        each = [reckon.limits_each_to_each(n, 68, 1).controller_out for n in (100, 200, 400)]
+        each = [formulas.limits_each_to_each(n, 68, 1).controller_out for n in (100, 200, 400)]
         self.assertGreater(each[1] / each[0], 2.2)
         self.assertGreater(each[2] / each[1], 2.5)
-        through = [reckon.limits_through_replicas(n, 68, 1).controller_out for n in (100, 400)]
+        through = [formulas.limits_through_replicas(n, 68, 1).controller_out for n in (100, 400)]
         self.assertEqual(through[0], through[1])
 
 
