--- a/embertray/simulation/emulator/endpoint_list.py
+++ b/embertray/simulation/emulator/endpoint_list.py
@@ -35,7 +35,7 @@
             return
         for client, watches in list(self.subscriptions.items()):
             if watches:
-                event = self.news(self.simulation.engine.time, self.epoch - 1, [entry])
+                event = self.watch_event(self.simulation.engine.time, self.epoch - 1, [entry])
                 self._send(client, event)
 
     def call(self, client, request):
--- a/embertray/simulation/scenarios/faults/lists.py
+++ b/embertray/simulation/scenarios/faults/lists.py
@@ -29,7 +29,7 @@
         """Its connections break, so that whoever watches asks for the whole anew."""
         inventory = self.stage.inventory
         inventory.epoch += 1
-        inventory.log.clear()
+        inventory.changes.clear()
         inventory.go_down()
         inventory.come_back()
 
@@ -46,12 +46,12 @@
             for backend in self.stage.backends[: int(self.fleet["backends"])]
         }
         inventory.epoch = 1
-        inventory.log = {}
+        inventory.changes = {}
         inventory.go_down()
         inventory.come_back()
         await self.wait(self.spec.lasts)
         inventory.entries = true_entries
         inventory.epoch = true_epoch
-        inventory.log = {}
+        inventory.changes = {}
         inventory.go_down()
         inventory.come_back()
--- a/embertray/simulation/standins/inventory.py
+++ b/embertray/simulation/standins/inventory.py
@@ -48,7 +48,7 @@
         if not self.down:
             for link, watches in list(self.links.items()):
                 if watches:
-                    self.send(link, self.news(self.scheduler.now(), self.epoch - 1, [entry]))
+                    self.send(link, self.watch_event(self.scheduler.now(), self.epoch - 1, [entry]))
 
     def on_call(self, link, call):
         if isinstance(call, WatchRequest):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -174,7 +174,7 @@
     def test_zero_rate_ends_and_recorded_requests_keep_their_order(self):
         self.assertEqual(len(self.times(Poisson(lambda now: 0.0), 5)), 0)
         self.assertEqual(len(self.times(Varying(lambda now: 0.0), 5)), 0)
-        record = Recorded([(S, "view", 5), (2 * S, "post", 6), (9 * S, "view", 7)], fast=2.0)
+        record = Recorded([(S, "view", 5), (2 * S, "post", 6), (9 * S, "view", 7)], speed=2.0)
         rng = np.random.default_rng(1)
         self.assertEqual(
             [record.next(0, rng, 3 * S) for _ in range(3)],
