--- a/embertray/simulation/models/__init__.py
+++ b/embertray/simulation/models/__init__.py
@@ -1,1 +1,1 @@
-"""Models of what the controller serves: one truth for stand-ins and emulator; no I/O."""
+"""Models of the controller's environment, without I/O; the stand-ins and the emulator share them."""
--- a/embertray/simulation/models/arrivals.py
+++ b/embertray/simulation/models/arrivals.py
@@ -1,31 +1,35 @@
-"""Where requests come from: each source tells when the next one comes. Times in ns, rates a second.
+"""Arrival processes: sources that determine when requests arrive. Times in ns, rates in requests a second.
 
-`next(now, rng, until)` gives (when, kind, work): the first request after `now`; kind and work None where the
-clients' mix draws them; `when` None when none comes before `until`. Profiles (wave, flash, Bursts) are
-factors on a rate by time. A recorded source replays what a log tells: whoever reads HAR files or access logs
-gives it (when, kind, work) rows.
+`next(now, rng, until)` of a source returns (when, kind, work) of the first request after `now`. `when` is
+None if no request arrives before `until`; kind and work are None if the clients draw them from their mix.
+Profiles (wave, flash, Bursts) are functions of the time that give a factor of the rate.
 """
 
 import math
 
 NS_PER_SECOND = 10**9
-# -- constants: value, unit, reason
-RATE_CHECK_INTERVAL_NS = NS_PER_SECOND // 10  # ns after which a source looks at its rate again
+RATE_CHECK_INTERVAL_NS = NS_PER_SECOND // 10  # interval at which a source reads its rate again
 
 
 def arrival_before(when, until):
+    """Returns an arrival whose kind and work the clients draw; None as its time from `until` on."""
     return (when if when < until else None), None, None
 
 
 class Poisson:
-    """At `rate(now)`, which may change slowly: the gap is drawn at the rate that holds when the last one
-    came.
+    """A Poisson process with a rate that changes slowly.
+
+    Each gap is drawn from the rate at the previous arrival.
+
+    Args:
+        rate: A function of the time, ns, that gives requests a second.
     """
 
     def __init__(self, rate):
         self.rate = rate
 
     def next(self, now, rng, until):
+        """Returns (when, kind, work) of the next request, as the module describes."""
         while now < until:
             rate = self.rate(now)
             if rate > 0:
@@ -35,13 +39,20 @@
 
 
 class Varying:
-    """As Poisson, for a rate that changes within a gap: a gap longer than LOOK is drawn anew from there on,
-    which changes nothing at a steady rate (a Poisson process has no memory)."""
+    """A Poisson process whose rate may change within a gap.
+
+    A gap longer than RATE_CHECK_INTERVAL_NS is drawn again from there on. At a steady rate this makes no
+    difference, because a Poisson process is memoryless.
+
+    Args:
+        rate: A function of the time, ns, that gives requests a second.
+    """
 
     def __init__(self, rate):
         self.rate = rate
 
     def next(self, now, rng, until):
+        """Returns (when, kind, work) of the next request, as the module describes."""
         while now < until:
             rate = self.rate(now)
             gap = int(rng.exponential(NS_PER_SECOND / rate)) if rate > 0 else RATE_CHECK_INTERVAL_NS + 1
@@ -52,12 +63,18 @@
 
 
 class Recorded:
-    """Rows of (when, kind, work) in the order of their times; `fast` x as fast."""
+    """Replays recorded requests, for example from HAR files or access logs.
+
+    Args:
+        rows: (when, kind, work) of each request, by ascending time.
+        speed: By what factor the replay is faster than the recording.
+    """
 
     def __init__(self, rows, speed=1.0):
         self.rows, self.speed, self.last = iter(rows), speed, -1
 
     def next(self, now, rng, until):
+        """Returns (when, kind, work) of the next request, as the module describes."""
         row = next(self.rows, None)
         if row is None:
             return None, None, None
@@ -69,13 +86,19 @@
 
 
 def wave(amplitude, period, start=0):
-    """Round 1, by `swing` (0 to 1), each `period` ns."""
+    """Returns a sine profile around 1 with an `amplitude` from 0 to 1 and a `period` in ns."""
     return lambda now: 1 + amplitude * math.sin(2 * math.pi * (now - start) / period)
 
 
 def flash(peak, start, rise, hold, half_life):
-    """A flash crowd: from 1 to `peak` within `rise` ns from `start` on, held, and falling by halves each
-    `half_life` ns.
+    """Returns the profile of a flash crowd.
+
+    Args:
+        peak: Its largest factor.
+        start: When it leaves 1, ns.
+        rise: How long it grows to the peak, ns.
+        hold: How long the peak lasts, ns.
+        half_life: After the peak, the excess over 1 halves in this time, ns.
     """
 
     def factor(now):
@@ -91,8 +114,17 @@
 
 
 class Bursts:
-    """A Markov chain of two states, calm and burst, that last so long on average (ns): in a burst
-    `burst_factor` the calm rate. The mean factor is 1. With a Poisson source this is an MMPP. Ask it in the order of time."""
+    """A profile that is a Markov chain of two states, calm and burst, with a mean factor of 1.
+
+    With a Poisson source this is a Markov-modulated Poisson process. It must be called with ascending times.
+
+    Args:
+        burst_factor: The rate of a burst as a multiple of the calm rate.
+        calm_mean: The mean duration of the calm state, ns.
+        burst_mean: The mean duration of a burst, ns.
+        rng: A numpy Generator.
+        start: The start of the first calm state, ns.
+    """
 
     def __init__(self, burst_factor, calm_mean, burst_mean, rng, start=0):
         calm = (calm_mean + burst_mean) / (calm_mean + burst_factor * burst_mean)
@@ -104,9 +136,11 @@
         self.state, self.until = 0, start + self.draw_duration(0)
 
     def draw_duration(self, state):
+        """Draws how long a state lasts, ns."""
         return max(1, int(self.rng.exponential(self.mean_durations[state])))
 
     def __call__(self, now):
+        """Returns the factor at `now`, ns."""
         while now >= self.until:
             self.state = 1 - self.state
             self.until += self.draw_duration(self.state)
--- a/embertray/simulation/models/inventory.py
+++ b/embertray/simulation/models/inventory.py
@@ -1,16 +1,33 @@
-"""An inventory without its sockets: what is listed, since when, and what a call is answered. Times in ns."""
+"""A model of the inventory: the endpoint list, its history, and the answers to requests. Times in ns."""
 
 from embertray.controller.endpoint_list.messages import EndpointEntry, ListRequest, WatchEvent
 
 
 class Inventory:
-    """`entries` is the truth now, `log` each change by its epoch."""
+    """The endpoint list and its changes.
+
+    Attributes:
+        entries: Backend -> EndpointEntry, as the list is now.
+        epoch: Number of the last change.
+        changes: Epoch -> EndpointEntry that changed then.
+        down: Whether the inventory does not answer.
+    """
 
     def __init__(self):
         self.entries, self.epoch, self.changes, self.down = {}, 0, {}, False
 
     def change(self, name, zone, state, started):
-        """The truth changes now; gone: no longer listed. The EndpointEntry that watchers are told."""
+        """Changes an entry of the list; state "gone" removes it.
+
+        Args:
+            name: The backend.
+            zone: Its zone.
+            state: "ready", "draining" or "gone".
+            started: When it started, ns; 0 if unknown.
+
+        Returns:
+            The EndpointEntry for the watchers.
+        """
         self.epoch += 1
         entry = self.changes[self.epoch] = EndpointEntry(name, zone, state, started)
         if state == "gone":
@@ -20,10 +37,11 @@
         return entry
 
     def watch_event(self, now, since, entries):
+        """Returns a WatchEvent with entries that changed after the epoch `since`; 0: the complete list."""
         return WatchEvent(self.epoch, since, now, entries)
 
     def answer(self, now, request):
-        """The WatchEvent that answers a ListRequest or a WatchRequest; None: there is nothing to tell."""
+        """Returns the WatchEvent that answers a ListRequest or a WatchRequest, or None if there is none."""
         if isinstance(request, ListRequest):
             return self.watch_event(now, 0, list(self.entries.values()))
         if (
--- a/embertray/simulation/models/random_streams.py
+++ b/embertray/simulation/models/random_streams.py
@@ -1,4 +1,4 @@
-"""Random numbers: one seeded generator a purpose, so that changing one fault does not redraw the others."""
+"""Random numbers: a seeded generator for each purpose, so that a change to one does not affect the others."""
 
 import zlib
 
@@ -6,10 +6,15 @@
 
 
 class RandomStreams:
-    """`of("clients", 3)` is always the same generator's start for the same seed."""
+    """Creates generators that depend on the seed and their purpose only.
+
+    Args:
+        seed: An integer.
+    """
 
     def __init__(self, seed):
         self.seed = seed
 
     def of(self, *purpose):
+        """Returns a new generator; the same purpose gives the same numbers, as in `of("clients", 3)`."""
         return np.random.default_rng([self.seed, zlib.crc32(repr(purpose).encode())])
