--- a/embertray/experiments/capacity/control_plane.py
+++ b/embertray/experiments/capacity/control_plane.py
@@ -13,7 +13,7 @@
 from .row import Rows
 
 REPLICAS = (Design.REPLICAS,)
-S = 10**9
+SECOND_NS = 10**9
 MECHANISM = "replication/: one replica followed, changed keys only"
 
 
@@ -22,17 +22,17 @@
 
 
 def heartbeat_bytes():
-    number = formulas.BUSY_NUMBER
+    number = formulas.LARGE_NUMBER
     return framed(Heartbeat(number, 2**64 - 1, number, number))
 
 
 def confirm_bytes():
-    return framed(Confirm(formulas.BUSY_NUMBER, formulas.BUSY_NUMBER))
+    return framed(Confirm(formulas.LARGE_NUMBER, formulas.LARGE_NUMBER))
 
 
 def update_bytes(entry_bytes):
     """An update of one changed key."""
-    number = formulas.BUSY_NUMBER
+    number = formulas.LARGE_NUMBER
     entry = Entry("", number, number, "", b"")
     return framed(Update(number, number, [entry])) + int(entry_bytes)
 
@@ -50,8 +50,8 @@
         Rows(target, Role.CONTROLLER, Situation.PEAK),
         update_bytes(target.assumed("entry-bytes")),
     )
-    beats = S / Bounds().feed.heartbeat_interval
-    bunched = target.assumed("changes-in-worst-10s") / formulas.WORST
+    beats = SECOND_NS / Bounds().feed.heartbeat_interval
+    bunched = target.assumed("changes-in-worst-10s") / formulas.WORST_WINDOW_S
     table.add(
         Part.CONFIGURATION,
         Quantity.BYTES_IN,
@@ -86,8 +86,8 @@
 
 def replica(target):
     table, update = Rows(target, Role.REPLICA, Situation.PEAK), update_bytes(target.assumed("entry-bytes"))
-    beats, each = S / Bounds().feed.heartbeat_interval, target.controllers / target.control_machines
-    bunched = target.assumed("changes-in-worst-10s") / formulas.WORST
+    beats, each = SECOND_NS / Bounds().feed.heartbeat_interval, target.controllers / target.control_machines
+    bunched = target.assumed("changes-in-worst-10s") / formulas.WORST_WINDOW_S
     table.add(
         Part.REPLICATION,
         Quantity.BYTES_OUT,
@@ -132,7 +132,7 @@
         table.add(
             Part.CONFIGURATION,
             Quantity.IN_FORCE,
-            reckoned(formula, value / S),
+            reckoned(formula, value / SECOND_NS),
             "replication/propagation_bounds: the stated bound",
             designs=REPLICAS,
         )
@@ -152,4 +152,4 @@
 
 def snapshot_time(target):
     """Seconds until one subscriber that holds nothing has all, at its sustained rate."""
-    return Bounds().waiting(int(snapshot_bytes(target))) / S
+    return Bounds().waiting(int(snapshot_bytes(target))) / SECOND_NS
--- a/embertray/experiments/capacity/controller.py
+++ b/embertray/experiments/capacity/controller.py
@@ -253,16 +253,18 @@
 def staleness(target):
     return reckoned(
         "2 (n - 1) T + E + T; T 1 s, E 2 s (docs/design/cluster.md)",
-        formulas.staleness_promised(target.controllers),
+        formulas.staleness_bound(target.controllers),
     )
 
 
 def add_limits(rows, target):
     shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
-    ask = formulas.ask_bytes(target.proxies_per_controller, target.assumed("limits"), target.controllers - 1)
+    ask = formulas.quota_request_bytes(
+        target.proxies_per_controller, target.assumed("limits"), target.controllers - 1
+    )
     for cost, designs, mechanism, formula in (
         (
-            formulas.limits_each_to_each(*shape),
+            formulas.limits_all_to_all(*shape),
             GOSSIP,
             "cluster/limits (not in service yet): an ask from each to all others each second",
             f"(controllers - 1) x an ask of {ask:,} bytes / 1 s",
@@ -284,7 +286,7 @@
     rows.add(
         Part.LIMITS,
         Quantity.STATE,
-        reckoned("controllers x bytes of an ask", formulas.limits_each_to_each(*shape).state),
+        reckoned("controllers x bytes of an ask", formulas.limits_all_to_all(*shape).state),
         "cluster/limits: the last ask of each member, at whoever keeps",
         designs=GOSSIP,
     )
--- a/embertray/experiments/capacity/failures.py
+++ b/embertray/experiments/capacity/failures.py
@@ -51,7 +51,7 @@
         Quantity.BYTES_IN,
         derived(
             f"{loss.backends:.0f} backends x change-bytes / 10 s",
-            lambda size: loss.backends * size / formulas.WORST,
+            lambda size: loss.backends * size / formulas.WORST_WINDOW_S,
             change,
         ),
         "endpoint_list/follower: the entries that leave, worst 10 s",
@@ -62,7 +62,7 @@
         Quantity.PROCESSOR,
         derived(
             f"{loss.backends:.0f} backends x change-processor-68 / 10 s, each a step of its own",
-            lambda cost: loss.backends * cost / formulas.WORST,
+            lambda cost: loss.backends * cost / formulas.WORST_WINDOW_S,
             slopes.at("change-processor-68", target.backends),
         ),
         "policy/: steps with news, worst 10 s, beside what is spent anyway",
@@ -82,7 +82,7 @@
         Quantity.PROCESSOR,
         derived(
             f"{joins:.2f} proxies join each other controller x join-processor / 10 s",
-            lambda cost: joins * cost / formulas.WORST,
+            lambda cost: joins * cost / formulas.WORST_WINDOW_S,
             slopes.at("join-processor", target.backends),
         ),
         "daemon/proxy_streams: joins and first tables, worst 10 s",
@@ -93,7 +93,7 @@
         Quantity.BYTES_OUT,
         derived(
             f"{joins:.2f} proxies join each other controller x join-bytes / 10 s",
-            lambda size: joins * size / formulas.WORST,
+            lambda size: joins * size / formulas.WORST_WINDOW_S,
             slopes.at("join-bytes", target.backends),
         ),
         "daemon/proxy_streams: first tables, worst 10 s",
@@ -107,7 +107,7 @@
         Quantity.DELAY,
         reckoned(
             "(2 (n - 1) + 2 n + 18) T + the longest suspicion: the claim `seen`",
-            formulas.death_known(target.controllers),
+            formulas.failure_detection_bound(target.controllers),
         ),
         "cluster/membership: until all know that a controller is gone, the bound",
         designs=GOSSIP,
@@ -133,7 +133,7 @@
         Quantity.BYTES_OUT,
         derived(
             f"{loss.backends:.0f} backends x change-bytes x controllers / 10 s",
-            lambda size: loss.backends * size * target.controllers / formulas.WORST,
+            lambda size: loss.backends * size * target.controllers / formulas.WORST_WINDOW_S,
             change,
         ),
         "endpoint_list/: each controller follows the list itself, worst 10 s",
@@ -185,7 +185,7 @@
         Quantity.BYTES_IN,
         derived(
             f"{list_missed:.0f} changes of the list x change-bytes / 10 s",
-            lambda size: list_missed * size / formulas.WORST,
+            lambda size: list_missed * size / formulas.WORST_WINDOW_S,
             slopes.at("change-bytes", target.backends),
         ),
         "endpoint_list/follower: what is new since the epoch held, worst 10 s",
@@ -202,7 +202,7 @@
     table.add(
         Part.LIST,
         Quantity.BYTES_IN,
-        derived("list-bytes / 10 s", lambda size: size / formulas.WORST, whole),
+        derived("list-bytes / 10 s", lambda size: size / formulas.WORST_WINDOW_S, whole),
         "endpoint_list/follower: the whole list once, worst 10 s",
         readings=ONLY_ALL,
     )
@@ -211,7 +211,7 @@
         Quantity.PROCESSOR,
         derived(
             "(list-processor + list-apply-processor-68) / 10 s",
-            lambda read, apply: (read + apply) / formulas.WORST,
+            lambda read, apply: (read + apply) / formulas.WORST_WINDOW_S,
             slopes.at("list-processor", target.backends),
             slopes.at("list-apply-processor-68", target.backends),
         ),
@@ -224,7 +224,7 @@
             quantity,
             derived(
                 f"{joins} proxies join x {slope} / 10 s",
-                lambda cost: joins * cost / formulas.WORST,
+                lambda cost: joins * cost / formulas.WORST_WINDOW_S,
                 slopes.at(slope, target.backends),
             ),
             "daemon/proxy_streams: joins and first tables, worst 10 s",
@@ -244,7 +244,11 @@
         *table.rows,
         *replicas_bring(target, slopes, Situation.ALL_START, target.controllers),
         *discovery_answers(
-            target, whole, Situation.ALL_START, target.controllers / formulas.WORST, "all at once, 10 s"
+            target,
+            whole,
+            Situation.ALL_START,
+            target.controllers / formulas.WORST_WINDOW_S,
+            "all at once, 10 s",
         ),
     ]
 
@@ -324,5 +328,7 @@
     return [
         *table.rows,
         *replicas_bring(target, slopes, Situation.RESTARTS_BUNCHED, starts),
-        *discovery_answers(target, whole, Situation.RESTARTS_BUNCHED, starts / formulas.WORST, "worst 10 s"),
+        *discovery_answers(
+            target, whole, Situation.RESTARTS_BUNCHED, starts / formulas.WORST_WINDOW_S, "worst 10 s"
+        ),
     ]
--- a/embertray/experiments/capacity/formulas.py
+++ b/embertray/experiments/capacity/formulas.py
@@ -8,38 +8,38 @@
 from embertray.cluster.limits.messages import QuotaGrant, QuotaRequest
 from embertray.cluster.membership import MembershipConfig
 
-S = 10**9
+SECOND_NS = 10**9
 FRAME_BYTES = 4  # of a frame's length; how large a frame may be is not asked here
-WORST = 10  # seconds of a worst mean
-PERIOD = MembershipConfig().probe_period / S  # s
-EXCHANGE = 2.0  # s: the longest exchange of state (docs/design/cluster.md)
-BUSY_NUMBER = 2**40  # of the size that ballots, lives and sequence numbers have
+WORST_WINDOW_S = 10  # seconds of a worst mean
+PROBE_PERIOD_S = MembershipConfig().probe_period / SECOND_NS  # s
+MAX_EXCHANGE_S = 2.0  # s: the longest exchange of state (docs/design/cluster.md)
+LARGE_NUMBER = 2**40  # of the size that ballots, lives and sequence numbers have
 
 
-def names(prefix, count):
+def numbered_names(prefix, count):
     return [f"{prefix}-{number:05d}" for number in range(int(count))]
 
 
-def ask_bytes(proxies, limits, members):
+def quota_request_bytes(proxies, limits, members):
     """One ask of a controller: what its proxies act on, by limit, and the last ask of each other member."""
-    here = names("proxy", proxies)
-    limited = names("limit", limits)
-    ask = QuotaRequest(
-        BUSY_NUMBER,
-        BUSY_NUMBER,
-        BUSY_NUMBER,
+    proxy_names = numbered_names("proxy", proxies)
+    limit_names = numbered_names("limit", limits)
+    request = QuotaRequest(
+        LARGE_NUMBER,
+        LARGE_NUMBER,
+        LARGE_NUMBER,
         False,
-        BUSY_NUMBER,
-        dict.fromkeys(limited, 1000),
-        {limit: dict.fromkeys(here, 1000) for limit in limited},
-        frozenset(here),
-        dict.fromkeys(names("controller", members), BUSY_NUMBER),
+        LARGE_NUMBER,
+        dict.fromkeys(limit_names, 1000),
+        {limit: dict.fromkeys(proxy_names, 1000) for limit in limit_names},
+        frozenset(proxy_names),
+        dict.fromkeys(numbered_names("controller", members), LARGE_NUMBER),
     )
-    return FRAME_BYTES + len(msgspec.msgpack.encode(ask))
+    return FRAME_BYTES + len(msgspec.msgpack.encode(request))
 
 
-def grant_bytes(limits):
-    grant = QuotaGrant(BUSY_NUMBER, BUSY_NUMBER, dict.fromkeys(names("limit", limits), 1000))
+def quota_grant_bytes(limits):
+    grant = QuotaGrant(LARGE_NUMBER, LARGE_NUMBER, dict.fromkeys(numbered_names("limit", limits), 1000))
     return FRAME_BYTES + len(msgspec.msgpack.encode(grant))
 
 
@@ -55,29 +55,34 @@
     state: float = 0.0
 
 
-def limits_each_to_each(controllers, proxies, limits):
+def limits_all_to_all(controllers, proxies, limits):
     """An ask from each to all others each period, as fleet/limits does it."""
-    ask = ask_bytes(proxies, limits, controllers - 1)
-    rate = (controllers - 1) * ask / (LimitsConfig().request_period / S)
-    return LimitsCost(rate, rate, state=controllers * ask)
+    request_bytes = quota_request_bytes(proxies, limits, controllers - 1)
+    rate = (controllers - 1) * request_bytes / (LimitsConfig().request_period / SECOND_NS)
+    return LimitsCost(rate, rate, state=controllers * request_bytes)
 
 
 def limits_through_replicas(controllers, proxies, limits):
     """An ask from each controller to its replica each period, without what the sender heard of others, and a
     grant back.
     """
-    ask, grant = ask_bytes(proxies, limits, 0), grant_bytes(limits)
-    period = LimitsConfig().request_period / S
-    return LimitsCost(ask / period, grant / period, controllers * ask / period, controllers * ask)
+    request_bytes, grant_bytes = quota_request_bytes(proxies, limits, 0), quota_grant_bytes(limits)
+    period = LimitsConfig().request_period / SECOND_NS
+    return LimitsCost(
+        request_bytes / period,
+        grant_bytes / period,
+        controllers * request_bytes / period,
+        controllers * request_bytes,
+    )
 
 
-def staleness_promised(members):
+def staleness_bound(members):
     """2 (n - 1) T + E, and T until it is told anew (docs/design/cluster.md)."""
-    return 2 * (members - 1) * PERIOD + EXCHANGE + PERIOD
+    return 2 * (members - 1) * PROBE_PERIOD_S + MAX_EXCHANGE_S + PROBE_PERIOD_S
 
 
-def death_known(members):
+def failure_detection_bound(members):
     """(2 (n - 1) + 2 n + 18) T and the longest suspicion: the claim `seen` of docs/design/cluster.md."""
-    return (2 * (members - 1) + 2 * members + 18) * PERIOD + MembershipConfig().suspicion_timeout(
+    return (2 * (members - 1) + 2 * members + 18) * PROBE_PERIOD_S + MembershipConfig().suspicion_timeout(
         members, 0
-    ) / S
+    ) / SECOND_NS
--- a/embertray/experiments/capacity/other_roles.py
+++ b/embertray/experiments/capacity/other_roles.py
@@ -123,7 +123,7 @@
         "endpoint_list/: each controller follows the list itself",
         worst=derived(
             "one change in 10 s to all controllers",
-            lambda size: size * target.controllers / formulas.WORST,
+            lambda size: size * target.controllers / formulas.WORST_WINDOW_S,
             slopes.at("change-bytes", target.backends),
         ),
         readings=ONLY_ALL,
--- a/embertray/experiments/capacity/page.py
+++ b/embertray/experiments/capacity/page.py
@@ -224,7 +224,7 @@
     rows = []
     for limits in dict.fromkeys((1, int(target.assumed("limits")), target.services)):
         shape = (target.controllers, target.proxies_per_controller, limits)
-        each, through = formulas.limits_each_to_each(*shape), formulas.limits_through_replicas(*shape)
+        each, through = formulas.limits_all_to_all(*shape), formulas.limits_through_replicas(*shape)
         rows.append(
             (
                 digits(limits),
--- a/embertray/experiments/capacity/size_limits.py
+++ b/embertray/experiments/capacity/size_limits.py
@@ -91,14 +91,14 @@
     for what, grows, unit, budget, formula in (
         (
             "gossip, staleness promised",
-            formulas.staleness_promised,
+            formulas.staleness_bound,
             "s",
             target.in_force_within,
             "reckoned: 2 (n - 1) T + E + T",
         ),
         (
             "limits, each to each, bytes sent",
-            lambda size: formulas.limits_each_to_each(size, proxies, target.assumed("limits")).controller_out,
+            lambda size: formulas.limits_all_to_all(size, proxies, target.assumed("limits")).controller_out,
             "bytes/s",
             target.bytes_a_second,
             "reckoned: (n - 1) x bytes of an ask",
--- a/embertray/experiments/measure/capacity/charts.py
+++ b/embertray/experiments/measure/capacity/charts.py
@@ -65,7 +65,7 @@
     draw_curve(axis, slopes, "control-subscriber-bytes", "a subscriber, both ways")
     draw_curve(axis, slopes, "control-replica-bytes", "a replica, both ways")
     for calculate, label in (
-        (formulas.limits_each_to_each, "limits, each to each (reckoned)"),
+        (formulas.limits_all_to_all, "limits, each to each (reckoned)"),
         (formulas.limits_through_replicas, "limits, through replicas (reckoned)"),
     ):
         rates = [calculate(size, target.proxies_per_controller, LIMITS).controller_out for size in SIZES]
@@ -83,7 +83,7 @@
     draw_curve(axis, slopes, "cluster-time-to-all", "gossip, until at all")
     draw_curve(axis, slopes, "control-time-to-all", "replicas, until in force at all")
     axis.plot(
-        SIZES, [formulas.staleness_promised(size) for size in SIZES], ":", label="gossip, promised (reckoned)"
+        SIZES, [formulas.staleness_bound(size) for size in SIZES], ":", label="gossip, promised (reckoned)"
     )
     draw_budget(axis, target.in_force_within, "in force within")
     finish_axis(axis, xlabel="members, subscribers", ylabel="s")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -348,7 +348,7 @@
         self.assertEqual(found["proxies-per-backend", 32].target.proxies_per_controller, 272)
 
     def test_limits_each_to_each_grow_with_the_square_and_through_replicas_not_with_controllers(self):
-        each = [formulas.limits_each_to_each(n, 68, 1).controller_out for n in (100, 200, 400)]
+        each = [formulas.limits_all_to_all(n, 68, 1).controller_out for n in (100, 200, 400)]
         self.assertGreater(each[1] / each[0], 2.2)
         self.assertGreater(each[2] / each[1], 2.5)
         through = [formulas.limits_through_replicas(n, 68, 1).controller_out for n in (100, 400)]
