--- a/embertray/experiments/capacity/control_plane.py
+++ b/embertray/experiments/capacity/control_plane.py
@@ -8,9 +8,9 @@
 from embertray.cluster.replication.propagation_bounds import Bounds
 
 from . import formulas
-from .figure import reckoned
+from .figure import calculated
 from .names import Design, Part, Quantity, Role, Situation
-from .row import Rows
+from .row import RowBuilder
 
 REPLICAS = (Design.REPLICAS,)
 SECOND_NS = 10**9
@@ -47,7 +47,7 @@
 
 def subscriber(target):
     table, update = (
-        Rows(target, Role.CONTROLLER, Situation.PEAK),
+        RowBuilder(target, Role.CONTROLLER, Situation.PEAK),
         update_bytes(target.assumed("entry-bytes")),
     )
     beats = SECOND_NS / Bounds().feed.heartbeat_interval
@@ -55,29 +55,29 @@
     table.add(
         Part.CONFIGURATION,
         Quantity.BYTES_IN,
-        reckoned(
+        calculated(
             f"a heartbeat of {heartbeat_bytes()} bytes a second + changes a second x an update of {update}",
             beats * heartbeat_bytes() + target.changes_a_second * update,
         ),
         f"{MECHANISM}; worst: changes-in-worst-10s, each an update of its own, not yet paced",
-        worst=reckoned("changes-in-worst-10s", beats * heartbeat_bytes() + bunched * update),
+        worst=calculated("changes-in-worst-10s", beats * heartbeat_bytes() + bunched * update),
         designs=REPLICAS,
     )
     table.add(
         Part.CONFIGURATION,
         Quantity.BYTES_OUT,
-        reckoned(
+        calculated(
             f"a confirm of {confirm_bytes()} bytes to each heartbeat and each update",
             (beats + target.changes_a_second) * confirm_bytes(),
         ),
         MECHANISM,
-        worst=reckoned("changes-in-worst-10s", (beats + bunched) * confirm_bytes()),
+        worst=calculated("changes-in-worst-10s", (beats + bunched) * confirm_bytes()),
         designs=REPLICAS,
     )
     table.add(
         Part.CONFIGURATION,
         Quantity.STATE,
-        reckoned("(services + routes) x entry-bytes", snapshot_bytes(target)),
+        calculated("(services + routes) x entry-bytes", snapshot_bytes(target)),
         f"{MECHANISM}: the newest entry of each key",
         designs=REPLICAS,
     )
@@ -85,24 +85,27 @@
 
 
 def replica(target):
-    table, update = Rows(target, Role.REPLICA, Situation.PEAK), update_bytes(target.assumed("entry-bytes"))
+    table, update = (
+        RowBuilder(target, Role.REPLICA, Situation.PEAK),
+        update_bytes(target.assumed("entry-bytes")),
+    )
     beats, each = SECOND_NS / Bounds().feed.heartbeat_interval, target.controllers / target.control_machines
     bunched = target.assumed("changes-in-worst-10s") / formulas.WORST_WINDOW_S
     table.add(
         Part.REPLICATION,
         Quantity.BYTES_OUT,
-        reckoned(
+        calculated(
             "controllers / control machines x what a subscriber gets, without the other replicas",
             each * (beats * heartbeat_bytes() + target.changes_a_second * update),
         ),
         "replication/subscriber_feed: heartbeats and updates",
-        worst=reckoned("changes-in-worst-10s", each * (beats * heartbeat_bytes() + bunched * update)),
+        worst=calculated("changes-in-worst-10s", each * (beats * heartbeat_bytes() + bunched * update)),
         designs=REPLICAS,
     )
     table.add(
         Part.REPLICATION,
         Quantity.STATE,
-        reckoned("(services + routes) x entry-bytes, newest versions alone", snapshot_bytes(target)),
+        calculated("(services + routes) x entry-bytes, newest versions alone", snapshot_bytes(target)),
         "replication/store",
         designs=REPLICAS,
     )
@@ -128,11 +131,11 @@
             "Bounds.any_fault + waiting(keys changed meanwhile x an update), from the return",
         ),
     ):
-        table = Rows(target, Role.CONTROLLER, situation)
+        table = RowBuilder(target, Role.CONTROLLER, situation)
         table.add(
             Part.CONFIGURATION,
             Quantity.IN_FORCE,
-            reckoned(formula, value / SECOND_NS),
+            calculated(formula, value / SECOND_NS),
             "replication/propagation_bounds: the stated bound",
             designs=REPLICAS,
         )
--- a/embertray/experiments/capacity/controller.py
+++ b/embertray/experiments/capacity/controller.py
@@ -1,9 +1,9 @@
 """What a controller spends while nothing fails: rows by part, calm and at the peak."""
 
 from . import formulas
-from .figure import derived, no_mechanism, reckoned
+from .figure import calculated, derived, no_mechanism
 from .names import Design, Part, Quantity, Role, Situation
-from .row import ONLY_ALL, Rows
+from .row import ALL_READING, RowBuilder
 from .target import DAY
 
 GOSSIP, REPLICAS = (Design.GOSSIP,), (Design.REPLICAS,)
@@ -20,7 +20,7 @@
 def list_changes_a_second(target):
     """Entries of the list that change in a second: machines that fail, and processes that are replaced."""
     rate = LISTED_CHANGES * (target.machines_a_day + target.restarts_a_day) / DAY
-    return reckoned("2 x (machines + restarts a day) / 86,400 s", rate)
+    return calculated("2 x (machines + restarts a day) / 86,400 s", rate)
 
 
 def by_both(target, slopes, by_backends, by_proxies):
@@ -54,20 +54,20 @@
 
 
 def calm(target, slopes):
-    rows = Rows(target, Role.CONTROLLER, Situation.CALM)
+    rows = RowBuilder(target, Role.CONTROLLER, Situation.CALM)
     rows.add(
         Part.DECISIONS,
         Quantity.PROCESSOR,
         silent_decisions(target, slopes),
         f"policy/: the beat alone, each 250 ms over all backends, {MEASURED_PROXIES} proxies, nothing heard",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     rows.add(
         Part.WHOLE,
         Quantity.PROCESSOR,
         of_streams(target, slopes, "streams-processor"),
         "`embertray serve`, streams that say nothing",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     rows.add(
         Part.LIST,
@@ -82,14 +82,14 @@
         worst=derived(
             "one change in 10 s", lambda size: size / 10, slopes.at("change-bytes", target.backends)
         ),
-        readings=ONLY_ALL,
-        adds_up=True,
+        readings=ALL_READING,
+        in_total=True,
     )
     return rows.rows
 
 
 def peak(target, slopes):
-    rows = Rows(target, Role.CONTROLLER, Situation.PEAK)
+    rows = RowBuilder(target, Role.CONTROLLER, Situation.PEAK)
     add_decisions(rows, target, slopes)
     add_streams(rows, target, slopes)
     add_list(rows, target, slopes)
@@ -108,7 +108,7 @@
         (Quantity.DELAY, slopes.at(f"decisions-step-{MEASURED_PROXIES}", target.backends)),
     ):
         words = mechanism + (": its dearest step" if quantity is Quantity.DELAY else "")
-        rows.add(Part.DECISIONS, quantity, figure, words, readings=ONLY_ALL)
+        rows.add(Part.DECISIONS, quantity, figure, words, readings=ALL_READING)
 
 
 def add_streams(rows, target, slopes):
@@ -122,15 +122,15 @@
             of_streams(target, slopes, mean),
             f"stream/: {mechanism}, each proxy a sum a second, the channel not paced",
             worst=of_streams(target, slopes, worst),
-            readings=ONLY_ALL,
-            adds_up=True,
+            readings=ALL_READING,
+            in_total=True,
         )
     rows.add(
         Part.REPORTS,
         Quantity.MESSAGES_IN,
-        reckoned("proxies a controller x 1 sum a second", target.proxies_per_controller),
+        calculated("proxies a controller x 1 sum a second", target.proxies_per_controller),
         "stream/: one Sums a proxy each report cycle of 1 s",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     add_streams_processor(rows, target, slopes)
     rows.add(
@@ -138,7 +138,7 @@
         Quantity.STATE,
         of_streams(target, slopes, "streams-memory"),
         "daemon/proxy_streams: streams, queues, and what the module keeps for them",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
 
 
@@ -151,8 +151,8 @@
         Quantity.PROCESSOR,
         derived("streams-processor + reports-processor", lambda *parts: sum(parts), quiet, reports),
         "`embertray serve` under its proxies, each a sum a second: decisions, streams and reports together",
-        readings=ONLY_ALL,
-        adds_up=True,
+        readings=ALL_READING,
+        in_total=True,
     )
     rows.add(
         Part.STREAMS,
@@ -165,7 +165,7 @@
             slopes.at(f"decisions-processor-{MEASURED_PROXIES}-silent", FEW_BACKENDS),
         ),
         "daemon/proxy_streams, channel/: streams, outbox, timers",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     rows.add(
         Part.REPORTS,
@@ -178,7 +178,7 @@
             silent_decisions(target, slopes),
         ),
         "stream/, report_intake, channel/: reading and merging sums, the orders that follow",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
 
 
@@ -195,15 +195,15 @@
         Quantity.PROCESSOR,
         change,
         "endpoint_list/follower and one step of the module",
-        readings=ONLY_ALL,
-        adds_up=True,
+        readings=ALL_READING,
+        in_total=True,
     )
     rows.add(
         Part.LIST,
         Quantity.STATE,
         slopes.at("list-memory", target.backends),
         "endpoint_list/follower: all entries",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
 
 
@@ -213,7 +213,7 @@
     received = slopes.at("cluster-received-bytes", members)
     if not received.known:
         received = derived("what all send is received: as sent", lambda value: value, sent)
-    for quantity, figure, adds_up in (
+    for quantity, figure, in_total in (
         (Quantity.PROCESSOR, slopes.at("cluster-processor", members), True),
         (Quantity.BYTES_IN, received, True),
         (Quantity.MESSAGES_OUT, slopes.at("cluster-sent-messages", members), False),
@@ -224,7 +224,7 @@
         (Quantity.IN_FORCE, slopes.at("cluster-time-to-all", members), False),
         (Quantity.STALENESS, staleness(target), False),
     ):
-        rows.add(Part.MEMBERSHIP, quantity, figure, mechanism, designs=GOSSIP, adds_up=adds_up)
+        rows.add(Part.MEMBERSHIP, quantity, figure, mechanism, designs=GOSSIP, in_total=in_total)
     rows.add(
         Part.MEMBERSHIP,
         Quantity.BYTES_OUT,
@@ -232,7 +232,7 @@
         mechanism,
         worst=slopes.at("cluster-sent-worst", members),
         designs=GOSSIP,
-        adds_up=True,
+        in_total=True,
     )
     rows.add(
         Part.CONFIGURATION,
@@ -244,14 +244,14 @@
 
 
 def state_of_gossip(target):
-    return reckoned(
+    return calculated(
         "controllers x facts-bytes, without the names of members",
         target.controllers * target.assumed("facts-bytes"),
     )
 
 
 def staleness(target):
-    return reckoned(
+    return calculated(
         "2 (n - 1) T + E + T; T 1 s, E 2 s (docs/design/cluster.md)",
         formulas.staleness_bound(target.controllers),
     )
@@ -281,12 +281,12 @@
             (Quantity.BYTES_IN, cost.controller_in),
         ):
             rows.add(
-                Part.LIMITS, quantity, reckoned(formula, value), mechanism, designs=designs, adds_up=True
+                Part.LIMITS, quantity, calculated(formula, value), mechanism, designs=designs, in_total=True
             )
     rows.add(
         Part.LIMITS,
         Quantity.STATE,
-        reckoned("controllers x bytes of an ask", formulas.limits_all_to_all(*shape).state),
+        calculated("controllers x bytes of an ask", formulas.limits_all_to_all(*shape).state),
         "cluster/limits: the last ask of each member, at whoever keeps",
         designs=GOSSIP,
     )
@@ -294,7 +294,7 @@
 
 def add_subscriber(rows, target, slopes):
     mechanism = "replication/: one replica followed, changed keys only"
-    for quantity, name, worst, adds_up in (
+    for quantity, name, worst, in_total in (
         (Quantity.PROCESSOR, "control-subscriber-processor", None, True),
         (Quantity.BYTES_IN, "control-subscriber-bytes-in", "control-subscriber-worst-in", True),
         (Quantity.BYTES_OUT, "control-subscriber-bytes-out", "control-subscriber-worst-out", True),
@@ -309,7 +309,7 @@
             mechanism,
             worst=worst and slopes.at(worst, target.controllers),
             designs=REPLICAS,
-            adds_up=adds_up,
+            in_total=in_total,
         )
 
 
@@ -319,6 +319,6 @@
         Quantity.MEMORY,
         of_streams(target, slopes, "controller-memory"),
         "`embertray serve`: resident, all parts but cluster and control",
-        readings=ONLY_ALL,
-        adds_up=True,
+        readings=ALL_READING,
+        in_total=True,
     )
--- a/embertray/experiments/capacity/failures.py
+++ b/embertray/experiments/capacity/failures.py
@@ -5,9 +5,9 @@
 from . import formulas
 from .control_plane import snapshot_bytes, snapshot_time
 from .controller import GOSSIP, LISTED_CHANGES, REPLICAS
-from .figure import derived, no_mechanism, reckoned
+from .figure import calculated, derived, no_mechanism
 from .names import Part, Quantity, Role, Situation
-from .row import ONLY_ALL, Rows
+from .row import ALL_READING, RowBuilder
 from .target import DAY
 
 
@@ -44,7 +44,7 @@
 
 def lost(target, slopes, situation, loss):
     """Machines are gone at once: their backends leave the list, their controllers' proxies join others."""
-    table = Rows(target, Role.CONTROLLER, situation)
+    table = RowBuilder(target, Role.CONTROLLER, situation)
     change = slopes.at("change-bytes", target.backends)
     table.add(
         Part.LIST,
@@ -55,7 +55,7 @@
             change,
         ),
         "endpoint_list/follower: the entries that leave, worst 10 s",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     table.add(
         Part.LIST,
@@ -66,7 +66,7 @@
             slopes.at("change-processor-68", target.backends),
         ),
         "policy/: steps with news, worst 10 s, beside what is spent anyway",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     add_joins(table, target, slopes, loss)
     add_deaths(table, target, slopes, situation)
@@ -86,7 +86,7 @@
             slopes.at("join-processor", target.backends),
         ),
         "daemon/proxy_streams: joins and first tables, worst 10 s",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     table.add(
         Part.STREAMS,
@@ -97,7 +97,7 @@
             slopes.at("join-bytes", target.backends),
         ),
         "daemon/proxy_streams: first tables, worst 10 s",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
 
 
@@ -105,7 +105,7 @@
     table.add(
         Part.MEMBERSHIP,
         Quantity.DELAY,
-        reckoned(
+        calculated(
             "(2 (n - 1) + 2 n + 18) T + the longest suspicion: the claim `seen`",
             formulas.failure_detection_bound(target.controllers),
         ),
@@ -127,7 +127,7 @@
 
 
 def discovery_tells(target, change, situation, loss):
-    table = Rows(target, Role.DISCOVERY, situation)
+    table = RowBuilder(target, Role.DISCOVERY, situation)
     table.add(
         Part.ANSWERS,
         Quantity.BYTES_OUT,
@@ -137,18 +137,18 @@
             change,
         ),
         "endpoint_list/: each controller follows the list itself, worst 10 s",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     return table.rows
 
 
 def apart(target, slopes):
     """Regions that do not reach each other, and what is brought together after it."""
-    during = Rows(target, Role.CONTROLLER, Situation.APART)
+    during = RowBuilder(target, Role.CONTROLLER, Situation.APART)
     during.add(
         Part.MEMBERSHIP,
         Quantity.STATE,
-        reckoned(
+        calculated(
             "entries of the other regions, kept: controllers x (regions - 1) / regions x facts-bytes",
             target.controllers * (target.regions - 1) / target.regions * target.assumed("facts-bytes"),
         ),
@@ -162,7 +162,7 @@
         "replication/: on the majority's side; who is away keeps what is in force and says its age",
         designs=REPLICAS,
     )
-    after = Rows(target, Role.CONTROLLER, Situation.CATCH_UP)
+    after = RowBuilder(target, Role.CONTROLLER, Situation.CATCH_UP)
     after.add(
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
@@ -189,14 +189,14 @@
             slopes.at("change-bytes", target.backends),
         ),
         "endpoint_list/follower: what is new since the epoch held, worst 10 s",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     return [*during.rows, *after.rows]
 
 
 def all_start(target, slopes):
     """Every controller starts with nothing on its disk."""
-    table = Rows(target, Role.CONTROLLER, Situation.ALL_START)
+    table = RowBuilder(target, Role.CONTROLLER, Situation.ALL_START)
     whole = slopes.at("list-bytes", target.backends)
     joins = target.proxies_per_controller
     table.add(
@@ -204,7 +204,7 @@
         Quantity.BYTES_IN,
         derived("list-bytes / 10 s", lambda size: size / formulas.WORST_WINDOW_S, whole),
         "endpoint_list/follower: the whole list once, worst 10 s",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     table.add(
         Part.LIST,
@@ -216,7 +216,7 @@
             slopes.at("list-apply-processor-68", target.backends),
         ),
         "endpoint_list/follower and one step of the module, worst 10 s",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     for quantity, slope in ((Quantity.PROCESSOR, "join-processor"), (Quantity.BYTES_OUT, "join-bytes")):
         table.add(
@@ -228,12 +228,12 @@
                 slopes.at(slope, target.backends),
             ),
             "daemon/proxy_streams: joins and first tables, worst 10 s",
-            readings=ONLY_ALL,
+            readings=ALL_READING,
         )
     table.add(
         Part.CONFIGURATION,
         Quantity.IN_FORCE,
-        reckoned(
+        calculated(
             "(services + routes) x entry-bytes / a subscriber's sustained bytes a second",
             snapshot_time(target),
         ),
@@ -254,13 +254,13 @@
 
 
 def replicas_bring(target, slopes, situation, starts):
-    table = Rows(target, Role.REPLICA, situation)
+    table = RowBuilder(target, Role.REPLICA, situation)
     each = starts / target.control_machines
     rate = target.assumed("control-machine-bytes-a-second")
     table.add(
         Part.REPLICATION,
         Quantity.IN_FORCE,
-        reckoned(
+        calculated(
             f"{each:.1f} snapshots a replica x (services + routes) x entry-bytes / its bytes a second",
             each * snapshot_bytes(target) / rate,
         ),
@@ -279,7 +279,7 @@
 
 
 def discovery_answers(target, whole, situation, starts_a_second, when):
-    table = Rows(target, Role.DISCOVERY, situation)
+    table = RowBuilder(target, Role.DISCOVERY, situation)
     table.add(
         Part.ANSWERS,
         Quantity.BYTES_OUT,
@@ -289,7 +289,7 @@
             whole,
         ),
         "endpoint_list/: the whole list to each that starts with nothing",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     return table.rows
 
@@ -303,11 +303,11 @@
 def restarts_spread(target, slopes):
     starts = controllers_restarted(target) / DAY
     whole = slopes.at("list-bytes", target.backends)
-    table = Rows(target, Role.REPLICA, Situation.RESTARTS_SPREAD)
+    table = RowBuilder(target, Role.REPLICA, Situation.RESTARTS_SPREAD)
     table.add(
         Part.REPLICATION,
         Quantity.BYTES_OUT,
-        reckoned(
+        calculated(
             "controllers restarted a second x snapshot / control machines",
             starts * snapshot_bytes(target) / target.control_machines,
         ),
@@ -323,7 +323,7 @@
 def restarts_bunched(target, slopes):
     starts = target.assumed("restarts-bunched")
     whole = slopes.at("list-bytes", target.backends)
-    table = Rows(target, Role.CONTROLLER, Situation.RESTARTS_BUNCHED)
+    table = RowBuilder(target, Role.CONTROLLER, Situation.RESTARTS_BUNCHED)
     add_joins(table, target, slopes, Loss(starts, 0))
     return [
         *table.rows,
--- a/embertray/experiments/capacity/figure.py
+++ b/embertray/experiments/capacity/figure.py
@@ -5,7 +5,7 @@
 from .fit import fit
 from .names import Origin
 
-REPORTED = "reported-"  # prefix of slopes that stand in until theirs is measured
+REPORTED_PREFIX = "reported-"  # prefix of slopes that stand in until theirs is measured
 
 
 @dataclass(frozen=True)
@@ -25,17 +25,17 @@
         return self.value is not None
 
 
-def unknown(why):
-    return Figure(None, Origin.UNKNOWN, why)
+def unknown(reason):
+    return Figure(None, Origin.UNKNOWN, reason)
 
 
-def no_mechanism(why):
-    return Figure(None, Origin.NO_MECHANISM, why)
+def no_mechanism(reason):
+    return Figure(None, Origin.NO_MECHANISM, reason)
 
 
-def reckoned(formula, value):
+def calculated(formula, value):
     """A figure that rests on no slope."""
-    return Figure(float(value), Origin.RECKONED, formula)
+    return Figure(float(value), Origin.CALCULATED, formula)
 
 
 def derived(formula, function, *figures):
@@ -44,7 +44,7 @@
     missing = [figure.source for figure in figures if not figure.known]
     if missing:
         return Figure(None, Origin.UNKNOWN, "; ".join(dict.fromkeys(missing)), slopes)
-    return Figure(float(function(*(figure.value for figure in figures))), Origin.RECKONED, formula, slopes)
+    return Figure(float(function(*(figure.value for figure in figures))), Origin.CALCULATED, formula, slopes)
 
 
 class Slopes:
@@ -53,26 +53,30 @@
     def __init__(self, by_name):
         self.by_name = by_name
         self.fits = {name: fit(slope.medians()) for name, slope in by_name.items()}
-        self.asked = set()
+        self.requested = set()
 
     def find(self, name):
         """The name under which a slope is at hand: its own, or that of a reported stand-in; None."""
-        self.asked |= {name, REPORTED + name}
-        return next((one for one in (name, REPORTED + name) if one in self.by_name), None)
+        self.requested |= {name, REPORTED_PREFIX + name}
+        return next(
+            (candidate for candidate in (name, REPORTED_PREFIX + name) if candidate in self.by_name), None
+        )
 
     def at(self, name, size):
         """What the slope says at a size: measured there, or predicted by its law and never under zero."""
-        found = self.find(name)
-        if found is None:
+        slope_name = self.find(name)
+        if slope_name is None:
             return unknown(f"no slope {name}")
-        measured = dict(self.by_name[found].medians()).get(float(size))
+        measured = dict(self.by_name[slope_name].medians()).get(float(size))
         if measured is not None:
-            return Figure(measured, self.origin(found, Origin.MEASURED), found, (found,))
-        predicted = max(0.0, self.fits[found].at(size))
-        held_out = self.fits[found].held_out
+            return Figure(measured, self.origin(slope_name, Origin.MEASURED), slope_name, (slope_name,))
+        predicted = max(0.0, self.fits[slope_name].at(size))
+        held_out = self.fits[slope_name].held_out
         if held_out is None:
-            return Figure(predicted, Origin.GUESS, found, (found,))
-        return Figure(predicted, self.origin(found, Origin.PREDICTED), found, (found,), held_out.error)
+            return Figure(predicted, Origin.GUESS, slope_name, (slope_name,))
+        return Figure(
+            predicted, self.origin(slope_name, Origin.PREDICTED), slope_name, (slope_name,), held_out.error
+        )
 
     def origin(self, name, otherwise):
         return Origin.REPORTED if self.by_name[name].origin == "reported" else otherwise
--- a/embertray/experiments/capacity/names.py
+++ b/embertray/experiments/capacity/names.py
@@ -97,7 +97,7 @@
     PREDICTED = "predicted by the slope"
     GUESS = "a guess: no held-out size"
     REPORTED = "reported, not measured again"
-    RECKONED = "reckoned"
+    CALCULATED = "reckoned"
     UNKNOWN = "not known"
     NO_MECHANISM = "no mechanism"
 
--- a/embertray/experiments/capacity/other_roles.py
+++ b/embertray/experiments/capacity/other_roles.py
@@ -2,9 +2,9 @@
 
 from . import formulas
 from .controller import REPLICAS, list_changes_a_second
-from .figure import derived, reckoned, unknown
+from .figure import calculated, derived, unknown
 from .names import Part, Quantity, Role, Situation
-from .row import ONLY_ALL, Rows
+from .row import ALL_READING, RowBuilder
 from .target import DAY
 
 SAMPLE_CHANNEL = 1_200  # lines a second of the sample description 'pushed'
@@ -20,7 +20,7 @@
 
 
 def replica(target, slopes):
-    rows, subscribers = Rows(target, Role.REPLICA, Situation.PEAK), target.controllers
+    rows, subscribers = RowBuilder(target, Role.REPLICA, Situation.PEAK), target.controllers
     mechanism = "replication/: a replica's subscribers, and the other replicas"
     for quantity, name, worst in (
         (Quantity.PROCESSOR, "control-replica-processor", None),
@@ -47,12 +47,12 @@
         (Quantity.STATE, shares.state, "controllers x bytes of an ask"),
     ):
         mechanism = "not built: the shares of limits kept by one replica"
-        rows.add(Part.LIMITS, quantity, reckoned(formula, value), mechanism, designs=REPLICAS)
+        rows.add(Part.LIMITS, quantity, calculated(formula, value), mechanism, designs=REPLICAS)
     return rows.rows
 
 
 def proxy(target, slopes):
-    rows = Rows(target, Role.PROXY, Situation.PEAK)
+    rows = RowBuilder(target, Role.PROXY, Situation.PEAK)
     for slope, mechanism in (
         ("pick-p99-round", "models/proxy: a pick from a table that stands"),
         ("pick-changed-p99-round", "models/proxy: the first pick after a changed line, of the dearest way"),
@@ -70,7 +70,7 @@
     rows.add(
         Part.FIRST_TABLE,
         Quantity.DELAY,
-        reckoned(
+        calculated(
             f"lines of a whole table / {SAMPLE_CHANNEL:,} lines a second of the sample",
             target.backends / SAMPLE_CHANNEL,
         ),
@@ -98,19 +98,19 @@
 
 
 def backend(target):
-    rows = Rows(target, Role.BACKEND, Situation.PEAK)
+    rows = RowBuilder(target, Role.BACKEND, Situation.PEAK)
     rows.add(
         Part.PROBES,
         Quantity.BYTES_IN,
-        reckoned("0: without probes no controller speaks to a backend", 0),
+        calculated("0: without probes no controller speaks to a backend", 0),
         "a description with probes=false; with probes it is not known",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     return rows.rows
 
 
 def discovery(target, slopes):
-    rows = Rows(target, Role.DISCOVERY, Situation.PEAK)
+    rows = RowBuilder(target, Role.DISCOVERY, Situation.PEAK)
     rows.add(
         Part.ANSWERS,
         Quantity.BYTES_OUT,
@@ -126,13 +126,13 @@
             lambda size: size * target.controllers / formulas.WORST_WINDOW_S,
             slopes.at("change-bytes", target.backends),
         ),
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     rows.add(
         Part.ANSWERS,
         Quantity.PROCESSOR,
         unknown("the list's service is the operators' own"),
         "endpoint_list/",
-        readings=ONLY_ALL,
+        readings=ALL_READING,
     )
     return rows.rows
--- a/embertray/experiments/capacity/page.py
+++ b/embertray/experiments/capacity/page.py
@@ -1,7 +1,7 @@
 """The table as Markdown, and docs/CAPACITY.md round it."""
 
 from . import formulas
-from .figure import REPORTED
+from .figure import REPORTED_PREFIX
 from .names import Design, Origin, Quantity, Reading, Situation, Verdict
 from .size_limits import reaches
 from .table import FAILURES, STEADY, varied
@@ -52,7 +52,7 @@
             str(row.quantity),
             value,
             "-" if row.budget is None else quantity(row.budget, row.unit),
-            verdict(row.judged),
+            verdict(row.judgement),
             row.mechanism,
             source(row.figure),
         )
@@ -73,7 +73,7 @@
 
 def without_mechanism(found):
     """What a design has nothing for at all: no factor can be told."""
-    rows = [row for row in found.rows if row.judged.verdict is Verdict.NO_MECHANISM]
+    rows = [row for row in found.rows if row.judgement.verdict is Verdict.NO_MECHANISM]
     return "\n".join(
         f"- {str(row.designs[0])}: {row.role}: {row.part}, {row.quantity}, {row.situation}: "
         f"{row.figure.source}"
@@ -96,7 +96,7 @@
 
 def ranked(rows):
     lines = [
-        f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {verdict(row.judged)} "
+        f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {verdict(row.judgement)} "
         f"({quantity(max_of(row), row.unit)} of {quantity(row.budget, row.unit)}; "
         f"{row.figure.origin}; {row.mechanism})"
         for place, row in enumerate(rows, 1)
@@ -121,7 +121,7 @@
                 quantity(total.known, total.unit),
                 ", ".join(total.missing) or "-",
                 quantity(total.budget, total.unit),
-                verdict(total.judged),
+                verdict(total.judgement),
             )
             for total in found.totals
         ),
@@ -172,14 +172,18 @@
     lines = []
     for one, value, other in varied(found.target, by_name):
         for before, after in zip(found.totals, other.totals, strict=True):
-            if verdict(before.judged) != verdict(after.judged):
+            if verdict(before.judgement) != verdict(after.judgement):
                 name = f"{design_word(after.design)}, {after.reading}: total {after.quantity}"
-                lines.append((one.name, digits(value), name, verdict(before.judged), verdict(after.judged)))
+                lines.append(
+                    (one.name, digits(value), name, verdict(before.judgement), verdict(after.judgement))
+                )
         for row in other.rows:
             before = plain.get(key_of(row))
-            if before and before.judged.verdict is not row.judged.verdict:
+            if before and before.judgement.verdict is not row.judgement.verdict:
                 name = f"{row.role}: {row.part}, {row.quantity}, {row.situation}"
-                lines.append((one.name, digits(value), name, verdict(before.judged), verdict(row.judged)))
+                lines.append(
+                    (one.name, digits(value), name, verdict(before.judgement), verdict(row.judgement))
+                )
     return table(("assumption", "at", "total or row", "verdict", "becomes"), lines)
 
 
@@ -188,13 +192,15 @@
 
 
 def slope_lines(found):
-    asked = found.slopes.asked
-    for name, slope in sorted(found.slopes.by_name.items(), key=lambda one: (one[0] not in asked, one[0])):
+    requested = found.slopes.requested
+    for name, slope in sorted(
+        found.slopes.by_name.items(), key=lambda one: (one[0] not in requested, one[0])
+    ):
         fit = found.slopes.fits[name]
         sizes = [size for size, _ in slope.medians()]
         held = fit.held_out
         yield (
-            f"`{name}`" + ("" if name in asked else " (no row)"),
+            f"`{name}`" + ("" if name in requested else " (no row)"),
             slope.unit,
             f"{slope.n}: {', '.join(digits(size) for size in sizes)}",
             f"{fit.law.base:.3g} + {fit.law.factor:.3g} {fit.law.growth}",
@@ -289,7 +295,7 @@
             row.figure.source
             for row in found.rows
             if row.figure.origin is Origin.UNKNOWN
-            and row.judged.verdict in (Verdict.UNKNOWN, Verdict.NO_BUDGET)
+            and row.judgement.verdict in (Verdict.UNKNOWN, Verdict.NO_BUDGET)
         }
     )
     return "\n".join(f"- {one}" for one in missing) or "Nothing that a row asks for."
@@ -303,7 +309,7 @@
         "gossip": Design.GOSSIP,
         "replicas": Design.REPLICAS,
     }
-    reported = [name for name in by_name if name.startswith(REPORTED)]
+    reported = [name for name in by_name if name.startswith(REPORTED_PREFIX)]
     pictures = "\n\n".join(
         f"![{caption}](measured/capacity/{name})" for name, caption in CHARTS if name in charts
     )
--- a/embertray/experiments/capacity/report.py
+++ b/embertray/experiments/capacity/report.py
@@ -6,12 +6,12 @@
 from .table import FAILURES, STEADY
 
 
-def judged(one):
+def judgement_data(one):
     infinite = one.factor is not None and isinf(one.factor)
     return {
         "verdict": str(one.verdict),
         "factor": None if infinite else one.factor,
-        "within_error": one.unsure,
+        "within_error": one.uncertain,
     }
 
 
@@ -25,7 +25,7 @@
         "value": one.figure.value,
         "worst_10s": one.worst.value if one.worst is not None else None,
         "budget": one.budget,
-        **judged(one.judged),
+        **judgement_data(one.judgement),
         "origin": str(one.figure.origin),
         "source": one.figure.source,
         "slopes": list(one.figure.slopes),
@@ -44,7 +44,7 @@
         "known": one.known,
         "missing": list(one.missing),
         "budget": one.budget,
-        **judged(one.judged),
+        **judgement_data(one.judgement),
     }
 
 
--- a/embertray/experiments/capacity/row.py
+++ b/embertray/experiments/capacity/row.py
@@ -6,33 +6,35 @@
 from .names import UNITS, Design, Origin, Part, Quantity, Reading, Role, Situation, Verdict
 
 BOTH_READINGS = (Reading.CLUSTER, Reading.ALL)
-ROUNDING = 1e-6  # of a factor, that is no shortfall
-ONLY_ALL = (Reading.ALL,)
+ROUNDING_TOLERANCE = 1e-6  # of a factor, that is no shortfall
+ALL_READING = (Reading.ALL,)
 BOTH_DESIGNS = (Design.GOSSIP, Design.REPLICAS)
 
 
 @dataclass(frozen=True)
-class Judged:
+class Judgement:
     """`factor`: times over the budget, None if not known or nothing is named. `unsure`: by as much as the
     slope missed its held-out size, the verdict could be the other.
     """
 
     verdict: Verdict
     factor: float | None = None
-    unsure: bool = False
+    uncertain: bool = False
 
 
 def judge(value, budget, at_least=False, error=None):
     """`at_least`: the budget is the least that will do, not the most. `error`: relative, of the value."""
     if budget is None:
-        return Judged(Verdict.NO_BUDGET)
+        return Judgement(Verdict.NO_BUDGET)
     if value is None:
-        return Judged(Verdict.UNKNOWN)
+        return Judgement(Verdict.UNKNOWN)
     factor = shortfall(value, budget) if at_least else value / budget
-    most = 1 + ROUNDING
-    fits = factor <= most
-    unsure = error is not None and (factor * (1 + error) > most if fits else factor / (1 + error) <= most)
-    return Judged(Verdict.FITS if fits else Verdict.SHORT, factor, unsure)
+    max_factor = 1 + ROUNDING_TOLERANCE
+    fits = factor <= max_factor
+    uncertain = error is not None and (
+        factor * (1 + error) > max_factor if fits else factor / (1 + error) <= max_factor
+    )
+    return Judgement(Verdict.FITS if fits else Verdict.SHORT, factor, uncertain)
 
 
 def shortfall(value, least):
@@ -56,17 +58,17 @@
     worst: Figure | None = None
     readings: tuple = BOTH_READINGS
     designs: tuple = BOTH_DESIGNS
-    adds_up: bool = False
+    in_total: bool = False
 
     @property
     def unit(self):
         return UNITS[self.quantity]
 
     @property
-    def judged(self):
+    def judgement(self):
         """By the worst 10 s where they are known, else by the mean."""
         if self.figure.origin is Origin.NO_MECHANISM:
-            return Judged(Verdict.NO_MECHANISM)
+            return Judgement(Verdict.NO_MECHANISM)
         if not self.figure.known:
             return judge(None, self.budget)
         figure = self.figure
@@ -102,12 +104,12 @@
     return per_role.get(role, {}).get(quantity)
 
 
-class Rows:
+class RowBuilder:
     """Collects rows of one role and situation."""
 
     def __init__(self, target, role, situation):
         self.target, self.role, self.situation, self.rows = target, role, situation, []
 
-    def add(self, part, quantity, figure, mechanism, **more):
+    def add(self, part, quantity, figure, mechanism, **options):
         budget = budget_of(self.target, self.role, quantity)
-        self.rows.append(Row(self.role, part, self.situation, quantity, figure, mechanism, budget, **more))
+        self.rows.append(Row(self.role, part, self.situation, quantity, figure, mechanism, budget, **options))
--- a/embertray/experiments/capacity/table.py
+++ b/embertray/experiments/capacity/table.py
@@ -5,7 +5,7 @@
 from . import control_plane, controller, failures, other_roles
 from .figure import Slopes
 from .names import UNITS, Design, Quantity, Reading, Role, Situation, Verdict
-from .row import Judged, budget_of, judge
+from .row import Judgement, budget_of, judge
 
 TOTALLED = (Quantity.PROCESSOR, Quantity.MEMORY, Quantity.BYTES_IN, Quantity.BYTES_OUT)
 LARGEST = 3
@@ -28,11 +28,11 @@
     budget: float
 
     @property
-    def judged(self):
+    def judgement(self):
         """With parts missing it may fall short already, and is not known otherwise."""
         found = judge(self.known, self.budget)
         if self.missing and found.verdict is Verdict.FITS:
-            return Judged(Verdict.UNKNOWN)
+            return Judgement(Verdict.UNKNOWN)
         return found
 
 
@@ -51,9 +51,9 @@
             if reading in row.readings
             and design in row.designs
             and row.situation in situations
-            and row.judged.verdict is Verdict.SHORT
+            and row.judgement.verdict is Verdict.SHORT
         ]
-        short.sort(key=lambda row: -row.judged.factor)
+        short.sort(key=lambda row: -row.judgement.factor)
         found = {}
         for row in short:
             found.setdefault((row.role, row.part, row.unit), row)
@@ -82,7 +82,7 @@
     return [
         row
         for row in rows
-        if row.adds_up
+        if row.in_total
         and row.role is Role.CONTROLLER
         and row.situation in STEADY
         and row.quantity is quantity
--- a/embertray/experiments/capacity/text.py
+++ b/embertray/experiments/capacity/text.py
@@ -35,11 +35,11 @@
     return "more than can be told of 0" if isinf(share) else f"{share:.1%}"
 
 
-def verdict(judged):
-    unsure = ", within the slope's error" if judged.unsure else ""
-    if judged.verdict is Verdict.SHORT:
-        return f"**falls short by {factor(judged.factor)}**{unsure}"
-    return f"{judged.verdict}{unsure}"
+def verdict(judgement):
+    unsure = ", within the slope's error" if judgement.uncertain else ""
+    if judgement.verdict is Verdict.SHORT:
+        return f"**falls short by {factor(judgement.factor)}**{unsure}"
+    return f"{judgement.verdict}{unsure}"
 
 
 def factor(value):
@@ -52,7 +52,7 @@
     """Where a figure comes from: slope or formula, and how."""
     if figure.origin in (Origin.UNKNOWN, Origin.NO_MECHANISM):
         return figure.source
-    if figure.origin is Origin.RECKONED:
+    if figure.origin is Origin.CALCULATED:
         return f"reckoned: {figure.source}"
     missed = "" if figure.error is None else f", which missed its held-out size by {percent(figure.error)}"
     return f"`{figure.source}`, {figure.origin}{missed}"
--- a/embertray/experiments/measure/capacity/charts.py
+++ b/embertray/experiments/measure/capacity/charts.py
@@ -6,7 +6,7 @@
 from matplotlib import pyplot  # noqa: E402
 
 from embertray.experiments.capacity import formulas  # noqa: E402
-from embertray.experiments.capacity.figure import REPORTED  # noqa: E402
+from embertray.experiments.capacity.figure import REPORTED_PREFIX  # noqa: E402
 
 SIZES = (8, 16, 32, 64, 128, 256, 470)  # at which calculated curves are drawn
 LIMITS = 1
@@ -14,7 +14,7 @@
 
 def draw_curve(axis, slopes, name, label):
     """Draws one slope's medians and fit; the reported slope if there is no measured one."""
-    found = next((one for one in (name, REPORTED + name) if one in slopes.by_name), None)
+    found = next((one for one in (name, REPORTED_PREFIX + name) if one in slopes.by_name), None)
     if found is None:
         return
     points = slopes.by_name[found].medians()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,7 +16,7 @@
 
 from embertray.cli.main import main
 from embertray.experiments.capacity import formulas, page
-from embertray.experiments.capacity.figure import Slopes, derived, reckoned, unknown
+from embertray.experiments.capacity.figure import Slopes, calculated, derived, unknown
 from embertray.experiments.capacity.fit import fit
 from embertray.experiments.capacity.names import (
     Design,
@@ -194,7 +194,7 @@
         self.assertEqual(falling.at("s", 100).value, 0.0)
 
     def test_what_rests_on_something_unknown_is_unknown_and_says_of_what(self):
-        found = derived("a + b", lambda a, b: a + b, reckoned("1", 1), unknown("no slope b"))
+        found = derived("a + b", lambda a, b: a + b, calculated("1", 1), unknown("no slope b"))
         self.assertEqual((found.value, found.origin, found.source), (None, Origin.UNKNOWN, "no slope b"))
 
 
@@ -216,7 +216,7 @@
                 self.assertEqual((found.verdict, found.factor), (verdict, factor))
 
     def test_a_verdict_that_the_slopes_error_could_turn_says_so(self):
-        for value, error, verdict, unsure in (
+        for value, error, verdict, uncertain in (
             (90, 0.05, Verdict.FITS, False),
             (90, 0.2, Verdict.FITS, True),
             (110, 0.2, Verdict.SHORT, True),
@@ -227,7 +227,7 @@
         ):
             with self.subTest(value=value, error=error):
                 found = judge(value, 100, error=error)
-                self.assertEqual((found.verdict, found.unsure), (verdict, unsure))
+                self.assertEqual((found.verdict, found.uncertain), (verdict, uncertain))
 
     def test_the_worst_ten_seconds_decide_where_they_are_known(self):
         def row(mean, worst):
@@ -242,23 +242,23 @@
                 worst=worst,
             )
 
-        within, over = reckoned("", 100), reckoned("", 8000)
-        self.assertEqual(row(within, over).judged.factor, 2.0)
-        self.assertEqual(row(within, None).judged.verdict, Verdict.FITS)
-        self.assertEqual(row(within, unknown("")).judged.verdict, Verdict.FITS)
-        self.assertEqual(row(unknown(""), within).judged.verdict, Verdict.UNKNOWN)
+        within, over = calculated("", 100), calculated("", 8000)
+        self.assertEqual(row(within, over).judgement.factor, 2.0)
+        self.assertEqual(row(within, None).judgement.verdict, Verdict.FITS)
+        self.assertEqual(row(within, unknown("")).judgement.verdict, Verdict.FITS)
+        self.assertEqual(row(unknown(""), within).judgement.verdict, Verdict.UNKNOWN)
 
     def test_a_total_with_parts_missing_may_fall_short_but_never_fits(self):
         table = compute(load(), {})
         for total in table.totals:
             self.assertTrue(total.missing)
-            self.assertIn(total.judged.verdict, (Verdict.UNKNOWN, Verdict.SHORT))
+            self.assertIn(total.judgement.verdict, (Verdict.UNKNOWN, Verdict.SHORT))
 
     def test_without_slopes_nothing_that_needs_one_is_judged(self):
         for row in compute(load(), {}).rows:
-            if row.figure.origin not in (Origin.RECKONED, Origin.NO_MECHANISM):
+            if row.figure.origin not in (Origin.CALCULATED, Origin.NO_MECHANISM):
                 self.assertIsNone(row.figure.value)
-                self.assertIn(row.judged.verdict, (Verdict.UNKNOWN, Verdict.NO_BUDGET))
+                self.assertIn(row.judgement.verdict, (Verdict.UNKNOWN, Verdict.NO_BUDGET))
 
 
 class Tables(unittest.TestCase):
@@ -281,7 +281,7 @@
             with self.subTest(design=design, reading=reading):
                 rows = self.table.largest(reading, design, situations)
                 self.assertTrue(all(row.situation in situations for row in rows))
-                factors = [row.judged.factor for row in rows]
+                factors = [row.judgement.factor for row in rows]
                 self.assertEqual(factors, sorted(factors, reverse=True))
                 self.assertEqual(len({(row.role, row.part, row.unit) for row in rows}), len(rows))
                 self.assertTrue(all(reading in row.readings and design in row.designs for row in rows))
@@ -527,7 +527,7 @@
         found = json.loads(run("--json").output)
         table = compute(load(), load_all(SLOPES))
         self.assertEqual(
-            [row["verdict"] for row in found["rows"]], [str(row.judged.verdict) for row in table.rows]
+            [row["verdict"] for row in found["rows"]], [str(row.judgement.verdict) for row in table.rows]
         )
         self.assertEqual({slope["name"] for slope in found["slopes"]}, set(table.slopes.by_name))
 
