--- a/embertray/simulation/models/proxy.py
+++ b/embertray/simulation/models/proxy.py
@@ -1,9 +1,8 @@
-"""A plain proxy without its sockets: it does what its tables say, and nothing else. Time and events in,
-verdicts out.
+"""A model of a plain proxy, without I/O: it follows its routing tables and decides nothing else.
 
-It picks a line by weight, tries again only as its levels say, and counts what it met for its sums. It judges
-no backend, except that it may eject one for a while after a run of its own failures, where the site says so.
-The stand-in carries its verdicts over sockets, the emulator through an event heap.
+It picks lines by weight, retries only as its admission levels say, and counts attempts for its load reports.
+It does not judge backends, except that a site may let it eject one for a while after a number of consecutive
+failures. The stand-in executes its decisions over sockets, the emulator with scheduled calls.
 """
 
 from bisect import bisect
@@ -15,20 +14,23 @@
 from embertray.controller.stream.routing_state import RoutingState
 
 NS_PER_SECOND = 10**9
-EJECTION_NS = 3 * NS_PER_SECOND  # ns that an ejected backend is left alone
+EJECTION_NS = 3 * NS_PER_SECOND  # how long an ejected backend gets no requests
 
 
 class PausableProcess:
-    """What comes to a process that is stopped waits, as (what, *args) in `held_back`; orders before requests
-    when it goes on.
+    """Base of processes that can be stopped; meanwhile they defer calls, which `resume` makes.
+
+    A subclass has `deferred_calls`, a list of (callback, *args), and a method `apply` for orders.
     """
 
     paused = False
 
     def pause(self):
+        """Stops the process."""
         self.paused = True
 
     def resume(self):
+        """Lets the process continue; deferred orders are applied before deferred requests."""
         self.paused = False
         deferred, self.deferred_calls = self.deferred_calls, []
         for callback, *args in sorted(deferred, key=lambda one: one[0] != self.apply):
@@ -36,7 +38,24 @@
 
 
 class PendingRequest:
-    """A request at the proxy: where it is now, and what was tried. `reply_to` is for whoever brought it."""
+    """A request at the proxy, with its attempts.
+
+    Args:
+        request: The request as it arrived.
+        reply_to: Where its outcome goes; the model does not use it.
+        arrived_at: ns.
+        retry_mode: 0 never; 1 once, after proof that it never ran; 2 once; 3 twice.
+
+    Attributes:
+        deadline: When its client gives up, ns.
+        tried: Names of the backends that it was sent to.
+        backend: The backend of the current attempt, or None.
+        sent_at: When the current attempt was sent, ns.
+        timer: The timer of the current attempt, set by the caller.
+        attempt: Number of the current attempt.
+        retries_left: Number of further attempts allowed.
+        timeout: Of the current attempt, ns.
+    """
 
     __slots__ = (
         "request",
@@ -67,7 +86,7 @@
 
 
 class BackendCounts:
-    """What was met at one backend since the last sums."""
+    """Counts of one backend's attempts since the last load report."""
 
     __slots__ = ("tries", "failed", "latency", "load")
 
@@ -77,7 +96,28 @@
 
 
 class Proxy:
-    """`site` tells how it picks, what levels mean and how it tries again; `rng` is its own."""
+    """A proxy's routing state, pending attempts and counts.
+
+    Args:
+        site: How proxies pick and retry, what levels mean, and when backends are ejected.
+        rng: A numpy Generator of its own.
+        standing_backends: Names of the backends that it uses before it has joined a controller.
+
+    Attributes:
+        routing_state: Its RoutingState.
+        kinds: External id -> RequestKind.
+        backend_counts: Backend -> BackendCounts.
+        arrivals: Request kind -> [requests, lost ones, repeated attempts of clients].
+        buckets: Request kind -> (tokens, when they were counted in ns), for levels that are rates.
+        counted_since: When the last load report was taken, ns.
+        attempt_sequence: Number of the last attempt.
+        in_flight: Backend -> number of attempts in flight.
+        consecutive_failures: Backend -> number of failures since the last success.
+        ejected: Backend -> end of its ejection, ns.
+        round_robin_credits: Backend -> its credit in the smooth weighted round-robin.
+        pick_table: (names, weights, cumulative weights, round-robin credits, total weight) of the lines, or
+            None after a change.
+    """
 
     def __init__(self, site, rng, standing_backends=()):
         self.site, self.rng, self.routing_state = site, rng, RoutingState(standing_backends)
@@ -90,36 +130,39 @@
             0,
         )
         self.in_flight, self.consecutive_failures, self.ejected, self.round_robin_credits = {}, {}, {}, {}
-        self.pick_table = None  # names, weights, their sums: made anew after each change
+        self.pick_table = None
 
     # ---- orders
 
     def apply(self, orders):
+        """Applies an Orders message."""
         self.routing_state.apply(orders)
         self.invalidate_pick_table()
 
     def disconnected(self):
-        """Its stream broke."""
+        """The stream to the controller broke."""
         self.routing_state.disconnected()
 
     def invalidate_pick_table(self):
+        """Drops the pick table; the round-robin credits are kept."""
         if self.pick_table:
             names, _, _, round_robin_credits, _ = self.pick_table
             self.round_robin_credits.update(zip(names, round_robin_credits.tolist(), strict=False))
             self.pick_table = None
 
     def get_pick_table(self):
+        """Returns the pick table, which is rebuilt if the lines changed."""
         if self.pick_table is None:
             lines = self.routing_state.routable_lines()
             names, weights = list(lines), list(lines.values())
             weight_array = np.array(weights, float)
-            if (
-                self.site.picks == "round"
-            ):  # a round begins anywhere: else proxies of one table go in step, and
+            # Each proxy starts its round at a random position. Otherwise proxies with the same table would
+            # send requests to its heaviest lines at the same time.
+            if self.site.picks == "round":
                 for name, weight, draw in zip(
                     names, weights, self.rng.random(len(names)).tolist(), strict=False
-                ):  # reach its
-                    if name not in self.round_robin_credits:  # heaviest all together
+                ):
+                    if name not in self.round_robin_credits:
                         self.round_robin_credits[name] = weight * draw
                 self.round_robin_credits = {name: self.round_robin_credits[name] for name in names}
             self.pick_table = (
@@ -134,7 +177,7 @@
     # ---- requests
 
     def arrive(self, now, request, reply_to):
-        """An Underway to be tried, or None: denied."""
+        """Returns a PendingRequest to be attempted, or None if the request is denied."""
         arrivals = self.arrivals.get(request.kind)
         if arrivals is None:
             arrivals = self.arrivals[request.kind] = [0, 0, 0]
@@ -148,18 +191,19 @@
         )
 
     def admit(self, now, kind, level):
+        """Returns whether the admission level lets a request of this kind pass at `now`, ns."""
         if level is None or self.site.levels == "none":
             return True
         if self.site.levels == "share":
             return level >= 1 or self.rng.random() < level
         tokens, at = self.buckets.get(kind, (1.0, now))
-        burst = max(1.0, level / 4)  # a quarter second's worth may come at once
+        burst = max(1.0, level / 4)  # requests of a quarter of a second may arrive at once
         tokens = min(burst, tokens + level * (now - at) / NS_PER_SECOND)
         self.buckets[kind] = (tokens - 1 if tokens >= 1 else tokens), now
         return tokens >= 1
 
     def pick(self, now, tried):
-        """A backend's name by its tables, or None."""
+        """Returns the backend for the next attempt, or None; not one of `tried` and none that is ejected."""
         names, weights, cumulative_weights, round_robin_credits, total = self.get_pick_table()
         if self.ejected:
             self.ejected = {name: until for name, until in self.ejected.items() if until > now}
@@ -190,15 +234,19 @@
         return min(drawn, key=lambda name: self.in_flight.get(name, 0))
 
     def attempt(self, now, pending):
-        """The next try: 'denied' or 'error' if there is none, else None and it is under way to
-        `under.backend`, for `under.timeout` ns at most."""
+        """Starts the next attempt of a request.
+
+        Returns:
+            None if there is one, to `pending.backend` with `pending.timeout`; otherwise the request's
+            outcome, "denied" if it was never attempted, or "error".
+        """
         name = self.pick(now, pending.tried)
         if name is None or now >= pending.deadline:
             outcome = "denied" if name is None and not pending.tried else "error"
             self.count_lost(pending, outcome)
             return outcome
         self.attempt_sequence += 1
-        pending.attempt = self.attempt_sequence  # of this proxy's tries, so that late answers find no other
+        pending.attempt = self.attempt_sequence  # unique, so that a late answer matches no other attempt
         pending.backend, pending.sent_at = name, now
         pending.tried.append(name)
         self.in_flight[name] = self.in_flight.get(name, 0) + 1
@@ -210,8 +258,19 @@
         return None
 
     def attempt_ended(self, now, pending, attempt, outcome, load):
-        """A try ended: done, full, error, broken, timeout or refused (never sent). None if it is over
-        already; else 'done', 'error', or 'again': one more try is to be made."""
+        """Handles the end of an attempt.
+
+        Args:
+            now: ns.
+            pending: The PendingRequest.
+            attempt: The attempt's number.
+            outcome: "done", "full", "error", "broken", "timeout", or "refused" if it was never sent.
+            load: The backend's load report; empty if there is none.
+
+        Returns:
+            None if the attempt was over already; "again" if another is to be made; otherwise the request's
+            outcome, "done" or "error".
+        """
         if pending.attempt != attempt or pending.backend is None:
             return None
         name, pending.backend = pending.backend, None
@@ -238,21 +297,22 @@
         return "error"
 
     def count_lost(self, pending, outcome):
+        """Counts a lost request, if its outcome is an error."""
         if outcome == "error":
             self.arrivals.setdefault(pending.request.kind, [0, 0, 0])[1] += 1
 
     def retry_after(self, kind):
-        """ns that a denied client of this kind is asked to stay away."""
+        """Returns the delay after which clients may repeat denied requests of this kind, ns."""
         return self.routing_state.retry_after.get(kind, 0)
 
-    # ---- sums
+    # ---- load reports
 
     def joined(self, now):
-        """A new controller hears only what is met from now on."""
+        """The proxy joined a controller, to which it reports only what it counts from `now`, ns, on."""
         self.backend_counts, self.arrivals, self.counted_since = {}, {}, now
 
     def take_load_report(self, now):
-        """What was met and came since the last sums."""
+        """Returns the LoadReport since the last one, and starts the counts anew."""
         counts, arrivals, span = self.backend_counts, self.arrivals, now - self.counted_since
         self.joined(now)
         met = [BackendTotals(backend, h.tries, h.failed, h.latency, h.load) for backend, h in counts.items()]
