--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -23,7 +23,7 @@
     """One backend as this proxy has it: a connection, and what waits for it."""
 
     def __init__(self):
-        self.link, self.dialling, self.waiting = None, False, []
+        self.link, self.is_dialing, self.waiting = None, False, []
 
 
 class StandinProxy(PausableProcess):
@@ -42,7 +42,7 @@
         rate=0.0,
         standing=(),
         eyes=None,
-        way=lambda: 0,
+        order_delay=lambda: 0,
     ):
         self.name, self.zone, self.site, self.net, self.scheduler, self.rng = (
             name,
@@ -52,10 +52,10 @@
             scheduler,
             rng,
         )
-        self.controllers, self.rate, self.eyes, self.way = list(controllers), rate, eyes, way
+        self.controllers, self.rate, self.eyes, self.order_delay = list(controllers), rate, eyes, order_delay
         self.initial_backends = list(standing)
         self.model, self.fresh, self.joined = Proxy(site, rng, standing), True, None
-        self.targets, self.reqs = {}, {}
+        self.connections, self.pending_attempts = {}, {}
         self.group, self.scope, self.conn = None, None, None
         self.cut_off = self.paused = self.deaf = False
         self.deferred_calls, self.report_delay, self.last_due, self.home = [], 0, 0, 0
@@ -68,90 +68,90 @@
         try:
             async with anyio.create_task_group() as group:
                 self.group = group
-                group.start_soon(self.follow)
+                group.start_soon(self.keep_connected)
                 group.start_soon(self.report)
                 task_status.started(listener.address)
-                await listener.serve(self.client, group)
+                await listener.serve(self.serve_client, group)
         finally:
             with anyio.CancelScope(shield=True):
                 await listener.aclose()
 
-    async def follow(self):
+    async def keep_connected(self):
         """Dials the controllers in turn, from its own on; waits longer when none answers."""
-        at, wait, tries = self.home, REDIAL_DELAYS_NS[0], 0
+        index, redial_delay, attempts = self.home, REDIAL_DELAYS_NS[0], 0
         while True:
-            asked = 0
+            retry_after = 0
             if not self.cut_off:
                 try:
-                    asked = await self.stay(self.controllers[at % len(self.controllers)])
-                    wait, tries = REDIAL_DELAYS_NS[0], 0
+                    retry_after = await self.run_stream(self.controllers[index % len(self.controllers)])
+                    redial_delay, attempts = REDIAL_DELAYS_NS[0], 0
                 except* (*STREAM_ERRORS, ProtocolError):
                     pass
-            at += 1
-            tries += 1
-            pause = max(asked, wait * (0.5 + self.rng.random()))
-            if tries % len(self.controllers) == 0:
-                wait = min(REDIAL_DELAYS_NS[1], wait * 2)
+            index += 1
+            attempts += 1
+            pause = max(retry_after, redial_delay * (0.5 + self.rng.random()))
+            if attempts % len(self.controllers) == 0:
+                redial_delay = min(REDIAL_DELAYS_NS[1], redial_delay * 2)
             await anyio.sleep(pause / 1e9)
 
-    async def stay(self, address):
-        """One stream, to its end; ns that the controller asks it to stay away."""
-        end, asked = ProxySession(self.name, self.zone, self.rate, self.fresh), 0
+    async def run_stream(self, address):
+        """One stream, to its session; ns that the controller asks it to stay away."""
+        session, retry_after = ProxySession(self.name, self.zone, self.rate, self.fresh), 0
         stream = await self.net.dial(address)
         self.scope = anyio.CancelScope()
         with self.scope:
             async with stream, anyio.create_task_group() as group:
                 self.conn = QueuedConnection(stream)
-                self.conn.put(end.start())
+                self.conn.put(session.start())
                 group.start_soon(self.write, self.conn, self.scope)
                 try:
-                    while not end.ended:
+                    while not session.ended:
                         while self.deaf:  # it does not read: its sockets fill up
                             await anyio.sleep(0.05)
-                        for message in end.receive(await self.conn.read()):
+                        for message in session.receive(await self.conn.read()):
                             if isinstance(message, Orders):
-                                self.on_orders(end, message)
-                            elif end.ended:
-                                asked = message.wait
+                                self.on_orders(session, message)
+                            elif session.ended:
+                                retry_after = message.wait
                             else:
-                                self.on_joined(end, address, message)
+                                self.on_joined(session, address, message)
                 finally:
-                    if self.joined is end:
+                    if self.joined is session:
                         self.joined, self.conn = None, None
                         self.model.disconnected()
                         if self.eyes:
                             self.eyes.left(self.scheduler.now(), self.name)
                 group.cancel_scope.cancel()
-        return asked
+        return retry_after
 
-    def on_joined(self, end, address, welcome):
-        self.joined, self.fresh = end, False
+    def on_joined(self, session, address, welcome):
+        self.joined, self.fresh = session, False
         self.model.joined(self.scheduler.now())
         if self.eyes:
             self.eyes.joined(self.scheduler.now(), self.name, welcome.controller)
 
-    def on_orders(self, end, orders):
+    def on_orders(self, session, orders):
         now = self.scheduler.now()
         if self.eyes:
             self.eyes.orders(now, self.name, orders)
-        self.last_due = max(self.last_due + 1, now + self.way())
-        self.scheduler.at(self.last_due, self.apply, end, orders)
+        self.last_due = max(self.last_due + 1, now + self.order_delay())
+        self.scheduler.at(self.last_due, self.apply, session, orders)
 
-    def apply(self, end, orders):
-        if end is not self.joined:  # the stream broke while it was under way
+    def apply(self, session, orders):
+        if session is not self.joined:  # the stream broke while it was under way
             return
         if self.paused:
-            self.deferred_calls.append((self.apply, end, orders))
+            self.deferred_calls.append((self.apply, session, orders))
             return
         self.model.apply(orders)
         if self.eyes:
             self.eyes.applied(self.scheduler.now(), self.name, orders)
         if orders.nonce is not None:
-            self.say(end, Acknowledgement(orders.nonce))
+            self.send(session, Acknowledgement(orders.nonce))
 
-    def say(self, end, message):
-        if end is self.joined:
-            self.conn.put(end.pack(message))
+    def send(self, session, message):
+        if session is self.joined:
+            self.conn.put(session.pack(message))
 
     @staticmethod
     async def write(conn, scope):
@@ -168,107 +168,115 @@
         """Sums each cycle to whom it is joined to; `lag` ns late."""
         while True:
             await anyio.sleep(self.site.report_interval / 1e9)
-            end, sums = self.joined, self.model.take_load_report(self.scheduler.now())
-            if end and not self.paused:
-                self.scheduler.after(self.report_delay, self.say, end, sums)
+            session, load_report = self.joined, self.model.take_load_report(self.scheduler.now())
+            if session and not self.paused:
+                self.scheduler.after(self.report_delay, self.send, session, load_report)
 
     # ---- requests
 
-    async def client(self, stream):
-        link = Link(stream, encode, read, lambda m: self.on_req(link, m))
+    async def serve_client(self, stream):
+        link = Link(stream, encode, read, lambda m: self.on_request(link, m))
         await link.run()
 
-    def on_req(self, link, req):
+    def on_request(self, link, request):
         if self.paused:
-            self.deferred_calls.append((self.on_req, link, req))
+            self.deferred_calls.append((self.on_request, link, request))
             return
-        under = self.model.arrive(self.scheduler.now(), req, link)
-        if under is None:
-            link.put(RequestEnd(req.ident, req.attempt, "denied", wait=self.model.retry_after(req.kind)))
+        underway = self.model.arrive(self.scheduler.now(), request, link)
+        if underway is None:
+            link.put(
+                RequestEnd(
+                    request.ident, request.attempt, "denied", wait=self.model.retry_after(request.kind)
+                )
+            )
         else:
-            self.attempt(under)
+            self.attempt(underway)
 
-    def target(self, name):
-        found = self.targets.get(name)
+    def connection_to(self, name):
+        found = self.connections.get(name)
         if found is None:
-            found = self.targets[name] = BackendConnection()
+            found = self.connections[name] = BackendConnection()
         return found
 
-    def attempt(self, under):
-        how = self.model.attempt(self.scheduler.now(), under)
+    def attempt(self, underway):
+        how = self.model.attempt(self.scheduler.now(), underway)
         if how:
-            self.finish(under, how)
+            self.finish(underway, how)
             return
-        name = under.backend
-        target = self.target(name)
-        under.timer = self.scheduler.after(under.timeout, self.ended, under, under.attempt, "timeout", {})
-        if target.link is None or target.link.over:
-            target.waiting.append((under, under.attempt))
-            if not target.dialling:
-                target.dialling = True
-                self.group.start_soon(self.connect, name, target)
+        name = underway.backend
+        connection = self.connection_to(name)
+        underway.timer = self.scheduler.after(
+            underway.timeout, self.ended, underway, underway.attempt, "timeout", {}
+        )
+        if connection.link is None or connection.link.over:
+            connection.waiting.append((underway, underway.attempt))
+            if not connection.is_dialing:
+                connection.is_dialing = True
+                self.group.start_soon(self.connect, name, connection)
         else:
-            self.send_req(target, under)
+            self.send_request(connection, underway)
 
-    async def connect(self, name, target):
+    async def connect(self, name, connection):
         link = None
         try:
             with anyio.move_on_after(CONNECT_TIMEOUT_NS / 1e9):
                 if name in self.unreachable_backends:
                     raise ConnectionRefusedError
                 stream = await self.net.dial(name)
-                link = target.link = Link(
-                    stream, encode, read, self.on_end, lambda: self.on_broken(name, target, link)
+                link = connection.link = Link(
+                    stream, encode, read, self.on_end, lambda: self.on_broken(name, connection, link)
                 )
         except STREAM_ERRORS:
             pass
-        target.dialling = False
-        waiting, target.waiting = target.waiting, []
-        for under, attempt in waiting:
-            if under.attempt != attempt or under.backend is None:
+        connection.is_dialing = False
+        waiting, connection.waiting = connection.waiting, []
+        for underway, attempt in waiting:
+            if underway.attempt != attempt or underway.backend is None:
                 continue
             if link is None:
-                self.ended(under, attempt, "refused", {})
+                self.ended(underway, attempt, "refused", {})
             else:
-                self.send_req(target, under)
+                self.send_request(connection, underway)
         if link is not None:
             await link.run()
 
-    def send_req(self, target, under):
-        self.reqs[under.attempt] = under
-        req = under.request
-        within = max(1, under.deadline - self.scheduler.now())
-        sent = Request(under.attempt, req.kind, req.work, within, len(under.tried), self.name)
-        target.link.put(sent)
+    def send_request(self, connection, underway):
+        self.pending_attempts[underway.attempt] = underway
+        request = underway.request
+        within = max(1, underway.deadline - self.scheduler.now())
+        sent = Request(underway.attempt, request.kind, request.work, within, len(underway.tried), self.name)
+        connection.link.put(sent)
         if self.eyes:
-            self.eyes.sent(self.scheduler.now(), self.name, under.backend, sent, (req.ident, req.attempt))
+            self.eyes.sent(
+                self.scheduler.now(), self.name, underway.backend, sent, (request.ident, request.attempt)
+            )
 
-    def on_broken(self, name, target, link):
+    def on_broken(self, name, connection, link):
         """The connection is gone: what was out on it may have run."""
-        if target.link is link:
-            target.link = None
-            for attempt, under in list(self.reqs.items()):
-                if under.backend == name:
-                    self.ended(under, attempt, "broken", {})
+        if connection.link is link:
+            connection.link = None
+            for attempt, underway in list(self.pending_attempts.items()):
+                if underway.backend == name:
+                    self.ended(underway, attempt, "broken", {})
 
     def on_end(self, end):
-        under = self.reqs.get(end.ident)
-        if under:
-            self.ended(under, end.ident, end.how, end.load)
+        underway = self.pending_attempts.get(end.ident)
+        if underway:
+            self.ended(underway, end.ident, end.how, end.load)
 
-    def ended(self, under, attempt, how, load):
-        now, name = self.scheduler.now(), under.backend
-        verdict = self.model.attempt_ended(now, under, attempt, how, load)
+    def ended(self, underway, attempt, how, load):
+        now, name = self.scheduler.now(), underway.backend
+        verdict = self.model.attempt_ended(now, underway, attempt, how, load)
         if verdict is None:
             return
-        self.reqs.pop(attempt, None)
-        under.timer.cancel()
+        self.pending_attempts.pop(attempt, None)
+        underway.timer.cancel()
         if how != "done" and self.eyes:
-            self.eyes.failed(now, self.name, name, (under.request.ident, under.request.attempt), how)
+            self.eyes.failed(now, self.name, name, (underway.request.ident, underway.request.attempt), how)
         if verdict == "again":
-            self.attempt(under)
+            self.attempt(underway)
         else:
-            self.finish(under, verdict)
+            self.finish(underway, verdict)
 
-    def finish(self, under, how):
-        under.reply_to.put(RequestEnd(under.request.ident, under.request.attempt, how))
+    def finish(self, underway, how):
+        underway.reply_to.put(RequestEnd(underway.request.ident, underway.request.attempt, how))
