--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -19,8 +19,8 @@
     lost.
     """
 
-    def __init__(self, number, mix, rate, net, scheduler, rng, retries=1, wait=S // 5, ended=None):
-        self.model, self.rng = Clients(number, mix, rng, retries, wait), rng
+    def __init__(self, number, mix, rate, net, scheduler, rng, retries=1, retry_delay=S // 5, ended=None):
+        self.model, self.rng = Clients(number, mix, rng, retries, retry_delay), rng
         self.source = rate if hasattr(rate, "next") else Poisson(rate)
         self.net, self.scheduler, self.ended = net, scheduler, ended
         self.link, self.until = None, 0
@@ -30,59 +30,65 @@
         """Sends until `until` (ns), then waits for what is open."""
         self.until = until
         stream = await self.net.dial(address)
-        self.link = Link(stream, encode, read, self.on_end)
+        self.link = Link(stream, encode, read, self.on_message)
         async with anyio.create_task_group() as group:
             group.start_soon(self.link.run)
-            self.plan()
-            await self.idle.wait()
+            self.schedule_next()
+            await self.idle.retry_delay()
             group.cancel_scope.cancel()
 
-    def plan(self):
+    def schedule_next(self):
         when, kind, work = self.source.next(self.scheduler.now(), self.rng, self.until)
         if when is None:
-            self.scheduler.at(self.until, self.settle)
+            self.scheduler.at(self.until, self.stop_sending)
         else:
             self.scheduler.at(when, self.send, kind, work)
 
-    def settle(self):
+    def stop_sending(self):
         self.until = 0
-        self.look()
+        self.check_idle()
 
     def send(self, kind, work):
         now, model = self.scheduler.now(), self.model
-        self.put(model.draw_request(now) if kind is None else model.new_request(now, model.kinds[kind], work))
-        self.plan()
+        self.send_attempt(
+            model.draw_request(now) if kind is None else model.new_request(now, model.kinds[kind], work)
+        )
+        self.schedule_next()
 
-    def put(self, ask):
+    def send_attempt(self, request):
         """One try; the client gives up on the whole request at its client timeout."""
         now = self.scheduler.now()
-        within = self.model.attempt(now, ask)
-        if within is None:
-            self.close(ask, "lost")
+        timeout = self.model.attempt(now, request)
+        if timeout is None:
+            self.finish(request, "lost")
             return
-        ask.timer = self.scheduler.after(within, self.heard, ask.ident, ask.attempts, "timeout")
-        self.link.put(Request(ask.ident, ask.kind.external_id, ask.work, within, ask.attempts))
-
-    def on_end(self, end):
+        request.timer = self.scheduler.after(
+            timeout, self.on_attempt_end, request.ident, request.attempts, "timeout"
+        )
+        self.link.put(
+            Request(request.ident, request.kind.external_id, request.work, timeout, request.attempts)
+        )
+
+    def on_message(self, end):
         if isinstance(end, RequestEnd):
-            self.heard(end.ident, end.attempt, end.how, end.wait)
+            self.on_attempt_end(end.ident, end.attempt, end.how, end.wait)
 
-    def heard(self, ident, tries, how, stay=0):
-        found = self.model.attempt_ended(self.scheduler.now(), ident, tries, how, stay)
+    def on_attempt_end(self, ident, attempt, how, retry_after=0):
+        found = self.model.attempt_ended(self.scheduler.now(), ident, attempt, how, retry_after)
         if found is None:
             return
-        ask, verdict, span = found
-        ask.timer.cancel()
+        request, verdict, delay = found
+        request.timer.cancel()
         if verdict == "again":
-            self.scheduler.after(span, self.put, ask)
+            self.scheduler.after(delay, self.send_attempt, request)
         else:
-            self.close(ask, verdict, span)
+            self.finish(request, verdict, delay)
 
-    def close(self, ask, how, took=0):
+    def finish(self, request, how, duration=0):
         if self.ended:
-            self.ended(self.scheduler.now(), ask.arrived_at, ask.kind, how, took)
-        self.look()
+            self.ended(self.scheduler.now(), request.arrived_at, request.kind, how, duration)
+        self.check_idle()
 
-    def look(self):
+    def check_idle(self):
         if not self.model.pending and not self.until:
             self.idle.set()
