--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -34,7 +34,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self.link.run)
             self.schedule_next()
-            await self.idle.retry_delay()
+            await self.idle.wait()
             group.cancel_scope.cancel()
 
     def schedule_next(self):
@@ -77,12 +77,12 @@
         found = self.model.attempt_ended(self.scheduler.now(), ident, attempt, how, retry_after)
         if found is None:
             return
-        request, verdict, delay = found
+        request, verdict, duration = found
         request.timer.cancel()
         if verdict == "again":
-            self.scheduler.after(delay, self.send_attempt, request)
+            self.scheduler.after(duration, self.send_attempt, request)
         else:
-            self.finish(request, verdict, delay)
+            self.finish(request, verdict, duration)
 
     def finish(self, request, how, duration=0):
         if self.ended:
