--- a/embertray/simulation/standins/backend.py
+++ b/embertray/simulation/standins/backend.py
@@ -11,8 +11,14 @@
     for each request that its socket brings; `draw()` gives numbers from 0 to 1.
     """
 
-    def __init__(self, model, net, scheduler, draw, saw=None):
-        self.model, self.net, self.scheduler, self.draw, self.saw = model, net, scheduler, draw, saw
+    def __init__(self, model, net, scheduler, random, on_received=None):
+        self.model, self.net, self.scheduler, self.random, self.on_received = (
+            model,
+            net,
+            scheduler,
+            random,
+            on_received,
+        )
         self.links, self.reqs, self.timer, self.listener, self.failing_proxies = {}, {}, None, None, set()
         self.scope = None
 
@@ -33,43 +39,45 @@
         if self.model.state == "dead" or self.model.state == "up" and not self.model.connect(now):
             await stream.aclose()
             return
-        link = Link(stream, encode, read, lambda m: self.on_req(link, m), lambda: self.on_end(link))
+        link = Link(stream, encode, read, lambda m: self.on_request(link, m), lambda: self.on_link_end(link))
         self.links[link] = None
-        self.plan()
+        self.schedule_advance()
         await link.run()
 
-    def on_end(self, link):
+    def on_link_end(self, link):
         if self.links.pop(link, self) is not self:
             self.model.disconnect()
 
-    def on_req(self, link, req):
-        if not isinstance(req, Request):
+    def on_request(self, link, request):
+        if not isinstance(request, Request):
             return
         now = self.scheduler.now()
-        if self.saw:
-            self.saw(now, self.model.name, req)
+        if self.on_received:
+            self.on_received(now, self.model.name, request)
         if self.model.state != "up":
             return
-        if req.sender in self.failing_proxies:
-            link.put(RequestEnd(req.ident, req.attempt, "error"))
+        if request.sender in self.failing_proxies:
+            link.put(RequestEnd(request.ident, request.attempt, "error"))
             return
-        how = self.model.offer(now, (link, req), req.kind, req.work, now + req.within, self.draw())
+        how = self.model.offer(
+            now, (link, request), request.kind, request.work, now + request.within, self.random()
+        )
         if how:
-            link.put(RequestEnd(req.ident, req.attempt, how, self.model.report(now)))
-        self.plan()
+            link.put(RequestEnd(request.ident, request.attempt, how, self.model.report(now)))
+        self.schedule_advance()
 
-    def plan(self):
+    def schedule_advance(self):
         when = self.model.next_at()
         if self.timer:
             self.timer.cancel()
-        self.timer = self.scheduler.at(when, self.due) if when is not None else None
+        self.timer = self.scheduler.at(when, self.advance) if when is not None else None
 
-    def due(self):
+    def advance(self):
         now = self.scheduler.now()
-        for link, req in self.model.advance(now):
-            link.put(RequestEnd(req.ident, req.attempt, "done", self.model.report(now)))
+        for link, request in self.model.advance(now):
+            link.put(RequestEnd(request.ident, request.attempt, "done", self.model.report(now)))
         self.timer = None
-        self.plan()
+        self.schedule_advance()
 
     def die(self, silent=False):
         self.model.die(silent)
