--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -44,7 +44,7 @@
         """Creates and starts the links, and the claims of the cluster."""
         to = {}
         taps = {}
-        self.stage.inventory.on_news = None  # the observer is told what the link has delivered instead
+        self.stage.inventory.on_event = None  # the observer is told what the link has delivered instead
         for name in self.at:
             to[name, "list"] = lambda: self.stage.inventory.address
             taps[name, "list"] = lambda name=name: partial(self.on_list_data, name, FrameDecoder())
--- a/embertray/simulation/standins/inventory.py
+++ b/embertray/simulation/standins/inventory.py
@@ -12,10 +12,10 @@
     """`on_news(now, sender, news)` for each WatchEvent that goes to a controller's socket. Calls are answered
     after `answers` ns; while `down` they fail and no change is told."""
 
-    def __init__(self, net, scheduler, answers=0, on_news=None):
+    def __init__(self, net, scheduler, answer_delay=0, on_event=None):
         super().__init__()
-        self.net, self.scheduler, self.answers, self.on_news = net, scheduler, answers, on_news
-        self.links, self.names, self.address = {}, {}, None
+        self.net, self.scheduler, self.answer_delay, self.on_event = net, scheduler, answer_delay, on_event
+        self.watching, self.watcher_names, self.address = {}, {}, None
 
     async def run(self, address, *, task_status=anyio.TASK_STATUS_IGNORED):
         listener = await self.net.listen(address)
@@ -33,47 +33,47 @@
             await stream.aclose()
             return
         link = Link(
-            stream, encode, decode_request, lambda m: self.on_call(link, m), lambda: self.forget(link)
+            stream, encode, decode_request, lambda m: self.on_request(link, m), lambda: self.on_link_end(link)
         )
-        self.links[link] = False
+        self.watching[link] = False
         await link.run()
 
-    def forget(self, link):
-        self.links.pop(link, None)
-        self.names.pop(link, None)
+    def on_link_end(self, link):
+        self.watching.pop(link, None)
+        self.watcher_names.pop(link, None)
 
     def list(self, name, zone, state="ready", started=0):
         """The truth changes now; whoever calls this has waited for the notice."""
         entry = self.change(name, zone, state, started)
         if not self.down:
-            for link, watches in list(self.links.items()):
+            for link, watches in list(self.watching.items()):
                 if watches:
                     self.send(link, self.watch_event(self.scheduler.now(), self.epoch - 1, [entry]))
 
-    def on_call(self, link, call):
-        if isinstance(call, WatchRequest):
-            self.names[link] = call.sender
-        self.scheduler.after(self.answers, self.reply, link, call)
+    def on_request(self, link, request):
+        if isinstance(request, WatchRequest):
+            self.watcher_names[link] = request.sender
+        self.scheduler.after(self.answer_delay, self.answer_request, link, request)
 
-    def reply(self, link, call):
+    def answer_request(self, link, request):
         if link.over:
             return
         if self.down:
             link.put(RequestFailed("down"))
             return
-        if isinstance(call, WatchRequest):
-            self.links[link] = call.enabled
-        if (news := self.answer(self.scheduler.now(), call)) is not None:
+        if isinstance(request, WatchRequest):
+            self.watching[link] = request.enabled
+        if (news := self.answer(self.scheduler.now(), request)) is not None:
             self.send(link, news)
 
     def send(self, link, news):
         link.put(news)
-        if self.on_news:
-            self.on_news(self.scheduler.now(), self.names.get(link, ""), news)
+        if self.on_event:
+            self.on_event(self.scheduler.now(), self.watcher_names.get(link, ""), news)
 
     def go_down(self):
         self.down = True
-        for link in list(self.links):
+        for link in list(self.watching):
             link.cut()
 
     def come_back(self):
