--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -115,7 +115,7 @@
             return
         controller = self.running.pop(name)
         controller.net.kill()
-        controller.gate.go_on()
+        controller.gate.resume()
         controller.scope.cancel()
 
     def age(self, name, by, from_start):
@@ -125,12 +125,12 @@
     def freeze(self, name):
         """A controller that runs stands still from now on."""
         if name in self.running:
-            self.running[name].gate.stop()
+            self.running[name].gate.pause()
 
     def thaw(self, name):
         """A controller that stands still goes on."""
         if name in self.running:
-            self.running[name].gate.go_on()
+            self.running[name].gate.resume()
 
     async def closing(self):
         """The day is over, and all still run."""
@@ -138,5 +138,5 @@
     async def stop(self):
         """Ends all that run, in good order."""
         for controller in self.running.values():
-            controller.gate.go_on()
+            controller.gate.resume()
             controller.service.stop()
--- a/embertray/simulation/standins/memory_net.py
+++ b/embertray/simulation/standins/memory_net.py
@@ -36,7 +36,7 @@
     async def _pass_gate(self):
         """Wait while the process stands still; raises anyio.ClosedResourceError on a closed stream."""
         if self.gate:
-            await self.gate.passed()
+            await self.gate.wait_open()
         if self.closed:
             raise anyio.ClosedResourceError
 
@@ -203,7 +203,7 @@
         """
         while True:
             if self.gate:
-                await self.gate.passed()
+                await self.gate.wait_open()
             while self.backlog:
                 group.start_soon(handler, self.backlog.popleft())
             self.dialled = anyio.Event()
--- a/embertray/simulation/standins/process_gate.py
+++ b/embertray/simulation/standins/process_gate.py
@@ -14,17 +14,17 @@
         self.released = None
         self.streams = {}
 
-    def stop(self):
+    def pause(self):
         """Let nothing pass until `go_on`."""
         self.released = self.released or anyio.Event()
 
-    def go_on(self):
+    def resume(self):
         """Let all pass that waits."""
         if self.released:
             self.released.set()
             self.released = None
 
-    async def passed(self):
+    async def wait_open(self):
         """Wait while the process stands still."""
         while self.released:
             await self.released.wait()
@@ -51,7 +51,7 @@
             when: ns of the clock.
         """
         await self.clock.sleep_until(when)
-        await self.gate.passed()
+        await self.gate.wait_open()
 
 
 class GatedNet:
