--- a/embertray/simulation/standins/snapshot_aging.py
+++ b/embertray/simulation/standins/snapshot_aging.py
@@ -5,24 +5,24 @@
 from embertray.common.snapshots import DurableSnapshots, Snapshot
 
 
-def older(last, by):
+def backdated(snapshot, by):
     """A snapshot as if it had been written so much (ns) before, in another boot."""
     return Snapshot(
-        last.epoch,
-        last.inventory_clock,
-        last.wall_clock - by,
+        snapshot.epoch,
+        snapshot.inventory_clock,
+        snapshot.wall_clock - by,
         "",
         0,
-        [structs.replace(e, confirmed=e.confirmed - by) for e in last.entries],
-        last.removed,
+        [structs.replace(e, confirmed=e.confirmed - by) for e in snapshot.entries],
+        snapshot.removed,
     )
 
 
 def age_in_memory(kept, by, from_start):
     """What is kept becomes so much older (ns); or is what was kept first, before all that happened since."""
-    last = kept.first_saved if from_start else kept.last_saved
-    if last is not None:
-        kept.last_saved = older(last, by)
+    snapshot = kept.first_saved if from_start else kept.last_saved
+    if snapshot is not None:
+        kept.last_saved = backdated(snapshot, by)
 
 
 def age_on_disk(folder, by, from_start):
@@ -31,6 +31,6 @@
     numbers = kept.store.generations()
     for number in numbers[1:] if from_start else ():
         kept.store.path_of(number).unlink()
-    last, _ = kept.load()
-    if last is not None:
-        kept.save(older(last, by))
+    snapshot, _ = kept.load()
+    if snapshot is not None:
+        kept.save(backdated(snapshot, by))
