--- a/embertray/simulation/standins/relay.py
+++ b/embertray/simulation/standins/relay.py
@@ -192,21 +192,21 @@
 
     def _carry_out(self, orders):
         """Carry out orders up to the first that is rejected; returns how many were."""
-        reached = set()
+        reached_nodes = set()
         for count, order in enumerate(orders):
             try:
                 if self.rejects(order):
                     return count
-                nonce = self.state.carry_out(order, reached)
+                nonce = self.state.carry_out(order, reached_nodes)
             except (KeyError, ValueError, IndexError):  # an unknown table, proxy or verb, or a bad number
                 return count
             if nonce is not None and self.acknowledges:
-                self._acknowledge(nonce, reached)
+                self._acknowledge(nonce, reached_nodes)
         return len(orders)
 
-    def _acknowledge(self, nonce, reached):
+    def _acknowledge(self, nonce, reached_nodes):
         """Send the `done` events of a nonce for the proxies that it reached."""
-        for node in sorted(self.attached if nonce.to_all else reached & set(self.attached)):
+        for node in sorted(self.attached if nonce.from_all else reached_nodes & set(self.attached)):
             self.send_event("done", f"node={node}&nonce={nonce.text}&latency=12.5")
 
 
--- a/embertray/simulation/standins/relay_state.py
+++ b/embertray/simulation/standins/relay_state.py
@@ -12,7 +12,7 @@
     """
 
     text: str
-    to_all: bool
+    from_all: bool
 
 
 class RelayState:
@@ -45,7 +45,7 @@
         table = self.tables.get(self.bound.get(node), {})
         return {backend: weight for backend, weight in table.items() if backend not in self.withdrawn}
 
-    def carry_out(self, order, reached):
+    def carry_out(self, order, reached_nodes):
         """Carry out one order.
 
         Args:
@@ -64,43 +64,43 @@
         if verb == "SYNC":
             return Nonce(arguments[0], arguments[1] == "1")
         if verb == "SET":
-            self._set_weight(arguments, reached)
+            self._set_weight(arguments, reached_nodes)
         elif verb == "USE":
-            self._bind(arguments, reached)
+            self._bind(arguments, reached_nodes)
         elif verb == "OUT":
             self.withdrawn.add(arguments[0])
-            reached.update(self.attached)
+            reached_nodes.update(self.attached)
         elif verb == "IN":
             self.withdrawn.discard(arguments[0])
-            reached.update(self.attached)
+            reached_nodes.update(self.attached)
         elif verb == "LIMIT":
-            self._set_level(arguments, reached)
+            self._set_level(arguments, reached_nodes)
         else:
             raise ValueError(f"unknown verb {verb!r}")
         return None
 
-    def _set_weight(self, arguments, reached):
+    def _set_weight(self, arguments, reached_nodes):
         name = arguments[0]
         backend = arguments[1]
         table = self.tables.setdefault(name, {})
         table[backend] = float(arguments[2])
         if not table[backend]:
             del table[backend]
-        reached.update(self._nodes_of(name))
+        reached_nodes.update(self._nodes_of(name))
 
-    def _bind(self, arguments, reached):
+    def _bind(self, arguments, reached_nodes):
         node = int(arguments[0])
         if node not in self.attached:
             raise KeyError(f"proxy {node} is not attached")
         self.bound[node] = arguments[1]
         # An event stream that opens later sends the proxy as it is now.
         self.attached[node] = self.attached[node].replace("cold=1", "cold=0")
-        reached.add(node)
+        reached_nodes.add(node)
 
-    def _set_level(self, arguments, reached):
+    def _set_level(self, arguments, reached_nodes):
         table = arguments[0]
         self.levels[table, arguments[1]] = float(arguments[2]), int(arguments[3])
-        reached.update(self._nodes_of(table))
+        reached_nodes.update(self._nodes_of(table))
 
     def _nodes_of(self, table):
         return [node for node, bound in self.bound.items() if bound == table]
