--- a/embertray/simulation/standins/fleet_channel.py
+++ b/embertray/simulation/standins/fleet_channel.py
@@ -6,8 +6,8 @@
 from embertray.policy import interface as i
 
 NS_PER_S = 10**9
-BIND_LINES = 3  # lines that a bind costs beside those of its table
-MESSAGE_LINES = 1  # lines that a message costs beside its content and its head
+BIND_COST_LINES = 3  # lines that a bind costs beside those of its table
+MESSAGE_COST_LINES = 1  # lines that a message costs beside its content and its head
 
 
 class TableUpdate(NamedTuple):
@@ -74,7 +74,7 @@
         """
         self.tables[proxy] = table
         self.changes[proxy] = {}
-        self.lines[proxy] = BIND_LINES + len(table)
+        self.lines[proxy] = BIND_COST_LINES + len(table)
 
 
 class FleetChannel:
@@ -105,8 +105,8 @@
         """
         deployment = self.deployment
         for proxy, lines in batch.lines.items():
-            lines_in_all = lines + deployment.head + MESSAGE_LINES
-            self.free_at = max(self.free_at, now) + int(lines_in_all * NS_PER_S / deployment.channel_rate)
+            total_lines = lines + deployment.head + MESSAGE_COST_LINES
+            self.free_at = max(self.free_at, now) + int(total_lines * NS_PER_S / deployment.channel_rate)
             self.sent_at[proxy].append(self.free_at)
             self.updates.append(
                 TableUpdate(
