--- a/embertray/simulation/standins/backend.py
+++ b/embertray/simulation/standins/backend.py
@@ -3,7 +3,7 @@
 import anyio
 
 from .link import Link
-from .messages import Request, RequestEnd, encode, read
+from .messages import Request, RequestEnd, decode, encode
 
 
 class StandinBackend:
@@ -39,7 +39,9 @@
         if self.model.state == "dead" or self.model.state == "up" and not self.model.connect(now):
             await stream.aclose()
             return
-        link = Link(stream, encode, read, lambda m: self.on_request(link, m), lambda: self.on_link_end(link))
+        link = Link(
+            stream, encode, decode, lambda m: self.on_request(link, m), lambda: self.on_link_end(link)
+        )
         self.links[link] = None
         self.schedule_advance()
         await link.run()
--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -8,7 +8,7 @@
 from embertray.simulation.models.client import Clients
 
 from .link import Link
-from .messages import Request, RequestEnd, encode, read
+from .messages import Request, RequestEnd, decode, encode
 
 S = 10**9
 
@@ -30,7 +30,7 @@
         """Sends until `until` (ns), then waits for what is open."""
         self.until = until
         stream = await self.net.dial(address)
-        self.link = Link(stream, encode, read, self.on_message)
+        self.link = Link(stream, encode, decode, self.on_message)
         async with anyio.create_task_group() as group:
             group.start_soon(self.link.run)
             self.schedule_next()
--- a/embertray/simulation/standins/messages.py
+++ b/embertray/simulation/standins/messages.py
@@ -31,4 +31,4 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-read = msgspec.msgpack.Decoder(Request | RequestEnd).decode
+decode = msgspec.msgpack.Decoder(Request | RequestEnd).decode
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -12,7 +12,7 @@
 from embertray.simulation.models.proxy import PausableProcess, Proxy
 
 from .link import STREAM_ERRORS, Link
-from .messages import Request, RequestEnd, encode, read
+from .messages import Request, RequestEnd, decode, encode
 
 S = 10**9
 REDIAL_DELAYS_NS = (S // 5, 2 * S)  # ns; delay before the next dial, first and longest
@@ -175,7 +175,7 @@
     # ---- requests
 
     async def serve_client(self, stream):
-        link = Link(stream, encode, read, lambda m: self.on_request(link, m))
+        link = Link(stream, encode, decode, lambda m: self.on_request(link, m))
         await link.run()
 
     def on_request(self, link, request):
@@ -224,7 +224,7 @@
                     raise ConnectionRefusedError
                 stream = await self.net.dial(name)
                 link = connection.link = Link(
-                    stream, encode, read, self.on_end, lambda: self.on_broken(name, connection, link)
+                    stream, encode, decode, self.on_end, lambda: self.on_broken(name, connection, link)
                 )
         except STREAM_ERRORS:
             pass
