--- a/embertray/cli/capacity.py
+++ b/embertray/cli/capacity.py
@@ -28,16 +28,16 @@
     Without TARGET.xml, the operators' target is used, a sample that is part of the program.
     """
     from embertray.experiments.capacity import page, report
-    from embertray.experiments.capacity.slope import BadSlope, load_all
+    from embertray.experiments.capacity.slope import SlopeError, load_all
     from embertray.experiments.capacity.table import compute
-    from embertray.experiments.capacity.target import OPERATORS, BadTarget, load
+    from embertray.experiments.capacity.target import OPERATORS, TargetError, load
 
     if as_json and as_page:
         raise InputError("capacity: --json or --page, not both")
     try:
         slopes_by_name = load_all(slopes)
         result = compute(load(target or OPERATORS), slopes_by_name)
-    except (BadTarget, BadSlope) as error:
+    except (TargetError, SlopeError) as error:
         raise InputError(str(error)) from None
     if as_json:
         click.echo(json.dumps(report.as_data(result)))
--- a/embertray/experiments/capacity/control_plane.py
+++ b/embertray/experiments/capacity/control_plane.py
@@ -17,50 +17,54 @@
 MECHANISM = "replication/: one replica followed, changed keys only"
 
 
-def framed(message):
+def framed_bytes(message):
     return formulas.FRAME_BYTES + len(encode(message))
 
 
 def heartbeat_bytes():
     number = formulas.LARGE_NUMBER
-    return framed(Heartbeat(number, 2**64 - 1, number, number))
+    return framed_bytes(Heartbeat(number, 2**64 - 1, number, number))
 
 
 def confirm_bytes():
-    return framed(Confirm(formulas.LARGE_NUMBER, formulas.LARGE_NUMBER))
+    return framed_bytes(Confirm(formulas.LARGE_NUMBER, formulas.LARGE_NUMBER))
 
 
 def update_bytes(entry_bytes):
     """An update of one changed key."""
     number = formulas.LARGE_NUMBER
     entry = Entry("", number, number, "", b"")
-    return framed(Update(number, number, [entry])) + int(entry_bytes)
+    return framed_bytes(Update(number, number, [entry])) + int(entry_bytes)
 
 
 def rows(target):
     return [
-        *subscriber(target),
-        *replica(target),
-        *bounds(target),
+        *subscriber_rows(target),
+        *replica_rows(target),
+        *bound_rows(target),
     ]
 
 
-def subscriber(target):
-    table, update = (
+def subscriber_rows(target):
+    table, update_size = (
         RowBuilder(target, Role.CONTROLLER, Situation.PEAK),
         update_bytes(target.assumed("entry-bytes")),
     )
-    beats = SECOND_NS / Bounds().feed.heartbeat_interval
-    bunched = target.assumed("changes-in-worst-10s") / formulas.WORST_WINDOW_S
+    heartbeats_a_second = SECOND_NS / Bounds().feed.heartbeat_interval
+    worst_changes_a_second = target.assumed("changes-in-worst-10s") / formulas.WORST_WINDOW_S
     table.add(
         Part.CONFIGURATION,
         Quantity.BYTES_IN,
         calculated(
-            f"a heartbeat of {heartbeat_bytes()} bytes a second + changes a second x an update of {update}",
-            beats * heartbeat_bytes() + target.changes_a_second * update,
+            f"a heartbeat of {heartbeat_bytes()} bytes a second "
+            f"+ changes a second x an update of {update_size}",
+            heartbeats_a_second * heartbeat_bytes() + target.changes_a_second * update_size,
         ),
         f"{MECHANISM}; worst: changes-in-worst-10s, each an update of its own, not yet paced",
-        worst=calculated("changes-in-worst-10s", beats * heartbeat_bytes() + bunched * update),
+        worst=calculated(
+            "changes-in-worst-10s",
+            heartbeats_a_second * heartbeat_bytes() + worst_changes_a_second * update_size,
+        ),
         designs=REPLICAS,
     )
     table.add(
@@ -68,10 +72,12 @@
         Quantity.BYTES_OUT,
         calculated(
             f"a confirm of {confirm_bytes()} bytes to each heartbeat and each update",
-            (beats + target.changes_a_second) * confirm_bytes(),
+            (heartbeats_a_second + target.changes_a_second) * confirm_bytes(),
         ),
         MECHANISM,
-        worst=calculated("changes-in-worst-10s", (beats + bunched) * confirm_bytes()),
+        worst=calculated(
+            "changes-in-worst-10s", (heartbeats_a_second + worst_changes_a_second) * confirm_bytes()
+        ),
         designs=REPLICAS,
     )
     table.add(
@@ -84,22 +90,28 @@
     return table.rows
 
 
-def replica(target):
-    table, update = (
+def replica_rows(target):
+    table, update_size = (
         RowBuilder(target, Role.REPLICA, Situation.PEAK),
         update_bytes(target.assumed("entry-bytes")),
     )
-    beats, each = SECOND_NS / Bounds().feed.heartbeat_interval, target.controllers / target.control_machines
-    bunched = target.assumed("changes-in-worst-10s") / formulas.WORST_WINDOW_S
+    heartbeats_a_second, subscribers = (
+        SECOND_NS / Bounds().feed.heartbeat_interval,
+        target.controllers / target.control_machines,
+    )
+    worst_changes_a_second = target.assumed("changes-in-worst-10s") / formulas.WORST_WINDOW_S
     table.add(
         Part.REPLICATION,
         Quantity.BYTES_OUT,
         calculated(
             "controllers / control machines x what a subscriber gets, without the other replicas",
-            each * (beats * heartbeat_bytes() + target.changes_a_second * update),
+            subscribers * (heartbeats_a_second * heartbeat_bytes() + target.changes_a_second * update_size),
         ),
         "replication/subscriber_feed: heartbeats and updates",
-        worst=calculated("changes-in-worst-10s", each * (beats * heartbeat_bytes() + bunched * update)),
+        worst=calculated(
+            "changes-in-worst-10s",
+            subscribers * (heartbeats_a_second * heartbeat_bytes() + worst_changes_a_second * update_size),
+        ),
         designs=REPLICAS,
     )
     table.add(
@@ -112,22 +124,22 @@
     return table.rows
 
 
-def bounds(target):
+def bound_rows(target):
     """The stated bounds on the time until a change is in force, bunched changes before it."""
-    stated = Bounds()
-    waiting = stated.waiting(
+    bounds = Bounds()
+    waiting = bounds.waiting(
         int(target.assumed("changes-in-worst-10s") * update_bytes(target.assumed("entry-bytes")))
     )
-    found = []
+    rows = []
     for situation, value, formula in (
-        (Situation.PEAK, stated.good, "Bounds.good"),
-        (Situation.PEAK, stated.good + waiting, "Bounds.good + waiting(changes-in-worst-10s x an update)"),
-        (Situation.MACHINE, stated.replicas_dead(1), "Bounds.replicas_dead(1)"),
-        (Situation.RACK, stated.replicas_dead(2), "Bounds.replicas_dead(2)"),
-        (Situation.ZONE, stated.replicas_dead(2), "Bounds.replicas_dead(2): no more stand in one zone"),
+        (Situation.PEAK, bounds.good, "Bounds.good"),
+        (Situation.PEAK, bounds.good + waiting, "Bounds.good + waiting(changes-in-worst-10s x an update)"),
+        (Situation.MACHINE, bounds.replicas_dead(1), "Bounds.replicas_dead(1)"),
+        (Situation.RACK, bounds.replicas_dead(2), "Bounds.replicas_dead(2)"),
+        (Situation.ZONE, bounds.replicas_dead(2), "Bounds.replicas_dead(2): no more stand in one zone"),
         (
             Situation.CATCH_UP,
-            stated.any_fault + stated.waiting(int(missed_bytes(target))),
+            bounds.any_fault + bounds.waiting(int(missed_bytes(target))),
             "Bounds.any_fault + waiting(keys changed meanwhile x an update), from the return",
         ),
     ):
@@ -139,8 +151,8 @@
             "replication/propagation_bounds: the stated bound",
             designs=REPLICAS,
         )
-        found += table.rows
-    return found
+        rows += table.rows
+    return rows
 
 
 def missed_bytes(target):
--- a/embertray/experiments/capacity/controller.py
+++ b/embertray/experiments/capacity/controller.py
@@ -4,68 +4,70 @@
 from .figure import calculated, derived, no_mechanism
 from .names import Design, Part, Quantity, Role, Situation
 from .row import ALL_READING, RowBuilder
-from .target import DAY
+from .target import SECONDS_PER_DAY
 
 GOSSIP, REPLICAS = (Design.GOSSIP,), (Design.REPLICAS,)
 MEASURED_PROXIES = 68  # of the slopes by backends: the operators' target has as many a controller
-FEW_BACKENDS = 17  # so few that streams cost more than decisions
-LISTED_CHANGES = 2  # that one failed, restarted or replaced machine makes: it goes, and comes
+STREAM_BASELINE_BACKENDS = 17  # so few that streams cost more than decisions
+LIST_CHANGES_PER_MACHINE = 2  # that one failed, restarted or replaced machine makes: it goes, and comes
 
 
-def steady(target, slopes):
+def steady_rows(target, slopes):
     """Rows of a controller in calm and at the peak."""
-    return [*calm(target, slopes), *peak(target, slopes)]
+    return [*calm_rows(target, slopes), *peak_rows(target, slopes)]
 
 
 def list_changes_a_second(target):
     """Entries of the list that change in a second: machines that fail, and processes that are replaced."""
-    rate = LISTED_CHANGES * (target.machines_a_day + target.restarts_a_day) / DAY
+    rate = LIST_CHANGES_PER_MACHINE * (target.machines_a_day + target.restarts_a_day) / SECONDS_PER_DAY
     return calculated("2 x (machines + restarts a day) / 86,400 s", rate)
 
 
-def by_both(target, slopes, by_backends, by_proxies):
+def scaled_by_proxies(target, slopes, by_backends, by_proxies):
     """A figure that was measured against backends with MEASURED_PROXIES, and against proxies: read off the
     first, and scaled by the second where the target has another number of proxies.
     """
     measured = slopes.at(by_backends, target.backends)
     if target.proxies_per_controller == MEASURED_PROXIES:
         return measured
-    now, then = (slopes.at(by_proxies, n) for n in (target.proxies_per_controller, MEASURED_PROXIES))
+    at_target, at_measured = (
+        slopes.at(by_proxies, n) for n in (target.proxies_per_controller, MEASURED_PROXIES)
+    )
     return derived(
         f"{by_backends} at the backends x {by_proxies} at the proxies / the same at {MEASURED_PROXIES}",
-        lambda base, now, then: base * now / then if then else 0.0,
+        lambda base, at_target, at_measured: base * at_target / at_measured if at_measured else 0.0,
         measured,
-        now,
-        then,
+        at_target,
+        at_measured,
     )
 
 
-def of_decisions(target, slopes, name):
-    return by_both(target, slopes, f"{name}-{MEASURED_PROXIES}", f"{name}-by-proxies")
+def decisions_cost(target, slopes, name):
+    return scaled_by_proxies(target, slopes, f"{name}-{MEASURED_PROXIES}", f"{name}-by-proxies")
 
 
-def of_streams(target, slopes, name):
-    return by_both(target, slopes, f"{name}-by-backends", name)
+def streams_cost(target, slopes, name):
+    return scaled_by_proxies(target, slopes, f"{name}-by-backends", name)
 
 
-def silent_decisions(target, slopes):
+def silent_decisions_cost(target, slopes):
     """The module's beat with nothing heard."""
     return slopes.at(f"decisions-processor-{MEASURED_PROXIES}-silent", target.backends)
 
 
-def calm(target, slopes):
+def calm_rows(target, slopes):
     rows = RowBuilder(target, Role.CONTROLLER, Situation.CALM)
     rows.add(
         Part.DECISIONS,
         Quantity.PROCESSOR,
-        silent_decisions(target, slopes),
+        silent_decisions_cost(target, slopes),
         f"policy/: the beat alone, each 250 ms over all backends, {MEASURED_PROXIES} proxies, nothing heard",
         readings=ALL_READING,
     )
     rows.add(
         Part.WHOLE,
         Quantity.PROCESSOR,
-        of_streams(target, slopes, "streams-processor"),
+        streams_cost(target, slopes, "streams-processor"),
         "`embertray serve`, streams that say nothing",
         readings=ALL_READING,
     )
@@ -88,7 +90,7 @@
     return rows.rows
 
 
-def peak(target, slopes):
+def peak_rows(target, slopes):
     rows = RowBuilder(target, Role.CONTROLLER, Situation.PEAK)
     add_decisions(rows, target, slopes)
     add_streams(rows, target, slopes)
@@ -103,12 +105,12 @@
 def add_decisions(rows, target, slopes):
     mechanism = "policy/: one module for the whole list, all services"
     for quantity, figure in (
-        (Quantity.PROCESSOR, of_decisions(target, slopes, "decisions-processor")),
-        (Quantity.STATE, of_decisions(target, slopes, "decisions-memory")),
+        (Quantity.PROCESSOR, decisions_cost(target, slopes, "decisions-processor")),
+        (Quantity.STATE, decisions_cost(target, slopes, "decisions-memory")),
         (Quantity.DELAY, slopes.at(f"decisions-step-{MEASURED_PROXIES}", target.backends)),
     ):
-        words = mechanism + (": its dearest step" if quantity is Quantity.DELAY else "")
-        rows.add(Part.DECISIONS, quantity, figure, words, readings=ALL_READING)
+        description = mechanism + (": its dearest step" if quantity is Quantity.DELAY else "")
+        rows.add(Part.DECISIONS, quantity, figure, description, readings=ALL_READING)
 
 
 def add_streams(rows, target, slopes):
@@ -119,9 +121,9 @@
         rows.add(
             part,
             quantity,
-            of_streams(target, slopes, mean),
+            streams_cost(target, slopes, mean),
             f"stream/: {mechanism}, each proxy a sum a second, the channel not paced",
-            worst=of_streams(target, slopes, worst),
+            worst=streams_cost(target, slopes, worst),
             readings=ALL_READING,
             in_total=True,
         )
@@ -136,7 +138,7 @@
     rows.add(
         Part.STREAMS,
         Quantity.STATE,
-        of_streams(target, slopes, "streams-memory"),
+        streams_cost(target, slopes, "streams-memory"),
         "daemon/proxy_streams: streams, queues, and what the module keeps for them",
         readings=ALL_READING,
     )
@@ -144,12 +146,12 @@
 
 def add_streams_processor(rows, target, slopes):
     """What the process uses in all, and beside the module: for streams that say nothing, and for reports."""
-    quiet = of_streams(target, slopes, "streams-processor")
-    reports = of_streams(target, slopes, "reports-processor")
+    silent = streams_cost(target, slopes, "streams-processor")
+    reports = streams_cost(target, slopes, "reports-processor")
     rows.add(
         Part.WHOLE,
         Quantity.PROCESSOR,
-        derived("streams-processor + reports-processor", lambda *parts: sum(parts), quiet, reports),
+        derived("streams-processor + reports-processor", lambda *parts: sum(parts), silent, reports),
         "`embertray serve` under its proxies, each a sum a second: decisions, streams and reports together",
         readings=ALL_READING,
         in_total=True,
@@ -159,10 +161,12 @@
         Quantity.PROCESSOR,
         derived(
             "(streams-processor-by-backends less decisions-processor-silent, both at "
-            f"{FEW_BACKENDS} backends) x proxies a controller / {MEASURED_PROXIES}",
-            lambda whole, module: max(0.0, whole - module) * target.proxies_per_controller / MEASURED_PROXIES,
-            slopes.at("streams-processor-by-backends", FEW_BACKENDS),
-            slopes.at(f"decisions-processor-{MEASURED_PROXIES}-silent", FEW_BACKENDS),
+            f"{STREAM_BASELINE_BACKENDS} backends) x proxies a controller / {MEASURED_PROXIES}",
+            lambda process, decisions: (
+                max(0.0, process - decisions) * target.proxies_per_controller / MEASURED_PROXIES
+            ),
+            slopes.at("streams-processor-by-backends", STREAM_BASELINE_BACKENDS),
+            slopes.at(f"decisions-processor-{MEASURED_PROXIES}-silent", STREAM_BASELINE_BACKENDS),
         ),
         "daemon/proxy_streams, channel/: streams, outbox, timers",
         readings=ALL_READING,
@@ -172,10 +176,10 @@
         Quantity.PROCESSOR,
         derived(
             "reports-processor less what the module takes for what it hears",
-            lambda whole, loud, quiet: max(0.0, whole - max(0.0, loud - quiet)),
+            lambda process, loaded, silent: max(0.0, process - max(0.0, loaded - silent)),
             reports,
-            of_decisions(target, slopes, "decisions-processor"),
-            silent_decisions(target, slopes),
+            decisions_cost(target, slopes, "decisions-processor"),
+            silent_decisions_cost(target, slopes),
         ),
         "stream/, report_intake, channel/: reading and merging sums, the orders that follow",
         readings=ALL_READING,
@@ -217,12 +221,12 @@
         (Quantity.PROCESSOR, slopes.at("cluster-processor", members), True),
         (Quantity.BYTES_IN, received, True),
         (Quantity.MESSAGES_OUT, slopes.at("cluster-sent-messages", members), False),
-        (Quantity.STATE, state_of_gossip(target), False),
+        (Quantity.STATE, gossip_state(target), False),
         (Quantity.MEMORY, slopes.at("cluster-memory", members), True),
         (Quantity.SEEN, slopes.at("cluster-members-seen", members), False),
         (Quantity.OLDEST, slopes.at("cluster-oldest", members), False),
         (Quantity.IN_FORCE, slopes.at("cluster-time-to-all", members), False),
-        (Quantity.STALENESS, staleness(target), False),
+        (Quantity.STALENESS, gossip_staleness(target), False),
     ):
         rows.add(Part.MEMBERSHIP, quantity, figure, mechanism, designs=GOSSIP, in_total=in_total)
     rows.add(
@@ -243,14 +247,14 @@
     )
 
 
-def state_of_gossip(target):
+def gossip_state(target):
     return calculated(
         "controllers x facts-bytes, without the names of members",
         target.controllers * target.assumed("facts-bytes"),
     )
 
 
-def staleness(target):
+def gossip_staleness(target):
     return calculated(
         "2 (n - 1) T + E + T; T 1 s, E 2 s (docs/design/cluster.md)",
         formulas.staleness_bound(target.controllers),
@@ -258,19 +262,19 @@
 
 
 def add_limits(rows, target):
-    shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
-    ask = formulas.quota_request_bytes(
+    arguments = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
+    request_bytes = formulas.quota_request_bytes(
         target.proxies_per_controller, target.assumed("limits"), target.controllers - 1
     )
     for cost, designs, mechanism, formula in (
         (
-            formulas.limits_all_to_all(*shape),
+            formulas.limits_all_to_all(*arguments),
             GOSSIP,
             "cluster/limits (not in service yet): an ask from each to all others each second",
-            f"(controllers - 1) x an ask of {ask:,} bytes / 1 s",
+            f"(controllers - 1) x an ask of {request_bytes:,} bytes / 1 s",
         ),
         (
-            formulas.limits_through_replicas(*shape),
+            formulas.limits_through_replicas(*arguments),
             REPLICAS,
             "not built: an ask to one's replica each second, a grant back",
             "bytes of an ask that names nobody else / 1 s; of a grant / 1 s",
@@ -286,7 +290,7 @@
     rows.add(
         Part.LIMITS,
         Quantity.STATE,
-        calculated("controllers x bytes of an ask", formulas.limits_all_to_all(*shape).state),
+        calculated("controllers x bytes of an ask", formulas.limits_all_to_all(*arguments).state),
         "cluster/limits: the last ask of each member, at whoever keeps",
         designs=GOSSIP,
     )
@@ -317,7 +321,7 @@
     rows.add(
         Part.BASE,
         Quantity.MEMORY,
-        of_streams(target, slopes, "controller-memory"),
+        streams_cost(target, slopes, "controller-memory"),
         "`embertray serve`: resident, all parts but cluster and control",
         readings=ALL_READING,
         in_total=True,
--- a/embertray/experiments/capacity/failures.py
+++ b/embertray/experiments/capacity/failures.py
@@ -4,11 +4,11 @@
 
 from . import formulas
 from .control_plane import snapshot_bytes, snapshot_time
-from .controller import GOSSIP, LISTED_CHANGES, REPLICAS
+from .controller import GOSSIP, LIST_CHANGES_PER_MACHINE, REPLICAS
 from .figure import calculated, derived, no_mechanism
 from .names import Part, Quantity, Role, Situation
 from .row import ALL_READING, RowBuilder
-from .target import DAY
+from .target import SECONDS_PER_DAY
 
 
 @dataclass(frozen=True)
@@ -19,30 +19,30 @@
     backends: float
 
 
-def rack(target):
+def rack_loss(target):
     """Machines of one rack, by each role's part of all."""
     machines = target.controllers + target.backends + target.control_machines
-    part = target.assumed("machines-in-a-rack") / machines
-    return Loss(target.controllers * part, target.backends * part)
+    share = target.assumed("machines-in-a-rack") / machines
+    return Loss(target.controllers * share, target.backends * share)
 
 
-def zone(target):
+def zone_loss(target):
     return Loss(target.controllers / target.zones, target.backends / target.zones)
 
 
 def rows(target, slopes):
     return [
-        *lost(target, slopes, Situation.MACHINE, Loss(1, 1)),
-        *lost(target, slopes, Situation.RACK, rack(target)),
-        *lost(target, slopes, Situation.ZONE, zone(target)),
-        *apart(target, slopes),
-        *all_start(target, slopes),
-        *restarts_spread(target, slopes),
-        *restarts_bunched(target, slopes),
+        *loss_rows(target, slopes, Situation.MACHINE, Loss(1, 1)),
+        *loss_rows(target, slopes, Situation.RACK, rack_loss(target)),
+        *loss_rows(target, slopes, Situation.ZONE, zone_loss(target)),
+        *partition_rows(target, slopes),
+        *all_start_rows(target, slopes),
+        *spread_restart_rows(target, slopes),
+        *bunched_restart_rows(target, slopes),
     ]
 
 
-def lost(target, slopes, situation, loss):
+def loss_rows(target, slopes, situation, loss):
     """Machines are gone at once: their backends leave the list, their controllers' proxies join others."""
     table = RowBuilder(target, Role.CONTROLLER, situation)
     change = slopes.at("change-bytes", target.backends)
@@ -69,14 +69,14 @@
         readings=ALL_READING,
     )
     add_joins(table, target, slopes, loss)
-    add_deaths(table, target, slopes, situation)
-    return [*table.rows, *discovery_tells(target, change, situation, loss)]
+    add_failure_detection(table, target, slopes, situation)
+    return [*table.rows, *discovery_update_rows(target, change, situation, loss)]
 
 
 def add_joins(table, target, slopes, loss):
     """Proxies of controllers that are gone, spread over those that are left."""
-    left = max(1.0, target.controllers - loss.controllers)
-    joins = loss.controllers * target.proxies_per_controller / left
+    remaining = max(1.0, target.controllers - loss.controllers)
+    joins = loss.controllers * target.proxies_per_controller / remaining
     table.add(
         Part.STREAMS,
         Quantity.PROCESSOR,
@@ -101,7 +101,7 @@
     )
 
 
-def add_deaths(table, target, slopes, situation):
+def add_failure_detection(table, target, slopes, situation):
     table.add(
         Part.MEMBERSHIP,
         Quantity.DELAY,
@@ -126,7 +126,7 @@
     )
 
 
-def discovery_tells(target, change, situation, loss):
+def discovery_update_rows(target, change, situation, loss):
     table = RowBuilder(target, Role.DISCOVERY, situation)
     table.add(
         Part.ANSWERS,
@@ -142,7 +142,7 @@
     return table.rows
 
 
-def apart(target, slopes):
+def partition_rows(target, slopes):
     """Regions that do not reach each other, and what is brought together after it."""
     during = RowBuilder(target, Role.CONTROLLER, Situation.APART)
     during.add(
@@ -178,7 +178,10 @@
         designs=GOSSIP,
     )
     list_missed = (
-        LISTED_CHANGES * (target.machines_a_day + target.restarts_a_day) * target.regions_apart / DAY
+        LIST_CHANGES_PER_MACHINE
+        * (target.machines_a_day + target.restarts_a_day)
+        * target.regions_apart
+        / SECONDS_PER_DAY
     )
     after.add(
         Part.LIST,
@@ -194,15 +197,15 @@
     return [*during.rows, *after.rows]
 
 
-def all_start(target, slopes):
+def all_start_rows(target, slopes):
     """Every controller starts with nothing on its disk."""
     table = RowBuilder(target, Role.CONTROLLER, Situation.ALL_START)
-    whole = slopes.at("list-bytes", target.backends)
+    list_size = slopes.at("list-bytes", target.backends)
     joins = target.proxies_per_controller
     table.add(
         Part.LIST,
         Quantity.BYTES_IN,
-        derived("list-bytes / 10 s", lambda size: size / formulas.WORST_WINDOW_S, whole),
+        derived("list-bytes / 10 s", lambda size: size / formulas.WORST_WINDOW_S, list_size),
         "endpoint_list/follower: the whole list once, worst 10 s",
         readings=ALL_READING,
     )
@@ -242,10 +245,10 @@
     )
     return [
         *table.rows,
-        *replicas_bring(target, slopes, Situation.ALL_START, target.controllers),
-        *discovery_answers(
+        *replica_snapshot_rows(target, slopes, Situation.ALL_START, target.controllers),
+        *discovery_list_rows(
             target,
-            whole,
+            list_size,
             Situation.ALL_START,
             target.controllers / formulas.WORST_WINDOW_S,
             "all at once, 10 s",
@@ -253,16 +256,17 @@
     ]
 
 
-def replicas_bring(target, slopes, situation, starts):
+def replica_snapshot_rows(target, slopes, situation, starts):
     table = RowBuilder(target, Role.REPLICA, situation)
-    each = starts / target.control_machines
+    snapshots_per_replica = starts / target.control_machines
     rate = target.assumed("control-machine-bytes-a-second")
     table.add(
         Part.REPLICATION,
         Quantity.IN_FORCE,
         calculated(
-            f"{each:.1f} snapshots a replica x (services + routes) x entry-bytes / its bytes a second",
-            each * snapshot_bytes(target) / rate,
+            f"{snapshots_per_replica:.1f} snapshots a replica "
+            "x (services + routes) x entry-bytes / its bytes a second",
+            snapshots_per_replica * snapshot_bytes(target) / rate,
         ),
         "replication/: snapshots for those that hold nothing, paced by the replica's own bound",
         designs=REPLICAS,
@@ -278,7 +282,7 @@
     return table.rows
 
 
-def discovery_answers(target, whole, situation, starts_a_second, when):
+def discovery_list_rows(target, list_size, situation, starts_a_second, when):
     table = RowBuilder(target, Role.DISCOVERY, situation)
     table.add(
         Part.ANSWERS,
@@ -286,7 +290,7 @@
         derived(
             f"{starts_a_second:.3g} starts a second x list-bytes ({when})",
             lambda size: starts_a_second * size,
-            whole,
+            list_size,
         ),
         "endpoint_list/: the whole list to each that starts with nothing",
         readings=ALL_READING,
@@ -294,15 +298,15 @@
     return table.rows
 
 
-def controllers_restarted(target):
+def controller_restarts_a_day(target):
     """Of the restarts of a day, those of controllers: by their part of all processes that are named."""
-    part = target.controllers / (target.controllers + target.backends + target.control_machines)
-    return target.restarts_a_day * part
+    share = target.controllers / (target.controllers + target.backends + target.control_machines)
+    return target.restarts_a_day * share
 
 
-def restarts_spread(target, slopes):
-    starts = controllers_restarted(target) / DAY
-    whole = slopes.at("list-bytes", target.backends)
+def spread_restart_rows(target, slopes):
+    starts = controller_restarts_a_day(target) / SECONDS_PER_DAY
+    list_size = slopes.at("list-bytes", target.backends)
     table = RowBuilder(target, Role.REPLICA, Situation.RESTARTS_SPREAD)
     table.add(
         Part.REPLICATION,
@@ -316,19 +320,19 @@
     )
     return [
         *table.rows,
-        *discovery_answers(target, whole, Situation.RESTARTS_SPREAD, starts, "mean of a day"),
+        *discovery_list_rows(target, list_size, Situation.RESTARTS_SPREAD, starts, "mean of a day"),
     ]
 
 
-def restarts_bunched(target, slopes):
+def bunched_restart_rows(target, slopes):
     starts = target.assumed("restarts-bunched")
-    whole = slopes.at("list-bytes", target.backends)
+    list_size = slopes.at("list-bytes", target.backends)
     table = RowBuilder(target, Role.CONTROLLER, Situation.RESTARTS_BUNCHED)
     add_joins(table, target, slopes, Loss(starts, 0))
     return [
         *table.rows,
-        *replicas_bring(target, slopes, Situation.RESTARTS_BUNCHED, starts),
-        *discovery_answers(
-            target, whole, Situation.RESTARTS_BUNCHED, starts / formulas.WORST_WINDOW_S, "worst 10 s"
+        *replica_snapshot_rows(target, slopes, Situation.RESTARTS_BUNCHED, starts),
+        *discovery_list_rows(
+            target, list_size, Situation.RESTARTS_BUNCHED, starts / formulas.WORST_WINDOW_S, "worst 10 s"
         ),
     ]
--- a/embertray/experiments/capacity/fit.py
+++ b/embertray/experiments/capacity/fit.py
@@ -10,7 +10,7 @@
 
 SIZES_NEEDED = 4  # three to fit and the largest to predict
 GROWTH = {"n": lambda n: n, "n log n": lambda n: n * log(n) if n > 1 else 0.0, "n^2": lambda n: n * n}
-SMALLEST = 1e-12  # value under which a point is weighed as if it were so large
+MIN_WEIGHT_VALUE = 1e-12  # value under which a point is weighed as if it were so large
 
 
 @dataclass(frozen=True)
@@ -68,13 +68,13 @@
     """The Fit of (size, value) points, one a size."""
     points = sorted(points)
     if len(points) < SIZES_NEEDED:
-        return Fit(*best(points), None)
-    law, residuals = best(points[:-1])
+        return Fit(*best_law(points), None)
+    law, residuals = best_law(points[:-1])
     size, measured = points[-1]
     return Fit(law, residuals, HeldOut(size, measured, law.at(size)))
 
 
-def best(points):
+def best_law(points):
     """The law with the least residual, and each growth's residual. Of equals the slowest growth."""
     laws = [least_squares(growth, points) for growth in GROWTH]
     residuals = {law.growth: residual(law, points) for law in laws}
@@ -103,10 +103,10 @@
 
 def weighted_row(growth, size, value):
     """(weight, growth, value) of one point as fractions; the weight makes the squares relative."""
-    weight = 1 / Fraction(max(abs(value), SMALLEST)) ** 2
+    weight = 1 / Fraction(max(abs(value), MIN_WEIGHT_VALUE)) ** 2
     return weight, Fraction(GROWTH[growth](size)), Fraction(value)
 
 
 def residual(law, points):
-    errors = [(law.at(size) - value) / max(abs(value), SMALLEST) for size, value in points]
+    errors = [(law.at(size) - value) / max(abs(value), MIN_WEIGHT_VALUE) for size, value in points]
     return sqrt(sum(error * error for error in errors) / len(errors))
--- a/embertray/experiments/capacity/other_roles.py
+++ b/embertray/experiments/capacity/other_roles.py
@@ -5,21 +5,21 @@
 from .figure import calculated, derived, unknown
 from .names import Part, Quantity, Role, Situation
 from .row import ALL_READING, RowBuilder
-from .target import DAY
+from .target import SECONDS_PER_DAY
 
-SAMPLE_CHANNEL = 1_200  # lines a second of the sample description 'pushed'
+SAMPLE_CHANNEL_RATE = 1_200  # lines a second of the sample description 'pushed'
 
 
-def steady(target, slopes):
+def steady_rows(target, slopes):
     return [
-        *replica(target, slopes),
-        *proxy(target, slopes),
-        *backend(target),
-        *discovery(target, slopes),
+        *replica_rows(target, slopes),
+        *proxy_rows(target, slopes),
+        *backend_rows(target),
+        *discovery_rows(target, slopes),
     ]
 
 
-def replica(target, slopes):
+def replica_rows(target, slopes):
     rows, subscribers = RowBuilder(target, Role.REPLICA, Situation.PEAK), target.controllers
     mechanism = "replication/: a replica's subscribers, and the other replicas"
     for quantity, name, worst in (
@@ -36,22 +36,22 @@
             worst=worst and slopes.at(worst, subscribers),
             designs=REPLICAS,
         )
-    shape = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
-    shares = formulas.limits_through_replicas(*shape)
+    arguments = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
+    cost = formulas.limits_through_replicas(*arguments)
     for quantity, value, formula in (
         (
             Quantity.BYTES_IN,
-            shares.replica_in,
+            cost.replica_in,
             "controllers x bytes of an ask / 1 s, all at the one that keeps",
         ),
-        (Quantity.STATE, shares.state, "controllers x bytes of an ask"),
+        (Quantity.STATE, cost.state, "controllers x bytes of an ask"),
     ):
         mechanism = "not built: the shares of limits kept by one replica"
         rows.add(Part.LIMITS, quantity, calculated(formula, value), mechanism, designs=REPLICAS)
     return rows.rows
 
 
-def proxy(target, slopes):
+def proxy_rows(target, slopes):
     rows = RowBuilder(target, Role.PROXY, Situation.PEAK)
     for slope, mechanism in (
         ("pick-p99-round", "models/proxy: a pick from a table that stands"),
@@ -71,8 +71,8 @@
         Part.FIRST_TABLE,
         Quantity.DELAY,
         calculated(
-            f"lines of a whole table / {SAMPLE_CHANNEL:,} lines a second of the sample",
-            target.backends / SAMPLE_CHANNEL,
+            f"lines of a whole table / {SAMPLE_CHANNEL_RATE:,} lines a second of the sample",
+            target.backends / SAMPLE_CHANNEL_RATE,
         ),
         "channel/pacer: the channel as the sample describes it",
     )
@@ -81,7 +81,7 @@
         Quantity.ADDED,
         derived(
             "0 where the share of requests that meet a joining proxy is under 1%, else the longest wait",
-            lambda longest: 0.0 if joining_share(target, longest) < 0.01 else longest,
+            lambda longest: 0.0 if joining_request_share(target, longest) < 0.01 else longest,
             wait,
         ),
         "requests that arrive while their proxy waits for its first table",
@@ -89,15 +89,15 @@
     return rows.rows
 
 
-def joining_share(target, wait):
+def joining_request_share(target, wait):
     """Of all requests, those that meet a proxy in its first wait: each controller's end moves its proxies,
     each restart may be a proxy's.
     """
     joins_a_day = target.restarts_a_day + target.machines_a_day * target.proxies_per_controller
-    return joins_a_day * wait / (target.proxies * DAY)
+    return joins_a_day * wait / (target.proxies * SECONDS_PER_DAY)
 
 
-def backend(target):
+def backend_rows(target):
     rows = RowBuilder(target, Role.BACKEND, Situation.PEAK)
     rows.add(
         Part.PROBES,
@@ -109,7 +109,7 @@
     return rows.rows
 
 
-def discovery(target, slopes):
+def discovery_rows(target, slopes):
     rows = RowBuilder(target, Role.DISCOVERY, Situation.PEAK)
     rows.add(
         Part.ANSWERS,
--- a/embertray/experiments/capacity/page.py
+++ b/embertray/experiments/capacity/page.py
@@ -3,8 +3,8 @@
 from . import formulas
 from .figure import REPORTED_PREFIX
 from .names import Design, Origin, Quantity, Reading, Situation, Verdict
-from .size_limits import reaches
-from .table import FAILURES, STEADY, varied
+from .size_limits import size_limits
+from .table import FAILURES, STEADY, vary_assumptions
 from .text import digits, percent, quantity, source, table, verdict
 
 HEAD = """# Capacity
@@ -170,7 +170,7 @@
     """How the totals change when an assumption is varied, and which rows get another verdict."""
     plain = {key_of(row): row for row in found.rows}
     lines = []
-    for one, value, other in varied(found.target, by_name):
+    for one, value, other in vary_assumptions(found.target, by_name):
         for before, after in zip(found.totals, other.totals, strict=True):
             if verdict(before.judgement) != verdict(after.judgement):
                 name = f"{design_word(after.design)}, {after.reading}: total {after.quantity}"
@@ -264,11 +264,11 @@
             (
                 one.what,
                 quantity(one.budget, one.unit),
-                f"{one.size:,} {one.size_of}",
-                f"{one.wanted:,}",
+                f"{one.size:,} {one.size_unit}",
+                f"{one.target_size:,}",
                 one.source,
             )
-            for one in reaches(found.target, found.slopes)
+            for one in size_limits(found.target, found.slopes)
         ),
     )
 
--- a/embertray/experiments/capacity/report.py
+++ b/embertray/experiments/capacity/report.py
@@ -6,54 +6,54 @@
 from .table import FAILURES, STEADY
 
 
-def judgement_data(one):
-    infinite = one.factor is not None and isinf(one.factor)
+def judgement_data(item):
+    infinite = item.factor is not None and isinf(item.factor)
     return {
-        "verdict": str(one.verdict),
-        "factor": None if infinite else one.factor,
-        "within_error": one.uncertain,
+        "verdict": str(item.verdict),
+        "factor": None if infinite else item.factor,
+        "within_error": item.uncertain,
     }
 
 
-def row(one):
+def row_data(item):
     return {
-        "role": str(one.role),
-        "part": str(one.part),
-        "situation": str(one.situation),
-        "quantity": str(one.quantity),
-        "unit": one.unit,
-        "value": one.figure.value,
-        "worst_10s": one.worst.value if one.worst is not None else None,
-        "budget": one.budget,
-        **judgement_data(one.judgement),
-        "origin": str(one.figure.origin),
-        "source": one.figure.source,
-        "slopes": list(one.figure.slopes),
-        "mechanism": one.mechanism,
-        "readings": [str(reading) for reading in one.readings],
-        "designs": [str(design) for design in one.designs],
+        "role": str(item.role),
+        "part": str(item.part),
+        "situation": str(item.situation),
+        "quantity": str(item.quantity),
+        "unit": item.unit,
+        "value": item.figure.value,
+        "worst_10s": item.worst.value if item.worst is not None else None,
+        "budget": item.budget,
+        **judgement_data(item.judgement),
+        "origin": str(item.figure.origin),
+        "source": item.figure.source,
+        "slopes": list(item.figure.slopes),
+        "mechanism": item.mechanism,
+        "readings": [str(reading) for reading in item.readings],
+        "designs": [str(design) for design in item.designs],
     }
 
 
-def total(one):
+def total_data(item):
     return {
-        "design": str(one.design),
-        "reading": str(one.reading),
-        "quantity": one.quantity,
-        "unit": one.unit,
-        "known": one.known,
-        "missing": list(one.missing),
-        "budget": one.budget,
-        **judgement_data(one.judgement),
+        "design": str(item.design),
+        "reading": str(item.reading),
+        "quantity": item.quantity,
+        "unit": item.unit,
+        "known": item.known,
+        "missing": list(item.missing),
+        "budget": item.budget,
+        **judgement_data(item.judgement),
     }
 
 
-def slope(name, found):
-    fit, one = found.slopes.fits[name], found.slopes.by_name[name]
+def slope_data(name, table):
+    fit, slope = table.slopes.fits[name], table.slopes.by_name[name]
     held = fit.held_out
     return {
         "name": name,
-        "unit": one.unit,
+        "unit": slope.unit,
         "law": fit.law.growth,
         "base": fit.law.base,
         "factor": fit.law.factor,
@@ -66,27 +66,27 @@
             "predicted": held.predicted,
             "error": None if isinf(held.error) else held.error,
         },
-        "command": one.command,
-        "commit": one.commit,
-        "origin": one.origin,
+        "command": slope.command,
+        "commit": slope.commit,
+        "origin": slope.origin,
     }
 
 
-def largest(found, reading, design):
+def largest_data(table, reading, design):
     return {
-        name: [row(one) for one in found.largest(reading, design, situations)]
+        name: [row_data(one) for one in table.largest(reading, design, situations)]
         for name, situations in (("nothing fails", STEADY), ("failures", FAILURES))
     }
 
 
-def as_data(found):
+def as_data(table):
     return {
-        "target": found.target.name,
-        "rows": [row(one) for one in found.rows],
-        "totals": [total(one) for one in found.totals],
+        "target": table.target.name,
+        "rows": [row_data(one) for one in table.rows],
+        "totals": [total_data(one) for one in table.totals],
         "largest": {
-            str(design): {str(reading): largest(found, reading, design) for reading in Reading}
+            str(design): {str(reading): largest_data(table, reading, design) for reading in Reading}
             for design in Design
         },
-        "slopes": [slope(name, found) for name in found.slopes.by_name],
+        "slopes": [slope_data(name, table) for name in table.slopes.by_name],
     }
--- a/embertray/experiments/capacity/size_limits.py
+++ b/embertray/experiments/capacity/size_limits.py
@@ -4,11 +4,11 @@
 
 from . import formulas
 
-SIZE_MOST = 1_000_000  # sizes are looked for up to here
+MAX_SIZE = 1_000_000  # sizes are looked for up to here
 
 
 @dataclass(frozen=True)
-class Reach:
+class SizeLimit:
     """`size`: the greatest whole one within the budget; 0 if none, SIZE_MOST if all. `source`: slope or
     formula.
     """
@@ -16,35 +16,35 @@
     what: str
     unit: str
     budget: float
-    size_of: str
+    size_unit: str
     size: int
-    wanted: int
+    target_size: int
     source: str
 
 
-def largest_within(grows, budget):
+def largest_within(cost, budget):
     """The greatest whole size at which grows(size) is within the budget; grows never falls."""
-    if grows(1) > budget:
+    if cost(1) > budget:
         return 0
     low, high = 1, 2
-    while high < SIZE_MOST and grows(high) <= budget:
-        low, high = high, min(2 * high, SIZE_MOST)
-    if high == SIZE_MOST and grows(high) <= budget:
+    while high < MAX_SIZE and cost(high) <= budget:
+        low, high = high, min(2 * high, MAX_SIZE)
+    if high == MAX_SIZE and cost(high) <= budget:
         return high
     while high - low > 1:
         middle = (low + high) // 2
-        if grows(middle) <= budget:
+        if cost(middle) <= budget:
             low = middle
         else:
             high = middle
     return low
 
 
-def reaches(target, slopes):
+def size_limits(target, slopes):
     """A Reach for each steady part whose slope is at hand, and for each formula."""
     members, proxies, backends = target.controllers, target.proxies_per_controller, target.backends
-    found = []
-    for what, name, unit, budget, size_of, wanted in (
+    limits = []
+    for what, name, unit, budget, size_unit, target_size in (
         (
             "decisions, the target's load",
             "decisions-processor-68",
@@ -83,12 +83,14 @@
         ),
         ("until in force at all", "control-time-to-all", "s", target.in_force_within, "subscribers", members),
     ):
-        at_hand = slopes.find(name)
-        law = at_hand and slopes.fits[at_hand].law
+        slope_name = slopes.find(name)
+        law = slope_name and slopes.fits[slope_name].law
         if law and law.factor > 0:
             size = largest_within(law.at, budget)
-            found.append(Reach(what, unit, budget, size_of, size, wanted, f"`{at_hand}`, its law"))
-    for what, grows, unit, budget, formula in (
+            limits.append(
+                SizeLimit(what, unit, budget, size_unit, size, target_size, f"`{slope_name}`, its law")
+            )
+    for what, cost, unit, budget, formula in (
         (
             "gossip, staleness promised",
             formulas.staleness_bound,
@@ -104,6 +106,6 @@
             "reckoned: (n - 1) x bytes of an ask",
         ),
     ):
-        size = largest_within(grows, budget)
-        found.append(Reach(what, unit, budget, "members", size, members, formula))
-    return found
+        size = largest_within(cost, budget)
+        limits.append(SizeLimit(what, unit, budget, "members", size, members, formula))
+    return limits
--- a/embertray/experiments/capacity/slope.py
+++ b/embertray/experiments/capacity/slope.py
@@ -14,7 +14,7 @@
 Size = Annotated[float, Meta(gt=0)]
 
 
-class BadSlope(ValueError):
+class SlopeError(ValueError):
     """A slope's file can't be used; the text names the file and what is wrong."""
 
 
@@ -46,18 +46,18 @@
     try:
         slope = msgspec.json.decode(path.read_bytes(), type=Slope)
     except OSError as error:
-        raise BadSlope(f"{path}: {error.strerror}") from None
+        raise SlopeError(f"{path}: {error.strerror}") from None
     except msgspec.DecodeError as error:
-        raise BadSlope(f"{path}: {error}") from None
+        raise SlopeError(f"{path}: {error}") from None
     if slope.name != path.stem:
-        raise BadSlope(f"{path}: its name is '{slope.name}', not that of the file")
+        raise SlopeError(f"{path}: its name is '{slope.name}', not that of the file")
     return slope
 
 
 def load_all(folder):
     """name -> Slope of a folder's files. Raises BadSlope."""
     if not Path(folder).is_dir():
-        raise BadSlope(f"{folder}: no such folder of slopes")
+        raise SlopeError(f"{folder}: no such folder of slopes")
     return {path.stem: load(path) for path in sorted(Path(folder).glob("*.json"))}
 
 
--- a/embertray/experiments/capacity/table.py
+++ b/embertray/experiments/capacity/table.py
@@ -7,8 +7,8 @@
 from .names import UNITS, Design, Quantity, Reading, Role, Situation, Verdict
 from .row import Judgement, budget_of, judge
 
-TOTALLED = (Quantity.PROCESSOR, Quantity.MEMORY, Quantity.BYTES_IN, Quantity.BYTES_OUT)
-LARGEST = 3
+TOTAL_QUANTITIES = (Quantity.PROCESSOR, Quantity.MEMORY, Quantity.BYTES_IN, Quantity.BYTES_OUT)
+LARGEST_COUNT = 3
 STEADY = (Situation.CALM, Situation.PEAK)
 FAILURES = tuple(one for one in Situation if one not in STEADY)
 
@@ -43,7 +43,7 @@
     rows: tuple
     totals: tuple
 
-    def largest(self, reading, design, situations, count=LARGEST):
+    def largest(self, reading, design, situations, count=LARGEST_COUNT):
         """The rows that fall short by the largest factors, one of each part and unit."""
         short = [
             row
@@ -67,8 +67,8 @@
     """The Table of a target, from slopes by name."""
     slopes = Slopes(by_name)
     rows = (
-        *controller.steady(target, slopes),
-        *other_roles.steady(target, slopes),
+        *controller.steady_rows(target, slopes),
+        *other_roles.steady_rows(target, slopes),
         *control_plane.rows(target),
         *failures.rows(target, slopes),
     )
@@ -77,7 +77,7 @@
     return Table(target, slopes, rows, tuple(totals(target, rows)))
 
 
-def counted(rows, reading, design, quantity):
+def rows_in_total(rows, reading, design, quantity):
     """Rows of a controller that make up a total: of the calm, which go on at the peak, and of the peak."""
     return [
         row
@@ -95,8 +95,8 @@
     for design in Design:
         for reading in Reading:
             sums = {}
-            for quantity in TOTALLED:
-                parts = counted(rows, reading, design, quantity)
+            for quantity in TOTAL_QUANTITIES:
+                parts = rows_in_total(rows, reading, design, quantity)
                 known = sum(row.figure.value for row in parts if row.figure.known)
                 missing = tuple(f"{row.part}" for row in parts if not row.figure.known)
                 sums[quantity] = known, missing
@@ -113,9 +113,9 @@
     return Total(reading, design, name or str(quantity), UNITS[quantity], known, missing, budget)
 
 
-def varied(target, by_name):
+def vary_assumptions(target, by_name):
     """(assumption, value, Table) for each value that an assumption is varied to, its own left out."""
-    for one in target.assumptions:
-        for value in one.vary:
-            if value != one.value:
-                yield one, value, compute(target.with_assumed(one.name, value), by_name)
+    for assumption in target.assumptions:
+        for value in assumption.vary:
+            if value != assumption.value:
+                yield assumption, value, compute(target.with_assumed(assumption.name, value), by_name)
--- a/embertray/experiments/capacity/target.py
+++ b/embertray/experiments/capacity/target.py
@@ -8,14 +8,14 @@
 
 from lxml import etree
 
-HERE = Path(__file__).resolve().parent
-OPERATORS = HERE / "samples" / "operators.xml"
+PACKAGE_FOLDER = Path(__file__).resolve().parent
+OPERATORS = PACKAGE_FOLDER / "samples" / "operators.xml"
 UNITS = {"us": 1e-6, "ms": 1e-3, "min": 60.0, "s": 1.0, "h": 3600.0}
 SIZES = {"KB": 10**3, "MB": 10**6, "GB": 10**9, "B": 1}
-DAY = 86_400
+SECONDS_PER_DAY = 86_400
 
 # every assumption that the table asks for
-NEEDED = (
+REQUIRED_ASSUMPTIONS = (
     "proxies-per-backend",
     "entry-bytes",
     "changes-in-worst-10s",
@@ -29,7 +29,7 @@
 )
 
 
-class BadTarget(ValueError):
+class TargetError(ValueError):
     """The description can't be used; the text names file, line and what was expected."""
 
 
@@ -98,7 +98,7 @@
 
     @property
     def changes_a_second(self):
-        return self.changes_a_day / DAY
+        return self.changes_a_day / SECONDS_PER_DAY
 
     @property
     def configuration_keys(self):
@@ -106,13 +106,13 @@
         return self.services + self.routes
 
 
-def time(text):
+def parse_time(text):
     """'2.5s' in seconds; the schema has checked its form."""
     unit = next(unit for unit in UNITS if text.endswith(unit))
     return float(text[: -len(unit)]) * UNITS[unit]
 
 
-def size(text):
+def parse_size(text):
     """'4KB' in bytes."""
     unit = next(unit for unit in SIZES if text.endswith(unit))
     return int(text[: -len(unit)]) * SIZES[unit]
@@ -120,16 +120,16 @@
 
 @cache
 def schema():
-    return etree.XMLSchema(etree.parse(HERE / "target.xsd"))
+    return etree.XMLSchema(etree.parse(PACKAGE_FOLDER / "target.xsd"))
 
 
 @cache
-def expected():
+def pattern_descriptions():
     """What a pattern of the schema stands for, in words: pattern -> its type's documentation."""
     tag = "{http://www.w3.org/2001/XMLSchema}"
     return {
         kind.find(f".//{tag}pattern").get("value"): kind.findtext(f".//{tag}documentation")
-        for kind in etree.parse(HERE / "target.xsd").iter(tag + "simpleType")
+        for kind in etree.parse(PACKAGE_FOLDER / "target.xsd").iter(tag + "simpleType")
         if kind.find(f".//{tag}pattern") is not None
     }
 
@@ -140,88 +140,92 @@
     try:
         tree = etree.parse(str(path), parser)
     except OSError as error:
-        raise BadTarget(f"{path}: {error.args[0] if error.args else error}") from None
+        raise TargetError(f"{path}: {error.args[0] if error.args else error}") from None
     except etree.XMLSyntaxError as error:
-        raise BadTarget(f"{path}:{error.lineno}: not well-formed XML: {error.msg}") from None
+        raise TargetError(f"{path}:{error.lineno}: not well-formed XML: {error.msg}") from None
     if not schema().validate(tree):
-        raise BadTarget(f"{path}:{explained(schema().error_log[0])}")
+        raise TargetError(f"{path}:{describe_error(schema().error_log[0])}")
     return read(tree.getroot(), path)
 
 
-def explained(error):
+def describe_error(error):
     """Line and text of a schema's error; a pattern is told in words."""
-    words = next((text for pattern, text in expected().items() if f"'{pattern}'" in error.message), None)
-    if not words:
+    description = next(
+        (text for pattern, text in pattern_descriptions().items() if f"'{pattern}'" in error.message), None
+    )
+    if not description:
         return f"{error.line}: {error.message}"
-    said = error.message.split(" [facet")[0].split(": [facet")[0]
-    return f"{error.line}: {said}: {words} is expected"
+    message = error.message.split(" [facet")[0].split(": [facet")[0]
+    return f"{error.line}: {message}: {description} is expected"
 
 
 def read(root, path):
-    def fact(element, attribute, convert=int):
+    def attribute_value(element, attribute, convert=int):
         return convert(root.find(element).get(attribute))
 
     target = Target(
         name=root.get("name"),
-        controllers=fact("fleet", "controllers"),
-        backends=fact("fleet", "backends"),
-        services=fact("fleet", "services"),
-        regions=fact("fleet", "regions"),
-        zones=fact("fleet", "zones"),
-        control_machines=fact("fleet", "control-machines"),
-        requests=fact("requests", "a-second", float),
-        routes=fact("requests", "routes"),
-        tenants=fact("requests", "tenants"),
-        added_at_p99=fact("requests", "added-at-p99", time),
-        changes_a_day=fact("configuration", "changes-a-day", float),
-        in_force_within=fact("configuration", "in-force-within", time),
-        cores=fact("control-budget", "cores", float),
-        memory=fact("control-budget", "memory", size),
-        bytes_a_second=fact("control-budget", "bytes-a-second", size),
-        machines_a_day=fact("failures", "machines-a-day", float),
-        restarts_a_day=fact("failures", "restarts-a-day", float),
-        racks_a_week=fact("failures", "racks-a-week", float),
-        zones_a_year=fact("failures", "zones-a-year", float),
-        regions_apart=fact("failures", "regions-apart", time),
-        assumptions=tuple(assumption(element) for element in root.iterfind("assumptions/assumption")),
+        controllers=attribute_value("fleet", "controllers"),
+        backends=attribute_value("fleet", "backends"),
+        services=attribute_value("fleet", "services"),
+        regions=attribute_value("fleet", "regions"),
+        zones=attribute_value("fleet", "zones"),
+        control_machines=attribute_value("fleet", "control-machines"),
+        requests=attribute_value("requests", "a-second", float),
+        routes=attribute_value("requests", "routes"),
+        tenants=attribute_value("requests", "tenants"),
+        added_at_p99=attribute_value("requests", "added-at-p99", parse_time),
+        changes_a_day=attribute_value("configuration", "changes-a-day", float),
+        in_force_within=attribute_value("configuration", "in-force-within", parse_time),
+        cores=attribute_value("control-budget", "cores", float),
+        memory=attribute_value("control-budget", "memory", parse_size),
+        bytes_a_second=attribute_value("control-budget", "bytes-a-second", parse_size),
+        machines_a_day=attribute_value("failures", "machines-a-day", float),
+        restarts_a_day=attribute_value("failures", "restarts-a-day", float),
+        racks_a_week=attribute_value("failures", "racks-a-week", float),
+        zones_a_year=attribute_value("failures", "zones-a-year", float),
+        regions_apart=attribute_value("failures", "regions-apart", parse_time),
+        assumptions=tuple(read_assumption(element) for element in root.iterfind("assumptions/assumption")),
     )
     check_assumptions(target, root, path)
-    check(target, root, path)
+    check_fleet_and_times(target, root, path)
     return target
 
 
-def assumption(element):
+def read_assumption(element):
     vary = tuple(float(value) for value in element.get("vary", "").split())
     return Assumption(element.get("name"), float(element.get("value")), element.get("reason"), vary)
 
 
-def check(target, root, path):
+def check_fleet_and_times(target, root, path):
     """What the schema can't state."""
     fleet = root.find("fleet")
     if target.zones < target.regions:
-        raise BadTarget(
+        raise TargetError(
             f"{path}:{fleet.sourceline}: {target.zones} zones can't make {target.regions} regions: "
             "as many zones as regions are expected at least"
         )
     if target.controllers > target.proxies:
-        raise BadTarget(
+        raise TargetError(
             f"{path}:{fleet.sourceline}: {target.proxies:.0f} proxies are fewer than {target.controllers} "
             "controllers: one a controller is expected at least"
         )
     for element, attribute in (("requests", "added-at-p99"), ("configuration", "in-force-within")):
-        if time(root.find(element).get(attribute)) <= 0:
-            raise BadTarget(f"{path}:{root.find(element).sourceline}: {attribute}: a time over 0 is expected")
+        if parse_time(root.find(element).get(attribute)) <= 0:
+            raise TargetError(
+                f"{path}:{root.find(element).sourceline}: {attribute}: a time over 0 is expected"
+            )
 
 
 def check_assumptions(target, root, path):
     named = [one.name for one in target.assumptions]
     line = root.find("assumptions").sourceline
-    for name in NEEDED:
+    for name in REQUIRED_ASSUMPTIONS:
         if name not in named:
-            raise BadTarget(f"{path}:{line}: no assumption '{name}': the table asks for its value")
+            raise TargetError(f"{path}:{line}: no assumption '{name}': the table asks for its value")
     for element in root.iterfind("assumptions/assumption"):
-        if element.get("name") not in NEEDED:
-            raise BadTarget(
+        if element.get("name") not in REQUIRED_ASSUMPTIONS:
+            raise TargetError(
                 f"{path}:{element.sourceline}: assumption '{element.get('name')}' is not asked for; "
-                f"expected: {', '.join(NEEDED)}"
+                f"expected: {', '.join(REQUIRED_ASSUMPTIONS)}"
             )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -29,10 +29,10 @@
     Verdict,
 )
 from embertray.experiments.capacity.row import Row, judge
-from embertray.experiments.capacity.size_limits import SIZE_MOST, largest_within, reaches
-from embertray.experiments.capacity.slope import BadSlope, Slope, load_all, save
-from embertray.experiments.capacity.table import FAILURES, STEADY, compute, varied
-from embertray.experiments.capacity.target import OPERATORS, BadTarget, load
+from embertray.experiments.capacity.size_limits import MAX_SIZE, largest_within, size_limits
+from embertray.experiments.capacity.slope import Slope, SlopeError, load_all, save
+from embertray.experiments.capacity.table import FAILURES, STEADY, compute, vary_assumptions
+from embertray.experiments.capacity.target import OPERATORS, TargetError, load
 from embertray.experiments.measure.capacity import decisions, entries, picks
 from embertray.experiments.measure.capacity.record import Recording
 
@@ -131,7 +131,7 @@
         ):
             with self.subTest(what), tempfile.TemporaryDirectory() as folder:
                 Path(folder, "bad.json").write_text(text)
-                with self.assertRaises(BadSlope) as caught:
+                with self.assertRaises(SlopeError) as caught:
                     load_all(folder)
                 self.assertIn("bad.json", str(caught.exception))
                 self.assertIn(said, str(caught.exception))
@@ -341,7 +341,7 @@
     def test_each_assumption_is_varied_to_all_its_other_values(self):
         target = load()
         wanted = {(a.name, v) for a in target.assumptions for v in a.vary if v != a.value}
-        found = {(one.name, value): table for one, value, table in varied(target, self.by_name)}
+        found = {(one.name, value): table for one, value, table in vary_assumptions(target, self.by_name)}
         self.assertEqual(set(found), wanted)
         self.assertGreater(len(wanted), 10)
         self.assertEqual(found["proxies-per-backend", 2].target.proxies_per_controller, 17)
@@ -393,14 +393,14 @@
             (lambda n: 2 * n, 101, 50),
             (lambda n: n * n, 100, 10),
             (lambda n: 5 + n, 5, 0),
-            (lambda n: 3, 5, SIZE_MOST),
+            (lambda n: 3, 5, MAX_SIZE),
         ):
             with self.subTest(size=size, budget=budget):
                 self.assertEqual(largest_within(grows, budget), size)
 
     def test_a_size_within_the_budget_is_at_the_edge_of_it(self):
         target, slopes = load(), Slopes(load_all(SLOPES))
-        found = {one.what: one for one in reaches(target, slopes)}
+        found = {one.what: one for one in size_limits(target, slopes)}
         decisions_reach = found["decisions, the target's load"]
         law = slopes.fits["decisions-processor-68"].law
         self.assertLessEqual(law.at(decisions_reach.size), target.cores)
@@ -478,7 +478,7 @@
                     text = spoil(good)
                     self.assertNotEqual(text, good)
                     path.write_text(text)
-                    with self.assertRaises(BadTarget) as caught:
+                    with self.assertRaises(TargetError) as caught:
                         load(path)
                     self.assertIn(said, str(caught.exception))
                     self.assertIn("target.xml", str(caught.exception))
