--- a/embertray/experiments/capacity/page.py
+++ b/embertray/experiments/capacity/page.py
@@ -5,9 +5,9 @@
 from .names import Design, Origin, Quantity, Reading, Situation, Verdict
 from .size_limits import size_limits
 from .table import FAILURES, STEADY, vary_assumptions
-from .text import digits, percent, quantity, source, table, verdict
+from .text import format_error, format_number, format_quantity, format_source, format_verdict, markdown_table
 
-HEAD = """# Capacity
+PAGE_HEADER = """# Capacity
 
 What each role costs at the size of a target, computed by `embertray capacity` from measured slopes
 ([how they were measured](measured/capacity.md), [their files](measured/capacity/README.md)). This page is
@@ -33,7 +33,7 @@
   whoever starts or returns as well: the strict reading.
 """
 
-VIRTUAL = "virtual-"  # prefix of slopes taken under virtual time
+VIRTUAL_PREFIX = "virtual-"  # prefix of slopes taken under virtual time
 CHARTS = (
     ("processor.png", "processor time of a controller against its size"),
     ("bytes.png", "bytes a second of a controller against its size"),
@@ -41,39 +41,42 @@
 )
 
 
-def rows_of(found, situation):
-    for row in found.of(situation):
-        value = quantity(row.figure.value, row.unit)
+def situation_rows(table, situation):
+    for row in table.of(situation):
+        value = format_quantity(row.figure.value, row.unit)
         if row.worst is not None and row.worst.known:
-            value += f"; {quantity(row.worst.value, row.unit)}"
-        design = "" if len(row.designs) == 2 else f" ({design_word(row.designs[0])})"
+            value += f"; {format_quantity(row.worst.value, row.unit)}"
+        design = "" if len(row.designs) == 2 else f" ({design_name(row.designs[0])})"
         yield (
             f"{row.role}: {row.part}{design}",
             str(row.quantity),
             value,
-            "-" if row.budget is None else quantity(row.budget, row.unit),
-            verdict(row.judgement),
+            "-" if row.budget is None else format_quantity(row.budget, row.unit),
+            format_verdict(row.judgement),
             row.mechanism,
-            source(row.figure),
+            format_source(row.figure),
         )
 
 
-def design_word(design):
+def design_name(design):
     return "gossip" if design is Design.GOSSIP else "replicas"
 
 
-def situations(found):
-    heads = ("role: part", "of", "mean; worst 10 s", "budget", "verdict", "mechanism", "from")
+def situations(table):
+    headings = ("role: part", "of", "mean; worst 10 s", "budget", "verdict", "mechanism", "from")
     parts = []
     for situation in Situation:
-        if found.of(situation):
-            parts.append(f"### {str(situation).capitalize()}\n\n{table(heads, rows_of(found, situation))}")
+        if table.of(situation):
+            parts.append(
+                f"### {str(situation).capitalize()}\n\n"
+                f"{markdown_table(headings, situation_rows(table, situation))}"
+            )
     return "\n\n".join(parts)
 
 
-def without_mechanism(found):
+def missing_mechanisms(table):
     """What a design has nothing for at all: no factor can be told."""
-    rows = [row for row in found.rows if row.judgement.verdict is Verdict.NO_MECHANISM]
+    rows = [row for row in table.rows if row.judgement.verdict is Verdict.NO_MECHANISM]
     return "\n".join(
         f"- {str(row.designs[0])}: {row.role}: {row.part}, {row.quantity}, {row.situation}: "
         f"{row.figure.source}"
@@ -81,12 +84,12 @@
     )
 
 
-def largest(found):
+def largest(table):
     parts = []
     for design in Design:
         for reading in Reading:
-            steady = ranked(found.largest(reading, design, STEADY))
-            failures = ranked(found.largest(reading, design, FAILURES))
+            steady = ranked_rows(table.largest(reading, design, STEADY))
+            failures = ranked_rows(table.largest(reading, design, FAILURES))
             parts.append(
                 f"### {str(design).capitalize()}; {reading}\n\nWhile nothing fails:\n\n{steady}\n\n"
                 f"In failures, starts and restarts:\n\n{failures}"
@@ -94,47 +97,47 @@
     return "\n\n".join(parts)
 
 
-def ranked(rows):
+def ranked_rows(rows):
     lines = [
-        f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {verdict(row.judgement)} "
-        f"({quantity(max_of(row), row.unit)} of {quantity(row.budget, row.unit)}; "
+        f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {format_verdict(row.judgement)} "
+        f"({format_quantity(judged_value(row), row.unit)} of {format_quantity(row.budget, row.unit)}; "
         f"{row.figure.origin}; {row.mechanism})"
         for place, row in enumerate(rows, 1)
     ]
     return "\n".join(lines) or "None that is known."
 
 
-def max_of(row):
+def judged_value(row):
     worst = row.worst.value if row.worst is not None and row.worst.known else row.figure.value
     return min(row.figure.value, worst) if row.quantity is Quantity.SEEN else max(row.figure.value, worst)
 
 
-def totals(found):
-    heads = ("design", "for control", "of", "known parts", "not known", "budget", "verdict")
-    return table(
-        heads,
+def totals(table):
+    headings = ("design", "for control", "of", "known parts", "not known", "budget", "verdict")
+    return markdown_table(
+        headings,
         (
             (
                 str(total.design),
                 str(total.reading),
                 total.quantity,
-                quantity(total.known, total.unit),
+                format_quantity(total.known, total.unit),
                 ", ".join(total.missing) or "-",
-                quantity(total.budget, total.unit),
-                verdict(total.judgement),
+                format_quantity(total.budget, total.unit),
+                format_verdict(total.judgement),
             )
-            for total in found.totals
+            for total in table.totals
         ),
     )
 
 
-def tables(found):
+def tables(table):
     """What the command prints: factors, totals, rows."""
     return (
-        f"## The largest factors by which the target is missed\n\n{largest(found)}\n\n"
-        f"No mechanism at all, so that no factor can be told:\n\n{without_mechanism(found)}\n\n"
-        f"## A controller at the peak, all parts\n\n{totals(found)}\n\n"
-        f"## By situation\n\n{situations(found)}\n"
+        f"## The largest factors by which the target is missed\n\n{largest(table)}\n\n"
+        f"No mechanism at all, so that no factor can be told:\n\n{missing_mechanisms(table)}\n\n"
+        f"## A controller at the peak, all parts\n\n{totals(table)}\n\n"
+        f"## By situation\n\n{situations(table)}\n"
     )
 
 
@@ -142,78 +145,100 @@
     return (
         f"Target `{target.name}`: {target.controllers} controllers before {target.backends:,} backends in "
         f"{target.services} services; {target.requests:,.0f} requests a second; {target.routes:,} routes, "
-        f"{target.tenants:,} tenants; {quantity(target.added_at_p99, 's')} added at p99; {target.regions} "
+        f"{target.tenants:,} tenants; {format_quantity(target.added_at_p99, 's')} added at p99; "
+        f"{target.regions} "
         f"regions, {target.zones} zones; {target.changes_a_day:,.0f} configuration changes a day, in force "
-        f"within {quantity(target.in_force_within, 's')}; of a controller for control {target.cores:.2%} of "
-        f"a core, {quantity(target.memory, 'bytes')}, {quantity(target.bytes_a_second, 'bytes/s')}; "
-        f"{target.control_machines} control machines; {digits(target.machines_a_day)} machines fail and "
-        f"{digits(target.restarts_a_day)} processes are restarted or replaced a day, "
-        f"{digits(target.racks_a_week)} rack or switch a week, {digits(target.zones_a_year)} zones a year, "
+        f"within {format_quantity(target.in_force_within, 's')}; "
+        f"of a controller for control {target.cores:.2%} of "
+        f"a core, {format_quantity(target.memory, 'bytes')}, "
+        f"{format_quantity(target.bytes_a_second, 'bytes/s')}; "
+        f"{target.control_machines} control machines; "
+        f"{format_number(target.machines_a_day)} machines fail and "
+        f"{format_number(target.restarts_a_day)} processes are restarted or replaced a day, "
+        f"{format_number(target.racks_a_week)} rack or switch a week, "
+        f"{format_number(target.zones_a_year)} zones a year, "
         "regions apart for "
-        f"{quantity(target.regions_apart, 's')}. By the assumptions: {target.proxies:,.0f} proxies, "
+        f"{format_quantity(target.regions_apart, 's')}. By the assumptions: {target.proxies:,.0f} proxies, "
         f"{target.proxies_per_controller} a controller; requests a second of each: "
-        f"{digits(target.requests_per_proxy)}.\n"
+        f"{format_number(target.requests_per_proxy)}.\n"
     )
 
 
 def assumptions(target):
-    return table(
+    return markdown_table(
         ("assumption", "value", "varied to", "reason"),
         (
-            (one.name, digits(one.value), ", ".join(digits(value) for value in one.vary) or "-", one.reason)
+            (
+                one.name,
+                format_number(one.value),
+                ", ".join(format_number(value) for value in one.vary) or "-",
+                one.reason,
+            )
             for one in target.assumptions
         ),
     )
 
 
-def variations(found, by_name):
+def variations(table, by_name):
     """How the totals change when an assumption is varied, and which rows get another verdict."""
-    plain = {key_of(row): row for row in found.rows}
+    row_by_key = {row_key(row): row for row in table.rows}
     lines = []
-    for one, value, other in vary_assumptions(found.target, by_name):
-        for before, after in zip(found.totals, other.totals, strict=True):
-            if verdict(before.judgement) != verdict(after.judgement):
-                name = f"{design_word(after.design)}, {after.reading}: total {after.quantity}"
+    for assumption, value, varied_table in vary_assumptions(table.target, by_name):
+        for before, after in zip(table.totals, varied_table.totals, strict=True):
+            if format_verdict(before.judgement) != format_verdict(after.judgement):
+                name = f"{design_name(after.design)}, {after.reading}: total {after.quantity}"
                 lines.append(
-                    (one.name, digits(value), name, verdict(before.judgement), verdict(after.judgement))
+                    (
+                        assumption.name,
+                        format_number(value),
+                        name,
+                        format_verdict(before.judgement),
+                        format_verdict(after.judgement),
+                    )
                 )
-        for row in other.rows:
-            before = plain.get(key_of(row))
+        for row in varied_table.rows:
+            before = row_by_key.get(row_key(row))
             if before and before.judgement.verdict is not row.judgement.verdict:
                 name = f"{row.role}: {row.part}, {row.quantity}, {row.situation}"
                 lines.append(
-                    (one.name, digits(value), name, verdict(before.judgement), verdict(row.judgement))
+                    (
+                        assumption.name,
+                        format_number(value),
+                        name,
+                        format_verdict(before.judgement),
+                        format_verdict(row.judgement),
+                    )
                 )
-    return table(("assumption", "at", "total or row", "verdict", "becomes"), lines)
+    return markdown_table(("assumption", "at", "total or row", "verdict", "becomes"), lines)
 
 
-def key_of(row):
+def row_key(row):
     return row.role, row.part, row.situation, row.quantity, row.designs, row.mechanism
 
 
-def slope_lines(found):
-    requested = found.slopes.requested
+def slope_lines(table):
+    requested = table.slopes.requested
     for name, slope in sorted(
-        found.slopes.by_name.items(), key=lambda one: (one[0] not in requested, one[0])
+        table.slopes.by_name.items(), key=lambda one: (one[0] not in requested, one[0])
     ):
-        fit = found.slopes.fits[name]
+        fit = table.slopes.fits[name]
         sizes = [size for size, _ in slope.medians()]
         held = fit.held_out
         yield (
             f"`{name}`" + ("" if name in requested else " (no row)"),
             slope.unit,
-            f"{slope.n}: {', '.join(digits(size) for size in sizes)}",
+            f"{slope.n}: {', '.join(format_number(size) for size in sizes)}",
             f"{fit.law.base:.3g} + {fit.law.factor:.3g} {fit.law.growth}",
             " / ".join(f"{value:.1%}" for value in fit.residuals.values()),
-            f"{digits(held.predicted)} for {digits(held.measured)}: {percent(held.error)}"
+            f"{format_number(held.predicted)} for {format_number(held.measured)}: {format_error(held.error)}"
             if held
             else "**a guess**",
             f"`{slope.command}`, {slope.commit}" + (", reported" if slope.origin == "reported" else ""),
         )
 
 
-def slope_table(found):
-    heads = (
+def slope_table(table):
+    headings = (
         "slope",
         "unit",
         "sizes",
@@ -222,7 +247,7 @@
         "held-out size: predicted for measured: error",
         "command, commit",
     )
-    return table(heads, slope_lines(found))
+    return markdown_table(headings, slope_lines(table))
 
 
 def limits_text(target):
@@ -230,18 +255,21 @@
     rows = []
     for limits in dict.fromkeys((1, int(target.assumed("limits")), target.services)):
         shape = (target.controllers, target.proxies_per_controller, limits)
-        each, through = formulas.limits_all_to_all(*shape), formulas.limits_through_replicas(*shape)
+        all_to_all, through_replicas = (
+            formulas.limits_all_to_all(*shape),
+            formulas.limits_through_replicas(*shape),
+        )
         rows.append(
             (
-                digits(limits),
-                against(each.controller_out, target.bytes_a_second),
-                against(through.controller_out, target.bytes_a_second),
-                quantity(through.controller_in, "bytes/s"),
-                quantity(through.replica_in, "bytes/s"),
-                quantity(through.state, "bytes"),
+                format_number(limits),
+                rate_in_budgets(all_to_all.controller_out, target.bytes_a_second),
+                rate_in_budgets(through_replicas.controller_out, target.bytes_a_second),
+                format_quantity(through_replicas.controller_in, "bytes/s"),
+                format_quantity(through_replicas.replica_in, "bytes/s"),
+                format_quantity(through_replicas.state, "bytes"),
             )
         )
-    heads = (
+    headings = (
         "limits",
         "each to each: a controller sends, and receives",
         "through replicas: a controller sends",
@@ -249,51 +277,59 @@
         "the replica that keeps receives",
         "and holds",
     )
-    return table(heads, rows)
+    return markdown_table(headings, rows)
 
 
-def against(rate, budget):
-    return f"{quantity(rate, 'bytes/s')} ({rate / budget:,.1f} budgets)"
+def rate_in_budgets(rate, budget):
+    return f"{format_quantity(rate, 'bytes/s')} ({rate / budget:,.1f} budgets)"
 
 
-def reach_table(found):
+def size_limit_table(table):
     """How large a fleet one part alone could be within its budget."""
-    return table(
+    return markdown_table(
         ("part", "budget", "reached at", "the target has", "by"),
         (
             (
                 one.what,
-                quantity(one.budget, one.unit),
+                format_quantity(one.budget, one.unit),
                 f"{one.size:,} {one.size_unit}",
                 f"{one.target_size:,}",
                 one.source,
             )
-            for one in size_limits(found.target, found.slopes)
+            for one in size_limits(table.target, table.slopes)
         ),
     )
 
 
-def agreement(found):
+def loopback_comparison(table):
     """What links carried beside what the same cores sent under virtual time, at sizes where both ran."""
     rows = []
-    for name, slope in found.slopes.by_name.items():
-        virtual = found.slopes.by_name.get(VIRTUAL + name)
+    for name, slope in table.slopes.by_name.items():
+        virtual = table.slopes.by_name.get(VIRTUAL_PREFIX + name)
         if virtual is None:
             continue
-        counted = dict(virtual.medians())
+        virtual_by_size = dict(virtual.medians())
         for size, value in slope.medians():
-            if size in counted and counted[size]:
-                ratio = f"{value / counted[size]:.2f}"
-                rows.append((f"`{name}`", digits(size), digits(value), digits(counted[size]), ratio))
-    return table(("slope", "size", "on loopback", "under virtual time", "ratio"), rows)
+            if size in virtual_by_size and virtual_by_size[size]:
+                ratio = f"{value / virtual_by_size[size]:.2f}"
+                rows.append(
+                    (
+                        f"`{name}`",
+                        format_number(size),
+                        format_number(value),
+                        format_number(virtual_by_size[size]),
+                        ratio,
+                    )
+                )
+    return markdown_table(("slope", "size", "on loopback", "under virtual time", "ratio"), rows)
 
 
-def gaps(found):
+def missing_slopes(table):
     """Slopes that rows ask for and that are not there."""
     missing = sorted(
         {
             row.figure.source
-            for row in found.rows
+            for row in table.rows
             if row.figure.origin is Origin.UNKNOWN
             and row.judgement.verdict in (Verdict.UNKNOWN, Verdict.NO_BUDGET)
         }
@@ -301,53 +337,53 @@
     return "\n".join(f"- {one}" for one in missing) or "Nothing that a row asks for."
 
 
-def page(found, by_name, charts=()):
+def page(table, by_name, charts=()):
     """docs/CAPACITY.md. `charts`: names of the files that are there."""
-    words = {
+    header_names = {
         "cluster": Reading.CLUSTER,
         "all": Reading.ALL,
         "gossip": Design.GOSSIP,
         "replicas": Design.REPLICAS,
     }
     reported = [name for name in by_name if name.startswith(REPORTED_PREFIX)]
-    pictures = "\n\n".join(
+    chart_links = "\n\n".join(
         f"![{caption}](measured/capacity/{name})" for name, caption in CHARTS if name in charts
     )
     return "\n".join(
         (
-            HEAD.format(**words),
+            PAGE_HEADER.format(**header_names),
             "## Target\n",
-            target_text(found.target),
+            target_text(table.target),
             "What it does not name:\n",
-            assumptions(found.target),
+            assumptions(table.target),
             "",
-            tables(found),
+            tables(table),
             "## Assumptions varied\n",
             "Totals that change, and rows whose verdict becomes another, when one assumption is set to "
             "another value and all else is as above.\n",
-            variations(found, by_name),
+            variations(table, by_name),
             "",
             "## Sizes at which a budget is reached\n",
             "The largest size at which one part, alone, is within its budget, by its law or formula.\n",
-            reach_table(found),
+            size_limit_table(table),
             "",
             "## Shares of limits, each to each or through the replicas\n",
             "Reckoned from true messages at the target's size, one ask a second. Through the replicas an "
             "ask names only its sender's own proxies, and one replica keeps the shares.\n",
-            limits_text(found.target),
+            limits_text(table.target),
             "",
             "## Loopback and virtual time\n",
             "The same cores on true links and under virtual time, where both ran.\n",
-            agreement(found),
+            loopback_comparison(table),
             "",
             "## Not known\n",
-            gaps(found),
+            missing_slopes(table),
             "",
             "## Slopes\n",
             "Each is fitted without its largest size, which is then predicted. Residuals are relative, root "
             f"mean square. {len(reported)} are reported, not measured again.\n",
-            slope_table(found),
+            slope_table(table),
             "",
-            *([pictures, ""] if pictures else []),
+            *([chart_links, ""] if chart_links else []),
         )
     )
--- a/embertray/experiments/capacity/text.py
+++ b/embertray/experiments/capacity/text.py
@@ -8,7 +8,7 @@
 BYTES = (("GB", 1e9), ("MB", 1e6), ("KB", 1e3))
 
 
-def digits(value):
+def format_number(value):
     """Three digits, without exponents where it can be read without."""
     if value == 0:
         return "0"
@@ -17,48 +17,50 @@
     return f"{value:.3g}" if abs(value) >= 1e-4 else f"{value:.1e}"
 
 
-def quantity(value, unit):
+def format_quantity(value, unit):
     """A value with its unit; None is 'not known'."""
     if value is None:
         return "not known"
     if unit == "s":
-        name, worth = next((one for one in SECONDS if abs(value) >= one[1]), SECONDS[-1])
-        return "0 s" if value == 0 else f"{digits(value / worth)} {name}"
+        name, unit_value = next((one for one in SECONDS if abs(value) >= one[1]), SECONDS[-1])
+        return "0 s" if value == 0 else f"{format_number(value / unit_value)} {name}"
     if unit in ("bytes", "bytes/s"):
-        name, worth = next((one for one in BYTES if abs(value) >= one[1]), ("B", 1.0))
-        return f"{digits(value / worth)} {name}{unit[5:]}"
-    return f"{digits(value)} {unit}"
+        name, unit_value = next((one for one in BYTES if abs(value) >= one[1]), ("B", 1.0))
+        return f"{format_number(value / unit_value)} {name}{unit[5:]}"
+    return f"{format_number(value)} {unit}"
 
 
-def percent(share):
+def format_error(share):
     """A relative error; none can be told of 0."""
     return "more than can be told of 0" if isinf(share) else f"{share:.1%}"
 
 
-def verdict(judgement):
-    unsure = ", within the slope's error" if judgement.uncertain else ""
+def format_verdict(judgement):
+    suffix = ", within the slope's error" if judgement.uncertain else ""
     if judgement.verdict is Verdict.SHORT:
-        return f"**falls short by {factor(judgement.factor)}**{unsure}"
-    return f"{judgement.verdict}{unsure}"
+        return f"**falls short by {format_factor(judgement.factor)}**{suffix}"
+    return f"{judgement.verdict}{suffix}"
 
 
-def factor(value):
+def format_factor(value):
     if value >= 100:
         return f"{value:,.0f}"
     return f"{value:.2f}" if value < 2 else f"{value:.2g}"
 
 
-def source(figure):
+def format_source(figure):
     """Where a figure comes from: slope or formula, and how."""
     if figure.origin in (Origin.UNKNOWN, Origin.NO_MECHANISM):
         return figure.source
     if figure.origin is Origin.CALCULATED:
         return f"reckoned: {figure.source}"
-    missed = "" if figure.error is None else f", which missed its held-out size by {percent(figure.error)}"
+    missed = (
+        "" if figure.error is None else f", which missed its held-out size by {format_error(figure.error)}"
+    )
     return f"`{figure.source}`, {figure.origin}{missed}"
 
 
-def table(heads, rows):
-    lines = ["| " + " | ".join(heads) + " |", "|" + " --- |" * len(heads)]
+def markdown_table(headings, rows):
+    lines = ["| " + " | ".join(headings) + " |", "|" + " --- |" * len(headings)]
     lines += ["| " + " | ".join(cells) + " |" for cells in rows]
     return "\n".join(lines)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -320,7 +320,7 @@
             "cluster-oldest": slope("cluster-oldest", [(8, 3.0), (32, 6.0)]),
             "virtual-cluster-oldest": slope("virtual-cluster-oldest", [(8, 2.0), (64, 9.0)]),
         }
-        rows = page.agreement(compute(load(), both)).splitlines()[2:]
+        rows = page.loopback_comparison(compute(load(), both)).splitlines()[2:]
         self.assertEqual(rows, ["| `cluster-oldest` | 8 | 3 | 2 | 1.50 |"])
 
     def test_a_slope_without_a_held_out_size_is_called_a_guess(self):
