--- a/embertray/simulation/standins/__init__.py
+++ b/embertray/simulation/standins/__init__.py
@@ -1,5 +1,4 @@
-"""Stand-ins: backends, plain proxies, clients and an inventory, made for tests and rehearsals; and their
-nets.
+"""Stand-ins for backends, plain proxies, clients, the inventory and the platform's services, for tests.
 
-They speak to the controller and to each other over streams only, and know nothing of the controller's inside.
+They communicate with the controller and with each other over streams only, and use none of its internals.
 """
--- a/embertray/simulation/standins/discovery.py
+++ b/embertray/simulation/standins/discovery.py
@@ -53,7 +53,7 @@
         self.answers_watches_at_once = False
 
     def change(self, ident, **fields):
-        """Change a member, or add one, as a new revision.
+        """Changes a member, or add one, as a new revision.
 
         Args:
             ident: the member's id.
@@ -66,7 +66,7 @@
         self.notify_changed()
 
     async def serve(self, connection):
-        """Answer list and watch requests until the connection ends or a fault closes it.
+        """Answers list and watch requests until the connection ends or a fault closes it.
 
         Args:
             connection: an HttpConnection.
@@ -91,7 +91,7 @@
                 return
 
     async def _wait_for_change(self, query):
-        """Hold a watch until there is a change or its time is over; returns its revision, or None."""
+        """Holds a watch until there is a change or its time is over; returns its revision, or None."""
         if "from" not in query:
             return None
         since = int(query["from"][0])
@@ -101,7 +101,7 @@
         return since
 
     def _rows(self, since):
-        """The members that changed after a revision; all that are not gone when it is None."""
+        """Returns the members that changed after a revision; all that are not gone if it is None."""
         if since is None:
             return [member for member in self.members.values() if member["phase"] != "gone"]
         changed = {ident for revision, ident in self.change_log if revision > since}
--- a/embertray/simulation/standins/exceptions.py
+++ b/embertray/simulation/standins/exceptions.py
@@ -2,4 +2,4 @@
 
 
 class StalledError(RuntimeError):
-    """Nothing is planned at any time: a run in virtual time would hang for ever."""
+    """No task can run and no timer is set: a run in virtual time would wait for ever."""
--- a/embertray/simulation/standins/fleet.py
+++ b/embertray/simulation/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of proxies without streams for one decision module, behind a stand-in of the relay's channel."""
+"""A fleet of proxies without streams, which a decision module controls through a simulated channel."""
 
 from collections import defaultdict
 
@@ -11,12 +11,12 @@
 
 START_NS = 10 * S  # the time at which a fleet begins
 STEP_PERIOD_NS = 100 * MS
-GRACE_MARGIN_NS = 300 * MS  # past the drain's grace, for the way of the last message
+GRACE_MARGIN_NS = 300 * MS  # past the drain grace, for the delivery of the last message
 BACKEND_NAME_PREFIX = "be-"
 
 
 def default_deployment(zones, proxies, **changes):
-    """The deployment that a fleet has where nothing else is asked for.
+    """Returns the deployment that a fleet has by default.
 
     Args:
         zones: the handles of the zones.
@@ -55,13 +55,13 @@
 
 
 class Fleet:
-    """Steps a decision module and keeps what its orders make of the proxies.
+    """Steps a decision module and applies its orders to the proxies.
 
-    Proxies apply messages and answer nonces. Those that are bound have their table's lines, those that are
-    not have the lines that they brought.
+    Proxies apply messages and answer nonces. Bound proxies have the lines of their table, others those that
+    they joined with.
 
     Args:
-        controller: called with (seed, deployment, now); makes the decision module.
+        controller: called with (seed, deployment, now); returns the decision module.
         backends: number of backends that are listed at the start.
         proxies: number of proxies; they join by `join`.
         zones: number of zones.
@@ -71,14 +71,14 @@
     Attributes:
         now: ns.
         pending_events: events for the module's next step.
-        backend_states: backend -> state that the list says.
-        removed_at: backend -> ns since when it is listed as not ready.
+        backend_states: backend -> its state in the list.
+        removed_at: backend -> ns since when it has been listed as not ready.
         lines: proxy -> backend -> weight.
         bound: proxy -> table.
         joined_at: proxy -> ns.
         tables: table -> backend -> weight, as ordered.
-        overdue: (proxy, backend) that had a line past the drain's grace -> ns when last seen.
-        without_lines_ns: proxy -> ns that it was without a line to a listed backend.
+        overdue: (proxy, backend) that had a line past the drain grace -> ns when last observed.
+        without_lines_ns: proxy -> ns for which it had no line to a ready backend.
         channel: the FleetChannel.
     """
 
@@ -102,7 +102,7 @@
         self.change_list("cached", self.backends, "ready")
 
     def change_list(self, how, backends, state, started=0):
-        """Have a part of the list come to the module with its next step.
+        """Passes an endpoint-list update to the module with its next step.
 
         Args:
             how: the kind of i.EndpointListUpdate.
@@ -122,11 +122,11 @@
         return self.zones[number % len(self.zones)]
 
     def join(self, proxies, lines_of):
-        """Let proxies join.
+        """Adds proxies, which the module is told with its next step.
 
         Args:
             proxies: their handles.
-            lines_of: proxy -> the backends to which it brings lines.
+            lines_of: called with a proxy; returns the backends to which it has lines already.
         """
         for proxy in proxies:
             self.lines[proxy] = dict.fromkeys(lines_of(proxy), 1.0)
@@ -135,7 +135,7 @@
             self.pending_events.append(i.ProxyJoined(proxy, zone, 1.0, True))
 
     def run(self, until, period=STEP_PERIOD_NS):
-        """Step the module.
+        """Steps the module.
 
         Args:
             until: ns at which to end.
@@ -150,7 +150,7 @@
             self._check_lines()
 
     def deliver(self):
-        """Apply the messages that have come to their proxies, which answer them."""
+        """Applies the messages that have arrived at their proxies, and answers their nonces."""
         for update in self.channel.arrived(self.now):
             if update.table is not None:
                 self.lines[update.proxy] = dict(update.table)
@@ -170,7 +170,7 @@
     # ---- orders
 
     def send(self, orders):
-        """Make a step's orders messages and put them on the channel.
+        """Turns the orders of a step into messages, and sends them on the channel.
 
         Args:
             orders: what `step` of the module returned.
@@ -212,10 +212,10 @@
             if self.lines[proxy].get(order.backend):
                 batch.set_line(proxy, order.backend, 0)
 
-    # ---- what must not be
+    # ---- checks
 
     def _check_lines(self):
-        """Note lines that are there past the drain's grace, and proxies without a usable line."""
+        """Records lines that exist past the drain grace, and proxies without a usable line."""
         grace = self.deployment.drain_grace + GRACE_MARGIN_NS
         for proxy, joined_at in self.joined_at.items():
             removed = [backend for backend in self.lines[proxy] if backend in self.removed_at]
--- a/embertray/simulation/standins/fleet_channel.py
+++ b/embertray/simulation/standins/fleet_channel.py
@@ -1,4 +1,4 @@
-"""The relay's channel without streams: messages leave at a pace, in order, one for each proxy and step."""
+"""Simulates the relay's channel: a limited rate, in order, one message for each proxy and step."""
 
 from collections import defaultdict, deque
 from typing import NamedTuple
@@ -6,17 +6,17 @@
 from embertray.policy import interface as i
 
 NS_PER_S = 10**9
-BIND_COST_LINES = 3  # lines that a bind costs beside those of its table
-MESSAGE_COST_LINES = 1  # lines that a message costs beside its content and its head
+BIND_COST_LINES = 3  # in addition to the lines of the table
+MESSAGE_COST_LINES = 1  # in addition to the content and the head
 
 
 class TableUpdate(NamedTuple):
-    """One message as it comes to a proxy.
+    """One message as it arrives at a proxy.
 
     Attributes:
         arrives_at: ns.
         proxy: the proxy's handle.
-        table: backend -> weight that replaces all that it had; None where only `changes` come.
+        table: backend -> weight, replaces all lines of the proxy; None: there are only `changes`.
         changes: backend -> weight; 0 removes the line.
         nonce: the nonce to answer, or None.
         sent_at: ns of the step that ordered it.
@@ -31,12 +31,12 @@
 
 
 class MessageBatch:
-    """The messages that a step's orders become: one for each proxy concerned.
+    """The messages of one step's orders, one for each proxy concerned.
 
     Attributes:
         tables: proxy -> backend -> weight, for a proxy that was bound in this step.
         changes: proxy -> backend -> weight.
-        lines: proxy -> lines that its message takes of the channel.
+        lines: proxy -> cost of its message in lines.
         nonce: the step's nonce, or None.
     """
 
@@ -47,7 +47,7 @@
         self.nonce = None
 
     def set_line(self, proxy, backend, weight):
-        """Add a line to a proxy's message.
+        """Adds a line to a proxy's message.
 
         Args:
             proxy: the proxy's handle.
@@ -58,7 +58,7 @@
         self.lines[proxy] += 1
 
     def set_level(self, proxy):
-        """Add an admission level to a proxy's message; only its cost counts here.
+        """Adds an admission level to a proxy's message; only its cost counts here.
 
         Args:
             proxy: the proxy's handle.
@@ -66,7 +66,7 @@
         self.lines[proxy] += 1
 
     def bind(self, proxy, table):
-        """Make a proxy's message one that carries a complete table.
+        """Makes a proxy's message one that carries a complete table.
 
         Args:
             proxy: the proxy's handle.
@@ -78,14 +78,14 @@
 
 
 class FleetChannel:
-    """Carries messages at the deployment's pace.
+    """Delivers messages at the deployment's channel rate and delay.
 
     Args:
         deployment: an i.Deployment.
 
     Attributes:
-        free_at: ns when all that was sent has left.
-        pending_lines_max: the most lines that waited at any time.
+        free_at: ns when the last queued message leaves.
+        pending_lines_max: the greatest number of lines that waited at any time.
         sent_at: proxy -> ns at which each of its messages left.
     """
 
@@ -97,7 +97,7 @@
         self.sent_at = defaultdict(list)
 
     def send(self, batch, now):
-        """Queue a step's messages.
+        """Queues a step's messages.
 
         Args:
             batch: a MessageBatch.
@@ -122,7 +122,7 @@
         self.pending_lines_max = max(self.pending_lines_max, pending_lines)
 
     def arrived(self, now):
-        """Take out what has arrived.
+        """Removes and yields the messages that have arrived.
 
         Args:
             now: ns.
--- a/embertray/simulation/standins/http_server.py
+++ b/embertray/simulation/standins/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server over streams: what the stand-ins of the platform's services share."""
+"""A small HTTP/1.1 server over streams, shared by the stand-ins of the platform's services."""
 
 import anyio
 import h11
@@ -21,7 +21,7 @@
         self.state = h11.Connection(h11.SERVER)
 
     async def request(self):
-        """Read the next request.
+        """Reads the next request.
 
         Returns:
             (method, target, body); None when the client is gone.
@@ -48,7 +48,7 @@
             self.state.receive_data(b"")
 
     async def answer(self, body, content_type="text/xml", status=200, body_bytes_max=None):
-        """Send a response.
+        """Sends a response.
 
         Args:
             body: the whole body; its length is announced even if less is sent.
@@ -64,7 +64,7 @@
             self.state.start_next_cycle()
 
     async def send_slowly(self, body):
-        """Send the rest of a body one byte at a time.
+        """Sends the rest of a body one byte at a time.
 
         Args:
             body: bytes that `answer` announced and left out.
@@ -88,7 +88,7 @@
         self.changed_event = anyio.Event()
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
-        """Listen and serve until cancelled.
+        """Listens and serve until cancelled.
 
         Args:
             task_status: told the address once it listens.
@@ -104,7 +104,7 @@
                 await listener.aclose()
 
     async def accept(self, stream):
-        """Serve one connection to its end; its breaking ends nothing else.
+        """Serves one connection to its end; its errors do not affect others.
 
         Args:
             stream: the accepted byte stream.
@@ -121,7 +121,7 @@
                 await anyio.aclose_forcefully(stream)
 
     async def serve(self, connection):
-        """Answer the requests of one connection.
+        """Answers the requests of one connection.
 
         Args:
             connection: an HttpConnection.
@@ -129,12 +129,12 @@
         raise NotImplementedError
 
     def notify_changed(self):
-        """Wake all that wait in `wait_until`."""
+        """Wakes all tasks that wait in `wait_until`."""
         self.changed_event.set()
         self.changed_event = anyio.Event()
 
     async def wait_until(self, condition):
-        """Wait until a condition holds; it is checked again after each change of this server.
+        """Waits until a condition holds; it is checked again after each change of this server.
 
         Args:
             condition: called without arguments, returns whether to go on.
--- a/embertray/simulation/standins/link.py
+++ b/embertray/simulation/standins/link.py
@@ -1,26 +1,26 @@
-"""A link: typed messages both ways over one stream."""
+"""Sends and receives typed messages over one stream."""
 
 import anyio
 
 from embertray.common.framing import FrameDecoder, FrameError, encode_frame
 from embertray.common.net.queued_connection import QueuedConnection
 
-# How a stream tells that it cannot be opened or has ended.
+# Raised when a stream cannot be opened or has ended.
 STREAM_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 class Link:
-    """Messages both ways over one stream.
+    """A bidirectional connection of typed messages over one stream.
 
     Args:
         stream: the byte stream.
         encode: message -> payload of a frame.
         decode: payload of a frame -> message.
-        on_message: called with each message that comes.
-        on_end: called once, when the link is over.
+        on_message: called with each message that is received.
+        on_end: called once, when the link has ended.
 
     Attributes:
-        over: no message goes out any more.
+        over: whether the link has ended; messages are then dropped.
     """
 
     def __init__(self, stream, encode, decode, on_message, on_end=None):
@@ -33,7 +33,7 @@
         self.over = False
 
     def put(self, message):
-        """Queue a message to be sent; it is dropped when the link is over.
+        """Queues a message to be sent; it is dropped when the link has ended.
 
         Args:
             message: what `encode` takes.
@@ -42,12 +42,12 @@
             self.conn.put(encode_frame(self.encode(message)))
 
     def cut(self):
-        """End the link at once; what is queued is lost."""
+        """Ends the link at once; what is queued is lost."""
         self.over = True
         self.scope.cancel()
 
     async def run(self):
-        """Read and write until the stream ends, a frame is unreadable or `cut` is called."""
+        """Reads and write until the stream ends, a frame is unreadable or `cut` is called."""
         try:
             async with self.conn.stream:
                 with self.scope:
@@ -55,7 +55,7 @@
                         group.start_soon(self._write)
                         await self._read()
                         group.cancel_scope.cancel()
-        except FrameError:  # what a faulty peer sends ends its own link only
+        except FrameError:  # a faulty peer ends its own link only
             pass
         finally:
             self.over = True
--- a/embertray/simulation/standins/memory_net.py
+++ b/embertray/simulation/standins/memory_net.py
@@ -1,11 +1,11 @@
-"""Streams in memory between addresses, in place of loopback TCP."""
+"""In-memory streams between addresses, in place of loopback TCP."""
 
 from collections import deque
 
 import anyio
 from anyio.abc import ByteStream
 
-BUFFER_BYTES_MAX = 64 * 1024  # kept for a reader that does not read, as a socket does
+BUFFER_BYTES_MAX = 64 * 1024  # buffered for a slow reader, as a socket does
 RECEIVE_BYTES_MAX = 1 << 20
 
 
@@ -13,7 +13,7 @@
     """One end of a stream.
 
     Args:
-        gate: the ProcessGate of the process that reads and writes here; None: it never stops.
+        gate: the ProcessGate of the process that uses this end; None: it is never paused.
 
     Attributes:
         peer: the other end.
@@ -34,14 +34,14 @@
             gate.streams[self] = True
 
     async def _pass_gate(self):
-        """Wait while the process stands still; raises anyio.ClosedResourceError on a closed stream."""
+        """Waits while the process is paused; raises anyio.ClosedResourceError on a closed stream."""
         if self.gate:
             await self.gate.wait_open()
         if self.closed:
             raise anyio.ClosedResourceError
 
     async def send(self, data):
-        """Send bytes; waits while the peer's buffer is full.
+        """Sends bytes; waits while the peer's buffer is full.
 
         Args:
             data: the bytes.
@@ -66,7 +66,7 @@
             await self.peer.writable.wait()
 
     async def receive(self, max_bytes=RECEIVE_BYTES_MAX):
-        """Receive bytes; waits for the first.
+        """Receives bytes; waits for the first.
 
         Args:
             max_bytes: return no more than this many.
@@ -101,12 +101,12 @@
         return data[:max_bytes]
 
     async def send_eof(self):
-        """Tell the other end that no more bytes come."""
+        """Signals the end of data to the other end."""
         self.peer.ended = True
         self.peer.readable.set()
 
     async def aclose(self):
-        """Close this end; the other can still read what was sent."""
+        """Closes this end; the other can still read what was sent."""
         if not self.closed:
             self.closed = True
             self.peer.ended = True
@@ -116,7 +116,7 @@
                 event.set()
 
     def reset(self):
-        """Break both ends at once; what was in flight is lost."""
+        """Breaks both ends at once; what was in flight is lost."""
         for end in (self, self.peer):
             end.broken = True
             end.chunks.clear()
@@ -132,7 +132,7 @@
         self.last_port = 20000
 
     async def listen(self, address, gate=None):
-        """Listen on an address.
+        """Listens on an address.
 
         Args:
             address: "host:port"; port 0 takes one that is free.
@@ -155,7 +155,7 @@
         return listener
 
     async def dial(self, address, gate=None):
-        """Open a stream to an address.
+        """Opens a stream to an address.
 
         Args:
             address: "host:port".
@@ -195,7 +195,7 @@
         self.dialled = anyio.Event()
 
     async def serve(self, handler, group):
-        """Accept until cancelled.
+        """Accepts until cancelled.
 
         Args:
             handler: coroutine function called with each stream.
@@ -210,11 +210,11 @@
             await self.dialled.wait()
 
     async def aclose(self):
-        """Stop listening."""
+        """Stops listening."""
         self.close()
 
     def close(self):
-        """Stop listening; streams that were not accepted break."""
+        """Stops listening; streams that were not accepted break."""
         if self.net.listeners.get(self.address) is self:
             del self.net.listeners[self.address]
         while self.backlog:
--- a/embertray/simulation/standins/messages.py
+++ b/embertray/simulation/standins/messages.py
@@ -1,6 +1,4 @@
-"""What clients, proxies and backends say to each other: a request and its end, in the frames of the proxies'
-protocol.
-"""
+"""Messages between clients, proxies and backends: a request and its end, framed as in the proxy protocol."""
 
 import msgspec
 
@@ -8,8 +6,15 @@
 
 
 class Request(Message, tag="req"):
-    """`work`: ns of a core of speed 1; `within`: ns until whoever sent it gives up; `attempt`: 1 for the
-    first.
+    """One attempt of a request.
+
+    Attributes:
+        ident: id that its RequestEnd repeats.
+        kind: name of the request kind.
+        work: ns on a core of speed 1.
+        within: timeout of the sender, ns.
+        attempt: number of the attempt, from 1.
+        sender: name of the proxy that sends it; empty from clients.
     """
 
     ident: int
@@ -21,13 +26,21 @@
 
 
 class RequestEnd(Message, tag="end"):
-    """`how`: done | denied | full | error"""
+    """The end of one attempt.
+
+    Attributes:
+        ident: id of the Request.
+        attempt: number of the attempt.
+        how: outcome: done, denied, full or error.
+        load: load values of the backend.
+        wait: ns to wait before a retry, if denied.
+    """
 
     ident: int
     attempt: int
     how: str
     load: dict[str, float] = {}
-    wait: int = 0  # ns that who was denied is asked to stay away
+    wait: int = 0
 
 
 encode = msgspec.msgpack.Encoder().encode
--- a/embertray/simulation/standins/process_gate.py
+++ b/embertray/simulation/standins/process_gate.py
@@ -1,13 +1,13 @@
-"""A process in virtual time as it is stopped and killed: its clock and its streams pass through one gate."""
+"""Pauses and kills processes in virtual time: their clock and streams pass through a gate."""
 
 import anyio
 
 
 class ProcessGate:
-    """Closed while a process stands still.
+    """Blocks the clock and streams of one process while it is paused.
 
     Attributes:
-        streams: the process's open streams, in the order in which they were made.
+        streams: the process's open streams, in the order of their creation.
     """
 
     def __init__(self):
@@ -15,23 +15,23 @@
         self.streams = {}
 
     def pause(self):
-        """Let nothing pass until `go_on`."""
+        """Blocks the process until `resume`."""
         self.released = self.released or anyio.Event()
 
     def resume(self):
-        """Let all pass that waits."""
+        """Releases all that waits."""
         if self.released:
             self.released.set()
             self.released = None
 
     async def wait_open(self):
-        """Wait while the process stands still."""
+        """Waits while the process is paused."""
         while self.released:
             await self.released.wait()
 
 
 class GatedClock:
-    """The clock of a process that may stand still: its sleeps end when it goes on.
+    """The clock of a process that may be paused; its sleeps end no earlier than it is resumed.
 
     Args:
         clock: the clock that all processes share.
@@ -45,7 +45,7 @@
         self.wall = clock.wall
 
     async def sleep_until(self, when):
-        """Sleep until a time, and for as long after it as the process stands still.
+        """Sleeps until a time, and further until the process is not paused.
 
         Args:
             when: ns of the clock.
@@ -55,7 +55,7 @@
 
 
 class GatedNet:
-    """A net as one process has it: its streams stand still with it, and break when it is killed.
+    """The net of one process: its streams are paused with it, and are reset when it is killed.
 
     Args:
         net: a MemoryNet.
@@ -67,18 +67,18 @@
         self.gate = gate
 
     async def listen(self, address):
-        """Listen on an address; as MemoryNet.listen."""
+        """Listens on an address; as MemoryNet.listen."""
         return await self.net.listen(address, self.gate)
 
     async def dial(self, address):
-        """Open a stream to an address; as MemoryNet.dial."""
+        """Opens a stream to an address; as MemoryNet.dial."""
         return await self.net.dial(address, self.gate)
 
     def kill(self):
-        """Do what the system does for a dead process: nobody listens, and its streams break.
+        """Closes the listeners and resets the streams of a killed process, as an operating system does.
 
-        They break in the order in which they were made: a cancelled task group ends its tasks in no certain
-        order, which would make two runs of the same seed differ.
+        Streams are reset in the order of their creation: a cancelled task group ends its tasks in no fixed
+        order, and two runs with the same seed would differ.
         """
         for listener in [one for one in self.net.listeners.values() if one.gate is self.gate]:
             listener.close()
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -1,6 +1,7 @@
-"""A plain proxy on sockets: its stream to a controller, its clients and its backends. What it does with a
-request is told by model/proxy.py; it keeps what it holds when its stream breaks and dials the next
-controller.
+"""A plain proxy on sockets: its stream to a controller, and connections from clients and to backends.
+
+models/proxy.py decides what happens to requests. When its stream breaks, the proxy keeps its table and dials
+the next controller.
 """
 
 import anyio
@@ -15,20 +16,41 @@
 from .messages import Request, RequestEnd, decode, encode
 
 S = 10**9
-REDIAL_DELAYS_NS = (S // 5, 2 * S)  # ns; delay before the next dial, first and longest
-CONNECT_TIMEOUT_NS = S // 4  # ns a connection may take
+REDIAL_DELAYS_NS = (S // 5, 2 * S)  # first and longest delay before a dial
+CONNECT_TIMEOUT_NS = S // 4
 
 
 class BackendConnection:
-    """One backend as this proxy has it: a connection, and what waits for it."""
+    """The connection to one backend, and the requests that wait for it."""
 
     def __init__(self):
         self.link, self.is_dialing, self.waiting = None, False, []
 
 
 class StandinProxy(PausableProcess):
-    """`eyes` sees what crosses its sockets: joined, left, orders, sent (days/observer.py). `way()` gives ns
-    that an order takes from the socket to its effect."""
+    """A proxy with sockets.
+
+    Args:
+        name: its name.
+        zone: its zone.
+        site: the site description.
+        controllers: addresses of the controllers.
+        net: the net to listen and dial on.
+        scheduler: a Scheduler.
+        rng: the random generator.
+        rate: requests per second that it announces to the controller.
+        standing: the backends of its standing table.
+        eyes: the observer of joins, orders and requests (scenarios/observer.py); None: there is none.
+        order_delay: returns the ns between the receipt and the effect of an order.
+
+    Attributes:
+        joined: the ProxySession while a controller has welcomed it, else None.
+        cut_off: whether it dials no controller.
+        deaf: whether it stops reading from its controller.
+        report_delay: delay of its load reports, ns.
+        home: index of the controller that it dials first.
+        unreachable_backends: backends to which its connections are refused.
+    """
 
     def __init__(
         self,
@@ -59,11 +81,12 @@
         self.group, self.scope, self.conn = None, None, None
         self.cut_off = self.paused = self.deaf = False
         self.deferred_calls, self.report_delay, self.last_due, self.home = [], 0, 0, 0
-        self.unreachable_backends = set()  # backends that it can't reach
+        self.unreachable_backends = set()
 
-    # ---- its stream to a controller
+    # ---- the stream to a controller
 
     async def run(self, address="127.0.0.1:0", *, task_status=anyio.TASK_STATUS_IGNORED):
+        """Runs the proxy until cancelled; reports its address for clients as started."""
         listener = await self.net.listen(address)
         try:
             async with anyio.create_task_group() as group:
@@ -77,7 +100,7 @@
                 await listener.aclose()
 
     async def keep_connected(self):
-        """Dials the controllers in turn, from its own on; waits longer when none answers."""
+        """Dials the controllers in turn, from `home` on; backs off after each round without an answer."""
         index, redial_delay, attempts = self.home, REDIAL_DELAYS_NS[0], 0
         while True:
             retry_after = 0
@@ -95,7 +118,7 @@
             await anyio.sleep(pause / 1e9)
 
     async def run_stream(self, address):
-        """One stream, to its session; ns that the controller asks it to stay away."""
+        """Runs one stream to its end; returns the ns that the controller asks it to wait before a dial."""
         session, retry_after = ProxySession(self.name, self.zone, self.rate, self.fresh), 0
         stream = await self.net.dial(address)
         self.scope = anyio.CancelScope()
@@ -106,7 +129,7 @@
                 group.start_soon(self.write, self.conn, self.scope)
                 try:
                     while not session.ended:
-                        while self.deaf:  # it does not read: its sockets fill up
+                        while self.deaf:  # unread data fills the socket buffers
                             await anyio.sleep(0.05)
                         for message in session.receive(await self.conn.read()):
                             if isinstance(message, Orders):
@@ -125,12 +148,14 @@
         return retry_after
 
     def on_joined(self, session, address, welcome):
+        """Notes that a controller has welcomed the proxy."""
         self.joined, self.fresh = session, False
         self.model.joined(self.scheduler.now())
         if self.eyes:
             self.eyes.joined(self.scheduler.now(), self.name, welcome.controller)
 
     def on_orders(self, session, orders):
+        """Schedules orders to take effect after the order delay, in their order."""
         now = self.scheduler.now()
         if self.eyes:
             self.eyes.orders(now, self.name, orders)
@@ -138,7 +163,8 @@
         self.scheduler.at(self.last_due, self.apply, session, orders)
 
     def apply(self, session, orders):
-        if session is not self.joined:  # the stream broke while it was under way
+        """Applies orders and acknowledges their nonce; defers them while paused."""
+        if session is not self.joined:  # the stream broke before the orders took effect
             return
         if self.paused:
             self.deferred_calls.append((self.apply, session, orders))
@@ -150,22 +176,25 @@
             self.send(session, Acknowledgement(orders.nonce))
 
     def send(self, session, message):
+        """Sends a message, unless its session has ended."""
         if session is self.joined:
             self.conn.put(session.pack(message))
 
     @staticmethod
     async def write(conn, scope):
+        """Writes queued messages; cancels the stream's scope when the stream ends."""
         try:
             await conn.write()
         except STREAM_ERRORS:
             scope.cancel()
 
     def break_stream(self):
+        """Breaks the stream to the controller."""
         if self.scope:
             self.scope.cancel()
 
     async def report(self):
-        """Sums each cycle to whom it is joined to; `lag` ns late."""
+        """Sends a load report each report interval, `report_delay` ns late."""
         while True:
             await anyio.sleep(self.site.report_interval / 1e9)
             session, load_report = self.joined, self.model.take_load_report(self.scheduler.now())
@@ -175,10 +204,12 @@
     # ---- requests
 
     async def serve_client(self, stream):
+        """Serves one connection of clients."""
         link = Link(stream, encode, decode, lambda m: self.on_request(link, m))
         await link.run()
 
     def on_request(self, link, request):
+        """Admits or denies a client's request; defers it while paused."""
         if self.paused:
             self.deferred_calls.append((self.on_request, link, request))
             return
@@ -193,12 +224,14 @@
             self.attempt(underway)
 
     def connection_to(self, name):
+        """Returns the BackendConnection of a backend."""
         found = self.connections.get(name)
         if found is None:
             found = self.connections[name] = BackendConnection()
         return found
 
     def attempt(self, underway):
+        """Starts the next attempt of a request, or finishes it."""
         how = self.model.attempt(self.scheduler.now(), underway)
         if how:
             self.finish(underway, how)
@@ -217,6 +250,7 @@
             self.send_request(connection, underway)
 
     async def connect(self, name, connection):
+        """Opens the connection to a backend, sends what waits for it, and runs it to its end."""
         link = None
         try:
             with anyio.move_on_after(CONNECT_TIMEOUT_NS / 1e9):
@@ -241,6 +275,7 @@
             await link.run()
 
     def send_request(self, connection, underway):
+        """Sends an attempt on an open connection."""
         self.pending_attempts[underway.attempt] = underway
         request = underway.request
         within = max(1, underway.deadline - self.scheduler.now())
@@ -252,7 +287,7 @@
             )
 
     def on_broken(self, name, connection, link):
-        """The connection is gone: what was out on it may have run."""
+        """Ends the attempts on a broken connection; the backend may have run them."""
         if connection.link is link:
             connection.link = None
             for attempt, underway in list(self.pending_attempts.items()):
@@ -260,11 +295,13 @@
                     self.ended(underway, attempt, "broken", {})
 
     def on_end(self, end):
+        """Ends an attempt that a backend has answered."""
         underway = self.pending_attempts.get(end.ident)
         if underway:
             self.ended(underway, end.ident, end.how, end.load)
 
     def ended(self, underway, attempt, how, load):
+        """Ends an attempt; the model decides between another attempt and the end of the request."""
         now, name = self.scheduler.now(), underway.backend
         verdict = self.model.attempt_ended(now, underway, attempt, how, load)
         if verdict is None:
@@ -279,4 +316,5 @@
             self.finish(underway, verdict)
 
     def finish(self, underway, how):
+        """Answers the client."""
         underway.reply_to.put(RequestEnd(underway.request.ident, underway.request.attempt, how))
--- a/embertray/simulation/standins/relay.py
+++ b/embertray/simulation/standins/relay.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's relay over HTTP, written from its protocol alone."""
+"""A stand-in of the platform's relay over HTTP, written from its protocol specification alone."""
 
 from enum import StrEnum
 from urllib.parse import parse_qs
@@ -71,7 +71,7 @@
     # ---- proxies
 
     def attach(self, node, zone, rate=1.0, cold=1):
-        """Attach a proxy and tell the controller.
+        """Attaches a proxy and tell the controller.
 
         Args:
             node: the proxy's number.
@@ -83,7 +83,7 @@
         self.send_event("attach", self.attached[node])
 
     def detach(self, node):
-        """Detach a proxy and tell the controller.
+        """Detaches a proxy and tell the controller.
 
         Args:
             node: the proxy's number.
@@ -93,7 +93,7 @@
         self.send_event("detach", f"node={node}")
 
     def send_event(self, kind, data):
-        """Queue an event on all event streams.
+        """Queues an event on all event streams.
 
         Args:
             kind: the event's name.
@@ -104,7 +104,7 @@
         self.notify_changed()
 
     def lines(self, node):
-        """What a proxy picks from.
+        """Returns the lines that a proxy may pick.
 
         Args:
             node: the proxy's number.
@@ -117,7 +117,7 @@
     # ---- connections
 
     async def serve(self, connection):
-        """Answer calls, or send events, until the connection ends or a fault closes it.
+        """Answers calls, or send events, until the connection ends or a fault closes it.
 
         Args:
             connection: an HttpConnection.
@@ -137,7 +137,7 @@
                 return
 
     async def _call(self, connection, orders):
-        """Carry out one call and answer it; returns whether the connection goes on."""
+        """Carries out one call and answer it; returns whether the connection goes on."""
         fault = self.next_faults.pop(0) if self.next_faults else CallFault.NONE
         self.calls.append((fault, orders))
         count = 0
@@ -154,7 +154,7 @@
 
     @staticmethod
     async def _answer_count(connection, count, fault):
-        """Answer how many orders were carried out, as far as the fault lets it."""
+        """Answers how many orders were carried out, as far as the fault lets it."""
         body = UNREADABLE_BODY
         if fault != CallFault.ANSWER_UNREADABLE:
             item = f"<item><ok_count>{count}</ok_count></item>"
@@ -171,7 +171,7 @@
             await anyio.sleep_forever()
 
     async def _send_events(self, connection):
-        """Send all attached proxies, then each event as it comes."""
+        """Sends all attached proxies, then each event as it comes."""
         queue = [_event("attach", text) for text in self.attached.values()]
         self.event_queues.append(queue)
         self.notify_changed()
@@ -191,7 +191,7 @@
     # ---- orders
 
     def _carry_out(self, orders):
-        """Carry out orders up to the first that is rejected; returns how many were."""
+        """Carries out orders up to the first that is rejected; returns their number."""
         reached_nodes = set()
         for count, order in enumerate(orders):
             try:
@@ -205,7 +205,7 @@
         return len(orders)
 
     def _acknowledge(self, nonce, reached_nodes):
-        """Send the `done` events of a nonce for the proxies that it reached."""
+        """Sends the `done` events of a nonce for the proxies that acknowledge it."""
         for node in sorted(self.attached if nonce.from_all else reached_nodes & set(self.attached)):
             self.send_event("done", f"node={node}&nonce={nonce.text}&latency=12.5")
 
--- a/embertray/simulation/standins/relay_state.py
+++ b/embertray/simulation/standins/relay_state.py
@@ -1,4 +1,4 @@
-"""What the relay's stand-in keeps of proxies and tables, and how orders change it."""
+"""The proxies and tables of the relay's stand-in, and how orders change them."""
 
 from typing import NamedTuple
 
@@ -7,8 +7,8 @@
     """A request for acknowledgement.
 
     Attributes:
-        text: the nonce as it goes back.
-        to_all: all attached proxies answer, else those that the call's orders reached so far.
+        text: the nonce, as it is sent back.
+        from_all: whether all attached proxies answer, or those that the call's orders have reached so far.
     """
 
     text: str
@@ -34,7 +34,7 @@
         self.levels = {}
 
     def lines(self, node):
-        """What a proxy picks from.
+        """Returns the lines that a proxy may pick.
 
         Args:
             node: the proxy's number.
@@ -46,11 +46,11 @@
         return {backend: weight for backend, weight in table.items() if backend not in self.withdrawn}
 
     def carry_out(self, order, reached_nodes):
-        """Carry out one order.
+        """Carries out one order.
 
         Args:
             order: its text: a verb and arguments, with commas between.
-            reached: the set of proxies that the call has reached; those of this order are added.
+            reached_nodes: the proxies that the call has reached; those of this order are added.
 
         Returns:
             A Nonce where the order asks for acknowledgements, else None.
--- a/embertray/simulation/standins/scheduler.py
+++ b/embertray/simulation/standins/scheduler.py
@@ -1,4 +1,4 @@
-"""Callbacks at times, on the event loop."""
+"""Schedules callbacks on the event loop."""
 
 import asyncio
 
@@ -6,10 +6,10 @@
 
 
 class Scheduler:
-    """Callbacks at times, ns of the loop's clock. To be used in the loop's thread only.
+    """Calls back at times of the loop's clock, in ns. Not thread-safe.
 
     Args:
-        clock: gives the time by `now()`.
+        clock: its `now()` returns the time, ns.
     """
 
     def __init__(self, clock):
@@ -21,7 +21,7 @@
         return self.clock.now()
 
     def at(self, when, callback, *arguments):
-        """Call back at a time.
+        """Calls back at a time.
 
         Args:
             when: ns of the clock.
@@ -34,7 +34,7 @@
         return self.loop.call_at(when / NS_PER_S, callback, *arguments)
 
     def after(self, delay, callback, *arguments):
-        """Call back after a delay.
+        """Calls back after a delay.
 
         Args:
             delay: ns from now.
--- a/embertray/simulation/standins/snapshot_aging.py
+++ b/embertray/simulation/standins/snapshot_aging.py
@@ -1,4 +1,4 @@
-"""What a controller kept of the list, made older than it is."""
+"""Makes the snapshots that a controller keeps of the endpoint list older than they are."""
 
 from msgspec import structs
 
@@ -6,7 +6,7 @@
 
 
 def backdated(snapshot, by):
-    """A snapshot as if it had been written so much (ns) before, in another boot."""
+    """Returns a copy of a snapshot as if written `by` ns earlier, before a reboot."""
     return Snapshot(
         snapshot.epoch,
         snapshot.inventory_clock,
@@ -18,19 +18,31 @@
     )
 
 
-def age_in_memory(kept, by, from_start):
-    """What is kept becomes so much older (ns); or is what was kept first, before all that happened since."""
-    snapshot = kept.first_saved if from_start else kept.last_saved
+def age_in_memory(snapshots, by, from_start):
+    """Replaces the newest snapshot by one that is `by` ns older.
+
+    Args:
+        snapshots: the InMemorySnapshots.
+        by: ns.
+        from_start: backdate the first snapshot that was saved, not the newest.
+    """
+    snapshot = snapshots.first_saved if from_start else snapshots.last_saved
     if snapshot is not None:
-        kept.last_saved = backdated(snapshot, by)
+        snapshots.last_saved = backdated(snapshot, by)
 
 
 def age_on_disk(folder, by, from_start):
-    """The same in a state folder; the first is the first that is still there, of the few that are kept."""
-    kept = DurableSnapshots(folder)
-    numbers = kept.store.generations()
+    """Saves a snapshot in a state folder that is `by` ns older than the newest one there.
+
+    Args:
+        folder: the state folder.
+        by: ns.
+        from_start: backdate the oldest snapshot that is still kept, and delete the newer ones.
+    """
+    snapshots = DurableSnapshots(folder)
+    numbers = snapshots.store.generations()
     for number in numbers[1:] if from_start else ():
-        kept.store.path_of(number).unlink()
-    snapshot, _ = kept.load()
+        snapshots.store.path_of(number).unlink()
+    snapshot, _ = snapshots.load()
     if snapshot is not None:
-        kept.save(backdated(snapshot, by))
+        snapshots.save(backdated(snapshot, by))
--- a/embertray/simulation/standins/virtual_time.py
+++ b/embertray/simulation/standins/virtual_time.py
@@ -1,7 +1,8 @@
-"""Virtual time: the same service and stand-ins, a day in the time that its work takes.
+"""Runs the service and the stand-ins in virtual time: a day takes only as long as its computation.
 
 The loop is asyncio's own, first in first out; where it would wait, its clock jumps to the next timer instead.
-So the same day with the same seed is the same run. docs/design/controller.md compares this with other ways.
+Runs of the same day with the same seed are therefore identical. docs/design/controller.md compares this with
+other ways.
 """
 
 import asyncio
@@ -13,12 +14,12 @@
 
 from .exceptions import StalledError
 
-START_S = 1000.0  # s of the virtual clock at the start: what started "long ago" lies before it
-WALL_OFFSET_NS = 1_700_000_000 * 10**9  # ns by which the wall clock is ahead of the loop's
+START_S = 1000.0  # of the virtual clock; earlier times are left for what started before the run
+WALL_OFFSET_NS = 1_700_000_000 * 10**9  # of the wall clock against the loop's clock
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Moves the loop's clock where it would wait.
+    """Advances the loop's clock instead of waiting.
 
     Raises:
         StalledError: from `select`, where no timer is left to jump to.
@@ -30,13 +31,13 @@
         ready = super().select(0)
         if not ready and (timeout is None or timeout > 0):
             if timeout is None:
-                raise StalledError("nothing is left that could happen")
+                raise StalledError("no task can run and no timer is set")
             self.loop.time_s += timeout
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes only where nothing is left to run.
+    """An event loop whose time passes only while no callback is ready.
 
     Attributes:
         time_s: the loop's time, s.
@@ -54,7 +55,7 @@
 
 
 def run(main, *arguments):
-    """Run a coroutine function in virtual time, as `anyio.run` does in real time.
+    """Runs a coroutine function in virtual time, as `anyio.run` does in real time.
 
     Args:
         main: the coroutine function.
@@ -64,7 +65,7 @@
         What it returns.
 
     Raises:
-        StalledError: it waits for something that can no longer happen.
+        StalledError: it waits, and neither a task nor a timer can end the wait.
     """
     return anyio.run(main, *arguments, backend_options={"loop_factory": VirtualLoop})
 
