--- a/embertray/simulation/claims/__init__.py
+++ b/embertray/simulation/claims/__init__.py
@@ -1,1 +1,1 @@
-"""What a cluster and a control plane claim of themselves, judged by what happened."""
+"""Claims about a cluster and a control plane, checked against what happens in a simulation."""
--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -1,17 +1,18 @@
-"""What a cluster claims of itself, checked against what its members say; no I/O.
+"""Claims about a cluster, checked against what its members report; no I/O.
 
-True processes and members under virtual time are judged alike.
+Members in processes and members in virtual time are checked in the same way.
 
 | claim | broken when |
 | --- | --- |
-| seen | a member that nothing passes to or from is not dead or left at another within the detection bound |
-| wrong | a member that has been within reach for the recovery bound is taken for dead |
-| fresh | an entry is older than the freshness bound at one that reaches its owner directly for long enough |
+| seen | a member without any contact is not dead or left at another within the detection bound |
+| wrong | a member that has been within reach for the recovery bound is considered dead |
+| fresh | an entry is older than the freshness bound at a member that has long reached its owner directly |
 | young | an entry of a member that is out of reach is younger than that member's silence |
-| alone | a process that nothing passes to or from does not say so within the detection bound, or one within
-reach of others for the recovery bound says it |
+| alone | a process without any contact does not report that it is cut off within the detection bound, or one
+within reach of others for the recovery bound does |
 
-The silence of a member begins when it was last in reach of anybody who was, later, in reach of the holder.
+The silence of a member begins when it was last in contact with a member that was later in contact with the
+holder.
 """
 
 from dataclasses import dataclass
@@ -28,13 +29,23 @@
 YOUNG = "young"
 ALONE = "alone"
 NAMES = (SEEN, WRONG, FRESH, YOUNG, ALONE)
-MAX_TEXTS_PER_CLAIM = 10  # of each claim that is broken
-UNKNOWN_AGE_FACTOR = 99  # an entry that a member lacks counts as so many times the bound
+MAX_TEXTS_PER_CLAIM = 10
+UNKNOWN_AGE_FACTOR = 99  # a missing entry counts as so many times the bound
 
 
 @dataclass(slots=True)
 class MemberView:
-    """What `holder` says of `member` at `now`: its state, and the age in ns of its entry (None: none)."""
+    """What `holder` reports about `member`.
+
+    Attributes:
+        now: ns.
+        holder: the member that reports.
+        member: the member that is reported on.
+        state: its reported state; None: unknown.
+        age: age of its entry, ns; None: the holder has none.
+        in_reach_for: ns for which the two have been within reach of each other; 0: they are not.
+        out_of_reach_for: ns for which nothing has passed between the two; 0: something does.
+    """
 
     now: int
     holder: str
@@ -46,16 +57,20 @@
 
 
 class ClusterClaims:
-    """Told what happens to processes, through `reachability`, and what each of them says.
-
-    Read `broken` (claim -> texts), `checks` (claim -> how often it was checked), `looks`, and `worst`, the
-    greatest age over its bound.
+    """Checks the reports of members, given the changes to processes and links by way of `reachability`.
 
     Args:
         links: a Web of the links between the members.
         period: ns between two probes of one member, and between two exchanges.
-        exchange: ns that an exchange with an unreachable member takes until it is given up.
-        slack: ns that a look may be late.
+        exchange: ns after which an exchange with an unreachable member is abandoned.
+        slack: ns by which a report may be late.
+
+    Attributes:
+        reachability: the Reachability.
+        broken: claim -> texts of its violations.
+        checks: claim -> number of checks.
+        report_count: number of reports.
+        max_age_ratio: the greatest age of an entry relative to its bound.
     """
 
     def __init__(self, links, period, exchange, slack):
@@ -72,14 +87,14 @@
         self.report_count = 0
 
     def check_report(self, now, holder, states, ages, cut_off):
-        """Checks what one member says; whoever looks while a change is under way asks for nothing.
+        """Checks what one member reports; a member that does not run is not checked.
 
         Args:
             now: ns.
-            holder: the member that says it.
+            holder: the member that reports.
             states: name of another member -> its state.
             ages: name of another member -> ns since its entry was published, or None.
-            cut_off: whether the holder says that nobody reaches it.
+            cut_off: whether the holder reports that it is cut off.
         """
         reachability = self.reachability
         reachability.apply_starts()
@@ -100,13 +115,13 @@
         self._check_alone(now, holder, others, cut_off)
 
     def verdicts(self):
-        """Claim -> kept, broken, or not met where no look came to check it."""
+        """Returns claim -> "kept", "broken", or "not met" if no report could check it."""
         return {
             name: "broken" if self.broken[name] else "kept" if self.checks[name] else "not met"
             for name in NAMES
         }
 
-    # ---- one claim each
+    # ---- the claims
 
     def _check_seen(self, view):
         if view.out_of_reach_for <= self.detection + self.slack:
--- a/embertray/simulation/claims/control.py
+++ b/embertray/simulation/claims/control.py
@@ -1,4 +1,4 @@
-"""What the control plane claims, judged by what its processes do; no I/O.
+"""Claims about the control plane, checked against what its processes do; no I/O.
 
 | claim | broken when |
 | --- | --- |
@@ -9,7 +9,7 @@
 | committed | a subscriber applies what no replica committed |
 | age | a subscriber whose age is `a` lacks a write that was acknowledged `a` ago or earlier |
 | in force | a write is not applied within its bound at a subscriber that was within reach all the while |
-| prompt | the same, long after the last fault, within the bound for good links |
+| prompt | the same, long after the last fault, with the bound for good links |
 | alike | at the end, subscribers at one revision hold different entries |
 """
 
@@ -18,13 +18,13 @@
 from dataclasses import dataclass
 
 SECOND_NS = 10**9
-MAX_VIOLATIONS_KEPT = 50  # texts that are kept; all are counted
+MAX_VIOLATIONS_KEPT = 50  # all are counted
 CLAIMS = ("history", "acknowledged", "request", "once", "committed", "age", "in force", "prompt", "alike")
 
 
 @dataclass(frozen=True)
 class Violation:
-    """One claim that was found broken."""
+    """One violation of a claim, at a time in ns."""
 
     claim: str
     at: int
@@ -33,27 +33,36 @@
 
 @dataclass(frozen=True)
 class Acknowledged:
-    """A write whose writer knows that it is committed."""
+    """A write that was acknowledged to its writer, at a time in ns."""
 
     at: int
     revision: int
 
 
 class ControlClaims:
-    """Told what happens, in the order of time (ns of one clock)."""
+    """Checks events and reports, given in the order of time (ns of one clock).
+
+    Attributes:
+        history: revision -> the committed Entry.
+        acknowledged: the acknowledged writes, in order.
+        broken: the first violations.
+        counts: claim -> number of violations.
+        checks: claim -> number of checks.
+        propagation_times: claim -> ns until each write was in force at each subscriber within reach, at the
+            resolution of the checks.
+    """
 
     def __init__(self):
         self.history = {}  # revision -> Entry
         self.requests = {}  # request -> revision
         self.acknowledged = []  # in order
-        self.max_revisions = []  # by position in `acknowledged`: the newest revision until then
+        self.max_revisions = []  # by position in `acknowledged`: the newest revision up to there
         self.applied_revisions = {}  # (subscriber, key) -> revision
         # (claim, subscriber) -> position in `acknowledged` up to which all was in force
         self.checked_positions = {}
         self.broken = []
-        self.counts = Counter()  # claim -> how often it was found broken
-        self.checks = Counter()  # claim -> how often it was checked
-        # claim -> ns that each write took at each subscriber within reach, in steps of the looks
+        self.counts = Counter()
+        self.checks = Counter()
         self.propagation_times = {"in force": [], "prompt": []}
 
     @property
@@ -61,10 +70,10 @@
         """Whether no claim was broken."""
         return not self.counts
 
-    # ---- what happens
+    # ---- events
 
     def entry_committed(self, now, replica, entry):
-        """A replica committed an entry."""
+        """Checks an entry that a replica committed."""
         self.checks["history"] += 1
         known = self.history.setdefault(entry.revision, entry)
         if known != entry:
@@ -74,7 +83,7 @@
             self._record_violation("request", now, text)
 
     def write_acknowledged(self, now, revision, key, value, durable, majority):
-        """A writer got the answer that its write is committed; `durable` replicas have it on disk."""
+        """Checks an acknowledged write; `durable`: number of replicas that have it on disk."""
         self.checks["acknowledged"] += 1
         entry = self.history.get(revision)
         if entry is None or (entry.key, entry.value) != (key, value):
@@ -90,7 +99,7 @@
         self.max_revisions.append(newest)
 
     def entry_applied(self, now, subscriber, entry):
-        """A subscriber applied an entry. A removal found by a repair has term 0."""
+        """Checks an entry that a subscriber applied; a removal found by a repair has term 0."""
         self.checks["once"] += 1
         place = (subscriber, entry.key)
         before = self.applied_revisions.get(place, 0)
@@ -103,19 +112,19 @@
             self._record_violation("committed", now, f"{subscriber} applied {entry}, which nobody committed")
 
     def subscriber_emptied(self, subscriber):
-        """A subscriber starts with nothing."""
+        """Takes note that a subscriber starts without entries."""
         self.applied_revisions = {
             place: at for place, at in self.applied_revisions.items() if place[0] != subscriber
         }
 
     def count_out_of_reach(self, now, subscriber):
-        """Nothing is claimed of a subscriber now."""
+        """Counts that a subscriber is out of reach, and nothing is claimed about it."""
         self.checks["out of reach"] += 1
 
-    # ---- what is looked at
+    # ---- reports
 
     def check_age(self, now, subscriber, revision, age):
-        """A subscriber says the age of what it holds (None: it does not know)."""
+        """Checks the age in ns that a subscriber reports for its entries; None: it does not know."""
         if age is None:
             return
         self.checks["age"] += 1
@@ -134,10 +143,10 @@
         Args:
             now: ns.
             subscriber: its name.
-            revision: the newest that it holds.
-            since: ns from when it has been within reach of all it needs; None: it is not.
+            revision: the newest revision that it holds.
+            since: ns since when it has been within reach of all it needs; None: it is not.
             bound: ns after `since`, or after its acknowledgement, when a write is due.
-            claim: what is broken by a write that is late.
+            claim: the claim that a late write violates.
         """
         place = (claim, subscriber)
         position = self.checked_positions.get(place, 0)
@@ -162,7 +171,7 @@
             self.propagation_times[claim].append(now - write.at)
 
     def check_identical(self, now, final):
-        """`final`: subscriber -> (revision, digest), at the end."""
+        """Checks that subscribers are identical at the end; `final`: subscriber -> (revision, digest)."""
         by_revision = {}
         for subscriber, (revision, digest) in sorted(final.items()):
             self.checks["alike"] += 1
--- a/embertray/simulation/claims/reachability.py
+++ b/embertray/simulation/claims/reachability.py
@@ -1,21 +1,23 @@
 """Which members of a cluster reach each other, and since when; no I/O.
 
-Two members are within reach of each other over a good link both ways, or through any helpers that a probe
-may draw. They are out of reach when nothing passes between them at all, directly or through others. A poor
-link (one that loses more than LOSS_MOST, or is late by more than a quarter of the period) is neither.
+Two members are within reach of each other over links that are good both ways, or through whichever helpers
+a probe may draw. They are out of reach when nothing passes between them, directly or through others. A poor
+link (one that loses more than LOSS_MOST, or delays by more than a quarter of the period) is neither.
 """
 
-LOSS_MOST = 0.3  # share lost each way that the failure detector is made for (docs/measured/cluster.md)
-DELAY_SHARE_MOST = 4  # a good link is late by a period over this at the most
+LOSS_MOST = (
+    0.3  # loss each way up to which the failure detector is designed to work (docs/measured/cluster.md)
+)
+DELAY_SHARE_MOST = 4  # the delay of a good link is at most the period divided by this
 
 
 class Reachability:
-    """Told of each change to links and processes, in the order of time.
+    """Tracks reachability, given each change to links and processes in the order of time.
 
     Args:
         links: a Web of the links between the members; its `watching` is subscribed to.
         period: ns between two probes of one member.
-        helpers: members that an indirect probe asks.
+        helpers: number of members that an indirect probe asks.
     """
 
     def __init__(self, links, period, helpers):
@@ -35,13 +37,12 @@
         self._read_links()
         links.listeners.append(self.links_changed)
 
-    # ---- what happens
+    # ---- changes
 
     def process_started(self, now, name):
-        """Takes those that start at one instant as one change.
+        """Notes the start of a process; starts at the same time are applied as one change.
 
-        What follows from each start is a part of what follows from all, and hundreds that start at once cost
-        one look at all pairs.
+        Hundreds of processes that start at once then cost one update of all pairs.
         """
         if now != self._starting_at:
             self.apply_starts()
@@ -49,7 +50,7 @@
         self._starting.add(name)
 
     def apply_starts(self):
-        """Takes up the starts until now; has to be called before anything is read here."""
+        """Applies the noted starts; has to be called before any state is read."""
         starting = self._starting
         self._starting = set()
         if starting:
@@ -58,47 +59,47 @@
             self._update(self._starting_at, starting)
 
     def process_ended(self, now, name):
-        """A member's process is gone."""
+        """Applies the end of a member's process."""
         self.apply_starts()
         self.started.discard(name)
         self._update(now, {name})
 
     def process_paused(self, now, name):
-        """A member's process stands still."""
+        """Applies the pause of a member's process."""
         self.apply_starts()
         self.paused.add(name)
         self._update(now, {name})
 
     def process_resumed(self, now, name):
-        """A member's process goes on, as if no time had passed."""
+        """Applies the resumption of a paused process."""
         self.apply_starts()
         self.paused.discard(name)
         self._update(now, {name})
 
     def links_changed(self, now):
-        """Links were made worse or good again."""
+        """Applies a change of the links."""
         self.apply_starts()
         self._read_links()
         self._update(now)
 
-    # ---- what is asked
+    # ---- queries
 
     def is_running(self, name):
-        """Whether a member's process runs and does not stand still."""
+        """Whether a member's process runs and is not paused."""
         return name in self.started and name not in self.paused
 
     def in_reach_for(self, now, name, other):
-        """Ns for which `name` and `other` have been within reach of each other; 0 if they are not."""
+        """Returns the ns for which two members have been within reach of each other; 0 if they are not."""
         return now - self.in_reach_since.get((name, other), now)
 
     def out_of_reach_for(self, now, name, other):
-        """Ns for which nothing has passed between `name` and `other`; 0 if something does."""
+        """Returns the ns for which nothing has passed between `name` and `other`; 0 if something does."""
         return now - self.out_of_reach_since.get((name, other), now)
 
-    # ---- inside
+    # ---- updates
 
     def _read_links(self):
-        """Keeps to whom each member's messages pass well, and to or from whom anything passes."""
+        """Reads which members each member has good links to, and open links to or from."""
         self._good_links = {name: set() for name in self.names}
         self._open_links = {name: set() for name in self.names}
         for name in self.names:
@@ -117,7 +118,7 @@
         return link.open and link.drop <= LOSS_MOST and latest <= self.period // DELAY_SHARE_MOST
 
     def _update(self, now, restarted=frozenset()):
-        """Sets who reaches whom; the times of `restarted` members begin anew."""
+        """Updates who reaches whom; the times of `restarted` members start again."""
         running = [name for name in self.names if self.is_running(name)]
         present = set(running)
         mutual = {
@@ -133,11 +134,11 @@
                     self._update_pair(now, (name, other), mutual, restarted)
 
     def _update_pair(self, now, pair, mutual, restarted):
-        """Sets since when one member reaches, or does not reach, another one."""
+        """Updates since when one member reaches, or does not reach, another one."""
         name, other = pair
         anew = name in restarted or other in restarted
         _set_since(self.in_reach_since, pair, self._are_in_reach(name, other, mutual), now, anew)
-        # who lives on has been without the other one since before that restarted: its time goes on
+        # a member that kept running has been without the other since before the restart: its time goes on
         apart = other not in self.groups.get(name, ())
         _set_since(self.out_of_reach_since, pair, apart, now, name in restarted)
         if other not in mutual.get(name, ()):
@@ -148,7 +149,7 @@
             self.direct[pair] = (now, unreachable)
 
     def _are_in_reach(self, name, other, mutual):
-        """Whether a probe between two comes through: directly, or by helpers, whichever are drawn."""
+        """Whether a probe between two succeeds, directly or through whichever helpers are drawn."""
         if name not in mutual or other not in mutual:
             return False
         if other in mutual[name]:
@@ -158,7 +159,7 @@
         return useless < min(self.helpers, candidates)
 
     def _connected_groups(self, running):
-        """Each running member's group: all that something passes between, directly or through others."""
+        """Returns each running member's group: those that it is connected to, directly or through others."""
         groups = {}
         left = set(running)
         while left:
@@ -174,9 +175,9 @@
         return groups
 
     def _note_contacts(self, now):
-        """Keeps what each group's members may know by now.
+        """Updates the last contacts of each group's members.
 
-        They know each other as of now, and everybody else as of the last contact that any of them had.
+        They may know each other as of now, and everybody else as of the last contact that any of them had.
         """
         for group in set(self.groups.values()):
             contacts = [self.last_contact[name] for name in group]
@@ -189,7 +190,7 @@
 
 
 def _set_since(since, pair, holds, now, anew):
-    """Keeps since when something holds of a pair; `anew`: the time begins now, though it held before."""
+    """Updates since when something holds for a pair; `anew`: from now on, even if it held before."""
     if not holds:
         since.pop(pair, None)
     elif anew or pair not in since:
--- a/embertray/simulation/standins/discovery.py
+++ b/embertray/simulation/standins/discovery.py
@@ -53,7 +53,7 @@
         self.answers_watches_at_once = False
 
     def change(self, ident, **fields):
-        """Changes a member, or add one, as a new revision.
+        """Changes a member, or adds one, as a new revision.
 
         Args:
             ident: the member's id.
--- a/embertray/simulation/standins/http_server.py
+++ b/embertray/simulation/standins/http_server.py
@@ -88,7 +88,7 @@
         self.changed_event = anyio.Event()
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
-        """Listens and serve until cancelled.
+        """Listens and serves until cancelled.
 
         Args:
             task_status: told the address once it listens.
--- a/embertray/simulation/standins/link.py
+++ b/embertray/simulation/standins/link.py
@@ -47,7 +47,7 @@
         self.scope.cancel()
 
     async def run(self):
-        """Reads and write until the stream ends, a frame is unreadable or `cut` is called."""
+        """Reads and writes until the stream ends, a frame is unreadable or `cut` is called."""
         try:
             async with self.conn.stream:
                 with self.scope:
--- a/embertray/simulation/standins/relay.py
+++ b/embertray/simulation/standins/relay.py
@@ -71,7 +71,7 @@
     # ---- proxies
 
     def attach(self, node, zone, rate=1.0, cold=1):
-        """Attaches a proxy and tell the controller.
+        """Attaches a proxy and tells the controller.
 
         Args:
             node: the proxy's number.
@@ -83,7 +83,7 @@
         self.send_event("attach", self.attached[node])
 
     def detach(self, node):
-        """Detaches a proxy and tell the controller.
+        """Detaches a proxy and tells the controller.
 
         Args:
             node: the proxy's number.
@@ -117,7 +117,7 @@
     # ---- connections
 
     async def serve(self, connection):
-        """Answers calls, or send events, until the connection ends or a fault closes it.
+        """Answers calls, or sends events, until the connection ends or a fault closes it.
 
         Args:
             connection: an HttpConnection.
@@ -137,7 +137,7 @@
                 return
 
     async def _call(self, connection, orders):
-        """Carries out one call and answer it; returns whether the connection goes on."""
+        """Carries out one call and answers it; returns whether the connection goes on."""
         fault = self.next_faults.pop(0) if self.next_faults else CallFault.NONE
         self.calls.append((fault, orders))
         count = 0
