--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -146,15 +146,15 @@
         if direct is None:
             return
         since, unreachable = direct
-        most = freshness_bound(len(self.names), self.period, self.exchange, unreachable)
-        if view.now - since <= self.recovery + most + self.slack:
+        bound = freshness_bound(len(self.names), self.period, self.exchange, unreachable)
+        if view.now - since <= self.recovery + bound + self.slack:
             return
         self.checks[FRESH] += 1
-        age = view.age if view.age is not None else UNKNOWN_AGE_FACTOR * most
-        self.max_age_ratio = max(self.max_age_ratio, age / most)
-        if view.age is None or view.age > most + self.slack:
+        age = view.age if view.age is not None else UNKNOWN_AGE_FACTOR * bound
+        self.max_age_ratio = max(self.max_age_ratio, age / bound)
+        if view.age is None or view.age > bound + self.slack:
             old = "nothing" if view.age is None else f"{view.age / SECOND_NS:.2f} s old"
-            text = f"{view.holder} holds of {view.member} what is {old}, over {most / SECOND_NS:.2f} s"
+            text = f"{view.holder} holds of {view.member} what is {old}, over {bound / SECOND_NS:.2f} s"
             self._record_violation(FRESH, view.now, text)
 
     def _check_young(self, view):
--- a/embertray/simulation/claims/reachability.py
+++ b/embertray/simulation/claims/reachability.py
@@ -2,13 +2,13 @@
 
 Two members are within reach of each other over links that are good both ways, or through whichever helpers
 a probe may draw. They are out of reach when nothing passes between them, directly or through others. A poor
-link (one that loses more than LOSS_MOST, or delays by more than a quarter of the period) is neither.
+link (one that loses more than MAX_LINK_LOSS, or delays by more than a quarter of the period) is neither.
 """
 
-LOSS_MOST = (
+MAX_LINK_LOSS = (
     0.3  # loss each way up to which the failure detector is designed to work (docs/measured/cluster.md)
 )
-DELAY_SHARE_MOST = 4  # the delay of a good link is at most the period divided by this
+PERIOD_PER_MAX_DELAY = 4  # the delay of a good link is at most the period divided by this
 
 
 class Reachability:
@@ -115,7 +115,7 @@
     def _is_good(self, name, other):
         link = self.links.link(name, other)
         latest = link.delay + link.jitter
-        return link.open and link.drop <= LOSS_MOST and latest <= self.period // DELAY_SHARE_MOST
+        return link.open and link.drop <= MAX_LINK_LOSS and latest <= self.period // PERIOD_PER_MAX_DELAY
 
     def _update(self, now, restarted=frozenset()):
         """Updates who reaches whom; the times of `restarted` members start again."""
@@ -136,8 +136,8 @@
     def _update_pair(self, now, pair, mutual, restarted):
         """Updates since when one member reaches, or does not reach, another one."""
         name, other = pair
-        anew = name in restarted or other in restarted
-        _set_since(self.in_reach_since, pair, self._are_in_reach(name, other, mutual), now, anew)
+        restart = name in restarted or other in restarted
+        _set_since(self.in_reach_since, pair, self._are_in_reach(name, other, mutual), now, restart)
         # a member that kept running has been without the other since before the restart: its time goes on
         apart = other not in self.groups.get(name, ())
         _set_since(self.out_of_reach_since, pair, apart, now, name in restarted)
@@ -145,7 +145,7 @@
             self.direct.pop(pair, None)
             return
         unreachable = len(self.names) - 1 - max(len(mutual[name]), len(mutual[other]))
-        if anew or self.direct.get(pair, (0, None))[1] != unreachable:
+        if restart or self.direct.get(pair, (0, None))[1] != unreachable:
             self.direct[pair] = (now, unreachable)
 
     def _are_in_reach(self, name, other, mutual):
@@ -165,12 +165,12 @@
         while left:
             first = left.pop()
             group = {first}
-            edge = [first]
-            while edge:
-                reached = left & self._open_links[edge.pop()]
+            frontier = [first]
+            while frontier:
+                reached = left & self._open_links[frontier.pop()]
                 group |= reached
                 left -= reached
-                edge += reached
+                frontier += reached
             groups.update(dict.fromkeys(group, frozenset(group)))
         return groups
 
@@ -189,9 +189,9 @@
                 self.last_contact[name] = dict(newest)
 
 
-def _set_since(since, pair, holds, now, anew):
-    """Updates since when something holds for a pair; `anew`: from now on, even if it held before."""
+def _set_since(since, pair, holds, now, restart):
+    """Updates since when something holds for a pair; `restart`: from now on, even if it held before."""
     if not holds:
         since.pop(pair, None)
-    elif anew or pair not in since:
+    elif restart or pair not in since:
         since[pair] = now
