--- a/embertray/experiments/capacity/__init__.py
+++ b/embertray/experiments/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role costs at a target size, computed from measured slopes."""
+"""Estimates what each role costs at a target size, from measured slopes."""
--- a/embertray/experiments/capacity/control_plane.py
+++ b/embertray/experiments/capacity/control_plane.py
@@ -1,5 +1,7 @@
-"""What replicas and subscribers are reckoned to cost: true messages of the size that they would have, and the
-bounds that embertray/cluster/replication states. Measured slopes stand beside them.
+"""The calculated cost of replicas and subscribers, beside the measured slopes.
+
+It is calculated from encoded messages of realistic size and from the bounds that
+embertray/cluster/replication states.
 """
 
 from embertray.cluster.replication.codec import encode
@@ -18,26 +20,30 @@
 
 
 def framed_bytes(message):
+    """Returns the size of a message with its frame."""
     return formulas.FRAME_BYTES + len(encode(message))
 
 
 def heartbeat_bytes():
+    """Returns the size of a heartbeat with large numbers."""
     number = formulas.LARGE_NUMBER
     return framed_bytes(Heartbeat(number, 2**64 - 1, number, number))
 
 
 def confirm_bytes():
+    """Returns the size of a confirm with large numbers."""
     return framed_bytes(Confirm(formulas.LARGE_NUMBER, formulas.LARGE_NUMBER))
 
 
 def update_bytes(entry_bytes):
-    """An update of one changed key."""
+    """Returns the size of an update of one changed key."""
     number = formulas.LARGE_NUMBER
     entry = Entry("", number, number, "", b"")
     return framed_bytes(Update(number, number, [entry])) + int(entry_bytes)
 
 
 def rows(target):
+    """Returns the calculated rows of the control plane."""
     return [
         *subscriber_rows(target),
         *replica_rows(target),
@@ -46,6 +52,7 @@
 
 
 def subscriber_rows(target):
+    """Returns the rows of a controller that subscribes to a replica."""
     table, update_size = (
         RowBuilder(target, Role.CONTROLLER, Situation.PEAK),
         update_bytes(target.assumed("entry-bytes")),
@@ -91,6 +98,7 @@
 
 
 def replica_rows(target):
+    """Returns the rows of a replica."""
     table, update_size = (
         RowBuilder(target, Role.REPLICA, Situation.PEAK),
         update_bytes(target.assumed("entry-bytes")),
@@ -125,7 +133,7 @@
 
 
 def bound_rows(target):
-    """The stated bounds on the time until a change is in force, bunched changes before it."""
+    """Returns the stated bounds on the time until a change is in force, alone and after bunched changes."""
     bounds = Bounds()
     waiting = bounds.waiting(
         int(target.assumed("changes-in-worst-10s") * update_bytes(target.assumed("entry-bytes")))
@@ -156,15 +164,16 @@
 
 
 def missed_bytes(target):
-    """Updates of the keys that changed while regions were apart, each key once."""
+    """Returns the bytes of updates of the keys that changed while regions were apart, each key once."""
     changed = min(target.changes_a_second * target.regions_apart, target.configuration_keys)
     return changed * update_bytes(target.assumed("entry-bytes"))
 
 
 def snapshot_bytes(target):
+    """Returns the bytes of all entries of the configuration."""
     return target.configuration_keys * target.assumed("entry-bytes")
 
 
 def snapshot_time(target):
-    """Seconds until one subscriber that holds nothing has all, at its sustained rate."""
+    """Returns the seconds until a subscriber that holds nothing has all entries, at its sustained rate."""
     return Bounds().waiting(int(snapshot_bytes(target))) / SECOND_NS
--- a/embertray/experiments/capacity/controller.py
+++ b/embertray/experiments/capacity/controller.py
@@ -1,4 +1,4 @@
-"""What a controller spends while nothing fails: rows by part, calm and at the peak."""
+"""What a controller spends while nothing fails: rows by part, idle (calm) and at the peak."""
 
 from . import formulas
 from .figure import calculated, derived, no_mechanism
@@ -7,25 +7,27 @@
 from .target import SECONDS_PER_DAY
 
 GOSSIP, REPLICAS = (Design.GOSSIP,), (Design.REPLICAS,)
-MEASURED_PROXIES = 68  # of the slopes by backends: the operators' target has as many a controller
-STREAM_BASELINE_BACKENDS = 17  # so few that streams cost more than decisions
-LIST_CHANGES_PER_MACHINE = 2  # that one failed, restarted or replaced machine makes: it goes, and comes
+MEASURED_PROXIES = 68  # of the slopes by backends; as many per controller as in the operators' target
+STREAM_BASELINE_BACKENDS = 17  # so few that streams cost more than the policy
+LIST_CHANGES_PER_MACHINE = 2  # a failed, restarted or replaced machine leaves and joins
 
 
 def steady_rows(target, slopes):
-    """Rows of a controller in calm and at the peak."""
+    """Returns the rows of a controller, calm and at the peak."""
     return [*calm_rows(target, slopes), *peak_rows(target, slopes)]
 
 
 def list_changes_a_second(target):
-    """Entries of the list that change in a second: machines that fail, and processes that are replaced."""
+    """Returns the changes of the endpoint list per second, by failed machines and restarted processes."""
     rate = LIST_CHANGES_PER_MACHINE * (target.machines_a_day + target.restarts_a_day) / SECONDS_PER_DAY
     return calculated("2 x (machines + restarts a day) / 86,400 s", rate)
 
 
 def scaled_by_proxies(target, slopes, by_backends, by_proxies):
-    """A figure that was measured against backends with MEASURED_PROXIES, and against proxies: read off the
-    first, and scaled by the second where the target has another number of proxies.
+    """Returns a figure for the backends and proxies of the target.
+
+    It was measured against backends with MEASURED_PROXIES, and against proxies: the first slope gives the
+    value, which the second scales if the target has another number of proxies.
     """
     measured = slopes.at(by_backends, target.backends)
     if target.proxies_per_controller == MEASURED_PROXIES:
@@ -43,19 +45,22 @@
 
 
 def decisions_cost(target, slopes, name):
+    """Returns a figure of the policy's slopes for the target."""
     return scaled_by_proxies(target, slopes, f"{name}-{MEASURED_PROXIES}", f"{name}-by-proxies")
 
 
 def streams_cost(target, slopes, name):
+    """Returns a figure of the streams' slopes for the target."""
     return scaled_by_proxies(target, slopes, f"{name}-by-backends", name)
 
 
 def silent_decisions_cost(target, slopes):
-    """The module's beat with nothing heard."""
+    """Returns the processor time of the policy's periodic step when no events arrive."""
     return slopes.at(f"decisions-processor-{MEASURED_PROXIES}-silent", target.backends)
 
 
 def calm_rows(target, slopes):
+    """Returns the rows of a controller without load."""
     rows = RowBuilder(target, Role.CONTROLLER, Situation.CALM)
     rows.add(
         Part.DECISIONS,
@@ -91,6 +96,7 @@
 
 
 def peak_rows(target, slopes):
+    """Returns the rows of a controller at the peak load."""
     rows = RowBuilder(target, Role.CONTROLLER, Situation.PEAK)
     add_decisions(rows, target, slopes)
     add_streams(rows, target, slopes)
@@ -103,6 +109,7 @@
 
 
 def add_decisions(rows, target, slopes):
+    """Adds the processor time, state and longest step of the policy."""
     mechanism = "policy/: one module for the whole list, all services"
     for quantity, figure in (
         (Quantity.PROCESSOR, decisions_cost(target, slopes, "decisions-processor")),
@@ -114,6 +121,7 @@
 
 
 def add_streams(rows, target, slopes):
+    """Adds the bytes, messages, processor time and state of the proxies' streams and reports."""
     for part, quantity, mean, worst, mechanism in (
         (Part.STREAMS, Quantity.BYTES_OUT, "streams-bytes-out", "streams-worst-out", "orders and marks"),
         (Part.REPORTS, Quantity.BYTES_IN, "streams-bytes-in", "streams-worst-in", "sums and answers"),
@@ -145,7 +153,10 @@
 
 
 def add_streams_processor(rows, target, slopes):
-    """What the process uses in all, and beside the module: for streams that say nothing, and for reports."""
+    """Adds the processor time of the process.
+
+    One row is the whole process; two are what remains without the policy, for silent streams and for reports.
+    """
     silent = streams_cost(target, slopes, "streams-processor")
     reports = streams_cost(target, slopes, "reports-processor")
     rows.add(
@@ -187,6 +198,7 @@
 
 
 def add_list(rows, target, slopes):
+    """Adds the processor time and state of following the endpoint list."""
     change = derived(
         "changes of the list a second x (change-processor-68 + change-read-processor)",
         lambda rate, apply, read: rate * (apply + read),
@@ -212,6 +224,7 @@
 
 
 def add_gossip(rows, target, slopes):
+    """Adds the cost of membership and shared state, and how long they take to reach all controllers."""
     members, mechanism = target.controllers, "cluster/: probes and exchanges among all controllers"
     sent = slopes.at("cluster-sent-bytes", members)
     received = slopes.at("cluster-received-bytes", members)
@@ -248,6 +261,7 @@
 
 
 def gossip_state(target):
+    """Returns the bytes of shared state that a controller holds."""
     return calculated(
         "controllers x facts-bytes, without the names of members",
         target.controllers * target.assumed("facts-bytes"),
@@ -255,6 +269,7 @@
 
 
 def gossip_staleness(target):
+    """Returns the bound on the age of shared state."""
     return calculated(
         "2 (n - 1) T + E + T; T 1 s, E 2 s (docs/design/cluster.md)",
         formulas.staleness_bound(target.controllers),
@@ -262,6 +277,7 @@
 
 
 def add_limits(rows, target):
+    """Adds the traffic and state of sharing quotas, in both designs."""
     arguments = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
     request_bytes = formulas.quota_request_bytes(
         target.proxies_per_controller, target.assumed("limits"), target.controllers - 1
@@ -297,6 +313,7 @@
 
 
 def add_subscriber(rows, target, slopes):
+    """Adds the measured cost of following a replica."""
     mechanism = "replication/: one replica followed, changed keys only"
     for quantity, name, worst, in_total in (
         (Quantity.PROCESSOR, "control-subscriber-processor", None, True),
@@ -318,6 +335,7 @@
 
 
 def add_process(rows, target, slopes):
+    """Adds the resident memory of the process."""
     rows.add(
         Part.BASE,
         Quantity.MEMORY,
--- a/embertray/experiments/capacity/failures.py
+++ b/embertray/experiments/capacity/failures.py
@@ -13,24 +13,31 @@
 
 @dataclass(frozen=True)
 class Loss:
-    """Machines that fail together, by role; means."""
+    """Mean number of machines that fail together.
+
+    Attributes:
+        controllers: Controllers among them.
+        backends: Backends among them.
+    """
 
     controllers: float
     backends: float
 
 
 def rack_loss(target):
-    """Machines of one rack, by each role's part of all."""
+    """Returns the loss of one rack, in proportion to each role's share of all machines."""
     machines = target.controllers + target.backends + target.control_machines
     share = target.assumed("machines-in-a-rack") / machines
     return Loss(target.controllers * share, target.backends * share)
 
 
 def zone_loss(target):
+    """Returns the loss of one zone."""
     return Loss(target.controllers / target.zones, target.backends / target.zones)
 
 
 def rows(target, slopes):
+    """Returns the rows of all failures, starts and restarts."""
     return [
         *loss_rows(target, slopes, Situation.MACHINE, Loss(1, 1)),
         *loss_rows(target, slopes, Situation.RACK, rack_loss(target)),
@@ -43,7 +50,7 @@
 
 
 def loss_rows(target, slopes, situation, loss):
-    """Machines are gone at once: their backends leave the list, their controllers' proxies join others."""
+    """Returns the rows of lost machines: backends leave the list, the controllers' proxies join others."""
     table = RowBuilder(target, Role.CONTROLLER, situation)
     change = slopes.at("change-bytes", target.backends)
     table.add(
@@ -74,7 +81,7 @@
 
 
 def add_joins(table, target, slopes, loss):
-    """Proxies of controllers that are gone, spread over those that are left."""
+    """Adds the cost of the joins of proxies from lost controllers, spread over the remaining ones."""
     remaining = max(1.0, target.controllers - loss.controllers)
     joins = loss.controllers * target.proxies_per_controller / remaining
     table.add(
@@ -102,6 +109,7 @@
 
 
 def add_failure_detection(table, target, slopes, situation):
+    """Adds the time until all know of a lost controller, and until a change is in force without replicas."""
     table.add(
         Part.MEMBERSHIP,
         Quantity.DELAY,
@@ -127,6 +135,7 @@
 
 
 def discovery_update_rows(target, change, situation, loss):
+    """Returns the rows of the discovery service, which sends the changes of the list."""
     table = RowBuilder(target, Role.DISCOVERY, situation)
     table.add(
         Part.ANSWERS,
@@ -143,7 +152,7 @@
 
 
 def partition_rows(target, slopes):
-    """Regions that do not reach each other, and what is brought together after it."""
+    """Returns the rows of regions that cannot reach each other, and of the catch-up afterwards."""
     during = RowBuilder(target, Role.CONTROLLER, Situation.APART)
     during.add(
         Part.MEMBERSHIP,
@@ -198,7 +207,7 @@
 
 
 def all_start_rows(target, slopes):
-    """Every controller starts with nothing on its disk."""
+    """Returns the rows of all controllers starting at once with nothing on disk."""
     table = RowBuilder(target, Role.CONTROLLER, Situation.ALL_START)
     list_size = slopes.at("list-bytes", target.backends)
     joins = target.proxies_per_controller
@@ -257,6 +266,7 @@
 
 
 def replica_snapshot_rows(target, slopes, situation, starts):
+    """Returns the rows of replicas that send snapshots to `starts` controllers."""
     table = RowBuilder(target, Role.REPLICA, situation)
     snapshots_per_replica = starts / target.control_machines
     rate = target.assumed("control-machine-bytes-a-second")
@@ -283,6 +293,7 @@
 
 
 def discovery_list_rows(target, list_size, situation, starts_a_second, when):
+    """Returns the rows of the discovery service, which sends the whole list to starting controllers."""
     table = RowBuilder(target, Role.DISCOVERY, situation)
     table.add(
         Part.ANSWERS,
@@ -299,12 +310,13 @@
 
 
 def controller_restarts_a_day(target):
-    """Of the restarts of a day, those of controllers: by their part of all processes that are named."""
+    """Returns how many of a day's restarts are of controllers, by their share of all processes."""
     share = target.controllers / (target.controllers + target.backends + target.control_machines)
     return target.restarts_a_day * share
 
 
 def spread_restart_rows(target, slopes):
+    """Returns the rows of restarts that are spread evenly over the day."""
     starts = controller_restarts_a_day(target) / SECONDS_PER_DAY
     list_size = slopes.at("list-bytes", target.backends)
     table = RowBuilder(target, Role.REPLICA, Situation.RESTARTS_SPREAD)
@@ -325,6 +337,7 @@
 
 
 def bunched_restart_rows(target, slopes):
+    """Returns the rows of restarts within the worst 10 s."""
     starts = target.assumed("restarts-bunched")
     list_size = slopes.at("list-bytes", target.backends)
     table = RowBuilder(target, Role.CONTROLLER, Situation.RESTARTS_BUNCHED)
--- a/embertray/experiments/capacity/figure.py
+++ b/embertray/experiments/capacity/figure.py
@@ -1,17 +1,23 @@
-"""Figures with where they come from: read off a slope, or reckoned from other figures."""
+"""Figures with their origin: taken from a slope, or calculated from other figures."""
 
 from dataclasses import dataclass
 
 from .fit import fit
 from .names import Origin
 
-REPORTED_PREFIX = "reported-"  # prefix of slopes that stand in until theirs is measured
+REPORTED_PREFIX = "reported-"  # prefix of slopes that are used until they are measured again
 
 
 @dataclass(frozen=True)
 class Figure:
-    """`value` None: not known. `source`: the slope's name, the formula, or what is missing. `slopes`: names
-    of all slopes it rests on. `error`: by how much the slope that predicts it missed its held-out size.
+    """A value with its origin.
+
+    Attributes:
+        value: The value; None if it is not known.
+        origin: Where it comes from.
+        source: The slope's name, the formula, or what is missing.
+        slopes: Names of all slopes that it depends on.
+        error: Relative error of the slope at its held-out size; None if the value is not predicted.
     """
 
     value: float | None
@@ -22,24 +28,27 @@
 
     @property
     def known(self):
+        """Whether the figure has a value."""
         return self.value is not None
 
 
 def unknown(reason):
+    """Returns a figure that is not known; `reason` says what is missing."""
     return Figure(None, Origin.UNKNOWN, reason)
 
 
 def no_mechanism(reason):
+    """Returns the figure of something that the design has no mechanism for."""
     return Figure(None, Origin.NO_MECHANISM, reason)
 
 
 def calculated(formula, value):
-    """A figure that rests on no slope."""
+    """Returns a figure that depends on no slope."""
     return Figure(float(value), Origin.CALCULATED, formula)
 
 
 def derived(formula, function, *figures):
-    """function(values) of known figures, reckoned by `formula`; not known if one of them is not."""
+    """Returns function(*values) of figures, described by `formula`; not known if one of them is not."""
     slopes = tuple(dict.fromkeys(name for figure in figures for name in figure.slopes))
     missing = [figure.source for figure in figures if not figure.known]
     if missing:
@@ -48,7 +57,11 @@
 
 
 class Slopes:
-    """All slopes at hand, fitted; figures read off them."""
+    """The slopes that are available, with their fits.
+
+    Args:
+        by_name: Slopes by their names.
+    """
 
     def __init__(self, by_name):
         self.by_name = by_name
@@ -56,14 +69,14 @@
         self.requested = set()
 
     def find(self, name):
-        """The name under which a slope is at hand: its own, or that of a reported stand-in; None."""
+        """Returns the name of a slope, or of the reported one in its place; None if neither exists."""
         self.requested |= {name, REPORTED_PREFIX + name}
         return next(
             (candidate for candidate in (name, REPORTED_PREFIX + name) if candidate in self.by_name), None
         )
 
     def at(self, name, size):
-        """What the slope says at a size: measured there, or predicted by its law and never under zero."""
+        """Returns the Figure of a slope at a size: measured there, or predicted by its law and at least 0."""
         slope_name = self.find(name)
         if slope_name is None:
             return unknown(f"no slope {name}")
@@ -79,4 +92,5 @@
         )
 
     def origin(self, name, otherwise):
+        """Returns REPORTED for a reported slope, otherwise the given origin."""
         return Origin.REPORTED if self.by_name[name].origin == "reported" else otherwise
--- a/embertray/experiments/capacity/fit.py
+++ b/embertray/experiments/capacity/fit.py
@@ -1,16 +1,16 @@
-"""Fits a law to a slope: a + b n, a + b n log n, a + b n squared; which one, how well, and how far off the
-held-out size is.
+"""Fits a law to a slope: a + b n, a + b n log n or a + b n^2.
 
-Residuals are relative, since sizes span hundreds: each point weighs the same however small its value.
+The fit says which law is best, its residual, and its error at the held-out largest size. Residuals are
+relative, because sizes differ by factors of hundreds: each point weighs the same, however small its value.
 """
 
 from dataclasses import dataclass
 from fractions import Fraction
 from math import inf, log, sqrt
 
-SIZES_NEEDED = 4  # three to fit and the largest to predict
+SIZES_NEEDED = 4  # three to fit, and the largest to predict
 GROWTH = {"n": lambda n: n, "n log n": lambda n: n * log(n) if n > 1 else 0.0, "n^2": lambda n: n * n}
-MIN_WEIGHT_VALUE = 1e-12  # value under which a point is weighed as if it were so large
+MIN_WEIGHT_VALUE = 1e-12  # smaller values are weighted as if they were this large
 
 
 @dataclass(frozen=True)
@@ -22,13 +22,18 @@
     factor: float
 
     def at(self, size):
+        """Returns the value at a size."""
         return self.base + self.factor * GROWTH[self.growth](size)
 
 
 @dataclass(frozen=True)
 class HeldOut:
-    """The largest size, predicted from the others. `error` is relative to what was measured; of 0 it is
-    infinite, unless that was predicted.
+    """The largest size, predicted from the others.
+
+    Attributes:
+        size: The size.
+        measured: The value that was measured there.
+        predicted: The value that the law predicts.
     """
 
     size: float
@@ -37,6 +42,7 @@
 
     @property
     def error(self):
+        """The error relative to the measured value; infinite if that is 0 and the prediction is not."""
         if self.measured == 0:
             return 0.0 if self.predicted == 0 else inf
         return abs(self.predicted - self.measured) / abs(self.measured)
@@ -44,8 +50,12 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """`residuals`: root mean square of the relative residuals, by growth, over the sizes fitted. `held_out`:
-    None for a guess.
+    """The best law of a slope.
+
+    Attributes:
+        law: The law.
+        residuals: Root mean square of the relative residuals over the fitted sizes, by growth.
+        held_out: The prediction of the largest size; None if there are too few sizes.
     """
 
     law: Law
@@ -54,18 +64,21 @@
 
     @property
     def residual(self):
+        """The residual of the fit's law."""
         return self.residuals[self.law.growth]
 
     @property
     def is_guess(self):
+        """Whether there are too few sizes to hold one out."""
         return self.held_out is None
 
     def at(self, size):
+        """Returns the value of the law at a size."""
         return self.law.at(size)
 
 
 def fit(points):
-    """The Fit of (size, value) points, one a size."""
+    """Returns the Fit of (size, value) points, one per size."""
     points = sorted(points)
     if len(points) < SIZES_NEEDED:
         return Fit(*best_law(points), None)
@@ -75,17 +88,17 @@
 
 
 def best_law(points):
-    """The law with the least residual, and each growth's residual. Of equals the slowest growth."""
+    """Returns the law with the least residual, and the residual by growth; of equals the slowest growth."""
     laws = [least_squares(growth, points) for growth in GROWTH]
     residuals = {law.growth: residual(law, points) for law in laws}
     return min(laws, key=lambda law: round(residuals[law.growth], 9)), residuals
 
 
 def least_squares(growth, points):
-    """The law of one growth with the least relative squares; a single size gives a constant.
+    """Returns the law of one growth with the least relative squares; a single size gives a constant.
 
     Solved in rational numbers: a linear-algebra library rounds differently on different processors, and the
-    noise of a constant term that is zero would then stand on the page.
+    noise in a constant term that is zero would then appear on the page.
     """
     rows = [weighted_row(growth, size, value) for size, value in points]
     ones = sum(weight for weight, _, _ in rows)
@@ -102,11 +115,12 @@
 
 
 def weighted_row(growth, size, value):
-    """(weight, growth, value) of one point as fractions; the weight makes the squares relative."""
+    """Returns (weight, growth, value) of a point as fractions; the weight makes its square relative."""
     weight = 1 / Fraction(max(abs(value), MIN_WEIGHT_VALUE)) ** 2
     return weight, Fraction(GROWTH[growth](size)), Fraction(value)
 
 
 def residual(law, points):
+    """Returns the root mean square of the relative errors of a law."""
     errors = [(law.at(size) - value) / max(abs(value), MIN_WEIGHT_VALUE) for size, value in points]
     return sqrt(sum(error * error for error in errors) / len(errors))
--- a/embertray/experiments/capacity/formulas.py
+++ b/embertray/experiments/capacity/formulas.py
@@ -1,4 +1,4 @@
-"""What is reckoned from the program's own messages and formulas, in place of a slope."""
+"""Figures that are calculated from the program's own messages and formulas instead of a slope."""
 
 from dataclasses import dataclass
 
@@ -9,19 +9,23 @@
 from embertray.cluster.membership import MembershipConfig
 
 SECOND_NS = 10**9
-FRAME_BYTES = 4  # of a frame's length; how large a frame may be is not asked here
-WORST_WINDOW_S = 10  # seconds of a worst mean
-PROBE_PERIOD_S = MembershipConfig().probe_period / SECOND_NS  # s
-MAX_EXCHANGE_S = 2.0  # s: the longest exchange of state (docs/design/cluster.md)
-LARGE_NUMBER = 2**40  # of the size that ballots, lives and sequence numbers have
+FRAME_BYTES = 4  # length prefix of a frame; the limit on frame sizes is not considered
+WORST_WINDOW_S = 10  # window of the worst mean
+PROBE_PERIOD_S = MembershipConfig().probe_period / SECOND_NS
+MAX_EXCHANGE_S = 2.0  # longest exchange of state (docs/design/cluster.md)
+LARGE_NUMBER = 2**40  # stands for ballots, incarnations and sequence numbers of realistic size
 
 
 def numbered_names(prefix, count):
+    """Returns `count` names of equal length."""
     return [f"{prefix}-{number:05d}" for number in range(int(count))]
 
 
 def quota_request_bytes(proxies, limits, members):
-    """One ask of a controller: what its proxies act on, by limit, and the last ask of each other member."""
+    """Returns the size of a controller's quota request.
+
+    It contains the demand of its proxies by limit, and the last request of each other member.
+    """
     proxy_names = numbered_names("proxy", proxies)
     limit_names = numbered_names("limit", limits)
     request = QuotaRequest(
@@ -39,14 +43,20 @@
 
 
 def quota_grant_bytes(limits):
+    """Returns the size of a quota grant."""
     grant = QuotaGrant(LARGE_NUMBER, LARGE_NUMBER, dict.fromkeys(numbered_names("limit", limits), 1000))
     return FRAME_BYTES + len(msgspec.msgpack.encode(grant))
 
 
 @dataclass(frozen=True)
 class LimitsCost:
-    """Bytes a second that shares of the limits cost. `controller_out`, `controller_in`: of one controller;
-    `replica_in`: of the one replica that keeps the shares and hears of all; `state`: that it holds.
+    """The cost of sharing quotas.
+
+    Attributes:
+        controller_out: Bytes per second that a controller sends.
+        controller_in: Bytes per second that a controller receives.
+        replica_in: Bytes per second that the replica that keeps the quotas receives from all controllers.
+        state: Bytes that the keeper of the quotas holds.
     """
 
     controller_out: float
@@ -56,15 +66,16 @@
 
 
 def limits_all_to_all(controllers, proxies, limits):
-    """An ask from each to all others each period, as fleet/limits does it."""
+    """Returns the cost of a request from each controller to all others per period, as cluster/limits does."""
     request_bytes = quota_request_bytes(proxies, limits, controllers - 1)
     rate = (controllers - 1) * request_bytes / (LimitsConfig().request_period / SECOND_NS)
     return LimitsCost(rate, rate, state=controllers * request_bytes)
 
 
 def limits_through_replicas(controllers, proxies, limits):
-    """An ask from each controller to its replica each period, without what the sender heard of others, and a
-    grant back.
+    """Returns the cost of a request from each controller to its replica every period, and a grant back.
+
+    The request does not name what the sender heard of others.
     """
     request_bytes, grant_bytes = quota_request_bytes(proxies, limits, 0), quota_grant_bytes(limits)
     period = LimitsConfig().request_period / SECOND_NS
@@ -77,12 +88,15 @@
 
 
 def staleness_bound(members):
-    """2 (n - 1) T + E, and T until it is told anew (docs/design/cluster.md)."""
+    """Returns the bound in s: 2 (n - 1) T + E, and T until the next exchange (docs/design/cluster.md)."""
     return 2 * (members - 1) * PROBE_PERIOD_S + MAX_EXCHANGE_S + PROBE_PERIOD_S
 
 
 def failure_detection_bound(members):
-    """(2 (n - 1) + 2 n + 18) T and the longest suspicion: the claim `seen` of docs/design/cluster.md."""
+    """Returns the bound in s until all members know of a failure.
+
+    It is (2 (n - 1) + 2 n + 18) T and the longest suspicion: the claim `seen` of docs/design/cluster.md.
+    """
     return (2 * (members - 1) + 2 * members + 18) * PROBE_PERIOD_S + MembershipConfig().suspicion_timeout(
         members, 0
     ) / SECOND_NS
--- a/embertray/experiments/capacity/names.py
+++ b/embertray/experiments/capacity/names.py
@@ -1,9 +1,11 @@
-"""The words of a capacity table: roles, parts, situations, quantities, readings, verdicts."""
+"""The terms of a capacity table: roles, parts, situations, quantities, readings, verdicts."""
 
 from enum import StrEnum
 
 
 class Role(StrEnum):
+    """What a machine of the fleet does."""
+
     CONTROLLER = "controller"
     REPLICA = "control machine"
     PROXY = "proxy"
@@ -12,7 +14,7 @@
 
 
 class Part(StrEnum):
-    """What a role's cost is for."""
+    """What part of a role's work a cost belongs to."""
 
     DECISIONS = "decisions"
     STREAMS = "proxies' streams"
@@ -31,6 +33,8 @@
 
 
 class Situation(StrEnum):
+    """The load or failure under which a cost arises."""
+
     CALM = "calm"
     PEAK = "peak"
     MACHINE = "a machine fails"
@@ -44,6 +48,8 @@
 
 
 class Quantity(StrEnum):
+    """What is measured or limited."""
+
     PROCESSOR = "processor"
     MEMORY = "memory"
     STATE = "state held"
@@ -77,14 +83,14 @@
 
 
 class Reading(StrEnum):
-    """The two ways to read a budget 'for control'."""
+    """The two ways to interpret a budget 'for control'."""
 
     CLUSTER = "cluster traffic alone"
     ALL = "decisions and reports too"
 
 
 class Design(StrEnum):
-    """Ways in which configuration, state and limits may reach controllers."""
+    """How configuration, state and limits reach the controllers."""
 
     GOSSIP = "full gossip (in service today)"
     REPLICAS = "replicas and subscribers"
@@ -103,6 +109,8 @@
 
 
 class Verdict(StrEnum):
+    """How a figure compares with its budget."""
+
     FITS = "fits"
     SHORT = "falls short"
     UNKNOWN = "not known"
--- a/embertray/experiments/capacity/other_roles.py
+++ b/embertray/experiments/capacity/other_roles.py
@@ -7,10 +7,11 @@
 from .row import ALL_READING, RowBuilder
 from .target import SECONDS_PER_DAY
 
-SAMPLE_CHANNEL_RATE = 1_200  # lines a second of the sample description 'pushed'
+SAMPLE_CHANNEL_RATE = 1_200  # lines per second of the sample site 'pushed'
 
 
 def steady_rows(target, slopes):
+    """Returns the rows of all roles but controllers."""
     return [
         *replica_rows(target, slopes),
         *proxy_rows(target, slopes),
@@ -20,6 +21,7 @@
 
 
 def replica_rows(target, slopes):
+    """Returns the rows of a control machine."""
     rows, subscribers = RowBuilder(target, Role.REPLICA, Situation.PEAK), target.controllers
     mechanism = "replication/: a replica's subscribers, and the other replicas"
     for quantity, name, worst in (
@@ -52,6 +54,7 @@
 
 
 def proxy_rows(target, slopes):
+    """Returns the rows of a proxy: time to pick a backend and time until its first table."""
     rows = RowBuilder(target, Role.PROXY, Situation.PEAK)
     for slope, mechanism in (
         ("pick-p99-round", "models/proxy: a pick from a table that stands"),
@@ -90,14 +93,16 @@
 
 
 def joining_request_share(target, wait):
-    """Of all requests, those that meet a proxy in its first wait: each controller's end moves its proxies,
-    each restart may be a proxy's.
+    """Returns the share of all requests that meet a proxy waiting for its first table.
+
+    Each failed controller makes its proxies join others, and each restart may be that of a proxy.
     """
     joins_a_day = target.restarts_a_day + target.machines_a_day * target.proxies_per_controller
     return joins_a_day * wait / (target.proxies * SECONDS_PER_DAY)
 
 
 def backend_rows(target):
+    """Returns the rows of a backend."""
     rows = RowBuilder(target, Role.BACKEND, Situation.PEAK)
     rows.add(
         Part.PROBES,
@@ -110,6 +115,7 @@
 
 
 def discovery_rows(target, slopes):
+    """Returns the rows of the discovery service."""
     rows = RowBuilder(target, Role.DISCOVERY, Situation.PEAK)
     rows.add(
         Part.ANSWERS,
--- a/embertray/experiments/capacity/page.py
+++ b/embertray/experiments/capacity/page.py
@@ -1,4 +1,4 @@
-"""The table as Markdown, and docs/CAPACITY.md round it."""
+"""The table as Markdown, and docs/CAPACITY.md around it."""
 
 from . import formulas
 from .figure import REPORTED_PREFIX
@@ -33,7 +33,7 @@
   whoever starts or returns as well: the strict reading.
 """
 
-VIRTUAL_PREFIX = "virtual-"  # prefix of slopes taken under virtual time
+VIRTUAL_PREFIX = "virtual-"  # prefix of slopes measured under virtual time
 CHARTS = (
     ("processor.png", "processor time of a controller against its size"),
     ("bytes.png", "bytes a second of a controller against its size"),
@@ -42,6 +42,7 @@
 
 
 def situation_rows(table, situation):
+    """Yields the cells of each row of a situation."""
     for row in table.of(situation):
         value = format_quantity(row.figure.value, row.unit)
         if row.worst is not None and row.worst.known:
@@ -59,10 +60,12 @@
 
 
 def design_name(design):
+    """Returns the short name of a design."""
     return "gossip" if design is Design.GOSSIP else "replicas"
 
 
 def situations(table):
+    """Returns a table for each situation that has rows."""
     headings = ("role: part", "of", "mean; worst 10 s", "budget", "verdict", "mechanism", "from")
     parts = []
     for situation in Situation:
@@ -75,7 +78,7 @@
 
 
 def missing_mechanisms(table):
-    """What a design has nothing for at all: no factor can be told."""
+    """Returns a list of what a design has no mechanism for, so that there is no factor."""
     rows = [row for row in table.rows if row.judgement.verdict is Verdict.NO_MECHANISM]
     return "\n".join(
         f"- {str(row.designs[0])}: {row.role}: {row.part}, {row.quantity}, {row.situation}: "
@@ -85,6 +88,7 @@
 
 
 def largest(table):
+    """Returns the largest shortfalls by design and reading, without and with failures."""
     parts = []
     for design in Design:
         for reading in Reading:
@@ -98,6 +102,7 @@
 
 
 def ranked_rows(rows):
+    """Returns a numbered list of rows."""
     lines = [
         f"{place}. {row.role}: {row.part}, {row.quantity}, {row.situation}: {format_verdict(row.judgement)} "
         f"({format_quantity(judged_value(row), row.unit)} of {format_quantity(row.budget, row.unit)}; "
@@ -108,11 +113,13 @@
 
 
 def judged_value(row):
+    """Returns the value that decides the verdict of a row: the mean or that of the worst 10 s."""
     worst = row.worst.value if row.worst is not None and row.worst.known else row.figure.value
     return min(row.figure.value, worst) if row.quantity is Quantity.SEEN else max(row.figure.value, worst)
 
 
 def totals(table):
+    """Returns the table of totals."""
     headings = ("design", "for control", "of", "known parts", "not known", "budget", "verdict")
     return markdown_table(
         headings,
@@ -132,7 +139,7 @@
 
 
 def tables(table):
-    """What the command prints: factors, totals, rows."""
+    """Returns what the command prints: factors, totals, rows."""
     return (
         f"## The largest factors by which the target is missed\n\n{largest(table)}\n\n"
         f"No mechanism at all, so that no factor can be told:\n\n{missing_mechanisms(table)}\n\n"
@@ -142,6 +149,7 @@
 
 
 def target_text(target):
+    """Returns the description of the target."""
     return (
         f"Target `{target.name}`: {target.controllers} controllers before {target.backends:,} backends in "
         f"{target.services} services; {target.requests:,.0f} requests a second; {target.routes:,} routes, "
@@ -165,6 +173,7 @@
 
 
 def assumptions(target):
+    """Returns the table of assumptions."""
     return markdown_table(
         ("assumption", "value", "varied to", "reason"),
         (
@@ -180,7 +189,7 @@
 
 
 def variations(table, by_name):
-    """How the totals change when an assumption is varied, and which rows get another verdict."""
+    """Returns a table of the totals and rows whose verdict changes when an assumption is varied."""
     row_by_key = {row_key(row): row for row in table.rows}
     lines = []
     for assumption, value, varied_table in vary_assumptions(table.target, by_name):
@@ -213,10 +222,12 @@
 
 
 def row_key(row):
+    """Returns what identifies a row in the tables of varied assumptions."""
     return row.role, row.part, row.situation, row.quantity, row.designs, row.mechanism
 
 
 def slope_lines(table):
+    """Yields the cells of each slope, those that rows use first."""
     requested = table.slopes.requested
     for name, slope in sorted(
         table.slopes.by_name.items(), key=lambda one: (one[0] not in requested, one[0])
@@ -238,6 +249,7 @@
 
 
 def slope_table(table):
+    """Returns the table of slopes with their fits."""
     headings = (
         "slope",
         "unit",
@@ -251,7 +263,7 @@
 
 
 def limits_text(target):
-    """What shares of limits cost in both designs, by true messages of the size that they would have."""
+    """Returns the table of the cost of sharing quotas in both designs, calculated from encoded messages."""
     rows = []
     for limits in dict.fromkeys((1, int(target.assumed("limits")), target.services)):
         shape = (target.controllers, target.proxies_per_controller, limits)
@@ -281,11 +293,12 @@
 
 
 def rate_in_budgets(rate, budget):
+    """Returns a rate and its ratio to the budget."""
     return f"{format_quantity(rate, 'bytes/s')} ({rate / budget:,.1f} budgets)"
 
 
 def size_limit_table(table):
-    """How large a fleet one part alone could be within its budget."""
+    """Returns a table of the sizes at which one part alone reaches its budget."""
     return markdown_table(
         ("part", "budget", "reached at", "the target has", "by"),
         (
@@ -302,7 +315,7 @@
 
 
 def loopback_comparison(table):
-    """What links carried beside what the same cores sent under virtual time, at sizes where both ran."""
+    """Returns a table of slopes measured on loopback and under virtual time, at sizes that both have."""
     rows = []
     for name, slope in table.slopes.by_name.items():
         virtual = table.slopes.by_name.get(VIRTUAL_PREFIX + name)
@@ -325,7 +338,7 @@
 
 
 def missing_slopes(table):
-    """Slopes that rows ask for and that are not there."""
+    """Returns a list of the slopes that rows need and that do not exist."""
     missing = sorted(
         {
             row.figure.source
@@ -338,7 +351,7 @@
 
 
 def page(table, by_name, charts=()):
-    """docs/CAPACITY.md. `charts`: names of the files that are there."""
+    """Returns the text of docs/CAPACITY.md; `charts` are the names of the chart files that exist."""
     header_names = {
         "cluster": Reading.CLUSTER,
         "all": Reading.ALL,
--- a/embertray/experiments/capacity/report.py
+++ b/embertray/experiments/capacity/report.py
@@ -7,6 +7,7 @@
 
 
 def judgement_data(item):
+    """Returns the fields of a judgement; an infinite factor becomes None."""
     infinite = item.factor is not None and isinf(item.factor)
     return {
         "verdict": str(item.verdict),
@@ -16,6 +17,7 @@
 
 
 def row_data(item):
+    """Returns a row as a dict."""
     return {
         "role": str(item.role),
         "part": str(item.part),
@@ -36,6 +38,7 @@
 
 
 def total_data(item):
+    """Returns a total as a dict."""
     return {
         "design": str(item.design),
         "reading": str(item.reading),
@@ -49,6 +52,7 @@
 
 
 def slope_data(name, table):
+    """Returns a slope and its fit as a dict; an infinite error becomes None."""
     fit, slope = table.slopes.fits[name], table.slopes.by_name[name]
     held = fit.held_out
     return {
@@ -73,6 +77,7 @@
 
 
 def largest_data(table, reading, design):
+    """Returns the largest factors of a reading and design, without and with failures."""
     return {
         name: [row_data(one) for one in table.largest(reading, design, situations)]
         for name, situations in (("nothing fails", STEADY), ("failures", FAILURES))
@@ -80,6 +85,7 @@
 
 
 def as_data(table):
+    """Returns the table as a dict."""
     return {
         "target": table.target.name,
         "rows": [row_data(one) for one in table.rows],
--- a/embertray/experiments/capacity/row.py
+++ b/embertray/experiments/capacity/row.py
@@ -1,4 +1,4 @@
-"""A row of the table: what one role spends on one thing in one situation, against what it may spend."""
+"""A row of the table: what one role spends on one part in one situation, against its budget."""
 
 from dataclasses import dataclass
 
@@ -6,15 +6,19 @@
 from .names import UNITS, Design, Origin, Part, Quantity, Reading, Role, Situation, Verdict
 
 BOTH_READINGS = (Reading.CLUSTER, Reading.ALL)
-ROUNDING_TOLERANCE = 1e-6  # of a factor, that is no shortfall
+ROUNDING_TOLERANCE = 1e-6  # excess of a factor over 1 that counts as rounding
 ALL_READING = (Reading.ALL,)
 BOTH_DESIGNS = (Design.GOSSIP, Design.REPLICAS)
 
 
 @dataclass(frozen=True)
 class Judgement:
-    """`factor`: times over the budget, None if not known or nothing is named. `unsure`: by as much as the
-    slope missed its held-out size, the verdict could be the other.
+    """A verdict with its factor.
+
+    Attributes:
+        verdict: The verdict.
+        factor: The value relative to the budget; None if the value is not known or there is no budget.
+        uncertain: Whether the slope's error at its held-out size could reverse the verdict.
     """
 
     verdict: Verdict
@@ -23,7 +27,17 @@
 
 
 def judge(value, budget, at_least=False, error=None):
-    """`at_least`: the budget is the least that will do, not the most. `error`: relative, of the value."""
+    """Compares a value with its budget.
+
+    Args:
+        value: The value; None if it is not known.
+        budget: The budget; None if the target names none.
+        at_least: Whether the budget is a minimum instead of a maximum.
+        error: Relative error of the value; None if there is none.
+
+    Returns:
+        The Judgement.
+    """
     if budget is None:
         return Judgement(Verdict.NO_BUDGET)
     if value is None:
@@ -38,14 +52,26 @@
 
 
 def shortfall(value, least):
-    """Times that a value is under the least that will do."""
+    """Returns the factor by which a value is below the minimum."""
     return least / value if value > 0 else float("inf")
 
 
 @dataclass(frozen=True)
 class Row:
-    """`figure` is a mean, `worst` the worst 10 s where that is another. `readings`: in which of them the row
-    counts as control. `designs`: in which it is there at all. `adds_up`: it counts in the role's total.
+    """A row of the table.
+
+    Attributes:
+        role: The role that spends it.
+        part: The part of its work.
+        situation: When it is spent.
+        quantity: What is spent.
+        figure: The mean.
+        mechanism: What in the program causes it.
+        budget: What the target allows; None if it names nothing.
+        worst: The mean over the worst 10 s, where it differs.
+        readings: The readings of the budget in which the row counts as control.
+        designs: The designs that have the row.
+        in_total: Whether it counts in the role's total.
     """
 
     role: Role
@@ -62,11 +88,12 @@
 
     @property
     def unit(self):
+        """The unit of the quantity."""
         return UNITS[self.quantity]
 
     @property
     def judgement(self):
-        """By the worst 10 s where they are known, else by the mean."""
+        """Judged by the worst 10 s if they are known, else by the mean."""
         if self.figure.origin is Origin.NO_MECHANISM:
             return Judgement(Verdict.NO_MECHANISM)
         if not self.figure.known:
@@ -78,7 +105,7 @@
 
 
 def budget_of(target, role, quantity):
-    """What the target grants for it, None where it names nothing."""
+    """Returns what the target allows for a quantity of a role; None if it names nothing."""
     if quantity in (Quantity.IN_FORCE, Quantity.OLDEST, Quantity.STALENESS):
         return target.in_force_within
     if quantity is Quantity.ADDED:
@@ -105,11 +132,18 @@
 
 
 class RowBuilder:
-    """Collects rows of one role and situation."""
+    """Collects the rows of one role and situation.
+
+    Args:
+        target: The target, which names the budgets.
+        role: The role.
+        situation: The situation.
+    """
 
     def __init__(self, target, role, situation):
         self.target, self.role, self.situation, self.rows = target, role, situation, []
 
     def add(self, part, quantity, figure, mechanism, **options):
+        """Adds a row with its budget; `options` are further attributes of Row."""
         budget = budget_of(self.target, self.role, quantity)
         self.rows.append(Row(self.role, part, self.situation, quantity, figure, mechanism, budget, **options))
--- a/embertray/experiments/capacity/size_limits.py
+++ b/embertray/experiments/capacity/size_limits.py
@@ -4,13 +4,21 @@
 
 from . import formulas
 
-MAX_SIZE = 1_000_000  # sizes are looked for up to here
+MAX_SIZE = 1_000_000  # the search ends here
 
 
 @dataclass(frozen=True)
 class SizeLimit:
-    """`size`: the greatest whole one within the budget; 0 if none, SIZE_MOST if all. `source`: slope or
-    formula.
+    """The size at which a part reaches its budget.
+
+    Attributes:
+        what: The part.
+        unit: The unit of the budget.
+        budget: The budget.
+        size_unit: What the size counts.
+        size: The greatest size within the budget; 0 if none is, MAX_SIZE if all are.
+        target_size: The size that the target has.
+        source: The slope or formula.
     """
 
     what: str
@@ -23,7 +31,7 @@
 
 
 def largest_within(cost, budget):
-    """The greatest whole size at which grows(size) is within the budget; grows never falls."""
+    """Returns the greatest size at which cost(size), which must not decrease, is within the budget."""
     if cost(1) > budget:
         return 0
     low, high = 1, 2
@@ -41,7 +49,7 @@
 
 
 def size_limits(target, slopes):
-    """A Reach for each steady part whose slope is at hand, and for each formula."""
+    """Returns a SizeLimit for each steady part whose slope is available, and for each formula."""
     members, proxies, backends = target.controllers, target.proxies_per_controller, target.backends
     limits = []
     for what, name, unit, budget, size_unit, target_size in (
--- a/embertray/experiments/capacity/slope.py
+++ b/embertray/experiments/capacity/slope.py
@@ -1,5 +1,6 @@
-"""Slopes: how one quantity grew with one size, as it was measured. One JSON file each
-(docs/measured/capacity/README.md).
+"""Slopes: measurements of how a quantity grows with a size.
+
+Each is a JSON file (docs/measured/capacity/README.md).
 """
 
 from collections import defaultdict
@@ -15,11 +16,24 @@
 
 
 class SlopeError(ValueError):
-    """A slope's file can't be used; the text names the file and what is wrong."""
+    """The file of a slope cannot be used; the text names the file and what is wrong."""
 
 
 class Slope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`points`: (size, value), sizes may be repeated. `origin`: reported ones were not measured again."""
+    """A quantity measured at several sizes.
+
+    Attributes:
+        name: Its name, which is also the name of its file.
+        unit: The unit of the values.
+        n: What the sizes count.
+        points: (size, value); a size may be repeated.
+        command: The command that measured it.
+        commit: The commit that was measured.
+        machine: The machine on which it was measured.
+        date: The day of the measurement.
+        origin: "reported" if it was taken over and not measured again.
+        note: Further remarks.
+    """
 
     name: Text
     unit: Text
@@ -33,7 +47,7 @@
     note: str = ""
 
     def medians(self):
-        """(size, median value) of each size, smallest first."""
+        """Returns (size, median value) of each size, smallest first."""
         by_size = defaultdict(list)
         for size, value in self.points:
             by_size[size].append(value)
@@ -41,7 +55,7 @@
 
 
 def load(path):
-    """The Slope of a file. Raises BadSlope."""
+    """Reads the Slope of a file. Raises SlopeError."""
     path = Path(path)
     try:
         slope = msgspec.json.decode(path.read_bytes(), type=Slope)
@@ -50,19 +64,19 @@
     except msgspec.DecodeError as error:
         raise SlopeError(f"{path}: {error}") from None
     if slope.name != path.stem:
-        raise SlopeError(f"{path}: its name is '{slope.name}', not that of the file")
+        raise SlopeError(f"{path}: its name '{slope.name}' is not that of the file")
     return slope
 
 
 def load_all(folder):
-    """name -> Slope of a folder's files. Raises BadSlope."""
+    """Returns {name: Slope} of all files of a folder. Raises SlopeError."""
     if not Path(folder).is_dir():
-        raise SlopeError(f"{folder}: no such folder of slopes")
+        raise SlopeError(f"{folder}: no such folder")
     return {path.stem: load(path) for path in sorted(Path(folder).glob("*.json"))}
 
 
 def save(folder, slope):
-    """Writes a slope's file: keys and points a line each, so that changes can be read."""
+    """Writes the file of a slope, each key and point on its own line so that differences are readable."""
     points = ",\n".join(f"    [{size:g}, {value:.6g}]" for size, value in slope.points)
     rows = [
         f'  "points": [\n{points}\n  ]'
--- a/embertray/experiments/capacity/table.py
+++ b/embertray/experiments/capacity/table.py
@@ -1,4 +1,4 @@
-"""The whole table: rows of all roles and situations, totals by reading and design, what is missed most."""
+"""The whole table: rows of all roles and situations, totals by reading and design, largest shortfalls."""
 
 from dataclasses import dataclass
 
@@ -15,8 +15,16 @@
 
 @dataclass(frozen=True)
 class Total:
-    """What one controller spends on all parts at the peak. `known`: the sum of the parts that are known;
-    `missing`: those that are not.
+    """What one controller spends on all parts at the peak.
+
+    Attributes:
+        reading: The reading of the budget.
+        design: The design.
+        quantity: What is added up.
+        unit: Its unit.
+        known: The sum of the parts that are known.
+        missing: The parts that are not known.
+        budget: The budget.
     """
 
     reading: Reading
@@ -29,7 +37,7 @@
 
     @property
     def judgement(self):
-        """With parts missing it may fall short already, and is not known otherwise."""
+        """If parts are missing, the total may already fall short; otherwise its verdict is not known."""
         found = judge(self.known, self.budget)
         if self.missing and found.verdict is Verdict.FITS:
             return Judgement(Verdict.UNKNOWN)
@@ -38,13 +46,15 @@
 
 @dataclass(frozen=True)
 class Table:
+    """The rows and totals of a target, with the slopes behind them."""
+
     target: object
     slopes: Slopes
     rows: tuple
     totals: tuple
 
     def largest(self, reading, design, situations, count=LARGEST_COUNT):
-        """The rows that fall short by the largest factors, one of each part and unit."""
+        """Returns the rows that fall short by the largest factors, one of each role, part and unit."""
         short = [
             row
             for row in self.rows
@@ -60,11 +70,12 @@
         return list(found.values())[:count]
 
     def of(self, situation):
+        """Returns the rows of a situation."""
         return [row for row in self.rows if row.situation is situation]
 
 
 def compute(target, by_name):
-    """The Table of a target, from slopes by name."""
+    """Returns the Table of a target, from slopes by name."""
     slopes = Slopes(by_name)
     rows = (
         *controller.steady_rows(target, slopes),
@@ -78,7 +89,10 @@
 
 
 def rows_in_total(rows, reading, design, quantity):
-    """Rows of a controller that make up a total: of the calm, which go on at the peak, and of the peak."""
+    """Returns a controller's rows that make up a total.
+
+    These are the rows of the calm, whose cost continues at the peak, and those of the peak.
+    """
     return [
         row
         for row in rows
@@ -92,6 +106,7 @@
 
 
 def totals(target, rows):
+    """Yields the totals of each design and reading."""
     for design in Design:
         for reading in Reading:
             sums = {}
@@ -109,12 +124,13 @@
 
 
 def total(target, reading, design, quantity, known, missing, name=None):
+    """Returns the Total of a controller's parts."""
     budget = budget_of(target, Role.CONTROLLER, quantity)
     return Total(reading, design, name or str(quantity), UNITS[quantity], known, missing, budget)
 
 
 def vary_assumptions(target, by_name):
-    """(assumption, value, Table) for each value that an assumption is varied to, its own left out."""
+    """Yields (assumption, value, Table) for each other value that an assumption is varied to."""
     for assumption in target.assumptions:
         for value in assumption.vary:
             if value != assumption.value:
--- a/embertray/experiments/capacity/target.py
+++ b/embertray/experiments/capacity/target.py
@@ -1,5 +1,6 @@
-"""Loads the description of a target: XML checked against target.xsd by lxml, then the checks that a schema
-can't state.
+"""Loads the description of a target.
+
+It is XML that is checked against target.xsd; further checks cover what a schema cannot express.
 """
 
 from dataclasses import dataclass, replace
@@ -14,7 +15,7 @@
 SIZES = {"KB": 10**3, "MB": 10**6, "GB": 10**9, "B": 1}
 SECONDS_PER_DAY = 86_400
 
-# every assumption that the table asks for
+# all assumptions that the table uses
 REQUIRED_ASSUMPTIONS = (
     "proxies-per-backend",
     "entry-bytes",
@@ -30,12 +31,19 @@
 
 
 class TargetError(ValueError):
-    """The description can't be used; the text names file, line and what was expected."""
+    """The description cannot be used; the text names the file, the line and what was expected."""
 
 
 @dataclass(frozen=True)
 class Assumption:
-    """What the target does not name: its value, why, and what else it is looked at with."""
+    """A value that the target does not name.
+
+    Attributes:
+        name: Its name.
+        value: The value.
+        reason: Why it is assumed.
+        vary: Other values for which the table is computed.
+    """
 
     name: str
     value: float
@@ -45,8 +53,10 @@
 
 @dataclass(frozen=True)
 class Target:
-    """Times in seconds, sizes in bytes, rates a second where nothing else is said. `cores`, `memory` and
-    `bytes_a_second` are what one controller may spend for control.
+    """A target size with its budgets.
+
+    Times are in seconds, sizes in bytes, rates per second unless the name says otherwise. `cores`, `memory`
+    and `bytes_a_second` are what one controller may spend for control.
     """
 
     name: str
@@ -73,10 +83,11 @@
     assumptions: tuple
 
     def assumed(self, name):
+        """Returns the value of an assumption."""
         return next(one.value for one in self.assumptions if one.name == name)
 
     def with_assumed(self, name, value):
-        """The same target with another value of one assumption."""
+        """Returns the same target with another value of one assumption."""
         return replace(
             self,
             assumptions=tuple(
@@ -86,46 +97,51 @@
 
     @property
     def proxies(self):
+        """Number of proxies."""
         return self.backends * self.assumed("proxies-per-backend")
 
     @property
     def proxies_per_controller(self):
+        """Number of proxies per controller, rounded."""
         return round(self.proxies / self.controllers)
 
     @property
     def requests_per_proxy(self):
+        """Requests per second of one proxy."""
         return self.requests / self.proxies
 
     @property
     def changes_a_second(self):
+        """Changes of the configuration per second."""
         return self.changes_a_day / SECONDS_PER_DAY
 
     @property
     def configuration_keys(self):
-        """One entry a service and one a route."""
+        """Number of configuration keys: one per service and one per route."""
         return self.services + self.routes
 
 
 def parse_time(text):
-    """'2.5s' in seconds; the schema has checked its form."""
+    """Returns a text such as '2.5s' in seconds; the schema has checked its form."""
     unit = next(unit for unit in UNITS if text.endswith(unit))
     return float(text[: -len(unit)]) * UNITS[unit]
 
 
 def parse_size(text):
-    """'4KB' in bytes."""
+    """Returns a text such as '4KB' in bytes; the schema has checked its form."""
     unit = next(unit for unit in SIZES if text.endswith(unit))
     return int(text[: -len(unit)]) * SIZES[unit]
 
 
 @cache
 def schema():
+    """Returns the parsed target.xsd."""
     return etree.XMLSchema(etree.parse(PACKAGE_FOLDER / "target.xsd"))
 
 
 @cache
 def pattern_descriptions():
-    """What a pattern of the schema stands for, in words: pattern -> its type's documentation."""
+    """Returns {pattern: description} of the schema's types, for error messages."""
     tag = "{http://www.w3.org/2001/XMLSchema}"
     return {
         kind.find(f".//{tag}pattern").get("value"): kind.findtext(f".//{tag}documentation")
@@ -135,7 +151,7 @@
 
 
 def load(path=OPERATORS):
-    """The Target of an XML file. Raises BadTarget with file, line and what was expected."""
+    """Returns the Target of an XML file. Raises TargetError with file, line and what was expected."""
     parser = etree.XMLParser(resolve_entities=False, no_network=True, remove_comments=True)
     try:
         tree = etree.parse(str(path), parser)
@@ -149,7 +165,7 @@
 
 
 def describe_error(error):
-    """Line and text of a schema's error; a pattern is told in words."""
+    """Returns the line and text of a schema error, with descriptions in place of patterns."""
     description = next(
         (text for pattern, text in pattern_descriptions().items() if f"'{pattern}'" in error.message), None
     )
@@ -160,6 +176,8 @@
 
 
 def read(root, path):
+    """Returns the Target of a validated XML tree; `path` names it in errors. Raises TargetError."""
+
     def attribute_value(element, attribute, convert=int):
         return convert(root.find(element).get(attribute))
 
@@ -193,22 +211,23 @@
 
 
 def read_assumption(element):
+    """Returns the Assumption of an XML element."""
     vary = tuple(float(value) for value in element.get("vary", "").split())
     return Assumption(element.get("name"), float(element.get("value")), element.get("reason"), vary)
 
 
 def check_fleet_and_times(target, root, path):
-    """What the schema can't state."""
+    """Checks what the schema cannot express of the fleet and of times. Raises TargetError."""
     fleet = root.find("fleet")
     if target.zones < target.regions:
         raise TargetError(
-            f"{path}:{fleet.sourceline}: {target.zones} zones can't make {target.regions} regions: "
-            "as many zones as regions are expected at least"
+            f"{path}:{fleet.sourceline}: {target.zones} zones are fewer than {target.regions} regions: "
+            "at least one zone per region is expected"
         )
     if target.controllers > target.proxies:
         raise TargetError(
             f"{path}:{fleet.sourceline}: {target.proxies:.0f} proxies are fewer than {target.controllers} "
-            "controllers: one a controller is expected at least"
+            "controllers: at least one per controller is expected"
         )
     for element, attribute in (("requests", "added-at-p99"), ("configuration", "in-force-within")):
         if parse_time(root.find(element).get(attribute)) <= 0:
@@ -218,11 +237,12 @@
 
 
 def check_assumptions(target, root, path):
+    """Checks that exactly the required assumptions are given. Raises TargetError."""
     named = [one.name for one in target.assumptions]
     line = root.find("assumptions").sourceline
     for name in REQUIRED_ASSUMPTIONS:
         if name not in named:
-            raise TargetError(f"{path}:{line}: no assumption '{name}': the table asks for its value")
+            raise TargetError(f"{path}:{line}: no assumption '{name}': the table needs its value")
     for element in root.iterfind("assumptions/assumption"):
         if element.get("name") not in REQUIRED_ASSUMPTIONS:
             raise TargetError(
--- a/embertray/experiments/capacity/text.py
+++ b/embertray/experiments/capacity/text.py
@@ -1,4 +1,4 @@
-"""Figures as text, and tables in Markdown."""
+"""Formats figures as text, and tables as Markdown."""
 
 from math import isinf
 
@@ -9,7 +9,7 @@
 
 
 def format_number(value):
-    """Three digits, without exponents where it can be read without."""
+    """Returns a number with three digits, with an exponent only if it is very small."""
     if value == 0:
         return "0"
     if abs(value) >= 100:
@@ -18,7 +18,7 @@
 
 
 def format_quantity(value, unit):
-    """A value with its unit; None is 'not known'."""
+    """Returns a value with its unit; 'not known' for None."""
     if value is None:
         return "not known"
     if unit == "s":
@@ -31,11 +31,12 @@
 
 
 def format_error(share):
-    """A relative error; none can be told of 0."""
+    """Returns a relative error as a percentage, or words if it is infinite because the measured value is 0."""
     return "more than can be told of 0" if isinf(share) else f"{share:.1%}"
 
 
 def format_verdict(judgement):
+    """Returns a verdict with its factor and uncertainty."""
     suffix = ", within the slope's error" if judgement.uncertain else ""
     if judgement.verdict is Verdict.SHORT:
         return f"**falls short by {format_factor(judgement.factor)}**{suffix}"
@@ -43,13 +44,14 @@
 
 
 def format_factor(value):
+    """Returns the factor by which a budget is exceeded."""
     if value >= 100:
         return f"{value:,.0f}"
     return f"{value:.2f}" if value < 2 else f"{value:.2g}"
 
 
 def format_source(figure):
-    """Where a figure comes from: slope or formula, and how."""
+    """Returns where a figure comes from: slope or formula, and how."""
     if figure.origin in (Origin.UNKNOWN, Origin.NO_MECHANISM):
         return figure.source
     if figure.origin is Origin.CALCULATED:
@@ -61,6 +63,7 @@
 
 
 def markdown_table(headings, rows):
+    """Returns a Markdown table."""
     lines = ["| " + " | ".join(headings) + " |", "|" + " --- |" * len(headings)]
     lines += ["| " + " | ".join(cells) + " |" for cells in rows]
     return "\n".join(lines)
