--- a/embertray/experiments/capacity/text.py
+++ b/embertray/experiments/capacity/text.py
@@ -31,7 +31,7 @@
 
 
 def format_error(share):
-    """Returns a relative error as a percentage, or words if it is infinite because the measured value is 0."""
+    """Returns a relative error as a percentage, or words if it is infinite, relative to a value of 0."""
     return "more than can be told of 0" if isinf(share) else f"{share:.1%}"
 
 
