--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -56,7 +56,7 @@
 
 
 class Fits(unittest.TestCase):
-    def test_generated_points_give_back_their_law_and_predict_the_size_held_out(self):
+    def test_the_law_of_generated_points_is_found_and_predicts_the_held_out_size(self):
         laws = {"n": lambda n: n, "n log n": lambda n: n * log(n), "n^2": lambda n: n * n}
         for growth, grow in laws.items():
             for base, factor in ((0.0, 3.0), (500.0, 0.25), (1e-3, 1e-5)):
@@ -75,24 +75,24 @@
         self.assertEqual((exact.base, exact.factor), (0.0, 1.0))
         self.assertEqual((constant.base, constant.factor), (77.0, 0.0))
 
-    def test_the_largest_size_does_not_touch_the_fit(self):
+    def test_the_largest_size_does_not_affect_the_law(self):
         points = [(n, 2.0 * n) for n in SIZES[:-1]]
         straight, bent = fit([*points, (4000, 8000.0)]), fit([*points, (4000, 80_000.0)])
         self.assertEqual(straight.law, bent.law)
         self.assertAlmostEqual(bent.held_out.error, 0.9, 6)
         self.assertGreater(bent.held_out.error, straight.held_out.error)
 
-    def test_every_growth_has_a_residual_and_the_least_one_wins(self):
+    def test_every_growth_has_a_residual_and_the_least_is_chosen(self):
         found = fit([(n, 5.0 + n * n * (1 + (-1) ** k / 50)) for k, n in enumerate(SIZES)])
         self.assertEqual(set(found.residuals), {"n", "n log n", "n^2"})
         self.assertEqual(found.residual, min(found.residuals.values()))
         self.assertEqual(found.law.growth, "n^2")
 
-    def test_what_does_not_grow_is_a_constant_under_any_law(self):
+    def test_constant_values_give_a_constant(self):
         found = fit([(n, 77.0) for n in SIZES])
         self.assertAlmostEqual(found.at(10**6), 77.0, 6)
 
-    def test_an_error_of_what_was_0_is_infinite_and_the_json_says_null(self):
+    def test_an_error_relative_to_0_is_infinite_and_null_in_json(self):
         made = {"s": slope("s", [(1, 30.0), (2, 20.0), (3, 10.0), (4, 0.0), (5, 0.0)])}
         self.assertEqual(fit(made["s"].medians()).held_out.error, inf)
         with tempfile.TemporaryDirectory() as folder:
@@ -101,25 +101,25 @@
             self.assertIsNone(found["slopes"][0]["held_out"]["error"])
             self.assertTrue("more than can be told of 0" in run("--page", "--slopes", folder).output)
 
-    def test_three_sizes_are_a_guess_four_are_not(self):
+    def test_a_fit_of_three_sizes_is_a_guess_of_four_is_not(self):
         self.assertTrue(fit([(n, n) for n in SIZES[:3]]).is_guess)
         self.assertFalse(fit([(n, n) for n in SIZES[:4]]).is_guess)
         self.assertEqual(fit([(470, 426.0)]).at(470), 426.0)
 
-    def test_a_size_that_is_repeated_counts_by_its_median(self):
+    def test_repeated_sizes_are_merged_by_their_median(self):
         self.assertEqual(slope("s", [(8, 9.0), (8, 1.0), (2, 4.0), (8, 2.0)]).medians(), [(2, 4.0), (8, 2.0)])
 
 
 class Files(unittest.TestCase):
-    def test_a_slope_that_is_saved_is_loaded_again(self):
+    def test_a_saved_slope_can_be_loaded(self):
         with tempfile.TemporaryDirectory() as folder:
             made = slope("one", [(8, 1.5), (32, 3e-7)], origin="reported", note='a "note"')
             save(folder, made)
             self.assertEqual(load_all(folder), {"one": made})
 
-    def test_bad_files_are_refused_with_their_name(self):
+    def test_invalid_slope_files_are_rejected_by_name(self):
         good = msgspec.to_builtins(slope("bad", [(8, 1.0)]))
-        for what, text, said in (
+        for what, text, expected_text in (
             ("no JSON", "{", "truncated"),
             ("another name", json.dumps(good | {"name": "other"}), "not that of the file"),
             ("no points", json.dumps(good | {"points": []}), "length"),
@@ -134,12 +134,12 @@
                 with self.assertRaises(SlopeError) as caught:
                     load_all(folder)
                 self.assertIn("bad.json", str(caught.exception))
-                self.assertIn(said, str(caught.exception))
+                self.assertIn(expected_text, str(caught.exception))
                 result = run("--slopes", folder)
                 self.assertEqual(result.exit_code, 2)
                 self.assertEqual(result.output.count("\n"), 1)
 
-    def test_slopes_that_the_page_rests_on_have_four_sizes_or_are_called_guesses(self):
+    def test_slopes_on_the_page_have_four_sizes_or_are_shown_as_guesses(self):
         by_name = load_all(SLOPES)
         text = (ROOT / "docs" / "CAPACITY.md").read_text().split("\n## Slopes\n")[1]
         for name, one in by_name.items():
@@ -151,7 +151,7 @@
 
 
 class Figures(unittest.TestCase):
-    def test_measured_predicted_guessed_reported_and_missing_are_told_apart(self):
+    def test_origins_of_figures(self):
         straight = [(n, 2.0 * n) for n in SIZES]
         slopes = Slopes(
             {
@@ -182,24 +182,24 @@
                 else:
                     self.assertAlmostEqual(found.value, value, 6)
 
-    def test_a_measured_slope_takes_the_place_of_the_reported_one(self):
+    def test_a_measured_slope_is_preferred_to_a_reported_one(self):
         both = {
             "cluster-oldest": slope("cluster-oldest", [(470, 5.0)]),
             "reported-cluster-oldest": slope("reported-cluster-oldest", [(470, 11.4)], origin="reported"),
         }
         self.assertEqual(Slopes(both).at("cluster-oldest", 470).value, 5.0)
 
-    def test_a_law_that_falls_under_zero_says_zero(self):
+    def test_predictions_are_never_negative(self):
         falling = Slopes({"s": slope("s", [(1, 30.0), (2, 20.0), (3, 10.0), (4, 0.1)])})
         self.assertEqual(falling.at("s", 100).value, 0.0)
 
-    def test_what_rests_on_something_unknown_is_unknown_and_says_of_what(self):
+    def test_a_figure_derived_from_an_unknown_one_is_unknown_and_names_it(self):
         found = derived("a + b", lambda a, b: a + b, calculated("1", 1), unknown("no slope b"))
         self.assertEqual((found.value, found.origin, found.source), (None, Origin.UNKNOWN, "no slope b"))
 
 
 class Verdicts(unittest.TestCase):
-    def test_the_budget_decides(self):
+    def test_verdicts_by_budget(self):
         for value, budget, at_least, verdict, factor in (
             (4000, 4000, False, Verdict.FITS, 1.0),
             (4001, 4000, False, Verdict.SHORT, 4001 / 4000),
@@ -215,7 +215,7 @@
                 found = judge(value, budget, at_least)
                 self.assertEqual((found.verdict, found.factor), (verdict, factor))
 
-    def test_a_verdict_that_the_slopes_error_could_turn_says_so(self):
+    def test_a_verdict_that_the_error_could_reverse_is_uncertain(self):
         for value, error, verdict, uncertain in (
             (90, 0.05, Verdict.FITS, False),
             (90, 0.2, Verdict.FITS, True),
@@ -229,7 +229,7 @@
                 found = judge(value, 100, error=error)
                 self.assertEqual((found.verdict, found.uncertain), (verdict, uncertain))
 
-    def test_the_worst_ten_seconds_decide_where_they_are_known(self):
+    def test_the_worst_10_s_decide_if_they_are_known(self):
         def row(mean, worst):
             return Row(
                 Role.CONTROLLER,
@@ -248,13 +248,13 @@
         self.assertEqual(row(within, unknown("")).judgement.verdict, Verdict.FITS)
         self.assertEqual(row(unknown(""), within).judgement.verdict, Verdict.UNKNOWN)
 
-    def test_a_total_with_parts_missing_may_fall_short_but_never_fits(self):
+    def test_a_total_with_missing_parts_never_fits(self):
         table = compute(load(), {})
         for total in table.totals:
             self.assertTrue(total.missing)
             self.assertIn(total.judgement.verdict, (Verdict.UNKNOWN, Verdict.SHORT))
 
-    def test_without_slopes_nothing_that_needs_one_is_judged(self):
+    def test_rows_without_their_slope_have_no_verdict(self):
         for row in compute(load(), {}).rows:
             if row.figure.origin not in (Origin.CALCULATED, Origin.NO_MECHANISM):
                 self.assertIsNone(row.figure.value)
@@ -267,7 +267,7 @@
         cls.by_name = load_all(SLOPES)
         cls.table = compute(load(), cls.by_name)
 
-    def test_every_role_part_and_situation_has_rows_and_each_says_by_what_and_from_what(self):
+    def test_every_role_part_and_situation_has_rows_with_mechanism_and_source(self):
         rows = self.table.rows
         self.assertEqual({row.role for row in rows}, set(Role))
         self.assertEqual({row.situation for row in rows}, set(Situation))
@@ -276,7 +276,7 @@
             self.assertTrue(row.mechanism)
             self.assertTrue(row.figure.source)
 
-    def test_the_largest_factors_fall_and_name_each_part_once(self):
+    def test_the_largest_factors_are_sorted_and_list_each_part_once(self):
         for design, reading, situations in product(Design, Reading, (STEADY, FAILURES)):
             with self.subTest(design=design, reading=reading):
                 rows = self.table.largest(reading, design, situations)
@@ -292,7 +292,7 @@
             if reading is Reading.CLUSTER:
                 self.assertLessEqual(known, by[design, Reading.ALL, quantity])
 
-    def test_slopes_of_the_control_plane_are_taken_in_once_they_are_there(self):
+    def test_control_plane_slopes_are_used_when_they_exist(self):
         names = {
             "control-subscriber-bytes-in": (Role.CONTROLLER, Quantity.BYTES_IN),
             "control-subscriber-bytes-out": (Role.CONTROLLER, Quantity.BYTES_OUT),
@@ -315,7 +315,7 @@
                 self.assertEqual(row.figure.origin, Origin.PREDICTED)
                 self.assertEqual(row.designs, (Design.REPLICAS,))
 
-    def test_what_ran_both_ways_stands_side_by_side(self):
+    def test_loopback_and_virtual_time_are_compared_at_common_sizes(self):
         both = {
             "cluster-oldest": slope("cluster-oldest", [(8, 3.0), (32, 6.0)]),
             "virtual-cluster-oldest": slope("virtual-cluster-oldest", [(8, 2.0), (64, 9.0)]),
@@ -323,7 +323,7 @@
         rows = page.loopback_comparison(compute(load(), both)).splitlines()[2:]
         self.assertEqual(rows, ["| `cluster-oldest` | 8 | 3 | 2 | 1.50 |"])
 
-    def test_a_slope_without_a_held_out_size_is_called_a_guess(self):
+    def test_a_slope_without_a_held_out_size_is_shown_as_a_guess(self):
         short = self.by_name | {
             "cluster-sent-bytes": slope("cluster-sent-bytes", [(n, 100.0 * n) for n in (8, 32, 64)])
         }
@@ -338,7 +338,7 @@
         self.assertIn("`cluster-sent-bytes`, a guess: no held-out size", text)
         self.assertRegex(text, r"\| `cluster-sent-bytes` .*\*\*a guess\*\*")
 
-    def test_each_assumption_is_varied_to_all_its_other_values(self):
+    def test_each_assumption_is_varied_to_all_of_its_other_values(self):
         target = load()
         wanted = {(a.name, v) for a in target.assumptions for v in a.vary if v != a.value}
         found = {(one.name, value): table for one, value, table in vary_assumptions(target, self.by_name)}
@@ -347,7 +347,7 @@
         self.assertEqual(found["proxies-per-backend", 2].target.proxies_per_controller, 17)
         self.assertEqual(found["proxies-per-backend", 32].target.proxies_per_controller, 272)
 
-    def test_limits_each_to_each_grow_with_the_square_and_through_replicas_not_with_controllers(self):
+    def test_traffic_of_limits_grows_with_controllers_only_without_replicas(self):
         each = [formulas.limits_all_to_all(n, 68, 1).controller_out for n in (100, 200, 400)]
         self.assertGreater(each[1] / each[0], 2.2)
         self.assertGreater(each[2] / each[1], 2.5)
@@ -358,7 +358,7 @@
 class Measurements(unittest.TestCase):
     """That they run and count, at small sizes; no time is judged."""
 
-    def test_the_module_is_stepped_as_often_as_said_under_each_load(self):
+    def test_the_policy_is_stepped_the_requested_number_of_times(self):
         for made in (decisions.AT_TARGET, decisions.SILENT, decisions.ALL_BACKENDS, decisions.WHOLE_TABLES):
             with self.subTest(made.name):
                 cost = decisions.measure(5, 17, made, 2)
@@ -370,12 +370,12 @@
         self.assertEqual(large["change-bytes"], small["change-bytes"])
         self.assertGreater(large["list-memory"], 5 * small["list-memory"])
 
-    def test_every_way_to_pick_is_counted_as_often_as_said(self):
+    def test_each_pick_algorithm_is_measured_the_requested_number_of_times(self):
         for way in ("weighted", "round", "two"):
             steady, changed = picks.measure(way, 17)
             self.assertEqual((len(steady), len(changed)), (picks.PICKS, picks.CHANGES))
 
-    def test_a_recording_gives_slopes_that_can_be_loaded(self):
+    def test_recorded_slopes_can_be_loaded(self):
         with tempfile.TemporaryDirectory() as folder:
             recording = Recording("the command", folder)
             with redirect_stdout(io.StringIO()):
@@ -386,7 +386,7 @@
         self.assertTrue(made.note.startswith("why; "))
 
 
-class Reaches(unittest.TestCase):
+class SizeLimits(unittest.TestCase):
     def test_the_largest_size_within_a_budget(self):
         for grows, budget, size in (
             (lambda n: 2 * n, 100, 50),
@@ -469,32 +469,32 @@
         self.assertEqual((target.proxies, target.proxies_per_controller), (32000, 68))
         self.assertEqual(target.requests_per_proxy, 1)
 
-    def test_bad_descriptions_end_in_one_error_and_code_2(self):
+    def test_invalid_targets_give_one_error_line_and_exit_code_2(self):
         good = OPERATORS.read_text()
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "target.xml")
-            for what, spoil, said in BAD_TARGETS:
+            for what, invalidate, expected_text in BAD_TARGETS:
                 with self.subTest(what):
-                    text = spoil(good)
+                    text = invalidate(good)
                     self.assertNotEqual(text, good)
                     path.write_text(text)
                     with self.assertRaises(TargetError) as caught:
                         load(path)
-                    self.assertIn(said, str(caught.exception))
+                    self.assertIn(expected_text, str(caught.exception))
                     self.assertIn("target.xml", str(caught.exception))
                     result = run(path)
                     self.assertEqual(result.exit_code, 2)
                     self.assertTrue(result.output.startswith("Error: "))
                     self.assertEqual(result.output.count("\n"), 1)
 
-    def test_no_file_no_slopes_and_two_forms_at_once_are_refused(self):
+    def test_invalid_arguments_are_rejected(self):
         for arguments in (("nowhere.xml",), ("--slopes", "nowhere"), ("--json", "--page")):
             with self.subTest(arguments):
                 result = run(*arguments)
                 self.assertEqual(result.exit_code, 2)
                 self.assertEqual(result.output.count("\n"), 1)
 
-    def test_another_size_than_the_operators_can_be_described(self):
+    def test_a_target_of_another_size(self):
         text = OPERATORS.read_text().replace('controllers="470"', 'controllers="40"')
         text = text.replace('backends="4000"', 'backends="400"').replace('"operators"', '"small"')
         with tempfile.TemporaryDirectory() as folder:
@@ -514,7 +514,7 @@
         self.assertTrue(written == result.output, "bin/embertray capacity --page > docs/CAPACITY.md")
         self.assertIn(run().output, written)
 
-    def test_another_figure_makes_another_page(self):
+    def test_a_changed_slope_changes_the_page(self):
         by_name = load_all(SLOPES)
         name = "decisions-processor-68"
         points = [(size, value * 2) for size, value in by_name[name].points]
@@ -523,7 +523,7 @@
             page.page(compute(load(), changed), changed), page.page(compute(load(), by_name), by_name)
         )
 
-    def test_the_page_and_the_json_tell_the_same_verdicts(self):
+    def test_page_and_json_have_the_same_verdicts(self):
         found = json.loads(run("--json").output)
         table = compute(load(), load_all(SLOPES))
         self.assertEqual(
@@ -531,7 +531,7 @@
         )
         self.assertEqual({slope["name"] for slope in found["slopes"]}, set(table.slopes.by_name))
 
-    def test_both_readings_stand_on_the_page_for_both_designs(self):
+    def test_the_page_has_both_readings_of_both_designs(self):
         text = (ROOT / "docs" / "CAPACITY.md").read_text()
         for design in Design:
             for reading in Reading:
