--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md and what computes it: fits, targets, verdicts; the page is what the command prints."""
+"""Tests of `embertray capacity`: fits, slopes, targets, verdicts, tables and docs/CAPACITY.md."""
 
 import io
 import json
@@ -47,8 +47,11 @@
 
 
 def run(*arguments):
-    """The command sets up logs that write to the runner's standard error: none may be left to later tests, as
-    that is closed at its end."""
+    """Runs the command and returns its result.
+
+    Logging is reset, because the command makes it write to the runner's standard error, which is closed at
+    the end and would fail later tests.
+    """
     try:
         return CliRunner().invoke(main, ["capacity", *map(str, arguments)])
     finally:
@@ -69,7 +72,7 @@
                     self.assertEqual(found.held_out.size, 4000)
 
     def test_an_exact_line_has_no_rounding_noise(self):
-        """The page failed on another machine: a linear-algebra library left 1e-15 there and 5e-15 here."""
+        """Floating-point least squares left different rounding noise on two machines: 1e-15 and 5e-15."""
         exact = fit([(n, n) for n in SIZES]).law
         constant = fit([(n, 77.0) for n in SIZES]).law
         self.assertEqual((exact.base, exact.factor), (0.0, 1.0))
@@ -356,7 +359,7 @@
 
 
 class Measurements(unittest.TestCase):
-    """That they run and count, at small sizes; no time is judged."""
+    """The measurements run at small sizes and count correctly; their times are not checked."""
 
     def test_the_policy_is_stepped_the_requested_number_of_times(self):
         for made in (decisions.AT_TARGET, decisions.SILENT, decisions.ALL_BACKENDS, decisions.WHOLE_TABLES):
@@ -408,7 +411,7 @@
         self.assertEqual(found["gossip, staleness promised"].size, 5)  # 2 x 4 + 3 = 11 s
 
 
-# how a target is spoiled, and what the one error names
+# (description, change of the sample that makes it invalid, text in the error)
 BAD_TARGETS = (
     ("not XML", lambda text: text[:200], "not well-formed"),
     ("another root", lambda text: text.replace("target", "goal"), "goal"),
