--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -76,7 +76,7 @@
     )
     names = list(simulation.links.members)
     simulation.engine.start(simulation.all_up(names))
-    simulation.engine.run(simulation.zero)
+    simulation.engine.run(simulation.load_start)
     simulation.time_until(lambda name, active: active == set(names), 200)
     simulation.links.set_all_conditions(now=simulation.engine.time, drop=loss)
     simulation.engine.run(simulation.engine.time + max(CALM_S, 2 * members + 5) * S)
--- a/embertray/experiments/measure/emulated.py
+++ b/embertray/experiments/measure/emulated.py
@@ -43,11 +43,11 @@
     )
     wall = time.monotonic() - began
     engine = stages[0].engine
-    steps = sum(controller.frontend.core.steps for controller in stages[0].held.running.values())
+    steps = sum(controller.frontend.core.steps for controller in stages[0].controllers.running.values())
     return {
         "events": engine.calls_made,
         "wall": wall,
-        "virtual": (engine.time - stages[0].zero) / S,
+        "virtual": (engine.time - stages[0].load_start) / S,
         "reqs": result.requests,
         "credit": result.credit,
         "steps": steps,
--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -60,7 +60,7 @@
     """Checks the reports of members, given the changes to processes and links by way of `reachability`.
 
     Args:
-        links: a Web of the links between the members.
+        links: a Network with the links between the members.
         period: ns between two probes of one member, and between two exchanges.
         exchange: ns after which an exchange with an unreachable member is abandoned.
         slack: ns by which a report may be late.
--- a/embertray/simulation/claims/reachability.py
+++ b/embertray/simulation/claims/reachability.py
@@ -15,7 +15,7 @@
     """Tracks reachability, given each change to links and processes in the order of time.
 
     Args:
-        links: a Web of the links between the members; its `watching` is subscribed to.
+        links: a Network with the links between the members; its `listeners` are extended.
         period: ns between two probes of one member.
         helpers: number of members that an indirect probe asks.
     """
--- a/embertray/simulation/emulator/clients.py
+++ b/embertray/simulation/emulator/clients.py
@@ -43,7 +43,9 @@
         engine = self.simulation.engine
         within = self.model.attempt(engine.time, client_request)
         if within is None:
-            self.simulation.eyes.ended(engine.time, client_request.arrived_at, client_request.kind, "lost", 0)
+            self.simulation.observer.ended(
+                engine.time, client_request.arrived_at, client_request.kind, "lost", 0
+            )
             return
         client_request.timer = engine.after(
             within, self._on_ended, client_request.ident, client_request.attempts, "timeout"
@@ -70,6 +72,6 @@
         if verdict == "again":
             engine.at(engine.time + duration, self._attempt, client_request)
         else:
-            self.simulation.eyes.ended(
+            self.simulation.observer.ended(
                 engine.time, client_request.arrived_at, client_request.kind, verdict, duration
             )
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -52,8 +52,8 @@
         claims: The ClusterClaims.
         membership: The MembershipSimulation.
         exchangers: StateExchanger by address; None: the process is starting.
-        links: The Web.
-        clock, held, eyes, proxies, zero: The interface that faults expect of a scenario's stage.
+        links: The Network.
+        clock, controllers, observer, proxies, load_start: As faults expect them of a Stage.
     """
 
     def __init__(
@@ -77,18 +77,18 @@
         self.membership.links = NetworkLinks(random.Random(f"{seed} links"), self.links)
         self.engine = self.membership.engine
         self.exchangers = {}
-        self.chance = RandomStreams(seed)
+        self.random_streams = RandomStreams(seed)
         self.claims = ClusterClaims(self.links, period, EXCHANGE_TIMEOUT_NS, CLAIMS_MARGIN_NS)
         self.clock = self.engine
-        self.held = self
-        self.eyes = self
+        self.controllers = self
+        self.observer = self
         self.proxies = []
-        self.zero = self.engine.time + WARM_UP_NS
+        self.load_start = self.engine.time + WARM_UP_NS
 
     def note(self, *_):
         """Drops an event that a fault records, since the claims are notified directly."""
 
-    def strike(self, targets, things):
+    def select_targets(self, targets, things):
         """Draws the targets of a fault.
 
         Args:
@@ -98,7 +98,7 @@
         Returns:
             The candidates drawn.
         """
-        order = self.chance.of("strike", len(things)).permutation(len(things))
+        order = self.random_streams.of("strike", len(things)).permutation(len(things))
         return [things[k] for part in targets for k in order[: max(1, round(part * len(things)))]]
 
     # ---- interface of faults
@@ -200,12 +200,12 @@
             The simulation itself.
         """
         self.engine.start(self.all_up(self.links.members))
-        self.engine.at(self.zero, self._observe)
+        self.engine.at(self.load_start, self._observe)
         for fault in self.day.faults:
             if fault.name in FAULTS:
                 self.engine.start(Fault(self, fault).run())
         with rare_collections():
-            self.engine.run(self.zero + self.day.lasts + SETTLE_NS)
+            self.engine.run(self.load_start + self.day.lasts + SETTLE_NS)
         return self
 
     def mean_traffic(self):
@@ -214,7 +214,7 @@
         Returns:
             (membership, state), bytes a second.
         """
-        seconds = (self.engine.time - self.zero) / NS_PER_SECOND
+        seconds = (self.engine.time - self.load_start) / NS_PER_SECOND
         running = [exchanger for exchanger in self.exchangers.values() if exchanger is not None]
         membership = sum(self.membership.bytes_sent.values()) / seconds / len(self.links.members)
         state = sum(exchanger.bytes_sent for exchanger in running) / seconds / max(1, len(running))
--- a/embertray/simulation/emulator/controller.py
+++ b/embertray/simulation/emulator/controller.py
@@ -27,7 +27,7 @@
 
     def __init__(self, simulation, name, description, incarnation, snapshots):
         now = simulation.engine.time
-        random = simulation.chance.of("cuts", name, incarnation).random
+        random = simulation.random_streams.of("cuts", name, incarnation).random
         snapshot, _ = snapshots.load()
         self.simulation = simulation
         self.name = name
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -38,12 +38,12 @@
 
     Attributes:
         engine: The Engine; also the clock and the scheduler of faults.
-        eyes: The Observer.
+        observer: The Observer.
         backends_by_name: SimulatedBackend by name.
         cross_zone_delay: Delay of a message between zones, ns.
         ladder: (ns, controller name, LevelChange) of each change of the service level.
         inventory: The SimulatedEndpointList.
-        held: The SimulatedControllers.
+        controllers: The SimulatedControllers.
 
     Raises:
         DayError: The day needs byte streams or separate processes.
@@ -60,12 +60,12 @@
         self.engine = Engine(START_NS)
         self.clock = self.engine
         self.scheduler = self.engine
-        self.eyes = Observer() if watched else OutcomeObserver()
+        self.observer = Observer() if watched else OutcomeObserver()
         self.backends_by_name = {}
         self.cross_zone_delay = parse_duration(day.fleet["cross"])
         self.ladder = []
         self.inventory = SimulatedEndpointList(self, parse_duration(day.fleet["answers"]))
-        self.held = SimulatedControllers(self)
+        self.controllers = SimulatedControllers(self)
 
     def network_delay(self, zone, other_zone):
         """One-way delay between a proxy and a backend.
@@ -93,13 +93,13 @@
             The SimulatedBackend.
         """
         model = Backend(backend_address(number), zone, self.shape(speed))
-        backend = SimulatedBackend(self, model, self.chance.of("failing", number).random)
+        backend = SimulatedBackend(self, model, self.random_streams.of("failing", number).random)
         self.models[model.name] = model
         self.backends_by_name[model.name] = backend
         self.backends.append(backend)
         backend.start(cold)
         if cold:
-            self.eyes.note(self.engine.time, "started", model.name)
+            self.observer.note(self.engine.time, "started", model.name)
         if listed:
             self.inventory.list(model.name, zone, "ready", self.engine.time if cold else 0)
         return backend
@@ -115,7 +115,7 @@
         Raises:
             ConnectionRefusedError: The controller does not run.
         """
-        controller = self.held.running.get(name)
+        controller = self.controllers.running.get(name)
         if controller is None:
             raise ConnectionRefusedError(name)
         controller.frontend.core.pacer.set_pace(self.engine.time, float(target.partition("=")[2]))
@@ -125,16 +125,16 @@
         """Sets up and runs the day, as a process of the engine."""
         for number, zone, speed in self.machines():
             await self.add(number, zone, speed, cold=False)
-        for name in self.held.at:
-            await self.held.up(name)
+        for name in self.controllers.at:
+            await self.controllers.up(name)
         await self.engine.sleep_until(self.engine.time + START_AFTER)
-        self.zero = self.engine.time
+        self.load_start = self.engine.time
         shares = self.shares()
         spread = parse_duration(self.day.fleet["spread"])
         self._add_proxies(shares, spread)
         self.prepare(shares)
-        await self.engine.sleep_until(self.zero + spread)
-        self.load(shares, self.zero + self.day.lasts)
+        await self.engine.sleep_until(self.load_start + spread)
+        self.load(shares, self.load_start + self.day.lasts)
         for fault in self.day.faults:
             self.engine.start(Fault(self, fault).run())
 
@@ -143,12 +143,12 @@
         ready = [backend.model for backend in self.backends]
         for index in range(self.count):
             proxy = self._make_proxy(index, self.day.rate * shares[index], ready)
-            proxy.home = index % len(self.held.at)
+            proxy.home = index % len(self.controllers.at)
             self.proxies.append(proxy)
-            self.engine.at(self.zero + spread * index // max(1, self.count), proxy.start)
+            self.engine.at(self.load_start + spread * index // max(1, self.count), proxy.start)
 
     def _make_proxy(self, index, rate, ready):
-        rng = self.chance.of("proxy", index)
+        rng = self.random_streams.of("proxy", index)
         zone = self.site.zones[index % len(self.site.zones)]
         initial_backends = self.standing(rng, zone, ready)
         return self.proxy(self, f"p{index + 1}", zone, rate, rng, initial_backends, self.way(index))
@@ -170,7 +170,7 @@
         mix = self.mix()
         retries = int(self.day.load["retries"])
         for index, proxy in enumerate(self.proxies):
-            rng = self.chance.of("clients", index)
+            rng = self.random_streams.of("clients", index)
             model = Clients(index + 1, mix, rng, retries)
             source = self.source(index, self.day.rate * shares[index])
             SimulatedClients(self, model, source, proxy, rng, until).schedule_next()
@@ -189,15 +189,15 @@
         engine.start(self.run())
         engine.run(START_NS + START_AFTER)
         longest_timeout = max(kind.client_timeout for kind in self.site.kinds)
-        load_end = self.zero + self.day.lasts
+        load_end = self.load_start + self.day.lasts
         end = load_end + longest_timeout + SETTLE
         while engine.time < end:
             engine.run(min(engine.time + NS_PER_SECOND, end))
             if progress:
                 progress(
-                    (engine.time - self.zero) / NS_PER_SECOND,
+                    (engine.time - self.load_start) / NS_PER_SECOND,
                     self.day.lasts / NS_PER_SECOND,
-                    len(self.eyes.outcomes),
+                    len(self.observer.outcomes),
                 )
-        self.eyes.end(engine.time)
+        self.observer.end(engine.time)
         return self
--- a/embertray/simulation/emulator/endpoint_list.py
+++ b/embertray/simulation/emulator/endpoint_list.py
@@ -61,7 +61,7 @@
             self._send(client, event)
 
     def _send(self, client, event):
-        self.simulation.eyes.told(self.simulation.engine.time, client.controller.name, event)
+        self.simulation.observer.told(self.simulation.engine.time, client.controller.name, event)
         client.controller.call_when_running(client.on_message, event)
 
     def go_down(self):
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -77,7 +77,7 @@
         )  # fractions of requests to restricted backends, see _record
         self._recorded = 0
         self._client_retries = deque()
-        self._rng = self.chance.of("flows")
+        self._rng = self.random_streams.of("flows")
         self._rates = [self.rate(n, self.day.rate * share) for n, share in enumerate(shares)]
         for row, proxy in enumerate(self.proxies):
             proxy.row = row
@@ -192,7 +192,7 @@
         rejected = flow[:, k] - admitted_k
         lost, sent_again = self._split_unsuccessful(kind, rejected, failed, attempt)
         asked = flow[:, k].sum() if attempt == 1 else 0.0
-        self._outcomes.add(second_of(now, self.zero), kind, asked, done, late, lost)
+        self._outcomes.add(second_of(now, self.load_start), kind, asked, done, late, lost)
         if sent_again.any():
             retry_flow = np.zeros_like(flow)
             retry_flow[:, k] = sent_again
@@ -264,7 +264,7 @@
         self._recorded += 1
         number = self._recorded
         request = Request(number, self.kinds[0].external_id, work, NS_PER_SECOND, 1, proxy.name)
-        self.eyes.sent(now, proxy.name, model.name, request, (number, 1))
+        self.observer.sent(now, proxy.name, model.name, request, (number, 1))
 
     # ---- results
 
--- a/embertray/simulation/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -70,7 +70,7 @@
             self.name,
         )
         key = request.ident, request.attempt
-        self.simulation.eyes.sent(now, self.name, pending.backend, attempt, key)
+        self.simulation.observer.sent(now, self.name, pending.backend, attempt, key)
 
     def _on_timeout(self, pending, attempt):
         if pending.attempt == attempt and pending.backend is not None:
@@ -94,7 +94,7 @@
         pending.timer.cancel()
         if outcome != "done" and self.simulation.watched:
             key = pending.request.ident, pending.request.attempt
-            self.simulation.eyes.failed(now, self.name, backend, key, outcome)
+            self.simulation.observer.failed(now, self.name, backend, key, outcome)
         if verdict == "again":
             self._attempt(pending)
         else:
--- a/embertray/simulation/emulator/proxy_stream.py
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -70,9 +70,9 @@
 
     def dial(self):
         """Dials the next controller; after a failure or a rejection it dials another one later."""
-        names = list(self.simulation.held.at)
+        names = list(self.simulation.controllers.at)
         name = names[self._next_controller % len(names)]
-        controller = self.simulation.held.running.get(name)
+        controller = self.simulation.controllers.running.get(name)
         if controller is None or self.cut_off:
             self._redial(0)
             return
@@ -93,7 +93,7 @@
         self._next_controller += 1
         self._failed_dials += 1
         pause = max(retry_after, int(self._backoff * (0.5 + self.rng.random())))
-        if self._failed_dials % len(self.simulation.held.at) == 0:
+        if self._failed_dials % len(self.simulation.controllers.at) == 0:
             self._backoff = min(LONGEST_REDIAL_NS, self._backoff * 2)
         self.simulation.engine.at(self.simulation.engine.time + pause, self.dial)
 
@@ -110,7 +110,7 @@
         self._backoff = FIRST_REDIAL_NS
         self._failed_dials = 0
         self.model.joined(now)
-        self.simulation.eyes.joined(now, self.name, controller.name)
+        self.simulation.observer.joined(now, self.name, controller.name)
 
     def break_stream(self):
         """Breaks the stream, if there is one, and schedules the next dial."""
@@ -120,7 +120,7 @@
         if controller is None:
             return
         self.model.disconnected()
-        self.simulation.eyes.left(self.simulation.engine.time, self.name)
+        self.simulation.observer.left(self.simulation.engine.time, self.name)
         controller.call_when_running(controller.on_stream_closed, self)
         self._unread.clear()
         self._redial(0)
@@ -148,7 +148,7 @@
             orders: The Orders.
         """
         if controller is self.controller:
-            self.simulation.eyes.orders(self.simulation.engine.time, self.name, orders)
+            self.simulation.observer.orders(self.simulation.engine.time, self.name, orders)
             self._read(controller, orders)
 
     def _read(self, controller, orders):
@@ -174,7 +174,7 @@
             self.deferred_calls.append((self.apply, session, orders))
             return
         self.model.apply(orders)
-        self.simulation.eyes.applied(self.simulation.engine.time, self.name, orders)
+        self.simulation.observer.applied(self.simulation.engine.time, self.name, orders)
         if orders.nonce is not None:
             self.send(session, Acknowledgement(orders.nonce))
 
--- a/embertray/simulation/processes/linked_controller_processes.py
+++ b/embertray/simulation/processes/linked_controller_processes.py
@@ -67,7 +67,7 @@
         """Reports the endpoint-list events in data that reaches a controller to the observer."""
         for payload in decoder.feed(data):
             if isinstance(news := decode_response(payload), WatchEvent):
-                self.stage.eyes.told(self.stage.clock.now(), name, news)
+                self.stage.observer.told(self.stage.clock.now(), name, news)
 
     def on_links_changed(self, at):
         """Notes controllers whose links to or from the proxies become faulty or good again.
@@ -80,7 +80,7 @@
             )
             if impaired != (name in self.impaired):
                 (self.impaired.add if impaired else self.impaired.discard)(name)
-                self.stage.eyes.note(at, "unheard" if impaired else "heard", name)
+                self.stage.observer.note(at, "unheard" if impaired else "heard", name)
 
     def endpoint_list_address(self, name):
         """Returns the address of `name`'s own link to the endpoint list."""
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -85,7 +85,7 @@
             net,
             self.snapshots[name],
             self.seed * SEEDS_PER_DAY + incarnation,
-            self.stage.chance.of("cuts", name, incarnation).random,
+            self.stage.random_streams.of("cuts", name, incarnation).random,
             self.log,
             self.core,
             self.trust,
--- a/embertray/simulation/scenarios/faults/base.py
+++ b/embertray/simulation/scenarios/faults/base.py
@@ -25,7 +25,7 @@
 
     async def run(self):
         """Waits until the fault's time and calls the method that its word names."""
-        await self.at(self.stage.zero + self.spec.at)
+        await self.at(self.stage.load_start + self.spec.at)
         await getattr(self, "do_" + self.spec.name.replace("-", "_"))()
 
     async def at(self, when):
@@ -38,11 +38,11 @@
 
     def backends(self):
         """The backends that are struck."""
-        return self.stage.strike(self.spec.targets, self.stage.backends)
+        return self.stage.select_targets(self.spec.targets, self.stage.backends)
 
     def proxies(self):
         """The proxies that are struck."""
-        return self.stage.strike(self.spec.targets, self.stage.proxies)
+        return self.stage.select_targets(self.spec.targets, self.stage.proxies)
 
     def controllers(self):
         """The names of the controllers that are struck."""
@@ -50,7 +50,7 @@
 
     def note(self, what, who, *rest):
         """Notes an event of the fault with the observer."""
-        self.stage.eyes.note(self.stage.clock.now(), what, who, *rest)
+        self.stage.observer.note(self.stage.clock.now(), what, who, *rest)
 
     def later(self, time, what, *args):
         """Calls `what` with its arguments `time` ns from now."""
--- a/embertray/simulation/scenarios/faults/controllers.py
+++ b/embertray/simulation/scenarios/faults/controllers.py
@@ -15,23 +15,23 @@
         """They are killed, and started again after `for`."""
         for name in (struck := self.controllers()):
             self.note("killed", name)
-            self.stage.held.kill(name)
+            self.stage.controllers.kill(name)
         await self.wait(self.spec.lasts)
-        await self.stage.held.all_up(struck)
+        await self.stage.controllers.all_up(struck)
 
     async def do_restart(self):
         """Asked to end, and up again at once; one after the other, `by` between."""
         for name in self.controllers():
             self.note("killed", name)
-            await self.stage.held.restart(name)
+            await self.stage.controllers.restart(name)
             await self.wait(self.spec.by)
 
     async def do_slow_start(self):
         """Killed and started at once, and then it stands still for `by` before it comes up."""
         for name in (struck := self.controllers()):
             self.note("killed", name)
-            self.stage.held.kill(name)
-        await self.stage.held.up_slowly(struck, self.spec.by)
+            self.stage.controllers.kill(name)
+        await self.stage.controllers.up_slowly(struck, self.spec.by)
 
     async def do_old_list(self):
         """They are killed while the list is down and the fleet changes, and start from an old snapshot.
@@ -46,12 +46,12 @@
         stage.inventory.go_down()
         for name in self.controllers():
             self.note("killed", name)
-            stage.held.kill(name)
+            stage.controllers.kill(name)
         await self.replace_backends(share(options.get("replaced", "0%")), share(options.get("anew", "0%")))
         await self.wait(self.spec.lasts)
         for name in self.controllers():
-            stage.held.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
-            await stage.held.up(name)
+            stage.controllers.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
+            await stage.controllers.up(name)
         await self.wait(span(options.get("down", "10s")))
         stage.inventory.come_back()
 
@@ -65,7 +65,7 @@
         stage = self.stage
         order = [
             stage.backends[k]
-            for k in stage.chance.of("replaced").permutation(len(stage.backends))
+            for k in stage.random_streams.of("replaced").permutation(len(stage.backends))
             if stage.backends[k].model.state == "up"
         ]
         cut = round(len(order) * replaced)
@@ -82,19 +82,19 @@
     async def do_stall(self):
         """Stands still for `for`, as often as `times`, with `by` between."""
         controllers = self.controllers()
-        proxies = self.stage.strike(
+        proxies = self.stage.select_targets(
             [t for t in self.spec.targets if t not in controllers], self.stage.proxies
         )
         for _ in range(max(1, int(self.spec.times))):
             for name in controllers:
                 self.note("frozen", name)
-                self.stage.held.freeze(name)
+                self.stage.controllers.freeze(name)
             for proxy in proxies:
                 self.note("out", proxy.name)
                 proxy.pause()
             await self.wait(self.spec.lasts)
             for name in controllers:
-                self.stage.held.thaw(name)
+                self.stage.controllers.thaw(name)
                 self.note("thawed", name)
             for proxy in proxies:
                 self.note("back", proxy.name)
@@ -123,7 +123,7 @@
         They send noise, half frames, a gigabyte announced, a hello that never comes.
         """
         for name in self.controllers():
-            at = dict(zip(self.stage.held.at, self.stage.held.addresses(), strict=False))[name]
+            at = dict(zip(self.stage.controllers.at, self.stage.controllers.addresses(), strict=False))[name]
             for data in (
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"\x40\x00\x00\x00",
--- a/embertray/simulation/scenarios/faults/links.py
+++ b/embertray/simulation/scenarios/faults/links.py
@@ -10,25 +10,25 @@
 
 
 class Links(Struck):
-    """The faults of links; `stage.held.links` is the process harness's Web.
+    """The faults of links; `stage.controllers.links` is the process harness's Network.
 
     Two faults on one link at once: the later one's values hold, its end is the end of both.
     """
 
     def pairs(self):
         """The ordered pairs of processes whose links the targets name."""
-        network = self.stage.held.links
+        network = self.stage.controllers.links
         found = []
         for target in self.spec.targets:
             if isinstance(target, float):
-                found += self.stage.strike([target], network.pairs())
+                found += self.stage.select_targets([target], network.pairs())
             else:
                 found += ordered(target)
         return found
 
     async def set_for_duration(self, pairs, **conditions):
         """Sets properties of links (`how`) for the fault's length."""
-        network = self.stage.held.links
+        network = self.stage.controllers.links
         now = self.stage.clock.now
         network.set_conditions(now(), pairs, **conditions)
         await self.wait(self.spec.lasts)
@@ -55,7 +55,7 @@
     async def do_flutter(self):
         """Silent and open in turns of `by`, `times` so often."""
         pairs = self.pairs()
-        network = self.stage.held.links
+        network = self.stage.controllers.links
         now = self.stage.clock.now
         for _ in range(max(1, int(self.spec.times))):
             network.set_conditions(now(), pairs, open=False)
@@ -66,17 +66,17 @@
     async def do_reset(self):
         """Streams on the links end with a reset, at once; new ones may come."""
         for pair in self.pairs():
-            self.stage.held.links.reset(*pair)
+            self.stage.controllers.links.reset(*pair)
 
     async def do_split(self):
         """Only those of one group reach each other; who is in no group reaches all.
 
         Groups are groups=c1,c2,list/c3, or shares as 30%/70%.
         """
-        network = self.stage.held.links
+        network = self.stage.controllers.links
         parts = self.spec.options["groups"].split("/")
         if "%" in parts[0]:
-            rest = list(self.stage.strike([1.0], network.members))
+            rest = list(self.stage.select_targets([1.0], network.members))
             groups = []
             for part in parts:
                 size = max(1, round(share(part) * len(network.members)))
--- a/embertray/simulation/scenarios/faults/proxies.py
+++ b/embertray/simulation/scenarios/faults/proxies.py
@@ -55,17 +55,17 @@
         """Their load is multiplied by `times`."""
         struck = [n for n, proxy in enumerate(self.stage.proxies) if proxy in self.proxies()]
         for n in struck:
-            self.stage.factors[n] = self.spec.times
+            self.stage.proxy_factors[n] = self.spec.times
         await self.wait(self.spec.lasts)
         for n in struck:
-            self.stage.factors[n] = 1.0
+            self.stage.proxy_factors[n] = 1.0
 
     async def do_shift(self):
         """The load of a zone's proxies is multiplied by `times`."""
         zone = self.spec.options["zone"]
-        self.stage.shifted[zone] = self.spec.times
+        self.stage.zone_factors[zone] = self.spec.times
         await self.wait(self.spec.lasts)
-        self.stage.shifted[zone] = 1.0
+        self.stage.zone_factors[zone] = 1.0
 
     async def do_twice(self):
         """A second process under the same name joins while the first is there."""
--- a/embertray/simulation/scenarios/outcome_summary.py
+++ b/embertray/simulation/scenarios/outcome_summary.py
@@ -14,12 +14,12 @@
 
 
 class OutcomeSummary:
-    """Sums of `eyes.outcomes`; its user also has `site` and `zero` (the load's start, ns)."""
+    """Sums of `observer.outcomes`; its user also has `site` and `load_start` (the load's start, ns)."""
 
     def outcomes(self):
         """Request kind -> [requests asked, done, late, lost]."""
         found = {kind: [0, 0, 0, 0] for kind in self.site.kinds}
-        for _, kind, outcome, _ in self.eyes.outcomes:
+        for _, kind, outcome, _ in self.observer.outcomes:
             found[kind][0] += 1
             found[kind][OUTCOMES.index(outcome) + 1] += 1
         return found
@@ -27,7 +27,7 @@
     def took(self):
         """The histogram of what done and late requests took, us."""
         found = histogram()
-        for _, _, outcome, latency_ns in self.eyes.outcomes:
+        for _, _, outcome, latency_ns in self.observer.outcomes:
             if outcome != "lost":
                 found.record_value(max(1, min(LONGEST, latency_ns // 1000)))
         return found
@@ -40,8 +40,8 @@
         """
         asked = {}
         earned = {}
-        for at, kind, outcome, _ in self.eyes.outcomes:
-            second = (at - self.zero) // SECOND_NS
+        for at, kind, outcome, _ in self.observer.outcomes:
+            second = (at - self.load_start) // SECOND_NS
             share = {"done": 1.0, "late": self.site.late_credit[kind], "lost": 0.0}[outcome]
             asked[second] = asked.get(second, 0.0) + kind.credit
             earned[second] = earned.get(second, 0.0) + kind.credit * share
--- a/embertray/simulation/scenarios/result.py
+++ b/embertray/simulation/scenarios/result.py
@@ -110,7 +110,7 @@
         Its Result.
     """
     standing_tables = {proxy.name: proxy.initial_backends for proxy in stage.proxies}
-    checker = RuleChecker(stage.site, standing_tables, stage.eyes.events, stage.models)
+    checker = RuleChecker(stage.site, standing_tables, stage.observer.events, stage.models)
     violations = checker.check()
     credit, credit_by_kind, requests = earned_credit(stage)
     return Result(
@@ -123,10 +123,10 @@
         requests=requests,
         spread=checker.spread,
         wall_s=wall_s,
-        events=stage.eyes.events,
+        events=stage.observer.events,
         latencies=stage.took(),
         credit_by_second=stage.line(),
-        **cluster_fields(stage.held),
+        **cluster_fields(stage.controllers),
     )
 
 
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -33,9 +33,9 @@
         proxies: the same of proxies.
         models: backend -> its model.
         count: how many proxies there are.
-        zero: when the proxies come, ns.
-        factors: proxy number -> what faults multiply its load by.
-        shifted: zone -> what faults multiply the load of its proxies by.
+        load_start: when the proxies come, ns.
+        proxy_factors: proxy number -> what faults multiply its load by.
+        zone_factors: zone -> what faults multiply the load of its proxies by.
 
     Args:
         day: the Day to play.
@@ -44,7 +44,7 @@
 
     def __init__(self, day, seed):
         self.day = day
-        self.chance = RandomStreams(seed)
+        self.random_streams = RandomStreams(seed)
         self.sample = Path(day.site)
         if not self.sample.suffix:
             self.sample = SITES / "samples" / f"{day.site}.xml"
@@ -54,14 +54,14 @@
         self.backends = []
         self.proxies = []
         self.models = {}
-        self.zero = 0
-        self.factors = {}
-        self.shifted = {}
+        self.load_start = 0
+        self.proxy_factors = {}
+        self.zone_factors = {}
         self.count = int(day.fleet["proxies"])
 
     def machines(self):
         """Yields (number, zone, speed) of each backend that is there from the start."""
-        draw = self.chance.of("machines")
+        draw = self.random_streams.of("machines")
         low, _, high = self.day.fleet["speed"].partition("..")
         zones = self.site.zones
         for n in range(int(self.day.fleet["backends"])):
@@ -84,7 +84,7 @@
     def shares(self):
         """Each proxy's share of the requests."""
         skew = float(self.day.load["skew"])
-        draw = self.chance.of("shares")
+        draw = self.random_streams.of("shares")
         shares = [(1 + skew * (2 * draw.random() - 1)) for _ in range(self.count)]
         total = sum(shares)
         return [share / total for share in shares]
@@ -123,7 +123,7 @@
         Returns:
             A function that gives ns: about the site's mean, never past its most.
         """
-        rng = self.chance.of("way", n)
+        rng = self.random_streams.of("way", n)
         site = self.site
         return lambda: min(site.channel_delay_max, int(site.channel_delay_mean * (0.5 + rng.random())))
 
@@ -141,10 +141,15 @@
         profile = self.profile(n)
 
         def rate_at(now):
-            part = min(1.0, (now - self.zero) / ramp) if ramp else 1.0
+            part = min(1.0, (now - self.load_start) / ramp) if ramp else 1.0
             if profile:
                 part *= profile(now)
-            return usual * part * self.factors.get(n, 1.0) * self.shifted.get(self.proxies[n].zone, 1.0)
+            return (
+                usual
+                * part
+                * self.proxy_factors.get(n, 1.0)
+                * self.zone_factors.get(self.proxies[n].zone, 1.0)
+            )
 
         return rate_at
 
@@ -157,11 +162,13 @@
         if name == "poisson":
             return None
         if name == "wave":
-            return wave((times - 1) / (times + 1), period, self.zero)
+            return wave((times - 1) / (times + 1), period, self.load_start)
         if name == "flash":
-            return flash(times, self.zero + span(load["at"]), period // 10, period, period // 4)
+            return flash(times, self.load_start + span(load["at"]), period // 10, period, period // 4)
         if name == "bursty":
-            return Bursts(times, period * 4 // 5, period // 5, self.chance.of("bursts", n), self.zero)
+            return Bursts(
+                times, period * 4 // 5, period // 5, self.random_streams.of("bursts", n), self.load_start
+            )
         raise DayError(f"load has no source '{name}'; there are poisson, wave, flash, bursty")
 
     def source(self, n, usual):
@@ -169,7 +176,7 @@
         arrivals = Poisson if self.day.load["source"] == "poisson" else Varying
         return arrivals(self.rate(n, usual))
 
-    def strike(self, targets, things):
+    def select_targets(self, targets, things):
         """The things that a fault's targets name.
 
         Args:
@@ -179,7 +186,7 @@
         found = []
         for target in targets:
             if isinstance(target, float):
-                order = self.chance.of("strike", len(things)).permutation(len(things))
+                order = self.random_streams.of("strike", len(things)).permutation(len(things))
                 found += [things[k] for k in order[: max(1, round(target * len(things)))]]
             else:
                 found.append(things[int(target[1:]) - 1])
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -28,24 +28,24 @@
         seed: what everything is drawn from.
         net: TcpNet or MemoryNet.
         clock: its clock.
-        held: the controllers: InMemoryControllers or those in processes.
+        controllers: the controllers: InMemoryControllers or those in processes.
         progress: called with (seconds played, seconds of the load, requests ended), or None.
 
     Raises:
         DayError: the day has what only the emulator plays.
     """
 
-    def __init__(self, day, seed, net, clock, held, progress=None):
+    def __init__(self, day, seed, net, clock, controllers, progress=None):
         super().__init__(day, seed)
         self.net = net
         self.clock = clock
-        self.held = held
+        self.controllers = controllers
         self.progress = progress
         self.scheduler = Scheduler(clock)
-        self.eyes = Observer()
+        self.observer = Observer()
         self.clients = []  # (StandinClients, address of its proxy)
         self.group = None
-        self.inventory = StandinInventory(net, self.scheduler, span(day.fleet["answers"]), self.eyes.told)
+        self.inventory = StandinInventory(net, self.scheduler, span(day.fleet["answers"]), self.observer.told)
         if span(day.fleet["cross"]):
             raise DayError(f"{day.name}: ways between zones (cross) are emulated only")
 
@@ -55,7 +55,7 @@
         for n, zone, speed in self.machines():
             await self.add(n, zone, speed, cold=False)
         self.site = self.site.at(inventory=self.inventory.address)
-        await self.held.start(self)
+        await self.controllers.start(self)
         await self.clock.sleep_until(self.clock.now() + START_AFTER)
         await self.start_proxies()
 
@@ -73,13 +73,15 @@
             The StandinBackend.
         """
         model = Backend("127.0.0.1:0", zone, self.shape(speed))
-        backend = StandinBackend(model, self.net, self.scheduler, self.chance.of("failing", number).random)
+        backend = StandinBackend(
+            model, self.net, self.scheduler, self.random_streams.of("failing", number).random
+        )
         await self.group.start(backend.run)
         self.models[model.name] = model
         self.backends.append(backend)
         backend.start(cold)
         if cold:
-            self.eyes.note(self.clock.now(), "started", model.name)
+            self.observer.note(self.clock.now(), "started", model.name)
         if listed:
             self.inventory.list(model.name, zone, "ready", self.clock.now() if cold else 0)
         return backend
@@ -87,11 +89,11 @@
     async def start_proxies(self):
         """Starts the proxies, one after the other, and makes their clients."""
         now = self.clock.now()
-        self.zero = now
+        self.load_start = now
         ready = [backend.model for backend in self.backends]
         shares = self.shares()
         mix = self.mix()
-        addresses = self.held.addresses()
+        addresses = self.controllers.addresses()
         spread = span(self.day.fleet["spread"])
         for n in range(self.count):
             self.proxies.append(self.make_proxy(n, shares[n], addresses, ready))
@@ -103,7 +105,7 @@
 
     def make_proxy(self, n, share, addresses, ready):
         """Proxy n, which has `share` of the requests and dials the n-th of the controllers' addresses."""
-        rng = self.chance.of("proxy", n)
+        rng = self.random_streams.of("proxy", n)
         zone = self.site.zones[n % len(self.site.zones)]
         proxy = StandinProxy(
             f"p{n + 1}",
@@ -115,7 +117,7 @@
             rng,
             self.day.rate * share,
             self.standing(rng, zone, ready),
-            self.eyes,
+            self.observer,
             self.way(n),
         )
         proxy.home = n % len(addresses)
@@ -129,9 +131,9 @@
             self.source(n, self.day.rate * share),
             self.net,
             self.scheduler,
-            self.chance.of("clients", n),
+            self.random_streams.of("clients", n),
             int(self.day.load["retries"]),
-            ended=self.eyes.ended,
+            ended=self.observer.ended,
         )
 
     async def play(self):
@@ -141,16 +143,16 @@
                 await self.build()
                 await self.run_load()
                 await self.clock.sleep_until(self.clock.now() + SETTLE)
-                self.eyes.end(self.clock.now())
-                await self.held.closing()
+                self.observer.end(self.clock.now())
+                await self.controllers.closing()
             finally:
                 with anyio.CancelScope(shield=True):  # a cancelled day ends its controllers all the same
-                    await self.held.stop()
+                    await self.controllers.stop()
                 self.group.cancel_scope.cancel()
 
     async def run_load(self):
         """Runs clients and faults until the last client has ended."""
-        end = self.zero + self.day.lasts
+        end = self.load_start + self.day.lasts
         async with anyio.create_task_group() as load:
             for clients, address in self.clients:
                 load.start_soon(clients.run, address, end)
@@ -164,10 +166,12 @@
         while True:
             now = self.clock.now()
             self.progress(
-                (now - self.zero) / SECOND_NS, (end - self.zero) / SECOND_NS, len(self.eyes.outcomes)
+                (now - self.load_start) / SECOND_NS,
+                (end - self.load_start) / SECOND_NS,
+                len(self.observer.outcomes),
             )
             await self.clock.sleep_until(now + PROGRESS_PERIOD_NS)
 
     async def admin(self, name, method, target):
         """(status, body) of one request at a controller's operators' address, over its socket."""
-        return await send_request(self.net, self.held.admin(name), method, target)
+        return await send_request(self.net, self.controllers.admin(name), method, target)
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -40,7 +40,7 @@
         rng: the random generator.
         rate: requests per second that it announces to the controller.
         standing: the backends of its standing table.
-        eyes: the observer of joins, orders and requests (scenarios/observer.py); None: there is none.
+        observer: the Observer of joins, orders and requests (scenarios/observer.py); None: there is none.
         order_delay: returns the ns between the receipt and the effect of an order.
 
     Attributes:
@@ -63,7 +63,7 @@
         rng,
         rate=0.0,
         standing=(),
-        eyes=None,
+        observer=None,
         order_delay=lambda: 0,
     ):
         self.name, self.zone, self.site, self.net, self.scheduler, self.rng = (
@@ -74,7 +74,12 @@
             scheduler,
             rng,
         )
-        self.controllers, self.rate, self.eyes, self.order_delay = list(controllers), rate, eyes, order_delay
+        self.controllers, self.rate, self.observer, self.order_delay = (
+            list(controllers),
+            rate,
+            observer,
+            order_delay,
+        )
         self.initial_backends = list(standing)
         self.model, self.fresh, self.joined = Proxy(site, rng, standing), True, None
         self.connections, self.pending_attempts = {}, {}
@@ -142,8 +147,8 @@
                     if self.joined is session:
                         self.joined, self.conn = None, None
                         self.model.disconnected()
-                        if self.eyes:
-                            self.eyes.left(self.scheduler.now(), self.name)
+                        if self.observer:
+                            self.observer.left(self.scheduler.now(), self.name)
                 group.cancel_scope.cancel()
         return retry_after
 
@@ -151,14 +156,14 @@
         """Notes that a controller has welcomed the proxy."""
         self.joined, self.fresh = session, False
         self.model.joined(self.scheduler.now())
-        if self.eyes:
-            self.eyes.joined(self.scheduler.now(), self.name, welcome.controller)
+        if self.observer:
+            self.observer.joined(self.scheduler.now(), self.name, welcome.controller)
 
     def on_orders(self, session, orders):
         """Schedules orders to take effect after the order delay, in their order."""
         now = self.scheduler.now()
-        if self.eyes:
-            self.eyes.orders(now, self.name, orders)
+        if self.observer:
+            self.observer.orders(now, self.name, orders)
         self.last_due = max(self.last_due + 1, now + self.order_delay())
         self.scheduler.at(self.last_due, self.apply, session, orders)
 
@@ -170,8 +175,8 @@
             self.deferred_calls.append((self.apply, session, orders))
             return
         self.model.apply(orders)
-        if self.eyes:
-            self.eyes.applied(self.scheduler.now(), self.name, orders)
+        if self.observer:
+            self.observer.applied(self.scheduler.now(), self.name, orders)
         if orders.nonce is not None:
             self.send(session, Acknowledgement(orders.nonce))
 
@@ -281,8 +286,8 @@
         within = max(1, underway.deadline - self.scheduler.now())
         sent = Request(underway.attempt, request.kind, request.work, within, len(underway.tried), self.name)
         connection.link.put(sent)
-        if self.eyes:
-            self.eyes.sent(
+        if self.observer:
+            self.observer.sent(
                 self.scheduler.now(), self.name, underway.backend, sent, (request.ident, request.attempt)
             )
 
@@ -308,8 +313,10 @@
             return
         self.pending_attempts.pop(attempt, None)
         underway.timer.cancel()
-        if how != "done" and self.eyes:
-            self.eyes.failed(now, self.name, name, (underway.request.ident, underway.request.attempt), how)
+        if how != "done" and self.observer:
+            self.observer.failed(
+                now, self.name, name, (underway.request.ident, underway.request.attempt), how
+            )
         if verdict == "again":
             self.attempt(underway)
         else:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -83,7 +83,11 @@
         for text in (plain, plain + "at 5s reconnect p2\n"):
             play(read_day(text), 7, on_stage=stages.append)
         first, second = (
-            {at: kind.external_id for at, kind, _, _ in stage.eyes.outcomes if at < stage.zero + 4 * S}
+            {
+                at: kind.external_id
+                for at, kind, _, _ in stage.observer.outcomes
+                if at < stage.load_start + 4 * S
+            }
             for stage in stages
         )
         self.assertGreater(len(first), 100)
