--- a/embertray/experiments/measure/claims.py
+++ b/embertray/experiments/measure/claims.py
@@ -75,7 +75,7 @@
         observation_period=10_000 * S,
     )
     names = list(simulation.links.members)
-    simulation.engine.start(simulation.all_up(names))
+    simulation.engine.start(simulation.start_all(names))
     simulation.engine.run(simulation.load_start)
     simulation.time_until(lambda name, active: active == set(names), 200)
     simulation.links.set_all_conditions(now=simulation.engine.time, drop=loss)
--- a/embertray/simulation/emulator/cluster_simulation.py
+++ b/embertray/simulation/emulator/cluster_simulation.py
@@ -103,7 +103,7 @@
 
     # ---- interface of faults
 
-    async def up(self, name, delay=0):
+    async def start_controller(self, name, delay=0):
         """Starts a member's process, unless it runs or is starting.
 
         Args:
@@ -124,7 +124,7 @@
         )
         self.claims.reachability.process_started(self.engine.time, name)
 
-    async def all_up(self, names, delay=0):
+    async def start_all(self, names, delay=0):
         """Starts members at the same time.
 
         Args:
@@ -132,9 +132,9 @@
             delay: Additional time of each start, ns.
         """
         for name in names:
-            self.engine.start(self.up(name, delay))
+            self.engine.start(self.start_controller(name, delay))
 
-    up_slowly = all_up
+    start_delayed = start_all
 
     def kill(self, name):
         """Kills a member's process, if it runs.
@@ -157,7 +157,7 @@
         if self.exchangers.get(name) is not None:
             self.membership.send(process, process.core.leave(self.engine.time))
             self.kill(name)
-        await self.up(name)
+        await self.start_controller(name)
 
     def freeze(self, name):
         """Stops a member's process, if it runs.
@@ -199,7 +199,7 @@
         Returns:
             The simulation itself.
         """
-        self.engine.start(self.all_up(self.links.members))
+        self.engine.start(self.start_all(self.links.members))
         self.engine.at(self.load_start, self._observe)
         for fault in self.day.faults:
             if fault.name in FAULTS:
--- a/embertray/simulation/emulator/controllers.py
+++ b/embertray/simulation/emulator/controllers.py
@@ -1,7 +1,7 @@
 """The controllers of a simulated day by name."""
 
 from embertray.common.snapshots import InMemorySnapshots
-from embertray.simulation.scenarios.starts import Starts
+from embertray.simulation.scenarios.controller_starts import ControllerStarts
 from embertray.simulation.standins.snapshot_aging import age_in_memory
 
 from .controller import SimulatedController
@@ -34,7 +34,7 @@
         return self.engine.time
 
 
-class SimulatedControllers(Starts):
+class SimulatedControllers(ControllerStarts):
     """All controllers by name; faults kill, freeze and restart them.
 
     Args:
@@ -60,7 +60,7 @@
             self.at[description.name] = description
             self.snapshots[description.name] = InMemorySnapshots(snapshot_clock)
 
-    async def up(self, name):
+    async def start_controller(self, name):
         """Starts a controller, unless it runs.
 
         Args:
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -126,7 +126,7 @@
         for number, zone, speed in self.machines():
             await self.add(number, zone, speed, cold=False)
         for name in self.controllers.at:
-            await self.controllers.up(name)
+            await self.controllers.start_controller(name)
         await self.engine.sleep_until(self.engine.time + START_AFTER)
         self.load_start = self.engine.time
         shares = self.shares()
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -44,7 +44,7 @@
                 me, listen=listen, admin=admin, cluster=cluster if self.clustered else ""
             )
         await self.prepare()
-        await self.all_up(self.at)
+        await self.start_all(self.at)
 
     async def prepare(self):
         """Hook for what is needed before the first process starts."""
@@ -72,7 +72,7 @@
         """Returns the cluster address at which `name` reaches `other`."""
         return other.cluster
 
-    async def up(self, name, paused_for=0):
+    async def start_controller(self, name, paused_for=0):
         """Starts a process, unless it runs already; `paused_for`: ns for which it is suspended first."""
         if name in self.running:
             return
@@ -86,13 +86,13 @@
         await program.wait_listening()
         self.notify(Reachability.process_started, name)
 
-    async def all_up(self, names, paused_for=0):
+    async def start_all(self, names, paused_for=0):
         """Starts processes, all at once."""
         async with anyio.create_task_group() as group:
             for name in names:
-                group.start_soon(self.up, name, paused_for)
+                group.start_soon(self.start_controller, name, paused_for)
 
-    up_slowly = all_up
+    start_delayed = start_all
 
     def notify(self, change, name):
         """Passes a process's state change to the claims; `change`: a method of Reachability."""
@@ -122,7 +122,7 @@
             self.notify(Reachability.process_ended, name)
             program.terminate()
             await anyio.to_thread.run_sync(program.wait_ended)
-        await self.up(name)
+        await self.start_controller(name)
 
     def age(self, name, by, from_start):
         """Makes a process's stored snapshot `by` ns older; `from_start`: its first one, not its newest."""
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -16,7 +16,7 @@
 from embertray.simulation.standins.process_gate import GatedClock, GatedNet, ProcessGate
 from embertray.simulation.standins.snapshot_aging import age_in_memory
 
-from .starts import Starts
+from .controller_starts import ControllerStarts
 
 SEEDS_PER_DAY = 1000  # incarnations of a controller that get a seed of their own, a day's seed
 
@@ -37,7 +37,7 @@
     net: GatedNet
 
 
-class InMemoryControllers(Starts):
+class InMemoryControllers(ControllerStarts):
     """Each controller a Service in a cancel scope, with a gate that shuts while it stands still.
 
     Args:
@@ -68,9 +68,9 @@
         for me in stage.site.controllers[: int(stage.day.fleet["controllers"])]:
             self.at[me.name] = replace(me, listen="127.0.0.1:0", admin="127.0.0.1:0")
             self.snapshots[me.name] = InMemorySnapshots(self.clock)
-            await self.up(me.name)
+            await self.start_controller(me.name)
 
-    async def up(self, name):
+    async def start_controller(self, name):
         """Starts a controller, unless another fault has done so already."""
         if name in self.running:
             return
--- a/embertray/simulation/scenarios/faults/controllers.py
+++ b/embertray/simulation/scenarios/faults/controllers.py
@@ -17,7 +17,7 @@
             self.note("killed", name)
             self.stage.controllers.kill(name)
         await self.wait(self.spec.lasts)
-        await self.stage.controllers.all_up(struck)
+        await self.stage.controllers.start_all(struck)
 
     async def do_restart(self):
         """Asked to end, and up again at once; one after the other, `by` between."""
@@ -31,7 +31,7 @@
         for name in (struck := self.controllers()):
             self.note("killed", name)
             self.stage.controllers.kill(name)
-        await self.stage.controllers.up_slowly(struck, self.spec.by)
+        await self.stage.controllers.start_delayed(struck, self.spec.by)
 
     async def do_old_list(self):
         """They are killed while the list is down and the fleet changes, and start from an old snapshot.
@@ -51,7 +51,7 @@
         await self.wait(self.spec.lasts)
         for name in self.controllers():
             stage.controllers.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
-            await stage.controllers.up(name)
+            await stage.controllers.start_controller(name)
         await self.wait(span(options.get("down", "10s")))
         stage.inventory.come_back()
 
