--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -11,7 +11,7 @@
 from embertray.simulation.models.client import Clients
 from embertray.simulation.scenarios.faults import Fault
 from embertray.simulation.scenarios.observer import Observer
-from embertray.simulation.scenarios.setup import SETTLE, START_AFTER, ScenarioSetup
+from embertray.simulation.scenarios.setup import PROXY_START_DELAY_NS, SETTLE_NS, ScenarioSetup
 
 from .backend import SimulatedBackend, backend_address
 from .clients import SimulatedClients
@@ -123,13 +123,13 @@
 
     async def run(self):
         """Sets up and runs the day, as a process of the engine."""
-        for number, zone, speed in self.machines():
+        for number, zone, speed in self.draw_machines():
             await self.add(number, zone, speed, cold=False)
         for name in self.controllers.at:
             await self.controllers.start_controller(name)
-        await self.engine.sleep_until(self.engine.time + START_AFTER)
+        await self.engine.sleep_until(self.engine.time + PROXY_START_DELAY_NS)
         self.load_start = self.engine.time
-        shares = self.shares()
+        shares = self.draw_shares()
         spread = parse_duration(self.day.fleet["spread"])
         self._add_proxies(shares, spread)
         self.prepare(shares)
@@ -150,8 +150,8 @@
     def _make_proxy(self, index, rate, ready):
         rng = self.random_streams.of("proxy", index)
         zone = self.site.zones[index % len(self.site.zones)]
-        initial_backends = self.standing(rng, zone, ready)
-        return self.proxy(self, f"p{index + 1}", zone, rate, rng, initial_backends, self.way(index))
+        initial_backends = self.draw_standing_backends(rng, zone, ready)
+        return self.proxy(self, f"p{index + 1}", zone, rate, rng, initial_backends, self.channel_delay(index))
 
     def prepare(self, shares):
         """Hook for subclasses, called when the proxies exist and none has dialled yet.
@@ -172,7 +172,7 @@
         for index, proxy in enumerate(self.proxies):
             rng = self.random_streams.of("clients", index)
             model = Clients(index + 1, mix, rng, retries)
-            source = self.source(index, self.day.rate * shares[index])
+            source = self.arrivals(index, self.day.rate * shares[index])
             SimulatedClients(self, model, source, proxy, rng, until).schedule_next()
 
     def play(self, progress=None):
@@ -187,10 +187,10 @@
         """
         engine = self.engine
         engine.start(self.run())
-        engine.run(START_NS + START_AFTER)
+        engine.run(START_NS + PROXY_START_DELAY_NS)
         longest_timeout = max(kind.client_timeout for kind in self.site.kinds)
         load_end = self.load_start + self.day.lasts
-        end = load_end + longest_timeout + SETTLE
+        end = load_end + longest_timeout + SETTLE_NS
         while engine.time < end:
             engine.run(min(engine.time + NS_PER_SECOND, end))
             if progress:
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -78,7 +78,7 @@
         self._recorded = 0
         self._client_retries = deque()
         self._rng = self.random_streams.of("flows")
-        self._rates = [self.rate(n, self.day.rate * share) for n, share in enumerate(shares)]
+        self._rates = [self.rate_function(n, self.day.rate * share) for n, share in enumerate(shares)]
         for row, proxy in enumerate(self.proxies):
             proxy.row = row
 
@@ -268,7 +268,7 @@
 
     # ---- results
 
-    def outcomes(self):
+    def outcome_counts(self):
         """The outcomes of all requests.
 
         Returns:
@@ -276,7 +276,7 @@
         """
         return {kind: tuple(counts) for kind, counts in self._outcomes.counts.items()}
 
-    def took(self):
+    def latency_histogram(self):
         """The durations of requests, by each step's mean at each backend.
 
         Returns:
@@ -284,7 +284,7 @@
         """
         return self._outcomes.durations
 
-    def line(self):
+    def credit_by_second(self):
         """Credit by the time of the attempt: retries count in the second of the retry.
 
         Returns:
--- a/embertray/simulation/emulator/playable_days.py
+++ b/embertray/simulation/emulator/playable_days.py
@@ -20,8 +20,8 @@
             raise DayError(
                 f"{day.name}:{fault.line}: '{fault.name}' needs byte streams: run it on sockets or in memory"
             )
-    if day.linked:
+    if day.first_link_fault:
         raise DayError(
-            f"{day.name}:{day.linked.line}: '{day.linked.name}' affects links between "
+            f"{day.name}:{day.first_link_fault.line}: '{day.first_link_fault.name}' affects links between "
             "processes: run it with --processes"
         )
--- a/embertray/simulation/scenarios/faults/links.py
+++ b/embertray/simulation/scenarios/faults/links.py
@@ -4,7 +4,7 @@
 """
 
 from embertray.service.site.values import parse_duration as span
-from embertray.simulation.scenarios.words import ordered
+from embertray.simulation.scenarios.words import link_pairs
 
 from .base import Struck, share
 
@@ -23,7 +23,7 @@
             if isinstance(target, float):
                 found += self.stage.select_targets([target], network.pairs())
             else:
-                found += ordered(target)
+                found += link_pairs(target)
         return found
 
     async def set_for_duration(self, pairs, **conditions):
--- a/embertray/simulation/scenarios/notation.py
+++ b/embertray/simulation/scenarios/notation.py
@@ -14,7 +14,7 @@
 
 from .exceptions import DayError
 from .target_check import check_targets
-from .words import FAULTS, FLEET, LINKS, LOAD, kind_of
+from .words import FAULTS, FLEET, LINKS, LOAD, target_kind
 
 HERE = Path(__file__).resolve().parent
 SECOND_NS = 10**9
@@ -74,7 +74,7 @@
     expect: dict = field(default_factory=dict)
 
     @property
-    def linked(self):
+    def first_link_fault(self):
         """The first fault that strikes links between processes, or None."""
         return next((fault for fault in self.faults if fault.name in LINKS), None)
 
@@ -157,7 +157,7 @@
             if isinstance(part, tuple):
                 set_option(fault, *part)
                 continue
-            if isinstance(part, str) and kind_of(part) not in strikes:
+            if isinstance(part, str) and target_kind(part) not in strikes:
                 self.fail(name, f"'{name}' can't strike {part}")
             fault.targets.append(part)
         if strikes != "-" and not fault.targets:
--- a/embertray/simulation/scenarios/outcome_summary.py
+++ b/embertray/simulation/scenarios/outcome_summary.py
@@ -3,36 +3,36 @@
 from hdrh.histogram import HdrHistogram
 
 SECOND_NS = 10**9
-LONGEST = 60 * 10**6  # us; what takes longer counts as this in histograms
+LONGEST_US = 60 * 10**6  # us; what takes longer counts as this in histograms
 HISTOGRAM_DIGITS = 3  # significant digits that a histogram keeps
 OUTCOMES = ("done", "late", "lost")
 
 
 def histogram():
     """An empty histogram of what requests took, us."""
-    return HdrHistogram(1, LONGEST, HISTOGRAM_DIGITS)
+    return HdrHistogram(1, LONGEST_US, HISTOGRAM_DIGITS)
 
 
 class OutcomeSummary:
     """Sums of `observer.outcomes`; its user also has `site` and `load_start` (the load's start, ns)."""
 
-    def outcomes(self):
+    def outcome_counts(self):
         """Request kind -> [requests asked, done, late, lost]."""
-        found = {kind: [0, 0, 0, 0] for kind in self.site.kinds}
+        counts = {kind: [0, 0, 0, 0] for kind in self.site.kinds}
         for _, kind, outcome, _ in self.observer.outcomes:
-            found[kind][0] += 1
-            found[kind][OUTCOMES.index(outcome) + 1] += 1
-        return found
+            counts[kind][0] += 1
+            counts[kind][OUTCOMES.index(outcome) + 1] += 1
+        return counts
 
-    def took(self):
+    def latency_histogram(self):
         """The histogram of what done and late requests took, us."""
-        found = histogram()
+        counts = histogram()
         for _, _, outcome, latency_ns in self.observer.outcomes:
             if outcome != "lost":
-                found.record_value(max(1, min(LONGEST, latency_ns // 1000)))
-        return found
+                counts.record_value(max(1, min(LONGEST_US, latency_ns // 1000)))
+        return counts
 
-    def line(self):
+    def credit_by_second(self):
         """Credit earned of credit asked for each second of the load, by when requests came.
 
         Returns:
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -55,7 +55,7 @@
         DayError: the day can't be played in this mode.
     """
     began = time.monotonic()
-    if mode != "processes" and (fault := day.linked):
+    if mode != "processes" and (fault := day.first_link_fault):
         raise DayError(
             f"{day.name}: line {fault.line}: '{fault.name}' strikes links between processes: play "
             "it with --processes"
--- a/embertray/simulation/scenarios/result.py
+++ b/embertray/simulation/scenarios/result.py
@@ -124,8 +124,8 @@
         spread=checker.spread,
         wall_s=wall_s,
         events=stage.observer.events,
-        latencies=stage.took(),
-        credit_by_second=stage.line(),
+        latencies=stage.latency_histogram(),
+        credit_by_second=stage.credit_by_second(),
         **cluster_fields(stage.controllers),
     )
 
@@ -140,7 +140,7 @@
     earned = 0.0
     by_kind = {}
     requests = 0
-    for kind, (came, done, late, _) in stage.outcomes().items():
+    for kind, (came, done, late, _) in stage.outcome_counts().items():
         if not came:
             continue
         earned_by_kind = kind.credit * (done + late * stage.site.late_credit[kind])
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -18,8 +18,8 @@
 from .outcome_summary import OutcomeSummary
 
 SECOND_NS = 10**9
-SETTLE = 4 * SECOND_NS  # ns after the last request that a day goes on: rules still count there
-START_AFTER = SECOND_NS // 5  # ns between the controllers' start and the proxies'
+SETTLE_NS = 4 * SECOND_NS  # ns after the last request that a day goes on: rules still count there
+PROXY_START_DELAY_NS = SECOND_NS // 5  # ns between the controllers' start and the proxies'
 LEAST_NEAR_BACKENDS = 3  # in a proxy's zone; with fewer its standing table is drawn from all zones
 
 
@@ -59,7 +59,7 @@
         self.zone_factors = {}
         self.count = int(day.fleet["proxies"])
 
-    def machines(self):
+    def draw_machines(self):
         """Yields (number, zone, speed) of each backend that is there from the start."""
         draw = self.random_streams.of("machines")
         low, _, high = self.day.fleet["speed"].partition("..")
@@ -81,7 +81,7 @@
             thrash=float(fleet["thrash"]),
         )
 
-    def shares(self):
+    def draw_shares(self):
         """Each proxy's share of the requests."""
         skew = float(self.day.load["skew"])
         draw = self.random_streams.of("shares")
@@ -110,14 +110,14 @@
             for kind in self.site.kinds
         }
 
-    def standing(self, rng, zone, models):
+    def draw_standing_backends(self, rng, zone, models):
         """The names in the table of a proxy of that zone before any controller has spoken."""
         near = [model.name for model in models if model.zone == zone] or [model.name for model in models]
         enough = len(near) >= min(LEAST_NEAR_BACKENDS, self.site.standing)
         pool = near if enough else [model.name for model in models]
         return [str(name) for name in rng.permutation(pool)[: self.site.standing]]
 
-    def way(self, n):
+    def channel_delay(self, n):
         """Draws the delay from proxy n's socket to an order's effect.
 
         Returns:
@@ -127,7 +127,7 @@
         site = self.site
         return lambda: min(site.channel_delay_max, int(site.channel_delay_mean * (0.5 + rng.random())))
 
-    def rate(self, n, usual):
+    def rate_function(self, n, usual):
         """The rate of proxy n's clients by time.
 
         Args:
@@ -138,7 +138,7 @@
             A function of the time in ns that gives requests a second.
         """
         ramp = span(self.day.load["ramp"])
-        profile = self.profile(n)
+        profile = self.load_profile(n)
 
         def rate_at(now):
             part = min(1.0, (now - self.load_start) / ramp) if ramp else 1.0
@@ -153,7 +153,7 @@
 
         return rate_at
 
-    def profile(self, n):
+    def load_profile(self, n):
         """How proxy n's load changes by itself: a factor by time in ns, or None. Raises DayError."""
         load = self.day.load
         name = load["source"]
@@ -171,10 +171,10 @@
             )
         raise DayError(f"load has no source '{name}'; there are poisson, wave, flash, bursty")
 
-    def source(self, n, usual):
+    def arrivals(self, n, usual):
         """The arrivals of proxy n's clients, `usual` requests a second when nothing changes them."""
         arrivals = Poisson if self.day.load["source"] == "poisson" else Varying
-        return arrivals(self.rate(n, usual))
+        return arrivals(self.rate_function(n, usual))
 
     def select_targets(self, targets, things):
         """The things that a fault's targets name.
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -14,7 +14,7 @@
 from .exceptions import DayError
 from .faults import Fault
 from .observer import Observer
-from .setup import SETTLE, START_AFTER, ScenarioSetup
+from .setup import PROXY_START_DELAY_NS, SETTLE_NS, ScenarioSetup
 
 SECOND_NS = 10**9
 PROGRESS_PERIOD_NS = SECOND_NS
@@ -52,11 +52,11 @@
     async def build(self):
         """Starts everything but the load."""
         await self.group.start(self.inventory.run, "127.0.0.1:0")
-        for n, zone, speed in self.machines():
+        for n, zone, speed in self.draw_machines():
             await self.add(n, zone, speed, cold=False)
         self.site = self.site.at(inventory=self.inventory.address)
         await self.controllers.start(self)
-        await self.clock.sleep_until(self.clock.now() + START_AFTER)
+        await self.clock.sleep_until(self.clock.now() + PROXY_START_DELAY_NS)
         await self.start_proxies()
 
     async def add(self, number, zone, speed, cold, listed=True):
@@ -91,7 +91,7 @@
         now = self.clock.now()
         self.load_start = now
         ready = [backend.model for backend in self.backends]
-        shares = self.shares()
+        shares = self.draw_shares()
         mix = self.mix()
         addresses = self.controllers.addresses()
         spread = span(self.day.fleet["spread"])
@@ -116,9 +116,9 @@
             self.scheduler,
             rng,
             self.day.rate * share,
-            self.standing(rng, zone, ready),
+            self.draw_standing_backends(rng, zone, ready),
             self.observer,
-            self.way(n),
+            self.channel_delay(n),
         )
         proxy.home = n % len(addresses)
         return proxy
@@ -128,7 +128,7 @@
         return StandinClients(
             n + 1,
             mix,
-            self.source(n, self.day.rate * share),
+            self.arrivals(n, self.day.rate * share),
             self.net,
             self.scheduler,
             self.random_streams.of("clients", n),
@@ -142,7 +142,7 @@
             try:
                 await self.build()
                 await self.run_load()
-                await self.clock.sleep_until(self.clock.now() + SETTLE)
+                await self.clock.sleep_until(self.clock.now() + SETTLE_NS)
                 self.observer.end(self.clock.now())
                 await self.controllers.closing()
             finally:
--- a/embertray/simulation/scenarios/target_check.py
+++ b/embertray/simulation/scenarios/target_check.py
@@ -3,7 +3,7 @@
 import re
 
 from .exceptions import DayError
-from .words import LINKS, ends, kind_of
+from .words import LINKS, target_kind, target_names
 
 PERCENT = re.compile(r"(\d{1,2}(\.\d+)?|100)%")
 OTHER_ENDS = ("list", "px")  # ends of links that are no numbered process: the inventory and the proxies
@@ -65,15 +65,15 @@
 def check_target(target, counts, place):
     """Raises DayError if a name, or an end of a link, is not there, or if a link has no controller."""
     try:
-        missing = next((name for name in ends(target) if not is_there(name, counts)), None)
+        missing = next((name for name in target_names(target) if not is_there(name, counts)), None)
     except (ValueError, KeyError, IndexError):  # no letter of a kind, or no number after it
         missing = target
     if missing is not None:
         raise DayError(f"{place}: there is no {missing}")
-    if kind_of(target) != "l":
+    if target_kind(target) != "l":
         return
-    distinct = len(set(ends(target))) >= 2
-    if not distinct or not any(name[0] == "c" for name in ends(target)):
+    distinct = len(set(target_names(target))) >= 2
+    if not distinct or not any(name[0] == "c" for name in target_names(target)):
         raise DayError(f"{place}: there is no link {target}: one end at least is a controller")
 
 
--- a/embertray/simulation/scenarios/words.py
+++ b/embertray/simulation/scenarios/words.py
@@ -75,17 +75,17 @@
 }
 
 
-def kind_of(target):
+def target_kind(target):
     """What a target is: b, p, c, or l for a link."""
     return "l" if ">" in target else target[0]
 
 
-def ends(target):
+def target_names(target):
     """The names of a target: two of a link."""
     return target.replace("<>", ">").split(">")
 
 
-def ordered(target):
+def link_pairs(target):
     """A link as ordered pairs: c1>c2 one way, c1<>c2 both."""
-    first, second = ends(target)
+    first, second = target_names(target)
     return [(first, second), (second, first)] if "<>" in target else [(first, second)]
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -39,7 +39,7 @@
     def test_every_day_keeps_the_rules_in_virtual_time(self):
         with ProcessPoolExecutor(4) as pool:
             for name, rules, credit, reqs in pool.map(
-                play_day, [n for n in notation.names() if not notation.load(n).linked]
+                play_day, [n for n in notation.names() if not notation.load(n).first_link_fault]
             ):
                 with self.subTest(day=name):
                     self.assertEqual({rule: why for rule, why in rules.items() if why}, {})
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -126,7 +126,7 @@
     def test_in_flows_outcomes_add_up_to_requests(self):
         stages = []
         result = play(notation.load("overload"), 2, "flows", on_stage=stages.append)
-        for kind, (asked, *ends) in stages[0].outcomes().items():
+        for kind, (asked, *ends) in stages[0].outcome_counts().items():
             self.assertAlmostEqual(asked, sum(ends), delta=0.01 * asked, msg=kind.external_id)
         self.assertLess(result.credit, 0.99)
 
