--- a/embertray/simulation/emulator/fluid_outcomes.py
+++ b/embertray/simulation/emulator/fluid_outcomes.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from embertray.simulation.scenarios.outcome_summary import LONGEST, histogram
+from embertray.simulation.scenarios.outcome_summary import LONGEST_US, histogram
 
 from .engine import NS_PER_SECOND
 
@@ -70,7 +70,7 @@
             whole = int(self._remainders[row, k])
             if whole:
                 self._remainders[row, k] -= whole
-                duration = max(1, min(LONGEST, int(latency[row]) // NS_PER_US))
+                duration = max(1, min(LONGEST_US, int(latency[row]) // NS_PER_US))
                 self.durations.record_value(duration, whole)
 
     def earned_by_second(self):
