--- a/embertray/cli/control_calls.py
+++ b/embertray/cli/control_calls.py
@@ -85,7 +85,11 @@
 
 
 def typed_answer(admin, status, body):
-    """Returns a typed answer as a dict. Raises InputError if it is not typed or rejects the request."""
+    """Returns the JSON answer to a read as a dict.
+
+    Raises:
+        InputError: the status is neither 200 nor 404 (no such key), or the body is no JSON object.
+    """
     if status not in (200, 404) or not body.startswith(b"{"):
         raise InputError(f"{admin}: {body_text(body)}")
     return parse_json(admin, body)
--- a/embertray/cli/lab.py
+++ b/embertray/cli/lab.py
@@ -77,9 +77,9 @@
 
 @lab.command()
 @click.argument("results")
-@click.option("--out", help="A Markdown file, with a chart beside it; default: standard output, no chart.")
+@click.option("--out", help="A Markdown file, with charts beside it; default: standard output, no charts.")
 def report(results, out):
-    """Print tables with intervals, the worst seeds and a chart."""
+    """Report tables with intervals and the worst seeds; with --out also charts."""
     results_file, experiment = open_results(results)
     charts = []
     if out:
--- a/embertray/cli/main.py
+++ b/embertray/cli/main.py
@@ -94,7 +94,10 @@
 @main.command()
 @click.argument("site", type=click.Path())
 def check(site):
-    """Check SITE.xml against its schema; exit 2 with file, line and what was expected if it is invalid."""
+    """Check SITE.xml and show how long drains and binds occupy the channel.
+
+    If the description is invalid, exit 2 with file, line and what was expected.
+    """
     description = read_site(site)
     click.echo(
         f"{site}: {description.name}: {len(description.zones)} zones, "
--- a/embertray/service/admin/actions.py
+++ b/embertray/service/admin/actions.py
@@ -34,7 +34,7 @@
 
 
 def pace(service, query):
-    """Slows the channel down to a share of its rate: share=0.25."""
+    """Sets the channel's pace as a share of its rate: share=0.25; 1 is the full rate."""
     pacer = service.core.pacer
     try:
         pacer.set_pace(service.clock.now(), float(query.get("share", [""])[0]))
--- a/embertray/service/admin/control.py
+++ b/embertray/service/admin/control.py
@@ -33,7 +33,7 @@
 from .control_metrics import replica_metrics
 from .server import serve_request, text
 
-# Above the largest value of an update, so that a larger value still gets a typed answer.
+# Above the largest value of an update, so that a larger value is answered by a Rejected, not a plain error.
 MAX_BODY_BYTES = 64 << 10
 MAX_DIGITS = 18  # of a number in a query; 18 digits fit into 63 bits
 
--- a/embertray/service/admin/control_client.py
+++ b/embertray/service/admin/control_client.py
@@ -111,7 +111,7 @@
 
 
 def read_outcome(status, body):
-    """Returns the typed outcome of a write from its HTTP status and body."""
+    """Returns the outcome of a write from its HTTP status and body: Rejected if it can't be decoded."""
     try:
         return decode_answer(body)
     except msgspec.DecodeError:
--- a/embertray/service/admin/pages.py
+++ b/embertray/service/admin/pages.py
@@ -64,7 +64,7 @@
 
 
 def tables_page(service, _query):
-    """The routing tables as last sent to the proxies."""
+    """The routing tables as last ordered by the policy; updates may still wait in the channel."""
     tables = service.core.outbox.tables
     return json_response([_table(table, ordered) for table, ordered in tables.items()])
 
--- a/embertray/service/daemon/endpoint_list_client.py
+++ b/embertray/service/daemon/endpoint_list_client.py
@@ -25,7 +25,7 @@
 
     Args:
         service: The Service.
-        chance: A function that gives numbers from 0 to 1.
+        chance: A function that returns random numbers from 0 to 1, for the backoff.
 
     Attributes:
         follower: The EndpointListFollower.
@@ -45,7 +45,10 @@
         self._requested.set()
 
     async def run(self):
-        """Dials the inventory, and again after a backoff when the connection breaks, until cancelled."""
+        """Dials the inventory, and again whenever the connection breaks, until cancelled.
+
+        A broken connection is dialled again after a backoff or, if the list is polled, at the next poll.
+        """
         polled = self._service.site.ask
         if polled:
             await self._requested.wait()  # the policy decides when to poll
--- a/embertray/service/daemon/memory_report.py
+++ b/embertray/service/daemon/memory_report.py
@@ -56,7 +56,7 @@
 
 
 def memory_page(service):
-    """Returns the memory accounts and the process's resident memory as a JSON object; sizes in bytes."""
+    """Returns the memory accounts and the process's resident memory as a dict; sizes in bytes."""
     resident_bytes = resident_memory()
     purposes = service.core.accounts.rows()
     accounted = sum(row["bytes"] for row in purposes)
--- a/embertray/service/daemon/proxy_stream.py
+++ b/embertray/service/daemon/proxy_stream.py
@@ -41,8 +41,8 @@
         """Ends the stream.
 
         Args:
-            reason: Why, for the log and the peer.
-            code: Code of the Fault that is sent if the peer takes it at once; None: none is sent.
+            reason: Why, for the log; also the text of the Fault, if one is sent.
+            code: Code of a Fault that is sent if the peer takes it at once; None: the peer is sent nothing.
         """
         self.end_reason = reason
         if code:
--- a/embertray/service/daemon/service.py
+++ b/embertray/service/daemon/service.py
@@ -47,7 +47,7 @@
         frontend: The ControllerFrontend, once it runs; `core`, `trust` and `admission` are its parts.
         cluster: The ClusterLink, on a site with a cluster, once it runs.
         control: The SubscriberClient, on a site with a control plane, once it runs.
-        resident_at_start: Resident memory of the process when `run` began, bytes.
+        resident_at_start: Resident memory of the process once the controller was created, bytes.
     """
 
     def __init__(
@@ -72,10 +72,10 @@
             net: Has listen and dial, as TcpNet.
             snapshot_store: Holds the snapshots, as DurableSnapshots.
             seed: Seed of the policy's random numbers.
-            chance: A function that returns random numbers from 0 to 1.
+            chance: A function that returns random numbers from 0 to 1, for delays and backoff.
             log: A structlog logger; None: the default one.
-            core_class: Class of the core.
-            trust_class: Class of the endpoint list's trust.
+            core_class: Class of the frontend's core, as ControllerCore.
+            trust_class: Class that decides how far the endpoint list is trusted, as Trust.
         """
         self.site = site
         self.me = me
@@ -207,5 +207,5 @@
         self.faults[code] = self.faults.get(code, 0) + 1
 
     def memory(self):
-        """Returns the memory page as a JSON object."""
+        """Returns the content of the operators' memory page as a dict; sizes in bytes."""
         return memory_page(self)
--- a/embertray/service/daemon/step_loop.py
+++ b/embertray/service/daemon/step_loop.py
@@ -92,7 +92,7 @@
             account.action_count = self._service.cluster.set_growth_blocked(account.at_cap)
 
     async def _probe(self, backend):
-        """Probes whether a backend accepts a connection within PROBE_TIMEOUT_NS."""
+        """Probes a backend: whether it accepts a connection within PROBE_TIMEOUT_NS, and how soon."""
         answered = False
         with anyio.move_on_after(PROBE_TIMEOUT_NS / NS_PER_SECOND):
             try:
--- a/embertray/service/site/control.py
+++ b/embertray/service/site/control.py
@@ -1,4 +1,4 @@
-"""The control replicas of a site, and the choice of those that each controller follows."""
+"""The control replicas of a site, and the choice of those that each controller may follow."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 from .exceptions import SiteError
 
 REPLICAS_PER_CONTROLLER = 3  # one that the controller follows, and two to fail over to
-BYTES_PER_SECOND_MIN = 1_000  # two seconds of it, less 1,024 bytes, limit the size of a value
+BYTES_PER_SECOND_MIN = 1_000  # a value has at most two seconds' worth of it, less 1,024 bytes
 
 
 @dataclass(frozen=True)
@@ -60,12 +60,12 @@
         raise SiteError(f"{self.cluster}: no replica '{name}' (there are {known})")
 
     def followed_by(self, controller):
-        """Returns the SiteReplicas that a SiteController follows, in the order of preference."""
+        """Returns the SiteReplicas that a SiteController may follow, in the order of preference."""
         return replica_order(controller.name, controller.region, self.replicas)
 
 
 def replica_order(controller, region, replicas):
-    """Chooses the replicas that a controller follows.
+    """Chooses the replicas that a controller may follow: one at a time, the next one if it fails.
 
     Replicas of the controller's region come first, but at least one is of another region if there is one; the
     others are of as many different regions as possible. Within these rules the order is by rendezvous
--- a/embertray/service/site/model.py
+++ b/embertray/service/site/model.py
@@ -18,7 +18,7 @@
         listen: Where proxies reach it.
         admin: Where operators reach it.
         cluster: Where other controllers reach it; empty: the site has no cluster.
-        region: Region whose control replicas it follows first.
+        region: Its region, whose control replicas it prefers.
     """
 
     name: str
@@ -60,24 +60,24 @@
         proxies: How many are expected.
         picks: How proxies pick a backend: weighted, round or two.
         levels: What ordered admission levels are: share, rate or none.
-        standing: Lines of a proxy's standing table.
+        standing: Lines of the table that a proxy uses until a controller has sent it one.
         base_retry: Retries that proxies make without an order of a controller.
         per_try: Share of a kind's latency objective that one attempt may take.
         eject_after: Failures in a row after which a proxy ejects a backend; 0: never.
         no_backend_limit: How long a proxy may be without a usable backend, ns; 0: no limit.
         channel_rate: Lines a second of the channel.
-        pending_max: Most lines that may wait in it.
-        head: Lines that a message counts beyond its parts.
+        pending_max: Most lines that may wait in the channel.
+        head: Cost of a message beyond its parts, in lines.
         channel_delay_mean: Mean time of a message to its proxy, ns.
-        channel_delay_max: Longest such time, ns.
+        channel_delay_max: Longest time of a message to its proxy, ns.
         messages_max: Most messages to a proxy within `messages_window`; 0: no limit.
         messages_window: ns.
         report_interval: The proxies' report cycle, ns.
         reports_rate: Merged report lines a second for the policy; 0: no limit.
         cold_speed: Share of its capacity that a cold backend has.
         warm_up_time: Time until a started backend has its full capacity, ns.
-        overload_multiple: Multiple of its capacity at which an overloaded backend falls; 0: none does.
-        overload_time: Time at that load until it falls, ns.
+        overload_multiple: Multiple of its capacity at which an overloaded backend fails; 0: none does.
+        overload_time: Time at that load until it fails, ns.
         drain_grace: Time that a draining backend still serves, ns.
         omission_removes: Whether a backend that a complete list lacks counts as removed.
         full_may_have_run: Whether a request that a full backend rejected may have run.
--- a/embertray/service/site/sample_site.py
+++ b/embertray/service/site/sample_site.py
@@ -1,4 +1,4 @@
-"""Writes descriptions derived from a sample: one controller, at ports that the system chooses."""
+"""Writes descriptions derived from a sample, with other sizes and with ports that the system chooses."""
 
 from pathlib import Path
 
@@ -13,13 +13,13 @@
 
 
 def write_sample_site(folder, inventory, **changes):
-    """Writes the sample 'pushed' with other sizes.
+    """Writes the sample 'pushed' with other sizes and an inventory, its controllers at any free ports.
 
     Args:
         folder: Where the file is written.
         inventory: The inventory's address.
-        changes: rate and waiting (lines of the channel), proxies, backends (how many), reports (lines a
-            second).
+        changes: rate (lines a second of the channel), waiting (lines that may wait in it), proxies, backends
+            (how many), reports (lines a second; 0: no limit).
 
     Returns:
         Path of the file.
--- a/embertray/service/site/values.py
+++ b/embertray/service/site/values.py
@@ -1,6 +1,6 @@
 """Parses the attribute values of a site's description; the schema has checked their form."""
 
-# In bytes and ns. A unit that others end with comes after them.
+# In bytes and ns. Units are tried in this order, so a unit that others end with comes after them.
 SIZE_UNITS = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "B": 1}
 TIME_UNITS = {"us": 10**3, "ms": 10**6, "min": 60 * 10**9, "s": 10**9}
 
