--- a/embertray/cli/control.py
+++ b/embertray/cli/control.py
@@ -11,7 +11,7 @@
 
 from embertray.service.site import SiteError, load as load_site
 
-from .control_calls import REJECTED_EXIT_CODE, ask, body_text, parse_json, typed_answer, write
+from .control_calls import REJECTED_EXIT_CODE, ask, body_text, parse_json, read_answer, write
 from .control_status import describe
 from .standin import InputError
 
@@ -88,7 +88,7 @@
     """Print the value of KEY that is in force at a replica or a controller."""
     page = "versions" if versions else "key"
     code, body = ask(admin, "GET", f"/control/{page}?key={quote(key, safe='')}")
-    answer = typed_answer(admin, code, body)
+    answer = read_answer(admin, code, body)
     if answer["type"] == "missing":
         click.echo(f"{key}: there is no such key", err=True)
         sys.exit(REJECTED_EXIT_CODE)
--- a/embertray/cli/control_calls.py
+++ b/embertray/cli/control_calls.py
@@ -84,7 +84,7 @@
         raise InputError(str(error)) from None
 
 
-def typed_answer(admin, status, body):
+def read_answer(admin, status, body):
     """Returns the JSON answer to a read as a dict.
 
     Raises:
