--- a/embertray/service/site/schema.py
+++ b/embertray/service/site/schema.py
@@ -7,7 +7,7 @@
 
 SITE_FOLDER = Path(__file__).resolve().parent  # holds the schema, and descriptions in samples/
 SCHEMA_PATH = SITE_FOLDER / "site.xsd"
-TAG = "{http://www.w3.org/2001/XMLSchema}"
+XSD_NAMESPACE = "{http://www.w3.org/2001/XMLSchema}"
 
 
 @cache
@@ -20,10 +20,10 @@
 def pattern_meanings():
     """Returns a description of each pattern: pattern -> documentation of its type."""
     meanings = {}
-    for simple_type in etree.parse(SCHEMA_PATH).iter(TAG + "simpleType"):
-        pattern = simple_type.find(f".//{TAG}pattern")
+    for simple_type in etree.parse(SCHEMA_PATH).iter(XSD_NAMESPACE + "simpleType"):
+        pattern = simple_type.find(f".//{XSD_NAMESPACE}pattern")
         if pattern is not None:
-            meanings[pattern.get("value")] = simple_type.findtext(f".//{TAG}documentation")
+            meanings[pattern.get("value")] = simple_type.findtext(f".//{XSD_NAMESPACE}documentation")
     return meanings
 
 
@@ -35,8 +35,8 @@
     missing elements.
     """
     defaults = {}
-    for element in etree.parse(SCHEMA_PATH).iter(TAG + "element"):
-        for attribute in element.iterfind(f"./{TAG}complexType/{TAG}attribute"):
+    for element in etree.parse(SCHEMA_PATH).iter(XSD_NAMESPACE + "element"):
+        for attribute in element.iterfind(f"./{XSD_NAMESPACE}complexType/{XSD_NAMESPACE}attribute"):
             default = attribute.get("default")
             if default is not None:
                 defaults.setdefault(element.get("name"), {})[attribute.get("name")] = default
