--- a/embertray/experiments/capacity/page.py
+++ b/embertray/experiments/capacity/page.py
@@ -178,12 +178,12 @@
         ("assumption", "value", "varied to", "reason"),
         (
             (
-                one.name,
-                format_number(one.value),
-                ", ".join(format_number(value) for value in one.vary) or "-",
-                one.reason,
+                assumption.name,
+                format_number(assumption.value),
+                ", ".join(format_number(value) for value in assumption.vary) or "-",
+                assumption.reason,
             )
-            for one in target.assumptions
+            for assumption in target.assumptions
         ),
     )
 
@@ -230,7 +230,7 @@
     """Yields the cells of each slope, those that rows use first."""
     requested = table.slopes.requested
     for name, slope in sorted(
-        table.slopes.by_name.items(), key=lambda one: (one[0] not in requested, one[0])
+        table.slopes.by_name.items(), key=lambda item: (item[0] not in requested, item[0])
     ):
         fit = table.slopes.fits[name]
         sizes = [size for size, _ in slope.medians()]
@@ -303,13 +303,13 @@
         ("part", "budget", "reached at", "the target has", "by"),
         (
             (
-                one.what,
-                format_quantity(one.budget, one.unit),
-                f"{one.size:,} {one.size_unit}",
-                f"{one.target_size:,}",
-                one.source,
+                limit.what,
+                format_quantity(limit.budget, limit.unit),
+                f"{limit.size:,} {limit.size_unit}",
+                f"{limit.target_size:,}",
+                limit.source,
             )
-            for one in size_limits(table.target, table.slopes)
+            for limit in size_limits(table.target, table.slopes)
         ),
     )
 
@@ -347,7 +347,7 @@
             and row.judgement.verdict in (Verdict.UNKNOWN, Verdict.NO_BUDGET)
         }
     )
-    return "\n".join(f"- {one}" for one in missing) or "Nothing that a row asks for."
+    return "\n".join(f"- {name}" for name in missing) or "Nothing that a row asks for."
 
 
 def page(table, by_name, charts=()):
--- a/embertray/experiments/capacity/report.py
+++ b/embertray/experiments/capacity/report.py
@@ -79,7 +79,7 @@
 def largest_data(table, reading, design):
     """Returns the largest factors of a reading and design, without and with failures."""
     return {
-        name: [row_data(one) for one in table.largest(reading, design, situations)]
+        name: [row_data(row) for row in table.largest(reading, design, situations)]
         for name, situations in (("nothing fails", STEADY), ("failures", FAILURES))
     }
 
@@ -88,8 +88,8 @@
     """Returns the table as a dict."""
     return {
         "target": table.target.name,
-        "rows": [row_data(one) for one in table.rows],
-        "totals": [total_data(one) for one in table.totals],
+        "rows": [row_data(item) for item in table.rows],
+        "totals": [total_data(item) for item in table.totals],
         "largest": {
             str(design): {str(reading): largest_data(table, reading, design) for reading in Reading}
             for design in Design
--- a/embertray/experiments/capacity/row.py
+++ b/embertray/experiments/capacity/row.py
@@ -51,9 +51,9 @@
     return Judgement(Verdict.FITS if fits else Verdict.SHORT, factor, uncertain)
 
 
-def shortfall(value, least):
+def shortfall(value, minimum):
     """Returns the factor by which a value is below the minimum."""
-    return least / value if value > 0 else float("inf")
+    return minimum / value if value > 0 else float("inf")
 
 
 @dataclass(frozen=True)
--- a/embertray/experiments/capacity/table.py
+++ b/embertray/experiments/capacity/table.py
@@ -10,7 +10,7 @@
 TOTAL_QUANTITIES = (Quantity.PROCESSOR, Quantity.MEMORY, Quantity.BYTES_IN, Quantity.BYTES_OUT)
 LARGEST_COUNT = 3
 STEADY = (Situation.CALM, Situation.PEAK)
-FAILURES = tuple(one for one in Situation if one not in STEADY)
+FAILURES = tuple(situation for situation in Situation if situation not in STEADY)
 
 
 @dataclass(frozen=True)
@@ -64,10 +64,10 @@
             and row.judgement.verdict is Verdict.SHORT
         ]
         short.sort(key=lambda row: -row.judgement.factor)
-        found = {}
+        largest_rows = {}
         for row in short:
-            found.setdefault((row.role, row.part, row.unit), row)
-        return list(found.values())[:count]
+            largest_rows.setdefault((row.role, row.part, row.unit), row)
+        return list(largest_rows.values())[:count]
 
     def of(self, situation):
         """Returns the rows of a situation."""
--- a/embertray/experiments/capacity/target.py
+++ b/embertray/experiments/capacity/target.py
@@ -84,14 +84,15 @@
 
     def assumed(self, name):
         """Returns the value of an assumption."""
-        return next(one.value for one in self.assumptions if one.name == name)
+        return next(assumption.value for assumption in self.assumptions if assumption.name == name)
 
     def with_assumed(self, name, value):
         """Returns the same target with another value of one assumption."""
         return replace(
             self,
             assumptions=tuple(
-                replace(one, value=value) if one.name == name else one for one in self.assumptions
+                replace(assumption, value=value) if assumption.name == name else assumption
+                for assumption in self.assumptions
             ),
         )
 
@@ -238,7 +239,7 @@
 
 def check_assumptions(target, root, path):
     """Checks that exactly the required assumptions are given. Raises TargetError."""
-    named = [one.name for one in target.assumptions]
+    named = [assumption.name for assumption in target.assumptions]
     line = root.find("assumptions").sourceline
     for name in REQUIRED_ASSUMPTIONS:
         if name not in named:
--- a/embertray/experiments/lab/hunt.py
+++ b/embertray/experiments/lab/hunt.py
@@ -133,20 +133,20 @@
     try_numbered = partial(try_day, sites, seed, core, simulator)
     if jobs > 1:
         with ProcessPoolExecutor(jobs) as pool:
-            done = []
-            for found in pool.map(try_numbered, range(tries)):
-                done.append(found)
-                on_progress(len(done), tries)
+            attempts = []
+            for attempt in pool.map(try_numbered, range(tries)):
+                attempts.append(attempt)
+                on_progress(len(attempts), tries)
     else:
-        done = []
+        attempts = []
         for n in range(tries):
-            done.append(try_numbered(n))
+            attempts.append(try_numbered(n))
             on_progress(n + 1, tries)
     if not find_broken_rules:
-        n, lines, _, credit = min(done, key=lambda found: found[3])
+        n, lines, _, credit = min(attempts, key=lambda attempt: attempt[3])
         return [(day_text(lines, n + 1, f"credit {credit:.3f}"), play_day(lines, n + 1, core, simulator))]
-    found = []
-    for n, lines, names, _ in done:
+    findings = []
+    for n, lines, names, _ in attempts:
         if names:
             lines = minimize(
                 lines,
@@ -155,13 +155,13 @@
                 core,
                 simulator,
             )
-            found.append(
+            findings.append(
                 (
                     day_text(lines, n + 1, f"breaks {', '.join(names)}"),
                     play_day(lines, n + 1, core, simulator),
                 )
             )
-    return found
+    return findings
 
 
 def day_text(lines, seed, finding):
--- a/embertray/experiments/lab/single_run.py
+++ b/embertray/experiments/lab/single_run.py
@@ -17,13 +17,17 @@
     """Plays one run of an experiment and returns its Result."""
     day = definition.day_of(run)
     core = policies.core(run.policy)
-    stages = []
+    simulations = []
     if run.policy == "oracle":
-        policies.Oracle.backend_models = staticmethod(lambda: stages[0].models if stages else {})
+        policies.Oracle.backend_models = staticmethod(lambda: simulations[0].models if simulations else {})
     if definition.simulator == "virtual":
-        return player.play(day, seed=run.seed, core=core, on_stage=stages.append)
+        return player.play(day, seed=run.seed, core=core, on_stage=simulations.append)
     return play_emulated(
-        day, run.seed, "flows" if definition.simulator == "flows" else "reqs", core, on_stage=stages.append
+        day,
+        run.seed,
+        "flows" if definition.simulator == "flows" else "reqs",
+        core,
+        on_stage=simulations.append,
     )
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -102,15 +102,15 @@
         return [{k: v for k, v in row.items() if k != "wall"} for row in results.rows()]
 
     def test_a_resumed_experiment_has_the_same_rows(self):
-        whole, half = self.results(), self.results(self.path.with_name("half.sqlite"))
-        run.run(self.definition, whole, jobs=4)
-        for found in list(self.definition.runs())[3:0:-1]:
-            half.add(found, *run.run_in_process(self.definition, found))
-        run.run(self.definition, half, jobs=1)
-        self.assertEqual(len(self.rows(whole)), 8)
-        self.assertEqual(self.rows(whole), self.rows(half))
-        self.assertIn("| 3 |", report.page(self.definition, whole))
-        self.assertIn("+0.0000", report.compare(whole, half))
+        uninterrupted, resumed = self.results(), self.results(self.path.with_name("half.sqlite"))
+        run.run(self.definition, uninterrupted, jobs=4)
+        for planned in list(self.definition.runs())[3:0:-1]:
+            resumed.add(planned, *run.run_in_process(self.definition, planned))
+        run.run(self.definition, resumed, jobs=1)
+        self.assertEqual(len(self.rows(uninterrupted)), 8)
+        self.assertEqual(self.rows(uninterrupted), self.rows(resumed))
+        self.assertIn("| 3 |", report.page(self.definition, uninterrupted))
+        self.assertIn("+0.0000", report.compare(uninterrupted, resumed))
 
     def test_a_run_that_hangs_or_dies_is_reported_and_its_cell_shows_no_mean(self):
         short_timeout = experiment.read(
@@ -131,10 +131,10 @@
 
     def test_a_rule_broken_in_one_run_is_on_the_first_line(self):
         results = self.results()
-        for n, found in enumerate(self.definition.runs()):
+        for n, planned in enumerate(self.definition.runs()):
             broken = {"drain": ["at 3 s"]} if n == 4 else {}
             results.add(
-                found,
+                planned,
                 {
                     "broken": broken,
                     "credit": 1.0,
@@ -180,18 +180,18 @@
             definition = experiment.read(
                 TEXT.replace('policy="even"', f'policy="{name}"').replace('name="even"', 'name="it"')
             )
-            found, error, _ = run.run_in_process(
+            result, error, _ = run.run_in_process(
                 definition, next(r for r in definition.runs() if r.arm == "it" and r.levels == (("n", "10"),))
             )
             self.assertIsNone(error)
-            self.assertGreater(found["credit"], 0.95, name)
+            self.assertGreater(result["credit"], 0.95, name)
 
 
 class HuntTest(unittest.TestCase):
     def test_finds_and_minimizes_a_day_on_which_a_sabotaged_controller_breaks_a_rule(self):
-        found = hunt.hunt(["pushed"], 8, seed=3, core=sabotage.DropsRemovals)
-        self.assertTrue(found)
-        text, result = found[0]
+        findings = hunt.hunt(["pushed"], 8, seed=3, core=sabotage.DropsRemovals)
+        self.assertTrue(findings)
+        text, result = findings[0]
         self.assertFalse(result.kept)
         self.assertLessEqual(sum(row.startswith("at ") for row in text.splitlines()), 2)
 
