--- a/embertray/experiments/lab/report.py
+++ b/embertray/experiments/lab/report.py
@@ -119,11 +119,11 @@
                 low, high = confidence_interval(differences, rng)
                 row.append(f"{np.mean(differences):+.3f} ({low:+.3f} to {high:+.3f})")
         row.append(" / ".join(str(sum(1 for r in by_arm[arm] if r["kept"] == 0)) for arm in arms))
-        with_latency = [r for r in by_arm[first] if r["p50"] is not None]
-        if with_latency:
+        with_spread = [r for r in by_arm[first] if r["p50"] is not None]
+        if with_spread:
             median, slowest = (
-                np.median([r["p50"] for r in with_latency]),
-                max(r["worst"] for r in with_latency),
+                np.median([r["p50"] for r in with_spread]),
+                max(r["worst"] for r in with_spread),
             )
             row.append(
                 f"{median:.0f} / {slowest:.0f}"
--- a/embertray/experiments/lab/results.py
+++ b/embertray/experiments/lab/results.py
@@ -43,7 +43,7 @@
 
     def add(self, run, result, error, wall_time_s):
         """Stores a run with its result, or with its error."""
-        latencies = result.get("spread_ms", {}) if result else {}
+        spread = result.get("spread_ms", {}) if result else {}
         row = (run.key, json.dumps(dict(run.levels)), run.arm, run.seed, wall_time_s, error)
         row += (
             (None,) * 10
@@ -54,9 +54,9 @@
                 result["credit"],
                 json.dumps(result["credit_by_kind"]),
                 result["reqs"],
-                latencies.get("p50"),
-                latencies.get("p99"),
-                latencies.get("max"),
+                spread.get("p50"),
+                spread.get("p99"),
+                spread.get("max"),
                 result.get("took"),
                 json.dumps(result.get("line", [])),
             )
