--- a/embertray/experiments/lab/report.py
+++ b/embertray/experiments/lab/report.py
@@ -13,7 +13,9 @@
 
 BOOTSTRAP_SAMPLES, CONFIDENCE_LEVEL = 2000, 0.95
 MAX_PANELS = 6  # cells shown in the chart by second
-HEAVY_TAIL_FACTOR = 10  # x the median: a worst spread beyond it makes the mean meaningless
+# x the median. A worst spread (time from a notice to a proxy's changed table) beyond it makes the mean
+# meaningless.
+HEAVY_TAIL_FACTOR = 10
 
 
 def confidence_interval(values, rng):
