--- a/embertray/experiments/measure/timed.py
+++ b/embertray/experiments/measure/timed.py
@@ -21,7 +21,7 @@
 from embertray.service.daemon import proxy_streams
 from embertray.service.daemon.service import Service
 from embertray.service.site import load
-from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.scenarios.player import error_logger
 
 
 class PartTimes:
@@ -46,7 +46,14 @@
 async def run(site, name):
     """Serves one controller of a site until SIGTERM."""
     service = Service(
-        site, site.controller(name), LoopClock(), TcpNet(), InMemorySnapshots(), 1, lambda: 0.5, quiet()
+        site,
+        site.controller(name),
+        LoopClock(),
+        TcpNet(),
+        InMemorySnapshots(),
+        1,
+        lambda: 0.5,
+        error_logger(),
     )
 
     class Status:
--- a/embertray/simulation/emulator/churn.py
+++ b/embertray/simulation/emulator/churn.py
@@ -25,7 +25,7 @@
 from embertray.service.site import load
 from embertray.service.site.schema import SITE_FOLDER as SITES
 from embertray.simulation.models.random_streams import RandomStreams
-from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.scenarios.player import error_logger
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.memory_net import MemoryNet
 from embertray.simulation.standins.scheduler import Scheduler
@@ -211,7 +211,7 @@
                     InMemorySnapshots(clock),
                     seed,
                     churn.streams.of("cuts").random,
-                    quiet(),
+                    error_logger(),
                     core or ControllerCore,
                 )
                 churn.service = service
--- a/embertray/simulation/emulator/day_simulation.py
+++ b/embertray/simulation/emulator/day_simulation.py
@@ -104,7 +104,7 @@
             self.inventory.list(model.name, zone, "ready", self.engine.time if cold else 0)
         return backend
 
-    async def admin(self, name, method, target):
+    async def request_admin(self, name, method, target):
         """Handles the only admin request that faults make: setting the pace of a controller's channel.
 
         Args:
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -61,7 +61,7 @@
             self.endpoint_list_address(name),
             self.folder / f"{name}.list",
             self.stage.day.fleet["period"] if self.clustered else None,
-            self.stage.day.facts,
+            self.stage.day.site_fields,
         )
 
     def endpoint_list_address(self, name):
--- a/embertray/simulation/scenarios/faults/backends.py
+++ b/embertray/simulation/scenarios/faults/backends.py
@@ -1,38 +1,38 @@
 """Backends that die, hang, err, lie, drain, come cold."""
 
-from embertray.service.site.values import parse_duration as span
+from embertray.service.site.values import parse_duration
 
-from .base import SECOND_NS, Struck
+from .base import SECOND_NS, FaultBase
 
 
-class Backends(Struck):
+class Backends(FaultBase):
     """The faults of backends."""
 
     async def do_crash(self):
         """They die, the list learns of it after `notice`; after `for` they come back cold."""
-        for backend in (struck := self.backends()):
+        for backend in (targets := self.backends()):
             backend.die()
-            self.list(backend, "gone", span(self.fleet["notice"]))
+            self.report_state(backend, "gone", parse_duration(self.fleet["notice"]))
         await self.wait(self.spec.lasts)
-        for backend in struck:
-            self.come_back(backend)
+        for backend in targets:
+            self.restart_backend(backend)
 
     async def do_vanish(self):
         """They die without a reset of their streams; the list learns of it after `silent-notice`."""
-        for backend in (struck := self.backends()):
+        for backend in (targets := self.backends()):
             backend.die(silent=True)
-            self.list(backend, "gone", span(self.fleet["silent-notice"]))
-        await self.wait(max(self.spec.lasts, span(self.fleet["silent-notice"])))
-        for backend in struck:
-            self.come_back(backend)
+            self.report_state(backend, "gone", parse_duration(self.fleet["silent-notice"]))
+        await self.wait(max(self.spec.lasts, parse_duration(self.fleet["silent-notice"])))
+        for backend in targets:
+            self.restart_backend(backend)
 
     async def set_faults(self, **faults):
         """Sets fields of the struck backends' ills for the fault's length, then their defaults again."""
-        for backend in (struck := self.backends()):
+        for backend in (targets := self.backends()):
             for name, value in faults.items():
                 setattr(backend.model.faults, name, value)
         await self.wait(self.spec.lasts)
-        for backend in struck:
+        for backend in targets:
             for name in faults:
                 setattr(backend.model.faults, name, type(backend.model.faults)().__getattribute__(name))
 
@@ -59,12 +59,12 @@
     async def do_flap(self):
         """They die and come back `times` over, `by` down and `by` up."""
         for _ in range(max(1, int(self.spec.times))):
-            for backend in (struck := self.backends()):
+            for backend in (targets := self.backends()):
                 backend.die()
-                self.list(backend, "gone", span(self.fleet["notice"]))
+                self.report_state(backend, "gone", parse_duration(self.fleet["notice"]))
             await self.wait(self.spec.by)
-            for backend in struck:
-                self.come_back(backend)
+            for backend in targets:
+                self.restart_backend(backend)
             await self.wait(self.spec.by)
 
     async def do_one_sided(self):
@@ -74,48 +74,48 @@
             for proxy in self.stage.proxies
             if proxy.home == int(self.spec.options.get("controller", "c1")[1:]) - 1
         }
-        for backend in (struck := self.backends()):
+        for backend in (targets := self.backends()):
             backend.failing_proxies |= names
         await self.wait(self.spec.lasts)
-        for backend in struck:
+        for backend in targets:
             backend.failing_proxies -= names
 
     async def do_deploy(self):
         """By batches: drain, stop, start anew, cold."""
-        struck = self.backends()
+        targets = self.backends()
         batch = int(self.spec.options.get("batch", "1"))
-        drain = span(self.spec.options.get("drain", "4s"))
-        for first in range(0, len(struck), batch):
-            for backend in struck[first : first + batch]:
-                self.list(backend, "draining", span(self.fleet["answers"]))
+        drain = parse_duration(self.spec.options.get("drain", "4s"))
+        for first in range(0, len(targets), batch):
+            for backend in targets[first : first + batch]:
+                self.report_state(backend, "draining", parse_duration(self.fleet["answers"]))
             await self.wait(drain)
-            for backend in struck[first : first + batch]:
+            for backend in targets[first : first + batch]:
                 backend.die()
-                self.list(backend, "gone", span(self.fleet["notice"]) // 2)
+                self.report_state(backend, "gone", parse_duration(self.fleet["notice"]) // 2)
             await self.wait(SECOND_NS)
-            for backend in struck[first : first + batch]:
-                self.come_back(backend)
+            for backend in targets[first : first + batch]:
+                self.restart_backend(backend)
             await self.wait(self.spec.by)
 
     async def do_preempt(self):
         """In waves: a short warning, then gone for good; replacements come cold under new addresses."""
-        struck = self.backends()
+        targets = self.backends()
         batch = int(self.spec.options.get("batch", "1"))
-        warning = span(self.spec.options.get("drain", "3s"))
-        for first in range(0, len(struck), batch):
-            wave = struck[first : first + batch]
+        warning = parse_duration(self.spec.options.get("drain", "3s"))
+        for first in range(0, len(targets), batch):
+            wave = targets[first : first + batch]
             for backend in wave:
-                self.list(backend, "draining", span(self.fleet["answers"]))
+                self.report_state(backend, "draining", parse_duration(self.fleet["answers"]))
             await self.wait(warning)
             for backend in wave:
                 backend.die()
-                self.list(backend, "gone", span(self.fleet["notice"]))
+                self.report_state(backend, "gone", parse_duration(self.fleet["notice"]))
             for backend in wave:
                 number = len(self.stage.backends)
                 new = await self.stage.add(
                     number, backend.model.zone, backend.model.shape.speed, cold=True, listed=False
                 )
-                self.list(new, "ready", span(self.fleet["notice"]))
+                self.report_state(new, "ready", parse_duration(self.fleet["notice"]))
             await self.wait(self.spec.by)
 
     async def do_add(self):
@@ -123,7 +123,7 @@
         for n in range(int(self.spec.times)):
             zone = self.stage.site.zones[n % len(self.stage.site.zones)]
             backend = await self.stage.add(len(self.stage.backends), zone, 1.0, cold=True, listed=False)
-            self.list(backend, "ready", span(self.fleet["notice"]))
+            self.report_state(backend, "ready", parse_duration(self.fleet["notice"]))
 
     async def do_rejoin_list(self):
         """Gone, then ready with a new start, within one batch of the controller."""
--- a/embertray/simulation/scenarios/faults/base.py
+++ b/embertray/simulation/scenarios/faults/base.py
@@ -1,16 +1,16 @@
 """What every kind of fault has: the stage, its line of the day, times and who is struck."""
 
-from embertray.service.site.values import parse_duration as span
+from embertray.service.site.values import parse_duration
 
 SECOND_NS = 10**9
 
 
-def share(text):
+def parse_share(text):
     """A share as a float: 0.3 of '30%'."""
     return float(text.rstrip("%")) / 100
 
 
-class Struck:
+class FaultBase:
     """One fault of a day: its `do_...` methods strike, wait and make it good again.
 
     Args:
@@ -25,16 +25,16 @@
 
     async def run(self):
         """Waits until the fault's time and calls the method that its word names."""
-        await self.at(self.stage.load_start + self.spec.at)
+        await self.wait_until(self.stage.load_start + self.spec.at)
         await getattr(self, "do_" + self.spec.name.replace("-", "_"))()
 
-    async def at(self, when):
+    async def wait_until(self, when):
         """Waits until `when`, ns."""
         await self.stage.clock.sleep_until(when)
 
-    async def wait(self, time):
+    async def wait(self, duration):
         """Waits for `time` ns."""
-        await self.at(self.stage.clock.now() + time)
+        await self.wait_until(self.stage.clock.now() + duration)
 
     def backends(self):
         """The backends that are struck."""
@@ -52,20 +52,20 @@
         """Notes an event of the fault with the observer."""
         self.stage.observer.note(self.stage.clock.now(), what, who, *rest)
 
-    def later(self, time, what, *args):
+    def call_later(self, delay, callback, *args):
         """Calls `what` with its arguments `time` ns from now."""
-        self.stage.scheduler.after(time, what, *args)
+        self.stage.scheduler.after(delay, callback, *args)
 
-    def list(self, backend, state, late):
+    def report_state(self, backend, state, delay):
         """The inventory learns of a backend's state `late` ns from now."""
         started = backend.model.started
-        self.later(
-            late, lambda: self.stage.inventory.list(backend.model.name, backend.model.zone, state, started)
+        self.call_later(
+            delay, lambda: self.stage.inventory.list(backend.model.name, backend.model.zone, state, started)
         )
 
-    def come_back(self, backend):
+    def restart_backend(self, backend):
         """Starts a backend that died, cold and well; the list learns of it after `notice`."""
         backend.start(cold=True)
         backend.model.faults.__init__()
         self.note("started", backend.model.name)
-        self.list(backend, "ready", span(self.fleet["notice"]))
+        self.report_state(backend, "ready", parse_duration(self.fleet["notice"]))
--- a/embertray/simulation/scenarios/faults/controllers.py
+++ b/embertray/simulation/scenarios/faults/controllers.py
@@ -2,22 +2,22 @@
 
 import anyio
 
-from embertray.service.site.values import parse_duration as span
+from embertray.service.site.values import parse_duration
 from embertray.simulation.standins.link import STREAM_ERRORS
 
-from .base import Struck, share
+from .base import FaultBase, parse_share
 
 
-class Controllers(Struck):
+class Controllers(FaultBase):
     """The faults of controllers, and those that strike controllers and proxies alike."""
 
     async def do_kill(self):
         """They are killed, and started again after `for`."""
-        for name in (struck := self.controllers()):
+        for name in (targets := self.controllers()):
             self.note("killed", name)
             self.stage.controllers.kill(name)
         await self.wait(self.spec.lasts)
-        await self.stage.controllers.start_all(struck)
+        await self.stage.controllers.start_all(targets)
 
     async def do_restart(self):
         """Asked to end, and up again at once; one after the other, `by` between."""
@@ -28,10 +28,10 @@
 
     async def do_slow_start(self):
         """Killed and started at once, and then it stands still for `by` before it comes up."""
-        for name in (struck := self.controllers()):
+        for name in (targets := self.controllers()):
             self.note("killed", name)
             self.stage.controllers.kill(name)
-        await self.stage.controllers.start_delayed(struck, self.spec.by)
+        await self.stage.controllers.start_delayed(targets, self.spec.by)
 
     async def do_old_list(self):
         """They are killed while the list is down and the fleet changes, and start from an old snapshot.
@@ -47,15 +47,19 @@
         for name in self.controllers():
             self.note("killed", name)
             stage.controllers.kill(name)
-        await self.replace_backends(share(options.get("replaced", "0%")), share(options.get("anew", "0%")))
+        await self.replace_backends(
+            parse_share(options.get("replaced", "0%")), parse_share(options.get("anew", "0%"))
+        )
         await self.wait(self.spec.lasts)
         for name in self.controllers():
-            stage.controllers.age(name, span(options.get("age", "0s")), options.get("kept") == "first")
+            stage.controllers.age(
+                name, parse_duration(options.get("age", "0s")), options.get("kept") == "first"
+            )
             await stage.controllers.start_controller(name)
-        await self.wait(span(options.get("down", "10s")))
+        await self.wait(parse_duration(options.get("down", "10s")))
         stage.inventory.come_back()
 
-    async def replace_backends(self, replaced, anew):
+    async def replace_backends(self, replaced, restarted):
         """Replaces some backends by cold ones under other addresses, and starts others anew under their own.
 
         Args:
@@ -73,7 +77,7 @@
             backend.die()
             stage.inventory.list(backend.model.name, backend.model.zone, "gone")
             await stage.add(len(stage.backends), backend.model.zone, backend.model.shape.speed, cold=True)
-        for backend in order[cut : cut + round((len(order) - cut) * anew)]:
+        for backend in order[cut : cut + round((len(order) - cut) * restarted)]:
             backend.die()
             backend.start(cold=True)
             self.note("started", backend.model.name)
@@ -103,19 +107,19 @@
 
     async def do_slow_channel(self):
         """Their channels run at 1/`times` of the rate for `for`."""
-        for name in (struck := self.controllers()):
-            await self.pace(name, 1 / self.spec.times)
+        for name in (targets := self.controllers()):
+            await self.set_pace(name, 1 / self.spec.times)
         await self.wait(self.spec.lasts)
-        for name in struck:
-            await self.pace(name, 1.0)
+        for name in targets:
+            await self.set_pace(name, 1.0)
 
-    async def pace(self, name, part):
+    async def set_pace(self, name, share_of_rate):
         """By the operators' HTTP, unless the controller is down."""
         try:
-            await self.stage.admin(name, "POST", f"/pace?share={part:.6f}")
+            await self.stage.request_admin(name, "POST", f"/pace?share={share_of_rate:.6f}")
         except STREAM_ERRORS:
             return
-        self.note("pace", name, part)
+        self.note("pace", name, share_of_rate)
 
     async def do_garbage(self):
         """Strangers dial the proxies' address.
@@ -132,9 +136,9 @@
                 b"",
             ):
                 stream = await self.stage.net.dial(at)
-                self.stage.group.start_soon(self.babble, stream, data)
+                self.stage.group.start_soon(self.send_garbage, stream, data)
 
-    async def babble(self, stream, data):
+    async def send_garbage(self, stream, data):
         """Sends bytes on a stream and reads until the other side ends it, 20 s at most."""
         async with stream:
             try:
--- a/embertray/simulation/scenarios/faults/links.py
+++ b/embertray/simulation/scenarios/faults/links.py
@@ -3,13 +3,13 @@
 Only true processes have them.
 """
 
-from embertray.service.site.values import parse_duration as span
+from embertray.service.site.values import parse_duration
 from embertray.simulation.scenarios.words import link_pairs
 
-from .base import Struck, share
+from .base import FaultBase, parse_share
 
 
-class Links(Struck):
+class Links(FaultBase):
     """The faults of links; `stage.controllers.links` is the process harness's Network.
 
     Two faults on one link at once: the later one's values hold, its end is the end of both.
@@ -36,16 +36,18 @@
 
     async def do_lossy(self):
         """Datagrams are lost: a `share` of them, 30% by default."""
-        await self.set_for_duration(self.pairs(), drop=share(self.spec.options.get("share", "30%")))
+        await self.set_for_duration(self.pairs(), drop=parse_share(self.spec.options.get("share", "30%")))
 
     async def do_repeated(self):
         """Datagrams come twice: a `share` of them, 10% by default."""
-        await self.set_for_duration(self.pairs(), duplicated=share(self.spec.options.get("share", "10%")))
+        await self.set_for_duration(
+            self.pairs(), duplicated=parse_share(self.spec.options.get("share", "10%"))
+        )
 
     async def do_lagged(self):
         """`jitter=` past the gaps of datagrams reorders them; streams keep their order."""
         await self.set_for_duration(
-            self.pairs(), delay=self.spec.by, jitter=span(self.spec.options.get("jitter", "0ms"))
+            self.pairs(), delay=self.spec.by, jitter=parse_duration(self.spec.options.get("jitter", "0ms"))
         )
 
     async def do_silent(self):
@@ -79,7 +81,7 @@
             rest = list(self.stage.select_targets([1.0], network.members))
             groups = []
             for part in parts:
-                size = max(1, round(share(part) * len(network.members)))
+                size = max(1, round(parse_share(part) * len(network.members)))
                 groups.append(rest[:size])
                 rest = rest[size:]
             groups[-1] += rest
--- a/embertray/simulation/scenarios/faults/lists.py
+++ b/embertray/simulation/scenarios/faults/lists.py
@@ -2,10 +2,10 @@
 
 from embertray.controller.endpoint_list.messages import EndpointEntry
 
-from .base import Struck
+from .base import FaultBase
 
 
-class Lists(Struck):
+class Lists(FaultBase):
     """The faults of the inventory."""
 
     async def do_list_down(self):
--- a/embertray/simulation/scenarios/faults/proxies.py
+++ b/embertray/simulation/scenarios/faults/proxies.py
@@ -5,10 +5,10 @@
 from embertray.common.framing import encode_frame
 from embertray.controller.stream.session import ProxySession
 
-from .base import Struck
+from .base import FaultBase
 
 
-class Proxies(Struck):
+class Proxies(FaultBase):
     """The faults of proxies and of their load."""
 
     async def do_reconnect(self):
@@ -26,38 +26,38 @@
 
     async def do_cut_off(self):
         """Their streams break, and they reach no controller for `for`."""
-        for proxy in (struck := self.proxies()):
+        for proxy in (targets := self.proxies()):
             proxy.cut_off = True
             proxy.break_stream()
         await self.wait(self.spec.lasts)
-        for proxy in struck:
+        for proxy in targets:
             proxy.cut_off = False
 
     async def do_deaf(self):
         """They read nothing from their streams for `for`."""
-        for proxy in (struck := self.proxies()):
+        for proxy in (targets := self.proxies()):
             proxy.deaf = True
             self.note("out", proxy.name)
         await self.wait(self.spec.lasts)
-        for proxy in struck:
+        for proxy in targets:
             proxy.deaf = False
             self.note("back", proxy.name)
 
     async def do_late_reports(self):
         """Their load reports leave `by` late."""
-        for proxy in (struck := self.proxies()):
+        for proxy in (targets := self.proxies()):
             proxy.report_delay = self.spec.by
         await self.wait(self.spec.lasts)
-        for proxy in struck:
+        for proxy in targets:
             proxy.report_delay = 0
 
     async def do_hot(self):
         """Their load is multiplied by `times`."""
-        struck = [n for n, proxy in enumerate(self.stage.proxies) if proxy in self.proxies()]
-        for n in struck:
+        targets = [n for n, proxy in enumerate(self.stage.proxies) if proxy in self.proxies()]
+        for n in targets:
             self.stage.proxy_factors[n] = self.spec.times
         await self.wait(self.spec.lasts)
-        for n in struck:
+        for n in targets:
             self.stage.proxy_factors[n] = 1.0
 
     async def do_shift(self):
--- a/embertray/simulation/scenarios/notation.py
+++ b/embertray/simulation/scenarios/notation.py
@@ -65,7 +65,7 @@
     name: str = ""
     about: str = ""
     site: str = "pushed"
-    facts: dict = field(default_factory=dict)
+    site_fields: dict = field(default_factory=dict)
     fleet: dict = field(default_factory=dict)
     rate: float = 50.0
     lasts: int = 20 * SECOND_NS
@@ -124,7 +124,7 @@
     def site(self, name, *pairs):
         """The site, and its fields that the day sets."""
         self.day.site = str(name)
-        self.day.facts = {str(key).replace("-", "_"): str(value) for key, value in pairs}
+        self.day.site_fields = {str(key).replace("-", "_"): str(value) for key, value in pairs}
 
     def known(self, pairs, table, where):
         """Yields pairs as text; raises DayError for a name that the table lacks."""
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -25,7 +25,7 @@
 from .stage import Stage
 
 
-def quiet():
+def error_logger():
     """A logger for controllers inside a rehearsal: nothing below errors."""
     return structlog.wrap_logger(
         structlog.PrintLogger(), wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR)
@@ -73,7 +73,7 @@
     async def main():
         net = MemoryNet()
         clock = VirtualClock()
-        controllers = InMemoryControllers(net, clock, seed, quiet(), core, trust)
+        controllers = InMemoryControllers(net, clock, seed, error_logger(), core, trust)
         return await play_stage(Stage(day, seed, net, clock, controllers, progress), on_stage)
 
     return run_virtual(main)
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -9,7 +9,7 @@
 
 from embertray.service.site import load as load_site
 from embertray.service.site.schema import SITE_FOLDER as SITES
-from embertray.service.site.values import parse_duration as span
+from embertray.service.site.values import parse_duration
 from embertray.simulation.models.arrivals import Bursts, Poisson, Varying, flash, wave
 from embertray.simulation.models.backend import Shape
 from embertray.simulation.models.random_streams import RandomStreams
@@ -49,7 +49,7 @@
         if not self.sample.suffix:
             self.sample = SITES / "samples" / f"{day.site}.xml"
         self.site = with_controllers(
-            with_facts(load_site(self.sample), day.facts), int(day.fleet["controllers"])
+            with_site_fields(load_site(self.sample), day.site_fields), int(day.fleet["controllers"])
         )
         self.backends = []
         self.proxies = []
@@ -91,7 +91,7 @@
 
     def mix(self):
         """[(RequestKind, share of the requests, mean work in ns)]."""
-        works = self.by_kind(self.day.load["work"], lambda kind: kind.latency_objective // 10, span)
+        works = self.by_kind(self.day.load["work"], lambda kind: kind.latency_objective // 10, parse_duration)
         weights = self.by_kind(self.day.load["share"], lambda kind: 1.0, read_percent)
         total = sum(weights.values())
         return [(kind, weights[kind] / total, works[kind]) for kind in self.site.kinds]
@@ -137,7 +137,7 @@
         Returns:
             A function of the time in ns that gives requests a second.
         """
-        ramp = span(self.day.load["ramp"])
+        ramp = parse_duration(self.day.load["ramp"])
         profile = self.load_profile(n)
 
         def rate_at(now):
@@ -158,13 +158,15 @@
         load = self.day.load
         name = load["source"]
         times = float(load["times"])
-        period = span(load["period"])
+        period = parse_duration(load["period"])
         if name == "poisson":
             return None
         if name == "wave":
             return wave((times - 1) / (times + 1), period, self.load_start)
         if name == "flash":
-            return flash(times, self.load_start + span(load["at"]), period // 10, period, period // 4)
+            return flash(
+                times, self.load_start + parse_duration(load["at"]), period // 10, period, period // 4
+            )
         if name == "bursty":
             return Bursts(
                 times, period * 4 // 5, period // 5, self.random_streams.of("bursts", n), self.load_start
@@ -193,7 +195,7 @@
         return found
 
 
-def with_facts(site, facts):
+def with_site_fields(site, fields):
     """The site with a day's own values, each read as the type of the site's.
 
     Args:
@@ -201,7 +203,7 @@
         facts: field -> text.
     """
     changes = {}
-    for name, text in facts.items():
+    for name, text in fields.items():
         value = getattr(site, name)
         changes[name] = text if isinstance(value, str) else type(value)(float(text))
     return site.at(**changes)
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -3,7 +3,7 @@
 import anyio
 
 from embertray.service.admin.client import send_request
-from embertray.service.site.values import parse_duration as span
+from embertray.service.site.values import parse_duration
 from embertray.simulation.models.backend import Backend
 from embertray.simulation.standins.backend import StandinBackend
 from embertray.simulation.standins.client import StandinClients
@@ -45,8 +45,10 @@
         self.observer = Observer()
         self.clients = []  # (StandinClients, address of its proxy)
         self.group = None
-        self.inventory = StandinInventory(net, self.scheduler, span(day.fleet["answers"]), self.observer.told)
-        if span(day.fleet["cross"]):
+        self.inventory = StandinInventory(
+            net, self.scheduler, parse_duration(day.fleet["answers"]), self.observer.told
+        )
+        if parse_duration(day.fleet["cross"]):
             raise DayError(f"{day.name}: ways between zones (cross) are emulated only")
 
     async def build(self):
@@ -94,7 +96,7 @@
         shares = self.draw_shares()
         mix = self.mix()
         addresses = self.controllers.addresses()
-        spread = span(self.day.fleet["spread"])
+        spread = parse_duration(self.day.fleet["spread"])
         for n in range(self.count):
             self.proxies.append(self.make_proxy(n, shares[n], addresses, ready))
         for n, proxy in enumerate(self.proxies):
@@ -172,6 +174,6 @@
             )
             await self.clock.sleep_until(now + PROGRESS_PERIOD_NS)
 
-    async def admin(self, name, method, target):
+    async def request_admin(self, name, method, target):
         """(status, body) of one request at a controller's operators' address, over its socket."""
         return await send_request(self.net, self.controllers.admin(name), method, target)
--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -13,7 +13,7 @@
 from embertray.platform.protocol.configuration import read_configuration
 from embertray.platform.protocol.inbound import BackendReport, InboundConnection, TrafficReport
 from embertray.platform.run.service import Service
-from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.scenarios.player import error_logger
 from embertray.simulation.standins.discovery import StandinDiscovery
 from embertray.simulation.standins.relay import StandinRelay
 
@@ -109,7 +109,7 @@
         data = configuration_json(relay.address, discovery.address, **overrides)
         prepare(relay, discovery)
         service = Service(
-            read_configuration(data), LoopClock(), net, lambda: read_configuration(data), quiet()
+            read_configuration(data), LoopClock(), net, lambda: read_configuration(data), error_logger()
         )
         await group.start(lambda **kw: service.run(**kw))
         with anyio.fail_after(30):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -26,7 +26,7 @@
 from embertray.service.daemon import Service
 from embertray.service.site import load
 from embertray.service.site.schema import SITE_FOLDER
-from embertray.simulation.scenarios.player import quiet
+from embertray.simulation.scenarios.player import error_logger
 from embertray.simulation.standins.inventory import StandinInventory
 from embertray.simulation.standins.memory_net import MemoryNet
 from embertray.simulation.standins.scheduler import Scheduler
@@ -91,7 +91,7 @@
             InMemorySnapshots(self.clock),
             1,
             lambda: 0.5,
-            quiet(),
+            error_logger(),
         )
         await self.group.start(self.service.run)
         return self
@@ -413,7 +413,7 @@
             me = site.controllers[0]
             me = replace(me, listen=address, admin=used_listener.address)
             store = DurableSnapshots(folder)
-            service = Service(site, me, LoopClock(), net, store, 1, lambda: 0.5, quiet())
+            service = Service(site, me, LoopClock(), net, store, 1, lambda: 0.5, error_logger())
             with self.assertRaises(OSError):
                 await service.run()
             DurableSnapshots(folder).open()
