--- a/embertray/simulation/claims/reachability.py
+++ b/embertray/simulation/claims/reachability.py
@@ -5,9 +5,8 @@
 link (one that loses more than MAX_LINK_LOSS, or delays by more than a quarter of the period) is neither.
 """
 
-MAX_LINK_LOSS = (
-    0.3  # loss each way up to which the failure detector is designed to work (docs/measured/cluster.md)
-)
+# loss each way up to which the failure detector is designed to work (docs/measured/cluster.md)
+MAX_LINK_LOSS = 0.3
 PERIOD_PER_MAX_DELAY = 4  # the delay of a good link is at most the period divided by this
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,6 +1,4 @@
-"""Several true processes with links between them that the rig breaks: dropped, one way, split, slow,
-repeated, silent.
-"""
+"""Cluster processes with faulty links: partitions, one-way links, losses, delays and duplicates."""
 
 import unittest
 
@@ -11,9 +9,9 @@
 
 
 class Links(ProcessesCase):
-    """Each case: three or four processes, all alive at all, then the wound, then its end."""
+    """Each test starts processes, waits until all see each other alive, injects a fault and removes it."""
 
-    def play(self, count, case):
+    def run_case(self, count, case):
         site = LinkedClusterMembers(self.folder, count)
         self.addCleanup(site.end)
 
@@ -22,25 +20,25 @@
                 await group.start(site.links.run)
                 for name in site.names:
                     site.up(name)
-                await anyio.to_thread.run_sync(self.through, site, case)
+                await anyio.to_thread.run_sync(self.run_fault, site, case)
                 group.cancel_scope.cancel()
 
         anyio.run(main)
 
-    def through(self, site, case):
+    def run_fault(self, site, case):
         alive = dict.fromkeys(site.names, "alive")
-        site.wait(lambda: site.all_report(**alive), "all know all")
+        site.wait(lambda: site.all_report(**alive), "all members see each other alive")
         case(site)
         site.links.heal()
-        site.wait(lambda: site.all_report(**alive), "all know all after the wound's end")
+        site.wait(lambda: site.all_report(**alive), "all members see each other alive after the fault")
         site.wait(
             site.all_within_bound,
-            "what each told is within the bound again",
+            "all entries are within the staleness bound again",
             timeout_s=site.staleness_bound() + 10,
         )
         self.assertLessEqual(*site.max_entry_age())
 
-    def test_split_in_two(self):
+    def test_partition_into_two_groups(self):
         def case(site):
             site.links.split(["c1", "c2"], ["c3", "c4"])
             site.wait(
@@ -48,27 +46,29 @@
                     site.states("c1") == {"c2": "alive", "c3": "dead", "c4": "dead"}
                     and site.states("c4") == {"c1": "dead", "c2": "dead", "c3": "alive"}
                 ),
-                "each side is alone",
+                "each side considers the other dead",
             )
 
-        self.play(4, case)
+        self.run_case(4, case)
 
-    def test_one_is_cut_off_and_knows(self):
+    def test_an_isolated_member_reports_that_it_is_cut_off(self):
         def case(site):
             site.links.split(["c1"], ["c2", "c3"])
-            site.wait(lambda: site.status("c1")["cut_off"], "c1 believes itself cut off")
-            site.wait(lambda: site.states("c2") == {"c1": "dead", "c3": "alive"}, "the others go on")
+            site.wait(lambda: site.status("c1")["cut_off"], "c1 reports that it is cut off")
+            site.wait(
+                lambda: site.states("c2") == {"c1": "dead", "c3": "alive"}, "the others consider only c1 dead"
+            )
             self.assertFalse(site.status("c2")["cut_off"])
 
-        self.play(3, case)
+        self.run_case(3, case)
 
-    def test_one_way_and_thirty_percent_lost_are_no_deaths(self):
+    def test_one_way_link_and_30_percent_loss_cause_no_deaths(self):
         def case(site):
             site.links.link("c1", "c2").open = False
             counts = {name: site.status(name)["received"] for name in site.names}
             site.wait(
                 lambda: all(site.status(n)["received"] > counts[n] + 100 for n in ("c1", "c3")),
-                "a hundred messages more at c1 and c3",
+                "over 100 more messages at c1 and c3",
             )
             self.assertNotIn("dead", site.failed_members().values())
             site.links.heal()
@@ -76,31 +76,31 @@
             counts = {name: site.status(name)["received"] for name in site.names}
             site.wait(
                 lambda: all(site.status(n)["received"] > counts[n] + 150 for n in site.names),
-                "150 messages more at each",
+                "over 150 more messages at each member",
             )
             self.assertNotIn("dead", site.failed_members().values())
             self.assertGreater(sum(link.lost for link in site.links.links.values()), 50)
 
-        self.play(4, case)
+        self.run_case(4, case)
 
-    def test_a_sabotaged_way_is_noticed(self):
-        """A split that splits nothing: the same wait as above does not end."""
+    def test_a_partition_without_effect_is_noticed(self):
+        """With all members in one group, the wait for a cut-off member times out."""
 
         def case(site):
             site.links.split(["c1", "c2", "c3"])
             with self.assertRaises(AssertionError):
-                site.wait(lambda: site.status("c1")["cut_off"], "cut off", timeout_s=4)
+                site.wait(lambda: site.status("c1")["cut_off"], "c1 reports that it is cut off", timeout_s=4)
 
-        self.play(3, case)
+        self.run_case(3, case)
 
-    def test_one_that_ends_says_so(self):
+    def test_a_terminated_member_leaves(self):
         def case(site):
             site.running["c3"].terminate()
             self.assertEqual(site.running.pop("c3").wait_ended(), 0)
             site.wait(lambda: site.all_report(c1="alive", c2="alive", c3="left"), "c3 has left")
             site.up("c3")
 
-        self.play(3, case)
+        self.run_case(3, case)
 
 
 if __name__ == "__main__":
