--- a/embertray/experiments/measure/capacity/decisions.py
+++ b/embertray/experiments/measure/capacity/decisions.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """Which backends are reported on in a second: all of them, or one for each proxy's request."""
+    """Which backends are reported on in a second: all, a random one for each proxy, or none if `silent`."""
 
     name: str
     about: str
--- a/embertray/experiments/measure/explore.py
+++ b/embertray/experiments/measure/explore.py
@@ -15,7 +15,7 @@
     """Returns a copy of a core that can be changed without changing the original.
 
     The attributes named in `fresh` are copied; of the dicts `may` and `sent` the inner containers are
-    copied too. All other attributes hold values that never change and are shared.
+    copied too. All other attributes are shared with the original.
     """
     copy = object.__new__(type(core))
     for name, value in core.__dict__.items():
--- a/embertray/experiments/measure/recorded.py
+++ b/embertray/experiments/measure/recorded.py
@@ -1,10 +1,10 @@
 """Records the events given to decision modules, and replays them to compare the orders.
 
-A change that must not alter any decision yields the same orders, byte for byte. `python -m
-embertray.experiments.measure.recorded record NAME --out FILE` records, where NAME is a day (played without
-streams), `crowd` (hundreds of proxies that join at once) or `drawn-SEED` (a fleet under faults drawn from the
-seed); `... orders FILE` prints all orders; `... check FILE` compares their digest with the recorded one. A
-file is zstandard-compressed JSON with one row for each step.
+A change that must not alter any decision yields the same orders, byte for byte.
+`python -m embertray.experiments.measure.recorded record NAME --out FILE` records, where NAME is a day (played
+without streams), `crowd` (hundreds of proxies that join at once) or `drawn-SEED` (a fleet under faults drawn
+from the seed); `... orders FILE` prints all orders; `... check FILE` compares their digest with the recorded
+one. A file is zstandard-compressed JSON with one row for each step.
 """
 
 import dataclasses
--- a/embertray/experiments/measure/recorded_fleets.py
+++ b/embertray/experiments/measure/recorded_fleets.py
@@ -122,7 +122,7 @@
         fleet.change_list("changes", new, "ready", fleet.now)
 
     def draw_return(self):
-        """Returns the three backends that left last, cold."""
+        """Lists up to three backends that were draining or gone as ready again, cold."""
         gone = [backend for backend, state in self.fleet.backend_states.items() if state != "ready"]
         self.fleet.change_list("changes", gone[-3:], "ready", self.fleet.now)
 
--- a/embertray/experiments/measure/scale/virtual.py
+++ b/embertray/experiments/measure/scale/virtual.py
@@ -85,7 +85,7 @@
             self.engine.at(self.engine.time + MARK_CHECK_INTERVAL, self.check_marks, number, written_at)
 
     def oldest(self):
-        """Returns the greatest age of any member's facts anywhere in s; None if one lacks some."""
+        """Returns the greatest age of any member's facts at any member, in s; None if one lacks some."""
         now, size = self.engine.time, len(self.addresses)
         ages = [
             [known.age_ns for known in exchanger.store.latest_values(now, "facts")]
--- a/embertray/experiments/measure/scale/worker.py
+++ b/embertray/experiments/measure/scale/worker.py
@@ -34,9 +34,8 @@
     def __init__(self, plan):
         self.plan, self.clock = plan, LoopClock()
         self.role, module, factory = ROLES[type(plan)]
-        role = import_module(
-            f".{module}", __package__
-        )  # imported here so that memory_before holds only what this role needs
+        # Imported here so that memory_before holds only what this role needs.
+        role = import_module(f".{module}", __package__)
         self.memory_before = psutil.Process().memory_info().rss
         self.members = getattr(role, factory)(plan)
         self.meters = [Meter() for _ in self.members]
@@ -55,7 +54,7 @@
         return self.report()
 
     async def start(self, member, when):
-        """Starts a member at its time (ns)."""
+        """Runs a member from its start time (ns) until it is cancelled."""
         await self.clock.sleep_until(when)
         await member.run()
 
--- a/embertray/simulation/emulator/backend.py
+++ b/embertray/simulation/emulator/backend.py
@@ -27,7 +27,7 @@
         draw: A function that returns random numbers from 0 to 1, which decide on failures.
 
     Attributes:
-        bad_for: Names of proxies whose requests fail here.
+        failing_proxies: Names of proxies whose requests fail here.
     """
 
     def __init__(self, simulation, model, draw):
--- a/embertray/simulation/emulator/control/simulation.py
+++ b/embertray/simulation/emulator/control/simulation.py
@@ -14,7 +14,7 @@
 from .subscriber_process import SubscriberProcess
 from .writer import Writer
 
-# Where time begins, ns.
+# Initial time, ns.
 START_NS = 1_000 * NS_PER_SECOND
 # Time between two observations of every subscriber.
 OBSERVATION_PERIOD_NS = 250 * NS_PER_MS
--- a/embertray/simulation/emulator/flow_fleet.py
+++ b/embertray/simulation/emulator/flow_fleet.py
@@ -2,7 +2,7 @@
 
 The proxies talk to a real controller: they dial, hold tables, acknowledge orders and send load reports. Each
 report cycle, a proxy's request count is drawn from a Poisson distribution and split over the backends by
-weight. The backends are models.backend.Backend, through `pour`.
+weight. The backends are models.backend.Backend, through `serve_flow`.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 CORES = 2
 # Time until a client gives up a request.
 CLIENT_TIMEOUT_NS = 2 * NS_PER_SECOND
-# Backend addresses count through the second and third octets, and ports, in these.
+# Number of values of each of the last three octets, and of ports, in backend addresses.
 ADDRESS_OCTET_VALUES = 250
 ADDRESS_PORTS = 1000
 
--- a/embertray/simulation/emulator/fluid_simulation.py
+++ b/embertray/simulation/emulator/fluid_simulation.py
@@ -1,7 +1,8 @@
 """Simulates a day as flows: in each step, real-valued numbers of requests are split by the routing tables.
 
 The cost of a run depends on proxies x backends, and not on the number of requests. Controllers, tables,
-channel and endpoint list are those of day_simulation.py; backends are models.backend.Backend, through `pour`.
+channel and endpoint list are those of day_simulation.py; backends are models.backend.Backend, through
+`serve_flow`.
 
 Approximations: a request's second attempt goes to the average backend, not to a different one; waits are
 distributed exponentially; a client's timeout is compared with the mean time, so that in a step all or none of
@@ -29,7 +30,8 @@
 STEP_S = STEP_NS / NS_PER_SECOND
 # Time from a failed attempt to the client's next one.
 CLIENT_BACKOFF_NS = NS_PER_SECOND // 5
-# Retry level from which a proxy retries failed requests; at one above it, it retries all of them.
+# Up to this retry level proxies retry nothing here; above it, they retry all failed requests once. Retries of
+# requests that never ran (level 1) are not simulated.
 RETRY_LEVEL = 1
 
 
--- a/embertray/simulation/emulator/proxy.py
+++ b/embertray/simulation/emulator/proxy.py
@@ -9,7 +9,7 @@
     """A proxy with its stream, its clients' requests and its attempts at backends.
 
     Attributes:
-        bad: Names of backends that it cannot reach.
+        unreachable_backends: Names of backends that it cannot reach.
     """
 
     def __init__(self, *args):
@@ -20,7 +20,7 @@
         """Handles a client's request.
 
         Args:
-            request: The Req.
+            request: The Request.
             respond: Called with the request, its outcome and, if it was rejected, the least delay of a retry,
                 ns.
         """
@@ -34,7 +34,7 @@
             self._attempt(pending)
 
     def _attempt(self, pending):
-        """Sends a request to a backend chosen by the routing table, or ends it if there is none."""
+        """Makes a request's next attempt, or ends it if no backend is left or its deadline has passed."""
         engine = self.simulation.engine
         outcome = self.model.attempt(engine.time, pending)
         if outcome:
--- a/embertray/simulation/emulator/proxy_stream.py
+++ b/embertray/simulation/emulator/proxy_stream.py
@@ -23,12 +23,12 @@
 
     Attributes:
         model: The Proxy, which decides about requests.
-        first: The initial backends.
+        initial_backends: The names of its initial backends, as a list.
         fresh: Whether it has never joined a controller.
         controller: The SimulatedController that it has joined, or None.
         session: The Hello of the current stream, or None.
         home: Index of the controller that it dials first.
-        lag: Delay of its load reports, ns.
+        report_delay: Delay of its load reports, ns.
         cut_off: Whether it can reach no controller.
         paused: Whether its process is stopped.
         deferred_calls: Calls deferred until the process continues, as (callback, *args).
