--- a/embertray/simulation/emulator/limits_member.py
+++ b/embertray/simulation/emulator/limits_member.py
@@ -44,7 +44,7 @@
     Args:
         simulation: The LimitsSimulation.
         name: The member's name.
-        first: Whether it is a member of the new cluster, and not started again.
+        new_cluster: Whether it is a member of the new cluster, and not started again.
 
     Attributes:
         core: The Limits.
@@ -53,7 +53,7 @@
         paused: Whether the process is stopped; what arrives is deferred.
     """
 
-    def __init__(self, simulation, name, first):
+    def __init__(self, simulation, name, new_cluster):
         self.simulation = simulation
         self.name = name
         self.alive = True
@@ -71,7 +71,7 @@
             self.clock.now(),
             random.Random(f"{simulation.seed} {name} {simulation.incarnations}"),
             simulation.config,
-            first,
+            new_cluster,
             simulation.incarnations << 32,
         )
         simulation.engine.at(simulation.engine.time, self._step)
