--- a/embertray/experiments/measure/scale/worker.py
+++ b/embertray/experiments/measure/scale/worker.py
@@ -46,14 +46,14 @@
         """Runs the members until the window ends, and returns the Report."""
         async with anyio.create_task_group() as group:
             for member, when in zip(self.members, self.plan.timetable.starts, strict=True):
-                group.start_soon(self.start, member, when)
+                group.start_soon(self.run_member, member, when)
             group.start_soon(self.check_marks)
             group.start_soon(self.write_marks)
             await self.measure()
             group.cancel_scope.cancel()
         return self.report()
 
-    async def start(self, member, when):
+    async def run_member(self, member, when):
         """Runs a member from its start time (ns) until it is cancelled."""
         await self.clock.sleep_until(when)
         await member.run()
