--- a/embertray/simulation/scenarios/controller_starts.py
+++ b/embertray/simulation/scenarios/controller_starts.py
@@ -1,16 +1,16 @@
-"""How controllers that are no processes are started together, slowly, and again."""
+"""Starts and restarts of controllers that are not processes of their own."""
 
 
 class ControllerStarts:
-    """For a class that has `start_controller(name)`, `kill(name)` and `clock`."""
+    """Mixin for classes with `start_controller(name)`, `kill(name)` and `clock`."""
 
     async def start_all(self, names):
-        """Starts the controllers of those names, one after the other."""
+        """Starts controllers by their names, one after the other."""
         for name in names:
             await self.start_controller(name)
 
     async def start_delayed(self, names, by):
-        """Starts them `by` ns from now."""
+        """Starts controllers `by` ns from now."""
         await self.clock.sleep_until(self.clock.now() + by)
         await self.start_all(names)
 
--- a/embertray/simulation/scenarios/controllers.py
+++ b/embertray/simulation/scenarios/controllers.py
@@ -1,6 +1,6 @@
-"""The true controllers of a day in memory, under the virtual clock.
+"""Real controllers of a day within this process, in virtual time.
 
-Controllers in processes of their own are those of simulation/processes/controller_processes.py.
+simulation/processes/controller_processes.py has the controllers that run in processes of their own.
 """
 
 from dataclasses import replace
@@ -18,17 +18,17 @@
 
 from .controller_starts import ControllerStarts
 
-SEEDS_PER_DAY = 1000  # incarnations of a controller that get a seed of their own, a day's seed
+SEEDS_PER_DAY = 1000  # incarnations of a controller with a seed of their own, for each seed of a day
 
 
 class RunningController(NamedTuple):
-    """A controller that runs.
+    """A running controller.
 
     Attributes:
         service: its Service.
         scope: the cancel scope that it runs in.
-        gate: shut while it stands still.
-        net: its net, through the gate.
+        gate: closed while it is paused.
+        net: its network, behind the gate.
     """
 
     service: Service
@@ -38,15 +38,15 @@
 
 
 class InMemoryControllers(ControllerStarts):
-    """Each controller a Service in a cancel scope, with a gate that shuts while it stands still.
+    """Controllers that run as a Service in a cancel scope each, behind a gate that pauses them.
 
     Args:
-        net: the net in memory.
+        net: the network in memory.
         clock: the virtual clock.
         seed: the day's seed.
         log: the controllers' logger.
-        core: a class in place of core.Instance.
-        trust: a class in place of trust.Trust.
+        core: a class in place of ControllerCore.
+        trust: a class in place of Trust.
     """
 
     def __init__(self, net, clock, seed, log, core=None, trust=None):
@@ -58,9 +58,9 @@
         self.trust = trust or Trust
         self.stage = None
         self.running = {}  # name -> RunningController
-        self.incarnations = {}  # name -> how often it was started
+        self.incarnations = {}  # name -> number of starts
         self.snapshots = {}  # name -> InMemorySnapshots
-        self.at = {}  # name -> its entry of the site, with the addresses that it listens on
+        self.at = {}  # name -> its entry in the site, with its listening addresses
 
     async def start(self, stage):
         """Starts the controllers of a stage."""
@@ -71,7 +71,7 @@
             await self.start_controller(me.name)
 
     async def start_controller(self, name):
-        """Starts a controller, unless another fault has done so already."""
+        """Starts a controller, unless another fault has started it already."""
         if name in self.running:
             return
         incarnation = self.incarnations.get(name, 0)
@@ -102,15 +102,15 @@
             await service.run(task_status=task_status)
 
     def addresses(self):
-        """The addresses that proxies dial, in the controllers' order."""
+        """Returns the addresses that proxies dial, in the order of the controllers."""
         return [at.listen for at in self.at.values()]
 
     def admin(self, name):
-        """A controller's operators' address."""
+        """Returns a controller's operators' address."""
         return self.at[name].admin
 
     def kill(self, name):
-        """Ends a controller at once; its streams break."""
+        """Kills a controller; its streams break."""
         if name not in self.running:
             return
         controller = self.running.pop(name)
@@ -119,24 +119,24 @@
         controller.scope.cancel()
 
     def age(self, name, by, from_start):
-        """Makes a controller's snapshot `by` ns older; `from_start`: its first one."""
+        """Makes a controller's latest snapshot `by` ns older; `from_start`: the first one instead."""
         age_in_memory(self.snapshots[name], by, from_start)
 
     def freeze(self, name):
-        """A controller that runs stands still from now on."""
+        """Pauses a running controller."""
         if name in self.running:
             self.running[name].gate.pause()
 
     def thaw(self, name):
-        """A controller that stands still goes on."""
+        """Resumes a paused controller."""
         if name in self.running:
             self.running[name].gate.resume()
 
     async def closing(self):
-        """The day is over, and all still run."""
+        """Called when the day is over, before the controllers are stopped."""
 
     async def stop(self):
-        """Ends all that run, in good order."""
+        """Stops all running controllers regularly."""
         for controller in self.running.values():
             controller.gate.resume()
             controller.service.stop()
--- a/embertray/simulation/scenarios/exceptions.py
+++ b/embertray/simulation/scenarios/exceptions.py
@@ -1,8 +1,8 @@
-"""The errors of scenarios."""
+"""Exceptions of scenarios."""
 
 
 class DayError(ValueError):
-    """The text is no day, or the day can't be played in the way asked for.
+    """The text is not a valid day, or the day cannot be played in the requested mode.
 
     The message names file, line, column and what was expected.
     """
--- a/embertray/simulation/scenarios/notation.py
+++ b/embertray/simulation/scenarios/notation.py
@@ -1,4 +1,4 @@
-"""Reads a day's text into what the player runs; day.lark is the grammar.
+"""Parses a day's text; day.lark is the grammar.
 
 Errors name file, line and column.
 """
@@ -25,14 +25,14 @@
     """One fault of a day.
 
     Attributes:
-        at: when it strikes, ns from the first request.
-        name: its word.
-        targets: names (b1, p2, c1), links (c1>c2, c1<>list), or shares of all as floats.
-        lasts: how long, ns.
-        times: how often, how many or how much, by fault.
-        by: its delay or the time between its parts, ns.
-        options: other words -> values as text.
-        line: its line in the text.
+        at: when it begins, ns from the start of the load.
+        name: its word in the notation.
+        targets: names (b1, p2, c1), links (c1>c2, c1<>list), or shares of all backends or proxies as floats.
+        lasts: its duration, ns.
+        times: a count or a factor, depending on the fault.
+        by: its delay or the time between its steps, ns.
+        options: other settings -> values as text.
+        line: its line number in the text.
     """
 
     at: int
@@ -47,19 +47,19 @@
 
 @dataclass
 class Day:
-    """What a day's text says.
+    """A parsed day.
 
     Attributes:
-        name: of its file.
-        about: what it is for.
-        site: name or path of the site's file.
-        facts: the site's fields that the day sets -> text.
-        fleet: words of the fleet -> values.
+        name: the name of its file.
+        about: its purpose.
+        site: name or path of the site file.
+        facts: site fields that the day overrides -> values as text.
+        fleet: settings of the fleet -> values.
         rate: requests a second.
-        lasts: how long the load lasts, ns.
-        load: words of the load -> values.
-        faults: FaultSpec by FaultSpec, in the text's order.
-        expect: what the day says of its own judgement -> text.
+        lasts: duration of the load, ns.
+        load: settings of the load -> values.
+        faults: the FaultSpecs, in the order of the text.
+        expect: expected results -> values as text.
     """
 
     name: str = ""
@@ -75,7 +75,7 @@
 
     @property
     def first_link_fault(self):
-        """The first fault that strikes links between processes, or None."""
+        """The first fault of links between processes, or None."""
         return next((fault for fault in self.faults if fault.name in LINKS), None)
 
 
@@ -98,75 +98,75 @@
         raise DayError(f"{self.path}:{token.line}:{token.column}: {text}")
 
     def pair(self, name, value):
-        """name=value."""
+        """Returns a setting, `name=value`, as a pair."""
         return name, value
 
     def lasts(self, text):
-        """For 5s."""
+        """Returns a duration, as `for 5s`."""
         return "lasts", parse_duration(str(text))
 
     def times(self, text):
-        """Times 3."""
+        """Returns a count or factor, as `times 3`."""
         return "times", float(text)
 
     def delay(self, text):
-        """By 200ms."""
+        """Returns a delay, as `by 200ms`."""
         return "by", parse_duration(str(text))
 
     def target(self, token):
-        """A share as a float, any other target as its name."""
+        """Returns a share as a float, any other target as its name."""
         return float(token[:-1]) / 100 if token.endswith("%") else str(token)
 
     def about(self, text):
-        """What the day is for."""
+        """Sets the day's purpose."""
         self.day.about = str(text)[1:-1]
 
     def site(self, name, *pairs):
-        """The site, and its fields that the day sets."""
+        """Sets the site, and the fields that the day overrides."""
         self.day.site = str(name)
         self.day.site_fields = {str(key).replace("-", "_"): str(value) for key, value in pairs}
 
     def known(self, pairs, table, where):
-        """Yields pairs as text; raises DayError for a name that the table lacks."""
+        """Yields settings as text. Raises DayError for a name that is not in `table`."""
         for name, value in pairs:
             if str(name) not in table:
-                self.fail(name, f"{where} knows no '{name}'; it takes {', '.join(table)}")
+                self.fail(name, f"{where} has no setting '{name}'; it has {', '.join(table)}")
             yield str(name), str(value)
 
     def fleet(self, *pairs):
-        """The fleet's words."""
+        """Sets the settings of the fleet."""
         self.day.fleet.update(self.known(pairs, FLEET, "fleet"))
 
     def load(self, rate, lasts, *pairs):
-        """The load's rate, length and words."""
+        """Sets the rate, duration and settings of the load."""
         self.day.rate = float(rate[:-2])
         self.day.lasts = parse_duration(str(lasts))
         self.day.load.update(self.known(pairs, LOAD, "load"))
 
     def judge(self, *pairs):
-        """What the day says of its own judgement."""
+        """Sets the expected results."""
         self.day.expect.update((str(key), str(value)) for key, value in pairs)
 
     def trouble(self, at, name, *parts):
-        """One fault: when, its word, and its targets and options in any order."""
+        """Adds a fault; its targets and options come in any order."""
         strikes = FAULTS.get(str(name))
         if strikes is None:
-            self.fail(name, f"no trouble '{name}'; there are {', '.join(FAULTS)}")
+            self.fail(name, f"unknown fault '{name}'; known are {', '.join(FAULTS)}")
         fault = FaultSpec(parse_duration(str(at)), str(name), [], line=name.line)
         for part in parts:
             if isinstance(part, tuple):
                 set_option(fault, *part)
                 continue
             if isinstance(part, str) and target_kind(part) not in strikes:
-                self.fail(name, f"'{name}' can't strike {part}")
+                self.fail(name, f"'{name}' cannot target {part}")
             fault.targets.append(part)
         if strikes != "-" and not fault.targets:
-            self.fail(name, f"'{name}' must name what it strikes, as b1, p2, c1, c1>c2 or 20%")
+            self.fail(name, f"'{name}' needs a target, such as b1, p2, c1, c1>c2 or 20%")
         self.day.faults.append(fault)
 
 
 def set_option(fault, name, value):
-    """Sets a field of a fault that has a word of its own, or one of its other options."""
+    """Sets a field of a fault if it has one of that name, otherwise one of its options."""
     if name in ("lasts", "times", "by"):
         setattr(fault, name, value)
     else:
@@ -175,19 +175,19 @@
 
 @cache
 def parser():
-    """The parser of day.lark."""
+    """Returns the parser for day.lark."""
     return Lark((HERE / "day.lark").read_text(), parser="lalr", propagate_positions=True)
 
 
 def read(text, path="day"):
-    """The Day of a text.
+    """Parses a text.
 
     Args:
         text: the day in its notation.
         path: its file, for the day's name and for errors.
 
     Raises:
-        DayError: the text is no day.
+        DayError: the text is not a valid day.
     """
     day = Day(name=Path(path).stem, fleet=dict(FLEET), load=dict(LOAD))
     try:
@@ -195,9 +195,7 @@
     except UnexpectedInput as error:
         lines = text.split("\n")
         line = lines[error.line - 1] if 0 < error.line <= len(lines) else ""
-        raise DayError(
-            f"{path}:{error.line}:{error.column}: this can't be read here: {line.strip()}"
-        ) from None
+        raise DayError(f"{path}:{error.line}:{error.column}: syntax error: {line.strip()}") from None
     except VisitError as error:
         if isinstance(error.orig_exc, DayError):
             raise error.orig_exc from None
@@ -207,7 +205,7 @@
 
 
 def load(path):
-    """The Day of a file, or of the name of one that comes with the program. Raises DayError."""
+    """Loads a Day from a file, or a built-in day by its name. Raises DayError."""
     file = Path(path)
     if not file.suffix and not file.is_file():
         file = HERE / "scripts" / f"{path}.day"
@@ -220,5 +218,5 @@
 
 
 def names():
-    """The names of the days that come with the program."""
+    """Returns the names of the built-in days."""
     return sorted(file.stem for file in (HERE / "scripts").glob("*.day"))
--- a/embertray/simulation/scenarios/outcome_summary.py
+++ b/embertray/simulation/scenarios/outcome_summary.py
@@ -1,23 +1,23 @@
-"""What became of a day's requests, summed up by kind, by latency and by second."""
+"""Summary of the outcomes of a day's requests by kind, latency and second."""
 
 from hdrh.histogram import HdrHistogram
 
 SECOND_NS = 10**9
-LONGEST_US = 60 * 10**6  # us; what takes longer counts as this in histograms
+LONGEST_US = 60 * 10**6  # longer latencies count as this in histograms
 HISTOGRAM_DIGITS = 3  # significant digits that a histogram keeps
 OUTCOMES = ("done", "late", "lost")
 
 
 def histogram():
-    """An empty histogram of what requests took, us."""
+    """Returns an empty histogram of latencies, us."""
     return HdrHistogram(1, LONGEST_US, HISTOGRAM_DIGITS)
 
 
 class OutcomeSummary:
-    """Sums of `observer.outcomes`; its user also has `site` and `load_start` (the load's start, ns)."""
+    """Mixin that summarizes `observer.outcomes`, for classes with `site` and `load_start` (ns)."""
 
     def outcome_counts(self):
-        """Request kind -> [requests asked, done, late, lost]."""
+        """Returns request kind -> [requests, done, late, lost]."""
         counts = {kind: [0, 0, 0, 0] for kind in self.site.kinds}
         for _, kind, outcome, _ in self.observer.outcomes:
             counts[kind][0] += 1
@@ -25,7 +25,7 @@
         return counts
 
     def latency_histogram(self):
-        """The histogram of what done and late requests took, us."""
+        """Returns the histogram of the latencies of done and late requests, us."""
         counts = histogram()
         for _, _, outcome, latency_ns in self.observer.outcomes:
             if outcome != "lost":
@@ -33,10 +33,10 @@
         return counts
 
     def credit_by_second(self):
-        """Credit earned of credit asked for each second of the load, by when requests came.
+        """Returns the earned share of the requested credit for each second of the load.
 
         Returns:
-            A list with one share a second; None for a second in which no request came.
+            A list with a share for each second, by arrival of the requests; None for seconds without any.
         """
         asked = {}
         earned = {}
--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -1,9 +1,9 @@
-"""Plays a day: fleet, load and faults round true controllers, and judges it by what the sockets carried.
+"""Plays a day with real controllers, and judges it by what the sockets carried.
 
-Three modes with the same stand-ins and the same daemon: `virtual` (streams in memory, a clock that jumps; the
-same seed is the same run), `sockets` (loopback TCP in real time, each controller a process of its own) and
-`processes` (the same, with the harness's links between the processes, to the list and from the proxies, and a
-cluster where the day says so).
+There are three modes, with the same stand-ins and the same daemon. `virtual` has streams in memory and
+virtual time, and the seed determines the run. `sockets` uses loopback TCP in real time, with a process for
+each controller. `processes` adds relays for the links between the processes, to the endpoint list and from
+the proxies, and a cluster if the day has one.
 """
 
 import logging
@@ -26,7 +26,7 @@
 
 
 def error_logger():
-    """A logger for controllers inside a rehearsal: nothing below errors."""
+    """Returns a logger for controllers in simulations that logs errors only."""
     return structlog.wrap_logger(
         structlog.PrintLogger(), wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR)
     )
@@ -40,24 +40,24 @@
     Args:
         day: the Day.
         mode: virtual, sockets or processes.
-        seed: what everything is drawn from.
+        seed: the seed of all draws.
         progress: called with (seconds played, seconds of the load, requests ended), or None.
-        core: a class in place of core.Instance; virtual only.
-        trust: a class in place of trust.Trust; virtual only.
+        core: a class in place of ControllerCore; virtual only.
+        trust: a class in place of Trust; virtual only.
         on_stage: called with the Stage before the day begins, or None.
-        alone: processes without the cluster that the day asks for.
-        logs: a folder where the processes' descriptions and logs stay, or None.
+        alone: whether processes run without the cluster that the day has.
+        logs: a folder for the processes' site files and logs, or None: they are deleted.
 
     Returns:
         The day's Result.
 
     Raises:
-        DayError: the day can't be played in this mode.
+        DayError: the day cannot be played in this mode.
     """
     began = time.monotonic()
     if mode != "processes" and (fault := day.first_link_fault):
         raise DayError(
-            f"{day.name}: line {fault.line}: '{fault.name}' strikes links between processes: play "
+            f"{day.name}: line {fault.line}: '{fault.name}' affects links between processes: play "
             "it with --processes"
         )
     if mode == "virtual":
@@ -81,7 +81,7 @@
 
 def play_on_sockets(day, mode, seed, progress, on_stage, alone, logs):
     """Plays a day in real time and returns its Stage; arguments as of `play`."""
-    # imported here, as plays in memory need no processes
+    # imported here because plays in memory need no processes
     from embertray.simulation.processes.controller_processes import ControllerProcesses
     from embertray.simulation.processes.linked_controller_processes import LinkedControllerProcesses
 
--- a/embertray/simulation/scenarios/result.py
+++ b/embertray/simulation/scenarios/result.py
@@ -1,7 +1,4 @@
-"""What a day gave.
-
-It is judged by what the sockets carried, and by what the processes of a cluster said of each other.
-"""
+"""The result of a day, judged by what the sockets carried and by the statements of cluster members."""
 
 from dataclasses import dataclass
 
@@ -12,25 +9,25 @@
 
 @dataclass
 class Result:
-    """What a day gave.
+    """The result of a day.
 
     Attributes:
         day: the day's name.
         mode: how it was played: virtual, sockets, processes, emulated or flows.
-        seed: what it was drawn from.
-        violations: rule -> what broke it; empty if the rule was kept.
-        credit: credit earned, of credit asked.
+        seed: the seed of all draws.
+        violations: rule -> descriptions of its violations; empty if it was kept.
+        credit: share of the requested credit that was earned.
         credit_by_kind: the same for each request kind, by its external identifier.
-        requests: how many requests came.
+        requests: number of requests.
         spread: ns from the inventory's notice of a drain or an end to each proxy's changed table.
-        wall_s: how long the play took, s of the wall clock.
+        wall_s: elapsed real time, s.
         events: the Observer's events.
-        latencies: HdrHistogram of what done and late requests took, us.
-        credit_by_second: credit earned of credit asked, by second; None where none came.
+        latencies: HdrHistogram of the latencies of done and late requests, us.
+        credit_by_second: share of the requested credit that was earned, by second; None without requests.
         claims: claim -> kept, broken or not met; None without processes that form a cluster.
-        claim_violations: claim -> what broke it; None as above.
-        process_usage: process -> what it used; None without processes.
-        worst_age: greatest age of what members knew of each other, of its bound.
+        claim_violations: claim -> descriptions of its violations; None as above.
+        process_usage: process -> its resource usage; None without processes.
+        worst_age: maximum age of what members knew of each other, relative to its bound.
     """
 
     day: str
@@ -52,15 +49,15 @@
 
     @property
     def kept(self):
-        """Whether every rule and every claim was kept."""
+        """Whether all rules and claims were kept."""
         return not any(self.violations.values()) and "broken" not in (self.claims or {}).values()
 
     def verdicts(self):
-        """Rule -> kept or broken."""
+        """Returns rule -> "kept" or "broken"."""
         return {name: "broken" if self.violations[name] else "kept" for name in RULES}
 
     def as_json(self):
-        """The result as `--json` prints it; other programs read its keys."""
+        """Returns the result as `--json` prints it; other programs read its keys."""
         found = {
             "day": self.day,
             "mode": self.mode,
@@ -86,7 +83,7 @@
         return found
 
     def _spread_ms(self):
-        """Count and ranks of the spread, ms; None for the ranks of an empty one."""
+        """Returns count and percentiles of the spread, ms; percentiles of no values are None."""
         ranked = sorted(self.spread)
 
         def rank(part):
@@ -98,16 +95,16 @@
 
 
 def judge(stage, mode, seed, wall_s):
-    """Judges a day that was played.
+    """Judges a played day.
 
     Args:
         stage: the Stage or DaySimulation on which it was played.
         mode: how it was played, as in Result.
-        seed: what it was drawn from.
-        wall_s: how long the play took, s of the wall clock.
+        seed: the seed of all draws.
+        wall_s: elapsed real time, s.
 
     Returns:
-        Its Result.
+        The Result.
     """
     standing_tables = {proxy.name: proxy.initial_backends for proxy in stage.proxies}
     checker = RuleChecker(stage.site, standing_tables, stage.observer.events, stage.models)
@@ -131,10 +128,10 @@
 
 
 def earned_credit(stage):
-    """Sums up what the requests of a day earned.
+    """Sums up the credit that the requests of a day earned.
 
     Returns:
-        (credit earned of credit asked, the same by kind's external identifier, number of requests)
+        (share of the requested credit that was earned, the same by external identifier of kinds, requests)
     """
     asked = 0.0
     earned = 0.0
@@ -152,7 +149,7 @@
 
 
 def cluster_fields(controllers):
-    """The fields of a Result that only controllers in processes of their own fill."""
+    """Returns the fields of a Result that only controllers in processes of their own provide."""
     claims = getattr(controllers, "claims", None)
     fields = {"process_usage": getattr(controllers, "resource_usage", None)}
     if claims:
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -1,7 +1,6 @@
-"""What a day says of its fleet, its load and who is struck, however it is played.
+"""The fleet, the load and the fault targets of a day, for all modes of playing it.
 
-Each purpose draws from a generator of its own, so that a change to one leaves the draws of the others as
-they were.
+Each purpose draws from a generator of its own, so that a change to one does not affect the draws of others.
 """
 
 from dataclasses import replace
@@ -18,28 +17,28 @@
 from .outcome_summary import OutcomeSummary
 
 SECOND_NS = 10**9
-SETTLE_NS = 4 * SECOND_NS  # ns after the last request that a day goes on: rules still count there
-PROXY_START_DELAY_NS = SECOND_NS // 5  # ns between the controllers' start and the proxies'
-LEAST_NEAR_BACKENDS = 3  # in a proxy's zone; with fewer its standing table is drawn from all zones
+SETTLE_NS = 4 * SECOND_NS  # after the last request; the rules still apply
+PROXY_START_DELAY_NS = SECOND_NS // 5  # after the start of the controllers
+LEAST_NEAR_BACKENDS = 3  # in a proxy's zone; with fewer, its standing table has backends of all zones
 
 
 class ScenarioSetup(OutcomeSummary):
-    """The site, the fleet and the load of a day; the base of each way to play it.
+    """The site, fleet and load of a day; base class of the stage of each mode.
 
     Attributes:
-        site: the day's site, with its facts and its controllers.
-        sample: the site's file.
+        site: the day's site, with the overridden fields and the day's number of controllers.
+        sample: the site file.
         backends: the stand-ins or simulated backends, in order of their numbers.
         proxies: the same of proxies.
         models: backend -> its model.
-        count: how many proxies there are.
-        load_start: when the proxies come, ns.
-        proxy_factors: proxy number -> what faults multiply its load by.
-        zone_factors: zone -> what faults multiply the load of its proxies by.
+        count: number of proxies.
+        load_start: when the proxies start, ns.
+        proxy_factors: proxy number -> factor of its load, set by faults.
+        zone_factors: zone -> factor of the load of its proxies, set by faults.
 
     Args:
         day: the Day to play.
-        seed: what everything is drawn from.
+        seed: the seed of all draws.
     """
 
     def __init__(self, day, seed):
@@ -60,7 +59,7 @@
         self.count = int(day.fleet["proxies"])
 
     def draw_machines(self):
-        """Yields (number, zone, speed) of each backend that is there from the start."""
+        """Yields (number, zone, speed) of each backend that exists from the start."""
         draw = self.random_streams.of("machines")
         low, _, high = self.day.fleet["speed"].partition("..")
         zones = self.site.zones
@@ -68,7 +67,7 @@
             yield n, zones[n % len(zones)], float(low) + (float(high or low) - float(low)) * draw.random()
 
     def shape(self, speed):
-        """The Shape of a backend of that speed (1.0: as fast as the kinds' work was measured)."""
+        """Returns the Shape of a backend; at speed 1.0 a request takes its kind's work."""
         fleet = self.day.fleet
         return Shape(
             int(fleet["cores"]),
@@ -82,7 +81,7 @@
         )
 
     def draw_shares(self):
-        """Each proxy's share of the requests."""
+        """Draws each proxy's share of the requests."""
         skew = float(self.day.load["skew"])
         draw = self.random_streams.of("shares")
         shares = [(1 + skew * (2 * draw.random() - 1)) for _ in range(self.count)]
@@ -90,19 +89,19 @@
         return [share / total for share in shares]
 
     def mix(self):
-        """[(RequestKind, share of the requests, mean work in ns)]."""
+        """Returns [(RequestKind, share of the requests, mean work in ns)]."""
         works = self.by_kind(self.day.load["work"], lambda kind: kind.latency_objective // 10, parse_duration)
         weights = self.by_kind(self.day.load["share"], lambda kind: 1.0, read_percent)
         total = sum(weights.values())
         return [(kind, weights[kind] / total, works[kind]) for kind in self.site.kinds]
 
     def by_kind(self, text, default, read):
-        """A value for each request kind.
+        """Returns a value for each request kind.
 
         Args:
             text: values by a kind's external identifier, as 'view:80ms,post:50ms'.
-            default: gives the value of a kind that the text does not name.
-            read: reads a value of the text.
+            default: returns the value of a kind that the text does not name.
+            read: parses a value.
         """
         given = dict(part.split(":") for part in text.split(",") if part)
         return {
@@ -111,28 +110,28 @@
         }
 
     def draw_standing_backends(self, rng, zone, models):
-        """The names in the table of a proxy of that zone before any controller has spoken."""
+        """Draws the backends that a proxy of a zone uses before it has joined a controller."""
         near = [model.name for model in models if model.zone == zone] or [model.name for model in models]
         enough = len(near) >= min(LEAST_NEAR_BACKENDS, self.site.standing)
         pool = near if enough else [model.name for model in models]
         return [str(name) for name in rng.permutation(pool)[: self.site.standing]]
 
     def channel_delay(self, n):
-        """Draws the delay from proxy n's socket to an order's effect.
+        """Returns the delay of orders from proxy n's socket to their effect.
 
         Returns:
-            A function that gives ns: about the site's mean, never past its most.
+            A function that draws ns, around the site's mean and at most its maximum.
         """
         rng = self.random_streams.of("way", n)
         site = self.site
         return lambda: min(site.channel_delay_max, int(site.channel_delay_mean * (0.5 + rng.random())))
 
     def rate_function(self, n, usual):
-        """The rate of proxy n's clients by time.
+        """Returns the request rate of proxy n's clients over time.
 
         Args:
             n: the proxy's number, from 0.
-            usual: its rate when nothing changes it, requests a second.
+            usual: its rate without profile and faults, requests a second.
 
         Returns:
             A function of the time in ns that gives requests a second.
@@ -154,7 +153,7 @@
         return rate_at
 
     def load_profile(self, n):
-        """How proxy n's load changes by itself: a factor by time in ns, or None. Raises DayError."""
+        """Returns the profile of proxy n's load, a factor by time in ns, or None. Raises DayError."""
         load = self.day.load
         name = load["source"]
         times = float(load["times"])
@@ -171,19 +170,19 @@
             return Bursts(
                 times, period * 4 // 5, period // 5, self.random_streams.of("bursts", n), self.load_start
             )
-        raise DayError(f"load has no source '{name}'; there are poisson, wave, flash, bursty")
+        raise DayError(f"unknown load source '{name}'; known are poisson, wave, flash, bursty")
 
     def arrivals(self, n, usual):
-        """The arrivals of proxy n's clients, `usual` requests a second when nothing changes them."""
+        """Returns the arrival process of proxy n's clients; `usual` as in `rate_function`."""
         arrivals = Poisson if self.day.load["source"] == "poisson" else Varying
         return arrivals(self.rate_function(n, usual))
 
     def select_targets(self, targets, things):
-        """The things that a fault's targets name.
+        """Returns the processes that a fault's targets name.
 
         Args:
-            targets: names, as b2 for the second, and shares as floats: of an order that is drawn, the first.
-            things: all of the kind that is struck, in order of their numbers.
+            targets: names, such as b2 for the second, and shares as floats, which select processes at random.
+            things: all processes of the targets' kind, in order of their numbers.
         """
         found = []
         for target in targets:
@@ -196,10 +195,10 @@
 
 
 def with_site_fields(site, fields):
-    """The site with a day's own values, each read as the type of the site's.
+    """Returns the site with the values of a day, each converted to the type of the field.
 
     Args:
-        site: the site as its file has it.
+        site: the site as in its file.
         facts: field -> text.
     """
     changes = {}
@@ -210,7 +209,7 @@
 
 
 def with_controllers(site, wanted):
-    """The site with `wanted` controllers at least; those past its own are like them, zone by zone."""
+    """Returns the site with at least `wanted` controllers; added ones are copies in successive zones."""
     own = site.controllers
     more = [
         replace(own[n % len(own)], name=f"c{n + 1}", zone=site.zones[n % len(site.zones)])
@@ -220,5 +219,5 @@
 
 
 def read_percent(text):
-    """A share as a float: 0.3 of '30%'."""
+    """Returns a percentage as a share: 0.3 for '30%'."""
     return float(text.rstrip("%")) / 100
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -21,18 +21,18 @@
 
 
 class Stage(ScenarioSetup):
-    """All that a day has on it; faults act on this and on nothing else.
+    """The stand-ins, controllers and clients of a day; faults act on it.
 
     Args:
         day: the Day.
-        seed: what everything is drawn from.
+        seed: the seed of all draws.
         net: TcpNet or MemoryNet.
         clock: its clock.
-        controllers: the controllers: InMemoryControllers or those in processes.
+        controllers: InMemoryControllers, or controllers in processes.
         progress: called with (seconds played, seconds of the load, requests ended), or None.
 
     Raises:
-        DayError: the day has what only the emulator plays.
+        DayError: the day has delays between zones, which only the emulator plays.
     """
 
     def __init__(self, day, seed, net, clock, controllers, progress=None):
@@ -49,7 +49,7 @@
             net, self.scheduler, parse_duration(day.fleet["answers"]), self.observer.told
         )
         if parse_duration(day.fleet["cross"]):
-            raise DayError(f"{day.name}: ways between zones (cross) are emulated only")
+            raise DayError(f"{day.name}: delays between zones (cross) are emulated only")
 
     async def build(self):
         """Starts everything but the load."""
@@ -62,13 +62,13 @@
         await self.start_proxies()
 
     async def add(self, number, zone, speed, cold, listed=True):
-        """Starts one more backend; its name is the address that it listens on.
+        """Starts another backend; its name is the address that it listens on.
 
         Args:
-            number: of its draws.
+            number: its number, for its draws.
             zone: its zone.
-            speed: of its cores, 1.0 the usual one.
-            cold: whether it warms up from now on.
+            speed: speed of its cores; 1.0 is the usual one.
+            cold: whether it starts cold.
             listed: whether the inventory lists it as ready at once.
 
         Returns:
@@ -89,7 +89,7 @@
         return backend
 
     async def start_proxies(self):
-        """Starts the proxies, one after the other, and makes their clients."""
+        """Starts the proxies one after the other, and creates their clients."""
         now = self.clock.now()
         self.load_start = now
         ready = [backend.model for backend in self.backends]
@@ -106,7 +106,7 @@
                 await self.clock.sleep_until(now + spread * (n + 1) // self.count)
 
     def make_proxy(self, n, share, addresses, ready):
-        """Proxy n, which has `share` of the requests and dials the n-th of the controllers' addresses."""
+        """Creates proxy n, which gets `share` of the requests and dials the n-th controller address first."""
         rng = self.random_streams.of("proxy", n)
         zone = self.site.zones[n % len(self.site.zones)]
         proxy = StandinProxy(
@@ -126,7 +126,7 @@
         return proxy
 
     def make_clients(self, n, share, mix):
-        """The clients of proxy n."""
+        """Creates the clients of proxy n."""
         return StandinClients(
             n + 1,
             mix,
@@ -139,7 +139,7 @@
         )
 
     async def play(self):
-        """The day itself, from the first request to some seconds after the last."""
+        """Plays the day until some seconds after the last request."""
         async with anyio.create_task_group() as self.group:
             try:
                 await self.build()
@@ -148,12 +148,12 @@
                 self.observer.end(self.clock.now())
                 await self.controllers.closing()
             finally:
-                with anyio.CancelScope(shield=True):  # a cancelled day ends its controllers all the same
+                with anyio.CancelScope(shield=True):  # stops the controllers even if the day is cancelled
                     await self.controllers.stop()
                 self.group.cancel_scope.cancel()
 
     async def run_load(self):
-        """Runs clients and faults until the last client has ended."""
+        """Runs clients and faults until all requests have ended."""
         end = self.load_start + self.day.lasts
         async with anyio.create_task_group() as load:
             for clients, address in self.clients:
@@ -175,5 +175,5 @@
             await self.clock.sleep_until(now + PROGRESS_PERIOD_NS)
 
     async def request_admin(self, name, method, target):
-        """(status, body) of one request at a controller's operators' address, over its socket."""
+        """Sends a request to a controller's operators' address; returns (status, body)."""
         return await send_request(self.net, self.controllers.admin(name), method, target)
--- a/embertray/simulation/scenarios/target_check.py
+++ b/embertray/simulation/scenarios/target_check.py
@@ -1,4 +1,4 @@
-"""Checks that what a day's faults strike is there."""
+"""Checks that the targets of a day's faults exist."""
 
 import re
 
@@ -6,7 +6,7 @@
 from .words import LINKS, target_kind, target_names
 
 PERCENT = re.compile(r"(\d{1,2}(\.\d+)?|100)%")
-OTHER_ENDS = ("list", "px")  # ends of links that are no numbered process: the inventory and the proxies
+OTHER_ENDS = ("list", "px")  # ends of links besides controllers: the inventory and the proxies
 
 
 def check_targets(day, path):
@@ -17,7 +17,7 @@
         path: its file, for errors.
 
     Raises:
-        DayError: a share is none, or a target is not there.
+        DayError: a share is invalid, or a target does not exist.
     """
     counts = {
         "b": int(day.fleet["backends"]),
@@ -34,17 +34,17 @@
 
 
 def check_shares(fault, place):
-    """Raises DayError if a share that the fault's options name is no percentage."""
+    """Raises DayError if a share in the fault's options is not a percentage."""
     shares = [part for part in fault.options.get("groups", "").split("/") if "%" in part]
     if fault.name in LINKS and "share" in fault.options:
         shares.append(fault.options["share"])
     for share in shares:
         if not PERCENT.fullmatch(share):
-            raise DayError(f"{place}: '{share}' is no share; 30% is one")
+            raise DayError(f"{place}: '{share}' is not a percentage such as 30%")
 
 
 def group_members(fault, counts, place):
-    """The names in a fault's `groups=`; none where the groups are shares, which are drawn.
+    """Returns the names in a fault's `groups=`; none if the groups are shares, whose members are drawn.
 
     Raises:
         DayError: a split does not name every controller.
@@ -63,10 +63,10 @@
 
 
 def check_target(target, counts, place):
-    """Raises DayError if a name, or an end of a link, is not there, or if a link has no controller."""
+    """Raises DayError if a process or an end of a link does not exist, or a link has no controller."""
     try:
         missing = next((name for name in target_names(target) if not is_there(name, counts)), None)
-    except (ValueError, KeyError, IndexError):  # no letter of a kind, or no number after it
+    except (ValueError, KeyError, IndexError):  # not a kind's letter and a number
         missing = target
     if missing is not None:
         raise DayError(f"{place}: there is no {missing}")
@@ -74,9 +74,9 @@
         return
     distinct = len(set(target_names(target))) >= 2
     if not distinct or not any(name[0] == "c" for name in target_names(target)):
-        raise DayError(f"{place}: there is no link {target}: one end at least is a controller")
+        raise DayError(f"{place}: there is no link {target}: at least one end must be a controller")
 
 
 def is_there(name, counts):
-    """Whether a process of that name is there; `counts`: how many by the letter of their kind."""
+    """Returns whether a process exists; `counts`: number of processes by the letter of their kind."""
     return name in OTHER_ENDS or 1 <= int(name[1:]) <= counts[name[0]]
--- a/embertray/simulation/scenarios/words.py
+++ b/embertray/simulation/scenarios/words.py
@@ -1,7 +1,6 @@
-"""The words of the days' notation: faults and what they strike, what fleet and load take."""
+"""The words of the notation of days: faults with their targets, settings of the fleet and the load."""
 
-# fault -> what it strikes: b backends, p proxies, c controllers, l links (played with processes), - nothing
-# named
+# fault -> its targets: b backends, p proxies, c controllers, l links (with processes only), - none
 FAULTS = {
     "crash": "b",
     "vanish": "b",
@@ -76,16 +75,16 @@
 
 
 def target_kind(target):
-    """What a target is: b, p, c, or l for a link."""
+    """Returns the kind of a target: b, p, c, or l for a link."""
     return "l" if ">" in target else target[0]
 
 
 def target_names(target):
-    """The names of a target: two of a link."""
+    """Returns the names in a target: two for a link."""
     return target.replace("<>", ">").split(">")
 
 
 def link_pairs(target):
-    """A link as ordered pairs: c1>c2 one way, c1<>c2 both."""
+    """Returns the directed links of a target: c1>c2 is one, c1<>c2 two."""
     first, second = target_names(target)
     return [(first, second), (second, first)] if "<>" in target else [(first, second)]
