--- a/embertray/experiments/lab/run.py
+++ b/embertray/experiments/lab/run.py
@@ -40,7 +40,7 @@
         return None, f"hung: not done within {experiment.timeout_s} s", time.monotonic() - began
     wall_time_s = time.monotonic() - began
     if process.returncode:
-        last_line = (process.stderr.strip().splitlines() or ["no error output"])[-1]
+        last_line = (process.stderr.strip().splitlines() or ["no word"])[-1]
         return None, f"died with {process.returncode}: {last_line[:300]}", wall_time_s
     return json.loads(process.stdout), None, wall_time_s
 
