--- a/embertray/experiments/lab/experiment.py
+++ b/embertray/experiments/lab/experiment.py
@@ -114,5 +114,7 @@
             if run.seed == first:
                 experiment.day_of(run)
     except (notation.DayError, KeyError, ValueError) as error:
-        raise ExperimentError(f"{path}:{root.find('day').sourceline}: the day is invalid: {error}") from None
+        raise ExperimentError(
+            f"{path}:{root.find('day').sourceline}: the day can't be used: {error}"
+        ) from None
     return experiment
