--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -52,7 +52,7 @@
         self.ready = {}  # backend -> its entry of the list
         self.proxies = {}  # proxy -> JoinedProxy
         self.tables = {}  # key -> Table
-        self.ordered = {}  # key -> {backend: weight} as last set
+        self.last_weights = {}  # key -> {backend: weight} as last set
         self.loads = {}  # backend -> reported share of its cores that is busy
         self.reweight_at = 0
         self.backends = []
@@ -62,15 +62,15 @@
         self.now = now
         for event in events:
             self.apply_event(event)
-        orders = []
+        actions = []
         keys = dict.fromkeys(self.table_key(proxy, joined.zone) for proxy, joined in self.proxies.items())
         for table_key in keys:
-            orders += self.update_table(table_key)
-        orders += self.bind_proxies()
+            actions += self.update_table(table_key)
+        actions += self.bind_proxies()
         if now >= self.wake_at:
             self.wake_at = now + WAKE_PERIOD_NS
-            orders.append(i.SetTimer(0, WAKE_PERIOD_NS))
-        return orders
+            actions.append(i.SetTimer(0, WAKE_PERIOD_NS))
+        return actions
 
     def apply_event(self, event):
         """Applies an event of the endpoint list, of a proxy or of a backend's load; ignores all others."""
@@ -98,27 +98,29 @@
     def update_table(self, table_key):
         """Returns the actions that bring a table to its desired weights."""
         table = self.tables.setdefault(table_key, i.Table())
-        ordered = self.ordered.setdefault(table_key, {})
+        last_weights = self.last_weights.setdefault(table_key, {})
         desired_weights = self.desired_weights(table_key)
-        orders = [
+        actions = [
             i.SetLine(table, backend, weight)
             for backend, weight in desired_weights.items()
-            if abs(ordered.get(backend, 0) - weight) > MIN_RELATIVE_CHANGE * weight
+            if abs(last_weights.get(backend, 0) - weight) > MIN_RELATIVE_CHANGE * weight
         ]
-        orders += [i.SetLine(table, backend, 0) for backend in ordered if backend not in desired_weights]
-        if orders:
-            self.ordered[table_key] = dict(desired_weights)
-        return orders
+        actions += [
+            i.SetLine(table, backend, 0) for backend in last_weights if backend not in desired_weights
+        ]
+        if actions:
+            self.last_weights[table_key] = dict(desired_weights)
+        return actions
 
     def bind_proxies(self):
         """Binds each proxy to its table, once the table has lines."""
-        orders = []
+        actions = []
         for proxy, joined in self.proxies.items():
             table_key = self.table_key(proxy, joined.zone)
-            if joined.bound_key != table_key and self.ordered.get(table_key):
+            if joined.bound_key != table_key and self.last_weights.get(table_key):
                 joined.bound_key = table_key
-                orders.append(i.Bind(proxy, self.tables[table_key]))
-        return orders
+                actions.append(i.Bind(proxy, self.tables[table_key]))
+        return actions
 
     def table_key(self, proxy, zone):
         """Returns the key of the table of a proxy in that zone; proxies with equal keys share a table."""
@@ -151,7 +153,7 @@
 
     def desired_weights(self, table_key):
         """Returns equal weights of the subset's backends that are still ready and of random replacements."""
-        chosen = [backend for backend in self.ordered.get(table_key, {}) if backend in self.ready]
+        chosen = [backend for backend in self.last_weights.get(table_key, {}) if backend in self.ready]
         others = [backend for backend in self.ready if backend not in chosen]
         missing = min(SUBSET_SIZE - len(chosen), len(others))
         if missing > 0:
