--- a/embertray/experiments/capacity/control_plane.py
+++ b/embertray/experiments/capacity/control_plane.py
@@ -20,7 +20,7 @@
 
 
 def framed_bytes(message):
-    """Returns the size of a message with its frame."""
+    """Returns the bytes of an encoded message and its length prefix."""
     return formulas.FRAME_BYTES + len(encode(message))
 
 
--- a/embertray/experiments/capacity/controller.py
+++ b/embertray/experiments/capacity/controller.py
@@ -277,7 +277,7 @@
 
 
 def add_limits(rows, target):
-    """Adds the traffic and state of sharing quotas, in both designs."""
+    """Adds the traffic of sharing quotas in both designs, and the state that it needs with gossip."""
     arguments = (target.controllers, target.proxies_per_controller, target.assumed("limits"))
     request_bytes = formulas.quota_request_bytes(
         target.proxies_per_controller, target.assumed("limits"), target.controllers - 1
--- a/embertray/experiments/capacity/failures.py
+++ b/embertray/experiments/capacity/failures.py
@@ -50,7 +50,7 @@
 
 
 def loss_rows(target, slopes, situation, loss):
-    """Returns the rows of lost machines: backends leave the list, the controllers' proxies join others."""
+    """Returns the rows of machines lost at once: backends leave the list, proxies join other controllers."""
     table = RowBuilder(target, Role.CONTROLLER, situation)
     change = slopes.at("change-bytes", target.backends)
     table.add(
@@ -81,7 +81,7 @@
 
 
 def add_joins(table, target, slopes, loss):
-    """Adds the cost of the joins of proxies from lost controllers, spread over the remaining ones."""
+    """Adds the cost per remaining controller of the joins of proxies whose controllers are lost or restart."""
     remaining = max(1.0, target.controllers - loss.controllers)
     joins = loss.controllers * target.proxies_per_controller / remaining
     table.add(
@@ -109,7 +109,7 @@
 
 
 def add_failure_detection(table, target, slopes, situation):
-    """Adds the time until all know of a lost controller, and until a change is in force without replicas."""
+    """Adds the times until all know of a lost controller and until a change is in force, replicas lost."""
     table.add(
         Part.MEMBERSHIP,
         Quantity.DELAY,
--- a/embertray/experiments/capacity/figure.py
+++ b/embertray/experiments/capacity/figure.py
@@ -66,7 +66,7 @@
     def __init__(self, by_name):
         self.by_name = by_name
         self.fits = {name: fit(slope.medians()) for name, slope in by_name.items()}
-        self.requested = set()
+        self.requested = set()  # names that were looked up, whether they exist or not
 
     def find(self, name):
         """Returns the name of a slope, or of the reported one in its place; None if neither exists."""
--- a/embertray/experiments/capacity/formulas.py
+++ b/embertray/experiments/capacity/formulas.py
@@ -88,7 +88,10 @@
 
 
 def staleness_bound(members):
-    """Returns the bound in s: 2 (n - 1) T + E, and T until the next exchange (docs/design/cluster.md)."""
+    """Returns the bound in s on the age of shared state (docs/design/cluster.md).
+
+    It is 2 (n - 1) T + E, and T until the state is sent again; T is PROBE_PERIOD_S, E is MAX_EXCHANGE_S.
+    """
     return 2 * (members - 1) * PROBE_PERIOD_S + MAX_EXCHANGE_S + PROBE_PERIOD_S
 
 
@@ -96,6 +99,7 @@
     """Returns the bound in s until all members know of a failure.
 
     It is (2 (n - 1) + 2 n + 18) T and the longest suspicion: the claim `seen` of docs/design/cluster.md.
+    T is PROBE_PERIOD_S.
     """
     return (2 * (members - 1) + 2 * members + 18) * PROBE_PERIOD_S + MembershipConfig().suspicion_timeout(
         members, 0
--- a/embertray/experiments/capacity/other_roles.py
+++ b/embertray/experiments/capacity/other_roles.py
@@ -95,7 +95,8 @@
 def joining_request_share(target, wait):
     """Returns the share of all requests that meet a proxy waiting for its first table.
 
-    Each failed controller makes its proxies join others, and each restart may be that of a proxy.
+    The share is an upper estimate: every failed machine counts as a controller, whose proxies join others,
+    and every restart as that of a proxy.
     """
     joins_a_day = target.restarts_a_day + target.machines_a_day * target.proxies_per_controller
     return joins_a_day * wait / (target.proxies * SECONDS_PER_DAY)
--- a/embertray/experiments/capacity/page.py
+++ b/embertray/experiments/capacity/page.py
@@ -113,7 +113,7 @@
 
 
 def judged_value(row):
-    """Returns the value that decides the verdict of a row: the mean or that of the worst 10 s."""
+    """Returns the worse of the mean and the worst 10 s of a row: the larger, or the smaller for a minimum."""
     worst = row.worst.value if row.worst is not None and row.worst.known else row.figure.value
     return min(row.figure.value, worst) if row.quantity is Quantity.SEEN else max(row.figure.value, worst)
 
--- a/embertray/experiments/capacity/row.py
+++ b/embertray/experiments/capacity/row.py
@@ -17,7 +17,8 @@
 
     Attributes:
         verdict: The verdict.
-        factor: The value relative to the budget; None if the value is not known or there is no budget.
+        factor: The value divided by the budget, or a minimum divided by the value: over 1 if the budget is
+            missed. None if the value is not known or there is no budget.
         uncertain: Whether the slope's error at its held-out size could reverse the verdict.
     """
 
@@ -93,7 +94,7 @@
 
     @property
     def judgement(self):
-        """Judged by the worst 10 s if they are known, else by the mean."""
+        """The verdict on the worst 10 s if they are known and exceed the mean, else on the mean."""
         if self.figure.origin is Origin.NO_MECHANISM:
             return Judgement(Verdict.NO_MECHANISM)
         if not self.figure.known:
--- a/embertray/experiments/capacity/table.py
+++ b/embertray/experiments/capacity/table.py
@@ -37,7 +37,7 @@
 
     @property
     def judgement(self):
-        """If parts are missing, the total may already fall short; otherwise its verdict is not known."""
+        """The verdict on the known parts; not known if these fit the budget and other parts are missing."""
         found = judge(self.known, self.budget)
         if self.missing and found.verdict is Verdict.FITS:
             return Judgement(Verdict.UNKNOWN)
--- a/embertray/experiments/capacity/text.py
+++ b/embertray/experiments/capacity/text.py
@@ -44,7 +44,7 @@
 
 
 def format_factor(value):
-    """Returns the factor by which a budget is exceeded."""
+    """Returns the text of the factor by which a budget is missed."""
     if value >= 100:
         return f"{value:,.0f}"
     return f"{value:.2f}" if value < 2 else f"{value:.2g}"
--- a/embertray/experiments/lab/hunt.py
+++ b/embertray/experiments/lab/hunt.py
@@ -119,7 +119,7 @@
     Args:
         sites: Names of sample sites, taken in turn.
         tries: How many days are drawn.
-        seed: Of the days' random draws.
+        seed: Seed of the days' random draws.
         find_broken_rules: Whether to return every day that breaks a rule, minimized; otherwise only the day
             of the lowest credit is returned, as it was drawn.
         core: Type of the controllers' core; None: the production one.
--- a/embertray/experiments/lab/policies.py
+++ b/embertray/experiments/lab/policies.py
@@ -52,7 +52,7 @@
         self.ready = {}  # backend -> its entry of the list
         self.proxies = {}  # proxy -> JoinedProxy
         self.tables = {}  # key -> Table
-        self.last_weights = {}  # key -> {backend: weight} as last set
+        self.last_weights = {}  # key -> {backend: weight} desired when lines were last set
         self.loads = {}  # backend -> reported share of its cores that is busy
         self.reweight_at = 0
         self.backends = []
@@ -96,7 +96,7 @@
                 self.ready.pop(entry.backend, None)
 
     def update_table(self, table_key):
-        """Returns the actions that bring a table to its desired weights."""
+        """Returns the actions that bring a table to its desired weights, without those for small changes."""
         table = self.tables.setdefault(table_key, i.Table())
         last_weights = self.last_weights.setdefault(table_key, {})
         desired_weights = self.desired_weights(table_key)
