--- a/embertray/experiments/capacity/failures.py
+++ b/embertray/experiments/capacity/failures.py
@@ -81,7 +81,7 @@
 
 
 def add_joins(table, target, slopes, loss):
-    """Adds the cost per remaining controller of the joins of proxies whose controllers are lost or restart."""
+    """Adds the cost per remaining controller of the joins of proxies of lost or restarting controllers."""
     remaining = max(1.0, target.controllers - loss.controllers)
     joins = loss.controllers * target.proxies_per_controller / remaining
     table.add(
