--- a/embertray/simulation/scenarios/budgets.py
+++ b/embertray/simulation/scenarios/budgets.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 SECOND_NS = 10**9
-SLACK = 1.15  # x on cold loads and on the rate: chance in what is drawn, jitter of timers
+RATE_TOLERANCE = 1.15  # x on cold loads and on the rate: chance in what is drawn, jitter of timers
 
 
 class BudgetRules:
@@ -46,13 +46,13 @@
                 first += 1
             middle = max(start, at - site.overload_time / 2)
             capacity = capacity_after(shape, middle - start)
-            bearable = site.overload_multiple * capacity * site.overload_time * SLACK
+            bearable = site.overload_multiple * capacity * site.overload_time * RATE_TOLERANCE
             if total > bearable and known * 3 >= total * 2:
                 self.add_violation(
                     "failback",
                     at,
                     f"{backend}, cold for {(at - start) / SECOND_NS:.1f} s, was brought "
-                    f"{total / bearable * SLACK:.2f} times what it bears",
+                    f"{total / bearable * RATE_TOLERANCE:.2f} times what it bears",
                 )
                 return
 
@@ -83,7 +83,7 @@
             largest = max(largest, cost)
             while span[0][0] <= seen - SECOND_NS:
                 lines -= span.popleft()[1]
-            if lines > self.site.channel_rate * SLACK + largest:
+            if lines > self.site.channel_rate * RATE_TOLERANCE + largest:
                 self.add_violation("backlog", seen, f"{lines:.0f} lines left within a second")
                 break
 
--- a/embertray/simulation/scenarios/rules.py
+++ b/embertray/simulation/scenarios/rules.py
@@ -22,7 +22,7 @@
 
 SECOND_NS = 10**9
 RULES = ("lost", "duplicate", "drain", "failback", "backlog")
-MOST_TEXTS = 10  # violations of a rule that are written down; one cause repeats itself
+MAX_VIOLATION_TEXTS = 10  # violations of a rule that are written down; one cause repeats itself
 
 
 class RuleChecker(ControllerEvents, ProxyEvents, RequestEvents, BudgetRules):
@@ -70,5 +70,5 @@
 
     def add_violation(self, rule, at, text):
         """Writes down what broke a rule at `at` ns, unless enough is written of that rule."""
-        if len(self.violations[rule]) < MOST_TEXTS:
+        if len(self.violations[rule]) < MAX_VIOLATION_TEXTS:
             self.violations[rule].append(f"at {at / SECOND_NS:.3f} s: {text}")
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -19,7 +19,7 @@
 SECOND_NS = 10**9
 SETTLE_NS = 4 * SECOND_NS  # after the last request; the rules still apply
 PROXY_START_DELAY_NS = SECOND_NS // 5  # after the start of the controllers
-LEAST_NEAR_BACKENDS = 3  # in a proxy's zone; with fewer, its standing table has backends of all zones
+MIN_ZONE_BACKENDS = 3  # in a proxy's zone; with fewer, its standing table has backends of all zones
 
 
 class ScenarioSetup(OutcomeSummary):
@@ -112,7 +112,7 @@
     def draw_standing_backends(self, rng, zone, models):
         """Draws the backends that a proxy of a zone uses before it has joined a controller."""
         near = [model.name for model in models if model.zone == zone] or [model.name for model in models]
-        enough = len(near) >= min(LEAST_NEAR_BACKENDS, self.site.standing)
+        enough = len(near) >= min(MIN_ZONE_BACKENDS, self.site.standing)
         pool = near if enough else [model.name for model in models]
         return [str(name) for name in rng.permutation(pool)[: self.site.standing]]
 
