--- a/embertray/simulation/processes/cluster_members.py
+++ b/embertray/simulation/processes/cluster_members.py
@@ -82,8 +82,8 @@
 
     def status(self, name):
         """Returns a process's cluster status as a dict, or None if it has none."""
-        said = self.get_page(name)
-        return json.loads(said) if said and said.startswith(b"{") else None
+        body = self.get_page(name)
+        return json.loads(body) if body and body.startswith(b"{") else None
 
     def states(self, name):
         """Returns member -> state as a process sees the others, or None if it does not answer."""
--- a/embertray/simulation/processes/control_process.py
+++ b/embertray/simulation/processes/control_process.py
@@ -40,9 +40,15 @@
     replica_timing, feed_settings, _ = scaled_timings(
         scale, FeedSettings(bytes_per_second=site.control.bytes_per_second)
     )
-    me = site.control.replica(name)
+    own_entry = site.control.replica(name)
     process = ReplicaProcess(
-        site.control, me, LoopClock(), TcpNet(), 1, replica_timing=replica_timing, feed_settings=feed_settings
+        site.control,
+        own_entry,
+        LoopClock(),
+        TcpNet(),
+        1,
+        replica_timing=replica_timing,
+        feed_settings=feed_settings,
     )
     async with anyio.create_task_group() as group:
         group.start_soon(until_signal, process.stop)
@@ -52,9 +58,9 @@
 
 async def run_subscriber(site, name, scale):
     """Runs a SubscriberClient with times multiplied by `scale`; serves its status as /control."""
-    log, net, me = structlog.get_logger(), TcpNet(), site.controller(name)
+    log, net, own_entry = structlog.get_logger(), TcpNet(), site.controller(name)
     _, _, subscriber_timing = scaled_timings(scale, FeedSettings())
-    client = subscriber_client(site, me, LoopClock(), net, 1, log, subscriber_timing)
+    client = subscriber_client(site, own_entry, LoopClock(), net, 1, log, subscriber_timing)
     log.info("started", subscriber=name)
 
     def answer(request, body):
@@ -62,7 +68,7 @@
             return text("there is /control\n", 404)
         return 200, "application/json", msgspec.json.encode(client.status()) + b"\n"
 
-    listener = await net.listen(me.admin)
+    listener = await net.listen(own_entry.admin)
     async with anyio.create_task_group() as group:
         group.start_soon(until_signal, group.cancel_scope.cancel)
         group.start_soon(listener.serve, lambda stream: serve_request(stream, answer), group)
--- a/embertray/simulation/processes/control_record.py
+++ b/embertray/simulation/processes/control_record.py
@@ -195,7 +195,7 @@
     def _all_events(self):
         """Yields (ns, process name or "", event) of writers, samples and logs."""
         with self.lock:
-            yield from ((now, "", said) for now, said in self.events)
+            yield from ((now, "", event) for now, event in self.events)
         wanted = {"replica": ("committed", "saved"), "subscriber": ("started", "applied", "restored")}
         for name in [*self.plane.replicas, *self.plane.controllers]:
             events = wanted["replica" if name in self.plane.replicas else "subscriber"]
--- a/embertray/simulation/processes/controller_processes.py
+++ b/embertray/simulation/processes/controller_processes.py
@@ -38,10 +38,10 @@
         self.stage = stage
         chosen = stage.site.controllers[: int(stage.day.fleet["controllers"])]
         ports = iter(free_ports(3 * len(chosen)))
-        for me in chosen:
+        for entry in chosen:
             listen, admin, cluster = (f"127.0.0.1:{next(ports)}" for _ in range(3))
-            self.at[me.name] = replace(
-                me, listen=listen, admin=admin, cluster=cluster if self.clustered else ""
+            self.at[entry.name] = replace(
+                entry, listen=listen, admin=admin, cluster=cluster if self.clustered else ""
             )
         await self.prepare()
         await self.start_all(self.at)
@@ -55,8 +55,8 @@
             self.stage.sample,
             self.folder / f"{name}.xml",
             [
-                (me.name, me.zone, me.listen, me.admin, self.cluster_address(name, me))
-                for me in self.at.values()
+                (entry.name, entry.zone, entry.listen, entry.admin, self.cluster_address(name, entry))
+                for entry in self.at.values()
             ],
             self.endpoint_list_address(name),
             self.folder / f"{name}.list",
--- a/embertray/simulation/processes/process_monitor.py
+++ b/embertray/simulation/processes/process_monitor.py
@@ -66,16 +66,16 @@
             or self.processes.running.get(name) is not program
         ):
             return
-        said = msgspec.json.decode(body)
+        cluster_status = msgspec.json.decode(body)
         self.claims.check_report(
             now,
             name,
-            {m["name"]: m["state"] for m in said["members"]},
+            {m["name"]: m["state"] for m in cluster_status["members"]},
             {
                 m["name"]: None if m["told_s"] is None else round(m["told_s"] * SECOND_NS)
-                for m in said["members"]
+                for m in cluster_status["members"]
             },
-            said["cut_off"],
+            cluster_status["cut_off"],
         )
 
     async def resource_usage(self):
