--- a/embertray/cli/standin.py
+++ b/embertray/cli/standin.py
@@ -140,7 +140,7 @@
 
         mix = [(kind, 1 / len(description.kinds), kind.latency_objective // 10) for kind in description.kinds]
         clients = StandinClients(
-            1, mix, lambda _: rate, TcpNet(), scheduler, streams.of("clients"), ended=count_outcome
+            1, mix, lambda _: rate, TcpNet(), scheduler, streams.of("clients"), on_ended=count_outcome
         )
         async with anyio.create_task_group() as group:
             address = await group.start(proxy.run)
--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -14,7 +14,7 @@
 from .control_record import ControlRecord
 from .control_timing import scaled_timings
 
-S = 10**9
+NS_PER_SECOND = 10**9
 FAULT_KINDS = ("kill", "stop", "split")
 FAULT_DURATION_S = 10.0  # of a suspended process or of faulty links, at scale 1
 MAX_DOWNTIME_S = 3.0  # before a killed process is restarted, at scale 1
@@ -119,7 +119,7 @@
                 settled = f"all had caught up {injected_fault.settled_s:.1f} s later"
                 show(f"{len(self.injected)} of {len(kinds)}: {injected_fault.what}, {settled}")
                 time.sleep(PAUSE_AFTER_FAULT_S * self.scale)
-            time.sleep(self.record.bounds.any_fault / S + FINAL_QUIET_S * self.scale)
+            time.sleep(self.record.bounds.any_fault / NS_PER_SECOND + FINAL_QUIET_S * self.scale)
         finally:
             self.record.stop_requested.set()
             for writer in writers:
@@ -209,7 +209,7 @@
         """Waits until all processes hold all writes acknowledged so far; returns the seconds it took."""
         started_at = time.monotonic()
         revision = self.record.newest_acknowledged
-        timeout_s = (2 * self.record.bounds.any_fault) / S
+        timeout_s = (2 * self.record.bounds.any_fault) / NS_PER_SECOND
 
         def caught_up():
             statuses = [self.plane.status(name) for name in self.plane.running]
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -135,7 +135,7 @@
             self.scheduler,
             self.random_streams.of("clients", n),
             int(self.day.load["retries"]),
-            ended=self.observer.ended,
+            on_ended=self.observer.ended,
         )
 
     async def play(self):
--- a/embertray/simulation/standins/client.py
+++ b/embertray/simulation/standins/client.py
@@ -8,7 +8,7 @@
 from .link import Link
 from .messages import Request, RequestEnd, decode, encode
 
-S = 10**9
+NS_PER_SECOND = 10**9
 
 
 class StandinClients:
@@ -23,14 +23,16 @@
         rng: the random generator.
         retries: further attempts of a request.
         retry_delay: mean delay before each of them, ns.
-        ended: called with (now, arrival time, kind, outcome, duration) for each request, times in ns; the
+        on_ended: called with (now, arrival time, kind, outcome, duration) for each request, times in ns; the
             outcome is done, late or lost.
     """
 
-    def __init__(self, number, mix, rate, net, scheduler, rng, retries=1, retry_delay=S // 5, ended=None):
+    def __init__(
+        self, number, mix, rate, net, scheduler, rng, retries=1, retry_delay=NS_PER_SECOND // 5, on_ended=None
+    ):
         self.model, self.rng = Clients(number, mix, rng, retries, retry_delay), rng
         self.source = rate if hasattr(rate, "next") else Poisson(rate)
-        self.net, self.scheduler, self.ended = net, scheduler, ended
+        self.net, self.scheduler, self.on_ended = net, scheduler, on_ended
         self.link, self.until = None, 0
         self.idle = anyio.Event()
 
@@ -99,8 +101,8 @@
 
     def finish(self, request, how, duration=0):
         """Reports the outcome of a request and its duration in ns."""
-        if self.ended:
-            self.ended(self.scheduler.now(), request.arrived_at, request.kind, how, duration)
+        if self.on_ended:
+            self.on_ended(self.scheduler.now(), request.arrived_at, request.kind, how, duration)
         self.check_idle()
 
     def check_idle(self):
--- a/embertray/simulation/standins/fleet.py
+++ b/embertray/simulation/standins/fleet.py
@@ -6,12 +6,12 @@
 
 from .fleet_channel import FleetChannel, MessageBatch
 
-MS = 10**6  # ns
-S = 10**9  # ns
+NS_PER_MS = 10**6
+NS_PER_SECOND = 10**9
 
-START_NS = 10 * S  # the time at which a fleet begins
-STEP_PERIOD_NS = 100 * MS
-GRACE_MARGIN_NS = 300 * MS  # past the drain grace, for the delivery of the last message
+START_NS = 10 * NS_PER_SECOND  # the time at which a fleet begins
+STEP_PERIOD_NS = 100 * NS_PER_MS
+GRACE_MARGIN_NS = 300 * NS_PER_MS  # past the drain grace, for the delivery of the last message
 BACKEND_NAME_PREFIX = "be-"
 
 
@@ -27,28 +27,28 @@
         An i.Deployment.
     """
     kinds = [
-        i.RequestKind(800 * MS, 2 * S),
-        i.RequestKind(S, 3 * S, 2.0, "non-replayable"),
+        i.RequestKind(800 * NS_PER_MS, 2 * NS_PER_SECOND),
+        i.RequestKind(NS_PER_SECOND, 3 * NS_PER_SECOND, 2.0, "non-replayable"),
     ]
     fields = {
         "controllers": 5,
         "proxies": proxies,
         "throttle": "share",
         "pick": "two",
-        "no_backend_limit": 15 * S,
+        "no_backend_limit": 15 * NS_PER_SECOND,
         "head": 6.0,
-        "channel_delay_mean": 180 * MS,
+        "channel_delay_mean": 180 * NS_PER_MS,
         "channel_rate": 3 * proxies,
         "pending_max": 24 * proxies,
-        "channel_delay_max": 450 * MS,
+        "channel_delay_max": 450 * NS_PER_MS,
         "messages_max": 20,
-        "messages_window": 10 * S,
-        "report_interval": 2 * S,
+        "messages_window": 10 * NS_PER_SECOND,
+        "report_interval": 2 * NS_PER_SECOND,
         "cold_speed": 0.2,
-        "warm_up_time": 10 * S,
+        "warm_up_time": 10 * NS_PER_SECOND,
         "overload_multiple": 4.0,
-        "overload_time": 3 * S,
-        "drain_grace": 9500 * MS,
+        "overload_time": 3 * NS_PER_SECOND,
+        "drain_grace": 9500 * NS_PER_MS,
         "cross_zone_cost": 0.01,
     }
     return i.Deployment(kinds, zones, **fields | changes)
--- a/embertray/simulation/standins/fleet_channel.py
+++ b/embertray/simulation/standins/fleet_channel.py
@@ -5,7 +5,7 @@
 
 from embertray.policy import interface as i
 
-NS_PER_S = 10**9
+NS_PER_SECOND = 10**9
 BIND_COST_LINES = 3  # in addition to the lines of the table
 MESSAGE_COST_LINES = 1  # in addition to the content and the head
 
@@ -106,7 +106,7 @@
         deployment = self.deployment
         for proxy, lines in batch.lines.items():
             total_lines = lines + deployment.head + MESSAGE_COST_LINES
-            self.free_at = max(self.free_at, now) + int(total_lines * NS_PER_S / deployment.channel_rate)
+            self.free_at = max(self.free_at, now) + int(total_lines * NS_PER_SECOND / deployment.channel_rate)
             self.sent_at[proxy].append(self.free_at)
             self.updates.append(
                 TableUpdate(
@@ -118,7 +118,7 @@
                     now,
                 )
             )
-        pending_lines = (self.free_at - now) * deployment.channel_rate / NS_PER_S
+        pending_lines = (self.free_at - now) * deployment.channel_rate / NS_PER_SECOND
         self.pending_lines_max = max(self.pending_lines_max, pending_lines)
 
     def arrived(self, now):
--- a/embertray/simulation/standins/proxy.py
+++ b/embertray/simulation/standins/proxy.py
@@ -15,9 +15,9 @@
 from .link import STREAM_ERRORS, Link
 from .messages import Request, RequestEnd, decode, encode
 
-S = 10**9
-REDIAL_DELAYS_NS = (S // 5, 2 * S)  # first and longest delay before a dial
-CONNECT_TIMEOUT_NS = S // 4
+NS_PER_SECOND = 10**9
+REDIAL_DELAYS_NS = (NS_PER_SECOND // 5, 2 * NS_PER_SECOND)  # first and longest delay before a dial
+CONNECT_TIMEOUT_NS = NS_PER_SECOND // 4
 
 
 class BackendConnection:
@@ -39,7 +39,7 @@
         scheduler: a Scheduler.
         rng: the random generator.
         rate: requests per second that it announces to the controller.
-        standing: the backends of its standing table.
+        initial_backends: the backends of its standing table.
         observer: the Observer of joins, orders and requests (scenarios/observer.py); None: there is none.
         order_delay: returns the ns between the receipt and the effect of an order.
 
@@ -62,7 +62,7 @@
         scheduler,
         rng,
         rate=0.0,
-        standing=(),
+        initial_backends=(),
         observer=None,
         order_delay=lambda: 0,
     ):
@@ -80,8 +80,8 @@
             observer,
             order_delay,
         )
-        self.initial_backends = list(standing)
-        self.model, self.fresh, self.joined = Proxy(site, rng, standing), True, None
+        self.initial_backends = list(initial_backends)
+        self.model, self.fresh, self.joined = Proxy(site, rng, initial_backends), True, None
         self.connections, self.pending_attempts = {}, {}
         self.group, self.scope, self.conn = None, None, None
         self.cut_off = self.paused = self.deaf = False
--- a/embertray/simulation/standins/scheduler.py
+++ b/embertray/simulation/standins/scheduler.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-NS_PER_S = 1e9
+NS_PER_SECOND = 1e9
 
 
 class Scheduler:
@@ -31,7 +31,7 @@
         Returns:
             A handle with `cancel()`.
         """
-        return self.loop.call_at(when / NS_PER_S, callback, *arguments)
+        return self.loop.call_at(when / NS_PER_SECOND, callback, *arguments)
 
     def after(self, delay, callback, *arguments):
         """Calls back after a delay.
@@ -44,4 +44,4 @@
         Returns:
             A handle with `cancel()`.
         """
-        return self.loop.call_at((self.now() + delay) / NS_PER_S, callback, *arguments)
+        return self.loop.call_at((self.now() + delay) / NS_PER_SECOND, callback, *arguments)
