--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -199,7 +199,7 @@
 
     Args:
         site: the site as in its file.
-        facts: field -> text.
+        fields: field -> value as text.
     """
     changes = {}
     for name, text in fields.items():
