--- a/embertray/simulation/scenarios/player.py
+++ b/embertray/simulation/scenarios/player.py
@@ -57,7 +57,7 @@
     began = time.monotonic()
     if mode != "processes" and (fault := day.first_link_fault):
         raise DayError(
-            f"{day.name}: line {fault.line}: '{fault.name}' affects links between processes: play "
+            f"{day.name}: line {fault.line}: '{fault.name}' strikes links between processes: play "
             "it with --processes"
         )
     if mode == "virtual":
--- a/embertray/simulation/scenarios/setup.py
+++ b/embertray/simulation/scenarios/setup.py
@@ -170,7 +170,7 @@
             return Bursts(
                 times, period * 4 // 5, period // 5, self.random_streams.of("bursts", n), self.load_start
             )
-        raise DayError(f"unknown load source '{name}'; known are poisson, wave, flash, bursty")
+        raise DayError(f"load has no source '{name}'; there are poisson, wave, flash, bursty")
 
     def arrivals(self, n, usual):
         """Returns the arrival process of proxy n's clients; `usual` as in `rate_function`."""
--- a/embertray/simulation/scenarios/stage.py
+++ b/embertray/simulation/scenarios/stage.py
@@ -49,7 +49,7 @@
             net, self.scheduler, parse_duration(day.fleet["answers"]), self.observer.told
         )
         if parse_duration(day.fleet["cross"]):
-            raise DayError(f"{day.name}: delays between zones (cross) are emulated only")
+            raise DayError(f"{day.name}: ways between zones (cross) are emulated only")
 
     async def build(self):
         """Starts everything but the load."""
