--- a/embertray/simulation/models/proxy.py
+++ b/embertray/simulation/models/proxy.py
@@ -312,7 +312,7 @@
         self.backend_counts, self.arrivals, self.counted_since = {}, {}, now
 
     def take_load_report(self, now):
-        """Returns the LoadReport since the last one, and starts the counts anew."""
+        """Returns the LoadReport since the last one, and resets the counts."""
         counts, arrivals, span = self.backend_counts, self.arrivals, now - self.counted_since
         self.joined(now)
         met = [BackendTotals(backend, h.tries, h.failed, h.latency, h.load) for backend, h in counts.items()]
