--- a/embertray/simulation/claims/cluster.py
+++ b/embertray/simulation/claims/cluster.py
@@ -6,7 +6,8 @@
 | --- | --- |
 | seen | a member without any contact is not dead or left at another within the detection bound |
 | wrong | a member that has been within reach for the recovery bound is considered dead |
-| fresh | an entry is older than the freshness bound at a member that has long reached its owner directly |
+| fresh | an entry is older than the freshness bound at a member that has reached its owner directly for
+longer than the recovery and the freshness bound together |
 | young | an entry of a member that is out of reach is younger than that member's silence |
 | alone | a process without any contact does not report that it is cut off within the detection bound, or one
 within reach of others for the recovery bound does |
--- a/embertray/simulation/claims/reachability.py
+++ b/embertray/simulation/claims/reachability.py
@@ -41,7 +41,8 @@
     def process_started(self, now, name):
         """Notes the start of a process; starts at the same time are applied as one change.
 
-        Hundreds of processes that start at once then cost one update of all pairs.
+        The effects of a single start are part of the effects of all of them, and hundreds of processes that
+        start at once then cost one update of all pairs.
         """
         if now != self._starting_at:
             self.apply_starts()
--- a/embertray/simulation/models/arrivals.py
+++ b/embertray/simulation/models/arrivals.py
@@ -12,7 +12,7 @@
 
 
 def arrival_before(when, until):
-    """Returns an arrival whose kind and work the clients draw; None as its time from `until` on."""
+    """Returns (when, None, None): the clients draw kind and work. `when` is None from `until` on."""
     return (when if when < until else None), None, None
 
 
--- a/embertray/simulation/processes/process_monitor.py
+++ b/embertray/simulation/processes/process_monitor.py
@@ -11,7 +11,7 @@
 SECOND_NS = 10**9
 POLL_PERIOD_NS = SECOND_NS // 4  # between two polls of a process
 ANSWER_TIMEOUT_S = 1.0  # a suspended process does not answer
-DELAY_SLACK_NS = SECOND_NS  # delay of a poll: processes and links share this machine's cores
+DELAY_SLACK_NS = SECOND_NS  # that a poll may be late: processes and links share this machine's cores
 
 
 class ProcessMonitor:
--- a/embertray/simulation/scenarios/notation.py
+++ b/embertray/simulation/scenarios/notation.py
@@ -53,7 +53,7 @@
         name: the name of its file.
         about: its purpose.
         site: name or path of the site file.
-        facts: site fields that the day overrides -> values as text.
+        site_fields: site fields that the day overrides -> values as text.
         fleet: settings of the fleet -> values.
         rate: requests a second.
         lasts: duration of the load, ns.
--- a/embertray/simulation/scenarios/observer.py
+++ b/embertray/simulation/scenarios/observer.py
@@ -11,7 +11,8 @@
 
     Attributes:
         at: when, ns.
-        what: its kind: joined, left, orders, applied, sent, failed, told, got, end, or one that faults note.
+        what: its kind: joined, left, orders, applied, sent, failed, told, got, end, or one that faults, links
+            or starts of backends note.
         who: the proxy, backend or controller that it is about.
         rest: further values, depending on the kind.
     """
--- a/embertray/simulation/standins/fleet.py
+++ b/embertray/simulation/standins/fleet.py
@@ -72,7 +72,7 @@
         now: ns.
         pending_events: events for the module's next step.
         backend_states: backend -> its state in the list.
-        removed_at: backend -> ns since when it has been listed as not ready.
+        removed_at: backend -> ns when it was first listed as not ready.
         lines: proxy -> backend -> weight.
         bound: proxy -> table.
         joined_at: proxy -> ns.
@@ -135,7 +135,7 @@
             self.pending_events.append(i.ProxyJoined(proxy, zone, 1.0, True))
 
     def run(self, until, period=STEP_PERIOD_NS):
-        """Steps the module.
+        """Advances the time and, at each step, delivers messages, steps the module and checks the lines.
 
         Args:
             until: ns at which to end.
