--- a/embertray/simulation/processes/control_fault_run.py
+++ b/embertray/simulation/processes/control_fault_run.py
@@ -174,7 +174,7 @@
         return InjectedFault("split", what)
 
     def _choose_target(self):
-        """Chooses a subscriber or a replica with equal chances, and half of the replicas as the leader."""
+        """Chooses a subscriber with 50%, the leader with 25% if there is one, otherwise any replica."""
         if self.rng.random() < 0.5:
             return self.rng.choice(self.plane.controllers)
         if self.rng.random() < 0.5 and (leader := self.plane.leader()):
--- a/embertray/simulation/scenarios/faults/links.py
+++ b/embertray/simulation/scenarios/faults/links.py
@@ -45,7 +45,10 @@
         )
 
     async def do_lagged(self):
-        """They are delayed by `by`. A `jitter` greater than the gaps between datagrams reorders them."""
+        """They delay by `by`, plus up to `jitter`.
+
+        Jitter greater than the gaps between datagrams reorders them; streams keep their order.
+        """
         await self.set_for_duration(
             self.pairs(), delay=self.spec.by, jitter=parse_duration(self.spec.options.get("jitter", "0ms"))
         )
